--- a/tansyladder/config.py
+++ b/tansyladder/config.py
@@ -108,13 +108,38 @@
 # What holds until the next start, whatever a later file says: who the node is, what the machine grants, and
 # what the numbers that the module knows zones, kinds and columns by were given for.
 UNTIL_RESTART = (
-    "name", "listen", "operator", "seed", "limits", "known", "settings.family", "settings.localities",
-    "settings.locality", "settings.kinds", "settings.me", "settings.tick", "settings.report",
-    "settings.weights", "settings.tenants", "settings.extra.tenant_quota_connections",
-    "settings.discovery", "settings.extra.mode", "settings.ceilings.probes",
-)  # fmt: skip
-KEPT_SETTINGS = ("me", "zone", "tick", "connections", "pass_through", "ask_discovery", "probes",
-                 "report_columns", "weighted", "quotas")  # fmt: skip
+    "name",
+    "listen",
+    "operator",
+    "seed",
+    "limits",
+    "known",
+    "settings.family",
+    "settings.localities",
+    "settings.locality",
+    "settings.kinds",
+    "settings.me",
+    "settings.tick",
+    "settings.report",
+    "settings.weights",
+    "settings.tenants",
+    "settings.extra.tenant_quota_connections",
+    "settings.discovery",
+    "settings.extra.mode",
+    "settings.ceilings.probes",
+)
+KEPT_SETTINGS = (
+    "me",
+    "zone",
+    "tick",
+    "connections",
+    "pass_through",
+    "ask_discovery",
+    "probes",
+    "report_columns",
+    "weighted",
+    "quotas",
+)
 POSITIVE = ("slo", "hard_limit")  # of each class
 
 
--- a/tansyladder/fleet/agreeing.py
+++ b/tansyladder/fleet/agreeing.py
@@ -47,10 +47,17 @@
     """One node's agreement with its peers on who owns which session; safe to share between threads."""
 
     def __init__(
-        self, me: str, options: PeersOptions, store: Store | None, taken: Callable[[int, int, str], None],
-        micros: Callable[[], int], folder: str | None = None, checks: Mapping[str, Check] | None = None,
-        cut_off: CutOff = CutOff.STOP, lease: timedelta = LEASE,
-    ) -> None:  # fmt: skip
+        self,
+        me: str,
+        options: PeersOptions,
+        store: Store | None,
+        taken: Callable[[int, int, str], None],
+        micros: Callable[[], int],
+        folder: str | None = None,
+        checks: Mapping[str, Check] | None = None,
+        cut_off: CutOff = CutOff.STOP,
+        lease: timedelta = LEASE,
+    ) -> None:
         """`taken`: told of each claim that holds: session, tenure, and whose; it must not wait.
 
         `checks`: of agreed documents, by name; none: this fleet agrees on no documents.
--- a/tansyladder/fleet/holding.py
+++ b/tansyladder/fleet/holding.py
@@ -75,10 +75,16 @@
     """Documents at one node; what the agreement's thread calls is for that alone, all else for any."""
 
     def __init__(
-        self, start: str, peers: list[str], documents: Documents, store: Store | None,
-        checks: Mapping[str, Check], micros: Callable[[], int], cut_off: CutOff = CutOff.STOP,
+        self,
+        start: str,
+        peers: list[str],
+        documents: Documents,
+        store: Store | None,
+        checks: Mapping[str, Check],
+        micros: Callable[[], int],
+        cut_off: CutOff = CutOff.STOP,
         lease: timedelta = LEASE,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`start`: the node's name and this start of it; `checks`: by the name of a document.
 
         `micros`: Unix time in microseconds. StoreError: what is kept can't be read.
--- a/tansyladder/fleet/joining.py
+++ b/tansyladder/fleet/joining.py
@@ -48,10 +48,16 @@
             keeping.start()
     told = core.options.documents
     agreeing = Agreeing(
-        core.config.name, core.options.peers, keeping.store if keeping is not None else None,
-        resuming.replaced, lambda: core.clock.micros(now()), folder,
-        CHECKS if told.enabled else None, CutOff(told.cut_off), told.lease,
-    )  # fmt: skip
+        core.config.name,
+        core.options.peers,
+        keeping.store if keeping is not None else None,
+        resuming.replaced,
+        lambda: core.clock.micros(now()),
+        folder,
+        CHECKS if told.enabled else None,
+        CutOff(told.cut_off),
+        told.lease,
+    )
     resuming.agreeing = agreeing
     if agreeing.holding is not None:
         core.permits = Publishing(agreeing, agreeing.holding, told.stamps)
--- a/tansyladder/fleet/peering.py
+++ b/tansyladder/fleet/peering.py
@@ -122,9 +122,12 @@
     """All connections of one node to its peers; safe to share between threads."""
 
     def __init__(
-        self, me: str, options: PeersOptions, heard: Callable[[str, Message | Spoken], None],
+        self,
+        me: str,
+        options: PeersOptions,
+        heard: Callable[[str, Message | Spoken], None],
         micros: Callable[[], int],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`heard` takes each message in and must not wait; `micros`: Unix time in microseconds.
 
         OSError: the address can't be listened at.
--- a/tansyladder/fleet/publishing.py
+++ b/tansyladder/fleet/publishing.py
@@ -85,8 +85,13 @@
             version = permit.version(name, at)
             if version is not None:
                 here = self._holding.content(version) is not None
-                out[name] = {"number": version.number, "digest": version.digest.hex(), "size": version.size,
-                             "since": version.since, "here": here}  # fmt: skip
+                out[name] = {
+                    "number": version.number,
+                    "digest": version.digest.hex(),
+                    "size": version.size,
+                    "since": version.since,
+                    "here": here,
+                }
         return msgspec.json.encode(out).decode()
 
     def publish(self, name: str, ask: str, path: str) -> str:
--- a/tansyladder/interface.py
+++ b/tansyladder/interface.py
@@ -129,8 +129,19 @@
                 raise ValueError(f"classes.{i}.message_aim: must not be negative")
         if self.balancers < 1:
             raise ValueError("balancers: must be at least 1")
-        for name in ("me", "zone", "cold", "fall", "park", "drain_grace", "answer_slack", "max_retry_after",
-                     "probe_pace", "call_pace", "fills"):  # fmt: skip
+        for name in (
+            "me",
+            "zone",
+            "cold",
+            "fall",
+            "park",
+            "drain_grace",
+            "answer_slack",
+            "max_retry_after",
+            "probe_pace",
+            "call_pace",
+            "fills",
+        ):
             if getattr(self, name) < 0:
                 raise ValueError(f"{name}: must not be negative")
         for name in ("tick", "max_attempts", "ask_within", "connect_timeout"):
--- a/tansyladder/lab/chaos/checkers.py
+++ b/tansyladder/lab/chaos/checkers.py
@@ -171,8 +171,10 @@
         last = newest.get(event.word)
         if last is not None and event.number < last.number:
             late = event.moment - last.moment
-            found.append(f"{event.word}: node {event.node} decides under {event.number}, {late} us after "
-                         f"node {last.node} did under {last.number}")  # fmt: skip
+            found.append(
+                f"{event.word}: node {event.node} decides under {event.number}, {late} us after "
+                f"node {last.node} did under {last.number}"
+            )
         elif last is None or event.number > last.number:
             newest[event.word] = event
     ends: dict[str, set[int]] = defaultdict(set)
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -183,14 +183,20 @@
     found = checkers.check(history)
     served = [e for e in history if e.what == "heard word" and e.word == "UP"]
     return {
-        "nodes": nodes, "seed": seed, "changes": len(rig.words), "done": rig.words.count("done"),
-        "refused": rig.words.count("refused"), "knocks": sum(e.what == "heard word" for e in history),
-        "served": len(served), "stamped": len(stamped),
-        "turned_away_when_calm": sum(e.word == "BUSY" for e in knocks), "knocks_when_calm": len(knocks),
+        "nodes": nodes,
+        "seed": seed,
+        "changes": len(rig.words),
+        "done": rig.words.count("done"),
+        "refused": rig.words.count("refused"),
+        "knocks": sum(e.what == "heard word" for e in history),
+        "served": len(served),
+        "stamped": len(stamped),
+        "turned_away_when_calm": sum(e.word == "BUSY" for e in knocks),
+        "knocks_when_calm": len(knocks),
         "publish_ms": rig.report.percentiles("publish"),
         "violations": {name: len(cases) for name, cases in found.items()},
         "cases": {name: cases[:3] for name, cases in found.items() if cases},
-    }  # fmt: skip
+    }
 
 
 def _stamps(path: Path, node: int) -> list[Event]:
--- a/tansyladder/lab/chaos/fleet.py
+++ b/tansyladder/lab/chaos/fleet.py
@@ -92,9 +92,12 @@
         """Hosts, links, lists, nodes and the front, until all nodes listen."""
         words = ["-m", "tansyladder.lab.chaos.hosts", str(self.hosts), str(self.size), str(self.seed)]
         self._hosts = await asyncio.create_subprocess_exec(
-            sys.executable, *words, str(self.folder / "hosts.jsonl"),
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            *words,
+            str(self.folder / "hosts.jsonl"),
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert self._hosts.stdout is not None
         doors: list[list[str]] = json.loads(await asyncio.wait_for(self._hosts.stdout.readline(), START))
         settings = SETTINGS.format(key=secrets.token_hex(32))
@@ -418,4 +421,3 @@
             yield whole, history
         finally:
             history += await whole.close()
-
--- a/tansyladder/lab/chaos/hosts.py
+++ b/tansyladder/lab/chaos/hosts.py
@@ -30,9 +30,14 @@
 
     def saw(self, what: str, held: Held, number: int = 0) -> None:
         self.history.add(
-            "host", what, node=held.door, host=held.host.ident, session=held.session, epoch=held.epoch,
+            "host",
+            what,
+            node=held.door,
+            host=held.host.ident,
+            session=held.session,
+            epoch=held.epoch,
             number=number,
-        )  # fmt: skip
+        )
 
 
 async def serve(hosts: int, nodes: int, seed: int, path: Path) -> None:
--- a/tansyladder/lab/chaos/play.py
+++ b/tansyladder/lab/chaos/play.py
@@ -38,15 +38,22 @@
     found = checkers.check(history)
     gaps = _gaps(history)
     return {
-        "peers": peers, "nodes": nodes, "hosts": hosts, "sessions": sessions, "seed": seed,
+        "peers": peers,
+        "nodes": nodes,
+        "hosts": hosts,
+        "sessions": sessions,
+        "seed": seed,
         "sessions_hit": len(hit),
-        "all_back": all_back, "resumed": kept, "resumed_share": round(kept / max(1, len(hit)), 4),
+        "all_back": all_back,
+        "resumed": kept,
+        "resumed_share": round(kept / max(1, len(hit)), 4),
         **{name: len(cases) for name, cases in found.items()},
-        "gap_p50_ms": gaps.get("p50"), "gap_p99_ms": gaps.get("p99"),
+        "gap_p50_ms": gaps.get("p50"),
+        "gap_p99_ms": gaps.get("p99"),
         "fenced": sum(e.what == "fenced" for e in history),
         "refused": _refused(history),
         "cases": {name: cases[:3] for name, cases in found.items() if cases},
-    }  # fmt: skip
+    }
 
 
 async def cost(nodes: int, hosts: int, sessions: int, seed: int, seconds: float) -> dict[str, Any]:
@@ -76,16 +83,22 @@
         for client in whole.clients:
             shown = client.give_up()
             pair = [(client.number + i) % nodes for i in (0, 1 + client.number % (nodes - 1))]
-            words = await asyncio.gather(*(_show(whole, client.number, node, i, *shown)
-                                           for i, node in enumerate(pair)))  # fmt: skip
+            words = await asyncio.gather(
+                *(_show(whole, client.number, node, i, *shown) for i, node in enumerate(pair))
+            )
             words += [await _show(whole, client.number, (pair[0] + 1) % nodes, 2, *shown)]
             opened[words.count("UP")] += 1
     found = checkers.check(history)
     return {
-        "nodes": nodes, "tokens": sessions, "opened_once": opened[1], "opened_never": opened[0],
-        "token_twice": len(found["token_twice"]), "answers_wrong": len(found["answers_wrong"]),
-        "two_owners": len(found["two_owners"]), "cases": {n: c[:3] for n, c in found.items() if c},
-    }  # fmt: skip
+        "nodes": nodes,
+        "tokens": sessions,
+        "opened_once": opened[1],
+        "opened_never": opened[0],
+        "token_twice": len(found["token_twice"]),
+        "answers_wrong": len(found["answers_wrong"]),
+        "two_owners": len(found["two_owners"]),
+        "cases": {n: c[:3] for n, c in found.items() if c},
+    }
 
 
 async def _show(whole: Fleet, client: int, node: int, turn: int, token: str, rest: str) -> str:
@@ -116,12 +129,16 @@
         histories.save(keep, history)
     found = checkers.check(history)
     return {
-        "seed": schedule.seed, "faults": len(schedule.faults), "sessions": schedule.sessions + schedule.late,
-        "all_back": all_back, "begun_anew": _begun_anew(history),
-        "gaps_ms": _gaps(history), "violations": {name: len(cases) for name, cases in found.items()},
+        "seed": schedule.seed,
+        "faults": len(schedule.faults),
+        "sessions": schedule.sessions + schedule.late,
+        "all_back": all_back,
+        "begun_anew": _begun_anew(history),
+        "gaps_ms": _gaps(history),
+        "violations": {name: len(cases) for name, cases in found.items()},
         "refused": _refused(history),
         "cases": {name: cases[:3] for name, cases in found.items() if cases},
-    }  # fmt: skip
+    }
 
 
 async def _play(whole: Fleet, schedule: Schedule) -> None:
--- a/tansyladder/lab/chaos/stories.py
+++ b/tansyladder/lab/chaos/stories.py
@@ -36,15 +36,16 @@
     "it does not hear hosts": _faults((0.3, Kind.CUT_DOWN, 0, 5.0)),
     "links that delay by 2 s": _faults((0.3, Kind.DELAY_PEERS, 1, 6.0, 2.0), (0.6, Kind.KILL, 0, 4.0)),
     "links that flap": _faults((0.3, Kind.FLAP_PEERS, 1, 5.0), (0.6, Kind.KILL, 0, 4.0)),
-    "no majority": _faults(*((0.3, Kind.CUT_PEERS, n, 10.0) for n in (0, 1, 2)),
-                           *((1.5, Kind.RESET, n, 0.1) for n in (3, 4))),
+    "no majority": _faults(
+        *((0.3, Kind.CUT_PEERS, n, 10.0) for n in (0, 1, 2)), *((1.5, Kind.RESET, n, 0.1) for n in (3, 4))
+    ),
     "disk lost": _faults((0.3, Kind.LOSE_DISK, 0, 3.0), (6.0, Kind.KILL, 1, 3.0)),
     "older disk": _faults((0.3, Kind.KILL, 1, 2.0), (0.4, Kind.OLD_DISK, 0, 4.0), (9.0, Kind.KILL, 2, 3.0)),
     "full disk": _faults((0.3, Kind.FULL_DISK, 0, 5.0), (0.6, Kind.KILL, 1, 3.0)),
     "clock back": _faults((0.3, Kind.SKEW, 0, 3.0, -1.8), (1.5, Kind.KILL, 1, 3.0)),
     "clock off": _faults((0.3, Kind.SKEW, 0, 3.0, 0.2), (1.5, Kind.KILL, 1, 3.0)),
     "set-ups in hand": _faults((0.02, Kind.KILL, 0, 3.0), (0.05, Kind.KILL, 1, 3.0)),
-}  # fmt: skip
+}
 SESSIONS = {"200 of one node at once": 1000}  # at least
 LATE = {"set-ups in hand": 120}
 
--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -23,9 +23,15 @@
     tries = TRIES
 
     def __init__(
-        self, report: Report, port: int, number: int, seed: int, resumes: bool, say: float = SAY,
+        self,
+        report: Report,
+        port: int,
+        number: int,
+        seed: int,
+        resumes: bool,
+        say: float = SAY,
         silence: float | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`say`: seconds between two of its lines; `silence`: after which its connection counts as dead."""
         self._silence, self._answer = silence, ANSWER if silence is None else PATIENCE
         self.report, self.port, self.number, self.resumes = report, port, number, resumes
--- a/tansyladder/lab/comeback.py
+++ b/tansyladder/lab/comeback.py
@@ -29,8 +29,14 @@
             whole.report.delay("gap", max(timedelta(0), client.gap))
         kept = sum(c.sessions == 1 for c in dropped)
         return {
-            "sessions": sessions, "dropped": len(dropped), "all_back": back, "kept": kept,
+            "sessions": sessions,
+            "dropped": len(dropped),
+            "all_back": back,
+            "kept": kept,
             **{name: whole.report.counts[name] for name in RULES},
-            "gap_ms": whole.report.percentiles("gap"), "come_back_ms": whole.report.percentiles("come_back"),
-            "set_up_ms": whole.report.percentiles("set_up"), "resume": resumes, "cases": whole.report.cases,
-        }  # fmt: skip
+            "gap_ms": whole.report.percentiles("gap"),
+            "come_back_ms": whole.report.percentiles("come_back"),
+            "set_up_ms": whole.report.percentiles("set_up"),
+            "resume": resumes,
+            "cases": whole.report.cases,
+        }
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -73,8 +73,13 @@
 @click.command("up")
 @click.option("--hosts", default=3, show_default=True, type=click.IntRange(1, 50))
 @click.option("--resume", default="on", show_default=True, type=SWITCH)
-@click.option("--nodes", default=1, show_default=True, type=click.IntRange(1, 9),
-              help="more than one: they are peers, with a front")  # fmt: skip
+@click.option(
+    "--nodes",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 9),
+    help="more than one: they are peers, with a front",
+)
 def up_command(hosts: int, resume: str, nodes: int) -> None:
     """Start stand-in hosts, a discovery and nodes, and say how to talk to them; until Ctrl-C."""
     asyncio.run(_up_fleet(nodes, hosts) if nodes > 1 else _up(hosts, resume == "on"))
@@ -98,8 +103,10 @@
         click.echo("and type:     OPEN 1 7f c=viewport,d=1200,g=5c,rs=1")
         click.echo("it answers UP, RS TOKEN with a token, and the host's frames F n h; n counts them.")
         for node in whole.nodes:
-            click.echo(f"{node.folder.name}: process {node.pid}, 127.0.0.1:{node.port}, log {node.log}, "
-                       f"operators: echo status | nc 127.0.0.1 {node.operator}")  # fmt: skip
+            click.echo(
+                f"{node.folder.name}: process {node.pid}, 127.0.0.1:{node.port}, log {node.log}, "
+                f"operators: echo status | nc 127.0.0.1 {node.operator}"
+            )
         click.echo("kill the node that has your session (kill -9 PROCESS), connect once more, and go on, N")
         click.echo("the last n that you saw:  OPEN 2 7f c=viewport,d=1200,g=5c,rt=TOKEN,rp=N")
         click.echo("Ctrl-C ends it.")
@@ -142,9 +149,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 @click.option("--peers", default="both", show_default=True, type=click.Choice(["on", "off", "both"]))
-def takeover_command(
-    nodes: int, hosts: int, sessions: int, seed: int, as_json: bool, peers: str
-) -> None:
+def takeover_command(nodes: int, hosts: int, sessions: int, seed: int, as_json: bool, peers: str) -> None:
     """Kill one node of a fleet, stop another for 5 s, and see which sessions go on at the others."""
     from tansyladder.lab.chaos import play
 
@@ -208,14 +213,25 @@
 @click.option("--seconds", default=12.0, show_default=True, type=click.FloatRange(1, 600))
 @click.option("--seed", default=1, show_default=True, help="of the first schedule; more runs count on")
 @click.option("--runs", default=1, show_default=True, type=click.IntRange(1, 10_000))
-@click.option("--schedule", "played", type=click.Path(path_type=Path, exists=True, dir_okay=False),
-              help="play this file's schedule")  # fmt: skip
+@click.option(
+    "--schedule",
+    "played",
+    type=click.Path(path_type=Path, exists=True, dir_okay=False),
+    help="play this file's schedule",
+)
 @click.option("--keep", type=click.Path(path_type=Path, file_okay=False), help="histories and schedules")
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def chaos_command(
-    nodes: int, hosts: int, sessions: int, seconds: float, seed: int, runs: int, played: Path | None,
-    keep: Path | None, as_json: bool,
-) -> None:  # fmt: skip
+    nodes: int,
+    hosts: int,
+    sessions: int,
+    seconds: float,
+    seed: int,
+    runs: int,
+    played: Path | None,
+    keep: Path | None,
+    as_json: bool,
+) -> None:
     """Play seeded faults between several nodes, hosts and clients, and check what they saw."""
     from tansyladder.lab.chaos import play, schedule
 
@@ -233,8 +249,12 @@
         found["sessions"] += result["sessions"]
         found["violations"].update({k: v for k, v in result["violations"].items() if v})
         if result["cases"] and found["first"] is None:
-            found["first"] = {"seed": plan.seed, "cases": result["cases"], "refused": result["refused"],
-                              "schedule": msgspec.to_builtins(plan.faults)}  # fmt: skip
+            found["first"] = {
+                "seed": plan.seed,
+                "cases": result["cases"],
+                "refused": result["refused"],
+                "schedule": msgspec.to_builtins(plan.faults),
+            }
     _show(found, as_json)
     sys.exit(1 if found["first"] else 0)
 
@@ -268,8 +288,16 @@
 
     fleet = fleetlog.read_folder(folder)
     if as_json:
-        _show({"nodes": fleet.nodes, "unread": fleet.unread, "totals": fleet.totals,
-               "seconds": fleet.seconds, "standing": fleet.standing}, True)  # fmt: skip
+        _show(
+            {
+                "nodes": fleet.nodes,
+                "unread": fleet.unread,
+                "totals": fleet.totals,
+                "seconds": fleet.seconds,
+                "standing": fleet.standing,
+            },
+            True,
+        )
     else:
         click.echo(fleetlog.table(fleet, members))
 
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -59,11 +59,18 @@
             resumed += 1
             in_aim += late <= AIM
     return {
-        "sessions": len(whole.clients), "on_the_host": held, "resumed": resumed,
+        "sessions": len(whole.clients),
+        "on_the_host": held,
+        "resumed": resumed,
         "resumed_within_aim": round(in_aim / len(whole.clients), 4),
         **{name: report.counts[name] for name in RULES},
-        "gap_ms": report.percentiles("gap"), "set_up_ms": report.percentiles("set_up"),
+        "gap_ms": report.percentiles("gap"),
+        "set_up_ms": report.percentiles("set_up"),
         "host_empty_after_ms": round(empty_after / timedelta(milliseconds=1)),
-        "fenced": whole.world.store.fenced, "moved": report.counts["moved"], "resume": whole.resumes,
-        "style": style, "took_s": round(took, 1), "cases": report.cases,
-    }  # fmt: skip
+        "fenced": whole.world.store.fenced,
+        "moved": report.counts["moved"],
+        "resume": whole.resumes,
+        "style": style,
+        "took_s": round(took, 1),
+        "cases": report.cases,
+    }
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -19,8 +19,13 @@
 END = 10.0  # seconds from SIGTERM to its end
 TICK = os.sysconf("SC_CLK_TCK")
 MODULE_SETTINGS: dict[str, Any] = {
-    "family": "conn", "discovery": "on_request", "localities": ["a"], "kinds": ["m"], "locality": 0,
-    "balancers": 1, "me": 0,
+    "family": "conn",
+    "discovery": "on_request",
+    "localities": ["a"],
+    "kinds": ["m"],
+    "locality": 0,
+    "balancers": 1,
+    "me": 0,
     "classes": [
         {"name": "viewport", "slo": 300_000, "hard_limit": 1_200_000, "worth": 5.0},
         {"name": "preview", "slo": 500_000, "hard_limit": 2_000_000, "worth": 1.0},
@@ -28,14 +33,21 @@
     # One event loop plays all hosts: its lag would pass for late messages, and with probes for slow hosts.
     "extra": {"message_aim": [250_000, 50_000], "tells_delay": False},
     "ceilings": {
-        "attempts_cap": 4, "connect_timeout": 75_000, "retry_after": True, "max_retry_after": 1_000_000,
+        "attempts_cap": 4,
+        "connect_timeout": 75_000,
+        "retry_after": True,
+        "max_retry_after": 1_000_000,
         "probes": False,
     },
     "rules": {
-        "ask_within": 6_000_000, "stop_sending_within": 2_500_000, "cold_from": 0.13, "cold": 23_000_000,
-        "tip_multiple": 3.0, "fall": 1_000_000,
+        "ask_within": 6_000_000,
+        "stop_sending_within": 2_500_000,
+        "cold_from": 0.13,
+        "cold": 23_000_000,
+        "tip_multiple": 3.0,
+        "fall": 1_000_000,
     },
-}  # fmt: skip
+}
 
 
 PORTS = range(10_000, 32_000)  # below those that the system gives to outgoing connections
@@ -75,11 +87,15 @@
         self.folder, self._settings = folder, folder / "settings.sexp" if settings else None
         self.port, self.operator = spare_port(), spare_port()
         whole = {
-            "name": name, "listen": f"127.0.0.1:{self.port}",
-            "operator": f"127.0.0.1:{self.operator}", "discovery": discovery, "seed": "1ab",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 8192}, "known": known,
+            "name": name,
+            "listen": f"127.0.0.1:{self.port}",
+            "operator": f"127.0.0.1:{self.operator}",
+            "discovery": discovery,
+            "seed": "1ab",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 8192},
+            "known": known,
             "settings": MODULE_SETTINGS | {"balancers": nodes},
-        }  # fmt: skip
+        }
         self.config = folder / "config.json"
         self.config.write_text(json.dumps(whole, indent=1))
         if self._settings is not None:
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -33,10 +33,17 @@
         await whole.settle()
         report = whole.report
         return {
-            "sessions": sessions, "all_back": back, "kept": kept, "share_kept": round(kept / sessions, 4),
+            "sessions": sessions,
+            "all_back": back,
+            "kept": kept,
+            "share_kept": round(kept / sessions, 4),
             "first_placement_ms": round(first / timedelta(milliseconds=1)),
-            "replayed": len(again), "replays_refused": again.count("ERR"), "stand_after_replays": stood,
+            "replayed": len(again),
+            "replays_refused": again.count("ERR"),
+            "stand_after_replays": stood,
             **{name: report.counts[name] for name in RULES},
-            "come_back_ms": report.percentiles("come_back"), "set_up_ms": report.percentiles("set_up"),
-            "store": keeps, "cases": report.cases,
-        }  # fmt: skip
+            "come_back_ms": report.percentiles("come_back"),
+            "set_up_ms": report.percentiles("set_up"),
+            "store": keeps,
+            "cases": report.cases,
+        }
--- a/tansyladder/lab/storefaults.py
+++ b/tansyladder/lab/storefaults.py
@@ -208,10 +208,14 @@
     faults += failures(seed, batches, verdicts)
     offsets = touched(seed, batches, verdicts, 1 if full else 5)
     return {
-        "offsets": offsets, "faults": faults, "recoveries": verdicts.counts["recoveries"],
-        "named": verdicts.counts["named"], "lost": verdicts.counts["lost"],
-        "half_batches": verdicts.counts["half_batches"], "resurrected": verdicts.counts["resurrected"],
-        "max_recovery_ms": round(verdicts.slowest * 1000, 1), "took_s": round(time.monotonic() - started, 1),
+        "offsets": offsets,
+        "faults": faults,
+        "recoveries": verdicts.counts["recoveries"],
+        "named": verdicts.counts["named"],
+        "lost": verdicts.counts["lost"],
+        "half_batches": verdicts.counts["half_batches"],
+        "resurrected": verdicts.counts["resurrected"],
+        "max_recovery_ms": round(verdicts.slowest * 1000, 1),
+        "took_s": round(time.monotonic() - started, 1),
         "cases": verdicts.cases,
-    }  # fmt: skip
-
+    }
--- a/tansyladder/lab/storekill.py
+++ b/tansyladder/lab/storekill.py
@@ -68,6 +68,9 @@
             wrong += 1
         number = int(state.get(b"last", b"0"))
     return {
-        "rounds": rounds, "acknowledged": acknowledged, "lost": lost, "wrong": wrong,
+        "rounds": rounds,
+        "acknowledged": acknowledged,
+        "lost": lost,
+        "wrong": wrong,
         "max_recovery_ms": round(slowest * 1000, 1),
-    }  # fmt: skip
+    }
--- a/tansyladder/net/flow.py
+++ b/tansyladder/net/flow.py
@@ -17,8 +17,12 @@
 from tansyladder.net.mailbox import Mailbox, PoolMember
 from tansyladder.net.sockets import Heard
 
-WORDS = {protocol.BUSY: Status.FULL, protocol.ERR: Status.ERROR, protocol.MOVE: Status.CANCELLED,
-         protocol.BYE: Status.OK}  # fmt: skip
+WORDS = {
+    protocol.BUSY: Status.FULL,
+    protocol.ERR: Status.ERROR,
+    protocol.MOVE: Status.CANCELLED,
+    protocol.BYE: Status.OK,
+}
 
 
 @dataclass(slots=True)
--- a/tansyladder/net/protocol.py
+++ b/tansyladder/net/protocol.py
@@ -120,10 +120,18 @@
         if told.get(name, "0") not in ("0", "1"):
             raise LineError(f"{name}: 0 or 1 expected")
     return Opening(
-        ident=ident.lower(), key=int(key, 16), cls=told["c"], wait=wait, group=int(told.get("g", "0"), 16),
-        repeat=told.get("r") == "1", again=told.get("again") == "1", at=told.get("at"), hint=hint,
-        names=names, start=f"OPEN {ident} {key}",
-    )  # fmt: skip
+        ident=ident.lower(),
+        key=int(key, 16),
+        cls=told["c"],
+        wait=wait,
+        group=int(told.get("g", "0"), 16),
+        repeat=told.get("r") == "1",
+        again=told.get("again") == "1",
+        at=told.get("at"),
+        hint=hint,
+        names=names,
+        start=f"OPEN {ident} {key}",
+    )
 
 
 def _pair(text: str) -> tuple[str, str]:
--- a/tansyladder/node/core.py
+++ b/tansyladder/node/core.py
@@ -96,9 +96,7 @@
         What is under way goes on under the number, and so the terms, that it began with.
         """
         with self._lock:
-            numbers = {
-                key[0]: self._terms.setdefault(key, len(self._terms)) for key in _terms_of(told)
-            }
+            numbers = {key[0]: self._terms.setdefault(key, len(self._terms)) for key in _terms_of(told)}
             retired = frozenset(self._terms.values()) - set(numbers.values())
             classes = tuple(terms for _, terms in self._terms)  # in the order of their numbers
             settings = replace(told.settings, classes=classes, retired=retired)
--- a/tansyladder/node/hooks.py
+++ b/tansyladder/node/hooks.py
@@ -76,9 +76,15 @@
         """What a stream host gets, by how long the node waits."""
 
     def serve(
-        self, box: Mailbox, client: socket.socket, cls: int, opening: Opening, stream: Stream,
-        standing: Standing, number: int,
-    ) -> None:  # fmt: skip
+        self,
+        box: Mailbox,
+        client: socket.socket,
+        cls: int,
+        opening: Opening,
+        stream: Stream,
+        standing: Standing,
+        number: int,
+    ) -> None:
         """Serve one from its first UP to its end; the client's socket is closed then."""
 
     def come_back(
--- a/tansyladder/node/operator.py
+++ b/tansyladder/node/operator.py
@@ -48,8 +48,11 @@
     def __init__(self, core: Core, front: VirtualServer, address: Address) -> None:
         self._core, self._front = core, front
         self._calls: dict[str, Callable[..., list[str]]] = {
-            "status": self._status, "stats": self._stats, "standby": self._standby, "active": self._active,
-        }  # fmt: skip
+            "status": self._status,
+            "stats": self._stats,
+            "standby": self._standby,
+            "active": self._active,
+        }
         # Where the fleet agrees on documents: by name and how many words come behind it.
         self._documents: dict[tuple[str, int], Callable[..., list[str]]] = {
             ("documents", 0): lambda: [self._permits.describe(), "."],
--- a/tansyladder/node/placing.py
+++ b/tansyladder/node/placing.py
@@ -110,6 +110,14 @@
     """What the module is told of a request; `cls`: its class there; `back`: it broke or was moved."""
     hint = None if opening.hint is None else int(opening.hint)
     return api.Request(
-        number, cls, core.tenant(opening), core.clock.micros(deadline), opening.key, opening.group, hint,
-        opening.repeat, False, back,
-    )  # fmt: skip
+        number,
+        cls,
+        core.tenant(opening),
+        core.clock.micros(deadline),
+        opening.key,
+        opening.group,
+        hint,
+        opening.repeat,
+        False,
+        back,
+    )
--- a/tansyladder/node/virtual_server.py
+++ b/tansyladder/node/virtual_server.py
@@ -53,8 +53,16 @@
     """A connection that has not sent a valid OPEN."""
 
     __slots__ = (
-        "buffer", "end_by", "gone_by", "heard", "pings", "pings_from", "read_away", "sock", "told",
-    )  # fmt: skip
+        "buffer",
+        "end_by",
+        "gone_by",
+        "heard",
+        "pings",
+        "pings_from",
+        "read_away",
+        "sock",
+        "told",
+    )
 
     def __init__(self, sock: socket.socket) -> None:
         # Half a line is as good as none; only a whole PING sets the moment on.
--- a/tansyladder/options.py
+++ b/tansyladder/options.py
@@ -14,9 +14,12 @@
 import msgspec
 
 SPANS = {
-    "us": timedelta(microseconds=1), "ms": timedelta(milliseconds=1), "s": timedelta(seconds=1),
-    "min": timedelta(minutes=1), "h": timedelta(hours=1),
-}  # fmt: skip
+    "us": timedelta(microseconds=1),
+    "ms": timedelta(milliseconds=1),
+    "s": timedelta(seconds=1),
+    "min": timedelta(minutes=1),
+    "h": timedelta(hours=1),
+}
 SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
 MOST_DEPTH = 16  # of brackets: deeper is no settings file, and must not exhaust the reader's stack
 _QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) ?(us|ms|s|min|h|B|KiB|MiB)\Z", re.A)
--- a/tansyladder/peers/agreement.py
+++ b/tansyladder/peers/agreement.py
@@ -106,9 +106,15 @@
     """One node's part in it. Not safe to share between threads."""
 
     def __init__(
-        self, me: str, voters: Sequence[str], others: Sequence[str], kept: Kept, state: State, rng: Random,
+        self,
+        me: str,
+        voters: Sequence[str],
+        others: Sequence[str],
+        kept: Kept,
+        state: State,
+        rng: Random,
         now: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`voters`: their names, the same at every node; `others`: who has no vote; `kept`: from the disk.
 
         `kept.hard.ident` is the disk's name; it has been synced before.
--- a/tansyladder/resume/stream.py
+++ b/tansyladder/resume/stream.py
@@ -31,13 +31,20 @@
     """Positions, windows and the epoch of one session."""
 
     __slots__ = (
-        "_acked", "_durable", "_first_line", "_repeated", "_returns_told", "epoch", "from_client",
-        "from_host", "lost", "number", "resumes",
-    )  # fmt: skip
-
-    def __init__(
-        self, number: int, budget: Budget, most: int, start: int = 0, durable: bool = False
-    ) -> None:
+        "_acked",
+        "_durable",
+        "_first_line",
+        "_repeated",
+        "_returns_told",
+        "epoch",
+        "from_client",
+        "from_host",
+        "lost",
+        "number",
+        "resumes",
+    )
+
+    def __init__(self, number: int, budget: Budget, most: int, start: int = 0, durable: bool = False) -> None:
         """`most`: bytes kept each way, with a fixed cost for each line.
 
         `start`: which start of the node's life this is: its epochs are above all of an earlier start.
--- a/tansyladder/resume/words.py
+++ b/tansyladder/resume/words.py
@@ -92,9 +92,7 @@
     return b"ERR resume %s\r\n" % why.encode("ascii")
 
 
-def placing(
-    session: int, epoch: int, held_from: int, held_to: int, said: int
-) -> tuple[tuple[str, str], ...]:
+def placing(session: int, epoch: int, held_from: int, held_to: int, said: int) -> tuple[tuple[str, str], ...]:
     """The names in the first line to a stream host; the epoch fences off who held the session before."""
     values = (("rsn", f"{session:016x}"), ("re", epoch), ("ra", held_from), ("ri", held_to), ("ro", said))
     return tuple((name, str(value)) for name, value in values)
--- a/tansyladder/sessions/resuming.py
+++ b/tansyladder/sessions/resuming.py
@@ -39,9 +39,15 @@
         self._taking: set[int] = set()  # sessions that are being claimed
 
     def serve(
-        self, box: Mailbox, client: socket.socket, cls: int, opening: Opening, stream: Stream,
-        standing: Standing, number: int,
-    ) -> None:  # fmt: skip
+        self,
+        box: Mailbox,
+        client: socket.socket,
+        cls: int,
+        opening: Opening,
+        stream: Stream,
+        standing: Standing,
+        number: int,
+    ) -> None:
         """Serve a session from its first UP to its end; the client's socket is closed then."""
         Session(self._core, self, box, client, cls, opening, stream).run(standing, number)
 
@@ -86,9 +92,13 @@
                 box.wake()
 
     def _take_over(
-        self, sock: socket.socket, opening: Opening, claim: Shown, arrived: timedelta,
+        self,
+        sock: socket.socket,
+        opening: Opening,
+        claim: Shown,
+        arrived: timedelta,
         take: Callable[[], None],
-    ) -> bytes:  # fmt: skip
+    ) -> bytes:
         """Claim another node's session in a thread of its own; else the answer that turns its client away."""
         with self._lock:
             # Two claims of this node for one session would leave it with the earlier one's tenure.
@@ -106,9 +116,7 @@
             self._answer(sock, opening, BUSY)
         return b""
 
-    def _claim(
-        self, sock: socket.socket, opening: Opening, claim: Shown, arrived: timedelta
-    ) -> None:
+    def _claim(self, sock: socket.socket, opening: Opening, claim: Shown, arrived: timedelta) -> None:
         from tansyladder.peers.claims import Claim
 
         assert self.agreeing is not None
@@ -186,4 +194,3 @@
     def rotate(self, options: ResumeOptions) -> None:
         """Put the keys of new settings in force."""
         self.keyring.rotate([(k.id, k.secret) for k in options.keys])
-
--- a/tansyladder/sessions/shared.py
+++ b/tansyladder/sessions/shared.py
@@ -205,4 +205,3 @@
 def binding(opening: Opening) -> Binding:
     """What a client must name again when it comes back."""
     return Binding(opening.cls, opening.group, opening.key)
-
--- a/tansyladder/sim/agreement.py
+++ b/tansyladder/sim/agreement.py
@@ -100,9 +100,14 @@
     """A fleet, its network and its checkers."""
 
     def __init__(
-        self, seed: int, voters: int = 3, learners: int = 1, faults: Faults | None = None,
-        make: Callable[..., Agreement] = Agreement, synced: bool = True,
-    ) -> None:  # fmt: skip
+        self,
+        seed: int,
+        voters: int = 3,
+        learners: int = 1,
+        faults: Faults | None = None,
+        make: Callable[..., Agreement] = Agreement,
+        synced: bool = True,
+    ) -> None:
         """`make`: the core, or one with a guard taken out; `synced`: whether writes outlive crashes."""
         parts = numpy.random.SeedSequence(seed).spawn(4)
         self._net, self._fate, self._load, seeds = (numpy.random.default_rng(part) for part in parts)
@@ -339,9 +344,14 @@
 
 
 def play(
-    seed: int, voters: int = 3, learners: int = 1, seconds: float = 20.0, faults: Faults | None = None,
-    make: Callable[..., Agreement] = Agreement, synced: bool = True,
-) -> World:  # fmt: skip
+    seed: int,
+    voters: int = 3,
+    learners: int = 1,
+    seconds: float = 20.0,
+    faults: Faults | None = None,
+    make: Callable[..., Agreement] = Agreement,
+    synced: bool = True,
+) -> World:
     """One history, checked to its end. Broken: a promise did not hold."""
     world = World(seed, voters, learners, faults, make, synced)
     world.storm(seconds)
--- a/tansyladder/sim/documents.py
+++ b/tansyladder/sim/documents.py
@@ -93,12 +93,19 @@
     """Nodes that decide for clients under the number that holds."""
 
     def __init__(
-        self, seed: int, voters: int = 3, learners: int = 2, faults: Faults | None = None,
+        self,
+        seed: int,
+        voters: int = 3,
+        learners: int = 2,
+        faults: Faults | None = None,
         make: Callable[..., Agreement] = Agreement,
         documents: Callable[[Sequence[str]], Documents] = Documents,
-        follower: Callable[[str, Documents], Follower] = Follower, steward: type[Steward] = Steward,
-        skew: int = 25 * MS, bad: float = 0.15, stops_every: int = 4 * S,
-    ) -> None:  # fmt: skip
+        follower: Callable[[str, Documents], Follower] = Follower,
+        steward: type[Steward] = Steward,
+        skew: int = 25 * MS,
+        bad: float = 0.15,
+        stops_every: int = 4 * S,
+    ) -> None:
         """`skew`: of a clock, either way; `bad`: documents with a fault that some node finds."""
         self.seats: dict[str, Seat] = {}
         self.decided: list[Decision] = []
--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -343,9 +343,7 @@
         self, order: list[int], active: int, after: int, segments: dict[int, Segment]
     ) -> None:
         listed = tuple(manifest.Listed(i, -1 if i == active else segments[i].size) for i in order)
-        told = manifest.Manifest(
-            manifest.VERSION, self._manifest.node, self._manifest.secret, after, listed
-        )
+        told = manifest.Manifest(manifest.VERSION, self._manifest.node, self._manifest.secret, after, listed)
         manifest.write(self._files, told)
         self._manifest = told
 
--- a/tansyladder/store/frames.py
+++ b/tansyladder/store/frames.py
@@ -94,9 +94,7 @@
     return raw + _check(raw + body, segment, offset).to_bytes(8, "little") + body
 
 
-def read_op(
-    data: bytes, segment: int, offset: int, at: int = 0, limit: int | None = None
-) -> Record | None:
+def read_op(data: bytes, segment: int, offset: int, at: int = 0, limit: int | None = None) -> Record | None:
     """The op at `at` of the data, which stands at `offset` of its segment and ends by `limit`.
 
     None where it is cut or touched.
--- a/tansyladder/store/hints.py
+++ b/tansyladder/store/hints.py
@@ -20,8 +20,13 @@
 MAGIC, VERSION = b"TLHNT\x00", 1
 HEAD = struct.Struct("<6sHQQIQ")  # magic, version, segment, its size, entries, stamp
 COLUMNS = (
-    ("hashes", "Q"), ("sequences", "Q"), ("expiries", "Q"), ("offsets", "I"), ("sizes", "I"), ("kinds", "B"),
-)  # fmt: skip
+    ("hashes", "Q"),
+    ("sequences", "Q"),
+    ("expiries", "Q"),
+    ("offsets", "I"),
+    ("sizes", "I"),
+    ("kinds", "B"),
+)
 
 
 class Hint:
--- a/tansyladder/wire.py
+++ b/tansyladder/wire.py
@@ -71,9 +71,17 @@
 def _request(body: memoryview) -> tuple[int, api.Request]:
     inst, rid, cls, tenant, deadline, flags, hint, key2, key = _exact(REQUEST, body)
     return inst, api.Request(
-        rid, cls, tenant, deadline, key, key2, hint if flags & 1 else None,
-        bool(flags & 2), bool(flags & 8), bool(flags & 16),
-    )  # fmt: skip
+        rid,
+        cls,
+        tenant,
+        deadline,
+        key,
+        key2,
+        hint if flags & 1 else None,
+        bool(flags & 2),
+        bool(flags & 8),
+        bool(flags & 16),
+    )
 
 
 def _opened(body: memoryview) -> tuple[int, api.Opened]:
@@ -132,9 +140,19 @@
 
 
 READERS: dict[int, Callable[[memoryview], tuple[int, Start | Stop | api.Event]]] = {
-    1: _start, 2: _members, 3: _request, 4: _first, 5: _outcome, 6: _gone,
-    7: _timer, 8: _probed, 9: _peer, 10: _stop, 11: _opened, 12: _note,
-}  # fmt: skip
+    1: _start,
+    2: _members,
+    3: _request,
+    4: _first,
+    5: _outcome,
+    6: _gone,
+    7: _timer,
+    8: _probed,
+    9: _peer,
+    10: _stop,
+    11: _opened,
+    12: _note,
+}
 
 
 def read_batch(count: int, body: bytes) -> list[tuple[int, Start | Stop | api.Event]]:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -33,9 +33,15 @@
     one_class: dict[str, Any] = {"aim": AIM, "deadline": DEADLINE, "window": 5 * S, "message_aim": 150 * MS}
     one = ClassSettings(**{**one_class, **cls})
     base: dict[str, Any] = {
-        "classes": (one,), "cold": 20 * S, "cold_from": 0.15, "fall_multiple": 3.0, "max_attempts": 5,
-        "drain_grace": 1000 * MS, "retry_after": True, "max_retry_after": 10 * S,
-    }  # fmt: skip
+        "classes": (one,),
+        "cold": 20 * S,
+        "cold_from": 0.15,
+        "fall_multiple": 3.0,
+        "max_attempts": 5,
+        "drain_grace": 1000 * MS,
+        "retry_after": True,
+        "max_retry_after": 10 * S,
+    }
     return Settings(**{**base, **over})
 
 
--- a/tests/node.py
+++ b/tests/node.py
@@ -23,12 +23,16 @@
 
 Script = Callable[["Peer"], None]
 SETTINGS: dict[str, Any] = {
-    "family": "conn", "discovery": "on_request", "localities": ["a", "b"], "kinds": ["m"], "locality": 0,
+    "family": "conn",
+    "discovery": "on_request",
+    "localities": ["a", "b"],
+    "kinds": ["m"],
+    "locality": 0,
     "classes": [{"name": "chat", "slo": 300_000, "hard_limit": 1_200_000, "worth": 5.0}],
     "extra": {"message_aim": [50_000], "tells_delay": True},
     "ceilings": {"attempts_cap": 3, "connect_timeout": 75_000, "retry_after": True},
     "rules": {"ask_within": 10_000_000, "stop_sending_within": 2_500_000},
-}  # fmt: skip
+}
 
 
 _ids = itertools.count(0x9B1F)
@@ -144,11 +148,15 @@
     """A configuration as the platform writes it."""
     file = tmp_path / "config.json"
     whole = {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f",
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"revision": 1, "complete": True, "members": list(members)},
-        "settings": SETTINGS, **over,
-    }  # fmt: skip
+        "settings": SETTINGS,
+        **over,
+    }
     file.write_text(json.dumps(whole))
     return config.load({"GW_CONFIG": str(file)})
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -16,9 +16,14 @@
 from tests.without_guards import GUARDS
 
 HARD = Faults(
-    loss=0.1, delay=(1 * MS, 300 * MS), crash_every=800 * MS, down=(100 * MS, 1500 * MS), wiped=0.3,
-    cut_every=700 * MS, cut=(200 * MS, 2 * S),
-)  # fmt: skip
+    loss=0.1,
+    delay=(1 * MS, 300 * MS),
+    crash_every=800 * MS,
+    down=(100 * MS, 1500 * MS),
+    wiped=0.3,
+    cut_every=700 * MS,
+    cut=(200 * MS, 2 * S),
+)
 
 
 @pytest.mark.parametrize("voters", [1, 3, 5])
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -31,8 +31,17 @@
 
 STOPPED = [Event(0, "rig", "stopped", node=2), Event(5 * S, "rig", "sound", node=2)]
 END = [Event(9 * S, "rig", "standing", client=1, life=1)]
-SOUND = [*shown(1, "a", "UP"), host(2, "taken", 1), host(3, "heard", 1, 0, 1), frame(4, 1), frame(5, 2),
-         host(6, "taken", 2, 1), host(7, "heard", 2, 1, 2), *shown(8, "b", "BUSY"), *END]  # fmt: skip
+SOUND = [
+    *shown(1, "a", "UP"),
+    host(2, "taken", 1),
+    host(3, "heard", 1, 0, 1),
+    frame(4, 1),
+    frame(5, 2),
+    host(6, "taken", 2, 1),
+    host(7, "heard", 2, 1, 2),
+    *shown(8, "b", "BUSY"),
+    *END,
+]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -191,11 +191,13 @@
 
 def test_an_older_change_is_no_news(tmp_path: Path) -> None:
     """A delayed answer of a watch must not bring back what a newer one took away."""
-    bodies = iter([
-        {"revision": 7, "complete": False, "members": [member("s9", "127.0.0.1:9", phase="draining")]},
-        {"revision": 6, "complete": False, "members": [member("s9", "127.0.0.1:9")]},
-        {"revision": 8, "complete": True, "members": [member("s9", "127.0.0.1:9", phase="draining")]},
-    ])  # fmt: skip
+    bodies = iter(
+        [
+            {"revision": 7, "complete": False, "members": [member("s9", "127.0.0.1:9", phase="draining")]},
+            {"revision": 6, "complete": False, "members": [member("s9", "127.0.0.1:9")]},
+            {"revision": 8, "complete": True, "members": [member("s9", "127.0.0.1:9", phase="draining")]},
+        ]
+    )
     calls: list[str] = []
 
     def answer(peer: Peer) -> None:
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -42,9 +42,14 @@
 from tests.without_guards import DOCUMENT_GUARDS
 
 HARD = Faults(
-    loss=0.1, delay=(1 * MS, 300 * MS), crash_every=4 * S, down=(100 * MS, 6 * S), wiped=0.2,
-    cut_every=3 * S, cut=(200 * MS, 20 * S),
-)  # fmt: skip
+    loss=0.1,
+    delay=(1 * MS, 300 * MS),
+    crash_every=4 * S,
+    down=(100 * MS, 6 * S),
+    wiped=0.2,
+    cut_every=3 * S,
+    cut=(200 * MS, 20 * S),
+)
 CALM = Faults(loss=0.0, doubled=0.0, delay=(1 * MS, 5 * MS), crash_every=0, cut_every=0)
 
 
@@ -129,12 +134,16 @@
         ([Offer("sets", b"e", 10, "other", "c/1", S)], Ruled("busy", 1, "rules")),
         ([Offer("rules", b"d", 10, "ask", "c/1", S)], Ruled("under way", 1)),
         ([Verdict(2, "b/1", S)], Ruled("over", 2)),
-        ([*(Verdict(1, s, S) for s in ALL), Arm(1, "a/1", S, SHORT), Armed(1, 2, "b/1", S)],
-         Ruled("over", 1)),
-        ([Drop(1, "a/1", S, "x"), Offer("rules", b"d", MOST_SIZE + 1, "n", "a/1", S)],
-         Ruled("refused", 0, f"size: from 1 to {MOST_SIZE} bytes")),
+        (
+            [*(Verdict(1, s, S) for s in ALL), Arm(1, "a/1", S, SHORT), Armed(1, 2, "b/1", S)],
+            Ruled("over", 1),
+        ),
+        (
+            [Drop(1, "a/1", S, "x"), Offer("rules", b"d", MOST_SIZE + 1, "n", "a/1", S)],
+            Ruled("refused", 0, f"size: from 1 to {MOST_SIZE} bytes"),
+        ),
     ],
-)  # fmt: skip
+)
 def test_what_an_entry_is_answered(told: list[object], ruled: Ruled) -> None:
     state = agreed_by(*ALL)
     assert [state.apply(entry) for entry in told][-1] == ruled  # type: ignore[arg-type]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -130,9 +130,7 @@
     assert traffic != "even" or len(sent) >= 8  # and what it may have is used
 
 
-@pytest.mark.parametrize(
-    ("away", "fills", "zones"), [(1, 0.0, {0}), (1, 8.0, {0, 1}), (0, 8.0, {0})]
-)
+@pytest.mark.parametrize(("away", "fills", "zones"), [(1, 0.0, {0}), (1, 8.0, {0, 1}), (0, 8.0, {0})])
 def test_a_crowded_home_zone_lets_other_zones_take_more_and_turns_nobody_away(
     away: int, fills: float, zones: set[int]
 ) -> None:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -149,5 +149,3 @@
         assert [refused.hear(), refused.hear()] == ["ERR resume store", ""]
         viewer.say("M 2")
         assert viewer.hear() == "F 2 M 2"
-
-
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -59,8 +59,10 @@
 def test_home_first_and_other_zones_when_home_has_no_room() -> None:
     fleet = [line(1), line(2), line(11, zone=1), line(12, zone=1)]
     node = Node(fleet, **REPORTS)
-    assert {next(a for a in asked(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, Send)).server < 10
-            for k in range(1, 3)} == {True}  # fmt: skip
+    assert {
+        next(a for a in asked(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, Send)).server < 10
+        for k in range(1, 3)
+    } == {True}
     node = Node(fleet, **REPORTS)
     assert next(a for a in asked(node, {1: 1.1, 2: 0.9}, 5) if isinstance(a, Send)).server > 10
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -334,9 +334,11 @@
     read = told(tmp_path, *(member(f"s{i}", h.address) for i, h in enumerate(hosts)), **over)
     discovery = "{}:{}".format(*read.discovery)
     env = {
-        **os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_LISTEN": f"127.0.0.1:{port}",
+        **os.environ,
+        "GW_CONFIG": str(tmp_path / "config.json"),
+        "GW_LISTEN": f"127.0.0.1:{port}",
         "GW_DISCOVERY": discovery,
-    }  # fmt: skip
+    }
     command = [*before, sys.executable, "-O", "-m", "tansyladder", *words]
     run = subprocess.Popen(command, env=env, stderr=subprocess.PIPE)
     with run:
@@ -641,7 +643,7 @@
         whole = file.read_text()
         file.write_text(whole[: len(whole) // 2])
         run.send_signal(signal.SIGHUP)
-        until_line(run, b"event=reload_failed why=\"GW_CONFIG: not JSON")
+        until_line(run, b'event=reload_failed why="GW_CONFIG: not JSON')
         changed = json.loads(whole) | {"discovery": new.address, "seed": "1"}
         file.write_text(json.dumps(changed))
         for _ in range(5):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -77,13 +77,16 @@
 @pytest.mark.parametrize(
     ("line", "answer"),
     [
-        (b"status\r\n", "+OK serving"), (b"status\n", "+OK serving"),
-        (b"nope\r\n", "-ERR unknown: nope"), (b"STATUS now\r\n", "-ERR unknown: STATUS now"),
-        (b"\r\n", "-ERR empty"), (b"\xff\xfe\r\n", "-ERR unreadable"),
+        (b"status\r\n", "+OK serving"),
+        (b"status\n", "+OK serving"),
+        (b"nope\r\n", "-ERR unknown: nope"),
+        (b"STATUS now\r\n", "-ERR unknown: STATUS now"),
+        (b"\r\n", "-ERR empty"),
+        (b"\xff\xfe\r\n", "-ERR unreadable"),
         (b"\x1b[2J\r\n", "-ERR unknown: '\\x1b[2J'"),
         (b"s" * (LINE + 1), "-ERR too long"),
     ],
-)  # fmt: skip
+)
 def test_each_call_has_its_answer_and_a_fault_its_reason(tmp_path: Path, line: bytes, answer: str) -> None:
     with office(tmp_path, Listener(up(stays))) as n:
         (said,) = n.call(line)
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -77,9 +77,12 @@
 
 def run(*words: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "tansyladder", *words], capture_output=True, text=True, timeout=30,
+        [sys.executable, "-m", "tansyladder", *words],
+        capture_output=True,
+        text=True,
+        timeout=30,
         env={**os.environ, **env},
-    )  # fmt: skip
+    )
 
 
 def test_check_names_the_fault_and_ends_with_2(tmp_path: Path) -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -146,11 +146,14 @@
         common = {"enabled": True, "fleet": "f", "key": KEY, "members": members, "voters": "a"}
         self.heard: list[queue.Queue[tuple[str, Message]]] = [queue.Queue(), queue.Queue()]
         self.nodes = [
-            Peering(name, options.PeersOptions(**(common | (over if name == "b" else {}))),  # type: ignore[arg-type]
-                    lambda sender, message, i=i: self.heard[i].put((sender, message)),  # type: ignore[misc]
-                    lambda i=i: 60_000_000 + i * off)  # type: ignore[misc]
+            Peering(
+                name,
+                options.PeersOptions(**(common | (over if name == "b" else {}))),  # type: ignore[arg-type]
+                lambda sender, message, i=i: self.heard[i].put((sender, message)),  # type: ignore[misc]
+                lambda i=i: 60_000_000 + i * off,  # type: ignore[misc]
+            )
             for i, name in enumerate("ab")
-        ]  # fmt: skip
+        ]
 
     def start(self) -> None:
         for node in self.nodes:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -37,8 +37,13 @@
     (Effect.UNSAFE, Group.ALL),
 ]
 FAILURES = (
-    Status.ERROR, Status.FULL, Status.TIMEOUT, Status.CONNECT_FAILED, Status.RESET, Status.CANCELLED,
-)  # fmt: skip
+    Status.ERROR,
+    Status.FULL,
+    Status.TIMEOUT,
+    Status.CONNECT_FAILED,
+    Status.RESET,
+    Status.CANCELLED,
+)
 
 
 class Judge:
@@ -50,9 +55,14 @@
         self.place = {i: (i % 3, i % 6) for i in range(1, 13)}
         self.state = dict.fromkeys(self.place, State.READY)
         self.node = Node(
-            [line(i, z, cell=c) for i, (z, c) in self.place.items()], seed, effect=effect, group=group,
-            pass_through=pass_mode, probes=probes, report_columns=("active", "x0") if probes else (),
-        )  # fmt: skip
+            [line(i, z, cell=c) for i, (z, c) in self.place.items()],
+            seed,
+            effect=effect,
+            group=group,
+            pass_through=pass_mode,
+            probes=probes,
+            report_columns=("active", "x0") if probes else (),
+        )
         self.open: dict[int, int] = {}  # request -> its deadline, while an answer is owed
         self.out: dict[int, tuple[int, int, int]] = {}  # request -> attempt, server, sent at
         self.tries: dict[int, int] = {}
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -225,9 +225,16 @@
         text, expiry = self.tokens[which]
         reached: list[str] = []
         want = (
-            self.ended.value if self.ended else "spent" if which < self.spent
-            else "expired" if expiry <= self.now else "claimed" if self.claimed else ""
-        )  # fmt: skip
+            self.ended.value
+            if self.ended
+            else "spent"
+            if which < self.spent
+            else "expired"
+            if expiry <= self.now
+            else "claimed"
+            if self.claimed
+            else ""
+        )
         try:
             self.ledger.claim(self.keys.open(text, self.binding), self.now, reached.append)
         except TokenError as err:
@@ -259,9 +266,12 @@
 TestSpending = Spending.TestCase
 for case in (TestLines, TestDurableLines, TestSpending):
     case.settings = settings(
-        max_examples=120, stateful_step_count=50, deadline=None, derandomize=True,
+        max_examples=120,
+        stateful_step_count=50,
+        deadline=None,
+        derandomize=True,
         suppress_health_check=list(HealthCheck),
-    )  # fmt: skip
+    )
 
 
 BINDING = Binding("chat", 0x5C, 0x7F)
--- a/tests/test_second_shape.py
+++ b/tests/test_second_shape.py
@@ -15,12 +15,19 @@
 
 ASKED: dict[str, Any] = SETTINGS
 PUSHED: dict[str, Any] = SETTINGS | {
-    "discovery": "pushed", "weights": "live", "report": {"how": "probe", "columns": ["x0", "rps", "waiting"]},
-    "tenants": [{"name": "north", "share": 0.8}, {"name": "south", "share": 0.2}], "over_share_worth": 0.2,
-    "extra": {"message_aim": [50_000], "tells_delay": True, "tells_load": True,
-              "tenant_quota_connections": [80, 20]},
+    "discovery": "pushed",
+    "weights": "live",
+    "report": {"how": "probe", "columns": ["x0", "rps", "waiting"]},
+    "tenants": [{"name": "north", "share": 0.8}, {"name": "south", "share": 0.2}],
+    "over_share_worth": 0.2,
+    "extra": {
+        "message_aim": [50_000],
+        "tells_delay": True,
+        "tells_load": True,
+        "tenant_quota_connections": [80, 20],
+    },
     "ceilings": {**SETTINGS["ceilings"], "probes": True, "attempts_cap": 6},
-}  # fmt: skip
+}
 
 
 @pytest.fixture(params=[ASKED, PUSHED], ids=["asked", "pushed"])
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -549,4 +549,3 @@
         assert host.ended.acquire(timeout=5)  # one of the two
         answers = [first.back().hear(), second.back().hear()]
         assert sorted(answers) == ["ERR resume room", "UP r1"]
-
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -45,10 +45,11 @@
     @rule(
         ops=st.lists(
             st.tuples(st.sampled_from(KEYS), st.none() | st.binary(max_size=90), st.sampled_from((0, 5, 40))),
-            min_size=1, max_size=4,
+            min_size=1,
+            max_size=4,
         ),
         durability=st.sampled_from(Durability),
-    )  # fmt: skip
+    )
     def write(self, ops: list[tuple[bytes, bytes | None, int]], durability: Durability) -> None:
         made = [Op(key, value, life and self.clock.now + life) for key, value, life in ops]
         self.store.write(made, durability)
@@ -125,9 +126,12 @@
 
 TestDict = Dict.TestCase
 TestDict.settings = settings(
-    max_examples=100, stateful_step_count=40, deadline=None, derandomize=True,
+    max_examples=100,
+    stateful_step_count=40,
+    deadline=None,
+    derandomize=True,
     suppress_health_check=list(HealthCheck),
-)  # fmt: skip
+)
 
 
 def test_no_fault_of_the_files_loses_what_was_acknowledged() -> None:
@@ -188,10 +192,13 @@
     files, store = fresh(size=4 << 20)
     store.write([Op(b"k" * MOST_KEY, b"v" * MOST_VALUE), Op(b"k", b"")])
     for ops in (
-        [Op(b"", b"v")], [Op(b"k" * (MOST_KEY + 1), b"v")], [Op(b"k", b"v" * (MOST_VALUE + 1))],
-        [Op(b"k", b"v", -1)], [Op(b"k", b"v")] * 65_536,
+        [Op(b"", b"v")],
+        [Op(b"k" * (MOST_KEY + 1), b"v")],
+        [Op(b"k", b"v" * (MOST_VALUE + 1))],
+        [Op(b"k", b"v", -1)],
+        [Op(b"k", b"v")] * 65_536,
         [Op(b"k%d" % n, b"v" * MOST_VALUE) for n in range(17)],
-    ):  # fmt: skip
+    ):
         with pytest.raises(errors.TooLarge):
             store.write(ops)
     store.close()
@@ -364,7 +371,6 @@
     assert run("verify", str(tmp_path / "new")).returncode == 0
 
 
-
 def test_a_manifest_in_doubt_ends_the_writing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its rename may be on disk and seal the segment: what was appended behind that size would be lost."""
     files, store = fresh()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,13 +14,24 @@
 
 SETTINGS = "\n".join(
     [
-        "balancers=3", "classes.count=1", "classes.0.effect=idempotency_key", "classes.0.group=zone",
-        "classes.0.slo=300000", "classes.0.hard_limit=1800000", "classes.0.window=5000000",
-        "ceilings.attempts_cap=4", "rules.cold=23000000", "rules.cold_from=0.14", "extra.mode=pass",
-        "extra.message_aim=250000.0", "extra.tenant_quota_connections=10.0,20.0", "some.new.key=17",
-        "report.columns=active,x0", "weights=nominal",
+        "balancers=3",
+        "classes.count=1",
+        "classes.0.effect=idempotency_key",
+        "classes.0.group=zone",
+        "classes.0.slo=300000",
+        "classes.0.hard_limit=1800000",
+        "classes.0.window=5000000",
+        "ceilings.attempts_cap=4",
+        "rules.cold=23000000",
+        "rules.cold_from=0.14",
+        "extra.mode=pass",
+        "extra.message_aim=250000.0",
+        "extra.tenant_quota_connections=10.0,20.0",
+        "some.new.key=17",
+        "report.columns=active,x0",
+        "weights=nominal",
     ]
-)  # fmt: skip
+)
 
 
 def hexes(text: str) -> bytes:
@@ -71,9 +82,7 @@
     assert wire.write_action(3, api.SetTimer(0x87FD7A, 0x4D)) == hexes(
         "0045 0000000e 0003 000000000087fd7a 0000004d"
     )
-    assert wire.write_action(3, api.Tell(None, b"hi 7")) == hexes(
-        "0048 0000000c 0003 ffffffff 0004 68692037"
-    )
+    assert wire.write_action(3, api.Tell(None, b"hi 7")) == hexes("0048 0000000c 0003 ffffffff 0004 68692037")
     assert wire.write_action(5, api.Log("two servers known")) == hexes(
         "0049 00000015 0005 0011 74776f2073657276657273206b6e6f776e"
     )
@@ -136,8 +145,11 @@
 def play(data: bytes) -> tuple[int, bytes, str]:
     done = subprocess.run(
         [sys.executable, "-m", "tansyladder.simhost"],
-        input=data, capture_output=True, timeout=60, check=False,
-    )  # fmt: skip
+        input=data,
+        capture_output=True,
+        timeout=60,
+        check=False,
+    )
     return done.returncode, done.stdout, done.stderr.decode()
 
 
@@ -180,9 +192,7 @@
                 ask = struct.pack(">HQHHQBIQQ", inst, step, 0, 0, 10**9, 0, 0, 0, step % 5)
                 records.append(record(3, ask))
                 if step > 1:
-                    records.append(
-                        record(5, struct.pack(">HQHIHIBB", inst, step - 1, 0, 1, 2, 5, 0, 0))
-                    )
+                    records.append(record(5, struct.pack(">HQHIHIBB", inst, step - 1, 0, 1, 2, 5, 0, 0)))
         out.append(batch(10**6 + step * 1000, *records))
     return out
 
--- a/tests/without_guards.py
+++ b/tests/without_guards.py
@@ -159,11 +159,23 @@
 GUARDS: dict[str, type[Agreement]] = {
     core.__name__: core
     for core in (
-        VotesForAnyLog, VotesTwice, VotesAfterForgetting, TrustsAnyDisk, TrustsAtOnce, VotesForShorterLogs,
-        VotesInDoubtfulTerms, CountsInDoubt, CommitsOldTerms, AppendsAnywhere,
-        AnswersEarly, TakesAnyTerm, CountsOldAnswers, NeverStepsDown, LearnsNoCommit,
+        VotesForAnyLog,
+        VotesTwice,
+        VotesAfterForgetting,
+        TrustsAnyDisk,
+        TrustsAtOnce,
+        VotesForShorterLogs,
+        VotesInDoubtfulTerms,
+        CountsInDoubt,
+        CommitsOldTerms,
+        AppendsAnywhere,
+        AnswersEarly,
+        TakesAnyTerm,
+        CountsOldAnswers,
+        NeverStepsDown,
+        LearnsNoCommit,
     )
-}  # fmt: skip
+}
 
 
 # --- documents
