--- a/tansyladder/__init__.py
+++ b/tansyladder/__init__.py
@@ -1,6 +1,6 @@
 """tansyladder: the decisions of a balancer for long-lived connections."""
 
-from tansyladder.choice import Balancer
-from tansyladder.interface import Settings
+from tansyladder.policy.balancer import Balancer
+from tansyladder.policy.settings import Settings
 
 __all__ = ["Balancer", "Settings"]
--- a/tansyladder/cli.py
+++ b/tansyladder/cli.py
@@ -28,16 +28,16 @@
 @click.argument("file", type=EXISTING)
 def check(file: Path) -> None:
     """Read a configuration (.json) or an operator's settings (else); exit code 2 names the fault."""
-    from tansyladder import config, options
+    from tansyladder.config import operator_settings, platform
 
     try:
         if file.suffix == ".json":
-            told = config.load({"GW_CONFIG": str(file)})
+            told = platform.load({"GW_CONFIG": str(file)})
             click.echo(f"{file}: sound: node {told.name}, {len(told.known.members)} members known")
         else:
-            options.load(file)
+            operator_settings.load(file)
             click.echo(f"{file}: sound")
-    except (config.ConfigError, options.OptionsError) as err:
+    except (platform.ConfigError, operator_settings.OptionsError) as err:
         click.echo(f"{file}: {err}", err=True)
         sys.exit(2)
 
--- a/tansyladder/config.py
+++ b/tansyladder/config/platform.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from tansyladder.interface import Settings
-from tansyladder.settings import build_settings
+from tansyladder.config.policy_settings import build_settings
+from tansyladder.policy.settings import Settings
 
 # Members may tell in lines `LOAD X` how late their messages are; some never do, though the settings promise
 # it, and echo at once even while they are far behind, so timing the lines shows nothing. Probes show it, but
--- a/tansyladder/settings.py
+++ b/tansyladder/config/policy_settings.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Mapping
 
-from tansyladder import interface as api
+from tansyladder.policy.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
 
 EFFECTS = {
-    "read_like": api.Effect.SAFE,
-    "idempotency_key": api.Effect.KEYED,
-    "non_idempotent": api.Effect.UNSAFE,
+    "read_like": Idempotency.SAFE,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.UNSAFE,
 }
 MOST = 1e15  # of any figure: thirty years in microseconds, which fits every span
 
 
-def build_settings(raw: Mapping[str, str]) -> api.Settings:
+def build_settings(raw: Mapping[str, str]) -> Settings:
     """Settings from paths and values; keys that are not known are skipped, absent ones have defaults."""
 
     def num(key: str, default: float) -> float:
@@ -46,17 +46,17 @@
         if effect not in EFFECTS:
             raise ValueError(f"{at}effect: unknown: {effect!r}")
         classes.append(
-            api.ClassSettings(
+            ClassSettings(
                 aim=whole(at + "slo", 0),
                 deadline=whole(at + "hard_limit", 0),
                 effect=EFFECTS[effect],
-                group=api.Group(group),
+                group=DeduplicationScope(group),
                 window=whole(at + "window", 0),
                 worth=num(at + "worth", 1.0),
                 message_aim=int(aims[i]) if i < len(aims) else 0,
             )
         )
-    return api.Settings(
+    return Settings(
         classes=tuple(classes),
         balancers=whole("balancers", 1),
         me=whole("me", 0),
--- a/tansyladder/fleet/agreeing.py
+++ b/tansyladder/fleet/agreeing.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
+from tansyladder.config.operator_settings import PeersOptions
 from tansyladder.fleet.holding import LEASE, Check, CutOff, Holding
 from tansyladder.fleet.peering import Peering
 from tansyladder.fleet.records import Records, Witness
 from tansyladder.log import log
 from tansyladder.net.clock import now
-from tansyladder.options import PeersOptions
 from tansyladder.peers.agreed import Agreed, Entry
 from tansyladder.peers.agreement import Agreement, Out, Role
 from tansyladder.peers.claims import Claim, Confirm, Opened, Ruling
--- a/tansyladder/fleet/joining.py
+++ b/tansyladder/fleet/joining.py
@@ -8,7 +8,7 @@
 
 import threading
 
-from tansyladder.config import ConfigError
+from tansyladder.config.platform import ConfigError
 from tansyladder.fleet.agreeing import Agreeing
 from tansyladder.fleet.holding import CutOff
 from tansyladder.fleet.publishing import CHECKS, Publishing
--- a/tansyladder/fleet/peering.py
+++ b/tansyladder/fleet/peering.py
@@ -23,10 +23,10 @@
 
 import msgspec
 
-from tansyladder.config import Address, address
+from tansyladder.config.operator_settings import PeersOptions
+from tansyladder.config.platform import Address, address
+from tansyladder.invariants import must_hold
 from tansyladder.log import log
-from tansyladder.must import must_hold
-from tansyladder.options import PeersOptions
 from tansyladder.peers.contents import Spoken
 from tansyladder.peers.messages import Message
 
--- a/tansyladder/net/delays.py
+++ b/tansyladder/net/delays.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from tansyladder.interface import NoteKind
 from tansyladder.net import protocol
 from tansyladder.net.clock import now
+from tansyladder.policy.events import ReportKind
 
 EVERY = timedelta(seconds=1)  # a note a member at most, while its messages take long
 WINDOW = timedelta(seconds=1)  # what is heard within it is taken together
@@ -69,7 +69,7 @@
         self,
         member: int,
         meter: Callable[[], DelayMeter | None],
-        tell: Callable[[NoteKind, float], None],
+        tell: Callable[[ReportKind, float], None],
         loads: Callable[[], bool] = lambda: False,
     ) -> None:
         """`meter`: of the settings in force; none where no delays are told. `loads`: whether loads are.
@@ -83,13 +83,13 @@
         meter = self._meter()
         value = meter.heard(self._member, delay) if meter is not None else None
         if value is not None:
-            self._tell(NoteKind.TIMED, value.total_seconds() * 1000)
+            self._tell(ReportKind.TIMED, value.total_seconds() * 1000)
 
     def told(self, line: bytes) -> None:
         """The member's own word; what makes no sense is passed by."""
         values = protocol.parse_load(line)
         if self._loads():
             if len(values) == 1 and 0 <= values[0] < MOST_LOAD:
-                self._tell(NoteKind.LOAD, values[0])
+                self._tell(ReportKind.LOAD, values[0])
         elif self._meter() is not None and len(values) == 1 and 0 <= values[0] < MOST_MS:
-            self._tell(NoteKind.DELAY, values[0])
+            self._tell(ReportKind.DELAY, values[0])
--- a/tansyladder/net/flow.py
+++ b/tansyladder/net/flow.py
@@ -9,19 +9,19 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from tansyladder import interface as api
-from tansyladder.interface import Status
 from tansyladder.log import log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
 from tansyladder.net.mailbox import Mailbox, PoolMember
 from tansyladder.net.sockets import Heard
+from tansyladder.policy.actions import CancelAttempt, Reject
+from tansyladder.policy.events import AttemptEnded, AttemptStatus
 
 WORDS = {
-    protocol.BUSY: Status.FULL,
-    protocol.ERR: Status.ERROR,
-    protocol.MOVE: Status.CANCELLED,
-    protocol.BYE: Status.OK,
+    protocol.BUSY: AttemptStatus.FULL,
+    protocol.ERR: AttemptStatus.ERROR,
+    protocol.MOVE: AttemptStatus.CANCELLED,
+    protocol.BYE: AttemptStatus.OK,
 }
 
 
@@ -29,7 +29,7 @@
 class Answer:
     """How a flow's opening went; the socket is there only where the connection stands."""
 
-    status: Status
+    status: AttemptStatus
     receipt: bytes = b""
     sock: socket.socket | None = None
     buffer: protocol.LineBuffer | None = None
@@ -49,9 +49,9 @@
     attempt: int
     took: int  # microseconds
 
-    def ended(self, number: int, status: Status) -> api.Outcome:
+    def ended(self, number: int, status: AttemptStatus) -> AttemptEnded:
         """What the module is told once it is over."""
-        return api.Outcome(number, self.attempt, self.member.number, status, self.took, True)
+        return AttemptEnded(number, self.attempt, self.member.number, status, self.took, True)
 
 
 class ServerSideFlow:
@@ -87,7 +87,7 @@
         except OSError as err:
             # The line's last byte may have gone out: the member may have run it.
             log("flow_reset", member=self._member.id, why=err)
-            answer = Answer(Status.RESET)
+            answer = Answer(AttemptStatus.RESET)
         if answer.sock is None:
             sock.close()
         return answer
@@ -100,7 +100,7 @@
         """
         until = min(now() + self._connect, self._until)
         if now() >= until:
-            return Answer(Status.CONNECT_FAILED)
+            return Answer(AttemptStatus.CONNECT_FAILED)
         sock: socket.socket | None = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # or no descriptor is left
@@ -110,13 +110,13 @@
                 sock.sendall(self._first_line(self._until - now()))
         except OSError as err:
             log("connect_failed", member=self._member.id, why=err)
-            ended = Answer(Status.CONNECT_FAILED)
+            ended = Answer(AttemptStatus.CONNECT_FAILED)
         if sock is not None and ended is None:
             self._written()
             return sock
         if sock is not None:
             sock.close()
-        return ended or Answer(Status.CONNECT_FAILED)
+        return ended or Answer(AttemptStatus.CONNECT_FAILED)
 
     def _come_up(
         self, sock: socket.socket, until: timedelta, client: socket.socket | None, box: Mailbox
@@ -130,10 +130,10 @@
         while not (ready := sockets.wait_connected(sock, until, *watched)) & {sock.fileno()}:
             if ended := _client_word(client):
                 return ended
-            if isinstance(box.first(), api.Refuse):
-                return Answer(Status.CANCELLED)  # the node itself ends the transaction, and reads why
-            if box.fileno() in ready and isinstance(box.take(), api.Cancel):
-                return Answer(Status.CANCELLED)
+            if isinstance(box.first(), Reject):
+                return Answer(AttemptStatus.CANCELLED)  # the node itself ends the transaction, and reads why
+            if box.fileno() in ready and isinstance(box.take(), CancelAttempt):
+                return Answer(AttemptStatus.CANCELLED)
             if not ready and now() >= until:
                 raise TimeoutError("timed out")
         if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -152,31 +152,33 @@
             if sock.fileno() in ready:
                 data = sock.recv(sockets.CHUNK)
                 if not data:
-                    return Answer(Status.RESET)
+                    return Answer(AttemptStatus.RESET)
                 try:
                     heard += buffer.feed(data)
                 except protocol.LineError as err:
                     log("bad_answer", member=self._member.id, why=err)
-                    return Answer(Status.ERROR)
+                    return Answer(AttemptStatus.ERROR)
                 if len(heard) >= self._lines or (heard and protocol.word_of(heard[0]) != protocol.UP):
                     return self._read(sock, buffer, heard)
                 continue
             if box.fileno() in ready:
-                if isinstance(box.first(), api.Refuse):
-                    return Answer(Status.CANCELLED)  # the node itself ends the transaction, and reads why
-                if isinstance(box.take(), api.Cancel):
-                    return Answer(Status.CANCELLED)
+                if isinstance(box.first(), Reject):
+                    return Answer(
+                        AttemptStatus.CANCELLED
+                    )  # the node itself ends the transaction, and reads why
+                if isinstance(box.take(), CancelAttempt):
+                    return Answer(AttemptStatus.CANCELLED)
             elif not ready and now() >= self._until:
-                return Answer(Status.TIMEOUT)
+                return Answer(AttemptStatus.TIMEOUT)
 
     def _read(self, sock: socket.socket, buffer: protocol.LineBuffer, lines: list[bytes]) -> Answer:
         first, *more = lines
         word = protocol.word_of(first)
         if word == protocol.UP:
-            return Answer(Status.OK, first, sock, buffer, tuple(more))
+            return Answer(AttemptStatus.OK, first, sock, buffer, tuple(more))
         if word not in WORDS:
             log("bad_answer", member=self._member.id, line=first[:80])
-        return Answer(WORDS.get(word, Status.ERROR))
+        return Answer(WORDS.get(word, AttemptStatus.ERROR))
 
 
 def _client_word(client: socket.socket | None) -> Answer | None:
@@ -186,7 +188,7 @@
     """
     match client and sockets.heard(client):
         case Heard.END:
-            return Answer(Status.CANCELLED, client_left=True)
+            return Answer(AttemptStatus.CANCELLED, client_left=True)
         case Heard.DATA:
-            return Answer(Status.CANCELLED, client_spoke=True)
+            return Answer(AttemptStatus.CANCELLED, client_spoke=True)
     return None
--- a/tansyladder/net/http.py
+++ b/tansyladder/net/http.py
@@ -8,7 +8,7 @@
 import threading
 from datetime import timedelta
 
-from tansyladder.config import Address
+from tansyladder.config.platform import Address
 from tansyladder.net.clock import now, seconds_left
 
 MAX_HEAD = 16 * 1024
--- a/tansyladder/net/mailbox.py
+++ b/tansyladder/net/mailbox.py
@@ -11,10 +11,11 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from tansyladder import interface as api
-from tansyladder.config import Address
+from tansyladder.config.platform import Address
+from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
+from tansyladder.policy.events import EndpointState
 
-Order = api.Send | api.Refuse | api.Fail | api.Cancel | api.Move
+Order = StartAttempt | Reject | Fail | CancelAttempt | Migrate
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +25,7 @@
     number: int  # the module's number for it
     id: str
     address: Address
-    state: api.State
+    state: EndpointState
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -8,7 +8,6 @@
 from collections.abc import Sequence
 from datetime import timedelta
 
-from tansyladder.interface import Status
 from tansyladder.log import log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now, seconds_left
@@ -16,6 +15,7 @@
 from tansyladder.net.mailbox import Mailbox
 from tansyladder.net.silence import OVERDUE, Question
 from tansyladder.net.takeover import Handed, Takeover
+from tansyladder.policy.events import AttemptStatus
 
 IDLE = timedelta(seconds=30)
 AFTER_END = timedelta(milliseconds=800)  # what one side ended, the other has ended within a second
@@ -43,14 +43,14 @@
         self._took = {client: now(), member: now()}  # when it last took any
         self._question, self._notes = Question(notes.timed), notes
         self._last_word = b""
-        self._ended: Status | None = None  # what the first end of a side makes of the connection
+        self._ended: AttemptStatus | None = None  # what the first end of a side makes of the connection
 
     def nudge(self) -> None:
         """Wake the relay from another thread; a close would not, a shutdown does."""
         with contextlib.suppress(OSError):
             self._member.shutdown(socket.SHUT_RD)
 
-    def run(self, first: tuple[bytes, ...] = ()) -> Status:
+    def run(self, first: tuple[bytes, ...] = ()) -> AttemptStatus:
         """Pass on lines until the connection is over; both sockets are closed then.
 
         `first`: what the member said with its UP; none where the connection stood before.
@@ -63,13 +63,13 @@
             return self._pass()
         except protocol.LineError as err:
             log("bad_line", where="relay", why=err)
-            return self._move(Status.CANCELLED)
+            return self._move(AttemptStatus.CANCELLED)
         finally:
             self._box.close()  # no nudge after the descriptor may be another's
             self._member.close()
             self._client.close()
 
-    def go_on(self, handed: Handed) -> Status:
+    def go_on(self, handed: Handed) -> AttemptStatus:
         """What another process passed on until now; both sockets are closed at the end."""
         self._last_word = handed.last_word.encode()
         self._to_client.rest, self._to_member.rest = handed.rests
@@ -95,24 +95,24 @@
         self._box.stand(self.nudge)
         return False
 
-    def _pass(self) -> Status:
+    def _pass(self) -> AttemptStatus:
         for side in (self._client, self._member):
             side.settimeout(None)  # with a time-out Python waits before each call, whatever its flags say
         until_end: timedelta | None = None
         while self._open:
             order = self._box.take()
             if order is not None and self._ended is None:
-                return self._move(Status.CANCELLED)
+                return self._move(AttemptStatus.CANCELLED)
             if until_end is not None and now() >= until_end:
                 break
             if self._question.silent() and self._ended is None:
                 log("silent_flow", member=self._name)
-                return self._move(Status.TIMEOUT)
+                return self._move(AttemptStatus.TIMEOUT)
             if self._stuck():
                 return self._reset_both()
             ready = self._wait(until_end or now() + (OVERDUE if self._question.open else IDLE))
             if self._takeover.fileno() in ready and self._ended is None and self._hand():
-                return Status.CANCELLED
+                return AttemptStatus.CANCELLED
             for side in (self._member, self._client):
                 other = self._client if side is self._member else self._member
                 try:
@@ -145,7 +145,7 @@
                     return self._reset(other, side)
                 until_end = until_end or now() + AFTER_END
         # Never `or`: the status of success is 0, and a sound member would be blamed with a reset.
-        return Status.CANCELLED if self._ended is None else self._ended
+        return AttemptStatus.CANCELLED if self._ended is None else self._ended
 
     def _wait(self, until: timedelta) -> set[int]:
         """Which sides can go on: to be read where the other takes what they say, to be written to else."""
@@ -176,7 +176,7 @@
         late = now() - sockets.SEND_WAIT
         return any(waiting and self._took[side] < late for side, waiting in self._waiting.items())
 
-    def _reset_both(self) -> Status:
+    def _reset_both(self) -> AttemptStatus:
         log("stuck_flow", member=self._name)
         stuck = self._member if self._waiting[self._member] else self._client
         return self._reset(stuck, self._client if stuck is self._member else self._member)
@@ -204,17 +204,17 @@
         """The first side to end decides what became of the connection."""
         if self._ended is None:
             if side is self._client:
-                self._ended = Status.CANCELLED
+                self._ended = AttemptStatus.CANCELLED
             else:
-                ends = {protocol.BYE: Status.OK, protocol.MOVE: Status.CANCELLED}
-                self._ended = ends.get(self._last_word, Status.RESET)
+                ends = {protocol.BYE: AttemptStatus.OK, protocol.MOVE: AttemptStatus.CANCELLED}
+                self._ended = ends.get(self._last_word, AttemptStatus.RESET)
 
-    def _reset(self, side: socket.socket, other: socket.socket) -> Status:
+    def _reset(self, side: socket.socket, other: socket.socket) -> AttemptStatus:
         self._end(side)
         sockets.reset(other)
-        return Status.RESET if self._ended is None else self._ended
+        return AttemptStatus.RESET if self._ended is None else self._ended
 
-    def _move(self, status: Status) -> Status:
+    def _move(self, status: AttemptStatus) -> AttemptStatus:
         """MOVE stands between two lines: what the client has not taken of one goes out before it."""
         self._member.close()
         sockets.prepare(self._client)
--- a/tansyladder/net/takeover.py
+++ b/tansyladder/net/takeover.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from tansyladder.config import Address, MemberList
+from tansyladder.config.platform import Address, MemberList
 from tansyladder.log import log
 
 ASK, SERVING = b"TAKE 1", b"SERVING"
--- a/tansyladder/node/core.py
+++ b/tansyladder/node/core.py
@@ -18,11 +18,10 @@
 from datetime import timedelta
 from typing import TypeVar
 
-from tansyladder import interface as api
-from tansyladder.choice import Balancer
-from tansyladder.config import Config, ConfigError, MemberEntry, MemberList, address
+from tansyladder.config.operator_settings import Options
+from tansyladder.config.platform import Config, ConfigError, MemberEntry, MemberList, address
+from tansyladder.invariants import must_hold
 from tansyladder.log import log
-from tansyladder.must import must_hold
 from tansyladder.net.clock import EPOCH, MICROSECOND, Clock, now
 from tansyladder.net.delays import DelayMeter, DelayNotes
 from tansyladder.net.mailbox import Mailbox, Order, PoolMember
@@ -32,15 +31,38 @@
 from tansyladder.node.hooks import Keeping, Permits, Sessions
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.node.metrics import Metrics
-from tansyladder.options import Options
-
-PHASES = {"up": api.State.READY, "draining": api.State.DRAINING, "removed": api.State.GONE}
+from tansyladder.policy.actions import (
+    CancelAttempt,
+    CheckHealth,
+    Fail,
+    Log,
+    Migrate,
+    PollDiscovery,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+)
+from tansyladder.policy.balancer import Balancer
+from tansyladder.policy.events import (
+    ConnectionReport,
+    EndpointListUpdate,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    ListUpdateKind,
+    ReportKind,
+    TimerExpired,
+)
+from tansyladder.policy.settings import ClassSettings
+
+PHASES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
 _T = TypeVar("_T")
 MOST_MS = 10**14  # no member started after the year 5000: its clock is out of range
 BACKLOG = 256  # probes and watch calls that may wait for their threads; more than a fleet has members
 
 
-def _terms_of(config: Config) -> list[tuple[str, api.ClassSettings]]:
+def _terms_of(config: Config) -> list[tuple[str, ClassSettings]]:
     """The classes of a configuration, by name and terms."""
     return list(zip(config.class_names, config.settings.classes, strict=True))
 
@@ -118,12 +140,12 @@
         before = self.takeover.members
         if before is not None and before.revision >= known.revision:
             known = before
-        self.tell_members(known, api.ListKind.CACHED)
+        self.tell_members(known, ListUpdateKind.CACHED)
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
     # --- the module's events and actions
 
-    def tell(self, *events: api.Event) -> None:
+    def tell(self, *events: Event) -> None:
         """Let the module hear events of this moment, in order, and hand out what it says."""
         with self._lock:
             woken = self._decide(events)
@@ -137,7 +159,7 @@
             with contextlib.suppress(IndexError):  # another thread was quicker
                 log("counts", **self._counted.popleft())
 
-    def _decide(self, events: Sequence[api.Event]) -> list[Mailbox]:
+    def _decide(self, events: Sequence[Event]) -> list[Mailbox]:
         """Under the lock: one call of the module; returns whose holders to wake once it is released."""
         woken, moment = [], self.clock.micros(now())
         if fields := self._counts.turn(moment):
@@ -147,23 +169,23 @@
         for action in self._balancer.handle(moment, events):
             self._counts.action(action)
             match action:
-                case api.SetTimer(at, token):
+                case SetTimer(at, token):
                     heapq.heappush(self._timers, (self.clock.moment(at), token))
                     if self._timers[0][1] == token:
                         self._timer_set.notify()
-                case api.Send(id) | api.Refuse(id) | api.Fail(id) | api.Cancel(id) | api.Move(id):
+                case StartAttempt(id) | Reject(id) | Fail(id) | CancelAttempt(id) | Migrate(id):
                     box = self._boxes.get(id)
                     # Neither a withdrawal of what stands nor a move of what does not comes through.
-                    if box and not isinstance(action, api.Cancel if box.standing else api.Move):
+                    if box and not isinstance(action, CancelAttempt if box.standing else Migrate):
                         box.post(action)
                         woken.append(box)
-                case api.Probe(server):
+                case CheckHealth(server):
                     self._hand(self.probes, self._members[server])
-                case api.Watch(on):
+                case PollDiscovery(on):
                     self._hand(self.watches, on)
-                case api.Log(text):
+                case Log(text):
                     log("module", text=text)
-                case api.Tell():
+                case SendPeerMessage():
                     must_hold(False, "tell_without_peers")
         return woken
 
@@ -192,7 +214,7 @@
                 due = []
                 moment = now()
                 while self._timers and self._timers[0][0] <= moment:
-                    due.append(api.Timer(heapq.heappop(self._timers)[1]))
+                    due.append(TimerExpired(heapq.heappop(self._timers)[1]))
                 woken = self._decide(due)
             self._done(woken)
 
@@ -226,8 +248,8 @@
     def delay_notes(self, number: int, attempt: int, member: int) -> DelayNotes:
         """What takes in the delays of a standing connection's messages and tells the module where due."""
 
-        def tell(kind: api.NoteKind, ms: float) -> None:
-            self.tell(api.Note(number, kind, attempt, member, ms))
+        def tell(kind: ReportKind, ms: float) -> None:
+            self.tell(ConnectionReport(number, kind, attempt, member, ms))
 
         return DelayNotes(member, lambda: self.delays, tell, lambda: self.config.tells_load)
 
@@ -252,16 +274,16 @@
         size, ejected = self._balancer.pool()
         return {"pool_size": size, "pool_ejected": ejected}
 
-    def tell_members(self, listed: MemberList, kind: api.ListKind) -> None:
+    def tell_members(self, listed: MemberList, kind: ListUpdateKind) -> None:
         """The list or changes of it; entries that make no sense are left out and logged."""
         with self._lock:
             lines = [line for line in map(self._line, listed.members) if line is not None]
             self.revision = listed.revision
-            if kind in (api.ListKind.FULL, api.ListKind.CACHED):
+            if kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED):
                 self._entries.clear()
             self._entries.update((entry.id, entry) for entry in listed.members)
             self._entries = {k: entry for k, entry in self._entries.items() if entry.phase != "removed"}
-            woken = self._decide([api.Members(kind, tuple(lines), listed.revision)])
+            woken = self._decide([EndpointListUpdate(kind, tuple(lines), listed.revision)])
         self._done(woken)
 
     def listed(self) -> MemberList:
@@ -269,7 +291,7 @@
         with self._lock:
             return MemberList(self.revision, True, list(self._entries.values()))
 
-    def _line(self, entry: MemberEntry) -> api.Line | None:
+    def _line(self, entry: MemberEntry) -> EndpointUpdate | None:
         state = PHASES.get(entry.phase)
         try:
             reach = address(entry.host_port, "host_port")
@@ -285,7 +307,7 @@
         since = 0
         if entry.up_since_ms:
             since = self.clock.micros(self.clock.of_wall(EPOCH + timedelta(milliseconds=entry.up_since_ms)))
-        return api.Line(
+        return EndpointUpdate(
             number,
             self._zones.setdefault(entry.locality, len(self._zones)),
             entry.cell,
--- a/tansyladder/node/counts.py
+++ b/tansyladder/node/counts.py
@@ -9,9 +9,21 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from tansyladder import interface as api
-from tansyladder.interface import ClassSettings, Status
 from tansyladder.node.metrics import Ending, Metrics
+from tansyladder.policy.actions import Action, CheckHealth, Fail, Migrate, Reject, StartAttempt
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionAdopted,
+    ConnectionReport,
+    Event,
+    HealthCheckResult,
+    ReportKind,
+    RequestReceived,
+)
+from tansyladder.policy.settings import ClassSettings
 
 SECOND = 1_000_000  # microseconds
 ENDINGS = {Ending.OK: "up", Ending.SHED: "refused", Ending.ERRORS: "failed"}  # as a line names them
@@ -53,20 +65,20 @@
             counted.clear()
         return fields
 
-    def event(self, event: api.Event, now: int) -> None:
+    def event(self, event: Event, now: int) -> None:
         """The module is told this."""
         match event:
-            case api.Request(id, cls, _, deadline):
+            case RequestReceived(id, cls, _, deadline):
                 self._counts["back" if event.back else "new"] += 1
                 self._wanted[id] = deadline - self.classes[cls].deadline + self.classes[cls].aim
-            case api.Opened(id, _, _, server):
+            case ConnectionAdopted(id, _, _, server):
                 self._counts["taken_up"] += 1
                 self._stand(id, server)
-            case api.First(id, attempt, server):
+            case AttemptEstablished(id, attempt, server):
                 self._counts["retries"] += attempt > 0
                 self._counts["late"] += now > self._wanted.pop(id, now)
                 self._stand(id, server)
-            case api.Outcome(id, attempt, server, status):
+            case AttemptEnded(id, attempt, server, status):
                 if self._stands.pop(id, None) is not None:
                     self._standing[server] -= 1
                     self._counts["ended_" + status.name.lower()] += 1
@@ -74,26 +86,26 @@
                     self._failed[server] += 1
                     self._counts[status.name.lower()] += 1
                     self._counts["retries"] += attempt > 0
-            case api.Gone(id):
+            case ClientDisconnected(id):
                 self._wanted.pop(id, None)
-            case api.Note(_, api.NoteKind.DELAY):
+            case ConnectionReport(_, ReportKind.DELAY):
                 self._counts["notes"] += 1
-            case api.Probed(_, status) if status is not Status.OK:
+            case HealthCheckResult(_, status) if status is not AttemptStatus.OK:
                 self._counts["probe_" + status.name.lower()] += 1
             case _:
                 pass
 
-    def action(self, action: api.Action) -> None:
+    def action(self, action: Action) -> None:
         """The module says this."""
         match action:
-            case api.Send(_, server):
+            case StartAttempt(_, server):
                 self._counts["sends"] += 1
                 self._sent[server] += 1
-            case api.Refuse(id) | api.Fail(id):
+            case Reject(id) | Fail(id):
                 self._wanted.pop(id, None)
-            case api.Probe():
+            case CheckHealth():
                 self._counts["probes"] += 1
-            case api.Move():
+            case Migrate():
                 self._counts["moves"] += 1
             case _:
                 pass
--- a/tansyladder/node/discovery.py
+++ b/tansyladder/node/discovery.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from tansyladder.config import Address, MemberList
-from tansyladder.interface import ListKind
+from tansyladder.config.platform import Address, MemberList
 from tansyladder.log import log
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
 from tansyladder.net.http import HttpClient, HttpError, Silence
 from tansyladder.node.core import Core
+from tansyladder.policy.events import ListUpdateKind
 
 # A change counts as told 6 s after discovery had it and could be reached, whatever became of a node's calls.
 # A watch that falls silent is given up after WAIT + SILENT, and the call in its place has the rest. One that
@@ -128,7 +128,9 @@
             if listed is not None:
                 self._core.called(failed=False)
                 self._new = self._silent = self._failed = False
-                self._core.tell_members(listed, ListKind.FULL if listed.complete else ListKind.DELTA)
+                self._core.tell_members(
+                    listed, ListUpdateKind.FULL if listed.complete else ListUpdateKind.DELTA
+                )
                 self._heard.set()
                 if self._core.keeping is not None:
                     self._core.keeping.tell_members(listed)
@@ -145,7 +147,7 @@
                 return True
             else:
                 self._failed = silent  # one that was turned away has somebody there
-                self._core.tell_members(MemberList(revision=self._core.revision), ListKind.FAILED)
+                self._core.tell_members(MemberList(revision=self._core.revision), ListUpdateKind.FAILED)
         if self._pushed:
             if listed is None:
                 self._rest(AGENT_AGAIN)
--- a/tansyladder/node/hooks.py
+++ b/tansyladder/node/hooks.py
@@ -7,11 +7,11 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Protocol
 
-from tansyladder.config import MemberList
+from tansyladder.config.operator_settings import ResumeOptions
+from tansyladder.config.platform import MemberList
 from tansyladder.net.flow import Standing
 from tansyladder.net.mailbox import Mailbox
 from tansyladder.net.protocol import Opening
-from tansyladder.options import ResumeOptions
 
 if TYPE_CHECKING:  # a node without such sessions does not load what they are made of
     from tansyladder.resume.stream import Stream
--- a/tansyladder/node/operator.py
+++ b/tansyladder/node/operator.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from tansyladder.config import Address
+from tansyladder.config.platform import Address
 from tansyladder.log import log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
--- a/tansyladder/node/placing.py
+++ b/tansyladder/node/placing.py
@@ -7,14 +7,20 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from tansyladder import interface as api
-from tansyladder.interface import Status
-from tansyladder.must import must_hold
+from tansyladder.invariants import must_hold
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.net.flow import Answer, ServerSideFlow, Standing
 from tansyladder.net.mailbox import Mailbox, Order
 from tansyladder.node.core import Core
+from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ClientDisconnected,
+    RequestReceived,
+)
 
 OVERDUE = timedelta(milliseconds=25)  # past the deadline an answer still counts for a little
 
@@ -27,7 +33,7 @@
     """The client sent a line before UP, which the protocol does not allow."""
 
 
-Placed = Standing | api.Refuse | api.Fail | ClientLeft | ClientSpoke
+Placed = Standing | Reject | Fail | ClientLeft | ClientSpoke
 
 
 @dataclass(slots=True)
@@ -44,13 +50,13 @@
     lines: int = 1  # that make a member's answer
     accept: Callable[[Answer], bool] = lambda answer: True  # whether what stands can be used
 
-    def run(self, request: api.Request) -> Placed:
+    def run(self, request: RequestReceived) -> Placed:
         """Follow the module until a flow stands or the request is given up; never two attempts at once."""
         core, number, attempt = self.core, self.number, 0
         core.tell(request)
         while True:
             match order := self._next_order():
-                case api.Send(_, server, timeout):
+                case StartAttempt(_, server, timeout):
                     member, sent = core.member(server), now()
                     until = min(sent + timeout * MICROSECOND, self.deadline)
                     connect = core.config.settings.connect_timeout * MICROSECOND
@@ -59,26 +65,26 @@
                     took = (now() - sent) // MICROSECOND
                     if answer.sock is not None and answer.buffer is not None:
                         if self.accept(answer):
-                            core.tell(api.First(number, attempt, server, took))
+                            core.tell(AttemptEstablished(number, attempt, server, took))
                             lines = (answer.receipt, *answer.ready)
                             return Standing(member, answer.sock, answer.buffer, lines, attempt, took)
                         answer.sock.close()
-                        answer.status = Status.CANCELLED
+                        answer.status = AttemptStatus.CANCELLED
                     if answer.client_left or answer.client_spoke:
-                        end = api.Outcome(number, attempt, server, answer.status, took, True)
-                        core.tell(api.Gone(number), end)
+                        end = AttemptEnded(number, attempt, server, answer.status, took, True)
+                        core.tell(ClientDisconnected(number), end)
                         return ClientSpoke() if answer.client_spoke else ClientLeft()
-                    core.tell(api.Outcome(number, attempt, server, answer.status, took, False))
+                    core.tell(AttemptEnded(number, attempt, server, answer.status, took, False))
                     attempt += 1
-                case api.Refuse():
-                    core.tell(api.Gone(number))
+                case Reject():
+                    core.tell(ClientDisconnected(number))
                     return order
-                case api.Fail():
+                case Fail():
                     return order
-                case api.Cancel() | api.Move():
+                case CancelAttempt() | Migrate():
                     pass  # the attempt is over already, or nothing stands yet
                 case ClientLeft() | ClientSpoke():
-                    core.tell(api.Gone(number))
+                    core.tell(ClientDisconnected(number))
                     return order
 
     def _tried(self) -> None:
@@ -101,15 +107,15 @@
                         return ClientLeft()
             if not ready and now() >= until:
                 must_hold(False, "answer_overdue")
-                return api.Refuse(self.number, 0)
+                return Reject(self.number, 0)
 
 
 def request_of(
     core: Core, number: int, cls: int, opening: protocol.Opening, deadline: timedelta, back: bool
-) -> api.Request:
+) -> RequestReceived:
     """What the module is told of a request; `cls`: its class there; `back`: it broke or was moved."""
     hint = None if opening.hint is None else int(opening.hint)
-    return api.Request(
+    return RequestReceived(
         number,
         cls,
         core.tenant(opening),
--- a/tansyladder/node/probe.py
+++ b/tansyladder/node/probe.py
@@ -6,13 +6,12 @@
 import threading
 from datetime import timedelta
 
-from tansyladder import interface as api
-from tansyladder.interface import Status
 from tansyladder.log import log
 from tansyladder.net import protocol
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
 from tansyladder.net.mailbox import PoolMember
 from tansyladder.node.core import Core
+from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 
 WAIT = timedelta(milliseconds=150)  # a member answers ERR after 100 ms where it has no time
 WORKERS = 4
@@ -36,14 +35,14 @@
             started = now()
             status, load = self._probe(member)
             took = (now() - started) // MICROSECOND
-            self._core.tell(api.Probed(member.number, status, took, load))
+            self._core.tell(HealthCheckResult(member.number, status, took, load))
 
-    def _probe(self, member: PoolMember) -> tuple[Status, tuple[float, ...]]:
+    def _probe(self, member: PoolMember) -> tuple[AttemptStatus, tuple[float, ...]]:
         until, connect = now() + WAIT, self._core.config.settings.connect_timeout * MICROSECOND
         try:
             sock = socket.create_connection(member.address, min(connect, WAIT).total_seconds())
         except OSError:
-            return Status.CONNECT_FAILED, ()
+            return AttemptStatus.CONNECT_FAILED, ()
         with sock:
             try:
                 sock.sendall((protocol.STATS if self._columns else protocol.PING) + b"\r\n")
@@ -54,23 +53,23 @@
                     sock.settimeout(left)
                     data = sock.recv(protocol.MAX_LINE)
                     if not data:
-                        return Status.RESET, ()
+                        return AttemptStatus.RESET, ()
                     lines += buffer.feed(data)
                     if protocol.word_of(lines[0] if lines else b"PONG") != protocol.PONG:
-                        return Status.ERROR, ()
+                        return AttemptStatus.ERROR, ()
             except TimeoutError:
                 if lines:  # it answers, and has no report: it stays as it was known
                     log("bad_report", member=member.id, line=lines[0][:80])
-                return Status.OK if lines else Status.TIMEOUT, ()
+                return AttemptStatus.OK if lines else AttemptStatus.TIMEOUT, ()
             except OSError:
-                return Status.RESET, ()
+                return AttemptStatus.RESET, ()
             except protocol.LineError as err:
                 log("bad_answer", member=member.id, why=err)
-                return Status.ERROR, ()
+                return AttemptStatus.ERROR, ()
         report = protocol.parse_report(lines[-1], self._columns) if self._columns else ()
         if self._columns and not report:
             log("bad_report", member=member.id, line=lines[-1][:80])
-        return Status.OK, report
+        return AttemptStatus.OK, report
 
     def _told(self, lines: list[bytes]) -> bool:
         """Whether the answer is whole: a report stands behind PONG, or in a line of its own."""
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -6,12 +6,12 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from tansyladder.config import ConfigError, reload
+from tansyladder.config.operator_settings import OptionsError, changed, load
+from tansyladder.config.platform import ConfigError, reload
 from tansyladder.log import log
 from tansyladder.node.core import Core
 from tansyladder.node.discovery import Discovery
 from tansyladder.node.lifecycle import Phase
-from tansyladder.options import OptionsError, changed, load
 
 MOST_KEYS = 300  # characters of the keys that changed, in the log
 
--- a/tansyladder/node/transaction.py
+++ b/tansyladder/node/transaction.py
@@ -6,8 +6,6 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from tansyladder import interface as api
-from tansyladder.interface import Status
 from tansyladder.log import log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now
@@ -19,6 +17,8 @@
 from tansyladder.node.core import Core
 from tansyladder.node.metrics import Ending
 from tansyladder.node.placing import ClientLeft, ClientSpoke, Placing, request_of
+from tansyladder.policy.actions import Fail, Reject
+from tansyladder.policy.events import AttemptEnded, AttemptStatus, ConnectionAdopted
 
 AGAIN = timedelta(milliseconds=100)  # between two tries to take up a connection from before the run
 
@@ -84,9 +84,9 @@
                 relay = self._relay(standing.sock, standing.buffer, member, attempt)
                 status = relay.run(standing.lines)
                 core.tell(standing.ended(number, status))
-            case api.Refuse(_, wait):
+            case Reject(_, wait):
                 self._answer(Ending.SHED, format_reject(wait * MICROSECOND))
-            case api.Fail():
+            case Fail():
                 self._answer(Ending.ERRORS, protocol.ERR + b"\r\n")
             case ClientSpoke():
                 log("bad_line", where="client", why="a second line before UP")
@@ -118,7 +118,7 @@
         """A connection that stood at a pool member before the run goes back there."""
         core, opening = self._core, self._opening
         member = core.member_of_id(ident)
-        answer = Answer(Status.CONNECT_FAILED)
+        answer = Answer(AttemptStatus.CONNECT_FAILED)
         while member is not None and answer.sock is None and not answer.client_left:
             connect = core.config.settings.connect_timeout * MICROSECOND
             flow = ServerSideFlow(
@@ -129,7 +129,7 @@
                 break
             if answer.sock is None and not answer.client_left:
                 sockets.wait_readable(now() + AGAIN, self._box.fileno())
-                if isinstance(self._box.first(), api.Refuse):
+                if isinstance(self._box.first(), Reject):
                     break
         if member is None or answer.sock is None or answer.buffer is None:
             log("take_up_failed", member=ident, status=answer.status.name)
@@ -141,7 +141,7 @@
         self._answer(Ending.OK)
         self._opened(member)
         status = self._relay(answer.sock, answer.buffer, member, 0).run((answer.receipt, *answer.ready))
-        core.tell(api.Outcome(self._number, 0, member.number, status, 0, True))
+        core.tell(AttemptEnded(self._number, 0, member.number, status, 0, True))
 
     def _go_on(self, handed: Handed, sock: socket.socket) -> None:
         """A connection that stood in the process before this one goes on where it was."""
@@ -153,11 +153,11 @@
             return
         self._opened(member)
         status = self._relay(sock, protocol.LineBuffer(), member, 0).go_on(handed)
-        core.tell(api.Outcome(self._number, 0, member.number, status, 0, True))
+        core.tell(AttemptEnded(self._number, 0, member.number, status, 0, True))
 
     def _opened(self, member: PoolMember) -> None:
         """The module is told of a connection that it did not place."""
         opening = self._opening
         hint = None if opening.hint is None else int(opening.hint)
         tenant = self._core.tenant(opening)
-        self._core.tell(api.Opened(self._number, self._cls, tenant, member.number, opening.key, hint))
+        self._core.tell(ConnectionAdopted(self._number, self._cls, tenant, member.number, opening.key, hint))
--- a/tansyladder/node/virtual_server.py
+++ b/tansyladder/node/virtual_server.py
@@ -11,8 +11,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from tansyladder import interface as api
-from tansyladder.config import MemberList
+from tansyladder.config.platform import MemberList
 from tansyladder.log import log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
@@ -22,6 +21,7 @@
 from tansyladder.node.lifecycle import Phase
 from tansyladder.node.metrics import Ending
 from tansyladder.node.transaction import Transaction
+from tansyladder.policy.actions import Migrate, Reject
 
 # Whoever has sent no whole first line by then gets an ERR, and whoever is still there after that a close: in
 # all under 3 s from the accept, however slowly the bytes drip and however busy the node is.
@@ -549,7 +549,7 @@
             turns = max(1, (end - SETTLED - now()) // PACE)
             some = standing[: -(-len(standing) // turns)]
             moved.update(some)
-            core.order([api.Move(n) for n in some])
+            core.order([Migrate(n) for n in some])
         return moved
 
     def _turn_out(self, told: set[int], until: timedelta) -> None:
@@ -563,7 +563,7 @@
             waiting = [n for n in core.held(False) if n not in told]
             standing = [n for n in core.held(True) if n not in told and n not in waiting]
             told.update(waiting, standing)
-            core.order([*(api.Refuse(n) for n in waiting), *(api.Move(n) for n in standing)])
+            core.order([*(Reject(n) for n in waiting), *(Migrate(n) for n in standing)])
             if not self._open or now() >= until:
                 return
             _sleep(now() + PACE)
--- a/tansyladder/peers/agreement.py
+++ b/tansyladder/peers/agreement.py
@@ -30,7 +30,7 @@
 from random import Random
 from typing import Protocol
 
-from tansyladder.must import must_hold
+from tansyladder.invariants import must_hold
 from tansyladder.peers.messages import (
     Append,
     Appended,
--- /dev/null
+++ b/tansyladder/policy/actions.py
@@ -0,0 +1,88 @@
+"""Actions that the decision module asks its caller to perform.
+
+Moments and spans are integer microseconds; moments are on one clock that never goes back.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple, Union
+
+
+class StartAttempt(NamedTuple):
+    """Start an attempt; `timeout` is relative."""
+
+    id: int
+    server: int
+    timeout: int
+
+
+class Reject(NamedTuple):
+    """Final answer: not served, trying again is harmless."""
+
+    id: int
+    retry_after: int = 0
+
+
+class Fail(NamedTuple):
+    """Final answer that promises nothing."""
+
+    id: int
+
+
+class CancelAttempt(NamedTuple):
+    """Stop waiting on one attempt."""
+
+    id: int
+    attempt: int
+
+
+class SetTimer(NamedTuple):
+    """Ask for a Timer event at a clock time."""
+
+    at: int
+    token: int
+
+
+class CheckHealth(NamedTuple):
+    """Ask a server how it does."""
+
+    server: int
+
+
+class Migrate(NamedTuple):
+    """End a standing connection politely; its client comes again."""
+
+    id: int
+
+
+class SendPeerMessage(NamedTuple):
+    """Send bytes to a peer, or to all (None)."""
+
+    peer: int | None
+    data: bytes
+
+
+class Log(NamedTuple):
+    """A line for the operators."""
+
+    text: str
+
+
+class PollDiscovery(NamedTuple):
+    """Ask discovery for changes from now on, or stop."""
+
+    on: bool
+
+
+Action = Union[
+    StartAttempt,
+    Reject,
+    Fail,
+    CancelAttempt,
+    SetTimer,
+    CheckHealth,
+    Migrate,
+    SendPeerMessage,
+    Log,
+    PollDiscovery,
+]
--- a/tansyladder/choice.py
+++ b/tansyladder/policy/balancer.py
@@ -11,8 +11,36 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from tansyladder import interface as api
-from tansyladder.interface import Effect, Group, ListKind, NoteKind, State, Status
+from tansyladder.policy.actions import (
+    Action,
+    CheckHealth,
+    Fail,
+    Migrate,
+    PollDiscovery,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from tansyladder.policy.backoff import Backoff
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionAdopted,
+    ConnectionReport,
+    EndpointListUpdate,
+    EndpointState,
+    Event,
+    HealthCheckResult,
+    ListUpdateKind,
+    PeerMessage,
+    ReportKind,
+    RequestReceived,
+    TimerExpired,
+)
+from tansyladder.policy.records import EVEN_STRAIN, MASK, Endpoint, EndpointPool, Request, mix
+from tansyladder.policy.settings import DeduplicationScope, Idempotency, Settings
 
 SLOTS_PER_AIM = 8  # a slot is this part of the set-up aim: three failures in a row still fit the aim
 PROBED = 3  # servers asked before a placement: enough that one of them has room when most have
@@ -25,7 +53,6 @@
 LATE = 0.5  # part of the message aim from which messages count as late: delays vary about their mean
 MEMORY = 8  # set-ups over which a node judges whether they fail everywhere
 SHARED = 0.5  # share of failing set-ups from which the cause is shared: no single server fails most of them
-EVEN_STRAIN = 0.6  # strain taken for a server that carries the mean, where nobody reports
 SLOWED = 1.7  # times its best from which a probe's answer is slow: it takes up to 1.3 times at a fair load
 HOLDS = 8.0  # how much sooner a server is drawn that does the work of a connection's group already
 LEAST = 0.05  # headroom of a server of which nothing bad is heard, where probes are all that tells
@@ -38,112 +65,22 @@
 FIRST_CALLS = 6  # times sooner than the pace of calls that a first one is made; those that fail keep the pace
 FILL = 8.0  # connections that fill a unit of a server's size at least, so a cold one's budget is no less
 TURNS = 30  # nodes that the grants for a cold server go round among; of more, some share a turn
-BLAMED = (Status.FULL, Status.TIMEOUT, Status.CONNECT_FAILED, Status.RESET, Status.ERROR)
-MASK = (1 << 64) - 1
-
-
-class Backoff:
-    """A key's retry number, the end of its current interval, and the retry drawn in it."""
-
-    __slots__ = ("at", "end", "n")
-
-    def __init__(self) -> None:
-        self.n = self.end = self.at = 0
-
-    def failed(self, now: int, slot: int, cap: int, rng: Random) -> None:
-        """Raise n and draw in the next interval, which starts where the last one ends, if that is to come."""
-        start = max(now, self.end)
-        self.n = min(self.n + 1, cap)
-        width = slot << self.n
-        self.at, self.end = start + rng.randint(0, width), start + width
-
-
-class Server:
-    """What this node knows of one server."""
-
-    __slots__ = (
-        "id", "zone", "cell", "size", "whole", "state", "ready_at", "told_at", "seed", "turn", "spent",
-        "mark", "strain", "strain_at", "added", "added_at", "delay", "delay_at", "conns", "load", "trying",
-        "moves", "moving", "probing", "waiting", "best", "doubt", "timed", "groups", "late_to", "tells",
-    )  # fmt: skip
-
-    def __init__(self, line: api.Line, now: int) -> None:
-        self.id, self.zone, self.cell, self.size, self.whole = line.server, line.zone, line.cell, 1.0, 1.0
-        self.seed, self.turn = mix(line.server), line.name or line.server
-        self.conns: dict[int, Request] = {}
-        self.groups: dict[int, int] = {}  # how many of them belong to each group
-        self.load, self.trying = 0.0, 0  # attempts out that have not ended and do not stand yet
-        self.probing, self.waiting = False, list[int]()
-        self.told_at = now
-        self.restart(line.ready_at)
-        self.state = line.state
-
-    def restart(self, ready_at: int) -> None:
-        """Forget what was learnt of an earlier process."""
-        self.ready_at = ready_at
-        self.mark = Backoff()
-        self.strain, self.strain_at = 0.0, -1
-        self.delay, self.delay_at, self.late_to = 0.0, -1, 0
-        self.added, self.added_at = 0.0, 0  # strain of what this node sent since reports could show it
-        self.spent = 0  # the newest grant of this node's that was used, while it is cold
-        self.moves, self.moving = Backoff(), False
-        self.best, self.timed = 0, 0  # its quickest answer to a probe; how many bear that out
-        self.doubt = self.tells = False  # whether the last answer was odd; whether it tells of its delays
-
-
-class Pool:
-    """The ready servers of the home zone, or of all others, and what they are like on the whole."""
-
-    __slots__ = ("servers", "looked_at", "size", "mean", "tide", "cold")
-
-    def __init__(self) -> None:
-        self.servers: list[Server] = []
-        self.looked_at = -1
-        self.size = self.mean = 0.0  # what of it is warm, and this node's load for each unit of that
-        self.tide = EVEN_STRAIN  # the mean strain of those heard of
-        self.cold: list[Server] = []
-
-
-class Request:
-    """A request that this node holds, or a connection that stands."""
-
-    __slots__ = (
-        "id", "cls", "tenant", "deadline", "key", "group", "load", "sent", "server", "up", "done", "backoff",
-        "ran", "ran_at", "sample", "asking", "due", "failed",
-    )  # fmt: skip
-
-    def __init__(
-        self, rid: int, cls: int, tenant: int, deadline: int, key: int, group: int, hint: int | None
-    ) -> None:
-        self.id, self.cls, self.tenant, self.deadline = rid, cls, tenant, deadline
-        self.key, self.group = key, group
-        self.load = float(hint) if hint else 1.0
-        self.sent = 0
-        self.server: Server | None = None  # where its attempt is out, or its connection stands
-        self.up = self.done = False
-        self.backoff: Backoff | None = None
-        self.failed: Server | None = None  # where its last attempt failed
-        self.ran: Server | None = None  # where the first attempt that may have run went
-        self.ran_at = 0
-        self.sample: list[Server] = []
-        self.asking = self.due = 0  # probes waited for; when its next try is due
-
-
-def mix(x: int) -> int:
-    """A 64-bit scramble (splitmix64), the same at every node."""
-    x = (x + 0x9E3779B97F4A7C15) & MASK
-    x = ((x ^ (x >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    x = ((x ^ (x >> 27)) * 0x94D049BB133111EB) & MASK
-    return x ^ (x >> 31)
+BLAMED = (
+    AttemptStatus.FULL,
+    AttemptStatus.TIMEOUT,
+    AttemptStatus.CONNECT_FAILED,
+    AttemptStatus.RESET,
+    AttemptStatus.ERROR,
+)
 
 
 class Balancer:
     """One node's decisions."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
-        self.rng, self.now, self.out = Random(seed), now, list[api.Action]()
-        self.servers: dict[int, Server] = {}
-        self.home, self.away = Pool(), Pool()
+    def __init__(self, settings: Settings, seed: int, now: int) -> None:
+        self.rng, self.now, self.out = Random(seed), now, list[Action]()
+        self.servers: dict[int, Endpoint] = {}
+        self.home, self.away = EndpointPool(), EndpointPool()
         self.requests: dict[int, Request] = {}
         self.keys: dict[int, Backoff] = {}
         self.timers: dict[int, tuple[Callable[[int], None], int]] = {}
@@ -152,14 +89,21 @@
         self.held: dict[int, int] = {}  # connections that stand, by tenant; counted as they come and go
         self.watching, self.watch_due = Backoff(), False
         self.handlers: dict[type, Callable[..., None]] = {
-            api.Members: self._members, api.Request: self._request, api.Opened: self._opened,
-            api.First: self._first, api.Note: self._note, api.Outcome: self._outcome, api.Gone: self._gone,
-            api.Timer: self._timer, api.Probed: self._probed, api.Peer: self._peer,
-            api.Settings: self._settings,
-        }  # fmt: skip
+            EndpointListUpdate: self._members,
+            RequestReceived: self._request,
+            ConnectionAdopted: self._opened,
+            AttemptEstablished: self._first,
+            ConnectionReport: self._note,
+            AttemptEnded: self._outcome,
+            ClientDisconnected: self._gone,
+            TimerExpired: self._timer,
+            HealthCheckResult: self._probed,
+            PeerMessage: self._peer,
+            Settings: self._settings,
+        }
         self._settings(settings)
 
-    def _settings(self, settings: api.Settings) -> None:
+    def _settings(self, settings: Settings) -> None:
         """From now on these hold; classes keep their numbers, and what is under way its class's terms."""
         self.set = settings
         live = [c for i, c in enumerate(settings.classes) if i not in settings.retired]
@@ -173,7 +117,7 @@
         aims = [c.message_aim for c in live if c.message_aim]
         self.message_aim = min(aims) if aims else min(c.aim for c in live)
 
-    def handle(self, now: int, events: Sequence[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
         """Take in what has come and say what to do."""
         self.now, self.out = now, []
         for event in events:
@@ -182,40 +126,40 @@
 
     def pool(self) -> tuple[int, int]:
         """How many servers are listed, and how many of them are avoided now; a look that needs no lock."""
-        listed = [s for s in list(self.servers.values()) if s.state is not State.GONE]
-        return len(listed), sum(s.state is State.READY and s.mark.at > self.now for s in listed)
+        listed = [s for s in list(self.servers.values()) if s.state is not EndpointState.GONE]
+        return len(listed), sum(s.state is EndpointState.READY and s.mark.at > self.now for s in listed)
 
     # --- timers
 
     def _later(self, at: int, call: Callable[[int], None], arg: int) -> None:
         self.token = (self.token + 1) & 0xFFFFFFFF
         self.timers[self.token] = (call, arg)
-        self.out.append(api.SetTimer(max(at, self.now), self.token))
+        self.out.append(SetTimer(max(at, self.now), self.token))
 
-    def _timer(self, event: api.Timer) -> None:
+    def _timer(self, event: TimerExpired) -> None:
         call, arg = self.timers.pop(event.token, (None, 0))
         if call:
             call(arg)
 
     # --- the list of servers
 
-    def _members(self, event: api.Members) -> None:
-        if event.kind is ListKind.FAILED:
+    def _members(self, event: EndpointListUpdate) -> None:
+        if event.kind is ListUpdateKind.FAILED:
             self._watch_later()
             return
         self.watching.n = 0
-        if event.kind is not ListKind.DELTA:
+        if event.kind is not ListUpdateKind.DELTA:
             listed = {line.server for line in event.lines}
             for s in self.servers.values():
-                if s.id not in listed and s.state is not State.GONE:
-                    s.state, s.told_at = State.GONE, self.now
+                if s.id not in listed and s.state is not EndpointState.GONE:
+                    s.state, s.told_at = EndpointState.GONE, self.now
                     self._clear(s)
         for line in event.lines:
             found = self.servers.get(line.server)
             # An absurd weight must not draw all traffic, nor fail a division.
             size = line.weight if self.set.weighted and 0 < line.weight < 1e6 else 1.0
             if found is None:
-                found = self.servers[line.server] = Server(line, self.now)
+                found = self.servers[line.server] = Endpoint(line, self.now)
                 found.whole = size
             elif line.ready_at > found.ready_at:
                 found.restart(line.ready_at)
@@ -224,13 +168,15 @@
                 found.state, found.told_at = line.state, self.now
                 self._clear(found)
             found.zone, found.cell, found.size = line.zone, line.cell, size
-        ready = sorted((s for s in self.servers.values() if s.state is State.READY), key=lambda s: s.id)
+        ready = sorted(
+            (s for s in self.servers.values() if s.state is EndpointState.READY), key=lambda s: s.id
+        )
         self.home.servers = [s for s in ready if s.zone == self.set.zone]
         self.away.servers = [s for s in ready if s.zone != self.set.zone]
         self.home.looked_at = self.away.looked_at = -1
-        if event.kind is ListKind.CACHED and self.set.probe_pace and self.set.probes:
+        if event.kind is ListUpdateKind.CACHED and self.set.probe_pace and self.set.probes:
             self._later(self.now + self.rng.randint(0, self.set.probe_pace), self._ask_round, 0)
-        if event.kind is ListKind.CACHED and self.set.ask_discovery:
+        if event.kind is ListUpdateKind.CACHED and self.set.ask_discovery:
             # All nodes may start together: their first calls are spread, or the list's one service chokes.
             # But soon: until then a node that comes back takes those that started meanwhile for warm.
             spread = self.set.call_pace // FIRST_CALLS or self.set.ask_within * 3 // 4
@@ -238,7 +184,7 @@
 
     def _watch(self, _arg: int) -> None:
         self.watch_due = False
-        self.out.append(api.Watch(True))
+        self.out.append(PollDiscovery(True))
 
     def _watch_later(self) -> None:
         if not self.watch_due:
@@ -250,7 +196,7 @@
 
     # --- requests and the back-off
 
-    def _request(self, event: api.Request) -> None:
+    def _request(self, event: RequestReceived) -> None:
         r = Request(event.id, event.cls, event.tenant, event.deadline, event.key, event.key2, event.hint)
         r.backoff = self.keys.get(event.key) if event.key else None
         self.requests[event.id] = r
@@ -283,7 +229,7 @@
         c = self.set.classes[r.cls]
         assert r.backoff is not None
         late = r.backoff.at + c.aim // SLOTS_PER_AIM > r.deadline
-        if late or r.sent >= self.set.max_attempts or (r.ran and c.effect is Effect.UNSAFE):
+        if late or r.sent >= self.set.max_attempts or (r.ran and c.effect is Idempotency.UNSAFE):
             self._turn_away(r, r.backoff.end - self.now)
         else:
             r.due = r.backoff.at  # its own: another request with the key may move the key's interval on
@@ -292,12 +238,12 @@
     def _turn_away(self, r: Request, wait: int) -> None:
         """The final answer: a refusal where it is harmless, else a failure."""
         c = self.set.classes[r.cls]
-        keyed_apart = c.effect is Effect.KEYED and c.group is not Group.ALL
-        if r.ran and (c.effect is Effect.UNSAFE or keyed_apart):
-            self.out.append(api.Fail(r.id))
+        keyed_apart = c.effect is Idempotency.KEYED and c.group is not DeduplicationScope.ALL
+        if r.ran and (c.effect is Idempotency.UNSAFE or keyed_apart):
+            self.out.append(Fail(r.id))
         else:
             wait = max(0, min(wait, self.set.max_retry_after)) if self.set.retry_after else 0
-            self.out.append(api.Refuse(r.id, wait))
+            self.out.append(Reject(r.id, wait))
         del self.requests[r.id]
 
     def _begin(self, rid: int) -> None:
@@ -333,7 +279,7 @@
         else:
             self._failed(r)
 
-    def _send(self, r: Request, s: Server) -> None:
+    def _send(self, r: Request, s: Endpoint) -> None:
         left = r.deadline - self.now
         aim = self.set.classes[r.cls].aim
         # With most set-ups failing, all servers wait for the same thing: asking it again only adds to it.
@@ -353,35 +299,37 @@
         s.added_at = self.now
         self._join(s, r)
         s.trying += 1
-        self.out.append(api.Send(r.id, s.id, max(1, timeout)))
+        self.out.append(StartAttempt(r.id, s.id, max(1, timeout)))
 
     # --- the pick
 
-    def _share(self, s: Server) -> float:
+    def _share(self, s: Endpoint) -> float:
         """The share of its capacity that a server surely has by now."""
         if not s.ready_at or not self.set.cold or self.now - s.ready_at >= self.set.cold:
             return 1.0
         return self.set.cold_from + (1 - self.set.cold_from) * max(0, self.now - s.ready_at) / self.set.cold
 
-    def _cold(self, s: Server) -> bool:
+    def _cold(self, s: Endpoint) -> bool:
         return self._share(s) < 1.0
 
-    def _usable(self, s: Server) -> bool:
+    def _usable(self, s: Endpoint) -> bool:
         """Ready and unmarked; a mark ends in one trial at a time: no storm meets who is still down."""
         most = 1 if s.mark.n else self.parallel
-        return s.state is State.READY and s.mark.at <= self.now and s.trying < most
+        return s.state is EndpointState.READY and s.mark.at <= self.now and s.trying < most
 
-    def _allowed(self, s: Server, r: Request) -> bool:
+    def _allowed(self, s: Endpoint, r: Request) -> bool:
         """Whether the effect rule lets another attempt go to this server."""
         c = self.set.classes[r.cls]
-        if r.ran is None or c.effect is Effect.SAFE:
+        if r.ran is None or c.effect is Idempotency.SAFE:
             return True
-        if c.effect is Effect.UNSAFE or self.now - r.ran_at >= c.window:
+        if c.effect is Idempotency.UNSAFE or self.now - r.ran_at >= c.window:
             return False
         same_cell = s.cell == r.ran.cell
-        return c.group is Group.ALL or (same_cell if c.group is Group.CELL else s.zone == r.ran.zone)
+        return c.group is DeduplicationScope.ALL or (
+            same_cell if c.group is DeduplicationScope.CELL else s.zone == r.ran.zone
+        )
 
-    def _grants(self, s: Server, at: int) -> float:
+    def _grants(self, s: Endpoint, at: int) -> float:
         """How many grants all nodes together have had for a cold server by a moment, the same at each.
 
         It may get N = fall_multiple x its capacity x fall requests in any span of `fall`; up to B = N + 2
@@ -396,22 +344,22 @@
         t = max(0, at - s.ready_at)
         return (first * t + (last - first) * t * t / (2 * self.set.cold)) / (2 * self.set.fall)
 
-    def _grant(self, s: Server) -> int:
+    def _grant(self, s: Endpoint) -> int:
         """The oldest grant for a cold server that this node has and may use now; 0: there is none."""
         oldest = max(s.spent, int(self._grants(s, self.now - self.set.fall))) + 1
         mine = oldest + (s.turn + self.set.me - oldest) % min(self.set.balancers, TURNS)
         return mine if mine <= self._grants(s, self.now) else 0
 
-    def _added(self, s: Server) -> float:
+    def _added(self, s: Endpoint) -> float:
         return s.added * max(0.0, 1.0 - (self.now - s.added_at) / self.patience)
 
-    def _late(self, s: Server) -> bool:
+    def _late(self, s: Endpoint) -> bool:
         return self.now < s.late_to and s.delay > self.message_aim * LATE
 
-    def _known(self, s: Server) -> bool:
+    def _known(self, s: Endpoint) -> bool:
         return s.strain_at >= 0 and self.now - s.strain_at < self.set.cold // 4
 
-    def _look(self, pool: Pool) -> Pool:
+    def _look(self, pool: EndpointPool) -> EndpointPool:
         """Take stock of a pool, now and then: a storm of requests must not count a large fleet for each."""
         if pool.looked_at < 0 or self.now - pool.looked_at > self.patience // LOOKS:
             pool.looked_at = self.now
@@ -426,7 +374,7 @@
             pool.tide = sum(known) / len(known) if known else EVEN_STRAIN
         return pool
 
-    def _headroom(self, s: Server, pool: Pool) -> float:
+    def _headroom(self, s: Endpoint, pool: EndpointPool) -> float:
         """The weight of a server in the draw: its size, thinned by its load and its warmth."""
         share = self._share(s)
         if share < 1.0 and not self._grant(s):
@@ -441,7 +389,7 @@
             strain = max(strain, s.delay / self.message_aim)
         return float(s.size * share * max(0.0, LIMIT - strain) ** 2)
 
-    def _order(self, s: Server, r: Request, weight: float) -> float:
+    def _order(self, s: Endpoint, r: Request, weight: float) -> float:
         """A server's place in a weighted random draw; where packets pass through, all nodes draw alike.
 
         So they do for the connections of a group: each server that holds any of it does the group's work.
@@ -450,7 +398,7 @@
         u = (mix(what ^ s.seed) + 1) / (MASK + 2) if what else 1.0 - self.rng.random()
         return -math.log(u) / weight
 
-    def _sample(self, pool: Pool, r: Request, most: int) -> list[Server]:
+    def _sample(self, pool: EndpointPool, r: Request, most: int) -> list[Endpoint]:
         """Some usable servers of a pool: at random, or the first ones of the key's own order."""
         if self.set.pass_through and r.key:
             usable = [s for s in pool.servers if self._usable(s)]
@@ -458,7 +406,7 @@
         some = self.rng.sample(pool.servers, min(4 * most, len(pool.servers)))
         return [s for s in some if self._usable(s)][:most]
 
-    def _draw(self, some: list[Server], pool: Pool, r: Request) -> Server | None:
+    def _draw(self, some: list[Endpoint], pool: EndpointPool, r: Request) -> Endpoint | None:
         """A random draw by weight among some servers of a pool."""
         best, least, spare = None, math.inf, None
         for s in some:
@@ -477,7 +425,7 @@
         conns = sum(len(s.conns) for s in self.home.servers)
         return 0 < LIMIT * self.set.fills * self.home.size < conns * self.set.balancers / zones
 
-    def _pick(self, r: Request) -> Server | None:
+    def _pick(self, r: Request) -> Endpoint | None:
         crowded = self.set.fills > 0 and self._crowded()
         for pool in (self.home, self.away):
             # Where the pool as a whole is over the limit, the room of one is what the others' excess needs:
@@ -495,12 +443,12 @@
         late = not crowded or self.home.tide >= LIMIT
         return None if late else self._draw(self._sample(self.home, r, WIDE), self.home, r)
 
-    def _holder(self, r: Request) -> Server | None:
+    def _holder(self, r: Request) -> Endpoint | None:
         """Where a connection handed over mid-flow most likely stands: where any node would have drawn."""
         best, least = None, math.inf
         for s in self.servers.values():
             young = self.now - s.told_at < self.set.drain_grace // 2
-            told = s.state is State.READY or (s.state is State.DRAINING and young)
+            told = s.state is EndpointState.READY or (s.state is EndpointState.DRAINING and young)
             if told and s.zone == self.set.zone and not self._cold(s):
                 score = -math.log((mix(r.key ^ s.seed) + 1) / (MASK + 2)) / s.size
                 if score < least:
@@ -509,12 +457,12 @@
 
     # --- what comes of an attempt
 
-    def _mark(self, s: Server) -> None:
+    def _mark(self, s: Endpoint) -> None:
         """Leave a server out for an interval that doubles with each failure, then try it again."""
         if s.mark.at <= self.now:
             s.mark.failed(self.now, self.patience // 2, 4, self.rng)
 
-    def _first(self, event: api.First) -> None:
+    def _first(self, event: AttemptEstablished) -> None:
         r = self.requests.get(event.id)
         if r is None or r.server is None:
             return
@@ -534,7 +482,7 @@
         if r and r.up:
             self.keys.pop(r.key, None)
 
-    def _opened(self, event: api.Opened) -> None:
+    def _opened(self, event: ConnectionAdopted) -> None:
         r = Request(event.id, event.cls, event.tenant, 0, event.key, event.key2, event.hint)
         s = self.servers.get(event.server)
         self.requests[event.id] = r
@@ -547,7 +495,7 @@
         self.held[tenant] = self.held.get(tenant, 0) + change
 
     @staticmethod
-    def _join(s: Server, r: Request) -> None:
+    def _join(s: Endpoint, r: Request) -> None:
         s.conns[r.id] = r
         s.groups[r.group] = s.groups.get(r.group, 0) + 1
         s.load += r.load
@@ -564,7 +512,7 @@
             self._hold_for(r.tenant, -1)
         r.server, r.up = None, False
 
-    def _outcome(self, event: api.Outcome) -> None:
+    def _outcome(self, event: AttemptEnded) -> None:
         r = self.requests.get(event.id)
         s = self.servers.get(event.server)
         if s and event.status in BLAMED:
@@ -580,14 +528,14 @@
             return
         if not event.status.never_ran and r.ran is None:
             r.ran, r.ran_at = s, self.now - event.latency
-        if event.status in (Status.TIMEOUT, Status.ERROR):
+        if event.status in (AttemptStatus.TIMEOUT, AttemptStatus.ERROR):
             self.ill += (1 - self.ill) / MEMORY
-        if event.status is Status.MOOT:
+        if event.status is AttemptStatus.MOOT:
             self._turn_away(r, 0)
         else:
             self._failed(r)
 
-    def _gone(self, event: api.Gone) -> None:
+    def _gone(self, event: ClientDisconnected) -> None:
         r = self.requests.get(event.id)
         if r is None:
             return
@@ -597,20 +545,20 @@
 
     # --- what servers and connections tell
 
-    def _report(self, s: Server, load: tuple[float, ...]) -> None:
+    def _report(self, s: Endpoint, load: tuple[float, ...]) -> None:
         if 0 <= self.x0 < len(load) and 0.0 <= load[self.x0] < 1e6:
             s.strain, s.strain_at = load[self.x0], self.now
 
-    def _probed(self, event: api.Probed) -> None:
+    def _probed(self, event: HealthCheckResult) -> None:
         s = self.servers.get(event.server)
         if s is None:
             return
         s.probing = False
         if self.set.probe_pace and not s.tells:
             self._timed(s, event)
-        if event.status is Status.OK:
+        if event.status is AttemptStatus.OK:
             self._report(s, event.load)
-        elif event.status is not Status.FULL:
+        elif event.status is not AttemptStatus.FULL:
             self._mark(s)
         waiting, s.waiting = s.waiting, []
         for rid in waiting:
@@ -628,25 +576,25 @@
         gap = max(ASK_GAP, self.set.probe_pace // max(1, len(ready)))
         self._later(self.now + gap, self._ask_round, turn + 1)
 
-    def _ask(self, s: Server) -> None:
+    def _ask(self, s: Endpoint) -> None:
         if not s.probing:
             s.probing = True
-            self.out.append(api.Probe(s.id))
+            self.out.append(CheckHealth(s.id))
 
-    def _timed(self, s: Server, event: api.Probed) -> None:
+    def _timed(self, s: Endpoint, event: HealthCheckResult) -> None:
         """A probe that takes far longer than the server's best, twice in a row, stands for late messages.
 
         So does one answered far sooner than ever: what hangs has no work that holds up the answer. Taken for
         a new best, it would make the server look slow for good once it works again.
         """
         took = event.latency
-        idle = event.status is Status.OK and s.timed >= SURE and took < s.best * IDLE
+        idle = event.status is AttemptStatus.OK and s.timed >= SURE and took < s.best * IDLE
         if idle:
             s.timed -= 1  # unless it goes on: then the best was measured in a bad time
             took = s.best * 2
-        elif event.status is Status.OK:
+        elif event.status is AttemptStatus.OK:
             s.best, s.timed = min(s.best or took, took), min(s.timed + 1, SURE * 4)
-        elif event.status not in (Status.ERROR, Status.TIMEOUT) or not s.best:
+        elif event.status not in (AttemptStatus.ERROR, AttemptStatus.TIMEOUT) or not s.best:
             return  # no answer that could be timed; a mark is enough
         slow = idle or (took > s.best * SLOWED and took > s.best + HICCUP)
         if slow and not s.doubt:
@@ -657,7 +605,7 @@
             self._delayed(s, 0)
         s.doubt = slow
 
-    def _delayed(self, s: Server, delay: float) -> None:
+    def _delayed(self, s: Endpoint, delay: float) -> None:
         """Messages take this long at s."""
         s.delay, s.delay_at = delay, self.now
         s.late_to = self.now + (self.patience if s.tells else self.recall)
@@ -665,22 +613,22 @@
             self._mark(s)
             self._plan_move(s)
 
-    def _note(self, event: api.Note) -> None:
+    def _note(self, event: ConnectionReport) -> None:
         r = self.requests.get(event.id)
         s = self.servers.get(event.server)
         if s is None or r is None or not 0.0 <= event.value < 1e12:
             return
-        if event.kind == NoteKind.LOAD:
+        if event.kind == ReportKind.LOAD:
             if r.server is s:
                 s.load = max(0.0, s.load + event.value - r.load)
                 r.load = event.value
-        elif event.kind in (NoteKind.DELAY, NoteKind.TIMED):
-            s.tells |= event.kind == NoteKind.DELAY  # what was heard decides, not what the settings promise
+        elif event.kind in (ReportKind.DELAY, ReportKind.TIMED):
+            s.tells |= event.kind == ReportKind.DELAY  # what was heard decides, not what the settings promise
             self._delayed(s, event.value * 1000)
 
     # --- moves
 
-    def _plan_move(self, s: Server) -> None:
+    def _plan_move(self, s: Endpoint) -> None:
         """Messages at s come too late: move a part of its connections, paced like retries."""
         if not s.moving and s.conns:
             s.moving = True
@@ -712,19 +660,19 @@
                 break
             excess -= r.load
             r.done = True
-            self.out.append(api.Move(rid))
+            self.out.append(Migrate(rid))
 
-    def _clear(self, s: Server) -> None:
+    def _clear(self, s: Endpoint) -> None:
         """s leaves: who is connected there is moved before it does, each at a time of its own."""
-        if s.state is not State.READY:
+        if s.state is not EndpointState.READY:
             for rid in s.conns:
                 self._later(self.now + self.rng.randint(0, self.set.drain_grace), self._move_off, rid)
 
     def _move_off(self, rid: int) -> None:
         r = self.requests.get(rid)
-        if r and r.up and not r.done and r.server and r.server.state is not State.READY:
+        if r and r.up and not r.done and r.server and r.server.state is not EndpointState.READY:
             r.done = True
-            self.out.append(api.Move(rid))
+            self.out.append(Migrate(rid))
 
     def _density(self, r: Request) -> float:
         """What a connection is worth for its load; what goes over its tenant's share is worth less."""
@@ -734,5 +682,5 @@
             worth *= self.set.over_share_worth
         return worth
 
-    def _peer(self, event: api.Peer) -> None:
+    def _peer(self, event: PeerMessage) -> None:
         """No message of a peer is acted on yet."""
--- a/tansyladder/resume/ledger.py
+++ b/tansyladder/resume/ledger.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-from tansyladder.must import must_hold
+from tansyladder.invariants import must_hold
 from tansyladder.resume.tokens import Claim, TokenError
 
 T = TypeVar("T")
--- a/tansyladder/resume/window.py
+++ b/tansyladder/resume/window.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from tansyladder.must import must_hold
+from tansyladder.invariants import must_hold
 
 LINE_COST = 64  # bytes that a kept line takes beside its text: its object's head and its place in the queue
 
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -22,7 +22,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     signal.signal(signal.SIGHUP, lambda *_: None)  # an ignored one might not even wait
 
-    from tansyladder import config, options
+    from tansyladder.config import operator_settings, platform
     from tansyladder.log import log, write_json
     from tansyladder.net.takeover import Takeover
     from tansyladder.node.core import Core
@@ -32,13 +32,13 @@
     from tansyladder.node.virtual_server import VirtualServer
 
     try:
-        told = config.load(os.environ)
-    except config.ConfigError as err:
+        told = platform.load(os.environ)
+    except platform.ConfigError as err:
         print(f"event=bad_config why={err}", file=sys.stderr)
         return 2
     try:
-        chosen = options.load(settings)
-    except options.OptionsError as err:
+        chosen = operator_settings.load(settings)
+    except operator_settings.OptionsError as err:
         print(f"event=bad_settings why={err}", file=sys.stderr)
         return 2
     write_json(chosen.log.json)
@@ -71,7 +71,7 @@
 
         try:
             join(core, resuming, os.environ.get("TMPDIR"))
-        except (OSError, ValueError, config.ConfigError) as err:
+        except (OSError, ValueError, platform.ConfigError) as err:
             print(f"event=bad_settings why=peers: {err}", file=sys.stderr)
             return 2
     core.start()
@@ -82,7 +82,7 @@
     reloader = Reloader(os.environ, core, discovery, settings)
     reloader.start()
     log("started", name=told.name, members=len(told.known.members), sockets=told.limits.sockets)
-    log("not_given", what=",".join(config.absent(told)))
+    log("not_given", what=",".join(platform.absent(told)))
     while (got := signal.sigwait(SIGNALS)) == signal.SIGHUP:
         reloader.ask()  # read elsewhere: a SIGTERM meanwhile must not wait for a slow disk
     log("stopping", signal=signal.Signals(got).name)
--- a/tansyladder/sessions/keeping.py
+++ b/tansyladder/sessions/keeping.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from tansyladder.config import MemberEntry, MemberList
+from tansyladder.config.platform import MemberEntry, MemberList
 from tansyladder.log import log
 from tansyladder.net.clock import Clock, now
 from tansyladder.resume.tokens import KEY_BYTES, LIFE_BYTES
--- a/tansyladder/sessions/resuming.py
+++ b/tansyladder/sessions/resuming.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
+from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
@@ -16,7 +17,6 @@
 from tansyladder.net.protocol import POSITION, TICKET, Opening
 from tansyladder.node.core import Core
 from tansyladder.node.metrics import Ending
-from tansyladder.options import ResumeOptions
 from tansyladder.resume import words
 from tansyladder.resume.ledger import End
 from tansyladder.resume.stream import Stream
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -13,8 +13,6 @@
 from dataclasses import replace
 from datetime import timedelta
 
-from tansyladder import interface as api
-from tansyladder.interface import Status
 from tansyladder.log import log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
@@ -25,6 +23,8 @@
 from tansyladder.node.core import Core
 from tansyladder.node.metrics import Ending
 from tansyladder.node.placing import Placing, request_of
+from tansyladder.policy.actions import Reject
+from tansyladder.policy.events import AttemptStatus
 from tansyladder.resume import words
 from tansyladder.resume.ledger import End
 from tansyladder.resume.stream import Out, Stream
@@ -69,7 +69,7 @@
 class _Lost(Exception):
     """The member's flow can't go on; the session may, elsewhere."""
 
-    def __init__(self, status: Status, why: str) -> None:
+    def __init__(self, status: AttemptStatus, why: str) -> None:
         super().__init__(why)
         self.status, self.why = status, why
 
@@ -77,7 +77,7 @@
 class _Over(Exception):
     """The session ends."""
 
-    def __init__(self, why: End, status: Status = Status.CANCELLED, last: bytes = b"") -> None:
+    def __init__(self, why: End, status: AttemptStatus = AttemptStatus.CANCELLED, last: bytes = b"") -> None:
         super().__init__(why.value)
         self.why, self.status, self.last = why, status, last
 
@@ -124,7 +124,7 @@
                 self._parked = shared.park()
                 if not self._parked:
                     raise _Over(End.ROOM)
-                standing, number = self._go_on(_Lost(Status.RESET, "restart"))
+                standing, number = self._go_on(_Lost(AttemptStatus.RESET, "restart"))
                 self._host = Side(standing.sock, standing.buffer)
             else:
                 self._receipt = standing.lines[0]
@@ -193,7 +193,7 @@
         while (order := self._box.take()) is not None:
             if order.id != number:
                 continue  # of a placement that is over
-            raise _Lost(Status.CANCELLED, "ordered")
+            raise _Lost(AttemptStatus.CANCELLED, "ordered")
 
     def _keep_up(self) -> None:
         """What is due by the clock: tokens, acknowledgments, and sides that say or take nothing."""
@@ -206,11 +206,11 @@
         if self._until is not None and moment >= self._until:
             raise _Over(End.LEFT)
         if host.stuck:
-            raise _Lost(Status.TIMEOUT, "stuck")
+            raise _Lost(AttemptStatus.TIMEOUT, "stuck")
         if client.stuck:
             self._park("stuck")
         elif not client.waiting and self._question.silent():
-            raise _Lost(Status.TIMEOUT, "silent")
+            raise _Lost(AttemptStatus.TIMEOUT, "silent")
         elif self._until is None:
             if self._ack_at is not None and moment >= self._ack_at:
                 self._tell_client(self._stream.acknowledge())
@@ -296,14 +296,14 @@
             lines = host.buffer.feed(data)
         except protocol.LineError as err:
             log("bad_answer", member=self._member, why=err)
-            raise _Lost(Status.ERROR, "bad_line") from err
+            raise _Lost(AttemptStatus.ERROR, "bad_line") from err
         self._take_host_lines(tuple(lines))
 
     def _host_ended(self, why: str) -> Exception:
         """Its flow ended without BYE: the session is lost here, unless its client left or can't go on."""
         if self._until is not None:
             return _Over(End.LEFT)
-        return _Lost(Status.RESET, why)
+        return _Lost(AttemptStatus.RESET, why)
 
     def _take_host_lines(self, lines: tuple[bytes, ...]) -> None:
         """Count what the member said and pass it on; MOVE and BYE decide what comes next."""
@@ -313,7 +313,7 @@
                 out = self._stream.host_line(line)
             except (words.WordError, PositionError) as err:
                 log("bad_answer", member=self._member, why=err)
-                raise _Lost(Status.ERROR, "bad_word") from err
+                raise _Lost(AttemptStatus.ERROR, "bad_word") from err
             passed += out.to_client
             if out.to_client:
                 self._moves = 0
@@ -326,11 +326,11 @@
         self._tell_client(passed)
         self._tell_client(self._stream.lost_return())
         if out.host_leaves:
-            raise _Lost(Status.CANCELLED, "sent_away")
+            raise _Lost(AttemptStatus.CANCELLED, "sent_away")
         if out.host_ends:
             if self._client is None and self._stream.can_return:
-                raise _Lost(Status.OK, "served")  # its last lines wait for the client
-            raise _Over(End.LEFT, Status.OK)
+                raise _Lost(AttemptStatus.OK, "served")  # its last lines wait for the client
+            raise _Over(End.LEFT, AttemptStatus.OK)
 
     def _tell_host(self, data: bytes) -> None:
         assert self._host is not None
@@ -412,7 +412,7 @@
 
     # --- another member
 
-    def _leave_host(self, standing: Standing, number: int, status: Status) -> None:
+    def _leave_host(self, standing: Standing, number: int, status: AttemptStatus) -> None:
         """The old flow is closed before the module hears of its end, and before any other is opened."""
         assert self._host is not None
         self._host.sock.close()
@@ -423,7 +423,7 @@
 
     def _go_on(self, lost: _Lost) -> tuple[Standing, int]:
         """Place the session anew, once there is a client to place it for; _Over where that can't be."""
-        served = lost.status is Status.OK
+        served = lost.status is AttemptStatus.OK
         while True:
             if self._client is not None and (served or not self._stream.can_move):
                 raise _Over(End.MOVED, last=protocol.MOVE + b"\r\n")
@@ -479,7 +479,7 @@
             lines = (found.lines[0], *found.lines[2:])  # without its word of positions
             return replace(found, lines=lines), number
         core.forget(number)
-        return found.retry_after * MICROSECOND if isinstance(found, api.Refuse) else timedelta(0)
+        return found.retry_after * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
     def _refuse(self, visitor: Visitor, answer: bytes) -> None:
         self._core.metrics.answered(self._opening.cls, Ending.of(answer))
--- a/tansyladder/sessions/shared.py
+++ b/tansyladder/sessions/shared.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
+from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
 from tansyladder.net.mailbox import Mailbox, Visitor
 from tansyladder.net.protocol import OFFER, POSITION, TICKET, Opening
 from tansyladder.node.core import Core
-from tansyladder.options import ResumeOptions
 from tansyladder.resume import words
 from tansyladder.resume.ledger import TENURE_BITS, End, Ledger
 from tansyladder.resume.stream import Stream
--- a/tansyladder/sim/documents.py
+++ b/tansyladder/sim/documents.py
@@ -17,7 +17,7 @@
 import msgspec
 import numpy
 
-from tansyladder.must import must_hold
+from tansyladder.invariants import must_hold
 from tansyladder.peers.agreement import Agreement, Role
 from tansyladder.peers.documents import (
     MS,
--- /dev/null
+++ b/tansyladder/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The adapter that runs the decision module on the simulator's wire format."""
--- a/tansyladder/simhost.py
+++ b/tansyladder/simulator/host.py
@@ -5,14 +5,14 @@
 import sys
 from typing import BinaryIO
 
-from tansyladder import interface as api
-from tansyladder import wire
-from tansyladder.choice import Balancer
+from tansyladder.policy.balancer import Balancer
+from tansyladder.policy.events import Event
+from tansyladder.simulator import wire
 
 
 def run_batch(hosts: dict[int, Balancer], now: int, count: int, body: bytes) -> bytes:
     """Play one batch; each instance sees its own events only, in order."""
-    waiting: dict[int, list[api.Event]] = {}
+    waiting: dict[int, list[Event]] = {}
     parts: list[bytes] = []
 
     def play(inst: int) -> None:
--- a/tansyladder/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -6,8 +6,38 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tansyladder import interface as api
-from tansyladder.settings import build_settings
+from tansyladder.config.policy_settings import build_settings
+from tansyladder.policy.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    Fail,
+    Log,
+    Migrate,
+    PollDiscovery,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+)
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionAdopted,
+    ConnectionReport,
+    EndpointListUpdate,
+    EndpointState,
+    EndpointUpdate,
+    Event,
+    HealthCheckResult,
+    ListUpdateKind,
+    PeerMessage,
+    RequestReceived,
+    TimerExpired,
+)
+from tansyladder.policy.settings import Settings
 
 
 class WireError(Exception):
@@ -57,20 +87,20 @@
     return inst, Start(seed, bytes(body[START.size :]).decode())
 
 
-def _members(body: memoryview) -> tuple[int, api.Members]:
+def _members(body: memoryview) -> tuple[int, EndpointListUpdate]:
     inst, version, kind, count = MEMBERS.unpack_from(body)
     if len(body) != MEMBERS.size + count * LINE.size:
         raise WireError("the list's length does not fit the record")
     lines = tuple(
-        api.Line(server, zone, cell, sort, weight, api.State(state), ready_at)
+        EndpointUpdate(server, zone, cell, sort, weight, EndpointState(state), ready_at)
         for ready_at, cell, server, weight, zone, sort, state in LINE.iter_unpack(body[MEMBERS.size :])
     )
-    return inst, api.Members(api.ListKind(kind), lines, version)
+    return inst, EndpointListUpdate(ListUpdateKind(kind), lines, version)
 
 
-def _request(body: memoryview) -> tuple[int, api.Request]:
+def _request(body: memoryview) -> tuple[int, RequestReceived]:
     inst, rid, cls, tenant, deadline, flags, hint, key2, key = _exact(REQUEST, body)
-    return inst, api.Request(
+    return inst, RequestReceived(
         rid,
         cls,
         tenant,
@@ -84,19 +114,19 @@
     )
 
 
-def _opened(body: memoryview) -> tuple[int, api.Opened]:
+def _opened(body: memoryview) -> tuple[int, ConnectionAdopted]:
     inst, rid, key2, key, _deadline, server, cls, tenant, hint, flags = _exact(OPENED, body)
-    return inst, api.Opened(rid, cls, tenant, server, key, hint if flags & 1 else None, key2)
+    return inst, ConnectionAdopted(rid, cls, tenant, server, key, hint if flags & 1 else None, key2)
 
 
-def _first(body: memoryview) -> tuple[int, api.First]:
+def _first(body: memoryview) -> tuple[int, AttemptEstablished]:
     inst, rid, attempt, server, latency = _exact(FIRST, body)
-    return inst, api.First(rid, attempt, server, latency)
+    return inst, AttemptEstablished(rid, attempt, server, latency)
 
 
-def _note(body: memoryview) -> tuple[int, api.Note]:
+def _note(body: memoryview) -> tuple[int, ConnectionReport]:
     inst, rid, kind, attempt, value, server = _exact(NOTE, body)
-    return inst, api.Note(rid, kind, attempt, server, value)
+    return inst, ConnectionReport(rid, kind, attempt, server, value)
 
 
 def _report(body: memoryview, at: int, count: int) -> tuple[float, ...]:
@@ -105,32 +135,32 @@
     return struct.unpack_from(f">{count}f", body, at)
 
 
-def _outcome(body: memoryview) -> tuple[int, api.Outcome]:
+def _outcome(body: memoryview) -> tuple[int, AttemptEnded]:
     inst, rid, attempt, server, status, latency, closed, n = OUTCOME.unpack_from(body)
     load = _report(body, OUTCOME.size, n)
-    return inst, api.Outcome(rid, attempt, server, api.Status(status), latency, bool(closed), load)
+    return inst, AttemptEnded(rid, attempt, server, AttemptStatus(status), latency, bool(closed), load)
 
 
-def _gone(body: memoryview) -> tuple[int, api.Gone]:
+def _gone(body: memoryview) -> tuple[int, ClientDisconnected]:
     inst, rid = _exact(GONE, body)
-    return inst, api.Gone(rid)
+    return inst, ClientDisconnected(rid)
 
 
-def _timer(body: memoryview) -> tuple[int, api.Timer]:
+def _timer(body: memoryview) -> tuple[int, TimerExpired]:
     inst, token = _exact(TIMER, body)
-    return inst, api.Timer(token)
+    return inst, TimerExpired(token)
 
 
-def _probed(body: memoryview) -> tuple[int, api.Probed]:
+def _probed(body: memoryview) -> tuple[int, HealthCheckResult]:
     inst, status, latency, server, n = PROBED.unpack_from(body)
-    return inst, api.Probed(server, api.Status(status), latency, _report(body, PROBED.size, n))
+    return inst, HealthCheckResult(server, AttemptStatus(status), latency, _report(body, PROBED.size, n))
 
 
-def _peer(body: memoryview) -> tuple[int, api.Peer]:
+def _peer(body: memoryview) -> tuple[int, PeerMessage]:
     inst, sender, size = PEER.unpack_from(body)
     if len(body) != PEER.size + size:
         raise WireError("the payload's length does not fit the record")
-    return inst, api.Peer(sender, bytes(body[PEER.size :]))
+    return inst, PeerMessage(sender, bytes(body[PEER.size :]))
 
 
 def _stop(body: memoryview) -> tuple[int, Stop]:
@@ -139,7 +169,7 @@
     return int.from_bytes(body, "big"), Stop()
 
 
-READERS: dict[int, Callable[[memoryview], tuple[int, Start | Stop | api.Event]]] = {
+READERS: dict[int, Callable[[memoryview], tuple[int, Start | Stop | Event]]] = {
     1: _start,
     2: _members,
     3: _request,
@@ -155,9 +185,9 @@
 }
 
 
-def read_batch(count: int, body: bytes) -> list[tuple[int, Start | Stop | api.Event]]:
+def read_batch(count: int, body: bytes) -> list[tuple[int, Start | Stop | Event]]:
     """The records of one batch, each with its instance."""
-    out: list[tuple[int, Start | Stop | api.Event]] = []
+    out: list[tuple[int, Start | Stop | Event]] = []
     view, at = memoryview(body), 0
     try:
         for _ in range(count):
@@ -182,34 +212,34 @@
     return RECORD.pack(code, len(body)) + body
 
 
-def write_action(inst: int, action: api.Action) -> bytes:
+def write_action(inst: int, action: Action) -> bytes:
     """One action's record."""
     match action:
-        case api.Send(rid, server, timeout):
+        case StartAttempt(rid, server, timeout):
             return _pack(65, ">HQIi", inst, rid, server, max(-1, min(timeout, 0x7FFFFFFF)))
-        case api.Refuse(rid, wait):
+        case Reject(rid, wait):
             return _pack(66, ">HQI", inst, rid, max(0, min(wait, MAX_U32)))
-        case api.Fail(rid):
+        case Fail(rid):
             return _pack(67, ">HQ", inst, rid)
-        case api.Cancel(rid, attempt):
+        case CancelAttempt(rid, attempt):
             return _pack(68, ">HQH", inst, rid, attempt)
-        case api.SetTimer(at, token):
+        case SetTimer(at, token):
             return _pack(69, ">HQI", inst, at, token)
-        case api.Probe(server):
+        case CheckHealth(server):
             return _pack(70, ">HI", inst, server)
-        case api.Tell(peer, data):
+        case SendPeerMessage(peer, data):
             head = struct.pack(">HIH", inst, ALL_PEERS if peer is None else peer, len(data))
             return RECORD.pack(72, len(head) + len(data)) + head + data
-        case api.Log(text):
+        case Log(text):
             raw = text.encode()[:1000]
             return RECORD.pack(73, 4 + len(raw)) + struct.pack(">HH", inst, len(raw)) + raw
-        case api.Watch(on):
+        case PollDiscovery(on):
             return _pack(75, ">HB", inst, on)
-        case api.Move(rid):
+        case Migrate(rid):
             return _pack(77, ">HQ", inst, rid)
     raise WireError(f"no record for {action!r}")
 
 
-def read_settings(text: str) -> api.Settings:
+def read_settings(text: str) -> Settings:
     """Settings from path=value lines."""
     return build_settings(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from tansyladder.must import must_hold
+from tansyladder.invariants import must_hold
 from tansyladder.store import compaction, frames, hints, manifest, recovery
 from tansyladder.store.errors import (
     Broken,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,23 +4,20 @@
 
 from typing import Any
 
-from tansyladder.choice import Balancer
-from tansyladder.interface import (
-    Action,
-    ClassSettings,
+from tansyladder.policy.actions import Action, SetTimer, StartAttempt
+from tansyladder.policy.balancer import Balancer
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListUpdate,
+    EndpointState,
+    EndpointUpdate,
     Event,
-    Line,
-    ListKind,
-    Members,
-    Outcome,
-    Request,
-    Send,
-    SetTimer,
-    Settings,
-    State,
-    Status,
-    Timer,
+    ListUpdateKind,
+    RequestReceived,
+    TimerExpired,
 )
+from tansyladder.policy.settings import ClassSettings, Settings
 
 MS, S = 1000, 1_000_000
 START = 1000 * S
@@ -45,21 +42,23 @@
     return Settings(**{**base, **over})
 
 
-def line(server: int, zone: int = 0, state: State = State.READY, ready_at: int = 0, **over: Any) -> Line:
-    return Line(server, zone, over.get("cell", zone), 0, over.get("weight", 1.0), state, ready_at)
+def line(
+    server: int, zone: int = 0, state: EndpointState = EndpointState.READY, ready_at: int = 0, **over: Any
+) -> EndpointUpdate:
+    return EndpointUpdate(server, zone, over.get("cell", zone), 0, over.get("weight", 1.0), state, ready_at)
 
 
 class Node:
     """A Balancer with a clock that plays due timers in order."""
 
-    def __init__(self, lines: list[Line], seed: int = 1, **over: Any) -> None:
+    def __init__(self, lines: list[EndpointUpdate], seed: int = 1, **over: Any) -> None:
         self.settings = settings(**over)
         self.now = START
         self.node = Balancer(self.settings, seed, self.now)
         self.timers: list[tuple[int, int]] = []
         self.log: list[tuple[int, Action]] = []
         self.next_id = 1
-        self.give(Members(ListKind.CACHED, tuple(lines)))
+        self.give(EndpointListUpdate(ListUpdateKind.CACHED, tuple(lines)))
 
     def give(self, *events: Event) -> list[Action]:
         actions = self.node.handle(self.now, list(events))
@@ -77,7 +76,7 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.give(Timer(due[1]))
+            self.give(TimerExpired(due[1]))
         self.now = max(self.now, until)
         return [a for _, a in self.log[mark:]]
 
@@ -92,16 +91,20 @@
 
     def ask(self, key: int = 7, left: int = DEADLINE, **over: Any) -> tuple[int, list[Action]]:
         rid, self.next_id = self.next_id, self.next_id + 1
-        return rid, self.give(Request(rid, 0, over.pop("tenant", 0), self.now + left, key, **over))
+        return rid, self.give(RequestReceived(rid, 0, over.pop("tenant", 0), self.now + left, key, **over))
 
     def fail(
-        self, send: Send, attempt: int, status: Status = Status.CONNECT_FAILED, wait: int = MS
+        self,
+        send: StartAttempt,
+        attempt: int,
+        status: AttemptStatus = AttemptStatus.CONNECT_FAILED,
+        wait: int = MS,
     ) -> list[Action]:
         self.now += wait
-        return self.give(Outcome(send.id, attempt, send.server, status, wait, False))
+        return self.give(AttemptEnded(send.id, attempt, send.server, status, wait, False))
 
 
-def only_send(actions: list[Action]) -> Send:
-    sends = [a for a in actions if isinstance(a, Send)]
+def only_send(actions: list[Action]) -> StartAttempt:
+    sends = [a for a in actions if isinstance(a, StartAttempt)]
     assert len(sends) == 1, actions
     return sends[0]
--- a/tests/node.py
+++ b/tests/node.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 from typing import Any
 
-from tansyladder import config
-from tansyladder import interface as api
+from tansyladder.config import platform
+from tansyladder.config.operator_settings import Options, ResumeOptions
 from tansyladder.net.mailbox import Mailbox
 from tansyladder.node.core import Core
 from tansyladder.node.virtual_server import VirtualServer
-from tansyladder.options import Options, ResumeOptions
+from tansyladder.policy.events import Event
 from tansyladder.sessions.keeping import open_keeping
 from tansyladder.sessions.resuming import Resuming
 
@@ -106,11 +106,11 @@
 class HeardCore(Core):
     """A core that keeps what its module heard."""
 
-    def __init__(self, told: config.Config, options: Options | None = None) -> None:
+    def __init__(self, told: platform.Config, options: Options | None = None) -> None:
         super().__init__(told, options)
-        self.heard: list[api.Event] = []
+        self.heard: list[Event] = []
 
-    def _decide(self, events: Sequence[api.Event]) -> list[Mailbox]:
+    def _decide(self, events: Sequence[Event]) -> list[Mailbox]:
         self.heard.extend(events)
         return super()._decide(events)
 
@@ -144,7 +144,7 @@
     return {"id": ident, "host_port": address, "locality": "a", "flavor": "m", "phase": "up", **over}
 
 
-def told(tmp_path: Path, *members: dict[str, Any], **over: Any) -> config.Config:
+def told(tmp_path: Path, *members: dict[str, Any], **over: Any) -> platform.Config:
     """A configuration as the platform writes it."""
     file = tmp_path / "config.json"
     whole = {
@@ -158,7 +158,7 @@
         **over,
     }
     file.write_text(json.dumps(whole))
-    return config.load({"GW_CONFIG": str(file)})
+    return platform.load({"GW_CONFIG": str(file)})
 
 
 @contextmanager
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -4,8 +4,9 @@
 
 from random import Random
 
-from tansyladder.choice import Backoff
-from tansyladder.interface import First, Outcome, Refuse, Send, Status
+from tansyladder.policy.actions import Reject, StartAttempt
+from tansyladder.policy.backoff import Backoff
+from tansyladder.policy.events import AttemptEnded, AttemptEstablished, AttemptStatus
 from tests.helpers import DEADLINE, MS, START, Node, S, line, only_send
 
 FLEET = [line(i) for i in range(1, 9)]
@@ -55,7 +56,7 @@
                 assert b.at >= start  # at or after the last interval's end
             start = b.end
             acts = acts or node.step()
-            if isinstance(acts[-1], Refuse):
+            if isinstance(acts[-1], Reject):
                 break
             send, attempt = only_send(acts), attempt + 1
             assert node.now == b.at
@@ -66,9 +67,9 @@
     rid, acts = node.ask()
     node.fail(only_send(acts), 0)
     send = only_send(node.step())
-    node.give(First(rid, 1, send.server, 5 * MS))
+    node.give(AttemptEstablished(rid, 1, send.server, 5 * MS))
     node.now += 100 * MS
-    node.give(Outcome(rid, 1, send.server, Status.RESET, 100 * MS, True))
+    node.give(AttemptEnded(rid, 1, send.server, AttemptStatus.RESET, 100 * MS, True))
     assert node.node.keys[7].n == 1
     node.run(node.now + S)
     rid, acts = node.ask()
@@ -76,7 +77,7 @@
     node.fail(send, 0)
     assert node.node.keys[7].n == 2
     send = only_send(node.step())
-    node.give(First(rid, 1, send.server, 5 * MS))
+    node.give(AttemptEstablished(rid, 1, send.server, 5 * MS))
     node.run(node.now + DEADLINE + 1)
     assert 7 not in node.node.keys
 
@@ -88,7 +89,7 @@
     due = node.node.keys[7].at
     rid, acts = node.ask()
     assert acts == []
-    sent = [a for a in node.run(due) if isinstance(a, Send)]
+    sent = [a for a in node.run(due) if isinstance(a, StartAttempt)]
     assert rid in [a.id for a in sent]
 
 
@@ -100,7 +101,7 @@
     node.fail(only_send(acts), 0)
     node.fail(only_send(more), 0)
     node.run(node.now + DEADLINE)
-    answered = {a.id for _, a in node.log[2:] if isinstance(a, Send | Refuse)}
+    answered = {a.id for _, a in node.log[2:] if isinstance(a, StartAttempt | Reject)}
     assert {first, second} <= answered
 
 
@@ -109,12 +110,12 @@
     rid, acts = node.ask(left=30 * MS)
     seen = node.fail(only_send(acts), 0)
     for _ in range(4):
-        if seen and isinstance(seen[0], Refuse):
+        if seen and isinstance(seen[0], Reject):
             break
         seen = node.step()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Refuse(rid, node.node.keys[7].end - node.now)
+    assert seen[0] == Reject(rid, node.node.keys[7].end - node.now)
 
 
 def test_attempts_run_out() -> None:
@@ -122,7 +123,7 @@
     rid, acts = node.ask()
     node.fail(only_send(acts), 0)
     acts = node.fail(only_send(node.step()), 1)
-    assert isinstance(acts[0], Refuse)
+    assert isinstance(acts[0], Reject)
     assert acts[0].id == rid
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from tansyladder import must
-from tansyladder.config import ConfigError, load
+from tansyladder import invariants
+from tansyladder.config.platform import ConfigError, load
 from tests.node import SETTINGS, member, told
 
 
@@ -59,9 +59,9 @@
 
 
 def test_what_must_hold_raises_in_debug_and_is_counted_in_release() -> None:
-    must.must_hold(True, "fine")
+    invariants.must_hold(True, "fine")
     with pytest.raises(AssertionError, match="broken_thing"):
-        must.must_hold(False, "broken_thing")
-    code = "from tansyladder.must import broken, must_hold; must_hold(False, 'x'); print(broken['x'])"
+        invariants.must_hold(False, "broken_thing")
+    code = "from tansyladder.invariants import broken, must_hold; must_hold(False, 'x'); print(broken['x'])"
     done = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, timeout=20)
     assert (done.stdout, done.stderr) == ("1\n", "event=must_hold name=x count=1\n")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,6 @@
 
 import pytest
 
-from tansyladder import interface as api
 from tansyladder.net import sockets
 from tansyladder.net.clock import now
 from tansyladder.net.flow import Answer, ServerSideFlow
@@ -24,6 +23,15 @@
 from tansyladder.node import virtual_server
 from tansyladder.node.discovery import Discovery
 from tansyladder.node.virtual_server import Admission, VirtualServer
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointListUpdate,
+    EndpointState,
+    ListUpdateKind,
+    RequestReceived,
+)
 from tests.node import SETTINGS, HeardCore, Listener, Node, Peer, fresh, member, node, up
 
 SOON = timedelta(seconds=10)
@@ -86,8 +94,8 @@
             client.close()
         else:
             client.close()
-        n.core.wait_for(api.Gone)  # and not after 9 s: the wait for the connection is over
-        assert n.core.wait_for(api.Outcome).closed
+        n.core.wait_for(ClientDisconnected)  # and not after 9 s: the wait for the connection is over
+        assert n.core.wait_for(AttemptEnded).closed
         assert n.core.metrics.sums()["tries"] == 0
     # Whatever connection comes up later brings nothing; there is none where the wait was given up.
     host.sock.settimeout(0.0)
@@ -125,7 +133,7 @@
     with node(tmp_path, Listener(keep), settings=PATIENT) as n:
         clients.append(n.open("c=chat,d=9000"))
         opened.set()
-        assert n.core.wait_for(api.Outcome).closed and ended.wait(10)
+        assert n.core.wait_for(AttemptEnded).closed and ended.wait(10)
     assert heard == [""]
 
 
@@ -146,7 +154,7 @@
         assert asked.wait(10)
         client.close()
         left.set()
-        n.core.wait_for(api.Outcome)
+        n.core.wait_for(AttemptEnded)
         until_served(n)
         assert len(lines) == 1
 
@@ -162,10 +170,10 @@
 
     with node(tmp_path, Listener(busy), settings=SETTINGS | slow) as n:
         client = n.open("c=chat,d=9000")
-        refused = n.core.wait_for(api.Outcome)
-        assert refused.status is api.Status.FULL and not refused.closed
+        refused = n.core.wait_for(AttemptEnded)
+        assert refused.status is AttemptStatus.FULL and not refused.closed
         client.close()
-        n.core.wait_for(api.Gone)
+        n.core.wait_for(ClientDisconnected)
         until_served(n)
         assert len(lines) == 1
 
@@ -185,7 +193,7 @@
         client = n.open("c=chat,d=300")
         assert client.hear().startswith("BUSY")
         answered.set()
-        assert n.core.wait_for(api.Outcome).status is api.Status.TIMEOUT
+        assert n.core.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
         assert len(sent) < 1000  # not only once its line is too long
 
 
@@ -215,12 +223,12 @@
     with node(tmp_path, discovery=Listener(answer).address, known=known, settings=seldom) as n:
         Discovery(n.core).start()
         n.core.watches.put(True)
-        n.core.wait_for(api.Members, 3)
-        told = [e for e in n.core.heard if isinstance(e, api.Members)][1:3]
-        assert [(e.kind, e.version) for e in told] == [(api.ListKind.DELTA, 7), (api.ListKind.FULL, 8)]
+        n.core.wait_for(EndpointListUpdate, 3)
+        told = [e for e in n.core.heard if isinstance(e, EndpointListUpdate)][1:3]
+        assert [(e.kind, e.version) for e in told] == [(ListUpdateKind.DELTA, 7), (ListUpdateKind.FULL, 8)]
         assert calls[2] == "GET /v1/servers HTTP/1.1"  # its numbers may have begun anew
         s9 = n.core.member_of_id("s9")
-        assert s9 is not None and s9.state is api.State.DRAINING
+        assert s9 is not None and s9.state is EndpointState.DRAINING
 
 
 def end(n: Node) -> None:
@@ -262,7 +270,9 @@
         at_the_end(monkeypatch, speak)
         end(n)
         assert [clients[0].hear(), clients[0].hear()] == ["BUSY 200", ""]
-        assert not [e for e in n.core.heard if isinstance(e, api.Request)]  # it came too late to be served
+        assert not [
+            e for e in n.core.heard if isinstance(e, RequestReceived)
+        ]  # it came too late to be served
 
 
 def test_what_is_read_after_our_end_is_neither_served_nor_reset(
@@ -283,7 +293,7 @@
         monkeypatch.setattr(Admission, "_tell", cross)
         end(n)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # it was not reset
-        assert not [e for e in n.core.heard if isinstance(e, api.Request)]
+        assert not [e for e in n.core.heard if isinstance(e, RequestReceived)]
 
 
 def test_a_half_line_at_sigterm_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -386,4 +396,4 @@
         while n.front._admission.newcomers and now() < until:  # until it has read that
             threading.Event().wait(0.005)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
-        assert not [e for e in n.core.heard if isinstance(e, api.Request)]
+        assert not [e for e in n.core.heard if isinstance(e, RequestReceived)]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,12 +13,18 @@
 
 import pytest
 
-from tansyladder.choice import FILL, TURNS
-from tansyladder.config import call_pace
-from tansyladder.interface import First, ListKind, Members, Opened, Send, Watch
+from tansyladder.config.platform import call_pace
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.http import HttpClient
 from tansyladder.node import discovery
+from tansyladder.policy.actions import PollDiscovery, StartAttempt
+from tansyladder.policy.balancer import FILL, TURNS
+from tansyladder.policy.events import (
+    AttemptEstablished,
+    ConnectionAdopted,
+    EndpointListUpdate,
+    ListUpdateKind,
+)
 from tests.helpers import MS, START, Node, S, line
 from tests.node import SETTINGS, node
 
@@ -28,9 +34,9 @@
     asking = Node([line(1)], seed, ask_discovery=True, call_pace=call_pace(nodes) // MICROSECOND)
     calls: list[int] = []
     while asking.now < START + span and (acts := asking.step(60 * S)):
-        for _ in [a for a in acts if isinstance(a, Watch)]:
+        for _ in [a for a in acts if isinstance(a, PollDiscovery)]:
             calls.append(asking.now - START)
-            asking.give(Members(ListKind.FAILED, ()))
+            asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     return calls
 
 
@@ -56,7 +62,7 @@
 def test_a_node_that_comes_back_asks_soon() -> None:
     """Its first call came up to 6 s later, and it took members that had just started for warm: they fell."""
     firsts = [
-        next(now for now, act in asking.log if isinstance(act, Watch)) - START
+        next(now for now, act in asking.log if isinstance(act, PollDiscovery)) - START
         for seed in range(40)
         for asking in [Node([line(1)], seed, ask_discovery=True, call_pace=call_pace(40) // MICROSECOND)]
         if asking.step()
@@ -69,11 +75,11 @@
     asking = Node([line(1)], 1, ask_discovery=True, call_pace=6 * S)
     for _ in range(4):
         asking.step(60 * S)
-        asking.give(Members(ListKind.FAILED, ()))
+        asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     asking.step(60 * S)
-    asking.give(Members(ListKind.DELTA, ()))
+    asking.give(EndpointListUpdate(ListUpdateKind.DELTA, ()))
     start = asking.now = max(asking.now, asking.node.watching.end)
-    asking.give(Members(ListKind.FAILED, ()))
+    asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     assert asking.node.watching.end - start == 2 * S
 
 
@@ -83,16 +89,16 @@
     known = [line(i, weight=8.0) for i in range(1, 6)]  # what a member takes is read from its size
     fleet = [Node(known, me, probe_pace=S, balancers=nodes, me=me, weighted=True) for me in range(nodes)]
     for n in fleet:  # 40 connections on each of the four warm ones, over all nodes
-        n.give(*(Opened(100 * s + i, 0, 0, s) for s in range(1, 5) for i in range(40 // nodes)))
+        n.give(*(ConnectionAdopted(100 * s + i, 0, 0, s) for s in range(1, 5) for i in range(40 // nodes)))
         cold = line(5, weight=8.0, ready_at=START)
-        n.give(Members(ListKind.FULL, (*known[:4], cold)))
+        n.give(EndpointListUpdate(ListUpdateKind.FULL, (*known[:4], cold)))
         n.next_id = 10_000
     rng, sent = random.Random(7), 0
     for tick in range(100):  # five seconds with 20 requests each, wherever the front sends them
         n = rng.choice(fleet)
         acts = n.run(START + tick * 50 * MS) + n.ask(key=tick + 1)[1]
-        for send in (a for a in acts if isinstance(a, Send)):
-            n.give(First(send.id, 0, send.server, MS))
+        for send in (a for a in acts if isinstance(a, StartAttempt)):
+            n.give(AttemptEstablished(send.id, 0, send.server, MS))
             sent += send.server == 5
     assert 6 <= sent <= 20
 
@@ -110,8 +116,10 @@
     """Each node kept credit that it had nobody for; when clients came to all at once, so did all of it."""
     fleet = [Node([line(1), line(2)], me, balancers=nodes, me=me, fall=S) for me in range(nodes)]
     for n in fleet:
-        n.give(*(Opened(1000 + i, 0, 0, 1) for i in range(1 + 400 // nodes)))  # the cold one has room
-        n.give(Members(ListKind.FULL, (line(1), line(2, ready_at=START))))
+        n.give(
+            *(ConnectionAdopted(1000 + i, 0, 0, 1) for i in range(1 + 400 // nodes))
+        )  # the cold one has room
+        n.give(EndpointListUpdate(ListUpdateKind.FULL, (line(1), line(2, ready_at=START))))
         n.next_id = 10_000
     rng, sent, key = random.Random(nodes), list[int](), 0
     for tick in range(200):  # ten seconds; "all": a client at each node, in one moment, once a second
@@ -119,8 +127,8 @@
         for at in came or [crowd(traffic, nodes, rng) for _ in range(20) if traffic != "all"]:
             n, key = fleet[at], key + 1
             acts = n.run(START + tick * 50 * MS) + n.ask(key=key)[1]
-            for send in [a for a in acts if isinstance(a, Send)]:
-                n.give(First(send.id, 0, send.server, MS))
+            for send in [a for a in acts if isinstance(a, StartAttempt)]:
+                n.give(AttemptEstablished(send.id, 0, send.server, MS))
                 sent += [tick * 50 * MS] * (send.server == 2)
     shared = -(-nodes // TURNS)  # by how many nodes a grant is, where there are more than turns
     for begin in sent:
@@ -139,8 +147,8 @@
     of_forty = Node(known, balancers=40, probes=True, probe_pace=6 * S, fills=fills)
     for key in range(1, 9):  # its own eight stand for 160 of the zone's twenty nodes, on two members
         _, acts = of_forty.ask(key=key)
-        [send] = [a for a in acts if isinstance(a, Send)]
-        of_forty.give(First(send.id, 0, send.server, MS))
+        [send] = [a for a in acts if isinstance(a, StartAttempt)]
+        of_forty.give(AttemptEstablished(send.id, 0, send.server, MS))
         if key == 1:
             assert send.server in (1, 2)  # home first
     assert {int(s.id >= 10) for s in of_forty.node.servers.values() if s.conns} == zones
--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -7,24 +7,20 @@
 from click.testing import CliRunner
 
 from tansyladder.cli import commands
-from tansyladder.interface import (
-    Action,
-    Event,
-    First,
-    Move,
-    Opened,
-    Outcome,
-    Probe,
-    Refuse,
-    Request,
-    Send,
-    Status,
-)
 from tansyladder.lab import commands as lab_commands
 from tansyladder.lab import fleetlog
 from tansyladder.log import render
 from tansyladder.node.counts import Counts
 from tansyladder.node.metrics import Ending, Metrics
+from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ConnectionAdopted,
+    Event,
+    RequestReceived,
+)
 from tests.helpers import MS, S, settings
 
 
@@ -33,11 +29,19 @@
     figures = Metrics(["chat"])
     counts, lines = Counts(settings().classes, lambda n: f"s-{n}", figures), ["event=started name=n0"]
     story: list[tuple[int, list[Event], list[Action]]] = [
-        (at * S, [Opened(9, 0, 0, 4), Request(1, 0, 0, at * S + 2 * S)], [Send(1, 4, S), Probe(5)]),
-        (at * S + 500 * MS, [Outcome(1, 0, 4, Status.TIMEOUT, 500 * MS, False)], [Send(1, 5, S)]),
-        (at * S + 600 * MS, [First(1, 1, 5, 100 * MS)], [Move(9)]),
-        ((at + 1) * S, [Outcome(9, 0, 4, Status.CANCELLED, 0, True)], []),
-        ((at + 3) * S, [Request(2, 0, 0, 0, back=True)], [Refuse(2)] if refused else []),
+        (
+            at * S,
+            [ConnectionAdopted(9, 0, 0, 4), RequestReceived(1, 0, 0, at * S + 2 * S)],
+            [StartAttempt(1, 4, S), CheckHealth(5)],
+        ),
+        (
+            at * S + 500 * MS,
+            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MS, False)],
+            [StartAttempt(1, 5, S)],
+        ),
+        (at * S + 600 * MS, [AttemptEstablished(1, 1, 5, 100 * MS)], [Migrate(9)]),
+        ((at + 1) * S, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, True)], []),
+        ((at + 3) * S, [RequestReceived(2, 0, 0, 0, back=True)], [Reject(2)] if refused else []),
         ((at + 4) * S, [], []),
         ((at + 5) * S, [], []),
     ]
@@ -46,11 +50,11 @@
             lines.append("7.1 " + render(None, "msg", {"event": "counts", **fields}))
         for event in events:
             counts.event(event, now)
-            if isinstance(event, First):
+            if isinstance(event, AttemptEstablished):
                 figures.answered("chat", Ending.OK)
         for action in actions:
             counts.action(action)
-            if isinstance(action, Refuse):
+            if isinstance(action, Reject):
                 figures.answered("chat", Ending.SHED)
     return lines
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,22 +6,19 @@
 from itertools import pairwise
 from typing import Any
 
-from tansyladder.interface import (
-    First,
-    Gone,
-    ListKind,
-    Members,
-    Move,
-    Note,
-    NoteKind,
-    Opened,
-    Outcome,
-    Probe,
-    Probed,
-    Send,
-    State,
-    Status,
-    Watch,
+from tansyladder.policy.actions import CheckHealth, Migrate, PollDiscovery, StartAttempt
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionAdopted,
+    ConnectionReport,
+    EndpointListUpdate,
+    EndpointState,
+    HealthCheckResult,
+    ListUpdateKind,
+    ReportKind,
 )
 from tests.helpers import MS, START, Node, S, line, only_send
 
@@ -31,11 +28,18 @@
 def test_a_server_that_drains_while_it_is_asked_gets_nothing() -> None:
     node = Node([line(1), line(2)], **REPORTS)
     _, acts = node.ask()
-    asked = [a.server for a in acts if isinstance(a, Probe)]
+    asked = [a.server for a in acts if isinstance(a, CheckHealth)]
     assert asked
-    node.give(Members(ListKind.DELTA, (line(1, state=State.DRAINING), line(2, state=State.DRAINING))))
-    acts = node.give(*(Probed(s, Status.OK, MS, (1.0, 0.1)) for s in asked)) + node.run(node.now + 5 * S)
-    assert not [a for a in acts if isinstance(a, Send)]
+    node.give(
+        EndpointListUpdate(
+            ListUpdateKind.DELTA,
+            (line(1, state=EndpointState.DRAINING), line(2, state=EndpointState.DRAINING)),
+        )
+    )
+    acts = node.give(*(HealthCheckResult(s, AttemptStatus.OK, MS, (1.0, 0.1)) for s in asked)) + node.run(
+        node.now + 5 * S
+    )
+    assert not [a for a in acts if isinstance(a, StartAttempt)]
 
 
 def test_a_marked_server_is_left_out_until_its_time() -> None:
@@ -44,7 +48,7 @@
     bad = only_send(acts).server
     node.fail(only_send(acts), 0)
     assert node.node.servers[bad].mark.at > node.now
-    sent = [a.server for k in range(2, 6) for a in node.ask(key=k)[1] if isinstance(a, Send)]
+    sent = [a.server for k in range(2, 6) for a in node.ask(key=k)[1] if isinstance(a, StartAttempt)]
     assert sent
     assert bad not in sent
 
@@ -54,10 +58,10 @@
     for k in range(1, 40):  # credit accrues as it is looked at
         node.ask(key=k)
         node.run(node.now + 100 * MS)
-    before = sum(isinstance(a, Send) for _, a in node.log)
+    before = sum(isinstance(a, StartAttempt) for _, a in node.log)
     for k in range(100, 200):
         node.ask(key=k)
-    assert sum(isinstance(a, Send) for _, a in node.log) - before <= 2 * 3
+    assert sum(isinstance(a, StartAttempt) for _, a in node.log) - before <= 2 * 3
 
 
 def test_an_old_wait_for_probes_does_not_send_a_retry_early() -> None:
@@ -65,13 +69,15 @@
     for seed in range(60):
         node = Node([line(i) for i in range(1, 9)], seed, **REPORTS)
         _, acts = node.ask(left=200 * MS)
-        asked = [a.server for a in acts if isinstance(a, Probe)]
-        send = only_send([a for a in node.give(*(Probed(s, Status.OK, MS, (1.0, 0.1)) for s in asked))])
+        asked = [a.server for a in acts if isinstance(a, CheckHealth)]
+        send = only_send(
+            [a for a in node.give(*(HealthCheckResult(s, AttemptStatus.OK, MS, (1.0, 0.1)) for s in asked))]
+        )
         node.fail(send, 0)
         due = node.node.keys[7].at
         early += due > START + 50 * MS
         node.run(due - 1)
-        again = [t for t, a in node.log if isinstance(a, Send)][1:]
+        again = [t for t, a in node.log if isinstance(a, StartAttempt)][1:]
         assert not again
     assert early > 5  # the case was met
 
@@ -79,9 +85,12 @@
 def test_absurd_notes_of_a_standing_connection_are_ignored() -> None:
     node = Node([line(1)])
     rid, acts = node.ask(hint=500)
-    node.give(First(rid, 0, 1, MS))
+    node.give(AttemptEstablished(rid, 0, 1, MS))
     for value in (math.nan, math.inf, -7.0):
-        node.give(Note(rid, NoteKind.LOAD, 0, 1, value), Note(rid, NoteKind.DELAY, 0, 1, value))
+        node.give(
+            ConnectionReport(rid, ReportKind.LOAD, 0, 1, value),
+            ConnectionReport(rid, ReportKind.DELAY, 0, 1, value),
+        )
     assert only_send(acts).server == 1
     assert (node.node.servers[1].load, node.node.servers[1].delay_at) == (500.0, -1)
 
@@ -90,7 +99,7 @@
     node = Node([line(1)])
     _, acts = node.ask()
     node.fail(only_send(acts), 0)
-    node.give(Members(ListKind.DELTA, (line(1, ready_at=node.now),)))
+    node.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, ready_at=node.now),)))
     s = node.node.servers[1]
     assert (s.mark.n, s.mark.at) == (0, 0)
     assert node.node._cold(s)
@@ -104,7 +113,7 @@
 
 
 def watches(node: Node) -> list[int]:
-    return [t - START for t, a in node.log if isinstance(a, Watch)]
+    return [t - START for t, a in node.log if isinstance(a, PollDiscovery)]
 
 
 def test_first_watches_are_spread_and_failed_calls_back_off() -> None:
@@ -114,7 +123,7 @@
         node.run(START + 10 * S)
         firsts += watches(node)
         for _ in range(3):  # a call may be told to have failed more than once
-            node.give(Members(ListKind.FAILED, ()))
+            node.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
         node.run(node.now + 3 * S)
         assert len(watches(node)) == 2
     first_of = sorted(firsts)
@@ -128,8 +137,10 @@
     for seed in range(40):
         node = Node([line(1), line(2)], seed, **REPORTS)
         _, acts = node.ask(key=1)
-        probes = [a.server for a in acts if isinstance(a, Probe)]
-        first = only_send(node.give(*(Probed(s, Status.OK, MS, (1.0, 0.4)) for s in probes)))
+        probes = [a.server for a in acts if isinstance(a, CheckHealth)]
+        first = only_send(
+            node.give(*(HealthCheckResult(s, AttemptStatus.OK, MS, (1.0, 0.4)) for s in probes))
+        )
         same += only_send(node.ask(key=2)[1]).server == first.server
     assert same == 0
 
@@ -137,18 +148,18 @@
 def test_an_outcome_after_the_client_left_is_not_tried_again() -> None:
     node = Node([line(1), line(2)])
     rid, acts = node.ask()
-    node.give(Gone(rid))
-    node.give(Outcome(rid, 0, only_send(acts).server, Status.CONNECT_FAILED, MS, False))
-    assert not [a for a in node.run(node.now + 5 * S) if isinstance(a, Send)]
+    node.give(ClientDisconnected(rid))
+    node.give(AttemptEnded(rid, 0, only_send(acts).server, AttemptStatus.CONNECT_FAILED, MS, False))
+    assert not [a for a in node.run(node.now + 5 * S) if isinstance(a, StartAttempt)]
 
 
 def test_the_next_move_waits_its_time() -> None:
     node = Node([line(i) for i in range(1, 9)])
-    node.give(*(Opened(1000 + i, 0, 0, 1, 0, 1000) for i in range(60)))
+    node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(60)))
     times = []
     for k in range(60):
-        node.give(Note(1050 + k % 5, NoteKind.DELAY, 0, 1, 300.0))
+        node.give(ConnectionReport(1050 + k % 5, ReportKind.DELAY, 0, 1, 300.0))
         node.run(node.now + 100 * MS)
-        times = sorted({t for t, a in node.log if isinstance(a, Move)})
+        times = sorted({t for t, a in node.log if isinstance(a, Migrate)})
     assert len(times) >= 2
     assert all(b - a >= 2 * S for a, b in pairwise(times))
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tansyladder import interface as api
-from tansyladder.config import MemberEntry, MemberList
+from tansyladder.config.platform import MemberEntry, MemberList
+from tansyladder.policy.events import EndpointListUpdate, ListUpdateKind
 from tansyladder.sessions.keeping import Keeping, open_keeping
 from tests.node import Peer, node
 from tests.test_sessions import LONG, ON, Host, Viewer, at_start, echo
@@ -109,8 +109,8 @@
         gone = MemberEntry("s8", "127.0.0.1:9", "removed")
         first.core.keeping.tell_members(MemberList(8, False, [gone]))
     with node(tmp_path, old.listener, store=tmp_path / "a") as second:
-        listed = second.core.wait_for(api.Members)
-        assert (listed.version, listed.kind) == (8, api.ListKind.CACHED)
+        listed = second.core.wait_for(EndpointListUpdate)
+        assert (listed.version, listed.kind) == (8, ListUpdateKind.CACHED)
         assert second.core.member_of_id("s9") is not None and second.core.member_of_id("s0") is None
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -9,7 +9,7 @@
 import tansyladder
 
 ROOT = Path(tansyladder.__file__).parent
-LAYERS = ("net", "node", "sessions", "fleet")  # from the bottom to the top
+LAYERS = ("policy", "config", "net", "node", "sessions", "fleet")  # from the bottom to the top
 TOOLS = ("lab", "sim")
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -5,19 +5,15 @@
 from collections import Counter
 from typing import Any
 
-from tansyladder.interface import (
-    Action,
-    First,
-    Move,
-    Note,
-    NoteKind,
-    Opened,
-    Outcome,
-    Probe,
-    Probed,
-    Refuse,
-    Send,
-    Status,
+from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ConnectionAdopted,
+    ConnectionReport,
+    HealthCheckResult,
+    ReportKind,
 )
 from tests.helpers import MS, START, Node, S, line, only_send
 
@@ -27,7 +23,11 @@
 def asked(node: Node, loads: dict[int, float], key: int) -> list[Action]:
     """A request with its probes answered."""
     _, acts = node.ask(key=key)
-    replies = [Probed(a.server, Status.OK, MS, (9.0, loads[a.server])) for a in acts if isinstance(a, Probe)]
+    replies = [
+        HealthCheckResult(a.server, AttemptStatus.OK, MS, (9.0, loads[a.server]))
+        for a in acts
+        if isinstance(a, CheckHealth)
+    ]
     return acts + node.give(*replies) if replies else acts
 
 
@@ -35,7 +35,9 @@
     met: Counter[int] = Counter()
     for seed in range(200):
         node = Node([line(1), line(2), line(3)], seed, **REPORTS)
-        met[next(a for a in asked(node, {1: 0.2, 2: 0.5, 3: 1.2}, 5) if isinstance(a, Send)).server] += 1
+        met[
+            next(a for a in asked(node, {1: 0.2, 2: 0.5, 3: 1.2}, 5) if isinstance(a, StartAttempt)).server
+        ] += 1
     assert met[3] == 0
     assert met[1] > 2 * met[2] > 0
 
@@ -44,50 +46,50 @@
     """A fleet short of capacity is otherwise filled up to where every message is late."""
     node = Node([line(i) for i in range(1, 4)], **REPORTS)
     loads = {1: 0.95, 2: 1.3, 3: 0.6}
-    assert not [a for a in asked(node, loads, 5) if isinstance(a, Send)]
+    assert not [a for a in asked(node, loads, 5) if isinstance(a, StartAttempt)]
     node = Node([line(i) for i in range(1, 4)], **REPORTS)
-    assert [a for a in asked(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5) if isinstance(a, Send)]
+    assert [a for a in asked(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5) if isinstance(a, StartAttempt)]
 
 
 def test_a_probe_that_is_not_answered_does_not_hold_the_request() -> None:
     node = Node([line(i) for i in range(1, 4)], **REPORTS)
     rid, acts = node.ask()
-    assert not [a for a in acts if isinstance(a, Send)]
-    assert only_send([a for a in node.run(node.now + 100 * MS) if isinstance(a, Send)]).id == rid
+    assert not [a for a in acts if isinstance(a, StartAttempt)]
+    assert only_send([a for a in node.run(node.now + 100 * MS) if isinstance(a, StartAttempt)]).id == rid
 
 
 def test_home_first_and_other_zones_when_home_has_no_room() -> None:
     fleet = [line(1), line(2), line(11, zone=1), line(12, zone=1)]
     node = Node(fleet, **REPORTS)
     assert {
-        next(a for a in asked(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, Send)).server < 10
+        next(a for a in asked(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, StartAttempt)).server < 10
         for k in range(1, 3)
     } == {True}
     node = Node(fleet, **REPORTS)
-    assert next(a for a in asked(node, {1: 1.1, 2: 0.9}, 5) if isinstance(a, Send)).server > 10
+    assert next(a for a in asked(node, {1: 1.1, 2: 0.9}, 5) if isinstance(a, StartAttempt)).server > 10
 
 
 def test_what_was_placed_counts_until_reports_can_show_it() -> None:
     node = Node([line(1), line(2)], **REPORTS)
-    first = next(a for a in asked(node, {1: 0.4, 2: 0.4}, 5) if isinstance(a, Send))
-    again = [next(a for a in asked(node, {1: 0.4, 2: 0.4}, k) if isinstance(a, Send)) for k in (6,)]
+    first = next(a for a in asked(node, {1: 0.4, 2: 0.4}, 5) if isinstance(a, StartAttempt))
+    again = [next(a for a in asked(node, {1: 0.4, 2: 0.4}, k) if isinstance(a, StartAttempt)) for k in (6,)]
     assert again[0].server != first.server
 
 
 def crowd(n: int, load: int, **over: Any) -> Node:
     node = Node([line(i) for i in range(1, 9)], **over)
-    node.give(*(Opened(1000 + i, 0, 0, 1, 0, load * (1 + i % 3)) for i in range(n)))
+    node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, load * (1 + i % 3)) for i in range(n)))
     return node
 
 
 def late(node: Node, ms: float, rid: int = 1000) -> None:
-    node.give(Note(rid, NoteKind.DELAY, 0, 1, ms))
+    node.give(ConnectionReport(rid, ReportKind.DELAY, 0, 1, ms))
 
 
 def test_late_messages_move_a_part_of_the_load() -> None:
     node = crowd(30, 1000)
     late(node, 300.0)
-    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Move)]
+    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Migrate)]
     share = sum(1 + (i - 1000) % 3 for i in moved) / 60
     assert 0.3 < share <= 0.6
 
@@ -96,44 +98,44 @@
     node = crowd(30, 1000)
     late(node, 300.0)
     node.run(node.now + S)
-    before = sum(isinstance(a, Move) for _, a in node.log)
+    before = sum(isinstance(a, Migrate) for _, a in node.log)
     late(node, 300.0, 1001)
-    assert sum(isinstance(a, Move) for _, a in node.log) == before
+    assert sum(isinstance(a, Migrate) for _, a in node.log) == before
     end = node.now + S
     while node.now < end:
         node.run(node.now + 100 * MS)
         late(node, 300.0, 1001)
-    assert sum(isinstance(a, Move) for _, a in node.log) == before
+    assert sum(isinstance(a, Migrate) for _, a in node.log) == before
 
 
 def test_a_delay_that_is_over_moves_nothing() -> None:
     node = crowd(30, 1000)
     late(node, 300.0)
     late(node, 20.0)
-    assert not [a for a in node.run(node.now + 5 * S) if isinstance(a, Move)]
+    assert not [a for a in node.run(node.now + 5 * S) if isinstance(a, Migrate)]
 
 
 def test_a_report_under_the_target_stops_the_move() -> None:
     """The messages are still late because work is piled up, not because there is too much."""
     node = crowd(30, 1000, **REPORTS)
     late(node, 300.0)
-    node.give(Probed(1, Status.OK, MS, (30.0, 0.5)))
-    assert not [a for a in node.run(node.now + S) if isinstance(a, Move)]
+    node.give(HealthCheckResult(1, AttemptStatus.OK, MS, (30.0, 0.5)))
+    assert not [a for a in node.run(node.now + S) if isinstance(a, Migrate)]
 
 
 def test_what_is_worth_least_for_its_load_moves_first() -> None:
     node = crowd(30, 1000)
     late(node, 100.0)
-    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Move)]
+    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Migrate)]
     assert moved
     assert all((i - 1000) % 3 == 2 for i in moved)
 
 
 def test_over_its_share_a_tenant_gives_way_first() -> None:
     node = Node([line(i) for i in range(1, 9)], quotas=(5.0, 50.0), over_share_worth=0.1)
-    node.give(*(Opened(1000 + i, 0, i % 2, 1, 0, 1000) for i in range(30)))
+    node.give(*(ConnectionAdopted(1000 + i, 0, i % 2, 1, 0, 1000) for i in range(30)))
     late(node, 120.0)
-    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Move)]
+    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Migrate)]
     assert moved
     assert all(i % 2 == 0 for i in moved)
 
@@ -141,12 +143,15 @@
 def test_absurd_reports_and_notes_are_ignored() -> None:
     node = Node([line(1), line(2)], **REPORTS)
     for value in (-1.0, float("nan"), float("inf"), 1e30):
-        node.give(Probed(1, Status.OK, MS, (1.0, value)), Probed(2, Status.OK, MS, ()))
-        node.give(Note(77, 2, 0, 1, value), Note(1, 9, 0, 1, 5.0))
+        node.give(
+            HealthCheckResult(1, AttemptStatus.OK, MS, (1.0, value)),
+            HealthCheckResult(2, AttemptStatus.OK, MS, ()),
+        )
+        node.give(ConnectionReport(77, 2, 0, 1, value), ConnectionReport(1, 9, 0, 1, 5.0))
     assert node.node.servers[1].strain_at == -1
     rid, acts = node.ask()
     acts = acts + node.run(node.now + S)
-    assert [a for a in acts if isinstance(a, Send | Refuse) and a.id == rid]
+    assert [a for a in acts if isinstance(a, StartAttempt | Reject) and a.id == rid]
 
 
 def test_one_trial_at_a_time_when_a_mark_ends() -> None:
@@ -154,21 +159,21 @@
     _, acts = node.ask(key=1)
     node.fail(only_send(acts), 0)
     node.run(node.node.servers[1].mark.end)
-    sent = [a for k in range(2, 9) for a in node.ask(key=k)[1] if isinstance(a, Send)]
+    sent = [a for k in range(2, 9) for a in node.ask(key=k)[1] if isinstance(a, StartAttempt)]
     out = [r for r in node.node.requests.values() if r.server]
     assert len(out) == 1
     assert len(sent) <= 1
-    node.give(First(out[0].id, out[0].sent - 1, 1, MS))
+    node.give(AttemptEstablished(out[0].id, out[0].sent - 1, 1, MS))
     assert only_send(node.ask(key=20)[1]).server == 1
 
 
 def test_a_drop_leaves_no_load_behind() -> None:
     node = Node([line(1)])
     rid, acts = node.ask(hint=500)
-    node.give(First(rid, 0, 1, MS))
-    node.give(Note(rid, NoteKind.LOAD, 0, 1, 900.0))
+    node.give(AttemptEstablished(rid, 0, 1, MS))
+    node.give(ConnectionReport(rid, ReportKind.LOAD, 0, 1, 900.0))
     assert node.node.servers[1].load == 900.0
-    node.give(Outcome(rid, 0, 1, Status.CANCELLED, S, True))
+    node.give(AttemptEnded(rid, 0, 1, AttemptStatus.CANCELLED, S, True))
     assert (node.node.servers[1].load, node.node.servers[1].trying) == (0.0, 0)
     assert only_send(acts).server == 1
 
@@ -177,9 +182,12 @@
     """Counting anew for each connection cost a minute of CPU on a fleet of a few thousand connections."""
     node = Node([line(1)])
     rid, _ = node.ask(tenant=2)
-    node.give(First(rid, 0, 1, MS), Opened(900, 0, 2, 1))
+    node.give(AttemptEstablished(rid, 0, 1, MS), ConnectionAdopted(900, 0, 2, 1))
     assert node.node.held == {2: 2}
-    node.give(Outcome(rid, 0, 1, Status.OK, S, True), Outcome(900, 0, 1, Status.RESET, S, True))
+    node.give(
+        AttemptEnded(rid, 0, 1, AttemptStatus.OK, S, True),
+        AttemptEnded(900, 0, 1, AttemptStatus.RESET, S, True),
+    )
     assert node.node.held == {2: 0}
 
 
@@ -187,28 +195,28 @@
     for k in range(times):
         _, acts = node.ask(key=100 + k)
         for a in acts:
-            if isinstance(a, Send):
-                node.fail(a, 0, Status.TIMEOUT)
+            if isinstance(a, StartAttempt):
+                node.fail(a, 0, AttemptStatus.TIMEOUT)
         node.run(node.now + 10 * MS)
 
 
 def test_set_ups_that_fail_everywhere_widen_the_window_and_stop_moves() -> None:
     """A slow shared store: more attempts and more moves would only add to it."""
     node = Node([line(i) for i in range(1, 30)])
-    node.give(*(Opened(1000 + i, 0, 0, 1, 0, 1000) for i in range(30)))
+    node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(30)))
     failing(node, 1)
     narrow = node.node.keys[100].end - START - MS
     failing(node, 12)
     assert node.node.ill > 0.5
     now = node.now
     _, acts = node.ask(key=300)
-    send = only_send([a for a in acts if isinstance(a, Send)])
+    send = only_send([a for a in acts if isinstance(a, StartAttempt)])
     assert send.timeout == node.settings.classes[0].deadline
-    node.fail(send, 0, Status.TIMEOUT)
+    node.fail(send, 0, AttemptStatus.TIMEOUT)
     assert node.node.keys[300].n == 1
     assert node.node.keys[300].end - now > 3 * narrow
     late(node, 600.0)
-    assert not [a for a in node.run(node.now + S) if isinstance(a, Move)]
+    assert not [a for a in node.run(node.now + S) if isinstance(a, Migrate)]
 
 
 def test_a_large_fleet_is_not_counted_for_each_request() -> None:
@@ -238,7 +246,7 @@
         for seed in (1, 2, 3):
             node = Node(fleet, seed, pass_through=True, park=5 * S, **REPORTS)
             _, acts = node.ask(key=key)
-            firsts.append([a.server for a in acts if isinstance(a, Probe)])
+            firsts.append([a.server for a in acts if isinstance(a, CheckHealth)])
         assert firsts[0] == firsts[1] == firsts[2]
         _, acts = node.ask(key=key, midflow=True)
         assert only_send(acts).server == firsts[0][0]
@@ -247,22 +255,22 @@
 def test_where_nobody_reports_late_servers_fill_the_pool() -> None:
     """Waves over the capacity: with most servers late, what comes is turned away until they recover."""
     node = Node([line(i) for i in range(1, 5)])
-    node.give(*(Opened(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(40)))
-    node.give(*(Note(1000 + i, NoteKind.DELAY, 0, 1 + i, 600.0) for i in range(3)))
+    node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(40)))
+    node.give(*(ConnectionReport(1000 + i, ReportKind.DELAY, 0, 1 + i, 600.0) for i in range(3)))
     node.now += 100 * MS
-    assert not [a for a in node.ask(key=1)[1] if isinstance(a, Send)]
+    assert not [a for a in node.ask(key=1)[1] if isinstance(a, StartAttempt)]
     node.run(node.now + 5 * S)
-    assert [a for a in node.ask(key=2)[1] if isinstance(a, Send)]
+    assert [a for a in node.ask(key=2)[1] if isinstance(a, StartAttempt)]
 
 
 def test_a_full_pool_still_fills_its_cold_servers() -> None:
     node = Node([*(line(i) for i in range(1, 5)), line(9, ready_at=START - 10 * S)])
-    node.give(*(Opened(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(400)))
+    node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(400)))
     sent = set()
     for k in range(1, 30):
-        node.give(*(Note(1000 + i, NoteKind.DELAY, 0, 1 + i, 600.0) for i in range(4)))
+        node.give(*(ConnectionReport(1000 + i, ReportKind.DELAY, 0, 1 + i, 600.0) for i in range(4)))
         acts = node.run(node.now + 200 * MS) + node.ask(key=k)[1]
-        sent |= {a.server for a in acts if isinstance(a, Send)}
+        sent |= {a.server for a in acts if isinstance(a, StartAttempt)}
     assert sent == {9}
 
 
@@ -283,6 +291,6 @@
 def test_a_group_comes_back_to_a_server_that_does_its_work() -> None:
     """Drawn by its hash alone, a group that stood elsewhere cost the fleet its work once more."""
     node = Node([line(i) for i in range(1, 9)])
-    node.give(*(Opened(1000 + g, 0, 0, 1 + g % 8, 0, None, g) for g in range(1, 33)))
+    node.give(*(ConnectionAdopted(1000 + g, 0, 0, 1 + g % 8, 0, None, g) for g in range(1, 33)))
     same = sum(only_send(node.ask(key=g, key2=g)[1]).server == 1 + g % 8 for g in range(1, 33))
     assert same > 12  # by the hash alone one in eight, some four of them
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,11 +21,24 @@
 
 import pytest
 
-from tansyladder import interface as api
 from tansyladder.node import discovery as discovery_of
 from tansyladder.node.discovery import Discovery
 from tansyladder.node.probe import Prober
 from tansyladder.node.virtual_server import VirtualServer
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionAdopted,
+    ConnectionReport,
+    EndpointListUpdate,
+    EndpointState,
+    HealthCheckResult,
+    ListUpdateKind,
+    ReportKind,
+    RequestReceived,
+)
 from tests.node import SETTINGS, HeardCore, Listener, Peer, fresh, member, node, told, up
 
 
@@ -45,10 +58,10 @@
         for count in (1, 2):  # the second member's whole life comes in one read
             client = n.open()
             assert [client.hear() for _ in range(3)] == ["UP r1", "BYE", ""]
-            assert n.core.wait_for(api.First, count).server == 1
+            assert n.core.wait_for(AttemptEstablished, count).server == 1
             client.close()
-            ended = n.core.wait_for(api.Outcome, count)
-            assert (ended.status, ended.closed) == (api.Status.OK, True)
+            ended = n.core.wait_for(AttemptEnded, count)
+            assert (ended.status, ended.closed) == (AttemptStatus.OK, True)
 
 
 def test_lines_pass_both_ways_and_a_silent_flow_moves(tmp_path: Path) -> None:
@@ -64,7 +77,7 @@
         assert client.hear() == "M 1"
         client.say("M 2")
         assert client.hear() == "MOVE"
-        assert n.core.wait_for(api.Outcome).status is api.Status.TIMEOUT
+        assert n.core.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
 
 
 @pytest.mark.parametrize(
@@ -99,7 +112,7 @@
         client.sock.sendall(line)
         answers = list(iter(client.hear, ""))
         assert answers[-1] == "ERR" and set(answers[:-1]) <= {"PONG"}
-        assert not [e for e in n.core.heard if isinstance(e, api.Request)]
+        assert not [e for e in n.core.heard if isinstance(e, RequestReceived)]
         front = n.connect()
         for _ in range(2):
             front.say("PING")
@@ -138,7 +151,7 @@
         assert word == "BUSY" and 0 < int(ms) <= 1000
         assert client.hear() == ""
     assert len(over) == sum(range(len(asked))) and set(over) <= {b""}
-    assert {e.status for e in n.core.heard if isinstance(e, api.Outcome)} == {api.Status.FULL}
+    assert {e.status for e in n.core.heard if isinstance(e, AttemptEnded)} == {AttemptStatus.FULL}
 
 
 def test_a_client_that_leaves_ends_its_attempt(tmp_path: Path) -> None:
@@ -151,12 +164,12 @@
 
     with node(tmp_path, Listener(silent)) as n:
         client = n.open()
-        n.core.wait_for(api.Request)
+        n.core.wait_for(RequestReceived)
         client.close()
         assert ended.wait(5)
-        outcome = n.core.wait_for(api.Outcome)
-        assert (outcome.status, outcome.closed) == (api.Status.CANCELLED, True)
-        assert n.core.wait_for(api.Gone).id == outcome.id
+        outcome = n.core.wait_for(AttemptEnded)
+        assert (outcome.status, outcome.closed) == (AttemptStatus.CANCELLED, True)
+        assert n.core.wait_for(ClientDisconnected).id == outcome.id
 
 
 def test_a_member_that_never_answers_times_out_and_the_client_is_told_in_time(tmp_path: Path) -> None:
@@ -164,7 +177,7 @@
         client, start = n.open("c=chat,d=300"), time.monotonic()
         assert client.hear().startswith("BUSY")
         assert time.monotonic() - start < 0.6
-        assert n.core.wait_for(api.Outcome).status is api.Status.TIMEOUT
+        assert n.core.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
 
 
 def test_resets_and_half_closes_are_passed_on_in_kind(tmp_path: Path) -> None:
@@ -180,18 +193,18 @@
         assert client.hear() == "UP r1"
         client.sock.shutdown(socket.SHUT_WR)
         assert [client.hear(), client.hear()] == ["M 9", ""]
-        assert n.core.wait_for(api.Outcome).status is api.Status.CANCELLED
+        assert n.core.wait_for(AttemptEnded).status is AttemptStatus.CANCELLED
         client = n.open(key="80")
         assert client.hear() == "UP r1"
         with pytest.raises(ConnectionResetError):
             client.hear()
-        assert n.core.wait_for(api.Outcome, 2).status is api.Status.RESET
+        assert n.core.wait_for(AttemptEnded, 2).status is AttemptStatus.RESET
 
 
 def test_a_connection_from_before_the_run_goes_to_its_member(tmp_path: Path) -> None:
     with node(tmp_path, Listener(up()), Listener(up(lambda peer: void(peer.hear())))) as n:
         assert n.open("c=chat,d=4294967,at=s1").hear() == "UP r1"
-        assert n.core.wait_for(api.Opened).server == 2
+        assert n.core.wait_for(ConnectionAdopted).server == 2
         assert n.open("c=chat,d=5000,at=nobody").hear().startswith("BUSY")
 
 
@@ -212,7 +225,7 @@
 
     with node(tmp_path, Listener(up(flood), up(echo))) as n:
         stuck = n.open()
-        n.core.wait_for(api.First)
+        n.core.wait_for(AttemptEstablished)
         client = n.open(key="80")
         assert client.hear() == "UP r1"
         client.say("M 1")
@@ -234,11 +247,11 @@
         assert client.hear() == "UP r1"
         client.say("M 1")
         assert client.hear() == "M 1"
-        note = n.core.wait_for(api.Note)
-        assert (note.kind, note.server) == (api.NoteKind.TIMED, 1) and 110 <= note.value < 300
+        note = n.core.wait_for(ConnectionReport)
+        assert (note.kind, note.server) == (ReportKind.TIMED, 1) and 110 <= note.value < 300
         time.sleep(1.05)  # what is heard within a second is taken together
         client.say("M 2")
-        assert n.core.wait_for(api.Note, 2).value < 100
+        assert n.core.wait_for(ConnectionReport, 2).value < 100
 
 
 @pytest.mark.parametrize("tells", [True, False])
@@ -250,9 +263,9 @@
     with node(tmp_path, Listener(up(lambda p: p.say(*lines))), settings=SETTINGS | {"extra": extra}) as n:
         client = n.open()
         assert [client.hear() for _ in range(10)] == ["UP r1", *lines]
-        n.core.wait_for(api.Outcome)
-        notes = [(e.kind, e.server, e.value) for e in n.core.heard if isinstance(e, api.Note)]
-        assert notes == ([(api.NoteKind.DELAY, 1, 40.5), (api.NoteKind.DELAY, 1, 3.0)] if tells else [])
+        n.core.wait_for(AttemptEnded)
+        notes = [(e.kind, e.server, e.value) for e in n.core.heard if isinstance(e, ConnectionReport)]
+        assert notes == ([(ReportKind.DELAY, 1, 40.5), (ReportKind.DELAY, 1, 3.0)] if tells else [])
         assert n.core.config.settings.probe_pace > 0  # a promise of notes alone stops no probes
         client.close()
 
@@ -280,15 +293,15 @@
         discovery = Discovery(n.core)
         discovery.start()
         for count in (4, 5, 6):  # the list it had, the whole one, what changed, and then only failures
-            n.core.wait_for(api.Members, count)
+            n.core.wait_for(EndpointListUpdate, count)
             n.core.watches.put(True)
-        kinds = [e.kind for e in n.core.heard if isinstance(e, api.Members)][1:6]
-        assert kinds == [api.ListKind.FULL, api.ListKind.DELTA, *[api.ListKind.FAILED] * 3]
+        kinds = [e.kind for e in n.core.heard if isinstance(e, EndpointListUpdate)][1:6]
+        assert kinds == [ListUpdateKind.FULL, ListUpdateKind.DELTA, *[ListUpdateKind.FAILED] * 3]
         assert calls[0][1] == "GET /v1/servers HTTP/1.1"  # a node that comes back has an old list
         assert calls[1][1].startswith("GET /v1/servers?since=3&timeout_ms=")
         assert calls[2][1].startswith("GET /v1/servers?since=7&") and calls[2][0] - calls[1][0] < 0.2
         changed_member = n.core.member_of_id("s9")
-        assert changed_member is not None and changed_member.state is api.State.DRAINING
+        assert changed_member is not None and changed_member.state is EndpointState.DRAINING
 
 
 def test_a_probe_is_timed(tmp_path: Path) -> None:
@@ -305,9 +318,9 @@
     settings = SETTINGS | {"ceilings": ceilings, "extra": {"message_aim": [50_000]}}  # delays are not told
     with node(tmp_path, Listener(pong, err), settings=settings) as n:
         Prober(n.core).start()
-        first, second = n.core.wait_for(api.Probed), n.core.wait_for(api.Probed, 2)
-        assert first.status is api.Status.OK and 20_000 <= first.latency < 140_000
-        assert second.status is api.Status.ERROR
+        first, second = n.core.wait_for(HealthCheckResult), n.core.wait_for(HealthCheckResult, 2)
+        assert first.status is AttemptStatus.OK and 20_000 <= first.latency < 140_000
+        assert second.status is AttemptStatus.ERROR
 
 
 def until_line(run: subprocess.Popen[bytes], start: bytes) -> None:
@@ -442,7 +455,7 @@
         client.say("M 1")
         assert client.hear() == "M 1"
         client.close()
-        n.core.wait_for(api.Outcome)
+        n.core.wait_for(AttemptEnded)
         again = n.connect()
         again.say("OPEN ab 7f c=chat,d=1200")
         assert again.hear() in ("UP r1", "ERR")  # its last thread may be on its way out
@@ -549,20 +562,22 @@
         discovery = Discovery(n.core)
         discovery.start()
         n.core.watches.put(True)
-        n.core.wait_for(api.Members, 2)
+        n.core.wait_for(EndpointListUpdate, 2)
         client = n.open()
         assert client.hear() == "UP r1"
         host_, port = new.address.split(":")
         assert discovery.switch((host_, int(port)))
         assert not discovery.switch((host_, int(port)))
         assert old.ended.wait(5)
-        told_new = n.core.wait_for(api.Members, 3)
-        assert (told_new.kind, told_new.version) == (api.ListKind.FULL, 2)
+        told_new = n.core.wait_for(EndpointListUpdate, 3)
+        assert (told_new.kind, told_new.version) == (ListUpdateKind.FULL, 2)
         assert n.core.member_of_id("s7") is not None
         client.say("M 1")
         assert client.hear() == "M 1"
         assert new.calls[0] == "GET /v1/servers HTTP/1.1"
-        assert not [e for e in n.core.heard if isinstance(e, api.Members) and e.kind is api.ListKind.FAILED]
+        assert not [
+            e for e in n.core.heard if isinstance(e, EndpointListUpdate) and e.kind is ListUpdateKind.FAILED
+        ]
 
 
 def test_a_watch_that_fell_silent_is_opened_anew_at_once_and_once(
@@ -586,9 +601,11 @@
         discovery._new = False  # its list is not old
         discovery.start()
         n.core.watches.put(True)
-        n.core.wait_for(api.Members, 3)  # the known one, the one in the silent call's place, and a failure
-        kinds = [e.kind for e in n.core.heard if isinstance(e, api.Members)][1:]
-        assert kinds == [api.ListKind.FULL, api.ListKind.FAILED]
+        n.core.wait_for(
+            EndpointListUpdate, 3
+        )  # the known one, the one in the silent call's place, and a failure
+        kinds = [e.kind for e in n.core.heard if isinstance(e, EndpointListUpdate)][1:]
+        assert kinds == [ListUpdateKind.FULL, ListUpdateKind.FAILED]
         asked = re.compile(r"GET /v1/servers\?since=1&timeout_ms=(\d+) HTTP/1.1")
         waits = [int(asked.fullmatch(call)[1]) for call in (calls[0], *later.calls[:1])]  # type: ignore[index]
         assert waits == [100, 500]  # the second one may hang as well, and waits for little
@@ -607,7 +624,9 @@
         Discovery(n.core).start()
         assert n.core.member_of_id("s7") is not None
         assert agent.calls[0] == "GET /v1/servers HTTP/1.1"
-        assert not [e for e in n.core.heard if isinstance(e, api.Members) and e.kind is api.ListKind.FAILED]
+        assert not [
+            e for e in n.core.heard if isinstance(e, EndpointListUpdate) and e.kind is ListUpdateKind.FAILED
+        ]
 
 
 def test_a_failed_first_call_to_a_new_address_is_tried_again(tmp_path: Path) -> None:
@@ -727,7 +746,7 @@
 
     with node(tmp_path, Listener(late)) as n:
         client = n.open()
-        n.core.wait_for(api.Request)
+        n.core.wait_for(RequestReceived)
         client.say("OPEN 77 7f c=chat,d=1200")
         spoken.set()
         assert [client.hear(), client.hear()] == ["ERR", ""]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from tansyladder import interface as api
 from tansyladder.node import virtual_server
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.node.operator import LINE, MOST_CALLERS, Operator
+from tansyladder.policy.events import ClientDisconnected
 from tests.node import SETTINGS, Listener, Node, Peer, node, up
 
 CHAT = SETTINGS["classes"][0]
@@ -168,7 +168,7 @@
         leaves, stays_on = n.open(key="1"), n.open(key="2")
         assert came.acquire(timeout=5) and came.acquire(timeout=5)
         leaves.close()
-        n.core.wait_for(api.Gone)
+        n.core.wait_for(ClientDisconnected)
         assert n.call(b"standby\r\n") == ["+OK standby"]
         assert stays_on.hear().startswith("BUSY")
         chat = n.stats()["responses"]["chat"]
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -17,7 +17,7 @@
 from structlog import DropEvent
 
 from tansyladder import log as logging
-from tansyladder.options import KeyEntry, Options, OptionsError, changed, load, parse
+from tansyladder.config.operator_settings import KeyEntry, Options, OptionsError, changed, load, parse
 from tests.node import Listener, member, told, up
 from tests.test_node import client_of, program, until_line
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from tansyladder import options
+from tansyladder.config import operator_settings
 from tansyladder.fleet import records as records_of
 from tansyladder.fleet.peering import MOST_GREETING, VERSION, Greeting, Peering
 from tansyladder.fleet.records import Records, Witness
@@ -148,7 +148,7 @@
         self.nodes = [
             Peering(
                 name,
-                options.PeersOptions(**(common | (over if name == "b" else {}))),  # type: ignore[arg-type]
+                operator_settings.PeersOptions(**(common | (over if name == "b" else {}))),  # type: ignore[arg-type]
                 lambda sender, message, i=i: self.heard[i].put((sender, message)),  # type: ignore[misc]
                 lambda i=i: 60_000_000 + i * off,  # type: ignore[misc]
             )
@@ -312,6 +312,6 @@
     ],
 )
 def test_a_fault_in_the_settings_of_peers_is_named(text: str, path: str) -> None:
-    assert options.parse(RESUME + SOUND).peers.members == {"a": "1.2.3.4:5"}
-    with pytest.raises(options.OptionsError, match=path):
-        options.parse(text)
+    assert operator_settings.parse(RESUME + SOUND).peers.members == {"a": "1.2.3.4:5"}
+    with pytest.raises(operator_settings.OptionsError, match=path):
+        operator_settings.parse(text)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -7,19 +7,17 @@
 
 import pytest
 
-from tansyladder.config import probe_pace
-from tansyladder.interface import (
-    First,
-    ListKind,
-    Members,
-    Move,
-    Note,
-    NoteKind,
-    Opened,
-    Probe,
-    Probed,
-    Send,
-    Status,
+from tansyladder.config.platform import probe_pace
+from tansyladder.policy.actions import CheckHealth, Migrate, StartAttempt
+from tansyladder.policy.events import (
+    AttemptEstablished,
+    AttemptStatus,
+    ConnectionAdopted,
+    ConnectionReport,
+    EndpointListUpdate,
+    HealthCheckResult,
+    ListUpdateKind,
+    ReportKind,
 )
 from tests.helpers import MS, START, Node, S, line
 
@@ -28,26 +26,26 @@
     """A node of two members with forty connections on the first; the first answers a probe in 5 ms."""
     node = Node([line(1), line(2)], probes=True, probe_pace=S)
     for rid in range(1, 41):
-        node.give(Opened(rid, 0, 0, 1))
+        node.give(ConnectionAdopted(rid, 0, 0, 1))
     answer(node, 5 * MS)
     return node
 
 
-def answer(node: Node, took: int, status: Status = Status.OK) -> list[object]:
+def answer(node: Node, took: int, status: AttemptStatus = AttemptStatus.OK) -> list[object]:
     """Let the node ask member 1, which answers so slowly; what else the node does at once."""
     while not node.node.servers[1].probing:
         node.step()
     node.now += took
-    return list(node.give(Probed(1, status, took)))
+    return list(node.give(HealthCheckResult(1, status, took)))
 
 
 def test_each_member_is_asked_in_turn() -> None:
     node = Node([line(1), line(2)], probes=True, probe_pace=S)
     asked = []
     while node.now < START + 4 * S:
-        for probe in [a for a in node.step() if isinstance(a, Probe)]:
+        for probe in [a for a in node.step() if isinstance(a, CheckHealth)]:
             asked.append(probe.server)
-            node.give(Probed(probe.server, Status.OK, 5 * MS))
+            node.give(HealthCheckResult(probe.server, AttemptStatus.OK, 5 * MS))
     assert 7 <= len(asked) <= 9
     assert {asked.count(1), asked.count(2)} <= {3, 4, 5}
 
@@ -64,17 +62,23 @@
     end, asked = node.now + 30 * S, 0
     while node.now < end and (acts := node.step()):
         asked += len(acts)
-        node.give(*(Probed(a.server, Status.OK, 5 * MS) for a in acts if isinstance(a, Probe)))
+        node.give(
+            *(
+                HealthCheckResult(a.server, AttemptStatus.OK, 5 * MS)
+                for a in acts
+                if isinstance(a, CheckHealth)
+            )
+        )
     assert 0 < asked <= 30 * 20 + 1  # of one node, at any size of the list
     assert asked / 30 / members * nodes <= most
 
 
 def test_answers_far_slower_than_the_best_move_connections_off() -> None:
     node = rig()
-    assert answer(node, 40 * MS) == [Probe(1)]  # once may be chance: it is asked again at once
+    assert answer(node, 40 * MS) == [CheckHealth(1)]  # once may be chance: it is asked again at once
     answer(node, 40 * MS)
     assert node.node.servers[1].mark.n == 1
-    moves = [a for a in node.run(node.now + 3 * S) if isinstance(a, Move)]
+    moves = [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
     assert 5 < len(moves) < 40
     _, acts = node.ask()
     assert acts[0].server == 2  # type: ignore[union-attr]
@@ -89,7 +93,7 @@
     answer(node, MS)
     server = node.node.servers[1]
     assert (server.mark.n, server.best) == (1, 5 * MS)
-    assert [a for a in node.run(node.now + 3 * S) if isinstance(a, Move)]
+    assert [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
     for _ in range(3):
         answer(node, 5 * MS)
     assert not node.node._late(server)
@@ -104,11 +108,11 @@
     for took in (5 * MS, 90 * MS, 90 * MS):
         answer(node, took)
     node.run(node.now + 4 * S)
-    drawn = {a.server for key in range(16) for a in node.ask(key=key + 1)[1] if isinstance(a, Send)}
+    drawn = {a.server for key in range(16) for a in node.ask(key=key + 1)[1] if isinstance(a, StartAttempt)}
     assert drawn == {2, 3, 4}
     answer(node, 5 * MS)
     node.run(node.node.servers[1].mark.end)
-    drawn = {a.server for key in range(16) for a in node.ask(key=key + 99)[1] if isinstance(a, Send)}
+    drawn = {a.server for key in range(16) for a in node.ask(key=key + 99)[1] if isinstance(a, StartAttempt)}
     assert 1 in drawn
 
 
@@ -137,12 +141,12 @@
     answer(node, 7 * MS)
     answer(node, 7 * MS)
     assert node.node.servers[1].mark.n == 0
-    answer(node, 100 * MS, Status.ERROR)
-    answer(node, 100 * MS, Status.ERROR)
+    answer(node, 100 * MS, AttemptStatus.ERROR)
+    answer(node, 100 * MS, AttemptStatus.ERROR)
     assert node.node.servers[1].delay > 0
     answer(node, 5 * MS)
     assert node.node.servers[1].delay == 0
-    assert not [a for a in node.run(node.now + 3 * S) if isinstance(a, Move)]
+    assert not [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
 
 
 @pytest.mark.parametrize(("nodes", "most"), [(3, 8), (10, 2), (40, 1), (100, 1)])
@@ -152,25 +156,30 @@
     for key in range(1, 61):
         node.ask(key=key)
     assert [node.node.servers[i].trying for i in (1, 2)] == [most, most]
-    answered = [a for _, a in node.log if isinstance(a, Send)][: min(4, 2 * most)]
+    answered = [a for _, a in node.log if isinstance(a, StartAttempt)][: min(4, 2 * most)]
     for send in answered:
-        node.give(First(send.id, 0, send.server, MS))
-    come_in = [a for a in node.run(node.now + 100 * MS) if isinstance(a, Send)]
+        node.give(AttemptEstablished(send.id, 0, send.server, MS))
+    come_in = [a for a in node.run(node.now + 100 * MS) if isinstance(a, StartAttempt)]
     assert len(come_in) == len(answered)  # those held
 
 
 def test_a_guess_at_the_load_turns_nobody_away() -> None:
     """With one member late and emptied the others looked overloaded beside the mean: all were refused."""
     node = Node([line(1), line(2), line(3)], probes=True, probe_pace=S)
-    node.give(*(Opened(100 + i, 0, 0, 1) for i in range(30)), *(Opened(200 + i, 0, 0, 2) for i in range(9)))
+    node.give(
+        *(ConnectionAdopted(100 + i, 0, 0, 1) for i in range(30)),
+        *(ConnectionAdopted(200 + i, 0, 0, 2) for i in range(9)),
+    )
     node.node.servers[3].mark.at = node.now + 10 * S
     node.node.servers[1].mark.at = node.now + 10 * S
     _, acts = node.ask(key=9)
-    assert [a.server for a in acts if isinstance(a, Send)] == [2]
+    assert [a.server for a in acts if isinstance(a, StartAttempt)] == [2]
     node.node.servers[2].mark.at = node.now + 10 * S
     node.node.servers[1].mark.at = 0
     _, acts = node.ask(key=10)
-    assert [a.server for a in acts if isinstance(a, Send)] == [1]  # twice the mean, but nothing bad heard
+    assert [a.server for a in acts if isinstance(a, StartAttempt)] == [
+        1
+    ]  # twice the mean, but nothing bad heard
 
 
 def test_a_retry_goes_to_another_member_of_the_zone() -> None:
@@ -178,41 +187,43 @@
     node = Node([line(1), line(2), line(3, zone=1)], probes=True, probe_pace=S)
     for group in range(1, 21):
         _, acts = node.ask(key=group, key2=group)
-        [first] = [a for a in acts if isinstance(a, Send)]
+        [first] = [a for a in acts if isinstance(a, StartAttempt)]
         node.fail(first, 0)
         node.node.servers[first.server].mark.n = node.node.servers[first.server].mark.at = 0
-        again = [a for a in node.step() if isinstance(a, Send)] or [
-            a for a in node.run(node.now + S) if isinstance(a, Send)
+        again = [a for a in node.step() if isinstance(a, StartAttempt)] or [
+            a for a in node.run(node.now + S) if isinstance(a, StartAttempt)
         ]
         assert again[0].server == 3 - first.server
-        node.give(First(again[0].id, 1, again[0].server, MS))
+        node.give(AttemptEstablished(again[0].id, 1, again[0].server, MS))
 
 
 def test_probes_rest_only_at_members_that_sent_a_delay_note() -> None:
     """A node that took the promise of notes for the notes was blind where hosts sent none."""
     node = Node([line(1), line(2)], probes=True, probe_pace=S)
-    node.give(Opened(1, 0, 0, 1), Opened(2, 0, 0, 2))
+    node.give(ConnectionAdopted(1, 0, 0, 1), ConnectionAdopted(2, 0, 0, 2))
     # A member's own word for one; for the other only what the node timed itself.
-    node.give(Note(1, NoteKind.DELAY, 0, 1, 20.0), Note(2, NoteKind.TIMED, 0, 2, 20.0))
+    node.give(
+        ConnectionReport(1, ReportKind.DELAY, 0, 1, 20.0), ConnectionReport(2, ReportKind.TIMED, 0, 2, 20.0)
+    )
 
     def asked(stretch: int) -> set[int]:
         met, end = set(), node.now + stretch
         while node.now < end:
-            for probe in [a for a in node.step() if isinstance(a, Probe)]:
+            for probe in [a for a in node.step() if isinstance(a, CheckHealth)]:
                 met.add(probe.server)
-                node.give(Probed(probe.server, Status.OK, 5 * MS))
+                node.give(HealthCheckResult(probe.server, AttemptStatus.OK, 5 * MS))
         return met
 
     assert asked(5 * S) == {2}
-    node.give(Members(ListKind.DELTA, (line(1, ready_at=node.now),)))  # a new process
+    node.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, ready_at=node.now),)))  # a new process
     assert asked(5 * S) == {1, 2}
 
 
-@pytest.mark.parametrize(("kind", "late"), [(NoteKind.DELAY, False), (NoteKind.TIMED, True)])
-def test_a_told_delay_counts_as_over_when_no_note_repeats_it(kind: NoteKind, late: bool) -> None:
+@pytest.mark.parametrize(("kind", "late"), [(ReportKind.DELAY, False), (ReportKind.TIMED, True)])
+def test_a_told_delay_counts_as_over_when_no_note_repeats_it(kind: ReportKind, late: bool) -> None:
     """Probes of a large fleet come each half minute; who tells says it again each second while it holds."""
     node = Node([line(1), line(2)], probes=True, probe_pace=30 * S)
-    node.give(Opened(1, 0, 0, 1), Note(1, kind, 0, 1, 300.0))
+    node.give(ConnectionAdopted(1, 0, 0, 1), ConnectionReport(1, kind, 0, 1, 300.0))
     node.run(node.now + 3 * S)
     node.give()
     assert node.node._late(node.node.servers[1]) is late
@@ -223,4 +234,4 @@
     """With 200 nodes what one had heard of a member was kept for 45 s, and kept sound members out."""
     pace = probe_pace(nodes) // timedelta(microseconds=1)
     node = Node([line(1), line(2)], probes=True, probe_pace=pace, balancers=nodes)
-    assert not [a for a in node.run(node.now + 60 * S) if isinstance(a, Probe)]
+    assert not [a for a in node.run(node.now + 60 * S) if isinstance(a, CheckHealth)]
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -7,53 +7,49 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tansyladder.interface import (
-    Action,
-    Effect,
-    Fail,
-    First,
-    Gone,
-    Group,
-    ListKind,
-    Members,
-    Move,
-    Note,
-    Outcome,
-    Probe,
-    Probed,
-    Refuse,
-    Request,
-    Send,
-    State,
-    Status,
+from tansyladder.policy.actions import Action, CheckHealth, Fail, Migrate, Reject, StartAttempt
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionReport,
+    EndpointListUpdate,
+    EndpointState,
+    HealthCheckResult,
+    ListUpdateKind,
+    RequestReceived,
 )
+from tansyladder.policy.settings import DeduplicationScope, Idempotency
 from tests.helpers import DEADLINE, MS, Node, S, line
 
 EFFECTS = [
-    (Effect.SAFE, Group.ALL),
-    (Effect.KEYED, Group.ALL),
-    (Effect.KEYED, Group.ZONE),
-    (Effect.KEYED, Group.CELL),
-    (Effect.UNSAFE, Group.ALL),
+    (Idempotency.SAFE, DeduplicationScope.ALL),
+    (Idempotency.KEYED, DeduplicationScope.ALL),
+    (Idempotency.KEYED, DeduplicationScope.ZONE),
+    (Idempotency.KEYED, DeduplicationScope.CELL),
+    (Idempotency.UNSAFE, DeduplicationScope.ALL),
 ]
 FAILURES = (
-    Status.ERROR,
-    Status.FULL,
-    Status.TIMEOUT,
-    Status.CONNECT_FAILED,
-    Status.RESET,
-    Status.CANCELLED,
+    AttemptStatus.ERROR,
+    AttemptStatus.FULL,
+    AttemptStatus.TIMEOUT,
+    AttemptStatus.CONNECT_FAILED,
+    AttemptStatus.RESET,
+    AttemptStatus.CANCELLED,
 )
 
 
 class Judge:
     """A world that answers at random and checks each action as it comes."""
 
-    def __init__(self, seed: int, effect: Effect, group: Group, pass_mode: bool, probes: bool) -> None:
+    def __init__(
+        self, seed: int, effect: Idempotency, group: DeduplicationScope, pass_mode: bool, probes: bool
+    ) -> None:
         self.rng = Random(seed)
         self.effect, self.group = effect, group
         self.place = {i: (i % 3, i % 6) for i in range(1, 13)}
-        self.state = dict.fromkeys(self.place, State.READY)
+        self.state = dict.fromkeys(self.place, EndpointState.READY)
         self.node = Node(
             [line(i, z, cell=c) for i, (z, c) in self.place.items()],
             seed,
@@ -75,45 +71,47 @@
     def check(self, actions: list[Action]) -> None:
         now = self.node.now
         for a in actions:
-            if isinstance(a, Send):
+            if isinstance(a, StartAttempt):
                 assert a.id in self.open, "sent after the end"
                 assert a.id not in self.out, "two attempts out"
-                if self.state[a.server] is not State.READY:
-                    assert self.state[a.server] is State.DRAINING and a.id in self.midflow, "sent to a drain"
+                if self.state[a.server] is not EndpointState.READY:
+                    assert self.state[a.server] is EndpointState.DRAINING and a.id in self.midflow, (
+                        "sent to a drain"
+                    )
                     assert now - self.told[a.server] <= self.node.settings.drain_grace
                 assert now < self.open[a.id]
                 self.tries[a.id] = self.tries.get(a.id, -1) + 1
                 assert self.tries[a.id] < self.node.settings.max_attempts
-                if a.id in self.ran and self.effect is not Effect.SAFE:
-                    assert self.effect is Effect.KEYED, "an unsafe effect twice"
+                if a.id in self.ran and self.effect is not Idempotency.SAFE:
+                    assert self.effect is Idempotency.KEYED, "an unsafe effect twice"
                     server, at = self.ran[a.id]
                     mine, its = self.place[a.server], self.place[server]
-                    part = self.group is Group.CELL
-                    assert self.group is Group.ALL or mine[part] == its[part]
+                    part = self.group is DeduplicationScope.CELL
+                    assert self.group is DeduplicationScope.ALL or mine[part] == its[part]
                     assert now - at < self.node.settings.classes[0].window
                 self.out[a.id] = (self.tries[a.id], a.server, now)
-            elif isinstance(a, Refuse | Fail):
+            elif isinstance(a, Reject | Fail):
                 assert a.id in self.open, "answered twice"
                 assert now <= self.open[a.id] + self.node.settings.answer_slack
-                if isinstance(a, Refuse) and a.id in self.ran:
-                    assert self.effect is Effect.SAFE or (
-                        self.effect is Effect.KEYED and self.group is Group.ALL
+                if isinstance(a, Reject) and a.id in self.ran:
+                    assert self.effect is Idempotency.SAFE or (
+                        self.effect is Idempotency.KEYED and self.group is DeduplicationScope.ALL
                     ), "refused what may have run"
                 del self.open[a.id]
-            elif isinstance(a, Probe):
+            elif isinstance(a, CheckHealth):
                 self.pinged.append(a.server)
-            elif isinstance(a, Move):
+            elif isinstance(a, Migrate):
                 assert a.id in self.up
 
-    def end(self, rid: int, status: Status, latency: int) -> None:
+    def end(self, rid: int, status: AttemptStatus, latency: int) -> None:
         attempt, server, at = self.out.pop(rid)
-        closed = rid not in self.open or rid in self.up or status is Status.OK
+        closed = rid not in self.open or rid in self.up or status is AttemptStatus.OK
         if closed:
             self.open.pop(rid, None)
         elif not status.never_ran:
             self.ran.setdefault(rid, (server, at))
         self.up.discard(rid)
-        self.check(self.node.give(Outcome(rid, attempt, server, status, latency, closed)))
+        self.check(self.node.give(AttemptEnded(rid, attempt, server, status, latency, closed)))
 
     def step(self, rid: int) -> None:
         rng, node = self.rng, self.node
@@ -136,11 +134,13 @@
                 self.open[rid] = node.now + max(0, left)
                 if rng.random() < 0.2:
                     self.midflow.add(rid)
-                asked = Request(rid, 0, 0, node.now + left, rng.randrange(5), midflow=rid in self.midflow)
+                asked = RequestReceived(
+                    rid, 0, 0, node.now + left, rng.randrange(5), midflow=rid in self.midflow
+                )
                 self.check(node.give(asked))
             case 3 | 4 if self.out:
                 pick = rng.choice(sorted(self.out))
-                status = Status.RESET if pick in self.up else rng.choice((*FAILURES, Status.OK))
+                status = AttemptStatus.RESET if pick in self.up else rng.choice((*FAILURES, AttemptStatus.OK))
                 self.end(pick, status, node.now - self.out[pick][2])
             case 5 if set(self.out) - self.up:
                 pick = rng.choice(sorted(set(self.out) - self.up))
@@ -148,36 +148,38 @@
                     self.up.add(pick)
                     del self.open[pick]
                     attempt, server, at = self.out[pick]
-                    self.check(node.give(First(pick, attempt, server, node.now - at)))
+                    self.check(node.give(AttemptEstablished(pick, attempt, server, node.now - at)))
             case 6:
                 server = rng.choice(sorted(self.place))
-                state = rng.choice([State.READY, State.READY, State.DRAINING, State.GONE])
+                state = rng.choice(
+                    [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE]
+                )
                 if state is not self.state[server]:
                     self.state[server], self.told[server] = state, node.now
                 z, c = self.place[server]
                 started = node.now if rng.random() < 0.3 else 0
                 entry = line(server, z, self.state[server], started, cell=c)
-                self.check(node.give(Members(ListKind.DELTA, (entry,))))
+                self.check(node.give(EndpointListUpdate(ListUpdateKind.DELTA, (entry,))))
             case 7 if self.open:
                 pick = rng.choice(sorted(self.open))
                 del self.open[pick]
-                self.check(node.give(Gone(pick)))
+                self.check(node.give(ClientDisconnected(pick)))
             case 8:
                 for server in self.pinged:
                     value = rng.choice([0.2, 0.9, 3.0, -1.0, float("nan"), float("inf")])
-                    status = rng.choice([Status.OK, Status.OK, Status.TIMEOUT])
-                    self.check(node.give(Probed(server, status, MS, (3.0, value))))
+                    status = rng.choice([AttemptStatus.OK, AttemptStatus.OK, AttemptStatus.TIMEOUT])
+                    self.check(node.give(HealthCheckResult(server, status, MS, (3.0, value))))
                 self.pinged = []
                 for pick in sorted(self.up):
                     attempt, server, _ = self.out[pick]
                     value = rng.choice([20.0, 400.0, float("nan"), -3.0])
-                    self.check(node.give(Note(pick, rng.choice([1, 2]), attempt, server, value)))
+                    self.check(node.give(ConnectionReport(pick, rng.choice([1, 2]), attempt, server, value)))
 
     def expire(self) -> None:
         """A client's time is up: an attempt that is out ends in a time-out at the deadline."""
         for rid in [r for r in sorted(self.out) if r in self.open and self.open[r] <= self.node.now]:
             self.node.now = self.open[rid] if self.node.now - self.open[rid] < S else self.node.now
-            self.end(rid, Status.TIMEOUT, self.node.now - self.out[rid][2])
+            self.end(rid, AttemptStatus.TIMEOUT, self.node.now - self.out[rid][2])
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -187,7 +189,9 @@
     pass_mode=st.booleans(),
     probes=st.booleans(),
 )
-def test_the_rules_hold(seed: int, effect: tuple[Effect, Group], pass_mode: bool, probes: bool) -> None:
+def test_the_rules_hold(
+    seed: int, effect: tuple[Idempotency, DeduplicationScope], pass_mode: bool, probes: bool
+) -> None:
     judge = Judge(seed, *effect, pass_mode, probes)
     for rid in range(1, 150):
         judge.step(rid)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,11 +12,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tansyladder import interface as api
-from tansyladder.choice import Balancer
-from tansyladder.config import ConfigError, load, reload
+from tansyladder.config.platform import ConfigError, load, reload
 from tansyladder.node.discovery import Discovery
 from tansyladder.node.reload import Reloader
+from tansyladder.policy.actions import Fail, Reject, SetTimer, StartAttempt
+from tansyladder.policy.balancer import Balancer
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListUpdate,
+    ListUpdateKind,
+    RequestReceived,
+    TimerExpired,
+)
+from tansyladder.policy.settings import ClassSettings, Settings
 from tests.helpers import MS, S, line, settings
 from tests.node import Listener, Node, Peer, node, up
 
@@ -133,7 +142,7 @@
         for client in (old, new):
             client.say("M 1")
             assert client.hear() == "M 1"  # connections that stand keep their class
-        assert core.wait_for(api.Settings).retired == {0}
+        assert core.wait_for(Settings).retired == {0}
         shorter = other | {"hard_limit": 700_000}
         n.edit(setting("settings.classes", [terms, shorter]))
         assert "settings.classes.0.effect: missing" in n.refused()  # the default would be a laxer one
@@ -164,34 +173,34 @@
     """However the settings change, a request's attempts end by its own deadline, and none exceeds the cap."""
     first = settings(max_attempts=5)
     core = Balancer(first, seed, 0)
-    core.handle(0, [api.Members(api.ListKind.CACHED, tuple(line(n) for n in range(4)))])
-    actions = core.handle(0, [api.Request(1, 0, 0, 2 * S, key=7)])
+    core.handle(0, [EndpointListUpdate(ListUpdateKind.CACHED, tuple(line(n) for n in range(4)))])
+    actions = core.handle(0, [RequestReceived(1, 0, 0, 2 * S, key=7)])
     classes, now, sent, cap = first.classes, 0, 0, 5
-    timers: list[api.SetTimer] = []
+    timers: list[SetTimer] = []
     for deadline, cap in [(0, 5), *changes]:
         if deadline:
-            new = api.ClassSettings(aim=50 * MS, deadline=deadline * MS, message_aim=20 * MS)
+            new = ClassSettings(aim=50 * MS, deadline=deadline * MS, message_aim=20 * MS)
             classes = (*classes, new)
             retired = frozenset(range(len(classes) - 1))
             told = settings(max_attempts=cap)
-            told = api.Settings(
+            told = Settings(
                 **{**{f: getattr(told, f) for f in told.__slots__}, "classes": classes, "retired": retired}
             )
             actions = core.handle(now, [told])
             assert core.patience == deadline * MS  # paces go by the classes in force
         while actions or timers:
-            timers += [a for a in actions if isinstance(a, api.SetTimer)]
+            timers += [a for a in actions if isinstance(a, SetTimer)]
             for action in actions:
-                if isinstance(action, api.Refuse | api.Fail):
+                if isinstance(action, Reject | Fail):
                     return
-                if isinstance(action, api.Send):
+                if isinstance(action, StartAttempt):
                     sent += 1
                     assert sent <= cap and now + action.timeout <= 2 * S
-            if any(isinstance(a, api.Send) for a in actions):
+            if any(isinstance(a, StartAttempt) for a in actions):
                 now += 1 * MS
-                actions = core.handle(now, [api.Outcome(1, sent - 1, 0, api.Status.FULL, MS, False)])
+                actions = core.handle(now, [AttemptEnded(1, sent - 1, 0, AttemptStatus.FULL, MS, False)])
                 break
             timers.sort(key=lambda t: t.at)
             due = timers.pop(0)
             now = max(now, due.at)
-            actions = core.handle(now, [api.Timer(due.token)])
+            actions = core.handle(now, [TimerExpired(due.token)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,24 +4,19 @@
 
 import pytest
 
-from tansyladder.interface import (
-    Effect,
-    Fail,
-    First,
-    Gone,
-    Group,
-    ListKind,
-    Members,
-    Move,
-    Opened,
-    Outcome,
-    Refuse,
-    Request,
-    Send,
-    Settings,
-    State,
-    Status,
+from tansyladder.policy.actions import Fail, Migrate, Reject, StartAttempt
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStatus,
+    ClientDisconnected,
+    ConnectionAdopted,
+    EndpointListUpdate,
+    EndpointState,
+    ListUpdateKind,
+    RequestReceived,
 )
+from tansyladder.policy.settings import DeduplicationScope, Idempotency, Settings
 from tests.helpers import DEADLINE, MS, START, Node, S, line, only_send
 
 FLEET = [line(i) for i in range(1, 9)]
@@ -34,29 +29,29 @@
     node = Node([])
     rid, acts = node.ask()
     acts = acts or node.run(node.now + DEADLINE)
-    assert [a.id for a in acts if isinstance(a, Refuse)] == [rid]
+    assert [a.id for a in acts if isinstance(a, Reject)] == [rid]
 
 
 def test_a_deadline_already_past_is_refused_at_once() -> None:
     node = Node(FLEET)
     rid, acts = node.ask(left=-5)
-    assert acts == [Refuse(rid, 0)]
+    assert acts == [Reject(rid, 0)]
 
 
 def test_nothing_is_sent_after_the_client_left() -> None:
     node = Node(FLEET)
     rid, acts = node.ask()
     node.fail(only_send(acts), 0)
-    node.give(Gone(rid))
-    assert not [a for a in node.run(node.now + 10 * S) if isinstance(a, Send | Refuse | Fail)]
+    node.give(ClientDisconnected(rid))
+    assert not [a for a in node.run(node.now + 10 * S) if isinstance(a, StartAttempt | Reject | Fail)]
 
 
 def test_a_late_outcome_after_the_client_left_is_no_failure() -> None:
     node = Node(FLEET)
     rid, acts = node.ask()
     send = only_send(acts)
-    node.give(Gone(rid))
-    assert node.give(Outcome(rid, 0, send.server, Status.TIMEOUT, S, True)) == []
+    node.give(ClientDisconnected(rid))
+    assert node.give(AttemptEnded(rid, 0, send.server, AttemptStatus.TIMEOUT, S, True)) == []
     assert rid not in node.node.requests
 
 
@@ -65,9 +60,9 @@
     rid, acts = node.ask()
     send = only_send(acts)
     assert send.timeout == DEADLINE
-    acts = node.fail(send, 0, Status.TIMEOUT, DEADLINE)
+    acts = node.fail(send, 0, AttemptStatus.TIMEOUT, DEADLINE)
     assert len(acts) == 1
-    assert isinstance(acts[0], Refuse)
+    assert isinstance(acts[0], Reject)
     assert acts[0].id == rid
 
 
@@ -75,69 +70,69 @@
 
 
 def test_an_unsafe_request_that_may_have_run_fails() -> None:
-    for status in (Status.TIMEOUT, Status.RESET, Status.ERROR, Status.CANCELLED):
-        node = Node(FLEET, effect=Effect.UNSAFE)
+    for status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED):
+        node = Node(FLEET, effect=Idempotency.UNSAFE)
         rid, acts = node.ask()
         assert node.fail(only_send(acts), 0, status) == [Fail(rid)]
 
 
 def test_an_unsafe_request_that_did_not_run_is_tried_again() -> None:
-    for status in (Status.FULL, Status.CONNECT_FAILED):
-        node = Node(FLEET, effect=Effect.UNSAFE)
+    for status in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED):
+        node = Node(FLEET, effect=Idempotency.UNSAFE)
         _, acts = node.ask()
         node.fail(only_send(acts), 0, status)
         assert only_send(node.step())
 
 
-@pytest.mark.parametrize("group", [Group.ZONE, Group.CELL])
-def test_a_keyed_request_that_may_have_run_stays_in_its_group(group: Group) -> None:
+@pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
+def test_a_keyed_request_that_may_have_run_stays_in_its_group(group: DeduplicationScope) -> None:
     fleet = [line(i, zone=i % 2, cell=i % 4) for i in range(1, 17)]
-    where = {x.server: (x.zone if group is Group.ZONE else x.cell) for x in fleet}
+    where = {x.server: (x.zone if group is DeduplicationScope.ZONE else x.cell) for x in fleet}
     retried = 0
     for seed in range(40):
-        node = Node(fleet, seed, effect=Effect.KEYED, group=group)
+        node = Node(fleet, seed, effect=Idempotency.KEYED, group=group)
         _rid, acts = node.ask()
         first = only_send(acts)
-        acts = node.fail(first, 0, Status.RESET) or node.step()
+        acts = node.fail(first, 0, AttemptStatus.RESET) or node.step()
         for a in acts:
-            if isinstance(a, Send):
+            if isinstance(a, StartAttempt):
                 retried += 1
                 assert where[a.server] == where[first.server]
-            assert not isinstance(a, Refuse)
+            assert not isinstance(a, Reject)
     assert retried > 20
 
 
 def test_a_keyed_request_of_the_group_of_all_may_go_anywhere_and_be_refused() -> None:
-    node = Node(FLEET, effect=Effect.KEYED, group=Group.ALL, max_attempts=2)
+    node = Node(FLEET, effect=Idempotency.KEYED, group=DeduplicationScope.ALL, max_attempts=2)
     _rid, acts = node.ask()
-    node.fail(only_send(acts), 0, Status.RESET)
-    acts = node.fail(only_send(node.step()), 1, Status.RESET)
-    assert isinstance(acts[0], Refuse)
+    node.fail(only_send(acts), 0, AttemptStatus.RESET)
+    acts = node.fail(only_send(node.step()), 1, AttemptStatus.RESET)
+    assert isinstance(acts[0], Reject)
 
 
 def test_a_keyed_request_is_not_repeated_after_its_window() -> None:
-    node = Node(FLEET, effect=Effect.KEYED, group=Group.ALL, window=10 * MS)
+    node = Node(FLEET, effect=Idempotency.KEYED, group=DeduplicationScope.ALL, window=10 * MS)
     rid, acts = node.ask()
-    acts = node.fail(only_send(acts), 0, Status.RESET, 20 * MS)
+    acts = node.fail(only_send(acts), 0, AttemptStatus.RESET, 20 * MS)
     acts += node.run(node.now + DEADLINE)
-    assert not [a for a in acts if isinstance(a, Send)]
-    assert [a.id for a in acts if isinstance(a, Refuse)] == [rid]
+    assert not [a for a in acts if isinstance(a, StartAttempt)]
+    assert [a.id for a in acts if isinstance(a, Reject)] == [rid]
 
 
 def test_never_two_attempts_out() -> None:
     node = Node(FLEET)
     _rid, acts = node.ask()
     only_send(acts)
-    assert not [a for a in node.run(node.now + 10 * DEADLINE) if isinstance(a, Send)]
+    assert not [a for a in node.run(node.now + 10 * DEADLINE) if isinstance(a, StartAttempt)]
 
 
 # --- rule 3: drains are kept
 
 
 def test_nothing_new_to_a_draining_or_gone_server() -> None:
-    for state in (State.DRAINING, State.GONE):
+    for state in (EndpointState.DRAINING, EndpointState.GONE):
         node = Node(FLEET)
-        node.give(Members(ListKind.DELTA, tuple(line(i, state=state) for i in range(1, 8))))
+        node.give(EndpointListUpdate(ListUpdateKind.DELTA, tuple(line(i, state=state) for i in range(1, 8))))
         assert {only_send(node.ask(key=k)[1]).server for k in range(1, 60)} == {8}
 
 
@@ -145,19 +140,19 @@
     """A server that drains was left to send its clients away itself; one that does not cuts them off."""
     node = Node(FLEET)
     for rid in range(101, 121):
-        node.give(Opened(rid, 0, 0, 1))
-    node.give(Opened(121, 0, 0, 2))
-    node.give(Members(ListKind.DELTA, (line(1, state=State.DRAINING),)))
+        node.give(ConnectionAdopted(rid, 0, 0, 1))
+    node.give(ConnectionAdopted(121, 0, 0, 2))
+    node.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, state=EndpointState.DRAINING),)))
     grace = node.settings.drain_grace
-    half = [a.id for a in node.run(node.now + grace // 2) if isinstance(a, Move)]
-    rest = [a.id for a in node.run(node.now + grace // 2 + 1) if isinstance(a, Move)]
+    half = [a.id for a in node.run(node.now + grace // 2) if isinstance(a, Migrate)]
+    rest = [a.id for a in node.run(node.now + grace // 2 + 1) if isinstance(a, Migrate)]
     assert 4 <= len(half) <= 16
     assert sorted(half + rest) == list(range(101, 121))
 
 
 def test_a_server_absent_from_a_complete_list_gets_nothing() -> None:
     node = Node(FLEET)
-    node.give(Members(ListKind.FULL, (line(3),)))
+    node.give(EndpointListUpdate(ListUpdateKind.FULL, (line(3),)))
     assert {only_send(node.ask(key=k)[1]).server for k in range(1, 30)} == {3}
 
 
@@ -165,7 +160,12 @@
     node = Node([line(1), line(2)])
     _, acts = node.ask()
     node.fail(only_send(acts), 0)
-    node.give(Members(ListKind.DELTA, (line(1, state=State.GONE), line(2, state=State.GONE), line(9))))
+    node.give(
+        EndpointListUpdate(
+            ListUpdateKind.DELTA,
+            (line(1, state=EndpointState.GONE), line(2, state=EndpointState.GONE), line(9)),
+        )
+    )
     assert only_send(node.step()).server == 9
 
 
@@ -181,12 +181,12 @@
     for seed in range(nodes):
         node = Node([*warm, line(99, ready_at=START)], seed, balancers=nodes)
         standing = max(1, each * fleet // nodes)
-        node.give(*(Opened(10_000 + i, 0, 0, 1 + i % (fleet - 1), 0) for i in range(standing)))
+        node.give(*(ConnectionAdopted(10_000 + i, 0, 0, 1 + i % (fleet - 1), 0) for i in range(standing)))
         for k in range(1, 1 + max(2, 2 * standing)):
             rid, acts = node.ask(key=k)
             send = only_send(acts)
             total += send.server == 99
-            node.give(First(rid, 0, send.server, MS))
+            node.give(AttemptEstablished(rid, 0, send.server, MS))
     # At its start it may take the multiple of its cold part of the rate that fills it over its warm-up.
     assert total <= 3.0 * 0.15 * each / 20 * 1 + 8 + nodes * 0.05
 
@@ -195,7 +195,7 @@
     node = Node([line(i, ready_at=START) for i in range(1, 5)], balancers=4)
     sent = 0
     for k in range(1, 200):
-        sent += sum(isinstance(a, Send) for a in node.ask(key=k)[1])
+        sent += sum(isinstance(a, StartAttempt) for a in node.ask(key=k)[1])
     assert sent <= 4 * 2
 
 
@@ -214,6 +214,6 @@
 
 def test_a_request_ended_by_a_moot_attempt_is_answered() -> None:
     node = Node(FLEET)
-    node.give(Request(5, 0, 0, node.now + 100 * MS, 3))
-    send = next(a for _, a in node.log if isinstance(a, Send))
-    assert node.give(Outcome(5, 0, send.server, Status.MOOT, 0, False)) == [Refuse(5, 0)]
+    node.give(RequestReceived(5, 0, 0, node.now + 100 * MS, 3))
+    send = next(a for _, a in node.log if isinstance(a, StartAttempt))
+    assert node.give(AttemptEnded(5, 0, send.server, AttemptStatus.MOOT, 0, False)) == [Reject(5, 0)]
