--- a/tests/test_second_shape.py
+++ b/tests/test_second_shape.py
@@ -7,10 +7,17 @@
 
 import pytest
 
-from tansyladder import interface as api
-from tansyladder.config import ConfigError, absent
+from tansyladder.config.platform import ConfigError, absent
 from tansyladder.net.protocol import parse_report
 from tansyladder.node.probe import Prober
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptStatus,
+    ConnectionReport,
+    HealthCheckResult,
+    ReportKind,
+    RequestReceived,
+)
 from tests.node import SETTINGS, Listener, Peer, member, node, told, up
 
 ASKED: dict[str, Any] = SETTINGS
@@ -43,9 +50,9 @@
     with node(tmp_path, host, settings=shape) as n:
         client = n.open("c=chat,t=north,d=1200")
         assert [client.hear() for _ in range(6)][-1] == "LOAD 30"
-        n.core.wait_for(api.Outcome)
-        kind = api.NoteKind.LOAD if shape is PUSHED else api.NoteKind.DELAY
-        notes = [(e.kind, e.value) for e in n.core.heard if isinstance(e, api.Note)]
+        n.core.wait_for(AttemptEnded)
+        kind = ReportKind.LOAD if shape is PUSHED else ReportKind.DELAY
+        notes = [(e.kind, e.value) for e in n.core.heard if isinstance(e, ConnectionReport)]
         assert notes == [(kind, 40500.0), (kind, 30.0)]
         client.close()
 
@@ -58,10 +65,10 @@
         client = n.open(f"c=chat,{tenant}d=1200")
         if shape is PUSHED and tenant != "t=south,":
             assert client.hear() == "ERR"
-            assert not [e for e in n.core.heard if isinstance(e, api.Request)]
+            assert not [e for e in n.core.heard if isinstance(e, RequestReceived)]
         else:
             assert client.hear() == "UP r1"
-            assert n.core.wait_for(api.Request).tenant == (1 if shape is PUSHED else 0)
+            assert n.core.wait_for(RequestReceived).tenant == (1 if shape is PUSHED else 0)
 
 
 @pytest.mark.parametrize(
@@ -88,8 +95,8 @@
 
     with node(tmp_path, Listener(report), settings=PUSHED) as n:
         Prober(n.core).start()
-        probed = n.core.wait_for(api.Probed)
-        assert (probed.status, probed.load) == (api.Status.OK, load)
+        probed = n.core.wait_for(HealthCheckResult)
+        assert (probed.status, probed.load) == (AttemptStatus.OK, load)
 
 
 def test_what_the_settings_do_not_give_is_named(tmp_path: Path, shape: dict[str, Any]) -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -14,9 +14,9 @@
 import msgspec
 import pytest
 
-from tansyladder import interface as api
-from tansyladder.config import MemberEntry, MemberList
-from tansyladder.options import KeyEntry, ResumeOptions
+from tansyladder.config.operator_settings import KeyEntry, ResumeOptions
+from tansyladder.config.platform import MemberEntry, MemberList
+from tansyladder.policy.events import AttemptEnded, AttemptStatus, ListUpdateKind, RequestReceived
 from tansyladder.sessions.resuming import Resuming
 from tests.node import SETTINGS, Listener, Node, Peer, Script, fresh, node
 
@@ -142,8 +142,8 @@
         assert [viewer.hear() for _ in range(4)] == ["F 1", "F 2", "F 3", "F 4"]
         viewer.say("M 4")
         assert [viewer.hear(), viewer.hear(), viewer.hear()] == ["F 5", "BYE", ""]
-        ends = [e.status for e in (n.core.wait_for(api.Outcome, 1), n.core.wait_for(api.Outcome, 2))]
-        assert ends == [api.Status.CANCELLED, api.Status.OK]
+        ends = [e.status for e in (n.core.wait_for(AttemptEnded, 1), n.core.wait_for(AttemptEnded, 2))]
+        assert ends == [AttemptStatus.CANCELLED, AttemptStatus.OK]
 
 
 def test_a_client_comes_back_to_where_it_was(tmp_path: Path) -> None:
@@ -208,7 +208,7 @@
         assert behind.hear() == "ERR resume behind"
         viewer.peer = viewer.back()
         assert [viewer.hear(), viewer.hear()] == ["UP r1", "RS AT 2"]
-        assert len([e for e in n.core.heard if isinstance(e, api.Request)]) == 1
+        assert len([e for e in n.core.heard if isinstance(e, RequestReceived)]) == 1
 
 
 def test_a_half_dead_connection_is_fenced_before_the_new_one_gets_a_line(tmp_path: Path) -> None:
@@ -280,7 +280,7 @@
         assert viewer.hear() == "F 2"
         viewer.lose()
         dead.set()
-        n.core.wait_for(api.Outcome)
+        n.core.wait_for(AttemptEnded)
         full = viewer.back("c=chat,d=700,g=5c,rp=2")
         assert re.fullmatch("BUSY [0-9]+", full.hear()) and full.hear() == ""
         room.set()
@@ -333,7 +333,7 @@
     with node(tmp_path, *(h.listener for h in hosts), resume=ON, settings=LONG) as n:
         viewer = Viewer(n)
         assert [viewer.hear(), viewer.hear()] == ["UP r1", "F 1"]
-        n.core.wait_for(api.Request, 2)
+        n.core.wait_for(RequestReceived, 2)
         drop(viewer.peer)
         gone.set()
         viewer.peer = viewer.back()
@@ -368,9 +368,9 @@
         for viewer in (stands, parked):
             viewer.begin()
         parked.lose()
-        n.core.tell_members(MemberList(2, True, entries), api.ListKind.FULL)
+        n.core.tell_members(MemberList(2, True, entries), ListUpdateKind.FULL)
         entries[0].phase = "draining"
-        n.core.tell_members(MemberList(3, True, entries), api.ListKind.FULL)
+        n.core.tell_members(MemberList(3, True, entries), ListUpdateKind.FULL)
         for _ in range(2):
             assert hosts[0].ended.acquire(timeout=5)
         stands.say("M 2")
@@ -434,7 +434,7 @@
         drop(viewer.peer)
         assert host.ended.acquire(timeout=5)
         assert viewer.back().hear() == "ERR resume expired"
-        assert n.core.wait_for(api.Outcome).status is api.Status.CANCELLED
+        assert n.core.wait_for(AttemptEnded).status is AttemptStatus.CANCELLED
 
 
 @pytest.mark.parametrize("slow", ["reads late", "acknowledges nothing"])
@@ -532,7 +532,7 @@
         viewer.say("RS END")
         assert [viewer.hear(), viewer.hear()] == ["F 2", ""]
         assert last == ["RS END"] and one.ended.acquire(timeout=5)
-        n.core.wait_for(api.Outcome)
+        n.core.wait_for(AttemptEnded)
         assert viewer.back().hear() == "ERR resume ended"
         assert isinstance(n.core.resuming, Resuming) and n.core.resuming.budget.used == 0
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,8 +9,32 @@
 
 import pytest
 
-from tansyladder import interface as api
-from tansyladder import simhost, wire
+from tansyladder.policy.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    Fail,
+    Log,
+    Migrate,
+    PollDiscovery,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+)
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptStatus,
+    ClientDisconnected,
+    EndpointListUpdate,
+    EndpointState,
+    EndpointUpdate,
+    ListUpdateKind,
+    RequestReceived,
+    TimerExpired,
+)
+from tansyladder.policy.settings import DeduplicationScope, Idempotency
+from tansyladder.simulator import host, wire
 
 SETTINGS = "\n".join(
     [
@@ -44,9 +68,9 @@
         2b8e6401d9f37c10 91f03b7c55d20a64 0007 00000006 0003 0000004d 0006 0000000a 0005 000d7f9a0e6f2b19"""
     )
     assert wire.read_batch(3, body) == [
-        (3, api.Request(0x9F71F5D3A91C4, 0, 0, 0x8405DA, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, 12000)),
-        (3, api.Timer(0x4D)),
-        (5, api.Gone(0xD7F9A0E6F2B19)),
+        (3, RequestReceived(0x9F71F5D3A91C4, 0, 0, 0x8405DA, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, 12000)),
+        (3, TimerExpired(0x4D)),
+        (5, ClientDisconnected(0xD7F9A0E6F2B19)),
     ]
 
 
@@ -58,11 +82,11 @@
     )
     [(inst, members)] = wire.read_batch(1, body)
     assert inst == 3
-    assert members == api.Members(
-        api.ListKind.CACHED,
+    assert members == EndpointListUpdate(
+        ListUpdateKind.CACHED,
         (
-            api.Line(0x03124A07, 0, 0, 0, 1.0, api.State.READY, 0),
-            api.Line(0x2C9011F2, 1, 0, 0, 1.5, api.State.READY, 0x5D1420),
+            EndpointUpdate(0x03124A07, 0, 0, 0, 1.0, EndpointState.READY, 0),
+            EndpointUpdate(0x2C9011F2, 1, 0, 0, 1.5, EndpointState.READY, 0x5D1420),
         ),
         0x29,
     )
@@ -71,19 +95,21 @@
 def test_the_outcome_example() -> None:
     body = hexes("0005 00000018 0003 0009f71f5d3a91c4 0000 03124a07 0000 00004844 01 00")
     assert wire.read_batch(1, body) == [
-        (3, api.Outcome(0x9F71F5D3A91C4, 0, 0x03124A07, api.Status.OK, 0x4844, True, ()))
+        (3, AttemptEnded(0x9F71F5D3A91C4, 0, 0x03124A07, AttemptStatus.OK, 0x4844, True, ()))
     ]
 
 
 def test_the_action_examples() -> None:
-    assert wire.write_action(3, api.Send(0x9F71F5D3A91C4, 0x03124A07, 80000)) == hexes(
+    assert wire.write_action(3, StartAttempt(0x9F71F5D3A91C4, 0x03124A07, 80000)) == hexes(
         "0041 00000012 0003 0009f71f5d3a91c4 03124a07 00013880"
     )
-    assert wire.write_action(3, api.SetTimer(0x87FD7A, 0x4D)) == hexes(
+    assert wire.write_action(3, SetTimer(0x87FD7A, 0x4D)) == hexes(
         "0045 0000000e 0003 000000000087fd7a 0000004d"
     )
-    assert wire.write_action(3, api.Tell(None, b"hi 7")) == hexes("0048 0000000c 0003 ffffffff 0004 68692037")
-    assert wire.write_action(5, api.Log("two servers known")) == hexes(
+    assert wire.write_action(3, SendPeerMessage(None, b"hi 7")) == hexes(
+        "0048 0000000c 0003 ffffffff 0004 68692037"
+    )
+    assert wire.write_action(5, Log("two servers known")) == hexes(
         "0049 00000015 0005 0011 74776f2073657276657273206b6e6f776e"
     )
 
@@ -91,15 +117,15 @@
 @pytest.mark.parametrize(
     ("action", "code", "body"),
     [
-        (api.Refuse(9, 70), 66, struct.pack(">HQI", 1, 9, 70)),
-        (api.Fail(9), 67, struct.pack(">HQ", 1, 9)),
-        (api.Cancel(9, 2), 68, struct.pack(">HQH", 1, 9, 2)),
-        (api.Probe(8), 70, struct.pack(">HI", 1, 8)),
-        (api.Watch(True), 75, struct.pack(">HB", 1, 1)),
-        (api.Move(9), 77, struct.pack(">HQ", 1, 9)),
+        (Reject(9, 70), 66, struct.pack(">HQI", 1, 9, 70)),
+        (Fail(9), 67, struct.pack(">HQ", 1, 9)),
+        (CancelAttempt(9, 2), 68, struct.pack(">HQH", 1, 9, 2)),
+        (CheckHealth(8), 70, struct.pack(">HI", 1, 8)),
+        (PollDiscovery(True), 75, struct.pack(">HB", 1, 1)),
+        (Migrate(9), 77, struct.pack(">HQ", 1, 9)),
     ],
 )
-def test_the_other_actions(action: api.Action, code: int, body: bytes) -> None:
+def test_the_other_actions(action: Action, code: int, body: bytes) -> None:
     assert wire.write_action(1, action) == struct.pack(">HI", code, len(body)) + body
 
 
@@ -108,7 +134,7 @@
     one = s.classes[0]
     assert (s.balancers, s.max_attempts, s.cold, s.pass_through, s.weighted) == (3, 4, 23_000_000, True, True)
     assert (one.aim, one.deadline, one.message_aim) == (300_000, 1_800_000, 250_000)
-    assert (one.effect, one.group) == (api.Effect.KEYED, api.Group.ZONE)
+    assert (one.effect, one.group) == (Idempotency.KEYED, DeduplicationScope.ZONE)
     assert s.quotas == (10.0, 20.0)
     assert s.report_columns == ("active", "x0")
 
@@ -144,7 +170,7 @@
 
 def play(data: bytes) -> tuple[int, bytes, str]:
     done = subprocess.run(
-        [sys.executable, "-m", "tansyladder.simhost"],
+        [sys.executable, "-m", "tansyladder.simulator.host"],
         input=data,
         capture_output=True,
         timeout=60,
@@ -200,7 +226,7 @@
 def replies(insts: list[int]) -> dict[int, list[bytes]]:
     """Each instance's action records, from one host of them all."""
     sink = io.BytesIO()
-    simhost.serve(io.BytesIO(b"".join(stream(insts))), sink)
+    host.serve(io.BytesIO(b"".join(stream(insts))), sink)
     raw, at = sink.getvalue(), 0
     found: dict[int, list[bytes]] = {i: [] for i in insts}
     while at < len(raw):
@@ -224,7 +250,7 @@
     stop = batch(2 * 10**6, record(10, struct.pack(">H", 1)))
     data = b"".join(stream([1]))
     sink = io.BytesIO()
-    simhost.serve(io.BytesIO(data + stop + data), sink)
+    host.serve(io.BytesIO(data + stop + data), sink)
     raw = sink.getvalue()
     half = (len(raw) - 4) // 2
     assert raw[:half] == raw[half + 4 :]
