--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -129,16 +129,16 @@
     "settings.ceilings.probes",
 )
 KEPT_SETTINGS = (
-    "me",
+    "node_index",
     "zone",
-    "tick",
-    "connections",
+    "tick_us",
+    "is_connection_oriented",
     "pass_through",
-    "ask_discovery",
-    "probes",
+    "polls_discovery",
+    "can_check_health",
     "report_columns",
-    "weighted",
-    "quotas",
+    "has_weights",
+    "tenant_quotas",
 )
 POSITIVE = ("slo", "hard_limit")  # of each class
 
@@ -170,11 +170,11 @@
     has = {
         "delays": config.tells_delay,
         "loads": config.tells_load,
-        "probes": config.settings.probes,
-        "pushed_lists": not config.settings.ask_discovery,
+        "probes": config.settings.can_check_health,
+        "pushed_lists": not config.settings.polls_discovery,
         "reports": bool(config.settings.report_columns),
         "tenants": bool(config.tenants),
-        "weights": config.settings.weighted,
+        "weights": config.settings.has_weights,
     }
     return [name for name, given in has.items() if not given]
 
@@ -286,7 +286,7 @@
         flat = flatten(read.settings)
         settings = build_settings(flat)
         tells_delay = flat.get("extra.tells_delay") == "true"
-        longest = timedelta(microseconds=max(c.deadline for c in settings.classes))
+        longest = timedelta(microseconds=max(c.deadline_us for c in settings.classes))
     except (ValueError, OverflowError) as err:  # numbers of thousands of digits too
         # The keys as the file names them.
         why = str(err).replace(".deadline:", ".hard_limit:").replace(".aim:", ".slo:")
@@ -303,9 +303,9 @@
         known=read.known,
         settings=replace(
             settings,
-            probe_pace=probe_pace(settings.balancers) // timedelta(microseconds=1),
-            call_pace=call_pace(settings.balancers) // timedelta(microseconds=1),
-            fills=FILLS if settings.balancers > FEW_NODES else 0.0,
+            health_check_interval_us=probe_pace(settings.node_count) // timedelta(microseconds=1),
+            discovery_call_interval_us=call_pace(settings.node_count) // timedelta(microseconds=1),
+            connections_per_unit=FILLS if settings.node_count > FEW_NODES else 0.0,
         ),
         class_names=names,
         zones=_names(read.settings, "localities"),
--- a/tansyladder/config/policy_settings.py
+++ b/tansyladder/config/policy_settings.py
@@ -1,90 +1,150 @@
-"""The one builder of the module's Settings, for the simulator's wire and for the node's configuration."""
+"""Builds the decision module's settings from the platform's keys, for the simulator and for the node.
+
+This module is the border between the platform's words and the fields of `policy.settings`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from tansyladder.policy.settings import ClassSettings, DeduplicationScope, Idempotency, Settings
+from tansyladder.policy.settings import (
+    ClassSettings,
+    DeduplicationScope,
+    Idempotency,
+    Settings,
+    SettingsError,
+)
+
+IDEMPOTENCY = {
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.WITH_KEY,
+    "non_idempotent": Idempotency.NONE,
+}
+LARGEST_NUMBER = 1e15  # thirty years in microseconds, which fits every span
 
-EFFECTS = {
-    "read_like": Idempotency.SAFE,
-    "idempotency_key": Idempotency.KEYED,
-    "non_idempotent": Idempotency.UNSAFE,
+# Names of fields in error messages: operators read them, and the node's configuration maps two of them on.
+_REPORTED_NAMES = {
+    "latency_objective_us": "aim",
+    "deadline_us": "deadline",
+    "deduplication_window_us": "window",
+    "priority_weight": "worth",
+    "message_latency_objective_us": "message_aim",
+    "node_count": "balancers",
+    "node_index": "me",
+    "slow_start_initial_capacity": "cold_from",
+    "slow_start_duration_us": "cold",
+    "overload_factor": "fall_multiple",
+    "overload_duration_us": "fall",
+    "park_us": "park",
+    "drain_grace_us": "drain_grace",
+    "answer_grace_us": "answer_slack",
+    "max_retry_after_us": "max_retry_after",
+    "health_check_interval_us": "probe_pace",
+    "discovery_call_interval_us": "call_pace",
+    "connections_per_unit": "fills",
+    "tick_us": "tick",
+    "poll_interval_us": "ask_within",
+    "connect_timeout_us": "connect_timeout",
+    "tenant_quotas": "quotas",
 }
-MOST = 1e15  # of any figure: thirty years in microseconds, which fits every span
 
 
-def build_settings(raw: Mapping[str, str]) -> Settings:
-    """Settings from paths and values; keys that are not known are skipped, absent ones have defaults."""
+class _Keys:
+    """Typed access to the platform's flat `path=value` pairs; errors are ValueErrors that name the path."""
+
+    def __init__(self, pairs: Mapping[str, str]) -> None:
+        self._pairs = pairs
 
-    def num(key: str, default: float) -> float:
+    def text(self, key: str, default: str = "") -> str:
+        return self._pairs.get(key, default)
+
+    def number(self, key: str, default: float) -> float:
         try:
-            value = float(raw.get(key, default))
+            value = float(self._pairs.get(key, default))
         except ValueError as err:
-            raise ValueError(f"{key}: not a number: {raw[key]!r}") from err
-        if not abs(value) < MOST:
+            raise ValueError(f"{key}: not a number: {self._pairs[key]!r}") from err
+        if not abs(value) < LARGEST_NUMBER:
             raise ValueError(f"{key}: not a finite number in range")
         return value
 
-    def whole(key: str, default: int) -> int:
-        return int(num(key, default))
+    def integer(self, key: str, default: int) -> int:
+        return int(self.number(key, default))
 
-    def flag(key: str, default: bool) -> bool:
-        return raw.get(key, "true" if default else "false") == "true"
+    def flag(self, key: str, default: bool) -> bool:
+        return self._pairs.get(key, "true" if default else "false") == "true"
 
-    def numbers(key: str) -> tuple[float, ...]:
+    def numbers(self, key: str) -> tuple[float, ...]:
+        texts = self._pairs.get(key, "").split(",")
         try:
-            return tuple(float(v) for v in raw.get(key, "").split(",") if v not in ("", "null"))
+            return tuple(float(text) for text in texts if text not in ("", "null"))
         except ValueError as err:
-            raise ValueError(f"{key}: not a list of numbers: {raw[key]!r}") from err
-
-    aims = numbers("extra.message_aim")
-    classes = []
-    for i in range(whole("classes.count", 0)):
-        at = f"classes.{i}."
-        effect, group = raw.get(at + "effect", "read_like"), raw.get(at + "group", "all")
-        if effect not in EFFECTS:
-            raise ValueError(f"{at}effect: unknown: {effect!r}")
-        classes.append(
-            ClassSettings(
-                aim=whole(at + "slo", 0),
-                deadline=whole(at + "hard_limit", 0),
-                effect=EFFECTS[effect],
-                group=DeduplicationScope(group),
-                window=whole(at + "window", 0),
-                worth=num(at + "worth", 1.0),
-                message_aim=int(aims[i]) if i < len(aims) else 0,
-            )
-        )
+            raise ValueError(f"{key}: not a list of numbers: {self._pairs[key]!r}") from err
+
+
+def build_settings(pairs: Mapping[str, str]) -> Settings:
+    """Build settings from the platform's paths and values.
+
+    Unknown keys are skipped and absent ones have defaults. Raises ValueError with the path of a value that
+    can't be used.
+    """
+    try:
+        return _settings(_Keys(pairs))
+    except SettingsError as err:
+        path, _, name = err.field.rpartition(".")
+        reported = _REPORTED_NAMES.get(name, name)
+        raise ValueError(
+            f"{path}.{reported}: {err.problem}" if path else f"{reported}: {err.problem}"
+        ) from err
+
+
+def _class_settings(keys: _Keys, index: int, message_objectives: tuple[float, ...]) -> ClassSettings:
+    path = f"classes.{index}."
+    idempotency = keys.text(path + "effect", "read_like")
+    if idempotency not in IDEMPOTENCY:
+        raise ValueError(f"{path}effect: unknown: {idempotency!r}")
+    return ClassSettings(
+        latency_objective_us=keys.integer(path + "slo", 0),
+        deadline_us=keys.integer(path + "hard_limit", 0),
+        idempotency=IDEMPOTENCY[idempotency],
+        deduplication_scope=DeduplicationScope(keys.text(path + "group", "all")),
+        deduplication_window_us=keys.integer(path + "window", 0),
+        priority_weight=keys.number(path + "worth", 1.0),
+        message_latency_objective_us=int(message_objectives[index]) if index < len(message_objectives) else 0,
+    )
+
+
+def _settings(keys: _Keys) -> Settings:
+    message_objectives = keys.numbers("extra.message_aim")
+    class_indices = range(keys.integer("classes.count", 0))
     return Settings(
-        classes=tuple(classes),
-        balancers=whole("balancers", 1),
-        me=whole("me", 0),
-        zone=whole("locality", 0),
-        tick=whole("tick", 1000),
-        ask_discovery=raw.get("discovery") == "on_request",
-        ask_within=whole("rules.ask_within", 10_000_000),
-        connections=raw.get("family", "conn") == "conn",
-        pass_through=raw.get("extra.mode") == "pass",
-        park=whole("extra.park", 0),
-        probes=flag("ceilings.probes", False),
-        peers=flag("ceilings.peer_messages", False),
-        cancel=flag("ceilings.cancel", False),
-        retry_after=flag("ceilings.retry_after", False),
-        max_retry_after=whole("ceilings.max_retry_after", 1_000_000),
-        second_copies=flag("ceilings.second_copies", False),
-        max_attempts=whole("ceilings.attempts_cap", 3),
-        connect_timeout=whole("ceilings.connect_timeout", 250_000),
-        answer_slack=whole("rules.grace_to_answer", 0),
-        drain_grace=whole("rules.stop_sending_within", 0),
-        cold_from=num("rules.cold_from", 0.1),
-        cold=whole("rules.cold", 0),
-        fall_multiple=num("rules.tip_multiple", 2.0),
-        fall=whole("rules.fall", 1_000_000),
-        report_columns=tuple(v for v in raw.get("report.columns", "").split(",") if v),
-        weighted=raw.get("weights", "none") != "none",
-        cross_price=num("deductions.cross_zone", 0.0),
-        over_share_worth=num("over_share_worth", 1.0),
-        worth_by_work=raw.get("worth_by") == "work",
-        quotas=numbers("extra.tenant_quota_connections"),
+        classes=tuple(_class_settings(keys, index, message_objectives) for index in class_indices),
+        node_count=keys.integer("balancers", 1),
+        node_index=keys.integer("me", 0),
+        zone=keys.integer("locality", 0),
+        tick_us=keys.integer("tick", 1000),
+        polls_discovery=keys.text("discovery") == "on_request",
+        poll_interval_us=keys.integer("rules.ask_within", 10_000_000),
+        is_connection_oriented=keys.text("family", "conn") == "conn",
+        pass_through=keys.text("extra.mode") == "pass",
+        park_us=keys.integer("extra.park", 0),
+        can_check_health=keys.flag("ceilings.probes", False),
+        can_message_peers=keys.flag("ceilings.peer_messages", False),
+        can_cancel_attempts=keys.flag("ceilings.cancel", False),
+        can_send_retry_after=keys.flag("ceilings.retry_after", False),
+        max_retry_after_us=keys.integer("ceilings.max_retry_after", 1_000_000),
+        can_hedge=keys.flag("ceilings.second_copies", False),
+        max_attempts=keys.integer("ceilings.attempts_cap", 3),
+        connect_timeout_us=keys.integer("ceilings.connect_timeout", 250_000),
+        answer_grace_us=keys.integer("rules.grace_to_answer", 0),
+        drain_grace_us=keys.integer("rules.stop_sending_within", 0),
+        slow_start_initial_capacity=keys.number("rules.cold_from", 0.1),
+        slow_start_duration_us=keys.integer("rules.cold", 0),
+        overload_factor=keys.number("rules.tip_multiple", 2.0),
+        overload_duration_us=keys.integer("rules.fall", 1_000_000),
+        report_columns=tuple(v for v in keys.text("report.columns", "").split(",") if v),
+        has_weights=keys.text("weights", "none") != "none",
+        cross_zone_cost=keys.number("deductions.cross_zone", 0.0),
+        over_quota_weight=keys.number("over_share_worth", 1.0),
+        weight_scales_with_load=keys.text("worth_by") == "work",
+        tenant_quotas=keys.numbers("extra.tenant_quota_connections"),
     )
--- a/tansyladder/net/delays.py
+++ b/tansyladder/net/delays.py
@@ -83,7 +83,7 @@
         meter = self._meter()
         value = meter.heard(self._member, delay) if meter is not None else None
         if value is not None:
-            self._tell(ReportKind.TIMED, value.total_seconds() * 1000)
+            self._tell(ReportKind.MEASURED_DELAY, value.total_seconds() * 1000)
 
     def told(self, line: bytes) -> None:
         """The member's own word; what makes no sense is passed by."""
@@ -92,4 +92,4 @@
             if len(values) == 1 and 0 <= values[0] < MOST_LOAD:
                 self._tell(ReportKind.LOAD, values[0])
         elif self._meter() is not None and len(values) == 1 and 0 <= values[0] < MOST_MS:
-            self._tell(ReportKind.DELAY, values[0])
+            self._tell(ReportKind.REPORTED_DELAY, values[0])
--- a/tansyladder/node/core.py
+++ b/tansyladder/node/core.py
@@ -103,7 +103,9 @@
 
     @staticmethod
     def _delay_meter(config: Config) -> DelayMeter | None:
-        aims = [c.message_aim for c in config.settings.classes if c.message_aim]
+        aims = [
+            c.message_latency_objective_us for c in config.settings.classes if c.message_latency_objective_us
+        ]
         return DelayMeter(min(aims) * MICROSECOND / 3) if config.tells_delay and aims else None
 
     def permitted(self, ident: str = "") -> bool:
@@ -121,7 +123,7 @@
             numbers = {key[0]: self._terms.setdefault(key, len(self._terms)) for key in _terms_of(told)}
             retired = frozenset(self._terms.values()) - set(numbers.values())
             classes = tuple(terms for _, terms in self._terms)  # in the order of their numbers
-            settings = replace(told.settings, classes=classes, retired=retired)
+            settings = replace(told.settings, classes=classes, retired_classes=retired)
             self.config, self.classes = replace(told, settings=settings), numbers
             self._counts.classes = classes
             self.delays = self._delay_meter(told)
@@ -234,7 +236,7 @@
     def order(self, orders: Sequence[Order]) -> None:
         """Hand out orders of the node's own; who is over already is passed by."""
         with self._lock:
-            boxes = [(o, self._boxes[o.id]) for o in orders if o.id in self._boxes]
+            boxes = [(o, self._boxes[o.request_id]) for o in orders if o.request_id in self._boxes]
             for order, box in boxes:
                 box.post(order)
         for _, box in boxes:
@@ -279,7 +281,7 @@
         with self._lock:
             lines = [line for line in map(self._line, listed.members) if line is not None]
             self.revision = listed.revision
-            if kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED):
+            if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
                 self._entries.clear()
             self._entries.update((entry.id, entry) for entry in listed.members)
             self._entries = {k: entry for k, entry in self._entries.items() if entry.phase != "removed"}
--- a/tansyladder/node/counts.py
+++ b/tansyladder/node/counts.py
@@ -69,8 +69,10 @@
         """The module is told this."""
         match event:
             case RequestReceived(id, cls, _, deadline):
-                self._counts["back" if event.back else "new"] += 1
-                self._wanted[id] = deadline - self.classes[cls].deadline + self.classes[cls].aim
+                self._counts["back" if event.is_reconnect else "new"] += 1
+                self._wanted[id] = (
+                    deadline - self.classes[cls].deadline_us + self.classes[cls].latency_objective_us
+                )
             case ConnectionAdopted(id, _, _, server):
                 self._counts["taken_up"] += 1
                 self._stand(id, server)
@@ -88,7 +90,7 @@
                     self._counts["retries"] += attempt > 0
             case ClientDisconnected(id):
                 self._wanted.pop(id, None)
-            case ConnectionReport(_, ReportKind.DELAY):
+            case ConnectionReport(_, ReportKind.REPORTED_DELAY):
                 self._counts["notes"] += 1
             case HealthCheckResult(_, status) if status is not AttemptStatus.OK:
                 self._counts["probe_" + status.name.lower()] += 1
--- a/tansyladder/node/discovery.py
+++ b/tansyladder/node/discovery.py
@@ -53,12 +53,12 @@
 
     @property
     def _pace(self) -> timedelta:
-        return self._core.config.settings.call_pace * MICROSECOND
+        return self._core.config.settings.discovery_call_interval_us * MICROSECOND
 
     @property
     def _pushed(self) -> bool:
         """Whether an agent on this machine is sent the lists, and answers at once with what it has."""
-        return not self._core.config.settings.ask_discovery
+        return not self._core.config.settings.polls_discovery
 
     @property
     def _spread(self) -> timedelta:
@@ -129,7 +129,7 @@
                 self._core.called(failed=False)
                 self._new = self._silent = self._failed = False
                 self._core.tell_members(
-                    listed, ListUpdateKind.FULL if listed.complete else ListUpdateKind.DELTA
+                    listed, ListUpdateKind.SNAPSHOT if listed.complete else ListUpdateKind.DELTA
                 )
                 self._heard.set()
                 if self._core.keeping is not None:
--- a/tansyladder/node/placing.py
+++ b/tansyladder/node/placing.py
@@ -59,7 +59,7 @@
                 case StartAttempt(_, server, timeout):
                     member, sent = core.member(server), now()
                     until = min(sent + timeout * MICROSECOND, self.deadline)
-                    connect = core.config.settings.connect_timeout * MICROSECOND
+                    connect = core.config.settings.connect_timeout_us * MICROSECOND
                     flow = ServerSideFlow(member, self.first_line, until, connect, self._tried, self.lines)
                     answer = flow.open(self.client, self.box)
                     took = (now() - sent) // MICROSECOND
@@ -96,7 +96,7 @@
         fds = [self.box.fileno()] + ([self.client.fileno()] if self.client else [])
         while True:
             order = self.box.take()
-            if order is not None and order.id == self.number:
+            if order is not None and order.request_id == self.number:
                 return order
             ready = sockets.wait_readable(until, *fds)
             if self.client and self.client.fileno() in ready and self.box.first() is None:
--- a/tansyladder/node/probe.py
+++ b/tansyladder/node/probe.py
@@ -25,7 +25,7 @@
         self._columns = core.config.settings.report_columns
 
     def start(self) -> None:
-        if self._core.config.settings.probes:
+        if self._core.config.settings.can_check_health:
             for i in range(WORKERS):
                 threading.Thread(target=self._run, name=f"probe-{i}", daemon=True).start()
 
@@ -38,7 +38,7 @@
             self._core.tell(HealthCheckResult(member.number, status, took, load))
 
     def _probe(self, member: PoolMember) -> tuple[AttemptStatus, tuple[float, ...]]:
-        until, connect = now() + WAIT, self._core.config.settings.connect_timeout * MICROSECOND
+        until, connect = now() + WAIT, self._core.config.settings.connect_timeout_us * MICROSECOND
         try:
             sock = socket.create_connection(member.address, min(connect, WAIT).total_seconds())
         except OSError:
--- a/tansyladder/node/transaction.py
+++ b/tansyladder/node/transaction.py
@@ -120,7 +120,7 @@
         member = core.member_of_id(ident)
         answer = Answer(AttemptStatus.CONNECT_FAILED)
         while member is not None and answer.sock is None and not answer.client_left:
-            connect = core.config.settings.connect_timeout * MICROSECOND
+            connect = core.config.settings.connect_timeout_us * MICROSECOND
             flow = ServerSideFlow(
                 member, opening.for_member, self._deadline, connect, lambda: core.metrics.tried(opening.cls)
             )
--- a/tansyladder/node/virtual_server.py
+++ b/tansyladder/node/virtual_server.py
@@ -346,8 +346,8 @@
     def come_back(self) -> timedelta:
         """When who is turned away at the door may come again."""
         settings = self._core.config.settings
-        most = settings.max_retry_after * MICROSECOND
-        return min(COME_BACK, most) if settings.retry_after else timedelta(0)
+        most = settings.max_retry_after_us * MICROSECOND
+        return min(COME_BACK, most) if settings.can_send_retry_after else timedelta(0)
 
     @property
     def ready(self) -> bool:
--- a/tansyladder/policy/actions.py
+++ b/tansyladder/policy/actions.py
@@ -11,54 +11,54 @@
 class StartAttempt(NamedTuple):
     """Start an attempt; `timeout` is relative."""
 
-    id: int
-    server: int
-    timeout: int
+    request_id: int
+    endpoint_id: int
+    timeout_us: int
 
 
 class Reject(NamedTuple):
     """Final answer: not served, trying again is harmless."""
 
-    id: int
-    retry_after: int = 0
+    request_id: int
+    retry_after_us: int = 0
 
 
 class Fail(NamedTuple):
     """Final answer that promises nothing."""
 
-    id: int
+    request_id: int
 
 
 class CancelAttempt(NamedTuple):
     """Stop waiting on one attempt."""
 
-    id: int
+    request_id: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
     """Ask for a Timer event at a clock time."""
 
-    at: int
-    token: int
+    due_at_us: int
+    timer_id: int
 
 
 class CheckHealth(NamedTuple):
     """Ask a server how it does."""
 
-    server: int
+    endpoint_id: int
 
 
 class Migrate(NamedTuple):
     """End a standing connection politely; its client comes again."""
 
-    id: int
+    request_id: int
 
 
 class SendPeerMessage(NamedTuple):
     """Send bytes to a peer, or to all (None)."""
 
-    peer: int | None
+    peer_index: int | None
     data: bytes
 
 
@@ -71,7 +71,7 @@
 class PollDiscovery(NamedTuple):
     """Ask discovery for changes from now on, or stop."""
 
-    on: bool
+    is_enabled: bool
 
 
 Action = Union[
--- a/tansyladder/policy/balancer.py
+++ b/tansyladder/policy/balancer.py
@@ -106,16 +106,16 @@
     def _settings(self, settings: Settings) -> None:
         """From now on these hold; classes keep their numbers, and what is under way its class's terms."""
         self.set = settings
-        live = [c for i, c in enumerate(settings.classes) if i not in settings.retired]
+        live = [c for i, c in enumerate(settings.classes) if i not in settings.retired_classes]
         # Each node's part of it: eight from each of forty nodes are more than a server takes in in time.
-        part = max(1, PARALLEL // max(3, settings.balancers))
-        self.parallel = part if settings.call_pace else math.inf
+        part = max(1, PARALLEL // max(3, settings.node_count))
+        self.parallel = part if settings.discovery_call_interval_us else math.inf
         self.x0 = settings.report_columns.index("x0") if "x0" in settings.report_columns else -1
-        self.patience = max(c.deadline for c in live)
+        self.patience = max(c.deadline_us for c in live)
         # How long a delay is held for true: until the next probe can tell otherwise.
-        self.recall = max(self.patience, settings.probe_pace * 3 // 2)
-        aims = [c.message_aim for c in live if c.message_aim]
-        self.message_aim = min(aims) if aims else min(c.aim for c in live)
+        self.recall = max(self.patience, settings.health_check_interval_us * 3 // 2)
+        aims = [c.message_latency_objective_us for c in live if c.message_latency_objective_us]
+        self.message_aim = min(aims) if aims else min(c.latency_objective_us for c in live)
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
         """Take in what has come and say what to do."""
@@ -137,7 +137,7 @@
         self.out.append(SetTimer(max(at, self.now), self.token))
 
     def _timer(self, event: TimerExpired) -> None:
-        call, arg = self.timers.pop(event.token, (None, 0))
+        call, arg = self.timers.pop(event.timer_id, (None, 0))
         if call:
             call(arg)
 
@@ -149,20 +149,20 @@
             return
         self.watching.n = 0
         if event.kind is not ListUpdateKind.DELTA:
-            listed = {line.server for line in event.lines}
+            listed = {line.endpoint_id for line in event.endpoints}
             for s in self.servers.values():
                 if s.id not in listed and s.state is not EndpointState.GONE:
                     s.state, s.told_at = EndpointState.GONE, self.now
                     self._clear(s)
-        for line in event.lines:
-            found = self.servers.get(line.server)
+        for line in event.endpoints:
+            found = self.servers.get(line.endpoint_id)
             # An absurd weight must not draw all traffic, nor fail a division.
-            size = line.weight if self.set.weighted and 0 < line.weight < 1e6 else 1.0
+            size = line.weight if self.set.has_weights and 0 < line.weight < 1e6 else 1.0
             if found is None:
-                found = self.servers[line.server] = Endpoint(line, self.now)
+                found = self.servers[line.endpoint_id] = Endpoint(line, self.now)
                 found.whole = size
-            elif line.ready_at > found.ready_at:
-                found.restart(line.ready_at)
+            elif line.ready_at_us > found.ready_at:
+                found.restart(line.ready_at_us)
                 found.whole = size  # while it is empty: some weights fall with what a server holds
             if found.state is not line.state:
                 found.state, found.told_at = line.state, self.now
@@ -174,12 +174,16 @@
         self.home.servers = [s for s in ready if s.zone == self.set.zone]
         self.away.servers = [s for s in ready if s.zone != self.set.zone]
         self.home.looked_at = self.away.looked_at = -1
-        if event.kind is ListUpdateKind.CACHED and self.set.probe_pace and self.set.probes:
-            self._later(self.now + self.rng.randint(0, self.set.probe_pace), self._ask_round, 0)
-        if event.kind is ListUpdateKind.CACHED and self.set.ask_discovery:
+        if (
+            event.kind is ListUpdateKind.CACHED
+            and self.set.health_check_interval_us
+            and self.set.can_check_health
+        ):
+            self._later(self.now + self.rng.randint(0, self.set.health_check_interval_us), self._ask_round, 0)
+        if event.kind is ListUpdateKind.CACHED and self.set.polls_discovery:
             # All nodes may start together: their first calls are spread, or the list's one service chokes.
             # But soon: until then a node that comes back takes those that started meanwhile for warm.
-            spread = self.set.call_pace // FIRST_CALLS or self.set.ask_within * 3 // 4
+            spread = self.set.discovery_call_interval_us // FIRST_CALLS or self.set.poll_interval_us * 3 // 4
             self._later(self.now + self.rng.randint(0, spread), self._watch, 0)
 
     def _watch(self, _arg: int) -> None:
@@ -191,16 +195,24 @@
             self.watch_due = True
             # Two intervals and a call are within the time after which a change counts as told. They don't
             # start shorter: where the calls of all nodes fail for their number, that keeps them failing.
-            self.watching.failed(self.now, min(TOLD, self.set.ask_within) // 6, 1, self.rng)
+            self.watching.failed(self.now, min(TOLD, self.set.poll_interval_us) // 6, 1, self.rng)
             self._later(self.watching.at, self._watch, 0)
 
     # --- requests and the back-off
 
     def _request(self, event: RequestReceived) -> None:
-        r = Request(event.id, event.cls, event.tenant, event.deadline, event.key, event.key2, event.hint)
+        r = Request(
+            event.request_id,
+            event.class_index,
+            event.tenant,
+            event.deadline_us,
+            event.key,
+            event.group_key,
+            event.load_hint,
+        )
         r.backoff = self.keys.get(event.key) if event.key else None
-        self.requests[event.id] = r
-        if event.midflow and self.set.pass_through and event.deadline > self.now:
+        self.requests[event.request_id] = r
+        if event.is_midstream and self.set.pass_through and event.deadline_us > self.now:
             holder = self._holder(r)
             if holder:
                 self._send(r, holder)
@@ -221,15 +233,15 @@
         c = self.set.classes[r.cls]
         # When set-ups fail everywhere the first windows widen with the failures seen, not with n alone: many
         # clients on n = 1 share one short window, a load that grows with the fleet.
-        slot = max(1, int(c.aim // SLOTS_PER_AIM * (1 + (SLOTS_PER_AIM - 1) * self.ill)))
-        r.backoff.failed(self.now, slot, (c.deadline // slot).bit_length(), self.rng)
+        slot = max(1, int(c.latency_objective_us // SLOTS_PER_AIM * (1 + (SLOTS_PER_AIM - 1) * self.ill)))
+        r.backoff.failed(self.now, slot, (c.deadline_us // slot).bit_length(), self.rng)
         self._hold(r)
 
     def _hold(self, r: Request) -> None:
         c = self.set.classes[r.cls]
         assert r.backoff is not None
-        late = r.backoff.at + c.aim // SLOTS_PER_AIM > r.deadline
-        if late or r.sent >= self.set.max_attempts or (r.ran and c.effect is Idempotency.UNSAFE):
+        late = r.backoff.at + c.latency_objective_us // SLOTS_PER_AIM > r.deadline
+        if late or r.sent >= self.set.max_attempts or (r.ran and c.idempotency is Idempotency.NONE):
             self._turn_away(r, r.backoff.end - self.now)
         else:
             r.due = r.backoff.at  # its own: another request with the key may move the key's interval on
@@ -238,11 +250,13 @@
     def _turn_away(self, r: Request, wait: int) -> None:
         """The final answer: a refusal where it is harmless, else a failure."""
         c = self.set.classes[r.cls]
-        keyed_apart = c.effect is Idempotency.KEYED and c.group is not DeduplicationScope.ALL
-        if r.ran and (c.effect is Idempotency.UNSAFE or keyed_apart):
+        keyed_apart = (
+            c.idempotency is Idempotency.WITH_KEY and c.deduplication_scope is not DeduplicationScope.ALL
+        )
+        if r.ran and (c.idempotency is Idempotency.NONE or keyed_apart):
             self.out.append(Fail(r.id))
         else:
-            wait = max(0, min(wait, self.set.max_retry_after)) if self.set.retry_after else 0
+            wait = max(0, min(wait, self.set.max_retry_after_us)) if self.set.can_send_retry_after else 0
             self.out.append(Reject(r.id, wait))
         del self.requests[r.id]
 
@@ -252,7 +266,7 @@
         if r is None:
             return  # its client left
         r.sample, r.asking = [], 0
-        if self.set.probes and self.x0 >= 0:
+        if self.set.can_check_health and self.x0 >= 0:
             r.sample = self._sample(self.home, r, PROBED)
             for s in r.sample:
                 if self.now - s.strain_at > self.patience // FRESH and not self._cold(s):
@@ -260,7 +274,7 @@
                     s.waiting.append(rid)
                     self._ask(s)
         if r.asking:
-            wait = min(self.set.classes[r.cls].aim // 4, max(0, r.deadline - self.now) // 4)
+            wait = min(self.set.classes[r.cls].latency_objective_us // 4, max(0, r.deadline - self.now) // 4)
             self._later(self.now + wait, self._place, rid)
         else:
             self._place(rid)
@@ -281,7 +295,7 @@
 
     def _send(self, r: Request, s: Endpoint) -> None:
         left = r.deadline - self.now
-        aim = self.set.classes[r.cls].aim
+        aim = self.set.classes[r.cls].latency_objective_us
         # With most set-ups failing, all servers wait for the same thing: asking it again only adds to it.
         more = r.sent + 1 < self.set.max_attempts and self.ill < SHARED
         timeout = max(left // 2, min(aim, left)) if more else left
@@ -305,9 +319,18 @@
 
     def _share(self, s: Endpoint) -> float:
         """The share of its capacity that a server surely has by now."""
-        if not s.ready_at or not self.set.cold or self.now - s.ready_at >= self.set.cold:
+        if (
+            not s.ready_at
+            or not self.set.slow_start_duration_us
+            or self.now - s.ready_at >= self.set.slow_start_duration_us
+        ):
             return 1.0
-        return self.set.cold_from + (1 - self.set.cold_from) * max(0, self.now - s.ready_at) / self.set.cold
+        return (
+            self.set.slow_start_initial_capacity
+            + (1 - self.set.slow_start_initial_capacity)
+            * max(0, self.now - s.ready_at)
+            / self.set.slow_start_duration_us
+        )
 
     def _cold(self, s: Endpoint) -> bool:
         return self._share(s) < 1.0
@@ -320,13 +343,13 @@
     def _allowed(self, s: Endpoint, r: Request) -> bool:
         """Whether the effect rule lets another attempt go to this server."""
         c = self.set.classes[r.cls]
-        if r.ran is None or c.effect is Idempotency.SAFE:
+        if r.ran is None or c.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if c.effect is Idempotency.UNSAFE or self.now - r.ran_at >= c.window:
+        if c.idempotency is Idempotency.NONE or self.now - r.ran_at >= c.deduplication_window_us:
             return False
         same_cell = s.cell == r.ran.cell
-        return c.group is DeduplicationScope.ALL or (
-            same_cell if c.group is DeduplicationScope.CELL else s.zone == r.ran.zone
+        return c.deduplication_scope is DeduplicationScope.ALL or (
+            same_cell if c.deduplication_scope is DeduplicationScope.CELL else s.zone == r.ran.zone
         )
 
     def _grants(self, s: Endpoint, at: int) -> float:
@@ -339,15 +362,23 @@
         and a chord lies under a root.) Of more than TURNS nodes some share each grant: they see so little
         that most would pass unused. There chance keeps the sum, and the bound is as many times as high.
         """
-        full = self.set.fall_multiple * FILL * s.whole / self.set.cold * self.set.fall
-        first, last = (n + 2 * math.sqrt(n) + 1 for n in (full * self.set.cold_from, full))
+        full = (
+            self.set.overload_factor
+            * FILL
+            * s.whole
+            / self.set.slow_start_duration_us
+            * self.set.overload_duration_us
+        )
+        first, last = (n + 2 * math.sqrt(n) + 1 for n in (full * self.set.slow_start_initial_capacity, full))
         t = max(0, at - s.ready_at)
-        return (first * t + (last - first) * t * t / (2 * self.set.cold)) / (2 * self.set.fall)
+        return (first * t + (last - first) * t * t / (2 * self.set.slow_start_duration_us)) / (
+            2 * self.set.overload_duration_us
+        )
 
     def _grant(self, s: Endpoint) -> int:
         """The oldest grant for a cold server that this node has and may use now; 0: there is none."""
-        oldest = max(s.spent, int(self._grants(s, self.now - self.set.fall))) + 1
-        mine = oldest + (s.turn + self.set.me - oldest) % min(self.set.balancers, TURNS)
+        oldest = max(s.spent, int(self._grants(s, self.now - self.set.overload_duration_us))) + 1
+        mine = oldest + (s.turn + self.set.node_index - oldest) % min(self.set.node_count, TURNS)
         return mine if mine <= self._grants(s, self.now) else 0
 
     def _added(self, s: Endpoint) -> float:
@@ -357,7 +388,7 @@
         return self.now < s.late_to and s.delay > self.message_aim * LATE
 
     def _known(self, s: Endpoint) -> bool:
-        return s.strain_at >= 0 and self.now - s.strain_at < self.set.cold // 4
+        return s.strain_at >= 0 and self.now - s.strain_at < self.set.slow_start_duration_us // 4
 
     def _look(self, pool: EndpointPool) -> EndpointPool:
         """Take stock of a pool, now and then: a storm of requests must not count a large fleet for each."""
@@ -383,7 +414,7 @@
             strain = s.strain + self._added(s)
         else:
             strain = pool.tide * (s.load / (s.size * share) / pool.mean if pool.mean else 1.0)
-            if self.set.probe_pace and not s.tells:  # a guess ranks, but turns nobody away
+            if self.set.health_check_interval_us and not s.tells:  # a guess ranks, but turns nobody away
                 strain = min(strain, LIMIT - LEAST)
         if self.now < s.late_to:
             strain = max(strain, s.delay / self.message_aim)
@@ -423,10 +454,12 @@
         """Whether the home zone's own clients fill it, as far as this node's tell of its zone's."""
         zones = len({s.zone for s in self.servers.values()})
         conns = sum(len(s.conns) for s in self.home.servers)
-        return 0 < LIMIT * self.set.fills * self.home.size < conns * self.set.balancers / zones
+        return (
+            0 < LIMIT * self.set.connections_per_unit * self.home.size < conns * self.set.node_count / zones
+        )
 
     def _pick(self, r: Request) -> Endpoint | None:
-        crowded = self.set.fills > 0 and self._crowded()
+        crowded = self.set.connections_per_unit > 0 and self._crowded()
         for pool in (self.home, self.away):
             # Where the pool as a whole is over the limit, the room of one is what the others' excess needs:
             # without this a fleet short of capacity is filled up to where every message is late. Cold servers
@@ -447,7 +480,7 @@
         """Where a connection handed over mid-flow most likely stands: where any node would have drawn."""
         best, least = None, math.inf
         for s in self.servers.values():
-            young = self.now - s.told_at < self.set.drain_grace // 2
+            young = self.now - s.told_at < self.set.drain_grace_us // 2
             told = s.state is EndpointState.READY or (s.state is EndpointState.DRAINING and young)
             if told and s.zone == self.set.zone and not self._cold(s):
                 score = -math.log((mix(r.key ^ s.seed) + 1) / (MASK + 2)) / s.size
@@ -463,7 +496,7 @@
             s.mark.failed(self.now, self.patience // 2, 4, self.rng)
 
     def _first(self, event: AttemptEstablished) -> None:
-        r = self.requests.get(event.id)
+        r = self.requests.get(event.request_id)
         if r is None or r.server is None:
             return
         if not r.up:
@@ -474,7 +507,7 @@
         if r.server.delay_at < self.now - self.patience:
             r.server.mark.n = 0
         if r.backoff:
-            self._later(self.now + self.set.classes[r.cls].deadline, self._stayed, r.id)
+            self._later(self.now + self.set.classes[r.cls].deadline_us, self._stayed, r.id)
 
     def _stayed(self, rid: int) -> None:
         """A connection stayed up: its key's count is cleared."""
@@ -483,9 +516,11 @@
             self.keys.pop(r.key, None)
 
     def _opened(self, event: ConnectionAdopted) -> None:
-        r = Request(event.id, event.cls, event.tenant, 0, event.key, event.key2, event.hint)
-        s = self.servers.get(event.server)
-        self.requests[event.id] = r
+        r = Request(
+            event.request_id, event.class_index, event.tenant, 0, event.key, event.group_key, event.load_hint
+        )
+        s = self.servers.get(event.endpoint_id)
+        self.requests[event.request_id] = r
         r.up, r.sent, r.server = True, 1, s
         self._hold_for(r.tenant, 1)
         if s:
@@ -513,30 +548,30 @@
         r.server, r.up = None, False
 
     def _outcome(self, event: AttemptEnded) -> None:
-        r = self.requests.get(event.id)
-        s = self.servers.get(event.server)
+        r = self.requests.get(event.request_id)
+        s = self.servers.get(event.endpoint_id)
         if s and event.status in BLAMED:
             self._mark(s)
-        if s and event.load:
-            self._report(s, event.load)
+        if s and event.load_report:
+            self._report(s, event.load_report)
         if r is None:
             return
         self._leave(r)
         r.failed = s
-        if event.closed or r.done:
+        if event.is_closed or r.done:
             del self.requests[r.id]
             return
-        if not event.status.never_ran and r.ran is None:
-            r.ran, r.ran_at = s, self.now - event.latency
+        if not event.status.definitely_not_executed and r.ran is None:
+            r.ran, r.ran_at = s, self.now - event.latency_us
         if event.status in (AttemptStatus.TIMEOUT, AttemptStatus.ERROR):
             self.ill += (1 - self.ill) / MEMORY
-        if event.status is AttemptStatus.MOOT:
+        if event.status is AttemptStatus.NOT_ATTEMPTED:
             self._turn_away(r, 0)
         else:
             self._failed(r)
 
     def _gone(self, event: ClientDisconnected) -> None:
-        r = self.requests.get(event.id)
+        r = self.requests.get(event.request_id)
         if r is None:
             return
         r.done = True
@@ -550,14 +585,14 @@
             s.strain, s.strain_at = load[self.x0], self.now
 
     def _probed(self, event: HealthCheckResult) -> None:
-        s = self.servers.get(event.server)
+        s = self.servers.get(event.endpoint_id)
         if s is None:
             return
         s.probing = False
-        if self.set.probe_pace and not s.tells:
+        if self.set.health_check_interval_us and not s.tells:
             self._timed(s, event)
         if event.status is AttemptStatus.OK:
-            self._report(s, event.load)
+            self._report(s, event.load_report)
         elif event.status is not AttemptStatus.FULL:
             self._mark(s)
         waiting, s.waiting = s.waiting, []
@@ -573,7 +608,7 @@
         ready = self.home.servers + self.away.servers
         if ready and not ready[turn % len(ready)].tells:
             self._ask(ready[turn % len(ready)])
-        gap = max(ASK_GAP, self.set.probe_pace // max(1, len(ready)))
+        gap = max(ASK_GAP, self.set.health_check_interval_us // max(1, len(ready)))
         self._later(self.now + gap, self._ask_round, turn + 1)
 
     def _ask(self, s: Endpoint) -> None:
@@ -587,7 +622,7 @@
         So does one answered far sooner than ever: what hangs has no work that holds up the answer. Taken for
         a new best, it would make the server look slow for good once it works again.
         """
-        took = event.latency
+        took = event.latency_us
         idle = event.status is AttemptStatus.OK and s.timed >= SURE and took < s.best * IDLE
         if idle:
             s.timed -= 1  # unless it goes on: then the best was measured in a bad time
@@ -614,16 +649,18 @@
             self._plan_move(s)
 
     def _note(self, event: ConnectionReport) -> None:
-        r = self.requests.get(event.id)
-        s = self.servers.get(event.server)
+        r = self.requests.get(event.request_id)
+        s = self.servers.get(event.endpoint_id)
         if s is None or r is None or not 0.0 <= event.value < 1e12:
             return
         if event.kind == ReportKind.LOAD:
             if r.server is s:
                 s.load = max(0.0, s.load + event.value - r.load)
                 r.load = event.value
-        elif event.kind in (ReportKind.DELAY, ReportKind.TIMED):
-            s.tells |= event.kind == ReportKind.DELAY  # what was heard decides, not what the settings promise
+        elif event.kind in (ReportKind.REPORTED_DELAY, ReportKind.MEASURED_DELAY):
+            s.tells |= (
+                event.kind == ReportKind.REPORTED_DELAY
+            )  # what was heard decides, not what the settings promise
             self._delayed(s, event.value * 1000)
 
     # --- moves
@@ -634,7 +671,7 @@
             s.moving = True
             s.moves.failed(self.now, self.patience // 4, 3, self.rng)
             self._later(s.moves.at, self._move, s.id)
-            if self.set.probes and self.x0 >= 0:
+            if self.set.can_check_health and self.x0 >= 0:
                 self._ask(s)
 
     def _move(self, sid: int) -> None:
@@ -666,7 +703,7 @@
         """s leaves: who is connected there is moved before it does, each at a time of its own."""
         if s.state is not EndpointState.READY:
             for rid in s.conns:
-                self._later(self.now + self.rng.randint(0, self.set.drain_grace), self._move_off, rid)
+                self._later(self.now + self.rng.randint(0, self.set.drain_grace_us), self._move_off, rid)
 
     def _move_off(self, rid: int) -> None:
         r = self.requests.get(rid)
@@ -676,10 +713,12 @@
 
     def _density(self, r: Request) -> float:
         """What a connection is worth for its load; what goes over its tenant's share is worth less."""
-        worth = self.set.classes[r.cls].worth * (1.0 if self.set.worth_by_work else 1.0 / max(r.load, 1.0))
-        quota = self.set.quotas[r.tenant] if r.tenant < len(self.set.quotas) else math.inf
-        if self.held.get(r.tenant, 0) * self.set.balancers > quota:
-            worth *= self.set.over_share_worth
+        worth = self.set.classes[r.cls].priority_weight * (
+            1.0 if self.set.weight_scales_with_load else 1.0 / max(r.load, 1.0)
+        )
+        quota = self.set.tenant_quotas[r.tenant] if r.tenant < len(self.set.tenant_quotas) else math.inf
+        if self.held.get(r.tenant, 0) * self.set.node_count > quota:
+            worth *= self.set.over_quota_weight
         return worth
 
     def _peer(self, event: PeerMessage) -> None:
--- a/tansyladder/policy/events.py
+++ b/tansyladder/policy/events.py
@@ -24,7 +24,7 @@
 
     DELTA = 1
     FAILED = 2
-    FULL = 3
+    SNAPSHOT = 3
     CACHED = 4
 
 
@@ -38,126 +38,126 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_ATTEMPTED = 7
 
     @property
-    def never_ran(self) -> bool:
+    def definitely_not_executed(self) -> bool:
         """Whether this end proves that the attempt did not run."""
-        return self in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT)
+        return self in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_ATTEMPTED)
 
 
 class EndpointUpdate(NamedTuple):
     """One server in discovery's list."""
 
-    server: int
+    endpoint_id: int
     zone: int
     cell: int
     kind: int
     weight: float
     state: EndpointState
-    ready_at: int
-    name: int = 0  # the same at every node, where the number is this node's own; 0: the number is it
+    ready_at_us: int
+    stable_id: int = 0  # the same at every node, where the number is this node's own; 0: the number is it
 
 
 class EndpointListUpdate(NamedTuple):
     """Discovery's list, or changes to it."""
 
     kind: ListUpdateKind
-    lines: tuple[EndpointUpdate, ...]
+    endpoints: tuple[EndpointUpdate, ...]
     version: int = 0
 
 
 class RequestReceived(NamedTuple):
     """A client's request; one final answer is owed."""
 
-    id: int
-    cls: int
+    request_id: int
+    class_index: int
     tenant: int
-    deadline: int
+    deadline_us: int
     key: int = 0
-    key2: int = 0
-    hint: int | None = None
-    repeat: bool = False
-    midflow: bool = False
-    back: bool = False
+    group_key: int = 0
+    load_hint: int | None = None
+    is_retry: bool = False
+    is_midstream: bool = False
+    is_reconnect: bool = False
 
 
 class ConnectionAdopted(NamedTuple):
     """A connection that stood before this node's start; its attempt 0 is made."""
 
-    id: int
-    cls: int
+    request_id: int
+    class_index: int
     tenant: int
-    server: int
+    endpoint_id: int
     key: int = 0
-    hint: int | None = None
-    key2: int = 0
+    load_hint: int | None = None
+    group_key: int = 0
 
 
 class AttemptEstablished(NamedTuple):
     """The connection stands."""
 
-    id: int
+    request_id: int
     attempt: int
-    server: int
-    latency: int
+    endpoint_id: int
+    latency_us: int
 
 
 class ReportKind(IntEnum):
     """What a note is about."""
 
     LOAD = 1
-    DELAY = 2  # a server's own word
-    TIMED = 3  # a delay that the node timed itself: it says nothing of whether servers tell
+    REPORTED_DELAY = 2  # a server's own word
+    MEASURED_DELAY = 3  # a delay that the node timed itself: it says nothing of whether servers tell
 
 
 class ConnectionReport(NamedTuple):
     """News of a standing connection: its load (us a second) or its server's message time (ms)."""
 
-    id: int
+    request_id: int
     kind: int
     attempt: int
-    server: int
+    endpoint_id: int
     value: float
 
 
 class AttemptEnded(NamedTuple):
     """How an attempt ended."""
 
-    id: int
+    request_id: int
     attempt: int
-    server: int
+    endpoint_id: int
     status: AttemptStatus
-    latency: int
-    closed: bool
-    load: tuple[float, ...] = ()
+    latency_us: int
+    is_closed: bool
+    load_report: tuple[float, ...] = ()
 
 
 class ClientDisconnected(NamedTuple):
     """The client left; nothing is owed any more."""
 
-    id: int
+    request_id: int
 
 
 class TimerExpired(NamedTuple):
     """A timer came due."""
 
-    token: int
+    timer_id: int
 
 
 class HealthCheckResult(NamedTuple):
     """How a probe ended."""
 
-    server: int
+    endpoint_id: int
     status: AttemptStatus
-    latency: int
-    load: tuple[float, ...] = ()
+    latency_us: int
+    load_report: tuple[float, ...] = ()
 
 
 class PeerMessage(NamedTuple):
     """Another node's message."""
 
-    sender: int
+    sender_index: int
     data: bytes
 
 
--- a/tansyladder/policy/records.py
+++ b/tansyladder/policy/records.py
@@ -55,14 +55,20 @@
     )
 
     def __init__(self, line: EndpointUpdate, now: int) -> None:
-        self.id, self.zone, self.cell, self.size, self.whole = line.server, line.zone, line.cell, 1.0, 1.0
-        self.seed, self.turn = mix(line.server), line.name or line.server
+        self.id, self.zone, self.cell, self.size, self.whole = (
+            line.endpoint_id,
+            line.zone,
+            line.cell,
+            1.0,
+            1.0,
+        )
+        self.seed, self.turn = mix(line.endpoint_id), line.stable_id or line.endpoint_id
         self.conns: dict[int, Request] = {}
         self.groups: dict[int, int] = {}  # how many of them belong to each group
         self.load, self.trying = 0.0, 0  # attempts out that have not ended and do not stand yet
         self.probing, self.waiting = False, list[int]()
         self.told_at = now
-        self.restart(line.ready_at)
+        self.restart(line.ready_at_us)
         self.state = line.state
 
     def restart(self, ready_at: int) -> None:
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -191,7 +191,7 @@
 
     def _follow_orders(self, number: int) -> None:
         while (order := self._box.take()) is not None:
-            if order.id != number:
+            if order.request_id != number:
                 continue  # of a placement that is over
             raise _Lost(AttemptStatus.CANCELLED, "ordered")
 
@@ -479,7 +479,7 @@
             lines = (found.lines[0], *found.lines[2:])  # without its word of positions
             return replace(found, lines=lines), number
         core.forget(number)
-        return found.retry_after * MICROSECOND if isinstance(found, Reject) else timedelta(0)
+        return found.retry_after_us * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
     def _refuse(self, visitor: Visitor, answer: bytes) -> None:
         self._core.metrics.answered(self._opening.cls, Ending.of(answer))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,19 +25,31 @@
 
 
 def settings(**over: Any) -> Settings:
-    names = ("effect", "group", "window", "worth", "aim", "deadline")
+    names = (
+        "idempotency",
+        "deduplication_scope",
+        "deduplication_window_us",
+        "priority_weight",
+        "latency_objective_us",
+        "deadline_us",
+    )
     cls: dict[str, Any] = {k: over.pop(k) for k in names if k in over}
-    one_class: dict[str, Any] = {"aim": AIM, "deadline": DEADLINE, "window": 5 * S, "message_aim": 150 * MS}
+    one_class: dict[str, Any] = {
+        "latency_objective_us": AIM,
+        "deadline_us": DEADLINE,
+        "deduplication_window_us": 5 * S,
+        "message_latency_objective_us": 150 * MS,
+    }
     one = ClassSettings(**{**one_class, **cls})
     base: dict[str, Any] = {
         "classes": (one,),
-        "cold": 20 * S,
-        "cold_from": 0.15,
-        "fall_multiple": 3.0,
+        "slow_start_duration_us": 20 * S,
+        "slow_start_initial_capacity": 0.15,
+        "overload_factor": 3.0,
         "max_attempts": 5,
-        "drain_grace": 1000 * MS,
-        "retry_after": True,
-        "max_retry_after": 10 * S,
+        "drain_grace_us": 1000 * MS,
+        "can_send_retry_after": True,
+        "max_retry_after_us": 10 * S,
     }
     return Settings(**{**base, **over})
 
@@ -64,7 +76,7 @@
         actions = self.node.handle(self.now, list(events))
         for a in actions:
             if isinstance(a, SetTimer):
-                self.timers.append((a.at, a.token))
+                self.timers.append((a.due_at_us, a.timer_id))
             else:
                 self.log.append((self.now, a))
         return [a for a in actions if not isinstance(a, SetTimer)]
@@ -101,7 +113,7 @@
         wait: int = MS,
     ) -> list[Action]:
         self.now += wait
-        return self.give(AttemptEnded(send.id, attempt, send.server, status, wait, False))
+        return self.give(AttemptEnded(send.request_id, attempt, send.endpoint_id, status, wait, False))
 
 
 def only_send(actions: list[Action]) -> StartAttempt:
--- a/tests/node.py
+++ b/tests/node.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 from tansyladder.config import platform
 from tansyladder.config.operator_settings import Options, ResumeOptions
@@ -43,6 +43,9 @@
     return f"{next(_ids):x}"
 
 
+EventT = TypeVar("EventT")
+
+
 class Peer:
     """One end of a connection, line by line; every read has its end."""
 
@@ -114,7 +117,7 @@
         self.heard.extend(events)
         return super()._decide(events)
 
-    def wait_for(self, kind: type, count: int = 1) -> Any:
+    def wait_for(self, kind: type[EventT], count: int = 1) -> EventT:
         """The newest event of a kind, once there are so many."""
         until = time.monotonic() + 10
         while time.monotonic() < until:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -67,9 +67,9 @@
     rid, acts = node.ask()
     node.fail(only_send(acts), 0)
     send = only_send(node.step())
-    node.give(AttemptEstablished(rid, 1, send.server, 5 * MS))
+    node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
     node.now += 100 * MS
-    node.give(AttemptEnded(rid, 1, send.server, AttemptStatus.RESET, 100 * MS, True))
+    node.give(AttemptEnded(rid, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MS, True))
     assert node.node.keys[7].n == 1
     node.run(node.now + S)
     rid, acts = node.ask()
@@ -77,7 +77,7 @@
     node.fail(send, 0)
     assert node.node.keys[7].n == 2
     send = only_send(node.step())
-    node.give(AttemptEstablished(rid, 1, send.server, 5 * MS))
+    node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
     node.run(node.now + DEADLINE + 1)
     assert 7 not in node.node.keys
 
@@ -90,7 +90,7 @@
     rid, acts = node.ask()
     assert acts == []
     sent = [a for a in node.run(due) if isinstance(a, StartAttempt)]
-    assert rid in [a.id for a in sent]
+    assert rid in [a.request_id for a in sent]
 
 
 def test_two_requests_of_one_key_are_both_answered() -> None:
@@ -101,7 +101,7 @@
     node.fail(only_send(acts), 0)
     node.fail(only_send(more), 0)
     node.run(node.now + DEADLINE)
-    answered = {a.id for _, a in node.log[2:] if isinstance(a, StartAttempt | Reject)}
+    answered = {a.request_id for _, a in node.log[2:] if isinstance(a, StartAttempt | Reject)}
     assert {first, second} <= answered
 
 
@@ -124,7 +124,7 @@
     node.fail(only_send(acts), 0)
     acts = node.fail(only_send(node.step()), 1)
     assert isinstance(acts[0], Reject)
-    assert acts[0].id == rid
+    assert acts[0].request_id == rid
 
 
 def test_without_a_key_the_count_is_the_requests_own() -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -45,7 +45,7 @@
     told(tmp_path)
     read = load({"GW_CONFIG": str(tmp_path / "config.json"), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.2:80"})
     assert (read.name, read.listen, read.discovery) == ("n7", ("127.0.0.2", 80), ("127.0.0.1", 1))
-    assert (read.settings.classes[0].message_aim, read.class_names) == (50_000, ("chat",))
+    assert (read.settings.classes[0].message_latency_objective_us, read.class_names) == (50_000, ("chat",))
     assert read.longest_deadline == timedelta(seconds=1.2)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -95,7 +95,7 @@
         else:
             client.close()
         n.core.wait_for(ClientDisconnected)  # and not after 9 s: the wait for the connection is over
-        assert n.core.wait_for(AttemptEnded).closed
+        assert n.core.wait_for(AttemptEnded).is_closed
         assert n.core.metrics.sums()["tries"] == 0
     # Whatever connection comes up later brings nothing; there is none where the wait was given up.
     host.sock.settimeout(0.0)
@@ -133,7 +133,7 @@
     with node(tmp_path, Listener(keep), settings=PATIENT) as n:
         clients.append(n.open("c=chat,d=9000"))
         opened.set()
-        assert n.core.wait_for(AttemptEnded).closed and ended.wait(10)
+        assert n.core.wait_for(AttemptEnded).is_closed and ended.wait(10)
     assert heard == [""]
 
 
@@ -171,7 +171,7 @@
     with node(tmp_path, Listener(busy), settings=SETTINGS | slow) as n:
         client = n.open("c=chat,d=9000")
         refused = n.core.wait_for(AttemptEnded)
-        assert refused.status is AttemptStatus.FULL and not refused.closed
+        assert refused.status is AttemptStatus.FULL and not refused.is_closed
         client.close()
         n.core.wait_for(ClientDisconnected)
         until_served(n)
@@ -225,7 +225,10 @@
         n.core.watches.put(True)
         n.core.wait_for(EndpointListUpdate, 3)
         told = [e for e in n.core.heard if isinstance(e, EndpointListUpdate)][1:3]
-        assert [(e.kind, e.version) for e in told] == [(ListUpdateKind.DELTA, 7), (ListUpdateKind.FULL, 8)]
+        assert [(e.kind, e.version) for e in told] == [
+            (ListUpdateKind.DELTA, 7),
+            (ListUpdateKind.SNAPSHOT, 8),
+        ]
         assert calls[2] == "GET /v1/servers HTTP/1.1"  # its numbers may have begun anew
         s9 = n.core.member_of_id("s9")
         assert s9 is not None and s9.state is EndpointState.DRAINING
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,7 +31,9 @@
 
 def watches(seed: int, nodes: int, span: int) -> list[int]:
     """The moments (us) at which one of so many nodes calls a discovery that fails each call."""
-    asking = Node([line(1)], seed, ask_discovery=True, call_pace=call_pace(nodes) // MICROSECOND)
+    asking = Node(
+        [line(1)], seed, polls_discovery=True, discovery_call_interval_us=call_pace(nodes) // MICROSECOND
+    )
     calls: list[int] = []
     while asking.now < START + span and (acts := asking.step(60 * S)):
         for _ in [a for a in acts if isinstance(a, PollDiscovery)]:
@@ -64,7 +66,11 @@
     firsts = [
         next(now for now, act in asking.log if isinstance(act, PollDiscovery)) - START
         for seed in range(40)
-        for asking in [Node([line(1)], seed, ask_discovery=True, call_pace=call_pace(40) // MICROSECOND)]
+        for asking in [
+            Node(
+                [line(1)], seed, polls_discovery=True, discovery_call_interval_us=call_pace(40) // MICROSECOND
+            )
+        ]
         if asking.step()
     ]
     assert len(firsts) == 40 and max(firsts) <= S
@@ -72,7 +78,7 @@
 
 
 def test_a_node_that_was_answered_forgets_its_failures() -> None:
-    asking = Node([line(1)], 1, ask_discovery=True, call_pace=6 * S)
+    asking = Node([line(1)], 1, polls_discovery=True, discovery_call_interval_us=6 * S)
     for _ in range(4):
         asking.step(60 * S)
         asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
@@ -87,19 +93,22 @@
 def test_a_cold_member_gets_as_much_from_many_nodes_as_from_few(nodes: int) -> None:
     """Each of forty nodes saved up credit that it had no client for, and new members stayed empty."""
     known = [line(i, weight=8.0) for i in range(1, 6)]  # what a member takes is read from its size
-    fleet = [Node(known, me, probe_pace=S, balancers=nodes, me=me, weighted=True) for me in range(nodes)]
+    fleet = [
+        Node(known, me, health_check_interval_us=S, node_count=nodes, node_index=me, has_weights=True)
+        for me in range(nodes)
+    ]
     for n in fleet:  # 40 connections on each of the four warm ones, over all nodes
         n.give(*(ConnectionAdopted(100 * s + i, 0, 0, s) for s in range(1, 5) for i in range(40 // nodes)))
         cold = line(5, weight=8.0, ready_at=START)
-        n.give(EndpointListUpdate(ListUpdateKind.FULL, (*known[:4], cold)))
+        n.give(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (*known[:4], cold)))
         n.next_id = 10_000
     rng, sent = random.Random(7), 0
     for tick in range(100):  # five seconds with 20 requests each, wherever the front sends them
         n = rng.choice(fleet)
         acts = n.run(START + tick * 50 * MS) + n.ask(key=tick + 1)[1]
         for send in (a for a in acts if isinstance(a, StartAttempt)):
-            n.give(AttemptEstablished(send.id, 0, send.server, MS))
-            sent += send.server == 5
+            n.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
+            sent += send.endpoint_id == 5
     assert 6 <= sent <= 20
 
 
@@ -114,12 +123,15 @@
 @pytest.mark.parametrize("nodes", [1, 3, 20, 30, 200])
 def test_the_sum_of_all_nodes_keeps_a_cold_members_budget(nodes: int, traffic: str) -> None:
     """Each node kept credit that it had nobody for; when clients came to all at once, so did all of it."""
-    fleet = [Node([line(1), line(2)], me, balancers=nodes, me=me, fall=S) for me in range(nodes)]
+    fleet = [
+        Node([line(1), line(2)], me, node_count=nodes, node_index=me, overload_duration_us=S)
+        for me in range(nodes)
+    ]
     for n in fleet:
         n.give(
             *(ConnectionAdopted(1000 + i, 0, 0, 1) for i in range(1 + 400 // nodes))
         )  # the cold one has room
-        n.give(EndpointListUpdate(ListUpdateKind.FULL, (line(1), line(2, ready_at=START))))
+        n.give(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (line(1), line(2, ready_at=START))))
         n.next_id = 10_000
     rng, sent, key = random.Random(nodes), list[int](), 0
     for tick in range(200):  # ten seconds; "all": a client at each node, in one moment, once a second
@@ -128,8 +140,8 @@
             n, key = fleet[at], key + 1
             acts = n.run(START + tick * 50 * MS) + n.ask(key=key)[1]
             for send in [a for a in acts if isinstance(a, StartAttempt)]:
-                n.give(AttemptEstablished(send.id, 0, send.server, MS))
-                sent += [tick * 50 * MS] * (send.server == 2)
+                n.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
+                sent += [tick * 50 * MS] * (send.endpoint_id == 2)
     shared = -(-nodes // TURNS)  # by how many nodes a grant is, where there are more than turns
     for begin in sent:
         share = 0.15 + 0.85 * min(1.0, (begin + S) / (20 * S))  # of its capacity, when the second is over
@@ -144,13 +156,19 @@
 ) -> None:
     """After a lost zone the next one was filled until its members dropped their clients; others had room."""
     known = [line(1), line(2), *(line(10 + i, zone=1) for i in range(2 * away))]
-    of_forty = Node(known, balancers=40, probes=True, probe_pace=6 * S, fills=fills)
+    of_forty = Node(
+        known,
+        node_count=40,
+        can_check_health=True,
+        health_check_interval_us=6 * S,
+        connections_per_unit=fills,
+    )
     for key in range(1, 9):  # its own eight stand for 160 of the zone's twenty nodes, on two members
         _, acts = of_forty.ask(key=key)
         [send] = [a for a in acts if isinstance(a, StartAttempt)]
-        of_forty.give(AttemptEstablished(send.id, 0, send.server, MS))
+        of_forty.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
         if key == 1:
-            assert send.server in (1, 2)  # home first
+            assert send.endpoint_id in (1, 2)  # home first
     assert {int(s.id >= 10) for s in of_forty.node.servers.values() if s.conns} == zones
 
 
--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -41,7 +41,7 @@
         ),
         (at * S + 600 * MS, [AttemptEstablished(1, 1, 5, 100 * MS)], [Migrate(9)]),
         ((at + 1) * S, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, True)], []),
-        ((at + 3) * S, [RequestReceived(2, 0, 0, 0, back=True)], [Reject(2)] if refused else []),
+        ((at + 3) * S, [RequestReceived(2, 0, 0, 0, is_reconnect=True)], [Reject(2)] if refused else []),
         ((at + 4) * S, [], []),
         ((at + 5) * S, [], []),
     ]
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -22,13 +22,13 @@
 )
 from tests.helpers import MS, START, Node, S, line, only_send
 
-REPORTS: dict[str, Any] = {"probes": True, "report_columns": ("active", "x0")}
+REPORTS: dict[str, Any] = {"can_check_health": True, "report_columns": ("active", "x0")}
 
 
 def test_a_server_that_drains_while_it_is_asked_gets_nothing() -> None:
     node = Node([line(1), line(2)], **REPORTS)
     _, acts = node.ask()
-    asked = [a.server for a in acts if isinstance(a, CheckHealth)]
+    asked = [a.endpoint_id for a in acts if isinstance(a, CheckHealth)]
     assert asked
     node.give(
         EndpointListUpdate(
@@ -45,16 +45,16 @@
 def test_a_marked_server_is_left_out_until_its_time() -> None:
     node = Node([line(1), line(2)])
     _, acts = node.ask(key=1)
-    bad = only_send(acts).server
+    bad = only_send(acts).endpoint_id
     node.fail(only_send(acts), 0)
     assert node.node.servers[bad].mark.at > node.now
-    sent = [a.server for k in range(2, 6) for a in node.ask(key=k)[1] if isinstance(a, StartAttempt)]
+    sent = [a.endpoint_id for k in range(2, 6) for a in node.ask(key=k)[1] if isinstance(a, StartAttempt)]
     assert sent
     assert bad not in sent
 
 
 def test_a_flood_at_one_instant_spends_a_cold_servers_credit() -> None:
-    node = Node([line(i, ready_at=START) for i in range(1, 4)], balancers=1)
+    node = Node([line(i, ready_at=START) for i in range(1, 4)], node_count=1)
     for k in range(1, 40):  # credit accrues as it is looked at
         node.ask(key=k)
         node.run(node.now + 100 * MS)
@@ -69,7 +69,7 @@
     for seed in range(60):
         node = Node([line(i) for i in range(1, 9)], seed, **REPORTS)
         _, acts = node.ask(left=200 * MS)
-        asked = [a.server for a in acts if isinstance(a, CheckHealth)]
+        asked = [a.endpoint_id for a in acts if isinstance(a, CheckHealth)]
         send = only_send(
             [a for a in node.give(*(HealthCheckResult(s, AttemptStatus.OK, MS, (1.0, 0.1)) for s in asked))]
         )
@@ -84,14 +84,14 @@
 
 def test_absurd_notes_of_a_standing_connection_are_ignored() -> None:
     node = Node([line(1)])
-    rid, acts = node.ask(hint=500)
+    rid, acts = node.ask(load_hint=500)
     node.give(AttemptEstablished(rid, 0, 1, MS))
     for value in (math.nan, math.inf, -7.0):
         node.give(
             ConnectionReport(rid, ReportKind.LOAD, 0, 1, value),
-            ConnectionReport(rid, ReportKind.DELAY, 0, 1, value),
+            ConnectionReport(rid, ReportKind.REPORTED_DELAY, 0, 1, value),
         )
-    assert only_send(acts).server == 1
+    assert only_send(acts).endpoint_id == 1
     assert (node.node.servers[1].load, node.node.servers[1].delay_at) == (500.0, -1)
 
 
@@ -107,7 +107,7 @@
 
 def test_absurd_weights_count_as_one() -> None:
     bad = [math.nan, 0.0, -3.0, 1e30, math.inf]
-    node = Node([line(i, weight=w) for i, w in enumerate(bad, 1)] + [line(9, weight=2.0)], weighted=True)
+    node = Node([line(i, weight=w) for i, w in enumerate(bad, 1)] + [line(9, weight=2.0)], has_weights=True)
     assert [node.node.servers[i].size for i in (1, 2, 3, 4, 5, 9)] == [1, 1, 1, 1, 1, 2.0]
     assert only_send(node.ask()[1])
 
@@ -119,7 +119,7 @@
 def test_first_watches_are_spread_and_failed_calls_back_off() -> None:
     firsts = []
     for seed in range(40):
-        node = Node([line(1)], seed, ask_discovery=True, ask_within=10 * S)
+        node = Node([line(1)], seed, polls_discovery=True, poll_interval_us=10 * S)
         node.run(START + 10 * S)
         firsts += watches(node)
         for _ in range(3):  # a call may be told to have failed more than once
@@ -137,11 +137,11 @@
     for seed in range(40):
         node = Node([line(1), line(2)], seed, **REPORTS)
         _, acts = node.ask(key=1)
-        probes = [a.server for a in acts if isinstance(a, CheckHealth)]
+        probes = [a.endpoint_id for a in acts if isinstance(a, CheckHealth)]
         first = only_send(
             node.give(*(HealthCheckResult(s, AttemptStatus.OK, MS, (1.0, 0.4)) for s in probes))
         )
-        same += only_send(node.ask(key=2)[1]).server == first.server
+        same += only_send(node.ask(key=2)[1]).endpoint_id == first.endpoint_id
     assert same == 0
 
 
@@ -149,7 +149,7 @@
     node = Node([line(1), line(2)])
     rid, acts = node.ask()
     node.give(ClientDisconnected(rid))
-    node.give(AttemptEnded(rid, 0, only_send(acts).server, AttemptStatus.CONNECT_FAILED, MS, False))
+    node.give(AttemptEnded(rid, 0, only_send(acts).endpoint_id, AttemptStatus.CONNECT_FAILED, MS, False))
     assert not [a for a in node.run(node.now + 5 * S) if isinstance(a, StartAttempt)]
 
 
@@ -158,7 +158,7 @@
     node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(60)))
     times = []
     for k in range(60):
-        node.give(ConnectionReport(1050 + k % 5, ReportKind.DELAY, 0, 1, 300.0))
+        node.give(ConnectionReport(1050 + k % 5, ReportKind.REPORTED_DELAY, 0, 1, 300.0))
         node.run(node.now + 100 * MS)
         times = sorted({t for t, a in node.log if isinstance(a, Migrate)})
     assert len(times) >= 2
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,14 +17,14 @@
 )
 from tests.helpers import MS, START, Node, S, line, only_send
 
-REPORTS: dict[str, Any] = {"probes": True, "report_columns": ("active", "x0")}
+REPORTS: dict[str, Any] = {"can_check_health": True, "report_columns": ("active", "x0")}
 
 
 def asked(node: Node, loads: dict[int, float], key: int) -> list[Action]:
     """A request with its probes answered."""
     _, acts = node.ask(key=key)
     replies = [
-        HealthCheckResult(a.server, AttemptStatus.OK, MS, (9.0, loads[a.server]))
+        HealthCheckResult(a.endpoint_id, AttemptStatus.OK, MS, (9.0, loads[a.endpoint_id]))
         for a in acts
         if isinstance(a, CheckHealth)
     ]
@@ -36,7 +36,9 @@
     for seed in range(200):
         node = Node([line(1), line(2), line(3)], seed, **REPORTS)
         met[
-            next(a for a in asked(node, {1: 0.2, 2: 0.5, 3: 1.2}, 5) if isinstance(a, StartAttempt)).server
+            next(
+                a for a in asked(node, {1: 0.2, 2: 0.5, 3: 1.2}, 5) if isinstance(a, StartAttempt)
+            ).endpoint_id
         ] += 1
     assert met[3] == 0
     assert met[1] > 2 * met[2] > 0
@@ -55,25 +57,27 @@
     node = Node([line(i) for i in range(1, 4)], **REPORTS)
     rid, acts = node.ask()
     assert not [a for a in acts if isinstance(a, StartAttempt)]
-    assert only_send([a for a in node.run(node.now + 100 * MS) if isinstance(a, StartAttempt)]).id == rid
+    assert (
+        only_send([a for a in node.run(node.now + 100 * MS) if isinstance(a, StartAttempt)]).request_id == rid
+    )
 
 
 def test_home_first_and_other_zones_when_home_has_no_room() -> None:
     fleet = [line(1), line(2), line(11, zone=1), line(12, zone=1)]
     node = Node(fleet, **REPORTS)
     assert {
-        next(a for a in asked(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, StartAttempt)).server < 10
+        next(a for a in asked(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, StartAttempt)).endpoint_id < 10
         for k in range(1, 3)
     } == {True}
     node = Node(fleet, **REPORTS)
-    assert next(a for a in asked(node, {1: 1.1, 2: 0.9}, 5) if isinstance(a, StartAttempt)).server > 10
+    assert next(a for a in asked(node, {1: 1.1, 2: 0.9}, 5) if isinstance(a, StartAttempt)).endpoint_id > 10
 
 
 def test_what_was_placed_counts_until_reports_can_show_it() -> None:
     node = Node([line(1), line(2)], **REPORTS)
     first = next(a for a in asked(node, {1: 0.4, 2: 0.4}, 5) if isinstance(a, StartAttempt))
     again = [next(a for a in asked(node, {1: 0.4, 2: 0.4}, k) if isinstance(a, StartAttempt)) for k in (6,)]
-    assert again[0].server != first.server
+    assert again[0].endpoint_id != first.endpoint_id
 
 
 def crowd(n: int, load: int, **over: Any) -> Node:
@@ -83,13 +87,13 @@
 
 
 def late(node: Node, ms: float, rid: int = 1000) -> None:
-    node.give(ConnectionReport(rid, ReportKind.DELAY, 0, 1, ms))
+    node.give(ConnectionReport(rid, ReportKind.REPORTED_DELAY, 0, 1, ms))
 
 
 def test_late_messages_move_a_part_of_the_load() -> None:
     node = crowd(30, 1000)
     late(node, 300.0)
-    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Migrate)]
+    moved = [a.request_id for a in node.run(node.now + S) if isinstance(a, Migrate)]
     share = sum(1 + (i - 1000) % 3 for i in moved) / 60
     assert 0.3 < share <= 0.6
 
@@ -126,16 +130,16 @@
 def test_what_is_worth_least_for_its_load_moves_first() -> None:
     node = crowd(30, 1000)
     late(node, 100.0)
-    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Migrate)]
+    moved = [a.request_id for a in node.run(node.now + S) if isinstance(a, Migrate)]
     assert moved
     assert all((i - 1000) % 3 == 2 for i in moved)
 
 
 def test_over_its_share_a_tenant_gives_way_first() -> None:
-    node = Node([line(i) for i in range(1, 9)], quotas=(5.0, 50.0), over_share_worth=0.1)
+    node = Node([line(i) for i in range(1, 9)], tenant_quotas=(5.0, 50.0), over_quota_weight=0.1)
     node.give(*(ConnectionAdopted(1000 + i, 0, i % 2, 1, 0, 1000) for i in range(30)))
     late(node, 120.0)
-    moved = [a.id for a in node.run(node.now + S) if isinstance(a, Migrate)]
+    moved = [a.request_id for a in node.run(node.now + S) if isinstance(a, Migrate)]
     assert moved
     assert all(i % 2 == 0 for i in moved)
 
@@ -151,7 +155,7 @@
     assert node.node.servers[1].strain_at == -1
     rid, acts = node.ask()
     acts = acts + node.run(node.now + S)
-    assert [a for a in acts if isinstance(a, StartAttempt | Reject) and a.id == rid]
+    assert [a for a in acts if isinstance(a, StartAttempt | Reject) and a.request_id == rid]
 
 
 def test_one_trial_at_a_time_when_a_mark_ends() -> None:
@@ -164,18 +168,18 @@
     assert len(out) == 1
     assert len(sent) <= 1
     node.give(AttemptEstablished(out[0].id, out[0].sent - 1, 1, MS))
-    assert only_send(node.ask(key=20)[1]).server == 1
+    assert only_send(node.ask(key=20)[1]).endpoint_id == 1
 
 
 def test_a_drop_leaves_no_load_behind() -> None:
     node = Node([line(1)])
-    rid, acts = node.ask(hint=500)
+    rid, acts = node.ask(load_hint=500)
     node.give(AttemptEstablished(rid, 0, 1, MS))
     node.give(ConnectionReport(rid, ReportKind.LOAD, 0, 1, 900.0))
     assert node.node.servers[1].load == 900.0
     node.give(AttemptEnded(rid, 0, 1, AttemptStatus.CANCELLED, S, True))
     assert (node.node.servers[1].load, node.node.servers[1].trying) == (0.0, 0)
-    assert only_send(acts).server == 1
+    assert only_send(acts).endpoint_id == 1
 
 
 def test_tenants_are_counted_as_they_come_and_go() -> None:
@@ -211,7 +215,7 @@
     now = node.now
     _, acts = node.ask(key=300)
     send = only_send([a for a in acts if isinstance(a, StartAttempt)])
-    assert send.timeout == node.settings.classes[0].deadline
+    assert send.timeout_us == node.settings.classes[0].deadline_us
     node.fail(send, 0, AttemptStatus.TIMEOUT)
     assert node.node.keys[300].n == 1
     assert node.node.keys[300].end - now > 3 * narrow
@@ -244,19 +248,19 @@
     for key in range(1, 20):
         firsts = []
         for seed in (1, 2, 3):
-            node = Node(fleet, seed, pass_through=True, park=5 * S, **REPORTS)
+            node = Node(fleet, seed, pass_through=True, park_us=5 * S, **REPORTS)
             _, acts = node.ask(key=key)
-            firsts.append([a.server for a in acts if isinstance(a, CheckHealth)])
+            firsts.append([a.endpoint_id for a in acts if isinstance(a, CheckHealth)])
         assert firsts[0] == firsts[1] == firsts[2]
-        _, acts = node.ask(key=key, midflow=True)
-        assert only_send(acts).server == firsts[0][0]
+        _, acts = node.ask(key=key, is_midstream=True)
+        assert only_send(acts).endpoint_id == firsts[0][0]
 
 
 def test_where_nobody_reports_late_servers_fill_the_pool() -> None:
     """Waves over the capacity: with most servers late, what comes is turned away until they recover."""
     node = Node([line(i) for i in range(1, 5)])
     node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(40)))
-    node.give(*(ConnectionReport(1000 + i, ReportKind.DELAY, 0, 1 + i, 600.0) for i in range(3)))
+    node.give(*(ConnectionReport(1000 + i, ReportKind.REPORTED_DELAY, 0, 1 + i, 600.0) for i in range(3)))
     node.now += 100 * MS
     assert not [a for a in node.ask(key=1)[1] if isinstance(a, StartAttempt)]
     node.run(node.now + 5 * S)
@@ -268,9 +272,9 @@
     node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(400)))
     sent = set()
     for k in range(1, 30):
-        node.give(*(ConnectionReport(1000 + i, ReportKind.DELAY, 0, 1 + i, 600.0) for i in range(4)))
+        node.give(*(ConnectionReport(1000 + i, ReportKind.REPORTED_DELAY, 0, 1 + i, 600.0) for i in range(4)))
         acts = node.run(node.now + 200 * MS) + node.ask(key=k)[1]
-        sent |= {a.server for a in acts if isinstance(a, StartAttempt)}
+        sent |= {a.endpoint_id for a in acts if isinstance(a, StartAttempt)}
     assert sent == {9}
 
 
@@ -282,7 +286,7 @@
         chosen = set()
         for seed in (1, 2, 3):
             node = Node(fleet, seed)
-            chosen |= {only_send(node.ask(key=k, key2=group)[1]).server for k in range(1, 4)}
+            chosen |= {only_send(node.ask(key=k, group_key=group)[1]).endpoint_id for k in range(1, 4)}
         assert len(chosen) <= 3 and max(chosen) < 10  # at random five to seven; the home zone first
         used |= chosen
     assert len(used) > 4  # groups differ in their servers
@@ -292,5 +296,5 @@
     """Drawn by its hash alone, a group that stood elsewhere cost the fleet its work once more."""
     node = Node([line(i) for i in range(1, 9)])
     node.give(*(ConnectionAdopted(1000 + g, 0, 0, 1 + g % 8, 0, None, g) for g in range(1, 33)))
-    same = sum(only_send(node.ask(key=g, key2=g)[1]).server == 1 + g % 8 for g in range(1, 33))
+    same = sum(only_send(node.ask(key=g, group_key=g)[1]).endpoint_id == 1 + g % 8 for g in range(1, 33))
     assert same > 12  # by the hash alone one in eight, some four of them
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -58,10 +58,10 @@
         for count in (1, 2):  # the second member's whole life comes in one read
             client = n.open()
             assert [client.hear() for _ in range(3)] == ["UP r1", "BYE", ""]
-            assert n.core.wait_for(AttemptEstablished, count).server == 1
+            assert n.core.wait_for(AttemptEstablished, count).endpoint_id == 1
             client.close()
             ended = n.core.wait_for(AttemptEnded, count)
-            assert (ended.status, ended.closed) == (AttemptStatus.OK, True)
+            assert (ended.status, ended.is_closed) == (AttemptStatus.OK, True)
 
 
 def test_lines_pass_both_ways_and_a_silent_flow_moves(tmp_path: Path) -> None:
@@ -168,8 +168,8 @@
         client.close()
         assert ended.wait(5)
         outcome = n.core.wait_for(AttemptEnded)
-        assert (outcome.status, outcome.closed) == (AttemptStatus.CANCELLED, True)
-        assert n.core.wait_for(ClientDisconnected).id == outcome.id
+        assert (outcome.status, outcome.is_closed) == (AttemptStatus.CANCELLED, True)
+        assert n.core.wait_for(ClientDisconnected).request_id == outcome.request_id
 
 
 def test_a_member_that_never_answers_times_out_and_the_client_is_told_in_time(tmp_path: Path) -> None:
@@ -204,7 +204,7 @@
 def test_a_connection_from_before_the_run_goes_to_its_member(tmp_path: Path) -> None:
     with node(tmp_path, Listener(up()), Listener(up(lambda peer: void(peer.hear())))) as n:
         assert n.open("c=chat,d=4294967,at=s1").hear() == "UP r1"
-        assert n.core.wait_for(ConnectionAdopted).server == 2
+        assert n.core.wait_for(ConnectionAdopted).endpoint_id == 2
         assert n.open("c=chat,d=5000,at=nobody").hear().startswith("BUSY")
 
 
@@ -248,7 +248,7 @@
         client.say("M 1")
         assert client.hear() == "M 1"
         note = n.core.wait_for(ConnectionReport)
-        assert (note.kind, note.server) == (ReportKind.TIMED, 1) and 110 <= note.value < 300
+        assert (note.kind, note.endpoint_id) == (ReportKind.MEASURED_DELAY, 1) and 110 <= note.value < 300
         time.sleep(1.05)  # what is heard within a second is taken together
         client.say("M 2")
         assert n.core.wait_for(ConnectionReport, 2).value < 100
@@ -264,9 +264,11 @@
         client = n.open()
         assert [client.hear() for _ in range(10)] == ["UP r1", *lines]
         n.core.wait_for(AttemptEnded)
-        notes = [(e.kind, e.server, e.value) for e in n.core.heard if isinstance(e, ConnectionReport)]
-        assert notes == ([(ReportKind.DELAY, 1, 40.5), (ReportKind.DELAY, 1, 3.0)] if tells else [])
-        assert n.core.config.settings.probe_pace > 0  # a promise of notes alone stops no probes
+        notes = [(e.kind, e.endpoint_id, e.value) for e in n.core.heard if isinstance(e, ConnectionReport)]
+        assert notes == (
+            [(ReportKind.REPORTED_DELAY, 1, 40.5), (ReportKind.REPORTED_DELAY, 1, 3.0)] if tells else []
+        )
+        assert n.core.config.settings.health_check_interval_us > 0  # a promise of notes alone stops no probes
         client.close()
 
 
@@ -296,7 +298,7 @@
             n.core.wait_for(EndpointListUpdate, count)
             n.core.watches.put(True)
         kinds = [e.kind for e in n.core.heard if isinstance(e, EndpointListUpdate)][1:6]
-        assert kinds == [ListUpdateKind.FULL, ListUpdateKind.DELTA, *[ListUpdateKind.FAILED] * 3]
+        assert kinds == [ListUpdateKind.SNAPSHOT, ListUpdateKind.DELTA, *[ListUpdateKind.FAILED] * 3]
         assert calls[0][1] == "GET /v1/servers HTTP/1.1"  # a node that comes back has an old list
         assert calls[1][1].startswith("GET /v1/servers?since=3&timeout_ms=")
         assert calls[2][1].startswith("GET /v1/servers?since=7&") and calls[2][0] - calls[1][0] < 0.2
@@ -319,7 +321,7 @@
     with node(tmp_path, Listener(pong, err), settings=settings) as n:
         Prober(n.core).start()
         first, second = n.core.wait_for(HealthCheckResult), n.core.wait_for(HealthCheckResult, 2)
-        assert first.status is AttemptStatus.OK and 20_000 <= first.latency < 140_000
+        assert first.status is AttemptStatus.OK and 20_000 <= first.latency_us < 140_000
         assert second.status is AttemptStatus.ERROR
 
 
@@ -570,7 +572,7 @@
         assert not discovery.switch((host_, int(port)))
         assert old.ended.wait(5)
         told_new = n.core.wait_for(EndpointListUpdate, 3)
-        assert (told_new.kind, told_new.version) == (ListUpdateKind.FULL, 2)
+        assert (told_new.kind, told_new.version) == (ListUpdateKind.SNAPSHOT, 2)
         assert n.core.member_of_id("s7") is not None
         client.say("M 1")
         assert client.hear() == "M 1"
@@ -605,7 +607,7 @@
             EndpointListUpdate, 3
         )  # the known one, the one in the silent call's place, and a failure
         kinds = [e.kind for e in n.core.heard if isinstance(e, EndpointListUpdate)][1:]
-        assert kinds == [ListUpdateKind.FULL, ListUpdateKind.FAILED]
+        assert kinds == [ListUpdateKind.SNAPSHOT, ListUpdateKind.FAILED]
         asked = re.compile(r"GET /v1/servers\?since=1&timeout_ms=(\d+) HTTP/1.1")
         waits = [int(asked.fullmatch(call)[1]) for call in (calls[0], *later.calls[:1])]  # type: ignore[index]
         assert waits == [100, 500]  # the second one may hang as well, and waits for little
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -24,11 +24,11 @@
 from tests.helpers import DEADLINE, MS, Node, S, line
 
 EFFECTS = [
-    (Idempotency.SAFE, DeduplicationScope.ALL),
-    (Idempotency.KEYED, DeduplicationScope.ALL),
-    (Idempotency.KEYED, DeduplicationScope.ZONE),
-    (Idempotency.KEYED, DeduplicationScope.CELL),
-    (Idempotency.UNSAFE, DeduplicationScope.ALL),
+    (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+    (Idempotency.WITH_KEY, DeduplicationScope.ALL),
+    (Idempotency.WITH_KEY, DeduplicationScope.ZONE),
+    (Idempotency.WITH_KEY, DeduplicationScope.CELL),
+    (Idempotency.NONE, DeduplicationScope.ALL),
 ]
 FAILURES = (
     AttemptStatus.ERROR,
@@ -53,10 +53,10 @@
         self.node = Node(
             [line(i, z, cell=c) for i, (z, c) in self.place.items()],
             seed,
-            effect=effect,
-            group=group,
+            idempotency=effect,
+            deduplication_scope=group,
             pass_through=pass_mode,
-            probes=probes,
+            can_check_health=probes,
             report_columns=("active", "x0") if probes else (),
         )
         self.open: dict[int, int] = {}  # request -> its deadline, while an answer is owed
@@ -72,43 +72,43 @@
         now = self.node.now
         for a in actions:
             if isinstance(a, StartAttempt):
-                assert a.id in self.open, "sent after the end"
-                assert a.id not in self.out, "two attempts out"
-                if self.state[a.server] is not EndpointState.READY:
-                    assert self.state[a.server] is EndpointState.DRAINING and a.id in self.midflow, (
-                        "sent to a drain"
-                    )
-                    assert now - self.told[a.server] <= self.node.settings.drain_grace
-                assert now < self.open[a.id]
-                self.tries[a.id] = self.tries.get(a.id, -1) + 1
-                assert self.tries[a.id] < self.node.settings.max_attempts
-                if a.id in self.ran and self.effect is not Idempotency.SAFE:
-                    assert self.effect is Idempotency.KEYED, "an unsafe effect twice"
-                    server, at = self.ran[a.id]
-                    mine, its = self.place[a.server], self.place[server]
+                assert a.request_id in self.open, "sent after the end"
+                assert a.request_id not in self.out, "two attempts out"
+                if self.state[a.endpoint_id] is not EndpointState.READY:
+                    assert (
+                        self.state[a.endpoint_id] is EndpointState.DRAINING and a.request_id in self.midflow
+                    ), "sent to a drain"
+                    assert now - self.told[a.endpoint_id] <= self.node.settings.drain_grace_us
+                assert now < self.open[a.request_id]
+                self.tries[a.request_id] = self.tries.get(a.request_id, -1) + 1
+                assert self.tries[a.request_id] < self.node.settings.max_attempts
+                if a.request_id in self.ran and self.effect is not Idempotency.IDEMPOTENT:
+                    assert self.effect is Idempotency.WITH_KEY, "an unsafe effect twice"
+                    server, at = self.ran[a.request_id]
+                    mine, its = self.place[a.endpoint_id], self.place[server]
                     part = self.group is DeduplicationScope.CELL
                     assert self.group is DeduplicationScope.ALL or mine[part] == its[part]
-                    assert now - at < self.node.settings.classes[0].window
-                self.out[a.id] = (self.tries[a.id], a.server, now)
+                    assert now - at < self.node.settings.classes[0].deduplication_window_us
+                self.out[a.request_id] = (self.tries[a.request_id], a.endpoint_id, now)
             elif isinstance(a, Reject | Fail):
-                assert a.id in self.open, "answered twice"
-                assert now <= self.open[a.id] + self.node.settings.answer_slack
-                if isinstance(a, Reject) and a.id in self.ran:
-                    assert self.effect is Idempotency.SAFE or (
-                        self.effect is Idempotency.KEYED and self.group is DeduplicationScope.ALL
+                assert a.request_id in self.open, "answered twice"
+                assert now <= self.open[a.request_id] + self.node.settings.answer_grace_us
+                if isinstance(a, Reject) and a.request_id in self.ran:
+                    assert self.effect is Idempotency.IDEMPOTENT or (
+                        self.effect is Idempotency.WITH_KEY and self.group is DeduplicationScope.ALL
                     ), "refused what may have run"
-                del self.open[a.id]
+                del self.open[a.request_id]
             elif isinstance(a, CheckHealth):
-                self.pinged.append(a.server)
+                self.pinged.append(a.endpoint_id)
             elif isinstance(a, Migrate):
-                assert a.id in self.up
+                assert a.request_id in self.up
 
     def end(self, rid: int, status: AttemptStatus, latency: int) -> None:
         attempt, server, at = self.out.pop(rid)
         closed = rid not in self.open or rid in self.up or status is AttemptStatus.OK
         if closed:
             self.open.pop(rid, None)
-        elif not status.never_ran:
+        elif not status.definitely_not_executed:
             self.ran.setdefault(rid, (server, at))
         self.up.discard(rid)
         self.check(self.node.give(AttemptEnded(rid, attempt, server, status, latency, closed)))
@@ -135,7 +135,7 @@
                 if rng.random() < 0.2:
                     self.midflow.add(rid)
                 asked = RequestReceived(
-                    rid, 0, 0, node.now + left, rng.randrange(5), midflow=rid in self.midflow
+                    rid, 0, 0, node.now + left, rng.randrange(5), is_midstream=rid in self.midflow
                 )
                 self.check(node.give(asked))
             case 3 | 4 if self.out:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -136,20 +136,20 @@
         n.edit(setting("name", "else"), setting("settings.ceilings.connect_timeout", 50_000))
         n.reloader.read()
         assert core.metrics.totals()["config_applied"] == 1
-        assert (core.config.name, core.config.settings.connect_timeout) == ("n0", 50_000)
+        assert (core.config.name, core.config.settings.connect_timeout_us) == ("n0", 50_000)
         gone, new = n.node.open(), n.node.open("c=draw,d=900")
         assert (gone.hear(), new.hear()) == ("ERR", "UP r1")
         for client in (old, new):
             client.say("M 1")
             assert client.hear() == "M 1"  # connections that stand keep their class
-        assert core.wait_for(Settings).retired == {0}
+        assert core.wait_for(Settings).retired_classes == {0}
         shorter = other | {"hard_limit": 700_000}
         n.edit(setting("settings.classes", [terms, shorter]))
         assert "settings.classes.0.effect: missing" in n.refused()  # the default would be a laxer one
         n.edit(setting("settings.classes", [terms | {"effect": "read_like"}, shorter]))
         n.reloader.read()
         assert core.classes == {"chat": 0, "draw": 2}  # old terms have their old number, new ones a new one
-        assert [c.deadline for c in core.config.settings.classes] == [1_200_000, 900_000, 700_000]
+        assert [c.deadline_us for c in core.config.settings.classes] == [1_200_000, 900_000, 700_000]
         for client in (old, gone, new):
             client.close()
 
@@ -179,12 +179,18 @@
     timers: list[SetTimer] = []
     for deadline, cap in [(0, 5), *changes]:
         if deadline:
-            new = ClassSettings(aim=50 * MS, deadline=deadline * MS, message_aim=20 * MS)
+            new = ClassSettings(
+                latency_objective_us=50 * MS, deadline_us=deadline * MS, message_latency_objective_us=20 * MS
+            )
             classes = (*classes, new)
             retired = frozenset(range(len(classes) - 1))
             told = settings(max_attempts=cap)
             told = Settings(
-                **{**{f: getattr(told, f) for f in told.__slots__}, "classes": classes, "retired": retired}
+                **{
+                    **{f: getattr(told, f) for f in told.__slots__},
+                    "classes": classes,
+                    "retired_classes": retired,
+                }
             )
             actions = core.handle(now, [told])
             assert core.patience == deadline * MS  # paces go by the classes in force
@@ -195,12 +201,12 @@
                     return
                 if isinstance(action, StartAttempt):
                     sent += 1
-                    assert sent <= cap and now + action.timeout <= 2 * S
+                    assert sent <= cap and now + action.timeout_us <= 2 * S
             if any(isinstance(a, StartAttempt) for a in actions):
                 now += 1 * MS
                 actions = core.handle(now, [AttemptEnded(1, sent - 1, 0, AttemptStatus.FULL, MS, False)])
                 break
-            timers.sort(key=lambda t: t.at)
+            timers.sort(key=lambda t: t.due_at_us)
             due = timers.pop(0)
-            now = max(now, due.at)
-            actions = core.handle(now, [TimerExpired(due.token)])
+            now = max(now, due.due_at_us)
+            actions = core.handle(now, [TimerExpired(due.timer_id)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
     node = Node([])
     rid, acts = node.ask()
     acts = acts or node.run(node.now + DEADLINE)
-    assert [a.id for a in acts if isinstance(a, Reject)] == [rid]
+    assert [a.request_id for a in acts if isinstance(a, Reject)] == [rid]
 
 
 def test_a_deadline_already_past_is_refused_at_once() -> None:
@@ -51,7 +51,7 @@
     rid, acts = node.ask()
     send = only_send(acts)
     node.give(ClientDisconnected(rid))
-    assert node.give(AttemptEnded(rid, 0, send.server, AttemptStatus.TIMEOUT, S, True)) == []
+    assert node.give(AttemptEnded(rid, 0, send.endpoint_id, AttemptStatus.TIMEOUT, S, True)) == []
     assert rid not in node.node.requests
 
 
@@ -59,11 +59,11 @@
     node = Node(FLEET, max_attempts=1)
     rid, acts = node.ask()
     send = only_send(acts)
-    assert send.timeout == DEADLINE
+    assert send.timeout_us == DEADLINE
     acts = node.fail(send, 0, AttemptStatus.TIMEOUT, DEADLINE)
     assert len(acts) == 1
     assert isinstance(acts[0], Reject)
-    assert acts[0].id == rid
+    assert acts[0].request_id == rid
 
 
 # --- rule 2: no effect twice
@@ -71,14 +71,14 @@
 
 def test_an_unsafe_request_that_may_have_run_fails() -> None:
     for status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED):
-        node = Node(FLEET, effect=Idempotency.UNSAFE)
+        node = Node(FLEET, idempotency=Idempotency.NONE)
         rid, acts = node.ask()
         assert node.fail(only_send(acts), 0, status) == [Fail(rid)]
 
 
 def test_an_unsafe_request_that_did_not_run_is_tried_again() -> None:
     for status in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED):
-        node = Node(FLEET, effect=Idempotency.UNSAFE)
+        node = Node(FLEET, idempotency=Idempotency.NONE)
         _, acts = node.ask()
         node.fail(only_send(acts), 0, status)
         assert only_send(node.step())
@@ -87,23 +87,25 @@
 @pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
 def test_a_keyed_request_that_may_have_run_stays_in_its_group(group: DeduplicationScope) -> None:
     fleet = [line(i, zone=i % 2, cell=i % 4) for i in range(1, 17)]
-    where = {x.server: (x.zone if group is DeduplicationScope.ZONE else x.cell) for x in fleet}
+    where = {x.endpoint_id: (x.zone if group is DeduplicationScope.ZONE else x.cell) for x in fleet}
     retried = 0
     for seed in range(40):
-        node = Node(fleet, seed, effect=Idempotency.KEYED, group=group)
+        node = Node(fleet, seed, idempotency=Idempotency.WITH_KEY, deduplication_scope=group)
         _rid, acts = node.ask()
         first = only_send(acts)
         acts = node.fail(first, 0, AttemptStatus.RESET) or node.step()
         for a in acts:
             if isinstance(a, StartAttempt):
                 retried += 1
-                assert where[a.server] == where[first.server]
+                assert where[a.endpoint_id] == where[first.endpoint_id]
             assert not isinstance(a, Reject)
     assert retried > 20
 
 
 def test_a_keyed_request_of_the_group_of_all_may_go_anywhere_and_be_refused() -> None:
-    node = Node(FLEET, effect=Idempotency.KEYED, group=DeduplicationScope.ALL, max_attempts=2)
+    node = Node(
+        FLEET, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ALL, max_attempts=2
+    )
     _rid, acts = node.ask()
     node.fail(only_send(acts), 0, AttemptStatus.RESET)
     acts = node.fail(only_send(node.step()), 1, AttemptStatus.RESET)
@@ -111,12 +113,17 @@
 
 
 def test_a_keyed_request_is_not_repeated_after_its_window() -> None:
-    node = Node(FLEET, effect=Idempotency.KEYED, group=DeduplicationScope.ALL, window=10 * MS)
+    node = Node(
+        FLEET,
+        idempotency=Idempotency.WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_us=10 * MS,
+    )
     rid, acts = node.ask()
     acts = node.fail(only_send(acts), 0, AttemptStatus.RESET, 20 * MS)
     acts += node.run(node.now + DEADLINE)
     assert not [a for a in acts if isinstance(a, StartAttempt)]
-    assert [a.id for a in acts if isinstance(a, Reject)] == [rid]
+    assert [a.request_id for a in acts if isinstance(a, Reject)] == [rid]
 
 
 def test_never_two_attempts_out() -> None:
@@ -133,7 +140,7 @@
     for state in (EndpointState.DRAINING, EndpointState.GONE):
         node = Node(FLEET)
         node.give(EndpointListUpdate(ListUpdateKind.DELTA, tuple(line(i, state=state) for i in range(1, 8))))
-        assert {only_send(node.ask(key=k)[1]).server for k in range(1, 60)} == {8}
+        assert {only_send(node.ask(key=k)[1]).endpoint_id for k in range(1, 60)} == {8}
 
 
 def test_who_is_connected_is_told_to_move_before_the_server_leaves() -> None:
@@ -143,17 +150,17 @@
         node.give(ConnectionAdopted(rid, 0, 0, 1))
     node.give(ConnectionAdopted(121, 0, 0, 2))
     node.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, state=EndpointState.DRAINING),)))
-    grace = node.settings.drain_grace
-    half = [a.id for a in node.run(node.now + grace // 2) if isinstance(a, Migrate)]
-    rest = [a.id for a in node.run(node.now + grace // 2 + 1) if isinstance(a, Migrate)]
+    grace = node.settings.drain_grace_us
+    half = [a.request_id for a in node.run(node.now + grace // 2) if isinstance(a, Migrate)]
+    rest = [a.request_id for a in node.run(node.now + grace // 2 + 1) if isinstance(a, Migrate)]
     assert 4 <= len(half) <= 16
     assert sorted(half + rest) == list(range(101, 121))
 
 
 def test_a_server_absent_from_a_complete_list_gets_nothing() -> None:
     node = Node(FLEET)
-    node.give(EndpointListUpdate(ListUpdateKind.FULL, (line(3),)))
-    assert {only_send(node.ask(key=k)[1]).server for k in range(1, 30)} == {3}
+    node.give(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (line(3),)))
+    assert {only_send(node.ask(key=k)[1]).endpoint_id for k in range(1, 30)} == {3}
 
 
 def test_a_retry_is_placed_by_the_list_of_its_own_time() -> None:
@@ -166,7 +173,7 @@
             (line(1, state=EndpointState.GONE), line(2, state=EndpointState.GONE), line(9)),
         )
     )
-    assert only_send(node.step()).server == 9
+    assert only_send(node.step()).endpoint_id == 9
 
 
 # --- rule 4: no cold server pushed over
@@ -179,20 +186,20 @@
     warm = [line(i) for i in range(1, fleet)]
     total = 0
     for seed in range(nodes):
-        node = Node([*warm, line(99, ready_at=START)], seed, balancers=nodes)
+        node = Node([*warm, line(99, ready_at=START)], seed, node_count=nodes)
         standing = max(1, each * fleet // nodes)
         node.give(*(ConnectionAdopted(10_000 + i, 0, 0, 1 + i % (fleet - 1), 0) for i in range(standing)))
         for k in range(1, 1 + max(2, 2 * standing)):
             rid, acts = node.ask(key=k)
             send = only_send(acts)
-            total += send.server == 99
-            node.give(AttemptEstablished(rid, 0, send.server, MS))
+            total += send.endpoint_id == 99
+            node.give(AttemptEstablished(rid, 0, send.endpoint_id, MS))
     # At its start it may take the multiple of its cold part of the rate that fills it over its warm-up.
     assert total <= 3.0 * 0.15 * each / 20 * 1 + 8 + nodes * 0.05
 
 
 def test_only_cold_servers_left_is_paced_not_dumped() -> None:
-    node = Node([line(i, ready_at=START) for i in range(1, 5)], balancers=4)
+    node = Node([line(i, ready_at=START) for i in range(1, 5)], node_count=4)
     sent = 0
     for k in range(1, 200):
         sent += sum(isinstance(a, StartAttempt) for a in node.ask(key=k)[1])
@@ -204,7 +211,13 @@
 
 @pytest.mark.parametrize(
     ("field", "value"),
-    [("balancers", 0), ("tick", 0), ("cold_from", 0.0), ("fall_multiple", -1.0), ("me", -1)],
+    [
+        ("node_count", 0),
+        ("tick_us", 0),
+        ("slow_start_initial_capacity", 0.0),
+        ("overload_factor", -1.0),
+        ("node_index", -1),
+    ],
 )
 def test_senseless_settings_name_their_field(field: str, value: float) -> None:
     good = Node(FLEET).settings
@@ -216,4 +229,6 @@
     node = Node(FLEET)
     node.give(RequestReceived(5, 0, 0, node.now + 100 * MS, 3))
     send = next(a for _, a in node.log if isinstance(a, StartAttempt))
-    assert node.give(AttemptEnded(5, 0, send.server, AttemptStatus.MOOT, 0, False)) == [Reject(5, 0)]
+    assert node.give(AttemptEnded(5, 0, send.endpoint_id, AttemptStatus.NOT_ATTEMPTED, 0, False)) == [
+        Reject(5, 0)
+    ]
--- a/tests/test_second_shape.py
+++ b/tests/test_second_shape.py
@@ -51,7 +51,7 @@
         client = n.open("c=chat,t=north,d=1200")
         assert [client.hear() for _ in range(6)][-1] == "LOAD 30"
         n.core.wait_for(AttemptEnded)
-        kind = ReportKind.LOAD if shape is PUSHED else ReportKind.DELAY
+        kind = ReportKind.LOAD if shape is PUSHED else ReportKind.REPORTED_DELAY
         notes = [(e.kind, e.value) for e in n.core.heard if isinstance(e, ConnectionReport)]
         assert notes == [(kind, 40500.0), (kind, 30.0)]
         client.close()
@@ -96,7 +96,7 @@
     with node(tmp_path, Listener(report), settings=PUSHED) as n:
         Prober(n.core).start()
         probed = n.core.wait_for(HealthCheckResult)
-        assert (probed.status, probed.load) == (AttemptStatus.OK, load)
+        assert (probed.status, probed.load_report) == (AttemptStatus.OK, load)
 
 
 def test_what_the_settings_do_not_give_is_named(tmp_path: Path, shape: dict[str, Any]) -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -368,9 +368,9 @@
         for viewer in (stands, parked):
             viewer.begin()
         parked.lose()
-        n.core.tell_members(MemberList(2, True, entries), ListUpdateKind.FULL)
+        n.core.tell_members(MemberList(2, True, entries), ListUpdateKind.SNAPSHOT)
         entries[0].phase = "draining"
-        n.core.tell_members(MemberList(3, True, entries), ListUpdateKind.FULL)
+        n.core.tell_members(MemberList(3, True, entries), ListUpdateKind.SNAPSHOT)
         for _ in range(2):
             assert hosts[0].ended.acquire(timeout=5)
         stands.say("M 2")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -132,10 +132,20 @@
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
     s = wire.read_settings(SETTINGS)
     one = s.classes[0]
-    assert (s.balancers, s.max_attempts, s.cold, s.pass_through, s.weighted) == (3, 4, 23_000_000, True, True)
-    assert (one.aim, one.deadline, one.message_aim) == (300_000, 1_800_000, 250_000)
-    assert (one.effect, one.group) == (Idempotency.KEYED, DeduplicationScope.ZONE)
-    assert s.quotas == (10.0, 20.0)
+    assert (s.node_count, s.max_attempts, s.slow_start_duration_us, s.pass_through, s.has_weights) == (
+        3,
+        4,
+        23_000_000,
+        True,
+        True,
+    )
+    assert (one.latency_objective_us, one.deadline_us, one.message_latency_objective_us) == (
+        300_000,
+        1_800_000,
+        250_000,
+    )
+    assert (one.idempotency, one.deduplication_scope) == (Idempotency.WITH_KEY, DeduplicationScope.ZONE)
+    assert s.tenant_quotas == (10.0, 20.0)
     assert s.report_columns == ("active", "x0")
 
 
