--- /dev/null
+++ b/tests/formats/adapter.py
@@ -0,0 +1,356 @@
+"""The package's messages, as the tests of formats make, encode and decode them.
+
+The tests name kinds of data and fields by their own words and write the values down as literals. Each
+function here makes the package's object of one kind: a rename in the package is followed here and in
+`storage_adapter`, and nowhere else in this folder. Objects are made by keyword, so a class whose fields
+change places no longer encodes to the same bytes.
+"""
+
+from __future__ import annotations
+
+import socket
+import threading
+import typing
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from pathlib import Path
+
+import msgspec
+
+from tansyladder.config import MemberEntry, MemberList
+from tansyladder.fleet.peering import Greeting
+from tansyladder.fleet.publishing import Stamp
+from tansyladder.net.takeover import Given, Handed, Takeover
+from tansyladder.peers import agreed, claims, contents, documents, messages
+
+Place = tuple[int, int]  # term and index of a log entry
+LogEntry = messages.Entry
+PeerMessage = messages.Message | contents.Spoken
+LogCommand = agreed.Entry
+EndpointList = MemberList
+
+# --- msgpack and JSON as the package uses them
+
+
+def encode(value: object) -> bytes:
+    return msgspec.msgpack.encode(value)
+
+
+def decode_peer_message(data: bytes) -> object:
+    return msgspec.msgpack.Decoder(PeerMessage).decode(data)
+
+
+def decode_log_command(data: bytes) -> object:
+    return msgspec.msgpack.Decoder(LogCommand).decode(data)
+
+
+def decode_claim_result(data: bytes) -> object:
+    return msgspec.msgpack.decode(data, type=claims.Ruling)
+
+
+def decode_change_result(data: bytes) -> object:
+    return msgspec.msgpack.decode(data, type=documents.Ruled)
+
+
+def decode_greeting(data: bytes) -> object:
+    return msgspec.msgpack.decode(data, type=Greeting)
+
+
+def peer_message_tags() -> set[str]:
+    """Of all messages that a peer may send."""
+    beside = typing.get_args(typing.get_type_hints(contents.Spoken)["what"])
+    return {_tag(kind) for kind in (*typing.get_args(PeerMessage), *beside)}
+
+
+def log_command_tags() -> set[str]:
+    """Of all that a log entry's data may say."""
+    return {_tag(kind) for kind in typing.get_args(LogCommand)}
+
+
+def _tag(kind: type[msgspec.Struct]) -> str:
+    return str(kind.__struct_config__.tag)
+
+
+def encode_json(value: object) -> bytes:
+    return msgspec.json.encode(value)
+
+
+def decode_listener_handover(data: bytes) -> object:
+    return msgspec.json.decode(data, type=Given)
+
+
+def decode_connection_handover(data: bytes) -> object:
+    return msgspec.json.decode(data, type=Handed)
+
+
+def decode_decision_stamp(data: bytes) -> object:
+    return msgspec.json.decode(data, type=Stamp)
+
+
+# --- raft messages
+
+
+def log_entry(*, term: int, kind: int, request: str, data: bytes) -> LogEntry:
+    return messages.Entry(term=term, kind=messages.Kind(kind), request=request, data=data)
+
+
+def hello(
+    *, disk: str, start: str, founders: dict[str, str], to: str, wants_answer: bool, term: int, last: Place
+) -> PeerMessage:
+    return messages.Hello(
+        ident=disk, start=start, founders=founders, to=to, wants=wants_answer, term=term, last=last
+    )
+
+
+def request_vote(
+    *, term: int, last_index: int, last_term: int, pre_vote: bool, commit_index: int, commit_term: int
+) -> PeerMessage:
+    committed = messages.Mark(index=commit_index, term=commit_term)
+    return messages.Ask(
+        term=term, last_index=last_index, last_term=last_term, trial=pre_vote, committed=committed
+    )
+
+
+def vote_response(
+    *, term: int, granted: bool, pre_vote: bool, disk: str, commit_index: int, commit_term: int
+) -> PeerMessage:
+    committed = messages.Mark(index=commit_index, term=commit_term)
+    return messages.Vote(term=term, given=granted, trial=pre_vote, ident=disk, committed=committed)
+
+
+def append_entries(
+    *, term: int, previous_index: int, previous_term: int, entries: tuple[LogEntry, ...], commit: int
+) -> PeerMessage:
+    return messages.Append(
+        term=term, before=previous_index, before_term=previous_term, entries=entries, commit=commit
+    )
+
+
+def append_response(
+    *, term: int, success: bool, index: int, disk: str, start: str, counts: bool
+) -> PeerMessage:
+    return messages.Appended(term=term, fits=success, index=index, ident=disk, start=start, counts=counts)
+
+
+def install_snapshot(
+    *, term: int, index: int, index_term: int, voters: dict[str, str], state: bytes
+) -> PeerMessage:
+    return messages.Install(term=term, index=index, index_term=index_term, voters=voters, state=state)
+
+
+def propose(*, request: str, data: bytes) -> PeerMessage:
+    return messages.Propose(request=request, data=data)
+
+
+def proposal_result(*, request: str, result: bytes | None) -> PeerMessage:
+    return messages.Decided(request=request, result=result)
+
+
+def lease_renewal(*, start: str) -> PeerMessage:
+    return contents.Spoken(what=documents.Here(start=start))
+
+
+def chunk_request(*, digest: bytes, offset: int) -> PeerMessage:
+    return contents.Spoken(what=contents.Want(digest=digest, at=offset))
+
+
+def chunk(*, digest: bytes, offset: int, size: int, data: bytes) -> PeerMessage:
+    return contents.Spoken(what=contents.Piece(digest=digest, at=offset, size=size, data=data))
+
+
+# --- what a log entry's data says, and the answers
+
+
+def session_claim(
+    *, session: int, generation: int, expiry: int, node: str, time: int, keep: int, number: int
+) -> LogCommand:
+    return claims.Claim(
+        session=session, generation=generation, expiry=expiry, by=node, at=time, keep=keep, ask=number
+    )
+
+
+def claim_confirmation(
+    *, session: int, tenure: int, floor: int, expiry: int, node: str, time: int, keep: int, turn: int
+) -> LogCommand:
+    return claims.Confirm(
+        session=session,
+        tenure=tenure,
+        floor=floor,
+        expiry=expiry,
+        by=node,
+        at=time,
+        keep=keep,
+        turn=turn,
+    )
+
+
+def session_opened(*, session: int, tenure: int, node: str, time: int, turn: int) -> LogCommand:
+    return claims.Opened(session=session, tenure=tenure, by=node, at=time, turn=turn)
+
+
+def claim_result(*, tenure: int, why: str) -> object:
+    return claims.Ruling(tenure=tenure, why=why)
+
+
+def proposal(*, name: str, digest: bytes, size: int, key: str, node: str, time: int) -> LogCommand:
+    return documents.Offer(name=name, digest=digest, size=size, ask=key, by=node, at=time)
+
+
+def validation_vote(*, number: int, node: str, time: int, fault: str) -> LogCommand:
+    return documents.Verdict(number=number, by=node, at=time, fault=fault)
+
+
+def prepare(*, number: int, node: str, time: int, short_lease: int) -> LogCommand:
+    return documents.Arm(number=number, by=node, at=time, short=short_lease)
+
+
+def prepared(*, number: int, round: int, node: str, time: int) -> LogCommand:
+    return documents.Armed(number=number, round=round, by=node, at=time)
+
+
+def commit(*, number: int, node: str, time: int) -> LogCommand:
+    return documents.Hold(number=number, by=node, at=time)
+
+
+def abort(*, number: int, node: str, time: int, why: str) -> LogCommand:
+    return documents.Drop(number=number, by=node, at=time, why=why)
+
+
+def lease_grant(*, starts: tuple[str, ...], length: int, node: str, time: int) -> LogCommand:
+    return documents.Lease(to=starts, length=length, by=node, at=time)
+
+
+def lease_release(*, node: str, time: int) -> LogCommand:
+    return documents.Leave(by=node, at=time)
+
+
+def change_result(*, word: str, number: int, why: str) -> object:
+    return documents.Ruled(word=word, number=number, why=why)
+
+
+def greeting(
+    *, version: int, fleet: str, name: str, to: str, nonce: bytes, time: int, proof: bytes
+) -> object:
+    return Greeting(version=version, fleet=fleet, name=name, to=to, nonce=nonce, at=time, proof=proof)
+
+
+# --- the list of endpoints
+
+
+def endpoint(
+    *,
+    id: str,
+    address: str,
+    phase: str,
+    locality: str,
+    flavor: str,
+    cell: int,
+    size: float,
+    up_since_ms: int,
+) -> MemberEntry:
+    return MemberEntry(
+        id=id,
+        host_port=address,
+        phase=phase,
+        locality=locality,
+        flavor=flavor,
+        cell=cell,
+        size=size,
+        up_since_ms=up_since_ms,
+    )
+
+
+def endpoint_list(*, revision: int, complete: bool, endpoints: list[MemberEntry]) -> EndpointList:
+    return MemberList(revision=revision, complete=complete, members=endpoints)
+
+
+# --- an upgrade
+
+
+def listener_handover(*, kept_descriptors: int, endpoints: EndpointList) -> object:
+    return Given(kept=kept_descriptors, members=endpoints)
+
+
+def connection_handover(
+    *,
+    first_line: str,
+    host: str,
+    last_word: str,
+    asked: int | None,
+    partial_lines: tuple[bytes, bytes],
+    waiting_lines: tuple[bytes, bytes],
+) -> Handed:
+    return Handed(
+        opening=first_line,
+        member=host,
+        last_word=last_word,
+        asked=asked,
+        rests=partial_lines,
+        waiting=waiting_lines,
+    )
+
+
+@contextmanager
+def background(run: Callable[[], None]) -> Iterator[None]:
+    """Run a function in a thread that ends with the block."""
+    thread = threading.Thread(target=run)
+    thread.start()
+    try:
+        yield
+    finally:
+        thread.join(10)
+
+
+class Successor:
+    """A new process that asks the one that runs for the clients' listener."""
+
+    def __init__(self, port: int, folder: Path) -> None:
+        self._takeover = Takeover(("127.0.0.1", port), str(folder))
+
+    def ask(self) -> socket.socket | None:
+        """The listener, where the running process gave it."""
+        return self._takeover.ask()
+
+    @property
+    def kept_descriptors(self) -> int:
+        """Descriptors that the running process keeps."""
+        return self._takeover.elsewhere
+
+    @property
+    def endpoints(self) -> EndpointList | None:
+        return self._takeover.members
+
+
+class RunningProcess:
+    """A process that gives its listener away, and its connections once the successor serves."""
+
+    def __init__(
+        self, port: int, folder: Path, listener: socket.socket, kept: int, endpoints: EndpointList
+    ) -> None:
+        self._kept, self._endpoints = kept, endpoints
+        self.has_successor = threading.Event()
+        self.is_alone_again = threading.Event()
+        self._takeover = Takeover(("127.0.0.1", port), str(folder))
+        self._takeover.serve(listener, self)
+
+    def hand_over(self, connection: Handed, client: socket.socket, host: socket.socket) -> bool:
+        return self._takeover.hand(connection, client, host)
+
+    def share(self) -> tuple[int, int]:
+        return self._kept, 0
+
+    def members(self) -> EndpointList:
+        return self._endpoints
+
+    def alone(self, alone: bool) -> None:
+        (self.is_alone_again if alone else self.has_successor).set()
+
+    def adopt(self, handed: Handed, client: socket.socket, member: socket.socket) -> None:
+        raise AssertionError("nothing runs before this process")
+
+
+# --- what a first line was decided under
+
+
+def decision_stamp(*, time: int, id: str, numbers: dict[str, int]) -> object:
+    return Stamp(at=time, ident=id, numbers=numbers)
--- /dev/null
+++ b/tests/formats/storage_adapter.py
@@ -0,0 +1,318 @@
+"""The package's stores and state machines, as the tests of formats open and write them; see `adapter`."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from pathlib import Path
+from typing import NamedTuple
+
+import pytest
+
+from tansyladder.config import MemberList
+from tansyladder.fleet import records
+from tansyladder.fleet.holding import Holding
+from tansyladder.fleet.peering import Channel, Peering
+from tansyladder.options import KeyEntry, Options, PeersOptions, ResumeOptions
+from tansyladder.peers import agreed, messages
+from tansyladder.resume import tokens
+from tansyladder.sessions import keeping
+from tansyladder.sessions.shared import Shared
+from tansyladder.store import Durability, Op, Store, open_store
+from tansyladder.store.files import RealFiles
+from tests.formats.adapter import LogCommand, LogEntry, Place, encode
+from tests.node import HeardCore, told
+
+HardState = messages.Hard
+Snapshot = messages.Snapshot
+DocumentStore = Holding
+SessionStore = keeping.Keeping
+RaftStorage = records.Records
+TokenError = tokens.TokenError
+Keyring = tokens.Keyring
+
+# --- the state that the log decides
+
+
+class SessionOwner(NamedTuple):
+    """What the log knows of a session that was taken over."""
+
+    tenure: int
+    owner: str
+    floor: int
+    keep: int
+    base: int
+    turn: int
+    confirmed_at: int
+    number: int  # of the owner's claim
+    opened: bool
+
+
+class PendingChange(NamedTuple):
+    """The change of a document that is under way."""
+
+    name: str
+    number: int
+    digest: bytes
+    size: int
+    key: str
+    time: int
+    stage: int
+    accepted_by: set[str]
+    round: int
+    prepared_at: int
+    short_lease: int
+    must_prepare: set[str]
+    prepared_by: set[str]
+
+
+class AgreedState:
+    """The replicated state machine: session owners and documents."""
+
+    def __init__(self, voters: list[str]) -> None:
+        self._state = agreed.Agreed(voters)
+
+    def apply(self, command: LogCommand) -> bytes:
+        return self._state.apply(encode(command))
+
+    def dump(self) -> bytes:
+        return self._state.dump()
+
+    def load(self, dumped: bytes) -> None:
+        self._state.load(dumped)
+
+    def owners(self) -> dict[int, SessionOwner]:
+        """By session."""
+        return {
+            session: SessionOwner(
+                tenure=record.tenure,
+                owner=record.owner,
+                floor=record.floor,
+                keep=record.keep,
+                base=record.base,
+                turn=record.turn,
+                confirmed_at=record.confirmed_at,
+                number=record.ask,
+                opened=record.opened,
+            )
+            for session, record in self._state.claims.records.items()
+        }
+
+    def dump_owners(self) -> bytes:
+        """What a snapshot was before there were documents."""
+        return self._state.claims.dump()
+
+    def versions(self, name: str) -> list[tuple[int, bytes, int, int]]:
+        """Number, digest, size and since of each known version of a document."""
+        known = self._state.documents.versions(name)
+        return [(version.number, version.digest, version.size, version.since) for version in known]
+
+    def leases(self) -> dict[str, int]:
+        return dict(self._state.documents.leases)
+
+    def results(self) -> dict[str, tuple[str, int, str]]:
+        """By idempotency key: what became of a change."""
+        return {key: (end.word, end.number, end.why) for key, end in self._state.documents.ends.items()}
+
+    def pending_change(self) -> PendingChange | None:
+        change = self._state.documents.change
+        if change is None:
+            return None
+        return PendingChange(
+            name=change.name,
+            number=change.number,
+            digest=change.digest,
+            size=change.size,
+            key=change.ask,
+            time=change.at,
+            stage=int(change.stage),
+            accepted_by=change.yes,
+            round=change.round,
+            prepared_at=change.armed_at,
+            short_lease=change.short,
+            must_prepare=change.must,
+            prepared_by=change.armed,
+        )
+
+    def open_documents(self, store: Store, time: int) -> DocumentStore:
+        """A node's part in the documents, with the content that its store holds."""
+        checks: dict[str, Callable[[bytes], str]] = {"note": lambda _: ""}
+        return Holding("n1/aa", ["n2"], self._state.documents, store, checks, lambda: time)
+
+    def contents(self, opened: DocumentStore, name: str) -> list[bytes | None]:
+        """The content of each known version."""
+        return [opened.content(version) for version in self._state.documents.versions(name)]
+
+
+def offer_document(opened: DocumentStore, name: str, content: bytes, key: str) -> LogCommand:
+    """Keep a document's content in the store, and make the proposal of it."""
+    return opened.offer(name, content, key)
+
+
+# --- the store
+
+
+def open_folder(folder: Path, time: int, segment_size: int = 32 << 20) -> Store:
+    return open_store(RealFiles(folder), "n1", lambda: time, segment_size)
+
+
+def put(store: Store, key: bytes, value: bytes, expiry: int = 0) -> None:
+    store.write([Op(key, value, expiry)], Durability.SYNCED)
+
+
+def put_unsynced(store: Store, pairs: list[tuple[bytes, bytes]]) -> None:
+    store.write([Op(key, value) for key, value in pairs], Durability.SOON)
+
+
+def delete(store: Store, key: bytes) -> None:
+    store.delete(key)
+
+
+# --- the raft log on disk
+
+
+def use_boot_file(monkeypatch: pytest.MonkeyPatch, file: Path) -> None:
+    """Read the machine's boot id from there."""
+    monkeypatch.setattr(records, "BOOT", file)
+
+
+def open_raft_storage(store: Store, witness_folder: Path) -> RaftStorage:
+    return records.Records(store, records.Witness(str(witness_folder), "n1"))
+
+
+def raft_hard_state(storage: RaftStorage) -> HardState:
+    return storage.kept.hard
+
+
+def raft_snapshot(storage: RaftStorage) -> Snapshot:
+    return storage.kept.snapshot
+
+
+def raft_entries(storage: RaftStorage) -> tuple[LogEntry, ...]:
+    return storage.kept.entries
+
+
+def hard_state(
+    *, term: int, vote: str, disk: str, founders: dict[str, str], sure: int, doubt: bool, floor: Place
+) -> HardState:
+    return messages.Hard(
+        term=term, vote=vote, ident=disk, founders=founders, sure=sure, doubt=doubt, floor=floor
+    )
+
+
+def snapshot(*, index: int, term: int, voters: dict[str, str], state: bytes) -> Snapshot:
+    return messages.Snapshot(index=index, term=term, voters=voters, state=state)
+
+
+def write_hard_state(storage: RaftStorage, state: HardState) -> None:
+    storage.write([state])
+
+
+def write_snapshot(storage: RaftStorage, made: Snapshot) -> None:
+    storage.write([made])
+
+
+def write_log(storage: RaftStorage, index: int, entries: tuple[LogEntry, ...]) -> None:
+    storage.write([messages.Tail(index=index, entries=entries)])
+
+
+# --- sessions and the list of stream hosts
+
+
+def open_sessions(store: Store, time: int) -> SessionStore:
+    return keeping.Keeping(store, lambda: time)
+
+
+def node_life(opened: SessionStore) -> tuple[bytes, bytes, int]:
+    """Identity, token key and number of starts."""
+    return opened.life.ident, opened.life.key, opened.life.starts
+
+
+def save_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> None:
+    opened.keep(session, line, floor, expiry)
+
+
+def redeem_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> bool:
+    return opened.spend(session, line, floor, expiry)
+
+
+def end_session(opened: SessionStore, session: int) -> None:
+    opened.end(session)
+
+
+def saved_session(opened: SessionStore, session: int) -> tuple[str, int, int] | None:
+    """First line, floor and expiry."""
+    found = opened.session(session)
+    return (found.line, found.floor, found.expiry) if found is not None else None
+
+
+def save_endpoints(opened: SessionStore, listed: MemberList) -> None:
+    opened.tell_members(listed)
+
+
+def saved_endpoints(opened: SessionStore) -> tuple[int, MemberList] | None:
+    """When the list was kept, and the list."""
+    found = opened.last_members()
+    return (found.at, found.members) if found is not None else None
+
+
+# --- tokens
+
+
+def node_keyring(folder: Path, sessions: SessionStore) -> Keyring:
+    """Of a node `n0` that keeps its sessions in a store, with the key that it drew."""
+    return Shared(HeardCore(told(folder)), sessions).keyring
+
+
+def fleet_keyring(folder: Path, keys: list[tuple[int, bytes]]) -> Keyring:
+    """Of any node of the fleet `f1`; its tokens open at all others."""
+    peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
+    entries = tuple(KeyEntry(id=number, digits=secret.hex()) for number, secret in keys)
+    resume = ResumeOptions(enabled=True, keys=entries)
+    return Shared(HeardCore(told(folder), Options(resume=resume, peers=peers)), None).keyring
+
+
+def seal_token(
+    ring: Keyring,
+    *,
+    session: int,
+    generation: int,
+    expiry: int,
+    service_class: str,
+    group: int,
+    key: int,
+) -> str:
+    claim = tokens.Claim(session=session, generation=generation, expiry=expiry)
+    return ring.seal(claim, tokens.Binding(cls=service_class, group=group, key=key))
+
+
+def open_token(ring: Keyring, text: str, *, service_class: str, group: int, key: int) -> tuple[int, int, int]:
+    """Session, generation and expiry. TokenError."""
+    found = ring.open(text, tokens.Binding(cls=service_class, group=group, key=key))
+    return found.session, found.generation, found.expiry
+
+
+# --- peers' connections
+
+
+def peer_transport(name: str, time: int) -> Peering:
+    """A node of the fleet `f1` of two nodes, `n1` and `n2`; call `close_transport`."""
+    members = {"n1": "127.0.0.1:1", "n2": "127.0.0.1:2"}
+    options = PeersOptions(
+        enabled=True, fleet="f1", key="5c" * 32, members=members, voters="n1", listen="127.0.0.1:0"
+    )
+    return Peering(name, options, lambda _, __: None, lambda: time)
+
+
+def close_transport(transport: Peering) -> None:
+    transport._listener.close()
+
+
+def dial(transport: Peering, sock: socket.socket, name: str) -> Channel:
+    """The dialling side's greeting."""
+    return transport._greet(sock, name)
+
+
+def welcome(transport: Peering, sock: socket.socket) -> Channel:
+    """The listening side's greeting."""
+    return transport._welcome(sock)
