--- /dev/null
+++ b/tests/answers/program.py
@@ -0,0 +1,119 @@
+"""Starts the real program and talks to it from outside; nothing of the package is imported but a free port."""
+
+from __future__ import annotations
+
+import json
+import os
+import socket
+import subprocess
+import sys
+import time
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from pathlib import Path
+from typing import Any
+
+from tansyladder.lab.node import spare_port
+
+DEADLINE = 10.0  # seconds until an answer or a log line counts as missing
+PROGRAM = (sys.executable, "-O", "-m", "tansyladder")
+
+PLATFORM_SETTINGS: dict[str, Any] = {
+    "family": "conn",
+    "discovery": "on_request",
+    "localities": ["a"],
+    "kinds": ["m"],
+    "locality": 0,
+    "classes": [{"name": "chat", "slo": 300_000, "hard_limit": 1_200_000, "worth": 5.0}],
+    "ceilings": {"attempts_cap": 3, "connect_timeout": 75_000, "retry_after": True},
+}
+
+
+def platform_config(*member_addresses: str, **changed: Any) -> dict[str, Any]:
+    """The platform's configuration file as a dictionary; discovery answers nobody."""
+    members = [
+        {"id": f"s{index}", "host_port": address, "locality": "a", "flavor": "m", "phase": "up"}
+        for index, address in enumerate(member_addresses)
+    ]
+    return {
+        "name": "n0",
+        "listen": f"127.0.0.1:{spare_port()}",
+        "operator": f"127.0.0.1:{spare_port()}",
+        "discovery": "127.0.0.1:1",
+        "seed": "8c1f",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+        "known": {"revision": 1, "complete": True, "members": members},
+        "settings": PLATFORM_SETTINGS,
+        **changed,
+    }
+
+
+def port_of(address: str) -> int:
+    return int(address.rpartition(":")[2])
+
+
+def environment(config_file: Path | None = None) -> dict[str, str]:
+    """This process's environment without a node's variables, and with the one that names the configuration."""
+    plain = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
+    return plain | ({"GW_CONFIG": str(config_file)} if config_file else {})
+
+
+def run(*words: str, config_file: Path | None = None) -> subprocess.CompletedProcess[str]:
+    """Run the program to its end."""
+    env = environment(config_file)
+    return subprocess.run([*PROGRAM, *words], env=env, capture_output=True, text=True, timeout=30)
+
+
+class RunningNode:
+    """A node's process, its ports and its log."""
+
+    def __init__(self, process: subprocess.Popen[str], config: dict[str, Any], folder: Path) -> None:
+        self.process, self.folder = process, folder
+        self.port, self.operator_port = port_of(config["listen"]), port_of(config["operator"])
+
+    def log_line(self, start: str) -> str:
+        """The next line of the log that begins so."""
+        assert self.process.stderr is not None
+        for line in self.process.stderr:
+            if line.startswith(start):
+                return line.rstrip("\n")
+        raise AssertionError(f"the log ended without {start!r}")
+
+    def call(self, line: str) -> list[str]:
+        """The lines that the operators' address answers to a call."""
+        with socket.create_connection(("127.0.0.1", self.operator_port), DEADLINE) as sock:
+            sock.sendall(f"{line}\n".encode())
+            return sock.makefile("r").read().splitlines()
+
+    def call_until(self, line: str, is_wanted: Callable[[str], bool]) -> list[str]:
+        """The first answer whose first line is one that is wanted."""
+        end = time.monotonic() + DEADLINE
+        while time.monotonic() < end:
+            answer = self.call(line)
+            if answer and is_wanted(answer[0]):
+                return answer
+            time.sleep(0.02)
+        raise AssertionError(f"{line}: still {answer}")
+
+    def first_answer(self, line: str) -> str:
+        """What a client hears first after its first line."""
+        with socket.create_connection(("127.0.0.1", self.port), DEADLINE) as sock:
+            sock.sendall(f"{line}\r\n".encode())
+            return sock.makefile("r").readline().strip()
+
+
+@contextmanager
+def running_node(folder: Path, config: dict[str, Any], operator_settings: str = "") -> Iterator[RunningNode]:
+    """The real program in its release build, once it says that it has started."""
+    config_file, settings_file = folder / "config.json", folder / "settings.sexp"
+    config_file.write_text(json.dumps(config))
+    settings_file.write_text(operator_settings)
+    words = ("serve", "--settings", str(settings_file)) if operator_settings else ()
+    env = environment(config_file) | {"TMPDIR": str(folder)}
+    with subprocess.Popen([*PROGRAM, *words], env=env, stderr=subprocess.PIPE, text=True) as process:
+        try:
+            node = RunningNode(process, config, folder)
+            node.log_line("event=started ")
+            yield node
+        finally:
+            process.kill()
--- /dev/null
+++ b/tests/answers/test_operator_calls.py
@@ -0,0 +1,138 @@
+"""The calls of the operators' address and the names in their answers, of a node with and without settings.
+
+Held elsewhere: `status`, `standby`, `active` and their refusals, unreadable and too long calls
+(`tests/test_operator.py`), what the figures of `stats` count (there too).
+Not held: the figure `stale` of `documents`, which is there only after a node was cut off from its peers.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterator
+from contextlib import ExitStack
+from pathlib import Path
+
+import pytest
+
+from tansyladder.lab.node import spare_port
+from tests.answers.program import RunningNode, platform_config, running_node
+
+UNKNOWN = "-ERR unknown: {}: status, stats, standby or active expected"
+STATS = [
+    "responses",
+    "tries",
+    "unread",
+    "config_applied",
+    "config_rejected",
+    "active",
+    "pool_size",
+    "pool_ejected",
+    "phase",
+]
+STATS_OF_A_CLASS = ["ok", "shed", "errors", "left", "tries"]
+DOCUMENT = ["number", "digest", "size", "since", "here"]
+STAMP = ["at", "ident", "numbers"]
+
+
+@pytest.fixture(scope="module")
+def plain_node(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RunningNode]:
+    """A node without operator's settings, as on the platform."""
+    with running_node(tmp_path_factory.mktemp("plain"), platform_config("127.0.0.1:1")) as node:
+        yield node
+
+
+def fleet_settings(folder: Path, members: dict[str, int]) -> str:
+    """Settings of nodes that agree on documents; the first of them is the only voter."""
+    addresses = " ".join(f'({name} "127.0.0.1:{port}")' for name, port in members.items())
+    return f"""
+    (resume (enabled true) (keys (1 "{"ab" * 32}")))
+    (store (enabled true) (directory "{folder}/store"))
+    (peers (enabled true) (fleet "f") (key "{"cd" * 32}") (voters "n0") (members {addresses}))
+    (documents (enabled true) (stamps "{folder}/stamps"))
+    """
+
+
+@pytest.fixture(scope="module")
+def document_nodes(tmp_path_factory: pytest.TempPathFactory) -> Iterator[list[RunningNode]]:
+    """Two nodes with resumable sessions, peers and documents, once both hold their leases."""
+    members = {"n0": spare_port(), "n1": spare_port()}
+    with ExitStack() as stack:
+        nodes = []
+        for name in members:
+            folder = tmp_path_factory.mktemp(name)
+            config = platform_config("127.0.0.1:1", name=name)
+            nodes.append(stack.enter_context(running_node(folder, config, fleet_settings(folder, members))))
+        for node in nodes:
+            node.call_until("documents", lambda line: json.loads(line)["lease_ms"] > 0)
+        yield nodes
+
+
+@pytest.fixture
+def document_node(document_nodes: list[RunningNode]) -> RunningNode:
+    """The voter."""
+    return document_nodes[0]
+
+
+def check_stats(node: RunningNode) -> None:
+    line, end = node.call("stats")
+    figures = json.loads(line)
+    assert list(figures) == STATS
+    assert {name: list(of_class) for name, of_class in figures["responses"].items()} == {
+        "chat": STATS_OF_A_CLASS
+    }
+    assert (figures["pool_size"], figures["phase"], end) == (1, "serving", ".")
+
+
+def test_stats_names_its_figures_without_settings(plain_node: RunningNode) -> None:
+    check_stats(plain_node)
+
+
+def test_stats_names_the_same_figures_with_peers_and_documents(document_node: RunningNode) -> None:
+    check_stats(document_node)
+
+
+@pytest.mark.parametrize("call", ["documents", "publish note wish /tmp/none", "change wish"])
+def test_calls_on_documents_are_unknown_without_documents(plain_node: RunningNode, call: str) -> None:
+    assert plain_node.call(call) == [UNKNOWN.format(call)]
+
+
+@pytest.mark.parametrize("call", ["publish", "publish note wish", "change", "change a b", "documents all"])
+def test_a_call_with_too_few_or_too_many_words_is_unknown(document_node: RunningNode, call: str) -> None:
+    [answer] = document_node.call(call)
+    assert answer.startswith("-ERR unknown: ")
+
+
+def is_ended(answer: str) -> bool:
+    return answer != "-ERR under way"
+
+
+def test_a_document_is_published_and_described(document_node: RunningNode) -> None:
+    line, end = document_node.call("documents")
+    assert list(json.loads(line)) == ["lease_ms"] and end == "."
+    note = document_node.folder / "note.sexp"
+    note.write_text('(note "no releases before Monday")')
+    assert document_node.call(f"publish note first {note}") == ["+OK under way"]
+    assert document_node.call_until("change first", is_ended) == ["+OK done 1"]
+    assert document_node.call(f"publish note first {note}") == ["+OK under way"]  # the same wish, said again
+    line, _ = document_node.call_until("documents", lambda line: '"note":' in line)  # from the next turn on
+    described = json.loads(line)
+    assert list(described) == ["lease_ms", "note"]
+    assert list(described["note"]) == DOCUMENT
+    assert described["note"]["number"] == 1 and described["note"]["here"] is True
+
+
+def test_a_refused_change_says_why(document_node: RunningNode) -> None:
+    faulty = document_node.folder / "faulty.sexp"
+    faulty.write_text("(note")
+    assert document_node.call(f"publish note faulty {faulty}") == ["+OK under way"]
+    [answer] = document_node.call_until("change faulty", is_ended)
+    assert answer.startswith("-ERR refused: ") and "note: not an S-expression" in answer
+    assert document_node.call("change nobody") == ["-ERR not known"]
+    missing = document_node.folder / "missing"
+    assert document_node.call(f"publish note third {missing}") == ["-ERR file: No such file or directory"]
+
+
+def test_a_stamp_names_the_moment_the_first_line_and_the_numbers(document_node: RunningNode) -> None:
+    assert document_node.first_answer("OPEN 5e 7f c=chat,d=300").startswith("BUSY")
+    stamps = [json.loads(line) for line in (document_node.folder / "stamps").read_text().splitlines()]
+    assert list(stamps[0]) == STAMP and stamps[0]["ident"] == "5e"
