--- a/tests/answers/__init__.py
+++ b/tests/answers/__init__.py
@@ -1,5 +1,5 @@
-"""What the software answers to those outside it: operators, the platform, scripts that read logs and reports.
+"""What the software answers to operators, to the platform, and to scripts that read logs and reports.
 
-The names here are literals on purpose. They are the contract of the operators' address, of the settings files, of
-exit codes and of JSON reports, and stay as they are whatever the code behind them is called.
+The names here are literals on purpose. They are the contract of the operators' address, of the settings
+files, of exit codes and of JSON reports, and stay as they are whatever the code behind them is called.
 """
--- a/tests/answers/program.py
+++ b/tests/answers/program.py
@@ -1,4 +1,4 @@
-"""Starts the real program and talks to it from outside; nothing of the package is imported but a free port."""
+"""Starts the real program and talks to it from outside; no import of the package but for a free port."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def environment(config_file: Path | None = None) -> dict[str, str]:
-    """This process's environment without a node's variables, and with the one that names the configuration."""
+    """This process's environment with no variable of a node but the one that names the configuration."""
     plain = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
     return plain | ({"GW_CONFIG": str(config_file)} if config_file else {})
 
--- a/tests/answers/test_log_page.py
+++ b/tests/answers/test_log_page.py
@@ -1,9 +1,9 @@
 """`docs/on-call.md` and the package name the same log events, fields and invariants, in both directions.
 
-The package is read as source text: every call of the log function, and of the check of invariants. A difference
-that stands today is listed here by name; the lists may only shrink.
-Held elsewhere: the counts' sums and names that `lab fleet` reads (`tests/test_fleetlog.py`), the form of a line
-(`tests/test_options.py`).
+The package is read as source text: every call of the log function, and of the check of invariants. A
+difference that stands today is listed here by name; the lists may only shrink.
+Held elsewhere: the counts' sums and names that `lab fleet` reads (`tests/test_fleetlog.py`), the form of a
+line (`tests/test_options.py`).
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 # Printed at a start that fails, before there is a log, as `event=... why=...`.
 PRINTED_EVENTS = {"bad_config", "bad_settings"}
-PRINTED = re.compile(r"event=([a-z_]+) ([a-z_]+)=")
+PRINTED = re.compile(r'print\(f"event=([a-z_]+) ([a-z_]+)=')
 # Text of the decision module; no action of the sort is made today, so there was nothing to explain.
 EVENTS_NOT_ON_THE_PAGE = {"module"}
 # The page explains those of the node; these are of the sessions' registry, the store and the peers.
