--- a/tests/answers/program.py
+++ b/tests/answers/program.py
@@ -15,6 +15,7 @@
 
 from tansyladder.lab.node import spare_port
 
+ROOT = Path(__file__).parent.parent.parent
 DEADLINE = 10.0  # seconds until an answer or a log line counts as missing
 PROGRAM = (sys.executable, "-O", "-m", "tansyladder")
 
--- /dev/null
+++ b/tests/answers/test_exit_codes.py
@@ -0,0 +1,110 @@
+"""The exit codes of the program and of its commands, and that none of them ends in a traceback.
+
+Held elsewhere: 0 after SIGTERM (`tests/test_node.py`, a planned restart), 2 for a configuration of the
+wrong type (`tests/test_config.py`), 2 for faulty settings at the start and for faulty files at `check`
+(`tests/test_options.py`), 0, 1 and 3 of the store's commands (`tests/test_store.py`), 0 and 1 of the
+simulator's host (`tests/test_wire.py`).
+"""
+
+from __future__ import annotations
+
+import json
+import signal
+import socket
+import sys
+from pathlib import Path
+
+import pytest
+
+from tansyladder.__main__ import main
+from tests.answers.program import ROOT, platform_config, port_of, run, running_node
+
+PEERS = f"""
+(resume (enabled true) (keys (1 "{"ab" * 32}")))
+(peers (enabled true) (fleet "f") (key "{"cd" * 32}") (voters "n0") (members (n0 "127.0.0.1:PORT")))
+"""
+
+
+def test_sigint_ends_a_node_with_0(tmp_path: Path) -> None:
+    with running_node(tmp_path, platform_config()) as node:
+        node.process.send_signal(signal.SIGINT)
+        assert node.log_line("event=stopping ") == "event=stopping signal=SIGINT"
+        assert node.log_line("event=drained ") == "event=drained standing=0 in_hand=0"
+        assert node.process.wait(10) == 0
+
+
+def test_sigterm_ends_a_node_with_peers_with_0(tmp_path: Path) -> None:
+    settings = PEERS.replace("127.0.0.1:PORT", platform_config()["listen"])
+    with running_node(tmp_path, platform_config(), settings) as node:
+        node.process.send_signal(signal.SIGTERM)
+        assert node.process.wait(10) == 0
+
+
+def test_a_start_without_a_configuration_ends_with_2() -> None:
+    done = run()
+    assert done.returncode == 2
+    assert done.stderr.startswith("event=bad_config why=GW_CONFIG: not set")
+
+
+@pytest.mark.parametrize(("key", "variable"), [("listen", "GW_LISTEN"), ("operator", "GW_OPERATOR")])
+def test_an_address_that_is_taken_ends_the_start_with_2(tmp_path: Path, key: str, variable: str) -> None:
+    config, config_file = platform_config(), tmp_path / "config.json"
+    config_file.write_text(json.dumps(config))
+    with socket.create_server(("127.0.0.1", port_of(config[key]))):
+        done = run(config_file=config_file)
+    assert done.returncode == 2
+    assert done.stderr.splitlines()[-1].startswith(f"event=bad_config why={variable}: ")
+
+
+def test_a_node_that_is_not_among_its_peers_ends_the_start_with_2(tmp_path: Path) -> None:
+    config_file, settings_file = tmp_path / "config.json", tmp_path / "settings.sexp"
+    config_file.write_text(json.dumps(platform_config(name="n7")))
+    settings_file.write_text(PEERS.replace("127.0.0.1:PORT", platform_config()["listen"]))
+    done = run("serve", "--settings", str(settings_file), config_file=config_file)
+    assert done.returncode == 2
+    assert done.stderr.splitlines()[-1].startswith("event=bad_settings why=peers: ")
+
+
+def command_line(words: list[str], monkeypatch: pytest.MonkeyPatch) -> object:
+    """The exit code of the command line, run in this process."""
+    monkeypatch.setattr(sys, "argv", ["tansyladder", *words])
+    with pytest.raises(SystemExit) as ended:
+        main()
+    return ended.value.code
+
+
+def test_check_says_that_sound_files_are_sound(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    config_file = tmp_path / "config.json"
+    config_file.write_text(json.dumps(platform_config("127.0.0.1:9")))
+    example = ROOT / "deploy" / "settings.example.sexp"
+    for file in (config_file, example):
+        assert command_line(["check", str(file)], monkeypatch) == 0
+    sound = f"{config_file}: sound: node n0, 1 members known\n{example}: sound\n"
+    assert capsys.readouterr() == (sound, "")
+
+
+@pytest.mark.parametrize(
+    ("words", "code"),
+    [
+        (["--help"], 0),
+        (["lab", "--help"], 0),
+        (["store", "--help"], 0),
+        (["start"], 2),
+        (["serve", "--port", "1"], 2),
+        (["check"], 2),
+        (["check", "missing.json"], 2),
+        (["check", "missing.sexp"], 2),
+        (["lab", "stories", "--only", "nobody"], 2),
+        (["lab", "drain", "--sessions", "0"], 2),
+        (["lab", "fleet", "missing"], 2),
+        (["store", "verify", "missing"], 2),
+    ],
+)
+def test_the_command_lines_exit_codes(
+    words: list[str], code: int, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert command_line(words, monkeypatch) == code
+    shown = capsys.readouterr()
+    assert shown.out if code == 0 else shown.err
