--- /dev/null
+++ b/tests/answers/test_operator_settings.py
@@ -0,0 +1,118 @@
+"""The keys of the operator's own settings, an S-expression file, and how a fault among them is named.
+
+Held elsewhere: units, faults of values and of brackets, an unknown key of `resume` and an unknown section
+(`tests/test_options.py`); which keys a SIGHUP puts in force (there, and `tests/test_reload.py`).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import Any
+
+import msgspec
+import pytest
+import sexpdata
+
+from tansyladder import options
+from tests.answers.program import ROOT
+
+EXAMPLE = ROOT / "deploy" / "settings.example.sexp"
+# Every key and what holds where it is absent.
+DEFAULTS: dict[str, dict[str, object]] = {
+    "resume": {
+        "enabled": False,
+        "expires": "PT30S",
+        "buffer": 65536,
+        "memory_share": 0.125,
+        "parked": 256,
+        "remembered": 4096,
+        "keys": [],
+    },
+    "store": {"enabled": False, "directory": ""},
+    "peers": {"enabled": False, "fleet": "", "key": "", "members": {}, "voters": "", "listen": ""},
+    "documents": {"enabled": False, "lease": "PT30S", "cut_off": "stop", "stamps": ""},
+    "log": {"json": False},
+}
+ONLY_IN_A_COMMENT = {"resume.keys"}  # the example's keys of tokens would be known to everybody
+# A value of each key that can be given alone, by its path; none is the default.
+ACCEPTED = {
+    "resume.enabled": "true",
+    "resume.expires": '"1 min"',
+    "resume.buffer": '"8 KiB"',
+    "resume.memory_share": "0.25",
+    "resume.parked": "7",
+    "resume.remembered": "7",
+    "resume.keys": f'(2 "{"ab" * 32}")',
+    "store.directory": '"/var"',
+    "peers.fleet": '"f"',
+    "peers.key": '"k"',
+    "peers.members": '(n0 "10.0.0.4:8100")',
+    "peers.voters": '"n0"',
+    "peers.listen": '"10.0.0.4:8100"',
+    "documents.lease": '"1 min"',
+    "documents.cut_off": '"serve"',
+    "documents.stamps": '"/stamps"',
+    "log.json": "true",
+}
+WHOLE_FLEET = f"""
+(resume (enabled true) (keys (2 "{"ab" * 32}")))
+(peers (enabled true) (fleet "f") (key "{"cd" * 32}") (voters "n0") (members (n0 "10.0.0.4:8100")))
+(documents (enabled true))
+(store (enabled true) (directory "/var"))
+"""
+
+
+def as_written(text: str) -> dict[str, Any]:
+    """What a file's text puts in force, by the file's own keys."""
+    read: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(options.parse(text)))
+    return read
+
+
+def paths(sections: dict[str, dict[str, object]]) -> set[str]:
+    return {f"{section}.{key}" for section, keys in sections.items() for key in keys}
+
+
+def example_paths() -> Iterator[str]:
+    for section, *entries in sexpdata.parse(EXAMPLE.read_text()):
+        for key, *_ in entries:
+            yield f"{section.value()}.{key.value()}"
+
+
+def test_the_keys_and_their_defaults() -> None:
+    assert as_written("; nothing") == DEFAULTS
+
+
+def test_the_example_is_accepted_and_shows_every_key() -> None:
+    shown = list(example_paths())
+    assert len(shown) == len(set(shown))
+    assert set(shown) | ONLY_IN_A_COMMENT == paths(DEFAULTS)
+    assert as_written(EXAMPLE.read_text()).keys() == DEFAULTS.keys()
+    assert "(keys (2 " in EXAMPLE.read_text()
+
+
+@pytest.mark.parametrize("path", sorted(ACCEPTED))
+def test_each_key_is_put_in_force_by_its_path(path: str) -> None:
+    section, key = path.split(".")
+    read = as_written(f"({section} ({key} {ACCEPTED[path]}))")
+    assert read[section][key] != DEFAULTS[section][key]
+
+
+def test_what_needs_other_keys_is_switched_on_together_with_them() -> None:
+    read = as_written(WHOLE_FLEET)
+    switched_on = {f"{section}.enabled" for section, keys in read.items() if keys.get("enabled")}
+    assert paths(DEFAULTS) - ACCEPTED.keys() == switched_on - {"resume.enabled"}
+
+
+@pytest.mark.parametrize("section", sorted(DEFAULTS))
+def test_an_unknown_key_is_refused_with_its_section_and_name(section: str) -> None:
+    with pytest.raises(options.OptionsError) as refused:
+        options.parse(f"({section} (colour 1))")
+    assert str(refused.value) == f"{section}: Object contains unknown field `colour`"
+
+
+@pytest.mark.parametrize("path", sorted(ACCEPTED.keys() - {"peers.members"}))
+def test_a_value_of_the_wrong_type_is_refused_with_its_path(path: str) -> None:
+    section, key = path.split(".")
+    with pytest.raises(options.OptionsError) as refused:
+        options.parse(f"({section} ({key} (colour 1)))")
+    assert str(refused.value).startswith(f"{path}")
--- /dev/null
+++ b/tests/answers/test_platform_configuration.py
@@ -0,0 +1,171 @@
+"""The keys of the platform's configuration file and of the environment: which are read, and named by faults.
+
+A key is read if another value of it changes what the file is read as; how the program names what it has read
+is not looked at. Held elsewhere: faults of `listen`, `discovery`, `seed`, `limits.memory_mb`,
+`settings.classes`, `settings.localities`, `settings.balancers`, `settings.rules.cold`, and that GW_NAME and
+GW_LISTEN go before the file (`tests/test_config.py`); which keys wait for a restart (`tests/test_reload.py`);
+the values that the settings' keys give on the simulator's wire (`tests/test_wire.py`).
+Not held: the key of a fault in `group`, which the message does not name today.
+"""
+
+from __future__ import annotations
+
+import copy
+import dataclasses
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tansyladder.config import Config, ConfigError, load
+from tests.answers.program import platform_config
+
+MEMBER = "known.members.0"
+CLASS = "settings.classes.0"
+# Another value of each key than that of the file below, by the key's path.
+READ = {
+    "name": "n7",
+    "listen": "127.0.0.2:1",
+    "operator": "127.0.0.2:1",
+    "discovery": "127.0.0.2:1",
+    "seed": "ff",
+    "limits.cores": 2.0,
+    "limits.memory_mb": 500,
+    "limits.sockets": 500,
+    "known.revision": 7,
+    "known.complete": False,
+    f"{MEMBER}.id": "s7",
+    f"{MEMBER}.host_port": "127.0.0.2:1",
+    f"{MEMBER}.phase": "draining",
+    f"{MEMBER}.locality": "b",
+    f"{MEMBER}.flavor": "n",
+    f"{MEMBER}.cell": 7,
+    f"{MEMBER}.size": 7.0,
+    f"{MEMBER}.up_since_ms": 7,
+    f"{CLASS}.name": "call",
+    f"{CLASS}.slo": 7000,
+    f"{CLASS}.hard_limit": 7_000_000,
+    f"{CLASS}.effect": "idempotency_key",
+    f"{CLASS}.group": "zone",
+    f"{CLASS}.window": 7000,
+    f"{CLASS}.worth": 7.0,
+    "settings.localities": ["a", "b"],
+    "settings.kinds": ["m", "n"],
+    "settings.tenants": [{"name": "north"}],
+    "settings.balancers": 7,
+    "settings.me": 7,
+    "settings.locality": 1,
+    "settings.tick": 7000,
+    "settings.discovery": "pushed",
+    "settings.family": "req",
+    "settings.weights": "given",
+    "settings.over_share_worth": 0.5,
+    "settings.worth_by": "work",
+    "settings.report": {"columns": ["x0"]},
+    "settings.deductions": {"cross_zone": 0.5},
+    "settings.extra.message_aim": [7000],
+    "settings.extra.mode": "pass",
+    "settings.extra.park": 7000,
+    "settings.extra.tells_delay": True,
+    "settings.extra.tells_load": True,
+    "settings.extra.tenant_quota_connections": [7],
+    "settings.ceilings.probes": True,
+    "settings.ceilings.peer_messages": True,
+    "settings.ceilings.cancel": True,
+    "settings.ceilings.retry_after": False,
+    "settings.ceilings.max_retry_after": 7000,
+    "settings.ceilings.second_copies": True,
+    "settings.ceilings.attempts_cap": 7,
+    "settings.ceilings.connect_timeout": 7000,
+    "settings.rules.ask_within": 7000,
+    "settings.rules.grace_to_answer": 7000,
+    "settings.rules.stop_sending_within": 7000,
+    "settings.rules.cold_from": 0.5,
+    "settings.rules.cold": 7000,
+    "settings.rules.tip_multiple": 7.0,
+    "settings.rules.fall": 7000,
+}
+REFUSED_AS_TEXT = {
+    f"{CLASS}.effect",
+    "limits.cores",
+    "limits.sockets",
+    "known.revision",
+    "known.complete",
+    f"{MEMBER}.cell",
+    f"{MEMBER}.size",
+    f"{MEMBER}.up_since_ms",
+    f"{CLASS}.slo",
+    f"{CLASS}.hard_limit",
+    f"{CLASS}.window",
+    f"{CLASS}.worth",
+    "settings.me",
+    "settings.locality",
+    "settings.tick",
+    "settings.over_share_worth",
+    "settings.deductions.cross_zone",
+    "settings.extra.message_aim",
+    "settings.extra.park",
+    "settings.extra.tenant_quota_connections",
+    "settings.ceilings.max_retry_after",
+    "settings.ceilings.attempts_cap",
+    "settings.ceilings.connect_timeout",
+    "settings.rules.ask_within",
+    "settings.rules.grace_to_answer",
+    "settings.rules.stop_sending_within",
+    "settings.rules.cold_from",
+    "settings.rules.tip_multiple",
+    "settings.rules.fall",
+}
+
+
+BASE = platform_config("127.0.0.1:9", listen="127.0.0.1:0", operator="127.0.0.1:0")
+
+
+def with_value(path: str, value: object) -> dict[str, Any]:
+    """The file with another value at a path; what is missing on the way there is put in."""
+    changed: Any = copy.deepcopy(BASE)
+    *way, last = path.split(".")
+    holder = changed
+    for step in way:
+        holder = holder[int(step)] if isinstance(holder, list) else holder.setdefault(step, {})
+    holder[last] = value
+    read: dict[str, Any] = changed
+    return read
+
+
+def read_as(folder: Path, config: dict[str, Any]) -> Config:
+    file = folder / "config.json"
+    file.write_text(json.dumps(config))
+    return load({"GW_CONFIG": str(file)})
+
+
+def differing(one: Config, other: Config) -> set[str]:
+    names = [field.name for field in dataclasses.fields(Config)]
+    return {name for name in names if getattr(one, name) != getattr(other, name)}
+
+
+@pytest.mark.parametrize("path", READ)
+def test_each_key_is_read(tmp_path: Path, path: str) -> None:
+    base = read_as(tmp_path, BASE)
+    # What is kept of the file as it was written differs with any key; that alone is not reading it.
+    as_written = differing(base, read_as(tmp_path, with_value("settings.colour", 1)))
+    assert len(as_written) == 1
+    assert differing(base, read_as(tmp_path, with_value(path, READ[path]))) - as_written
+
+
+@pytest.mark.parametrize("path", sorted(REFUSED_AS_TEXT))
+def test_a_value_that_makes_no_sense_is_refused_with_its_key(tmp_path: Path, path: str) -> None:
+    with pytest.raises(ConfigError) as refused:
+        read_as(tmp_path, with_value(path, "many"))
+    why = str(refused.value).replace("[0]", ".0")
+    assert f"{path}: " in why or f"`$.{path}`" in why
+
+
+@pytest.mark.parametrize("variable", ["GW_OPERATOR", "GW_DISCOVERY", "GW_LISTEN"])
+def test_a_faulty_variable_is_named(tmp_path: Path, variable: str) -> None:
+    file = tmp_path / "config.json"
+    file.write_text(json.dumps(BASE))
+    with pytest.raises(ConfigError) as refused:
+        load({"GW_CONFIG": str(file), variable: "there"})
+    assert str(refused.value) == f"{variable}: HOST:PORT expected, not 'there'"
