--- a/tests/answers/program.py
+++ b/tests/answers/program.py
@@ -1,4 +1,4 @@
-"""Starts the real program and talks to it from outside; no import of the package but for a free port."""
+"""Starts the real program and talks to it from outside; little of the package is imported."""
 
 from __future__ import annotations
 
@@ -7,16 +7,21 @@
 import socket
 import subprocess
 import sys
+import threading
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from pathlib import Path
 from typing import Any
 
+import pytest
+
+from tansyladder.__main__ import main
 from tansyladder.lab.node import spare_port
 
 ROOT = Path(__file__).parent.parent.parent
 DEADLINE = 10.0  # seconds until an answer or a log line counts as missing
+LONGEST_RUN = 40.0  # seconds after which a node is ended, so that no test waits for ever
 PROGRAM = (sys.executable, "-O", "-m", "tansyladder")
 
 PLATFORM_SETTINGS: dict[str, Any] = {
@@ -65,6 +70,14 @@
     return subprocess.run([*PROGRAM, *words], env=env, capture_output=True, text=True, timeout=30)
 
 
+def command_line(words: list[str], monkeypatch: pytest.MonkeyPatch) -> object:
+    """The exit code of the command line, run in this process."""
+    monkeypatch.setattr(sys, "argv", ["tansyladder", *words])
+    with pytest.raises(SystemExit) as ended:
+        main()
+    return ended.value.code
+
+
 class RunningNode:
     """A node's process, its ports and its log."""
 
@@ -112,9 +125,12 @@
     words = ("serve", "--settings", str(settings_file)) if operator_settings else ()
     env = environment(config_file) | {"TMPDIR": str(folder)}
     with subprocess.Popen([*PROGRAM, *words], env=env, stderr=subprocess.PIPE, text=True) as process:
+        watchdog = threading.Timer(LONGEST_RUN, process.kill)  # ends the log, and so whoever waits for a line
+        watchdog.start()
         try:
             node = RunningNode(process, config, folder)
             node.log_line("event=started ")
             yield node
         finally:
+            watchdog.cancel()
             process.kill()
--- a/tests/answers/test_exit_codes.py
+++ b/tests/answers/test_exit_codes.py
@@ -11,13 +11,12 @@
 import json
 import signal
 import socket
-import sys
 from pathlib import Path
 
 import pytest
 
-from tansyladder.__main__ import main
-from tests.answers.program import ROOT, platform_config, port_of, run, running_node
+from tansyladder.lab.node import spare_port
+from tests.answers.program import ROOT, command_line, platform_config, port_of, run, running_node
 
 PEERS = f"""
 (resume (enabled true) (keys (1 "{"ab" * 32}")))
@@ -34,7 +33,7 @@
 
 
 def test_sigterm_ends_a_node_with_peers_with_0(tmp_path: Path) -> None:
-    settings = PEERS.replace("127.0.0.1:PORT", platform_config()["listen"])
+    settings = PEERS.replace("PORT", str(spare_port()))
     with running_node(tmp_path, platform_config(), settings) as node:
         node.process.send_signal(signal.SIGTERM)
         assert node.process.wait(10) == 0
@@ -59,20 +58,12 @@
 def test_a_node_that_is_not_among_its_peers_ends_the_start_with_2(tmp_path: Path) -> None:
     config_file, settings_file = tmp_path / "config.json", tmp_path / "settings.sexp"
     config_file.write_text(json.dumps(platform_config(name="n7")))
-    settings_file.write_text(PEERS.replace("127.0.0.1:PORT", platform_config()["listen"]))
+    settings_file.write_text(PEERS.replace("PORT", str(spare_port())))
     done = run("serve", "--settings", str(settings_file), config_file=config_file)
     assert done.returncode == 2
     assert done.stderr.splitlines()[-1].startswith("event=bad_settings why=peers: ")
 
 
-def command_line(words: list[str], monkeypatch: pytest.MonkeyPatch) -> object:
-    """The exit code of the command line, run in this process."""
-    monkeypatch.setattr(sys, "argv", ["tansyladder", *words])
-    with pytest.raises(SystemExit) as ended:
-        main()
-    return ended.value.code
-
-
 def test_check_says_that_sound_files_are_sound(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
