--- a/tests/answers/test_counts_line.py
+++ b/tests/answers/test_counts_line.py
@@ -8,7 +8,7 @@
 import re
 from pathlib import Path
 
-from tansyladder.interface import Status
+from tansyladder.policy.events import AttemptStatus
 from tests.answers.program import ROOT, platform_config, running_node
 
 FIELDS_ON_THE_PAGE = {
@@ -34,7 +34,7 @@
     "up",
 }
 # How an attempt, a connection (with `ended_` before it) or a health check (with `probe_`) ended.
-OUTCOMES = {"ok", "timeout", "reset", "full", "error", "cancelled", "connect_failed", "moot"}
+OUTCOMES = {"ok", "timeout", "reset", "full", "error", "cancelled", "connect_failed", "not_attempted"}
 # Of a client that the only host does not take in, and that is refused; discovery answers nobody.
 WITHOUT_A_SOUND_HOST = {"at", "new", "sends", "connect_failed", "refused", "calls_failed", "members"}
 
@@ -50,7 +50,7 @@
 
 def test_an_outcome_has_its_name_in_the_line() -> None:
     """The names of these members are written to the log."""
-    assert {status.name.lower() for status in Status} == OUTCOMES
+    assert {status.name.lower() for status in AttemptStatus} == OUTCOMES
 
 
 def test_a_node_without_a_sound_host_counts_in_these_fields(tmp_path: Path) -> None:
--- a/tests/answers/test_operator_settings.py
+++ b/tests/answers/test_operator_settings.py
@@ -13,7 +13,7 @@
 import pytest
 import sexpdata
 
-from tansyladder import options
+from tansyladder.config import operator_settings
 from tests.answers.program import ROOT
 
 EXAMPLE = ROOT / "deploy" / "settings.example.sexp"
@@ -64,7 +64,7 @@
 
 def as_written(text: str) -> dict[str, Any]:
     """What a file's text puts in force, by the file's own keys."""
-    read: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(options.parse(text)))
+    read: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(operator_settings.parse(text)))
     return read
 
 
@@ -105,14 +105,14 @@
 
 @pytest.mark.parametrize("section", sorted(DEFAULTS))
 def test_an_unknown_key_is_refused_with_its_section_and_name(section: str) -> None:
-    with pytest.raises(options.OptionsError) as refused:
-        options.parse(f"({section} (colour 1))")
+    with pytest.raises(operator_settings.OptionsError) as refused:
+        operator_settings.parse(f"({section} (colour 1))")
     assert str(refused.value) == f"{section}: Object contains unknown field `colour`"
 
 
 @pytest.mark.parametrize("path", sorted(ACCEPTED.keys() - {"peers.members"}))
 def test_a_value_of_the_wrong_type_is_refused_with_its_path(path: str) -> None:
     section, key = path.split(".")
-    with pytest.raises(options.OptionsError) as refused:
-        options.parse(f"({section} ({key} (colour 1)))")
+    with pytest.raises(operator_settings.OptionsError) as refused:
+        operator_settings.parse(f"({section} ({key} (colour 1)))")
     assert str(refused.value).startswith(f"{path}")
--- a/tests/answers/test_platform_configuration.py
+++ b/tests/answers/test_platform_configuration.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from tansyladder.config import Config, ConfigError, load
+from tansyladder.config.platform import Config, ConfigError, load
 from tests.answers.program import platform_config
 
 MEMBER = "known.members.0"
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from tansyladder.config import MemberEntry, MemberList
+from tansyladder.config.platform import MemberEntry, MemberList
 from tansyladder.fleet.peering import Greeting
 from tansyladder.fleet.publishing import Stamp
 from tansyladder.net.takeover import Given, Handed, Takeover
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from tansyladder.config import MemberList
+from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
+from tansyladder.config.platform import MemberList
 from tansyladder.fleet import records
 from tansyladder.fleet.holding import Holding
 from tansyladder.fleet.peering import Channel, Peering
-from tansyladder.options import KeyEntry, Options, PeersOptions, ResumeOptions
 from tansyladder.peers import agreed, messages
 from tansyladder.resume import tokens
 from tansyladder.sessions import keeping
