--- a/tansyladder/fleet/joining.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -8,19 +8,19 @@
 
 import threading
 
+from tansyladder.cluster.document_publisher import CHECKS, DocumentPublisher
+from tansyladder.cluster.document_replica import LeaseExpiryPolicy
+from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.config.platform import ConfigError
-from tansyladder.fleet.agreeing import Agreeing
-from tansyladder.fleet.holding import CutOff
-from tansyladder.fleet.publishing import CHECKS, Publishing
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
-from tansyladder.node.core import Core
-from tansyladder.sessions.keeping import open_keeping
-from tansyladder.sessions.resuming import Resuming
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.sessions.resumption_handler import ResumptionHandler
+from tansyladder.sessions.session_store import open_keeping
 from tansyladder.store import StoreError
 
 
-def join(core: Core, resuming: Resuming, folder: str | None) -> None:
+def join(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
     """Take part in what the peers agree on. `folder`: the node's own, that outlives its process.
 
     OSError, ValueError, ConfigError: the settings don't fit. StoreError: the records can't be read. Where a
@@ -32,7 +32,7 @@
         threading.Thread(target=_follow, args=(core, resuming, folder), name="join", daemon=True).start()
 
 
-def _follow(core: Core, resuming: Resuming, folder: str | None) -> None:
+def _follow(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
     core.takeover.gone.wait()
     try:
         _join(core, resuming, folder)
@@ -40,14 +40,14 @@
         log(LogEvent.CLUSTER_JOIN_FAILED, why=err)
 
 
-def _join(core: Core, resuming: Resuming, folder: str | None) -> None:
+def _join(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
     store, keeping = core.options.store, None
     if store.enabled:
         keeping = core.keeping = open_keeping(store.directory, core.config.name)
         if keeping is not None:
             keeping.start()
     told = core.options.documents
-    agreeing = Agreeing(
+    agreeing = RaftRunner(
         core.config.name,
         core.options.peers,
         keeping.store if keeping is not None else None,
@@ -55,11 +55,11 @@
         lambda: core.clock.micros(now()),
         folder,
         CHECKS if told.enabled else None,
-        CutOff(told.cut_off),
+        LeaseExpiryPolicy(told.cut_off),
         told.lease,
     )
     resuming.agreeing = agreeing
     if agreeing.holding is not None:
-        core.permits = Publishing(agreeing, agreeing.holding, told.stamps)
+        core.permits = DocumentPublisher(agreeing, agreeing.holding, told.stamps)
     agreeing.start()
     log(LogEvent.CLUSTER_JOINED, store=keeping is not None)
--- a/tansyladder/fleet/publishing.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from tansyladder.fleet.agreeing import Agreeing
-from tansyladder.fleet.holding import Check, Holding
+from tansyladder.cluster.document_replica import Check, DocumentReplica
+from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
-from tansyladder.peers.documents import MOST_SIZE, Ruled
+from tansyladder.replication.documents import MOST_SIZE, ChangeResult
 
 PUBLISH = timedelta(seconds=60)  # for a change, asked for again until then: a lease may have to end first
 TRY = timedelta(seconds=5)
@@ -43,7 +43,7 @@
 CHECKS: dict[str, Check] = {"note": check_note}
 
 
-class Stamp(msgspec.Struct, frozen=True):
+class DecisionStamp(msgspec.Struct, frozen=True):
     """What a first line was decided under."""
 
     at: int  # microseconds of Unix time
@@ -51,10 +51,10 @@
     numbers: dict[str, int]
 
 
-class Publishing:
+class DocumentPublisher:
     """Safe to share between threads."""
 
-    def __init__(self, agreeing: Agreeing, holding: Holding, stamps: str) -> None:
+    def __init__(self, agreeing: RaftRunner, holding: DocumentReplica, stamps: str) -> None:
         """`stamps`: a file that is told of each first line what it is decided under; none: none is.
 
         OSError: it can't be written.
@@ -63,7 +63,7 @@
         self._stamps = (
             os.open(stamps, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600) if stamps else -1
         )
-        self._asked: dict[str, Ruled | None] = {}
+        self._asked: dict[str, ChangeResult | None] = {}
         self._lock = threading.Lock()
 
     def permitted(self, ident: str = "") -> bool:
@@ -74,7 +74,7 @@
             held = [(name, permit.version(name, at)) for name in permit.versions]
             numbers = {name: version.number for name, version in held if version is not None}
             # In one call, so that a process that is killed leaves whole lines.
-            os.write(self._stamps, msgspec.json.encode(Stamp(at, ident, numbers)) + b"\n")
+            os.write(self._stamps, msgspec.json.encode(DecisionStamp(at, ident, numbers)) + b"\n")
         return allowed
 
     def describe(self) -> str:
@@ -123,8 +123,8 @@
                 if ruled is None or ruled.word == "busy":
                     threading.Event().wait(0.2)
         except ValueError as err:
-            ruled = Ruled("refused", 0, str(err))
-        ruled = ruled or Ruled("not known")  # it may take hold still
+            ruled = ChangeResult("refused", 0, str(err))
+        ruled = ruled or ChangeResult("not known")  # it may take hold still
         log(
             LogEvent.DOCUMENT_CHANGE_ENDED,
             name=name,
--- a/tansyladder/fleet/holding.py
+++ b/tansyladder/cluster/document_replica.py
@@ -18,23 +18,23 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now, seconds_left
-from tansyladder.peers import documents as core
-from tansyladder.peers.agreed import Entry
-from tansyladder.peers.contents import Contents, Spoken, digest_of
-from tansyladder.peers.documents import (
+from tansyladder.replication import documents as core
+from tansyladder.replication.content_transfer import ChangeNotice, ContentStore, digest_of
+from tansyladder.replication.documents import (
     MOST_SIZE,
     MS,
+    ChangeResult,
     Documents,
-    Follower,
-    Here,
-    Offer,
-    Ruled,
+    LeaseCoordinator,
+    LeaseHolder,
+    LeaseRenewal,
+    Proposal,
     S,
-    Steward,
-    Verdict,
+    ValidationVote,
     Version,
     holding_at,
 )
+from tansyladder.replication.replicated_state import Entry
 from tansyladder.store import Durability, Op, Store, StoreError
 
 CONTENT = b"documents/"
@@ -52,7 +52,7 @@
 Check = Callable[[bytes], str]  # the path of a content's first fault, and what it is; none: it is sound
 
 
-class CutOff(Enum):
+class LeaseExpiryPolicy(Enum):
     """What a node does whose lease has ended, and that hears of no majority."""
 
     STOP = "stop"  # nothing, until it knows what holds
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Permit:
+class DocumentLease:
     """What may be decided now: read by any thread, replaced as a whole."""
 
     until: int = 0  # microseconds of Unix time; no lease from then on
@@ -71,7 +71,7 @@
         return holding_at(self.versions.get(name, ()), at)
 
 
-class Holding:
+class DocumentReplica:
     """Documents at one node; what the agreement's thread calls is for that alone, all else for any."""
 
     def __init__(
@@ -82,7 +82,7 @@
         store: Store | None,
         checks: Mapping[str, Check],
         micros: Callable[[], int],
-        cut_off: CutOff = CutOff.STOP,
+        cut_off: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP,
         lease: timedelta = LEASE,
     ) -> None:
         """`start`: the node's name and this start of it; `checks`: by the name of a document.
@@ -92,10 +92,13 @@
         self._start, self._documents, self._store, self._checks = start, documents, store, dict(checks)
         self.micros, self._cut_off = micros, cut_off
         length = self._length = lease // timedelta(microseconds=1)
-        self._follower, self._steward = Follower(start, documents), Steward(start, documents, length)
+        self._follower, self._steward = (
+            LeaseHolder(start, documents),
+            LeaseCoordinator(start, documents, length),
+        )
         self._over = False
         self.counts: Counter[str] = Counter()
-        self._contents = Contents(peers, Random(start))
+        self._contents = ContentStore(peers, Random(start))
         self._to_check: queue.Queue[tuple[str, int, bytes]] = queue.Queue(TO_CHECK)
         self._checked: queue.Queue[tuple[int, bytes, str]] = queue.Queue()
         self._offered: dict[bytes, int] = {}  # contents that this node has offered: until when they are kept
@@ -103,7 +106,7 @@
         self._checking = 0
         self._said: dict[str, int] = {}  # what was proposed, and when
         self._here_at = 0
-        self._published = Permit()
+        self._published = DocumentLease()
         self._lock = threading.Lock()  # of the contents
         for digest in documents.digests():
             content = self._read(digest)
@@ -121,21 +124,21 @@
     # --- for anybody
 
     @property
-    def permit(self) -> Permit:
+    def permit(self) -> DocumentLease:
         """What this node may decide under, as of its last turn."""
         return self._published
 
-    def allows(self, permit: Permit, at: int) -> bool:
+    def allows(self, permit: DocumentLease, at: int) -> bool:
         """Whether anything may be decided at a moment. Where the settings say so, also without a lease, if
         there was one."""
         if self._over or at < permit.until:
             return not self._over
-        if self._cut_off is CutOff.SERVE and permit.until:
+        if self._cut_off is LeaseExpiryPolicy.SERVE and permit.until:
             self.counts["stale"] += 1
             return True
         return False
 
-    def found(self, ask: str) -> Ruled | None:
+    def found(self, ask: str) -> ChangeResult | None:
         """What became of a change, as far as this node has heard the log."""
         return self._documents.ends.get(ask)
 
@@ -160,10 +163,10 @@
         busy = self._documents.change is not None or self.micros() >= self._published.until - S
         return SOON if busy else SELDOM
 
-    def hear(self, sender: str, told: Spoken) -> list[tuple[str, Spoken]]:
+    def hear(self, sender: str, told: ChangeNotice) -> list[tuple[str, ChangeNotice]]:
         """A message of another node; what to send."""
         match told.what:
-            case Here(start):
+            case LeaseRenewal(start):
                 if core.node_of(start) == sender:
                     self._steward.hear(start, self.micros())
                 return []
@@ -172,14 +175,14 @@
                     self._contents.received(sender, what, self.micros())
                 return self._outgoing()
 
-    def _outgoing(self) -> list[tuple[str, Spoken]]:
+    def _outgoing(self) -> list[tuple[str, ChangeNotice]]:
         with self._lock:
             out, self._contents.out = self._contents.out, []
-        return [(to, Spoken(what)) for to, what in out]
+        return [(to, ChangeNotice(what)) for to, what in out]
 
-    def turn(self, leader: str, leads: bool) -> tuple[list[Entry], list[tuple[str, Spoken]]]:
+    def turn(self, leader: str, leads: bool) -> tuple[list[Entry], list[tuple[str, ChangeNotice]]]:
         """After a step of the agreement: entries to propose, messages to send."""
-        at, entries, messages = self.micros(), list[Entry](), list[tuple[str, Spoken]]()
+        at, entries, messages = self.micros(), list[Entry](), list[tuple[str, ChangeNotice]]()
         armed = self._follower.arm(at)
         if armed is not None:
             entries += self._once(armed, f"armed {armed.number} {armed.round}", at)
@@ -192,7 +195,7 @@
             self._contents.step(at)
             whole = all(self._contents.get(version.digest) is not None for version in newest)
         # Who has heard that a document holds and lacks its content can't follow it.
-        self._published = Permit(self._follower.until() if whole else 0, versions)
+        self._published = DocumentLease(self._follower.until() if whole else 0, versions)
         if leads:
             self._steward.hear(self._start, at)
             entries += self._steward.step(at)
@@ -201,7 +204,7 @@
         if leader and not leads and at >= self._here_at:
             soon = self._documents.change is not None or at >= self._published.until - S
             self._here_at = at + (AGAIN if soon else self._length // HERE)
-            messages.append((leader, Spoken(Here(self._start))))
+            messages.append((leader, ChangeNotice(LeaseRenewal(self._start))))
         return entries, messages + self._outgoing()
 
     def _once(self, entry: Entry, key: str, at: int) -> list[Entry]:
@@ -234,7 +237,7 @@
             self._forget_others(at)
             return
         if change.number in self._faults:
-            verdict = Verdict(change.number, self._start, at, self._faults[change.number])
+            verdict = ValidationVote(change.number, self._start, at, self._faults[change.number])
             entries += self._once(verdict, f"verdict {change.number}", at)
             return
         with self._lock:
@@ -327,7 +330,7 @@
 
     # --- changes
 
-    def offer(self, name: str, content: bytes, ask: str) -> Offer:
+    def offer(self, name: str, content: bytes, ask: str) -> Proposal:
         """What to propose for a change; its content is here, and is there for others, from now on.
 
         ValueError: it can't be a document. StoreError is told as a ValueError too.
@@ -345,9 +348,9 @@
             raise ValueError("disk: the content can't be kept")
         with self._lock:
             digest = self._contents.have(content)
-        return Offer(name, digest, len(content), ask, self._start, self.micros())
+        return Proposal(name, digest, len(content), ask, self._start, self.micros())
 
-    def ended(self, ask: str, until: timedelta) -> Ruled | None:
+    def ended(self, ask: str, until: timedelta) -> ChangeResult | None:
         """Wait for what became of a change; none: that is not known by a moment."""
         while True:
             ruled = self._documents.ends.get(ask)
--- a/tansyladder/fleet/peering.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -27,8 +27,8 @@
 from tansyladder.config.platform import Address, address
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
-from tansyladder.peers.contents import Spoken
-from tansyladder.peers.messages import Message
+from tansyladder.raft.messages import Message
+from tansyladder.replication.content_transfer import ChangeNotice
 
 VERSION = 2
 QUEUE = 512  # messages that wait for a peer
@@ -61,7 +61,7 @@
     proof: bytes = b""
 
 
-class Channel:
+class PeerChannel:
     """A connection whose both ends have proved the key."""
 
     def __init__(self, sock: socket.socket, peer: str, key: bytes, dialled: bool) -> None:
@@ -118,14 +118,14 @@
         raise PeerError("no greeting") from err
 
 
-class Peering:
+class PeerTransport:
     """All connections of one node to its peers; safe to share between threads."""
 
     def __init__(
         self,
         me: str,
         options: PeersOptions,
-        heard: Callable[[str, Message | Spoken], None],
+        heard: Callable[[str, Message | ChangeNotice], None],
         micros: Callable[[], int],
     ) -> None:
         """`heard` takes each message in and must not wait; `micros`: Unix time in microseconds.
@@ -139,13 +139,13 @@
         if me not in reached:
             raise ValueError(f"members: this node's name is not among them: {me[:40]}")
         self._peers: dict[str, Address] = {name: at for name, at in reached.items() if name != me}
-        self._channels: dict[str, Channel] = {}
+        self._channels: dict[str, PeerChannel] = {}
         self._lock = threading.Lock()
         self._newcomers = threading.BoundedSemaphore(NEWCOMERS)
         self.counts: Counter[str] = Counter()
         listen = address(options.listen or options.members[me], "peers.listen")
         self._listener = socket.create_server(listen, backlog=len(self._peers) + 16, reuse_port=True)
-        self._decoder = msgspec.msgpack.Decoder(Message | Spoken)
+        self._decoder = msgspec.msgpack.Decoder(Message | ChangeNotice)
 
     def start(self) -> None:
         threading.Thread(target=self._accept, name="peers", daemon=True).start()
@@ -153,7 +153,7 @@
             if self._me < name:
                 threading.Thread(target=self._dial, args=(name,), name=f"peer-{name}", daemon=True).start()
 
-    def send(self, to: str, message: Message | Spoken) -> None:
+    def send(self, to: str, message: Message | ChangeNotice) -> None:
         """Queue a message; one that finds no connection or no room is dropped, as on a bad network."""
         channel = self._channels.get(to)
         try:
@@ -180,7 +180,7 @@
         if abs(off) > CLOCKS:
             raise PeerError(f"the clocks of {told.name} and this node differ by {off.total_seconds():.1f} s")
 
-    def _greet(self, sock: socket.socket, name: str) -> Channel:
+    def _greet(self, sock: socket.socket, name: str) -> PeerChannel:
         until = time.monotonic() + GREETING.total_seconds()
         ours = Greeting(VERSION, self._fleet, self._me, name, os.urandom(16), self._micros())
         _say(sock, ours)
@@ -190,9 +190,9 @@
         if theirs.name != name or not hmac.compare_digest(theirs.proof, proof):
             raise PeerError("a wrong key")
         _say(sock, msgspec.structs.replace(ours, proof=self._proof(b"dialler", ours, theirs)))
-        return Channel(sock, name, self._proof(b"frames", ours, theirs), True)
+        return PeerChannel(sock, name, self._proof(b"frames", ours, theirs), True)
 
-    def _welcome(self, sock: socket.socket) -> Channel:
+    def _welcome(self, sock: socket.socket) -> PeerChannel:
         until = time.monotonic() + GREETING.total_seconds()
         theirs = _hear(sock, until)
         self._check(theirs)
@@ -202,7 +202,7 @@
         again = _hear(sock, until)
         if not hmac.compare_digest(again.proof, self._proof(b"dialler", theirs, ours)):
             raise PeerError("a wrong key")
-        return Channel(sock, theirs.name, self._proof(b"frames", theirs, ours), False)
+        return PeerChannel(sock, theirs.name, self._proof(b"frames", theirs, ours), False)
 
     # --- connections
 
@@ -250,7 +250,7 @@
             except OSError:
                 pass
 
-    def _run(self, channel: Channel) -> None:
+    def _run(self, channel: PeerChannel) -> None:
         """Until the connection ends; a newer one of the same peer takes its place."""
         sock = channel.sock
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -283,13 +283,13 @@
             log(LogEvent.PEER_DISCONNECTED, peer=channel.peer, dropped=self.counts["dropped"])
 
     @staticmethod
-    def _end(channel: Channel) -> None:
+    def _end(channel: PeerChannel) -> None:
         with contextlib.suppress(OSError):
             channel.sock.shutdown(socket.SHUT_RDWR)  # its reader and its writer wake up
         with contextlib.suppress(queue.Full):
             channel.queue.put_nowait(None)
 
-    def _write(self, channel: Channel) -> None:
+    def _write(self, channel: PeerChannel) -> None:
         while (data := channel.queue.get()) is not None:
             try:
                 check_invariant(len(data) <= MOST_FRAME, "peer_frame_too_large")
--- a/tansyladder/fleet/agreeing.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -13,18 +13,30 @@
 
 import msgspec
 
+from tansyladder.cluster.document_replica import LEASE, Check, DocumentReplica, LeaseExpiryPolicy
+from tansyladder.cluster.peer_transport import PeerTransport
+from tansyladder.cluster.raft_storage import RaftStorage, RollbackDetector
 from tansyladder.config.operator_settings import PeersOptions
-from tansyladder.fleet.holding import LEASE, Check, CutOff, Holding
-from tansyladder.fleet.peering import Peering
-from tansyladder.fleet.records import Records, Witness
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
-from tansyladder.peers.agreed import Agreed, Entry
-from tansyladder.peers.agreement import Agreement, Out, Role
-from tansyladder.peers.claims import Claim, Confirm, Opened, Ruling
-from tansyladder.peers.contents import Spoken
-from tansyladder.peers.documents import Arm, Drop, Hold, Leave, Ruled, Verdict
-from tansyladder.peers.messages import Decided, Message, Propose
+from tansyladder.raft.messages import Message, ProposalResult, Propose
+from tansyladder.raft.node import Effects, RaftNode, Role
+from tansyladder.replication.content_transfer import ChangeNotice
+from tansyladder.replication.documents import (
+    Abort,
+    ChangeResult,
+    Commit,
+    LeaseRelease,
+    Prepare,
+    ValidationVote,
+)
+from tansyladder.replication.replicated_state import Entry, ReplicatedState
+from tansyladder.replication.session_ownership import (
+    ClaimConfirmation,
+    ClaimResult,
+    OwnershipClaim,
+    SessionOpened,
+)
 from tansyladder.store import Store
 
 INBOX = 4096  # messages that wait for the thread; more are dropped, as on a bad network
@@ -33,17 +45,17 @@
 AGAIN = timedelta(milliseconds=150)  # after which a proposal without an answer is sent once more
 
 
-class _Waiting:
+class _PendingProposal:
     """A proposal of this node, and the event that its answer sets."""
 
     __slots__ = ("decided", "event")
 
     def __init__(self) -> None:
         self.event = threading.Event()
-        self.decided: Decided | None = None
+        self.decided: ProposalResult | None = None
 
 
-class Agreeing:
+class RaftRunner:
     """One node's agreement with its peers on who owns which session; safe to share between threads."""
 
     def __init__(
@@ -55,7 +67,7 @@
         micros: Callable[[], int],
         folder: str | None = None,
         checks: Mapping[str, Check] | None = None,
-        cut_off: CutOff = CutOff.STOP,
+        cut_off: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP,
         lease: timedelta = LEASE,
     ) -> None:
         """`taken`: told of each claim that holds: session, tenure, and whose; it must not wait.
@@ -67,24 +79,26 @@
 
         StoreError, OSError: the records can't be read, or the peers' address can't be listened at.
         """
-        self._records = Records(store, Witness(folder, me))
+        self._records = RaftStorage(store, RollbackDetector(folder, me))
         self.by = f"{me}/{os.urandom(4).hex()}"  # the node and its start
         self._me = me
-        self._inbox: queue.Queue[tuple[str, Message | Spoken]] = queue.Queue(INBOX)
-        self._waiting: dict[str, _Waiting] = {}
+        self._inbox: queue.Queue[tuple[str, Message | ChangeNotice]] = queue.Queue(INBOX)
+        self._waiting: dict[str, _PendingProposal] = {}
         self._numbers = itertools.count(1)
         self.stopped = False
         voters = options.voters.split()
-        agreed = Agreed(voters, taken)
+        agreed = ReplicatedState(voters, taken)
         others = [name for name in options.members if name not in voters]
         kept, start = self._records.kept, self._micros()
-        self._agreement = Agreement(me, voters, others, kept, agreed, Random(os.urandom(16)), start)
+        self._agreement = RaftNode(me, voters, others, kept, agreed, Random(os.urandom(16)), start)
         # After what the disk holds is loaded: content of documents that it names is looked for there.
         peers = [name for name in options.members if name != me]
-        self.holding: Holding | None = None
+        self.holding: DocumentReplica | None = None
         if checks is not None:
-            self.holding = Holding(self.by, peers, agreed.documents, store, checks, micros, cut_off, lease)
-        self.peering = Peering(me, options, self._heard, micros)
+            self.holding = DocumentReplica(
+                self.by, peers, agreed.documents, store, checks, micros, cut_off, lease
+            )
+        self.peering = PeerTransport(me, options, self._heard, micros)
 
     @staticmethod
     def _micros() -> int:
@@ -96,7 +110,7 @@
             self.holding.start()
         threading.Thread(target=self._run, name="agreement", daemon=True).start()
 
-    def _heard(self, sender: str, message: Message | Spoken) -> None:
+    def _heard(self, sender: str, message: Message | ChangeNotice) -> None:
         try:
             self._inbox.put_nowait((sender, message))
         except queue.Full:
@@ -107,13 +121,15 @@
         try:
             while True:
                 received = self._next()
-                for_it = [(sender, told) for sender, told in received if not isinstance(told, Spoken)]
+                for_it = [(sender, told) for sender, told in received if not isinstance(told, ChangeNotice)]
                 if self.holding is not None:
                     self._agreement.eager = self.holding.urgent
                 out = self._agreement.handle(self._micros(), for_it)
                 self._records.write(out.writes)  # before anything leaves
                 if self.holding is not None:
-                    self._hold(self.holding, [(s, told) for s, told in received if isinstance(told, Spoken)])
+                    self._hold(
+                        self.holding, [(s, told) for s, told in received if isinstance(told, ChangeNotice)]
+                    )
                 self._hand_out(out)
                 core = self._agreement
                 state = (core.role.value, core.term, core.leader or "none", core.voting, core.doubt)
@@ -127,18 +143,18 @@
             for waiting in list(self._waiting.values()):
                 waiting.event.set()
 
-    def _hold(self, holding: Holding, spoken: list[tuple[str, Spoken]]) -> None:
+    def _hold(self, holding: DocumentReplica, spoken: list[tuple[str, ChangeNotice]]) -> None:
         """What documents ask for after a step; a lease is cut before anything of the step leaves."""
         core = self._agreement
         entries, messages = holding.turn(core.leader, core.role is Role.LEADER)
         for sender, told in spoken:
             messages += holding.hear(sender, told)
         for entry in entries:
-            if isinstance(entry, Verdict | Arm | Hold | Drop):
+            if isinstance(entry, ValidationVote | Prepare | Commit | Abort):
                 why = getattr(entry, "fault", "") or getattr(entry, "why", "") or "none"
                 log(
                     LogEvent.DOCUMENT_CHANGE_STEP,
-                    step=type(entry).__name__.lower(),
+                    step=entry.__struct_config__.tag,
                     number=entry.number,
                     why=why,
                 )
@@ -146,7 +162,7 @@
         for to, message in messages:
             self.peering.send(to, message)
 
-    def _next(self) -> list[tuple[str, Message | Spoken]]:
+    def _next(self) -> list[tuple[str, Message | ChangeNotice]]:
         """What has come, a good part of it at once; nothing when it is time to look."""
         left = (self._agreement.due - self._micros()) / 1e6
         if self.holding is not None:
@@ -162,7 +178,7 @@
                 break
         return received
 
-    def _hand_out(self, out: Out) -> None:
+    def _hand_out(self, out: Effects) -> None:
         for to, message in out.messages:
             self.peering.send(to, message)
         for decided in out.answers:
@@ -171,7 +187,7 @@
                 waiting.decided = decided
                 waiting.event.set()
 
-    def tell(self, entry: Opened) -> None:
+    def tell(self, entry: SessionOpened) -> None:
         """Propose an entry whose loss does no harm, and wait for nothing."""
         self._propose(entry)
 
@@ -179,15 +195,15 @@
         request = f"{self.by}/{next(self._numbers)}"
         self._heard(self._me, Propose(request, msgspec.msgpack.encode(entry)))
 
-    def rule(self, entry: Claim | Confirm, until: timedelta) -> Ruling | None:
+    def rule(self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment, or nobody leads.
 
         None may have been a yes: what it was about must not be taken for granted either way.
         """
         result = self._decide(entry, until)
-        return msgspec.msgpack.decode(result, type=Ruling) if result is not None else None
+        return msgspec.msgpack.decode(result, type=ClaimResult) if result is not None else None
 
-    def publish(self, name: str, content: bytes, ask: str, until: timedelta) -> Ruled | None:
+    def publish(self, name: str, content: bytes, ask: str, until: timedelta) -> ChangeResult | None:
         """Have a document changed in the whole fleet; what became of that, as far as it is known by a moment.
 
         None may be a yes still: asked again with the same `ask` it is the same change. ValueError: this node
@@ -199,19 +215,19 @@
         result = self._decide(offer, until)
         if result is None:
             return None
-        ruled = msgspec.msgpack.decode(result, type=Ruled)
+        ruled = msgspec.msgpack.decode(result, type=ChangeResult)
         return self.holding.ended(ask, until) if ruled.word == "under way" else ruled
 
     def leave(self, until: timedelta) -> None:
         """This node decides nothing any more: nobody has to wait for the end of its lease."""
         if self.holding is not None:
             self.holding.give_up()
-            self._decide(Leave(self.by, self.holding.micros()), until)
+            self._decide(LeaseRelease(self.by, self.holding.micros()), until)
 
     def _decide(self, entry: Entry, until: timedelta) -> bytes | None:
         data, again = msgspec.msgpack.encode(entry), AGAIN
         while not self.stopped and len(self._waiting) < WAITING and now() < until:
-            request, waiting = f"{self.by}/{next(self._numbers)}", _Waiting()
+            request, waiting = f"{self.by}/{next(self._numbers)}", _PendingProposal()
             self._waiting[request] = waiting
             self._heard(self._me, Propose(request, data))
             waiting.event.wait(min(until - now(), again).total_seconds())
--- a/tansyladder/fleet/records.py
+++ b/tansyladder/cluster/raft_storage.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from tansyladder.log import LogEvent, log
-from tansyladder.peers.messages import Entry, Hard, Kept, Snapshot, Tail, Write
+from tansyladder.raft.messages import Entry, HardState, LogSuffix, PersistentState, Snapshot, Write
 from tansyladder.store import Durability, Op, Store
 
 HARD, SNAPSHOT, ENTRY = b"peers/hard", b"peers/snapshot", b"peers/log/"
@@ -19,7 +19,7 @@
 BOOT = Path("/proc/sys/kernel/random/boot_id")
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True):
+class WitnessRecord(msgspec.Struct, frozen=True, array_like=True):
     """The machine's boot, the disk's name, and how many writes it has taken."""
 
     boot: str
@@ -27,7 +27,7 @@
     count: int
 
 
-class Witness:
+class RollbackDetector:
     """A small file outside of the store, which a process leaves to the next one on the same machine.
 
     It is not synced: what a loss of power takes is another boot, and that alone makes it worthless. So a
@@ -48,7 +48,7 @@
         if self._path is None or not self._boot:
             return False
         try:
-            seen = msgspec.msgpack.decode(self._path.read_bytes().rstrip(b" "), type=Seen)
+            seen = msgspec.msgpack.decode(self._path.read_bytes().rstrip(b" "), type=WitnessRecord)
         except (OSError, msgspec.MsgspecError):
             return False
         # The last write may have been synced, and the process ended before it was noted.
@@ -68,21 +68,23 @@
             if self._fd is None:
                 self._fd = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             # In place and of one size: a file that is cut and written anew may be flushed by the system.
-            os.pwrite(self._fd, msgspec.msgpack.encode(Seen(self._boot, ident, count)).ljust(SIZE), 0)
+            os.pwrite(
+                self._fd, msgspec.msgpack.encode(WitnessRecord(self._boot, ident, count)).ljust(SIZE), 0
+            )
         except OSError as err:
             log(LogEvent.DISK_WITNESS_FAILED, why=err)
             with contextlib.suppress(OSError):
                 self._path.unlink()
 
 
-class Records:
+class RaftStorage:
     """What the agreement writes, in the node's store; without one it lasts as long as the process.
 
     Each write is counted, on the disk and with a witness beside it. A disk that is behind its witness, or
     that has none, may be an older copy; one that lacks an entry in the middle has lost something as well.
     """
 
-    def __init__(self, store: Store | None, witness: Witness) -> None:
+    def __init__(self, store: Store | None, witness: RollbackDetector) -> None:
         self._store, self._witness = store, witness
         held = dict(store.items(b"peers/")) if store else {}
         hard = held.get(HARD)
@@ -94,14 +96,16 @@
         while (data := held.get(self._key(index + len(entries) + 1))) is not None:
             entries.append(msgspec.msgpack.decode(data, type=Entry))
         self._first, self._last, self._parts = index + 1, index + len(entries), len(parts)
-        decoded = msgspec.msgpack.decode(hard, type=Hard) if hard else Hard(ident=os.urandom(8).hex())
+        decoded = (
+            msgspec.msgpack.decode(hard, type=HardState) if hard else HardState(ident=os.urandom(8).hex())
+        )
         self._ident, self._count = decoded.ident, int.from_bytes(held.get(COUNT, b""), "big")
         whole = all(key <= self._key(self._last) for key in held if key.startswith(ENTRY))
         newest = witness.agrees(decoded.ident, self._count) and whole
         if hard and not newest:
             decoded = msgspec.structs.replace(decoded, doubt=True)
             log(LogEvent.STALE_DISK_SUSPECTED, whole=whole)
-        self.kept = Kept(decoded, snapshot, tuple(entries))
+        self.kept = PersistentState(decoded, snapshot, tuple(entries))
         if store is None:
             witness.end()  # a store that comes back later is behind what this start promises
         self.write([decoded])
@@ -117,7 +121,7 @@
         ops: dict[bytes, bytes | None] = {}
         for write in writes:
             match write:
-                case Hard():
+                case HardState():
                     ops[HARD] = msgspec.msgpack.encode(write)
                 case Snapshot():
                     data = msgspec.msgpack.encode(write)
@@ -128,7 +132,7 @@
                     self._parts = len(cut)
                     ops.update((self._key(i), None) for i in range(self._first, write.index + 1))
                     self._first, self._last = write.index + 1, max(self._last, write.index)
-                case Tail():
+                case LogSuffix():
                     for number, entry in enumerate(write.entries, write.index):
                         ops[self._key(number)] = msgspec.msgpack.encode(entry)
                     end = write.index + len(write.entries)
--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -70,7 +70,7 @@
     sockets: int = 1024
 
 
-class MemberEntry(msgspec.Struct):
+class EndpointEntry(msgspec.Struct):
     """One stream host as discovery writes it."""
 
     id: str
@@ -83,12 +83,12 @@
     up_since_ms: int = 0
 
 
-class MemberList(msgspec.Struct):
+class EndpointList(msgspec.Struct):
     """Discovery's list, or changes to it."""
 
     revision: int = 0
     complete: bool = True
-    members: list[MemberEntry] = []
+    members: list[EndpointEntry] = []
 
 
 class _File(msgspec.Struct):
@@ -98,7 +98,7 @@
     discovery: str = ""
     seed: str = "0"
     limits: Limits = msgspec.field(default_factory=Limits)
-    known: MemberList = msgspec.field(default_factory=MemberList)
+    known: EndpointList = msgspec.field(default_factory=EndpointList)
     settings: dict[str, Any] = {}
 
 
@@ -153,7 +153,7 @@
     discovery: Address
     seed: int
     limits: Limits
-    known: MemberList
+    known: EndpointList
     settings: Settings
     class_names: tuple[str, ...]
     zones: tuple[str, ...]
@@ -325,7 +325,7 @@
     return address(in_file, variable.removeprefix("GW_").lower())
 
 
-def _written(text: bytes, known: MemberList) -> dict[str, str]:
+def _written(text: bytes, known: EndpointList) -> dict[str, str]:
     """The file's keys and values; the list it knows is one value, as it only serves a start."""
     whole = msgspec.json.decode(text)
     if "known" in whole:
--- a/tansyladder/lab/chaos/fleet.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -21,10 +21,10 @@
 from tansyladder.lab.chaos.links import Front, Link
 from tansyladder.lab.chaos.schedule import Fault, Kind
 from tansyladder.lab.clients import Client
+from tansyladder.lab.discovery_server import DiscoveryServer
 from tansyladder.lab.node import LabNode, spare_port
 from tansyladder.lab.report import Report, clock
-from tansyladder.lab.roster import Roster
-from tansyladder.lab.scene import AT_ONCE, SceneError
+from tansyladder.lab.topology import AT_ONCE, TopologyError
 
 SILENCE = 2.0  # seconds without a line after which a client takes its connection for dead
 START = 30.0  # seconds in which all clients must stand
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Listed:
+class ClusterEndpoint:
     """A host as one node knows it: by the address of the link between the two."""
 
     ident: str
@@ -50,7 +50,7 @@
     told: timedelta | None = None
 
 
-class WatchedClient(Client):
+class RecordingClient(Client):
     """A client that writes down what it does and meets, and is patient with a fleet in trouble."""
 
     tries = 60
@@ -64,7 +64,7 @@
         self.history.add("client", what, client=self.number, life=self.sessions, **fields)
 
 
-class Fleet:
+class ChaosCluster:
     """All parties of one run, and the faults that are put between them."""
 
     def __init__(
@@ -79,7 +79,7 @@
         self.to_hosts: list[list[Link]] = []  # by node, then host
         self.to_nodes: list[Link] = []  # of clients
         self.to_peers: dict[tuple[int, int], Link] = {}  # from the lower to the higher number
-        self._rosters: list[Roster] = []
+        self._rosters: list[DiscoveryServer] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._hosts: asyncio.subprocess.Process | None = None
         self._down: set[int] = set()
@@ -107,9 +107,9 @@
             for link in links:
                 await link.start()
             self.to_hosts.append(links)
-            roster = Roster()
+            roster = DiscoveryServer()
             await roster.start()
-            await roster.tell("up", *(Listed(f"s{i}", link.address) for i, link in enumerate(links)))
+            await roster.tell("up", *(ClusterEndpoint(f"s{i}", link.address) for i, link in enumerate(links)))
             self._rosters.append(roster)
             folder = self.folder / f"n{number}"
             folder.mkdir()
@@ -130,7 +130,7 @@
         until = clock() + timedelta(seconds=START)
         while not all(b" leader=n" in node.log.read_bytes().replace(b"=none", b"") for node in self.nodes):
             if clock() > until:
-                raise SceneError("the nodes did not agree on a leader")
+                raise TopologyError("the nodes did not agree on a leader")
             await asyncio.sleep(0.05)
 
     async def _join_peers(self) -> list[str]:
@@ -180,7 +180,7 @@
         """So many clients more, each with a session that stands."""
         gate = asyncio.Semaphore(AT_ONCE)
         new: list[Client] = [
-            WatchedClient(self.history, self.report, self.front.port, number, self.seed)
+            RecordingClient(self.history, self.report, self.front.port, number, self.seed)
             for number in range(len(self.clients), len(self.clients) + count)
         ]
         self.clients += new
@@ -193,7 +193,7 @@
         try:
             await asyncio.wait_for(asyncio.gather(*(come(c) for c in new)), START)
         except TimeoutError as err:
-            raise SceneError("not all clients got in") from err
+            raise TopologyError("not all clients got in") from err
 
     async def until_all_up(self, seconds: float) -> bool:
         """Wait until all clients are served, but no longer than this."""
@@ -411,11 +411,11 @@
 @contextlib.asynccontextmanager
 async def fleet(
     nodes: int, hosts: int, seed: int, peers: bool = True, settings: str = ""
-) -> AsyncIterator[tuple[Fleet, list[Event]]]:
+) -> AsyncIterator[tuple[ChaosCluster, list[Event]]]:
     """A fleet that is up, and a list that has its whole history once the fleet is down."""
     history: list[Event] = []
     with tempfile.TemporaryDirectory(prefix="tansyladder-chaos-") as folder:
-        whole = Fleet(Path(folder), nodes, hosts, seed, peers, settings)
+        whole = ChaosCluster(Path(folder), nodes, hosts, seed, peers, settings)
         try:
             await whole.start()
             yield whole, history
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -12,14 +12,14 @@
 import msgspec
 import numpy
 
-from tansyladder.fleet.publishing import Stamp
+from tansyladder.cluster.document_publisher import DecisionStamp
 from tansyladder.lab.chaos import checkers
 from tansyladder.lab.chaos import history as histories
-from tansyladder.lab.chaos.fleet import Fleet, fleet
+from tansyladder.lab.chaos.cluster import ChaosCluster, fleet
 from tansyladder.lab.chaos.history import Event
 from tansyladder.lab.chaos.schedule import Fault, Kind
 from tansyladder.lab.report import Report, clock
-from tansyladder.lab.scene import SceneError
+from tansyladder.lab.topology import TopologyError
 
 NAME = "note"
 LEASE = 3.0  # seconds
@@ -30,10 +30,10 @@
 CALM = 2.0  # seconds without faults, before the end
 
 
-class Rig:
+class DocumentExperiment:
     """Who knocks at the nodes, and who has their document changed."""
 
-    def __init__(self, whole: Fleet, seed: int) -> None:
+    def __init__(self, whole: ChaosCluster, seed: int) -> None:
         self.whole, self.report = whole, Report()
         self.rng = numpy.random.default_rng(seed)
         self.asks = 0
@@ -107,7 +107,7 @@
                     break
                 await asyncio.sleep(0.02)
             turn += 1
-        raise SceneError(f"{ask}: not known what became of it: {word}")
+        raise TopologyError(f"{ask}: not known what became of it: {word}")
 
     async def lease(self, node: int) -> int:
         """Milliseconds that a node may go on deciding."""
@@ -121,7 +121,7 @@
             if all([await self.lease(node) for node in range(self.whole.size)]):
                 return
             await asyncio.sleep(0.05)
-        raise SceneError("not all nodes hold a lease")
+        raise TopologyError("not all nodes hold a lease")
 
     # --- what is played
 
@@ -161,7 +161,7 @@
 async def play(nodes: int, seed: int, keep: Path | None = None) -> dict[str, Any]:
     """A fleet whose document is changed under faults; `keep`: where its history is written."""
     async with fleet(nodes, 2, seed, True, SETTINGS) as (whole, history):
-        rig = Rig(whole, seed)
+        rig = DocumentExperiment(whole, seed)
         try:
             await rig.play()
             calm = len(whole.history.events)
@@ -202,7 +202,7 @@
 def _stamps(path: Path, node: int) -> list[Event]:
     if not path.exists():
         return []
-    told = [msgspec.json.decode(line, type=Stamp) for line in path.read_bytes().split(b"\n")[:-1]]
+    told = [msgspec.json.decode(line, type=DecisionStamp) for line in path.read_bytes().split(b"\n")[:-1]]
     return [
         Event(0, "node", "decided", ident=stamp.ident, node=node, word=name, number=number, moment=stamp.at)
         for stamp in told
--- a/tansyladder/lab/chaos/hosts.py
+++ b/tansyladder/lab/chaos/hosts.py
@@ -15,20 +15,20 @@
 import msgspec
 
 from tansyladder.lab.chaos.history import History
-from tansyladder.lab.hosts import Held, Host, World
+from tansyladder.lab.hosts import HostedStream, StreamHost, StreamHostCluster
 from tansyladder.lab.report import Report
 
 LOOK = 0.2  # seconds between two looks at what is held, and writes of the history
 
 
-class WatchedWorld(World):
+class RecordingHostCluster(StreamHostCluster):
     """All hosts write down what they take, refuse and hear."""
 
     def __init__(self, seed: int, history: History) -> None:
         super().__init__(Report(), seed)
         self.history = history
 
-    def saw(self, what: str, held: Held, number: int = 0) -> None:
+    def saw(self, what: str, held: HostedStream, number: int = 0) -> None:
         self.history.add(
             "host",
             what,
@@ -44,8 +44,8 @@
     """Until standard input ends."""
     with path.open("wb") as out:
         history = History(out)
-        world = WatchedWorld(seed, history)
-        made = [Host(world, f"s{i}") for i in range(hosts)]
+        world = RecordingHostCluster(seed, history)
+        made = [StreamHost(world, f"s{i}") for i in range(hosts)]
         for host in made:
             await host.start(nodes)
         sys.stdout.write(msgspec.json.encode([host.doors for host in made]).decode() + "\n")
@@ -64,7 +64,7 @@
             await host.close()
 
 
-async def _obey(hosts: list[Host]) -> None:
+async def _obey(hosts: list[StreamHost]) -> None:
     """What standard input tells, until it ends."""
     loop = asyncio.get_running_loop()
     while words := (await loop.run_in_executor(None, sys.stdin.readline)).split():
--- a/tansyladder/lab/chaos/play.py
+++ b/tansyladder/lab/chaos/play.py
@@ -10,7 +10,7 @@
 
 from tansyladder.lab.chaos import checkers
 from tansyladder.lab.chaos import history as histories
-from tansyladder.lab.chaos.fleet import Fleet, fleet
+from tansyladder.lab.chaos.cluster import ChaosCluster, fleet
 from tansyladder.lab.chaos.history import Event
 from tansyladder.lab.chaos.schedule import Schedule
 from tansyladder.lab.report import MICROSECOND, Report
@@ -101,7 +101,7 @@
     }
 
 
-async def _show(whole: Fleet, client: int, node: int, turn: int, token: str, rest: str) -> str:
+async def _show(whole: ChaosCluster, client: int, node: int, turn: int, token: str, rest: str) -> str:
     """The first word of the answer to a token at a node; the connection ends with it."""
     ident = f"{client:x}0{turn}"
     host, _, port = whole.to_nodes[node].address.partition(":")
@@ -141,7 +141,7 @@
     }
 
 
-async def _play(whole: Fleet, schedule: Schedule) -> None:
+async def _play(whole: ChaosCluster, schedule: Schedule) -> None:
     async def one(at: float, index: int) -> None:
         await asyncio.sleep(at)
         await whole.play(schedule.faults[index])
--- a/tansyladder/lab/chaos/skewed.py
+++ b/tansyladder/lab/chaos/skewed_clock.py
@@ -1,4 +1,7 @@
-"""A node whose wall clock is off, from its start on: `python -m tansyladder.lab.chaos.skewed SECONDS …`."""
+"""A node whose wall clock is off by some seconds.
+
+Usage: `python -m tansyladder.lab.chaos.skewed_clock SECONDS …`.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,16 @@
 OFF = timedelta(seconds=float(sys.argv.pop(1)))
 
 
-class Skewed(datetime):
+class SkewedDatetime(datetime):
     """The node reads the wall clock once, at its start."""
 
     @classmethod
-    def now(cls, tz: tzinfo | None = None) -> Skewed:
+    def now(cls, tz: tzinfo | None = None) -> SkewedDatetime:
         there = super().now(tz)
         return there + OFF
 
 
-setattr(clock, "datetime", Skewed)  # noqa: B010
+setattr(clock, "datetime", SkewedDatetime)  # noqa: B010
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -14,9 +14,9 @@
 import click
 import msgspec
 
-from tansyladder.lab import comeback, cost, drain, restart
-from tansyladder.lab.hosts import Host
-from tansyladder.lab.scene import scene
+from tansyladder.lab import cost, drain, reconnect, restart
+from tansyladder.lab.hosts import StreamHost
+from tansyladder.lab.topology import scene
 
 SWITCH = click.Choice(["on", "off"])
 
@@ -57,7 +57,7 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def return_command(sessions: int, hosts: int, seed: int, resume: str, share: float, as_json: bool) -> None:
     """Break a share of the clients' connections at one moment, and see them come back."""
-    _play(comeback.come_back(sessions, hosts, seed, resume == "on", share), as_json)
+    _play(reconnect.come_back(sessions, hosts, seed, resume == "on", share), as_json)
 
 
 @click.command("cost")
@@ -94,7 +94,7 @@
 
 
 async def _up_fleet(nodes: int, hosts: int) -> None:
-    from tansyladder.lab.chaos.fleet import fleet
+    from tansyladder.lab.chaos.cluster import fleet
 
     end = _end()
     async with fleet(nodes, hosts, 1) as (whole, _):
@@ -115,7 +115,9 @@
 
 async def _up(hosts: int, resumes: bool) -> None:
     end = _end()
-    async with scene(1, ["sound"] * hosts, resumes, make=lambda w, i, b: Host(w, i, b, period=2.0)) as whole:
+    async with scene(
+        1, ["sound"] * hosts, resumes, make=lambda w, i, b: StreamHost(w, i, b, period=2.0)
+    ) as whole:
         offer = ",rs=1" if resumes else ""
         click.echo(f"the node listens on 127.0.0.1:{whole.node.port}; its log is {whole.node.log}")
         click.echo(f"connect with: nc -C 127.0.0.1 {whole.node.port}")
@@ -268,7 +270,7 @@
 def stories_command(only: tuple[str, ...], hosts: int, sessions: int, seed: int, as_json: bool) -> None:
     """Play the hard cases with five nodes, one after the other, and check what all parties saw."""
     from tansyladder.lab.chaos import play
-    from tansyladder.lab.chaos.stories import STORIES, story
+    from tansyladder.lab.chaos.scenarios import STORIES, story
 
     if unknown := set(only) - STORIES.keys():
         names = ", ".join(STORIES)
@@ -284,9 +286,9 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def fleet_command(folder: Path, members: bool, as_json: bool) -> None:
     """Add up the `counts` lines of a fleet's logs, a file for each node, by second."""
-    from tansyladder.lab import fleetlog
+    from tansyladder.lab import fleet_counts
 
-    fleet = fleetlog.read_folder(folder)
+    fleet = fleet_counts.read_folder(folder)
     if as_json:
         _show(
             {
@@ -299,7 +301,7 @@
             True,
         )
     else:
-        click.echo(fleetlog.table(fleet, members))
+        click.echo(fleet_counts.table(fleet, members))
 
 
 @click.command("store-faults")
@@ -308,9 +310,9 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def store_faults_command(seed: int, full: bool, as_json: bool) -> None:
     """Hurt a store's files in every way that the stand-in knows, and check what is there after recovery."""
-    from tansyladder.lab import storefaults
+    from tansyladder.lab import crash_consistency
 
-    found = storefaults.run(seed, full)
+    found = crash_consistency.run(seed, full)
     _show(found, as_json)
     sys.exit(1 if any(found[name] for name in ("lost", "half_batches", "resurrected")) else 0)
 
@@ -323,10 +325,10 @@
     """End a writing process with SIGKILL again and again, and check what it had acknowledged."""
     import tempfile
 
-    from tansyladder.lab import storekill
+    from tansyladder.lab import store_kill
 
     with tempfile.TemporaryDirectory(prefix="tansyladder-kill-") as folder:
-        found = storekill.play(Path(folder), seed, rounds)
+        found = store_kill.play(Path(folder), seed, rounds)
     _show(found, as_json)
     sys.exit(1 if found["lost"] or found["wrong"] else 0)
 
@@ -337,9 +339,9 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def store_bench_command(folder: Path | None, records: int, as_json: bool) -> None:
     """Measure the store beside sqlite3 and lmdb, in one run on one folder."""
-    from tansyladder.lab import storebench
+    from tansyladder.lab import store_benchmark
 
-    _show(storebench.run(folder, records), as_json)
+    _show(store_benchmark.run(folder, records), as_json)
 
 
 def add_to(group: click.Group) -> None:
--- a/tansyladder/lab/cost.py
+++ b/tansyladder/lab/cost.py
@@ -6,16 +6,16 @@
 from datetime import timedelta
 from typing import Any
 
-from tansyladder.lab.hosts import Host, World
-from tansyladder.lab.scene import scene
+from tansyladder.lab.hosts import StreamHost, StreamHostCluster
+from tansyladder.lab.topology import scene
 
 PACE = 2.0  # seconds between two lines of a client, as the platform's clients say them
 FRAMES = 4.0  # seconds between two frames of a session beside the answers
 STRETCH = 6.0  # seconds over which CPU is counted
 
 
-def _slowly(world: World, ident: str, behaviour: str) -> Host:
-    return Host(world, ident, behaviour, period=FRAMES)
+def _slowly(world: StreamHostCluster, ident: str, behaviour: str) -> StreamHost:
+    return StreamHost(world, ident, behaviour, period=FRAMES)
 
 
 async def cost(sessions: int, hosts: int, seed: int) -> dict[str, Any]:
--- a/tansyladder/lab/storefaults.py
+++ b/tansyladder/lab/crash_consistency.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from tansyladder.lab.faultfs import FaultFiles, PowerLoss
+from tansyladder.lab.fault_injecting_files import FaultInjectingFiles, SimulatedPowerLoss
 from tansyladder.store import Durability, Op, StoreError, open_store
-from tansyladder.store.errors import Damaged, Full
+from tansyladder.store.errors import StoreCorruptError, StoreFullError
 
 SEGMENT = 700  # bytes: a few batches fill one
 NODE = "n1"
@@ -25,7 +25,7 @@
 Batch = tuple[tuple[Op, ...], Durability]
 
 
-class Clock:
+class ManualClock:
     """Unix time in microseconds, told by the run."""
 
     def __init__(self) -> None:
@@ -49,21 +49,21 @@
     return out
 
 
-class Life:
+class StoreLifetime:
     """One run of a script, as far as it gets."""
 
-    def __init__(self, files: FaultFiles, steps: list[Batch | None]) -> None:
-        self.files, self.clock = files, Clock()
+    def __init__(self, files: FaultInjectingFiles, steps: list[Batch | None]) -> None:
+        self.files, self.clock = files, ManualClock()
         self.states: list[State] = [{}]  # after each batch that was asked for
         self.sure = 0  # the newest state that a synced write acknowledged
-        with contextlib.suppress(PowerLoss, StoreError):
+        with contextlib.suppress(SimulatedPowerLoss, StoreError):
             self._run(steps)
 
     def _run(self, steps: list[Batch | None]) -> None:
         store = open_store(self.files, NODE, self.clock, SEGMENT)
         for step in steps:
             if step is None:
-                with contextlib.suppress(Full):
+                with contextlib.suppress(StoreFullError):
                     store.maintain(300)
                 continue
             ops, durability = step
@@ -76,14 +76,14 @@
             self.states.append(state)
             try:
                 store.write(ops, durability)
-            except Full:
+            except StoreFullError:
                 self.states.pop()
                 continue
             if durability is Durability.SYNCED:
                 self.sure = len(self.states) - 1
 
 
-def contents(files: FaultFiles, clock: Callable[[], int]) -> State:
+def contents(files: FaultInjectingFiles, clock: Callable[[], int]) -> State:
     """What a store holds after recovery, record by record. StoreError: it can't be opened or read."""
     store = open_store(files, NODE, clock, SEGMENT)
     try:
@@ -92,7 +92,7 @@
         store.close()
 
 
-class Verdicts:
+class CheckResults:
     """What the recoveries of a run came to."""
 
     def __init__(self) -> None:
@@ -100,13 +100,13 @@
         self.slowest = 0.0
         self.cases: list[str] = []
 
-    def judge(self, files: FaultFiles, life: Life, what: str, damage: bool = False) -> None:
+    def judge(self, files: FaultInjectingFiles, life: StoreLifetime, what: str, damage: bool = False) -> None:
         """Recover and compare; `damage`: bytes were changed, so Damaged and older tails are allowed."""
         self.counts["recoveries"] += 1
         started = time.perf_counter()
         try:
             found = contents(files, life.clock)
-        except Damaged as err:
+        except StoreCorruptError as err:
             if damage:
                 self.counts["named"] += 1
             else:
@@ -122,7 +122,7 @@
             self._bad(self._kind(found, life, least), f"{what}: {found} is no state from {least} on")
 
     @staticmethod
-    def _kind(found: State, life: Life, least: int) -> str:
+    def _kind(found: State, life: StoreLifetime, least: int) -> str:
         """Which promise a state breaks: an old one lost something, else a batch is in part there or back."""
         if found in life.states[:least]:
             return "lost"
@@ -136,16 +136,16 @@
 
 
 def power_losses(
-    seed: int, batches: int, draws: int, subsets: int, verdicts: Verdicts, every: int = 1
+    seed: int, batches: int, draws: int, subsets: int, verdicts: CheckResults, every: int = 1
 ) -> int:
     """The machine goes at each step of a life; how many steps. Twice over: in the recovery as well."""
     steps = script(seed, batches)
-    whole = Life(FaultFiles(), steps).files.steps
+    whole = StoreLifetime(FaultInjectingFiles(), steps).files.steps
     rng = random.Random(seed)
     for at in range(0, whole, every):
-        files = FaultFiles()
+        files = FaultInjectingFiles()
         files.loss_at = at
-        life = Life(files, steps)
+        life = StoreLifetime(files, steps)
         verdicts.judge(files.after_kill(), life, f"killed at {at}")
         for n, state in enumerate(files.every_loss(subsets)):
             verdicts.judge(state, life, f"loss at {at}, set {n}")
@@ -155,24 +155,26 @@
     return whole
 
 
-def _again(state: FaultFiles, rng: random.Random, life: Life, verdicts: Verdicts, what: str) -> None:
+def _again(
+    state: FaultInjectingFiles, rng: random.Random, life: StoreLifetime, verdicts: CheckResults, what: str
+) -> None:
     """A second loss in the recovery from the first one, and then a recovery that may finish."""
     state.loss_at = rng.randrange(12)
-    with contextlib.suppress(PowerLoss, StoreError):
+    with contextlib.suppress(SimulatedPowerLoss, StoreError):
         open_store(state, NODE, life.clock, SEGMENT).maintain(300)
     state.loss_at = -1
     verdicts.judge(state.after_loss(rng, rng.random()), life, f"{what}, twice")
 
 
-def failures(seed: int, batches: int, verdicts: Verdicts, every: int = 1) -> int:
+def failures(seed: int, batches: int, verdicts: CheckResults, every: int = 1) -> int:
     """Each call fails once, with EIO or ENOSPC, then the machine goes; how many faults."""
     steps, rng, count = script(seed, batches), random.Random(seed + 1), 0
-    probe = Life(FaultFiles(), steps).files
+    probe = StoreLifetime(FaultInjectingFiles(), steps).files
     for at in range(0, probe.steps, every):
         for code in (errno.EIO, errno.ENOSPC):
-            files = FaultFiles()
+            files = FaultInjectingFiles()
             files.fail[at] = code
-            life = Life(files, steps)
+            life = StoreLifetime(files, steps)
             count += 1
             verdicts.judge(files.after_kill(), life, f"errno {code} at {at} ({probe.kinds[at]}), killed")
             state = files.after_loss(rng, rng.random())
@@ -180,11 +182,11 @@
     return count
 
 
-def touched(seed: int, batches: int, verdicts: Verdicts, every: int = 1) -> int:
+def touched(seed: int, batches: int, verdicts: CheckResults, every: int = 1) -> int:
     """Cut and flip at each offset of each file of a store in the middle of its life; how many offsets."""
     steps = script(seed, batches)
-    files = FaultFiles()
-    life = Life(files, steps)
+    files = FaultInjectingFiles()
+    life = StoreLifetime(files, steps)
     whole = {name: bytes(inode.seen) for name, inode in files.seen.items()}
     rng, offsets = random.Random(seed + 2), 0
     for name, data in whole.items():
@@ -193,16 +195,16 @@
             flipped = bytearray(data)
             flipped[at] ^= 1 << rng.randrange(8)
             for change, how in ((data[:at], "cut"), (bytes(flipped), "flipped")):
-                state = FaultFiles({**whole, name: change})
+                state = FaultInjectingFiles({**whole, name: change})
                 verdicts.judge(state, life, f"{name} {how} at {at}", damage=True)
         for change in (b"", bytes(len(data))):
-            verdicts.judge(FaultFiles({**whole, name: change}), life, f"{name} emptied", damage=True)
+            verdicts.judge(FaultInjectingFiles({**whole, name: change}), life, f"{name} emptied", damage=True)
     return offsets
 
 
 def run(seed: int, full: bool) -> dict[str, Any]:
     """All of it; `full`: every step and every offset, with more draws."""
-    verdicts, started = Verdicts(), time.monotonic()
+    verdicts, started = CheckResults(), time.monotonic()
     batches = 60 if full else 36
     faults = power_losses(seed, batches, 6 if full else 3, 10 if full else 6, verdicts, 1 if full else 2)
     faults += failures(seed, batches, verdicts)
--- a/tansyladder/lab/roster.py
+++ b/tansyladder/lab/discovery_server.py
@@ -12,7 +12,7 @@
 from tansyladder.lab.report import clock
 
 
-class Listed(Protocol):
+class ListedEndpoint(Protocol):
     """A host as it stands in the list; `told` is set when discovery first writes that it leaves."""
 
     ident: str
@@ -20,14 +20,14 @@
     told: timedelta | None
 
 
-class Roster:
+class DiscoveryServer:
     """The list of stand-in hosts; each change is told to all who watch."""
 
     def __init__(self) -> None:
         self.address = ""
         self.revision = 0
         self._phases: dict[str, str] = {}
-        self._hosts: dict[str, Listed] = {}
+        self._hosts: dict[str, ListedEndpoint] = {}
         self._changed: dict[str, int] = {}  # the revision of each one's last change
         self._news = asyncio.Condition()
         self._server: asyncio.Server | None = None
@@ -40,7 +40,7 @@
         if self._server is not None:
             self._server.close()
 
-    async def tell(self, phase: str, *hosts: Listed) -> None:
+    async def tell(self, phase: str, *hosts: ListedEndpoint) -> None:
         """Set hosts' phase (up, draining, removed) in one revision."""
         async with self._news:
             self.revision += 1
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -7,9 +7,9 @@
 from datetime import timedelta
 from typing import Any
 
-from tansyladder.lab.hosts import Host
+from tansyladder.lab.hosts import StreamHost
 from tansyladder.lab.report import clock
-from tansyladder.lab.scene import Scene, scene
+from tansyladder.lab.topology import Topology, scene
 
 AIM = timedelta(milliseconds=300)  # in which a viewport's set-up is wanted
 RULES = ("final_answers_wrong", "lines_lost", "lines_doubled", "second_attempts", "late_sends_after_drain")
@@ -36,7 +36,7 @@
         return _result(whole, held, empty_after, time.monotonic() - started, style)
 
 
-async def _end(whole: Scene, first: Host, style: str) -> timedelta:
+async def _end(whole: Topology, first: StreamHost, style: str) -> timedelta:
     moment = clock()
     if style == "dies":
         await first.die()
@@ -50,7 +50,7 @@
     return moment
 
 
-def _result(whole: Scene, held: int, empty_after: timedelta, took: float, style: str) -> dict[str, Any]:
+def _result(whole: Topology, held: int, empty_after: timedelta, took: float, style: str) -> dict[str, Any]:
     report, resumed, in_aim = whole.report, 0, 0
     for client in whole.clients:
         late = max(timedelta(0), client.gap - timedelta(seconds=whole.hosts[0].period))
--- a/tansyladder/lab/faultfs.py
+++ b/tansyladder/lab/fault_injecting_files.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 
 
-class PowerLoss(BaseException):
+class SimulatedPowerLoss(BaseException):
     """The machine is gone at this step."""
 
 
@@ -33,7 +33,7 @@
             data[offset : offset + len(change)] = change
 
 
-class FaultFiles:
+class FaultInjectingFiles:
     """One directory in memory; `fail` names steps at which a call fails, with its errno."""
 
     def __init__(self, files: dict[str, bytes] | None = None) -> None:
@@ -52,23 +52,23 @@
         number, self.steps = self.steps, self.steps + 1
         self.kinds.append(kind)
         if number == self.loss_at:
-            raise PowerLoss
+            raise SimulatedPowerLoss
         if number in self.fail:
             raise OSError(self.fail[number], f"made to fail: {kind}")
 
     # --- what the store calls
 
-    def create(self, name: str) -> FaultFile:
+    def create(self, name: str) -> FaultInjectingFile:
         self.step("create")
         inode = Inode()
         self.seen[name] = inode
         self.pending.append((name, inode))
-        return FaultFile(self, inode)
+        return FaultInjectingFile(self, inode)
 
-    def open(self, name: str) -> FaultFile:
+    def open(self, name: str) -> FaultInjectingFile:
         if name not in self.seen:
             raise FileNotFoundError(errno.ENOENT, name)
-        return FaultFile(self, self.seen[name])
+        return FaultInjectingFile(self, self.seen[name])
 
     def rename(self, old: str, new: str) -> None:
         self.step("rename")
@@ -105,7 +105,7 @@
         named = [*self.seen.values(), *self.disk.values(), *(i for _, i in self.pending if i)]
         return list(dict.fromkeys(named))
 
-    def after_loss(self, rng: random.Random, keep: float, tear: bool = True) -> FaultFiles:
+    def after_loss(self, rng: random.Random, keep: float, tear: bool = True) -> FaultInjectingFiles:
         """One state: each unsynced change is on disk with this chance, torn now and then."""
         after: dict[Inode, bytes] = {}
         for inode in self._inodes():
@@ -124,9 +124,9 @@
                     names.pop(name, None)
                 else:
                     names[name] = named
-        return FaultFiles({name: after[inode] for name, inode in names.items()})
+        return FaultInjectingFiles({name: after[inode] for name, inode in names.items()})
 
-    def every_loss(self, most: int) -> Iterator[FaultFiles]:
+    def every_loss(self, most: int) -> Iterator[FaultInjectingFiles]:
         """Every set of whole unsynced changes, where there are no more than `most` of them; else nothing."""
         writes = [(inode, n) for inode in self._inodes() for n in range(len(inode.pending))]
         if len(writes) + len(self.pending) > most:
@@ -146,17 +146,17 @@
                     names[name] = named
                 elif there:
                     names.pop(name, None)
-            yield FaultFiles({name: after[inode] for name, inode in names.items()})
+            yield FaultInjectingFiles({name: after[inode] for name, inode in names.items()})
 
-    def after_kill(self) -> FaultFiles:
+    def after_kill(self) -> FaultInjectingFiles:
         """The process is gone and the system is not: all that was written is there."""
-        return FaultFiles({name: bytes(inode.seen) for name, inode in self.seen.items()})
+        return FaultInjectingFiles({name: bytes(inode.seen) for name, inode in self.seen.items()})
 
 
-class FaultFile:
+class FaultInjectingFile:
     """An open file of it."""
 
-    def __init__(self, files: FaultFiles, inode: Inode) -> None:
+    def __init__(self, files: FaultInjectingFiles, inode: Inode) -> None:
         self._files, self._inode = files, inode
 
     def write_at(self, offset: int, data: bytes) -> None:
@@ -165,7 +165,7 @@
         except OSError:
             self._write(offset, data[: len(data) // 2])  # a failed write may have written a part
             raise
-        except PowerLoss:
+        except SimulatedPowerLoss:
             self._write(offset, data)
             raise
         self._write(offset, data)
--- a/tansyladder/lab/fleetlog.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Fleet:
+class FleetCounts:
     """The sums of all nodes; seconds count from the earliest line."""
 
     nodes: int = 0
@@ -42,9 +42,9 @@
     return None
 
 
-def read(logs: dict[str, Iterable[str]]) -> Fleet:
+def read(logs: dict[str, Iterable[str]]) -> FleetCounts:
     """The sums over the logs of many nodes, by their names."""
-    fleet = Fleet(nodes=len(logs))
+    fleet = FleetCounts(nodes=len(logs))
     last: dict[str, dict[int, Counter[str]]] = {name: {} for name in logs}
     for name, lines in logs.items():
         for line in lines:
@@ -73,7 +73,7 @@
     return fleet
 
 
-def _carry(fleet: Fleet, last: dict[str, dict[int, Counter[str]]]) -> None:
+def _carry(fleet: FleetCounts, last: dict[str, dict[int, Counter[str]]]) -> None:
     """A node writes nothing in a quiet second: what it held before still stands."""
     if not fleet.seconds:
         return
@@ -88,13 +88,13 @@
         setattr(fleet, name, {at - start: by[at] for at in range(start, end + 1)})
 
 
-def read_folder(folder: Path) -> Fleet:
+def read_folder(folder: Path) -> FleetCounts:
     """The logs of a folder, a node each."""
     paths = sorted(p for p in folder.iterdir() if p.is_file())
     return read({p.stem: p.read_text(errors="replace").splitlines() for p in paths})
 
 
-def table(fleet: Fleet, by_member: bool) -> str:
+def table(fleet: FleetCounts, by_member: bool) -> str:
     """A row for each second: what the nodes did, or connections/attempts/failures at each member."""
     if by_member:
         names = fleet.members
@@ -112,6 +112,6 @@
     return "\n".join([f"{fleet.nodes} nodes, {fleet.unread} lines unread", "   s " + head, *rows])
 
 
-def _metrics(fleet: Fleet, at: int, member: str) -> str:
+def _metrics(fleet: FleetCounts, at: int, member: str) -> str:
     counts = (fleet.standing[at], fleet.sent[at], fleet.failed[at])
     return "/".join(str(counted[member]) for counted in counts)
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredStream:
     """One session in the store."""
 
     heard: int = 0
@@ -32,16 +32,16 @@
     epoch: int = 0
 
 
-class Store:
+class StreamStore:
     """The session store all hosts share; it refuses whoever held a session under an older epoch."""
 
     def __init__(self) -> None:
-        self.sessions: dict[str, Kept] = {}
+        self.sessions: dict[str, StoredStream] = {}
         self.fenced = 0
 
-    def take(self, session: str, epoch: int) -> Kept | None:
+    def take(self, session: str, epoch: int) -> StoredStream | None:
         """The session for its newest holder; None where a newer one has it."""
-        kept = self.sessions.setdefault(session, Kept())
+        kept = self.sessions.setdefault(session, StoredStream())
         if epoch <= kept.epoch:
             self.fenced += 1
             return None
@@ -50,12 +50,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HostedStream:
     """One connection at a host."""
 
-    host: Host
+    host: StreamHost
     ident: str
-    kept: Kept
+    kept: StoredStream
     epoch: int
     writer: asyncio.StreamWriter
     resumes: bool
@@ -81,42 +81,47 @@
             self.say(f"RS ACK {self.acked}")
 
 
-class World:
+class StreamHostCluster:
     """What all hosts of a run share, and what the checkers see of every attempt."""
 
     def __init__(self, report: Report, seed: int) -> None:
-        self.report, self.store = report, Store()
+        self.report, self.store = report, StreamStore()
         self.rng = random.Random(seed)
-        self.open: dict[str, set[Held]] = {}  # by the id in the first line
+        self.open: dict[str, set[HostedStream]] = {}  # by the id in the first line
 
-    def attempt(self, held: Held) -> None:
+    def attempt(self, held: HostedStream) -> None:
         """A first line has come: no earlier attempt of the same id may be out still."""
         earlier = set(self.open.get(held.ident, ()))
         self.open.setdefault(held.ident, set()).add(held)
         if earlier:
             asyncio.get_running_loop().call_later(ENDED, self._check, held.ident, earlier)
 
-    def _check(self, ident: str, earlier: set[Held]) -> None:
+    def _check(self, ident: str, earlier: set[HostedStream]) -> None:
         if self.open.get(ident, set()) & earlier:
             self.report.broken("second_attempts", ident)
 
-    def saw(self, what: str, held: Held, number: int = 0) -> None:
+    def saw(self, what: str, held: HostedStream, number: int = 0) -> None:
         """For whoever keeps a history: a session was taken, fenced off, or a line of its client heard."""
 
-    def over(self, held: Held) -> None:
+    def over(self, held: HostedStream) -> None:
         self.open.get(held.ident, set()).discard(held)
 
 
-class Host:
+class StreamHost:
     """A stand-in stream host; `behaviour` is sound, slow, silent, resetting, full or old (knows no RS)."""
 
     def __init__(
-        self, world: World, ident: str, behaviour: str = "sound", period: float = 0.5, work: float = 0.004
+        self,
+        world: StreamHostCluster,
+        ident: str,
+        behaviour: str = "sound",
+        period: float = 0.5,
+        work: float = 0.004,
     ) -> None:
         """`period`: seconds between two lines of a session; `work`: seconds of a set-up, two at a time."""
         self.world, self.ident, self.behaviour = world, ident, behaviour
         self.period, self.work = period, work
-        self.held: set[Held] = set()
+        self.held: set[HostedStream] = set()
         self.draining = False
         self.told: timedelta | None = None  # when discovery wrote that it drains or is gone
         self.seen: Counter[str] = Counter()
@@ -137,7 +142,7 @@
         self.address = self.doors[0]
 
     async def _serve(self, door: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        held: Held | None = None
+        held: HostedStream | None = None
         try:
             while (line := await reader.readline()) == b"PING\r\n":
                 if self.behaviour != "silent":
@@ -154,13 +159,13 @@
                 self._let_go(held)
             writer.close()
 
-    async def _open(self, door: int, words: list[str], writer: asyncio.StreamWriter) -> Held | None:
+    async def _open(self, door: int, words: list[str], writer: asyncio.StreamWriter) -> HostedStream | None:
         if len(words) != 4 or words[0] != "OPEN":
             self.world.report.broken("bad_first_lines", " ".join(words)[:80])
             writer.write(b"SYNTAX\r\n")
             return None
         told = dict(pair.split("=", 1) for pair in words[3].split(","))
-        held = Held(self, words[1], Kept(), 0, writer, False, door=door)
+        held = HostedStream(self, words[1], StoredStream(), 0, writer, False, door=door)
         self.world.attempt(held)
         try:
             if self.told is not None and clock() - self.told > GRACE:
@@ -170,7 +175,7 @@
             if held not in self.held:
                 self.world.over(held)
 
-    async def _set_up(self, held: Held, told: dict[str, str]) -> Held | None:
+    async def _set_up(self, held: HostedStream, told: dict[str, str]) -> HostedStream | None:
         self.seen["first_lines"] += 1
         if self.behaviour == "resetting":
             held.writer.transport.abort()
@@ -199,7 +204,7 @@
         held.tasks.append(asyncio.ensure_future(self._push(held)))
         return held
 
-    async def _push(self, held: Held) -> None:
+    async def _push(self, held: HostedStream) -> None:
         """Frames at a steady pace; all sessions out of step with each other."""
         held.frame()
         await asyncio.sleep(self.world.rng.random() * self.period)
@@ -214,7 +219,7 @@
                 held.acknowledge()
             await asyncio.sleep(self.period)
 
-    async def _listen(self, held: Held, reader: asyncio.StreamReader) -> None:
+    async def _listen(self, held: HostedStream, reader: asyncio.StreamReader) -> None:
         while line := await reader.readline():
             words = line.split()
             if held.resumes and words[0] == b"RS":
@@ -236,7 +241,7 @@
             if held.kept.heard - held.acked >= ACK_LINES:
                 held.acknowledge()
 
-    def _let_go(self, held: Held) -> None:
+    def _let_go(self, held: HostedStream) -> None:
         for task in held.tasks:
             task.cancel()
         self.held.discard(held)
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -107,7 +107,7 @@
         """Until it listens. `skew`: seconds by which its wall clock is off."""
         words = [sys.executable, "-O", "-m", "tansyladder"]
         if skew:
-            words = [*words[:-1], "tansyladder.lab.chaos.skewed", str(skew)]
+            words = [*words[:-1], "tansyladder.lab.chaos.skewed_clock", str(skew)]
         if self._settings is not None:
             words += ["serve", "--settings", str(self._settings)]
         env = {
--- a/tansyladder/lab/comeback.py
+++ b/tansyladder/lab/reconnect.py
@@ -8,7 +8,7 @@
 
 from tansyladder.lab.clients import REJOIN
 from tansyladder.lab.drain import RULES
-from tansyladder.lab.scene import scene
+from tansyladder.lab.topology import scene
 
 
 async def come_back(sessions: int, hosts: int, seed: int, resumes: bool, share: float) -> dict[str, Any]:
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -8,7 +8,7 @@
 
 from tansyladder.lab.drain import RULES
 from tansyladder.lab.report import clock
-from tansyladder.lab.scene import RESUME, scene
+from tansyladder.lab.topology import RESUME, scene
 
 STORE = '(store (enabled true) (directory "FOLDER/store"))\n'
 
--- a/tansyladder/lab/scene.py
+++ b/tansyladder/lab/topology.py
@@ -9,28 +9,28 @@
 from pathlib import Path
 
 from tansyladder.lab.clients import SAY, Client
-from tansyladder.lab.hosts import Host, World
+from tansyladder.lab.discovery_server import DiscoveryServer
+from tansyladder.lab.hosts import StreamHost, StreamHostCluster
 from tansyladder.lab.node import LabNode
 from tansyladder.lab.report import Report
-from tansyladder.lab.roster import Roster
 
 RESUME = '(resume (enabled true) (expires "30 s") (parked 2000))\n'
 AT_ONCE = 24  # clients that open at the same time, so that a start is no storm
 
 
-class SceneError(Exception):
+class TopologyError(Exception):
     """What the scene waited for did not come."""
 
 
-class Scene:
+class Topology:
     """All parties of one run."""
 
     def __init__(self, seed: int, resumes: bool) -> None:
         self.seed, self.resumes, self.say = seed, resumes, SAY
         self.report = Report()
-        self.world = World(self.report, seed)
-        self.roster = Roster()
-        self.hosts: list[Host] = []
+        self.world = StreamHostCluster(self.report, seed)
+        self.roster = DiscoveryServer()
+        self.hosts: list[StreamHost] = []
         self.clients: list[Client] = []
         self.node: LabNode
         self._tasks: list[asyncio.Task[None]] = []
@@ -51,7 +51,7 @@
         try:
             await asyncio.gather(*(come(c) for c in self.clients[start:]))
         except TimeoutError as err:
-            raise SceneError(f"not all clients got in:\n{self.node.tail()}\n{self.report.text()}") from err
+            raise TopologyError(f"not all clients got in:\n{self.node.tail()}\n{self.report.text()}") from err
 
     async def until(self, what: Callable[[], bool], seconds: float) -> bool:
         """Wait for something, but not for ever; whether it came."""
@@ -87,12 +87,12 @@
     behaviours: Sequence[str],
     resumes: bool,
     listed: int | None = None,
-    make: Callable[[World, str, str], Host] | None = None,
+    make: Callable[[StreamHostCluster, str, str], StreamHost] | None = None,
     settings: str | None = None,
-) -> AsyncIterator[Scene]:
+) -> AsyncIterator[Topology]:
     """Stand-in hosts of these behaviours and a node that knows the first `listed` of them, or all."""
-    whole = Scene(seed, resumes)
-    build = make or (lambda world, ident, behaviour: Host(world, ident, behaviour))
+    whole = Topology(seed, resumes)
+    build = make or (lambda world, ident, behaviour: StreamHost(world, ident, behaviour))
     with tempfile.TemporaryDirectory(prefix="tansyladder-lab-") as folder:
         whole.hosts = [build(whole.world, f"s{i}", b) for i, b in enumerate(behaviours)]
         for host in whole.hosts:
--- a/tansyladder/net/mailbox.py
+++ b/tansyladder/net/action_queue.py
@@ -15,11 +15,11 @@
 from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
 from tansyladder.policy.events import EndpointState
 
-Order = StartAttempt | Reject | Fail | CancelAttempt | Migrate
+QueuedAction = StartAttempt | Reject | Fail | CancelAttempt | Migrate
 
 
 @dataclass(frozen=True, slots=True)
-class PoolMember:
+class Endpoint:
     """A stream host as this node reaches it."""
 
     number: int  # the module's number for it
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Visitor:
+class ResumingClient:
     """A client that came back with a token to the session that it opens."""
 
     sock: socket.socket
@@ -38,15 +38,15 @@
     expiry: int = 0  # of its token, microseconds of Unix time
 
 
-class Mailbox:
+class ActionQueue:
     """What the module tells one transaction; whoever polls on sockets can poll on it as well."""
 
     def __init__(self) -> None:
-        self._orders: deque[Order] = deque()
+        self._orders: deque[QueuedAction] = deque()
         self._lock = threading.Lock()
         self._event = -1
         self._nudge: Callable[[], None] | None = None
-        self._visitors: deque[Visitor] = deque()
+        self._visitors: deque[ResumingClient] = deque()
         self.standing = False  # whether the transaction's connection stands
         self.replaced = False  # whether another node owns the session
 
@@ -57,10 +57,10 @@
     def fileno(self) -> int:
         return self._event
 
-    def post(self, order: Order) -> None:
+    def post(self, order: QueuedAction) -> None:
         self._orders.append(order)
 
-    def take(self) -> Order | None:
+    def take(self) -> QueuedAction | None:
         """The next order, if there is one."""
         with self._lock:
             if self._event >= 0:
@@ -71,16 +71,16 @@
                     os.eventfd_write(self._event, 1)
             return self._orders.popleft() if self._orders else None
 
-    def first(self) -> Order | None:
+    def first(self) -> QueuedAction | None:
         """The next order, left where it is."""
         return self._orders[0] if self._orders else None
 
-    def visit(self, visitor: Visitor) -> None:
+    def visit(self, visitor: ResumingClient) -> None:
         """Hand over a client that comes back to this session, and wake its holder."""
         self._visitors.append(visitor)
         self.wake()
 
-    def visitor(self) -> Visitor | None:
+    def visitor(self) -> ResumingClient | None:
         """The next client that came back, if there is one."""
         return self._visitors.popleft() if self._visitors else None
 
--- a/tansyladder/net/delays.py
+++ b/tansyladder/net/delay_reports.py
@@ -60,7 +60,7 @@
             return None
 
 
-class DelayNotes:
+class DelayReports:
     """One standing connection's part in it."""
 
     __slots__ = ("_loads", "_member", "_meter", "_tell")
--- a/tansyladder/net/http.py
+++ b/tansyladder/net/http.py
@@ -19,7 +19,7 @@
     """An answer that is broken, or is not the one asked for."""
 
 
-class Silence(HttpError):
+class HttpTimeoutError(HttpError):
     """No answer in time, or none to the end: the other side may be there and not know of the call."""
 
 
@@ -83,12 +83,12 @@
         assert self._sock is not None
         left = seconds_left(until)
         if not left:
-            raise Silence("no answer in time")
+            raise HttpTimeoutError("no answer in time")
         self._sock.settimeout(left)
         try:
             data = self._sock.recv(65536)
         except TimeoutError as err:
-            raise Silence("no answer in time") from err
+            raise HttpTimeoutError("no answer in time") from err
         if not data:
             raise HttpError("the connection ended within an answer")
         self._rest += data
--- a/tansyladder/net/takeover.py
+++ b/tansyladder/net/listener_handover.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from tansyladder.config.platform import Address, MemberList
+from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
 
 ASK, SERVING = b"TAKE 1", b"SERVING"
@@ -33,14 +33,14 @@
 _CREDENTIALS = struct.Struct("iII")
 
 
-class Given(msgspec.Struct, frozen=True):
+class DescriptorTransfer(msgspec.Struct, frozen=True):
     """What goes with the listener."""
 
     kept: int  # descriptors that the old process keeps for itself
-    members: MemberList
+    members: EndpointList
 
 
-class Handed(msgspec.Struct, frozen=True):
+class ConnectionState(msgspec.Struct, frozen=True):
     """What goes with the sockets of a connection that stands."""
 
     opening: str  # the client's first line
@@ -51,7 +51,7 @@
     waiting: tuple[bytes, bytes]  # whole ones that are not out: to the client, to the member
 
 
-class Takeover:
+class ListenerHandover:
     """Both ends of it: what this process got from the one before, and what it gives to the next one."""
 
     def __init__(self, listen: Address, folder: str | None) -> None:
@@ -64,7 +64,7 @@
         self._given = False
         self._leaving = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)  # readable: who stands shall go along
         self._lock = threading.Lock()  # of what is written to a successor
-        self.members: MemberList | None = None  # the list of the process before
+        self.members: EndpointList | None = None  # the list of the process before
         self.gone = threading.Event()  # set once no process before this one runs
         self.gone.set()
         self.elsewhere = 0  # descriptors of the node that another process has
@@ -82,7 +82,7 @@
                 before.connect(f"{folder}/{self._name}")
             before.sendall(ASK)
             said, fds, _, _ = socket.recv_fds(before, MESSAGE, 1)
-            given = msgspec.json.decode(said, type=Given)
+            given = msgspec.json.decode(said, type=DescriptorTransfer)
             if not fds:
                 raise OSError("no descriptor came")
         except (OSError, msgspec.MsgspecError) as err:  # nobody, stale, hangs, or of another kind
@@ -97,7 +97,7 @@
 
     # --- to the next process
 
-    def serve(self, listener: socket.socket, owner: Owner) -> None:
+    def serve(self, listener: socket.socket, owner: ConnectionOwner) -> None:
         """This process takes clients: tell the one before, and wait for the next one."""
         self._listener, self._owner = listener, owner
         if self._before is not None:
@@ -125,7 +125,7 @@
         """What is readable once connections shall go along, for who waits on sockets."""
         return self._leaving
 
-    def hand(self, handed: Handed, client: socket.socket, member: socket.socket) -> bool:
+    def hand(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> bool:
         """Give a connection to the successor; False where that can't be, and it is the caller's still.
 
         Its sockets are to be closed then, not shut down.
@@ -219,7 +219,7 @@
             return
         client, member = (socket.socket(fileno=fd) for fd in fds)
         self.elsewhere = max(0, self.elsewhere - 2)
-        self._owner.adopt(msgspec.json.decode(said, type=Handed), client, member)
+        self._owner.adopt(msgspec.json.decode(said, type=ConnectionState), client, member)
 
     def _hear(self, sock: socket.socket) -> None:
         fd = sock.fileno()
@@ -232,7 +232,7 @@
         if said == ASK:
             kept, left = self._owner.share()
             self._given, self.elsewhere = True, left
-            given = msgspec.json.encode(Given(kept, self._owner.members()))
+            given = msgspec.json.encode(DescriptorTransfer(kept, self._owner.members()))
             socket.send_fds(sock, [given], [self._listener.fileno()])
             log(LogEvent.LISTENER_HANDOVER, step="gave_listener")
         elif said == SERVING:
@@ -254,19 +254,19 @@
                 self.elsewhere = 0
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """Who has the listener and the connections."""
 
     def share(self) -> tuple[int, int]:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
 
-    def members(self) -> MemberList:
+    def members(self) -> EndpointList:
         """The list as it is known."""
 
     def alone(self, alone: bool) -> None:
         """Another process takes the clients, or it is gone again."""
 
-    def adopt(self, handed: Handed, client: socket.socket, member: socket.socket) -> None:
+    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
         """Go on with a connection of the process before."""
 
 
--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -10,11 +10,11 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now, seconds_left
-from tansyladder.net.delays import DelayNotes
-from tansyladder.net.mailbox import Mailbox
-from tansyladder.net.silence import OVERDUE, Question
-from tansyladder.net.takeover import Handed, Takeover
+from tansyladder.net.delay_reports import DelayReports
+from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
+from tansyladder.net.response_timeout import OVERDUE, ResponseTimeout
 from tansyladder.policy.events import AttemptStatus
 
 IDLE = timedelta(seconds=30)
@@ -28,12 +28,12 @@
         self,
         client: socket.socket,
         member: socket.socket,
-        box: Mailbox,
+        box: ActionQueue,
         opening: protocol.Opening,
         name: str,
         buffer: protocol.LineBuffer,
-        notes: DelayNotes,
-        takeover: Takeover,
+        notes: DelayReports,
+        takeover: ListenerHandover,
     ) -> None:
         self._client, self._member, self._box = client, member, box
         self._opening, self._name, self._takeover = opening, name, takeover
@@ -41,7 +41,7 @@
         self._open = {client, member}  # the sides that have not ended
         self._waiting = {client: b"", member: b""}  # whole lines that a side has not taken yet
         self._took = {client: now(), member: now()}  # when it last took any
-        self._question, self._notes = Question(notes.timed), notes
+        self._question, self._notes = ResponseTimeout(notes.timed), notes
         self._last_word = b""
         self._ended: AttemptStatus | None = None  # what the first end of a side makes of the connection
 
@@ -69,7 +69,7 @@
             self._member.close()
             self._client.close()
 
-    def go_on(self, handed: Handed) -> AttemptStatus:
+    def go_on(self, handed: ConnectionState) -> AttemptStatus:
         """What another process passed on until now; both sockets are closed at the end."""
         self._last_word = handed.last_word.encode()
         self._to_client.rest, self._to_member.rest = handed.rests
@@ -82,7 +82,7 @@
         self._box.stand(lambda: None)  # a nudge would end it for the other process too
         if self._box.first() is not None:
             return False
-        handed = Handed(
+        handed = ConnectionState(
             self._opening.line,
             self._name,
             self._last_word.decode("utf-8", "replace"),
--- a/tansyladder/net/silence.py
+++ b/tansyladder/net/response_timeout.py
@@ -13,7 +13,7 @@
 NO_ANSWERS = (protocol.LOAD, protocol.BYE, protocol.MOVE)
 
 
-class Question:
+class ResponseTimeout:
     """The oldest line that went to a member and that nothing has come back for."""
 
     __slots__ = ("_asked", "_heard", "_told")
--- a/tansyladder/net/sockets.py
+++ b/tansyladder/net/sockets.py
@@ -48,7 +48,7 @@
     return {fd for fd, _ in poll.poll(-(-seconds_left(until) * 1000 // 1))}
 
 
-class Heard(Enum):
+class PeekResult(Enum):
     """What has come from another side and is not read yet."""
 
     NOTHING = 0
@@ -56,15 +56,15 @@
     END = 2  # its own, or that of the connection
 
 
-def heard(sock: socket.socket) -> Heard:
+def heard(sock: socket.socket) -> PeekResult:
     """A look at what comes next; it waits for nothing and reads nothing away."""
     # With a time-out Python waits before each call, whatever its flags say: so it is asked first.
     if not wait_readable(timedelta(0), sock.fileno()):
-        return Heard.NOTHING
+        return PeekResult.NOTHING
     try:
-        return Heard.DATA if sock.recv(1, socket.MSG_PEEK) else Heard.END
+        return PeekResult.DATA if sock.recv(1, socket.MSG_PEEK) else PeekResult.END
     except OSError:
-        return Heard.END
+        return PeekResult.END
 
 
 def left(sock: socket.socket) -> bool:
--- a/tansyladder/net/flow.py
+++ b/tansyladder/net/upstream.py
@@ -11,9 +11,9 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import ActionQueue, Endpoint
 from tansyladder.net.clock import now
-from tansyladder.net.mailbox import Mailbox, PoolMember
-from tansyladder.net.sockets import Heard
+from tansyladder.net.sockets import PeekResult
 from tansyladder.policy.actions import CancelAttempt, Reject
 from tansyladder.policy.events import AttemptEnded, AttemptStatus
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class ConnectResult:
     """How a flow's opening went; the socket is there only where the connection stands."""
 
     status: AttemptStatus
@@ -39,10 +39,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class UpstreamConnection:
     """A connection that stands at a pool member; the module has been told First."""
 
-    member: PoolMember
+    member: Endpoint
     sock: socket.socket
     buffer: protocol.LineBuffer
     lines: tuple[bytes, ...]  # the receipt, and what came right behind it
@@ -54,12 +54,12 @@
         return AttemptEnded(number, self.attempt, self.member.number, status, self.took, True)
 
 
-class ServerSideFlow:
+class UpstreamConnector:
     """One attempt of a transaction at a pool member."""
 
     def __init__(
         self,
-        member: PoolMember,
+        member: Endpoint,
         first_line: Callable[[timedelta], bytes],
         until: timedelta,
         connect: timedelta,
@@ -73,13 +73,13 @@
         self._member, self._first_line, self._until = member, first_line, until
         self._connect, self._written, self._lines = connect, written, lines
 
-    def open(self, client: socket.socket | None, box: Mailbox) -> Answer:
+    def open(self, client: socket.socket | None, box: ActionQueue) -> ConnectResult:
         """Connect, send the first line and wait for the answer; unless it stands, the socket is closed.
 
         Without a client nobody's leaving is watched for: its connection stands already, or is gone.
         """
         began = self._reach(client, box)
-        if isinstance(began, Answer):
+        if isinstance(began, ConnectResult):
             return began
         sock = began
         try:
@@ -87,12 +87,12 @@
         except OSError as err:
             # The line's last byte may have gone out: the member may have run it.
             log(LogEvent.ENDPOINT_CONNECTION_RESET, member=self._member.id, why=err)
-            answer = Answer(AttemptStatus.RESET)
+            answer = ConnectResult(AttemptStatus.RESET)
         if answer.sock is None:
             sock.close()
         return answer
 
-    def _reach(self, client: socket.socket | None, box: Mailbox) -> socket.socket | Answer:
+    def _reach(self, client: socket.socket | None, box: ActionQueue) -> socket.socket | ConnectResult:
         """Connect and write the line: what breaks before its last byte is out never ran.
 
         No attempt begins for a client that has left, however long the connection takes to come up: it is
@@ -100,7 +100,7 @@
         """
         until = min(now() + self._connect, self._until)
         if now() >= until:
-            return Answer(AttemptStatus.CONNECT_FAILED)
+            return ConnectResult(AttemptStatus.CONNECT_FAILED)
         sock: socket.socket | None = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # or no descriptor is left
@@ -110,17 +110,17 @@
                 sock.sendall(self._first_line(self._until - now()))
         except OSError as err:
             log(LogEvent.CONNECT_FAILED, member=self._member.id, why=err)
-            ended = Answer(AttemptStatus.CONNECT_FAILED)
+            ended = ConnectResult(AttemptStatus.CONNECT_FAILED)
         if sock is not None and ended is None:
             self._written()
             return sock
         if sock is not None:
             sock.close()
-        return ended or Answer(AttemptStatus.CONNECT_FAILED)
+        return ended or ConnectResult(AttemptStatus.CONNECT_FAILED)
 
     def _come_up(
-        self, sock: socket.socket, until: timedelta, client: socket.socket | None, box: Mailbox
-    ) -> Answer | None:
+        self, sock: socket.socket, until: timedelta, client: socket.socket | None, box: ActionQueue
+    ) -> ConnectResult | None:
         """Wait until the connection is up; what ends the wait sooner. OSError: it does not come up."""
         sock.setblocking(False)
         code = sock.connect_ex(self._member.address)
@@ -131,16 +131,18 @@
             if ended := _client_word(client):
                 return ended
             if isinstance(box.first(), Reject):
-                return Answer(AttemptStatus.CANCELLED)  # the node itself ends the transaction, and reads why
+                return ConnectResult(
+                    AttemptStatus.CANCELLED
+                )  # the node itself ends the transaction, and reads why
             if box.fileno() in ready and isinstance(box.take(), CancelAttempt):
-                return Answer(AttemptStatus.CANCELLED)
+                return ConnectResult(AttemptStatus.CANCELLED)
             if not ready and now() >= until:
                 raise TimeoutError("timed out")
         if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             raise OSError(code, os.strerror(code))
         return None
 
-    def _ask(self, sock: socket.socket, client: socket.socket | None, box: Mailbox) -> Answer:
+    def _ask(self, sock: socket.socket, client: socket.socket | None, box: ActionQueue) -> ConnectResult:
         buffer = protocol.LineBuffer()
         heard: list[bytes] = []
         fds = [sock.fileno(), box.fileno()] + ([client.fileno()] if client else [])
@@ -152,43 +154,43 @@
             if sock.fileno() in ready:
                 data = sock.recv(sockets.CHUNK)
                 if not data:
-                    return Answer(AttemptStatus.RESET)
+                    return ConnectResult(AttemptStatus.RESET)
                 try:
                     heard += buffer.feed(data)
                 except protocol.LineError as err:
                     log(LogEvent.INVALID_RESPONSE, member=self._member.id, why=err)
-                    return Answer(AttemptStatus.ERROR)
+                    return ConnectResult(AttemptStatus.ERROR)
                 if len(heard) >= self._lines or (heard and protocol.word_of(heard[0]) != protocol.UP):
                     return self._read(sock, buffer, heard)
                 continue
             if box.fileno() in ready:
                 if isinstance(box.first(), Reject):
-                    return Answer(
+                    return ConnectResult(
                         AttemptStatus.CANCELLED
                     )  # the node itself ends the transaction, and reads why
                 if isinstance(box.take(), CancelAttempt):
-                    return Answer(AttemptStatus.CANCELLED)
+                    return ConnectResult(AttemptStatus.CANCELLED)
             elif not ready and now() >= self._until:
-                return Answer(AttemptStatus.TIMEOUT)
+                return ConnectResult(AttemptStatus.TIMEOUT)
 
-    def _read(self, sock: socket.socket, buffer: protocol.LineBuffer, lines: list[bytes]) -> Answer:
+    def _read(self, sock: socket.socket, buffer: protocol.LineBuffer, lines: list[bytes]) -> ConnectResult:
         first, *more = lines
         word = protocol.word_of(first)
         if word == protocol.UP:
-            return Answer(AttemptStatus.OK, first, sock, buffer, tuple(more))
+            return ConnectResult(AttemptStatus.OK, first, sock, buffer, tuple(more))
         if word not in WORDS:
             log(LogEvent.INVALID_RESPONSE, member=self._member.id, line=first[:80])
-        return Answer(WORDS.get(word, AttemptStatus.ERROR))
+        return ConnectResult(WORDS.get(word, AttemptStatus.ERROR))
 
 
-def _client_word(client: socket.socket | None) -> Answer | None:
+def _client_word(client: socket.socket | None) -> ConnectResult | None:
     """What a client that has done anything before UP makes of the attempt; None: it waits.
 
     A client that ends its side, or whose connection broke, has left.
     """
     match client and sockets.heard(client):
-        case Heard.END:
-            return Answer(AttemptStatus.CANCELLED, client_left=True)
-        case Heard.DATA:
-            return Answer(AttemptStatus.CANCELLED, client_spoke=True)
+        case PeekResult.END:
+            return ConnectResult(AttemptStatus.CANCELLED, client_left=True)
+        case PeekResult.DATA:
+            return ConnectResult(AttemptStatus.CANCELLED, client_spoke=True)
     return None
--- a/tansyladder/node/operator.py
+++ b/tansyladder/node/admin_server.py
@@ -16,10 +16,10 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
-from tansyladder.node.core import Core
-from tansyladder.node.hooks import Permits
-from tansyladder.node.lifecycle import Lifecycle, Phase
-from tansyladder.node.virtual_server import OPERATORS, VirtualServer
+from tansyladder.node.client_listener import OPERATORS, ClientListener
+from tansyladder.node.extension_points import DecisionPermit
+from tansyladder.node.lifecycle import Lifecycle, NodeState
+from tansyladder.node.policy_runner import PolicyRunner
 
 MOST_CALLERS = OPERATORS - 2  # beside the listener, and one that is taken in before another goes
 PATIENCE = timedelta(seconds=10)  # for a whole line, and for reading the answer
@@ -42,10 +42,10 @@
         self.out: bytes | None = None  # what is left of the answer, once there is one
 
 
-class Operator:
+class AdminServer:
     """The listener and its callers; each call asks the owners of what it is about."""
 
-    def __init__(self, core: Core, front: VirtualServer, address: Address) -> None:
+    def __init__(self, core: PolicyRunner, front: ClientListener, address: Address) -> None:
         self._core, self._front = core, front
         self._calls: dict[str, Callable[..., list[str]]] = {
             "status": self._status,
@@ -82,14 +82,14 @@
     # --- the calls
 
     @property
-    def _permits(self) -> Permits:
+    def _permits(self) -> DecisionPermit:
         if self._core.permits is None:
             raise CallError("not joined: this process has no part in the fleet yet")
         return self._core.permits
 
     def _status(self) -> list[str]:
         phase = self._core.lifecycle.phase
-        if phase is not Phase.SERVING:
+        if phase is not NodeState.SERVING:
             raise CallError(phase.value)
         return [phase.value]
 
--- a/tansyladder/node/placing.py
+++ b/tansyladder/node/attempt_loop.py
@@ -9,10 +9,10 @@
 
 from tansyladder.invariants import check_invariant
 from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import ActionQueue, QueuedAction
 from tansyladder.net.clock import MICROSECOND, now
-from tansyladder.net.flow import Answer, ServerSideFlow, Standing
-from tansyladder.net.mailbox import Mailbox, Order
-from tansyladder.node.core import Core
+from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
+from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
 from tansyladder.policy.events import (
     AttemptEnded,
@@ -25,30 +25,30 @@
 OVERDUE = timedelta(milliseconds=25)  # past the deadline an answer still counts for a little
 
 
-class ClientLeft:
+class ClientDisconnectedEarly:
     """The client went before it had an answer."""
 
 
-class ClientSpoke:
+class ClientSentEarly:
     """The client sent a line before UP, which the protocol does not allow."""
 
 
-Placed = Standing | Reject | Fail | ClientLeft | ClientSpoke
+Placed = UpstreamConnection | Reject | Fail | ClientDisconnectedEarly | ClientSentEarly
 
 
 @dataclass(slots=True)
-class Placing:
+class AttemptLoop:
     """What the attempts of one request have in common."""
 
-    core: Core
-    box: Mailbox
+    core: PolicyRunner
+    box: ActionQueue
     number: int
     cls: str
     deadline: timedelta
     first_line: Callable[[timedelta], bytes]
     client: socket.socket | None = None  # whose leaving ends the placing; none: nobody is watched
     lines: int = 1  # that make a member's answer
-    accept: Callable[[Answer], bool] = lambda answer: True  # whether what stands can be used
+    accept: Callable[[ConnectResult], bool] = lambda answer: True  # whether what stands can be used
 
     def run(self, request: RequestReceived) -> Placed:
         """Follow the module until a flow stands or the request is given up; never two attempts at once."""
@@ -60,20 +60,22 @@
                     member, sent = core.member(server), now()
                     until = min(sent + timeout * MICROSECOND, self.deadline)
                     connect = core.config.settings.connect_timeout_us * MICROSECOND
-                    flow = ServerSideFlow(member, self.first_line, until, connect, self._tried, self.lines)
+                    flow = UpstreamConnector(member, self.first_line, until, connect, self._tried, self.lines)
                     answer = flow.open(self.client, self.box)
                     took = (now() - sent) // MICROSECOND
                     if answer.sock is not None and answer.buffer is not None:
                         if self.accept(answer):
                             core.tell(AttemptEstablished(number, attempt, server, took))
                             lines = (answer.receipt, *answer.ready)
-                            return Standing(member, answer.sock, answer.buffer, lines, attempt, took)
+                            return UpstreamConnection(
+                                member, answer.sock, answer.buffer, lines, attempt, took
+                            )
                         answer.sock.close()
                         answer.status = AttemptStatus.CANCELLED
                     if answer.client_left or answer.client_spoke:
                         end = AttemptEnded(number, attempt, server, answer.status, took, True)
                         core.tell(ClientDisconnected(number), end)
-                        return ClientSpoke() if answer.client_spoke else ClientLeft()
+                        return ClientSentEarly() if answer.client_spoke else ClientDisconnectedEarly()
                     core.tell(AttemptEnded(number, attempt, server, answer.status, took, False))
                     attempt += 1
                 case Reject():
@@ -83,14 +85,14 @@
                     return order
                 case CancelAttempt() | Migrate():
                     pass  # the attempt is over already, or nothing stands yet
-                case ClientLeft() | ClientSpoke():
+                case ClientDisconnectedEarly() | ClientSentEarly():
                     core.tell(ClientDisconnected(number))
                     return order
 
     def _tried(self) -> None:
         self.core.metrics.tried(self.cls)
 
-    def _next_order(self) -> Order | ClientLeft | ClientSpoke:
+    def _next_order(self) -> QueuedAction | ClientDisconnectedEarly | ClientSentEarly:
         """What the module says next, or that the client is gone."""
         until = self.deadline + OVERDUE
         fds = [self.box.fileno()] + ([self.client.fileno()] if self.client else [])
@@ -101,17 +103,17 @@
             ready = sockets.wait_readable(until, *fds)
             if self.client and self.client.fileno() in ready and self.box.first() is None:
                 match sockets.heard(self.client):
-                    case sockets.Heard.DATA:
-                        return ClientSpoke()
-                    case sockets.Heard.END:
-                        return ClientLeft()
+                    case sockets.PeekResult.DATA:
+                        return ClientSentEarly()
+                    case sockets.PeekResult.END:
+                        return ClientDisconnectedEarly()
             if not ready and now() >= until:
                 check_invariant(False, "answer_overdue")
                 return Reject(self.number, 0)
 
 
 def request_of(
-    core: Core, number: int, cls: int, opening: protocol.Opening, deadline: timedelta, back: bool
+    core: PolicyRunner, number: int, cls: int, opening: protocol.Opening, deadline: timedelta, back: bool
 ) -> RequestReceived:
     """What the module is told of a request; `cls`: its class there; `back`: it broke or was moved."""
     hint = None if opening.hint is None else int(opening.hint)
--- a/tansyladder/node/virtual_server.py
+++ b/tansyladder/node/client_listener.py
@@ -11,16 +11,16 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from tansyladder.config.platform import MemberList
+from tansyladder.config.platform import EndpointList
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
+from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
 from tansyladder.net.protocol import TENANT, TICKET
-from tansyladder.net.takeover import Handed, Takeover
-from tansyladder.node.core import Core
-from tansyladder.node.lifecycle import Phase
+from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import Ending
-from tansyladder.node.transaction import Transaction
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.request_handler import RequestHandler
 from tansyladder.policy.actions import Migrate, Reject
 
 # Whoever has sent no whole first line by then gets an ERR, and whoever is still there after that a close: in
@@ -49,7 +49,7 @@
 PACE = timedelta(milliseconds=10)
 
 
-class Newcomer:
+class PendingConnection:
     """A connection that has not sent a valid OPEN."""
 
     __slots__ = (
@@ -74,16 +74,16 @@
         self.pings, self.pings_from = 0, timedelta(0)
 
 
-class Admission:
+class ConnectionAcceptor:
     """One thread takes connections in and hears first lines; it reads what is there and waits on nobody.
 
     Newcomers have a bound of their own and cost a descriptor each, no thread: hundreds that say nothing, or
     that are told of their errors, take nothing from the clients that are served.
     """
 
-    def __init__(self, listener: socket.socket, most: int, server: VirtualServer) -> None:
+    def __init__(self, listener: socket.socket, most: int, server: ClientListener) -> None:
         self._listener, self._most, self._server = listener, most, server
-        self._newcomers: dict[int, Newcomer] = {}
+        self._newcomers: dict[int, PendingConnection] = {}
         self._paused = self._held = self._ended = False
         self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._poll = select.poll()
@@ -178,7 +178,7 @@
                 if err.errno in (errno.EMFILE, errno.ENFILE):
                     self._out_of_descriptors()
                 return False
-            newcomer = self._newcomers[sock.fileno()] = Newcomer(sock)
+            newcomer = self._newcomers[sock.fileno()] = PendingConnection(sock)
             self._poll.register(sock, select.POLLIN)
             self._guarded(newcomer)  # most lines are there already
         return True
@@ -218,7 +218,7 @@
             self._reserve = -1  # its number may be another's at once: it must not be closed twice
         try:
             sock, _ = self._listener.accept()
-            newcomer = Newcomer(sock)
+            newcomer = PendingConnection(sock)
             log(LogEvent.CLIENT_REJECTED, why="descriptors")
             with contextlib.suppress(OSError):
                 self._server.turned_away(sock.recv(protocol.MAX_LINE, socket.MSG_DONTWAIT))
@@ -232,7 +232,7 @@
 
     # --- hearing
 
-    def _guarded(self, newcomer: Newcomer) -> None:
+    def _guarded(self, newcomer: PendingConnection) -> None:
         """Hear a newcomer; whatever it sent costs nobody else anything."""
         try:
             self._hear(newcomer)
@@ -248,7 +248,7 @@
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             self._tell(newcomer, protocol.ERR + b"\r\n")
 
-    def _hear(self, newcomer: Newcomer) -> None:
+    def _hear(self, newcomer: PendingConnection) -> None:
         sock = newcomer.sock
         if newcomer.told:
             # TCP drops what is read with MSG_TRUNC without a copy: a flood costs the interpreter little.
@@ -274,7 +274,7 @@
                 if answer:
                     self._tell(newcomer, answer)
 
-    def _pong(self, newcomer: Newcomer, arrived: timedelta) -> None:
+    def _pong(self, newcomer: PendingConnection, arrived: timedelta) -> None:
         if arrived - newcomer.pings_from >= timedelta(seconds=1):
             newcomer.pings, newcomer.pings_from = 0, arrived
         newcomer.pings += 1
@@ -287,7 +287,7 @@
         newcomer.heard, newcomer.end_by = arrived, arrived + PINGS
         newcomer.gone_by = arrived + PINGS + sockets.LINGER  # a request may come in the instant of the end
 
-    def _tell(self, newcomer: Newcomer, answer: bytes) -> None:
+    def _tell(self, newcomer: PendingConnection, answer: bytes) -> None:
         """The final answer, and the end of our side; a close at once might overtake the answer."""
         newcomer.told = True
         newcomer.gone_by = min(newcomer.gone_by, now() + sockets.LINGER)
@@ -298,7 +298,7 @@
         except OSError:
             self._close(newcomer)
 
-    def _look(self, newcomer: Newcomer, moment: timedelta) -> None:
+    def _look(self, newcomer: PendingConnection, moment: timedelta) -> None:
         """Whoever is out of time goes."""
         if moment >= newcomer.gone_by:
             self._close(newcomer)
@@ -306,23 +306,23 @@
             log(LogEvent.INVALID_LINE, where="client", why="no first line")
             self._tell(newcomer, protocol.ERR + b"\r\n")
 
-    def _let_go(self, newcomer: Newcomer) -> None:
+    def _let_go(self, newcomer: PendingConnection) -> None:
         self._poll.unregister(newcomer.sock)
         del self._newcomers[newcomer.sock.fileno()]
 
-    def _close(self, newcomer: Newcomer) -> None:
+    def _close(self, newcomer: PendingConnection) -> None:
         if self._newcomers.get(newcomer.sock.fileno()) is newcomer:
             self._let_go(newcomer)
         newcomer.sock.close()
 
 
-class VirtualServer:
+class ClientListener:
     """The listener, and a thread for each connection that is served."""
 
-    def __init__(self, core: Core, takeover: Takeover | None = None) -> None:
+    def __init__(self, core: PolicyRunner, takeover: ListenerHandover | None = None) -> None:
         """`takeover`: the way to the process before this one, and to the next; none: there is none."""
         self._core = core
-        self._takeover = core.takeover = takeover or Takeover(core.config.listen, None)
+        self._takeover = core.takeover = takeover or ListenerHandover(core.config.listen, None)
         self._lock = threading.Lock()
         self._open: set[str] = set()  # the ids of the connections that are served
         self._closing = False  # whether who is heard now comes too late to be served
@@ -334,7 +334,7 @@
         self._listener = self._takeover.ask() or socket.create_server(
             core.config.listen, backlog=1024, reuse_port=True
         )
-        self._admission = Admission(self._listener, newcomers, self)
+        self._admission = ConnectionAcceptor(self._listener, newcomers, self)
         self._hearing = threading.Thread(target=self._admission.run, name="admission", daemon=True)
 
     @property
@@ -444,10 +444,10 @@
         sock: socket.socket,
         opening: protocol.Opening,
         arrived: timedelta,
-        handed: tuple[Handed, socket.socket] | None = None,
+        handed: tuple[ConnectionState, socket.socket] | None = None,
     ) -> None:
         """One connection's thread; `handed`: what the process before gave with it."""
-        transaction = Transaction(self._core, sock, opening, arrived, handed)
+        transaction = RequestHandler(self._core, sock, opening, arrived, handed)
         try:
             sockets.prepare(sock)
             transaction.run()
@@ -485,11 +485,11 @@
         free = max(0, self._descriptors - used)
         return kept + free // 2, free - free // 2
 
-    def members(self) -> MemberList:
+    def members(self) -> EndpointList:
         """The list as it is known."""
         return self._core.listed()
 
-    def adopt(self, handed: Handed, client: socket.socket, member: socket.socket) -> None:
+    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
         """Go on with a connection of the process before, in a thread of its own."""
         try:
             opening = protocol.parse_opening(handed.opening.encode() + b"\r\n")
@@ -507,7 +507,7 @@
 
     def alone(self, alone: bool) -> None:
         """Another process takes the clients, or it is gone again; it matters only to a process that ends."""
-        if self._core.lifecycle.phase is Phase.DRAINING:
+        if self._core.lifecycle.phase is NodeState.DRAINING:
             self._admission.hold(not alone)
 
     def drain(self) -> None:
@@ -529,7 +529,7 @@
         """For a thread of its own: the same drain whenever the node goes to standby, without its end."""
         core = self._core
         while True:
-            since = core.lifecycle.await_phase(Phase.STANDBY)
+            since = core.lifecycle.await_phase(NodeState.STANDBY)
             moved = self._spread(since, since + STANDBY)
             if not core.lifecycle.left(since, now()):
                 self._turn_out(moved, now())
--- a/tansyladder/node/discovery.py
+++ b/tansyladder/node/discovery_client.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from tansyladder.config.platform import Address, MemberList
+from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
-from tansyladder.net.http import HttpClient, HttpError, Silence
-from tansyladder.node.core import Core
+from tansyladder.net.http import HttpClient, HttpError, HttpTimeoutError
+from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import ListUpdateKind
 
 # A change counts as told 6 s after discovery had it and could be reached, whatever became of a node's calls.
@@ -35,10 +35,10 @@
 PATH = "/v1/servers"
 
 
-class Discovery:
+class DiscoveryClient:
     """One thread: it waits for the module's word, then watches until a call fails."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: PolicyRunner) -> None:
         self._core = core
         self._lock = threading.Lock()
         self._http = HttpClient(core.config.discovery)
@@ -49,7 +49,7 @@
         self._retry = self._spread
         self._silent = self._failed = False  # whether the last call was silent, or failed in any way
         self._heard = threading.Event()  # an answer
-        self._decoder = msgspec.json.Decoder(MemberList)
+        self._decoder = msgspec.json.Decoder(EndpointList)
 
     @property
     def _pace(self) -> timedelta:
@@ -113,7 +113,7 @@
             listed = read
         except (OSError, HttpError, msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
             http.close()
-            why, silent = str(err), isinstance(err, Silence)
+            why, silent = str(err), isinstance(err, HttpTimeoutError)
         if http is not self._http:
             pass  # its call was ended
         elif listed is None:
@@ -152,7 +152,7 @@
                 return True
             else:
                 self._failed = silent  # one that was turned away has somebody there
-                self._core.tell_members(MemberList(revision=self._core.revision), ListUpdateKind.FAILED)
+                self._core.tell_members(EndpointList(revision=self._core.revision), ListUpdateKind.FAILED)
         if self._pushed:
             if listed is None:
                 self._rest(AGENT_AGAIN)
--- a/tansyladder/node/counts.py
+++ b/tansyladder/node/event_counters.py
@@ -29,7 +29,7 @@
 ENDINGS = {Ending.OK: "up", Ending.SHED: "refused", Ending.ERRORS: "failed"}  # as a line names them
 
 
-class Counts:
+class EventCounters:
     """Told of each event and each action that goes through; final answers come out of the node's metrics."""
 
     def __init__(
--- a/tansyladder/node/hooks.py
+++ b/tansyladder/node/extension_points.py
@@ -8,39 +8,39 @@
 from typing import TYPE_CHECKING, Protocol
 
 from tansyladder.config.operator_settings import ResumeOptions
-from tansyladder.config.platform import MemberList
-from tansyladder.net.flow import Standing
-from tansyladder.net.mailbox import Mailbox
+from tansyladder.config.platform import EndpointList
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.protocol import Opening
+from tansyladder.net.upstream import UpstreamConnection
 
 if TYPE_CHECKING:  # a node without such sessions does not load what they are made of
-    from tansyladder.resume.stream import Stream
+    from tansyladder.resumption.stream import Stream
 
 
-class KeptList(Protocol):
+class CachedEndpointList(Protocol):
     """The last list of members, and when it was kept: microseconds of Unix time."""
 
     @property
     def at(self) -> int: ...
 
     @property
-    def members(self) -> MemberList: ...
+    def members(self) -> EndpointList: ...
 
 
-class Keeping(Protocol):
+class EndpointListCache(Protocol):
     """Where records outlive the node; none of it raises."""
 
-    def last_members(self) -> KeptList | None:
+    def last_members(self) -> CachedEndpointList | None:
         """The list of the last start, where one was kept."""
 
-    def tell_members(self, listed: MemberList) -> None:
+    def tell_members(self, listed: EndpointList) -> None:
         """Keep the list as it is after these changes."""
 
     def close(self) -> None:
         """At an orderly end: what was to be on disk soon is."""
 
 
-class Permits(Protocol):
+class DecisionPermit(Protocol):
     """What the fleet has agreed on, and whether this node may act on what it knows of that."""
 
     def permitted(self, ident: str = "") -> bool:
@@ -59,7 +59,7 @@
         """This node decides nothing any more."""
 
 
-class Sessions(Protocol):
+class SessionService(Protocol):
     """Sessions that can be resumed."""
 
     @property
@@ -77,12 +77,12 @@
 
     def serve(
         self,
-        box: Mailbox,
+        box: ActionQueue,
         client: socket.socket,
         cls: int,
         opening: Opening,
         stream: Stream,
-        standing: Standing,
+        standing: UpstreamConnection,
         number: int,
     ) -> None:
         """Serve one from its first UP to its end; the client's socket is closed then."""
--- a/tansyladder/node/probe.py
+++ b/tansyladder/node/health_checker.py
@@ -8,19 +8,19 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol
+from tansyladder.net.action_queue import Endpoint
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
-from tansyladder.net.mailbox import PoolMember
-from tansyladder.node.core import Core
+from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 
 WAIT = timedelta(milliseconds=150)  # a member answers ERR after 100 ms where it has no time
 WORKERS = 4
 
 
-class Prober:
+class HealthChecker:
     """A few threads that take probes off the core's queue."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: PolicyRunner) -> None:
         self._core = core
         self._columns = core.config.settings.report_columns
 
@@ -37,7 +37,7 @@
             took = (now() - started) // MICROSECOND
             self._core.tell(HealthCheckResult(member.number, status, took, load))
 
-    def _probe(self, member: PoolMember) -> tuple[AttemptStatus, tuple[float, ...]]:
+    def _probe(self, member: Endpoint) -> tuple[AttemptStatus, tuple[float, ...]]:
         until, connect = now() + WAIT, self._core.config.settings.connect_timeout_us * MICROSECOND
         try:
             sock = socket.create_connection(member.address, min(connect, WAIT).total_seconds())
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -13,7 +13,7 @@
 LATECOMERS = timedelta(seconds=1)
 
 
-class Phase(Enum):
+class NodeState(Enum):
     """What a node is doing, in the words that `status` says it in."""
 
     STARTING = "starting"
@@ -27,10 +27,10 @@
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
-        self._phase, self._since = Phase.STARTING, now()
+        self._phase, self._since = NodeState.STARTING, now()
 
     @property
-    def phase(self) -> Phase:
+    def phase(self) -> NodeState:
         return self._phase
 
     @property
@@ -41,35 +41,35 @@
     @property
     def leaving(self) -> bool:
         """Whether who has to leave a member leaves this node."""
-        return self._phase in (Phase.STANDBY, Phase.DRAINING)
+        return self._phase in (NodeState.STANDBY, NodeState.DRAINING)
 
     @property
     def ready(self) -> bool:
         """The answer to PING. SIGTERM leaves it at yes: the platform stops sending by itself."""
-        return self._phase is not Phase.STANDBY
+        return self._phase is not NodeState.STANDBY
 
     @property
     def takes(self) -> bool:
         """Whether a first line is served: in standby only that of who was on the way."""
-        return self._phase is not Phase.STANDBY or now() - self._since < LATECOMERS
+        return self._phase is not NodeState.STANDBY or now() - self._since < LATECOMERS
 
     def started(self) -> None:
         """The node takes clients, unless standby was asked for meanwhile."""
-        self._become(Phase.SERVING, Phase.STARTING)
+        self._become(NodeState.SERVING, NodeState.STARTING)
 
     def stand_by(self) -> bool:
         """Send clients away; False where the node ends anyway. Twice is no error, and begins nothing anew."""
-        self._become(Phase.STANDBY, Phase.STARTING, Phase.SERVING)
-        return self._phase is Phase.STANDBY
+        self._become(NodeState.STANDBY, NodeState.STARTING, NodeState.SERVING)
+        return self._phase is NodeState.STANDBY
 
     def activate(self) -> bool:
         """Back to work, also from the middle of a drain; False where the node ends."""
-        self._become(Phase.SERVING, Phase.STANDBY)
-        return self._phase in (Phase.SERVING, Phase.STARTING)
+        self._become(NodeState.SERVING, NodeState.STANDBY)
+        return self._phase in (NodeState.SERVING, NodeState.STARTING)
 
     def drain(self) -> None:
         """SIGTERM, in any state."""
-        self._become(Phase.DRAINING, *Phase)
+        self._become(NodeState.DRAINING, *NodeState)
 
     def left(self, since: timedelta, until: timedelta | None = None) -> bool:
         """Wait until a moment; True as soon as what began then is over."""
@@ -77,13 +77,13 @@
             left = None if until is None else seconds_left(until)
             return self._changed.wait_for(lambda: self._since != since, left)
 
-    def await_phase(self, phase: Phase) -> timedelta:
+    def await_phase(self, phase: NodeState) -> timedelta:
         """Wait for as long as it takes; when it began."""
         with self._changed:
             self._changed.wait_for(lambda: self._phase is phase)
             return self._since
 
-    def _become(self, phase: Phase, *before: Phase) -> None:
+    def _become(self, phase: NodeState, *before: NodeState) -> None:
         with self._changed:
             if self._phase not in before:
                 return
--- a/tansyladder/node/core.py
+++ b/tansyladder/node/policy_runner.py
@@ -19,16 +19,16 @@
 from typing import TypeVar
 
 from tansyladder.config.operator_settings import Options
-from tansyladder.config.platform import Config, ConfigError, MemberEntry, MemberList, address
+from tansyladder.config.platform import Config, ConfigError, EndpointEntry, EndpointList, address
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
+from tansyladder.net.action_queue import ActionQueue, Endpoint, QueuedAction
 from tansyladder.net.clock import EPOCH, MICROSECOND, Clock, now
-from tansyladder.net.delays import DelayMeter, DelayNotes
-from tansyladder.net.mailbox import Mailbox, Order, PoolMember
+from tansyladder.net.delay_reports import DelayMeter, DelayReports
+from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.protocol import TENANT, Opening
-from tansyladder.net.takeover import Takeover
-from tansyladder.node.counts import Counts
-from tansyladder.node.hooks import Keeping, Permits, Sessions
+from tansyladder.node.event_counters import EventCounters
+from tansyladder.node.extension_points import DecisionPermit, EndpointListCache, SessionService
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.node.metrics import Metrics
 from tansyladder.policy.actions import (
@@ -67,37 +67,41 @@
     return list(zip(config.class_names, config.settings.classes, strict=True))
 
 
-class Core:
+class PolicyRunner:
     """One node's decisions, for any front that brings transactions."""
 
     def __init__(self, config: Config, options: Options | None = None) -> None:
         """`options`: the operator's; none: all features beyond the platform's protocol are off."""
         self.config = config
         self.options = options or Options()
-        self.resuming: Sessions | None = None  # where sessions can be resumed
-        self.keeping: Keeping | None = None  # where records outlive the node
-        self.permits: Permits | None = None  # where documents are agreed on, once this process has joined
+        self.resuming: SessionService | None = None  # where sessions can be resumed
+        self.keeping: EndpointListCache | None = None  # where records outlive the node
+        self.permits: DecisionPermit | None = (
+            None  # where documents are agreed on, once this process has joined
+        )
         self.lifecycle = Lifecycle()
-        self.takeover = Takeover(config.listen, None)  # the front's, once there is one
+        self.takeover = ListenerHandover(config.listen, None)  # the front's, once there is one
         self.metrics = Metrics(config.class_names)
         self.clock = Clock()
         self._lock = threading.Lock()
         self._timers: list[tuple[timedelta, int]] = []
         self._timer_set = threading.Condition(self._lock)
-        self._boxes: dict[int, Mailbox] = {}
+        self._boxes: dict[int, ActionQueue] = {}
         self._numbers: dict[str, int] = {}
-        self._members: dict[int, PoolMember] = {}
-        self._entries: dict[str, MemberEntry] = {}  # the list as discovery writes it
+        self._members: dict[int, Endpoint] = {}
+        self._entries: dict[str, EndpointEntry] = {}  # the list as discovery writes it
         self._zones = {name: i for i, name in enumerate(config.zones)}
         self._kinds = {name: i for i, name in enumerate(config.kinds)}
         self._ids = itertools.count(1)
-        self.probes: queue.Queue[PoolMember] = queue.Queue(BACKLOG)
+        self.probes: queue.Queue[Endpoint] = queue.Queue(BACKLOG)
         self.watches: queue.Queue[bool] = queue.Queue(BACKLOG)
         self.revision = config.known.revision
         self.delays = self._delay_meter(config)
         self.classes = {name: i for i, name in enumerate(config.class_names)}  # that are in force
         self._terms = {key: i for i, key in enumerate(_terms_of(config))}  # and those that were
-        self._counts = Counts(config.settings.classes, lambda number: self._members[number].id, self.metrics)
+        self._counts = EventCounters(
+            config.settings.classes, lambda number: self._members[number].id, self.metrics
+        )
         self._counted: deque[dict[str, object]] = deque()  # lines that are to be written, outside the lock
         self._balancer = Balancer(config.settings, config.seed, self.clock.micros(now()))
 
@@ -158,7 +162,7 @@
             woken = self._decide(events)
         self._done(woken)
 
-    def _done(self, woken: list[Mailbox]) -> None:
+    def _done(self, woken: list[ActionQueue]) -> None:
         """What is left to do once the lock is released."""
         for box in woken:
             box.wake()
@@ -166,7 +170,7 @@
             with contextlib.suppress(IndexError):  # another thread was quicker
                 log(LogEvent.COUNTS, **self._counted.popleft())
 
-    def _decide(self, events: Sequence[Event]) -> list[Mailbox]:
+    def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
         """Under the lock: one call of the module; returns whose holders to wake once it is released."""
         woken, moment = [], self.clock.micros(now())
         if fields := self._counts.turn(moment):
@@ -227,7 +231,7 @@
 
     # --- transactions
 
-    def register(self, box: Mailbox) -> int:
+    def register(self, box: ActionQueue) -> int:
         """A new transaction's number."""
         with self._lock:
             number = next(self._ids)
@@ -238,7 +242,7 @@
         with self._lock:
             self._boxes.pop(number, None)
 
-    def order(self, orders: Sequence[Order]) -> None:
+    def order(self, orders: Sequence[QueuedAction]) -> None:
         """Hand out orders of the node's own; who is over already is passed by."""
         with self._lock:
             boxes = [(o, self._boxes[o.request_id]) for o in orders if o.request_id in self._boxes]
@@ -252,13 +256,13 @@
         with self._lock:
             return [n for n, box in self._boxes.items() if box.standing == standing]
 
-    def delay_notes(self, number: int, attempt: int, member: int) -> DelayNotes:
+    def delay_notes(self, number: int, attempt: int, member: int) -> DelayReports:
         """What takes in the delays of a standing connection's messages and tells the module where due."""
 
         def tell(kind: ReportKind, ms: float) -> None:
             self.tell(ConnectionReport(number, kind, attempt, member, ms))
 
-        return DelayNotes(member, lambda: self.delays, tell, lambda: self.config.tells_load)
+        return DelayReports(member, lambda: self.delays, tell, lambda: self.config.tells_load)
 
     def tenant(self, opening: Opening) -> int:
         """The number of the tenant that a first line names; 0 where the settings have no such."""
@@ -267,11 +271,11 @@
 
     # --- pool members
 
-    def member(self, number: int) -> PoolMember:
+    def member(self, number: int) -> Endpoint:
         with self._lock:
             return self._members[number]
 
-    def member_of_id(self, ident: str) -> PoolMember | None:
+    def member_of_id(self, ident: str) -> Endpoint | None:
         with self._lock:
             number = self._numbers.get(ident)
             return self._members.get(number) if number is not None else None
@@ -281,7 +285,7 @@
         size, ejected = self._balancer.pool()
         return {"pool_size": size, "pool_ejected": ejected}
 
-    def tell_members(self, listed: MemberList, kind: ListUpdateKind) -> None:
+    def tell_members(self, listed: EndpointList, kind: ListUpdateKind) -> None:
         """The list or changes of it; entries that make no sense are left out and logged."""
         with self._lock:
             lines = [line for line in map(self._line, listed.members) if line is not None]
@@ -293,12 +297,12 @@
             woken = self._decide([EndpointListUpdate(kind, tuple(lines), listed.revision)])
         self._done(woken)
 
-    def listed(self) -> MemberList:
+    def listed(self) -> EndpointList:
         """The whole list as it is known, for the process that takes our place."""
         with self._lock:
-            return MemberList(self.revision, True, list(self._entries.values()))
+            return EndpointList(self.revision, True, list(self._entries.values()))
 
-    def _line(self, entry: MemberEntry) -> EndpointUpdate | None:
+    def _line(self, entry: EndpointEntry) -> EndpointUpdate | None:
         state = PHASES.get(entry.phase)
         try:
             reach = address(entry.host_port, "host_port")
@@ -310,7 +314,7 @@
             log(LogEvent.INVALID_ENDPOINT, id=entry.id, why=err)
             return None
         number = self._numbers.setdefault(entry.id, len(self._numbers) + 1)
-        self._members[number] = PoolMember(number, entry.id, reach, state)
+        self._members[number] = Endpoint(number, entry.id, reach, state)
         since = 0
         if entry.up_since_ms:
             since = self.clock.micros(self.clock.of_wall(EPOCH + timedelta(milliseconds=entry.up_since_ms)))
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -9,9 +9,9 @@
 from tansyladder.config.operator_settings import OptionsError, changed, load
 from tansyladder.config.platform import ConfigError, reload
 from tansyladder.log import LogEvent, log
-from tansyladder.node.core import Core
-from tansyladder.node.discovery import Discovery
-from tansyladder.node.lifecycle import Phase
+from tansyladder.node.discovery_client import DiscoveryClient
+from tansyladder.node.lifecycle import NodeState
+from tansyladder.node.policy_runner import PolicyRunner
 
 MOST_KEYS = 300  # characters of the keys that changed, in the log
 
@@ -20,7 +20,11 @@
     """Reads the file anew when asked; what is asked while it reads makes it read once more."""
 
     def __init__(
-        self, environ: Mapping[str, str], core: Core, discovery: Discovery, settings: str | Path | None = None
+        self,
+        environ: Mapping[str, str],
+        core: PolicyRunner,
+        discovery: DiscoveryClient,
+        settings: str | Path | None = None,
     ) -> None:
         """`settings`: the operator's file, where one was named at the start."""
         self._environ, self._core, self._discovery, self._settings = environ, core, discovery, settings
@@ -37,7 +41,7 @@
         while True:
             self._asked.wait()
             self._asked.clear()  # before the file is read: a later signal may mean a newer one
-            if self._core.lifecycle.phase is Phase.DRAINING:
+            if self._core.lifecycle.phase is NodeState.DRAINING:
                 return  # nothing changes any more
             self.read()
 
--- a/tansyladder/node/transaction.py
+++ b/tansyladder/node/request_handler.py
@@ -8,38 +8,38 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import ActionQueue, Endpoint
 from tansyladder.net.clock import MICROSECOND, now
-from tansyladder.net.flow import Answer, ServerSideFlow, Standing
-from tansyladder.net.mailbox import Mailbox, PoolMember
+from tansyladder.net.listener_handover import ConnectionState
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
-from tansyladder.net.takeover import Handed
-from tansyladder.node.core import Core
+from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
+from tansyladder.node.attempt_loop import AttemptLoop, ClientDisconnectedEarly, ClientSentEarly, request_of
 from tansyladder.node.metrics import Ending
-from tansyladder.node.placing import ClientLeft, ClientSpoke, Placing, request_of
+from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Fail, Reject
 from tansyladder.policy.events import AttemptEnded, AttemptStatus, ConnectionAdopted
 
 AGAIN = timedelta(milliseconds=100)  # between two tries to take up a connection from before the run
 
 
-class Transaction:
+class RequestHandler:
     """One request of a client and its final answer; its thread alone uses its sockets."""
 
     def __init__(
         self,
-        core: Core,
+        core: PolicyRunner,
         client: socket.socket,
         opening: Opening,
         arrived: timedelta,
-        handed: tuple[Handed, socket.socket] | None = None,
+        handed: tuple[ConnectionState, socket.socket] | None = None,
     ) -> None:
         """`handed`: of one that stood in the process before this one, what that gave with it."""
         self._core, self._client, self._opening, self._handed = core, client, opening, handed
         # Its class keeps its number and so its terms; that of what another process took in may be unknown.
         self._cls = core.classes.get(opening.cls, 0)
         self._deadline = arrived + opening.wait
-        self._box = Mailbox()
+        self._box = ActionQueue()
         self._number = 0
         self.answered = handed is not None  # whether the client has its final answer, or left
 
@@ -72,14 +72,14 @@
         if resuming is not None and resuming.offered(opening):
             stream = resuming.stream()
             first_line = resuming.first_line(opening, stream)
-        placing = Placing(core, self._box, number, opening.cls, self._deadline, first_line, self._client)
+        placing = AttemptLoop(core, self._box, number, opening.cls, self._deadline, first_line, self._client)
         placed = placing.run(request_of(core, number, self._cls, opening, self._deadline, opening.again))
-        if isinstance(placed, Standing):
+        if isinstance(placed, UpstreamConnection):
             self._answer(Ending.OK)  # its UP is the member's, and goes out with the first lines
         match placed:
-            case Standing() as standing if resuming is not None and stream is not None:
+            case UpstreamConnection() as standing if resuming is not None and stream is not None:
                 resuming.serve(self._box, self._client, self._cls, opening, stream, standing, number)
-            case Standing() as standing:
+            case UpstreamConnection() as standing:
                 member, attempt = standing.member, standing.attempt
                 relay = self._relay(standing.sock, standing.buffer, member, attempt)
                 status = relay.run(standing.lines)
@@ -88,10 +88,10 @@
                 self._answer(Ending.SHED, format_reject(wait * MICROSECOND))
             case Fail():
                 self._answer(Ending.ERRORS, protocol.ERR + b"\r\n")
-            case ClientSpoke():
+            case ClientSentEarly():
                 log(LogEvent.INVALID_LINE, where="client", why="a second line before UP")
                 self._answer(Ending.ERRORS, protocol.ERR + b"\r\n")
-            case ClientLeft():
+            case ClientDisconnectedEarly():
                 self._answer(Ending.LEFT)
 
     def _answer(self, ending: Ending, line: bytes = b"") -> None:
@@ -105,7 +105,7 @@
         self,
         sock: socket.socket,
         buffer: protocol.LineBuffer,
-        member: PoolMember,
+        member: Endpoint,
         attempt: int,
     ) -> Relay:
         core = self._core
@@ -118,10 +118,10 @@
         """A connection that stood at a pool member before the run goes back there."""
         core, opening = self._core, self._opening
         member = core.member_of_id(ident)
-        answer = Answer(AttemptStatus.CONNECT_FAILED)
+        answer = ConnectResult(AttemptStatus.CONNECT_FAILED)
         while member is not None and answer.sock is None and not answer.client_left:
             connect = core.config.settings.connect_timeout_us * MICROSECOND
-            flow = ServerSideFlow(
+            flow = UpstreamConnector(
                 member, opening.for_member, self._deadline, connect, lambda: core.metrics.tried(opening.cls)
             )
             answer = flow.open(self._client, self._box)
@@ -143,7 +143,7 @@
         status = self._relay(answer.sock, answer.buffer, member, 0).run((answer.receipt, *answer.ready))
         core.tell(AttemptEnded(self._number, 0, member.number, status, 0, True))
 
-    def _go_on(self, handed: Handed, sock: socket.socket) -> None:
+    def _go_on(self, handed: ConnectionState, sock: socket.socket) -> None:
         """A connection that stood in the process before this one goes on where it was."""
         core, member = self._core, self._core.member_of_id(handed.member)
         if member is None:
@@ -155,7 +155,7 @@
         status = self._relay(sock, protocol.LineBuffer(), member, 0).go_on(handed)
         core.tell(AttemptEnded(self._number, 0, member.number, status, 0, True))
 
-    def _opened(self, member: PoolMember) -> None:
+    def _opened(self, member: Endpoint) -> None:
         """The module is told of a connection that it did not place."""
         opening = self._opening
         hint = None if opening.hint is None else int(opening.hint)
--- /dev/null
+++ b/tansyladder/raft/__init__.py
@@ -0,0 +1,1 @@
+"""A replicated log by Raft: elections, replication, snapshots; no I/O and no clock."""
--- a/tansyladder/peers/messages.py
+++ b/tansyladder/raft/messages.py
@@ -9,7 +9,7 @@
 Place = tuple[int, int]  # an entry's term and index; of two logs, the one whose last place is higher wins
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """What an entry is for."""
 
     NOTHING = 0  # a new leader's first, which commits what came before it
@@ -21,12 +21,12 @@
     """One entry of the log; `request` is its proposer's name for it."""
 
     term: int
-    kind: Kind = Kind.NOTHING
+    kind: EntryKind = EntryKind.NOTHING
     request: str = ""
     data: bytes = b""
 
 
-class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
+class Handshake(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
     """Who a node is on this disk and at this start, and how far its log goes.
 
     `founders`: which voters' disks it knows to have founded the fleet; none: none.
@@ -41,34 +41,34 @@
     last: Place = (0, 0)
 
 
-class Mark(msgspec.Struct, frozen=True, array_like=True):
+class CommitPosition(msgspec.Struct, frozen=True, array_like=True):
     """How far its sender knows the log to be committed: whoever has that same entry knows it as well."""
 
     index: int
     term: int
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
+class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
     """For a vote in this term; `trial`: whether it would be given, which binds nobody (pre-vote)."""
 
     term: int
     last_index: int
     last_term: int
     trial: bool
-    committed: Mark
+    committed: CommitPosition
 
 
-class Vote(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
+class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
     """The answer to it, under the disk that gives it."""
 
     term: int
     given: bool
     trial: bool
     ident: str
-    committed: Mark
+    committed: CommitPosition
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag="append"):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
     """A leader's entries behind one that both should have, and how far the log is committed."""
 
     term: int
@@ -78,7 +78,7 @@
     commit: int
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
+class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
     """How far the log agrees with the leader's; where it doesn't (`fits` false), where to try again."""
 
     term: int
@@ -89,7 +89,7 @@
     counts: bool  # whether its disk is known to hold all that it ever acknowledged
 
 
-class Install(msgspec.Struct, frozen=True, array_like=True, tag="install"):
+class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
     """The state up to an entry that the leader has no more."""
 
     term: int
@@ -106,17 +106,26 @@
     data: bytes
 
 
-class Decided(msgspec.Struct, frozen=True, array_like=True, tag="decided"):
+class ProposalResult(msgspec.Struct, frozen=True, array_like=True, tag="decided"):
     """What became of a proposal; none: nothing that this node knows of, it may be asked for again."""
 
     request: str
     result: bytes | None
 
 
-Message = Hello | Ask | Vote | Append | Appended | Install | Propose | Decided
+Message = (
+    Handshake
+    | RequestVote
+    | VoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | Propose
+    | ProposalResult
+)
 
 
-class Hard(msgspec.Struct, frozen=True):
+class HardState(msgspec.Struct, frozen=True):
     """What must never be forgotten: the term, the vote in it, the disk's name and those of the founders.
 
     `sure`: the entry of the last admission that is known to be committed; a voter that was admitted, and
@@ -142,19 +151,19 @@
     state: bytes = b""
 
 
-class Kept(msgspec.Struct, frozen=True):
+class PersistentState(msgspec.Struct, frozen=True):
     """All that a disk holds; `entries` begin behind the snapshot."""
 
-    hard: Hard = Hard()
+    hard: HardState = HardState()
     snapshot: Snapshot = Snapshot()
     entries: tuple[Entry, ...] = ()
 
 
-class Tail(msgspec.Struct, frozen=True):
+class LogSuffix(msgspec.Struct, frozen=True):
     """Entries to write from an index on; whatever was there from it on is void."""
 
     index: int
     entries: tuple[Entry, ...]
 
 
-Write = Hard | Snapshot | Tail
+Write = HardState | Snapshot | LogSuffix
--- a/tansyladder/peers/agreement.py
+++ b/tansyladder/raft/node.py
@@ -31,24 +31,24 @@
 from typing import Protocol
 
 from tansyladder.invariants import check_invariant
-from tansyladder.peers.messages import (
-    Append,
-    Appended,
-    Ask,
-    Decided,
+from tansyladder.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    CommitPosition,
     Entry,
-    Hard,
-    Hello,
-    Install,
-    Kept,
-    Kind,
-    Mark,
+    EntryKind,
+    Handshake,
+    HardState,
+    InstallSnapshot,
+    LogSuffix,
     Message,
+    PersistentState,
     Place,
+    ProposalResult,
     Propose,
+    RequestVote,
     Snapshot,
-    Tail,
-    Vote,
+    VoteResponse,
     Write,
 )
 
@@ -60,7 +60,7 @@
 OPEN = 2048  # entries out that are not committed; further proposals are turned down
 
 
-class State(Protocol):
+class StateMachine(Protocol):
     """What the log decides; the same entries give the same state everywhere."""
 
     def apply(self, data: bytes) -> bytes:
@@ -83,16 +83,16 @@
 
 
 @dataclass(slots=True)
-class Out:
+class Effects:
     """What is to be done, writes first."""
 
     writes: list[Write] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
-    answers: list[Decided] = field(default_factory=list)  # to proposals made at this node
+    answers: list[ProposalResult] = field(default_factory=list)  # to proposals made at this node
 
 
 @dataclass(slots=True)
-class _Peer:
+class _Follower:
     """What a leader knows of another node."""
 
     next: int  # the entry to send next
@@ -102,7 +102,7 @@
     ident: str = ""
 
 
-class Agreement:
+class RaftNode:
     """One node's part in it. Not safe to share between threads."""
 
     def __init__(
@@ -110,8 +110,8 @@
         me: str,
         voters: Sequence[str],
         others: Sequence[str],
-        kept: Kept,
-        state: State,
+        kept: PersistentState,
+        state: StateMachine,
         rng: Random,
         now: int,
     ) -> None:
@@ -129,11 +129,11 @@
             state.load(kept.snapshot.state)
         self.role, self.leader = Role.FOLLOWER, ""
         self._votes: set[str] = set()
-        self._known: dict[str, _Peer] = {}  # by a leader
+        self._known: dict[str, _Follower] = {}  # by a leader
         self._start = f"{rng.getrandbits(64):016x}"
         self._idents = {me: kept.hard.ident}  # of who has said hello since the start
         self._starts: dict[str, str] = {}  # theirs
-        self._told_us: dict[str, Hello] = {}  # the first answer of each to this start
+        self._told_us: dict[str, Handshake] = {}  # the first answer of each to this start
         self._at_admission: dict[str, str] = {}  # starts whose entry is out
         self._admitted = dict(kept.snapshot.voters)  # disks that count in place of the founders'
         self._proposers: dict[int, tuple[str, str]] = {}  # by index: who waits for an entry of this term
@@ -141,7 +141,7 @@
         self.eager = False  # whether a leader tells of commits at once; else they go with what comes next
         self._heard = now - 2 * ELECTION  # from a leader
         self._election = self._beat = self._hello = 0
-        self._out = Out()
+        self._out = Effects()
         self._commit_to(min(kept.hard.sure, self.last))
         self._wait()
 
@@ -187,26 +187,26 @@
 
     # --- events
 
-    def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Out:
+    def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Effects:
         """Take in messages and the time. Proposals of this node come from itself."""
-        self._now, self._out, before = max(self._now, now), Out(), self.commit
+        self._now, self._out, before = max(self._now, now), Effects(), self.commit
         for sender, message in received:
             match message:
-                case Hello():
+                case Handshake():
                     self._greeted(sender, message)
-                case Ask():
+                case RequestVote():
                     self._asked(sender, message)
-                case Vote():
+                case VoteResponse():
                     self._voted(sender, message)
-                case Append():
+                case AppendEntries():
                     self._append(sender, message)
-                case Appended():
+                case AppendEntriesResponse():
                     self._appended(sender, message)
-                case Install():
+                case InstallSnapshot():
                     self._install(sender, message)
                 case Propose():
                     self._propose(sender, message)
-                case Decided():
+                case ProposalResult():
                     self._out.answers.append(message)
         self._keep_time()
         told = self.eager and self.commit > before
@@ -252,7 +252,7 @@
         """The voters that are here on the disks that count."""
         return [n for n in self._voters if n in self._idents and self._disk(n) == self._idents[n]]
 
-    def _greeted(self, sender: str, hello: Hello) -> None:
+    def _greeted(self, sender: str, hello: Handshake) -> None:
         self._idents[sender], self._starts[sender] = hello.ident, hello.start
         if not self._hard.founders and hello.founders:
             self._keep(founders=hello.founders)
@@ -268,7 +268,7 @@
     def _greet(self, name: str) -> None:
         hard, to, wants = self._hard, self._starts.get(name, ""), name not in self._told_us
         place = self._place()
-        self._say(name, Hello(hard.ident, self._start, hard.founders, to, wants, hard.term, place))
+        self._say(name, Handshake(hard.ident, self._start, hard.founders, to, wants, hard.term, place))
 
     def _trust(self) -> None:
         """All other voters have told how far they are: what was forgotten does not go beyond that."""
@@ -296,10 +296,12 @@
             self._keep(term=self.term + 1, vote=self.me)
         for name in self._voters:
             if name != self.me:
-                self._say(name, Ask(self.term + trial, self.last, self._last_term(), trial, self._mark()))
+                self._say(
+                    name, RequestVote(self.term + trial, self.last, self._last_term(), trial, self._mark())
+                )
         self._count_votes(trial)
 
-    def _asked(self, sender: str, ask: Ask) -> None:
+    def _asked(self, sender: str, ask: RequestVote) -> None:
         led = self.role is Role.LEADER or self._now - self._heard < ELECTION
         if led and ask.term > self.term:  # who was cut off must not unseat a leader that all others hear
             return self._vote(sender, ask, False)
@@ -314,19 +316,19 @@
             self._wait()
         self._vote(sender, ask, given)
 
-    def _vote(self, to: str, ask: Ask, given: bool) -> None:
+    def _vote(self, to: str, ask: RequestVote, given: bool) -> None:
         term = ask.term if given else self.term
-        self._say(to, Vote(term, given, ask.trial, self._hard.ident, self._mark()))
+        self._say(to, VoteResponse(term, given, ask.trial, self._hard.ident, self._mark()))
 
-    def _mark(self) -> Mark:
-        return Mark(self.commit, self._term_at(self.commit))
+    def _mark(self) -> CommitPosition:
+        return CommitPosition(self.commit, self._term_at(self.commit))
 
-    def _learn(self, mark: Mark) -> None:
+    def _learn(self, mark: CommitPosition) -> None:
         """Who was admitted knows it, but others may have the entry and not know that it is committed."""
         if self.commit < mark.index <= self.last and self._term_at(mark.index) == mark.term:
             self._commit_to(mark.index)
 
-    def _voted(self, sender: str, vote: Vote) -> None:
+    def _voted(self, sender: str, vote: VoteResponse) -> None:
         self._idents[sender] = vote.ident
         self._learn(vote.committed)
         if not vote.given:
@@ -345,7 +347,7 @@
             self._campaign(trial=False)
             return
         self.role, self.leader = Role.LEADER, self.me
-        self._known = {name: _Peer(self.last + 1, heard=self._now) for name in self._peers}
+        self._known = {name: _Follower(self.last + 1, heard=self._now) for name in self._peers}
         self._at_admission.clear()
         self._beat = self._now + BEAT
         self._add(Entry(self.term))
@@ -353,7 +355,7 @@
     def _follow(self, term: int, leader: str) -> None:
         """Be a follower; proposals that waited here have no known end."""
         for sender, request in self._proposers.values():
-            self._decided(sender, Decided(request, None))
+            self._decided(sender, ProposalResult(request, None))
         self._proposers.clear()
         if term > self.term:
             self._keep(term=term, vote="")
@@ -364,7 +366,7 @@
 
     def _add(self, *entries: Entry) -> None:
         """A leader's own entries."""
-        self._out.writes.append(Tail(self.last + 1, entries))
+        self._out.writes.append(LogSuffix(self.last + 1, entries))
         self._log += entries
         self._fresh = True  # what comes at once goes out in one message
         self._advance()
@@ -376,15 +378,15 @@
         peer = self._known[name]
         if peer.next <= self._snapshot.index:
             s = self._snapshot
-            self._say(name, Install(self.term, s.index, s.term, s.voters, s.state))
+            self._say(name, InstallSnapshot(self.term, s.index, s.term, s.voters, s.state))
             peer.next = s.index + 1
         entries = tuple(self._log[peer.next - self._snapshot.index - 1 :][:BATCH])
         if entries or always:
             before = peer.next - 1
-            self._say(name, Append(self.term, before, self._term_at(before), entries, self.commit))
+            self._say(name, AppendEntries(self.term, before, self._term_at(before), entries, self.commit))
             peer.next += len(entries)
 
-    def _append(self, sender: str, told: Append) -> None:
+    def _append(self, sender: str, told: AppendEntries) -> None:
         if told.term < self.term:
             return self._acknowledge(sender, False, 0)
         self._hear_leader(sender, told.term)
@@ -399,7 +401,7 @@
                 rest = told.entries[number - told.before - 1 :]
                 del self._log[number - self._snapshot.index - 1 :]
                 self._log += rest
-                self._out.writes.append(Tail(number, rest))
+                self._out.writes.append(LogSuffix(number, rest))
                 break
         agreed = max(before, told.before + len(told.entries))
         self._commit_to(min(told.commit, agreed))
@@ -407,7 +409,7 @@
 
     def _acknowledge(self, to: str, fits: bool, index: int) -> None:
         hard = self._hard
-        self._say(to, Appended(self.term, fits, index, hard.ident, self._start, not hard.doubt))
+        self._say(to, AppendEntriesResponse(self.term, fits, index, hard.ident, self._start, not hard.doubt))
 
     def _hear_leader(self, sender: str, term: int) -> None:
         check_invariant(self.role is not Role.LEADER or term > self.term, "agreement_two_leaders")
@@ -416,7 +418,7 @@
         self._heard = self._now
         self._wait()
 
-    def _appended(self, sender: str, told: Appended) -> None:
+    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
         if told.term > self.term:
             return self._follow(told.term, "")
         if self.role is not Role.LEADER or told.term < self.term or sender not in self._known:
@@ -436,12 +438,12 @@
         if peer.next <= self.last:
             self._send_entries(sender, False)
 
-    def _admit(self, name: str, peer: _Peer, told: Appended) -> None:
+    def _admit(self, name: str, peer: _Follower, told: AppendEntriesResponse) -> None:
         """A voter whose disk does not count has all that is committed: let the log admit it."""
         forgot = name in self._voters and (self._disk(name) != told.ident or not told.counts)
         if forgot and peer.match >= self.commit and self._at_admission.get(name) != told.start:
             self._at_admission[name] = told.start
-            self._add(Entry(self.term, Kind.ADMIT, name, f"{told.ident} {told.start}".encode()))
+            self._add(Entry(self.term, EntryKind.ADMIT, name, f"{told.ident} {told.start}".encode()))
 
     def _advance(self) -> None:
         """Commit what a majority holds; of earlier terms only along with an entry of this one (5.4.2)."""
@@ -459,8 +461,8 @@
         while self.commit < index:
             self.commit += 1
             entry = self.entry(self.commit)
-            result = self._state.apply(entry.data) if entry.kind is Kind.DATA else b""
-            if entry.kind is Kind.ADMIT:
+            result = self._state.apply(entry.data) if entry.kind is EntryKind.DATA else b""
+            if entry.kind is EntryKind.ADMIT:
                 self._admitted[entry.request], start = entry.data.decode().split()
                 if self.commit > self._hard.sure:
                     self._keep(sure=self.commit)
@@ -469,7 +471,7 @@
             self.applied = self.commit
             waiting = self._proposers.pop(self.commit, None)
             if waiting is not None:
-                self._decided(waiting[0], Decided(waiting[1], result))
+                self._decided(waiting[0], ProposalResult(waiting[1], result))
         if self.applied - self._snapshot.index >= KEEP:
             self._cut()
 
@@ -481,7 +483,7 @@
         self._snapshot = Snapshot(index, term, dict(self._admitted), self._state.dump())
         self._out.writes.append(self._snapshot)
 
-    def _install(self, sender: str, told: Install) -> None:
+    def _install(self, sender: str, told: InstallSnapshot) -> None:
         if told.term < self.term:
             return self._acknowledge(sender, False, 0)
         self._hear_leader(sender, told.term)
@@ -492,7 +494,7 @@
             self._log, self.commit, self.applied = rest, told.index, told.index
             self._admitted = dict(told.voters)
             self._state.load(told.state)
-            self._out.writes += [self._snapshot, Tail(told.index + 1, tuple(rest))]
+            self._out.writes += [self._snapshot, LogSuffix(told.index + 1, tuple(rest))]
         self._acknowledge(sender, True, told.index)
 
     # --- proposals
@@ -500,13 +502,13 @@
     def _propose(self, sender: str, told: Propose) -> None:
         if self.role is Role.LEADER and self.last - self.commit < OPEN:
             self._proposers[self.last + 1] = (sender, told.request)
-            self._add(Entry(self.term, Kind.DATA, told.request, told.data))
+            self._add(Entry(self.term, EntryKind.DATA, told.request, told.data))
         elif sender == self.me and self.leader and self.role is not Role.LEADER:
             self._say(self.leader, told)
         else:  # no leader is known, or what came from elsewhere is not for this node
-            self._decided(sender, Decided(told.request, None))
+            self._decided(sender, ProposalResult(told.request, None))
 
-    def _decided(self, to: str, decided: Decided) -> None:
+    def _decided(self, to: str, decided: ProposalResult) -> None:
         if to == self.me:
             self._out.answers.append(decided)
         else:
@@ -527,7 +529,7 @@
         floor: Place | None = None,
     ) -> None:
         old = self._hard
-        self._hard = Hard(
+        self._hard = HardState(
             old.term if term is None else term,
             old.vote if vote is None else vote,
             old.ident,
--- a/tansyladder/peers/contents.py
+++ b/tansyladder/replication/content_transfer.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from tansyladder.peers.documents import MOST_SIZE, MS, Here, S
+from tansyladder.replication.documents import MOST_SIZE, MS, LeaseRenewal, S
 
 PIECE = 48 << 10  # bytes in one message
 WINDOW = 4  # pieces asked for at once, of one content
@@ -23,14 +23,14 @@
 RETRY = (200 * MS, 2 * S)  # between two rounds of peers none of whom had it, drawn, doubling
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag="want"):
+class ChunkRequest(msgspec.Struct, frozen=True, array_like=True, tag="want"):
     """The bytes of a content from there on."""
 
     digest: bytes
     at: int
 
 
-class Piece(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
+class Chunk(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
     """They are these, of so many; none of a content that its sender does not have."""
 
     digest: bytes
@@ -39,10 +39,10 @@
     data: bytes
 
 
-class Spoken(msgspec.Struct, frozen=True, array_like=True, tag="spoken"):
+class ChangeNotice(msgspec.Struct, frozen=True, array_like=True, tag="spoken"):
     """What one node tells another beside the agreement."""
 
-    what: Here | Want | Piece
+    what: LeaseRenewal | ChunkRequest | Chunk
 
 
 def digest_of(content: bytes) -> bytes:
@@ -62,14 +62,14 @@
     rounds: int = 0
 
 
-class Contents:
+class ContentStore:
     """What a node has, serves and fetches. Not safe to share between threads."""
 
     def __init__(self, peers: Sequence[str], rng: Random) -> None:
         self._peers, self._rng = tuple(peers), rng
         self._have: dict[bytes, bytes] = {}
         self._fetches: dict[bytes, _Fetch] = {}
-        self.out: list[tuple[str, Want | Piece]] = []  # messages to send
+        self.out: list[tuple[str, ChunkRequest | Chunk]] = []  # messages to send
         self.whole: list[tuple[bytes, bytes]] = []  # to keep: digest, content; then call `have`
 
     def have(self, content: bytes) -> bytes:
@@ -100,12 +100,12 @@
             self._fetches[digest] = _Fetch(size, self._order())
             self._ask(digest, self._fetches[digest], now)
 
-    def received(self, sender: str, told: Want | Piece, now: int) -> None:
+    def received(self, sender: str, told: ChunkRequest | Chunk, now: int) -> None:
         """A message of a peer."""
-        if isinstance(told, Want):
+        if isinstance(told, ChunkRequest):
             content = self._have.get(told.digest, b"")
             data = content[told.at : told.at + PIECE] if 0 <= told.at < len(content) else b""
-            self.out.append((sender, Piece(told.digest, told.at, len(content), data)))
+            self.out.append((sender, Chunk(told.digest, told.at, len(content), data)))
             return
         fetch = self._fetches.get(told.digest)
         if fetch is None or not fetch.peers or sender != fetch.peers[-1] or told.at not in fetch.asked:
@@ -157,4 +157,4 @@
                 return
             if at not in fetch.parts and at not in fetch.asked:
                 fetch.asked[at] = now
-                self.out.append((fetch.peers[-1], Want(digest, at)))
+                self.out.append((fetch.peers[-1], ChunkRequest(digest, at)))
--- a/tansyladder/peers/documents.py
+++ b/tansyladder/replication/documents.py
@@ -36,7 +36,7 @@
 S, MS = 1_000_000, 1000
 
 
-class Offer(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
+class Proposal(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
     """Somebody wants a document changed. `ask` names the wish: said again, it is the same one."""
 
     name: str
@@ -47,7 +47,7 @@
     at: int
 
 
-class Verdict(msgspec.Struct, frozen=True, array_like=True, tag="verdict"):
+class ValidationVote(msgspec.Struct, frozen=True, array_like=True, tag="verdict"):
     """A node has the content on its disk and finds it sound, or says with the fault's path why not."""
 
     number: int
@@ -56,7 +56,7 @@
     fault: str = ""
 
 
-class Arm(msgspec.Struct, frozen=True, array_like=True, tag="arm"):
+class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="arm"):
     """All have said yes: from here on leases are short."""
 
     number: int
@@ -65,7 +65,7 @@
     short: int
 
 
-class Armed(msgspec.Struct, frozen=True, array_like=True, tag="armed"):
+class Prepared(msgspec.Struct, frozen=True, array_like=True, tag="armed"):
     """A node has cut its lease to the short one, counted from `at`, in that round."""
 
     number: int
@@ -74,7 +74,7 @@
     at: int
 
 
-class Hold(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
+class Commit(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
     """All have armed, or hold no lease: the document is to be in force."""
 
     number: int
@@ -82,7 +82,7 @@
     at: int
 
 
-class Drop(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
+class Abort(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
     """The change is off; or with no reason: its leases need not be short for now."""
 
     number: int
@@ -91,7 +91,7 @@
     why: str = ""
 
 
-class Lease(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
+class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
     """These starts of nodes were heard of a moment ago, and may decide for so long."""
 
     to: tuple[str, ...]
@@ -100,23 +100,23 @@
     at: int
 
 
-class Leave(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
+class LeaseRelease(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
     """A node decides nothing any more, and gives back its lease."""
 
     by: str
     at: int
 
 
-Entry = Offer | Verdict | Arm | Armed | Hold | Drop | Lease | Leave
+Entry = Proposal | ValidationVote | Prepare | Prepared | Commit | Abort | LeaseGrant | LeaseRelease
 
 
-class Here(msgspec.Struct, frozen=True, array_like=True, tag="here"):
+class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True, tag="here"):
     """To the leader, beside the log: a node's start is there, and wants to go on deciding."""
 
     start: str
 
 
-class Ruled(msgspec.Struct, frozen=True, array_like=True):
+class ChangeResult(msgspec.Struct, frozen=True, array_like=True):
     """What became of an entry: `done`, or a word for why not; the number that it is about."""
 
     word: str
@@ -124,7 +124,7 @@
     why: str = ""
 
 
-class Stage(IntEnum):
+class ChangePhase(IntEnum):
     """How far a change is."""
 
     OFFERED = 1
@@ -145,7 +145,7 @@
     return next((version for version in reversed(versions) if version.since <= at), None)
 
 
-class Change(msgspec.Struct, array_like=True):
+class PendingChange(msgspec.Struct, array_like=True):
     """The change that is under way: one in the whole fleet."""
 
     name: str
@@ -154,7 +154,7 @@
     size: int
     ask: str
     at: int
-    stage: Stage = Stage.OFFERED
+    stage: ChangePhase = ChangePhase.OFFERED
     yes: set[str] = msgspec.field(default_factory=set)
     round: int = 0  # counts the times that it was armed
     armed_at: int = 0
@@ -163,14 +163,14 @@
     armed: set[str] = msgspec.field(default_factory=set)
 
 
-class Kept(msgspec.Struct, array_like=True):
+class DocumentsSnapshot(msgspec.Struct, array_like=True):
     """All of the state, in the order of a snapshot."""
 
     number: int = 0
     held: dict[str, list[Version]] = {}  # the newest last
-    change: Change | None = None
+    change: PendingChange | None = None
     leases: dict[str, int] = {}  # by start: until when
-    ends: list[tuple[str, Ruled]] = []
+    ends: list[tuple[str, ChangeResult]] = []
     latest: int = 0
 
 
@@ -187,9 +187,9 @@
         self._voters = frozenset(voters)
         self._number = 0
         self._held: dict[str, list[Version]] = {}
-        self.change: Change | None = None
+        self.change: PendingChange | None = None
         self.leases: dict[str, int] = {}
-        self.ends: OrderedDict[str, Ruled] = OrderedDict()
+        self.ends: OrderedDict[str, ChangeResult] = OrderedDict()
         self.latest = 0  # the latest time that an entry told
 
     # --- what others may look at
@@ -213,106 +213,108 @@
 
     # --- entries
 
-    def apply(self, told: Entry) -> Ruled:
+    def apply(self, told: Entry) -> ChangeResult:
         """Take in an entry."""
         self.latest = max(self.latest, told.at)
         match told:
-            case Offer():
+            case Proposal():
                 return self._offer(told)
-            case Lease():
+            case LeaseGrant():
                 return self._lease(told)
-            case Leave():
+            case LeaseRelease():
                 self.leases.pop(told.by, None)
-                return Ruled("done")
+                return ChangeResult("done")
         change = self.change
         if change is None or change.number != told.number:
-            return Ruled("over", told.number)
+            return ChangeResult("over", told.number)
         match told:
-            case Verdict():
+            case ValidationVote():
                 return self._verdict(change, told)
-            case Arm():
+            case Prepare():
                 return self._arm(change, told)
-            case Armed():
+            case Prepared():
                 return self._armed(change, told)
-            case Hold():
+            case Commit():
                 return self._hold(change, told)
         return self._drop(change, told)
 
-    def _offer(self, told: Offer) -> Ruled:
+    def _offer(self, told: Proposal) -> ChangeResult:
         if told.ask in self.ends:
             return self.ends[told.ask]
         if self.change is not None:
             same = self.change.ask == told.ask
-            return Ruled(
+            return ChangeResult(
                 "under way" if same else "busy", self.change.number, "" if same else self.change.name
             )
         if not 0 < told.size <= MOST_SIZE:
-            return Ruled("refused", 0, f"size: from 1 to {MOST_SIZE} bytes")
+            return ChangeResult("refused", 0, f"size: from 1 to {MOST_SIZE} bytes")
         if told.name not in self._held and len(self._held) >= MOST_NAMES:
-            return Ruled("refused", 0, f"name: there are {MOST_NAMES} documents")
+            return ChangeResult("refused", 0, f"name: there are {MOST_NAMES} documents")
         self._number += 1
-        self.change = Change(told.name, self._number, told.digest, told.size, told.ask, told.at)
-        return Ruled("under way", self._number)
+        self.change = PendingChange(told.name, self._number, told.digest, told.size, told.ask, told.at)
+        return ChangeResult("under way", self._number)
 
-    def _lease(self, told: Lease) -> Ruled:
-        if self.change is not None and self.change.stage is Stage.ARMED:
-            return Ruled("armed")  # what is held now is counted on to end
+    def _lease(self, told: LeaseGrant) -> ChangeResult:
+        if self.change is not None and self.change.stage is ChangePhase.ARMED:
+            return ChangeResult("armed")  # what is held now is counted on to end
         leases = dict(self.leases)  # anew: other threads read the one that there was
         for start in told.to:
             if start in leases or len(leases) < MOST_STARTS:
                 leases[start] = max(told.at + told.length, leases.get(start, 0))
         # One that ended so long ago holds nothing up on any clock.
         self.leases = {start: until for start, until in leases.items() if until > self.latest - told.length}
-        return Ruled("done")
+        return ChangeResult("done")
 
-    def _verdict(self, change: Change, told: Verdict) -> Ruled:
+    def _verdict(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
         if told.fault:
-            return self._end(change, Ruled("refused", change.number, f"{node_of(told.by)}: {told.fault}"))
+            return self._end(
+                change, ChangeResult("refused", change.number, f"{node_of(told.by)}: {told.fault}")
+            )
         change.yes.add(told.by)
-        return Ruled("done", change.number)
+        return ChangeResult("done", change.number)
 
-    def _arm(self, change: Change, told: Arm) -> Ruled:
+    def _arm(self, change: PendingChange, told: Prepare) -> ChangeResult:
         holding = {start for start, until in self.leases.items() if until > told.at}
-        if change.stage is Stage.ARMED or self.waited_for(change, holding):
-            return Ruled("early", change.number)
+        if change.stage is ChangePhase.ARMED or self.waited_for(change, holding):
+            return ChangeResult("early", change.number)
         change.round, change.must, change.armed = change.round + 1, holding, set()
         change.armed_at, change.short = told.at, told.short
-        change.stage = Stage.ARMED
-        return Ruled("done", change.number)
+        change.stage = ChangePhase.ARMED
+        return ChangeResult("done", change.number)
 
-    def waited_for(self, change: Change, holding: set[str]) -> set[str]:
+    def waited_for(self, change: PendingChange, holding: set[str]) -> set[str]:
         """Who has to say yes still; among them voters, as long as most of them have not."""
         voters = {node_of(start) for start in change.yes} & self._voters
         missing = set() if len(voters) * 2 > len(self._voters) else self._voters - voters
         return (holding - change.yes) | missing
 
-    def _armed(self, change: Change, told: Armed) -> Ruled:
-        if change.stage is not Stage.ARMED or change.round != told.round or told.by not in change.must:
-            return Ruled("over", change.number)
+    def _armed(self, change: PendingChange, told: Prepared) -> ChangeResult:
+        if change.stage is not ChangePhase.ARMED or change.round != told.round or told.by not in change.must:
+            return ChangeResult("over", change.number)
         # Its own word of when its lease ends; what an earlier entry gave is void from that moment.
         self.leases[told.by] = min(self.leases.get(told.by, 0), told.at + change.short)
         change.armed.add(told.by)
-        return Ruled("done", change.number)
+        return ChangeResult("done", change.number)
 
-    def _hold(self, change: Change, told: Hold) -> Ruled:
-        if change.stage is not Stage.ARMED or self.unarmed(change, told.at):
-            return Ruled("early", change.number)
+    def _hold(self, change: PendingChange, told: Commit) -> ChangeResult:
+        if change.stage is not ChangePhase.ARMED or self.unarmed(change, told.at):
+            return ChangeResult("early", change.number)
         since = max([told.at, *self.leases.values()])
         held = [*self._held.get(change.name, ()), Version(change.number, change.digest, change.size, since)]
         self._held[change.name] = held[-BEFORE - 1 :]
-        return self._end(change, Ruled("done", change.number))
+        return self._end(change, ChangeResult("done", change.number))
 
-    def unarmed(self, change: Change, at: int) -> set[str]:
+    def unarmed(self, change: PendingChange, at: int) -> set[str]:
         """Who may decide under the document before for longer than a short lease."""
         return {s for s in change.must - change.armed if self.leases.get(s, 0) > at}
 
-    def _drop(self, change: Change, told: Drop) -> Ruled:
+    def _drop(self, change: PendingChange, told: Abort) -> ChangeResult:
         if told.why:
-            return self._end(change, Ruled("dropped", change.number, told.why))
-        change.stage = Stage.OFFERED
-        return Ruled("done", change.number)
+            return self._end(change, ChangeResult("dropped", change.number, told.why))
+        change.stage = ChangePhase.OFFERED
+        return ChangeResult("done", change.number)
 
-    def _end(self, change: Change, ruled: Ruled) -> Ruled:
+    def _end(self, change: PendingChange, ruled: ChangeResult) -> ChangeResult:
         self.change = None
         self.ends[change.ask] = ruled
         while len(self.ends) > ENDS_KEPT:
@@ -321,15 +323,17 @@
 
     # --- snapshots
 
-    def dump(self) -> Kept:
-        return Kept(self._number, self._held, self.change, self.leases, list(self.ends.items()), self.latest)
+    def dump(self) -> DocumentsSnapshot:
+        return DocumentsSnapshot(
+            self._number, self._held, self.change, self.leases, list(self.ends.items()), self.latest
+        )
 
-    def load(self, kept: Kept) -> None:
+    def load(self, kept: DocumentsSnapshot) -> None:
         self._number, self._held, self.change = kept.number, dict(kept.held), kept.change
         self.leases, self.ends, self.latest = dict(kept.leases), OrderedDict(kept.ends), kept.latest
 
 
-class Follower:
+class LeaseHolder:
     """One start of a node: what it may decide under, and what it owes to a change."""
 
     def __init__(self, me: str, documents: Documents) -> None:
@@ -358,24 +362,24 @@
         """What it decides under, where it may."""
         return self._documents.version(name, at)
 
-    def check(self) -> Change | None:
+    def check(self) -> PendingChange | None:
         """The change that it has to fetch, check and say its verdict on."""
         change = self._documents.change
         return change if change is not None and self.me not in change.yes else None
 
-    def arm(self, at: int) -> Armed | None:
+    def arm(self, at: int) -> Prepared | None:
         """After entries were taken in: what it has to say of its lease, which is cut by then."""
         change = self._documents.change
-        if change is None or change.stage is not Stage.ARMED:
+        if change is None or change.stage is not ChangePhase.ARMED:
             return None
         if self.me in change.armed or self.me not in change.must:
             return None
         if self._armed != (change.number, change.round):
             self._armed, self._bound = (change.number, change.round), at + change.short
-        return Armed(change.number, change.round, self.me, self._bound - change.short)
+        return Prepared(change.number, change.round, self.me, self._bound - change.short)
 
 
-class Steward:
+class LeaseCoordinator:
     """What the leader does for leases and for the change that is under way; others' stewards rest.
 
     Nothing rests on it: what it proposes too early, or as a leader of the past, the log turns down.
@@ -418,9 +422,9 @@
         if change is None:
             self._failed = self._later = self._round = 0
             return self._grant(at)
-        if change.stage is Stage.ARMED:
+        if change.stage is ChangePhase.ARMED:
             if not self._documents.unarmed(change, at):
-                return self._once(Hold(change.number, self._me, at), at)
+                return self._once(Commit(change.number, self._me, at), at)
             if at - change.armed_at <= self.PATIENCE:
                 return []
             # Who armed is to have a long lease again, before the short one ends; who did not may be gone.
@@ -428,10 +432,10 @@
                 self._round = change.round
                 self._later = at + (self.PAUSE << min(self._failed, 5))
                 self._failed += 1
-            return self._once(Drop(change.number, self._me, at), at)
+            return self._once(Abort(change.number, self._me, at), at)
         return self._grant(at) + self._urge(change, at)
 
-    def _urge(self, change: Change, at: int) -> list[Entry]:
+    def _urge(self, change: PendingChange, at: int) -> list[Entry]:
         """Arm a change that all have said yes to; drop one that somebody who is there says nothing to."""
         leases = self._documents.leases
         holding = {start for start, until in leases.items() if until > at}
@@ -440,15 +444,15 @@
             # Who is silent will not arm: its lease is to end first.
             if at < self._later or any(at - self._heard.get(s, 0) > self._length // 4 for s in holding):
                 return []
-            return self._once(Arm(change.number, self._me, at, self.SHORT), at)
+            return self._once(Prepare(change.number, self._me, at, self.SHORT), at)
         late = sorted(
             node_of(start) for start in missing if at - self._heard.get(start, 0) < self._length // 4
         )
         if late and at - change.at > self.CHECK:
-            return self._once(Drop(change.number, self._me, at, f"no answer of {late[0]}"), at)
+            return self._once(Abort(change.number, self._me, at, f"no answer of {late[0]}"), at)
         if at - change.at > 2 * (self._length + self.CHECK):
             return self._once(
-                Drop(change.number, self._me, at, f"no answer of {min(map(node_of, missing))}"), at
+                Abort(change.number, self._me, at, f"no answer of {min(map(node_of, missing))}"), at
             )
         return []
 
@@ -459,7 +463,7 @@
             for start, seen in self._heard.items()
             if at - seen < fresh and leases.get(start, 0) - at < self._length * 2 // 3
         ]
-        return self._once(Lease(tuple(sorted(to)), self._length, self._me, at), at) if to else []
+        return self._once(LeaseGrant(tuple(sorted(to)), self._length, self._me, at), at) if to else []
 
     def _once(self, entry: Entry, at: int) -> list[Entry]:
         """An entry, unless its like was proposed a moment ago."""
--- a/tansyladder/peers/agreed.py
+++ b/tansyladder/replication/replicated_state.py
@@ -10,44 +10,56 @@
 
 import msgspec
 
-from tansyladder.peers import claims, documents
-from tansyladder.peers.claims import Claims
-from tansyladder.peers.documents import Documents, Kept
+from tansyladder.replication import documents, session_ownership
+from tansyladder.replication.documents import Documents, DocumentsSnapshot
+from tansyladder.replication.session_ownership import (
+    SessionOwnership,
+)
 
-Entry = claims.Claim | claims.Confirm | claims.Opened | documents.Entry
+Entry = (
+    session_ownership.OwnershipClaim
+    | session_ownership.ClaimConfirmation
+    | session_ownership.SessionOpened
+    | documents.Entry
+)
 
 
-class Whole(msgspec.Struct, array_like=True, tag="agreed 2"):
+class StateSnapshot(msgspec.Struct, array_like=True, tag="agreed 2"):
     """A snapshot; the version before wrote the claims alone."""
 
     claims: bytes
-    documents: Kept
+    documents: DocumentsSnapshot
 
 
-class Agreed:
+class ReplicatedState:
     """The state of the log."""
 
     def __init__(self, voters: Sequence[str], taken: Callable[[int, int, str], None] | None = None) -> None:
         """`voters`: of the log, by name; `taken`: told of each claim that holds: session, tenure, whose."""
-        self.claims = Claims(taken)
+        self.claims = SessionOwnership(taken)
         self.documents = Documents(voters)
         self._decoder = msgspec.msgpack.Decoder(Entry)
 
     def apply(self, data: bytes) -> bytes:
-        """Take in an encoded entry; an encoded `claims.Ruling` or `documents.Ruled`."""
+        """Take in an encoded entry; an encoded `ClaimResult` or `documents.ChangeResult`."""
         told = self._decoder.decode(data)
-        if isinstance(told, claims.Claim | claims.Confirm | claims.Opened):
+        if isinstance(
+            told,
+            session_ownership.OwnershipClaim
+            | session_ownership.ClaimConfirmation
+            | session_ownership.SessionOpened,
+        ):
             return self.claims.apply(data)
         return msgspec.msgpack.encode(self.documents.apply(told))
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(Whole(self.claims.dump(), self.documents.dump()))
+        return msgspec.msgpack.encode(StateSnapshot(self.claims.dump(), self.documents.dump()))
 
     def load(self, dumped: bytes) -> None:
         """ValueError: it is of no version that is known."""
         try:
-            whole = msgspec.msgpack.decode(dumped, type=Whole)
+            whole = msgspec.msgpack.decode(dumped, type=StateSnapshot)
         except msgspec.ValidationError:  # of the version before
-            whole = Whole(dumped, Kept())
+            whole = StateSnapshot(dumped, DocumentsSnapshot())
         self.claims.load(whole.claims)
         self.documents.load(whole.documents)
--- a/tansyladder/peers/claims.py
+++ b/tansyladder/replication/session_ownership.py
@@ -17,13 +17,13 @@
 
 import msgspec
 
-from tansyladder.resume.ledger import TENURE_BITS
+from tansyladder.resumption.token_registry import TENURE_BITS
 
 YOUNG = 15_000_000  # us after a confirmation in which its owner may say what became of it
 MOST = 16_384  # records; a claim that finds no room is refused
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
+class OwnershipClaim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
     """A node was shown a token and wants its session. Times in microseconds of Unix time."""
 
     session: int
@@ -35,7 +35,7 @@
     ask: int  # the node's number for this take-over: said again, it is the same claim
 
 
-class Confirm(msgspec.Struct, frozen=True, array_like=True, tag="confirm"):
+class ClaimConfirmation(msgspec.Struct, frozen=True, array_like=True, tag="confirm"):
     """The owner is about to answer UP: tokens under the floor are spent.
 
     Or, with the floor from before and a later turn, that it did not: an owner that does not hear in time
@@ -52,7 +52,7 @@
     turn: int  # counts the owner's confirmations of a session; one that is overtaken by a later one is void
 
 
-class Opened(msgspec.Struct, frozen=True, array_like=True, tag="opened"):
+class SessionOpened(msgspec.Struct, frozen=True, array_like=True, tag="opened"):
     """The owner has answered UP by the confirmation of that turn: its token is spent beyond doubt."""
 
     session: int
@@ -62,14 +62,14 @@
     turn: int
 
 
-class Ruling(msgspec.Struct, frozen=True, array_like=True):
+class ClaimResult(msgspec.Struct, frozen=True, array_like=True):
     """The tenure that is the node's, or the word (`spent`, `expired`, `claimed`, `full`) why not."""
 
     tenure: int = 0
     why: str = ""
 
 
-class Record(msgspec.Struct, array_like=True):
+class OwnershipRecord(msgspec.Struct, array_like=True):
     """What is known of a session that has been claimed or confirmed."""
 
     tenure: int
@@ -83,77 +83,79 @@
     opened: bool = False  # whether the owner has said that it answered UP
 
 
-class Claims:
+class SessionOwnership:
     """The state machine; records stand in the order in which they are forgotten."""
 
     def __init__(self, taken: Callable[[int, int, str], None] | None = None) -> None:
         """`taken`: told of each claim that holds: session, tenure, and whose it is now."""
         self._taken = taken
-        self.records: OrderedDict[int, Record] = OrderedDict()
+        self.records: OrderedDict[int, OwnershipRecord] = OrderedDict()
         self._latest = 0  # the latest time that any entry told
 
     def apply(self, data: bytes) -> bytes:
         """Take in an encoded Claim, Confirm or Opened; an encoded Ruling."""
-        told = msgspec.msgpack.decode(data, type=Claim | Confirm | Opened)
+        told = msgspec.msgpack.decode(data, type=OwnershipClaim | ClaimConfirmation | SessionOpened)
         # One node's clock may be behind: what was forgotten by an earlier entry stays forgotten.
         self._latest = max(self._latest, told.at)
         while self.records and next(iter(self.records.values())).keep <= self._latest:
             self.records.popitem(last=False)
         match told:
-            case Claim():
+            case OwnershipClaim():
                 return msgspec.msgpack.encode(self._claim(told))
-            case Confirm():
+            case ClaimConfirmation():
                 return msgspec.msgpack.encode(self._confirm(told))
         return msgspec.msgpack.encode(self._open(told))
 
-    def _claim(self, told: Claim) -> Ruling:
+    def _claim(self, told: OwnershipClaim) -> ClaimResult:
         known = self.records.get(told.session)
         if known is not None and (known.owner, known.ask) == (told.by, told.ask):
-            return Ruling(known.tenure)  # its answer was lost, or a copy was long under way
+            return ClaimResult(known.tenure)  # its answer was lost, or a copy was long under way
         if known is not None and told.generation < known.floor:
             # Its owner may have turned the client away, and be about to give the token back: no guess is made
             # until it says so, or that it answered, or has been silent for long.
             unsure = not known.opened and told.at - known.confirmed_at < YOUNG
-            return Ruling(why="claimed" if unsure and told.generation >= known.base else "spent")
+            return ClaimResult(why="claimed" if unsure and told.generation >= known.base else "spent")
         if told.expiry <= self._latest:
-            return Ruling(why="expired")
+            return ClaimResult(why="expired")
         if known is None and len(self.records) >= MOST:
-            return Ruling(why="full")
+            return ClaimResult(why="full")
         tenure = max(known.tenure if known else 0, told.generation >> TENURE_BITS) + 1
         floor = known.floor if known else 0
-        self._put(told.session, Record(tenure, told.by, floor, self._keep(told), floor, ask=told.ask))
+        self._put(
+            told.session, OwnershipRecord(tenure, told.by, floor, self._keep(told), floor, ask=told.ask)
+        )
         if self._taken is not None:
             self._taken(told.session, tenure, told.by)
-        return Ruling(tenure)
+        return ClaimResult(tenure)
 
-    def _confirm(self, told: Confirm) -> Ruling:
+    def _confirm(self, told: ClaimConfirmation) -> ClaimResult:
         known = self.records.get(told.session)
         if told.expiry <= self._latest:  # what was known of it may be forgotten: who replaced this owner, too
-            return Ruling(why="expired")
+            return ClaimResult(why="expired")
         if known is None and len(self.records) >= MOST:
-            return Ruling(why="full")
+            return ClaimResult(why="full")
         # Unknown: its owner since it began, or since a claim so old that its tokens have expired.
         if known is not None and (known.tenure, known.owner) != (told.tenure, told.by):
-            return Ruling(why="claimed")
+            return ClaimResult(why="claimed")
         if known is not None and told.turn < known.turn:
-            return Ruling(why="claimed")
+            return ClaimResult(why="claimed")
         base = known.base if known else 0
         floor, ask = max(base, told.floor), known.ask if known else 0
-        record = Record(told.tenure, told.by, floor, self._keep(told), base, told.turn, told.at, ask)
+        record = OwnershipRecord(told.tenure, told.by, floor, self._keep(told), base, told.turn, told.at, ask)
         self._put(told.session, record)
-        return Ruling(told.tenure)
+        return ClaimResult(told.tenure)
 
-    def _open(self, told: Opened) -> Ruling:
+    def _open(self, told: SessionOpened) -> ClaimResult:
         known = self.records.get(told.session)
         if known is None or (known.tenure, known.owner, known.turn) != (told.tenure, told.by, told.turn):
-            return Ruling(why="claimed")
+            return ClaimResult(why="claimed")
         known.opened = True
-        return Ruling(told.tenure)
+        return ClaimResult(told.tenure)
 
-    def _keep(self, told: Claim | Confirm) -> int:
+    def _keep(self, told: OwnershipClaim | ClaimConfirmation) -> int:
         return max(self._latest + told.keep - told.at, told.expiry)
 
-    def _put(self, session: int, record: Record) -> None:
+    def _put(self, session: int, record: OwnershipRecord) -> None:
         """Records keep the order of their ends; one that is to end sooner than the last one lasts as long."""
         if self.records:
             record.keep = max(record.keep, next(reversed(self.records.values())).keep)
@@ -164,7 +166,9 @@
         return msgspec.msgpack.encode((self._latest, list(self.records.items())))
 
     def load(self, dumped: bytes) -> None:
-        self._latest, items = msgspec.msgpack.decode(dumped, type=tuple[int, list[tuple[int, Record]]])
+        self._latest, items = msgspec.msgpack.decode(
+            dumped, type=tuple[int, list[tuple[int, OwnershipRecord]]]
+        )
         self.records = OrderedDict(items)
         if self._taken is not None:  # who was away for long hears of the claims that it has missed
             for session, record in items:
