--- a/tansyladder/resume/words.py
+++ b/tansyladder/resumption/control_messages.py
@@ -16,24 +16,24 @@
 _AT = re.compile(rb"RS AT ([0-9]{1,16}) ([0-9]{1,16})\r\n\Z")
 
 
-class WordError(Exception):
+class ControlMessageError(Exception):
     """A control line that no party may send."""
 
 
-class Ack(NamedTuple):
+class Acknowledgement(NamedTuple):
     """Its sender has the other side's lines up to this position and never asks for them again."""
 
     position: int
 
 
-class At(NamedTuple):
+class ResumePosition(NamedTuple):
     """A stream host's word behind UP: it holds the client's lines up to `heard` and goes on after `said`."""
 
     heard: int
     said: int
 
 
-class End(NamedTuple):
+class EndOfSession(NamedTuple):
     """The client leaves for good: any other end of its connection is a break."""
 
 
@@ -45,26 +45,26 @@
 def _position(digits: bytes) -> int:
     value = int(digits)
     if value > MOST_POSITION:
-        raise WordError("a position out of range")
+        raise ControlMessageError("a position out of range")
     return value
 
 
-def parse_client(line: bytes) -> Ack | End:
+def parse_client(line: bytes) -> Acknowledgement | EndOfSession:
     """A client's control line; WordError for any other."""
     if line == END:
-        return End()
+        return EndOfSession()
     if found := _ACK.match(line):
-        return Ack(_position(found[1]))
-    raise WordError("RS ACK N or RS END expected")
+        return Acknowledgement(_position(found[1]))
+    raise ControlMessageError("RS ACK N or RS END expected")
 
 
-def parse_host(line: bytes) -> Ack | At:
+def parse_host(line: bytes) -> Acknowledgement | ResumePosition:
     """A stream host's control line; WordError for any other."""
     if found := _ACK.match(line):
-        return Ack(_position(found[1]))
+        return Acknowledgement(_position(found[1]))
     if found := _AT.match(line):
-        return At(_position(found[1]), _position(found[2]))
-    raise WordError("RS ACK N or RS AT N M expected")
+        return ResumePosition(_position(found[1]), _position(found[2]))
+    raise ControlMessageError("RS ACK N or RS AT N M expected")
 
 
 def ack(position: int) -> bytes:
--- a/tansyladder/resume/window.py
+++ b/tansyladder/resumption/replay_buffer.py
@@ -19,7 +19,7 @@
         self.why = why
 
 
-class Budget:
+class MemoryBudget:
     """Bytes that all windows of a node may keep together; safe to share between threads."""
 
     def __init__(self, most: int) -> None:
@@ -46,12 +46,12 @@
             check_invariant(self._used >= 0, "resume_budget")
 
 
-class Window:
+class ReplayBuffer:
     """Lines `base + 1` to `end`; counting goes on when keeping had to end."""
 
     __slots__ = ("_budget", "_lines", "_most", "_size", "base", "end", "kept")
 
-    def __init__(self, budget: Budget, most: int) -> None:
+    def __init__(self, budget: MemoryBudget, most: int) -> None:
         self._budget, self._most = budget, most
         self._lines: deque[bytes] = deque()
         self._size = 0
--- a/tansyladder/resume/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -9,15 +9,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from tansyladder.resume import words
-from tansyladder.resume.window import Budget, PositionError, Window
+from tansyladder.resumption import control_messages
+from tansyladder.resumption.replay_buffer import MemoryBudget, PositionError, ReplayBuffer
 
 ACK_LINES = 16  # a client's lines between two acknowledgments: few bytes, and little to keep at the client
 BYE, MOVE = b"BYE\r\n", b"MOVE\r\n"
 
 
 @dataclass(slots=True)
-class Out:
+class StreamOutput:
     """Bytes for both sides, and what has become of them."""
 
     to_client: bytes = b""
@@ -44,7 +44,9 @@
         "resumes",
     )
 
-    def __init__(self, number: int, budget: Budget, most: int, start: int = 0, durable: bool = False) -> None:
+    def __init__(
+        self, number: int, budget: MemoryBudget, most: int, start: int = 0, durable: bool = False
+    ) -> None:
         """`most`: bytes kept each way, with a fixed cost for each line.
 
         `start`: which start of the node's life this is: its epochs are above all of an earlier start.
@@ -53,8 +55,8 @@
         self.number, self._durable = number, durable
         self.lost = False  # whether the node that knew the positions died; the client and a host tell them
         self._repeated = 0  # lines that a client that came back says again though they are here
-        self.from_client = Window(budget, most)  # kept until the stream host has them
-        self.from_host = Window(budget, most)  # kept until the client has them
+        self.from_client = ReplayBuffer(budget, most)  # kept until the stream host has them
+        self.from_host = ReplayBuffer(budget, most)  # kept until the client has them
         self.epoch = start << 20  # how often it has been placed
         self.resumes = False  # whether the stream host speaks of positions
         self._first_line = True  # whether the next line is the first behind UP
@@ -80,8 +82,8 @@
         self.epoch += 1
         self._first_line = True
         up, down = self.from_client, self.from_host
-        most = words.MOST_POSITION if self.lost else up.end
-        return words.placing(self.number, self.epoch, up.base, most, down.end)
+        most = control_messages.MOST_POSITION if self.lost else up.end
+        return control_messages.placing(self.number, self.epoch, up.base, most, down.end)
 
     def placed(self, line: bytes) -> bytes:
         """The new stream host's word behind UP; the client's lines that it lacks.
@@ -90,10 +92,10 @@
         (`behind`), more than was ever sent, or does not go on where the last one ended (`ahead`).
         """
         try:
-            said = words.parse_host(line) if words.is_control(line) else None
-        except words.WordError as err:
+            said = control_messages.parse_host(line) if control_messages.is_control(line) else None
+        except control_messages.ControlMessageError as err:
             raise PositionError("silent") from err
-        if not isinstance(said, words.At):
+        if not isinstance(said, control_messages.ResumePosition):
             raise PositionError("silent")
         if said.said != self.from_host.end:
             raise PositionError("ahead" if said.said > self.from_host.end else "behind")
@@ -105,29 +107,29 @@
         self._first_line, self.resumes = False, True
         return lines
 
-    def host_line(self, line: bytes) -> Out:
+    def host_line(self, line: bytes) -> StreamOutput:
         """A whole line of the stream host. WordError or PositionError: it can't be gone on with."""
         first, self._first_line = self._first_line, False
-        if first and line == words.START + b"AT 0 0\r\n":
+        if first and line == control_messages.START + b"AT 0 0\r\n":
             self.resumes = True
-            return Out()
+            return StreamOutput()
         if first:
             self.from_client.stop()  # it will never acknowledge: nothing is kept for another one
-        if self.resumes and words.is_control(line):
-            said = words.parse_host(line)
-            if not isinstance(said, words.Ack):
-                raise words.WordError("RS AT stands behind UP only")
+        if self.resumes and control_messages.is_control(line):
+            said = control_messages.parse_host(line)
+            if not isinstance(said, control_messages.Acknowledgement):
+                raise control_messages.ControlMessageError("RS AT stands behind UP only")
             self.from_client.ack(said.position)
-            return Out()
+            return StreamOutput()
         if line == MOVE:
-            return Out(host_leaves=True)
+            return StreamOutput(host_leaves=True)
         self.from_host.add(line)
-        return Out(to_client=line, host_ends=line == BYE)
+        return StreamOutput(to_client=line, host_ends=line == BYE)
 
     # --- the client
 
     @classmethod
-    def revived(cls, number: int, budget: Budget, most: int, start: int) -> Stream:
+    def revived(cls, number: int, budget: MemoryBudget, most: int, start: int) -> Stream:
         """A session of an earlier start: where it is, its client and the next stream host say."""
         stream = cls(number, budget, most, start, True)
         stream.resumes = stream.lost = True
@@ -148,27 +150,27 @@
         """Whether the client has lines that it may have to say again."""
         return self._acked < self.from_client.end
 
-    def client_line(self, line: bytes) -> Out:
+    def client_line(self, line: bytes) -> StreamOutput:
         """A whole line of the client. WordError or PositionError: its mistake."""
-        if words.is_control(line):
-            said = words.parse_client(line)
-            if isinstance(said, words.End):
-                return Out(to_host=words.END if self.resumes else b"", client_ends=True)
+        if control_messages.is_control(line):
+            said = control_messages.parse_client(line)
+            if isinstance(said, control_messages.EndOfSession):
+                return StreamOutput(to_host=control_messages.END if self.resumes else b"", client_ends=True)
             self.from_host.ack(said.position)
-            return Out(to_host=words.ack(said.position) if self.resumes else b"")
+            return StreamOutput(to_host=control_messages.ack(said.position) if self.resumes else b"")
         if self._repeated:
             self._repeated -= 1
-            return Out()
+            return StreamOutput()
         self.from_client.add(line)
         due = self.from_client.end - self._acked >= ACK_LINES
-        return Out(to_host=line, to_client=self.acknowledge() if due else b"")
+        return StreamOutput(to_host=line, to_client=self.acknowledge() if due else b"")
 
     def acknowledge(self) -> bytes:
         """What tells the client how many of its lines are held; nothing where it knows."""
         if self._acked >= self.held:
             return b""
         self._acked = self.held
-        return words.ack(self._acked)
+        return control_messages.ack(self._acked)
 
     def returns(self, position: int) -> Iterable[bytes]:
         """A client came back that has this many of the host's lines: what it is told, and what it lacks.
@@ -179,14 +181,14 @@
         self.from_host.ack(position)
         self._acked = self.held
         self._repeated = self.from_client.end - self._acked
-        return (words.at(self._acked), *lines)
+        return (control_messages.at(self._acked), *lines)
 
     def lost_return(self) -> bytes:
         """Once, when coming back has become impossible: what tells the client."""
         if self.can_return or not self._returns_told:
             return b""
         self._returns_told = False
-        return words.off("buffer")
+        return control_messages.off("buffer")
 
     def close(self) -> None:
         """Give back what is kept."""
--- a/tansyladder/resume/ledger.py
+++ b/tansyladder/resumption/token_registry.py
@@ -13,13 +13,13 @@
 from typing import Generic, TypeVar
 
 from tansyladder.invariants import check_invariant
-from tansyladder.resume.tokens import Claim, TokenError
+from tansyladder.resumption.tokens import TokenError, TokenPayload
 
 T = TypeVar("T")
 TENURE_BITS = 32  # of a generation that count within a start, or an owner's tenure
 
 
-class End(Enum):
+class SessionEnd(Enum):
     """Why a session can't be resumed any more; the value is the word that a late client is told."""
 
     LEFT = "ended"  # one side ended it
@@ -40,7 +40,7 @@
         self.claimed = False
 
 
-class Ledger(Generic[T]):
+class TokenRegistry(Generic[T]):
     """Sessions by their numbers; `T` is what the caller reaches a session by."""
 
     def __init__(self, remembered: int, start: int = 0) -> None:
@@ -51,7 +51,7 @@
         """
         self._remembered, self._first = remembered, start << TENURE_BITS
         self._live: dict[int, _Entry[T]] = {}
-        self._ended: OrderedDict[int, End] = OrderedDict()
+        self._ended: OrderedDict[int, SessionEnd] = OrderedDict()
         self._lock = threading.Lock()
 
     def __len__(self) -> int:
@@ -87,14 +87,14 @@
         with self._lock:
             return self._live[session].generation + 1
 
-    def issue(self, session: int, expiry: int) -> Claim:
+    def issue(self, session: int, expiry: int) -> TokenPayload:
         """What the session's next token says; its forerunner is good until one of the two is spent."""
         with self._lock:
             entry = self._live[session]
             entry.generation += 1
-            return Claim(session, entry.generation, expiry)
+            return TokenPayload(session, entry.generation, expiry)
 
-    def claim(self, claim: Claim, now: int, deliver: Callable[[T], None]) -> None:
+    def claim(self, claim: TokenPayload, now: int, deliver: Callable[[T], None]) -> None:
         """Begin a resume and hand its client over, in one step that no other claim and no end comes between.
 
         TokenError: expired, spent, claimed (another resume is under way), or why the session has ended.
@@ -102,7 +102,7 @@
         with self._lock:
             entry = self._live.get(claim.session)
             if entry is None:
-                raise TokenError(self._ended.get(claim.session, End.EXPIRED).value)
+                raise TokenError(self._ended.get(claim.session, SessionEnd.EXPIRED).value)
             if claim.generation < entry.floor:
                 raise TokenError("spent")
             if claim.expiry <= now:
@@ -126,12 +126,12 @@
             check_invariant(entry.claimed, "resume_restore_unclaimed")
             entry.claimed = False
 
-    def end(self, session: int, why: End) -> None:
+    def end(self, session: int, why: SessionEnd) -> None:
         """The session is over; from now on its tokens are refused with the reason."""
         with self._lock:
             if self._live.pop(session, None) is None:
                 return
-            if why is not End.TAKEN:
+            if why is not SessionEnd.TAKEN:
                 self._ended[session] = why
             while len(self._ended) > self._remembered:
                 self._ended.popitem(last=False)
--- a/tansyladder/resume/tokens.py
+++ b/tansyladder/resumption/tokens.py
@@ -31,7 +31,7 @@
         self.why = why
 
 
-class Claim(NamedTuple):
+class TokenPayload(NamedTuple):
     """What a token says once it is open."""
 
     session: int
@@ -39,7 +39,7 @@
     expiry: int  # microseconds on the clock of whoever sealed it
 
 
-class Binding(NamedTuple):
+class TokenClaims(NamedTuple):
     """What must be the same when a token comes back."""
 
     cls: str
@@ -79,14 +79,14 @@
         # One store: threads see all of the new set or nothing of it.
         self._keys = {ident: AESGCM(secret) for ident, secret in keys}
 
-    def seal(self, claim: Claim, binding: Binding) -> str:
+    def seal(self, claim: TokenPayload, binding: TokenClaims) -> str:
         """The text of a token."""
         ident, aead = next(iter(self._keys.items()))
         head, nonce = bytes((ident,)) + self._life, self._random(NONCE_BYTES)
         sealed = aead.encrypt(nonce, _CLAIM.pack(*claim), head + binding.encode())
         return base64.urlsafe_b64encode(head + nonce + sealed).rstrip(b"=").decode()
 
-    def open(self, text: str, binding: Binding) -> Claim:
+    def open(self, text: str, binding: TokenClaims) -> TokenPayload:
         """What a token says. TokenError: malformed, elsewhere (another node or life) or forged."""
         if len(text) != TEXT:
             raise TokenError("malformed")
@@ -101,6 +101,6 @@
         if aead is None:
             raise TokenError("forged")  # or sealed with a key that has been taken out
         try:
-            return Claim(*_CLAIM.unpack(aead.decrypt(nonce, sealed, head + binding.encode())))
+            return TokenPayload(*_CLAIM.unpack(aead.decrypt(nonce, sealed, head + binding.encode())))
         except InvalidTag as err:
             raise TokenError("forged") from err
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -24,12 +24,12 @@
 
     from tansyladder.config import operator_settings, platform
     from tansyladder.log import LogEvent, log, write_json
-    from tansyladder.net.takeover import Takeover
-    from tansyladder.node.core import Core
-    from tansyladder.node.discovery import Discovery
-    from tansyladder.node.probe import Prober
+    from tansyladder.net.listener_handover import ListenerHandover
+    from tansyladder.node.client_listener import ClientListener
+    from tansyladder.node.discovery_client import DiscoveryClient
+    from tansyladder.node.health_checker import HealthChecker
+    from tansyladder.node.policy_runner import PolicyRunner
     from tansyladder.node.reload import Reloader
-    from tansyladder.node.virtual_server import VirtualServer
 
     try:
         told = platform.load(os.environ)
@@ -45,29 +45,31 @@
     threading.stack_size(STACK)
     sys.setswitchinterval(SWITCH)
     threading.excepthook = lambda args: log(LogEvent.INTERNAL_ERROR, why=repr(args.exc_value))
-    core, name, keeping = Core(told, chosen), "GW_LISTEN", None
+    core, name, keeping = PolicyRunner(told, chosen), "GW_LISTEN", None
     if chosen.store.enabled and not chosen.peers.enabled:
-        from tansyladder.sessions.keeping import open_keeping
+        from tansyladder.sessions.session_store import open_keeping
 
         keeping = core.keeping = open_keeping(chosen.store.directory, told.name)
         if keeping is not None:
             keeping.start()
     if chosen.resume.enabled:
-        from tansyladder.sessions.resuming import Resuming  # and the library of its cryptography
+        from tansyladder.sessions.resumption_handler import (
+            ResumptionHandler,  # and the library of its cryptography
+        )
 
-        resuming = core.resuming = Resuming(core, keeping)
+        resuming = core.resuming = ResumptionHandler(core, keeping)
     try:
-        front = VirtualServer(core, Takeover(told.listen, os.environ.get("TMPDIR")))
+        front = ClientListener(core, ListenerHandover(told.listen, os.environ.get("TMPDIR")))
         name = "GW_OPERATOR"
         if told.operator is not None:
-            from tansyladder.node.operator import Operator
+            from tansyladder.node.admin_server import AdminServer
 
-            Operator(core, front, told.operator).start()
+            AdminServer(core, front, told.operator).start()
     except OSError as err:
         print(f"event=bad_config why={name}: {err}", file=sys.stderr)
         return 2
     if chosen.peers.enabled and chosen.resume.enabled:
-        from tansyladder.fleet.joining import join  # and all that only peers need
+        from tansyladder.cluster.bootstrap import join  # and all that only peers need
 
         try:
             join(core, resuming, os.environ.get("TMPDIR"))
@@ -75,9 +77,9 @@
             print(f"event=bad_settings why=peers: {err}", file=sys.stderr)
             return 2
     core.start()
-    discovery = Discovery(core)
+    discovery = DiscoveryClient(core)
     discovery.start()
-    Prober(core).start()
+    HealthChecker(core).start()
     front.start()
     reloader = Reloader(os.environ, core, discovery, settings)
     reloader.start()
--- a/tansyladder/sessions/resuming.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -11,47 +11,46 @@
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import ActionQueue, ResumingClient
 from tansyladder.net.clock import now
-from tansyladder.net.flow import Standing
-from tansyladder.net.mailbox import Mailbox, Visitor
 from tansyladder.net.protocol import POSITION, TICKET, Opening
-from tansyladder.node.core import Core
+from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.node.metrics import Ending
-from tansyladder.resume import words
-from tansyladder.resume.ledger import End
-from tansyladder.resume.stream import Stream
-from tansyladder.resume.tokens import Claim as Shown
-from tansyladder.resume.tokens import TokenError
-from tansyladder.sessions.keeping import Keeping
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.resumption import control_messages
+from tansyladder.resumption.stream import Stream
+from tansyladder.resumption.token_registry import SessionEnd
+from tansyladder.resumption.tokens import TokenError, TokenPayload
 from tansyladder.sessions.session import Session
-from tansyladder.sessions.shared import BUSY, MARGIN, Shared, binding
+from tansyladder.sessions.session_registry import BUSY, MARGIN, SessionRegistry, binding
+from tansyladder.sessions.session_store import SessionStore
 
 MOST_TAKING = 256  # sessions of other nodes that are being claimed at once
 TAKE = timedelta(milliseconds=500)  # for the peers to rule on a claim
 _POSITION = re.compile(r"[0-9]{1,15}\Z", re.A)
 
 
-class Resuming(Shared):
+class ResumptionHandler(SessionRegistry):
     """One node's resumable sessions; safe to share between threads."""
 
-    def __init__(self, core: Core, keeping: Keeping | None = None) -> None:
+    def __init__(self, core: PolicyRunner, keeping: SessionStore | None = None) -> None:
         super().__init__(core, keeping)
         self._taking: set[int] = set()  # sessions that are being claimed
 
     def serve(
         self,
-        box: Mailbox,
+        box: ActionQueue,
         client: socket.socket,
         cls: int,
         opening: Opening,
         stream: Stream,
-        standing: Standing,
+        standing: UpstreamConnection,
         number: int,
     ) -> None:
         """Serve a session from its first UP to its end; the client's socket is closed then."""
         Session(self._core, self, box, client, cls, opening, stream).run(standing, number)
 
-    def _revive_kept(self, claim: Shown) -> None:
+    def _revive_kept(self, claim: TokenPayload) -> None:
         """Where a session of an earlier start is still kept, begin it anew, without a client or a host."""
         kept = self.keeping.session(claim.session) if self.keeping else None
         if kept is None:
@@ -61,13 +60,13 @@
         opening = protocol.parse_opening(kept.line.encode() + b"\r\n")
         self._revive(claim, opening, kept.floor, kept.expiry, 0)
 
-    def _revive(self, claim: Shown, opening: Opening, floor: int, expiry: int, tenure: int) -> None:
+    def _revive(self, claim: TokenPayload, opening: Opening, floor: int, expiry: int, tenure: int) -> None:
         """Begin a session of an earlier start or of another node, without a client or a host.
 
         TokenError: there is no room for it.
         """
         start = tenure or self.start
-        box = Mailbox()
+        box = ActionQueue()
         try:
             box.open()
             stream = Stream.revived(claim.session, self.budget, self.options.buffer, start)
@@ -76,7 +75,7 @@
             self.ledger.begin(claim.session, box, floor, tenure)
             threading.Thread(target=session.run, daemon=True).start()
         except (OSError, RuntimeError) as err:
-            self.ledger.end(claim.session, End.ROOM)
+            self.ledger.end(claim.session, SessionEnd.ROOM)
             box.close()
             raise TokenError("room") from err
         log(LogEvent.SESSION_RESTORED, left=self._core.clock.moment(expiry) - now())
@@ -95,7 +94,7 @@
         self,
         sock: socket.socket,
         opening: Opening,
-        claim: Shown,
+        claim: TokenPayload,
         arrived: timedelta,
         take: Callable[[], None],
     ) -> bytes:
@@ -116,8 +115,8 @@
             self._answer(sock, opening, BUSY)
         return b""
 
-    def _claim(self, sock: socket.socket, opening: Opening, claim: Shown, arrived: timedelta) -> None:
-        from tansyladder.peers.claims import Claim
+    def _claim(self, sock: socket.socket, opening: Opening, claim: TokenPayload, arrived: timedelta) -> None:
+        from tansyladder.replication.session_ownership import OwnershipClaim
 
         assert self.agreeing is not None
         deadline = arrived + opening.wait
@@ -128,19 +127,21 @@
                 return self._answer(sock, opening, BUSY)
             at, keep = self.span()
             by, ask = self.agreeing.by, next(self.turns)
-            entry = Claim(claim.session, claim.generation, claim.expiry, by, at, keep, ask)
+            entry = OwnershipClaim(claim.session, claim.generation, claim.expiry, by, at, keep, ask)
             ruling = self.agreeing.rule(entry, min(deadline - MARGIN, now() + TAKE))
             if ruling is None:
                 return self._answer(sock, opening, BUSY)
             if not ruling.tenure:
                 again = ruling.why in ("claimed", "full")
-                return self._answer(sock, opening, BUSY if again else words.refused(ruling.why))
-            visitor = Visitor(sock, int(opening.told[POSITION]), deadline, claim.expiry)
+                return self._answer(sock, opening, BUSY if again else control_messages.refused(ruling.why))
+            visitor = ResumingClient(sock, int(opening.told[POSITION]), deadline, claim.expiry)
             self._revive(claim, opening, claim.generation, claim.expiry, ruling.tenure)
             self.ledger.claim(claim, self._core.clock.micros(arrived), lambda box: box.visit(visitor))
             log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.tenure, took=now() - arrived)
         except TokenError as err:  # no room, or two clients with one token here at the same moment
-            self._answer(sock, opening, BUSY if err.why in ("room", "claimed") else words.refused(err.why))
+            self._answer(
+                sock, opening, BUSY if err.why in ("room", "claimed") else control_messages.refused(err.why)
+            )
         finally:
             with self._lock:
                 self._taking.discard(claim.session)
@@ -177,9 +178,9 @@
                     return self._take_over(sock, opening, claim, arrived, take)
                 if self.keeping is not None:
                     self._revive_kept(claim)
-            visitor = Visitor(sock, int(position), arrived + opening.wait, claim.expiry)
+            visitor = ResumingClient(sock, int(position), arrived + opening.wait, claim.expiry)
 
-            def deliver(box: Mailbox) -> None:
+            def deliver(box: ActionQueue) -> None:
                 take()
                 box.visit(visitor)
 
@@ -188,7 +189,7 @@
             log(LogEvent.RESUME_REJECTED, why=err.why)
             # Its client may have given up on an answer that is still on its way, and shows the token again.
             again = self.agreeing is not None and err.why == "claimed"
-            return BUSY if again else words.refused(err.why)
+            return BUSY if again else control_messages.refused(err.why)
         return b""
 
     def rotate(self, options: ResumeOptions) -> None:
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -15,21 +15,21 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import ActionQueue, ResumingClient
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
-from tansyladder.net.flow import Answer, Standing
-from tansyladder.net.mailbox import Mailbox, Visitor
 from tansyladder.net.protocol import Opening
-from tansyladder.net.silence import OVERDUE, Question
-from tansyladder.node.core import Core
+from tansyladder.net.response_timeout import OVERDUE, ResponseTimeout
+from tansyladder.net.upstream import ConnectResult, UpstreamConnection
+from tansyladder.node.attempt_loop import AttemptLoop, request_of
 from tansyladder.node.metrics import Ending
-from tansyladder.node.placing import Placing, request_of
+from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Reject
 from tansyladder.policy.events import AttemptStatus
-from tansyladder.resume import words
-from tansyladder.resume.ledger import End
-from tansyladder.resume.stream import Out, Stream
-from tansyladder.resume.window import PositionError
-from tansyladder.sessions.shared import Shared
+from tansyladder.resumption import control_messages
+from tansyladder.resumption.replay_buffer import PositionError
+from tansyladder.resumption.stream import Stream, StreamOutput
+from tansyladder.resumption.token_registry import SessionEnd
+from tansyladder.sessions.session_registry import SessionRegistry
 
 MOVE_WITHIN = timedelta(milliseconds=900)  # a line of a client that stands is held back for a second at most
 ACK_WITHIN = timedelta(seconds=4)
@@ -38,7 +38,7 @@
 MOST_MOVES = 3  # in a row, without a line of any member between them: a session that kills its hosts ends
 
 
-class Side:
+class BufferedSocket:
     """One socket of the session, and what it has not taken yet."""
 
     __slots__ = ("buffer", "sock", "took", "waiting")
@@ -66,7 +66,7 @@
         return bool(self.waiting) and now() - self.took > sockets.SEND_WAIT
 
 
-class _Lost(Exception):
+class _UpstreamLost(Exception):
     """The member's flow can't go on; the session may, elsewhere."""
 
     def __init__(self, status: AttemptStatus, why: str) -> None:
@@ -74,10 +74,12 @@
         self.status, self.why = status, why
 
 
-class _Over(Exception):
+class _SessionEnded(Exception):
     """The session ends."""
 
-    def __init__(self, why: End, status: AttemptStatus = AttemptStatus.CANCELLED, last: bytes = b"") -> None:
+    def __init__(
+        self, why: SessionEnd, status: AttemptStatus = AttemptStatus.CANCELLED, last: bytes = b""
+    ) -> None:
         super().__init__(why.value)
         self.why, self.status, self.last = why, status, last
 
@@ -87,9 +89,9 @@
 
     def __init__(
         self,
-        core: Core,
-        shared: Shared,
-        box: Mailbox,
+        core: PolicyRunner,
+        shared: SessionRegistry,
+        box: ActionQueue,
         client: socket.socket | None,
         cls: int,
         opening: Opening,
@@ -97,8 +99,8 @@
     ) -> None:
         self._core, self._shared, self._box = core, shared, box
         self._cls, self._opening, self._stream = cls, opening, stream
-        self._client: Side | None = Side(client) if client is not None else None
-        self._host: Side | None = None
+        self._client: BufferedSocket | None = BufferedSocket(client) if client is not None else None
+        self._host: BufferedSocket | None = None
         self._parked = False  # whether it is counted among those that wait for their clients
         self._member, self._receipt = "", b""
         self._missing = b""  # lines that the newest member has yet to get
@@ -106,41 +108,41 @@
         self._ack_at: timedelta | None = None
         self._until: timedelta | None = None  # the member's last words to a client that left
         self._moves = 0
-        self._question = Question(lambda _: None)
+        self._question = ResponseTimeout(lambda _: None)
 
     def expires_at(self, moment: timedelta) -> None:
         """For a session of an earlier start: how long its client may still come back."""
         self._expiry = moment
 
-    def run(self, standing: Standing | None = None, number: int = 0) -> None:
+    def run(self, standing: UpstreamConnection | None = None, number: int = 0) -> None:
         """Stand, move, be parked, come back, until one side ends it; all sockets are closed then.
 
         Without a flow it is a session of an earlier start, adrift until its client is there.
         """
         core, shared, session = self._core, self._shared, self._stream.number
-        over = _Over(End.LEFT)
+        over = _SessionEnded(SessionEnd.LEFT)
         try:
             if standing is None:
                 self._parked = shared.park()
                 if not self._parked:
-                    raise _Over(End.ROOM)
-                standing, number = self._go_on(_Lost(AttemptStatus.RESET, "restart"))
-                self._host = Side(standing.sock, standing.buffer)
+                    raise _SessionEnded(SessionEnd.ROOM)
+                standing, number = self._go_on(_UpstreamLost(AttemptStatus.RESET, "restart"))
+                self._host = BufferedSocket(standing.sock, standing.buffer)
             else:
                 self._receipt = standing.lines[0]
-                self._host = Side(standing.sock, standing.buffer)
+                self._host = BufferedSocket(standing.sock, standing.buffer)
                 shared.ledger.begin(session, self._box)
                 self._tell_client(self._receipt + self._token())  # the final answer of the first request
             while True:
                 try:
                     self._stand(standing, number)
-                except _Lost as lost:
+                except _UpstreamLost as lost:
                     lost_at = now()
                     self._leave_host(standing, number, lost.status)
                     standing, number = self._go_on(lost)
-                    self._host = Side(standing.sock, standing.buffer)
+                    self._host = BufferedSocket(standing.sock, standing.buffer)
                     log(LogEvent.SESSION_MOVED, member=standing.member.id, why=lost.why, took=now() - lost_at)
-        except _Over as end:
+        except _SessionEnded as end:
             over = end
         finally:
             if self._host is not None and standing is not None:
@@ -148,8 +150,8 @@
             # In this order: once the ledger has it ended, nobody else comes, and who came is answered.
             shared.end(session, over.why)
             while visitor := self._box.visitor():
-                taken = over.why is End.TAKEN  # it may be taken back in a moment
-                self._refuse(visitor, shared.busy if taken else words.refused(over.why.value))
+                taken = over.why is SessionEnd.TAKEN  # it may be taken back in a moment
+                self._refuse(visitor, shared.busy if taken else control_messages.refused(over.why.value))
             core.forget(number)
             self._box.close()
             self._stream.close()
@@ -161,13 +163,13 @@
 
     # --- standing
 
-    def _stand(self, standing: Standing, number: int) -> None:
+    def _stand(self, standing: UpstreamConnection, number: int) -> None:
         """Pass lines until the flow is lost or the session over; ends with _Lost or _Over only."""
         core, stream, box = self._core, self._stream, self._box
         assert self._host is not None
         self._member = standing.member.id
         self._notes = core.delay_notes(number, standing.attempt, standing.member.number)
-        self._question = Question(self._notes.timed)
+        self._question = ResponseTimeout(self._notes.timed)
         box.hold()
         if self._missing:
             self._question.asked()
@@ -175,7 +177,7 @@
         self._take_host_lines(standing.lines[1:])
         while True:
             if box.replaced:
-                raise _Over(End.TAKEN)
+                raise _SessionEnded(SessionEnd.TAKEN)
             while visitor := box.visitor():
                 self._let_in(visitor)
             self._keep_up()
@@ -187,13 +189,15 @@
             if self._host.sock.fileno() in ready:
                 self._serve_host(self._host)
             if not stream.can_return and self._client is None:
-                raise _Over(End.LOST)  # what did not fit the buffers ends the chance to come back
+                raise _SessionEnded(
+                    SessionEnd.LOST
+                )  # what did not fit the buffers ends the chance to come back
 
     def _follow_orders(self, number: int) -> None:
         while (order := self._box.take()) is not None:
             if order.request_id != number:
                 continue  # of a placement that is over
-            raise _Lost(AttemptStatus.CANCELLED, "ordered")
+            raise _UpstreamLost(AttemptStatus.CANCELLED, "ordered")
 
     def _keep_up(self) -> None:
         """What is due by the clock: tokens, acknowledgments, and sides that say or take nothing."""
@@ -201,16 +205,16 @@
         assert host is not None
         if client is None:
             if moment >= self._expiry:
-                raise _Over(End.EXPIRED)
+                raise _SessionEnded(SessionEnd.EXPIRED)
             return
         if self._until is not None and moment >= self._until:
-            raise _Over(End.LEFT)
+            raise _SessionEnded(SessionEnd.LEFT)
         if host.stuck:
-            raise _Lost(AttemptStatus.TIMEOUT, "stuck")
+            raise _UpstreamLost(AttemptStatus.TIMEOUT, "stuck")
         if client.stuck:
             self._park("stuck")
         elif not client.waiting and self._question.silent():
-            raise _Lost(AttemptStatus.TIMEOUT, "silent")
+            raise _UpstreamLost(AttemptStatus.TIMEOUT, "silent")
         elif self._until is None:
             if self._ack_at is not None and moment >= self._ack_at:
                 self._tell_client(self._stream.acknowledge())
@@ -244,7 +248,7 @@
             due.append(now() + OVERDUE)
         return {fd for fd, _ in poll.poll(-(-seconds_left(min(due)) * 1000 // 1))}
 
-    def _serve_client(self, client: Side) -> None:
+    def _serve_client(self, client: BufferedSocket) -> None:
         assert self._host is not None
         try:
             client.say(b"")
@@ -257,7 +261,7 @@
             return self._park("broke")
         if not data:
             return self._park("broke")
-        out, counted = Out(), self._stream.from_client.end
+        out, counted = StreamOutput(), self._stream.from_client.end
         try:
             for line in client.buffer.feed(data):
                 said = self._stream.client_line(line)
@@ -266,9 +270,9 @@
                 out.client_ends |= said.client_ends
                 if said.client_ends:
                     break
-        except (protocol.LineError, words.WordError, PositionError) as err:
+        except (protocol.LineError, control_messages.ControlMessageError, PositionError) as err:
             log(LogEvent.INVALID_LINE, where="session", why=err)
-            raise _Over(End.MOVED, last=protocol.MOVE + b"\r\n") from err
+            raise _SessionEnded(SessionEnd.MOVED, last=protocol.MOVE + b"\r\n") from err
         if self._stream.from_client.end > counted:  # nobody answers an acknowledgment
             self._question.asked()
             self._ack_at = self._ack_at or now() + ACK_WITHIN
@@ -280,7 +284,7 @@
                 with contextlib.suppress(OSError):
                     self._host.sock.shutdown(socket.SHUT_WR)
 
-    def _serve_host(self, host: Side) -> None:
+    def _serve_host(self, host: BufferedSocket) -> None:
         try:
             host.say(b"")
             if self._client is not None and self._client.waiting:
@@ -296,24 +300,24 @@
             lines = host.buffer.feed(data)
         except protocol.LineError as err:
             log(LogEvent.INVALID_RESPONSE, member=self._member, why=err)
-            raise _Lost(AttemptStatus.ERROR, "bad_line") from err
+            raise _UpstreamLost(AttemptStatus.ERROR, "bad_line") from err
         self._take_host_lines(tuple(lines))
 
     def _host_ended(self, why: str) -> Exception:
         """Its flow ended without BYE: the session is lost here, unless its client left or can't go on."""
         if self._until is not None:
-            return _Over(End.LEFT)
-        return _Lost(AttemptStatus.RESET, why)
+            return _SessionEnded(SessionEnd.LEFT)
+        return _UpstreamLost(AttemptStatus.RESET, why)
 
     def _take_host_lines(self, lines: tuple[bytes, ...]) -> None:
         """Count what the member said and pass it on; MOVE and BYE decide what comes next."""
-        passed, out = b"", Out()
+        passed, out = b"", StreamOutput()
         for line in lines:
             try:
                 out = self._stream.host_line(line)
-            except (words.WordError, PositionError) as err:
+            except (control_messages.ControlMessageError, PositionError) as err:
                 log(LogEvent.INVALID_RESPONSE, member=self._member, why=err)
-                raise _Lost(AttemptStatus.ERROR, "bad_word") from err
+                raise _UpstreamLost(AttemptStatus.ERROR, "bad_word") from err
             passed += out.to_client
             if out.to_client:
                 self._moves = 0
@@ -326,11 +330,11 @@
         self._tell_client(passed)
         self._tell_client(self._stream.lost_return())
         if out.host_leaves:
-            raise _Lost(AttemptStatus.CANCELLED, "sent_away")
+            raise _UpstreamLost(AttemptStatus.CANCELLED, "sent_away")
         if out.host_ends:
             if self._client is None and self._stream.can_return:
-                raise _Lost(AttemptStatus.OK, "served")  # its last lines wait for the client
-            raise _Over(End.LEFT, AttemptStatus.OK)
+                raise _UpstreamLost(AttemptStatus.OK, "served")  # its last lines wait for the client
+            raise _SessionEnded(SessionEnd.LEFT, AttemptStatus.OK)
 
     def _tell_host(self, data: bytes) -> None:
         assert self._host is not None
@@ -352,23 +356,23 @@
         """The client's connection is gone: keep the session for a while, unless nobody could come back."""
         assert self._client is not None
         if self._until is not None:
-            raise _Over(End.LEFT)
+            raise _SessionEnded(SessionEnd.LEFT)
         sockets.reset(self._client.sock)
         self._client, self._ack_at = None, None
         if not self._stream.can_return:
-            raise _Over(End.LOST)
+            raise _SessionEnded(SessionEnd.LOST)
         self._parked = self._shared.park()
         if not self._parked:
-            raise _Over(End.ROOM)
+            raise _SessionEnded(SessionEnd.ROOM)
         log(LogEvent.SESSION_SUSPENDED, why=why)
 
-    def _let_in(self, visitor: Visitor) -> None:
+    def _let_in(self, visitor: ResumingClient) -> None:
         """A client came back: fence off its old connection, then tell it where both sides are."""
         try:
             at, *lines = self._stream.returns(visitor.position)
         except PositionError as err:
             self._shared.ledger.restore(self._stream.number)
-            self._refuse(visitor, words.refused(err.why))
+            self._refuse(visitor, control_messages.refused(err.why))
             return
         if refusal := self._shared.spend(self._stream.number, self._opening, visitor):
             self._shared.ledger.restore(self._stream.number)
@@ -380,14 +384,14 @@
             self._parked = False
             self._shared.unpark()
         sockets.prepare(visitor.sock)
-        self._client = Side(visitor.sock)
+        self._client = BufferedSocket(visitor.sock)
         self._core.metrics.answered(self._opening.cls, Ending.OK)
         log(LogEvent.SESSION_RESUMED, position=visitor.position)
         self._tell_client(self._receipt + at + self._token() + b"".join(lines))
         if self._client is not None:  # else it was gone: the token is in doubt, not spent
             self._shared.answered(self._stream.number)
 
-    def _await_return(self) -> Visitor:
+    def _await_return(self) -> ResumingClient:
         """The next client that comes back to a session adrift; _Over once nobody can."""
         while True:
             visitor = self._box.visitor()
@@ -398,21 +402,21 @@
                     return visitor
                 except PositionError as err:
                     self._shared.ledger.restore(self._stream.number)
-                    self._refuse(visitor, words.refused(err.why))
+                    self._refuse(visitor, control_messages.refused(err.why))
                     continue
             if self._box.replaced:
-                raise _Over(End.TAKEN)
+                raise _SessionEnded(SessionEnd.TAKEN)
             if self._core.lifecycle.leaving:
-                raise _Over(End.MOVED)
+                raise _SessionEnded(SessionEnd.MOVED)
             if now() >= self._expiry:
-                raise _Over(End.EXPIRED)
+                raise _SessionEnded(SessionEnd.EXPIRED)
             self._box.take()
             until = min(self._expiry, now() + LOOK)
             sockets.wait_readable(until, self._box.fileno())
 
     # --- another member
 
-    def _leave_host(self, standing: Standing, number: int, status: AttemptStatus) -> None:
+    def _leave_host(self, standing: UpstreamConnection, number: int, status: AttemptStatus) -> None:
         """The old flow is closed before the module hears of its end, and before any other is opened."""
         assert self._host is not None
         self._host.sock.close()
@@ -421,23 +425,23 @@
         self._core.tell(standing.ended(number, status))
         self._core.forget(number)
 
-    def _go_on(self, lost: _Lost) -> tuple[Standing, int]:
+    def _go_on(self, lost: _UpstreamLost) -> tuple[UpstreamConnection, int]:
         """Place the session anew, once there is a client to place it for; _Over where that can't be."""
         served = lost.status is AttemptStatus.OK
         while True:
             if self._client is not None and (served or not self._stream.can_move):
-                raise _Over(End.MOVED, last=protocol.MOVE + b"\r\n")
+                raise _SessionEnded(SessionEnd.MOVED, last=protocol.MOVE + b"\r\n")
             if self._client is None and not served and not self._stream.can_move:
-                raise _Over(End.MOVED)
+                raise _SessionEnded(SessionEnd.MOVED)
             self._moves += 1
             if self._moves > MOST_MOVES:
-                raise _Over(End.MOVED, last=protocol.MOVE + b"\r\n")
+                raise _SessionEnded(SessionEnd.MOVED, last=protocol.MOVE + b"\r\n")
             if self._core.lifecycle.leaving:
-                raise _Over(End.MOVED, last=self._send_off())
+                raise _SessionEnded(SessionEnd.MOVED, last=self._send_off())
             visitor = None if self._client is not None else self._await_return()
             if visitor is not None and served:
                 self._let_in(visitor)
-                raise _Over(End.LEFT)
+                raise _SessionEnded(SessionEnd.LEFT)
             found = self._place(visitor.deadline if visitor else now() + MOVE_WITHIN)
             if isinstance(found, tuple):
                 if visitor is not None:
@@ -446,7 +450,7 @@
                 return found
             if visitor is None:
                 log(LogEvent.SESSION_REJECTED, why=lost.why)
-                raise _Over(End.MOVED, last=self._send_off())
+                raise _SessionEnded(SessionEnd.MOVED, last=self._send_off())
             self._shared.ledger.restore(self._stream.number)
             self._moves = 0
             self._refuse(visitor, protocol.format_reject(found))
@@ -459,11 +463,11 @@
         elsewhere = self._shared.anywhere and self._stream.can_return
         return b"" if elsewhere else protocol.MOVE + b"\r\n"
 
-    def _place(self, deadline: timedelta) -> tuple[Standing, int] | timedelta:
+    def _place(self, deadline: timedelta) -> tuple[UpstreamConnection, int] | timedelta:
         """A new flow with the session's positions, and its number; else when to come back."""
         core, box, opening, stream = self._core, self._box, self._opening, self._stream
 
-        def accept(answer: Answer) -> bool:
+        def accept(answer: ConnectResult) -> bool:
             try:
                 self._missing = stream.placed(answer.ready[0])
             except PositionError as err:
@@ -478,14 +482,16 @@
         first_line = self._shared.first_line(opening, stream)
         number = core.register(box)
         request = request_of(core, number, self._cls, opening, deadline, True)
-        found = Placing(core, box, number, opening.cls, deadline, first_line, None, 2, accept).run(request)
-        if isinstance(found, Standing):
+        found = AttemptLoop(core, box, number, opening.cls, deadline, first_line, None, 2, accept).run(
+            request
+        )
+        if isinstance(found, UpstreamConnection):
             lines = (found.lines[0], *found.lines[2:])  # without its word of positions
             return replace(found, lines=lines), number
         core.forget(number)
         return found.retry_after_us * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
-    def _refuse(self, visitor: Visitor, answer: bytes) -> None:
+    def _refuse(self, visitor: ResumingClient, answer: bytes) -> None:
         self._core.metrics.answered(self._opening.cls, Ending.of(answer))
         sockets.prepare(visitor.sock)
         sockets.finish(visitor.sock, answer)
--- a/tansyladder/sessions/shared.py
+++ b/tansyladder/sessions/session_registry.py
@@ -17,19 +17,24 @@
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import ActionQueue, ResumingClient
 from tansyladder.net.clock import now
-from tansyladder.net.mailbox import Mailbox, Visitor
 from tansyladder.net.protocol import OFFER, POSITION, TICKET, Opening
-from tansyladder.node.core import Core
-from tansyladder.resume import words
-from tansyladder.resume.ledger import TENURE_BITS, End, Ledger
-from tansyladder.resume.stream import Stream
-from tansyladder.resume.tokens import LIFE_BYTES, Binding, Keyring
-from tansyladder.resume.window import Budget
-from tansyladder.sessions.keeping import Keeping
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.resumption import control_messages
+from tansyladder.resumption.replay_buffer import MemoryBudget
+from tansyladder.resumption.stream import Stream
+from tansyladder.resumption.token_registry import TENURE_BITS, SessionEnd, TokenRegistry
+from tansyladder.resumption.tokens import LIFE_BYTES, Keyring, TokenClaims
+from tansyladder.sessions.session_store import SessionStore
 
 if TYPE_CHECKING:
-    from tansyladder.peers.claims import Claim, Confirm, Opened, Ruling
+    from tansyladder.replication.session_ownership import (
+        ClaimConfirmation,
+        ClaimResult,
+        OwnershipClaim,
+        SessionOpened,
+    )
 
 MOST_GIVING = 256  # tokens that are being given back at once
 CONFIRM = timedelta(milliseconds=700)  # for the peers to rule on a confirmation
@@ -40,27 +45,29 @@
 BETWEEN = frozenset({OFFER, TICKET, POSITION})  # that no stream host sees
 
 
-class Agreeing(Protocol):
+class OwnershipService(Protocol):
     """Where the fleet decides who owns a session."""
 
     by: str  # the node and its start
 
-    def tell(self, entry: Opened) -> None:
+    def tell(self, entry: SessionOpened) -> None:
         """Propose an entry whose loss does no harm, and wait for nothing."""
 
-    def rule(self, entry: Claim | Confirm, until: timedelta) -> Ruling | None:
+    def rule(self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment."""
 
 
-class Shared:
+class SessionRegistry:
     """One node's resumable sessions; safe to share between threads."""
 
-    def __init__(self, core: Core, keeping: Keeping | None = None) -> None:
+    def __init__(self, core: PolicyRunner, keeping: SessionStore | None = None) -> None:
         """`keeping`: where sessions outlive the node, unless its peers see to that."""
         self._core = core
         self.options: ResumeOptions = core.options.resume
         peers = core.options.peers
-        self.agreeing: Agreeing | None = None  # where sessions are taken over, once this process has joined
+        self.agreeing: OwnershipService | None = (
+            None  # where sessions are taken over, once this process has joined
+        )
         self.anywhere = peers.enabled
         # With peers a token opens anywhere in the fleet, and who owns a session stands in the log of all.
         named = peers.fleet if peers.enabled else core.config.name
@@ -74,11 +81,11 @@
         self.keyring = Keyring(life, keys, os.urandom, kept.key if kept else None)
         self.start = 1 if peers.enabled else kept.starts if kept else 0
         self._durable = peers.enabled or self.keeping is not None
-        self.ledger: Ledger[Mailbox] = Ledger(self.options.remembered, self.start)
-        self.budget = Budget(int(core.config.limits.memory_mb * (1 << 20) * self.options.memory_share))
+        self.ledger: TokenRegistry[ActionQueue] = TokenRegistry(self.options.remembered, self.start)
+        self.budget = MemoryBudget(int(core.config.limits.memory_mb * (1 << 20) * self.options.memory_share))
         self._parked = self._giving = 0
         self.turns = itertools.count(1)
-        self._unsaid: dict[int, Opened] = {}  # by session: confirmed, and UP is on its way
+        self._unsaid: dict[int, SessionOpened] = {}  # by session: confirmed, and UP is on its way
         self._lock = threading.Lock()
 
     # --- sessions
@@ -108,14 +115,14 @@
         text = self.keyring.seal(self.ledger.issue(session, expiry), binding(opening))
         if self.keeping is not None:
             self.keeping.keep(session, opening.line, self.ledger.floor(session), expiry)
-        return words.token(text, self.options.expires // timedelta(milliseconds=1))
+        return control_messages.token(text, self.options.expires // timedelta(milliseconds=1))
 
     @property
     def parked(self) -> int:
         """Sessions without a client."""
         return self._parked
 
-    def spend(self, session: int, opening: Opening, visitor: Visitor) -> bytes:
+    def spend(self, session: int, opening: Opening, visitor: ResumingClient) -> bytes:
         """A resume goes through; else the answer that refuses it, and nothing has changed here.
 
         With peers the log has to say that this node owns the session still. What is not known in time is no
@@ -125,16 +132,16 @@
             expiry = self._core.clock.micros(now() + self.options.expires)
             floor = self.ledger.next_floor(session)
             if not self.keeping.spend(session, opening.line, floor, expiry):
-                return words.refused("store")
+                return control_messages.refused("store")
         if self.agreeing is not None:
-            from tansyladder.peers.claims import Confirm, Opened
+            from tansyladder.replication.session_ownership import ClaimConfirmation, SessionOpened
 
             if sockets.left(visitor.sock):  # this node was slow: its client shows the token elsewhere by now
                 return BUSY
             floor = self.ledger.next_floor(session)
             at, keep = self.span()
             tenure = floor >> TENURE_BITS
-            entry = Confirm(
+            entry = ClaimConfirmation(
                 session, tenure, floor, visitor.expiry, self.agreeing.by, at, keep, next(self.turns)
             )
             ruling = self.agreeing.rule(entry, min(visitor.deadline - MARGIN, now() + CONFIRM))
@@ -144,8 +151,8 @@
                 self._give_back(msgspec.structs.replace(entry, floor=good, turn=next(self.turns)))
                 return BUSY
             if not ruling.tenure:  # who has claimed it since may fail: its token may be good still
-                return BUSY if ruling.why == "claimed" else words.refused(ruling.why)
-            self._unsaid[session] = Opened(session, tenure, self.agreeing.by, at, entry.turn)
+                return BUSY if ruling.why == "claimed" else control_messages.refused(ruling.why)
+            self._unsaid[session] = SessionOpened(session, tenure, self.agreeing.by, at, entry.turn)
         self.ledger.spend(session)
         return b""
 
@@ -155,7 +162,7 @@
         if told is not None and self.agreeing is not None:
             self.agreeing.tell(told)
 
-    def end(self, session: int, why: End) -> None:
+    def end(self, session: int, why: SessionEnd) -> None:
         """Nobody comes back to it any more."""
         self.ledger.end(session, why)
         self._unsaid.pop(session, None)
@@ -167,7 +174,7 @@
         at = now()
         return self._core.clock.micros(at), self._core.clock.micros(at + self.options.expires + SKEW)
 
-    def _give_back(self, entry: Confirm) -> None:
+    def _give_back(self, entry: ClaimConfirmation) -> None:
         """Say until it is heard, or the token has expired, that a token did not open its session."""
 
         def run() -> None:
@@ -202,6 +209,6 @@
             self._parked -= 1
 
 
-def binding(opening: Opening) -> Binding:
+def binding(opening: Opening) -> TokenClaims:
     """What a client must name again when it comes back."""
-    return Binding(opening.cls, opening.group, opening.key)
+    return TokenClaims(opening.cls, opening.group, opening.key)
--- a/tansyladder/sessions/keeping.py
+++ b/tansyladder/sessions/session_store.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from tansyladder.config.platform import MemberEntry, MemberList
+from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import Clock, now
-from tansyladder.resume.tokens import KEY_BYTES, LIFE_BYTES
+from tansyladder.resumption.tokens import KEY_BYTES, LIFE_BYTES
 from tansyladder.store import Durability, Op, Store, StoreError, open_store
 from tansyladder.store.files import RealFiles
 
@@ -27,7 +27,7 @@
 LIFE, MEMBERS, SESSION = b"life", b"members", b"session/"
 
 
-class Life(msgspec.Struct, frozen=True):
+class NodeIdentity(msgspec.Struct, frozen=True):
     """What makes tokens of an earlier start open: they are sealed for the life, not for the process."""
 
     ident: bytes
@@ -35,7 +35,7 @@
     starts: int
 
 
-class KeptSession(msgspec.Struct, frozen=True):
+class StoredSession(msgspec.Struct, frozen=True):
     """What is left of a session where its node died."""
 
     line: str  # the client's first line
@@ -43,30 +43,30 @@
     expiry: int  # microseconds of Unix time
 
 
-class KeptMembers(msgspec.Struct, frozen=True):
+class StoredEndpointList(msgspec.Struct, frozen=True):
     """The last list, with its age."""
 
     at: int  # microseconds of Unix time
-    members: MemberList
+    members: EndpointList
 
 
 def _key(session: int) -> bytes:
     return SESSION + session.to_bytes(8, "big")
 
 
-class Keeping:
+class SessionStore:
     """The node's records in an open store; safe to share between threads."""
 
     def __init__(self, store: Store, clock: Callable[[], int]) -> None:
         self._store = self.store = store
         self._clock = clock
         self._failed = False
-        self._members: dict[str, MemberEntry] = {}
+        self._members: dict[str, EndpointEntry] = {}
         self._stop = threading.Event()
         kept = store.get(LIFE)
-        drawn = Life(os.urandom(LIFE_BYTES), os.urandom(KEY_BYTES), 0)
-        before = msgspec.msgpack.decode(kept, type=Life) if kept else drawn
-        self.life = Life(before.ident, before.key, before.starts + 1)
+        drawn = NodeIdentity(os.urandom(LIFE_BYTES), os.urandom(KEY_BYTES), 0)
+        before = msgspec.msgpack.decode(kept, type=NodeIdentity) if kept else drawn
+        self.life = NodeIdentity(before.ident, before.key, before.starts + 1)
         store.put(LIFE, msgspec.msgpack.encode(self.life))  # before anything is sealed under this start
 
     def start(self) -> None:
@@ -104,7 +104,7 @@
 
     # --- members
 
-    def tell_members(self, listed: MemberList) -> None:
+    def tell_members(self, listed: EndpointList) -> None:
         """Keep the list as it is after these changes."""
         if listed.complete:
             self._members = {}
@@ -113,17 +113,17 @@
                 self._members.pop(entry.id, None)
             else:
                 self._members[entry.id] = entry
-        whole = MemberList(listed.revision, True, list(self._members.values()))
-        self._write(Op(MEMBERS, msgspec.msgpack.encode(KeptMembers(self._clock(), whole))))
+        whole = EndpointList(listed.revision, True, list(self._members.values()))
+        self._write(Op(MEMBERS, msgspec.msgpack.encode(StoredEndpointList(self._clock(), whole))))
 
-    def last_members(self) -> KeptMembers | None:
+    def last_members(self) -> StoredEndpointList | None:
         """The list of the last start, where one was kept."""
         try:
             kept = self._store.get(MEMBERS)
         except StoreError as err:
             self._fail(err)
             return None
-        found = msgspec.msgpack.decode(kept, type=KeptMembers) if kept else None
+        found = msgspec.msgpack.decode(kept, type=StoredEndpointList) if kept else None
         if found is not None:
             self._members = {entry.id: entry for entry in found.members.members}
         return found
@@ -132,29 +132,29 @@
 
     def keep(self, session: int, line: str, floor: int, expiry: int) -> None:
         """Note a session, or that it lives on until another moment; it is on disk soon."""
-        kept = msgspec.msgpack.encode(KeptSession(line, floor, expiry))
+        kept = msgspec.msgpack.encode(StoredSession(line, floor, expiry))
         self._write(Op(_key(session), kept, expiry))
 
     def spend(self, session: int, line: str, floor: int, expiry: int) -> bool:
         """Note that older tokens are spent; on disk when this returns, or False: it can't be noted."""
-        kept = msgspec.msgpack.encode(KeptSession(line, floor, expiry))
+        kept = msgspec.msgpack.encode(StoredSession(line, floor, expiry))
         return self._write(Op(_key(session), kept, expiry), Durability.SYNCED)
 
     def end(self, session: int) -> None:
         """Nobody comes back to it any more."""
         self._write(Op(_key(session), None))
 
-    def session(self, session: int) -> KeptSession | None:
+    def session(self, session: int) -> StoredSession | None:
         """What was kept of a session of an earlier start."""
         try:
             kept = self._store.get(_key(session))
         except StoreError as err:
             self._fail(err)
             return None
-        return msgspec.msgpack.decode(kept, type=KeptSession) if kept else None
+        return msgspec.msgpack.decode(kept, type=StoredSession) if kept else None
 
 
-def open_keeping(directory: str, node: str) -> Keeping | None:
+def open_keeping(directory: str, node: str) -> SessionStore | None:
     """The node's records; None, and a line in the log, where the store can't be used."""
     clock = Clock()
 
@@ -171,7 +171,7 @@
         return None
     log(LogEvent.STORE_OPEN, dropped=store.dropped, rebuilt=store.rebuilt, **store.stats)
     try:
-        return Keeping(store, micros)
+        return SessionStore(store, micros)
     except StoreError as err:
         log(LogEvent.STORE_UNUSABLE, word=err.word, why=err)
         return None
--- a/tansyladder/sim/documents.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -18,22 +18,22 @@
 import numpy
 
 from tansyladder.invariants import check_invariant
-from tansyladder.peers.agreement import Agreement, Role
-from tansyladder.peers.documents import (
+from tansyladder.raft.messages import Message, Propose
+from tansyladder.raft.node import RaftNode, Role
+from tansyladder.replication.documents import (
     MS,
+    ChangeResult,
     Documents,
+    DocumentsSnapshot,
     Entry,
-    Follower,
-    Here,
-    Kept,
-    Offer,
-    Ruled,
+    LeaseCoordinator,
+    LeaseHolder,
+    LeaseRenewal,
+    Proposal,
     S,
-    Steward,
-    Verdict,
+    ValidationVote,
 )
-from tansyladder.peers.messages import Message, Propose
-from tansyladder.sim.agreement import Faults, Node, Sums, World
+from tansyladder.simulation.raft_cluster import FaultRates, SimulatedCluster, SimulatedNode, SumStateMachine
 
 NAME = "rules"
 DECIDES = 15 * MS  # between two clients of a node
@@ -44,7 +44,7 @@
 LIVE = 60 * S  # after the last fault by when a change must go through: a lease, and arming again in between
 
 
-class State(Sums):
+class DocumentStateMachine(SumStateMachine):
     """The documents, and what shows any difference of order."""
 
     def __init__(self, voters: Sequence[str], make: Callable[[Sequence[str]], Documents]) -> None:
@@ -63,16 +63,16 @@
         return msgspec.msgpack.encode((self.came, self.documents.dump()))
 
     def load(self, dumped: bytes) -> None:
-        self.came, kept = msgspec.msgpack.decode(dumped, type=tuple[list[bytes], Kept])
+        self.came, kept = msgspec.msgpack.decode(dumped, type=tuple[list[bytes], DocumentsSnapshot])
         self.documents.load(kept)
 
 
 @dataclass
-class Seat:
+class DocumentNode:
     """What a node has beside its agreement, of this start."""
 
-    follower: Follower
-    steward: Steward
+    follower: LeaseHolder
+    steward: LeaseCoordinator
     documents: Documents
     began: int
     fetched: dict[int, str] = field(default_factory=dict)  # by number: the fault, or none
@@ -89,7 +89,7 @@
     stamp: int  # by the node's own clock
 
 
-class Fleet(World):
+class SimulatedDocumentCluster(SimulatedCluster):
     """Nodes that decide for clients under the number that holds."""
 
     def __init__(
@@ -97,22 +97,22 @@
         seed: int,
         voters: int = 3,
         learners: int = 2,
-        faults: Faults | None = None,
-        make: Callable[..., Agreement] = Agreement,
+        faults: FaultRates | None = None,
+        make: Callable[..., RaftNode] = RaftNode,
         documents: Callable[[Sequence[str]], Documents] = Documents,
-        follower: Callable[[str, Documents], Follower] = Follower,
-        steward: type[Steward] = Steward,
+        follower: Callable[[str, Documents], LeaseHolder] = LeaseHolder,
+        steward: type[LeaseCoordinator] = LeaseCoordinator,
         skew: int = 25 * MS,
         bad: float = 0.15,
         stops_every: int = 4 * S,
     ) -> None:
         """`skew`: of a clock, either way; `bad`: documents with a fault that some node finds."""
-        self.seats: dict[str, Seat] = {}
+        self.seats: dict[str, DocumentNode] = {}
         self.decided: list[Decision] = []
         self.turned_away: list[tuple[int, str]] = []
         self.offered: dict[str, bool] = {}  # by ask: whether every node finds it sound
         self.found: dict[int, str] = {}  # by number: the ask, as it was first seen
-        self.ends: dict[str, Ruled] = {}
+        self.ends: dict[str, ChangeResult] = {}
         self.no_to: set[int] = set()  # numbers that some node found a fault in
         self._documents, self._follower, self._steward = documents, follower, steward
         self._bad, self._stops_every = bad, stops_every
@@ -134,14 +134,16 @@
             self.skews[name] = int(self._net.integers(-self.skew, self.skew + 1))
         return self.now + self.skews[name] + 100 * S
 
-    def _new_state(self) -> Sums:
-        return State(self.voters, self._documents)
+    def _new_state(self) -> SumStateMachine:
+        return DocumentStateMachine(self.voters, self._documents)
 
-    def _begin(self, node: Node) -> None:
+    def _begin(self, node: SimulatedNode) -> None:
         start = f"{node.name}/{node.start}"
-        assert isinstance(node.sums, State)
+        assert isinstance(node.sums, DocumentStateMachine)
         documents = node.sums.documents
-        seat = Seat(self._follower(start, documents), self._steward(start, documents), documents, self.now)
+        seat = DocumentNode(
+            self._follower(start, documents), self._steward(start, documents), documents, self.now
+        )
         self.seats[node.name] = seat
         self._tick(node.name, node.start)
         self._say_here(node.name, node.start)
@@ -160,10 +162,10 @@
             return
         if name not in self._stopped:
             for other in self.names:
-                self._send(name, other, Here(self.seats[name].follower.me))
+                self._send(name, other, LeaseRenewal(self.seats[name].follower.me))
         self.at(self.now + HERE, partial(self._say_here, name, start))
 
-    def _send(self, name: str, to: str, here: Here) -> None:
+    def _send(self, name: str, to: str, here: LeaseRenewal) -> None:
         if to == name:
             self.seats[name].steward.hear(here.start, self._clock(name))
         elif self._net.random() >= self.faults.loss:
@@ -171,7 +173,7 @@
                 self.now + int(self._net.integers(*self.faults.delay)), partial(self._heard, name, to, here)
             )
 
-    def _heard(self, sender: str, to: str, here: Here) -> None:
+    def _heard(self, sender: str, to: str, here: LeaseRenewal) -> None:
         if (sender, to) not in self._cuts and to not in self._stopped and self.nodes[to].core is not None:
             self.seats[to].steward.hear(here.start, self._clock(to))
 
@@ -182,13 +184,13 @@
         else:
             super()._arrive(sender, to, message)
 
-    def _wake(self, node: Node, wait: int, start: int) -> None:
+    def _wake(self, node: SimulatedNode, wait: int, start: int) -> None:
         if node.name in self._stopped:
             self.at(self.now + TICK, partial(self._wake, node, wait, start))
         else:
             super()._wake(node, wait, start)
 
-    def _step(self, node: Node, *received: tuple[str, Message]) -> None:
+    def _step(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
         if node.name in self._stopped:  # the rig's own proposals to it
             self._stopped[node.name] += received
             return
@@ -198,13 +200,13 @@
         if node.core is not None and node.name in self.seats:
             self._arm(node)
 
-    def _arm(self, node: Node) -> None:
+    def _arm(self, node: SimulatedNode) -> None:
         """At once after entries: a lease is cut before anything else is said."""
         told = self.seats[node.name].follower.arm(self._clock(node.name))
         if told is not None:
             self._say(node, told, f"armed {told.number} {told.round}")
 
-    def _say(self, node: Node, entry: Entry, key: str) -> None:
+    def _say(self, node: SimulatedNode, entry: Entry, key: str) -> None:
         """Propose an entry of the node's own; once more where it is not in the log after a while."""
         seat = self.seats[node.name]
         if self.now - seat.said.get(key, -AGAIN) >= AGAIN:
@@ -213,11 +215,11 @@
             data = msgspec.msgpack.encode(entry)
             self.at(self.now, partial(self._propose_entry, node, node.start, request, data))
 
-    def _propose_entry(self, node: Node, start: int, request: str, data: bytes) -> None:
+    def _propose_entry(self, node: SimulatedNode, start: int, request: str, data: bytes) -> None:
         if node.start == start:
             self._step(node, (node.name, Propose(request, data)))
 
-    def _look(self, node: Node) -> None:
+    def _look(self, node: SimulatedNode) -> None:
         core, seat, clock = node.core, self.seats[node.name], self._clock(node.name)
         assert core is not None
         change = seat.follower.check()
@@ -228,7 +230,7 @@
                 after = self.now + int(self._net.integers(*FETCH))
                 self.at(after, partial(self._fetched, node, node.start, change.number, change.ask))
             elif seat.fetched[change.number] != "?":
-                verdict = Verdict(change.number, seat.follower.me, clock, seat.fetched[change.number])
+                verdict = ValidationVote(change.number, seat.follower.me, clock, seat.fetched[change.number])
                 self._say(node, verdict, f"verdict {change.number}")
         for version in seat.documents.versions(NAME)[-1:]:  # one that it was not there for
             if version.number not in self._contents[node.name] and version.number not in seat.fetched:
@@ -245,7 +247,7 @@
         else:
             seat.steward.rest()
 
-    def _fetched(self, node: Node, start: int, number: int, ask: str) -> None:
+    def _fetched(self, node: SimulatedNode, start: int, number: int, ask: str) -> None:
         if node.start == start and node.core is not None:
             sound = self.offered[ask] or node.name != self.names[hash_of(ask) % len(self.names)]
             self.seats[node.name].fetched[number] = "" if sound else "rules.zones: no such zone"
@@ -253,7 +255,7 @@
             if not sound:
                 self.no_to.add(number)
 
-    def _brought(self, node: Node, start: int, number: int) -> None:
+    def _brought(self, node: SimulatedNode, start: int, number: int) -> None:
         if node.start == start:
             self._contents[node.name].add(number)
 
@@ -287,7 +289,7 @@
             return
         node = self.nodes[name]
         if node.core is not None and name not in self._stopped:
-            offer = Offer(NAME, ask.encode(), 100, ask, self.seats[name].follower.me, self._clock(name))
+            offer = Proposal(NAME, ask.encode(), 100, ask, self.seats[name].follower.me, self._clock(name))
             self._say(node, offer, f"offer {ask}")
         self.at(self.now + 2 * AGAIN, partial(self._ask, name, ask, until))
 
@@ -330,7 +332,7 @@
     def settle(self) -> None:
         """Faults over, all up: a change goes through everywhere in time."""
         self._cuts.clear()
-        self.faults = Faults(0.0, 0.0, crash_every=0, cut_every=0)
+        self.faults = FaultRates(0.0, 0.0, crash_every=0, cut_every=0)
         for name in self.names:
             if self.nodes[name].core is None:
                 self._up(name)
@@ -338,7 +340,7 @@
         self.quiet_from = self.now
         until = self.now + 2 * LIVE
         last = ""
-        while self.now < until and not (last and self.ends.get(last, Ruled("")).word == "done"):
+        while self.now < until and not (last and self.ends.get(last, ChangeResult("")).word == "done"):
             if not last or last in self.ends:
                 last = self.offer(self.names[0])
             self.run(self.now + S)
@@ -351,7 +353,7 @@
     return sum(text.encode())
 
 
-def found(fleet: Fleet) -> list[str]:
+def found(fleet: SimulatedDocumentCluster) -> list[str]:
     """The promises, each read from the history of a fleet that has settled."""
     out: list[str] = []
     for order in ("stamp", "at"):  # by their own clocks; and in truth, but for what these differ by
@@ -370,7 +372,7 @@
         if ended is None or ended.word != "done":
             out.append(f"number {number} is decided under and ended {ended}")
     out += [f"number {number} holds after a no" for number in sorted(used & fleet.no_to)]
-    if fleet.ends.get(fleet.last, Ruled("")).word != "done":
+    if fleet.ends.get(fleet.last, ChangeResult("")).word != "done":
         out.append(f"no change goes through: {fleet.last} {fleet.ends.get(fleet.last)}")
     else:
         now_under = {name: 0 for name in fleet.names}
@@ -385,9 +387,9 @@
     return out
 
 
-def play(seed: int, seconds: float = 40.0, **how: object) -> Fleet:
+def play(seed: int, seconds: float = 40.0, **how: object) -> SimulatedDocumentCluster:
     """One history to its end."""
-    fleet = Fleet(seed, **how)  # type: ignore[arg-type]
+    fleet = SimulatedDocumentCluster(seed, **how)  # type: ignore[arg-type]
     fleet.trouble(seconds)
     fleet.settle()
     return fleet
--- a/tansyladder/sim/agreement.py
+++ b/tansyladder/simulation/raft_cluster.py
@@ -17,40 +17,50 @@
 import msgspec
 import numpy
 
-from tansyladder.peers.agreement import Agreement, Out, Role
-from tansyladder.peers.messages import Entry, Hard, Kept, Kind, Message, Propose, Snapshot, Tail, Write
+from tansyladder.raft.messages import (
+    Entry,
+    EntryKind,
+    HardState,
+    LogSuffix,
+    Message,
+    PersistentState,
+    Propose,
+    Snapshot,
+    Write,
+)
+from tansyladder.raft.node import Effects, RaftNode, Role
 
 MS, S = 1000, 1_000_000
 LIVE = 10 * S  # after the last fault by when a proposal must go through
 COPY = 500 * MS  # between two copies that are taken of a disk
 
 
-class Broken(Exception):
+class InvariantViolation(Exception):
     """A promise was broken; the message says which, with the moment."""
 
 
-class Disk:
+class SimulatedDisk:
     """What is synced, and what was written since; a crash takes the latter back."""
 
     def __init__(self, ident: str) -> None:
-        self.kept = Kept(Hard(ident=ident))
+        self.kept = PersistentState(HardState(ident=ident))
 
     def write(self, writes: list[Write]) -> None:
         """Synced when it returns."""
         for write in writes:
             kept = self.kept
             match write:
-                case Hard():
-                    self.kept = Kept(write, kept.snapshot, kept.entries)
+                case HardState():
+                    self.kept = PersistentState(write, kept.snapshot, kept.entries)
                 case Snapshot():
                     rest = kept.entries[max(0, write.index - kept.snapshot.index) :]
-                    self.kept = Kept(kept.hard, write, rest)
-                case Tail():
+                    self.kept = PersistentState(kept.hard, write, rest)
+                case LogSuffix():
                     before = kept.entries[: write.index - kept.snapshot.index - 1]
-                    self.kept = Kept(kept.hard, kept.snapshot, (*before, *write.entries))
+                    self.kept = PersistentState(kept.hard, kept.snapshot, (*before, *write.entries))
 
 
-class Sums:
+class SumStateMachine:
     """A state that shows any difference of order: the list of what came."""
 
     def __init__(self) -> None:
@@ -68,7 +78,7 @@
 
 
 @dataclass
-class Faults:
+class FaultRates:
     """How bad the network and the nodes are."""
 
     loss: float = 0.05
@@ -84,19 +94,19 @@
 
 
 @dataclass
-class Node:
+class SimulatedNode:
     """One simulated node."""
 
     name: str
-    disk: Disk
-    copy: Kept  # of the disk, taken some time ago
-    core: Agreement | None = None  # none while it is down
-    sums: Sums = field(default_factory=Sums)
+    disk: SimulatedDisk
+    copy: PersistentState  # of the disk, taken some time ago
+    core: RaftNode | None = None  # none while it is down
+    sums: SumStateMachine = field(default_factory=SumStateMachine)
     start: int = 0  # counts starts, so that messages to an earlier one are lost
     waits: int = 0  # counts wake-ups, so that only the newest is one
 
 
-class World:
+class SimulatedCluster:
     """A fleet, its network and its checkers."""
 
     def __init__(
@@ -104,14 +114,14 @@
         seed: int,
         voters: int = 3,
         learners: int = 1,
-        faults: Faults | None = None,
-        make: Callable[..., Agreement] = Agreement,
+        faults: FaultRates | None = None,
+        make: Callable[..., RaftNode] = RaftNode,
         synced: bool = True,
     ) -> None:
         """`make`: the core, or one with a guard taken out; `synced`: whether writes outlive crashes."""
         parts = numpy.random.SeedSequence(seed).spawn(4)
         self._net, self._fate, self._load, seeds = (numpy.random.default_rng(part) for part in parts)
-        self.now, self.faults, self._make, self._synced = 0, faults or Faults(), make, synced
+        self.now, self.faults, self._make, self._synced = 0, faults or FaultRates(), make, synced
         self.names = [f"n{i}" for i in range(voters + learners)]
         self.voters, self.learners = self.names[:voters], self.names[voters:]
         self._seeds = seeds
@@ -130,12 +140,12 @@
         for name in self.names:
             self._up(name)
 
-    def _new_node(self, name: str) -> Node:
+    def _new_node(self, name: str) -> SimulatedNode:
         disk = self._new_disk()
-        return Node(name, disk, disk.kept)
+        return SimulatedNode(name, disk, disk.kept)
 
-    def _new_disk(self) -> Disk:
-        return Disk(f"d{next(self._disks)}")
+    def _new_disk(self) -> SimulatedDisk:
+        return SimulatedDisk(f"d{next(self._disks)}")
 
     # --- time
 
@@ -159,11 +169,11 @@
         self._begin(node)
         self._step(node)
 
-    def _new_state(self) -> Sums:
+    def _new_state(self) -> SumStateMachine:
         """What the log of a node decides, at a start."""
-        return Sums()
+        return SumStateMachine()
 
-    def _begin(self, node: Node) -> None:
+    def _begin(self, node: SimulatedNode) -> None:
         """A node has started, and nothing has come yet."""
 
     def crash(self, name: str, wipe: bool) -> None:
@@ -184,33 +194,33 @@
             node.disk.kept = node.copy
             self._doubt(node)
 
-    def _doubt(self, node: Node) -> None:
+    def _doubt(self, node: SimulatedNode) -> None:
         """As at a start that finds no witness for its disk."""
         self.counts["doubted"] += 1
         node.disk.write([msgspec.structs.replace(node.disk.kept.hard, doubt=True)])
 
-    def _step(self, node: Node, *received: tuple[str, Message]) -> None:
+    def _step(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
         core = node.core
         if core is None:
             return
         before, log, base = core.commit, list(core._log), core.snapshot_index
         out = core.handle(self.now, received)
-        log += [entry for write in out.writes if isinstance(write, Tail) for entry in write.entries]
+        log += [entry for write in out.writes if isinstance(write, LogSuffix) for entry in write.entries]
         if self._synced:
             node.disk.write(out.writes)
         else:  # terms and votes are on their way still: what a crash takes where syncs are not waited for
             founders = node.disk.kept.hard.founders
-            node.disk.write([w for w in out.writes if not isinstance(w, Hard) or w.founders != founders])
+            node.disk.write([w for w in out.writes if not isinstance(w, HardState) or w.founders != founders])
         self._check(node, before, log, base)
         self._carry(node, out)
         node.waits += 1
         self.at(core.due, partial(self._wake, node, node.waits, node.start))
 
-    def _wake(self, node: Node, wait: int, start: int) -> None:
+    def _wake(self, node: SimulatedNode, wait: int, start: int) -> None:
         if (node.waits, node.start) == (wait, start):
             self._step(node)
 
-    def _carry(self, node: Node, out: Out) -> None:
+    def _carry(self, node: SimulatedNode, out: Effects) -> None:
         for to, message in out.messages:
             self.counts["messages"] += 1
             copies = 1 + (self._net.random() < self.faults.doubled)
@@ -239,12 +249,12 @@
 
     # --- checkers
 
-    def _check(self, node: Node, before: int, log: list[Entry], base: int) -> None:
+    def _check(self, node: SimulatedNode, before: int, log: list[Entry], base: int) -> None:
         """`log`: what there was of it behind `base`, and was added: a snapshot may have taken its place."""
         core = node.core
         assert core is not None
         if core.role is Role.LEADER and self.leaders.setdefault(core.term, node.name) != node.name:
-            raise Broken(f"{self.now}: two leaders in term {core.term}")
+            raise InvariantViolation(f"{self.now}: two leaders in term {core.term}")
         for index in range(before + 1, core.commit + 1):
             if index <= len(self.committed):
                 try:
@@ -253,18 +263,20 @@
                     entry = None
                 if entry is not None and entry != self.committed[index - 1]:
                     first = self.committed[index - 1]
-                    raise Broken(f"{self.now}: {node.name} commits {entry} at {index}, not {first}")
+                    raise InvariantViolation(
+                        f"{self.now}: {node.name} commits {entry} at {index}, not {first}"
+                    )
             else:
                 gone = index <= core.snapshot_index
                 self.committed.append(log[index - base - 1] if gone else core.entry(index))
-        came = [e.data for e in self.committed[: core.applied] if e.kind is Kind.DATA]
+        came = [e.data for e in self.committed[: core.applied] if e.kind is EntryKind.DATA]
         if node.sums.came != came:
-            raise Broken(f"{self.now}: {node.name} has another state at {core.applied}")
+            raise InvariantViolation(f"{self.now}: {node.name} has another state at {core.applied}")
 
     def finish(self) -> None:
         """Faults over, all up. Broken: an answered proposal is gone, or none goes through in time."""
         self._cuts.clear()
-        self.faults = Faults(0.0, 0.0, crash_every=0, cut_every=0)
+        self.faults = FaultRates(0.0, 0.0, crash_every=0, cut_every=0)
         for name in self.names:
             if self.nodes[name].core is None:
                 self._up(name)
@@ -275,15 +287,17 @@
             if all(request in self.answered for request in asked):
                 break
         else:
-            raise Broken(f"{self.now}: no proposal goes through at all nodes")
+            raise InvariantViolation(f"{self.now}: no proposal goes through at all nodes")
         self.run(self.now + 2 * S)
         logged = {e.request for e in self.committed}
         for request in self.answered:
             if request not in logged:
-                raise Broken(f"{self.now}: {request} was answered and is in no log")
+                raise InvariantViolation(f"{self.now}: {request} was answered and is in no log")
         for node in self.nodes.values():
             if node.core is not None and node.core.commit != len(self.committed):
-                raise Broken(f"{self.now}: {node.name} is at {node.core.commit} of {len(self.committed)}")
+                raise InvariantViolation(
+                    f"{self.now}: {node.name} is at {node.core.commit} of {len(self.committed)}"
+                )
 
     # --- fate
 
@@ -348,12 +362,12 @@
     voters: int = 3,
     learners: int = 1,
     seconds: float = 20.0,
-    faults: Faults | None = None,
-    make: Callable[..., Agreement] = Agreement,
+    faults: FaultRates | None = None,
+    make: Callable[..., RaftNode] = RaftNode,
     synced: bool = True,
-) -> World:
+) -> SimulatedCluster:
     """One history, checked to its end. Broken: a promise did not hold."""
-    world = World(seed, voters, learners, faults, make, synced)
+    world = SimulatedCluster(seed, voters, learners, faults, make, synced)
     world.storm(seconds)
     world.finish()
     return world
--- a/tansyladder/store/compaction.py
+++ b/tansyladder/store/compaction.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 
 from tansyladder.store import frames, hints
-from tansyladder.store.errors import Damaged
+from tansyladder.store.errors import StoreCorruptError
 from tansyladder.store.files import Files
 from tansyladder.store.hints import Hint, digest
 from tansyladder.store.recovery import Segment, name
@@ -91,7 +91,7 @@
             self._data, self._data_at = segment.file.read_at(self._at, size), self._at
         frame = frames.read_frame(self._data, segment.id, self._at, 0)
         if frame is None:
-            raise Damaged(f"{name(segment.id)}: broken at byte {self._at}")
+            raise StoreCorruptError(f"{name(segment.id)}: broken at byte {self._at}")
         return frame
 
     def _take(
--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -20,14 +20,14 @@
 from tansyladder.invariants import check_invariant
 from tansyladder.store import compaction, frames, hints, manifest, recovery
 from tansyladder.store.errors import (
-    Broken,
-    Collision,
-    Damaged,
-    Full,
-    Locked,
+    KeyCollisionError,
+    RecordTooLargeError,
+    StoreBrokenError,
+    StoreCorruptError,
     StoreError,
-    TooLarge,
-    Unusable,
+    StoreFullError,
+    StoreLockedError,
+    StoreUnusableError,
 )
 from tansyladder.store.files import Files
 from tansyladder.store.hints import Hint, digest
@@ -94,7 +94,7 @@
         data = file.read_at(offset, min(frames.op_size(data), most))
     record = frames.read_op(data, segment, offset)
     if record is None:
-        raise Damaged(f"{recovery.name(segment)}: the record at byte {offset} is broken")
+        raise StoreCorruptError(f"{recovery.name(segment)}: the record at byte {offset} is broken")
     return record
 
 
@@ -102,7 +102,7 @@
     """An open store; safe to share between threads. Made by `open_store`."""
 
     def __init__(
-        self, files: Files, found: recovery.Recovered, clock: Callable[[], int], segment_size: int
+        self, files: Files, found: recovery.RecoveryResult, clock: Callable[[], int], segment_size: int
     ) -> None:
         self._files, self._clock, self._most = files, clock, segment_size
         self._manifest = found.manifest
@@ -271,7 +271,7 @@
             file = self._segments[place >> frames.SEGMENT_BITS].file
             data = file.read_at(place & (1 << frames.SEGMENT_BITS) - 1, frames.OP.size + len(key))
         if len(data) >= frames.OP.size and (frames.key_size(data) != len(key) or not data.endswith(key)):
-            raise Collision(f"{key[:40]!r} has the hash of another key")
+            raise KeyCollisionError(f"{key[:40]!r} has the hash of another key")
 
     def _append(self, data: bytes, sync: bool) -> None:
         active = self._active
@@ -342,7 +342,7 @@
     def _write_manifest(
         self, order: list[int], active: int, after: int, segments: dict[int, Segment]
     ) -> None:
-        listed = tuple(manifest.Listed(i, -1 if i == active else segments[i].size) for i in order)
+        listed = tuple(manifest.SegmentEntry(i, -1 if i == active else segments[i].size) for i in order)
         told = manifest.Manifest(manifest.VERSION, self._manifest.node, self._manifest.secret, after, listed)
         manifest.write(self._files, told)
         self._manifest = told
@@ -415,7 +415,7 @@
             if over:
                 self._finish_compaction(work)
                 self._compaction = None
-        except Damaged:
+        except StoreCorruptError:
             work.give_up()
             self._compaction = None
             raise
@@ -504,19 +504,19 @@
 
     def _failed(self, err: OSError, what: str) -> StoreError:
         """Want of room leaves everything as it was; after any other failure nothing more is taken."""
-        if err.errno in NO_ROOM and not isinstance(err, manifest.Unsure):
-            return Full(f"{what}: {err}")
+        if err.errno in NO_ROOM and not isinstance(err, manifest.UncertainWriteError):
+            return StoreFullError(f"{what}: {err}")
         return self._break(f"{what}: {err}")
 
-    def _break(self, why: str) -> Broken:
+    def _break(self, why: str) -> StoreBrokenError:
         self._broken = why
-        return Broken(why)
+        return StoreBrokenError(why)
 
     def _must_be_usable(self) -> None:
         if self._closed:
-            raise Broken("closed")
+            raise StoreBrokenError("closed")
         if self._broken:
-            raise Broken(self._broken)
+            raise StoreBrokenError(self._broken)
 
     def close(self) -> None:
         """Sync and let the directory go. Broken: it is not known what is on disk."""
@@ -540,14 +540,14 @@
     size = frames.FRAME_SIZE
     for op in ops:
         if not 0 < len(op.key) <= frames.MOST_KEY:
-            raise TooLarge(f"a key of {len(op.key)} bytes: 1 to {frames.MOST_KEY}")
+            raise RecordTooLargeError(f"a key of {len(op.key)} bytes: 1 to {frames.MOST_KEY}")
         if op.value is not None and len(op.value) > frames.MOST_VALUE:
-            raise TooLarge(f"a value of {len(op.value)} bytes: up to {frames.MOST_VALUE}")
+            raise RecordTooLargeError(f"a value of {len(op.value)} bytes: up to {frames.MOST_VALUE}")
         if not 0 <= op.expiry < 1 << 63:
-            raise TooLarge(f"an expiry out of range: {op.expiry}")
+            raise RecordTooLargeError(f"an expiry out of range: {op.expiry}")
         size += frames.OP.size + len(op.key) + len(op.value or b"")
     if len(ops) > frames.MOST_OPS or size > frames.MOST_BODY:
-        raise TooLarge(f"a batch of {len(ops)} ops and {size} bytes")
+        raise RecordTooLargeError(f"a batch of {len(ops)} ops and {size} bytes")
     return size
 
 
@@ -559,10 +559,10 @@
     try:
         files.lock()
     except BlockingIOError as err:
-        raise Locked("another process owns the directory") from err
+        raise StoreLockedError("another process owns the directory") from err
     except OSError as err:
-        raise Unusable(str(err)) from err
-    found: recovery.Recovered | None = None
+        raise StoreUnusableError(str(err)) from err
+    found: recovery.RecoveryResult | None = None
     try:
         if manifest.NAME not in files.names():
             _make(files, node)
@@ -581,7 +581,7 @@
             segment.release()
         files.unlock()
         if isinstance(err, OSError):
-            raise Unusable(str(err)) from err
+            raise StoreUnusableError(str(err)) from err
         raise
 
 
@@ -593,6 +593,6 @@
 
 def _make(files: Files, node: str) -> None:
     if any(name.endswith(".log") for name in files.names()):
-        raise Damaged(f"{manifest.NAME}: missing, and there are segments")
+        raise StoreCorruptError(f"{manifest.NAME}: missing, and there are segments")
     secret = os.urandom(8).hex()
     manifest.write(files, manifest.Manifest(manifest.VERSION, node, secret, 1, ()))
--- a/tansyladder/store/errors.py
+++ b/tansyladder/store/errors.py
@@ -9,55 +9,55 @@
     word = "store"
 
 
-class Locked(StoreError):
+class StoreLockedError(StoreError):
     """Another process owns the directory."""
 
     word = "locked"
 
 
-class Unusable(StoreError):
+class StoreUnusableError(StoreError):
     """The directory can't be read or written."""
 
     word = "unusable"
 
 
-class Newer(StoreError):
+class StoreVersionError(StoreError):
     """A later version wrote it."""
 
     word = "newer"
 
 
-class Foreign(StoreError):
+class NotAStoreError(StoreError):
     """It belongs to another node."""
 
     word = "foreign"
 
 
-class Damaged(StoreError):
+class StoreCorruptError(StoreError):
     """Something that had been on disk is not there, or not as it was; `repair` saves the rest elsewhere."""
 
     word = "damaged"
 
 
-class Full(StoreError):
+class StoreFullError(StoreError):
     """No room for this write; nothing of it is kept, and later ones may go through."""
 
     word = "full"
 
 
-class Broken(StoreError):
+class StoreBrokenError(StoreError):
     """A write or a sync failed in a way that leaves open what is on disk; the store takes nothing more."""
 
     word = "broken"
 
 
-class Collision(StoreError):
+class KeyCollisionError(StoreError):
     """A key whose 64-bit hash is that of another one: once in 37 million stores of a million keys."""
 
     word = "collision"
 
 
-class TooLarge(StoreError):
+class RecordTooLargeError(StoreError):
     """A key, a value or a batch over its bound."""
 
     word = "too_large"
--- a/tansyladder/store/manifest.py
+++ b/tansyladder/store/manifest.py
@@ -5,7 +5,7 @@
 import msgspec
 import xxhash
 
-from tansyladder.store.errors import Damaged, Newer
+from tansyladder.store.errors import StoreCorruptError, StoreVersionError
 from tansyladder.store.files import Files
 
 NAME, NEW = "MANIFEST", "MANIFEST.new"
@@ -14,11 +14,11 @@
 MOST = 16 << 20
 
 
-class Unsure(OSError):
+class UncertainWriteError(OSError):
     """It is not known which of two manifests is on disk: only what both of them name counts."""
 
 
-class Listed(msgspec.Struct, frozen=True):
+class SegmentEntry(msgspec.Struct, frozen=True):
     """One segment; `size` is -1 for the one that is written to."""
 
     id: int
@@ -32,7 +32,7 @@
     node: str
     secret: str
     next: int
-    segments: tuple[Listed, ...]
+    segments: tuple[SegmentEntry, ...]
 
 
 def write(files: Files, manifest: Manifest) -> None:
@@ -49,7 +49,7 @@
         files.rename(NEW, NAME)
         files.sync_names()
     except OSError as err:
-        raise Unsure(err.errno, f"{NAME}: {err}") from err
+        raise UncertainWriteError(err.errno, f"{NAME}: {err}") from err
 
 
 def read(files: Files) -> Manifest:
@@ -61,11 +61,11 @@
         file.close()
     magic, check, body = data[: len(MAGIC)], data[len(MAGIC) : len(MAGIC) + 16], data[len(MAGIC) + 17 :]
     if magic != MAGIC or check != xxhash.xxh3_64_hexdigest(body).encode():
-        raise Damaged(f"{NAME}: not as it was written")
+        raise StoreCorruptError(f"{NAME}: not as it was written")
     try:
         version = msgspec.json.decode(body, type=dict[str, object]).get("version")
         if isinstance(version, int) and version > VERSION:
-            raise Newer(f"{NAME}: version {version}, and this program knows up to {VERSION}")
+            raise StoreVersionError(f"{NAME}: version {version}, and this program knows up to {VERSION}")
         return msgspec.json.decode(body, type=Manifest)
     except msgspec.MsgspecError as err:
-        raise Damaged(f"{NAME}: {err}") from err
+        raise StoreCorruptError(f"{NAME}: {err}") from err
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from tansyladder.store import frames, hints, manifest
-from tansyladder.store.errors import Damaged, Foreign
+from tansyladder.store.errors import NotAStoreError, StoreCorruptError
 from tansyladder.store.files import File, Files
 from tansyladder.store.hints import Hint
 from tansyladder.store.index import Index
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Recovered:
+class RecoveryResult:
     """All that opening found."""
 
     manifest: manifest.Manifest
@@ -57,12 +57,12 @@
     return f"{segment:016x}.log"
 
 
-def recover(files: Files, node: str, now: int) -> Recovered:
+def recover(files: Files, node: str, now: int) -> RecoveryResult:
     """Read everything, up to a tail that is no frame; changes nothing. Damaged, Foreign, Newer, OSError."""
     told = manifest.read(files)
     if told.node != node:
-        raise Foreign(f"the store is of node {told.node!r}, not {node!r}")
-    found = Recovered(told)
+        raise NotAStoreError(f"the store is of node {told.node!r}, not {node!r}")
+    found = RecoveryResult(told)
     secret = int(told.secret, 16)
     loaded: list[tuple[Segment, Hint]] = []
     try:
@@ -78,21 +78,21 @@
 
 
 def _load(
-    files: Files, listed: manifest.Listed, node: str, secret: int, found: Recovered
+    files: Files, listed: manifest.SegmentEntry, node: str, secret: int, found: RecoveryResult
 ) -> tuple[Segment, Hint]:
     try:
         file = files.open(name(listed.id))
     except FileNotFoundError as err:
-        raise Damaged(f"{name(listed.id)}: missing") from err
+        raise StoreCorruptError(f"{name(listed.id)}: missing") from err
     try:
         head = frames.read_head(file.read_at(0, frames.HEAD_SIZE), listed.id)
         if head is None:
-            raise Damaged(f"{name(listed.id)}: its head is broken")
+            raise StoreCorruptError(f"{name(listed.id)}: its head is broken")
         if head[1] != frames.name_hash(node):
-            raise Foreign(f"{name(listed.id)}: of another node")
+            raise NotAStoreError(f"{name(listed.id)}: of another node")
         size = file.size()
         if listed.size >= 0 and size < listed.size:
-            raise Damaged(f"{name(listed.id)}: {size} bytes, and {listed.size} had been written")
+            raise StoreCorruptError(f"{name(listed.id)}: {size} bytes, and {listed.size} had been written")
         hint = hints.read(files, listed.id, listed.size) if listed.size >= 0 else None
         if hint is not None:
             return Segment(listed.id, file, listed.size, fixed=listed.size - sum(hint.sizes)), hint
@@ -105,7 +105,7 @@
         raise
 
 
-def _scan(file: File, listed: manifest.Listed, secret: int, found: Recovered) -> tuple[int, Hint]:
+def _scan(file: File, listed: manifest.SegmentEntry, secret: int, found: RecoveryResult) -> tuple[int, Hint]:
     """A segment without a hint: its sound size, and a hint for it."""
     found.rebuilt += listed.size >= 0
     scan = frames.Scan(file.read_at(0, listed.size if listed.size >= 0 else file.size()), listed.id)
@@ -113,9 +113,11 @@
     sealed = listed.size >= 0
     if scan.holes and (sealed or scan.holes[0][0] < scan.synced):
         at, behind = scan.holes[0]
-        raise Damaged(f"{name(listed.id)}: bytes {at} to {behind} are broken, with sound ones behind them")
+        raise StoreCorruptError(
+            f"{name(listed.id)}: bytes {at} to {behind} are broken, with sound ones behind them"
+        )
     if sealed and scan.end != listed.size:
-        raise Damaged(f"{name(listed.id)}: broken from byte {scan.end} of {listed.size} on")
+        raise StoreCorruptError(f"{name(listed.id)}: broken from byte {scan.end} of {listed.size} on")
     # Behind a hole that no sync had covered stands what was never acknowledged, and came after what is lost.
     whole = [frame for frame in read if frame.end <= scan.end]
     hint = hints.of_records((record for frame in whole for record in frame.records), secret)
@@ -123,7 +125,7 @@
     return scan.end, hint
 
 
-def _index(loaded: list[tuple[Segment, Hint]], found: Recovered, now: int) -> None:
+def _index(loaded: list[tuple[Segment, Hint]], found: RecoveryResult, now: int) -> None:
     """Of each key the record with the highest sequence counts, if it is a value that has not expired."""
     loaded = [(segment, hint) for segment, hint in loaded if len(hint)]
     if not loaded:
--- a/tansyladder/store/repair.py
+++ b/tansyladder/store/repair.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Looked:
+class SegmentReport:
     """One segment as it is on disk."""
 
     id: int
@@ -36,7 +36,7 @@
 
     manifest: manifest.Manifest | None = None
     fault: str = ""  # of the manifest
-    segments: list[Looked] = field(default_factory=list)
+    segments: list[SegmentReport] = field(default_factory=list)
 
     @property
     def faults(self) -> list[str]:
@@ -62,8 +62,8 @@
     return found
 
 
-def _look(files: Files, number: int, listed: int | None) -> Looked:
-    looked = Looked(number, 0, listed)
+def _look(files: Files, number: int, listed: int | None) -> SegmentReport:
+    looked = SegmentReport(number, 0, listed)
     try:
         data = _read(files, number)
     except OSError as err:
@@ -115,7 +115,7 @@
 
 
 @dataclass(slots=True)
-class Repaired:
+class RepairResult:
     """What a repair came to."""
 
     faults: list[str]
@@ -125,7 +125,7 @@
 
 def repair(
     source: Files, target: Files, clock: Callable[[], int], progress: Progress = lambda *_: None
-) -> Repaired:
+) -> RepairResult:
     """Save the newest readable record of each key into a new, empty store; the damaged one stays as it is.
 
     A change that was lost may have been a key's newest one: then an older value is kept. StoreError where the
@@ -151,4 +151,4 @@
     finally:
         store.close()
     missing = max(seen) - min(seen) + 1 - len(seen) if seen else 0
-    return Repaired(found.faults, len(live), missing)
+    return RepairResult(found.faults, len(live), missing)
--- a/tests/answers/test_counts_line.py
+++ b/tests/answers/test_counts_line.py
@@ -1,6 +1,6 @@
 """The fields of the `counts` line, by which operators and `lab fleet` see what a fleet does.
 
-Held elsewhere: how the fields are counted and added up (`tests/test_fleetlog.py`).
+Held elsewhere: how the fields are counted and added up (`tests/lab/test_fleet_counts.py`).
 """
 
 from __future__ import annotations
--- a/tests/answers/test_log_page.py
+++ b/tests/answers/test_log_page.py
@@ -1,9 +1,9 @@
 """`docs/on-call.md` and the package name the same log events, fields and invariants, in both directions.
 
 The package is read as source text: every call of the log function, and of the check of invariants. A
-difference that stands today is listed here by name; the lists may only shrink.
-Held elsewhere: the counts' sums and names that `lab fleet` reads (`tests/test_fleetlog.py`), the form of a
-line (`tests/test_options.py`).
+difference that stands today is listed here by name; the lists may only shrink. Held elsewhere: the counts'
+sums and names that `lab fleet` reads (`tests/lab/test_fleet_counts.py`), the form of a line
+(`tests/config/test_operator_settings.py`).
 """
 
 from __future__ import annotations
--- a/tests/answers/test_operator_calls.py
+++ b/tests/answers/test_operator_calls.py
@@ -1,9 +1,9 @@
 """The calls of the operators' address and the names in their answers, of a node with and without settings.
 
 Held elsewhere: `status`, `standby`, `active` and their refusals, unreadable and too long calls
-(`tests/test_operator.py`), what the figures of `stats` count (there too); `STATS`, by which this node asks a
-member for its load report (`tests/test_second_shape.py`).
-Not held: the figure `stale` of `documents`, which is there only after a node was cut off from its peers.
+(`tests/node/test_admin_server.py`), what the figures of `stats` count (there too); `STATS`, by which this
+node asks a member for its load report (`tests/node/test_second_deployment.py`). Not held: the figure
+`stale` of `documents`, which is there only after a node was cut off from its peers.
 """
 
 from __future__ import annotations
--- a/tests/answers/test_operator_settings.py
+++ b/tests/answers/test_operator_settings.py
@@ -1,7 +1,8 @@
 """The keys of the operator's own settings, an S-expression file, and how a fault among them is named.
 
 Held elsewhere: units, faults of values and of brackets, an unknown key of `resume` and an unknown section
-(`tests/test_options.py`); which keys a SIGHUP puts in force (there, and `tests/test_reload.py`).
+(`tests/config/test_operator_settings.py`); which keys a SIGHUP puts in force (there, and
+`tests/node/test_reload.py`).
 """
 
 from __future__ import annotations
--- a/tests/answers/test_platform_configuration.py
+++ b/tests/answers/test_platform_configuration.py
@@ -1,11 +1,12 @@
 """The keys of the platform's configuration file and of the environment: which are read, and named by faults.
 
-A key is read if another value of it changes what the file is read as; how the program names what it has read
-is not looked at. Held elsewhere: faults of `listen`, `discovery`, `seed`, `limits.memory_mb`,
+A key is read if another value of it changes what the file is read as; how the program names what it has
+read is not looked at. Held elsewhere: faults of `listen`, `discovery`, `seed`, `limits.memory_mb`,
 `settings.classes`, `settings.localities`, `settings.balancers`, `settings.rules.cold`, and that GW_NAME and
-GW_LISTEN go before the file (`tests/test_config.py`); which keys wait for a restart (`tests/test_reload.py`);
-the values that the settings' keys give on the simulator's wire (`tests/test_wire.py`).
-Not held: the key of a fault in `group`, which the message does not name today.
+GW_LISTEN go before the file (`tests/config/test_platform.py`); which keys wait for a restart
+(`tests/node/test_reload.py`); the values that the settings' keys give on the simulator's wire
+(`tests/simulator/test_wire.py`). Not held: the key of a fault in `group`, which the message does not name
+today.
 """
 
 from __future__ import annotations
--- a/tests/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -13,13 +13,13 @@
 import msgspec
 import pytest
 
+from tansyladder.cluster import raft_storage as records_of
+from tansyladder.cluster.peer_transport import MOST_GREETING, VERSION, Greeting, PeerTransport
+from tansyladder.cluster.raft_storage import RaftStorage, RollbackDetector
 from tansyladder.config import operator_settings
-from tansyladder.fleet import records as records_of
-from tansyladder.fleet.peering import MOST_GREETING, VERSION, Greeting, Peering
-from tansyladder.fleet.records import Records, Witness
-from tansyladder.lab.chaos import fleet, history, play, schedule
+from tansyladder.lab.chaos import cluster, history, play, schedule
 from tansyladder.lab.node import LabNode
-from tansyladder.peers.messages import Entry, Hard, Hello, Kind, Message, Snapshot, Tail
+from tansyladder.raft.messages import Entry, EntryKind, Handshake, HardState, LogSuffix, Message, Snapshot
 from tansyladder.store import Durability, Op, open_store
 from tansyladder.store.files import RealFiles
 
@@ -76,7 +76,7 @@
 
 def test_a_new_version_joins_the_peers_with_the_store_once_the_old_one_has_ended(tmp_path: Path) -> None:
     async def story() -> tuple[int, bytes]:
-        async with fleet.fleet(3, 2, 1) as (whole, _):
+        async with cluster.fleet(3, 2, 1) as (whole, _):
             await whole.join(12)
             await whole.play(schedule.Fault(0, KINDS.UPGRADE, 1, 0.0))
             log = whole.nodes[1].log
@@ -107,7 +107,7 @@
 
 def test_a_token_in_the_buffers_of_a_stopped_node_is_good_still_when_its_client_has_left() -> None:
     async def story() -> list[str]:
-        async with fleet.fleet(3, 2, 1) as (whole, _):
+        async with cluster.fleet(3, 2, 1) as (whole, _):
             await whole.join(6)
             answers = []
             for client in whole.clients[:4]:
@@ -146,7 +146,7 @@
         common = {"enabled": True, "fleet": "f", "key": KEY, "members": members, "voters": "a"}
         self.heard: list[queue.Queue[tuple[str, Message]]] = [queue.Queue(), queue.Queue()]
         self.nodes = [
-            Peering(
+            PeerTransport(
                 name,
                 operator_settings.PeersOptions(**(common | (over if name == "b" else {}))),  # type: ignore[arg-type]
                 lambda sender, message, i=i: self.heard[i].put((sender, message)),  # type: ignore[misc]
@@ -162,7 +162,7 @@
 
 def send_until_heard(ends: Ends) -> tuple[str, Message]:
     for number in range(200):
-        ends.nodes[0].send("b", Hello(f"d{number}", "s", {}))
+        ends.nodes[0].send("b", Handshake(f"d{number}", "s", {}))
         try:
             return ends.heard[1].get(timeout=0.05)
         except queue.Empty:
@@ -174,12 +174,12 @@
     ends = Ends()
     ends.start()
     sender, message = send_until_heard(ends)
-    assert (sender, type(message)) == ("a", Hello)
-    large = Tail(1, (Entry(1, Kind.DATA, "r", b"x" * (2 << 20)),)).entries[0]
-    from tansyladder.peers.messages import Append
+    assert (sender, type(message)) == ("a", Handshake)
+    large = LogSuffix(1, (Entry(1, EntryKind.DATA, "r", b"x" * (2 << 20)),)).entries[0]
+    from tansyladder.raft.messages import AppendEntries
 
-    ends.nodes[1].send("a", Append(1, 0, 0, (large,), 0))
-    assert ends.heard[0].get(timeout=10) == ("b", Append(1, 0, 0, (large,), 0))
+    ends.nodes[1].send("a", AppendEntries(1, 0, 0, (large,), 0))
+    assert ends.heard[0].get(timeout=10) == ("b", AppendEntries(1, 0, 0, (large,), 0))
 
 
 @pytest.mark.parametrize(
@@ -191,7 +191,7 @@
     ends = Ends(off, **over)
     ends.start()
     for _ in range(400):
-        ends.nodes[0].send("b", Hello("d", "s", {}))
+        ends.nodes[0].send("b", Handshake("d", "s", {}))
         if "peer_rejected" in capfd.readouterr().err:
             break
         with pytest.raises(queue.Empty):
@@ -247,18 +247,20 @@
 
 
 def test_records_are_the_same_after_a_restart(tmp_path: Path) -> None:
-    def opened() -> tuple[Records, object]:
+    def opened() -> tuple[RaftStorage, object]:
         store = open_store(RealFiles(tmp_path / "store"), "n", lambda: 1)
-        return Records(store, Witness(str(tmp_path), "n")), store
+        return RaftStorage(store, RollbackDetector(str(tmp_path), "n")), store
 
     records, store = opened()
     ident = records.kept.hard.ident
-    entries = tuple(Entry(1, Kind.DATA, f"r{i}", b"x") for i in range(6))
-    records.write([Hard(3, "n1", ident, {"n1": "d"}, 2), Tail(1, entries), Tail(5, entries[:1])])
+    entries = tuple(Entry(1, EntryKind.DATA, f"r{i}", b"x") for i in range(6))
+    records.write(
+        [HardState(3, "n1", ident, {"n1": "d"}, 2), LogSuffix(1, entries), LogSuffix(5, entries[:1])]
+    )
     records.write([Snapshot(2, 1, {"n1": "e"}, b"s" * 200_000)])
     store.close()  # type: ignore[attr-defined]
     again, store = opened()
-    assert again.kept.hard == Hard(3, "n1", ident, {"n1": "d"}, 2)
+    assert again.kept.hard == HardState(3, "n1", ident, {"n1": "d"}, 2)
     assert again.kept.snapshot == Snapshot(2, 1, {"n1": "e"}, b"s" * 200_000)
     assert again.kept.entries == (*entries[2:4], entries[0])
     again.write([Snapshot(5, 1, {}, b"small")])
@@ -269,10 +271,10 @@
 
 
 def test_a_disk_that_is_not_shown_to_be_the_newest_is_doubted(tmp_path: Path) -> None:
-    def opened(witness: str = "here") -> Records:
+    def opened(witness: str = "here") -> RaftStorage:
         (tmp_path / witness).mkdir(exist_ok=True)
         store = open_store(RealFiles(tmp_path / "store"), "n", lambda: 1)
-        records = Records(store, Witness(str(tmp_path / witness), "n"))
+        records = RaftStorage(store, RollbackDetector(str(tmp_path / witness), "n"))
         store.close()
         return records
 
@@ -288,12 +290,12 @@
     (tmp_path / "copy").rename(tmp_path / "store")
     assert opened().kept.hard.doubt
     assert opened().kept.hard.doubt  # until the agreement ends it
-    write(Op(records_of.HARD, msgspec.msgpack.encode(Hard(ident=opened().kept.hard.ident))))
+    write(Op(records_of.HARD, msgspec.msgpack.encode(HardState(ident=opened().kept.hard.ident))))
     assert not opened().kept.hard.doubt
-    write(Op(Records._key(2), msgspec.msgpack.encode(Entry(1))))  # the first one is missing
+    write(Op(RaftStorage._key(2), msgspec.msgpack.encode(Entry(1))))  # the first one is missing
     assert opened().kept.hard.doubt
-    write(Op(records_of.HARD, msgspec.msgpack.encode(Hard(ident=opened().kept.hard.ident))))
-    write(Op(Records._key(2), None))
+    write(Op(records_of.HARD, msgspec.msgpack.encode(HardState(ident=opened().kept.hard.ident))))
+    write(Op(RaftStorage._key(2), None))
     assert opened("elsewhere").kept.hard.doubt  # as after a start of the machine
 
 
--- a/tests/test_options.py
+++ b/tests/config/test_operator_settings.py
@@ -18,8 +18,8 @@
 
 from tansyladder import log as logging
 from tansyladder.config.operator_settings import KeyEntry, Options, OptionsError, changed, load, parse
-from tests.node import Listener, member, told, up
-from tests.test_node import client_of, program, until_line
+from tests.node.harness import Listener, member, told, up
+from tests.node.test_node import client_of, program, until_line
 
 KEY = "ab" * 32
 
@@ -65,7 +65,7 @@
     assert changed(Options(), read) == ["resume.enabled", "resume.expires", "resume.buffer"]
     with pytest.raises(OptionsError, match="file: No such file"):
         load(tmp_path / "none")
-    assert load(Path(__file__).parent.parent / "deploy" / "settings.example.sexp").resume.enabled
+    assert load(Path(__file__).parent.parent.parent / "deploy" / "settings.example.sexp").resume.enabled
 
 
 @given(st.text(alphabet="()\"';#. \\\n09azresumenabled", max_size=60))
--- a/tests/test_config.py
+++ b/tests/config/test_platform.py
@@ -14,7 +14,7 @@
 
 from tansyladder import invariants
 from tansyladder.config.platform import ConfigError, load
-from tests.node import SETTINGS, member, told
+from tests.node.harness import SETTINGS, member, told
 
 
 @pytest.mark.parametrize(
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -17,17 +17,18 @@
 
 import msgspec
 
-from tansyladder.config.platform import MemberEntry, MemberList
-from tansyladder.fleet.peering import Greeting
-from tansyladder.fleet.publishing import Stamp
-from tansyladder.net.takeover import Given, Handed, Takeover
-from tansyladder.peers import agreed, claims, contents, documents, messages
+from tansyladder.cluster.document_publisher import DecisionStamp
+from tansyladder.cluster.peer_transport import Greeting
+from tansyladder.config.platform import EndpointEntry, EndpointList
+from tansyladder.net.listener_handover import ConnectionState, DescriptorTransfer, ListenerHandover
+from tansyladder.raft import messages
+from tansyladder.replication import content_transfer, documents, replicated_state, session_ownership
 
 Place = tuple[int, int]  # term and index of a log entry
 LogEntry = messages.Entry
-PeerMessage = messages.Message | contents.Spoken
-LogCommand = agreed.Entry
-EndpointList = MemberList
+PeerMessage = messages.Message | content_transfer.ChangeNotice
+LogCommand = replicated_state.Entry
+EndpointList = EndpointList
 
 # --- msgpack and JSON as the package uses them
 
@@ -45,11 +46,11 @@
 
 
 def decode_claim_result(data: bytes) -> object:
-    return msgspec.msgpack.decode(data, type=claims.Ruling)
+    return msgspec.msgpack.decode(data, type=session_ownership.ClaimResult)
 
 
 def decode_change_result(data: bytes) -> object:
-    return msgspec.msgpack.decode(data, type=documents.Ruled)
+    return msgspec.msgpack.decode(data, type=documents.ChangeResult)
 
 
 def decode_greeting(data: bytes) -> object:
@@ -58,7 +59,7 @@
 
 def peer_message_tags() -> set[str]:
     """Of all messages that a peer may send."""
-    beside = typing.get_args(typing.get_type_hints(contents.Spoken)["what"])
+    beside = typing.get_args(typing.get_type_hints(content_transfer.ChangeNotice)["what"])
     return {_tag(kind) for kind in (*typing.get_args(PeerMessage), *beside)}
 
 
@@ -76,28 +77,28 @@
 
 
 def decode_listener_handover(data: bytes) -> object:
-    return msgspec.json.decode(data, type=Given)
+    return msgspec.json.decode(data, type=DescriptorTransfer)
 
 
 def decode_connection_handover(data: bytes) -> object:
-    return msgspec.json.decode(data, type=Handed)
+    return msgspec.json.decode(data, type=ConnectionState)
 
 
 def decode_decision_stamp(data: bytes) -> object:
-    return msgspec.json.decode(data, type=Stamp)
+    return msgspec.json.decode(data, type=DecisionStamp)
 
 
 # --- raft messages
 
 
 def log_entry(*, term: int, kind: int, request: str, data: bytes) -> LogEntry:
-    return messages.Entry(term=term, kind=messages.Kind(kind), request=request, data=data)
+    return messages.Entry(term=term, kind=messages.EntryKind(kind), request=request, data=data)
 
 
 def hello(
     *, disk: str, start: str, founders: dict[str, str], to: str, wants_answer: bool, term: int, last: Place
 ) -> PeerMessage:
-    return messages.Hello(
+    return messages.Handshake(
         ident=disk, start=start, founders=founders, to=to, wants=wants_answer, term=term, last=last
     )
 
@@ -105,8 +106,8 @@
 def request_vote(
     *, term: int, last_index: int, last_term: int, pre_vote: bool, commit_index: int, commit_term: int
 ) -> PeerMessage:
-    committed = messages.Mark(index=commit_index, term=commit_term)
-    return messages.Ask(
+    committed = messages.CommitPosition(index=commit_index, term=commit_term)
+    return messages.RequestVote(
         term=term, last_index=last_index, last_term=last_term, trial=pre_vote, committed=committed
     )
 
@@ -114,14 +115,14 @@
 def vote_response(
     *, term: int, granted: bool, pre_vote: bool, disk: str, commit_index: int, commit_term: int
 ) -> PeerMessage:
-    committed = messages.Mark(index=commit_index, term=commit_term)
-    return messages.Vote(term=term, given=granted, trial=pre_vote, ident=disk, committed=committed)
+    committed = messages.CommitPosition(index=commit_index, term=commit_term)
+    return messages.VoteResponse(term=term, given=granted, trial=pre_vote, ident=disk, committed=committed)
 
 
 def append_entries(
     *, term: int, previous_index: int, previous_term: int, entries: tuple[LogEntry, ...], commit: int
 ) -> PeerMessage:
-    return messages.Append(
+    return messages.AppendEntries(
         term=term, before=previous_index, before_term=previous_term, entries=entries, commit=commit
     )
 
@@ -129,13 +130,15 @@
 def append_response(
     *, term: int, success: bool, index: int, disk: str, start: str, counts: bool
 ) -> PeerMessage:
-    return messages.Appended(term=term, fits=success, index=index, ident=disk, start=start, counts=counts)
+    return messages.AppendEntriesResponse(
+        term=term, fits=success, index=index, ident=disk, start=start, counts=counts
+    )
 
 
 def install_snapshot(
     *, term: int, index: int, index_term: int, voters: dict[str, str], state: bytes
 ) -> PeerMessage:
-    return messages.Install(term=term, index=index, index_term=index_term, voters=voters, state=state)
+    return messages.InstallSnapshot(term=term, index=index, index_term=index_term, voters=voters, state=state)
 
 
 def propose(*, request: str, data: bytes) -> PeerMessage:
@@ -143,19 +146,21 @@
 
 
 def proposal_result(*, request: str, result: bytes | None) -> PeerMessage:
-    return messages.Decided(request=request, result=result)
+    return messages.ProposalResult(request=request, result=result)
 
 
 def lease_renewal(*, start: str) -> PeerMessage:
-    return contents.Spoken(what=documents.Here(start=start))
+    return content_transfer.ChangeNotice(what=documents.LeaseRenewal(start=start))
 
 
 def chunk_request(*, digest: bytes, offset: int) -> PeerMessage:
-    return contents.Spoken(what=contents.Want(digest=digest, at=offset))
+    return content_transfer.ChangeNotice(what=content_transfer.ChunkRequest(digest=digest, at=offset))
 
 
 def chunk(*, digest: bytes, offset: int, size: int, data: bytes) -> PeerMessage:
-    return contents.Spoken(what=contents.Piece(digest=digest, at=offset, size=size, data=data))
+    return content_transfer.ChangeNotice(
+        what=content_transfer.Chunk(digest=digest, at=offset, size=size, data=data)
+    )
 
 
 # --- what a log entry's data says, and the answers
@@ -164,7 +169,7 @@
 def session_claim(
     *, session: int, generation: int, expiry: int, node: str, time: int, keep: int, number: int
 ) -> LogCommand:
-    return claims.Claim(
+    return session_ownership.OwnershipClaim(
         session=session, generation=generation, expiry=expiry, by=node, at=time, keep=keep, ask=number
     )
 
@@ -172,7 +177,7 @@
 def claim_confirmation(
     *, session: int, tenure: int, floor: int, expiry: int, node: str, time: int, keep: int, turn: int
 ) -> LogCommand:
-    return claims.Confirm(
+    return session_ownership.ClaimConfirmation(
         session=session,
         tenure=tenure,
         floor=floor,
@@ -185,47 +190,47 @@
 
 
 def session_opened(*, session: int, tenure: int, node: str, time: int, turn: int) -> LogCommand:
-    return claims.Opened(session=session, tenure=tenure, by=node, at=time, turn=turn)
+    return session_ownership.SessionOpened(session=session, tenure=tenure, by=node, at=time, turn=turn)
 
 
 def claim_result(*, tenure: int, why: str) -> object:
-    return claims.Ruling(tenure=tenure, why=why)
+    return session_ownership.ClaimResult(tenure=tenure, why=why)
 
 
 def proposal(*, name: str, digest: bytes, size: int, key: str, node: str, time: int) -> LogCommand:
-    return documents.Offer(name=name, digest=digest, size=size, ask=key, by=node, at=time)
+    return documents.Proposal(name=name, digest=digest, size=size, ask=key, by=node, at=time)
 
 
 def validation_vote(*, number: int, node: str, time: int, fault: str) -> LogCommand:
-    return documents.Verdict(number=number, by=node, at=time, fault=fault)
+    return documents.ValidationVote(number=number, by=node, at=time, fault=fault)
 
 
 def prepare(*, number: int, node: str, time: int, short_lease: int) -> LogCommand:
-    return documents.Arm(number=number, by=node, at=time, short=short_lease)
+    return documents.Prepare(number=number, by=node, at=time, short=short_lease)
 
 
 def prepared(*, number: int, round: int, node: str, time: int) -> LogCommand:
-    return documents.Armed(number=number, round=round, by=node, at=time)
+    return documents.Prepared(number=number, round=round, by=node, at=time)
 
 
 def commit(*, number: int, node: str, time: int) -> LogCommand:
-    return documents.Hold(number=number, by=node, at=time)
+    return documents.Commit(number=number, by=node, at=time)
 
 
 def abort(*, number: int, node: str, time: int, why: str) -> LogCommand:
-    return documents.Drop(number=number, by=node, at=time, why=why)
+    return documents.Abort(number=number, by=node, at=time, why=why)
 
 
 def lease_grant(*, starts: tuple[str, ...], length: int, node: str, time: int) -> LogCommand:
-    return documents.Lease(to=starts, length=length, by=node, at=time)
+    return documents.LeaseGrant(to=starts, length=length, by=node, at=time)
 
 
 def lease_release(*, node: str, time: int) -> LogCommand:
-    return documents.Leave(by=node, at=time)
+    return documents.LeaseRelease(by=node, at=time)
 
 
 def change_result(*, word: str, number: int, why: str) -> object:
-    return documents.Ruled(word=word, number=number, why=why)
+    return documents.ChangeResult(word=word, number=number, why=why)
 
 
 def greeting(
@@ -247,8 +252,8 @@
     cell: int,
     size: float,
     up_since_ms: int,
-) -> MemberEntry:
-    return MemberEntry(
+) -> EndpointEntry:
+    return EndpointEntry(
         id=id,
         host_port=address,
         phase=phase,
@@ -260,15 +265,15 @@
     )
 
 
-def endpoint_list(*, revision: int, complete: bool, endpoints: list[MemberEntry]) -> EndpointList:
-    return MemberList(revision=revision, complete=complete, members=endpoints)
+def endpoint_list(*, revision: int, complete: bool, endpoints: list[EndpointEntry]) -> EndpointList:
+    return EndpointList(revision=revision, complete=complete, members=endpoints)
 
 
 # --- an upgrade
 
 
 def listener_handover(*, kept_descriptors: int, endpoints: EndpointList) -> object:
-    return Given(kept=kept_descriptors, members=endpoints)
+    return DescriptorTransfer(kept=kept_descriptors, members=endpoints)
 
 
 def connection_handover(
@@ -279,8 +284,8 @@
     asked: int | None,
     partial_lines: tuple[bytes, bytes],
     waiting_lines: tuple[bytes, bytes],
-) -> Handed:
-    return Handed(
+) -> ConnectionState:
+    return ConnectionState(
         opening=first_line,
         member=host,
         last_word=last_word,
@@ -305,7 +310,7 @@
     """A new process that asks the one that runs for the clients' listener."""
 
     def __init__(self, port: int, folder: Path) -> None:
-        self._takeover = Takeover(("127.0.0.1", port), str(folder))
+        self._takeover = ListenerHandover(("127.0.0.1", port), str(folder))
 
     def ask(self) -> socket.socket | None:
         """The listener, where the running process gave it."""
@@ -330,10 +335,10 @@
         self._kept, self._endpoints = kept, endpoints
         self.has_successor = threading.Event()
         self.is_alone_again = threading.Event()
-        self._takeover = Takeover(("127.0.0.1", port), str(folder))
+        self._takeover = ListenerHandover(("127.0.0.1", port), str(folder))
         self._takeover.serve(listener, self)
 
-    def hand_over(self, connection: Handed, client: socket.socket, host: socket.socket) -> bool:
+    def hand_over(self, connection: ConnectionState, client: socket.socket, host: socket.socket) -> bool:
         return self._takeover.hand(connection, client, host)
 
     def share(self) -> tuple[int, int]:
@@ -345,7 +350,7 @@
     def alone(self, alone: bool) -> None:
         (self.is_alone_again if alone else self.has_successor).set()
 
-    def adopt(self, handed: Handed, client: socket.socket, member: socket.socket) -> None:
+    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
         raise AssertionError("nothing runs before this process")
 
 
@@ -353,4 +358,4 @@
 
 
 def decision_stamp(*, time: int, id: str, numbers: dict[str, int]) -> object:
-    return Stamp(at=time, ident=id, numbers=numbers)
+    return DecisionStamp(at=time, ident=id, numbers=numbers)
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -9,25 +9,26 @@
 
 import pytest
 
+from tansyladder.cluster import raft_storage
+from tansyladder.cluster.document_replica import DocumentReplica
+from tansyladder.cluster.peer_transport import PeerChannel, PeerTransport
 from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
-from tansyladder.config.platform import MemberList
-from tansyladder.fleet import records
-from tansyladder.fleet.holding import Holding
-from tansyladder.fleet.peering import Channel, Peering
-from tansyladder.peers import agreed, messages
-from tansyladder.resume import tokens
-from tansyladder.sessions import keeping
-from tansyladder.sessions.shared import Shared
+from tansyladder.config.platform import EndpointList
+from tansyladder.raft import messages
+from tansyladder.replication import replicated_state
+from tansyladder.resumption import tokens
+from tansyladder.sessions import session_store
+from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.store import Durability, Op, Store, open_store
 from tansyladder.store.files import RealFiles
 from tests.formats.adapter import LogCommand, LogEntry, Place, encode
-from tests.node import HeardCore, told
+from tests.node.harness import HeardCore, told
 
-HardState = messages.Hard
+HardState = messages.HardState
 Snapshot = messages.Snapshot
-DocumentStore = Holding
-SessionStore = keeping.Keeping
-RaftStorage = records.Records
+DocumentStore = DocumentReplica
+SessionStore = session_store.SessionStore
+RaftStorage = raft_storage.RaftStorage
 TokenError = tokens.TokenError
 Keyring = tokens.Keyring
 
@@ -70,7 +71,7 @@
     """The replicated state machine: session owners and documents."""
 
     def __init__(self, voters: list[str]) -> None:
-        self._state = agreed.Agreed(voters)
+        self._state = replicated_state.ReplicatedState(voters)
 
     def apply(self, command: LogCommand) -> bytes:
         return self._state.apply(encode(command))
@@ -137,7 +138,7 @@
     def open_documents(self, store: Store, time: int) -> DocumentStore:
         """A node's part in the documents, with the content that its store holds."""
         checks: dict[str, Callable[[bytes], str]] = {"note": lambda _: ""}
-        return Holding("n1/aa", ["n2"], self._state.documents, store, checks, lambda: time)
+        return DocumentReplica("n1/aa", ["n2"], self._state.documents, store, checks, lambda: time)
 
     def contents(self, opened: DocumentStore, name: str) -> list[bytes | None]:
         """The content of each known version."""
@@ -173,11 +174,11 @@
 
 def use_boot_file(monkeypatch: pytest.MonkeyPatch, file: Path) -> None:
     """Read the machine's boot id from there."""
-    monkeypatch.setattr(records, "BOOT", file)
+    monkeypatch.setattr(raft_storage, "BOOT", file)
 
 
 def open_raft_storage(store: Store, witness_folder: Path) -> RaftStorage:
-    return records.Records(store, records.Witness(str(witness_folder), "n1"))
+    return raft_storage.RaftStorage(store, raft_storage.RollbackDetector(str(witness_folder), "n1"))
 
 
 def raft_hard_state(storage: RaftStorage) -> HardState:
@@ -195,7 +196,7 @@
 def hard_state(
     *, term: int, vote: str, disk: str, founders: dict[str, str], sure: int, doubt: bool, floor: Place
 ) -> HardState:
-    return messages.Hard(
+    return messages.HardState(
         term=term, vote=vote, ident=disk, founders=founders, sure=sure, doubt=doubt, floor=floor
     )
 
@@ -213,14 +214,14 @@
 
 
 def write_log(storage: RaftStorage, index: int, entries: tuple[LogEntry, ...]) -> None:
-    storage.write([messages.Tail(index=index, entries=entries)])
+    storage.write([messages.LogSuffix(index=index, entries=entries)])
 
 
 # --- sessions and the list of stream hosts
 
 
 def open_sessions(store: Store, time: int) -> SessionStore:
-    return keeping.Keeping(store, lambda: time)
+    return session_store.SessionStore(store, lambda: time)
 
 
 def node_life(opened: SessionStore) -> tuple[bytes, bytes, int]:
@@ -246,11 +247,11 @@
     return (found.line, found.floor, found.expiry) if found is not None else None
 
 
-def save_endpoints(opened: SessionStore, listed: MemberList) -> None:
+def save_endpoints(opened: SessionStore, listed: EndpointList) -> None:
     opened.tell_members(listed)
 
 
-def saved_endpoints(opened: SessionStore) -> tuple[int, MemberList] | None:
+def saved_endpoints(opened: SessionStore) -> tuple[int, EndpointList] | None:
     """When the list was kept, and the list."""
     found = opened.last_members()
     return (found.at, found.members) if found is not None else None
@@ -261,7 +262,7 @@
 
 def node_keyring(folder: Path, sessions: SessionStore) -> Keyring:
     """Of a node `n0` that keeps its sessions in a store, with the key that it drew."""
-    return Shared(HeardCore(told(folder)), sessions).keyring
+    return SessionRegistry(HeardCore(told(folder)), sessions).keyring
 
 
 def fleet_keyring(folder: Path, keys: list[tuple[int, bytes]]) -> Keyring:
@@ -269,7 +270,7 @@
     peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
     entries = tuple(KeyEntry(id=number, digits=secret.hex()) for number, secret in keys)
     resume = ResumeOptions(enabled=True, keys=entries)
-    return Shared(HeardCore(told(folder), Options(resume=resume, peers=peers)), None).keyring
+    return SessionRegistry(HeardCore(told(folder), Options(resume=resume, peers=peers)), None).keyring
 
 
 def seal_token(
@@ -282,37 +283,37 @@
     group: int,
     key: int,
 ) -> str:
-    claim = tokens.Claim(session=session, generation=generation, expiry=expiry)
-    return ring.seal(claim, tokens.Binding(cls=service_class, group=group, key=key))
+    claim = tokens.TokenPayload(session=session, generation=generation, expiry=expiry)
+    return ring.seal(claim, tokens.TokenClaims(cls=service_class, group=group, key=key))
 
 
 def open_token(ring: Keyring, text: str, *, service_class: str, group: int, key: int) -> tuple[int, int, int]:
     """Session, generation and expiry. TokenError."""
-    found = ring.open(text, tokens.Binding(cls=service_class, group=group, key=key))
+    found = ring.open(text, tokens.TokenClaims(cls=service_class, group=group, key=key))
     return found.session, found.generation, found.expiry
 
 
 # --- peers' connections
 
 
-def peer_transport(name: str, time: int) -> Peering:
+def peer_transport(name: str, time: int) -> PeerTransport:
     """A node of the fleet `f1` of two nodes, `n1` and `n2`; call `close_transport`."""
     members = {"n1": "127.0.0.1:1", "n2": "127.0.0.1:2"}
     options = PeersOptions(
         enabled=True, fleet="f1", key="5c" * 32, members=members, voters="n1", listen="127.0.0.1:0"
     )
-    return Peering(name, options, lambda _, __: None, lambda: time)
+    return PeerTransport(name, options, lambda _, __: None, lambda: time)
 
 
-def close_transport(transport: Peering) -> None:
+def close_transport(transport: PeerTransport) -> None:
     transport._listener.close()
 
 
-def dial(transport: Peering, sock: socket.socket, name: str) -> Channel:
+def dial(transport: PeerTransport, sock: socket.socket, name: str) -> PeerChannel:
     """The dialling side's greeting."""
     return transport._greet(sock, name)
 
 
-def welcome(transport: Peering, sock: socket.socket) -> Channel:
+def welcome(transport: PeerTransport, sock: socket.socket) -> PeerChannel:
     """The listening side's greeting."""
     return transport._welcome(sock)
--- a/tests/test_fleetlog.py
+++ b/tests/lab/test_fleet_counts.py
@@ -8,9 +8,9 @@
 
 from tansyladder.cli import commands
 from tansyladder.lab import commands as lab_commands
-from tansyladder.lab import fleetlog
+from tansyladder.lab import fleet_counts
 from tansyladder.log import render
-from tansyladder.node.counts import Counts
+from tansyladder.node.event_counters import EventCounters
 from tansyladder.node.metrics import Ending, Metrics
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
 from tansyladder.policy.events import (
@@ -21,13 +21,13 @@
     Event,
     RequestReceived,
 )
-from tests.helpers import MS, S, settings
+from tests.policy.harness import MS, S, settings
 
 
 def lines_of(at: int, refused: bool) -> list[str]:
     """What one node writes: it takes 9 up, places 1 late at its second attempt, and 9 ends; 2 is refused."""
     figures = Metrics(["chat"])
-    counts, lines = Counts(settings().classes, lambda n: f"s-{n}", figures), ["event=started name=n0"]
+    counts, lines = EventCounters(settings().classes, lambda n: f"s-{n}", figures), ["event=started name=n0"]
     story: list[tuple[int, list[Event], list[Action]]] = [
         (
             at * S,
@@ -62,7 +62,7 @@
 def test_a_fleets_lines_add_up_by_second_and_by_member() -> None:
     first = lines_of(100, refused=True)
     assert len(first) == 4  # a second in which nothing was done has no line
-    fleet = fleetlog.read({"n0": first, "n1": [*lines_of(101, False), "event=counts at=105 up=", "else"]})
+    fleet = fleet_counts.read({"n0": first, "n1": [*lines_of(101, False), "event=counts at=105 up=", "else"]})
     assert (fleet.nodes, fleet.unread) == (2, 1)
     want = {"taken_up": 2, "new": 2, "back": 2, "sends": 4, "timeout": 2, "up": 2, "late": 2, "retries": 2}
     assert {k: fleet.totals[k] for k in want} == want
@@ -74,7 +74,7 @@
 
 
 def test_what_a_node_held_died_with_it() -> None:
-    fleet = fleetlog.read({"n0": lines_of(100, False) + lines_of(110, False)})
+    fleet = fleet_counts.read({"n0": lines_of(100, False) + lines_of(110, False)})
     assert [fleet.standing[at]["s-5"] for at in (0, 3, 4, 9, 10)] == [1, 1, 0, 0, 1]
 
 
--- a/tests/test_takeover.py
+++ b/tests/net/test_listener_handover.py
@@ -14,11 +14,11 @@
 
 import pytest
 
-from tansyladder.net import takeover
-from tansyladder.net.takeover import Takeover
-from tansyladder.node.virtual_server import VirtualServer
-from tests.node import HeardCore, Listener, Peer, member, told, up
-from tests.test_node import client_of, program, until_line, void
+from tansyladder.net import listener_handover
+from tansyladder.net.listener_handover import ListenerHandover
+from tansyladder.node.client_listener import ClientListener
+from tests.node.harness import HeardCore, Listener, Peer, member, told, up
+from tests.node.test_node import client_of, program, until_line, void
 
 STAYS = up(lambda peer: void(*iter(peer.hear, "")))
 
@@ -29,18 +29,18 @@
         peer.say(line[2:])
 
 
-def candidate(tmp_path: Path, port: int) -> Takeover:
+def candidate(tmp_path: Path, port: int) -> ListenerHandover:
     """What a new process does first, in this one."""
-    return Takeover(("127.0.0.1", port), str(tmp_path))
+    return ListenerHandover(("127.0.0.1", port), str(tmp_path))
 
 
-def asked(new: Takeover) -> socket.socket:
+def asked(new: ListenerHandover) -> socket.socket:
     listener = new.ask()
     assert listener is not None
     return listener
 
 
-def goes(new: Takeover) -> None:
+def goes(new: ListenerHandover) -> None:
     """The process that asked dies: nothing of it is left."""
     assert new._before is not None
     new._before.close()
@@ -117,7 +117,7 @@
         read = told(tmp_path, member("s0", host.address), listen=f"127.0.0.1:{port}")
         monkeypatch.setattr(new, "ask", lambda: listener)
         core = HeardCore(read)
-        front = VirtualServer(core, new)
+        front = ClientListener(core, new)
         core.start()
         front.start()
         assert queued.hear() == "UP r1"
@@ -142,7 +142,7 @@
         new = candidate(tmp_path, port)
         listener = asked(new)
         assert new._before is not None
-        new._before.sendall(takeover.SERVING)
+        new._before.sendall(listener_handover.SERVING)
         until_line(old, b"event=listener_handover step=succeeded")
         old.send_signal(signal.SIGTERM)
         until_line(old, b"event=state_changed now=draining")
@@ -162,8 +162,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A stale file, a process that hangs, no folder at all: a plain start, beside whoever listens."""
-    monkeypatch.setattr(takeover, "PATIENCE", timedelta(milliseconds=50))
-    first = VirtualServer(HeardCore(told(tmp_path)))
+    monkeypatch.setattr(listener_handover, "PATIENCE", timedelta(milliseconds=50))
+    first = ClientListener(HeardCore(told(tmp_path)))
     port = first.address[1]
     name = tmp_path / f"tansyladder-127.0.0.1-{port}.sock"
     hangs = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -171,9 +171,9 @@
     assert candidate(tmp_path, port).ask() is None  # nobody listens there
     hangs.listen(1)
     assert candidate(tmp_path, port).ask() is None
-    assert Takeover(("127.0.0.1", port), None).ask() is None
-    assert Takeover(("127.0.0.1", port), str(tmp_path / "none")).ask() is None
-    beside = VirtualServer(HeardCore(told(tmp_path, listen=f"127.0.0.1:{port}")), candidate(tmp_path, port))
+    assert ListenerHandover(("127.0.0.1", port), None).ask() is None
+    assert ListenerHandover(("127.0.0.1", port), str(tmp_path / "none")).ask() is None
+    beside = ClientListener(HeardCore(told(tmp_path, listen=f"127.0.0.1:{port}")), candidate(tmp_path, port))
     assert beside.address == first.address
     beside.start()
     hangs.close()
@@ -187,7 +187,7 @@
     """The old one keeps what it uses and half of what is free; a client that stands counts once."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
     core = HeardCore(told(tmp_path, limits=limits))
-    old = VirtualServer(core, Takeover(("127.0.0.1", 1), str(tmp_path)))
+    old = ClientListener(core, ListenerHandover(("127.0.0.1", 1), str(tmp_path)))
     kept, left = old.share()
     assert 0 < left < kept < 200 - left  # what a full table of newcomers may take stays with neither
     old._open = {str(i) for i in range(30)}
@@ -197,7 +197,7 @@
 
 
 def test_strangers_at_the_socket_get_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    front = VirtualServer(HeardCore(told(tmp_path)), candidate(tmp_path, 1))
+    front = ClientListener(HeardCore(told(tmp_path)), candidate(tmp_path, 1))
     gone = threading.Event()
     monkeypatch.setattr(front, "alone", lambda _: gone.set())
     front._takeover.serve(front._listener, front)
--- a/tests/node.py
+++ b/tests/node/harness.py
@@ -14,12 +14,12 @@
 
 from tansyladder.config import platform
 from tansyladder.config.operator_settings import Options, ResumeOptions
-from tansyladder.net.mailbox import Mailbox
-from tansyladder.node.core import Core
-from tansyladder.node.virtual_server import VirtualServer
+from tansyladder.net.action_queue import ActionQueue
+from tansyladder.node.client_listener import ClientListener
+from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import Event
-from tansyladder.sessions.keeping import open_keeping
-from tansyladder.sessions.resuming import Resuming
+from tansyladder.sessions.resumption_handler import ResumptionHandler
+from tansyladder.sessions.session_store import open_keeping
 
 Script = Callable[["Peer"], None]
 SETTINGS: dict[str, Any] = {
@@ -106,14 +106,14 @@
             peer.close()
 
 
-class HeardCore(Core):
+class HeardCore(PolicyRunner):
     """A core that keeps what its module heard."""
 
     def __init__(self, told: platform.Config, options: Options | None = None) -> None:
         super().__init__(told, options)
         self.heard: list[Event] = []
 
-    def _decide(self, events: Sequence[Event]) -> list[Mailbox]:
+    def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
         self.heard.extend(events)
         return super()._decide(events)
 
@@ -131,7 +131,7 @@
 class Node:
     """A node on loopback and the way of a client to it."""
 
-    def __init__(self, core: HeardCore, front: VirtualServer) -> None:
+    def __init__(self, core: HeardCore, front: ClientListener) -> None:
         self.core, self.front = core, front
 
     def connect(self) -> Peer:
@@ -177,8 +177,8 @@
     core = HeardCore(told_, Options(resume=resume) if resume else None)
     keeping = core.keeping = open_keeping(str(store), "n0") if store else None
     if resume:
-        core.resuming = Resuming(core, keeping)
-    front = VirtualServer(core)
+        core.resuming = ResumptionHandler(core, keeping)
+    front = ClientListener(core)
     core.start()
     front.start()
     try:
--- a/tests/test_operator.py
+++ b/tests/node/test_admin_server.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from tansyladder.node import virtual_server
+from tansyladder.node import client_listener
+from tansyladder.node.admin_server import LINE, MOST_CALLERS, AdminServer
 from tansyladder.node.lifecycle import Lifecycle
-from tansyladder.node.operator import LINE, MOST_CALLERS, Operator
 from tansyladder.policy.events import ClientDisconnected
-from tests.node import SETTINGS, Listener, Node, Peer, node, up
+from tests.node.harness import SETTINGS, Listener, Node, Peer, node, up
 
 CHAT = SETTINGS["classes"][0]
 
@@ -36,7 +36,7 @@
 class Office(Node):
     """A node, and the operators' way to it."""
 
-    operator: Operator
+    operator: AdminServer
 
     def caller(self) -> Peer:
         return Peer(socket.create_connection(self.operator.address, 5))
@@ -60,7 +60,7 @@
 def office(tmp_path: Path, *members: Listener, **over: Any) -> Iterator[Office]:
     with node(tmp_path, *members, **over) as n:
         it = Office(n.core, n.front)
-        it.operator = Operator(n.core, n.front, ("127.0.0.1", 0))
+        it.operator = AdminServer(n.core, n.front, ("127.0.0.1", 0))
         it.operator.start()
         yield it
         it.operator.stop()
@@ -156,7 +156,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name, span in (("ARRIVALS", 0.01), ("STANDBY", 0.05)):
-        monkeypatch.setattr(virtual_server, name, timedelta(seconds=span))
+        monkeypatch.setattr(client_listener, name, timedelta(seconds=span))
     came, free = threading.Semaphore(0), threading.Event()
 
     def holds(peer: Peer) -> None:
@@ -197,7 +197,7 @@
 
 
 def test_sigterm_in_standby_ends_the_node(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(virtual_server, "ARRIVALS", timedelta(seconds=0.01))
+    monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(seconds=0.01))
     with office(tmp_path, Listener(up(stays))) as n:
         client = n.open()
         assert client.hear() == "UP r1"
@@ -214,7 +214,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name, span in (("ARRIVALS", 0.05), ("SETTLED", 0.05), ("STANDBY", 0.3)):
-        monkeypatch.setattr(virtual_server, name, timedelta(seconds=span))
+        monkeypatch.setattr(client_listener, name, timedelta(seconds=span))
     with office(tmp_path, Listener(up(stays))) as n:
         clients = [n.open() for _ in range(6)]
         assert [client.hear() for client in clients] == ["UP r1"] * 6
@@ -242,7 +242,7 @@
 def test_active_in_the_middle_of_a_drain_leaves_the_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(virtual_server, "ARRIVALS", timedelta(seconds=30))  # the moves would begin then
+    monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(seconds=30))  # the moves would begin then
     with office(tmp_path, Listener(up(echoes))) as n:
         client = n.open()
         assert client.hear() == "UP r1"
--- a/tests/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -17,12 +17,12 @@
 import pytest
 
 from tansyladder.net import sockets
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
-from tansyladder.net.flow import Answer, ServerSideFlow
-from tansyladder.net.mailbox import Mailbox
-from tansyladder.node import virtual_server
-from tansyladder.node.discovery import Discovery
-from tansyladder.node.virtual_server import Admission, VirtualServer
+from tansyladder.net.upstream import ConnectResult, UpstreamConnector
+from tansyladder.node import client_listener
+from tansyladder.node.client_listener import ClientListener, ConnectionAcceptor
+from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -32,7 +32,7 @@
     ListUpdateKind,
     RequestReceived,
 )
-from tests.node import SETTINGS, HeardCore, Listener, Node, Peer, fresh, member, node, up
+from tests.node.harness import SETTINGS, HeardCore, Listener, Node, Peer, fresh, member, node, up
 
 SOON = timedelta(seconds=10)
 RESET = struct.pack("ii", 1, 0)  # a close with it is one
@@ -76,13 +76,13 @@
 ) -> None:
     """A connection that came up late got the first line of a client that had gone long before."""
     trying = threading.Event()
-    come_up = ServerSideFlow._come_up
+    come_up = UpstreamConnector._come_up
 
-    def told(self: ServerSideFlow, *args: Any) -> Answer | None:
+    def told(self: UpstreamConnector, *args: Any) -> ConnectResult | None:
         trying.set()
         return come_up(self, *args)
 
-    monkeypatch.setattr(ServerSideFlow, "_come_up", told)
+    monkeypatch.setattr(UpstreamConnector, "_come_up", told)
     host = Full()
     with node(tmp_path, host, settings=PATIENT) as n:  # type: ignore[arg-type]
         client = n.open("c=chat,d=9000")
@@ -109,20 +109,24 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Between a connection that is up and its first line nobody looked at the client again."""
-    come_up = ServerSideFlow._come_up
+    come_up = UpstreamConnector._come_up
     clients: list[Peer] = []
     opened = threading.Event()
 
     def left_meanwhile(
-        self: ServerSideFlow, sock: socket.socket, until: timedelta, client: socket.socket, box: Mailbox
-    ) -> Answer | None:
+        self: UpstreamConnector,
+        sock: socket.socket,
+        until: timedelta,
+        client: socket.socket,
+        box: ActionQueue,
+    ) -> ConnectResult | None:
         answer = come_up(self, sock, until, client, box)
         assert opened.wait(10)
         clients[0].close()
         until_left(client)
         return answer
 
-    monkeypatch.setattr(ServerSideFlow, "_come_up", left_meanwhile)
+    monkeypatch.setattr(UpstreamConnector, "_come_up", left_meanwhile)
     heard: list[str] = []
     ended = threading.Event()
 
@@ -221,7 +225,7 @@
     seldom = SETTINGS | {"rules": {"ask_within": 10**12}}  # the module's own calls stay out of this
     known = {"revision": 5, "members": [member("s0", "127.0.0.1:9")]}
     with node(tmp_path, discovery=Listener(answer).address, known=known, settings=seldom) as n:
-        Discovery(n.core).start()
+        DiscoveryClient(n.core).start()
         n.core.watches.put(True)
         n.core.wait_for(EndpointListUpdate, 3)
         told = [e for e in n.core.heard if isinstance(e, EndpointListUpdate)][1:3]
@@ -242,15 +246,15 @@
     assert not drain.is_alive()
 
 
-def at_the_end(monkeypatch: pytest.MonkeyPatch, then: Callable[[Admission], None]) -> None:
+def at_the_end(monkeypatch: pytest.MonkeyPatch, then: Callable[[ConnectionAcceptor], None]) -> None:
     """Do something in the moment in which a node's admission ends."""
-    see_out = Admission._see_out
+    see_out = ConnectionAcceptor._see_out
 
-    def first(self: Admission) -> None:
+    def first(self: ConnectionAcceptor) -> None:
         then(self)
         see_out(self)
 
-    monkeypatch.setattr(Admission, "_see_out", first)
+    monkeypatch.setattr(ConnectionAcceptor, "_see_out", first)
 
 
 @pytest.mark.parametrize("rests", [True, False], ids=["resting", "in the queue"])
@@ -260,7 +264,9 @@
     """Who lay in the listener's queue, or spoke on a resting connection in that instant, was reset."""
     clients: list[Peer] = []
 
-    def speak(_: Admission) -> None:  # in the admission's own thread: nobody takes it in before the end
+    def speak(
+        _: ConnectionAcceptor,
+    ) -> None:  # in the admission's own thread: nobody takes it in before the end
         if not rests:
             clients.append(n.connect())
         clients[0].say(f"OPEN {fresh()} 7f c=chat,d=1200")
@@ -286,14 +292,14 @@
         client = n.connect()
         client.say("PING")
         assert client.hear() == "PONG"
-        tell = Admission._tell
+        tell = ConnectionAcceptor._tell
 
-        def cross(self: Admission, newcomer: Any, answer: bytes) -> None:
+        def cross(self: ConnectionAcceptor, newcomer: Any, answer: bytes) -> None:
             tell(self, newcomer, answer)
             assert client.hear() == ""  # our end has come, and now a request crosses it
             client.say(f"OPEN {fresh()} 7f c=chat,d=1200")
 
-        monkeypatch.setattr(Admission, "_tell", cross)
+        monkeypatch.setattr(ConnectionAcceptor, "_tell", cross)
         end(n)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # it was not reset
         assert not [e for e in n.core.heard if isinstance(e, RequestReceived)]
@@ -301,19 +307,19 @@
 
 def test_a_half_line_at_sigterm_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A node that had nobody else ended within half a second, in the middle of a slow client's line."""
-    monkeypatch.setattr(virtual_server, "ARRIVALS", timedelta(0))
+    monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(0))
     with node(tmp_path, Listener(up(lambda peer: peer.say("BYE")))) as n:
         client = n.connect()
         client.sock.sendall(b"OPEN 7e7")
         expecting = threading.Event()
-        look: property = vars(Admission)["expecting"]
+        look: property = vars(ConnectionAcceptor)["expecting"]
 
-        def seen(self: Admission) -> bool:
+        def seen(self: ConnectionAcceptor) -> bool:
             if found := look.__get__(self):
                 expecting.set()
             return bool(found)
 
-        monkeypatch.setattr(Admission, "expecting", property(seen))
+        monkeypatch.setattr(ConnectionAcceptor, "expecting", property(seen))
         drain = threading.Thread(target=n.front.drain, daemon=True)
         drain.start()
         assert expecting.wait(10)
@@ -328,18 +334,18 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It had no number yet when all that were in hand got their refusal, and was cut off at the exit."""
-    monkeypatch.setattr(virtual_server, "ARRIVALS", timedelta(0))
-    monkeypatch.setattr(virtual_server, "KILL_MARGIN", virtual_server.EXIT_MARGIN - timedelta(seconds=1))
+    monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(0))
+    monkeypatch.setattr(client_listener, "KILL_MARGIN", client_listener.EXIT_MARGIN - timedelta(seconds=1))
     go_on = threading.Event()
-    begin = VirtualServer._begin
+    begin = ClientListener._begin
     turned_out = threading.Event()
-    turn_out = VirtualServer._turn_out
+    turn_out = ClientListener._turn_out
 
-    def late(self: VirtualServer, *args: Any) -> None:
+    def late(self: ClientListener, *args: Any) -> None:
         assert turned_out.wait(10) and go_on.wait(10)
         begin(self, *args)
 
-    def told(self: VirtualServer, told: set[int], until: timedelta) -> None:
+    def told(self: ClientListener, told: set[int], until: timedelta) -> None:
         turned_out.set()
         turn_out(self, told, now() + SOON)
 
@@ -349,8 +355,8 @@
         order(self, orders)
         go_on.set()  # the first round found nobody
 
-    monkeypatch.setattr(VirtualServer, "_begin", late)
-    monkeypatch.setattr(VirtualServer, "_turn_out", told)
+    monkeypatch.setattr(ClientListener, "_begin", late)
+    monkeypatch.setattr(ClientListener, "_turn_out", told)
     monkeypatch.setattr(HeardCore, "order", first_order)
 
     def never(peer: Peer) -> None:
--- a/tests/test_node.py
+++ b/tests/node/test_node.py
@@ -21,10 +21,10 @@
 
 import pytest
 
-from tansyladder.node import discovery as discovery_of
-from tansyladder.node.discovery import Discovery
-from tansyladder.node.probe import Prober
-from tansyladder.node.virtual_server import VirtualServer
+from tansyladder.node import discovery_client as discovery_of
+from tansyladder.node.client_listener import ClientListener
+from tansyladder.node.discovery_client import DiscoveryClient
+from tansyladder.node.health_checker import HealthChecker
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptEstablished,
@@ -39,7 +39,7 @@
     ReportKind,
     RequestReceived,
 )
-from tests.node import SETTINGS, HeardCore, Listener, Peer, fresh, member, node, told, up
+from tests.node.harness import SETTINGS, HeardCore, Listener, Peer, fresh, member, node, told, up
 
 
 def void(*_: object) -> None:
@@ -292,7 +292,7 @@
     service = Listener(sound, lambda peer: answer(peer, "{no json"), lambda peer: peer.say("SSH-2.0"))
     seldom = SETTINGS | {"rules": {"ask_within": 10**12}}  # the module's own calls stay out of this story
     with node(tmp_path, discovery=service.address, settings=seldom) as n:
-        discovery = Discovery(n.core)
+        discovery = DiscoveryClient(n.core)
         discovery.start()
         for count in (4, 5, 6):  # the list it had, the whole one, what changed, and then only failures
             n.core.wait_for(EndpointListUpdate, count)
@@ -319,7 +319,7 @@
     ceilings = SETTINGS["ceilings"] | {"probes": True}
     settings = SETTINGS | {"ceilings": ceilings, "extra": {"message_aim": [50_000]}}  # delays are not told
     with node(tmp_path, Listener(pong, err), settings=settings) as n:
-        Prober(n.core).start()
+        HealthChecker(n.core).start()
         first, second = n.core.wait_for(HealthCheckResult), n.core.wait_for(HealthCheckResult, 2)
         assert first.status is AttemptStatus.OK and 20_000 <= first.latency_us < 140_000
         assert second.status is AttemptStatus.ERROR
@@ -430,7 +430,7 @@
 
 def test_the_spare_descriptor_is_closed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Where it could not be had again, its old number was closed anew: by then it may be a client's."""
-    front = VirtualServer(HeardCore(told(tmp_path)))
+    front = ClientListener(HeardCore(told(tmp_path)))
     closed: list[int] = []
 
     def none_left(*_: object) -> int:
@@ -561,7 +561,7 @@
     new = Roster(2, member("s0", host.address), member("s7", host.address))
     seldom = SETTINGS | {"rules": {"ask_within": 10**12}}
     with node(tmp_path, host, discovery=old.address, settings=seldom) as n:
-        discovery = Discovery(n.core)
+        discovery = DiscoveryClient(n.core)
         discovery.start()
         n.core.watches.put(True)
         n.core.wait_for(EndpointListUpdate, 2)
@@ -599,7 +599,7 @@
     later = Roster(6, member("s4", "127.0.0.1:9"))
     seldom = SETTINGS | {"rules": {"ask_within": 10**12}}  # the module's own calls stay out of this story
     with node(tmp_path, discovery=Listener(never, later._serve, never, never).address, settings=seldom) as n:
-        discovery = Discovery(n.core)
+        discovery = DiscoveryClient(n.core)
         discovery._new = False  # its list is not old
         discovery.start()
         n.core.watches.put(True)
@@ -623,7 +623,7 @@
     flaky = Listener(void, agent._serve)  # what it gets at its return counts at once
     pushed = SETTINGS | {"discovery": "pushed"}
     with node(tmp_path, Listener(up()), discovery=flaky.address, settings=pushed) as n:
-        Discovery(n.core).start()
+        DiscoveryClient(n.core).start()
         assert n.core.member_of_id("s7") is not None
         assert agent.calls[0] == "GET /v1/servers HTTP/1.1"
         assert not [
@@ -642,7 +642,7 @@
 
     flaky = Listener(fail_twice)
     with node(tmp_path) as n:
-        discovery = Discovery(n.core)
+        discovery = DiscoveryClient(n.core)
         discovery.start()
         host, port = flaky.address.split(":")
         discovery.switch((host, int(port)))
@@ -682,7 +682,7 @@
 
 def test_a_sighup_before_the_program_is_ready_is_not_fatal(tmp_path: Path) -> None:
     """The interpreter's own start takes a while, before any line of the program can block the signal."""
-    deploy = Path(__file__).parent.parent / "deploy" / "balancer.toml"
+    deploy = Path(__file__).parent.parent.parent / "deploy" / "balancer.toml"
     command = tomllib.loads(deploy.read_text())["run"].replace(".venv/bin/python", sys.executable)
     told(tmp_path)
     env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json")}
--- a/tests/test_reload.py
+++ b/tests/node/test_reload.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from tansyladder.config.platform import ConfigError, load, reload
-from tansyladder.node.discovery import Discovery
+from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.node.reload import Reloader
 from tansyladder.policy.actions import Fail, Reject, SetTimer, StartAttempt
 from tansyladder.policy.balancer import Balancer
@@ -26,8 +26,8 @@
     TimerExpired,
 )
 from tansyladder.policy.settings import ClassSettings, Settings
-from tests.helpers import MS, S, line, settings
-from tests.node import Listener, Node, Peer, node, up
+from tests.node.harness import Listener, Node, Peer, node, up
+from tests.policy.harness import MS, S, line, settings
 
 Edit = Callable[[dict[str, Any]], None]
 
@@ -99,7 +99,7 @@
     def __enter__(self) -> Office:
         self.node: Node = self._node.__enter__()
         self.environ = {"GW_CONFIG": str(self.file)}
-        self.reloader = Reloader(self.environ, self.node.core, Discovery(self.node.core))
+        self.reloader = Reloader(self.environ, self.node.core, DiscoveryClient(self.node.core))
         return self
 
     def __exit__(self, *error: Any) -> None:
--- a/tests/test_second_shape.py
+++ b/tests/node/test_second_deployment.py
@@ -9,7 +9,7 @@
 
 from tansyladder.config.platform import ConfigError, absent
 from tansyladder.net.protocol import parse_report
-from tansyladder.node.probe import Prober
+from tansyladder.node.health_checker import HealthChecker
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -18,7 +18,7 @@
     ReportKind,
     RequestReceived,
 )
-from tests.node import SETTINGS, Listener, Peer, member, node, told, up
+from tests.node.harness import SETTINGS, Listener, Peer, member, node, told, up
 
 ASKED: dict[str, Any] = SETTINGS
 PUSHED: dict[str, Any] = SETTINGS | {
@@ -94,7 +94,7 @@
         peer.hear()
 
     with node(tmp_path, Listener(report), settings=PUSHED) as n:
-        Prober(n.core).start()
+        HealthChecker(n.core).start()
         probed = n.core.wait_for(HealthCheckResult)
         assert (probed.status, probed.load_report) == (AttemptStatus.OK, load)
 
@@ -129,7 +129,7 @@
 
 def test_no_name_of_these_settings_stands_in_the_program() -> None:
     """Classes, tenants and places come from the settings alone."""
-    root = Path(__file__).parent.parent
+    root = Path(__file__).parent.parent.parent
     files = [*(root / "tansyladder").rglob("*.py"), root / "deploy" / "balancer.toml"]
     texts = [p.read_text() for p in files]
     kits = [t for p in (root / "deploy" / "sites").glob("*.toml") for t in p.read_text().split('"')[1::2]]
--- a/tests/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -7,7 +7,7 @@
 from tansyladder.policy.actions import Reject, StartAttempt
 from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.events import AttemptEnded, AttemptEstablished, AttemptStatus
-from tests.helpers import DEADLINE, MS, START, Node, S, line, only_send
+from tests.policy.harness import DEADLINE, MS, START, Node, S, line, only_send
 
 FLEET = [line(i) for i in range(1, 9)]
 
--- a/tests/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -16,7 +16,7 @@
 from tansyladder.config.platform import call_pace
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.http import HttpClient
-from tansyladder.node import discovery
+from tansyladder.node import discovery_client
 from tansyladder.policy.actions import PollDiscovery, StartAttempt
 from tansyladder.policy.balancer import FILL, TURNS
 from tansyladder.policy.events import (
@@ -25,8 +25,8 @@
     EndpointListUpdate,
     ListUpdateKind,
 )
-from tests.helpers import MS, START, Node, S, line
-from tests.node import SETTINGS, node
+from tests.node.harness import SETTINGS, node
+from tests.policy.harness import MS, START, Node, S, line
 
 
 def watches(seed: int, nodes: int, span: int) -> list[int]:
@@ -53,7 +53,9 @@
     each = [watches(seed, nodes, 60 * S) for seed in range(played)]
     for at in each:  # a call that hangs, and the one after it, must both be over within the 6 s
         gaps = [later - earlier for earlier, later in pairwise(at)]
-        assert max(gaps) + (discovery.AFTER_FAILURE + 2 * discovery.SILENT) // MICROSECOND <= 6 * S
+        assert (
+            max(gaps) + (discovery_client.AFTER_FAILURE + 2 * discovery_client.SILENT) // MICROSECOND <= 6 * S
+        )
         assert sum(gaps) / len(gaps) > 1.7 * S
     for start in range(5, 50, 5):  # in step with nobody
         some = [at for calls in each for at in calls if start * S <= at < (start + 5) * S]
@@ -175,7 +177,7 @@
 def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
     with node(tmp_path) as n:
         n.core.watch()
-        discovery.Discovery(n.core)._rest(timedelta(hours=1))
+        discovery_client.DiscoveryClient(n.core)._rest(timedelta(hours=1))
 
 
 @pytest.mark.parametrize("nodes", [3, 40, 10**9])
@@ -196,15 +198,17 @@
         )
 
     monkeypatch.setattr(HttpClient, "get", get)
-    monkeypatch.setattr(discovery.Discovery, "_rest", lambda _, span: paused.append(span))
+    monkeypatch.setattr(discovery_client.DiscoveryClient, "_rest", lambda _, span: paused.append(span))
     monkeypatch.setattr(random, "uniform", lambda low, high: high)
     told: dict[str, Any] = SETTINGS | {"balancers": nodes}
     known = {"revision": 7, "members": [{"id": "s0", "host_port": "127.0.0.1:9", "phase": "up"}]}
     with node(tmp_path, settings=told, known=known) as n, contextlib.suppress(IndexError):
-        watch = discovery.Discovery(n.core)
+        watch = discovery_client.DiscoveryClient(n.core)
         assert watch._call()
         assert watch._call()
     assert asked[0] == "/v1/servers?since=7&timeout_ms=4500"  # what changed since the list that it knows
-    assert timedelta(seconds=5.5) > discovery.WAIT + discovery.SILENT  # the rest is for the call in its place
-    assert paused == ([discovery.FOLLOW] if nodes > 6 else [])
-    assert timedelta(0) < discovery.FOLLOW < timedelta(milliseconds=200)
+    assert (
+        timedelta(seconds=5.5) > discovery_client.WAIT + discovery_client.SILENT
+    )  # the rest is for the call in its place
+    assert paused == ([discovery_client.FOLLOW] if nodes > 6 else [])
+    assert timedelta(0) < discovery_client.FOLLOW < timedelta(milliseconds=200)
--- a/tests/test_probes.py
+++ b/tests/policy/test_health_checks.py
@@ -19,7 +19,7 @@
     ListUpdateKind,
     ReportKind,
 )
-from tests.helpers import MS, START, Node, S, line
+from tests.policy.harness import MS, START, Node, S, line
 
 
 def rig() -> Node:
--- a/tests/test_load.py
+++ b/tests/policy/test_load.py
@@ -15,7 +15,7 @@
     HealthCheckResult,
     ReportKind,
 )
-from tests.helpers import MS, START, Node, S, line, only_send
+from tests.policy.harness import MS, START, Node, S, line, only_send
 
 REPORTS: dict[str, Any] = {"can_check_health": True, "report_columns": ("active", "x0")}
 
--- a/tests/test_property.py
+++ b/tests/policy/test_properties.py
@@ -21,7 +21,7 @@
     RequestReceived,
 )
 from tansyladder.policy.settings import DeduplicationScope, Idempotency
-from tests.helpers import DEADLINE, MS, Node, S, line
+from tests.policy.harness import DEADLINE, MS, Node, S, line
 
 EFFECTS = [
     (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -17,7 +17,7 @@
     RequestReceived,
 )
 from tansyladder.policy.settings import DeduplicationScope, Idempotency, Settings
-from tests.helpers import DEADLINE, MS, START, Node, S, line, only_send
+from tests.policy.harness import DEADLINE, MS, START, Node, S, line, only_send
 
 FLEET = [line(i) for i in range(1, 9)]
 
--- a/tests/test_agreement.py
+++ b/tests/raft/test_raft.py
@@ -10,12 +10,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tansyladder.peers.claims import Claim, Claims, Confirm, Opened, Ruling
-from tansyladder.resume.ledger import TENURE_BITS
-from tansyladder.sim.agreement import MS, Broken, Faults, S, World, play
-from tests.without_guards import GUARDS
+from tansyladder.replication.session_ownership import (
+    ClaimConfirmation,
+    ClaimResult,
+    OwnershipClaim,
+    SessionOpened,
+    SessionOwnership,
+)
+from tansyladder.resumption.token_registry import TENURE_BITS
+from tansyladder.simulation.raft_cluster import MS, FaultRates, InvariantViolation, S, SimulatedCluster, play
+from tests.simulation.without_guards import GUARDS
 
-HARD = Faults(
+HARD = FaultRates(
     loss=0.1,
     delay=(1 * MS, 300 * MS),
     crash_every=800 * MS,
@@ -53,7 +59,7 @@
 )
 def test_a_guard_taken_out_is_found(guard: str, seed: int, found: str) -> None:
     play(seed, 3, 1, 15.0, HARD)
-    with pytest.raises(Broken, match=found):
+    with pytest.raises(InvariantViolation, match=found):
         if guard:
             play(seed, 3, 1, 15.0, HARD, make=GUARDS[guard])
         else:
@@ -74,12 +80,12 @@
 )
 def test_a_guard_against_older_disks_taken_out_is_found(guard: str, seed: int) -> None:
     play(seed, 3, 1, 15.0, OLD)
-    with pytest.raises(Broken, match="commits"):
+    with pytest.raises(InvariantViolation, match="commits"):
         play(seed, 3, 1, 15.0, OLD, make=GUARDS[guard])
 
 
 def test_a_fleet_of_which_nobody_knows_its_disk_agrees_again_once_all_voters_are_back() -> None:
-    world = World(1, faults=Faults(0.0, 0.0))
+    world = SimulatedCluster(1, faults=FaultRates(0.0, 0.0))
     world.run(5 * S)
     for name in world.names:
         world.crash(name, False)
@@ -98,7 +104,7 @@
 
 
 def test_without_a_majority_a_proposal_is_answered_at_once() -> None:
-    world = World(1)
+    world = SimulatedCluster(1)
     world.run(5 * S)
     for name in world.voters[1:]:
         world.crash(name, False)
@@ -109,7 +115,7 @@
 
 
 def test_a_voter_whose_disk_is_gone_votes_again_only_once_the_log_admits_it() -> None:
-    world = World(1, faults=Faults(0.0, 0.0))
+    world = SimulatedCluster(1, faults=FaultRates(0.0, 0.0))
     world.run(5 * S)
     world.crash("n2", True)
     world.crash("n1", False)
@@ -127,69 +133,73 @@
     assert request in world.answered
 
 
-def say(claims: Claims, entry: Claim | Confirm | Opened) -> Ruling:
-    return msgspec.msgpack.decode(claims.apply(msgspec.msgpack.encode(entry)), type=Ruling)
+def say(claims: SessionOwnership, entry: OwnershipClaim | ClaimConfirmation | SessionOpened) -> ClaimResult:
+    return msgspec.msgpack.decode(claims.apply(msgspec.msgpack.encode(entry)), type=ClaimResult)
 
 
 ASKS = itertools.count(1)
 
 
-def claim(by: str, generation: int, at: int = 1, session: int = 7) -> Claim:
-    return Claim(session, generation, 30 * S, by, at * S, (at + 40) * S, next(ASKS))
+def claim(by: str, generation: int, at: int = 1, session: int = 7) -> OwnershipClaim:
+    return OwnershipClaim(session, generation, 30 * S, by, at * S, (at + 40) * S, next(ASKS))
 
 
-def confirm(by: str, tenure: int, floor: int, at: int = 2, session: int = 7, turn: int = 1) -> Confirm:
-    return Confirm(session, tenure, floor, 30 * S, by, at * S, (at + 40) * S, turn)
+def confirm(
+    by: str, tenure: int, floor: int, at: int = 2, session: int = 7, turn: int = 1
+) -> ClaimConfirmation:
+    return ClaimConfirmation(session, tenure, floor, 30 * S, by, at * S, (at + 40) * S, turn)
 
 
 def test_of_two_claims_with_one_token_one_is_confirmed() -> None:
-    token, claims = 1 << TENURE_BITS | 3, Claims()
-    assert say(claims, claim("a", token)) == Ruling(2)
-    assert say(claims, claim("b", token)) == Ruling(3)  # not confirmed yet, so its owner may be gone as well
+    token, claims = 1 << TENURE_BITS | 3, SessionOwnership()
+    assert say(claims, claim("a", token)) == ClaimResult(2)
+    assert say(claims, claim("b", token)) == ClaimResult(
+        3
+    )  # not confirmed yet, so its owner may be gone as well
     assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)).why == "claimed"
-    assert say(claims, confirm("b", 3, 3 << TENURE_BITS | 1)) == Ruling(3)
-    assert say(claims, confirm("b", 3, 3 << TENURE_BITS | 1)) == Ruling(3)  # its answer was lost
+    assert say(claims, confirm("b", 3, 3 << TENURE_BITS | 1)) == ClaimResult(3)
+    assert say(claims, confirm("b", 3, 3 << TENURE_BITS | 1)) == ClaimResult(3)  # its answer was lost
     assert say(claims, claim("c", token, 9)).why == "claimed"  # whether its owner answered is not known
-    assert say(claims, Opened(7, 3, "b", 9 * S, 2)).why  # another confirmation than the newest
+    assert say(claims, SessionOpened(7, 3, "b", 9 * S, 2)).why  # another confirmation than the newest
     assert say(claims, claim("c", token, 9)).why == "claimed"
-    assert say(claims, Opened(7, 3, "b", 9 * S, 1)) == Ruling(3)
+    assert say(claims, SessionOpened(7, 3, "b", 9 * S, 1)) == ClaimResult(3)
     assert say(claims, claim("c", token, 9)).why == "spent"
-    assert say(claims, claim("c", 3 << TENURE_BITS | 2)) == Ruling(4)
+    assert say(claims, claim("c", 3 << TENURE_BITS | 2)) == ClaimResult(4)
 
 
 def test_a_claim_that_comes_again_is_the_same_claim() -> None:
     """A copy that was long under way must not make its own node's tenure out of date."""
-    claims, once = Claims(), claim("a", 1 << TENURE_BITS | 3)
-    assert say(claims, once) == say(claims, once) == Ruling(2)
-    assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)) == Ruling(2)
-    assert say(claims, once) == Ruling(2)
-    assert say(claims, claim("b", 2 << TENURE_BITS | 1)) == Ruling(3)
+    claims, once = SessionOwnership(), claim("a", 1 << TENURE_BITS | 3)
+    assert say(claims, once) == say(claims, once) == ClaimResult(2)
+    assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)) == ClaimResult(2)
+    assert say(claims, once) == ClaimResult(2)
+    assert say(claims, claim("b", 2 << TENURE_BITS | 1)) == ClaimResult(3)
     assert say(claims, confirm("a", 2, 9)).why == "claimed"
 
 
 def test_a_token_is_given_back_by_an_owner_that_did_not_answer_with_it() -> None:
-    token, claims = 1 << TENURE_BITS | 3, Claims()
+    token, claims = 1 << TENURE_BITS | 3, SessionOwnership()
     say(claims, claim("a", token))
-    assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)) == Ruling(2)
+    assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)) == ClaimResult(2)
     assert say(claims, claim("b", token, 3)).why == "claimed"  # a moment later it may be good again
-    assert say(claims, confirm("a", 2, token, 3, turn=2)) == Ruling(2)
+    assert say(claims, confirm("a", 2, token, 3, turn=2)) == ClaimResult(2)
     assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1, 3)).why == "claimed"  # under way for long
-    assert say(claims, claim("b", token, 3)) == Ruling(3)
+    assert say(claims, claim("b", token, 3)) == ClaimResult(3)
     assert say(claims, confirm("a", 2, token, 4, turn=3)).why == "claimed"
 
 
 def test_a_claim_of_a_node_whose_clock_is_behind_is_not_forgotten_while_its_tokens_are_good() -> None:
-    token, claims = 1 << TENURE_BITS | 3, Claims()
-    told = Claim(8, token, 30 * S, "x", 25 * S, 25 * S, next(ASKS))
+    token, claims = 1 << TENURE_BITS | 3, SessionOwnership()
+    told = OwnershipClaim(8, token, 30 * S, "x", 25 * S, 25 * S, next(ASKS))
     say(claims, told)  # the others are at 25 s; the tokens expire at 30 s; no record is left of this one
-    assert say(claims, claim("a", token, -60)) == Ruling(2)
-    assert say(claims, claim("b", token, 26)) == Ruling(3)  # not the same tenure once more
+    assert say(claims, claim("a", token, -60)) == ClaimResult(2)
+    assert say(claims, claim("b", token, 26)) == ClaimResult(3)  # not the same tenure once more
     assert say(claims, confirm("a", 2, 9, -59)).why == "claimed"
 
 
 def test_an_owner_that_was_replaced_long_ago_confirms_nothing() -> None:
     """Its record is forgotten by then, but so is every token that it could be shown."""
-    claims = Claims()
+    claims = SessionOwnership()
     say(claims, claim("b", 1 << TENURE_BITS | 3))
     say(claims, claim("x", 1 << TENURE_BITS | 3, 60, 8))
     assert list(claims.records) == []  # the second one's token had expired
@@ -203,7 +213,7 @@
 @settings(max_examples=200, deadline=None)
 def test_only_the_newest_claim_of_a_session_is_confirmed(steps: list[tuple[int, str, bool]]) -> None:
     """Three sessions, two nodes, entries in any order, all within the life of the records."""
-    claims, owned = Claims(), dict[tuple[int, str], int]()
+    claims, owned = SessionOwnership(), dict[tuple[int, str], int]()
     floor = dict.fromkeys(range(3), 1 << TENURE_BITS)
     for at, (session, by, confirms) in enumerate(steps):
         newest = max((t for (s, _), t in owned.items() if s == session), default=1)
@@ -215,11 +225,11 @@
         elif (session, by) in owned:
             tenure = owned[session, by]
             ruling = say(claims, confirm(by, tenure, tenure << TENURE_BITS, at, session))
-            assert ruling == (Ruling(tenure) if tenure == newest else Ruling(why="claimed"))
+            assert ruling == (ClaimResult(tenure) if tenure == newest else ClaimResult(why="claimed"))
             if tenure == newest:
                 floor[session] = tenure << TENURE_BITS
     told: list[tuple[int, int, str]] = []
-    same = Claims(lambda *claim: told.append(claim))
+    same = SessionOwnership(lambda *claim: told.append(claim))
     same.load(claims.dump())
     assert told == [(session, record.tenure, record.owner) for session, record in claims.records.items()]
     assert (same.records, same.dump()) == (claims.records, claims.dump())
--- a/tests/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -14,34 +14,34 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tansyladder.fleet.holding import Holding
+from tansyladder.cluster.document_replica import DocumentReplica
 from tansyladder.lab.chaos import checkers, documents, history
-from tansyladder.peers.agreed import Agreed
-from tansyladder.peers.claims import Claim, Claims, Ruling
-from tansyladder.peers.contents import PIECE, Contents, Piece, Want
-from tansyladder.peers.documents import (
+from tansyladder.replication.content_transfer import PIECE, Chunk, ChunkRequest, ContentStore
+from tansyladder.replication.documents import (
     BEFORE,
     MOST_SIZE,
     MS,
-    Arm,
-    Armed,
+    Abort,
+    ChangeResult,
+    Commit,
     Documents,
-    Drop,
-    Hold,
-    Lease,
-    Leave,
-    Offer,
-    Ruled,
+    LeaseGrant,
+    LeaseRelease,
+    Prepare,
+    Prepared,
+    Proposal,
     S,
-    Verdict,
+    ValidationVote,
 )
-from tansyladder.sim.agreement import Faults
-from tansyladder.sim.documents import found, play
+from tansyladder.replication.replicated_state import ReplicatedState
+from tansyladder.replication.session_ownership import ClaimResult, OwnershipClaim, SessionOwnership
+from tansyladder.simulation.document_cluster import found, play
+from tansyladder.simulation.raft_cluster import FaultRates
 from tansyladder.store import open_store
 from tansyladder.store.files import RealFiles
-from tests.without_guards import DOCUMENT_GUARDS
+from tests.simulation.without_guards import DOCUMENT_GUARDS
 
-HARD = Faults(
+HARD = FaultRates(
     loss=0.1,
     delay=(1 * MS, 300 * MS),
     crash_every=4 * S,
@@ -50,7 +50,7 @@
     cut_every=3 * S,
     cut=(200 * MS, 20 * S),
 )
-CALM = Faults(loss=0.0, doubled=0.0, delay=(1 * MS, 5 * MS), crash_every=0, cut_every=0)
+CALM = FaultRates(loss=0.0, doubled=0.0, delay=(1 * MS, 5 * MS), crash_every=0, cut_every=0)
 
 
 @pytest.mark.parametrize(("voters", "learners"), [(1, 1), (3, 2), (5, 0)])
@@ -96,9 +96,9 @@
 def agreed_by(*nodes: str, change: bool = True) -> Documents:
     """Three nodes that hold leases until 30 s, and a change that has been offered."""
     state = Documents(["a", "b", "c"])
-    state.apply(Lease(nodes, LENGTH, "a/1", 0))
+    state.apply(LeaseGrant(nodes, LENGTH, "a/1", 0))
     if change:
-        assert state.apply(Offer("rules", b"d", 10, "ask", "a/1", 0)) == Ruled("under way", 1)
+        assert state.apply(Proposal("rules", b"d", 10, "ask", "a/1", 0)) == ChangeResult("under way", 1)
     return state
 
 
@@ -107,21 +107,21 @@
 
 def test_a_change_takes_hold_when_the_last_short_lease_has_ended() -> None:
     state = agreed_by(*ALL)
-    arm = Arm(1, "a/1", 2 * S, SHORT)
+    arm = Prepare(1, "a/1", 2 * S, SHORT)
     for start in ALL:
         assert state.apply(arm).word == "early"
-        state.apply(Verdict(1, start, S))
-    assert state.apply(Hold(1, "a/1", 2 * S)).word == "early"
+        state.apply(ValidationVote(1, start, S))
+    assert state.apply(Commit(1, "a/1", 2 * S)).word == "early"
     assert state.apply(arm).word == "done"
-    assert state.apply(Lease(ALL, LENGTH, "a/1", 2 * S)).word == "armed"
+    assert state.apply(LeaseGrant(ALL, LENGTH, "a/1", 2 * S)).word == "armed"
     for at, start in enumerate(ALL):
-        assert state.apply(Hold(1, "a/1", 3 * S)).word == "early"
-        state.apply(Armed(1, 1, start, 2 * S + at * MS))
-    assert state.apply(Hold(1, "a/1", 2 * S + 9 * MS)) == Ruled("done", 1)
+        assert state.apply(Commit(1, "a/1", 3 * S)).word == "early"
+        state.apply(Prepared(1, 1, start, 2 * S + at * MS))
+    assert state.apply(Commit(1, "a/1", 2 * S + 9 * MS)) == ChangeResult("done", 1)
     since = 2 * S + 2 * MS + SHORT
     assert state.version("rules", since - 1) is None
     assert state.version("rules", since) == state.versions("rules")[0]
-    assert state.apply(Offer("rules", b"d", 10, "ask", "b/7", 9 * S)) == Ruled(
+    assert state.apply(Proposal("rules", b"d", 10, "ask", "b/7", 9 * S)) == ChangeResult(
         "done", 1
     )  # it is over, and was a yes
 
@@ -129,22 +129,25 @@
 @pytest.mark.parametrize(
     ("told", "ruled"),
     [
-        ([Verdict(1, "b/1", S, "rules.2: no such zone")], Ruled("refused", 1, "b: rules.2: no such zone")),
-        ([Drop(1, "a/1", S, "no answer of c")], Ruled("dropped", 1, "no answer of c")),
-        ([Offer("sets", b"e", 10, "other", "c/1", S)], Ruled("busy", 1, "rules")),
-        ([Offer("rules", b"d", 10, "ask", "c/1", S)], Ruled("under way", 1)),
-        ([Verdict(2, "b/1", S)], Ruled("over", 2)),
         (
-            [*(Verdict(1, s, S) for s in ALL), Arm(1, "a/1", S, SHORT), Armed(1, 2, "b/1", S)],
-            Ruled("over", 1),
+            [ValidationVote(1, "b/1", S, "rules.2: no such zone")],
+            ChangeResult("refused", 1, "b: rules.2: no such zone"),
         ),
+        ([Abort(1, "a/1", S, "no answer of c")], ChangeResult("dropped", 1, "no answer of c")),
+        ([Proposal("sets", b"e", 10, "other", "c/1", S)], ChangeResult("busy", 1, "rules")),
+        ([Proposal("rules", b"d", 10, "ask", "c/1", S)], ChangeResult("under way", 1)),
+        ([ValidationVote(2, "b/1", S)], ChangeResult("over", 2)),
         (
-            [Drop(1, "a/1", S, "x"), Offer("rules", b"d", MOST_SIZE + 1, "n", "a/1", S)],
-            Ruled("refused", 0, f"size: from 1 to {MOST_SIZE} bytes"),
+            [*(ValidationVote(1, s, S) for s in ALL), Prepare(1, "a/1", S, SHORT), Prepared(1, 2, "b/1", S)],
+            ChangeResult("over", 1),
+        ),
+        (
+            [Abort(1, "a/1", S, "x"), Proposal("rules", b"d", MOST_SIZE + 1, "n", "a/1", S)],
+            ChangeResult("refused", 0, f"size: from 1 to {MOST_SIZE} bytes"),
         ),
     ],
 )
-def test_what_an_entry_is_answered(told: list[object], ruled: Ruled) -> None:
+def test_what_an_entry_is_answered(told: list[object], ruled: ChangeResult) -> None:
     state = agreed_by(*ALL)
     assert [state.apply(entry) for entry in told][-1] == ruled  # type: ignore[arg-type]
     assert not state.versions("rules")
@@ -154,35 +157,41 @@
     for leaves in (False, True):
         state = agreed_by(*ALL)
         for start in ALL[:2]:
-            state.apply(Verdict(1, start, S))
+            state.apply(ValidationVote(1, start, S))
         if leaves:
-            state.apply(Leave("c/1", S))
+            state.apply(LeaseRelease("c/1", S))
         early, late = 20 * S, LENGTH
-        state.apply(Lease(ALL[:2], LENGTH, "a/1", early))
-        assert state.apply(Arm(1, "a/1", early, SHORT)).word == ("done" if leaves else "early")
+        state.apply(LeaseGrant(ALL[:2], LENGTH, "a/1", early))
+        assert state.apply(Prepare(1, "a/1", early, SHORT)).word == ("done" if leaves else "early")
         if not leaves:
-            assert state.apply(Arm(1, "a/1", late, SHORT)).word == "done"
+            assert state.apply(Prepare(1, "a/1", late, SHORT)).word == "done"
         assert state.change is not None and state.change.must == set(ALL[:2])
 
 
 def test_most_voters_have_the_content_before_it_holds() -> None:
     state = agreed_by("a/1")
-    state.apply(Verdict(1, "a/1", S))
-    assert state.apply(Arm(1, "a/1", S, SHORT)).word == "early"
-    state.apply(Verdict(1, "b/4", S))
-    assert state.apply(Arm(1, "a/1", S, SHORT)).word == "done"
+    state.apply(ValidationVote(1, "a/1", S))
+    assert state.apply(Prepare(1, "a/1", S, SHORT)).word == "early"
+    state.apply(ValidationVote(1, "b/4", S))
+    assert state.apply(Prepare(1, "a/1", S, SHORT)).word == "done"
 
 
 def test_a_snapshot_has_all_of_it_and_that_of_the_version_before_is_read() -> None:
-    whole, again, old = (Agreed(["a", "b", "c"]) for _ in range(3))
-    claim = Claim(7, 1 << 32, 90 * S, "a/1", S, 90 * S, 1)
-    assert msgspec.msgpack.decode(whole.apply(msgspec.msgpack.encode(claim)), type=Ruling) == Ruling(2)
-    for entry in (Lease(ALL, LENGTH, "a/1", 0), Offer("rules", b"d", 9, "k", "a/1", 0), Verdict(1, "a/1", S)):
+    whole, again, old = (ReplicatedState(["a", "b", "c"]) for _ in range(3))
+    claim = OwnershipClaim(7, 1 << 32, 90 * S, "a/1", S, 90 * S, 1)
+    assert msgspec.msgpack.decode(
+        whole.apply(msgspec.msgpack.encode(claim)), type=ClaimResult
+    ) == ClaimResult(2)
+    for entry in (
+        LeaseGrant(ALL, LENGTH, "a/1", 0),
+        Proposal("rules", b"d", 9, "k", "a/1", 0),
+        ValidationVote(1, "a/1", S),
+    ):
         whole.apply(msgspec.msgpack.encode(entry))
     again.load(whole.dump())
     assert again.dump() == whole.dump() and again.documents.change is not None
     assert again.documents.change.yes == {"a/1"} and again.claims.records[7].owner == "a/1"
-    before = Claims()
+    before = SessionOwnership()
     before.apply(msgspec.msgpack.encode(claim))
     old.load(before.dump())
     assert old.claims.records[7].tenure == 2 and not old.documents.leases
@@ -191,10 +200,10 @@
 def test_versions_are_kept_to_a_bound() -> None:
     state = Documents(["a"])
     for number in range(1, 2 * BEFORE):
-        state.apply(Offer("rules", b"%d" % number, 1, f"ask{number}", "a/1", number * S))
-        state.apply(Verdict(number, "a/1", number * S))
-        state.apply(Arm(number, "a/1", number * S, SHORT))
-        assert state.apply(Hold(number, "a/1", number * S)).word == "done"
+        state.apply(Proposal("rules", b"%d" % number, 1, f"ask{number}", "a/1", number * S))
+        state.apply(ValidationVote(number, "a/1", number * S))
+        state.apply(Prepare(number, "a/1", number * S, SHORT))
+        assert state.apply(Commit(number, "a/1", number * S)).word == "done"
     assert [v.number for v in state.versions("rules")] == list(range(BEFORE - 1, 2 * BEFORE))
     assert len(state.digests()) == BEFORE + 1
 
@@ -212,7 +221,7 @@
     """Peers that lack it, say nothing or have a byte turned: whoever has it in the end is found."""
     content = Random(seed).randbytes(size)
     names = [f"{kind}{i}" for i, kind in enumerate([*peers, "sound"])]
-    server, client = Contents([], Random(1)), Contents(names, Random(seed))
+    server, client = ContentStore([], Random(1)), ContentStore(names, Random(seed))
     digest, now = server.have(content), 0
     assert digest == hashlib.sha256(content).digest()
     client.want(digest, size, now)
@@ -220,15 +229,15 @@
         now += 20 * MS
         asked, client.out = client.out, []
         for name, want in asked:
-            assert isinstance(want, Want) and len(asked) <= 8
+            assert isinstance(want, ChunkRequest) and len(asked) <= 8
             server.received("client", want, now)
             [(_, piece)] = server.out
             server.out = []
-            assert isinstance(piece, Piece) and len(piece.data) <= PIECE
+            assert isinstance(piece, Chunk) and len(piece.data) <= PIECE
             if name.startswith("none"):
-                piece = Piece(digest, want.at, 0, b"")
+                piece = Chunk(digest, want.at, 0, b"")
             elif name.startswith("turned"):
-                piece = Piece(digest, want.at, size, bytes([piece.data[0] ^ 1]) + piece.data[1:])
+                piece = Chunk(digest, want.at, size, bytes([piece.data[0] ^ 1]) + piece.data[1:])
             if not name.startswith("silent"):
                 client.received(name, piece, now)
         client.step(now)
@@ -243,8 +252,8 @@
     """What was offered for a change that came to nothing must not fill the disk; the next start looks too."""
     store, now = open_store(RealFiles(tmp_path), "n0", lambda: 0), 1000 * S
 
-    def holding(start: str) -> Holding:
-        return Holding(start, [], Documents(["a"]), store, {"note": lambda content: ""}, lambda: now)
+    def holding(start: str) -> DocumentReplica:
+        return DocumentReplica(start, [], Documents(["a"]), store, {"note": lambda content: ""}, lambda: now)
 
     one = holding("a/1")
     digest = one.offer("note", b"x" * (3 * PIECE), "ask").digest
--- a/tests/test_resume.py
+++ b/tests/resumption/test_resumption.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tansyladder.resume import words
-from tansyladder.resume.ledger import End, Ledger
-from tansyladder.resume.stream import MOVE, Stream
-from tansyladder.resume.tokens import LIFE_BYTES, TEXT, Binding, Claim, Keyring, TokenError
-from tansyladder.resume.window import LINE_COST, Budget, PositionError, Window
+from tansyladder.resumption import control_messages
+from tansyladder.resumption.replay_buffer import LINE_COST, MemoryBudget, PositionError, ReplayBuffer
+from tansyladder.resumption.stream import MOVE, Stream
+from tansyladder.resumption.token_registry import SessionEnd, TokenRegistry
+from tansyladder.resumption.tokens import LIFE_BYTES, TEXT, Keyring, TokenClaims, TokenError, TokenPayload
 
 MOST, SHARED = 1200, 1700
 
@@ -29,8 +29,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.budget = Budget(SHARED)
-        self.other = Window(self.budget, SHARED)  # what another session takes of the node's bytes
+        self.budget = MemoryBudget(SHARED)
+        self.other = ReplayBuffer(self.budget, SHARED)  # what another session takes of the node's bytes
         self.stream = Stream(7, self.budget, MOST, durable=self.durable)
         self.stream.place()
         self.stream.host_line(b"RS AT 0 0\r\n")
@@ -68,7 +68,7 @@
     def host_hears(self, count: int) -> None:
         for _ in range(min(count, len(self.to_host))):
             line = self.to_host.popleft()
-            if not words.is_control(line):
+            if not control_messages.is_control(line):
                 assert int(line.split()[1]) == self.heard + 1
                 self.heard += 1
 
@@ -92,12 +92,12 @@
 
     @rule()
     def host_acknowledges(self) -> None:
-        self.stream.host_line(words.ack(self.heard))
+        self.stream.host_line(control_messages.ack(self.heard))
 
     @precondition(lambda self: self.here)
     @rule()
     def client_acknowledges(self) -> None:
-        out = self.stream.client_line(words.ack(self.has))
+        out = self.stream.client_line(control_messages.ack(self.has))
         self._out(out.to_client, out.to_host)
 
     @precondition(lambda self: self.here)
@@ -142,7 +142,7 @@
         with pytest.raises(PositionError, match="ahead"):
             self.stream.returns(self.stream.from_host.end + ahead)
         with pytest.raises(PositionError, match="ahead"):
-            self.stream.host_line(words.ack(self.stream.from_client.end + ahead))
+            self.stream.host_line(control_messages.ack(self.stream.from_client.end + ahead))
         assert before == (self.stream.from_host.base, self.stream.from_client.base)
 
     @rule(size=st.integers(1, 700))
@@ -152,7 +152,7 @@
     @rule()
     def another_session_ends(self) -> None:
         self.other.stop()
-        self.other = Window(self.budget, SHARED)
+        self.other = ReplayBuffer(self.budget, SHARED)
 
     @invariant()
     def all_is_bounded(self) -> None:
@@ -198,15 +198,15 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.ledger: Ledger[str] = Ledger(1)
+        self.ledger: TokenRegistry[str] = TokenRegistry(1)
         self.keys = Keyring(b"n" * LIFE_BYTES, [(1, b"1" * 32)], random.Random(3).randbytes)
-        self.binding = Binding("chat", 5, 7)
+        self.binding = TokenClaims("chat", 5, 7)
         self.ledger.begin(9, "session")
         self.now = 0
         self.tokens: list[tuple[str, int]] = []  # with their expiry
         self.spent = 0  # tokens that are good no more, counted from the first
         self.claimed = False
-        self.ended: End | None = None
+        self.ended: SessionEnd | None = None
 
     @precondition(lambda self: self.ended is None)
     @rule(life=st.integers(1, 10))
@@ -254,11 +254,11 @@
             self.ledger.restore(9)
 
     @precondition(lambda self: self.ended is None)
-    @rule(why=st.sampled_from(list(End)))
-    def end(self, why: End) -> None:
+    @rule(why=st.sampled_from(list(SessionEnd)))
+    def end(self, why: SessionEnd) -> None:
         self.ledger.end(9, why)
         # One that was taken is not remembered: its new owner knows of it, and it may come back from there.
-        self.ended = End.EXPIRED if why is End.TAKEN else why
+        self.ended = SessionEnd.EXPIRED if why is SessionEnd.TAKEN else why
 
 
 TestLines = Lines.TestCase
@@ -274,7 +274,7 @@
     )
 
 
-BINDING = Binding("chat", 0x5C, 0x7F)
+BINDING = TokenClaims("chat", 0x5C, 0x7F)
 
 
 def ring(life: bytes = b"l" * LIFE_BYTES, *keys: tuple[int, bytes]) -> Keyring:
@@ -284,7 +284,7 @@
 @given(at=st.integers(0, TEXT - 1), letter=st.sampled_from("AQgw-_09z="), cut=st.integers(0, TEXT - 1))
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_a_token_that_was_touched_opens_nothing(at: int, letter: str, cut: int) -> None:
-    keys, claim = ring(), Claim(5, 1, 1000)
+    keys, claim = ring(), TokenPayload(5, 1, 1000)
     text = keys.seal(claim, BINDING)
     assert keys.open(text, BINDING) == claim and len(text) == TEXT
     touched = text[:at] + letter + text[at + 1 :]
@@ -300,22 +300,22 @@
         (ring(b"m" * LIFE_BYTES), BINDING, "elsewhere"),
         (ring(b"l" * LIFE_BYTES, (1, b"q" * 32)), BINDING, "forged"),
         (ring(b"l" * LIFE_BYTES, (2, b"k" * 32)), BINDING, "forged"),
-        (ring(), Binding("chat", 0x5C, 0x80), "forged"),
-        (ring(), Binding("chat", 0x5D, 0x7F), "forged"),
-        (ring(), Binding("chats", 0x5C, 0x7F), "forged"),
+        (ring(), TokenClaims("chat", 0x5C, 0x80), "forged"),
+        (ring(), TokenClaims("chat", 0x5D, 0x7F), "forged"),
+        (ring(), TokenClaims("chats", 0x5C, 0x7F), "forged"),
     ],
 )
-def test_a_token_opens_only_where_and_for_whom_it_is(other: Keyring, binding: Binding, why: str) -> None:
+def test_a_token_opens_only_where_and_for_whom_it_is(other: Keyring, binding: TokenClaims, why: str) -> None:
     with pytest.raises(TokenError, match=why):
-        other.open(ring().seal(Claim(5, 1, 1000), BINDING), binding)
+        other.open(ring().seal(TokenPayload(5, 1, 1000), BINDING), binding)
 
 
 def test_keys_rotate_and_old_tokens_open_while_their_key_is_there() -> None:
     keys, old, new = ring(), (1, b"k" * 32), (2, b"n" * 32)
-    text = keys.seal(Claim(5, 1, 1000), BINDING)
+    text = keys.seal(TokenPayload(5, 1, 1000), BINDING)
     keys.rotate([new, old])
     assert keys.open(text, BINDING).session == 5
-    later = keys.seal(Claim(5, 2, 1000), BINDING)
+    later = keys.seal(TokenPayload(5, 2, 1000), BINDING)
     keys.rotate([new])
     assert keys.open(later, BINDING).generation == 2
     with pytest.raises(TokenError, match="forged"):
@@ -326,7 +326,7 @@
 
 def test_no_two_seals_are_alike() -> None:
     keys = ring()
-    assert len({keys.seal(Claim(5, 1, 1000), BINDING) for _ in range(50)}) == 50
+    assert len({keys.seal(TokenPayload(5, 1, 1000), BINDING) for _ in range(50)}) == 50
 
 
 @pytest.mark.parametrize(
@@ -335,7 +335,7 @@
 )
 def test_a_host_that_does_not_hold_the_session_is_not_gone_on_with(said: bytes) -> None:
     """Two lines of the client, one acknowledged, and two of the host."""
-    stream = Stream(7, Budget(10_000), 5000)
+    stream = Stream(7, MemoryBudget(10_000), 5000)
     stream.place()
     for line in (b"RS AT 0 0\r\n", b"F 1\r\n", b"F 2\r\n"):
         stream.host_line(line)
@@ -351,7 +351,7 @@
 
 
 def test_an_old_host_is_passed_on_word_for_word() -> None:
-    stream = Stream(7, Budget(10_000), 5000)
+    stream = Stream(7, MemoryBudget(10_000), 5000)
     stream.place()
     assert stream.host_line(b"hello\r\n").to_client == b"hello\r\n" and not stream.can_move
     assert stream.host_line(b"RS AT 0 0\r\n").to_client == b"RS AT 0 0\r\n"
@@ -362,20 +362,20 @@
 @given(st.binary(max_size=60))
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_any_control_line_is_read_or_refused(rest: bytes) -> None:
-    line = words.START + rest.replace(b"\n", b"") + b"\r\n"
-    for parse in (words.parse_client, words.parse_host):
+    line = control_messages.START + rest.replace(b"\n", b"") + b"\r\n"
+    for parse in (control_messages.parse_client, control_messages.parse_host):
         try:
             parse(line)
-        except words.WordError:
+        except control_messages.ControlMessageError:
             continue
     for huge in (b"9" * 16, b"9" * 400, b"-1", b"1.0", "٣".encode()):
-        with pytest.raises(words.WordError):
-            words.parse_client(b"RS ACK " + huge + b"\r\n")
+        with pytest.raises(control_messages.ControlMessageError):
+            control_messages.parse_client(b"RS ACK " + huge + b"\r\n")
 
 
 def test_a_window_that_overflows_gives_its_bytes_back_and_counts_on() -> None:
-    budget = Budget(1000)
-    window = Window(budget, 3 * (LINE_COST + 10))
+    budget = MemoryBudget(1000)
+    window = ReplayBuffer(budget, 3 * (LINE_COST + 10))
     for _ in range(3):
         window.add(b"x" * 10)
     assert window.kept and budget.used == 3 * (LINE_COST + 10)
