--- a/tests/test_keeping.py
+++ b/tests/sessions/test_session_store.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from tansyladder.config.platform import MemberEntry, MemberList
+from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.policy.events import EndpointListUpdate, ListUpdateKind
-from tansyladder.sessions.keeping import Keeping, open_keeping
-from tests.node import Peer, node
-from tests.test_sessions import LONG, ON, Host, Viewer, at_start, echo
+from tansyladder.sessions.session_store import SessionStore, open_keeping
+from tests.node.harness import Peer, node
+from tests.sessions.test_sessions import LONG, ON, Host, Viewer, at_start, echo
 
 
 def remembers(peer: Peer, names: dict[str, str]) -> None:
@@ -102,12 +102,12 @@
 
 def test_the_newest_list_is_known_at_the_next_start(tmp_path: Path) -> None:
     old, new = Host(echo), Host(echo)
-    entry = MemberEntry("s9", new.listener.address, "up", locality="a", flavor="m")
+    entry = EndpointEntry("s9", new.listener.address, "up", locality="a", flavor="m")
     with node(tmp_path, old.listener, store=tmp_path / "a") as first:
         assert first.core.keeping is not None
-        first.core.keeping.tell_members(MemberList(7, True, [entry]))
-        gone = MemberEntry("s8", "127.0.0.1:9", "removed")
-        first.core.keeping.tell_members(MemberList(8, False, [gone]))
+        first.core.keeping.tell_members(EndpointList(7, True, [entry]))
+        gone = EndpointEntry("s8", "127.0.0.1:9", "removed")
+        first.core.keeping.tell_members(EndpointList(8, False, [gone]))
     with node(tmp_path, old.listener, store=tmp_path / "a") as second:
         listed = second.core.wait_for(EndpointListUpdate)
         assert (listed.version, listed.kind) == (8, ListUpdateKind.CACHED)
@@ -143,7 +143,7 @@
     with node(tmp_path, Host(echo).listener, resume=ON, settings=LONG, store=tmp_path / "a") as n:
         viewer = Viewer(n)
         viewer.begin()
-        assert isinstance(n.core.keeping, Keeping)
+        assert isinstance(n.core.keeping, SessionStore)
         n.core.keeping._store._broken = "made to fail"
         refused = viewer.back()
         assert [refused.hear(), refused.hear()] == ["ERR resume store", ""]
--- a/tests/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -15,10 +15,10 @@
 import pytest
 
 from tansyladder.config.operator_settings import KeyEntry, ResumeOptions
-from tansyladder.config.platform import MemberEntry, MemberList
+from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.policy.events import AttemptEnded, AttemptStatus, ListUpdateKind, RequestReceived
-from tansyladder.sessions.resuming import Resuming
-from tests.node import SETTINGS, Listener, Node, Peer, Script, fresh, node
+from tansyladder.sessions.resumption_handler import ResumptionHandler
+from tests.node.harness import SETTINGS, Listener, Node, Peer, Script, fresh, node
 
 ON = ResumeOptions(enabled=True, expires=timedelta(seconds=60))
 LONG = SETTINGS | {"classes": [{"name": "chat", "slo": 300_000, "hard_limit": 5_000_000, "worth": 5.0}]}
@@ -95,7 +95,7 @@
     def lose(self) -> None:
         """Its connection breaks, and the node has noticed."""
         resuming = self.node.core.resuming
-        assert isinstance(resuming, Resuming)
+        assert isinstance(resuming, ResumptionHandler)
         before, until = resuming.parked, time.monotonic() + 10
         drop(self.peer)
         while resuming.parked == before and time.monotonic() < until:
@@ -360,7 +360,8 @@
     """Discovery tells a drain: who stands goes on elsewhere, who is parked when its client is back."""
     hosts = [Host(echo), Host(echo)]
     entries = [
-        MemberEntry(f"s{i}", h.listener.address, "up", locality="a", flavor="m") for i, h in enumerate(hosts)
+        EndpointEntry(f"s{i}", h.listener.address, "up", locality="a", flavor="m")
+        for i, h in enumerate(hosts)
     ]
     rules = LONG["rules"] | {"stop_sending_within": 1000}
     with node(tmp_path, hosts[0].listener, resume=ON, settings=LONG | {"rules": rules}) as n:
@@ -368,9 +369,9 @@
         for viewer in (stands, parked):
             viewer.begin()
         parked.lose()
-        n.core.tell_members(MemberList(2, True, entries), ListUpdateKind.SNAPSHOT)
+        n.core.tell_members(EndpointList(2, True, entries), ListUpdateKind.SNAPSHOT)
         entries[0].phase = "draining"
-        n.core.tell_members(MemberList(3, True, entries), ListUpdateKind.SNAPSHOT)
+        n.core.tell_members(EndpointList(3, True, entries), ListUpdateKind.SNAPSHOT)
         for _ in range(2):
             assert hosts[0].ended.acquire(timeout=5)
         stands.say("M 2")
@@ -457,7 +458,7 @@
         while len(heard) < count + 1:
             line = viewer.hear()
             heard.append(line)
-            assert isinstance(n.core.resuming, Resuming)
+            assert isinstance(n.core.resuming, ResumptionHandler)
             assert n.core.resuming.budget.used <= 2 * ON.buffer
         assert heard.count("RS OFF buffer") == 1 and heard.count(whole) == count
         viewer.say("M 1")
@@ -534,7 +535,7 @@
         assert last == ["RS END"] and one.ended.acquire(timeout=5)
         n.core.wait_for(AttemptEnded)
         assert viewer.back().hear() == "ERR resume ended"
-        assert isinstance(n.core.resuming, Resuming) and n.core.resuming.budget.used == 0
+        assert isinstance(n.core.resuming, ResumptionHandler) and n.core.resuming.budget.used == 0
 
 
 def test_more_sessions_without_clients_than_may_wait_end(tmp_path: Path) -> None:
--- a/tests/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -6,47 +6,55 @@
 
 import msgspec
 
-from tansyladder.peers.agreement import Agreement, Out
-from tansyladder.peers.documents import (
-    Armed,
-    Change,
+from tansyladder.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    CommitPosition,
+    Message,
+    ProposalResult,
+    Propose,
+    RequestVote,
+)
+from tansyladder.raft.node import Effects, RaftNode
+from tansyladder.replication.documents import (
+    ChangeResult,
+    Commit,
     Documents,
     Entry,
-    Follower,
-    Hold,
-    Lease,
-    Ruled,
-    Steward,
-    Verdict,
+    LeaseCoordinator,
+    LeaseGrant,
+    LeaseHolder,
+    PendingChange,
+    Prepared,
+    ValidationVote,
     node_of,
 )
-from tansyladder.peers.messages import Append, Appended, Ask, Decided, Mark, Message, Propose
 
 
-class VotesForAnyLog(Agreement):
+class VotesForAnyLog(RaftNode):
     """Without the election restriction."""
 
-    def _asked(self, sender: str, ask: Ask) -> None:
-        super()._asked(sender, Ask(ask.term, 1 << 60, 1 << 60, ask.trial, ask.committed))
+    def _asked(self, sender: str, ask: RequestVote) -> None:
+        super()._asked(sender, RequestVote(ask.term, 1 << 60, 1 << 60, ask.trial, ask.committed))
 
 
-class VotesTwice(Agreement):
+class VotesTwice(RaftNode):
     """Without the one vote in a term."""
 
-    def _asked(self, sender: str, ask: Ask) -> None:
+    def _asked(self, sender: str, ask: RequestVote) -> None:
         if not ask.trial:
             self._hard = msgspec.structs.replace(self._hard, vote="")
         super()._asked(sender, ask)
 
 
-class VotesAfterForgetting(Agreement):
+class VotesAfterForgetting(RaftNode):
     """Without the names of disks: a voter that lost its disk votes and counts on."""
 
     @property
     def voting(self) -> bool:
         return self.me in self._voters
 
-    def _appended(self, sender: str, told: Appended) -> None:
+    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
         super()._appended(sender, msgspec.structs.replace(told, counts=True))
 
     def _majority(self, names: set[str]) -> bool:
@@ -56,23 +64,23 @@
         return list(self._voters)
 
 
-class TrustsAnyDisk(Agreement):
+class TrustsAnyDisk(RaftNode):
     """Without doubt: a voter on an older copy of its disk votes and counts on."""
 
-    def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Out:
+    def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Effects:
         if self._hard.doubt:
             self._hard = msgspec.structs.replace(self._hard, doubt=False)
         return super().handle(now, received)
 
 
-class TrustsAtOnce(Agreement):
+class TrustsAtOnce(RaftNode):
     """Without the place that the others' logs have reached, and without the end of their terms."""
 
     def _trust(self) -> None:
         self._keep(doubt=False)
 
 
-class VotesForShorterLogs(Agreement):
+class VotesForShorterLogs(RaftNode):
     """Without the place that the others' logs had reached when its doubt ended."""
 
     def _trust(self) -> None:
@@ -80,7 +88,7 @@
         self._keep(floor=(0, 0))
 
 
-class VotesInDoubtfulTerms(Agreement):
+class VotesInDoubtfulTerms(RaftNode):
     """Without leaving out the terms in which it may have voted."""
 
     def _trust(self) -> None:
@@ -90,57 +98,57 @@
         self._out.writes.append(self._hard)
 
 
-class CountsInDoubt(Agreement):
+class CountsInDoubt(RaftNode):
     """Without leaving out what a voter holds whose disk may be an older copy."""
 
-    def _appended(self, sender: str, told: Appended) -> None:
+    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
         super()._appended(sender, msgspec.structs.replace(told, counts=True))
 
 
-class CommitsOldTerms(Agreement):
+class CommitsOldTerms(RaftNode):
     """Without the rule that only entries of the leader's own term are counted."""
 
     def _own(self, index: int) -> bool:
         return True
 
 
-class AppendsAnywhere(Agreement):
+class AppendsAnywhere(RaftNode):
     """Without the look whether the entry before fits."""
 
-    def _append(self, sender: str, told: Append) -> None:
+    def _append(self, sender: str, told: AppendEntries) -> None:
         if self.snapshot_index <= told.before <= self.last:
             told = msgspec.structs.replace(told, before_term=self._term_at(told.before))
         super()._append(sender, told)
 
 
-class AnswersEarly(Agreement):
+class AnswersEarly(RaftNode):
     """Without the wait for the entry to be committed."""
 
     def _propose(self, sender: str, told: Propose) -> None:
         super()._propose(sender, told)
         if self._proposers.pop(self.last, None):
-            self._decided(sender, Decided(told.request, b"done"))
+            self._decided(sender, ProposalResult(told.request, b"done"))
 
 
-class TakesAnyTerm(Agreement):
+class TakesAnyTerm(RaftNode):
     """Without the look at the term of who says that it leads."""
 
-    def _append(self, sender: str, told: Append) -> None:
+    def _append(self, sender: str, told: AppendEntries) -> None:
         if told.term < self.term and self.leader != self.me:
             told = msgspec.structs.replace(told, term=self.term)
         super()._append(sender, told)
 
 
-class CountsOldAnswers(Agreement):
+class CountsOldAnswers(RaftNode):
     """Without the look at the term of an answer to the leader."""
 
-    def _appended(self, sender: str, told: Appended) -> None:
+    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
         if told.term < self.term:
             told = msgspec.structs.replace(told, term=self.term)
         super()._appended(sender, told)
 
 
-class NeverStepsDown(Agreement):
+class NeverStepsDown(RaftNode):
     """Without check-quorum: a leader that nobody hears goes on."""
 
     def _keep_time(self) -> None:
@@ -149,14 +157,14 @@
         super()._keep_time()
 
 
-class LearnsNoCommit(Agreement):
+class LearnsNoCommit(RaftNode):
     """Without learning from votes how far the log is committed: who was admitted may count for nobody."""
 
-    def _learn(self, mark: Mark) -> None:
+    def _learn(self, mark: CommitPosition) -> None:
         pass
 
 
-GUARDS: dict[str, type[Agreement]] = {
+GUARDS: dict[str, type[RaftNode]] = {
     core.__name__: core
     for core in (
         VotesForAnyLog,
@@ -184,14 +192,14 @@
 class HoldsWithoutAll(Documents):
     """Without the wait for who has not armed: for its lease to end."""
 
-    def unarmed(self, change: Change, at: int) -> set[str]:
+    def unarmed(self, change: PendingChange, at: int) -> set[str]:
         return set()
 
 
 class HoldsAtOnce(Documents):
     """Without the moment at which the last lease ends: it holds from when that was proposed."""
 
-    def _hold(self, change: Change, told: Hold) -> Ruled:
+    def _hold(self, change: PendingChange, told: Commit) -> ChangeResult:
         ruled = super()._hold(change, told)
         if ruled.word == "done":
             held = self._held[change.name]
@@ -202,21 +210,21 @@
 class TakesNoForYes(Documents):
     """Without the no of one node."""
 
-    def _verdict(self, change: Change, told: Verdict) -> Ruled:
+    def _verdict(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
         return super()._verdict(change, msgspec.structs.replace(told, fault=""))
 
 
 class ArmsBeforeAllSaid(Documents):
     """Without the wait for everybody's word."""
 
-    def waited_for(self, change: Change, holding: set[str]) -> set[str]:
+    def waited_for(self, change: PendingChange, holding: set[str]) -> set[str]:
         return set()
 
 
 class GrantsWhileArmed(Documents):
     """Without the rest of leases while they are cut."""
 
-    def _lease(self, told: Lease) -> Ruled:
+    def _lease(self, told: LeaseGrant) -> ChangeResult:
         change = self.change
         self.change = None
         try:
@@ -225,7 +233,7 @@
             self.change = change
 
 
-class GrantsAlways(Steward):
+class GrantsAlways(LeaseCoordinator):
     """A leader's part of it, which would hide that."""
 
     def step(self, at: int) -> list[Entry]:
@@ -235,11 +243,11 @@
 class CountsOldRounds(Documents):
     """Without the number of the round in which a lease was cut."""
 
-    def _armed(self, change: Change, told: Armed) -> Ruled:
+    def _armed(self, change: PendingChange, told: Prepared) -> ChangeResult:
         return super()._armed(change, msgspec.structs.replace(told, round=change.round))
 
 
-class ArmsInWords(Follower):
+class ArmsInWords(LeaseHolder):
     """Without the cut of its own lease: it says so, and goes on to the end that it had."""
 
     _uncut = 0
@@ -247,12 +255,12 @@
     def until(self) -> int:
         return max(self._documents.leases.get(self.me, 0), self._uncut)
 
-    def arm(self, at: int) -> Armed | None:
+    def arm(self, at: int) -> Prepared | None:
         self._uncut = max(self._uncut, self._documents.leases.get(self.me, 0))
         return super().arm(at)
 
 
-class KeepsLeaseOverStarts(Follower):
+class KeepsLeaseOverStarts(LeaseHolder):
     """Without the start in the name of a lease: one that was given to the process before is used."""
 
     def until(self) -> int:
--- a/tests/test_store.py
+++ b/tests/store/test_store.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tansyladder.lab import storefaults
-from tansyladder.lab.faultfs import FaultFiles
-from tansyladder.lab.storekill import play as kill_loop
+from tansyladder.lab import crash_consistency
+from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
+from tansyladder.lab.store_kill import play as kill_loop
 from tansyladder.store import Durability, Op, Store, StoreError, errors, frames, hints, manifest, open_store
 from tansyladder.store.files import RealFiles
 from tansyladder.store.frames import MOST_KEY, MOST_VALUE
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.files, self.clock = FaultFiles(), storefaults.Clock()
+        self.files, self.clock = FaultInjectingFiles(), crash_consistency.ManualClock()
         self.rng = random.Random(5)
         self.model: dict[bytes, tuple[bytes, int]] = {}
         self.store = self._open()
@@ -111,7 +111,7 @@
 
 
 def test_what_a_recovery_took_for_expired_stays_so_when_the_clock_steps_back() -> None:
-    files, clock = FaultFiles(), storefaults.Clock()
+    files, clock = FaultInjectingFiles(), crash_consistency.ManualClock()
     store = open_store(files, "n1", clock, 400)
     store.write([Op(b"k", b"v", clock.now + 40)], Durability.SYNCED)
     store.close()
@@ -136,7 +136,7 @@
 
 def test_no_fault_of_the_files_loses_what_was_acknowledged() -> None:
     """Power losses at steps of a life and of its recovery, calls that fail, and files cut and flipped."""
-    found = storefaults.run(1, False)
+    found = crash_consistency.run(1, False)
     assert not found["cases"], found
     assert (found["lost"], found["half_batches"], found["resurrected"]) == (0, 0, 0)
     assert found["recoveries"] > 2000 and found["named"] > 100
@@ -147,12 +147,12 @@
     assert (found["lost"], found["wrong"]) == (0, 0) and found["acknowledged"] > 0
 
 
-def fresh(files: FaultFiles | None = None, size: int = 400) -> tuple[FaultFiles, Store]:
-    files = files or FaultFiles()
-    return files, open_store(files, "n1", storefaults.Clock(), size)
+def fresh(files: FaultInjectingFiles | None = None, size: int = 400) -> tuple[FaultInjectingFiles, Store]:
+    files = files or FaultInjectingFiles()
+    return files, open_store(files, "n1", crash_consistency.ManualClock(), size)
 
 
-def full(upkeep: bool = False) -> FaultFiles:
+def full(upkeep: bool = False) -> FaultInjectingFiles:
     """A closed store of forty keys in several sealed segments, or with upkeep in few of them, with hints."""
     files, store = fresh()
     for n in range(40):
@@ -165,26 +165,26 @@
 
 def test_each_error_has_its_name(tmp_path: Path) -> None:
     files = full()
-    with pytest.raises(errors.Foreign, match="'n1'"):
-        open_store(files, "n2", storefaults.Clock())
+    with pytest.raises(errors.NotAStoreError, match="'n1'"):
+        open_store(files, "n2", crash_consistency.ManualClock())
     _, store = fresh(files)
-    with pytest.raises(errors.Locked):
-        open_store(files, "n1", storefaults.Clock())
+    with pytest.raises(errors.StoreLockedError):
+        open_store(files, "n1", crash_consistency.ManualClock())
     store.close()
     told = manifest.read(files)
     manifest.write(files, manifest.Manifest(9, told.node, told.secret, told.next, told.segments))
-    with pytest.raises(errors.Newer, match="version 9"):
+    with pytest.raises(errors.StoreVersionError, match="version 9"):
         fresh(files)
-    with pytest.raises(errors.Damaged, match="missing"):
-        fresh(FaultFiles({"0000000000000001.log": b""}))
+    with pytest.raises(errors.StoreCorruptError, match="missing"):
+        fresh(FaultInjectingFiles({"0000000000000001.log": b""}))
     (tmp_path / "file").write_text("")
     with pytest.raises(OSError):
         RealFiles(tmp_path / "file" / "folder")
-    one = open_store(RealFiles(tmp_path / "real"), "n1", storefaults.Clock())
-    with pytest.raises(errors.Locked):
-        open_store(RealFiles(tmp_path / "real"), "n1", storefaults.Clock())
+    one = open_store(RealFiles(tmp_path / "real"), "n1", crash_consistency.ManualClock())
+    with pytest.raises(errors.StoreLockedError):
+        open_store(RealFiles(tmp_path / "real"), "n1", crash_consistency.ManualClock())
     one.close()
-    with pytest.raises(errors.Broken, match="closed"):
+    with pytest.raises(errors.StoreBrokenError, match="closed"):
         one.put(b"k", b"v")
 
 
@@ -199,7 +199,7 @@
         [Op(b"k", b"v")] * 65_536,
         [Op(b"k%d" % n, b"v" * MOST_VALUE) for n in range(17)],
     ):
-        with pytest.raises(errors.TooLarge):
+        with pytest.raises(errors.RecordTooLargeError):
             store.write(ops)
     store.close()
     _, store = fresh(files)
@@ -207,7 +207,7 @@
 
 
 def test_what_was_expired_stays_so_when_the_clock_steps_back() -> None:
-    files, clock = FaultFiles(), storefaults.Clock()
+    files, clock = FaultInjectingFiles(), crash_consistency.ManualClock()
     store = open_store(files, "n1", clock, 400)
     store.put(b"k", b"old")
     store.put(b"k", b"new", expiry=clock.now + 10)
@@ -252,7 +252,7 @@
     assert not any(thread.is_alive() for thread in threads)
     syncs = files.kinds.count("sync")
     assert len(said) > 4 * syncs
-    with pytest.raises(errors.Broken):
+    with pytest.raises(errors.StoreBrokenError):
         store.put(b"k", b"v")
     _, again = fresh(files.after_loss(random.Random(1), 0.5), 1 << 20)
     assert said.items() <= dict(again.items()).items()
@@ -281,7 +281,7 @@
     for at in (frames.HEAD_SIZE + 5, frames.HEAD_SIZE + frames.FRAME_SIZE + 30):
         files.seen[name].seen = bytearray(whole)
         files.seen[name].seen[at] ^= 1
-        with pytest.raises(errors.Damaged, match="broken"):
+        with pytest.raises(errors.StoreCorruptError, match="broken"):
             fresh(files.after_kill())
     files.seen[name].seen = bytearray(whole)
     files.seen[name].seen[-1] ^= 1  # the last one can't be told from a crash
@@ -310,21 +310,21 @@
 def test_repair_saves_what_can_be_read_and_changes_nothing() -> None:
     files = full()
     whole = {name: bytes(inode.seen) for name, inode in files.seen.items()}
-    assert not examine(FaultFiles(whole)).faults
+    assert not examine(FaultInjectingFiles(whole)).faults
     victim = sorted(name for name in whole if name.endswith(".log"))[1]
     hurt = bytearray(whole[victim])
     hurt[frames.HEAD_SIZE + frames.FRAME_SIZE + 30] ^= 1
     broken = {**whole, victim: bytes(hurt)}
-    with pytest.raises(errors.Damaged, match=victim):
-        fresh(FaultFiles(broken))
-    source, target = FaultFiles(broken), FaultFiles()
-    done = repair(source, target, storefaults.Clock())
+    with pytest.raises(errors.StoreCorruptError, match=victim):
+        fresh(FaultInjectingFiles(broken))
+    source, target = FaultInjectingFiles(broken), FaultInjectingFiles()
+    done = repair(source, target, crash_consistency.ManualClock())
     assert {n: bytes(i.seen) for n, i in source.seen.items()} == broken
     assert done.kept == 39 and done.lost_sequences == 1 and victim in done.faults[0]
     _, store = fresh(target)
     assert len(store) == 39
     with pytest.raises(StoreError, match="not empty"):
-        repair(source, target, storefaults.Clock())
+        repair(source, target, crash_consistency.ManualClock())
 
 
 def test_a_hint_is_only_a_shortcut() -> None:
@@ -342,7 +342,7 @@
 
 def test_the_tool_tells_what_is_there(tmp_path: Path) -> None:
     folder = tmp_path / "store"
-    store = open_store(RealFiles(folder), "n1", storefaults.Clock(), 400)
+    store = open_store(RealFiles(folder), "n1", crash_consistency.ManualClock(), 400)
     for n in range(60):
         store.put(b"k%d" % (n % 5), b"value" * 4)
     store.close()
@@ -383,7 +383,7 @@
         real()
 
     monkeypatch.setattr(files, "sync_names", no_room)
-    with pytest.raises(errors.Broken):
+    with pytest.raises(errors.StoreBrokenError):
         for n in range(40):
             store.put(b"k%d" % n, b"v" * 40)
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -9,8 +9,19 @@
 import tansyladder
 
 ROOT = Path(tansyladder.__file__).parent
-LAYERS = ("policy", "config", "net", "node", "sessions", "fleet")  # from the bottom to the top
-TOOLS = ("lab", "sim")
+LAYERS = (  # from the bottom to the top
+    "policy",
+    "config",
+    "store",
+    "net",
+    "resumption",
+    "raft",
+    "replication",
+    "node",
+    "sessions",
+    "cluster",
+)
+TOOLS = ("lab", "simulation", "simulator")
 
 
 def name_of(path: Path) -> str:
@@ -43,7 +54,7 @@
 
 def test_no_module_imports_itself_over_others() -> None:
     order = list(TopologicalSorter(imports()).static_order())  # CycleError names a ring
-    assert order.index("tansyladder.net.clock") < order.index("tansyladder.fleet.joining")
+    assert order.index("tansyladder.net.clock") < order.index("tansyladder.cluster.bootstrap")
 
 
 def test_layers_import_downwards_only_and_no_tool() -> None:
