--- a/tests/answers/program.py
+++ b/tests/answers/program.py
@@ -82,8 +82,10 @@
     """A node's process, its ports and its log."""
 
     def __init__(self, process: subprocess.Popen[str], config: dict[str, Any], folder: Path) -> None:
-        self.process, self.folder = process, folder
-        self.port, self.operator_port = port_of(config["listen"]), port_of(config["operator"])
+        self.process = process
+        self.folder = folder
+        self.port = port_of(config["listen"])
+        self.operator_port = port_of(config["operator"])
 
     def log_line(self, start: str) -> str:
         """The next line of the log that begins so."""
@@ -119,7 +121,8 @@
 @contextmanager
 def running_node(folder: Path, config: dict[str, Any], operator_settings: str = "") -> Iterator[RunningNode]:
     """The real program in its release build, once it says that it has started."""
-    config_file, settings_file = folder / "config.json", folder / "settings.sexp"
+    config_file = folder / "config.json"
+    settings_file = folder / "settings.sexp"
     config_file.write_text(json.dumps(config))
     settings_file.write_text(operator_settings)
     words = ("serve", "--settings", str(settings_file)) if operator_settings else ()
--- a/tests/answers/test_exit_codes.py
+++ b/tests/answers/test_exit_codes.py
@@ -47,7 +47,8 @@
 
 @pytest.mark.parametrize(("key", "variable"), [("listen", "GW_LISTEN"), ("operator", "GW_OPERATOR")])
 def test_an_address_that_is_taken_ends_the_start_with_2(tmp_path: Path, key: str, variable: str) -> None:
-    config, config_file = platform_config(), tmp_path / "config.json"
+    config = platform_config()
+    config_file = tmp_path / "config.json"
     config_file.write_text(json.dumps(config))
     with socket.create_server(("127.0.0.1", port_of(config[key]))):
         done = run(config_file=config_file)
@@ -56,7 +57,8 @@
 
 
 def test_a_node_that_is_not_among_its_peers_ends_the_start_with_2(tmp_path: Path) -> None:
-    config_file, settings_file = tmp_path / "config.json", tmp_path / "settings.sexp"
+    config_file = tmp_path / "config.json"
+    settings_file = tmp_path / "settings.sexp"
     config_file.write_text(json.dumps(platform_config(name="n7")))
     settings_file.write_text(PEERS.replace("PORT", str(spare_port())))
     done = run("serve", "--settings", str(settings_file), config_file=config_file)
