--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -48,14 +48,14 @@
     _play(drain.drain(sessions, hosts, seed, resume == "on", style), as_json)
 
 
-@click.command("return")
+@click.command("reconnect")
 @click.option("--sessions", default=300, show_default=True, type=click.IntRange(1, 3000))
 @click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 50))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--resume", default="on", show_default=True, type=SWITCH)
 @click.option("--share", default=0.5, show_default=True, type=click.FloatRange(0.01, 1))
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def return_command(sessions: int, hosts: int, seed: int, resume: str, share: float, as_json: bool) -> None:
+def reconnect_command(sessions: int, hosts: int, seed: int, resume: str, share: float, as_json: bool) -> None:
     """Break a share of the clients' connections at one moment, and see them come back."""
     _play(reconnect.come_back(sessions, hosts, seed, resume == "on", share), as_json)
 
@@ -193,13 +193,13 @@
     _show(asyncio.run(play.cost(nodes, hosts, sessions, seed, seconds)), as_json)
 
 
-@click.command("twins")
+@click.command("duplicate-tokens")
 @click.option("--nodes", default=5, show_default=True, type=click.IntRange(3, 9))
 @click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
 @click.option("--tokens", default=500, show_default=True, type=click.IntRange(1, 3000))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def twins_command(nodes: int, hosts: int, tokens: int, seed: int, as_json: bool) -> None:
+def duplicate_tokens_command(nodes: int, hosts: int, tokens: int, seed: int, as_json: bool) -> None:
     """Show each of many tokens at two nodes of a fleet at one moment, and see that it opens once."""
     from tansyladder.lab.chaos import play
 
@@ -261,13 +261,13 @@
     sys.exit(1 if found["first"] else 0)
 
 
-@click.command("stories")
+@click.command("scenarios")
 @click.option("--only", multiple=True, help="by name; else all")
 @click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
 @click.option("--sessions", default=60, show_default=True, type=click.IntRange(5, 3000))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def stories_command(only: tuple[str, ...], hosts: int, sessions: int, seed: int, as_json: bool) -> None:
+def scenarios_command(only: tuple[str, ...], hosts: int, sessions: int, seed: int, as_json: bool) -> None:
     """Play the hard cases with five nodes, one after the other, and check what all parties saw."""
     from tansyladder.lab.chaos import play
     from tansyladder.lab.chaos.scenarios import STORIES, story
@@ -344,19 +344,37 @@
     _show(store_benchmark.run(folder, records), as_json)
 
 
+EARLIER_NAMES = {
+    "return": reconnect_command,
+    "stories": scenarios_command,
+    "twins": duplicate_tokens_command,
+}
+
+
+def _deprecated_alias(name: str, command: click.Command) -> click.Command:
+    """Return a hidden command that prints the new name to standard error and then does the same."""
+
+    def run(**options: Any) -> None:
+        click.echo(f"`lab {name}` is now called `lab {command.name}`", err=True)
+        if command.callback is not None:
+            command.callback(**options)
+
+    return click.Command(name, params=command.params, callback=run, help=command.help, hidden=True)
+
+
 def add_to(group: click.Group) -> None:
     """Put the lab's commands under their group."""
     for command in (
         drain_command,
-        return_command,
+        reconnect_command,
         cost_command,
         restart_command,
         up_command,
         fleet_command,
         takeover_command,
         chaos_command,
-        stories_command,
-        twins_command,
+        scenarios_command,
+        duplicate_tokens_command,
         peers_cost_command,
         documents_command,
         store_faults_command,
@@ -364,3 +382,5 @@
         store_bench_command,
     ):
         group.add_command(command)
+    for name, command in EARLIER_NAMES.items():
+        group.add_command(_deprecated_alias(name, command))
--- a/tests/answers/test_exit_codes.py
+++ b/tests/answers/test_exit_codes.py
@@ -89,6 +89,7 @@
         (["check"], 2),
         (["check", "missing.json"], 2),
         (["check", "missing.sexp"], 2),
+        (["lab", "scenarios", "--only", "nobody"], 2),
         (["lab", "stories", "--only", "nobody"], 2),
         (["lab", "drain", "--sessions", "0"], 2),
         (["lab", "fleet", "missing"], 2),
--- a/tests/answers/test_lab_reports.py
+++ b/tests/answers/test_lab_reports.py
@@ -19,6 +19,7 @@
 import msgspec
 import pytest
 
+from tansyladder.lab import commands as lab_commands
 from tansyladder.lab import drain
 from tansyladder.lab.chaos import checkers, history, schedule
 from tansyladder.lab.report import Report
@@ -26,21 +27,22 @@
 
 COMMANDS = [
     "drain",
-    "return",
+    "reconnect",
     "cost",
     "restart",
     "up",
     "fleet",
     "takeover",
     "chaos",
-    "stories",
-    "twins",
+    "scenarios",
+    "duplicate-tokens",
     "peers-cost",
     "documents",
     "store-faults",
     "store-kill",
     "store-bench",
 ]
+EARLIER_NAMES = {"return": "reconnect", "stories": "scenarios", "twins": "duplicate-tokens"}
 RULES = (
     "final_answers_wrong",
     "lines_lost",
@@ -59,7 +61,7 @@
     "documents_mixed",
     "orphans",
 ]
-STORIES = (
+SCENARIOS = (
     "killed, 200 of one node at once, taker killed in the middle, leader killed at that moment, two of five, "
     "node and host together, whole fleet, restarted one after the other, restarted while another is killed, "
     "new versions one after the other, new versions, then the whole fleet, killed while it hands over, "
@@ -77,7 +79,7 @@
 REPORTS = {
     "drain": "sessions on_the_host resumed resumed_within_aim * gap_ms set_up_ms host_empty_after_ms fenced "
     "moved resume style took_s cases",
-    "return": "sessions dropped all_back kept * gap_ms come_back_ms set_up_ms resume cases",
+    "reconnect": "sessions dropped all_back kept * gap_ms come_back_ms set_up_ms resume cases",
     "restart": "sessions all_back kept share_kept first_placement_ms replayed replays_refused "
     "stand_after_replays * come_back_ms set_up_ms store cases",
     "cost": "sessions * on_to_off",
@@ -85,8 +87,8 @@
     "takeover": "peers nodes hosts sessions seed sessions_hit all_back resumed resumed_share * gap_p50_ms "
     "gap_p99_ms fenced refused cases",
     "peers-cost": "nodes sessions seconds",
-    "twins": "nodes tokens opened_once opened_never token_twice answers_wrong two_owners cases",
-    "stories": "seed faults sessions all_back begun_anew gaps_ms violations refused cases",
+    "duplicate-tokens": "nodes tokens opened_once opened_never token_twice answers_wrong two_owners cases",
+    "scenarios": "seed faults sessions all_back begun_anew gaps_ms violations refused cases",
     "chaos, counts": "histories faults sessions",
     "chaos, findings": "violations first",
     "chaos, the first finding": "seed cases refused schedule",
@@ -147,11 +149,30 @@
     return records
 
 
-@pytest.mark.parametrize("command", COMMANDS)
+@pytest.mark.parametrize("command", [*COMMANDS, *EARLIER_NAMES])
 def test_each_command_of_the_lab_is_known(command: str, monkeypatch: pytest.MonkeyPatch) -> None:
     assert command_line(["lab", command, "--help"], monkeypatch) == 0
 
 
+@pytest.mark.parametrize(("earlier", "name"), EARLIER_NAMES.items())
+def test_an_earlier_name_is_hidden_says_the_new_one_and_does_the_same(
+    earlier: str, name: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    calls: list[dict[str, object]] = []
+    assert command_line(["lab", "--help"], monkeypatch) == 0
+    listed = capsys.readouterr().out
+    assert f"  {name} " in listed
+    assert f"  {earlier} " not in listed
+    command = lab_commands.EARLIER_NAMES[earlier]
+    monkeypatch.setattr(command, "callback", lambda **options: calls.append(options))
+    assert command_line(["lab", name, "--json", "--seed", "7"], monkeypatch) == 0
+    assert capsys.readouterr() == ("", "")
+    assert command_line(["lab", earlier, "--json", "--seed", "7"], monkeypatch) == 0
+    assert capsys.readouterr() == ("", f"`lab {earlier}` is now called `lab {name}`\n")
+    assert calls[0] == calls[1]
+    assert calls[0]["seed"] == 7
+
+
 def test_the_report_of_fleet(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
@@ -198,11 +219,12 @@
     assert report.percentiles("gap") == {"p50": 7.0, "p99": 7.0, "max": 7.0}
 
 
-def test_the_names_of_the_stories(
-    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("command", ["scenarios", "stories"])
+def test_the_names_of_the_scenarios(
+    command: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert command_line(["lab", "stories", "--only", "nobody"], monkeypatch) == 2
-    assert capsys.readouterr().err.rstrip().endswith(f"--only: nobody; there are {STORIES}")
+    assert command_line(["lab", command, "--only", "nobody"], monkeypatch) == 2
+    assert capsys.readouterr().err.rstrip().endswith(f"--only: nobody; there are {SCENARIOS}")
 
 
 def test_the_fields_of_a_schedule_and_the_kinds_of_faults(tmp_path: Path) -> None:
