--- a/tansyladder/lab/chaos/checkers.py
+++ b/tansyladder/lab/chaos/checkers.py
@@ -34,21 +34,21 @@
     told: Counter[str] = Counter()  # by session: client lines that hosts took
     taken: dict[str, int] = {}  # the newest epoch
     for event in history:
-        if event.who == "client" and event.what == "heard":
-            at = (event.client, event.life)
+        if event.party == "client" and event.kind == "heard":
+            at = (event.client, event.session_count)
             if event.number > heard[at] + 1:
                 lost.append(f"client {event.client}: host line {event.number} after {heard[at]}")
             elif event.number <= heard[at]:
                 doubled.append(f"client {event.client}: host line {event.number} again")
             heard[at] = max(heard[at], event.number)
-        elif event.who == "host" and event.what == "taken":
-            taken[event.session] = max(event.epoch, taken.get(event.session, 0))
-        elif event.who == "host" and event.what == "heard" and event.session:
-            if event.number > told[event.session] + 1:
-                lost.append(f"session {event.session}: line {event.number} after {told[event.session]}")
-            elif event.number <= told[event.session]:
-                doubled.append(f"session {event.session}: client line {event.number} again")
-            told[event.session] = max(told[event.session], event.number)
+        elif event.party == "host" and event.kind == "taken":
+            taken[event.session_id] = max(event.epoch, taken.get(event.session_id, 0))
+        elif event.party == "host" and event.kind == "heard" and event.session_id:
+            if event.number > told[event.session_id] + 1:
+                lost.append(f"session {event.session_id}: line {event.number} after {told[event.session_id]}")
+            elif event.number <= told[event.session_id]:
+                doubled.append(f"session {event.session_id}: client line {event.number} again")
+            told[event.session_id] = max(told[event.session_id], event.number)
     return lost, doubled
 
 
@@ -58,13 +58,13 @@
     heard: Counter[tuple[int, int]] = Counter()
     standing: dict[int, int] = {}
     for event in history:
-        at = (event.client, event.life)
-        if event.who == "client" and event.what == "said":
+        at = (event.client, event.session_count)
+        if event.party == "client" and event.kind == "said":
             said[at] = event.number
-        elif event.who == "client" and event.what == "heard":
-            heard[at] = max(heard[at], event.of_own)
-        elif event.who == "rig" and event.what == "standing":
-            standing[event.client] = event.life
+        elif event.party == "client" and event.kind == "heard":
+            heard[at] = max(heard[at], event.acknowledged_line)
+        elif event.party == "rig" and event.kind == "standing":
+            standing[event.client] = event.session_count
     return [
         f"client {client}: {said[client, life] - heard[client, life]} lines unheard at the end"
         for client, life in standing.items()
@@ -72,39 +72,41 @@
     ]
 
 
-def two_owners(history: Sequence[Event]) -> Found:
+def single_owner(history: Sequence[Event]) -> Found:
     """Lines taken from who has been replaced, and epochs that two nodes used."""
     found = Found()
     newest: dict[str, int] = {}
     users: dict[tuple[str, int], int] = {}
     for event in history:
-        if event.who != "host" or not event.session:
+        if event.party != "host" or not event.session_id:
             continue
-        epoch = newest.get(event.session, 0)
-        if event.what == "taken":
-            user = users.setdefault((event.session, event.epoch), event.node)
+        epoch = newest.get(event.session_id, 0)
+        if event.kind == "taken":
+            user = users.setdefault((event.session_id, event.epoch), event.node)
             if user != event.node:
-                found.append(f"session {event.session}: epoch {event.epoch} of nodes {user} and {event.node}")
+                found.append(
+                    f"session {event.session_id}: epoch {event.epoch} of nodes {user} and {event.node}"
+                )
             if event.epoch < epoch:
-                found.append(f"session {event.session}: epoch {event.epoch} taken after {epoch}")
-            newest[event.session] = max(epoch, event.epoch)
-        elif event.what == "heard" and event.epoch < epoch:
-            found.append(f"session {event.session}: node {event.node} heard, {event.epoch} after {epoch}")
+                found.append(f"session {event.session_id}: epoch {event.epoch} taken after {epoch}")
+            newest[event.session_id] = max(epoch, event.epoch)
+        elif event.kind == "heard" and event.epoch < epoch:
+            found.append(f"session {event.session_id}: node {event.node} heard, {event.epoch} after {epoch}")
     return found
 
 
-def token_twice(history: Sequence[Event]) -> Found:
+def token_used_once(history: Sequence[Event]) -> Found:
     """Tokens that were answered UP on more than one connection."""
-    shown = {event.ident: event.token for event in history if event.what == "asked" and event.token}
+    shown = {event.connection_id: event.token for event in history if event.kind == "asked" and event.token}
     opened = Counter(
-        shown[event.ident]
+        shown[event.connection_id]
         for event in history
-        if event.what == "answered" and event.word == "UP" and event.ident in shown
+        if event.kind == "answered" and event.label == "UP" and event.connection_id in shown
     )
     return [f"token {token[:24]}: opened {count} times" for token, count in opened.items() if count > 1]
 
 
-def answers_wrong(history: Sequence[Event]) -> Found:
+def one_answer_in_time(history: Sequence[Event]) -> Found:
     """Answers that are none, come late, or come not at all though nothing on their way failed."""
     asked: dict[str, Event] = {}
     went: dict[str, int] = {}
@@ -113,74 +115,79 @@
     bad: dict[int, list[tuple[int, int]]] = defaultdict(list)  # stretches in which a node was not reachable
     since: dict[int, int] = {}
     for event in history:
-        if event.who == "rig" and event.what in HARMFUL:
-            since.setdefault(event.node, event.at)
-        elif event.who == "rig" and event.what == "sound" and event.node in since:
-            bad[event.node].append((since.pop(event.node), event.at))
-        elif event.what == "asked":
-            asked[event.ident] = event
-        elif event.what == "sent_to":
-            went[event.ident] = event.node
-        elif event.what == "answered":
-            answers[event.ident] += 1
-            if event.word and event.word not in FINAL:
-                found.append(f"connection {event.ident}: {event.text[:60]!r}")
-            elif event.word and event.at - asked[event.ident].at > ANSWER:
-                found.append(f"connection {event.ident}: after {event.at - asked[event.ident].at} us")
-    end = history[-1].at if history else 0
+        if event.party == "rig" and event.kind in HARMFUL:
+            since.setdefault(event.node, event.timestamp_us)
+        elif event.party == "rig" and event.kind == "sound" and event.node in since:
+            bad[event.node].append((since.pop(event.node), event.timestamp_us))
+        elif event.kind == "asked":
+            asked[event.connection_id] = event
+        elif event.kind == "sent_to":
+            went[event.connection_id] = event.node
+        elif event.kind == "answered":
+            answers[event.connection_id] += 1
+            if event.label and event.label not in FINAL:
+                found.append(f"connection {event.connection_id}: {event.detail[:60]!r}")
+            elif (
+                event.label
+                and (late := event.timestamp_us - asked[event.connection_id].timestamp_us) > ANSWER
+            ):
+                found.append(f"connection {event.connection_id}: after {late} us")
+    end = history[-1].timestamp_us if history else 0
     for node, at in since.items():
         bad[node].append((at, end))
-    answered = {e.ident for e in history if e.what == "answered" and e.word}
+    answered = {e.connection_id for e in history if e.kind == "answered" and e.label}
     for ident, event in asked.items():
-        excused = any(a <= event.at + ANSWER and event.at <= b for a, b in bad[went.get(ident, -1)])
-        if ident not in answered and not excused and event.at + ANSWER < end:
+        excused = any(
+            a <= event.timestamp_us + ANSWER and event.timestamp_us <= b for a, b in bad[went.get(ident, -1)]
+        )
+        if ident not in answered and not excused and event.timestamp_us + ANSWER < end:
             found.append(f"connection {ident}: no answer from node {went.get(ident, -1)}")
     return found + [f"connection {i}: {n} answers" for i, n in answers.items() if n > 1]
 
 
-def sessions_lost(history: Sequence[Event]) -> Found:
+def no_session_lost(history: Sequence[Event]) -> Found:
     """Sessions whose client has a good token, and was told that it opens nothing or to begin anew."""
-    shown = {event.ident: event for event in history if event.what == "asked" and event.token}
+    shown = {event.connection_id: event for event in history if event.kind == "asked" and event.token}
     found = Found()
     for event in history:
-        if event.what == "moved" and event.token:
+        if event.kind == "moved" and event.token:
             found.append(f"client {event.client}: MOVE")
-        elif event.what == "answered" and event.word == "ERR" and event.ident in shown:
-            tried = shown[event.ident]
-            if not tried.text:  # what the rig shows once more on purpose has a word of its own
-                found.append(f"client {tried.client}: {event.text[:60]}")
+        elif event.kind == "answered" and event.label == "ERR" and event.connection_id in shown:
+            tried = shown[event.connection_id]
+            if not tried.detail:  # what the rig shows once more on purpose has a word of its own
+                found.append(f"client {tried.client}: {event.detail[:60]}")
     return found
 
 
-def rules_broken(history: Sequence[Event]) -> Found:
+def no_host_rule_broken(history: Sequence[Event]) -> Found:
     """What the hosts themselves saw amiss."""
-    return [f"{e.word}: {e.text[:80]}" for e in history if e.who == "host" and e.what == "broken"]
+    return [f"{e.label}: {e.detail[:80]}" for e in history if e.party == "host" and e.kind == "broken"]
 
 
-def orphans(history: Sequence[Event]) -> Found:
+def no_orphaned_connection(history: Sequence[Event]) -> Found:
     """Connections that hosts hold for nobody at the end."""
-    standing = sum(event.who == "rig" and event.what == "standing" for event in history)
-    held = sum(event.number for event in history if event.who == "rig" and event.what == "held")
+    standing = sum(event.party == "rig" and event.kind == "standing" for event in history)
+    held = sum(event.number for event in history if event.party == "rig" and event.kind == "held")
     return [f"{held} connections at hosts, {standing} clients stand"] if held > standing else []
 
 
-def documents_mixed(history: Sequence[Event]) -> Found:
+def documents_consistent(history: Sequence[Event]) -> Found:
     """First lines that were decided under a number that no longer held, and nodes that differ at the end."""
     found, newest = Found(), dict[str, Event]()
-    for event in sorted((e for e in history if e.what == "decided"), key=lambda e: e.moment):
-        last = newest.get(event.word)
+    for event in sorted((e for e in history if e.kind == "decided"), key=lambda e: e.decided_at_us):
+        last = newest.get(event.label)
         if last is not None and event.number < last.number:
-            late = event.moment - last.moment
+            late = event.decided_at_us - last.decided_at_us
             found.append(
-                f"{event.word}: node {event.node} decides under {event.number}, {late} us after "
+                f"{event.label}: node {event.node} decides under {event.number}, {late} us after "
                 f"node {last.node} did under {last.number}"
             )
         elif last is None or event.number > last.number:
-            newest[event.word] = event
+            newest[event.label] = event
     ends: dict[str, set[int]] = defaultdict(set)
     for event in history:
-        if event.what == "follows":
-            ends[event.word].add(event.number)
+        if event.kind == "follows":
+            ends[event.label].add(event.number)
     found += [f"{name}: nodes follow {sorted(told)}" for name, told in ends.items() if len(told) > 1]
     return found
 
@@ -188,13 +195,13 @@
 CHECKERS: dict[str, Callable[[Sequence[Event]], Found]] = {
     "lost_lines": lambda history: lines(history)[0] + unheard(history),
     "doubled_lines": lambda history: lines(history)[1],
-    "two_owners": two_owners,
-    "token_twice": token_twice,
-    "answers_wrong": answers_wrong,
-    "sessions_lost": sessions_lost,
-    "rules_broken": rules_broken,
-    "documents_mixed": documents_mixed,
-    "orphans": orphans,
+    "two_owners": single_owner,
+    "token_twice": token_used_once,
+    "answers_wrong": one_answer_in_time,
+    "sessions_lost": no_session_lost,
+    "rules_broken": no_host_rule_broken,
+    "documents_mixed": documents_consistent,
+    "orphans": no_orphaned_connection,
 }
 
 
--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -19,19 +19,26 @@
 
 from tansyladder.lab.chaos.history import Event, History, load, merged
 from tansyladder.lab.chaos.links import Front, Link
-from tansyladder.lab.chaos.schedule import Fault, Kind
+from tansyladder.lab.chaos.schedule import Fault, FaultKind
 from tansyladder.lab.clients import Client
 from tansyladder.lab.discovery_server import DiscoveryServer
 from tansyladder.lab.node import LabNode, spare_port
 from tansyladder.lab.report import Report, clock
-from tansyladder.lab.topology import AT_ONCE, TopologyError
+from tansyladder.lab.topology import CONCURRENT_CONNECTS, TopologyError
 
 SILENCE = 2.0  # seconds without a line after which a client takes its connection for dead
 START = 30.0  # seconds in which all clients must stand
 ORPHANED = 3.0  # seconds after which a host has no connection that is for nobody, all being sound
 END = 5.0  # seconds in which the hosts' process must end
 FLAP = 0.1  # seconds
-OF_A_LIVE_ONE = (Kind.STOP, Kind.RESTART, Kind.UPGRADE, Kind.UPGRADE_KILL, Kind.FULL_DISK, Kind.OLD_DISK)
+OF_A_LIVE_ONE = (
+    FaultKind.STOP,
+    FaultKind.RESTART,
+    FaultKind.UPGRADE,
+    FaultKind.UPGRADE_KILL,
+    FaultKind.FULL_DISK,
+    FaultKind.OLD_DISK,
+)
 LEADS = re.compile(rb"event=raft_state role=\w+ term=(\d+) leader=(\w+)")
 SETTINGS = """(resume (enabled true) (expires "30 s") (parked 2000) (keys (1 "{key}")))
 (store (enabled true) (directory "FOLDER/store"))
@@ -61,7 +68,7 @@
 
     def saw(self, what: str, **fields: object) -> None:
         fields.pop("session", None)
-        self.history.add("client", what, client=self.number, life=self.sessions, **fields)
+        self.history.add("client", what, client=self.number, life=self.session_count, **fields)
 
 
 class ChaosCluster:
@@ -72,13 +79,13 @@
     ) -> None:
         """`settings`: of each node, beside those that all fleets have."""
         self._peers, self._settings = peers, settings
-        self.folder, self.seed, self.size, self.hosts = folder, seed, nodes, hosts
+        self.folder, self.seed, self.node_count, self.host_count = folder, seed, nodes, hosts
         self.report, self.history = Report(), History()
         self.nodes: list[LabNode] = []
         self.clients: list[Client] = []
-        self.to_hosts: list[list[Link]] = []  # by node, then host
-        self.to_nodes: list[Link] = []  # of clients
-        self.to_peers: dict[tuple[int, int], Link] = {}  # from the lower to the higher number
+        self.host_links: list[list[Link]] = []  # by node, then host
+        self.client_links: list[Link] = []  # of clients
+        self.peer_links: dict[tuple[int, int], Link] = {}  # from the lower to the higher number
         self._rosters: list[DiscoveryServer] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._hosts: asyncio.subprocess.Process | None = None
@@ -90,7 +97,13 @@
 
     async def start(self) -> None:
         """Hosts, links, lists, nodes and the front, until all nodes listen."""
-        words = ["-m", "tansyladder.lab.chaos.hosts", str(self.hosts), str(self.size), str(self.seed)]
+        words = [
+            "-m",
+            "tansyladder.lab.chaos.hosts",
+            str(self.host_count),
+            str(self.node_count),
+            str(self.seed),
+        ]
         self._hosts = await asyncio.create_subprocess_exec(
             sys.executable,
             *words,
@@ -101,12 +114,12 @@
         assert self._hosts.stdout is not None
         doors: list[list[str]] = json.loads(await asyncio.wait_for(self._hosts.stdout.readline(), START))
         settings = SETTINGS.format(key=secrets.token_hex(32))
-        peers = await self._join_peers() if self._peers else [""] * self.size
-        for number in range(self.size):
-            links = [Link(doors[host][number]) for host in range(self.hosts)]
+        peers = await self._join_peers() if self._peers else [""] * self.node_count
+        for number in range(self.node_count):
+            links = [Link(doors[host][number]) for host in range(self.host_count)]
             for link in links:
                 await link.start()
-            self.to_hosts.append(links)
+            self.host_links.append(links)
             roster = DiscoveryServer()
             await roster.start()
             await roster.tell("up", *(ClusterEndpoint(f"s{i}", link.address) for i, link in enumerate(links)))
@@ -114,16 +127,16 @@
             folder = self.folder / f"n{number}"
             folder.mkdir()
             chosen = settings + peers[number] + self._settings
-            node = LabNode(folder, roster.address, roster.listed(), chosen, f"n{number}", self.size)
+            node = LabNode(folder, roster.address, roster.listed(), chosen, f"n{number}", self.node_count)
             self.nodes.append(node)
             link = Link(f"127.0.0.1:{node.port}")
             await link.start()
-            self.to_nodes.append(link)
+            self.client_links.append(link)
         await asyncio.gather(*(node.start() for node in self.nodes))
         if self._peers:
             await self._agreed()
-        self.front = Front(self.history, [link.address for link in self.to_nodes])
-        await self.front.start()
+        self.load_balancer = Front(self.history, [link.address for link in self.client_links])
+        await self.load_balancer.start()
 
     async def _agreed(self) -> None:
         """Wait until every node knows who leads."""
@@ -135,15 +148,15 @@
 
     async def _join_peers(self) -> list[str]:
         """A link for each pair of nodes, and each one's settings for its peers."""
-        reached = [f"127.0.0.1:{spare_port()}" for _ in range(self.size)]
-        for low, high in itertools.combinations(range(self.size), 2):
-            link = self.to_peers[low, high] = Link(reached[high])
+        reached = [f"127.0.0.1:{spare_port()}" for _ in range(self.node_count)]
+        for low, high in itertools.combinations(range(self.node_count), 2):
+            link = self.peer_links[low, high] = Link(reached[high])
             await link.start()
         key = secrets.token_hex(32)
-        voters = " ".join(f"n{i}" for i in range(min(5, self.size - 1 + self.size % 2)))
+        voters = " ".join(f"n{i}" for i in range(min(5, self.node_count - 1 + self.node_count % 2)))
         out = []
-        for me in range(self.size):
-            links = [self.to_peers[me, i].address if i > me else reached[i] for i in range(self.size)]
+        for me in range(self.node_count):
+            links = [self.peer_links[me, i].address if i > me else reached[i] for i in range(self.node_count)]
             members = " ".join(f'(n{i} "{at}")' for i, at in enumerate(links))
             out.append(PEERS.format(key=key, voters=voters, listen=reached[me], members=members))
         return out
@@ -158,10 +171,10 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if hasattr(self, "front"):
-            await self.front.close()
+            await self.load_balancer.close()
         await asyncio.gather(*(node.stop() for n, node in enumerate(self.nodes) if n not in self._down))
-        hosts = [link for links in self.to_hosts for link in links]
-        for link in (*self.to_nodes, *self.to_peers.values(), *hosts):
+        hosts = [link for links in self.host_links for link in links]
+        for link in (*self.client_links, *self.peer_links.values(), *hosts):
             await link.close()
         for roster in self._rosters:
             await roster.close()
@@ -176,11 +189,11 @@
         written = self.folder / "hosts.jsonl"
         return merged(self.history.events, load(written) if written.exists() else [])
 
-    async def join(self, count: int) -> None:
+    async def connect_clients(self, count: int) -> None:
         """So many clients more, each with a session that stands."""
-        gate = asyncio.Semaphore(AT_ONCE)
+        gate = asyncio.Semaphore(CONCURRENT_CONNECTS)
         new: list[Client] = [
-            RecordingClient(self.history, self.report, self.front.port, number, self.seed)
+            RecordingClient(self.history, self.report, self.load_balancer.port, number, self.seed)
             for number in range(len(self.clients), len(self.clients) + count)
         ]
         self.clients += new
@@ -195,14 +208,14 @@
         except TimeoutError as err:
             raise TopologyError("not all clients got in") from err
 
-    async def until_all_up(self, seconds: float) -> bool:
+    async def wait_until_all_connected(self, seconds: float) -> bool:
         """Wait until all clients are served, but no longer than this."""
         until = clock() + timedelta(seconds=seconds)
         while clock() < until and not all(c.up.is_set() for c in self.clients):
             await asyncio.sleep(0.02)
         return all(c.up.is_set() for c in self.clients)
 
-    async def settle(self) -> None:
+    async def quiesce(self) -> None:
         """All clients fall silent, and their last lines are waited for; then those that stand are noted."""
         for client in self.clients:
             client.quiet = True
@@ -214,7 +227,7 @@
             await asyncio.sleep(0.1)
         for client in self.clients:
             if client.up.is_set():
-                self.history.add("rig", "standing", client=client.number, life=client.sessions)
+                self.history.add("rig", "standing", client=client.number, life=client.session_count)
         for host, number in enumerate(held):
             self.history.add("rig", "held", host=f"s{host}", number=number)
 
@@ -234,10 +247,10 @@
 
     # --- faults
 
-    def clients_at(self, node: int) -> set[int]:
+    def clients_on(self, node: int) -> set[int]:
         """The clients whose newest connection went to a node."""
-        went = {e.ident: e.node for e in self.history.events if e.what == "sent_to"}
-        last = {e.client: e.ident for e in self.history.events if e.what == "asked"}
+        went = {e.connection_id: e.node for e in self.history.events if e.kind == "sent_to"}
+        last = {e.client: e.connection_id for e in self.history.events if e.kind == "asked"}
         return {client for client, ident in last.items() if went.get(ident) == node}
 
     async def kill(self, node: int) -> None:
@@ -256,87 +269,89 @@
                 self._down.discard(node)
                 self.history.add("rig", "sound", node=node)
 
-    def stop(self, node: int) -> None:
+    def pause(self, node: int) -> None:
         """SIGSTOP: it lives, and says nothing."""
         self.history.add("rig", "stopped", node=node)
         self._stopped.add(node)
         self.nodes[node].signal(signal.SIGSTOP)
 
-    def go_on(self, node: int) -> None:
+    def resume(self, node: int) -> None:
         """SIGCONT, with all that has come meanwhile in its buffers."""
         self._stopped.discard(node)
         if node not in self._down:  # else another fault has killed it meanwhile
             self.nodes[node].signal(signal.SIGCONT)
             self.history.add("rig", "sound", node=node)
 
-    def leader(self) -> int:
+    def find_leader(self) -> int:
         """The node that was the last to say that it leads, of those that run; else any that runs."""
-        up = [number for number in range(self.size) if number not in self._down]
+        up = [number for number in range(self.node_count) if number not in self._down]
         terms = {}
         for number in up:
             said = LEADS.findall(self.nodes[number].log.read_bytes())
             terms[number] = int(said[-1][0]) if said and said[-1][1] == f"n{number}".encode() else -1
         return max(up, key=lambda number: terms[number])
 
-    async def taker(self, seconds: float) -> list[int]:
+    async def next_token_recipient(self, seconds: float) -> list[int]:
         """The node that is the next to be shown a token; none where that happens to none for so long."""
         until = clock() + timedelta(seconds=seconds)
         seen = len(self.history.events)
         tokens: set[str] = set()
         while clock() < until:
             for event in self.history.events[seen:]:
-                if event.what == "asked" and event.token:
-                    tokens.add(event.ident)
-                elif event.what == "sent_to" and event.ident in tokens and event.node not in self._down:
+                if event.kind == "asked" and event.token:
+                    tokens.add(event.connection_id)
+                elif (
+                    event.kind == "sent_to" and event.connection_id in tokens and event.node not in self._down
+                ):
                     return [event.node]
             seen = len(self.history.events)
             await asyncio.sleep(0.001)
         return []
 
-    async def play(self, fault: Fault) -> None:
+    async def inject(self, fault: Fault) -> None:
         """A fault from its beginning to its end."""
         match fault.kind:
-            case Kind.KILL:
-                await self._killed([fault.node], fault.length)
+            case FaultKind.KILL:
+                await self._killed([fault.node], fault.duration_s)
             case kind if kind in OF_A_LIVE_ONE and fault.node in self._down:
                 pass  # killed by another fault, as the leader or a taker
-            case Kind.RESTART:
+            case FaultKind.RESTART:
                 async with self._turns[fault.node]:
                     self.history.add("rig", "killed", node=fault.node)
                     self._down.add(fault.node)
                     await self.nodes[fault.node].stop()
                 await self.restart(fault.node)
-            case Kind.UPGRADE | Kind.UPGRADE_KILL:
+            case FaultKind.UPGRADE | FaultKind.UPGRADE_KILL:
                 self.history.add("rig", "upgraded", node=fault.node)
                 async with self._turns[fault.node]:
-                    old = await self.nodes[fault.node].succeed()
-                if fault.kind is Kind.UPGRADE_KILL:
-                    await asyncio.sleep(fault.length)
+                    old = await self.nodes[fault.node].upgrade()
+                if fault.kind is FaultKind.UPGRADE_KILL:
+                    await asyncio.sleep(fault.duration_s)
                     with contextlib.suppress(ProcessLookupError):  # it has ended by itself
                         old.kill()
                 await old.wait()
-            case Kind.KILL_ALL:
-                await self._killed(list(range(self.size)), fault.length)
-            case Kind.KILL_LEADER:
-                await self._killed([self.leader()], fault.length)
-            case Kind.KILL_TAKER:
-                await self._killed(await self.taker(fault.length), fault.length)
-            case Kind.KILL_WITH_HOST:
-                host = fault.node % self.hosts
+            case FaultKind.KILL_ALL:
+                await self._killed(list(range(self.node_count)), fault.duration_s)
+            case FaultKind.KILL_LEADER:
+                await self._killed([self.find_leader()], fault.duration_s)
+            case FaultKind.KILL_TAKER:
+                await self._killed(await self.next_token_recipient(fault.duration_s), fault.duration_s)
+            case FaultKind.KILL_WITH_HOST:
+                host = fault.node % self.host_count
                 self._order(f"die {host}")
-                await self._killed([fault.node], fault.length)
+                await self._killed([fault.node], fault.duration_s)
                 self._order(f"back {host}")
-            case Kind.LOSE_DISK | Kind.OLD_DISK | Kind.FULL_DISK:
+            case FaultKind.LOSE_DISK | FaultKind.OLD_DISK | FaultKind.FULL_DISK:
                 await self._disk(fault)
-            case Kind.SKEW:
+            case FaultKind.SKEW:
                 for skew in (fault.value, 0.0):
                     await self.kill(fault.node)
                     await self.restart(fault.node, skew)
-                    await asyncio.sleep(fault.length if skew else 0.0)
-            case Kind.STOP:
-                self.stop(fault.node)
-                await asyncio.sleep(fault.length)
-                self.go_on(fault.node)
+                    await asyncio.sleep(fault.duration_s if skew else 0.0)
+            case FaultKind.STOP:
+                self.pause(fault.node)
+                await asyncio.sleep(fault.duration_s)
+                self.resume(fault.node)
             case _:
                 await self._link(fault)
 
@@ -349,50 +364,50 @@
         node, store = fault.node, self.nodes[fault.node].folder / "store"
         copy = store.with_name("copy")
         match fault.kind:
-            case Kind.LOSE_DISK:
+            case FaultKind.LOSE_DISK:
                 await self.kill(node)
                 shutil.rmtree(store)
-                await asyncio.sleep(fault.length)
-            case Kind.OLD_DISK:
+                await asyncio.sleep(fault.duration_s)
+            case FaultKind.OLD_DISK:
                 shutil.copytree(store, copy)
-                await asyncio.sleep(fault.length / 2)
+                await asyncio.sleep(fault.duration_s / 2)
                 await self.kill(node)
                 shutil.rmtree(store)
                 copy.rename(store)
-                await asyncio.sleep(fault.length / 2)
+                await asyncio.sleep(fault.duration_s / 2)
             case _:
                 self.history.add("rig", "full_disk", node=node)
-                self.nodes[node].fill_disk()
-                await asyncio.sleep(fault.length)
+                self.nodes[node].limit_file_size()
+                await asyncio.sleep(fault.duration_s)
                 await self.kill(node)
         await self.restart(node)
 
     async def _link(self, fault: Fault) -> None:
-        node, links = fault.node, self.to_hosts[fault.node]
-        if fault.kind in (Kind.CUT_PEERS, Kind.DELAY_PEERS, Kind.FLAP_PEERS):
-            links = [link for pair, link in self.to_peers.items() if node in pair]
+        node, links = fault.node, self.host_links[fault.node]
+        if fault.kind in (FaultKind.CUT_PEERS, FaultKind.DELAY_PEERS, FaultKind.FLAP_PEERS):
+            links = [link for pair, link in self.peer_links.items() if node in pair]
         match fault.kind:
-            case Kind.RESET:
+            case FaultKind.RESET:
                 self.history.add("rig", "reset", node=node)
-                self.to_nodes[node].reset()
-            case Kind.CUT_CLIENTS:
+                self.client_links[node].reset()
+            case FaultKind.CUT_CLIENTS:
                 self.history.add("rig", "cut", node=node)
-                links = [self.to_nodes[node]]
+                links = [self.client_links[node]]
                 links[0].cut()
-            case Kind.CUT_PEERS | Kind.FLAP_PEERS:
+            case FaultKind.CUT_PEERS | FaultKind.FLAP_PEERS:
                 self.history.add("rig", fault.kind.value, node=node)
                 for link in links:
                     link.cut()
-            case Kind.DELAY | Kind.DELAY_PEERS:
+            case FaultKind.DELAY | FaultKind.DELAY_PEERS:
                 self.history.add("rig", "delayed", node=node)
                 for link in links:
                     link.delay = fault.value
             case kind:
                 self.history.add("rig", "cut", node=node)
                 for link in links:
-                    link.cut(up=kind is not Kind.CUT_DOWN, down=kind is not Kind.CUT_UP)
-        if fault.kind is Kind.FLAP_PEERS:
-            until = clock() + timedelta(seconds=fault.length)
+                    link.cut(up=kind is not FaultKind.CUT_DOWN, down=kind is not FaultKind.CUT_UP)
+        if fault.kind is FaultKind.FLAP_PEERS:
+            until = clock() + timedelta(seconds=fault.duration_s)
             while clock() < until:
                 for link in links:
                     link.mend()
@@ -402,22 +417,22 @@
                     link.cut()
                 await asyncio.sleep(FLAP)
         else:
-            await asyncio.sleep(fault.length)
+            await asyncio.sleep(fault.duration_s)
         for link in links:
             link.mend()
         self.history.add("rig", "sound", node=node)
 
 
 @contextlib.asynccontextmanager
-async def fleet(
+async def running_cluster(
     nodes: int, hosts: int, seed: int, peers: bool = True, settings: str = ""
 ) -> AsyncIterator[tuple[ChaosCluster, list[Event]]]:
     """A fleet that is up, and a list that has its whole history once the fleet is down."""
     history: list[Event] = []
     with tempfile.TemporaryDirectory(prefix="tansyladder-chaos-") as folder:
-        whole = ChaosCluster(Path(folder), nodes, hosts, seed, peers, settings)
+        cluster = ChaosCluster(Path(folder), nodes, hosts, seed, peers, settings)
         try:
-            await whole.start()
-            yield whole, history
+            await cluster.start()
+            yield cluster, history
         finally:
-            history += await whole.close()
+            history += await cluster.close()
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -15,9 +15,9 @@
 from tansyladder.cluster.document_publisher import DecisionStamp
 from tansyladder.lab.chaos import checkers
 from tansyladder.lab.chaos import history as histories
-from tansyladder.lab.chaos.cluster import ChaosCluster, fleet
+from tansyladder.lab.chaos.cluster import ChaosCluster, running_cluster
 from tansyladder.lab.chaos.history import Event
-from tansyladder.lab.chaos.schedule import Fault, Kind
+from tansyladder.lab.chaos.schedule import Fault, FaultKind
 from tansyladder.lab.report import Report, clock
 from tansyladder.lab.topology import TopologyError
 
@@ -33,12 +33,12 @@
 class DocumentExperiment:
     """Who knocks at the nodes, and who has their document changed."""
 
-    def __init__(self, whole: ChaosCluster, seed: int) -> None:
-        self.whole, self.report = whole, Report()
+    def __init__(self, cluster: ChaosCluster, seed: int) -> None:
+        self.cluster, self.report = cluster, Report()
         self.rng = numpy.random.default_rng(seed)
         self.asks = 0
         self.words: list[str] = []  # how changes ended
-        self._tasks = [asyncio.ensure_future(self._knock(node)) for node in range(whole.size)]
+        self._tasks = [asyncio.ensure_future(self._knock(node)) for node in range(cluster.node_count)]
 
     async def close(self) -> None:
         for task in self._tasks:
@@ -55,24 +55,24 @@
             await asyncio.sleep(KNOCK)
 
     async def _open(self, node: int, ident: str) -> None:
-        whole, word = self.whole, ""
-        whole.history.add("client", "knocks", ident=ident, node=node)
+        cluster, word = self.cluster, ""
+        cluster.history.add("client", "knocks", ident=ident, node=node)
         with contextlib.suppress(OSError, TimeoutError):
-            reader, writer = await asyncio.open_connection("127.0.0.1", whole.nodes[node].port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", cluster.nodes[node].port)
             try:
                 writer.write(f"OPEN {ident} {ident} c=viewport,d=1000,g=1\r\n".encode())
                 answer = await asyncio.wait_for(reader.readline(), ANSWER)
                 word = answer.decode().partition(" ")[0].strip()
             finally:
                 writer.close()
-        whole.history.add("client", "heard word", ident=ident, node=node, word=word)
+        cluster.history.add("client", "heard word", ident=ident, node=node, word=word)
 
     # --- the operators' address
 
     async def call(self, node: int, line: str) -> list[str]:
         """The answer's lines; none where nobody answers."""
         with contextlib.suppress(OSError, TimeoutError):
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.whole.nodes[node].operator)
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.cluster.nodes[node].admin_port)
             try:
                 writer.write(f"{line}\n".encode())
                 return (await asyncio.wait_for(reader.read(), 1.0)).decode().splitlines()
@@ -85,13 +85,13 @@
         if not ask:
             self.asks += 1
             ask = f"ask{self.asks}"
-        path = self.whole.folder / f"{ask}.sexp"
+        path = self.cluster.folder / f"{ask}.sexp"
         path.write_text(text or f'(note "{ask}, {"x" * int(self.rng.integers(1, 50_000))}")')
         began = clock()
-        self.whole.history.add("rig", "asks", node=node, text=ask)
+        self.cluster.history.add("rig", "asks", node=node, text=ask)
         turn, word = 0, ""
         while (clock() - began).total_seconds() < CHANGE:
-            at = (node + turn) % self.whole.size
+            at = (node + turn) % self.cluster.node_count
             await self.call(at, f"publish {NAME} {ask} {path}")
             for _ in range(40):
                 [told, *_] = await self.call(at, f"change {ask}") or [""]
@@ -99,9 +99,9 @@
                 if word and not word.startswith(("under way", "not known")):
                     self.words.append(word.partition(" ")[0].rstrip(":"))
                     number = int(word.split()[1]) if word.startswith("done") else 0
-                    self.whole.history.add("rig", "ended", text=ask, word=word[:60], number=number)
+                    self.cluster.history.add("rig", "ended", text=ask, word=word[:60], number=number)
                     if word.startswith("done"):
-                        self.report.delay("publish", clock() - began)
+                        self.report.record_delay("publish", clock() - began)
                     return word
                 if not told:
                     break
@@ -118,34 +118,34 @@
         """Wait until every node may decide."""
         until = clock() + timedelta(seconds=seconds)
         while clock() < until:
-            if all([await self.lease(node) for node in range(self.whole.size)]):
+            if all([await self.lease(node) for node in range(self.cluster.node_count)]):
                 return
             await asyncio.sleep(0.05)
         raise TopologyError("not all nodes hold a lease")
 
     # --- what is played
 
-    async def during(self, kind: Kind, node: int, length: float, asked: int) -> None:
+    async def during(self, kind: FaultKind, node: int, length: float, asked: int) -> None:
         """A change under a fault: the fault first, so that it is there when the change begins."""
-        fault = asyncio.ensure_future(self.whole.play(Fault(0.0, kind, node, length)))
-        await asyncio.sleep(0.3 if kind is not Kind.KILL_LEADER else 0.0)
+        fault = asyncio.ensure_future(self.cluster.inject(Fault(0.0, kind, node, length)))
+        await asyncio.sleep(0.3 if kind is not FaultKind.KILL_LEADER else 0.0)
         try:
             await self.publish(asked)
         finally:
             await fault
         await self.all_leased()
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Every fault once, at nodes that the seed draws."""
-        size = self.whole.size
+        size = self.cluster.node_count
         await self.all_leased()
         for _ in range(5):
             await self.publish(int(self.rng.integers(size)))
         kinds = [
-            (Kind.STOP, 2 * LEASE),
-            (Kind.CUT_PEERS, 2 * LEASE),
-            (Kind.KILL, 1.0),
-            (Kind.KILL_LEADER, 1.0),
+            (FaultKind.STOP, 2 * LEASE),
+            (FaultKind.CUT_PEERS, 2 * LEASE),
+            (FaultKind.KILL, 1.0),
+            (FaultKind.KILL_LEADER, 1.0),
         ]
         for index in self.rng.permutation(len(kinds)):
             kind, length = kinds[index]
@@ -158,40 +158,40 @@
         await self.all_leased()
 
 
-async def play(nodes: int, seed: int, keep: Path | None = None) -> dict[str, Any]:
+async def run_experiment(nodes: int, seed: int, keep: Path | None = None) -> dict[str, Any]:
     """A fleet whose document is changed under faults; `keep`: where its history is written."""
-    async with fleet(nodes, 2, seed, True, SETTINGS) as (whole, history):
-        rig = DocumentExperiment(whole, seed)
+    async with running_cluster(nodes, 2, seed, True, SETTINGS) as (cluster, history):
+        rig = DocumentExperiment(cluster, seed)
         try:
-            await rig.play()
-            calm = len(whole.history.events)
+            await rig.run()
+            calm = len(cluster.history.events)
             await rig.publish(0)
             await asyncio.sleep(CALM)
-            knocks = [e for e in whole.history.events[calm:] if e.what == "heard word"]
+            knocks = [e for e in cluster.history.events[calm:] if e.kind == "heard word"]
             for node in range(nodes):
                 lines = await rig.call(node, "documents")
                 told = json.loads(lines[0])[NAME]["number"]
-                whole.history.add("node", "follows", node=node, word=NAME, number=told)
+                cluster.history.add("node", "follows", node=node, word=NAME, number=told)
         finally:
             await rig.close()
         stamped = [
-            event for node in range(nodes) for event in _stamps(whole.nodes[node].folder / "stamps", node)
+            event for node in range(nodes) for event in _stamps(cluster.nodes[node].folder / "stamps", node)
         ]
     history += stamped
     if keep is not None:
         histories.save(keep, history)
     found = checkers.check(history)
-    served = [e for e in history if e.what == "heard word" and e.word == "UP"]
+    served = [e for e in history if e.kind == "heard word" and e.label == "UP"]
     return {
         "nodes": nodes,
         "seed": seed,
         "changes": len(rig.words),
         "done": rig.words.count("done"),
         "refused": rig.words.count("refused"),
-        "knocks": sum(e.what == "heard word" for e in history),
+        "knocks": sum(e.kind == "heard word" for e in history),
         "served": len(served),
         "stamped": len(stamped),
-        "turned_away_when_calm": sum(e.word == "BUSY" for e in knocks),
+        "turned_away_when_calm": sum(e.label == "BUSY" for e in knocks),
         "knocks_when_calm": len(knocks),
         "publish_ms": rig.report.percentiles("publish"),
         "violations": {name: len(cases) for name, cases in found.items()},
@@ -204,7 +204,16 @@
         return []
     told = [msgspec.json.decode(line, type=DecisionStamp) for line in path.read_bytes().split(b"\n")[:-1]]
     return [
-        Event(0, "node", "decided", ident=stamp.ident, node=node, word=name, number=number, moment=stamp.at)
+        Event(
+            0,
+            "node",
+            "decided",
+            connection_id=stamp.ident,
+            node=node,
+            label=name,
+            number=number,
+            decided_at_us=stamp.at,
+        )
         for stamp in told
         for name, number in (stamp.numbers or {NAME: 0}).items()
     ]
--- a/tansyladder/lab/chaos/history.py
+++ b/tansyladder/lab/chaos/history.py
@@ -19,22 +19,24 @@
 class Event(msgspec.Struct, frozen=True, omit_defaults=True):
     """One thing that one party saw; fields that do not belong to its kind are left at their defaults."""
 
-    at: int  # microseconds
-    who: str  # client, host, front, node or rig
-    what: str
+    timestamp_us: int = msgspec.field(name="at")
+    party: str = msgspec.field(name="who")  # client, host, front, node or rig
+    kind: str = msgspec.field(name="what")
     client: int = -1
-    life: int = 0  # of a client: how many sessions it has begun
-    ident: str = ""  # of a connection
+    session_count: int = msgspec.field(default=0, name="life")  # sessions that the client has begun
+    connection_id: str = msgspec.field(default="", name="ident")
     token: str = ""  # shown
-    word: str = ""  # first word of the answer
-    text: str = ""
+    label: str = msgspec.field(default="", name="word")  # first word of the answer
+    detail: str = msgspec.field(default="", name="text")
     node: int = -1
     host: str = ""
-    session: str = ""  # as hosts know it
+    session_id: str = msgspec.field(default="", name="session")  # as hosts know it
     epoch: int = 0
     number: int = 0  # of a line, or of connections
-    of_own: int = 0  # how many of the client's lines its host has heard
-    moment: int = 0  # microseconds of Unix time, where a node's clock told it
+    acknowledged_line: int = msgspec.field(
+        default=0, name="of_own"
+    )  # the last of the client's lines that its host has
+    decided_at_us: int = msgspec.field(default=0, name="moment")  # Unix time by the node's clock
 
 
 class History:
@@ -67,7 +69,7 @@
 
 def merged(*parts: Iterable[Event]) -> list[Event]:
     """All events in the order of their moments."""
-    return sorted((event for part in parts for event in part), key=lambda event: event.at)
+    return sorted((event for part in parts for event in part), key=lambda event: event.timestamp_us)
 
 
 def save(path: Path, events: Iterable[Event]) -> None:
--- a/tansyladder/lab/chaos/schedule.py
+++ b/tansyladder/lab/chaos/schedule.py
@@ -14,7 +14,7 @@
 DELAYS = (0.02, 0.4)  # seconds
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     """What happens to a node, or to the links of one."""
 
     KILL = "kill"  # SIGKILL; it is started again when the fault ends
@@ -41,18 +41,18 @@
     SKEW = "skew"  # started again with a clock that is off by `value`, and once more with a true one
 
 
-DISKS = frozenset({Kind.LOSE_DISK, Kind.OLD_DISK, Kind.FULL_DISK, Kind.KILL_ALL})
+DISKS = frozenset({FaultKind.LOSE_DISK, FaultKind.OLD_DISK, FaultKind.FULL_DISK, FaultKind.KILL_ALL})
 SKEWS = (-1.8, -0.2, 0.2, 1.8)  # seconds; peers take up to 2
 RECOVERY = 3.0  # seconds without another fault after one of a disk: its voter has to be let in again
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault: `at` and `length` in seconds from the start of the schedule."""
+    """One fault; it starts so many seconds after the schedule does."""
 
-    at: Annotated[float, msgspec.Meta(ge=0)]
-    kind: Kind
+    start_s: Annotated[float, msgspec.Meta(ge=0)] = msgspec.field(name="at")
+    kind: FaultKind
     node: Annotated[int, msgspec.Meta(ge=0)]
-    length: Annotated[float, msgspec.Meta(ge=0)]
+    duration_s: Annotated[float, msgspec.Meta(ge=0)] = msgspec.field(name="length")
     value: float = 0.0  # seconds, of delay or of the clock
 
 
@@ -67,24 +67,24 @@
     late: int = 0  # clients that come while the faults go on
 
 
-def draw(seed: int, nodes: int, hosts: int, sessions: int, seconds: float) -> Schedule:
+def generate(seed: int, nodes: int, hosts: int, sessions: int, seconds: float) -> Schedule:
     """Faults for so many seconds; a node has one at a time, and a minority of the nodes is down at once."""
     rng = numpy.random.default_rng(seed)
     faults: list[Fault] = []
-    kinds = list(Kind)
+    kinds = list(FaultKind)
     at = 0.5
     while at < seconds:
         kind = kinds[rng.integers(len(kinds))]
         length = round(float(rng.uniform(*LENGTH)), 3)
-        busy = {f.node for f in faults if f.at + f.length + 0.5 > at}
+        busy = {f.node for f in faults if f.start_s + f.duration_s + 0.5 > at}
         free = [n for n in range(nodes) if n not in busy]
         most = 1 if kind in DISKS else max(1, (nodes - 1) // 2)
         if len(busy) < most and free:
             node = int(free[rng.integers(len(free))])
             value = 0.0
-            if kind in (Kind.DELAY, Kind.DELAY_PEERS):
+            if kind in (FaultKind.DELAY, FaultKind.DELAY_PEERS):
                 value = round(float(rng.uniform(*DELAYS)), 3)
-            elif kind is Kind.SKEW:
+            elif kind is FaultKind.SKEW:
                 value = SKEWS[rng.integers(len(SKEWS))]
             faults.append(Fault(round(at, 3), kind, node, length, value))
             at += length + RECOVERY if kind in DISKS else 0.0
--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -40,7 +40,7 @@
         self.cls, self.wait = ("preview", 2000) if self.rng.random() < 0.17 else ("viewport", 1200)
         self.key, self.group = f"{self.rng.getrandbits(64):016x}", f"{number // 8 + 1:x}"
         self.up = asyncio.Event()
-        self.connections = self.sessions = self.stood = 0
+        self.connections = self.session_count = self.stood = 0
         self.token = self.used = ""  # the one that lets it back, and the last one that did
         self.served_at = timedelta(0)
         self.last: timedelta | None = None  # when the newest frame came
@@ -93,7 +93,7 @@
         finally:
             writer.close()
 
-    def give_up(self) -> tuple[str, str]:
+    def abandon(self) -> tuple[str, str]:
         """Break the connection and come no more; its token, and the rest of a first line that shows it."""
         self._ending = True
         self.drop()
@@ -136,13 +136,15 @@
                 self._token_back(back)
             self.report.counts[f"answer_{word or 'none'}"] += 1
             if word not in ("UP", "BUSY", "ERR") and not self._ending:
-                self.report.broken("final_answers_wrong", f"{answer[:60]!r} on connection {self.connections}")
+                self.report.record_violation(
+                    "final_answers_wrong", f"{answer[:60]!r} on connection {self.connections}"
+                )
             if word != "UP":
                 return False
             self.served_at = clock()
-            self.report.delay("come_back" if back else "set_up", clock() - asked)
+            self.report.record_delay("come_back" if back else "set_up", clock() - asked)
             if not back:
-                self.sessions += 1
+                self.session_count += 1
                 self._heard = self._said = self._told = self._counted = 0
                 self._unheard = []
             self.up.set()
@@ -153,7 +155,7 @@
             if saying is not None:
                 return True  # its node or the way to it is silent
             self._token_back(back)
-            self.report.broken("final_answers_wrong", f"no answer on connection {self.connections}")
+            self.report.record_violation("final_answers_wrong", f"no answer on connection {self.connections}")
             return False
         except (OSError, ValueError, asyncio.IncompleteReadError):
             if saying is None:
@@ -175,7 +177,7 @@
         while not writer.transport.is_closing() and not self.quiet:
             self._said += 1
             self._unheard.append(self._said)
-            self.saw("said", session=self.sessions, number=self._said)
+            self.saw("said", session=self.session_count, number=self._said)
             writer.write(f"M {self._said}\r\n".encode())
             await asyncio.sleep(self.say)
 
@@ -192,7 +194,7 @@
                 self.token = ""
                 return
             else:
-                self.report.broken("final_answers_wrong", f"{line[:60]!r} after UP")
+                self.report.record_violation("final_answers_wrong", f"{line[:60]!r} after UP")
 
     def _control(self, words: list[str], writer: asyncio.StreamWriter) -> None:
         match words:
@@ -207,20 +209,20 @@
             case ["RS", "OFF", *_]:
                 self.report.counts["cannot_return"] += 1
             case _:
-                self.report.broken("bad_words", " ".join(words))
+                self.report.record_violation("bad_words", " ".join(words))
 
     def _frame(self, number: int, heard: int, writer: asyncio.StreamWriter) -> None:
         moment = clock()
-        self.saw("heard", session=self.sessions, number=number, of_own=heard)
+        self.saw("heard", session=self.session_count, number=number, of_own=heard)
         if self.last is not None:
             self.gap = max(self.gap, moment - self.last)
         self.last = moment
         if number > self._heard + 1:
-            self.report.broken("lines_lost", f"host line {number} after {self._heard}")
+            self.report.record_violation("lines_lost", f"host line {number} after {self._heard}")
         elif number <= self._heard:
-            self.report.broken("lines_doubled", f"host line {number}")
+            self.report.record_violation("lines_doubled", f"host line {number}")
         if heard > self._said:
-            self.report.broken("lines_doubled", f"heard {heard} of {self._said}")
+            self.report.record_violation("lines_doubled", f"heard {heard} of {self._said}")
         self._heard, self._counted = max(self._heard, number), max(self._counted, heard)
         if self.resumes and self._heard - self._told >= ACK_LINES:
             self._told = self._heard
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -16,7 +16,7 @@
 
 from tansyladder.lab import cost, drain, reconnect, restart
 from tansyladder.lab.hosts import StreamHost
-from tansyladder.lab.topology import scene
+from tansyladder.lab.topology import running_topology
 
 SWITCH = click.Choice(["on", "off"])
 
@@ -45,7 +45,7 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def drain_command(sessions: int, hosts: int, seed: int, resume: str, style: str, as_json: bool) -> None:
     """Put all sessions on one host, drain it, and see where they go on and what they miss."""
-    _play(drain.drain(sessions, hosts, seed, resume == "on", style), as_json)
+    _play(drain.run(sessions, hosts, seed, resume == "on", style), as_json)
 
 
 @click.command("reconnect")
@@ -57,7 +57,7 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def reconnect_command(sessions: int, hosts: int, seed: int, resume: str, share: float, as_json: bool) -> None:
     """Break a share of the clients' connections at one moment, and see them come back."""
-    _play(reconnect.come_back(sessions, hosts, seed, resume == "on", share), as_json)
+    _play(reconnect.run(sessions, hosts, seed, resume == "on", share), as_json)
 
 
 @click.command("cost")
@@ -67,7 +67,7 @@
 def cost_command(sessions: tuple[int, ...], hosts: int, seed: int) -> None:
     """Measure what a session costs the node, with resuming and without; one JSON object a line."""
     for count in sessions:
-        click.echo(json.dumps(asyncio.run(cost.cost(count, hosts, seed))))
+        click.echo(json.dumps(asyncio.run(cost.run(count, hosts, seed))))
 
 
 @click.command("up")
@@ -94,18 +94,18 @@
 
 
 async def _up_fleet(nodes: int, hosts: int) -> None:
-    from tansyladder.lab.chaos.cluster import fleet
+    from tansyladder.lab.chaos.cluster import running_cluster
 
     end = _end()
-    async with fleet(nodes, hosts, 1) as (whole, _):
+    async with running_cluster(nodes, hosts, 1) as (cluster, _):
         click.echo(f"a front spreads clients over {nodes} nodes")
-        click.echo(f"connect with: nc -C 127.0.0.1 {whole.front.port}")
+        click.echo(f"connect with: nc -C 127.0.0.1 {cluster.load_balancer.port}")
         click.echo("and type:     OPEN 1 7f c=viewport,d=1200,g=5c,rs=1")
         click.echo("it answers UP, RS TOKEN with a token, and the host's frames F n h; n counts them.")
-        for node in whole.nodes:
+        for node in cluster.nodes:
             click.echo(
                 f"{node.folder.name}: process {node.pid}, 127.0.0.1:{node.port}, log {node.log}, "
-                f"operators: echo status | nc 127.0.0.1 {node.operator}"
+                f"operators: echo status | nc 127.0.0.1 {node.admin_port}"
             )
         click.echo("kill the node that has your session (kill -9 PROCESS), connect once more, and go on, N")
         click.echo("the last n that you saw:  OPEN 2 7f c=viewport,d=1200,g=5c,rt=TOKEN,rp=N")
@@ -115,21 +115,23 @@
 
 async def _up(hosts: int, resumes: bool) -> None:
     end = _end()
-    async with scene(
+    async with running_topology(
         1, ["sound"] * hosts, resumes, make=lambda w, i, b: StreamHost(w, i, b, period=2.0)
-    ) as whole:
+    ) as topology:
         offer = ",rs=1" if resumes else ""
-        click.echo(f"the node listens on 127.0.0.1:{whole.node.port}; its log is {whole.node.log}")
-        click.echo(f"connect with: nc -C 127.0.0.1 {whole.node.port}")
+        click.echo(f"the node listens on 127.0.0.1:{topology.node.port}; its log is {topology.node.log}")
+        click.echo(f"connect with: nc -C 127.0.0.1 {topology.node.port}")
         click.echo(f"and type:     OPEN 1 7f c=viewport,d=1200,g=5c{offer}")
         click.echo("it answers UP and the host's frames; say M 1, M 2, ... and see them counted.")
-        click.echo(f"operators:    echo status | nc 127.0.0.1 {whole.node.operator}")
+        click.echo(f"operators:    echo status | nc 127.0.0.1 {topology.node.admin_port}")
         click.echo("a new version, with an operators' address of its own, beside it:")
         click.echo(
-            f"  TMPDIR={whole.node.folder} GW_CONFIG={whole.node.config} GW_OPERATOR=127.0.0.1:PORT "
+            f"  TMPDIR={topology.node.folder} GW_CONFIG={topology.node.config} GW_OPERATOR=127.0.0.1:PORT "
             "python -O -m tansyladder"
         )
-        click.echo(f"hosts: {', '.join(f'{h.ident} at {h.address}' for h in whole.hosts)}. Ctrl-C ends it.")
+        click.echo(
+            f"hosts: {', '.join(f'{h.ident} at {h.address}' for h in topology.hosts)}. Ctrl-C ends it."
+        )
         await end.wait()
 
 
@@ -141,7 +143,7 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def restart_command(sessions: int, hosts: int, seed: int, store: str, as_json: bool) -> None:
     """End the node with SIGKILL, start it again, and see which sessions go on."""
-    _play(restart.restart(sessions, hosts, seed, store == "on"), as_json)
+    _play(restart.run(sessions, hosts, seed, store == "on"), as_json)
 
 
 @click.command("takeover")
@@ -153,11 +155,11 @@
 @click.option("--peers", default="both", show_default=True, type=click.Choice(["on", "off", "both"]))
 def takeover_command(nodes: int, hosts: int, sessions: int, seed: int, as_json: bool, peers: str) -> None:
     """Kill one node of a fleet, stop another for 5 s, and see which sessions go on at the others."""
-    from tansyladder.lab.chaos import play
+    from tansyladder.lab.chaos import experiments
 
-    result = asyncio.run(play.takeover(nodes, hosts, sessions, seed, peers != "off"))
+    result = asyncio.run(experiments.takeover(nodes, hosts, sessions, seed, peers != "off"))
     if peers == "both":
-        off = asyncio.run(play.takeover(nodes, hosts, sessions, seed, False))
+        off = asyncio.run(experiments.takeover(nodes, hosts, sessions, seed, False))
         result["resumed_share_off"] = off["resumed_share"]
     _show(result, as_json)
     sys.exit(1 if result["cases"] else 0)
@@ -172,7 +174,7 @@
     """Change a document while nodes are killed, stopped and cut off: all have to follow one at a time."""
     from tansyladder.lab.chaos import documents
 
-    result = asyncio.run(documents.play(nodes, seed, keep))
+    result = asyncio.run(documents.run_experiment(nodes, seed, keep))
     _show(result, as_json)
     sys.exit(1 if result["cases"] else 0)
 
@@ -188,9 +190,9 @@
     nodes: int, hosts: int, sessions: int, seconds: float, seed: int, as_json: bool
 ) -> None:
     """Measure what peers cost a fleet in which nothing fails."""
-    from tansyladder.lab.chaos import play
+    from tansyladder.lab.chaos import experiments
 
-    _show(asyncio.run(play.cost(nodes, hosts, sessions, seed, seconds)), as_json)
+    _show(asyncio.run(experiments.measure_cost(nodes, hosts, sessions, seed, seconds)), as_json)
 
 
 @click.command("duplicate-tokens")
@@ -201,9 +203,9 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def duplicate_tokens_command(nodes: int, hosts: int, tokens: int, seed: int, as_json: bool) -> None:
     """Show each of many tokens at two nodes of a fleet at one moment, and see that it opens once."""
-    from tansyladder.lab.chaos import play
+    from tansyladder.lab.chaos import experiments
 
-    result = asyncio.run(play.twins(nodes, hosts, tokens, seed))
+    result = asyncio.run(experiments.duplicate_tokens(nodes, hosts, tokens, seed))
     _show(result, as_json)
     sys.exit(1 if result["cases"] else 0)
 
@@ -235,17 +237,19 @@
     as_json: bool,
 ) -> None:
     """Play seeded faults between several nodes, hosts and clients, and check what they saw."""
-    from tansyladder.lab.chaos import play, schedule
+    from tansyladder.lab.chaos import experiments, schedule
 
     found: dict[str, Any] = {"histories": 0, "faults": 0, "sessions": 0}
     found |= {"violations": Counter(), "first": None}
     plans = [schedule.load(played)] if played else []
-    plans = plans or [schedule.draw(seed + i, nodes, hosts, sessions, seconds) for i in range(runs)]
+    plans = plans or [schedule.generate(seed + i, nodes, hosts, sessions, seconds) for i in range(runs)]
     for plan in plans:
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
             schedule.save(keep / f"schedule-{plan.seed}.json", plan)
-        result = asyncio.run(play.chaos(plan, keep / f"history-{plan.seed}.jsonl" if keep else None))
+        result = asyncio.run(
+            experiments.run_schedule(plan, keep / f"history-{plan.seed}.jsonl" if keep else None)
+        )
         found["histories"] += 1
         found["faults"] += result["faults"]
         found["sessions"] += result["sessions"]
@@ -269,13 +273,16 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def scenarios_command(only: tuple[str, ...], hosts: int, sessions: int, seed: int, as_json: bool) -> None:
     """Play the hard cases with five nodes, one after the other, and check what all parties saw."""
-    from tansyladder.lab.chaos import play
-    from tansyladder.lab.chaos.scenarios import STORIES, story
+    from tansyladder.lab.chaos import experiments
+    from tansyladder.lab.chaos.scenarios import SCENARIOS, scenario_schedule
 
-    if unknown := set(only) - STORIES.keys():
-        names = ", ".join(STORIES)
+    if unknown := set(only) - SCENARIOS.keys():
+        names = ", ".join(SCENARIOS)
         raise click.BadParameter(f"{', '.join(sorted(unknown))}; there are {names}", param_hint="--only")
-    told = {name: asyncio.run(play.chaos(story(name, seed, sessions, hosts))) for name in only or STORIES}
+    told = {
+        name: asyncio.run(experiments.run_schedule(scenario_schedule(name, seed, sessions, hosts)))
+        for name in only or SCENARIOS
+    }
     _show(told, as_json)
     sys.exit(1 if any(result["cases"] or not result["all_back"] for result in told.values()) else 0)
 
@@ -288,20 +295,20 @@
     """Add up the `counts` lines of a fleet's logs, a file for each node, by second."""
     from tansyladder.lab import fleet_counts
 
-    fleet = fleet_counts.read_folder(folder)
+    running_cluster = fleet_counts.read_folder(folder)
     if as_json:
         _show(
             {
-                "nodes": fleet.nodes,
-                "unread": fleet.unread,
-                "totals": fleet.totals,
-                "seconds": fleet.seconds,
-                "standing": fleet.standing,
+                "nodes": running_cluster.nodes,
+                "unread": running_cluster.unread,
+                "totals": running_cluster.totals,
+                "seconds": running_cluster.seconds,
+                "standing": running_cluster.standing,
             },
             True,
         )
     else:
-        click.echo(fleet_counts.table(fleet, members))
+        click.echo(fleet_counts.table(running_cluster, members))
 
 
 @click.command("store-faults")
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -98,7 +98,7 @@
 
     def _check(self, ident: str, earlier: set[HostedStream]) -> None:
         if self.open.get(ident, set()) & earlier:
-            self.report.broken("second_attempts", ident)
+            self.report.record_violation("second_attempts", ident)
 
     def saw(self, what: str, held: HostedStream, number: int = 0) -> None:
         """For whoever keeps a history: a session was taken, fenced off, or a line of its client heard."""
@@ -161,7 +161,7 @@
 
     async def _open(self, door: int, words: list[str], writer: asyncio.StreamWriter) -> HostedStream | None:
         if len(words) != 4 or words[0] != "OPEN":
-            self.world.report.broken("bad_first_lines", " ".join(words)[:80])
+            self.world.report.record_violation("bad_first_lines", " ".join(words)[:80])
             writer.write(b"SYNTAX\r\n")
             return None
         told = dict(pair.split("=", 1) for pair in words[3].split(","))
@@ -169,7 +169,7 @@
         self.world.attempt(held)
         try:
             if self.told is not None and clock() - self.told > GRACE:
-                self.world.report.broken("late_sends_after_drain", self.ident)
+                self.world.report.record_violation("late_sends_after_drain", self.ident)
             return await self._set_up(held, told)
         finally:
             if held not in self.held:
@@ -231,9 +231,11 @@
             number = int(words[1])
             self.world.saw("heard", held, number)
             if number > held.kept.heard + 1:
-                self.world.report.broken("lines_lost", f"client line {number} after {held.kept.heard}")
+                self.world.report.record_violation(
+                    "lines_lost", f"client line {number} after {held.kept.heard}"
+                )
             elif number <= held.kept.heard:
-                self.world.report.broken("lines_doubled", f"client line {number}")
+                self.world.report.record_violation("lines_doubled", f"client line {number}")
             held.kept.heard = max(held.kept.heard, number)
             if self.behaviour == "silent":
                 continue
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -85,11 +85,11 @@
     ) -> None:
         """`known`: the list it starts with; `settings`: the operator's, empty for none; `nodes`: in all."""
         self.folder, self._settings = folder, folder / "settings.sexp" if settings else None
-        self.port, self.operator = spare_port(), spare_port()
+        self.port, self.admin_port = spare_port(), spare_port()
         whole = {
             "name": name,
             "listen": f"127.0.0.1:{self.port}",
-            "operator": f"127.0.0.1:{self.operator}",
+            "operator": f"127.0.0.1:{self.admin_port}",
             "discovery": discovery,
             "seed": "1ab",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 8192},
@@ -112,7 +112,7 @@
             words += ["serve", "--settings", str(self._settings)]
         env = {
             **os.environ,
-            "GW_OPERATOR": f"127.0.0.1:{self.operator}",
+            "GW_OPERATOR": f"127.0.0.1:{self.admin_port}",
             "GW_CONFIG": str(self.config),
             "MALLOC_ARENA_MAX": "2",
             "TMPDIR": str(self.folder),
@@ -127,19 +127,19 @@
             if b"event=started" in self.log.read_bytes()[seen:]:
                 return
             await asyncio.sleep(0.02)
-        raise NodeError(f"the node did not start:\n{self.tail()}")
+        raise NodeError(f"the node did not start:\n{self.log_tail()}")
 
-    async def succeed(self) -> asyncio.subprocess.Process:
+    async def upgrade(self) -> asyncio.subprocess.Process:
         """Start a new process beside the running one; once that knows it, it gets SIGTERM and is returned."""
         assert self._run is not None
         old, seen = self._run, self.log.stat().st_size
-        self.operator = spare_port()
+        self.admin_port = spare_port()
         try:
             await self.start()
             until = clock() + timedelta(seconds=START)
             while b"step=succeeded" not in self.log.read_bytes()[seen:]:
                 if clock() > until:
-                    raise NodeError(f"the old process goes on:\n{self.tail()}")
+                    raise NodeError(f"the old process goes on:\n{self.log_tail()}")
                 await asyncio.sleep(0.02)
         except NodeError:
             old.kill()  # whoever holds this object knows of the new process only
@@ -159,7 +159,7 @@
         assert self._run is not None
         self._run.send_signal(number)
 
-    def fill_disk(self) -> None:
+    def limit_file_size(self) -> None:
         """From now on it can't make any file longer (EFBIG, as ENOSPC where there is no room)."""
         assert self._run is not None
         resource.prlimit(self._run.pid, resource.RLIMIT_FSIZE, (0, 0))
@@ -177,7 +177,7 @@
                 await self._run.wait()
         return self._run.returncode if self._run.returncode is not None else -1
 
-    def tail(self) -> str:
+    def log_tail(self) -> str:
         """The last lines of its log."""
         return "\n".join(self.log.read_text(errors="replace").splitlines()[-15:])
 
@@ -187,14 +187,14 @@
         assert self._run is not None
         return self._run.pid
 
-    def memory(self) -> int:
+    def memory_bytes(self) -> int:
         """Bytes of its own memory that are in use now (RssAnon)."""
         for line in self._proc("status").splitlines():
             if line.startswith("RssAnon:"):
                 return int(line.split()[1]) * 1024
         return 0
 
-    def cpu(self) -> timedelta:
+    def cpu_time(self) -> timedelta:
         """CPU time that it has spent."""
         fields = self._proc("stat").rpartition(")")[2].split()
         return timedelta(seconds=(int(fields[11]) + int(fields[12])) / TICK)
--- a/tansyladder/lab/report.py
+++ b/tansyladder/lab/report.py
@@ -9,8 +9,8 @@
 from hdrh.histogram import HdrHistogram
 
 MICROSECOND = timedelta(microseconds=1)
-LONGEST = 120_000_000  # microseconds a histogram holds
-CASES = 5  # kept of each kind of broken rule
+MAX_DELAY_US = 120_000_000  # microseconds a histogram holds
+CASES_PER_RULE = 5  # kept of each kind of broken rule
 
 
 def clock() -> timedelta:
@@ -26,17 +26,17 @@
         self.cases: dict[str, list[str]] = {}
         self._delays: dict[str, HdrHistogram] = {}
 
-    def broken(self, rule: str, case: str) -> None:
+    def record_violation(self, rule: str, case: str) -> None:
         """A rule was broken; the first cases are kept for whoever looks for the cause."""
         self.counts[rule] += 1
         kept = self.cases.setdefault(rule, [])
-        if len(kept) < CASES:
+        if len(kept) < CASES_PER_RULE:
             kept.append(case)
 
-    def delay(self, name: str, span: timedelta) -> None:
+    def record_delay(self, name: str, span: timedelta) -> None:
         """One more delay of a kind."""
-        histogram = self._delays.setdefault(name, HdrHistogram(1, LONGEST, 3))
-        histogram.record_value(min(LONGEST, max(1, span // MICROSECOND)))
+        histogram = self._delays.setdefault(name, HdrHistogram(1, MAX_DELAY_US, 3))
+        histogram.record_value(min(MAX_DELAY_US, max(1, span // MICROSECOND)))
 
     def percentiles(self, name: str) -> dict[str, float]:
         """p50, p99 and max of a kind of delay in ms; empty where there was none."""
@@ -50,7 +50,7 @@
         }
         return {key: round(value / 1000, 1) for key, value in values.items()}
 
-    def text(self) -> str:
+    def as_text(self) -> str:
         """Everything, a line each."""
         lines = [f"{name:32} {count}" for name, count in sorted(self.counts.items())]
         for name in sorted(self._delays):
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -8,30 +8,32 @@
 
 from tansyladder.lab.drain import RULES
 from tansyladder.lab.report import clock
-from tansyladder.lab.topology import RESUME, scene
+from tansyladder.lab.topology import RESUME_SETTINGS, running_topology
 
-STORE = '(store (enabled true) (directory "FOLDER/store"))\n'
+STORE_SETTINGS = '(store (enabled true) (directory "FOLDER/store"))\n'
 
 
-async def restart(sessions: int, hosts: int, seed: int, keeps: bool) -> dict[str, Any]:
+async def run(sessions: int, hosts: int, seed: int, keeps: bool) -> dict[str, Any]:
     """All clients come back by themselves; then each presents the token that it has used once more."""
-    async with scene(seed, ["sound"] * hosts, True, settings=RESUME + (STORE if keeps else "")) as whole:
-        await whole.join(sessions)
+    async with running_topology(
+        seed, ["sound"] * hosts, True, settings=RESUME_SETTINGS + (STORE_SETTINGS if keeps else "")
+    ) as topology:
+        await topology.connect_clients(sessions)
         await asyncio.sleep(1.0)
-        for client in whole.clients:
+        for client in topology.clients:
             client.up.clear()
-        await whole.node.kill()
+        await topology.node.kill()
         killed = clock()
-        await whole.node.start()
-        back = await whole.until(lambda: all(c.up.is_set() for c in whole.clients), 20)
-        first = min(c.served_at for c in whole.clients if c.served_at > killed) - killed
-        kept = sum(c.sessions == 1 for c in whole.clients)
+        await topology.node.start()
+        back = await topology.wait_until(lambda: all(c.up.is_set() for c in topology.clients), 20)
+        first = min(c.served_at for c in topology.clients if c.served_at > killed) - killed
+        kept = sum(c.session_count == 1 for c in topology.clients)
         await asyncio.sleep(1.0)
-        again = [await client.replay() for client in whole.clients if client.used]
+        again = [await client.replay() for client in topology.clients if client.used]
         await asyncio.sleep(0.5)
-        stood = sum(c.up.is_set() for c in whole.clients)
-        await whole.settle()
-        report = whole.report
+        stood = sum(c.up.is_set() for c in topology.clients)
+        await topology.quiesce()
+        report = topology.report
         return {
             "sessions": sessions,
             "all_back": back,
--- a/tests/answers/test_lab_reports.py
+++ b/tests/answers/test_lab_reports.py
@@ -215,7 +215,7 @@
 
 def test_the_percentiles_of_a_delay() -> None:
     report = Report()
-    report.delay("gap", timedelta(milliseconds=7))
+    report.record_delay("gap", timedelta(milliseconds=7))
     assert report.percentiles("gap") == {"p50": 7.0, "p99": 7.0, "max": 7.0}
 
 
@@ -229,7 +229,7 @@
 
 def test_the_fields_of_a_schedule_and_the_kinds_of_faults(tmp_path: Path) -> None:
     file = tmp_path / "schedule.json"
-    schedule.save(file, schedule.draw(seed=1, nodes=9, hosts=4, sessions=60, seconds=3000))
+    schedule.save(file, schedule.generate(seed=1, nodes=9, hosts=4, sessions=60, seconds=3000))
     saved = json.loads(file.read_text())
     assert list(saved) == ["seed", "nodes", "hosts", "sessions", "faults", "late"]
     assert {tuple(fault) for fault in saved["faults"]} == {("at", "kind", "node", "length", "value")}
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -17,20 +17,20 @@
 from tansyladder.cluster.peer_transport import MOST_GREETING, VERSION, Greeting, PeerTransport
 from tansyladder.cluster.raft_storage import RaftStorage, RollbackDetector
 from tansyladder.config import operator_settings
-from tansyladder.lab.chaos import cluster, history, play, schedule
+from tansyladder.lab.chaos import cluster, experiments, history, schedule
 from tansyladder.lab.node import LabNode
 from tansyladder.raft.messages import Entry, EntryKind, Handshake, HardState, LogSuffix, Message, Snapshot
 from tansyladder.store import Durability, Op, open_store
 from tansyladder.store.files import RealFiles
 
 KEY = "ab" * 32
-KINDS = schedule.Kind
+KINDS = schedule.FaultKind
 
 
-def play_faults(tmp_path: Path, *faults: tuple[float, schedule.Kind, int, float]) -> list[history.Event]:
+def play_faults(tmp_path: Path, *faults: tuple[float, schedule.FaultKind, int, float]) -> list[history.Event]:
     """Three nodes, 24 sessions; no promise is broken, and each client is served at the end."""
     plan = schedule.Schedule(1, 3, 2, 24, tuple(schedule.Fault(*fault) for fault in faults))
-    result = asyncio.run(play.chaos(plan, tmp_path / "history.jsonl"))
+    result = asyncio.run(experiments.run_schedule(plan, tmp_path / "history.jsonl"))
     assert result["all_back"]
     assert not result["cases"]
     return history.load(tmp_path / "history.jsonl")
@@ -38,12 +38,12 @@
 
 def lives(events: list[history.Event]) -> int:
     """The most sessions that a client has begun."""
-    return max(event.life for event in events if event.who == "client")
+    return max(event.session_count for event in events if event.party == "client")
 
 
 def moved(events: list[history.Event]) -> int:
     """Sessions that a second owner took."""
-    return len({event.session for event in events if event.what == "taken" and event.epoch >> 20 >= 2})
+    return len({event.session_id for event in events if event.kind == "taken" and event.epoch >> 20 >= 2})
 
 
 def test_sessions_of_a_killed_node_go_on_at_the_others_each_once(tmp_path: Path) -> None:
@@ -64,8 +64,8 @@
         tmp_path, (0.3, KINDS.CUT_PEERS, 0, 3.0), (0.3, KINDS.CUT_PEERS, 1, 3.0), (0.8, KINDS.RESET, 2, 0.1)
     )
     assert lives(events) == 1
-    tokens = {event.ident for event in events if event.what == "asked" and event.token}
-    assert {"BUSY", "UP"} <= {event.word for event in events if event.ident in tokens}
+    tokens = {event.connection_id for event in events if event.kind == "asked" and event.token}
+    assert {"BUSY", "UP"} <= {event.label for event in events if event.connection_id in tokens}
 
 
 def test_sessions_of_a_node_that_is_restarted_go_on_at_its_peers(tmp_path: Path) -> None:
@@ -76,14 +76,14 @@
 
 def test_a_new_version_joins_the_peers_with_the_store_once_the_old_one_has_ended(tmp_path: Path) -> None:
     async def story() -> tuple[int, bytes]:
-        async with cluster.fleet(3, 2, 1) as (whole, _):
-            await whole.join(12)
-            await whole.play(schedule.Fault(0, KINDS.UPGRADE, 1, 0.0))
+        async with cluster.running_cluster(3, 2, 1) as (whole, _):
+            await whole.connect_clients(12)
+            await whole.inject(schedule.Fault(0, KINDS.UPGRADE, 1, 0.0))
             log = whole.nodes[1].log
             while log.read_bytes().count(b"event=cluster_joined") < 2:
                 await asyncio.sleep(0.02)
-            await whole.until_all_up(15)
-            return sum(client.sessions for client in whole.clients), log.read_bytes()
+            await whole.wait_until_all_connected(15)
+            return sum(client.session_count for client in whole.clients), log.read_bytes()
 
     sessions, log = asyncio.run(asyncio.wait_for(story(), 60))
     assert sessions == 12
@@ -107,19 +107,19 @@
 
 def test_a_token_in_the_buffers_of_a_stopped_node_is_good_still_when_its_client_has_left() -> None:
     async def story() -> list[str]:
-        async with cluster.fleet(3, 2, 1) as (whole, _):
-            await whole.join(6)
+        async with cluster.running_cluster(3, 2, 1) as (whole, _):
+            await whole.connect_clients(6)
             answers = []
             for client in whole.clients[:4]:
-                _, rest = client.give_up()
+                _, rest = client.abandon()
                 stopped, other = (1, 2) if client.number % 2 else (2, 0)
-                whole.stop(stopped)
+                whole.pause(stopped)
                 _, writer = await asyncio.open_connection("127.0.0.1", whole.nodes[stopped].port)
                 writer.write(f"OPEN {client.number:x}0 {rest}\r\n".encode())
                 await writer.drain()
                 writer.close()
                 await writer.wait_closed()
-                whole.go_on(stopped)
+                whole.resume(stopped)
                 reader, writer = await asyncio.open_connection("127.0.0.1", whole.nodes[stopped].port)
                 writer.write(b"PING\r\n")  # it has come to the token by then
                 assert await reader.readline() == b"PONG\r\n"
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -274,28 +274,38 @@
     tmp_path: Path,
 ) -> None:
     """Each of them meets a change that is under way, with first lines coming to all nodes all the time."""
-    result = asyncio.run(documents.play(3, 1, tmp_path / "history.jsonl"))
+    result = asyncio.run(documents.run_experiment(3, 1, tmp_path / "history.jsonl"))
     assert not result["cases"] and not result["turned_away_when_calm"]
     # On a busy machine a node may not answer in time, and a change is dropped: that is an end too.
     assert result["changes"] == 13 and result["done"] >= 5 and result["refused"] >= 1
     assert result["stamped"] >= result["served"] > 100
     events = history.load(tmp_path / "history.jsonl")
-    stopped = next(e for e in events if e.what == "stopped")
-    woke = next(e for e in events if e.what == "sound" and e.node == stopped.node and e.at > stopped.at)
-    words = [e.word for e in events if e.what == "heard word" and e.node == stopped.node and e.at > woke.at]
+    stopped = next(e for e in events if e.kind == "stopped")
+    woke = next(
+        e
+        for e in events
+        if e.kind == "sound" and e.node == stopped.node and e.timestamp_us > stopped.timestamp_us
+    )
+    words = [
+        e.label
+        for e in events
+        if e.kind == "heard word" and e.node == stopped.node and e.timestamp_us > woke.timestamp_us
+    ]
     assert words[0] in ("BUSY", "") and "UP" in words  # it had lines of long ago, and no lease
 
 
 def test_the_checker_of_numbers_finds_its_faults_and_no_other() -> None:
     def decided(moment: int, node: int, number: int) -> history.Event:
-        return history.Event(0, "node", "decided", node=node, word="note", number=number, moment=moment)
+        return history.Event(
+            0, "node", "decided", node=node, label="note", number=number, decided_at_us=moment
+        )
 
     def follows(node: int, number: int) -> history.Event:
-        return history.Event(9, "node", "follows", node=node, word="note", number=number)
+        return history.Event(9, "node", "follows", node=node, label="note", number=number)
 
     fine = [decided(2, 1, 2), decided(1, 0, 1), decided(3, 0, 2), follows(0, 2), follows(1, 2)]
-    assert not checkers.documents_mixed(fine)
-    assert checkers.documents_mixed([*fine, decided(4, 2, 1)]) == [
+    assert not checkers.documents_consistent(fine)
+    assert checkers.documents_consistent([*fine, decided(4, 2, 1)]) == [
         "note: node 2 decides under 1, 2 us after node 1 did under 2"
     ]
-    assert checkers.documents_mixed([*fine, follows(2, 1)]) == ["note: nodes follow [1, 2]"]
+    assert checkers.documents_consistent([*fine, follows(2, 1)]) == ["note: nodes follow [1, 2]"]
