--- a/tansyladder/cli.py
+++ b/tansyladder/cli.py
@@ -33,7 +33,9 @@
     try:
         if file.suffix == ".json":
             told = platform.load({"GW_CONFIG": str(file)})
-            click.echo(f"{file}: sound: node {told.name}, {len(told.known.members)} members known")
+            click.echo(
+                f"{file}: sound: node {told.name}, {len(told.known_endpoints.endpoints)} members known"
+            )
         else:
             operator_settings.load(file)
             click.echo(f"{file}: sound")
--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -26,14 +26,14 @@
     OSError, ValueError, ConfigError: the settings don't fit. StoreError: the records can't be read. Where a
     process before this one runs, that is known only later, and written to the log.
     """
-    if core.takeover.gone.is_set():
+    if core.listener_handover.gone.is_set():
         _join(core, resuming, folder)
     else:
         threading.Thread(target=_follow, args=(core, resuming, folder), name="join", daemon=True).start()
 
 
 def _follow(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
-    core.takeover.gone.wait()
+    core.listener_handover.gone.wait()
     try:
         _join(core, resuming, folder)
     except (OSError, ValueError, ConfigError, StoreError) as err:
@@ -43,7 +43,7 @@
 def _join(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
     store, keeping = core.options.store, None
     if store.enabled:
-        keeping = core.keeping = open_keeping(store.directory, core.config.name)
+        keeping = core.endpoint_cache = open_keeping(store.directory, core.config.name)
         if keeping is not None:
             keeping.start()
     told = core.options.documents
@@ -60,6 +60,6 @@
     )
     resuming.agreeing = agreeing
     if agreeing.holding is not None:
-        core.permits = DocumentPublisher(agreeing, agreeing.holding, told.stamps)
+        core.decision_permit = DocumentPublisher(agreeing, agreeing.holding, told.stamps)
     agreeing.start()
     log(LogEvent.CLUSTER_JOINED, store=keeping is not None)
--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -66,7 +66,7 @@
         self._asked: dict[str, ChangeResult | None] = {}
         self._lock = threading.Lock()
 
-    def permitted(self, ident: str = "") -> bool:
+    def may_decide(self, ident: str = "") -> bool:
         """Whether anything may be decided now."""
         at, permit = self._holding.micros(), self._holding.permit
         allowed = self._holding.allows(permit, at)
@@ -136,7 +136,7 @@
         with self._lock:
             self._asked[ask] = ruled
 
-    def ended(self, ask: str) -> str:
+    def change_result(self, ask: str) -> str:
         """What became of a change. ValueError: it has not taken hold, or that is not known."""
         with self._lock:
             known = ask in self._asked
--- a/tansyladder/cluster/peer_transport.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from tansyladder.config.operator_settings import PeersOptions
-from tansyladder.config.platform import Address, address
+from tansyladder.config.platform import Address, parse_address
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
 from tansyladder.raft.messages import Message
@@ -135,7 +135,9 @@
         self._micros = micros
         self._me, self._fleet, self._heard = me, options.fleet, heard
         self._key = bytes.fromhex(options.key)
-        reached = {name: address(reach, f"peers.members.{name}") for name, reach in options.members.items()}
+        reached = {
+            name: parse_address(reach, f"peers.members.{name}") for name, reach in options.members.items()
+        }
         if me not in reached:
             raise ValueError(f"members: this node's name is not among them: {me[:40]}")
         self._peers: dict[str, Address] = {name: at for name, at in reached.items() if name != me}
@@ -143,7 +145,7 @@
         self._lock = threading.Lock()
         self._newcomers = threading.BoundedSemaphore(NEWCOMERS)
         self.counts: Counter[str] = Counter()
-        listen = address(options.listen or options.members[me], "peers.listen")
+        listen = parse_address(options.listen or options.members[me], "peers.listen")
         self._listener = socket.create_server(listen, backlog=len(self._peers) + 16, reuse_port=True)
         self._decoder = msgspec.msgpack.Decoder(Message | ChangeNotice)
 
--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -21,7 +21,7 @@
     "h": timedelta(hours=1),
 }
 SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
-MOST_DEPTH = 16  # of brackets: deeper is no settings file, and must not exhaust the reader's stack
+MAX_DEPTH = 16  # of brackets: deeper is no settings file, and must not exhaust the reader's stack
 _QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) ?(us|ms|s|min|h|B|KiB|MiB)\Z", re.A)
 
 
@@ -167,8 +167,8 @@
 
 def _entries(entries: list[Any], path: str) -> dict[str, object]:
     """`((a 1) (b (c 2)))` as nested dictionaries; `keys` is the one name with a list behind it."""
-    if path.count(".") > MOST_DEPTH:
-        raise OptionsError(f"{path[:40]}: brackets deeper than {MOST_DEPTH}")
+    if path.count(".") > MAX_DEPTH:
+        raise OptionsError(f"{path[:40]}: brackets deeper than {MAX_DEPTH}")
     out: dict[str, object] = {}
     for entry in entries:
         if not _named(entry):
@@ -218,7 +218,7 @@
         raise OptionsError(f"file: not UTF-8: {path}") from err
 
 
-def changed(running: Options, told: Options) -> list[str]:
+def restart_required_changes(running: Options, told: Options) -> list[str]:
     """The paths of what differs and can't be put in force while the node runs: all but the keys of tokens."""
     before, after = msgspec.structs.asdict(running), msgspec.structs.asdict(told)
     out = []
--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -23,39 +23,43 @@
 # each takes work at its member, which hears them from all nodes: forty nodes that each asked once a second
 # kept members so busy that they looked slow, were marked and lost their connections. So the pace is the
 # fleet's, and the module asks only who has sent no note.
-PROBE_PACE = timedelta(seconds=1)  # of a node for each member, where there are few nodes
-FLEET_PROBE_PACE = timedelta(milliseconds=150)  # between two probes of a member, from whichever node
+HEALTH_CHECK_INTERVAL = timedelta(seconds=1)  # of a node for each member, where there are few nodes
+ENDPOINT_HEALTH_CHECK_INTERVAL = timedelta(
+    milliseconds=150
+)  # between two probes of a member, from whichever node
 # Lateness comes and goes within seconds. Where a node's turn at a member comes more rarely than this, what it
 # heard is of long ago: kept until the next turn it keeps sound members out. So it does not ask, and goes by
 # its guesses, which refuse then.
-SLOWEST_PROBE_PACE = timedelta(seconds=10)
+LONGEST_HEALTH_CHECK_INTERVAL = timedelta(seconds=10)
 
 
-def probe_pace(balancers: int) -> timedelta:
+def health_check_interval(node_count: int) -> timedelta:
     """Between two probes of one member from one of so many nodes; zero: of more than can learn from them."""
-    if balancers > SLOWEST_PROBE_PACE // FLEET_PROBE_PACE:
+    if node_count > LONGEST_HEALTH_CHECK_INTERVAL // ENDPOINT_HEALTH_CHECK_INTERVAL:
         return timedelta(0)
-    return max(PROBE_PACE, balancers * FLEET_PROBE_PACE)
+    return max(HEALTH_CHECK_INTERVAL, node_count * ENDPOINT_HEALTH_CHECK_INTERVAL)
 
 
 # Discovery is one service that takes the calls of all nodes one after another, up to 0.2 s each on busy days.
 # Calls that wait too long there fail, but have cost it their time: forty nodes that each tried again within a
 # second kept it from answering anybody, for as long as the day went on.
-FLEET_CALL_PACE = timedelta(milliseconds=150)  # between two calls to it, from whichever node
-SLOWEST_CALL_PACE = timedelta(seconds=15)  # however many nodes there are said to be: changes have to be heard
+DISCOVERY_SERVICE_CALL_INTERVAL = timedelta(milliseconds=150)  # between two calls to it, from whichever node
+LONGEST_DISCOVERY_CALL_INTERVAL = timedelta(
+    seconds=15
+)  # however many nodes there are said to be: changes have to be heard
 
 # Of many nodes none sees enough of a member to find it late in time, so the home zone's own clients tell when
 # others should take more. A unit of size is about a core, which 18 to 37 connections fill, say the operators.
 # Tried on the fleet's days were 27, 18, 12 and 8; the fewest did best: other zones' clients and the work of
 # groups come on top and are not seen here.
-FILLS = 8.0
-FEW_NODES = 10  # up to so many, probes are frequent enough to tell
+CONNECTIONS_PER_UNIT = 8.0
+SMALL_CLUSTER_NODE_COUNT = 10  # up to so many, probes are frequent enough to tell
 
 
-def call_pace(balancers: int) -> timedelta:
+def discovery_call_interval(node_count: int) -> timedelta:
     """The interval that all of so many nodes need for one call each."""
-    most = SLOWEST_CALL_PACE // FLEET_CALL_PACE
-    return min(balancers, most) * FLEET_CALL_PACE
+    most = LONGEST_DISCOVERY_CALL_INTERVAL // DISCOVERY_SERVICE_CALL_INTERVAL
+    return min(node_count, most) * DISCOVERY_SERVICE_CALL_INTERVAL
 
 
 class ConfigError(Exception):
@@ -74,13 +78,13 @@
     """One stream host as discovery writes it."""
 
     id: str
-    host_port: str
-    phase: str
-    locality: str = ""
-    flavor: str = ""
+    address: str = msgspec.field(name="host_port")
+    state: str = msgspec.field(name="phase")
+    zone: str = msgspec.field(default="", name="locality")
+    kind: str = msgspec.field(default="", name="flavor")
     cell: int = 0
-    size: float = 1.0
-    up_since_ms: int = 0
+    capacity: float = msgspec.field(default=1.0, name="size")
+    started_at_ms: int = msgspec.field(default=0, name="up_since_ms")  # Unix time; 0: not known
 
 
 class EndpointList(msgspec.Struct):
@@ -88,7 +92,7 @@
 
     revision: int = 0
     complete: bool = True
-    members: list[EndpointEntry] = []
+    endpoints: list[EndpointEntry] = msgspec.field(default_factory=list, name="members")
 
 
 class _File(msgspec.Struct):
@@ -98,7 +102,7 @@
     discovery: str = ""
     seed: str = "0"
     limits: Limits = msgspec.field(default_factory=Limits)
-    known: EndpointList = msgspec.field(default_factory=EndpointList)
+    known_endpoints: EndpointList = msgspec.field(default_factory=EndpointList, name="known")
     settings: dict[str, Any] = {}
 
 
@@ -107,7 +111,7 @@
 
 # What holds until the next start, whatever a later file says: who the node is, what the machine grants, and
 # what the numbers that the module knows zones, kinds and columns by were given for.
-UNTIL_RESTART = (
+RESTART_ONLY_KEYS = (
     "name",
     "listen",
     "operator",
@@ -128,7 +132,7 @@
     "settings.extra.mode",
     "settings.ceilings.probes",
 )
-KEPT_SETTINGS = (
+FIXED_SETTINGS = (
     "node_index",
     "zone",
     "tick_us",
@@ -140,7 +144,7 @@
     "has_weights",
     "tenant_quotas",
 )
-POSITIVE = ("slo", "hard_limit")  # of each class
+POSITIVE_CLASS_KEYS = ("slo", "hard_limit")  # of each class
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,23 +157,23 @@
     discovery: Address
     seed: int
     limits: Limits
-    known: EndpointList
+    known_endpoints: EndpointList
     settings: Settings
     class_names: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     tenants: tuple[str, ...]  # their names, in the order of their numbers
-    tells_delay: bool
-    tells_load: bool
+    reports_delay: bool
+    reports_load: bool
     longest_deadline: timedelta
-    written: Mapping[str, str]  # what the file says, by the paths of its keys
+    written_values: Mapping[str, str]  # what the file says, by the paths of its keys
 
 
-def absent(config: Config) -> list[str]:
+def absent_features(config: Config) -> list[str]:
     """What the settings don't give, and is off therefore."""
     has = {
-        "delays": config.tells_delay,
-        "loads": config.tells_load,
+        "delays": config.reports_delay,
+        "loads": config.reports_load,
         "probes": config.settings.can_check_health,
         "pushed_lists": not config.settings.polls_discovery,
         "reports": bool(config.settings.report_columns),
@@ -179,7 +183,7 @@
     return [name for name, given in has.items() if not given]
 
 
-def address(text: str, key: str) -> Address:
+def parse_address(text: str, key: str) -> Address:
     """HOST:PORT as a pair; the platform has no DNS, and looking a name up would block without an end."""
     host, _, port = text.rpartition(":")
     try:
@@ -227,7 +231,7 @@
     for i, one in enumerate(classes):
         if not isinstance(one, dict) or not isinstance(one.get("name"), str):
             raise ConfigError(f"settings.classes.{i}.name: a name expected")
-        for key in POSITIVE:
+        for key in POSITIVE_CLASS_KEYS:
             _positive(one, key, f"settings.classes.{i}.")
     names = tuple(one["name"] for one in classes)
     if len(set(names)) != len(names):
@@ -300,29 +304,32 @@
         discovery=_address(environ, "GW_DISCOVERY", read.discovery),
         seed=seed,
         limits=read.limits,
-        known=read.known,
+        known_endpoints=read.known_endpoints,
         settings=replace(
             settings,
-            health_check_interval_us=probe_pace(settings.node_count) // timedelta(microseconds=1),
-            discovery_call_interval_us=call_pace(settings.node_count) // timedelta(microseconds=1),
-            connections_per_unit=FILLS if settings.node_count > FEW_NODES else 0.0,
+            health_check_interval_us=health_check_interval(settings.node_count) // timedelta(microseconds=1),
+            discovery_call_interval_us=discovery_call_interval(settings.node_count)
+            // timedelta(microseconds=1),
+            connections_per_unit=CONNECTIONS_PER_UNIT
+            if settings.node_count > SMALL_CLUSTER_NODE_COUNT
+            else 0.0,
         ),
         class_names=names,
         zones=_names(read.settings, "localities"),
         kinds=_names(read.settings, "kinds"),
         tenants=_tenant_names(read.settings),
-        tells_delay=tells_delay,
-        tells_load=flat.get("extra.tells_load") == "true",
+        reports_delay=tells_delay,
+        reports_load=flat.get("extra.tells_load") == "true",
         longest_deadline=longest,
-        written=_written(text, read.known),
+        written_values=_written(text, read.known_endpoints),
     )
 
 
 def _address(environ: Mapping[str, str], variable: str, in_file: str) -> Address:
     """What the environment says, else the file; the message names the one that was read."""
     if environ.get(variable):
-        return address(environ[variable], variable)
-    return address(in_file, variable.removeprefix("GW_").lower())
+        return parse_address(environ[variable], variable)
+    return parse_address(in_file, variable.removeprefix("GW_").lower())
 
 
 def _written(text: bytes, known: EndpointList) -> dict[str, str]:
@@ -357,21 +364,21 @@
     told the address of the start.
     """
     told = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
-    lost = _missing(told.written, running.written)
+    lost = _missing(told.written_values, running.written_values)
     if lost is not None:
         raise ConfigError(f"{lost}: missing; the running configuration has it")
-    keys = sorted(running.written.keys() | told.written.keys())
-    changed = [key for key in keys if running.written.get(key) != told.written.get(key)]
-    fixed = [key for key in changed if any(f"{key}.".startswith(f"{part}.") for part in UNTIL_RESTART)]
-    kept = {name: getattr(running.settings, name) for name in KEPT_SETTINGS}
+    keys = sorted(running.written_values.keys() | told.written_values.keys())
+    changed = [key for key in keys if running.written_values.get(key) != told.written_values.get(key)]
+    fixed = [key for key in changed if any(f"{key}.".startswith(f"{part}.") for part in RESTART_ONLY_KEYS)]
+    kept = {name: getattr(running.settings, name) for name in FIXED_SETTINGS}
     new = replace(
         running,
         discovery=told.discovery,
         settings=replace(told.settings, **kept),
         class_names=told.class_names,
-        tells_delay=told.tells_delay,
-        tells_load=told.tells_load,
+        reports_delay=told.reports_delay,
+        reports_load=told.reports_load,
         longest_deadline=told.longest_deadline,
-        written=told.written,
+        written_values=told.written_values,
     )
     return new, [key for key in changed if key not in fixed], fixed
--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -57,7 +57,7 @@
         self._documents: dict[tuple[str, int], Callable[..., list[str]]] = {
             ("documents", 0): lambda: [self._permits.describe(), "."],
             ("publish", 3): lambda name, ask, path: [self._permits.publish(name, ask, path)],
-            ("change", 1): lambda ask: [self._permits.ended(ask)],
+            ("change", 1): lambda ask: [self._permits.change_result(ask)],
         }
         self._listener = socket.create_server(address, backlog=128)
         self._listener.setblocking(False)
@@ -83,9 +83,9 @@
 
     @property
     def _permits(self) -> DecisionPermit:
-        if self._core.permits is None:
+        if self._core.decision_permit is None:
             raise CallError("not joined: this process has no part in the fleet yet")
-        return self._core.permits
+        return self._core.decision_permit
 
     def _status(self) -> list[str]:
         phase = self._core.lifecycle.phase
@@ -97,7 +97,7 @@
         metrics = {
             **self._core.metrics.totals(),
             "active": self._front.active,
-            **self._core.pool(),
+            **self._core.pool_metrics(),
             "phase": self._core.lifecycle.phase.value,
         }
         return [msgspec.json.encode(metrics).decode(), "."]
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -53,11 +53,11 @@
     def run(self, request: RequestReceived) -> Placed:
         """Follow the module until a flow stands or the request is given up; never two attempts at once."""
         core, number, attempt = self.core, self.number, 0
-        core.tell(request)
+        core.handle_events(request)
         while True:
             match order := self._next_order():
                 case StartAttempt(_, server, timeout):
-                    member, sent = core.member(server), now()
+                    member, sent = core.endpoint(server), now()
                     until = min(sent + timeout * MICROSECOND, self.deadline)
                     connect = core.config.settings.connect_timeout_us * MICROSECOND
                     flow = UpstreamConnector(member, self.first_line, until, connect, self._tried, self.lines)
@@ -65,7 +65,7 @@
                     took = (now() - sent) // MICROSECOND
                     if answer.sock is not None and answer.buffer is not None:
                         if self.accept(answer):
-                            core.tell(AttemptEstablished(number, attempt, server, took))
+                            core.handle_events(AttemptEstablished(number, attempt, server, took))
                             lines = (answer.receipt, *answer.ready)
                             return UpstreamConnection(
                                 member, answer.sock, answer.buffer, lines, attempt, took
@@ -74,19 +74,19 @@
                         answer.status = AttemptStatus.CANCELLED
                     if answer.client_left or answer.client_spoke:
                         end = AttemptEnded(number, attempt, server, answer.status, took, True)
-                        core.tell(ClientDisconnected(number), end)
+                        core.handle_events(ClientDisconnected(number), end)
                         return ClientSentEarly() if answer.client_spoke else ClientDisconnectedEarly()
-                    core.tell(AttemptEnded(number, attempt, server, answer.status, took, False))
+                    core.handle_events(AttemptEnded(number, attempt, server, answer.status, took, False))
                     attempt += 1
                 case Reject():
-                    core.tell(ClientDisconnected(number))
+                    core.handle_events(ClientDisconnected(number))
                     return order
                 case Fail():
                     return order
                 case CancelAttempt() | Migrate():
                     pass  # the attempt is over already, or nothing stands yet
                 case ClientDisconnectedEarly() | ClientSentEarly():
-                    core.tell(ClientDisconnected(number))
+                    core.handle_events(ClientDisconnected(number))
                     return order
 
     def _tried(self) -> None:
@@ -120,7 +120,7 @@
     return RequestReceived(
         number,
         cls,
-        core.tenant(opening),
+        core.tenant_number(opening),
         core.clock.micros(deadline),
         opening.key,
         opening.group,
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -322,7 +322,7 @@
     def __init__(self, core: PolicyRunner, takeover: ListenerHandover | None = None) -> None:
         """`takeover`: the way to the process before this one, and to the next; none: there is none."""
         self._core = core
-        self._takeover = core.takeover = takeover or ListenerHandover(core.config.listen, None)
+        self._takeover = core.listener_handover = takeover or ListenerHandover(core.config.listen, None)
         self._lock = threading.Lock()
         self._open: set[str] = set()  # the ids of the connections that are served
         self._closing = False  # whether who is heard now comes too late to be served
@@ -352,7 +352,7 @@
     @property
     def ready(self) -> bool:
         """What a front that asks PING is told."""
-        return self._core.lifecycle.ready and self._core.permitted()
+        return self._core.lifecycle.ready and self._core.may_decide()
 
     @property
     def active(self) -> int:
@@ -393,20 +393,20 @@
     def _admit(
         self, sock: socket.socket, opening: protocol.Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
-        if opening.cls not in self._core.classes:
+        if opening.cls not in self._core.class_numbers:
             raise protocol.LineError(f"c: unknown class {opening.cls[:40]}")
         if self._core.config.tenants and opening.told.get(TENANT) not in self._core.config.tenants:
             raise protocol.LineError(f"t: unknown tenant {opening.told.get(TENANT, '')[:40]}")
-        if self._closing or not self._core.permitted(opening.ident):
+        if self._closing or not self._core.may_decide(opening.ident):
             return protocol.format_reject(self.come_back)
-        resuming = self._core.resuming
+        resuming = self._core.session_service
         if resuming is not None and TICKET in opening.told:
-            return resuming.come_back(sock, opening, arrived, take)
+            return resuming.resume(sock, opening, arrived, take)
         if not self._core.lifecycle.takes:
             return protocol.format_reject(self.come_back)
-        standing = len(self._core.held(True))
+        standing = len(self._core.request_ids(True))
         # A resumable session keeps its mailbox's descriptor while it stands.
-        standing -= len(resuming.ledger) if resuming is not None else 0
+        standing -= len(resuming.token_registry) if resuming is not None else 0
         with self._lock:
             if opening.ident in self._open:
                 raise protocol.LineError("id: open already")
@@ -480,14 +480,14 @@
 
     def share(self) -> tuple[int, int]:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
-        used = 3 * len(self._open) - len(self._core.held(True))
+        used = 3 * len(self._open) - len(self._core.request_ids(True))
         kept = SPARE + self._operators + self._admission.newcomers + used
         free = max(0, self._descriptors - used)
         return kept + free // 2, free - free // 2
 
     def members(self) -> EndpointList:
         """The list as it is known."""
-        return self._core.listed()
+        return self._core.endpoint_list()
 
     def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
         """Go on with a connection of the process before, in a thread of its own."""
@@ -523,7 +523,7 @@
         self._admission.end()
         self._turn_out(told, end + CLOSING)
         self.stop_listening()
-        log(LogEvent.DRAINED, standing=len(core.held(True)), in_hand=len(core.held(False)))
+        log(LogEvent.DRAINED, standing=len(core.request_ids(True)), in_hand=len(core.request_ids(False)))
 
     def watch_standby(self) -> None:
         """For a thread of its own: the same drain whenever the node goes to standby, without its end."""
@@ -533,7 +533,11 @@
             moved = self._spread(since, since + STANDBY)
             if not core.lifecycle.left(since, now()):
                 self._turn_out(moved, now())
-                log(LogEvent.STANDBY_ENTERED, standing=len(core.held(True)), in_hand=len(core.held(False)))
+                log(
+                    LogEvent.STANDBY_ENTERED,
+                    standing=len(core.request_ids(True)),
+                    in_hand=len(core.request_ids(False)),
+                )
             core.lifecycle.left(since)
 
     def _spread(self, since: timedelta, end: timedelta, until_empty: bool = False) -> set[int]:
@@ -543,13 +547,13 @@
         """
         core, moved = self._core, set[int]()
         while not core.lifecycle.left(since, max(since + ARRIVALS, now() + PACE)) and now() < end:
-            standing = [n for n in core.held(True) if n not in moved]
+            standing = [n for n in core.request_ids(True) if n not in moved]
             if until_empty and not self._open and not self._admission.expecting:
                 break
             turns = max(1, (end - SETTLED - now()) // PACE)
             some = standing[: -(-len(standing) // turns)]
             moved.update(some)
-            core.order([Migrate(n) for n in some])
+            core.dispatch([Migrate(n) for n in some])
         return moved
 
     def _turn_out(self, told: set[int], until: timedelta) -> None:
@@ -560,10 +564,10 @@
         """
         core = self._core
         while True:
-            waiting = [n for n in core.held(False) if n not in told]
-            standing = [n for n in core.held(True) if n not in told and n not in waiting]
+            waiting = [n for n in core.request_ids(False) if n not in told]
+            standing = [n for n in core.request_ids(True) if n not in told and n not in waiting]
             told.update(waiting, standing)
-            core.order([*(Reject(n) for n in waiting), *(Migrate(n) for n in standing)])
+            core.dispatch([*(Reject(n) for n in waiting), *(Migrate(n) for n in standing)])
             if not self._open or now() >= until:
                 return
             _sleep(now() + PACE)
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -45,7 +45,7 @@
         self._address = core.config.discovery
         # Whether this address has yet to tell its whole list; at a start the changes since the known one do,
         # unless it is an agent here.
-        self._new = self._pushed or not core.config.known.members
+        self._new = self._pushed or not core.config.known_endpoints.endpoints
         self._retry = self._spread
         self._silent = self._failed = False  # whether the last call was silent, or failed in any way
         self._heard = threading.Event()  # an answer
@@ -68,7 +68,7 @@
     def start(self) -> None:
         threading.Thread(target=self._run, name="discovery", daemon=True).start()
         if self._pushed:  # else the module says when
-            self._core.watch()
+            self._core.request_discovery_poll()
             self._heard.wait(FIRST_LIST.total_seconds())
 
     def switch(self, to: Address) -> bool:
@@ -82,17 +82,17 @@
             old, self._http = self._http, HttpClient(to)
             self._address, self._new, self._retry = to, True, self._spread
         old.end()
-        self._core.watch()
+        self._core.request_discovery_poll()
         return True
 
     def _run(self) -> None:
         while True:
-            on = self._core.watches.get()
+            on = self._core.discovery_polls.get()
             while on:
                 on = self._call()
                 if on:
                     with contextlib.suppress(queue.Empty):
-                        on = self._core.watches.get_nowait()
+                        on = self._core.discovery_polls.get_nowait()
 
     def _call(self) -> bool:
         """One call; False where it failed, and the module decides when to ask again."""
@@ -118,27 +118,27 @@
             pass  # its call was ended
         elif listed is None:
             log(LogEvent.DISCOVERY_FAILED, why=why, after=now() - started)
-            self._core.called(failed=True)
-        elif listed.members or listed.complete:
+            self._core.record_discovery_call(failed=True)
+        elif listed.endpoints or listed.complete:
             log(
                 LogEvent.ENDPOINTS_UPDATED,
                 revision=listed.revision,
                 complete=listed.complete,
-                entries=len(listed.members),
+                entries=len(listed.endpoints),
             )
         with self._lock:
             if http is not self._http:  # what the old address says after the switch is told to nobody
                 http.close()
                 return True
             if listed is not None:
-                self._core.called(failed=False)
+                self._core.record_discovery_call(failed=False)
                 self._new = self._silent = self._failed = False
-                self._core.tell_members(
+                self._core.update_endpoints(
                     listed, ListUpdateKind.SNAPSHOT if listed.complete else ListUpdateKind.DELTA
                 )
                 self._heard.set()
-                if self._core.keeping is not None:
-                    self._core.keeping.tell_members(listed)
+                if self._core.endpoint_cache is not None:
+                    self._core.endpoint_cache.save_endpoints(listed)
             elif new:
                 self._retry = min(2 * retry, RETRY)
             elif older:  # late, or its numbers have begun anew: the whole list tells
@@ -152,12 +152,12 @@
                 return True
             else:
                 self._failed = silent  # one that was turned away has somebody there
-                self._core.tell_members(EndpointList(revision=self._core.revision), ListUpdateKind.FAILED)
+                self._core.update_endpoints(EndpointList(revision=self._core.revision), ListUpdateKind.FAILED)
         if self._pushed:
             if listed is None:
                 self._rest(AGENT_AGAIN)
             return True
-        if listed is not None and listed.members and self._pace > TOGETHER:
+        if listed is not None and listed.endpoints and self._pace > TOGETHER:
             # A change answers the watches of all nodes at once. What changes within 200 ms of an answer
             # counts as told: who asked later sent to a member that was gone, by a list it never saw.
             self._rest(random.uniform(0, 1) * FOLLOW)
@@ -166,7 +166,7 @@
     def _rest(self, span: timedelta) -> None:
         """Wait, unless a new address is named meanwhile: that is to be asked at once."""
         with contextlib.suppress(queue.Empty):
-            self._core.watches.get(timeout=span.total_seconds())
+            self._core.discovery_polls.get(timeout=span.total_seconds())
 
 
 def _pause(span: timedelta) -> None:
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -31,11 +31,11 @@
 
     def _run(self) -> None:
         while True:
-            member = self._core.probes.get()
+            member = self._core.health_checks.get()
             started = now()
             status, load = self._probe(member)
             took = (now() - started) // MICROSECOND
-            self._core.tell(HealthCheckResult(member.number, status, took, load))
+            self._core.handle_events(HealthCheckResult(member.number, status, took, load))
 
     def _probe(self, member: Endpoint) -> tuple[AttemptStatus, tuple[float, ...]]:
         until, connect = now() + WAIT, self._core.config.settings.connect_timeout_us * MICROSECOND
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -19,7 +19,7 @@
 from typing import TypeVar
 
 from tansyladder.config.operator_settings import Options
-from tansyladder.config.platform import Config, ConfigError, EndpointEntry, EndpointList, address
+from tansyladder.config.platform import Config, ConfigError, EndpointEntry, EndpointList, parse_address
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
 from tansyladder.net.action_queue import ActionQueue, Endpoint, QueuedAction
@@ -74,49 +74,51 @@
         """`options`: the operator's; none: all features beyond the platform's protocol are off."""
         self.config = config
         self.options = options or Options()
-        self.resuming: SessionService | None = None  # where sessions can be resumed
-        self.keeping: EndpointListCache | None = None  # where records outlive the node
-        self.permits: DecisionPermit | None = (
+        self.session_service: SessionService | None = None  # where sessions can be resumed
+        self.endpoint_cache: EndpointListCache | None = None  # where records outlive the node
+        self.decision_permit: DecisionPermit | None = (
             None  # where documents are agreed on, once this process has joined
         )
         self.lifecycle = Lifecycle()
-        self.takeover = ListenerHandover(config.listen, None)  # the front's, once there is one
+        self.listener_handover = ListenerHandover(config.listen, None)  # the front's, once there is one
         self.metrics = Metrics(config.class_names)
         self.clock = Clock()
         self._lock = threading.Lock()
         self._timers: list[tuple[timedelta, int]] = []
-        self._timer_set = threading.Condition(self._lock)
-        self._boxes: dict[int, ActionQueue] = {}
-        self._numbers: dict[str, int] = {}
-        self._members: dict[int, Endpoint] = {}
+        self._timers_changed = threading.Condition(self._lock)
+        self._action_queues: dict[int, ActionQueue] = {}
+        self._endpoint_numbers: dict[str, int] = {}
+        self._endpoints: dict[int, Endpoint] = {}
         self._entries: dict[str, EndpointEntry] = {}  # the list as discovery writes it
-        self._zones = {name: i for i, name in enumerate(config.zones)}
-        self._kinds = {name: i for i, name in enumerate(config.kinds)}
-        self._ids = itertools.count(1)
-        self.probes: queue.Queue[Endpoint] = queue.Queue(BACKLOG)
-        self.watches: queue.Queue[bool] = queue.Queue(BACKLOG)
-        self.revision = config.known.revision
-        self.delays = self._delay_meter(config)
-        self.classes = {name: i for i, name in enumerate(config.class_names)}  # that are in force
-        self._terms = {key: i for i, key in enumerate(_terms_of(config))}  # and those that were
-        self._counts = EventCounters(
-            config.settings.classes, lambda number: self._members[number].id, self.metrics
+        self._zone_numbers = {name: i for i, name in enumerate(config.zones)}
+        self._kind_numbers = {name: i for i, name in enumerate(config.kinds)}
+        self._request_ids = itertools.count(1)
+        self.health_checks: queue.Queue[Endpoint] = queue.Queue(BACKLOG)
+        self.discovery_polls: queue.Queue[bool] = queue.Queue(BACKLOG)
+        self.revision = config.known_endpoints.revision
+        self.delay_meter = self._build_delay_meter(config)
+        self.class_numbers = {name: i for i, name in enumerate(config.class_names)}  # that are in force
+        self._class_versions = {key: i for i, key in enumerate(_terms_of(config))}  # and those that were
+        self._event_counters = EventCounters(
+            config.settings.classes, lambda number: self._endpoints[number].id, self.metrics
         )
-        self._counted: deque[dict[str, object]] = deque()  # lines that are to be written, outside the lock
+        self._pending_count_lines: deque[dict[str, object]] = (
+            deque()
+        )  # lines that are to be written, outside the lock
         self._balancer = Balancer(config.settings, config.seed, self.clock.micros(now()))
 
     @staticmethod
-    def _delay_meter(config: Config) -> DelayMeter | None:
+    def _build_delay_meter(config: Config) -> DelayMeter | None:
         aims = [
             c.message_latency_objective_us for c in config.settings.classes if c.message_latency_objective_us
         ]
-        return DelayMeter(min(aims) * MICROSECOND / 3) if config.tells_delay and aims else None
+        return DelayMeter(min(aims) * MICROSECOND / 3) if config.reports_delay and aims else None
 
-    def permitted(self, ident: str = "") -> bool:
+    def may_decide(self, ident: str = "") -> bool:
         """Whether this node may decide now: where documents are agreed on, only under those that hold."""
         if not self.options.documents.enabled:
             return True
-        return self.permits is not None and self.permits.permitted(ident)
+        return self.decision_permit is not None and self.decision_permit.may_decide(ident)
 
     def reconfigure(self, told: Config) -> None:
         """New settings, in one step. A class whose terms changed gets a number of its own in the module.
@@ -124,93 +126,96 @@
         What is under way goes on under the number, and so the terms, that it began with.
         """
         with self._lock:
-            numbers = {key[0]: self._terms.setdefault(key, len(self._terms)) for key in _terms_of(told)}
-            retired = frozenset(self._terms.values()) - set(numbers.values())
-            classes = tuple(terms for _, terms in self._terms)  # in the order of their numbers
+            numbers = {
+                key[0]: self._class_versions.setdefault(key, len(self._class_versions))
+                for key in _terms_of(told)
+            }
+            retired = frozenset(self._class_versions.values()) - set(numbers.values())
+            classes = tuple(terms for _, terms in self._class_versions)  # in the order of their numbers
             settings = replace(told.settings, classes=classes, retired_classes=retired)
-            self.config, self.classes = replace(told, settings=settings), numbers
-            self._counts.classes = classes
-            self.delays = self._delay_meter(told)
+            self.config, self.class_numbers = replace(told, settings=settings), numbers
+            self._event_counters.classes = classes
+            self.delay_meter = self._build_delay_meter(told)
             woken = self._decide([settings])
         self.metrics.know(numbers)
-        self._done(woken)
+        self._wake_and_log(woken)
 
     def start(self) -> None:
         """Hand the module its last known list and start the timers."""
-        known = self.config.known
-        kept = self.keeping.last_members() if self.keeping else None
-        if kept is not None and kept.members.revision > known.revision:
-            age = timedelta(microseconds=self.clock.micros(now()) - kept.at)
+        known = self.config.known_endpoints
+        kept = self.endpoint_cache.load_endpoints() if self.endpoint_cache else None
+        if kept is not None and kept.endpoints.revision > known.revision:
+            age = timedelta(microseconds=self.clock.micros(now()) - kept.saved_at_us)
             log(
                 LogEvent.CACHED_ENDPOINTS_USED,
-                revision=kept.members.revision,
-                entries=len(kept.members.members),
+                revision=kept.endpoints.revision,
+                entries=len(kept.endpoints.endpoints),
                 age=age,
             )
-            known = kept.members
-        before = self.takeover.members
+            known = kept.endpoints
+        before = self.listener_handover.members
         if before is not None and before.revision >= known.revision:
             known = before
-        self.tell_members(known, ListUpdateKind.CACHED)
+        self.update_endpoints(known, ListUpdateKind.CACHED)
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
     # --- the module's events and actions
 
-    def tell(self, *events: Event) -> None:
+    def handle_events(self, *events: Event) -> None:
         """Let the module hear events of this moment, in order, and hand out what it says."""
         with self._lock:
             woken = self._decide(events)
-        self._done(woken)
+        self._wake_and_log(woken)
 
-    def _done(self, woken: list[ActionQueue]) -> None:
+    def _wake_and_log(self, woken: list[ActionQueue]) -> None:
         """What is left to do once the lock is released."""
         for box in woken:
             box.wake()
-        while self._counted:
+        while self._pending_count_lines:
             with contextlib.suppress(IndexError):  # another thread was quicker
-                log(LogEvent.COUNTS, **self._counted.popleft())
+                log(LogEvent.COUNTS, **self._pending_count_lines.popleft())
 
     def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
         """Under the lock: one call of the module; returns whose holders to wake once it is released."""
         woken, moment = [], self.clock.micros(now())
-        if fields := self._counts.turn(moment):
-            self._counted.append(fields)
+        if fields := self._event_counters.turn(moment):
+            self._pending_count_lines.append(fields)
         for event in events:
-            self._counts.event(event, moment)
+            self._event_counters.event(event, moment)
         for action in self._balancer.handle(moment, events):
-            self._counts.action(action)
+            self._event_counters.action(action)
             match action:
                 case SetTimer(at, token):
                     heapq.heappush(self._timers, (self.clock.moment(at), token))
                     if self._timers[0][1] == token:
-                        self._timer_set.notify()
+                        self._timers_changed.notify()
                 case StartAttempt(id) | Reject(id) | Fail(id) | CancelAttempt(id) | Migrate(id):
-                    box = self._boxes.get(id)
+                    box = self._action_queues.get(id)
                     # Neither a withdrawal of what stands nor a move of what does not comes through.
                     if box and not isinstance(action, CancelAttempt if box.standing else Migrate):
                         box.post(action)
                         woken.append(box)
                 case CheckHealth(server):
-                    self._hand(self.probes, self._members[server])
+                    self._enqueue(self.health_checks, self._endpoints[server])
                 case PollDiscovery(on):
-                    self._hand(self.watches, on)
+                    self._enqueue(self.discovery_polls, on)
                 case Log(text):
                     log(LogEvent.POLICY, text=text)
                 case SendPeerMessage():
                     check_invariant(False, "tell_without_peers")
         return woken
 
-    def called(self, failed: bool) -> None:
+    def record_discovery_call(self, failed: bool) -> None:
         """A call to discovery is over."""
         with self._lock:
-            self._counts.call(failed)
+            self._event_counters.call(failed)
 
-    def watch(self) -> None:
+    def request_discovery_poll(self) -> None:
         """Watch discovery without the module's word: its address has changed."""
-        self._hand(self.watches, True)
+        self._enqueue(self.discovery_polls, True)
 
     @staticmethod
-    def _hand(to: queue.Queue[_T], item: _T) -> None:
+    def _enqueue(to: queue.Queue[_T], item: _T) -> None:
         try:
             to.put_nowait(item)
         except queue.Full:
@@ -218,112 +223,114 @@
 
     def _run_timers(self) -> None:
         while True:
-            with self._timer_set:
+            with self._timers_changed:
                 while not self._timers or self._timers[0][0] > now():
                     left = (self._timers[0][0] - now()).total_seconds() if self._timers else 60.0
-                    self._timer_set.wait(max(0.0, left))
+                    self._timers_changed.wait(max(0.0, left))
                 due = []
                 moment = now()
                 while self._timers and self._timers[0][0] <= moment:
                     due.append(TimerExpired(heapq.heappop(self._timers)[1]))
                 woken = self._decide(due)
-            self._done(woken)
+            self._wake_and_log(woken)
 
     # --- transactions
 
-    def register(self, box: ActionQueue) -> int:
+    def register_request(self, box: ActionQueue) -> int:
         """A new transaction's number."""
         with self._lock:
-            number = next(self._ids)
-            self._boxes[number] = box
+            number = next(self._request_ids)
+            self._action_queues[number] = box
             return number
 
-    def forget(self, number: int) -> None:
+    def unregister_request(self, number: int) -> None:
         with self._lock:
-            self._boxes.pop(number, None)
+            self._action_queues.pop(number, None)
 
-    def order(self, orders: Sequence[QueuedAction]) -> None:
+    def dispatch(self, orders: Sequence[QueuedAction]) -> None:
         """Hand out orders of the node's own; who is over already is passed by."""
         with self._lock:
-            boxes = [(o, self._boxes[o.request_id]) for o in orders if o.request_id in self._boxes]
+            boxes = [
+                (o, self._action_queues[o.request_id]) for o in orders if o.request_id in self._action_queues
+            ]
             for order, box in boxes:
                 box.post(order)
         for _, box in boxes:
             box.wake()
 
-    def held(self, standing: bool) -> list[int]:
+    def request_ids(self, standing: bool) -> list[int]:
         """The transactions whose connections stand, or those still in hand."""
         with self._lock:
-            return [n for n, box in self._boxes.items() if box.standing == standing]
+            return [n for n, box in self._action_queues.items() if box.standing == standing]
 
-    def delay_notes(self, number: int, attempt: int, member: int) -> DelayReports:
+    def delay_reports(self, number: int, attempt: int, member: int) -> DelayReports:
         """What takes in the delays of a standing connection's messages and tells the module where due."""
 
         def tell(kind: ReportKind, ms: float) -> None:
-            self.tell(ConnectionReport(number, kind, attempt, member, ms))
+            self.handle_events(ConnectionReport(number, kind, attempt, member, ms))
 
-        return DelayReports(member, lambda: self.delays, tell, lambda: self.config.tells_load)
+        return DelayReports(member, lambda: self.delay_meter, tell, lambda: self.config.reports_load)
 
-    def tenant(self, opening: Opening) -> int:
+    def tenant_number(self, opening: Opening) -> int:
         """The number of the tenant that a first line names; 0 where the settings have no such."""
         name, tenants = opening.told.get(TENANT, ""), self.config.tenants
         return tenants.index(name) if name in tenants else 0
 
     # --- pool members
 
-    def member(self, number: int) -> Endpoint:
+    def endpoint(self, number: int) -> Endpoint:
         with self._lock:
-            return self._members[number]
+            return self._endpoints[number]
 
-    def member_of_id(self, ident: str) -> Endpoint | None:
+    def endpoint_by_id(self, ident: str) -> Endpoint | None:
         with self._lock:
-            number = self._numbers.get(ident)
-            return self._members.get(number) if number is not None else None
+            number = self._endpoint_numbers.get(ident)
+            return self._endpoints.get(number) if number is not None else None
 
-    def pool(self) -> dict[str, int]:
+    def pool_metrics(self) -> dict[str, int]:
         """The metrics of the list of members, as the module sees it."""
         size, ejected = self._balancer.pool()
         return {"pool_size": size, "pool_ejected": ejected}
 
-    def tell_members(self, listed: EndpointList, kind: ListUpdateKind) -> None:
+    def update_endpoints(self, listed: EndpointList, kind: ListUpdateKind) -> None:
         """The list or changes of it; entries that make no sense are left out and logged."""
         with self._lock:
-            lines = [line for line in map(self._line, listed.members) if line is not None]
+            lines = [line for line in map(self._endpoint_update, listed.endpoints) if line is not None]
             self.revision = listed.revision
             if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
                 self._entries.clear()
-            self._entries.update((entry.id, entry) for entry in listed.members)
-            self._entries = {k: entry for k, entry in self._entries.items() if entry.phase != "removed"}
+            self._entries.update((entry.id, entry) for entry in listed.endpoints)
+            self._entries = {k: entry for k, entry in self._entries.items() if entry.state != "removed"}
             woken = self._decide([EndpointListUpdate(kind, tuple(lines), listed.revision)])
-        self._done(woken)
+        self._wake_and_log(woken)
 
-    def listed(self) -> EndpointList:
+    def endpoint_list(self) -> EndpointList:
         """The whole list as it is known, for the process that takes our place."""
         with self._lock:
             return EndpointList(self.revision, True, list(self._entries.values()))
 
-    def _line(self, entry: EndpointEntry) -> EndpointUpdate | None:
-        state = PHASES.get(entry.phase)
+    def _endpoint_update(self, entry: EndpointEntry) -> EndpointUpdate | None:
+        state = PHASES.get(entry.state)
         try:
-            reach = address(entry.host_port, "host_port")
+            reach = parse_address(entry.address, "host_port")
             if state is None:
-                raise ConfigError(f"phase: unknown: {entry.phase[:40]}")
-            if not 0 <= entry.up_since_ms < MOST_MS:
+                raise ConfigError(f"phase: unknown: {entry.state[:40]}")
+            if not 0 <= entry.started_at_ms < MOST_MS:
                 raise ConfigError("up_since_ms: out of range")
         except ConfigError as err:
             log(LogEvent.INVALID_ENDPOINT, id=entry.id, why=err)
             return None
-        number = self._numbers.setdefault(entry.id, len(self._numbers) + 1)
-        self._members[number] = Endpoint(number, entry.id, reach, state)
+        number = self._endpoint_numbers.setdefault(entry.id, len(self._endpoint_numbers) + 1)
+        self._endpoints[number] = Endpoint(number, entry.id, reach, state)
         since = 0
-        if entry.up_since_ms:
-            since = self.clock.micros(self.clock.of_wall(EPOCH + timedelta(milliseconds=entry.up_since_ms)))
+        if entry.started_at_ms:
+            since = self.clock.micros(self.clock.of_wall(EPOCH + timedelta(milliseconds=entry.started_at_ms)))
         return EndpointUpdate(
             number,
-            self._zones.setdefault(entry.locality, len(self._zones)),
+            self._zone_numbers.setdefault(entry.zone, len(self._zone_numbers)),
             entry.cell,
-            self._kinds.setdefault(entry.flavor, len(self._kinds)),
-            entry.size,
+            self._kind_numbers.setdefault(entry.kind, len(self._kind_numbers)),
+            entry.capacity,
             state,
             since,
             zlib.crc32(entry.id.encode()),  # nodes number members in the order in which they hear of them
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from tansyladder.config.operator_settings import OptionsError, changed, load
+from tansyladder.config.operator_settings import OptionsError, load, restart_required_changes
 from tansyladder.config.platform import ConfigError, reload
 from tansyladder.log import LogEvent, log
 from tansyladder.node.discovery_client import DiscoveryClient
@@ -59,13 +59,13 @@
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             core.metrics.file(applied=False)
             return
-        fixed += changed(self._options, options)
+        fixed += restart_required_changes(self._options, options)
         if fixed:
             log(LogEvent.RELOAD_IGNORED, keys=",".join(fixed))
         self._running = told
         core.reconfigure(told)
-        if core.resuming is not None:
-            core.resuming.rotate(options.resume)
+        if core.session_service is not None:
+            core.session_service.rotate_keys(options.resume)
         switched = self._discovery.switch(told.discovery)
         core.metrics.file(applied=True)
         shown = ",".join(keys)[:MOST_KEYS]
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -37,7 +37,7 @@
         """`handed`: of one that stood in the process before this one, what that gave with it."""
         self._core, self._client, self._opening, self._handed = core, client, opening, handed
         # Its class keeps its number and so its terms; that of what another process took in may be unknown.
-        self._cls = core.classes.get(opening.cls, 0)
+        self._cls = core.class_numbers.get(opening.cls, 0)
         self._deadline = arrived + opening.wait
         self._box = ActionQueue()
         self._number = 0
@@ -51,7 +51,7 @@
             log(LogEvent.CLIENT_REJECTED, why=err)
             self._answer(Ending.SHED, format_reject(AGAIN))
             return
-        self._number = self._core.register(self._box)
+        self._number = self._core.register_request(self._box)
         try:
             if self._handed is not None:
                 self._go_on(*self._handed)
@@ -60,18 +60,18 @@
             else:
                 self._take_up(self._opening.at)
         finally:
-            self._core.forget(self._number)
+            self._core.unregister_request(self._number)
             self._box.close()
             self._client.close()
 
     def _live(self) -> None:
         """OPEN, the module's choice and server-side flows, UP or an answer, the relay, the end."""
-        core, number, opening, resuming = self._core, self._number, self._opening, self._core.resuming
+        core, number, opening, resuming = self._core, self._number, self._opening, self._core.session_service
         first_line: Callable[[timedelta], bytes] = opening.for_member
         stream = None
-        if resuming is not None and resuming.offered(opening):
-            stream = resuming.stream()
-            first_line = resuming.first_line(opening, stream)
+        if resuming is not None and resuming.wants_session(opening):
+            stream = resuming.new_stream()
+            first_line = resuming.upstream_opening(opening, stream)
         placing = AttemptLoop(core, self._box, number, opening.cls, self._deadline, first_line, self._client)
         placed = placing.run(request_of(core, number, self._cls, opening, self._deadline, opening.again))
         if isinstance(placed, UpstreamConnection):
@@ -83,7 +83,7 @@
                 member, attempt = standing.member, standing.attempt
                 relay = self._relay(standing.sock, standing.buffer, member, attempt)
                 status = relay.run(standing.lines)
-                core.tell(standing.ended(number, status))
+                core.handle_events(standing.ended(number, status))
             case Reject(_, wait):
                 self._answer(Ending.SHED, format_reject(wait * MICROSECOND))
             case Fail():
@@ -109,15 +109,17 @@
         attempt: int,
     ) -> Relay:
         core = self._core
-        notes = core.delay_notes(self._number, attempt, member.number)
-        relay = Relay(self._client, sock, self._box, self._opening, member.id, buffer, notes, core.takeover)
+        notes = core.delay_reports(self._number, attempt, member.number)
+        relay = Relay(
+            self._client, sock, self._box, self._opening, member.id, buffer, notes, core.listener_handover
+        )
         self._box.stand(relay.nudge)
         return relay
 
     def _take_up(self, ident: str) -> None:
         """A connection that stood at a pool member before the run goes back there."""
         core, opening = self._core, self._opening
-        member = core.member_of_id(ident)
+        member = core.endpoint_by_id(ident)
         answer = ConnectResult(AttemptStatus.CONNECT_FAILED)
         while member is not None and answer.sock is None and not answer.client_left:
             connect = core.config.settings.connect_timeout_us * MICROSECOND
@@ -141,11 +143,11 @@
         self._answer(Ending.OK)
         self._opened(member)
         status = self._relay(answer.sock, answer.buffer, member, 0).run((answer.receipt, *answer.ready))
-        core.tell(AttemptEnded(self._number, 0, member.number, status, 0, True))
+        core.handle_events(AttemptEnded(self._number, 0, member.number, status, 0, True))
 
     def _go_on(self, handed: ConnectionState, sock: socket.socket) -> None:
         """A connection that stood in the process before this one goes on where it was."""
-        core, member = self._core, self._core.member_of_id(handed.member)
+        core, member = self._core, self._core.endpoint_by_id(handed.member)
         if member is None:
             log(LogEvent.CONNECTION_ADOPTION_FAILED, member=handed.member)
             sock.close()
@@ -153,11 +155,13 @@
             return
         self._opened(member)
         status = self._relay(sock, protocol.LineBuffer(), member, 0).go_on(handed)
-        core.tell(AttemptEnded(self._number, 0, member.number, status, 0, True))
+        core.handle_events(AttemptEnded(self._number, 0, member.number, status, 0, True))
 
     def _opened(self, member: Endpoint) -> None:
         """The module is told of a connection that it did not place."""
         opening = self._opening
         hint = None if opening.hint is None else int(opening.hint)
-        tenant = self._core.tenant(opening)
-        self._core.tell(ConnectionAdopted(self._number, self._cls, tenant, member.number, opening.key, hint))
+        tenant = self._core.tenant_number(opening)
+        self._core.handle_events(
+            ConnectionAdopted(self._number, self._cls, tenant, member.number, opening.key, hint)
+        )
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -49,7 +49,7 @@
     if chosen.store.enabled and not chosen.peers.enabled:
         from tansyladder.sessions.session_store import open_keeping
 
-        keeping = core.keeping = open_keeping(chosen.store.directory, told.name)
+        keeping = core.endpoint_cache = open_keeping(chosen.store.directory, told.name)
         if keeping is not None:
             keeping.start()
     if chosen.resume.enabled:
@@ -57,7 +57,7 @@
             ResumptionHandler,  # and the library of its cryptography
         )
 
-        resuming = core.resuming = ResumptionHandler(core, keeping)
+        resuming = core.session_service = ResumptionHandler(core, keeping)
     try:
         front = ClientListener(core, ListenerHandover(told.listen, os.environ.get("TMPDIR")))
         name = "GW_OPERATOR"
@@ -83,14 +83,19 @@
     front.start()
     reloader = Reloader(os.environ, core, discovery, settings)
     reloader.start()
-    log(LogEvent.STARTED, name=told.name, members=len(told.known.members), sockets=told.limits.sockets)
-    log(LogEvent.SETTINGS_ABSENT, what=",".join(platform.absent(told)))
+    log(
+        LogEvent.STARTED,
+        name=told.name,
+        members=len(told.known_endpoints.endpoints),
+        sockets=told.limits.sockets,
+    )
+    log(LogEvent.SETTINGS_ABSENT, what=",".join(platform.absent_features(told)))
     while (got := signal.sigwait(SIGNALS)) == signal.SIGHUP:
         reloader.ask()  # read elsewhere: a SIGTERM meanwhile must not wait for a slow disk
     log(LogEvent.STOPPING, signal=signal.Signals(got).name)
     front.drain()
-    if core.permits is not None:
-        core.permits.leave()
-    if core.keeping is not None:
-        core.keeping.close()
+    if core.decision_permit is not None:
+        core.decision_permit.leave()
+    if core.endpoint_cache is not None:
+        core.endpoint_cache.close()
     return 0
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -70,12 +70,14 @@
         try:
             box.open()
             stream = Stream.revived(claim.session, self.budget, self.options.buffer, start)
-            session = Session(self._core, self, box, None, self._core.classes[opening.cls], opening, stream)
+            session = Session(
+                self._core, self, box, None, self._core.class_numbers[opening.cls], opening, stream
+            )
             session.expires_at(self._core.clock.moment(expiry))
-            self.ledger.begin(claim.session, box, floor, tenure)
+            self.token_registry.begin(claim.session, box, floor, tenure)
             threading.Thread(target=session.run, daemon=True).start()
         except (OSError, RuntimeError) as err:
-            self.ledger.end(claim.session, SessionEnd.ROOM)
+            self.token_registry.end(claim.session, SessionEnd.ROOM)
             box.close()
             raise TokenError("room") from err
         log(LogEvent.SESSION_RESTORED, left=self._core.clock.moment(expiry) - now())
@@ -85,7 +87,7 @@
     def replaced(self, session: int, tenure: int, by: str) -> None:
         """The log says that another node owns a session: what there is of it here ends."""
         if self.agreeing is not None and by != self.agreeing.by:
-            box = self.ledger.handle(session, tenure)
+            box = self.token_registry.handle(session, tenure)
             if box is not None:
                 box.replaced = True
                 box.wake()
@@ -121,7 +123,9 @@
         assert self.agreeing is not None
         deadline = arrived + opening.wait
         try:
-            if self.ledger.knows(claim.session):  # an earlier claim of this node has just gone through
+            if self.token_registry.knows(
+                claim.session
+            ):  # an earlier claim of this node has just gone through
                 return self._answer(sock, opening, BUSY)
             if sockets.left(sock):  # nobody is there to go on with it
                 return self._answer(sock, opening, BUSY)
@@ -136,7 +140,7 @@
                 return self._answer(sock, opening, BUSY if again else control_messages.refused(ruling.why))
             visitor = ResumingClient(sock, int(opening.told[POSITION]), deadline, claim.expiry)
             self._revive(claim, opening, claim.generation, claim.expiry, ruling.tenure)
-            self.ledger.claim(claim, self._core.clock.micros(arrived), lambda box: box.visit(visitor))
+            self.token_registry.claim(claim, self._core.clock.micros(arrived), lambda box: box.visit(visitor))
             log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.tenure, took=now() - arrived)
         except TokenError as err:  # no room, or two clients with one token here at the same moment
             self._answer(
@@ -153,7 +157,7 @@
 
     # --- coming back
 
-    def come_back(
+    def resume(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
         """Hand a client with a token to its session's thread, `take` first; else the answer that refuses it.
@@ -173,7 +177,7 @@
             claim = self.keyring.open(opening.told[TICKET], binding(opening))
             if self.agreeing is not None:  # a node that was stopped has clients of long ago in its buffers
                 arrived = min(arrived, now() - sockets.quiet(sock))
-            if not self.ledger.knows(claim.session):
+            if not self.token_registry.knows(claim.session):
                 if self.agreeing is not None:
                     return self._take_over(sock, opening, claim, arrived, take)
                 if self.keeping is not None:
@@ -184,7 +188,7 @@
                 take()
                 box.visit(visitor)
 
-            self.ledger.claim(claim, self._core.clock.micros(arrived), deliver)
+            self.token_registry.claim(claim, self._core.clock.micros(arrived), deliver)
         except TokenError as err:
             log(LogEvent.RESUME_REJECTED, why=err.why)
             # Its client may have given up on an answer that is still on its way, and shows the token again.
@@ -192,6 +196,6 @@
             return BUSY if again else control_messages.refused(err.why)
         return b""
 
-    def rotate(self, options: ResumeOptions) -> None:
+    def rotate_keys(self, options: ResumeOptions) -> None:
         """Put the keys of new settings in force."""
         self.keyring.rotate([(k.id, k.secret) for k in options.keys])
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -131,7 +131,7 @@
             else:
                 self._receipt = standing.lines[0]
                 self._host = BufferedSocket(standing.sock, standing.buffer)
-                shared.ledger.begin(session, self._box)
+                shared.token_registry.begin(session, self._box)
                 self._tell_client(self._receipt + self._token())  # the final answer of the first request
             while True:
                 try:
@@ -152,7 +152,7 @@
             while visitor := self._box.visitor():
                 taken = over.why is SessionEnd.TAKEN  # it may be taken back in a moment
                 self._refuse(visitor, shared.busy if taken else control_messages.refused(over.why.value))
-            core.forget(number)
+            core.unregister_request(number)
             self._box.close()
             self._stream.close()
             if self._parked:
@@ -168,7 +168,7 @@
         core, stream, box = self._core, self._stream, self._box
         assert self._host is not None
         self._member = standing.member.id
-        self._notes = core.delay_notes(number, standing.attempt, standing.member.number)
+        self._notes = core.delay_reports(number, standing.attempt, standing.member.number)
         self._question = ResponseTimeout(self._notes.timed)
         box.hold()
         if self._missing:
@@ -371,11 +371,11 @@
         try:
             at, *lines = self._stream.returns(visitor.position)
         except PositionError as err:
-            self._shared.ledger.restore(self._stream.number)
+            self._shared.token_registry.restore(self._stream.number)
             self._refuse(visitor, control_messages.refused(err.why))
             return
         if refusal := self._shared.spend(self._stream.number, self._opening, visitor):
-            self._shared.ledger.restore(self._stream.number)
+            self._shared.token_registry.restore(self._stream.number)
             self._refuse(visitor, refusal)
             return
         if self._client is not None:
@@ -401,7 +401,7 @@
                     self._stream.from_host.since(visitor.position)
                     return visitor
                 except PositionError as err:
-                    self._shared.ledger.restore(self._stream.number)
+                    self._shared.token_registry.restore(self._stream.number)
                     self._refuse(visitor, control_messages.refused(err.why))
                     continue
             if self._box.replaced:
@@ -422,8 +422,8 @@
         self._host.sock.close()
         self._host = None
         self._box.unhold()
-        self._core.tell(standing.ended(number, status))
-        self._core.forget(number)
+        self._core.handle_events(standing.ended(number, status))
+        self._core.unregister_request(number)
 
     def _go_on(self, lost: _UpstreamLost) -> tuple[UpstreamConnection, int]:
         """Place the session anew, once there is a client to place it for; _Over where that can't be."""
@@ -451,7 +451,7 @@
             if visitor is None:
                 log(LogEvent.SESSION_REJECTED, why=lost.why)
                 raise _SessionEnded(SessionEnd.MOVED, last=self._send_off())
-            self._shared.ledger.restore(self._stream.number)
+            self._shared.token_registry.restore(self._stream.number)
             self._moves = 0
             self._refuse(visitor, protocol.format_reject(found))
 
@@ -479,8 +479,8 @@
                 return False
             return True
 
-        first_line = self._shared.first_line(opening, stream)
-        number = core.register(box)
+        first_line = self._shared.upstream_opening(opening, stream)
+        number = core.register_request(box)
         request = request_of(core, number, self._cls, opening, deadline, True)
         found = AttemptLoop(core, box, number, opening.cls, deadline, first_line, None, 2, accept).run(
             request
@@ -488,7 +488,7 @@
         if isinstance(found, UpstreamConnection):
             lines = (found.lines[0], *found.lines[2:])  # without its word of positions
             return replace(found, lines=lines), number
-        core.forget(number)
+        core.unregister_request(number)
         return found.retry_after_us * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
     def _refuse(self, visitor: ResumingClient, answer: bytes) -> None:
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -81,7 +81,7 @@
         self.keyring = Keyring(life, keys, os.urandom, kept.key if kept else None)
         self.start = 1 if peers.enabled else kept.starts if kept else 0
         self._durable = peers.enabled or self.keeping is not None
-        self.ledger: TokenRegistry[ActionQueue] = TokenRegistry(self.options.remembered, self.start)
+        self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(self.options.remembered, self.start)
         self.budget = MemoryBudget(int(core.config.limits.memory_mb * (1 << 20) * self.options.memory_share))
         self._parked = self._giving = 0
         self.turns = itertools.count(1)
@@ -95,26 +95,26 @@
         """The answer to a token that may be good in a moment."""
         return BUSY
 
-    def offered(self, opening: Opening) -> bool:
+    def wants_session(self, opening: Opening) -> bool:
         """Whether a client's first line asks for a session that can be resumed."""
         return opening.told.get(OFFER) == "1" and TICKET not in opening.told
 
-    def stream(self) -> Stream:
+    def new_stream(self) -> Stream:
         """A new session's positions; its number is the secret that stream hosts know it by."""
         number = int.from_bytes(os.urandom(8), "big")
         return Stream(number, self.budget, self.options.buffer, self.start, self._durable)
 
     @staticmethod
-    def first_line(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
+    def upstream_opening(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
         """What a stream host gets, by how long the node waits; each call counts as a placement."""
         return lambda wait: opening.for_member(wait, BETWEEN, stream.place())
 
     def token(self, session: int, opening: Opening) -> bytes:
         """The line that lets a client come back from now on."""
         expiry = self._core.clock.micros(now() + self.options.expires)
-        text = self.keyring.seal(self.ledger.issue(session, expiry), binding(opening))
+        text = self.keyring.seal(self.token_registry.issue(session, expiry), binding(opening))
         if self.keeping is not None:
-            self.keeping.keep(session, opening.line, self.ledger.floor(session), expiry)
+            self.keeping.keep(session, opening.line, self.token_registry.floor(session), expiry)
         return control_messages.token(text, self.options.expires // timedelta(milliseconds=1))
 
     @property
@@ -130,7 +130,7 @@
         """
         if self.keeping is not None:
             expiry = self._core.clock.micros(now() + self.options.expires)
-            floor = self.ledger.next_floor(session)
+            floor = self.token_registry.next_floor(session)
             if not self.keeping.spend(session, opening.line, floor, expiry):
                 return control_messages.refused("store")
         if self.agreeing is not None:
@@ -138,7 +138,7 @@
 
             if sockets.left(visitor.sock):  # this node was slow: its client shows the token elsewhere by now
                 return BUSY
-            floor = self.ledger.next_floor(session)
+            floor = self.token_registry.next_floor(session)
             at, keep = self.span()
             tenure = floor >> TENURE_BITS
             entry = ClaimConfirmation(
@@ -147,13 +147,13 @@
             ruling = self.agreeing.rule(entry, min(visitor.deadline - MARGIN, now() + CONFIRM))
             late = now() > visitor.deadline or sockets.left(visitor.sock)
             if ruling is None or (ruling.tenure and late):
-                good = self.ledger.floor(session)  # as it was
+                good = self.token_registry.floor(session)  # as it was
                 self._give_back(msgspec.structs.replace(entry, floor=good, turn=next(self.turns)))
                 return BUSY
             if not ruling.tenure:  # who has claimed it since may fail: its token may be good still
                 return BUSY if ruling.why == "claimed" else control_messages.refused(ruling.why)
             self._unsaid[session] = SessionOpened(session, tenure, self.agreeing.by, at, entry.turn)
-        self.ledger.spend(session)
+        self.token_registry.spend(session)
         return b""
 
     def answered(self, session: int) -> None:
@@ -164,7 +164,7 @@
 
     def end(self, session: int, why: SessionEnd) -> None:
         """Nobody comes back to it any more."""
-        self.ledger.end(session, why)
+        self.token_registry.end(session, why)
         self._unsaid.pop(session, None)
         if self.keeping is not None:
             self.keeping.end(session)
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -46,8 +46,8 @@
 class StoredEndpointList(msgspec.Struct, frozen=True):
     """The last list, with its age."""
 
-    at: int  # microseconds of Unix time
-    members: EndpointList
+    saved_at_us: int = msgspec.field(name="at")  # Unix time
+    endpoints: EndpointList = msgspec.field(name="members")
 
 
 def _key(session: int) -> bytes:
@@ -104,19 +104,19 @@
 
     # --- members
 
-    def tell_members(self, listed: EndpointList) -> None:
+    def save_endpoints(self, listed: EndpointList) -> None:
         """Keep the list as it is after these changes."""
         if listed.complete:
             self._members = {}
-        for entry in listed.members:
-            if entry.phase == "removed":
+        for entry in listed.endpoints:
+            if entry.state == "removed":
                 self._members.pop(entry.id, None)
             else:
                 self._members[entry.id] = entry
         whole = EndpointList(listed.revision, True, list(self._members.values()))
         self._write(Op(MEMBERS, msgspec.msgpack.encode(StoredEndpointList(self._clock(), whole))))
 
-    def last_members(self) -> StoredEndpointList | None:
+    def load_endpoints(self) -> StoredEndpointList | None:
         """The list of the last start, where one was kept."""
         try:
             kept = self._store.get(MEMBERS)
@@ -125,7 +125,7 @@
             return None
         found = msgspec.msgpack.decode(kept, type=StoredEndpointList) if kept else None
         if found is not None:
-            self._members = {entry.id: entry for entry in found.members.members}
+            self._members = {entry.id: entry for entry in found.endpoints.endpoints}
         return found
 
     # --- sessions
--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -17,8 +17,15 @@
 from structlog import DropEvent
 
 from tansyladder import log as logging
-from tansyladder.config.operator_settings import KeyEntry, Options, OptionsError, changed, load, parse
-from tests.node.harness import Listener, member, told, up
+from tansyladder.config.operator_settings import (
+    KeyEntry,
+    Options,
+    OptionsError,
+    load,
+    parse,
+    restart_required_changes,
+)
+from tests.node.harness import ScriptedServer, answer_up, endpoint_entry, load_test_config
 from tests.node.test_node import client_of, program, until_line
 
 KEY = "ab" * 32
@@ -62,7 +69,7 @@
     read = parse(f'(resume (enabled true) (expires "1.5 min") (buffer "8 KiB") (keys (3 "{KEY}")))')
     assert read.resume.expires == timedelta(seconds=90) and read.resume.buffer == 8192
     assert read.resume.keys == (KeyEntry(3, KEY),) and read.resume.keys[0].secret == b"\xab" * 32
-    assert changed(Options(), read) == ["resume.enabled", "resume.expires", "resume.buffer"]
+    assert restart_required_changes(Options(), read) == ["resume.enabled", "resume.expires", "resume.buffer"]
     with pytest.raises(OptionsError, match="file: No such file"):
         load(tmp_path / "none")
     assert load(Path(__file__).parent.parent.parent / "deploy" / "settings.example.sexp").resume.enabled
@@ -86,7 +93,7 @@
 
 
 def test_check_names_the_fault_and_ends_with_2(tmp_path: Path) -> None:
-    told(tmp_path, member("s0", "127.0.0.1:9"))
+    load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"))
     assert run("check", str(tmp_path / "config.json")).returncode == 0
     (tmp_path / "bad.json").write_text('{"limits": {"sockets": "many"}}')
     (tmp_path / "bad.sexp").write_text("(resume (expires 1))")
@@ -100,7 +107,7 @@
 
 def test_the_platforms_line_loads_no_tool(tmp_path: Path) -> None:
     """Started without words the node must not pay for what only tools and other installations need."""
-    told(tmp_path)
+    load_test_config(tmp_path)
     code = (
         "import signal, sys;"
         "sys.argv = ['tansyladder'];"
@@ -117,7 +124,7 @@
     """A broken file changes nothing; what can't change is named, and no key is ever written to the log."""
     file = tmp_path / "settings.sexp"
     file.write_text(f'(resume (enabled true) (keys (1 "{KEY}")))')
-    host = Listener(up(lambda peer: peer.say(peer.hear())))
+    host = ScriptedServer(answer_up(lambda peer: peer.send_lines(peer.read_line())))
     with program(tmp_path, host, words=("serve", "--settings", str(file))) as (node, port):
         assert node.stderr is not None
         file.write_text("(resume")
@@ -128,9 +135,9 @@
         until_line(node, b"event=reload_ignored keys=resume.parked")
         until_line(node, b"event=reloaded")
         client = client_of(port)
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         node.send_signal(signal.SIGTERM)
-        assert client.hear() == "MOVE"
+        assert client.read_line() == "MOVE"
         client.close()
         assert node.wait(10) == 0
         assert KEY.encode() not in node.stderr.read()
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -14,7 +14,7 @@
 
 from tansyladder import invariants
 from tansyladder.config.platform import ConfigError, load
-from tests.node.harness import SETTINGS, member, told
+from tests.node.harness import SETTINGS, endpoint_entry, load_test_config
 
 
 @pytest.mark.parametrize(
@@ -37,12 +37,12 @@
 )
 def test_a_fault_names_its_key(tmp_path: Path, over: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError) as err:
-        told(tmp_path, member("s0", "127.0.0.1:9"), **over)
+        load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), **over)
     assert named in str(err.value)
 
 
 def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
-    told(tmp_path)
+    load_test_config(tmp_path)
     read = load({"GW_CONFIG": str(tmp_path / "config.json"), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.2:80"})
     assert (read.name, read.listen, read.discovery) == ("n7", ("127.0.0.2", 80), ("127.0.0.1", 1))
     assert (read.settings.classes[0].message_latency_objective_us, read.class_names) == (50_000, ("chat",))
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -255,18 +255,18 @@
 ) -> EndpointEntry:
     return EndpointEntry(
         id=id,
-        host_port=address,
-        phase=phase,
-        locality=locality,
-        flavor=flavor,
+        address=address,
+        state=phase,
+        zone=locality,
+        kind=flavor,
         cell=cell,
-        size=size,
-        up_since_ms=up_since_ms,
+        capacity=size,
+        started_at_ms=up_since_ms,
     )
 
 
 def endpoint_list(*, revision: int, complete: bool, endpoints: list[EndpointEntry]) -> EndpointList:
-    return EndpointList(revision=revision, complete=complete, members=endpoints)
+    return EndpointList(revision=revision, complete=complete, endpoints=endpoints)
 
 
 # --- an upgrade
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -22,7 +22,7 @@
 from tansyladder.store import Durability, Op, Store, open_store
 from tansyladder.store.files import RealFiles
 from tests.formats.adapter import LogCommand, LogEntry, Place, encode
-from tests.node.harness import HeardCore, told
+from tests.node.harness import RecordingPolicyRunner, load_test_config
 
 HardState = messages.HardState
 Snapshot = messages.Snapshot
@@ -248,13 +248,13 @@
 
 
 def save_endpoints(opened: SessionStore, listed: EndpointList) -> None:
-    opened.tell_members(listed)
+    opened.save_endpoints(listed)
 
 
 def saved_endpoints(opened: SessionStore) -> tuple[int, EndpointList] | None:
     """When the list was kept, and the list."""
-    found = opened.last_members()
-    return (found.at, found.members) if found is not None else None
+    found = opened.load_endpoints()
+    return (found.saved_at_us, found.endpoints) if found is not None else None
 
 
 # --- tokens
@@ -262,7 +262,7 @@
 
 def node_keyring(folder: Path, sessions: SessionStore) -> Keyring:
     """Of a node `n0` that keeps its sessions in a store, with the key that it drew."""
-    return SessionRegistry(HeardCore(told(folder)), sessions).keyring
+    return SessionRegistry(RecordingPolicyRunner(load_test_config(folder)), sessions).keyring
 
 
 def fleet_keyring(folder: Path, keys: list[tuple[int, bytes]]) -> Keyring:
@@ -270,7 +270,9 @@
     peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
     entries = tuple(KeyEntry(id=number, digits=secret.hex()) for number, secret in keys)
     resume = ResumeOptions(enabled=True, keys=entries)
-    return SessionRegistry(HeardCore(told(folder), Options(resume=resume, peers=peers)), None).keyring
+    return SessionRegistry(
+        RecordingPolicyRunner(load_test_config(folder), Options(resume=resume, peers=peers)), None
+    ).keyring
 
 
 def seal_token(
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -17,16 +17,23 @@
 from tansyladder.net import listener_handover
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.node.client_listener import ClientListener
-from tests.node.harness import HeardCore, Listener, Peer, member, told, up
+from tests.node.harness import (
+    Peer,
+    RecordingPolicyRunner,
+    ScriptedServer,
+    answer_up,
+    endpoint_entry,
+    load_test_config,
+)
 from tests.node.test_node import client_of, program, until_line, void
 
-STAYS = up(lambda peer: void(*iter(peer.hear, "")))
+STAYS = answer_up(lambda peer: void(*iter(peer.read_line, "")))
 
 
 def echoes(peer: Peer) -> None:
-    for line in iter(peer.hear, ""):
+    for line in iter(peer.read_line, ""):
         peer.sock.sendall(line[:2].encode())
-        peer.say(line[2:])
+        peer.send_lines(line[2:])
 
 
 def candidate(tmp_path: Path, port: int) -> ListenerHandover:
@@ -50,9 +57,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with program(tmp_path, Listener(up(echoes))) as (old, port):
+    with program(tmp_path, ScriptedServer(answer_up(echoes))) as (old, port):
         before = client_of(port)
-        assert before.hear() == "UP r1"
+        assert before.read_line() == "UP r1"
         env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_LISTEN": f"127.0.0.1:{port}"}
         with subprocess.Popen(
             [sys.executable, "-O", "-m", "tansyladder"], env=env, stderr=subprocess.PIPE
@@ -68,9 +75,9 @@
                 assert old.wait(10) == 0
                 assert select.select([queued.sock], [], [], 0)[0] == []
                 new.send_signal(signal.SIGCONT)
-                assert queued.hear() == "UP r1"
-                before.say("1", "M 2")  # it stands, and neither its client nor its member has noticed
-                assert [before.hear(), before.hear()] == ["M 1", "M 2"]
+                assert queued.read_line() == "UP r1"
+                before.send_lines("1", "M 2")  # it stands, and neither its client nor its member has noticed
+                assert [before.read_line(), before.read_line()] == ["M 1", "M 2"]
                 before.close()
                 new.send_signal(signal.SIGHUP)
                 until_line(new, b"event=reloaded")
@@ -87,17 +94,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with program(tmp_path, Listener(STAYS)) as (old, port):
+    with program(tmp_path, ScriptedServer(STAYS)) as (old, port):
         new = candidate(tmp_path, port)
         listener = asked(new)
         first = client_of(port)
-        assert first.hear() == "UP r1"  # the old one takes clients until it is told to end
+        assert first.read_line() == "UP r1"  # the old one takes clients until it is told to end
         listener.close()
         goes(new)
         second = client_of(port)
-        assert second.hear() == "UP r1"
+        assert second.read_line() == "UP r1"
         old.send_signal(signal.SIGTERM)
-        assert [first.hear(), second.hear()] == ["MOVE", "MOVE"]
+        assert [first.read_line(), second.read_line()] == ["MOVE", "MOVE"]
         first.close()
         second.close()
         assert old.wait(10) == 0 and list(tmp_path.glob("*.sock")) == []
@@ -107,20 +114,20 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    host = Listener(STAYS)
+    host = ScriptedServer(STAYS)
     with program(tmp_path, host) as (old, port):
         new = candidate(tmp_path, port)
         listener = asked(new)
         old.send_signal(signal.SIGTERM)
         assert old.wait(10) == 0
         queued = client_of(port)
-        read = told(tmp_path, member("s0", host.address), listen=f"127.0.0.1:{port}")
+        read = load_test_config(tmp_path, endpoint_entry("s0", host.address), listen=f"127.0.0.1:{port}")
         monkeypatch.setattr(new, "ask", lambda: listener)
-        core = HeardCore(read)
+        core = RecordingPolicyRunner(read)
         front = ClientListener(core, new)
         core.start()
         front.start()
-        assert queued.hear() == "UP r1"
+        assert queued.read_line() == "UP r1"
         queued.close()
         front.stop_listening()
 
@@ -136,7 +143,7 @@
         free.wait(10)
         STAYS(peer)
 
-    with program(tmp_path, Listener(holds, STAYS)) as (old, port):
+    with program(tmp_path, ScriptedServer(holds, STAYS)) as (old, port):
         waiting = client_of(port)  # for as long as it has no answer the old one's drain lasts
         assert came.wait(10)
         new = candidate(tmp_path, port)
@@ -149,10 +156,10 @@
         queued = client_of(port, "81")
         listener.close()
         goes(new)
-        assert queued.hear() == "UP r1"
+        assert queued.read_line() == "UP r1"
         free.set()
-        assert waiting.hear() == "UP r1"
-        assert [waiting.hear(), queued.hear()] == ["MOVE", "MOVE"]
+        assert waiting.read_line() == "UP r1"
+        assert [waiting.read_line(), queued.read_line()] == ["MOVE", "MOVE"]
         waiting.close()
         queued.close()
         assert old.wait(10) == 0
@@ -163,7 +170,7 @@
 ) -> None:
     """A stale file, a process that hangs, no folder at all: a plain start, beside whoever listens."""
     monkeypatch.setattr(listener_handover, "PATIENCE", timedelta(milliseconds=50))
-    first = ClientListener(HeardCore(told(tmp_path)))
+    first = ClientListener(RecordingPolicyRunner(load_test_config(tmp_path)))
     port = first.address[1]
     name = tmp_path / f"tansyladder-127.0.0.1-{port}.sock"
     hangs = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -173,7 +180,10 @@
     assert candidate(tmp_path, port).ask() is None
     assert ListenerHandover(("127.0.0.1", port), None).ask() is None
     assert ListenerHandover(("127.0.0.1", port), str(tmp_path / "none")).ask() is None
-    beside = ClientListener(HeardCore(told(tmp_path, listen=f"127.0.0.1:{port}")), candidate(tmp_path, port))
+    beside = ClientListener(
+        RecordingPolicyRunner(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")),
+        candidate(tmp_path, port),
+    )
     assert beside.address == first.address
     beside.start()
     hangs.close()
@@ -186,7 +196,7 @@
 def test_both_together_have_the_nodes_descriptors(tmp_path: Path) -> None:
     """The old one keeps what it uses and half of what is free; a client that stands counts once."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
-    core = HeardCore(told(tmp_path, limits=limits))
+    core = RecordingPolicyRunner(load_test_config(tmp_path, limits=limits))
     old = ClientListener(core, ListenerHandover(("127.0.0.1", 1), str(tmp_path)))
     kept, left = old.share()
     assert 0 < left < kept < 200 - left  # what a full table of newcomers may take stays with neither
@@ -197,7 +207,7 @@
 
 
 def test_strangers_at_the_socket_get_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    front = ClientListener(HeardCore(told(tmp_path)), candidate(tmp_path, 1))
+    front = ClientListener(RecordingPolicyRunner(load_test_config(tmp_path)), candidate(tmp_path, 1))
     gone = threading.Event()
     monkeypatch.setattr(front, "alone", lambda _: gone.set())
     front._takeover.serve(front._listener, front)
@@ -205,6 +215,6 @@
         sock.settimeout(5)
         sock.connect(str(tmp_path / "tansyladder-127.0.0.1-1.sock"))
         sock.sendall(b"GET / HTTP/1.1\r\n")
-        assert Peer(sock).hear() == ""
+        assert Peer(sock).read_line() == ""
     assert not front._takeover.given and not gone.is_set()
     front.stop_listening()
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -38,7 +38,7 @@
 _ids = itertools.count(0x9B1F)
 
 
-def fresh() -> str:
+def unique_id() -> str:
     """An id that no other connection of these stories has."""
     return f"{next(_ids):x}"
 
@@ -54,10 +54,10 @@
         sock.settimeout(10)
         self._file = sock.makefile("rb")
 
-    def say(self, *lines: str) -> None:
+    def send_lines(self, *lines: str) -> None:
         self.sock.sendall("".join(f"{line}\r\n" for line in lines).encode())
 
-    def hear(self) -> str:
+    def read_line(self) -> str:
         """The next line without its end; empty at the end of the connection."""
         return self._file.readline().decode().removesuffix("\r\n")
 
@@ -66,19 +66,19 @@
         self.sock.close()
 
 
-def up(then: Script | None = None) -> Script:
+def answer_up(then: Script | None = None) -> Script:
     """A stream host's script that brings the connection up."""
 
     def script(peer: Peer) -> None:
-        peer.hear()
-        peer.say("UP r1")
+        peer.read_line()
+        peer.send_lines("UP r1")
         if then:
             then(peer)
 
     return script
 
 
-class Listener:
+class ScriptedServer:
     """A scripted party: its n-th connection follows the n-th script, the last one again and again."""
 
     def __init__(self, *scripts: Script) -> None:
@@ -106,48 +106,49 @@
             peer.close()
 
 
-class HeardCore(PolicyRunner):
-    """A core that keeps what its module heard."""
+class RecordingPolicyRunner(PolicyRunner):
+    """A policy runner that records the events that its policy handles."""
 
-    def __init__(self, told: platform.Config, options: Options | None = None) -> None:
-        super().__init__(told, options)
-        self.heard: list[Event] = []
+    def __init__(self, config: platform.Config, options: Options | None = None) -> None:
+        super().__init__(config, options)
+        self.events: list[Event] = []
 
     def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
-        self.heard.extend(events)
+        self.events.extend(events)
         return super()._decide(events)
 
     def wait_for(self, kind: type[EventT], count: int = 1) -> EventT:
         """The newest event of a kind, once there are so many."""
         until = time.monotonic() + 10
         while time.monotonic() < until:
-            found = [e for e in self.heard if isinstance(e, kind)]
+            found = [e for e in self.events if isinstance(e, kind)]
             if len(found) >= count:
                 return found[count - 1]
             time.sleep(0.005)
-        raise AssertionError(f"no {kind.__name__}: {self.heard}")
+        raise AssertionError(f"no {kind.__name__}: {self.events}")
 
 
 class Node:
     """A node on loopback and the way of a client to it."""
 
-    def __init__(self, core: HeardCore, front: ClientListener) -> None:
-        self.core, self.front = core, front
+    def __init__(self, runner: RecordingPolicyRunner, listener: ClientListener) -> None:
+        self.runner = runner
+        self.listener = listener
 
     def connect(self) -> Peer:
-        return Peer(socket.create_connection(self.front.address, 5))
+        return Peer(socket.create_connection(self.listener.address, 5))
 
     def open(self, values: str = "c=chat,d=1200,g=5c", key: str = "7f") -> Peer:
         client = self.connect()
-        client.say(f"OPEN {fresh()} {key} {values}")
+        client.send_lines(f"OPEN {unique_id()} {key} {values}")
         return client
 
 
-def member(ident: str, address: str, **over: Any) -> dict[str, Any]:
+def endpoint_entry(ident: str, address: str, **over: Any) -> dict[str, Any]:
     return {"id": ident, "host_port": address, "locality": "a", "flavor": "m", "phase": "up", **over}
 
 
-def told(tmp_path: Path, *members: dict[str, Any], **over: Any) -> platform.Config:
+def load_test_config(tmp_path: Path, *members: dict[str, Any], **over: Any) -> platform.Config:
     """A configuration as the platform writes it."""
     file = tmp_path / "config.json"
     whole = {
@@ -165,19 +166,21 @@
 
 
 @contextmanager
-def node(
+def running_node(
     tmp_path: Path,
-    *members: Listener,
+    *members: ScriptedServer,
     resume: ResumeOptions | None = None,
     store: Path | None = None,
     **over: Any,
 ) -> Iterator[Node]:
     """A node that knows these members; with `resume` its sessions can be resumed."""
-    told_ = told(tmp_path, *(member(f"s{i}", m.address) for i, m in enumerate(members)), **over)
-    core = HeardCore(told_, Options(resume=resume) if resume else None)
-    keeping = core.keeping = open_keeping(str(store), "n0") if store else None
+    told_ = load_test_config(
+        tmp_path, *(endpoint_entry(f"s{i}", m.address) for i, m in enumerate(members)), **over
+    )
+    core = RecordingPolicyRunner(told_, Options(resume=resume) if resume else None)
+    keeping = core.endpoint_cache = open_keeping(str(store), "n0") if store else None
     if resume:
-        core.resuming = ResumptionHandler(core, keeping)
+        core.session_service = ResumptionHandler(core, keeping)
     front = ClientListener(core)
     core.start()
     front.start()
@@ -185,5 +188,5 @@
         yield Node(core, front)
     finally:
         front.stop_listening()
-        if core.keeping is not None:
-            core.keeping.close()
+        if core.endpoint_cache is not None:
+            core.endpoint_cache.close()
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -17,20 +17,20 @@
 from tansyladder.node.admin_server import LINE, MOST_CALLERS, AdminServer
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.policy.events import ClientDisconnected
-from tests.node.harness import SETTINGS, Listener, Node, Peer, node, up
+from tests.node.harness import SETTINGS, Node, Peer, ScriptedServer, answer_up, running_node
 
 CHAT = SETTINGS["classes"][0]
 
 
 def stays(peer: Peer) -> None:
     """A member's script behind UP: it says nothing more, until the node ends the connection."""
-    while peer.hear():
+    while peer.read_line():
         pass
 
 
 def echoes(peer: Peer) -> None:
-    while line := peer.hear():
-        peer.say(line)
+    while line := peer.read_line():
+        peer.send_lines(line)
 
 
 class Office(Node):
@@ -45,7 +45,7 @@
         """The answer's lines, up to the end of the connection."""
         caller = self.caller()
         caller.sock.sendall(line)
-        lines = list(iter(caller.hear, ""))
+        lines = list(iter(caller.read_line, ""))
         caller.close()
         return lines
 
@@ -57,10 +57,10 @@
 
 
 @contextmanager
-def office(tmp_path: Path, *members: Listener, **over: Any) -> Iterator[Office]:
-    with node(tmp_path, *members, **over) as n:
-        it = Office(n.core, n.front)
-        it.operator = AdminServer(n.core, n.front, ("127.0.0.1", 0))
+def office(tmp_path: Path, *members: ScriptedServer, **over: Any) -> Iterator[Office]:
+    with running_node(tmp_path, *members, **over) as n:
+        it = Office(n.runner, n.listener)
+        it.operator = AdminServer(n.runner, n.listener, ("127.0.0.1", 0))
         it.operator.start()
         yield it
         it.operator.stop()
@@ -68,8 +68,8 @@
 
 def ping(n: Node) -> str:
     front = n.connect()
-    front.say("PING")
-    answer = front.hear()
+    front.send_lines("PING")
+    answer = front.read_line()
     front.close()
     return answer
 
@@ -88,20 +88,20 @@
     ],
 )
 def test_each_call_has_its_answer_and_a_fault_its_reason(tmp_path: Path, line: bytes, answer: str) -> None:
-    with office(tmp_path, Listener(up(stays))) as n:
+    with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
         (said,) = n.call(line)
         assert said.startswith(answer)
         assert ping(n) == "PONG"
 
 
 def test_callers_that_finish_no_call_hold_nobody_up(tmp_path: Path) -> None:
-    with office(tmp_path, Listener(up(stays))) as n:
+    with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
         idle = [n.caller() for _ in range(2 * MOST_CALLERS)]
         for caller in idle[MOST_CALLERS:]:
             caller.sock.sendall(b"stat")
         assert n.call(b"status\r\n") == ["+OK serving"]
         assert len(n.operator._callers) <= MOST_CALLERS  # who came first is gone, and costs nothing any more
-        assert [caller.hear() for caller in idle[:MOST_CALLERS]] == [""] * MOST_CALLERS
+        assert [caller.read_line() for caller in idle[:MOST_CALLERS]] == [""] * MOST_CALLERS
         for caller in idle:
             caller.close()
 
@@ -112,33 +112,33 @@
     heard: list[str] = []
 
     def by_key(peer: Peer) -> None:
-        heard.append(line := peer.hear())
+        heard.append(line := peer.read_line())
         if " f " in line or " e " in line:
-            peer.say("ERR")
+            peer.send_lines("ERR")
         else:
-            peer.say("UP r1")
+            peer.send_lines("UP r1")
             stays(peer)
 
     unsafe = CHAT | {"name": "once", "effect": "non_idempotent"}
     settings = SETTINGS | {"classes": [CHAT, unsafe]}
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
-    with office(tmp_path, Listener(by_key), settings=settings, limits=limits) as n:
+    with office(tmp_path, ScriptedServer(by_key), settings=settings, limits=limits) as n:
         standing = [n.open(key="7") for _ in range(3)]
-        assert [client.hear() for client in standing] == ["UP r1"] * 3
+        assert [client.read_line() for client in standing] == ["UP r1"] * 3
         failed = n.open("c=once,d=1200", key="f")
-        assert failed.hear() == "ERR"  # it may have run, and must not run again
+        assert failed.read_line() == "ERR"  # it may have run, and must not run again
         refused = n.open("c=chat,d=300", key="e")
-        assert refused.hear().startswith("BUSY")
+        assert refused.read_line().startswith("BUSY")
         taken = n.connect()
-        taken.say("OPEN ab 7 c=chat,d=1200")
-        assert taken.hear() == "UP r1"
+        taken.send_lines("OPEN ab 7 c=chat,d=1200")
+        assert taken.read_line() == "UP r1"
         twice = n.connect()
-        twice.say("OPEN ab 7 c=chat,d=1200")
-        assert twice.hear() == "ERR"
+        twice.send_lines("OPEN ab 7 c=chat,d=1200")
+        assert twice.read_line() == "ERR"
         nobody = n.open("c=gone,d=1200")
-        assert nobody.hear() == "ERR"
+        assert nobody.read_line() == "ERR"
         crowd = [n.open("c=once,d=1200", key="7") for _ in range(40)]
-        words = [client.hear().split()[0] for client in crowd]
+        words = [client.read_line().split()[0] for client in crowd]
         assert words.count("BUSY") > 0
         figures = n.stats()
         chat, once = figures["responses"]["chat"], figures["responses"]["once"]
@@ -160,17 +160,17 @@
     came, free = threading.Semaphore(0), threading.Event()
 
     def holds(peer: Peer) -> None:
-        peer.hear()
+        peer.read_line()
         came.release()
         free.wait(10)
 
-    with office(tmp_path, Listener(holds), Listener(holds)) as n:
+    with office(tmp_path, ScriptedServer(holds), ScriptedServer(holds)) as n:
         leaves, stays_on = n.open(key="1"), n.open(key="2")
         assert came.acquire(timeout=5) and came.acquire(timeout=5)
         leaves.close()
-        n.core.wait_for(ClientDisconnected)
+        n.runner.wait_for(ClientDisconnected)
         assert n.call(b"standby\r\n") == ["+OK standby"]
-        assert stays_on.hear().startswith("BUSY")
+        assert stays_on.read_line().startswith("BUSY")
         chat = n.stats()["responses"]["chat"]
         assert (chat["left"], chat["shed"], chat["ok"], chat["errors"]) == (1, 1, 0, 0)
         free.set()
@@ -198,13 +198,13 @@
 
 def test_sigterm_in_standby_ends_the_node(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(seconds=0.01))
-    with office(tmp_path, Listener(up(stays))) as n:
+    with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
         client = n.open()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         assert n.call(b"standby\r\n") == ["+OK standby"]
-        drain = threading.Thread(target=n.front.drain)
+        drain = threading.Thread(target=n.listener.drain)
         drain.start()
-        assert client.hear() == "MOVE"
+        assert client.read_line() == "MOVE"
         client.close()
         drain.join(10)
         assert not drain.is_alive() and n.call(b"active\r\n") == ["-ERR draining"]
@@ -215,26 +215,26 @@
 ) -> None:
     for name, span in (("ARRIVALS", 0.05), ("SETTLED", 0.05), ("STANDBY", 0.3)):
         monkeypatch.setattr(client_listener, name, timedelta(seconds=span))
-    with office(tmp_path, Listener(up(stays))) as n:
+    with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
         clients = [n.open() for _ in range(6)]
-        assert [client.hear() for client in clients] == ["UP r1"] * 6
+        assert [client.read_line() for client in clients] == ["UP r1"] * 6
         kept = n.connect()
-        kept.say("PING")
-        assert kept.hear() == "PONG"
+        kept.send_lines("PING")
+        assert kept.read_line() == "PONG"
         assert n.call(b"standby\r\n") == n.call(b"standby\r\n") == ["+OK standby"]
-        kept.say("PING")
-        assert [kept.hear(), kept.hear()] == ["BUSY", ""]  # the front keeps no connection here
+        kept.send_lines("PING")
+        assert [kept.read_line(), kept.read_line()] == ["BUSY", ""]  # the front keeps no connection here
         late = n.open()
-        assert late.hear() == "UP r1"  # who was on the way is served, and moved like the others
-        assert [client.hear() for client in (*clients, late)] == ["MOVE"] * 7
+        assert late.read_line() == "UP r1"  # who was on the way is served, and moved like the others
+        assert [client.read_line() for client in (*clients, late)] == ["MOVE"] * 7
         assert n.call(b"status\r\n") == ["-ERR standby"] and ping(n) == "BUSY"
         monkeypatch.setattr("tansyladder.node.lifecycle.LATECOMERS", timedelta(0))
         refused = n.open()
-        assert refused.hear().startswith("BUSY")
+        assert refused.read_line().startswith("BUSY")
         assert n.call(b"active\r\n") == n.call(b"active\r\n") == ["+OK serving"]
         assert ping(n) == "PONG"
         again = n.open()
-        assert again.hear() == "UP r1"
+        assert again.read_line() == "UP r1"
         for client in (kept, late, refused, again, *clients):
             client.close()
 
@@ -243,10 +243,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(seconds=30))  # the moves would begin then
-    with office(tmp_path, Listener(up(echoes))) as n:
+    with office(tmp_path, ScriptedServer(answer_up(echoes))) as n:
         client = n.open()
-        assert client.hear() == "UP r1"
+        assert client.read_line() == "UP r1"
         assert n.call(b"standby\r\n") == ["+OK standby"] and n.call(b"active\r\n") == ["+OK serving"]
-        client.say("M 1")
-        assert client.hear() == "M 1"
+        client.send_lines("M 1")
+        assert client.read_line() == "M 1"
         client.close()
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -32,7 +32,17 @@
     ListUpdateKind,
     RequestReceived,
 )
-from tests.node.harness import SETTINGS, HeardCore, Listener, Node, Peer, fresh, member, node, up
+from tests.node.harness import (
+    SETTINGS,
+    Node,
+    Peer,
+    RecordingPolicyRunner,
+    ScriptedServer,
+    answer_up,
+    endpoint_entry,
+    running_node,
+    unique_id,
+)
 
 SOON = timedelta(seconds=10)
 RESET = struct.pack("ii", 1, 0)  # a close with it is one
@@ -47,7 +57,7 @@
 def until_served(n: Node) -> None:
     """Wait until no connection is in hand or stands."""
     until = now() + SOON
-    while n.front.active:
+    while n.listener.active:
         assert now() < until
         threading.Event().wait(0.005)
 
@@ -84,7 +94,7 @@
 
     monkeypatch.setattr(UpstreamConnector, "_come_up", told)
     host = Full()
-    with node(tmp_path, host, settings=PATIENT) as n:  # type: ignore[arg-type]
+    with running_node(tmp_path, host, settings=PATIENT) as n:  # type: ignore[arg-type]
         client = n.open("c=chat,d=9000")
         assert trying.wait(10)
         if end == "half":
@@ -94,9 +104,9 @@
             client.close()
         else:
             client.close()
-        n.core.wait_for(ClientDisconnected)  # and not after 9 s: the wait for the connection is over
-        assert n.core.wait_for(AttemptEnded).is_closed
-        assert n.core.metrics.sums()["tries"] == 0
+        n.runner.wait_for(ClientDisconnected)  # and not after 9 s: the wait for the connection is over
+        assert n.runner.wait_for(AttemptEnded).is_closed
+        assert n.runner.metrics.sums()["tries"] == 0
     # Whatever connection comes up later brings nothing; there is none where the wait was given up.
     host.sock.settimeout(0.0)
     with pytest.raises(BlockingIOError):
@@ -131,13 +141,13 @@
     ended = threading.Event()
 
     def keep(peer: Peer) -> None:
-        heard.append(peer.hear())
+        heard.append(peer.read_line())
         ended.set()
 
-    with node(tmp_path, Listener(keep), settings=PATIENT) as n:
+    with running_node(tmp_path, ScriptedServer(keep), settings=PATIENT) as n:
         clients.append(n.open("c=chat,d=9000"))
         opened.set()
-        assert n.core.wait_for(AttemptEnded).is_closed and ended.wait(10)
+        assert n.runner.wait_for(AttemptEnded).is_closed and ended.wait(10)
     assert heard == [""]
 
 
@@ -147,18 +157,18 @@
     asked, left = threading.Event(), threading.Event()
 
     def hold(peer: Peer) -> None:
-        lines.append(peer.hear())
+        lines.append(peer.read_line())
         asked.set()
         assert left.wait(10)
-        peer.say(word)
+        peer.send_lines(word)
 
-    host = Listener(hold)
-    with node(tmp_path, host, host, host) as n:
+    host = ScriptedServer(hold)
+    with running_node(tmp_path, host, host, host) as n:
         client = n.open("c=chat,d=9000")
         assert asked.wait(10)
         client.close()
         left.set()
-        n.core.wait_for(AttemptEnded)
+        n.runner.wait_for(AttemptEnded)
         until_served(n)
         assert len(lines) == 1
 
@@ -169,15 +179,15 @@
     slow = {"classes": [{"name": "chat", "slo": 4_000_000, "hard_limit": 9_000_000, "worth": 5.0}]}
 
     def busy(peer: Peer) -> None:
-        lines.append(peer.hear())
-        peer.say("BUSY")
+        lines.append(peer.read_line())
+        peer.send_lines("BUSY")
 
-    with node(tmp_path, Listener(busy), settings=SETTINGS | slow) as n:
+    with running_node(tmp_path, ScriptedServer(busy), settings=SETTINGS | slow) as n:
         client = n.open("c=chat,d=9000")
-        refused = n.core.wait_for(AttemptEnded)
+        refused = n.runner.wait_for(AttemptEnded)
         assert refused.status is AttemptStatus.FULL and not refused.is_closed
         client.close()
-        n.core.wait_for(ClientDisconnected)
+        n.runner.wait_for(ClientDisconnected)
         until_served(n)
         assert len(lines) == 1
 
@@ -188,16 +198,16 @@
     answered = threading.Event()
 
     def drip(peer: Peer) -> None:
-        peer.hear()
+        peer.read_line()
         while not answered.wait(0.002):
             peer.sock.sendall(b"U")
             sent.append(b"U")
 
-    with node(tmp_path, Listener(drip)) as n:
+    with running_node(tmp_path, ScriptedServer(drip)) as n:
         client = n.open("c=chat,d=300")
-        assert client.hear().startswith("BUSY")
+        assert client.read_line().startswith("BUSY")
         answered.set()
-        assert n.core.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
+        assert n.runner.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
         assert len(sent) < 1000  # not only once its line is too long
 
 
@@ -205,17 +215,25 @@
     """A delayed answer of a watch must not bring back what a newer one took away."""
     bodies = iter(
         [
-            {"revision": 7, "complete": False, "members": [member("s9", "127.0.0.1:9", phase="draining")]},
-            {"revision": 6, "complete": False, "members": [member("s9", "127.0.0.1:9")]},
-            {"revision": 8, "complete": True, "members": [member("s9", "127.0.0.1:9", phase="draining")]},
+            {
+                "revision": 7,
+                "complete": False,
+                "members": [endpoint_entry("s9", "127.0.0.1:9", phase="draining")],
+            },
+            {"revision": 6, "complete": False, "members": [endpoint_entry("s9", "127.0.0.1:9")]},
+            {
+                "revision": 8,
+                "complete": True,
+                "members": [endpoint_entry("s9", "127.0.0.1:9", phase="draining")],
+            },
         ]
     )
     calls: list[str] = []
 
     def answer(peer: Peer) -> None:
-        while call := peer.hear():
+        while call := peer.read_line():
             calls.append(call)
-            while peer.hear():
+            while peer.read_line():
                 pass
             if (body := next(bodies, None)) is None:
                 return
@@ -223,24 +241,24 @@
             peer.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(text)}\r\n\r\n{text}".encode())
 
     seldom = SETTINGS | {"rules": {"ask_within": 10**12}}  # the module's own calls stay out of this
-    known = {"revision": 5, "members": [member("s0", "127.0.0.1:9")]}
-    with node(tmp_path, discovery=Listener(answer).address, known=known, settings=seldom) as n:
-        DiscoveryClient(n.core).start()
-        n.core.watches.put(True)
-        n.core.wait_for(EndpointListUpdate, 3)
-        told = [e for e in n.core.heard if isinstance(e, EndpointListUpdate)][1:3]
+    known = {"revision": 5, "members": [endpoint_entry("s0", "127.0.0.1:9")]}
+    with running_node(tmp_path, discovery=ScriptedServer(answer).address, known=known, settings=seldom) as n:
+        DiscoveryClient(n.runner).start()
+        n.runner.discovery_polls.put(True)
+        n.runner.wait_for(EndpointListUpdate, 3)
+        told = [e for e in n.runner.events if isinstance(e, EndpointListUpdate)][1:3]
         assert [(e.kind, e.version) for e in told] == [
             (ListUpdateKind.DELTA, 7),
             (ListUpdateKind.SNAPSHOT, 8),
         ]
         assert calls[2] == "GET /v1/servers HTTP/1.1"  # its numbers may have begun anew
-        s9 = n.core.member_of_id("s9")
+        s9 = n.runner.endpoint_by_id("s9")
         assert s9 is not None and s9.state is EndpointState.DRAINING
 
 
 def end(n: Node) -> None:
     """The drain of SIGTERM in a thread of its own, up to its end."""
-    drain = threading.Thread(target=n.front.drain, daemon=True)
+    drain = threading.Thread(target=n.listener.drain, daemon=True)
     drain.start()
     drain.join(10)
     assert not drain.is_alive()
@@ -269,18 +287,18 @@
     ) -> None:  # in the admission's own thread: nobody takes it in before the end
         if not rests:
             clients.append(n.connect())
-        clients[0].say(f"OPEN {fresh()} 7f c=chat,d=1200")
+        clients[0].send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
 
-    with node(tmp_path, Listener(up())) as n:
+    with running_node(tmp_path, ScriptedServer(answer_up())) as n:
         if rests:
             clients.append(n.connect())
-            clients[0].say("PING")
-            assert clients[0].hear() == "PONG"
+            clients[0].send_lines("PING")
+            assert clients[0].read_line() == "PONG"
         at_the_end(monkeypatch, speak)
         end(n)
-        assert [clients[0].hear(), clients[0].hear()] == ["BUSY 200", ""]
+        assert [clients[0].read_line(), clients[0].read_line()] == ["BUSY 200", ""]
         assert not [
-            e for e in n.core.heard if isinstance(e, RequestReceived)
+            e for e in n.runner.events if isinstance(e, RequestReceived)
         ]  # it came too late to be served
 
 
@@ -288,27 +306,27 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A close over bytes that came in that instant is a reset, and what went out before may go with it."""
-    with node(tmp_path, Listener(up())) as n:
+    with running_node(tmp_path, ScriptedServer(answer_up())) as n:
         client = n.connect()
-        client.say("PING")
-        assert client.hear() == "PONG"
+        client.send_lines("PING")
+        assert client.read_line() == "PONG"
         tell = ConnectionAcceptor._tell
 
         def cross(self: ConnectionAcceptor, newcomer: Any, answer: bytes) -> None:
             tell(self, newcomer, answer)
-            assert client.hear() == ""  # our end has come, and now a request crosses it
-            client.say(f"OPEN {fresh()} 7f c=chat,d=1200")
+            assert client.read_line() == ""  # our end has come, and now a request crosses it
+            client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
 
         monkeypatch.setattr(ConnectionAcceptor, "_tell", cross)
         end(n)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # it was not reset
-        assert not [e for e in n.core.heard if isinstance(e, RequestReceived)]
+        assert not [e for e in n.runner.events if isinstance(e, RequestReceived)]
 
 
 def test_a_half_line_at_sigterm_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A node that had nobody else ended within half a second, in the middle of a slow client's line."""
     monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(0))
-    with node(tmp_path, Listener(up(lambda peer: peer.say("BYE")))) as n:
+    with running_node(tmp_path, ScriptedServer(answer_up(lambda peer: peer.send_lines("BYE")))) as n:
         client = n.connect()
         client.sock.sendall(b"OPEN 7e7")
         expecting = threading.Event()
@@ -320,11 +338,11 @@
             return bool(found)
 
         monkeypatch.setattr(ConnectionAcceptor, "expecting", property(seen))
-        drain = threading.Thread(target=n.front.drain, daemon=True)
+        drain = threading.Thread(target=n.listener.drain, daemon=True)
         drain.start()
         assert expecting.wait(10)
         client.sock.sendall(b" 7f c=chat,d=1200\r\n")
-        assert [client.hear() for _ in range(2)] == ["UP r1", "BYE"]
+        assert [client.read_line() for _ in range(2)] == ["UP r1", "BYE"]
         client.close()
         drain.join(10)
         assert not drain.is_alive()
@@ -349,32 +367,32 @@
         turned_out.set()
         turn_out(self, told, now() + SOON)
 
-    order = HeardCore.order
+    order = RecordingPolicyRunner.dispatch
 
-    def first_order(self: HeardCore, orders: Any) -> None:
+    def first_order(self: RecordingPolicyRunner, orders: Any) -> None:
         order(self, orders)
         go_on.set()  # the first round found nobody
 
     monkeypatch.setattr(ClientListener, "_begin", late)
     monkeypatch.setattr(ClientListener, "_turn_out", told)
-    monkeypatch.setattr(HeardCore, "order", first_order)
+    monkeypatch.setattr(RecordingPolicyRunner, "dispatch", first_order)
 
     def never(peer: Peer) -> None:
-        while peer.hear():
+        while peer.read_line():
             pass
 
-    with node(tmp_path, Listener(never)) as n:
+    with running_node(tmp_path, ScriptedServer(never)) as n:
         client = n.open("c=chat,d=9000")
         end(n)
-        assert not n.front.active  # at the exit it would have been cut off
-        assert client.hear().startswith("BUSY")
+        assert not n.listener.active  # at the exit it would have been cut off
+        assert client.read_line().startswith("BUSY")
 
 
 def test_out_of_threads_a_client_is_turned_away_by_the_admission(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The socket was closed at once behind the answer, over whatever had come meanwhile."""
-    with node(tmp_path, Listener(up())) as n:
+    with running_node(tmp_path, ScriptedServer(answer_up())) as n:
         start = threading.Thread.start
 
         def none_left(self: threading.Thread) -> None:
@@ -384,25 +402,25 @@
 
         monkeypatch.setattr(threading.Thread, "start", none_left)
         client = n.open()
-        assert [client.hear(), client.hear()] == ["BUSY 200", ""]
-        assert n.front.active == 0 and n.core.metrics.sums()["shed"] == 1
+        assert [client.read_line(), client.read_line()] == ["BUSY 200", ""]
+        assert n.listener.active == 0 and n.runner.metrics.sums()["shed"] == 1
 
 
 def test_a_resting_front_is_told_the_end_before_the_close(tmp_path: Path) -> None:
     """After a minute without a PING its connection was closed in one step, over a request that came then."""
-    with node(tmp_path, Listener(up())) as n:
+    with running_node(tmp_path, ScriptedServer(answer_up())) as n:
         client = n.connect()
         for _ in range(2):  # the second answer shows that all of the first one is done
-            client.say("PING")
-            assert client.hear() == "PONG"
-        [newcomer] = n.front._admission._newcomers.values()
+            client.send_lines("PING")
+            assert client.read_line() == "PONG"
+        [newcomer] = n.listener._admission._newcomers.values()
         assert newcomer.gone_by - newcomer.end_by == sockets.LINGER
-        n.front._admission._look(newcomer, newcomer.end_by)  # the minute is over
-        assert [client.hear(), client.hear()] == ["ERR", ""]
-        client.say(f"OPEN {fresh()} 7f c=chat,d=1200")
+        n.listener._admission._look(newcomer, newcomer.end_by)  # the minute is over
+        assert [client.read_line(), client.read_line()] == ["ERR", ""]
+        client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
         client.sock.shutdown(socket.SHUT_WR)
         until = now() + SOON
-        while n.front._admission.newcomers and now() < until:  # until it has read that
+        while n.listener._admission.newcomers and now() < until:  # until it has read that
             threading.Event().wait(0.005)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
-        assert not [e for e in n.core.heard if isinstance(e, RequestReceived)]
+        assert not [e for e in n.runner.events if isinstance(e, RequestReceived)]
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -26,7 +26,7 @@
     TimerExpired,
 )
 from tansyladder.policy.settings import ClassSettings, Settings
-from tests.node.harness import Listener, Node, Peer, node, up
+from tests.node.harness import Node, Peer, ScriptedServer, answer_up, running_node
 from tests.policy.harness import MS, S, line, settings
 
 Edit = Callable[[dict[str, Any]], None]
@@ -76,10 +76,10 @@
 )
 def test_a_broken_file_changes_nothing_and_names_its_key(tmp_path: Path, edit: Edit, named: str) -> None:
     with Office(tmp_path) as n:
-        before = (n.node.core.config, dict(n.node.core.classes))
+        before = (n.node.runner.config, dict(n.node.runner.class_numbers))
         n.edit(edit)
         assert named in n.refused()
-        assert (n.node.core.config, dict(n.node.core.classes)) == before
+        assert (n.node.runner.config, dict(n.node.runner.class_numbers)) == before
 
 
 @pytest.mark.parametrize("text", ["", " ", "{", "[]", "null", "\xff", '{"settings": {"classes": [NaN]}}'])
@@ -92,14 +92,14 @@
 class Office:
     """A node, its file, and a reader that is asked directly instead of by a signal."""
 
-    def __init__(self, tmp_path: Path, *members: Listener) -> None:
+    def __init__(self, tmp_path: Path, *members: ScriptedServer) -> None:
         self.file = tmp_path / "config.json"
-        self._node = node(tmp_path, *members)
+        self._node = running_node(tmp_path, *members)
 
     def __enter__(self) -> Office:
         self.node: Node = self._node.__enter__()
         self.environ = {"GW_CONFIG": str(self.file)}
-        self.reloader = Reloader(self.environ, self.node.core, DiscoveryClient(self.node.core))
+        self.reloader = Reloader(self.environ, self.node.runner, DiscoveryClient(self.node.runner))
         return self
 
     def __exit__(self, *error: Any) -> None:
@@ -113,23 +113,23 @@
 
     def refused(self) -> str:
         with pytest.raises(ConfigError) as err:
-            reload(self.environ, self.node.core.config)
-        files = self.node.core.metrics.totals()["config_rejected"]
+            reload(self.environ, self.node.runner.config)
+        files = self.node.runner.metrics.totals()["config_rejected"]
         self.reloader.read()
-        assert self.node.core.metrics.totals()["config_rejected"] == files + 1  # type: ignore[operator]
+        assert self.node.runner.metrics.totals()["config_rejected"] == files + 1  # type: ignore[operator]
         return str(err.value)
 
 
 def echoes(peer: Peer) -> None:
-    for said in iter(peer.hear, ""):
-        peer.say(said)
+    for said in iter(peer.read_line, ""):
+        peer.send_lines(said)
 
 
 def test_classes_come_and_go_and_who_stands_stays(tmp_path: Path) -> None:
-    with Office(tmp_path, Listener(up(echoes))) as n:
-        core = n.node.core
+    with Office(tmp_path, ScriptedServer(answer_up(echoes))) as n:
+        core = n.node.runner
         old = n.node.open()
-        assert old.hear() == "UP r1"
+        assert old.read_line() == "UP r1"
         terms = copy.deepcopy(json.loads(n.file.read_text())["settings"]["classes"][0])
         other = terms | {"name": "draw", "hard_limit": 900_000, "effect": "non_idempotent"}
         n.edit(setting("settings.classes", [other]), setting("settings.ceilings.attempts_cap", 1))
@@ -138,17 +138,20 @@
         assert core.metrics.totals()["config_applied"] == 1
         assert (core.config.name, core.config.settings.connect_timeout_us) == ("n0", 50_000)
         gone, new = n.node.open(), n.node.open("c=draw,d=900")
-        assert (gone.hear(), new.hear()) == ("ERR", "UP r1")
+        assert (gone.read_line(), new.read_line()) == ("ERR", "UP r1")
         for client in (old, new):
-            client.say("M 1")
-            assert client.hear() == "M 1"  # connections that stand keep their class
+            client.send_lines("M 1")
+            assert client.read_line() == "M 1"  # connections that stand keep their class
         assert core.wait_for(Settings).retired_classes == {0}
         shorter = other | {"hard_limit": 700_000}
         n.edit(setting("settings.classes", [terms, shorter]))
         assert "settings.classes.0.effect: missing" in n.refused()  # the default would be a laxer one
         n.edit(setting("settings.classes", [terms | {"effect": "read_like"}, shorter]))
         n.reloader.read()
-        assert core.classes == {"chat": 0, "draw": 2}  # old terms have their old number, new ones a new one
+        assert core.class_numbers == {
+            "chat": 0,
+            "draw": 2,
+        }  # old terms have their old number, new ones a new one
         assert [c.deadline_us for c in core.config.settings.classes] == [1_200_000, 900_000, 700_000]
         for client in (old, gone, new):
             client.close()
@@ -158,7 +161,7 @@
     with Office(tmp_path) as n:
         n.edit(setting("limits.sockets", 99), setting("settings.localities", ["b", "a"]))
         n.edit(setting("settings.rules.ask_within", 5_000_000))
-        _, taken, fixed = reload(n.environ, n.node.core.config)
+        _, taken, fixed = reload(n.environ, n.node.runner.config)
         assert (taken, fixed) == (["settings.rules.ask_within"], ["limits.sockets", "settings.localities"])
         assert load(n.environ).limits.sockets == 99
 
--- a/tests/node/test_second_deployment.py
+++ b/tests/node/test_second_deployment.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tansyladder.config.platform import ConfigError, absent
+from tansyladder.config.platform import ConfigError, absent_features
 from tansyladder.net.protocol import parse_report
 from tansyladder.node.health_checker import HealthChecker
 from tansyladder.policy.events import (
@@ -18,7 +18,15 @@
     ReportKind,
     RequestReceived,
 )
-from tests.node.harness import SETTINGS, Listener, Peer, member, node, told, up
+from tests.node.harness import (
+    SETTINGS,
+    Peer,
+    ScriptedServer,
+    answer_up,
+    endpoint_entry,
+    load_test_config,
+    running_node,
+)
 
 ASKED: dict[str, Any] = SETTINGS
 PUSHED: dict[str, Any] = SETTINGS | {
@@ -46,13 +54,15 @@
 
 def test_a_load_line_is_a_delay_or_a_load_as_the_settings_say(tmp_path: Path, shape: dict[str, Any]) -> None:
     """A connection's load, taken for milliseconds, moved everybody off and marked the member."""
-    host = Listener(up(lambda p: p.say("LOAD 40500", "LOAD -1", "LOAD x", "LOAD 1e300", "LOAD 30")))
-    with node(tmp_path, host, settings=shape) as n:
+    host = ScriptedServer(
+        answer_up(lambda p: p.send_lines("LOAD 40500", "LOAD -1", "LOAD x", "LOAD 1e300", "LOAD 30"))
+    )
+    with running_node(tmp_path, host, settings=shape) as n:
         client = n.open("c=chat,t=north,d=1200")
-        assert [client.hear() for _ in range(6)][-1] == "LOAD 30"
-        n.core.wait_for(AttemptEnded)
+        assert [client.read_line() for _ in range(6)][-1] == "LOAD 30"
+        n.runner.wait_for(AttemptEnded)
         kind = ReportKind.LOAD if shape is PUSHED else ReportKind.REPORTED_DELAY
-        notes = [(e.kind, e.value) for e in n.core.heard if isinstance(e, ConnectionReport)]
+        notes = [(e.kind, e.value) for e in n.runner.events if isinstance(e, ConnectionReport)]
         assert notes == [(kind, 40500.0), (kind, 30.0)]
         client.close()
 
@@ -61,14 +71,14 @@
 def test_a_tenant_is_told_by_its_number_and_an_unknown_one_gets_its_answer(
     tmp_path: Path, shape: dict[str, Any], tenant: str
 ) -> None:
-    with node(tmp_path, Listener(up()), settings=shape) as n:
+    with running_node(tmp_path, ScriptedServer(answer_up()), settings=shape) as n:
         client = n.open(f"c=chat,{tenant}d=1200")
         if shape is PUSHED and tenant != "t=south,":
-            assert client.hear() == "ERR"
-            assert not [e for e in n.core.heard if isinstance(e, RequestReceived)]
+            assert client.read_line() == "ERR"
+            assert not [e for e in n.runner.events if isinstance(e, RequestReceived)]
         else:
-            assert client.hear() == "UP r1"
-            assert n.core.wait_for(RequestReceived).tenant == (1 if shape is PUSHED else 0)
+            assert client.read_line() == "UP r1"
+            assert n.runner.wait_for(RequestReceived).tenant == (1 if shape is PUSHED else 0)
 
 
 @pytest.mark.parametrize(
@@ -89,18 +99,18 @@
     """Each probe waited for a line that never came, timed out, and marked a sound member."""
 
     def report(peer: Peer) -> None:
-        assert peer.hear() == "STATS"
-        peer.say(*answer)
-        peer.hear()
+        assert peer.read_line() == "STATS"
+        peer.send_lines(*answer)
+        peer.read_line()
 
-    with node(tmp_path, Listener(report), settings=PUSHED) as n:
-        HealthChecker(n.core).start()
-        probed = n.core.wait_for(HealthCheckResult)
+    with running_node(tmp_path, ScriptedServer(report), settings=PUSHED) as n:
+        HealthChecker(n.runner).start()
+        probed = n.runner.wait_for(HealthCheckResult)
         assert (probed.status, probed.load_report) == (AttemptStatus.OK, load)
 
 
 def test_what_the_settings_do_not_give_is_named(tmp_path: Path, shape: dict[str, Any]) -> None:
-    off = absent(told(tmp_path, settings=shape))
+    off = absent_features(load_test_config(tmp_path, settings=shape))
     more = ["loads", "probes", "pushed_lists", "reports", "tenants", "weights"]
     assert off == ([] if shape is PUSHED else more)
 
@@ -124,7 +134,7 @@
     tmp_path: Path, shape: dict[str, Any], over: dict[str, Any], named: str
 ) -> None:
     with pytest.raises(ConfigError, match=f"^{named}"):
-        told(tmp_path, member("s0", "127.0.0.1:9"), settings=shape | over)
+        load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), settings=shape | over)
 
 
 def test_no_name_of_these_settings_stands_in_the_program() -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tansyladder.config.platform import call_pace
+from tansyladder.config.platform import discovery_call_interval
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.http import HttpClient
 from tansyladder.node import discovery_client
@@ -25,14 +25,17 @@
     EndpointListUpdate,
     ListUpdateKind,
 )
-from tests.node.harness import SETTINGS, node
+from tests.node.harness import SETTINGS, running_node
 from tests.policy.harness import MS, START, Node, S, line
 
 
 def watches(seed: int, nodes: int, span: int) -> list[int]:
     """The moments (us) at which one of so many nodes calls a discovery that fails each call."""
     asking = Node(
-        [line(1)], seed, polls_discovery=True, discovery_call_interval_us=call_pace(nodes) // MICROSECOND
+        [line(1)],
+        seed,
+        polls_discovery=True,
+        discovery_call_interval_us=discovery_call_interval(nodes) // MICROSECOND,
     )
     calls: list[int] = []
     while asking.now < START + span and (acts := asking.step(60 * S)):
@@ -70,7 +73,10 @@
         for seed in range(40)
         for asking in [
             Node(
-                [line(1)], seed, polls_discovery=True, discovery_call_interval_us=call_pace(40) // MICROSECOND
+                [line(1)],
+                seed,
+                polls_discovery=True,
+                discovery_call_interval_us=discovery_call_interval(40) // MICROSECOND,
             )
         ]
         if asking.step()
@@ -175,9 +181,9 @@
 
 
 def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
-    with node(tmp_path) as n:
-        n.core.watch()
-        discovery_client.DiscoveryClient(n.core)._rest(timedelta(hours=1))
+    with running_node(tmp_path) as n:
+        n.runner.request_discovery_poll()
+        discovery_client.DiscoveryClient(n.runner)._rest(timedelta(hours=1))
 
 
 @pytest.mark.parametrize("nodes", [3, 40, 10**9])
@@ -202,8 +208,8 @@
     monkeypatch.setattr(random, "uniform", lambda low, high: high)
     told: dict[str, Any] = SETTINGS | {"balancers": nodes}
     known = {"revision": 7, "members": [{"id": "s0", "host_port": "127.0.0.1:9", "phase": "up"}]}
-    with node(tmp_path, settings=told, known=known) as n, contextlib.suppress(IndexError):
-        watch = discovery_client.DiscoveryClient(n.core)
+    with running_node(tmp_path, settings=told, known=known) as n, contextlib.suppress(IndexError):
+        watch = discovery_client.DiscoveryClient(n.runner)
         assert watch._call()
         assert watch._call()
     assert asked[0] == "/v1/servers?since=7&timeout_ms=4500"  # what changed since the list that it knows
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tansyladder.config.platform import probe_pace
+from tansyladder.config.platform import health_check_interval
 from tansyladder.policy.actions import CheckHealth, Migrate, StartAttempt
 from tansyladder.policy.events import (
     AttemptEstablished,
@@ -56,7 +56,7 @@
 )
 def test_what_a_member_hears_from_all_nodes_stays_in_bounds(nodes: int, members: int, most: float) -> None:
     """Forty nodes that each asked once a second kept members so busy with it that they looked slow."""
-    pace = probe_pace(nodes).total_seconds()
+    pace = health_check_interval(nodes).total_seconds()
     assert pace <= 60
     node = Node(
         [line(i) for i in range(members)], can_check_health=True, health_check_interval_us=int(pace * S)
@@ -241,6 +241,6 @@
 @pytest.mark.parametrize("nodes", [67, 200, 10**14])
 def test_where_a_turn_comes_too_rarely_nobody_is_probed(nodes: int) -> None:
     """With 200 nodes what one had heard of a member was kept for 45 s, and kept sound members out."""
-    pace = probe_pace(nodes) // timedelta(microseconds=1)
+    pace = health_check_interval(nodes) // timedelta(microseconds=1)
     node = Node([line(1), line(2)], can_check_health=True, health_check_interval_us=pace, node_count=nodes)
     assert not [a for a in node.run(node.now + 60 * S) if isinstance(a, CheckHealth)]
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -10,7 +10,7 @@
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.policy.events import EndpointListUpdate, ListUpdateKind
 from tansyladder.sessions.session_store import SessionStore, open_keeping
-from tests.node.harness import Peer, node
+from tests.node.harness import Peer, running_node
 from tests.sessions.test_sessions import LONG, ON, Host, Viewer, at_start, echo
 
 
@@ -19,63 +19,66 @@
     if int(names["re"]) < 1 << 21:  # the first start of the life
         return echo(peer, names)
     assert (names["ra"], names["ro"]) == ("0", "1")
-    peer.say("UP r2", "RS AT 1 1", "F 2")
-    while line := peer.hear():
+    peer.send_lines("UP r2", "RS AT 1 1", "F 2")
+    while line := peer.read_line():
         if line.startswith("M "):
-            peer.say(f"F 3 {line}")
+            peer.send_lines(f"F 3 {line}")
     return None
 
 
 def test_a_session_outlives_its_node_and_a_spent_token_stays_spent(tmp_path: Path) -> None:
     """The folder is copied while the node runs, as a SIGKILL leaves it; the next node starts on the copy."""
     host = Host(remembers)
-    with node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "a") as first:
+    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "a") as first:
         viewer = Viewer(first)
         viewer.begin()
         spent = viewer.token
         viewer.peer = viewer.back()
         assert [viewer.hear()[:4], viewer.hear()] == ["UP r", "RS AT 1"]
         while viewer.token == spent:
-            viewer.token = viewer.peer.hear().split()[2]
+            viewer.token = viewer.peer.read_line().split()[2]
         unspent = viewer.token
         shutil.copytree(tmp_path / "a", tmp_path / "b")
-    with node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "b") as second:
+    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "b") as second:
         viewer.node = second
-        assert viewer.back(token=spent).hear() == "ERR resume spent"
+        assert viewer.back(token=spent).read_line() == "ERR resume spent"
         viewer.peer = viewer.back(token=unspent)
         assert [viewer.hear() for _ in range(3)] == ["UP r2", "RS AT 1", "F 2"]
         viewer.say("M 2")
         assert viewer.hear() == "F 3 M 2"
-        assert viewer.back(token=unspent).hear() == "ERR resume spent"
+        assert viewer.back(token=unspent).read_line() == "ERR resume spent"
         shutil.copytree(tmp_path / "b", tmp_path / "c")
         last = viewer.token
-    with node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "c") as third:
+    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "c") as third:
         viewer.node = third
-        assert viewer.back(token=unspent).hear() == "ERR resume spent"
-        assert viewer.back(f"c=chat,d=5000,g=5d,rp={viewer.frames}", token=last).hear() == "ERR resume forged"
-    with node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "new") as other:
+        assert viewer.back(token=unspent).read_line() == "ERR resume spent"
+        assert (
+            viewer.back(f"c=chat,d=5000,g=5d,rp={viewer.frames}", token=last).read_line()
+            == "ERR resume forged"
+        )
+    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "new") as other:
         viewer.node = other
-        assert viewer.back(token=last).hear() == "ERR resume elsewhere"
+        assert viewer.back(token=last).read_line() == "ERR resume elsewhere"
 
 
 def test_a_session_that_nobody_holds_any_more_is_refused_in_time(tmp_path: Path) -> None:
     def forgets(peer: Peer, names: dict[str, str]) -> None:
         if int(names["re"]) < 1 << 21:
             at_start(peer, "F 1")
-            peer.hear()
+            peer.read_line()
         else:
-            peer.say("BUSY")
+            peer.send_lines("BUSY")
 
     host = Host(forgets)
-    with node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "a") as first:
+    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "a") as first:
         viewer = Viewer(first)
         assert [viewer.hear(), viewer.hear()] == ["UP r1", "F 1"]
         viewer.say("RS ACK 1")
         shutil.copytree(tmp_path / "a", tmp_path / "b")
-    with node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "b") as second:
+    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "b") as second:
         viewer.node = second
         refused = viewer.back("c=chat,d=600,g=5c,rp=1")
-        assert refused.hear().startswith("BUSY") and refused.hear() == ""
+        assert refused.read_line().startswith("BUSY") and refused.read_line() == ""
 
 
 def test_a_client_hears_only_of_lines_that_its_host_holds(tmp_path: Path) -> None:
@@ -83,13 +86,15 @@
 
     def holds_one(peer: Peer, names: dict[str, str]) -> None:
         at_start(peer)
-        assert [peer.hear(), peer.hear()] == ["M 1", "M 2"]
-        peer.say("RS ACK 1", "F 1")
-        assert peer.hear() == "M 3"
-        peer.say("F 2")
-        peer.hear()
-
-    with node(tmp_path, Host(holds_one).listener, resume=ON, settings=LONG, store=tmp_path / "a") as n:
+        assert [peer.read_line(), peer.read_line()] == ["M 1", "M 2"]
+        peer.send_lines("RS ACK 1", "F 1")
+        assert peer.read_line() == "M 3"
+        peer.send_lines("F 2")
+        peer.read_line()
+
+    with running_node(
+        tmp_path, Host(holds_one).listener, resume=ON, settings=LONG, store=tmp_path / "a"
+    ) as n:
         viewer = Viewer(n)
         assert viewer.hear() == "UP r1"
         viewer.say("M 1", "M 2")
@@ -102,16 +107,16 @@
 
 def test_the_newest_list_is_known_at_the_next_start(tmp_path: Path) -> None:
     old, new = Host(echo), Host(echo)
-    entry = EndpointEntry("s9", new.listener.address, "up", locality="a", flavor="m")
-    with node(tmp_path, old.listener, store=tmp_path / "a") as first:
-        assert first.core.keeping is not None
-        first.core.keeping.tell_members(EndpointList(7, True, [entry]))
+    entry = EndpointEntry("s9", new.listener.address, "up", zone="a", kind="m")
+    with running_node(tmp_path, old.listener, store=tmp_path / "a") as first:
+        assert first.runner.endpoint_cache is not None
+        first.runner.endpoint_cache.save_endpoints(EndpointList(7, True, [entry]))
         gone = EndpointEntry("s8", "127.0.0.1:9", "removed")
-        first.core.keeping.tell_members(EndpointList(8, False, [gone]))
-    with node(tmp_path, old.listener, store=tmp_path / "a") as second:
-        listed = second.core.wait_for(EndpointListUpdate)
+        first.runner.endpoint_cache.save_endpoints(EndpointList(8, False, [gone]))
+    with running_node(tmp_path, old.listener, store=tmp_path / "a") as second:
+        listed = second.runner.wait_for(EndpointListUpdate)
         assert (listed.version, listed.kind) == (8, ListUpdateKind.CACHED)
-        assert second.core.member_of_id("s9") is not None and second.core.member_of_id("s0") is None
+        assert second.runner.endpoint_by_id("s9") is not None and second.runner.endpoint_by_id("s0") is None
 
 
 @pytest.mark.parametrize("fault", ["locked", "damaged", "foreign", "unusable"])
@@ -128,8 +133,8 @@
     if fault == "unusable":
         shutil.rmtree(folder)
         folder.write_text("")
-    with node(tmp_path, Host(echo).listener, resume=ON, settings=LONG, store=folder) as n:
-        assert n.core.keeping is None
+    with running_node(tmp_path, Host(echo).listener, resume=ON, settings=LONG, store=folder) as n:
+        assert n.runner.endpoint_cache is None
         viewer = Viewer(n)
         viewer.begin()
         viewer.peer = viewer.back()
@@ -140,12 +145,12 @@
 
 def test_a_token_that_cant_be_noted_as_spent_opens_nothing(tmp_path: Path) -> None:
     """Else it would open the session once more after a restart; whoever stands is served on."""
-    with node(tmp_path, Host(echo).listener, resume=ON, settings=LONG, store=tmp_path / "a") as n:
+    with running_node(tmp_path, Host(echo).listener, resume=ON, settings=LONG, store=tmp_path / "a") as n:
         viewer = Viewer(n)
         viewer.begin()
-        assert isinstance(n.core.keeping, SessionStore)
-        n.core.keeping._store._broken = "made to fail"
+        assert isinstance(n.runner.endpoint_cache, SessionStore)
+        n.runner.endpoint_cache._store._broken = "made to fail"
         refused = viewer.back()
-        assert [refused.hear(), refused.hear()] == ["ERR resume store", ""]
+        assert [refused.read_line(), refused.read_line()] == ["ERR resume store", ""]
         viewer.say("M 2")
         assert viewer.hear() == "F 2 M 2"
