--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -16,7 +16,7 @@
 from tansyladder.net.clock import now
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.sessions.resumption_handler import ResumptionHandler
-from tansyladder.sessions.session_store import open_keeping
+from tansyladder.sessions.session_store import open_session_store
 from tansyladder.store import StoreError
 
 
@@ -43,7 +43,7 @@
 def _join(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
     store, keeping = core.options.store, None
     if store.enabled:
-        keeping = core.keeping = open_keeping(store.directory, core.config.name)
+        keeping = core.keeping = open_session_store(store.directory, core.config.name)
         if keeping is not None:
             keeping.start()
     told = core.options.documents
@@ -51,14 +51,14 @@
         core.config.name,
         core.options.peers,
         keeping.store if keeping is not None else None,
-        resuming.replaced,
+        resuming.on_ownership_claimed,
         lambda: core.clock.micros(now()),
         folder,
         CHECKS if told.enabled else None,
         LeaseExpiryPolicy(told.cut_off),
         told.lease,
     )
-    resuming.agreeing = agreeing
+    resuming.ownership_service = agreeing
     if agreeing.holding is not None:
         core.permits = DocumentPublisher(agreeing, agreeing.holding, told.stamps)
     agreeing.start()
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -401,12 +401,12 @@
             return protocol.format_reject(self.come_back)
         resuming = self._core.resuming
         if resuming is not None and TICKET in opening.told:
-            return resuming.come_back(sock, opening, arrived, take)
+            return resuming.resume(sock, opening, arrived, take)
         if not self._core.lifecycle.takes:
             return protocol.format_reject(self.come_back)
         standing = len(self._core.held(True))
         # A resumable session keeps its mailbox's descriptor while it stands.
-        standing -= len(resuming.ledger) if resuming is not None else 0
+        standing -= len(resuming.token_registry) if resuming is not None else 0
         with self._lock:
             if opening.ident in self._open:
                 raise protocol.LineError("id: open already")
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -138,7 +138,7 @@
                 )
                 self._heard.set()
                 if self._core.keeping is not None:
-                    self._core.keeping.tell_members(listed)
+                    self._core.keeping.save_endpoints(listed)
             elif new:
                 self._retry = min(2 * retry, RETRY)
             elif older:  # late, or its numbers have begun anew: the whole list tells
--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -21,19 +21,19 @@
     """The last list of members, and when it was kept: microseconds of Unix time."""
 
     @property
-    def at(self) -> int: ...
+    def saved_at_us(self) -> int: ...
 
     @property
-    def members(self) -> EndpointList: ...
+    def endpoints(self) -> EndpointList: ...
 
 
 class EndpointListCache(Protocol):
     """Where records outlive the node; none of it raises."""
 
-    def last_members(self) -> CachedEndpointList | None:
+    def cached_endpoints(self) -> CachedEndpointList | None:
         """The list of the last start, where one was kept."""
 
-    def tell_members(self, listed: EndpointList) -> None:
+    def save_endpoints(self, listed: EndpointList) -> None:
         """Keep the list as it is after these changes."""
 
     def close(self) -> None:
@@ -63,16 +63,16 @@
     """Sessions that can be resumed."""
 
     @property
-    def ledger(self) -> Sized:
+    def token_registry(self) -> Sized:
         """Those that live here."""
 
-    def offered(self, opening: Opening) -> bool:
+    def offers_resumption(self, opening: Opening) -> bool:
         """Whether a client's first line asks for one."""
 
-    def stream(self) -> Stream:
+    def new_stream(self) -> Stream:
         """A new one's positions."""
 
-    def first_line(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
+    def first_line_builder(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
         """What a stream host gets, by how long the node waits."""
 
     def serve(
@@ -87,10 +87,10 @@
     ) -> None:
         """Serve one from its first UP to its end; the client's socket is closed then."""
 
-    def come_back(
+    def resume(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
         """Hand a client with a token to its session, `take` first; else the answer that refuses it."""
 
-    def rotate(self, options: ResumeOptions) -> None:
+    def rotate_keys(self, options: ResumeOptions) -> None:
         """Put the keys of new settings in force."""
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -138,16 +138,16 @@
     def start(self) -> None:
         """Hand the module its last known list and start the timers."""
         known = self.config.known
-        kept = self.keeping.last_members() if self.keeping else None
-        if kept is not None and kept.members.revision > known.revision:
-            age = timedelta(microseconds=self.clock.micros(now()) - kept.at)
+        kept = self.keeping.cached_endpoints() if self.keeping else None
+        if kept is not None and kept.endpoints.revision > known.revision:
+            age = timedelta(microseconds=self.clock.micros(now()) - kept.saved_at_us)
             log(
                 LogEvent.CACHED_ENDPOINTS_USED,
-                revision=kept.members.revision,
-                entries=len(kept.members.members),
+                revision=kept.endpoints.revision,
+                entries=len(kept.endpoints.members),
                 age=age,
             )
-            known = kept.members
+            known = kept.endpoints
         before = self.takeover.members
         if before is not None and before.revision >= known.revision:
             known = before
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -65,7 +65,7 @@
         self._running = told
         core.reconfigure(told)
         if core.resuming is not None:
-            core.resuming.rotate(options.resume)
+            core.resuming.rotate_keys(options.resume)
         switched = self._discovery.switch(told.discovery)
         core.metrics.file(applied=True)
         shown = ",".join(keys)[:MOST_KEYS]
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -69,9 +69,9 @@
         core, number, opening, resuming = self._core, self._number, self._opening, self._core.resuming
         first_line: Callable[[timedelta], bytes] = opening.for_member
         stream = None
-        if resuming is not None and resuming.offered(opening):
-            stream = resuming.stream()
-            first_line = resuming.first_line(opening, stream)
+        if resuming is not None and resuming.offers_resumption(opening):
+            stream = resuming.new_stream()
+            first_line = resuming.first_line_builder(opening, stream)
         placing = AttemptLoop(core, self._box, number, opening.cls, self._deadline, first_line, self._client)
         placed = placing.run(request_of(core, number, self._cls, opening, self._deadline, opening.again))
         if isinstance(placed, UpstreamConnection):
--- a/tansyladder/replication/session_ownership.py
+++ b/tansyladder/replication/session_ownership.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from tansyladder.resumption.token_registry import TENURE_BITS
+from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS
 
 YOUNG = 15_000_000  # us after a confirmation in which its owner may say what became of it
 MOST = 16_384  # records; a claim that finds no room is refused
@@ -119,7 +119,7 @@
             return ClaimResult(why="expired")
         if known is None and len(self.records) >= MOST:
             return ClaimResult(why="full")
-        tenure = max(known.tenure if known else 0, told.generation >> TENURE_BITS) + 1
+        tenure = max(known.tenure if known else 0, told.generation >> GENERATION_COUNTER_BITS) + 1
         floor = known.floor if known else 0
         self._put(
             told.session, OwnershipRecord(tenure, told.by, floor, self._keep(told), floor, ask=told.ask)
--- a/tansyladder/resumption/control_messages.py
+++ b/tansyladder/resumption/control_messages.py
@@ -9,11 +9,11 @@
 import re
 from typing import NamedTuple
 
-START = b"RS "
-END = b"RS END\r\n"
-MOST_POSITION = 10**15  # lines: no session gets that far, and no figure of thousands of digits is read
-_ACK = re.compile(rb"RS ACK ([0-9]{1,16})\r\n\Z")
-_AT = re.compile(rb"RS AT ([0-9]{1,16}) ([0-9]{1,16})\r\n\Z")
+CONTROL_PREFIX = b"RS "
+END_LINE = b"RS END\r\n"
+MAX_POSITION = 10**15  # lines: no session gets that far, and no figure of thousands of digits is read
+_ACKNOWLEDGEMENT = re.compile(rb"RS ACK ([0-9]{1,16})\r\n\Z")
+_RESUME_POSITION = re.compile(rb"RS AT ([0-9]{1,16}) ([0-9]{1,16})\r\n\Z")
 
 
 class ControlMessageError(Exception):
@@ -29,8 +29,8 @@
 class ResumePosition(NamedTuple):
     """A stream host's word behind UP: it holds the client's lines up to `heard` and goes on after `said`."""
 
-    heard: int
-    said: int
+    received: int
+    sent: int
 
 
 class EndOfSession(NamedTuple):
@@ -39,60 +39,62 @@
 
 def is_control(line: bytes) -> bool:
     """Whether a whole line is one of these."""
-    return line.startswith(START)
+    return line.startswith(CONTROL_PREFIX)
 
 
-def _position(digits: bytes) -> int:
+def _parse_position(digits: bytes) -> int:
     value = int(digits)
-    if value > MOST_POSITION:
+    if value > MAX_POSITION:
         raise ControlMessageError("a position out of range")
     return value
 
 
 def parse_client(line: bytes) -> Acknowledgement | EndOfSession:
     """A client's control line; WordError for any other."""
-    if line == END:
+    if line == END_LINE:
         return EndOfSession()
-    if found := _ACK.match(line):
-        return Acknowledgement(_position(found[1]))
+    if found := _ACKNOWLEDGEMENT.match(line):
+        return Acknowledgement(_parse_position(found[1]))
     raise ControlMessageError("RS ACK N or RS END expected")
 
 
 def parse_host(line: bytes) -> Acknowledgement | ResumePosition:
     """A stream host's control line; WordError for any other."""
-    if found := _ACK.match(line):
-        return Acknowledgement(_position(found[1]))
-    if found := _AT.match(line):
-        return ResumePosition(_position(found[1]), _position(found[2]))
+    if found := _ACKNOWLEDGEMENT.match(line):
+        return Acknowledgement(_parse_position(found[1]))
+    if found := _RESUME_POSITION.match(line):
+        return ResumePosition(_parse_position(found[1]), _parse_position(found[2]))
     raise ControlMessageError("RS ACK N or RS AT N M expected")
 
 
-def ack(position: int) -> bytes:
+def format_acknowledgement(position: int) -> bytes:
     """To either side: its lines are held up to here."""
     return b"RS ACK %d\r\n" % position
 
 
-def at(position: int) -> bytes:
+def format_resume_position(position: int) -> bytes:
     """To a client that came back: what the node holds of its lines."""
     return b"RS AT %d\r\n" % position
 
 
-def token(text: str, milliseconds: int) -> bytes:
+def format_token(text: str, milliseconds: int) -> bytes:
     """To a client: what lets it come back, and for how long."""
     return b"RS TOKEN %s %d\r\n" % (text.encode("ascii"), milliseconds)
 
 
-def off(why: str) -> bytes:
+def format_resumption_lost(why: str) -> bytes:
     """To a client: there is no coming back to this session any more; it goes on as it stands."""
     return b"RS OFF %s\r\n" % why.encode("ascii")
 
 
-def refused(why: str) -> bytes:
+def format_rejection(why: str) -> bytes:
     """The final answer to a token that opens nothing; `ERR` is a failure to whoever knows no more."""
     return b"ERR resume %s\r\n" % why.encode("ascii")
 
 
-def placing(session: int, epoch: int, held_from: int, held_to: int, said: int) -> tuple[tuple[str, str], ...]:
+def placement_parameters(
+    session: int, epoch: int, held_from: int, held_to: int, said: int
+) -> tuple[tuple[str, str], ...]:
     """The names in the first line to a stream host; the epoch fences off who held the session before."""
     values = (("rsn", f"{session:016x}"), ("re", epoch), ("ra", held_from), ("ri", held_to), ("ro", said))
     return tuple((name, str(value)) for name, value in values)
--- a/tansyladder/resumption/replay_buffer.py
+++ b/tansyladder/resumption/replay_buffer.py
@@ -8,7 +8,9 @@
 
 from tansyladder.invariants import check_invariant
 
-LINE_COST = 64  # bytes that a kept line takes beside its text: its object's head and its place in the queue
+LINE_OVERHEAD_BYTES = (
+    64  # bytes that a kept line takes beside its text: its object's head and its place in the queue
+)
 
 
 class PositionError(Exception):
@@ -23,87 +25,95 @@
     """Bytes that all windows of a node may keep together; safe to share between threads."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self._used = 0
+        self.limit_bytes = most
+        self._used_bytes = 0
         self._lock = threading.Lock()
 
     @property
-    def used(self) -> int:
-        return self._used
+    def used_bytes(self) -> int:
+        return self._used_bytes
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Reserve bytes; False, and nothing reserved, where they would go over the bound."""
         with self._lock:
-            if self._used + size > self.most:
+            if self._used_bytes + size > self.limit_bytes:
                 return False
-            self._used += size
+            self._used_bytes += size
             return True
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Give reserved bytes back."""
         with self._lock:
-            self._used -= size
-            check_invariant(self._used >= 0, "resume_budget")
+            self._used_bytes -= size
+            check_invariant(self._used_bytes >= 0, "resume_budget")
 
 
 class ReplayBuffer:
     """Lines `base + 1` to `end`; counting goes on when keeping had to end."""
 
-    __slots__ = ("_budget", "_lines", "_most", "_size", "base", "end", "kept")
+    __slots__ = (
+        "_budget",
+        "_lines",
+        "_limit_bytes",
+        "_size_bytes",
+        "acknowledged_position",
+        "end_position",
+        "can_replay",
+    )
 
     def __init__(self, budget: MemoryBudget, most: int) -> None:
-        self._budget, self._most = budget, most
+        self._budget, self._limit_bytes = budget, most
         self._lines: deque[bytes] = deque()
-        self._size = 0
-        self.base = self.end = 0
-        self.kept = True  # whether all after `base` can still be said again
+        self._size_bytes = 0
+        self.acknowledged_position = self.end_position = 0
+        self.can_replay = True  # whether all after `base` can still be said again
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes kept, with what each line costs beside its text."""
-        return self._size
+        return self._size_bytes
 
-    def add(self, line: bytes) -> None:
+    def append(self, line: bytes) -> None:
         """Count a whole line and keep it; where it doesn't fit, nothing is kept from now on."""
-        self.end += 1
-        if not self.kept:
+        self.end_position += 1
+        if not self.can_replay:
             return
-        cost = len(line) + LINE_COST
-        if self._size + cost > self._most or not self._budget.take(cost):
-            self.stop()
+        cost = len(line) + LINE_OVERHEAD_BYTES
+        if self._size_bytes + cost > self._limit_bytes or not self._budget.reserve(cost):
+            self.discard()
             return
-        self._size += cost
+        self._size_bytes += cost
         self._lines.append(line)
 
-    def ack(self, position: int) -> None:
+    def acknowledge(self, position: int) -> None:
         """The other end has all up to a position; an older one says nothing new. PositionError: ahead."""
-        if position > self.end:
+        if position > self.end_position:
             raise PositionError("ahead")
-        if not self.kept:
-            self.base = max(self.base, position)
+        if not self.can_replay:
+            self.acknowledged_position = max(self.acknowledged_position, position)
             return
         given = 0
-        while self.base < position:
-            self.base += 1
-            given += len(self._lines.popleft()) + LINE_COST
+        while self.acknowledged_position < position:
+            self.acknowledged_position += 1
+            given += len(self._lines.popleft()) + LINE_OVERHEAD_BYTES
         if given:
-            self._size -= given
-            self._budget.give(given)
+            self._size_bytes -= given
+            self._budget.release(given)
 
-    def since(self, position: int) -> Iterable[bytes]:
+    def lines_after(self, position: int) -> Iterable[bytes]:
         """The lines after a position, oldest first. PositionError where they are not all there."""
-        if position > self.end:
+        if position > self.end_position:
             raise PositionError("ahead")
-        if position < self.base or not self.kept:
+        if position < self.acknowledged_position or not self.can_replay:
             raise PositionError("behind")
         lines = iter(self._lines)
-        for _ in range(position - self.base):
+        for _ in range(position - self.acknowledged_position):
             next(lines)
         return lines
 
-    def stop(self) -> None:
+    def discard(self) -> None:
         """Keep nothing more and give the bytes back; counting goes on."""
-        self.kept = False
+        self.can_replay = False
         self._lines.clear()
-        self._budget.give(self._size)
-        self._size = 0
+        self._budget.release(self._size_bytes)
+        self._size_bytes = 0
--- a/tansyladder/resumption/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -12,8 +12,10 @@
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.replay_buffer import MemoryBudget, PositionError, ReplayBuffer
 
-ACK_LINES = 16  # a client's lines between two acknowledgments: few bytes, and little to keep at the client
-BYE, MOVE = b"BYE\r\n", b"MOVE\r\n"
+LINES_PER_ACKNOWLEDGEMENT = (
+    16  # a client's lines between two acknowledgments: few bytes, and little to keep at the client
+)
+BYE_LINE, MOVE_LINE = b"BYE\r\n", b"MOVE\r\n"
 
 
 @dataclass(slots=True)
@@ -22,26 +24,26 @@
 
     to_client: bytes = b""
     to_host: bytes = b""
-    client_ends: bool = False  # it said that it leaves
-    host_leaves: bool = False  # it sends the client away
-    host_ends: bool = False  # served to the end
+    client_left: bool = False  # it said that it leaves
+    host_redirects: bool = False  # it sends the client away
+    host_finished: bool = False  # served to the end
 
 
 class Stream:
     """Positions, windows and the epoch of one session."""
 
     __slots__ = (
-        "_acked",
+        "_acknowledged_to_client",
         "_durable",
-        "_first_line",
-        "_repeated",
-        "_returns_told",
+        "_awaits_first_line",
+        "_duplicate_lines_expected",
+        "_resumption_loss_unreported",
         "epoch",
         "from_client",
         "from_host",
-        "lost",
-        "number",
-        "resumes",
+        "positions_unknown",
+        "session_id",
+        "host_resumes",
     )
 
     def __init__(
@@ -52,40 +54,46 @@
         `start`: which start of the node's life this is: its epochs are above all of an earlier start.
         `durable`: the session may outlive the node, so the client hears only of lines that its host holds.
         """
-        self.number, self._durable = number, durable
-        self.lost = False  # whether the node that knew the positions died; the client and a host tell them
-        self._repeated = 0  # lines that a client that came back says again though they are here
+        self.session_id, self._durable = number, durable
+        self.positions_unknown = (
+            False  # whether the node that knew the positions died; the client and a host tell them
+        )
+        self._duplicate_lines_expected = (
+            0  # lines that a client that came back says again though they are here
+        )
         self.from_client = ReplayBuffer(budget, most)  # kept until the stream host has them
         self.from_host = ReplayBuffer(budget, most)  # kept until the client has them
         self.epoch = start << 20  # how often it has been placed
-        self.resumes = False  # whether the stream host speaks of positions
-        self._first_line = True  # whether the next line is the first behind UP
-        self._acked = 0  # position of the client's last acknowledgment from us
-        self._returns_told = True
+        self.host_resumes = False  # whether the stream host speaks of positions
+        self._awaits_first_line = True  # whether the next line is the first behind UP
+        self._acknowledged_to_client = 0  # position of the client's last acknowledgment from us
+        self._resumption_loss_unreported = True
 
     # --- what may still be done
 
     @property
-    def can_move(self) -> bool:
+    def can_migrate(self) -> bool:
         """Whether another stream host can go on with it."""
-        return self.resumes and self.from_client.kept
+        return self.host_resumes and self.from_client.can_replay
 
     @property
-    def can_return(self) -> bool:
+    def can_resume_client(self) -> bool:
         """Whether its client can come back."""
-        return self.from_host.kept
+        return self.from_host.can_replay
 
     # --- stream hosts
 
-    def place(self) -> tuple[tuple[str, str], ...]:
+    def begin_placement(self) -> tuple[tuple[str, str], ...]:
         """The names for the first line to the next stream host; older epochs are fenced off by it."""
         self.epoch += 1
-        self._first_line = True
+        self._awaits_first_line = True
         up, down = self.from_client, self.from_host
-        most = control_messages.MOST_POSITION if self.lost else up.end
-        return control_messages.placing(self.number, self.epoch, up.base, most, down.end)
+        most = control_messages.MAX_POSITION if self.positions_unknown else up.end_position
+        return control_messages.placement_parameters(
+            self.session_id, self.epoch, up.acknowledged_position, most, down.end_position
+        )
 
-    def placed(self, line: bytes) -> bytes:
+    def complete_placement(self, line: bytes) -> bytes:
         """The new stream host's word behind UP; the client's lines that it lacks.
 
         PositionError: it says nothing of positions (`silent`), it holds less than was acknowledged
@@ -97,100 +105,110 @@
             raise PositionError("silent") from err
         if not isinstance(said, control_messages.ResumePosition):
             raise PositionError("silent")
-        if said.said != self.from_host.end:
-            raise PositionError("ahead" if said.said > self.from_host.end else "behind")
-        if self.lost:
-            self.from_client.base = self.from_client.end = self._acked = said.heard
-            self.lost = False
-        lines = b"".join(self.from_client.since(said.heard))
-        self.from_client.ack(said.heard)
-        self._first_line, self.resumes = False, True
+        if said.sent != self.from_host.end_position:
+            raise PositionError("ahead" if said.sent > self.from_host.end_position else "behind")
+        if self.positions_unknown:
+            self.from_client.acknowledged_position = self.from_client.end_position = (
+                self._acknowledged_to_client
+            ) = said.received
+            self.positions_unknown = False
+        lines = b"".join(self.from_client.lines_after(said.received))
+        self.from_client.acknowledge(said.received)
+        self._awaits_first_line, self.host_resumes = False, True
         return lines
 
-    def host_line(self, line: bytes) -> StreamOutput:
+    def receive_from_host(self, line: bytes) -> StreamOutput:
         """A whole line of the stream host. WordError or PositionError: it can't be gone on with."""
-        first, self._first_line = self._first_line, False
-        if first and line == control_messages.START + b"AT 0 0\r\n":
-            self.resumes = True
+        first, self._awaits_first_line = self._awaits_first_line, False
+        if first and line == control_messages.CONTROL_PREFIX + b"AT 0 0\r\n":
+            self.host_resumes = True
             return StreamOutput()
         if first:
-            self.from_client.stop()  # it will never acknowledge: nothing is kept for another one
-        if self.resumes and control_messages.is_control(line):
+            self.from_client.discard()  # it will never acknowledge: nothing is kept for another one
+        if self.host_resumes and control_messages.is_control(line):
             said = control_messages.parse_host(line)
             if not isinstance(said, control_messages.Acknowledgement):
                 raise control_messages.ControlMessageError("RS AT stands behind UP only")
-            self.from_client.ack(said.position)
+            self.from_client.acknowledge(said.position)
             return StreamOutput()
-        if line == MOVE:
-            return StreamOutput(host_leaves=True)
-        self.from_host.add(line)
-        return StreamOutput(to_client=line, host_ends=line == BYE)
+        if line == MOVE_LINE:
+            return StreamOutput(host_redirects=True)
+        self.from_host.append(line)
+        return StreamOutput(to_client=line, host_finished=line == BYE_LINE)
 
     # --- the client
 
     @classmethod
-    def revived(cls, number: int, budget: MemoryBudget, most: int, start: int) -> Stream:
+    def restored(cls, number: int, budget: MemoryBudget, most: int, start: int) -> Stream:
         """A session of an earlier start: where it is, its client and the next stream host say."""
         stream = cls(number, budget, most, start, True)
-        stream.resumes = stream.lost = True
+        stream.host_resumes = stream.positions_unknown = True
         return stream
 
-    def adopt(self, position: int) -> None:
+    def adopt_client_position(self, position: int) -> None:
         """The client of a revived session has so many of the host's lines; the host goes on from there."""
-        if self.lost:
-            self.from_host.base = self.from_host.end = position
+        if self.positions_unknown:
+            self.from_host.acknowledged_position = self.from_host.end_position = position
 
     @property
-    def held(self) -> int:
+    def durable_position(self) -> int:
         """How many of the client's lines it need not say again, whatever becomes of this node."""
-        return self.from_client.base if self._durable and self.resumes else self.from_client.end
+        return (
+            self.from_client.acknowledged_position
+            if self._durable and self.host_resumes
+            else self.from_client.end_position
+        )
 
     @property
-    def unacknowledged(self) -> bool:
+    def has_unacknowledged_lines(self) -> bool:
         """Whether the client has lines that it may have to say again."""
-        return self._acked < self.from_client.end
+        return self._acknowledged_to_client < self.from_client.end_position
 
-    def client_line(self, line: bytes) -> StreamOutput:
+    def receive_from_client(self, line: bytes) -> StreamOutput:
         """A whole line of the client. WordError or PositionError: its mistake."""
         if control_messages.is_control(line):
             said = control_messages.parse_client(line)
             if isinstance(said, control_messages.EndOfSession):
-                return StreamOutput(to_host=control_messages.END if self.resumes else b"", client_ends=True)
-            self.from_host.ack(said.position)
-            return StreamOutput(to_host=control_messages.ack(said.position) if self.resumes else b"")
-        if self._repeated:
-            self._repeated -= 1
+                return StreamOutput(
+                    to_host=control_messages.END_LINE if self.host_resumes else b"", client_left=True
+                )
+            self.from_host.acknowledge(said.position)
+            return StreamOutput(
+                to_host=control_messages.format_acknowledgement(said.position) if self.host_resumes else b""
+            )
+        if self._duplicate_lines_expected:
+            self._duplicate_lines_expected -= 1
             return StreamOutput()
-        self.from_client.add(line)
-        due = self.from_client.end - self._acked >= ACK_LINES
-        return StreamOutput(to_host=line, to_client=self.acknowledge() if due else b"")
+        self.from_client.append(line)
+        due = self.from_client.end_position - self._acknowledged_to_client >= LINES_PER_ACKNOWLEDGEMENT
+        return StreamOutput(to_host=line, to_client=self.acknowledge_client() if due else b"")
 
-    def acknowledge(self) -> bytes:
+    def acknowledge_client(self) -> bytes:
         """What tells the client how many of its lines are held; nothing where it knows."""
-        if self._acked >= self.held:
+        if self._acknowledged_to_client >= self.durable_position:
             return b""
-        self._acked = self.held
-        return control_messages.ack(self._acked)
+        self._acknowledged_to_client = self.durable_position
+        return control_messages.format_acknowledgement(self._acknowledged_to_client)
 
-    def returns(self, position: int) -> Iterable[bytes]:
+    def resume_client(self, position: int) -> Iterable[bytes]:
         """A client came back that has this many of the host's lines: what it is told, and what it lacks.
 
         PositionError: `ahead` of what there is or `behind` what is kept; nothing has changed then.
         """
-        lines = list(self.from_host.since(position))
-        self.from_host.ack(position)
-        self._acked = self.held
-        self._repeated = self.from_client.end - self._acked
-        return (control_messages.at(self._acked), *lines)
+        lines = list(self.from_host.lines_after(position))
+        self.from_host.acknowledge(position)
+        self._acknowledged_to_client = self.durable_position
+        self._duplicate_lines_expected = self.from_client.end_position - self._acknowledged_to_client
+        return (control_messages.format_resume_position(self._acknowledged_to_client), *lines)
 
-    def lost_return(self) -> bytes:
+    def report_lost_resumption(self) -> bytes:
         """Once, when coming back has become impossible: what tells the client."""
-        if self.can_return or not self._returns_told:
+        if self.can_resume_client or not self._resumption_loss_unreported:
             return b""
-        self._returns_told = False
-        return control_messages.off("buffer")
+        self._resumption_loss_unreported = False
+        return control_messages.format_resumption_lost("buffer")
 
     def close(self) -> None:
         """Give back what is kept."""
-        self.from_client.stop()
-        self.from_host.stop()
+        self.from_client.discard()
+        self.from_host.discard()
--- a/tansyladder/resumption/tokens.py
+++ b/tansyladder/resumption/tokens.py
@@ -16,11 +16,11 @@
 from cryptography.exceptions import InvalidTag
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
-KEY_BYTES, NONCE_BYTES, TAG_BYTES, LIFE_BYTES = 32, 12, 16, 8
-_CLAIM = struct.Struct(">QQQ")  # session, generation, expiry in microseconds
-_HEAD = 1 + LIFE_BYTES  # key id, life
-RAW = _HEAD + NONCE_BYTES + _CLAIM.size + TAG_BYTES
-TEXT = -(-RAW * 4 // 3)  # characters of a token: 82, well under a value's 128
+KEY_BYTES, NONCE_BYTES, TAG_BYTES, NODE_LIFE_BYTES = 32, 12, 16, 8
+_PAYLOAD = struct.Struct(">QQQ")  # session, generation, expiry in microseconds
+_HEADER_BYTES = 1 + NODE_LIFE_BYTES  # key id, life
+TOKEN_BYTES = _HEADER_BYTES + NONCE_BYTES + _PAYLOAD.size + TAG_BYTES
+TOKEN_LENGTH = -(-TOKEN_BYTES * 4 // 3)  # characters of a token: 82, well under a value's 128
 
 
 class TokenError(Exception):
@@ -34,21 +34,21 @@
 class TokenPayload(NamedTuple):
     """What a token says once it is open."""
 
-    session: int
+    session_id: int
     generation: int
-    expiry: int  # microseconds on the clock of whoever sealed it
+    expires_at_us: int  # microseconds on the clock of whoever sealed it
 
 
 class TokenClaims(NamedTuple):
     """What must be the same when a token comes back."""
 
-    cls: str
+    service_class: str
     group: int
     key: int
 
     def encode(self) -> bytes:
         """Unambiguous bytes: the figures have fixed sizes and stand first."""
-        return struct.pack(">QQ", self.group, self.key) + self.cls.encode()
+        return struct.pack(">QQ", self.group, self.key) + self.service_class.encode()
 
 
 class Keyring:
@@ -65,15 +65,15 @@
 
         `own`: the key where the operator names none; one that is drawn here if there is none either.
         """
-        if len(life) != LIFE_BYTES:
-            raise ValueError(f"life: {LIFE_BYTES} bytes expected")
-        self._life, self._random = life, random
-        self._own = ((0, own or random(KEY_BYTES)),)
+        if len(life) != NODE_LIFE_BYTES:
+            raise ValueError(f"life: {NODE_LIFE_BYTES} bytes expected")
+        self._node_life, self._random = life, random
+        self._default_keys = ((0, own or random(KEY_BYTES)),)
         self.rotate(keys)
 
     def rotate(self, keys: Sequence[tuple[int, bytes]]) -> None:
         """Seal with the first key from now on and open with all; tokens of other keys open nothing."""
-        keys = tuple(keys) or self._own
+        keys = tuple(keys) or self._default_keys
         if len({ident for ident, _ in keys}) != len(keys):
             raise ValueError("keys: an id stands twice")
         # One store: threads see all of the new set or nothing of it.
@@ -82,25 +82,29 @@
     def seal(self, claim: TokenPayload, binding: TokenClaims) -> str:
         """The text of a token."""
         ident, aead = next(iter(self._keys.items()))
-        head, nonce = bytes((ident,)) + self._life, self._random(NONCE_BYTES)
-        sealed = aead.encrypt(nonce, _CLAIM.pack(*claim), head + binding.encode())
+        head, nonce = bytes((ident,)) + self._node_life, self._random(NONCE_BYTES)
+        sealed = aead.encrypt(nonce, _PAYLOAD.pack(*claim), head + binding.encode())
         return base64.urlsafe_b64encode(head + nonce + sealed).rstrip(b"=").decode()
 
     def open(self, text: str, binding: TokenClaims) -> TokenPayload:
         """What a token says. TokenError: malformed, elsewhere (another node or life) or forged."""
-        if len(text) != TEXT:
+        if len(text) != TOKEN_LENGTH:
             raise TokenError("malformed")
         try:
             raw = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
         except (binascii.Error, ValueError) as err:
             raise TokenError("malformed") from err
-        head, nonce, sealed = raw[:_HEAD], raw[_HEAD : _HEAD + NONCE_BYTES], raw[_HEAD + NONCE_BYTES :]
-        if head[1:] != self._life:  # no secret: it only tells whose token this is
+        head, nonce, sealed = (
+            raw[:_HEADER_BYTES],
+            raw[_HEADER_BYTES : _HEADER_BYTES + NONCE_BYTES],
+            raw[_HEADER_BYTES + NONCE_BYTES :],
+        )
+        if head[1:] != self._node_life:  # no secret: it only tells whose token this is
             raise TokenError("elsewhere")
         aead = self._keys.get(head[0])
         if aead is None:
             raise TokenError("forged")  # or sealed with a key that has been taken out
         try:
-            return TokenPayload(*_CLAIM.unpack(aead.decrypt(nonce, sealed, head + binding.encode())))
+            return TokenPayload(*_PAYLOAD.unpack(aead.decrypt(nonce, sealed, head + binding.encode())))
         except InvalidTag as err:
             raise TokenError("forged") from err
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -47,9 +47,9 @@
     threading.excepthook = lambda args: log(LogEvent.INTERNAL_ERROR, why=repr(args.exc_value))
     core, name, keeping = PolicyRunner(told, chosen), "GW_LISTEN", None
     if chosen.store.enabled and not chosen.peers.enabled:
-        from tansyladder.sessions.session_store import open_keeping
+        from tansyladder.sessions.session_store import open_session_store
 
-        keeping = core.keeping = open_keeping(chosen.store.directory, told.name)
+        keeping = core.keeping = open_session_store(chosen.store.directory, told.name)
         if keeping is not None:
             keeping.start()
     if chosen.resume.enabled:
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -22,11 +22,11 @@
 from tansyladder.resumption.token_registry import SessionEnd
 from tansyladder.resumption.tokens import TokenError, TokenPayload
 from tansyladder.sessions.session import Session
-from tansyladder.sessions.session_registry import BUSY, MARGIN, SessionRegistry, binding
+from tansyladder.sessions.session_registry import ANSWER_MARGIN, RETRY_SOON, SessionRegistry, token_claims
 from tansyladder.sessions.session_store import SessionStore
 
-MOST_TAKING = 256  # sessions of other nodes that are being claimed at once
-TAKE = timedelta(milliseconds=500)  # for the peers to rule on a claim
+MAX_CONCURRENT_CLAIMS = 256  # sessions of other nodes that are being claimed at once
+CLAIM_TIMEOUT = timedelta(milliseconds=500)  # for the peers to rule on a claim
 _POSITION = re.compile(r"[0-9]{1,15}\Z", re.A)
 
 
@@ -35,7 +35,7 @@
 
     def __init__(self, core: PolicyRunner, keeping: SessionStore | None = None) -> None:
         super().__init__(core, keeping)
-        self._taking: set[int] = set()  # sessions that are being claimed
+        self._claiming: set[int] = set()  # sessions that are being claimed
 
     def serve(
         self,
@@ -50,47 +50,47 @@
         """Serve a session from its first UP to its end; the client's socket is closed then."""
         Session(self._core, self, box, client, cls, opening, stream).run(standing, number)
 
-    def _revive_kept(self, claim: TokenPayload) -> None:
+    def _restore_stored(self, claim: TokenPayload) -> None:
         """Where a session of an earlier start is still kept, begin it anew, without a client or a host."""
-        kept = self.keeping.session(claim.session) if self.keeping else None
+        kept = self.session_store.load_session(claim.session_id) if self.session_store else None
         if kept is None:
             return
-        if claim.generation < kept.floor:
+        if claim.generation < kept.generation_floor:
             raise TokenError("spent")
-        opening = protocol.parse_opening(kept.line.encode() + b"\r\n")
-        self._revive(claim, opening, kept.floor, kept.expiry, 0)
+        opening = protocol.parse_opening(kept.first_line.encode() + b"\r\n")
+        self._restore(claim, opening, kept.generation_floor, kept.expires_at_us, 0)
 
-    def _revive(self, claim: TokenPayload, opening: Opening, floor: int, expiry: int, tenure: int) -> None:
+    def _restore(self, claim: TokenPayload, opening: Opening, floor: int, expiry: int, tenure: int) -> None:
         """Begin a session of an earlier start or of another node, without a client or a host.
 
         TokenError: there is no room for it.
         """
-        start = tenure or self.start
+        start = tenure or self.start_number
         box = ActionQueue()
         try:
             box.open()
-            stream = Stream.revived(claim.session, self.budget, self.options.buffer, start)
+            stream = Stream.restored(claim.session_id, self.memory_budget, self.options.buffer, start)
             session = Session(self._core, self, box, None, self._core.classes[opening.cls], opening, stream)
             session.expires_at(self._core.clock.moment(expiry))
-            self.ledger.begin(claim.session, box, floor, tenure)
+            self.token_registry.add(claim.session_id, box, floor, tenure)
             threading.Thread(target=session.run, daemon=True).start()
         except (OSError, RuntimeError) as err:
-            self.ledger.end(claim.session, SessionEnd.ROOM)
+            self.token_registry.end(claim.session_id, SessionEnd.NO_CAPACITY)
             box.close()
             raise TokenError("room") from err
         log(LogEvent.SESSION_RESTORED, left=self._core.clock.moment(expiry) - now())
 
     # --- taking over
 
-    def replaced(self, session: int, tenure: int, by: str) -> None:
+    def on_ownership_claimed(self, session: int, tenure: int, by: str) -> None:
         """The log says that another node owns a session: what there is of it here ends."""
-        if self.agreeing is not None and by != self.agreeing.by:
-            box = self.ledger.handle(session, tenure)
+        if self.ownership_service is not None and by != self.ownership_service.by:
+            box = self.token_registry.handle_before_epoch(session, tenure)
             if box is not None:
                 box.replaced = True
                 box.wake()
 
-    def _take_over(
+    def _start_claim(
         self,
         sock: socket.socket,
         opening: Opening,
@@ -101,50 +101,60 @@
         """Claim another node's session in a thread of its own; else the answer that turns its client away."""
         with self._lock:
             # Two claims of this node for one session would leave it with the earlier one's tenure.
-            if len(self._taking) >= MOST_TAKING or claim.session in self._taking:
-                return BUSY
-            self._taking.add(claim.session)
+            if len(self._claiming) >= MAX_CONCURRENT_CLAIMS or claim.session_id in self._claiming:
+                return RETRY_SOON
+            self._claiming.add(claim.session_id)
         try:
             take()
             told = (sock, opening, claim, arrived)
-            threading.Thread(target=self._claim, args=told, name="take-over", daemon=True).start()
+            threading.Thread(target=self._claim_ownership, args=told, name="take-over", daemon=True).start()
         except RuntimeError as err:
             log(LogEvent.SESSION_TAKEOVER_FAILED, why=err)
             with self._lock:
-                self._taking.discard(claim.session)
-            self._answer(sock, opening, BUSY)
+                self._claiming.discard(claim.session_id)
+            self._answer(sock, opening, RETRY_SOON)
         return b""
 
-    def _claim(self, sock: socket.socket, opening: Opening, claim: TokenPayload, arrived: timedelta) -> None:
+    def _claim_ownership(
+        self, sock: socket.socket, opening: Opening, claim: TokenPayload, arrived: timedelta
+    ) -> None:
         from tansyladder.replication.session_ownership import OwnershipClaim
 
-        assert self.agreeing is not None
+        assert self.ownership_service is not None
         deadline = arrived + opening.wait
         try:
-            if self.ledger.knows(claim.session):  # an earlier claim of this node has just gone through
-                return self._answer(sock, opening, BUSY)
+            if self.token_registry.is_known(
+                claim.session_id
+            ):  # an earlier claim of this node has just gone through
+                return self._answer(sock, opening, RETRY_SOON)
             if sockets.left(sock):  # nobody is there to go on with it
-                return self._answer(sock, opening, BUSY)
-            at, keep = self.span()
-            by, ask = self.agreeing.by, next(self.turns)
-            entry = OwnershipClaim(claim.session, claim.generation, claim.expiry, by, at, keep, ask)
-            ruling = self.agreeing.rule(entry, min(deadline - MARGIN, now() + TAKE))
+                return self._answer(sock, opening, RETRY_SOON)
+            at, keep = self.retention_period()
+            by, ask = self.ownership_service.by, next(self.confirmation_numbers)
+            entry = OwnershipClaim(claim.session_id, claim.generation, claim.expires_at_us, by, at, keep, ask)
+            ruling = self.ownership_service.rule(entry, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT))
             if ruling is None:
-                return self._answer(sock, opening, BUSY)
+                return self._answer(sock, opening, RETRY_SOON)
             if not ruling.tenure:
                 again = ruling.why in ("claimed", "full")
-                return self._answer(sock, opening, BUSY if again else control_messages.refused(ruling.why))
-            visitor = ResumingClient(sock, int(opening.told[POSITION]), deadline, claim.expiry)
-            self._revive(claim, opening, claim.generation, claim.expiry, ruling.tenure)
-            self.ledger.claim(claim, self._core.clock.micros(arrived), lambda box: box.visit(visitor))
+                return self._answer(
+                    sock, opening, RETRY_SOON if again else control_messages.format_rejection(ruling.why)
+                )
+            visitor = ResumingClient(sock, int(opening.told[POSITION]), deadline, claim.expires_at_us)
+            self._restore(claim, opening, claim.generation, claim.expires_at_us, ruling.tenure)
+            self.token_registry.begin_resume(
+                claim, self._core.clock.micros(arrived), lambda box: box.visit(visitor)
+            )
             log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.tenure, took=now() - arrived)
         except TokenError as err:  # no room, or two clients with one token here at the same moment
             self._answer(
-                sock, opening, BUSY if err.why in ("room", "claimed") else control_messages.refused(err.why)
+                sock,
+                opening,
+                RETRY_SOON if err.why in ("room", "claimed") else control_messages.format_rejection(err.why),
             )
         finally:
             with self._lock:
-                self._taking.discard(claim.session)
+                self._claiming.discard(claim.session_id)
 
     def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
         self._core.metrics.answered(opening.cls, Ending.of(answer))
@@ -153,7 +163,7 @@
 
     # --- coming back
 
-    def come_back(
+    def resume(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
         """Hand a client with a token to its session's thread, `take` first; else the answer that refuses it.
@@ -162,36 +172,38 @@
         """
         try:
             if self._core.lifecycle.leaving:
-                if self.anywhere:
-                    return BUSY  # another node takes it over
+                if self.resumes_on_any_node:
+                    return RETRY_SOON  # another node takes it over
                 raise TokenError("draining")
-            if self.anywhere and self.agreeing is None:
-                return BUSY
+            if self.resumes_on_any_node and self.ownership_service is None:
+                return RETRY_SOON
             position = opening.told.get(POSITION, "")
             if not _POSITION.match(position):
                 raise protocol.LineError(f"{POSITION}: a position expected")
-            claim = self.keyring.open(opening.told[TICKET], binding(opening))
-            if self.agreeing is not None:  # a node that was stopped has clients of long ago in its buffers
+            claim = self.keyring.open(opening.told[TICKET], token_claims(opening))
+            if (
+                self.ownership_service is not None
+            ):  # a node that was stopped has clients of long ago in its buffers
                 arrived = min(arrived, now() - sockets.quiet(sock))
-            if not self.ledger.knows(claim.session):
-                if self.agreeing is not None:
-                    return self._take_over(sock, opening, claim, arrived, take)
-                if self.keeping is not None:
-                    self._revive_kept(claim)
-            visitor = ResumingClient(sock, int(position), arrived + opening.wait, claim.expiry)
+            if not self.token_registry.is_known(claim.session_id):
+                if self.ownership_service is not None:
+                    return self._start_claim(sock, opening, claim, arrived, take)
+                if self.session_store is not None:
+                    self._restore_stored(claim)
+            visitor = ResumingClient(sock, int(position), arrived + opening.wait, claim.expires_at_us)
 
             def deliver(box: ActionQueue) -> None:
                 take()
                 box.visit(visitor)
 
-            self.ledger.claim(claim, self._core.clock.micros(arrived), deliver)
+            self.token_registry.begin_resume(claim, self._core.clock.micros(arrived), deliver)
         except TokenError as err:
             log(LogEvent.RESUME_REJECTED, why=err.why)
             # Its client may have given up on an answer that is still on its way, and shows the token again.
-            again = self.agreeing is not None and err.why == "claimed"
-            return BUSY if again else control_messages.refused(err.why)
+            again = self.ownership_service is not None and err.why == "claimed"
+            return RETRY_SOON if again else control_messages.format_rejection(err.why)
         return b""
 
-    def rotate(self, options: ResumeOptions) -> None:
+    def rotate_keys(self, options: ResumeOptions) -> None:
         """Put the keys of new settings in force."""
         self.keyring.rotate([(k.id, k.secret) for k in options.keys])
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -119,19 +119,19 @@
 
         Without a flow it is a session of an earlier start, adrift until its client is there.
         """
-        core, shared, session = self._core, self._shared, self._stream.number
-        over = _SessionEnded(SessionEnd.LEFT)
+        core, shared, session = self._core, self._shared, self._stream.session_id
+        over = _SessionEnded(SessionEnd.ENDED)
         try:
             if standing is None:
-                self._parked = shared.park()
+                self._parked = shared.reserve_suspended()
                 if not self._parked:
-                    raise _SessionEnded(SessionEnd.ROOM)
+                    raise _SessionEnded(SessionEnd.NO_CAPACITY)
                 standing, number = self._go_on(_UpstreamLost(AttemptStatus.RESET, "restart"))
                 self._host = BufferedSocket(standing.sock, standing.buffer)
             else:
                 self._receipt = standing.lines[0]
                 self._host = BufferedSocket(standing.sock, standing.buffer)
-                shared.ledger.begin(session, self._box)
+                shared.token_registry.add(session, self._box)
                 self._tell_client(self._receipt + self._token())  # the final answer of the first request
             while True:
                 try:
@@ -150,13 +150,16 @@
             # In this order: once the ledger has it ended, nobody else comes, and who came is answered.
             shared.end(session, over.why)
             while visitor := self._box.visitor():
-                taken = over.why is SessionEnd.TAKEN  # it may be taken back in a moment
-                self._refuse(visitor, shared.busy if taken else control_messages.refused(over.why.value))
+                taken = over.why is SessionEnd.CLAIMED_BY_OTHER_NODE  # it may be taken back in a moment
+                self._refuse(
+                    visitor,
+                    shared.retry_soon_answer if taken else control_messages.format_rejection(over.why.value),
+                )
             core.forget(number)
             self._box.close()
             self._stream.close()
             if self._parked:
-                self._shared.unpark()
+                self._shared.release_suspended()
             if self._client is not None:
                 sockets.prepare(self._client.sock)
                 sockets.finish(self._client.sock, self._client.waiting + over.last)
@@ -177,7 +180,7 @@
         self._take_host_lines(standing.lines[1:])
         while True:
             if box.replaced:
-                raise _SessionEnded(SessionEnd.TAKEN)
+                raise _SessionEnded(SessionEnd.CLAIMED_BY_OTHER_NODE)
             while visitor := box.visitor():
                 self._let_in(visitor)
             self._keep_up()
@@ -188,9 +191,9 @@
                 self._serve_client(self._client)
             if self._host.sock.fileno() in ready:
                 self._serve_host(self._host)
-            if not stream.can_return and self._client is None:
+            if not stream.can_resume_client and self._client is None:
                 raise _SessionEnded(
-                    SessionEnd.LOST
+                    SessionEnd.BUFFER_OVERFLOW
                 )  # what did not fit the buffers ends the chance to come back
 
     def _follow_orders(self, number: int) -> None:
@@ -208,7 +211,7 @@
                 raise _SessionEnded(SessionEnd.EXPIRED)
             return
         if self._until is not None and moment >= self._until:
-            raise _SessionEnded(SessionEnd.LEFT)
+            raise _SessionEnded(SessionEnd.ENDED)
         if host.stuck:
             raise _UpstreamLost(AttemptStatus.TIMEOUT, "stuck")
         if client.stuck:
@@ -217,8 +220,8 @@
             raise _UpstreamLost(AttemptStatus.TIMEOUT, "silent")
         elif self._until is None:
             if self._ack_at is not None and moment >= self._ack_at:
-                self._tell_client(self._stream.acknowledge())
-                self._ack_at = moment + ACK_WITHIN if self._stream.unacknowledged else None
+                self._tell_client(self._stream.acknowledge_client())
+                self._ack_at = moment + ACK_WITHIN if self._stream.has_unacknowledged_lines else None
             if moment >= self._renew_at:
                 self._tell_client(self._token())
 
@@ -226,9 +229,9 @@
         """A new token, where one is of use; the next is due at half its life."""
         expires = self._shared.options.expires
         self._renew_at, self._expiry = now() + expires / 2, now() + expires
-        if not self._stream.can_return:
+        if not self._stream.can_resume_client:
             return b""
-        return self._shared.token(self._stream.number, self._opening)
+        return self._shared.issue_token_line(self._stream.session_id, self._opening)
 
     def _wait(self) -> set[int]:
         """What can go on; a side whose other one has not taken all is not read, which holds up its sender."""
@@ -261,24 +264,24 @@
             return self._park("broke")
         if not data:
             return self._park("broke")
-        out, counted = StreamOutput(), self._stream.from_client.end
+        out, counted = StreamOutput(), self._stream.from_client.end_position
         try:
             for line in client.buffer.feed(data):
-                said = self._stream.client_line(line)
+                said = self._stream.receive_from_client(line)
                 out.to_host += said.to_host
                 out.to_client += said.to_client
-                out.client_ends |= said.client_ends
-                if said.client_ends:
+                out.client_left |= said.client_left
+                if said.client_left:
                     break
         except (protocol.LineError, control_messages.ControlMessageError, PositionError) as err:
             log(LogEvent.INVALID_LINE, where="session", why=err)
-            raise _SessionEnded(SessionEnd.MOVED, last=protocol.MOVE + b"\r\n") from err
-        if self._stream.from_client.end > counted:  # nobody answers an acknowledgment
+            raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=protocol.MOVE + b"\r\n") from err
+        if self._stream.from_client.end_position > counted:  # nobody answers an acknowledgment
             self._question.asked()
             self._ack_at = self._ack_at or now() + ACK_WITHIN
         self._tell_host(out.to_host)
         self._tell_client(out.to_client)
-        if out.client_ends:
+        if out.client_left:
             self._until = now() + LAST_WORDS
             if not self._host.waiting:
                 with contextlib.suppress(OSError):
@@ -306,7 +309,7 @@
     def _host_ended(self, why: str) -> Exception:
         """Its flow ended without BYE: the session is lost here, unless its client left or can't go on."""
         if self._until is not None:
-            return _SessionEnded(SessionEnd.LEFT)
+            return _SessionEnded(SessionEnd.ENDED)
         return _UpstreamLost(AttemptStatus.RESET, why)
 
     def _take_host_lines(self, lines: tuple[bytes, ...]) -> None:
@@ -314,7 +317,7 @@
         passed, out = b"", StreamOutput()
         for line in lines:
             try:
-                out = self._stream.host_line(line)
+                out = self._stream.receive_from_host(line)
             except (control_messages.ControlMessageError, PositionError) as err:
                 log(LogEvent.INVALID_RESPONSE, member=self._member, why=err)
                 raise _UpstreamLost(AttemptStatus.ERROR, "bad_word") from err
@@ -325,16 +328,16 @@
                 self._question.answered(word)
                 if word == protocol.LOAD:
                     self._notes.told(line)
-            if out.host_leaves or out.host_ends:
+            if out.host_redirects or out.host_finished:
                 break
         self._tell_client(passed)
-        self._tell_client(self._stream.lost_return())
-        if out.host_leaves:
+        self._tell_client(self._stream.report_lost_resumption())
+        if out.host_redirects:
             raise _UpstreamLost(AttemptStatus.CANCELLED, "sent_away")
-        if out.host_ends:
-            if self._client is None and self._stream.can_return:
+        if out.host_finished:
+            if self._client is None and self._stream.can_resume_client:
                 raise _UpstreamLost(AttemptStatus.OK, "served")  # its last lines wait for the client
-            raise _SessionEnded(SessionEnd.LEFT, AttemptStatus.OK)
+            raise _SessionEnded(SessionEnd.ENDED, AttemptStatus.OK)
 
     def _tell_host(self, data: bytes) -> None:
         assert self._host is not None
@@ -356,58 +359,58 @@
         """The client's connection is gone: keep the session for a while, unless nobody could come back."""
         assert self._client is not None
         if self._until is not None:
-            raise _SessionEnded(SessionEnd.LEFT)
+            raise _SessionEnded(SessionEnd.ENDED)
         sockets.reset(self._client.sock)
         self._client, self._ack_at = None, None
-        if not self._stream.can_return:
-            raise _SessionEnded(SessionEnd.LOST)
-        self._parked = self._shared.park()
+        if not self._stream.can_resume_client:
+            raise _SessionEnded(SessionEnd.BUFFER_OVERFLOW)
+        self._parked = self._shared.reserve_suspended()
         if not self._parked:
-            raise _SessionEnded(SessionEnd.ROOM)
+            raise _SessionEnded(SessionEnd.NO_CAPACITY)
         log(LogEvent.SESSION_SUSPENDED, why=why)
 
     def _let_in(self, visitor: ResumingClient) -> None:
         """A client came back: fence off its old connection, then tell it where both sides are."""
         try:
-            at, *lines = self._stream.returns(visitor.position)
+            at, *lines = self._stream.resume_client(visitor.position)
         except PositionError as err:
-            self._shared.ledger.restore(self._stream.number)
-            self._refuse(visitor, control_messages.refused(err.why))
+            self._shared.token_registry.cancel_resume(self._stream.session_id)
+            self._refuse(visitor, control_messages.format_rejection(err.why))
             return
-        if refusal := self._shared.spend(self._stream.number, self._opening, visitor):
-            self._shared.ledger.restore(self._stream.number)
+        if refusal := self._shared.redeem(self._stream.session_id, self._opening, visitor):
+            self._shared.token_registry.cancel_resume(self._stream.session_id)
             self._refuse(visitor, refusal)
             return
         if self._client is not None:
             sockets.reset(self._client.sock)  # half dead or not: it gets no further line
         if self._parked:
             self._parked = False
-            self._shared.unpark()
+            self._shared.release_suspended()
         sockets.prepare(visitor.sock)
         self._client = BufferedSocket(visitor.sock)
         self._core.metrics.answered(self._opening.cls, Ending.OK)
         log(LogEvent.SESSION_RESUMED, position=visitor.position)
         self._tell_client(self._receipt + at + self._token() + b"".join(lines))
         if self._client is not None:  # else it was gone: the token is in doubt, not spent
-            self._shared.answered(self._stream.number)
+            self._shared.confirm_opened(self._stream.session_id)
 
     def _await_return(self) -> ResumingClient:
         """The next client that comes back to a session adrift; _Over once nobody can."""
         while True:
             visitor = self._box.visitor()
             if visitor is not None:
-                self._stream.adopt(visitor.position)
+                self._stream.adopt_client_position(visitor.position)
                 try:
-                    self._stream.from_host.since(visitor.position)
+                    self._stream.from_host.lines_after(visitor.position)
                     return visitor
                 except PositionError as err:
-                    self._shared.ledger.restore(self._stream.number)
-                    self._refuse(visitor, control_messages.refused(err.why))
+                    self._shared.token_registry.cancel_resume(self._stream.session_id)
+                    self._refuse(visitor, control_messages.format_rejection(err.why))
                     continue
             if self._box.replaced:
-                raise _SessionEnded(SessionEnd.TAKEN)
+                raise _SessionEnded(SessionEnd.CLAIMED_BY_OTHER_NODE)
             if self._core.lifecycle.leaving:
-                raise _SessionEnded(SessionEnd.MOVED)
+                raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED)
             if now() >= self._expiry:
                 raise _SessionEnded(SessionEnd.EXPIRED)
             self._box.take()
@@ -429,19 +432,19 @@
         """Place the session anew, once there is a client to place it for; _Over where that can't be."""
         served = lost.status is AttemptStatus.OK
         while True:
-            if self._client is not None and (served or not self._stream.can_move):
-                raise _SessionEnded(SessionEnd.MOVED, last=protocol.MOVE + b"\r\n")
-            if self._client is None and not served and not self._stream.can_move:
-                raise _SessionEnded(SessionEnd.MOVED)
+            if self._client is not None and (served or not self._stream.can_migrate):
+                raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=protocol.MOVE + b"\r\n")
+            if self._client is None and not served and not self._stream.can_migrate:
+                raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED)
             self._moves += 1
             if self._moves > MOST_MOVES:
-                raise _SessionEnded(SessionEnd.MOVED, last=protocol.MOVE + b"\r\n")
+                raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=protocol.MOVE + b"\r\n")
             if self._core.lifecycle.leaving:
-                raise _SessionEnded(SessionEnd.MOVED, last=self._send_off())
+                raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=self._send_off())
             visitor = None if self._client is not None else self._await_return()
             if visitor is not None and served:
                 self._let_in(visitor)
-                raise _SessionEnded(SessionEnd.LEFT)
+                raise _SessionEnded(SessionEnd.ENDED)
             found = self._place(visitor.deadline if visitor else now() + MOVE_WITHIN)
             if isinstance(found, tuple):
                 if visitor is not None:
@@ -450,8 +453,8 @@
                 return found
             if visitor is None:
                 log(LogEvent.SESSION_REJECTED, why=lost.why)
-                raise _SessionEnded(SessionEnd.MOVED, last=self._send_off())
-            self._shared.ledger.restore(self._stream.number)
+                raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=self._send_off())
+            self._shared.token_registry.cancel_resume(self._stream.session_id)
             self._moves = 0
             self._refuse(visitor, protocol.format_reject(found))
 
@@ -460,7 +463,7 @@
 
         MOVE is for who begins anew. A connection that ends without it has its client come with its token.
         """
-        elsewhere = self._shared.anywhere and self._stream.can_return
+        elsewhere = self._shared.resumes_on_any_node and self._stream.can_resume_client
         return b"" if elsewhere else protocol.MOVE + b"\r\n"
 
     def _place(self, deadline: timedelta) -> tuple[UpstreamConnection, int] | timedelta:
@@ -469,7 +472,7 @@
 
         def accept(answer: ConnectResult) -> bool:
             try:
-                self._missing = stream.placed(answer.ready[0])
+                self._missing = stream.complete_placement(answer.ready[0])
             except PositionError as err:
                 log(
                     LogEvent.REPLAY_MISMATCH,
@@ -479,7 +482,7 @@
                 return False
             return True
 
-        first_line = self._shared.first_line(opening, stream)
+        first_line = self._shared.first_line_builder(opening, stream)
         number = core.register(box)
         request = request_of(core, number, self._cls, opening, deadline, True)
         found = AttemptLoop(core, box, number, opening.cls, deadline, first_line, None, 2, accept).run(
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -16,42 +16,44 @@
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import Clock, now
-from tansyladder.resumption.tokens import KEY_BYTES, LIFE_BYTES
+from tansyladder.resumption.tokens import KEY_BYTES, NODE_LIFE_BYTES
 from tansyladder.store import Durability, Op, Store, StoreError, open_store
 from tansyladder.store.files import RealFiles
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-UPKEEP = timedelta(milliseconds=100)  # between two looks for upkeep, which syncs what is to last soon
-LIFE, MEMBERS, SESSION = b"life", b"members", b"session/"
+MAINTENANCE_INTERVAL = timedelta(
+    milliseconds=100
+)  # between two looks for upkeep, which syncs what is to last soon
+IDENTITY_KEY, ENDPOINTS_KEY, SESSION_KEY_PREFIX = b"life", b"members", b"session/"
 
 
 class NodeIdentity(msgspec.Struct, frozen=True):
     """What makes tokens of an earlier start open: they are sealed for the life, not for the process."""
 
-    ident: bytes
-    key: bytes
-    starts: int
+    node_life: bytes = msgspec.field(name="ident")
+    token_key: bytes = msgspec.field(name="key")
+    start_count: int = msgspec.field(name="starts")
 
 
 class StoredSession(msgspec.Struct, frozen=True):
     """What is left of a session where its node died."""
 
-    line: str  # the client's first line
-    floor: int  # tokens of older generations are spent
-    expiry: int  # microseconds of Unix time
+    first_line: str = msgspec.field(name="line")  # of the client
+    generation_floor: int = msgspec.field(name="floor")  # tokens of older generations are spent
+    expires_at_us: int = msgspec.field(name="expiry")  # Unix time
 
 
 class StoredEndpointList(msgspec.Struct, frozen=True):
     """The last list, with its age."""
 
-    at: int  # microseconds of Unix time
-    members: EndpointList
+    saved_at_us: int = msgspec.field(name="at")  # Unix time
+    endpoints: EndpointList = msgspec.field(name="members")
 
 
-def _key(session: int) -> bytes:
-    return SESSION + session.to_bytes(8, "big")
+def _session_key(session: int) -> bytes:
+    return SESSION_KEY_PREFIX + session.to_bytes(8, "big")
 
 
 class SessionStore:
@@ -61,17 +63,19 @@
         self._store = self.store = store
         self._clock = clock
         self._failed = False
-        self._members: dict[str, EndpointEntry] = {}
+        self._endpoints: dict[str, EndpointEntry] = {}
         self._stop = threading.Event()
-        kept = store.get(LIFE)
-        drawn = NodeIdentity(os.urandom(LIFE_BYTES), os.urandom(KEY_BYTES), 0)
+        kept = store.get(IDENTITY_KEY)
+        drawn = NodeIdentity(os.urandom(NODE_LIFE_BYTES), os.urandom(KEY_BYTES), 0)
         before = msgspec.msgpack.decode(kept, type=NodeIdentity) if kept else drawn
-        self.life = NodeIdentity(before.ident, before.key, before.starts + 1)
-        store.put(LIFE, msgspec.msgpack.encode(self.life))  # before anything is sealed under this start
+        self.identity = NodeIdentity(before.node_life, before.token_key, before.start_count + 1)
+        store.put(
+            IDENTITY_KEY, msgspec.msgpack.encode(self.identity)
+        )  # before anything is sealed under this start
 
     def start(self) -> None:
         """Begin the upkeep, in a thread of its own."""
-        threading.Thread(target=self._upkeep, name="store", daemon=True).start()
+        threading.Thread(target=self._maintain, name="store", daemon=True).start()
 
     def close(self) -> None:
         """At an orderly end: what was to be on disk soon is."""
@@ -79,17 +83,17 @@
         try:
             self._store.close()
         except StoreError as err:
-            self._fail(err)
+            self._report_failure(err)
 
-    def _upkeep(self) -> None:
-        while not self._failed and not self._stop.wait(UPKEEP.total_seconds()):
+    def _maintain(self) -> None:
+        while not self._failed and not self._stop.wait(MAINTENANCE_INTERVAL.total_seconds()):
             try:
                 while not self._stop.is_set() and self._store.maintain():
                     pass
             except StoreError as err:
-                self._fail(err)
+                self._report_failure(err)
 
-    def _fail(self, err: StoreError) -> None:
+    def _report_failure(self, err: StoreError) -> None:
         if not self._failed and not self._stop.is_set():
             self._failed = err.word != "full"
             log(LogEvent.STORE_FAILED, word=err.word, why=err)
@@ -98,63 +102,63 @@
         try:
             self._store.write((op,), durability)
         except StoreError as err:
-            self._fail(err)
+            self._report_failure(err)
             return False
         return True
 
     # --- members
 
-    def tell_members(self, listed: EndpointList) -> None:
+    def save_endpoints(self, listed: EndpointList) -> None:
         """Keep the list as it is after these changes."""
         if listed.complete:
-            self._members = {}
+            self._endpoints = {}
         for entry in listed.members:
             if entry.phase == "removed":
-                self._members.pop(entry.id, None)
+                self._endpoints.pop(entry.id, None)
             else:
-                self._members[entry.id] = entry
-        whole = EndpointList(listed.revision, True, list(self._members.values()))
-        self._write(Op(MEMBERS, msgspec.msgpack.encode(StoredEndpointList(self._clock(), whole))))
+                self._endpoints[entry.id] = entry
+        whole = EndpointList(listed.revision, True, list(self._endpoints.values()))
+        self._write(Op(ENDPOINTS_KEY, msgspec.msgpack.encode(StoredEndpointList(self._clock(), whole))))
 
-    def last_members(self) -> StoredEndpointList | None:
+    def cached_endpoints(self) -> StoredEndpointList | None:
         """The list of the last start, where one was kept."""
         try:
-            kept = self._store.get(MEMBERS)
+            kept = self._store.get(ENDPOINTS_KEY)
         except StoreError as err:
-            self._fail(err)
+            self._report_failure(err)
             return None
         found = msgspec.msgpack.decode(kept, type=StoredEndpointList) if kept else None
         if found is not None:
-            self._members = {entry.id: entry for entry in found.members.members}
+            self._endpoints = {entry.id: entry for entry in found.endpoints.members}
         return found
 
     # --- sessions
 
-    def keep(self, session: int, line: str, floor: int, expiry: int) -> None:
+    def save_session(self, session: int, line: str, floor: int, expiry: int) -> None:
         """Note a session, or that it lives on until another moment; it is on disk soon."""
         kept = msgspec.msgpack.encode(StoredSession(line, floor, expiry))
-        self._write(Op(_key(session), kept, expiry))
+        self._write(Op(_session_key(session), kept, expiry))
 
-    def spend(self, session: int, line: str, floor: int, expiry: int) -> bool:
+    def redeem_session(self, session: int, line: str, floor: int, expiry: int) -> bool:
         """Note that older tokens are spent; on disk when this returns, or False: it can't be noted."""
         kept = msgspec.msgpack.encode(StoredSession(line, floor, expiry))
-        return self._write(Op(_key(session), kept, expiry), Durability.SYNCED)
+        return self._write(Op(_session_key(session), kept, expiry), Durability.SYNCED)
 
-    def end(self, session: int) -> None:
+    def delete_session(self, session: int) -> None:
         """Nobody comes back to it any more."""
-        self._write(Op(_key(session), None))
+        self._write(Op(_session_key(session), None))
 
-    def session(self, session: int) -> StoredSession | None:
+    def load_session(self, session: int) -> StoredSession | None:
         """What was kept of a session of an earlier start."""
         try:
-            kept = self._store.get(_key(session))
+            kept = self._store.get(_session_key(session))
         except StoreError as err:
-            self._fail(err)
+            self._report_failure(err)
             return None
         return msgspec.msgpack.decode(kept, type=StoredSession) if kept else None
 
 
-def open_keeping(directory: str, node: str) -> SessionStore | None:
+def open_session_store(directory: str, node: str) -> SessionStore | None:
     """The node's records; None, and a line in the log, where the store can't be used."""
     clock = Clock()
 
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -226,35 +226,35 @@
 
 def node_life(opened: SessionStore) -> tuple[bytes, bytes, int]:
     """Identity, token key and number of starts."""
-    return opened.life.ident, opened.life.key, opened.life.starts
+    return opened.identity.node_life, opened.identity.token_key, opened.identity.start_count
 
 
 def save_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> None:
-    opened.keep(session, line, floor, expiry)
+    opened.save_session(session, line, floor, expiry)
 
 
 def redeem_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> bool:
-    return opened.spend(session, line, floor, expiry)
+    return opened.redeem_session(session, line, floor, expiry)
 
 
 def end_session(opened: SessionStore, session: int) -> None:
-    opened.end(session)
+    opened.delete_session(session)
 
 
 def saved_session(opened: SessionStore, session: int) -> tuple[str, int, int] | None:
     """First line, floor and expiry."""
-    found = opened.session(session)
-    return (found.line, found.floor, found.expiry) if found is not None else None
+    found = opened.load_session(session)
+    return (found.first_line, found.generation_floor, found.expires_at_us) if found is not None else None
 
 
 def save_endpoints(opened: SessionStore, listed: EndpointList) -> None:
-    opened.tell_members(listed)
+    opened.save_endpoints(listed)
 
 
 def saved_endpoints(opened: SessionStore) -> tuple[int, EndpointList] | None:
     """When the list was kept, and the list."""
-    found = opened.last_members()
-    return (found.at, found.members) if found is not None else None
+    found = opened.cached_endpoints()
+    return (found.saved_at_us, found.endpoints) if found is not None else None
 
 
 # --- tokens
@@ -283,14 +283,14 @@
     group: int,
     key: int,
 ) -> str:
-    claim = tokens.TokenPayload(session=session, generation=generation, expiry=expiry)
-    return ring.seal(claim, tokens.TokenClaims(cls=service_class, group=group, key=key))
+    claim = tokens.TokenPayload(session_id=session, generation=generation, expires_at_us=expiry)
+    return ring.seal(claim, tokens.TokenClaims(service_class=service_class, group=group, key=key))
 
 
 def open_token(ring: Keyring, text: str, *, service_class: str, group: int, key: int) -> tuple[int, int, int]:
     """Session, generation and expiry. TokenError."""
-    found = ring.open(text, tokens.TokenClaims(cls=service_class, group=group, key=key))
-    return found.session, found.generation, found.expiry
+    found = ring.open(text, tokens.TokenClaims(service_class=service_class, group=group, key=key))
+    return found.session_id, found.generation, found.expires_at_us
 
 
 # --- peers' connections
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -19,7 +19,7 @@
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import Event
 from tansyladder.sessions.resumption_handler import ResumptionHandler
-from tansyladder.sessions.session_store import open_keeping
+from tansyladder.sessions.session_store import open_session_store
 
 Script = Callable[["Peer"], None]
 SETTINGS: dict[str, Any] = {
@@ -175,7 +175,7 @@
     """A node that knows these members; with `resume` its sessions can be resumed."""
     told_ = told(tmp_path, *(member(f"s{i}", m.address) for i, m in enumerate(members)), **over)
     core = HeardCore(told_, Options(resume=resume) if resume else None)
-    keeping = core.keeping = open_keeping(str(store), "n0") if store else None
+    keeping = core.keeping = open_session_store(str(store), "n0") if store else None
     if resume:
         core.resuming = ResumptionHandler(core, keeping)
     front = ClientListener(core)
--- a/tests/resumption/test_resumption.py
+++ b/tests/resumption/test_resumption.py
@@ -11,10 +11,22 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from tansyladder.resumption import control_messages
-from tansyladder.resumption.replay_buffer import LINE_COST, MemoryBudget, PositionError, ReplayBuffer
-from tansyladder.resumption.stream import MOVE, Stream
+from tansyladder.resumption.replay_buffer import (
+    LINE_OVERHEAD_BYTES,
+    MemoryBudget,
+    PositionError,
+    ReplayBuffer,
+)
+from tansyladder.resumption.stream import MOVE_LINE, Stream
 from tansyladder.resumption.token_registry import SessionEnd, TokenRegistry
-from tansyladder.resumption.tokens import LIFE_BYTES, TEXT, Keyring, TokenClaims, TokenError, TokenPayload
+from tansyladder.resumption.tokens import (
+    NODE_LIFE_BYTES,
+    TOKEN_LENGTH,
+    Keyring,
+    TokenClaims,
+    TokenError,
+    TokenPayload,
+)
 
 MOST, SHARED = 1200, 1700
 
@@ -32,8 +44,8 @@
         self.budget = MemoryBudget(SHARED)
         self.other = ReplayBuffer(self.budget, SHARED)  # what another session takes of the node's bytes
         self.stream = Stream(7, self.budget, MOST, durable=self.durable)
-        self.stream.place()
-        self.stream.host_line(b"RS AT 0 0\r\n")
+        self.stream.begin_placement()
+        self.stream.receive_from_host(b"RS AT 0 0\r\n")
         self.said = self.has = 0  # the client's lines, and the host lines that it has got
         self.unheard: deque[int] = deque()  # its lines that it may have to say again
         self.heard = self.frames = 0  # the store's counts
@@ -48,7 +60,7 @@
         self.to_host.extend(to_host.splitlines(keepends=True))
 
     def _say(self, number: int) -> None:
-        out = self.stream.client_line(b"M %d\r\n" % number)
+        out = self.stream.receive_from_client(b"M %d\r\n" % number)
         self._out(out.to_client, out.to_host)
 
     @precondition(lambda self: self.here)
@@ -61,8 +73,8 @@
     @rule(size=st.integers(0, 300))
     def host_says(self, size: int) -> None:
         self.frames += 1
-        out = self.stream.host_line(b"F %d %s\r\n" % (self.frames, b"x" * size))
-        self._out(out.to_client + self.stream.lost_return(), out.to_host)
+        out = self.stream.receive_from_host(b"F %d %s\r\n" % (self.frames, b"x" * size))
+        self._out(out.to_client + self.stream.report_lost_resumption(), out.to_host)
 
     @rule(count=st.integers(1, 5))
     def host_hears(self, count: int) -> None:
@@ -92,12 +104,12 @@
 
     @rule()
     def host_acknowledges(self) -> None:
-        self.stream.host_line(control_messages.ack(self.heard))
+        self.stream.receive_from_host(control_messages.format_acknowledgement(self.heard))
 
     @precondition(lambda self: self.here)
     @rule()
     def client_acknowledges(self) -> None:
-        out = self.stream.client_line(control_messages.ack(self.has))
+        out = self.stream.receive_from_client(control_messages.format_acknowledgement(self.has))
         self._out(out.to_client, out.to_host)
 
     @precondition(lambda self: self.here)
@@ -114,9 +126,9 @@
     def client_returns(self) -> None:
         """Also while its old connection looks sound: what that one had not delivered is lost."""
         try:
-            at, *lines = self.stream.returns(self.has)
+            at, *lines = self.stream.resume_client(self.has)
         except PositionError as err:
-            assert err.why == "behind" and not self.stream.can_return
+            assert err.why == "behind" and not self.stream.can_resume_client
             return
         self.here = True
         self.to_client = deque(lines)
@@ -128,40 +140,45 @@
     def host_is_lost(self) -> None:
         """What is under way to it and from it is lost; another one goes on from the store."""
         self.to_host.clear()
-        if not self.stream.can_move:
+        if not self.stream.can_migrate:
             return
-        names = dict(self.stream.place())
+        names = dict(self.stream.begin_placement())
         assert int(names["ra"]) <= self.heard <= int(names["ri"]) and int(names["ro"]) == self.frames
-        lines = self.stream.placed(b"RS AT %d %d\r\n" % (self.heard, self.frames))
+        lines = self.stream.complete_placement(b"RS AT %d %d\r\n" % (self.heard, self.frames))
         self.to_host.extend(lines.splitlines(keepends=True))
 
     @rule(ahead=st.integers(1, 9))
     def nobody_is_ahead(self, ahead: int) -> None:
         """Positions of what never was are refused and change nothing."""
-        before = (self.stream.from_host.base, self.stream.from_client.base)
+        before = (self.stream.from_host.acknowledged_position, self.stream.from_client.acknowledged_position)
         with pytest.raises(PositionError, match="ahead"):
-            self.stream.returns(self.stream.from_host.end + ahead)
+            self.stream.resume_client(self.stream.from_host.end_position + ahead)
         with pytest.raises(PositionError, match="ahead"):
-            self.stream.host_line(control_messages.ack(self.stream.from_client.end + ahead))
-        assert before == (self.stream.from_host.base, self.stream.from_client.base)
+            self.stream.receive_from_host(
+                control_messages.format_acknowledgement(self.stream.from_client.end_position + ahead)
+            )
+        assert before == (
+            self.stream.from_host.acknowledged_position,
+            self.stream.from_client.acknowledged_position,
+        )
 
     @rule(size=st.integers(1, 700))
     def another_session_takes(self, size: int) -> None:
-        self.other.add(b"x" * size)
+        self.other.append(b"x" * size)
 
     @rule()
     def another_session_ends(self) -> None:
-        self.other.stop()
+        self.other.discard()
         self.other = ReplayBuffer(self.budget, SHARED)
 
     @invariant()
     def all_is_bounded(self) -> None:
         up, down = self.stream.from_client, self.stream.from_host
-        assert up.size <= MOST and down.size <= MOST
-        assert self.budget.used == up.size + down.size + self.other.size <= SHARED
-        assert up.base <= self.heard and down.base <= self.has
-        if not down.kept and self.here and not self.to_client:
-            assert self.off or self.stream.lost_return()
+        assert up.size_bytes <= MOST and down.size_bytes <= MOST
+        assert self.budget.used_bytes == up.size_bytes + down.size_bytes + self.other.size_bytes <= SHARED
+        assert up.acknowledged_position <= self.heard and down.acknowledged_position <= self.has
+        if not down.can_replay and self.here and not self.to_client:
+            assert self.off or self.stream.report_lost_resumption()
 
 
 class DurableLines(Lines):
@@ -173,22 +190,22 @@
         super().__init__()
         self.starts = 1
 
-    @precondition(lambda self: self.stream.can_move)
+    @precondition(lambda self: self.stream.can_migrate)
     @rule()
     def node_dies(self) -> None:
         """Its client comes back to the next start, which asks a host where the client's lines are."""
         self.starts += 1
         self.stream.close()
-        self.stream = Stream.revived(7, self.budget, MOST, self.starts)
+        self.stream = Stream.restored(7, self.budget, MOST, self.starts)
         self.to_client.clear()
         self.to_host.clear()
-        self.stream.adopt(self.has)
-        names = dict(self.stream.place())
+        self.stream.adopt_client_position(self.has)
+        names = dict(self.stream.begin_placement())
         assert int(names["re"]) > 1 << 20 and int(names["ro"]) == self.has
         self.frames = self.has  # what the host had said beyond it reached nobody
         with pytest.raises(PositionError, match="ahead"):
-            self.stream.placed(b"RS AT %d %d\r\n" % (self.heard, self.has + 1))
-        assert self.stream.placed(b"RS AT %d %d\r\n" % (self.heard, self.has)) == b""
+            self.stream.complete_placement(b"RS AT %d %d\r\n" % (self.heard, self.has + 1))
+        assert self.stream.complete_placement(b"RS AT %d %d\r\n" % (self.heard, self.has)) == b""
         self.off = False
         self.client_returns()
 
@@ -199,9 +216,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.ledger: TokenRegistry[str] = TokenRegistry(1)
-        self.keys = Keyring(b"n" * LIFE_BYTES, [(1, b"1" * 32)], random.Random(3).randbytes)
+        self.keys = Keyring(b"n" * NODE_LIFE_BYTES, [(1, b"1" * 32)], random.Random(3).randbytes)
         self.binding = TokenClaims("chat", 5, 7)
-        self.ledger.begin(9, "session")
+        self.ledger.add(9, "session")
         self.now = 0
         self.tokens: list[tuple[str, int]] = []  # with their expiry
         self.spent = 0  # tokens that are good no more, counted from the first
@@ -236,7 +253,7 @@
             else ""
         )
         try:
-            self.ledger.claim(self.keys.open(text, self.binding), self.now, reached.append)
+            self.ledger.begin_resume(self.keys.open(text, self.binding), self.now, reached.append)
         except TokenError as err:
             assert (err.why, reached) == (want, [])
         else:
@@ -248,17 +265,17 @@
     def resume_is_over(self, through: bool) -> None:
         self.claimed = False
         if through:
-            self.ledger.spend(9)
+            self.ledger.redeem(9)
             self.spent = len(self.tokens)
         else:
-            self.ledger.restore(9)
+            self.ledger.cancel_resume(9)
 
     @precondition(lambda self: self.ended is None)
     @rule(why=st.sampled_from(list(SessionEnd)))
     def end(self, why: SessionEnd) -> None:
         self.ledger.end(9, why)
         # One that was taken is not remembered: its new owner knows of it, and it may come back from there.
-        self.ended = SessionEnd.EXPIRED if why is SessionEnd.TAKEN else why
+        self.ended = SessionEnd.EXPIRED if why is SessionEnd.CLAIMED_BY_OTHER_NODE else why
 
 
 TestLines = Lines.TestCase
@@ -277,16 +294,20 @@
 BINDING = TokenClaims("chat", 0x5C, 0x7F)
 
 
-def ring(life: bytes = b"l" * LIFE_BYTES, *keys: tuple[int, bytes]) -> Keyring:
+def ring(life: bytes = b"l" * NODE_LIFE_BYTES, *keys: tuple[int, bytes]) -> Keyring:
     return Keyring(life, keys or [(1, b"k" * 32)], random.Random(1).randbytes)
 
 
-@given(at=st.integers(0, TEXT - 1), letter=st.sampled_from("AQgw-_09z="), cut=st.integers(0, TEXT - 1))
+@given(
+    at=st.integers(0, TOKEN_LENGTH - 1),
+    letter=st.sampled_from("AQgw-_09z="),
+    cut=st.integers(0, TOKEN_LENGTH - 1),
+)
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_a_token_that_was_touched_opens_nothing(at: int, letter: str, cut: int) -> None:
     keys, claim = ring(), TokenPayload(5, 1, 1000)
     text = keys.seal(claim, BINDING)
-    assert keys.open(text, BINDING) == claim and len(text) == TEXT
+    assert keys.open(text, BINDING) == claim and len(text) == TOKEN_LENGTH
     touched = text[:at] + letter + text[at + 1 :]
     for other in {touched, text[:cut], text + letter} - {text}:
         with pytest.raises(TokenError) as err:
@@ -297,9 +318,9 @@
 @pytest.mark.parametrize(
     ("other", "binding", "why"),
     [
-        (ring(b"m" * LIFE_BYTES), BINDING, "elsewhere"),
-        (ring(b"l" * LIFE_BYTES, (1, b"q" * 32)), BINDING, "forged"),
-        (ring(b"l" * LIFE_BYTES, (2, b"k" * 32)), BINDING, "forged"),
+        (ring(b"m" * NODE_LIFE_BYTES), BINDING, "elsewhere"),
+        (ring(b"l" * NODE_LIFE_BYTES, (1, b"q" * 32)), BINDING, "forged"),
+        (ring(b"l" * NODE_LIFE_BYTES, (2, b"k" * 32)), BINDING, "forged"),
         (ring(), TokenClaims("chat", 0x5C, 0x80), "forged"),
         (ring(), TokenClaims("chat", 0x5D, 0x7F), "forged"),
         (ring(), TokenClaims("chats", 0x5C, 0x7F), "forged"),
@@ -314,7 +335,7 @@
     keys, old, new = ring(), (1, b"k" * 32), (2, b"n" * 32)
     text = keys.seal(TokenPayload(5, 1, 1000), BINDING)
     keys.rotate([new, old])
-    assert keys.open(text, BINDING).session == 5
+    assert keys.open(text, BINDING).session_id == 5
     later = keys.seal(TokenPayload(5, 2, 1000), BINDING)
     keys.rotate([new])
     assert keys.open(later, BINDING).generation == 2
@@ -336,33 +357,39 @@
 def test_a_host_that_does_not_hold_the_session_is_not_gone_on_with(said: bytes) -> None:
     """Two lines of the client, one acknowledged, and two of the host."""
     stream = Stream(7, MemoryBudget(10_000), 5000)
-    stream.place()
+    stream.begin_placement()
     for line in (b"RS AT 0 0\r\n", b"F 1\r\n", b"F 2\r\n"):
-        stream.host_line(line)
+        stream.receive_from_host(line)
     for line in (b"M 1\r\n", b"M 2\r\n"):
-        stream.client_line(line)
-    stream.host_line(b"RS ACK 1\r\n")
-    assert dict(stream.place()) == {"rsn": "0" * 15 + "7", "re": "2", "ra": "1", "ri": "2", "ro": "2"}
+        stream.receive_from_client(line)
+    stream.receive_from_host(b"RS ACK 1\r\n")
+    assert dict(stream.begin_placement()) == {
+        "rsn": "0" * 15 + "7",
+        "re": "2",
+        "ra": "1",
+        "ri": "2",
+        "ro": "2",
+    }
     with pytest.raises(PositionError):
-        stream.placed(said)
-    assert stream.placed(b"RS AT 1 2\r\n") == b"M 2\r\n"
-    assert stream.placed(b"RS AT 2 2\r\n") == b""
-    assert dict(stream.place())["ra"] == "2"  # what a host holds is not asked of the next one
+        stream.complete_placement(said)
+    assert stream.complete_placement(b"RS AT 1 2\r\n") == b"M 2\r\n"
+    assert stream.complete_placement(b"RS AT 2 2\r\n") == b""
+    assert dict(stream.begin_placement())["ra"] == "2"  # what a host holds is not asked of the next one
 
 
 def test_an_old_host_is_passed_on_word_for_word() -> None:
     stream = Stream(7, MemoryBudget(10_000), 5000)
-    stream.place()
-    assert stream.host_line(b"hello\r\n").to_client == b"hello\r\n" and not stream.can_move
-    assert stream.host_line(b"RS AT 0 0\r\n").to_client == b"RS AT 0 0\r\n"
-    assert stream.host_line(MOVE).host_leaves
-    assert stream.client_line(b"RS ACK 1\r\n").to_host == b"" and stream.can_return
+    stream.begin_placement()
+    assert stream.receive_from_host(b"hello\r\n").to_client == b"hello\r\n" and not stream.can_migrate
+    assert stream.receive_from_host(b"RS AT 0 0\r\n").to_client == b"RS AT 0 0\r\n"
+    assert stream.receive_from_host(MOVE_LINE).host_redirects
+    assert stream.receive_from_client(b"RS ACK 1\r\n").to_host == b"" and stream.can_resume_client
 
 
 @given(st.binary(max_size=60))
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_any_control_line_is_read_or_refused(rest: bytes) -> None:
-    line = control_messages.START + rest.replace(b"\n", b"") + b"\r\n"
+    line = control_messages.CONTROL_PREFIX + rest.replace(b"\n", b"") + b"\r\n"
     for parse in (control_messages.parse_client, control_messages.parse_host):
         try:
             parse(line)
@@ -375,12 +402,12 @@
 
 def test_a_window_that_overflows_gives_its_bytes_back_and_counts_on() -> None:
     budget = MemoryBudget(1000)
-    window = ReplayBuffer(budget, 3 * (LINE_COST + 10))
+    window = ReplayBuffer(budget, 3 * (LINE_OVERHEAD_BYTES + 10))
     for _ in range(3):
-        window.add(b"x" * 10)
-    assert window.kept and budget.used == 3 * (LINE_COST + 10)
-    window.add(b"x")
-    assert (window.kept, budget.used, window.end) == (False, 0, 4)
-    window.ack(4)
+        window.append(b"x" * 10)
+    assert window.can_replay and budget.used_bytes == 3 * (LINE_OVERHEAD_BYTES + 10)
+    window.append(b"x")
+    assert (window.can_replay, budget.used_bytes, window.end_position) == (False, 0, 4)
+    window.acknowledge(4)
     with pytest.raises(PositionError, match="behind"):
-        window.since(4)
+        window.lines_after(4)
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -9,7 +9,7 @@
 
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.policy.events import EndpointListUpdate, ListUpdateKind
-from tansyladder.sessions.session_store import SessionStore, open_keeping
+from tansyladder.sessions.session_store import SessionStore, open_session_store
 from tests.node.harness import Peer, node
 from tests.sessions.test_sessions import LONG, ON, Host, Viewer, at_start, echo
 
@@ -105,9 +105,9 @@
     entry = EndpointEntry("s9", new.listener.address, "up", locality="a", flavor="m")
     with node(tmp_path, old.listener, store=tmp_path / "a") as first:
         assert first.core.keeping is not None
-        first.core.keeping.tell_members(EndpointList(7, True, [entry]))
+        first.core.keeping.save_endpoints(EndpointList(7, True, [entry]))
         gone = EndpointEntry("s8", "127.0.0.1:9", "removed")
-        first.core.keeping.tell_members(EndpointList(8, False, [gone]))
+        first.core.keeping.save_endpoints(EndpointList(8, False, [gone]))
     with node(tmp_path, old.listener, store=tmp_path / "a") as second:
         listed = second.core.wait_for(EndpointListUpdate)
         assert (listed.version, listed.kind) == (8, ListUpdateKind.CACHED)
@@ -119,7 +119,7 @@
     tmp_path: Path, fault: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     folder = tmp_path / "store"
-    held = open_keeping(str(folder), "other" if fault == "foreign" else "n0")
+    held = open_session_store(str(folder), "other" if fault == "foreign" else "n0")
     assert held is not None
     if fault != "locked":
         held.close()
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -96,9 +96,9 @@
         """Its connection breaks, and the node has noticed."""
         resuming = self.node.core.resuming
         assert isinstance(resuming, ResumptionHandler)
-        before, until = resuming.parked, time.monotonic() + 10
+        before, until = resuming.suspended_count, time.monotonic() + 10
         drop(self.peer)
-        while resuming.parked == before and time.monotonic() < until:
+        while resuming.suspended_count == before and time.monotonic() < until:
             time.sleep(0.002)
 
     def back(self, over: str = "", key: str = "", token: str = "") -> Peer:
@@ -353,7 +353,7 @@
         assert [viewer.hear() for _ in range(4)] == ["UP r1", "F 1", "MOVE", ""]
         late = viewer.back()
         assert late.hear() == "ERR resume moved"
-        assert len(n.core.resuming.ledger) == 0 if n.core.resuming else False
+        assert len(n.core.resuming.token_registry) == 0 if n.core.resuming else False
 
 
 def test_the_modules_word_moves_a_session_and_a_parked_one_waits(tmp_path: Path) -> None:
@@ -400,7 +400,7 @@
         stands.peer.close()
         draining.join(10)
         assert not draining.is_alive() and n.core.held(True) == []
-        assert n.core.resuming is not None and len(n.core.resuming.ledger) == 0
+        assert n.core.resuming is not None and len(n.core.resuming.token_registry) == 0
 
 
 def test_keys_rotate_while_sessions_stand(tmp_path: Path) -> None:
@@ -410,12 +410,12 @@
         assert n.core.resuming is not None
         viewer = Viewer(n)
         viewer.begin()
-        n.core.resuming.rotate(msgspec.structs.replace(ON, keys=(new, old)))
+        n.core.resuming.rotate_keys(msgspec.structs.replace(ON, keys=(new, old)))
         viewer.peer = viewer.back()
         assert [viewer.hear(), viewer.hear()] == ["UP r1", "RS AT 1"]
         viewer.say("M 2")
         assert viewer.hear() == "F 2 M 2"
-        n.core.resuming.rotate(msgspec.structs.replace(ON, keys=(old,)))
+        n.core.resuming.rotate_keys(msgspec.structs.replace(ON, keys=(old,)))
         gone = viewer.back()
         assert gone.hear() == "ERR resume forged"
         viewer.say("M 3")
@@ -459,7 +459,7 @@
             line = viewer.hear()
             heard.append(line)
             assert isinstance(n.core.resuming, ResumptionHandler)
-            assert n.core.resuming.budget.used <= 2 * ON.buffer
+            assert n.core.resuming.memory_budget.used_bytes <= 2 * ON.buffer
         assert heard.count("RS OFF buffer") == 1 and heard.count(whole) == count
         viewer.say("M 1")
         assert [viewer.hear(), viewer.hear()] == ["BYE", ""]
@@ -535,7 +535,9 @@
         assert last == ["RS END"] and one.ended.acquire(timeout=5)
         n.core.wait_for(AttemptEnded)
         assert viewer.back().hear() == "ERR resume ended"
-        assert isinstance(n.core.resuming, ResumptionHandler) and n.core.resuming.budget.used == 0
+        assert (
+            isinstance(n.core.resuming, ResumptionHandler) and n.core.resuming.memory_budget.used_bytes == 0
+        )
 
 
 def test_more_sessions_without_clients_than_may_wait_end(tmp_path: Path) -> None:
