--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -282,8 +282,8 @@
 
     def pool(self) -> dict[str, int]:
         """The metrics of the list of members, as the module sees it."""
-        size, ejected = self._balancer.pool()
-        return {"pool_size": size, "pool_ejected": ejected}
+        counts = self._balancer.endpoint_counts()
+        return {"pool_size": counts.listed, "pool_ejected": counts.ejected}
 
     def tell_members(self, listed: EndpointList, kind: ListUpdateKind) -> None:
         """The list or changes of it; entries that make no sense are left out and logged."""
--- a/tansyladder/policy/balancer.py
+++ b/tansyladder/policy/balancer.py
@@ -39,7 +39,7 @@
     RequestReceived,
     TimerExpired,
 )
-from tansyladder.policy.records import EVEN_STRAIN, MASK, Endpoint, EndpointPool, Request, mix
+from tansyladder.policy.records import EVEN_STRAIN, MASK, Endpoint, EndpointCounts, EndpointPool, Request, mix
 from tansyladder.policy.settings import DeduplicationScope, Idempotency, Settings
 
 SLOTS_PER_AIM = 8  # a slot is this part of the set-up aim: three failures in a row still fit the aim
@@ -124,10 +124,11 @@
             self.handlers[type(event)](event)
         return self.out
 
-    def pool(self) -> tuple[int, int]:
-        """How many servers are listed, and how many of them are avoided now; a look that needs no lock."""
+    def endpoint_counts(self) -> EndpointCounts:
+        """Count the endpoints. Thread-safe without a lock: it reads one copy of the table and changes nothing."""
         listed = [s for s in list(self.servers.values()) if s.state is not EndpointState.GONE]
-        return len(listed), sum(s.state is EndpointState.READY and s.mark.at > self.now for s in listed)
+        ejected = sum(s.state is EndpointState.READY and s.mark.at > self.now for s in listed)
+        return EndpointCounts(len(listed), ejected)
 
     # --- timers
 
--- a/tansyladder/policy/records.py
+++ b/tansyladder/policy/records.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.events import EndpointUpdate
 
@@ -17,6 +19,13 @@
     return x ^ (x >> 31)
 
 
+class EndpointCounts(NamedTuple):
+    """How many endpoints a node knows of."""
+
+    listed: int
+    ejected: int  # ready ones that get no connections for now, as connections to them failed or were slow
+
+
 class Endpoint:
     """What this node knows of one server."""
 
