--- a/tansyladder/policy/balancer.py
+++ b/tansyladder/policy/balancer.py
@@ -125,7 +125,7 @@
         return self.out
 
     def endpoint_counts(self) -> EndpointCounts:
-        """Count the endpoints. Thread-safe without a lock: it reads one copy of the table and changes nothing."""
+        """Count the endpoints. Thread-safe without a lock: it reads a copy of the table."""
         listed = [s for s in list(self.servers.values()) if s.state is not EndpointState.GONE]
         ejected = sum(s.state is EndpointState.READY and s.mark.at > self.now for s in listed)
         return EndpointCounts(len(listed), ejected)
