--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -35,7 +35,7 @@
     holding_at,
 )
 from tansyladder.replication.replicated_state import Entry
-from tansyladder.store import Durability, Op, Store, StoreError
+from tansyladder.store import Durability, Store, StoreError, WriteOperation
 
 CONTENT = b"documents/"
 PART = 48 << 10  # bytes of a content in one record
@@ -265,8 +265,8 @@
                 return
         try:
             keys = [CONTENT + digest + n.to_bytes(2, "big") for n in range(-(-MOST_SIZE // PART))]
-            there = [Op(key, None) for key in keys if self._store.get(key) is not None]
-            self._store.write(there, Durability.SOON)
+            there = [WriteOperation(key, None) for key in keys if self._store.get(key) is not None]
+            self._store.write(there, Durability.BUFFERED)
         except StoreError as err:
             log(LogEvent.DOCUMENT_DELETE_FAILED, why=err)
 
@@ -305,12 +305,12 @@
             return True
         digest = digest_of(content)
         ops = [
-            Op(CONTENT + digest + number.to_bytes(2, "big"), content[at : at + PART])
+            WriteOperation(CONTENT + digest + number.to_bytes(2, "big"), content[at : at + PART])
             for number, at in enumerate(range(0, len(content), PART))
         ]
         try:
             for op in ops[:-1]:
-                self._store.write((op,), Durability.SOON)
+                self._store.write((op,), Durability.BUFFERED)
             self._store.write((ops[-1],), Durability.SYNCED)
         except StoreError as err:
             log(LogEvent.DOCUMENT_STORE_FAILED, why=err)
--- a/tansyladder/cluster/raft_storage.py
+++ b/tansyladder/cluster/raft_storage.py
@@ -10,7 +10,7 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.raft.messages import Entry, HardState, LogSuffix, PersistentState, Snapshot, Write
-from tansyladder.store import Durability, Op, Store
+from tansyladder.store import Durability, Store, WriteOperation
 
 HARD, SNAPSHOT, ENTRY = b"peers/hard", b"peers/snapshot", b"peers/log/"
 COUNT = b"peers/count"  # of the writes
@@ -140,5 +140,5 @@
                     self._last = end - 1
         self._count += 1
         ops[COUNT] = self._count.to_bytes(8, "big")
-        self._store.write([Op(key, value) for key, value in ops.items()], Durability.SYNCED)
+        self._store.write([WriteOperation(key, value) for key, value in ops.items()], Durability.SYNCED)
         self._witness.note(self._ident, self._count)  # nothing that rests on the writes has left yet
--- a/tansyladder/lab/crash_consistency.py
+++ b/tansyladder/lab/crash_consistency.py
@@ -16,13 +16,13 @@
 from typing import Any
 
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles, SimulatedPowerLoss
-from tansyladder.store import Durability, Op, StoreError, open_store
+from tansyladder.store import Durability, StoreError, WriteOperation, open_store
 from tansyladder.store.errors import StoreCorruptError, StoreFullError
 
 SEGMENT = 700  # bytes: a few batches fill one
 NODE = "n1"
 State = dict[bytes, bytes]
-Batch = tuple[tuple[Op, ...], Durability]
+Batch = tuple[tuple[WriteOperation, ...], Durability]
 
 
 class ManualClock:
@@ -43,8 +43,8 @@
         for _ in range(rng.choice((1, 1, 1, 2, 4))):
             key = b"k%d" % rng.randrange(9)
             value = b"%d-%d" % (number, rng.randrange(99)) * rng.randrange(1, 9)
-            ops.append(Op(key, None if rng.random() < 0.25 else value))
-        out.append((tuple(ops), Durability.SOON if rng.random() < 0.3 else Durability.SYNCED))
+            ops.append(WriteOperation(key, None if rng.random() < 0.25 else value))
+        out.append((tuple(ops), Durability.BUFFERED if rng.random() < 0.3 else Durability.SYNCED))
         out += [None] * rng.choice((0, 0, 1, 3))
     return out
 
--- a/tansyladder/lab/store_benchmark.py
+++ b/tansyladder/lab/store_benchmark.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from tansyladder.store import Durability, Op, open_store
+from tansyladder.store import Durability, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 
 VALUE = bytes(range(100))
@@ -130,13 +130,14 @@
     """How long a log of 100 MB takes to open, with hint files and without."""
     store = open_store(RealFiles(folder / "log"), "bench", _clock)
     number = 0
-    while store.written < LOG:
-        store.write([Op(b"key-%09d" % (number + n), VALUE) for n in range(BATCH)], Durability.SOON)
+    while store.written_bytes < LOG:
+        operations = [WriteOperation(b"key-%09d" % (number + n), VALUE) for n in range(BATCH)]
+        store.write(operations, Durability.BUFFERED)
         number += BATCH
     while store.maintain():
         pass
     store.close()
-    out: dict[str, Any] = {"records": number, "bytes": store.written}
+    out: dict[str, Any] = {"records": number, "bytes": store.written_bytes}
     for name in ("hints", "scan"):
         if name == "scan":
             for hint in (folder / "log").glob("*.hint"):
@@ -152,13 +153,13 @@
     store = open_store(RealFiles(folder / "amp"), "bench", _clock, 1 << 20)
     rng, asked = random.Random(2), 0
     for _ in range(600):
-        ops = [Op(b"key-%d" % rng.randrange(20_000), VALUE) for _ in range(100)]
-        before = store.written
-        store.write(ops, Durability.SOON)
-        asked += store.written - before
+        ops = [WriteOperation(b"key-%d" % rng.randrange(20_000), VALUE) for _ in range(100)]
+        before = store.written_bytes
+        store.write(ops, Durability.BUFFERED)
+        asked += store.written_bytes - before
         while store.maintain(1 << 18):
             pass
-    ratio = store.written / asked
+    ratio = store.written_bytes / asked
     store.close()
     return round(ratio, 2)
 
@@ -166,7 +167,7 @@
 MEMORY = """
 import sys, time
 from pathlib import Path
-from tansyladder.store import Durability, Op, open_store
+from tansyladder.store import Durability, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 def used():
     return next(int(l.split()[1]) for l in open("/proc/self/status") if l.startswith("RssAnon"))
@@ -175,7 +176,8 @@
 if sys.argv[3] == "fill":
     store = open_store(RealFiles(folder), "bench", clock)
     for start in range(0, count, 1000):
-        store.write([Op(b"k%d" % n, b"v") for n in range(start, start + 1000)], Durability.SOON)
+        operations = [WriteOperation(b"k%d" % n, b"v") for n in range(start, start + 1000)]
+        store.write(operations, Durability.BUFFERED)
         if start % 100_000 == 0:
             while store.maintain(): pass
     while store.maintain(): pass
--- a/tansyladder/lab/store_kill.py
+++ b/tansyladder/lab/store_kill.py
@@ -16,14 +16,15 @@
 WRITER = """
 import random, sys, time
 from pathlib import Path
-from tansyladder.store import Op, open_store
+from tansyladder.store import WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 folder, number, rng = Path(sys.argv[1]), int(sys.argv[2]), random.Random(int(sys.argv[3]))
 store = open_store(RealFiles(folder), "kill", lambda: time.time_ns() // 1000, {size})
 while True:
     number += 1
-    ops = [Op(b"k%d" % rng.randrange(50), b"%d" % number * rng.randrange(1, 40)) for _ in range(3)]
-    ops.append(Op(b"last", b"%d" % number))
+    changes = [(b"k%d" % rng.randrange(50), b"%d" % number * rng.randrange(1, 40)) for _ in range(3)]
+    ops = [WriteOperation(key, value) for key, value in changes]
+    ops.append(WriteOperation(b"last", b"%d" % number))
     print("asked", number, "".join(f" {{o.key.decode()}}={{o.value.decode()}}" for o in ops), flush=True)
     store.write(ops)
     print("done", number, flush=True)
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -17,7 +17,7 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import Clock, now
 from tansyladder.resumption.tokens import KEY_BYTES, LIFE_BYTES
-from tansyladder.store import Durability, Op, Store, StoreError, open_store
+from tansyladder.store import Durability, Store, StoreError, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 
 if TYPE_CHECKING:
@@ -91,10 +91,10 @@
 
     def _fail(self, err: StoreError) -> None:
         if not self._failed and not self._stop.is_set():
-            self._failed = err.word != "full"
-            log(LogEvent.STORE_FAILED, word=err.word, why=err)
+            self._failed = err.code != "full"
+            log(LogEvent.STORE_FAILED, word=err.code, why=err)
 
-    def _write(self, op: Op, durability: Durability = Durability.SOON) -> bool:
+    def _write(self, op: WriteOperation, durability: Durability = Durability.BUFFERED) -> bool:
         try:
             self._store.write((op,), durability)
         except StoreError as err:
@@ -114,7 +114,7 @@
             else:
                 self._members[entry.id] = entry
         whole = EndpointList(listed.revision, True, list(self._members.values()))
-        self._write(Op(MEMBERS, msgspec.msgpack.encode(StoredEndpointList(self._clock(), whole))))
+        self._write(WriteOperation(MEMBERS, msgspec.msgpack.encode(StoredEndpointList(self._clock(), whole))))
 
     def last_members(self) -> StoredEndpointList | None:
         """The list of the last start, where one was kept."""
@@ -133,16 +133,16 @@
     def keep(self, session: int, line: str, floor: int, expiry: int) -> None:
         """Note a session, or that it lives on until another moment; it is on disk soon."""
         kept = msgspec.msgpack.encode(StoredSession(line, floor, expiry))
-        self._write(Op(_key(session), kept, expiry))
+        self._write(WriteOperation(_key(session), kept, expiry))
 
     def spend(self, session: int, line: str, floor: int, expiry: int) -> bool:
         """Note that older tokens are spent; on disk when this returns, or False: it can't be noted."""
         kept = msgspec.msgpack.encode(StoredSession(line, floor, expiry))
-        return self._write(Op(_key(session), kept, expiry), Durability.SYNCED)
+        return self._write(WriteOperation(_key(session), kept, expiry), Durability.SYNCED)
 
     def end(self, session: int) -> None:
         """Nobody comes back to it any more."""
-        self._write(Op(_key(session), None))
+        self._write(WriteOperation(_key(session), None))
 
     def session(self, session: int) -> StoredSession | None:
         """What was kept of a session of an earlier start."""
@@ -164,14 +164,14 @@
     try:
         store = open_store(RealFiles(Path(directory)), node, micros)
     except StoreError as err:
-        log(LogEvent.STORE_UNUSABLE, word=err.word, why=err)
+        log(LogEvent.STORE_UNUSABLE, word=err.code, why=err)
         return None
     except OSError as err:
         log(LogEvent.STORE_UNUSABLE, word="unusable", why=err)
         return None
-    log(LogEvent.STORE_OPEN, dropped=store.dropped, rebuilt=store.rebuilt, **store.stats)
+    log(LogEvent.STORE_OPEN, dropped=store.dropped_bytes, rebuilt=store.rebuilt_hint_count, **store.stats)
     try:
         return SessionStore(store, micros)
     except StoreError as err:
-        log(LogEvent.STORE_UNUSABLE, word=err.word, why=err)
+        log(LogEvent.STORE_UNUSABLE, word=err.code, why=err)
         return None
--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -35,7 +35,7 @@
     try:
         yield
     except (StoreError, OSError) as err:
-        word = err.word if isinstance(err, StoreError) else "unusable"
+        word = err.code if isinstance(err, StoreError) else "unusable"
         click.echo(f"{word}: {err}", err=True)
         sys.exit(3)
 
@@ -90,7 +90,7 @@
         try:
             before = opened.stats["bytes"]
             while opened.maintain(8 << 20):
-                _progress("bytes", opened.compacted, before)
+                _progress("bytes", opened.compacted_bytes, before)
             click.echo(f"{before} bytes before, {opened.stats['bytes']} now, {len(opened)} keys")
         finally:
             opened.close()
--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -43,11 +43,13 @@
 class Durability(enum.Enum):
     """What a write waits for."""
 
-    SYNCED = "synced"  # on disk: it outlives a loss of power
-    SOON = "soon"  # with the system: it outlives the process, and is on disk after the next sync or upkeep
+    # On disk: the write outlives a loss of power.
+    SYNCED = "synced"
+    # With the operating system: it outlives the process, and is on disk after the next sync or `maintain`.
+    BUFFERED = "buffered"
 
 
-class Op(NamedTuple):
+class WriteOperation(NamedTuple):
     """One change: a value, or None for its end; `expiry` in microseconds of Unix time, 0 for never."""
 
     key: bytes
@@ -57,7 +59,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Batch:
-    ops: Sequence[Op]
+    ops: Sequence[WriteOperation]
     size: int
     synced: bool
     gate: threading.Lock = field(default_factory=threading.Lock)
@@ -110,7 +112,8 @@
         self._node = frames.name_hash(found.manifest.node)
         self._index, self._sequence = found.index, found.sequence
         self._stamp = max(found.stamp, clock())  # by which the recovery has left out what had expired
-        self.dropped, self.rebuilt = found.dropped, found.rebuilt
+        self.dropped_bytes = found.dropped_bytes
+        self.rebuilt_hint_count = found.rebuilt_hint_count
         self._lock = threading.Lock()  # over the index, the segments, the queue; never held over a write
         self._queue: list[_Batch] = []
         self._leading = False
@@ -122,8 +125,8 @@
         self._synced = 0  # bytes of the active segment that are on disk
         self._active = self._begin_segment()
         self._compaction: compaction.Compaction | None = None
-        self.written = 0  # bytes, for the ratio to what was asked to be kept
-        self.compacted = 0  # of them by compaction
+        self.written_bytes = 0  # bytes, for the ratio to what was asked to be kept
+        self.compacted_bytes = 0  # of them by compaction
 
     # --- reading
 
@@ -173,13 +176,13 @@
         self, key: bytes, value: bytes, expiry: int = 0, durability: Durability = Durability.SYNCED
     ) -> None:
         """Set a key."""
-        self.write((Op(key, value, expiry),), durability)
+        self.write((WriteOperation(key, value, expiry),), durability)
 
     def delete(self, key: bytes, durability: Durability = Durability.SYNCED) -> None:
         """End a key; one that is not there is no error."""
-        self.write((Op(key, None),), durability)
+        self.write((WriteOperation(key, None),), durability)
 
-    def write(self, ops: Sequence[Op], durability: Durability = Durability.SYNCED) -> None:
+    def write(self, ops: Sequence[WriteOperation], durability: Durability = Durability.SYNCED) -> None:
         """All ops or none, in order. TooLarge, Full: nothing is kept; Broken: it is not known."""
         size = _checked(ops)
         if not ops:
@@ -284,7 +287,7 @@
                 raise self._break(f"after a failed write: {second}") from second
             raise self._failed(err, "write") from err
         active.size += len(data)
-        self.written += len(data)
+        self.written_bytes += len(data)
         if sync:
             self._sync()
 
@@ -357,7 +360,7 @@
 
     # --- upkeep
 
-    def maintain(self, budget: int = 1 << 20) -> bool:
+    def maintain(self, budget_bytes: int = 1 << 20) -> bool:
         """One step of upkeep: a sync of what was to be `soon`, a hint, or so many bytes of compaction.
 
         Called by one thread, again at once where it returns True, which means that there is more to do. Takes
@@ -369,7 +372,7 @@
                 return True  # writers are at it; they sync too
             self._leading = True
         try:
-            return self._step(budget)
+            return self._step(budget_bytes)
         finally:
             with self._lock:
                 heir = self._queue[0] if self._queue else None
@@ -432,8 +435,8 @@
     def _finish_compaction(self, work: compaction.Compaction) -> None:
         """The new segment takes the run's place: on disk, then named, then used, then the old ones go."""
         made = work.finish()
-        self.compacted += made.size
-        self.written += made.size
+        self.compacted_bytes += made.size
+        self.written_bytes += made.size
         victims = [segment.id for segment in work.run]
         at = self._order.index(victims[0])
         keep = [made.id] if work.kept else []
@@ -474,7 +477,7 @@
     # --- state
 
     @property
-    def active(self) -> int:
+    def active_segment_id(self) -> int:
         """The segment that is written to."""
         return self._active.id
 
@@ -535,7 +538,7 @@
             self._files.unlock()
 
 
-def _checked(ops: Sequence[Op]) -> int:
+def _checked(ops: Sequence[WriteOperation]) -> int:
     """The bytes of a batch in the log."""
     size = frames.FRAME_SIZE
     for op in ops:
@@ -572,7 +575,7 @@
             found.segments.remove(segment)
             segment.release()
         store = Store(files, found, clock, segment_size)
-        recovery.sweep(files, {*kept, store.active})
+        recovery.sweep(files, {*kept, store.active_segment_id})
         if len(store) > MANY:
             _give_back_memory()
         return store
--- a/tansyladder/store/errors.py
+++ b/tansyladder/store/errors.py
@@ -4,60 +4,60 @@
 
 
 class StoreError(Exception):
-    """The store can't be used, or not for this; `word` names the case in logs and exit messages."""
+    """The store can't be used, or not for this; `code` names the case in logs and exit messages."""
 
-    word = "store"
+    code = "store"
 
 
 class StoreLockedError(StoreError):
     """Another process owns the directory."""
 
-    word = "locked"
+    code = "locked"
 
 
 class StoreUnusableError(StoreError):
     """The directory can't be read or written."""
 
-    word = "unusable"
+    code = "unusable"
 
 
 class StoreVersionError(StoreError):
     """A later version wrote it."""
 
-    word = "newer"
+    code = "newer"
 
 
 class NotAStoreError(StoreError):
     """It belongs to another node."""
 
-    word = "foreign"
+    code = "foreign"
 
 
 class StoreCorruptError(StoreError):
     """Something that had been on disk is not there, or not as it was; `repair` saves the rest elsewhere."""
 
-    word = "damaged"
+    code = "damaged"
 
 
 class StoreFullError(StoreError):
     """No room for this write; nothing of it is kept, and later ones may go through."""
 
-    word = "full"
+    code = "full"
 
 
 class StoreBrokenError(StoreError):
     """A write or a sync failed in a way that leaves open what is on disk; the store takes nothing more."""
 
-    word = "broken"
+    code = "broken"
 
 
 class KeyCollisionError(StoreError):
     """A key whose 64-bit hash is that of another one: once in 37 million stores of a million keys."""
 
-    word = "collision"
+    code = "collision"
 
 
 class RecordTooLargeError(StoreError):
     """A key, a value or a batch over its bound."""
 
-    word = "too_large"
+    code = "too_large"
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -48,8 +48,8 @@
     index: Index = field(default_factory=Index)
     sequence: int = 0  # the highest that any record has
     stamp: int = 0  # the highest Unix time, in microseconds, that the store has seen
-    dropped: int = 0  # bytes of a tail that no crash-free write left
-    rebuilt: int = 0  # segments whose hint could not be used
+    dropped_bytes: int = 0  # bytes of a tail that no crash-free write left
+    rebuilt_hint_count: int = 0  # segments whose hint could not be used
 
 
 def name(segment: int) -> str:
@@ -98,7 +98,7 @@
             return Segment(listed.id, file, listed.size, fixed=listed.size - sum(hint.sizes)), hint
         size, hint = _scan(file, listed, secret, found)
         if listed.size < 0:
-            found.dropped += file.size() - size  # the next manifest names the size that counts
+            found.dropped_bytes += file.size() - size  # the next manifest names the size that counts
         return Segment(listed.id, file, size, fixed=size - sum(hint.sizes), hint=hint), hint
     except BaseException:
         file.close()
@@ -107,7 +107,7 @@
 
 def _scan(file: File, listed: manifest.SegmentEntry, secret: int, found: RecoveryResult) -> tuple[int, Hint]:
     """A segment without a hint: its sound size, and a hint for it."""
-    found.rebuilt += listed.size >= 0
+    found.rebuilt_hint_count += listed.size >= 0
     scan = frames.Scan(file.read_at(0, listed.size if listed.size >= 0 else file.size()), listed.id)
     read = list(scan.frames())
     sealed = listed.size >= 0
--- a/tansyladder/store/repair.py
+++ b/tansyladder/store/repair.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from tansyladder.store import frames, hints, manifest, recovery
-from tansyladder.store.engine import Op, open_store
+from tansyladder.store.engine import WriteOperation, open_store
 from tansyladder.store.errors import StoreError
 from tansyladder.store.files import Files
 
@@ -146,7 +146,7 @@
     try:
         for start in range(0, len(live), BATCH):
             progress("records", start, len(live))
-            store.write([Op(r.key, r.value, r.expiry) for r in live[start : start + BATCH]])
+            store.write([WriteOperation(r.key, r.value, r.expiry) for r in live[start : start + BATCH]])
         progress("records", len(live), len(live))
     finally:
         store.close()
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -20,7 +20,7 @@
 from tansyladder.lab.chaos import cluster, history, play, schedule
 from tansyladder.lab.node import LabNode
 from tansyladder.raft.messages import Entry, EntryKind, Handshake, HardState, LogSuffix, Message, Snapshot
-from tansyladder.store import Durability, Op, open_store
+from tansyladder.store import Durability, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 
 KEY = "ab" * 32
@@ -278,7 +278,7 @@
         store.close()
         return records
 
-    def write(*ops: Op) -> None:
+    def write(*ops: WriteOperation) -> None:
         store = open_store(RealFiles(tmp_path / "store"), "n", lambda: 1)
         store.write(ops, Durability.SYNCED)
         store.close()
@@ -290,12 +290,12 @@
     (tmp_path / "copy").rename(tmp_path / "store")
     assert opened().kept.hard.doubt
     assert opened().kept.hard.doubt  # until the agreement ends it
-    write(Op(records_of.HARD, msgspec.msgpack.encode(HardState(ident=opened().kept.hard.ident))))
+    write(WriteOperation(records_of.HARD, msgspec.msgpack.encode(HardState(ident=opened().kept.hard.ident))))
     assert not opened().kept.hard.doubt
-    write(Op(RaftStorage._key(2), msgspec.msgpack.encode(Entry(1))))  # the first one is missing
+    write(WriteOperation(RaftStorage._key(2), msgspec.msgpack.encode(Entry(1))))  # the first one is missing
     assert opened().kept.hard.doubt
-    write(Op(records_of.HARD, msgspec.msgpack.encode(HardState(ident=opened().kept.hard.ident))))
-    write(Op(RaftStorage._key(2), None))
+    write(WriteOperation(records_of.HARD, msgspec.msgpack.encode(HardState(ident=opened().kept.hard.ident))))
+    write(WriteOperation(RaftStorage._key(2), None))
     assert opened("elsewhere").kept.hard.doubt  # as after a start of the machine
 
 
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -19,7 +19,7 @@
 from tansyladder.resumption import tokens
 from tansyladder.sessions import session_store
 from tansyladder.sessions.session_registry import SessionRegistry
-from tansyladder.store import Durability, Op, Store, open_store
+from tansyladder.store import Durability, Store, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 from tests.formats.adapter import LogCommand, LogEntry, Place, encode
 from tests.node.harness import HeardCore, told
@@ -158,11 +158,11 @@
 
 
 def put(store: Store, key: bytes, value: bytes, expiry: int = 0) -> None:
-    store.write([Op(key, value, expiry)], Durability.SYNCED)
+    store.write([WriteOperation(key, value, expiry)], Durability.SYNCED)
 
 
 def put_unsynced(store: Store, pairs: list[tuple[bytes, bytes]]) -> None:
-    store.write([Op(key, value) for key, value in pairs], Durability.SOON)
+    store.write([WriteOperation(key, value) for key, value in pairs], Durability.BUFFERED)
 
 
 def delete(store: Store, key: bytes) -> None:
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -74,7 +74,10 @@
     snapshot = store.snapshot()
     assert set(snapshot.items()) == STORE_RECORDS
     snapshot.close()
-    assert (store.rebuilt, store.dropped) == (2, 0)  # segments sealed after the last upkeep have no hint
+    assert (store.rebuilt_hint_count, store.dropped_bytes) == (
+        2,
+        0,
+    )  # segments sealed after the last upkeep have no hint
     assert store.get(b"beta") is None and store.get(b"gamma") is None
     assert store.get(b"short") == b"gone in a second"
     store.close()
@@ -87,7 +90,7 @@
     store = storage_adapter.open_folder(folder, NOW + 2_000_000)
     expected = {(key, value) for key, value, _ in STORE_RECORDS if key != b"short"}
     assert set(store.items()) == expected
-    assert (store.rebuilt, store.dropped) == (5, 0)
+    assert (store.rebuilt_hint_count, store.dropped_bytes) == (5, 0)
     store.close()
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -18,7 +18,17 @@
 from tansyladder.lab import crash_consistency
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
 from tansyladder.lab.store_kill import play as kill_loop
-from tansyladder.store import Durability, Op, Store, StoreError, errors, frames, hints, manifest, open_store
+from tansyladder.store import (
+    Durability,
+    Store,
+    StoreError,
+    WriteOperation,
+    errors,
+    frames,
+    hints,
+    manifest,
+    open_store,
+)
 from tansyladder.store.files import RealFiles
 from tansyladder.store.frames import MOST_KEY, MOST_VALUE
 from tansyladder.store.index import SMALL, Index, usable
@@ -51,7 +61,7 @@
         durability=st.sampled_from(Durability),
     )
     def write(self, ops: list[tuple[bytes, bytes | None, int]], durability: Durability) -> None:
-        made = [Op(key, value, life and self.clock.now + life) for key, value, life in ops]
+        made = [WriteOperation(key, value, life and self.clock.now + life) for key, value, life in ops]
         self.store.write(made, durability)
         for key, value, expiry in made:
             if value is None:
@@ -113,13 +123,13 @@
 def test_what_a_recovery_took_for_expired_stays_so_when_the_clock_steps_back() -> None:
     files, clock = FaultInjectingFiles(), crash_consistency.ManualClock()
     store = open_store(files, "n1", clock, 400)
-    store.write([Op(b"k", b"v", clock.now + 40)], Durability.SYNCED)
+    store.write([WriteOperation(b"k", b"v", clock.now + 40)], Durability.SYNCED)
     store.close()
     clock.now += 40
     store = open_store(files, "n1", clock, 400)
     clock.now -= 1
     assert store.get(b"k") is None
-    store.write([Op(b"else", b"v", 0)], Durability.SYNCED)
+    store.write([WriteOperation(b"else", b"v", 0)], Durability.SYNCED)
     store.close()
     assert open_store(files, "n1", clock, 400).get(b"k") is None
 
@@ -190,14 +200,14 @@
 
 def test_bounds_of_keys_values_and_batches() -> None:
     files, store = fresh(size=4 << 20)
-    store.write([Op(b"k" * MOST_KEY, b"v" * MOST_VALUE), Op(b"k", b"")])
+    store.write([WriteOperation(b"k" * MOST_KEY, b"v" * MOST_VALUE), WriteOperation(b"k", b"")])
     for ops in (
-        [Op(b"", b"v")],
-        [Op(b"k" * (MOST_KEY + 1), b"v")],
-        [Op(b"k", b"v" * (MOST_VALUE + 1))],
-        [Op(b"k", b"v", -1)],
-        [Op(b"k", b"v")] * 65_536,
-        [Op(b"k%d" % n, b"v" * MOST_VALUE) for n in range(17)],
+        [WriteOperation(b"", b"v")],
+        [WriteOperation(b"k" * (MOST_KEY + 1), b"v")],
+        [WriteOperation(b"k", b"v" * (MOST_VALUE + 1))],
+        [WriteOperation(b"k", b"v", -1)],
+        [WriteOperation(b"k", b"v")] * 65_536,
+        [WriteOperation(b"k%d" % n, b"v" * MOST_VALUE) for n in range(17)],
     ):
         with pytest.raises(errors.RecordTooLargeError):
             store.write(ops)
@@ -264,11 +274,11 @@
     fake = frames.frame_bytes(body, 1, 10**9, 0, 1, 40)
     files, store = fresh(size=1 << 16)
     store.put(b"a", b"x")
-    store.put(b"b", fake * 2 + b"y", durability=Durability.SOON)
-    inode = files.seen[f"{store.active:016x}.log"]
+    store.put(b"b", fake * 2 + b"y", durability=Durability.BUFFERED)
+    inode = files.seen[f"{store.active_segment_id:016x}.log"]
     inode.seen = inode.seen[:-1]  # the last record is torn, and the frames inside its value are whole
     _, store = fresh(files.after_kill())
-    assert dict(store.items()) == {b"a": b"x"} and store.dropped > 0
+    assert dict(store.items()) == {b"a": b"x"} and store.dropped_bytes > 0
 
 
 def test_what_had_been_synced_is_damage_and_no_tail() -> None:
@@ -276,7 +286,7 @@
     files, store = fresh(size=1 << 16)
     for key in (b"a", b"b", b"c"):
         store.put(key, key * 20)
-    name = f"{store.active:016x}.log"
+    name = f"{store.active_segment_id:016x}.log"
     whole = bytes(files.seen[name].seen)
     for at in (frames.HEAD_SIZE + 5, frames.HEAD_SIZE + frames.FRAME_SIZE + 30):
         files.seen[name].seen = bytearray(whole)
@@ -291,14 +301,14 @@
 
 def test_an_end_stays_while_an_older_segment_may_hold_its_key() -> None:
     files, store = fresh(size=1200)
-    first = store.active
+    first = store.active_segment_id
     for n in range(8):
         store.put(b"old%d" % n, b"x" * 40)
-    while store.active == first:
+    while store.active_segment_id == first:
         store.put(b"fill", b"x" * 40)
     store.delete(b"old3")
-    second = store.active
-    while store.active == second:
+    second = store.active_segment_id
+    while store.active_segment_id == second:
         store.put(b"often", b"y" * 60)
     store.compact_all()
     assert first in store.stats_by_segment and second not in store.stats_by_segment
@@ -330,13 +340,13 @@
 def test_a_hint_is_only_a_shortcut() -> None:
     files = full(upkeep=True)
     _, store = fresh(files)
-    assert store.rebuilt == 0 and any(name.endswith(".hint") for name in files.names())
+    assert store.rebuilt_hint_count == 0 and any(name.endswith(".hint") for name in files.names())
     store.close()
     for name, inode in files.seen.items():
         if name.endswith(".hint"):
             inode.seen[len(inode.seen) // 2] ^= 4
     _, store = fresh(files)
-    assert store.rebuilt > 0 and len(store) == 40
+    assert store.rebuilt_hint_count > 0 and len(store) == 40
     assert hints.Hint.decode(b"", 1, 1) is None
 
 
