--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -30,7 +30,7 @@
 class EndpointListCache(Protocol):
     """Where records outlive the node; none of it raises."""
 
-    def load_endpoints(self) -> CachedEndpointList | None:
+    def cached_endpoints(self) -> CachedEndpointList | None:
         """The list of the last start, where one was kept."""
 
     def save_endpoints(self, listed: EndpointList) -> None:
@@ -66,13 +66,13 @@
     def token_registry(self) -> Sized:
         """Those that live here."""
 
-    def wants_session(self, opening: Opening) -> bool:
+    def offers_resumption(self, opening: Opening) -> bool:
         """Whether a client's first line asks for one."""
 
     def new_stream(self) -> Stream:
         """A new one's positions."""
 
-    def upstream_opening(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
+    def first_line_builder(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
         """What a stream host gets, by how long the node waits."""
 
     def serve(
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -143,7 +143,7 @@
     def start(self) -> None:
         """Hand the module its last known list and start the timers."""
         known = self.config.known_endpoints
-        kept = self.endpoint_cache.load_endpoints() if self.endpoint_cache else None
+        kept = self.endpoint_cache.cached_endpoints() if self.endpoint_cache else None
         if kept is not None and kept.endpoints.revision > known.revision:
             age = timedelta(microseconds=self.clock.micros(now()) - kept.saved_at_us)
             log(
@@ -289,8 +289,8 @@
 
     def pool_metrics(self) -> dict[str, int]:
         """The metrics of the list of members, as the module sees it."""
-        size, ejected = self._balancer.pool()
-        return {"pool_size": size, "pool_ejected": ejected}
+        counts = self._balancer.endpoint_counts()
+        return {"pool_size": counts.listed, "pool_ejected": counts.ejected}
 
     def update_endpoints(self, listed: EndpointList, kind: ListUpdateKind) -> None:
         """The list or changes of it; entries that make no sense are left out and logged."""
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -19,7 +19,7 @@
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import Event
 from tansyladder.sessions.resumption_handler import ResumptionHandler
-from tansyladder.sessions.session_store import open_keeping
+from tansyladder.sessions.session_store import open_session_store
 
 Script = Callable[["Peer"], None]
 SETTINGS: dict[str, Any] = {
@@ -178,7 +178,7 @@
         tmp_path, *(endpoint_entry(f"s{i}", m.address) for i, m in enumerate(members)), **over
     )
     core = RecordingPolicyRunner(told_, Options(resume=resume) if resume else None)
-    keeping = core.endpoint_cache = open_keeping(str(store), "n0") if store else None
+    keeping = core.endpoint_cache = open_session_store(str(store), "n0") if store else None
     if resume:
         core.session_service = ResumptionHandler(core, keeping)
     front = ClientListener(core)
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -9,7 +9,7 @@
 
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.policy.events import EndpointListUpdate, ListUpdateKind
-from tansyladder.sessions.session_store import SessionStore, open_keeping
+from tansyladder.sessions.session_store import SessionStore, open_session_store
 from tests.node.harness import Peer, running_node
 from tests.sessions.test_sessions import LONG, ON, Host, Viewer, at_start, echo
 
@@ -124,7 +124,7 @@
     tmp_path: Path, fault: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     folder = tmp_path / "store"
-    held = open_keeping(str(folder), "other" if fault == "foreign" else "n0")
+    held = open_session_store(str(folder), "other" if fault == "foreign" else "n0")
     assert held is not None
     if fault != "locked":
         held.close()
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -96,9 +96,9 @@
         """Its connection breaks, and the node has noticed."""
         resuming = self.node.runner.session_service
         assert isinstance(resuming, ResumptionHandler)
-        before, until = resuming.parked, time.monotonic() + 10
+        before, until = resuming.suspended_count, time.monotonic() + 10
         drop(self.peer)
-        while resuming.parked == before and time.monotonic() < until:
+        while resuming.suspended_count == before and time.monotonic() < until:
             time.sleep(0.002)
 
     def back(self, over: str = "", key: str = "", token: str = "") -> Peer:
@@ -458,7 +458,7 @@
             line = viewer.hear()
             heard.append(line)
             assert isinstance(n.runner.session_service, ResumptionHandler)
-            assert n.runner.session_service.budget.used <= 2 * ON.buffer
+            assert n.runner.session_service.memory_budget.used_bytes <= 2 * ON.buffer
         assert heard.count("RS OFF buffer") == 1 and heard.count(whole) == count
         viewer.say("M 1")
         assert [viewer.hear(), viewer.hear()] == ["BYE", ""]
@@ -536,7 +536,7 @@
         assert viewer.back().read_line() == "ERR resume ended"
         assert (
             isinstance(n.runner.session_service, ResumptionHandler)
-            and n.runner.session_service.budget.used == 0
+            and n.runner.session_service.memory_budget.used_bytes == 0
         )
 
 
