--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -17,7 +17,7 @@
 from datetime import timedelta
 from pathlib import Path
 
-from tansyladder.lab.chaos.history import Event, History, load, merged
+from tansyladder.lab.chaos.history import Event, History, load, merge
 from tansyladder.lab.chaos.links import Front, Link
 from tansyladder.lab.chaos.schedule import Fault, FaultKind
 from tansyladder.lab.clients import Client
@@ -54,7 +54,7 @@
 
     ident: str
     address: str
-    told: timedelta | None = None
+    drain_announced_at: timedelta | None = None
 
 
 class RecordingClient(Client):
@@ -68,7 +68,7 @@
 
     def saw(self, what: str, **fields: object) -> None:
         fields.pop("session", None)
-        self.history.add("client", what, client=self.number, life=self.session_count, **fields)
+        self.history.record("client", what, client=self.number, life=self.session_count, **fields)
 
 
 class ChaosCluster:
@@ -122,7 +122,9 @@
             self.host_links.append(links)
             roster = DiscoveryServer()
             await roster.start()
-            await roster.tell("up", *(ClusterEndpoint(f"s{i}", link.address) for i, link in enumerate(links)))
+            await roster.set_phase(
+                "up", *(ClusterEndpoint(f"s{i}", link.address) for i, link in enumerate(links))
+            )
             self._rosters.append(roster)
             folder = self.folder / f"n{number}"
             folder.mkdir()
@@ -187,7 +189,7 @@
                 self._hosts.kill()
                 await self._hosts.wait()
         written = self.folder / "hosts.jsonl"
-        return merged(self.history.events, load(written) if written.exists() else [])
+        return merge(self.history.events, load(written) if written.exists() else [])
 
     async def connect_clients(self, count: int) -> None:
         """So many clients more, each with a session that stands."""
@@ -218,18 +220,18 @@
     async def quiesce(self) -> None:
         """All clients fall silent, and their last lines are waited for; then those that stand are noted."""
         for client in self.clients:
-            client.quiet = True
+            client.is_quiet = True
         until = clock() + timedelta(seconds=3)
-        while clock() < until and any(c.unheard() for c in self.clients):
+        while clock() < until and any(c.unconfirmed_line_count() for c in self.clients):
             await asyncio.sleep(0.02)
         until = clock() + timedelta(seconds=ORPHANED)
         while sum(held := await self._held()) > self._standing() and clock() < until:
             await asyncio.sleep(0.1)
         for client in self.clients:
             if client.up.is_set():
-                self.history.add("rig", "standing", client=client.number, life=client.session_count)
+                self.history.record("rig", "standing", client=client.number, life=client.session_count)
         for host, number in enumerate(held):
-            self.history.add("rig", "held", host=f"s{host}", number=number)
+            self.history.record("rig", "held", host=f"s{host}", number=number)
 
     def _standing(self) -> int:
         return sum(client.up.is_set() for client in self.clients)
@@ -257,7 +259,7 @@
         """SIGKILL."""
         async with self._turns[node]:
             if node not in self._down:
-                self.history.add("rig", "killed", node=node)
+                self.history.record("rig", "killed", node=node)
                 self._down.add(node)
                 await self.nodes[node].kill()
 
@@ -267,11 +269,11 @@
             if node in self._down:  # else the end of another fault has started it
                 await self.nodes[node].start(skew)
                 self._down.discard(node)
-                self.history.add("rig", "sound", node=node)
+                self.history.record("rig", "sound", node=node)
 
     def pause(self, node: int) -> None:
         """SIGSTOP: it lives, and says nothing."""
-        self.history.add("rig", "stopped", node=node)
+        self.history.record("rig", "stopped", node=node)
         self._stopped.add(node)
         self.nodes[node].signal(signal.SIGSTOP)
 
@@ -280,7 +282,7 @@
         self._stopped.discard(node)
         if node not in self._down:  # else another fault has killed it meanwhile
             self.nodes[node].signal(signal.SIGCONT)
-            self.history.add("rig", "sound", node=node)
+            self.history.record("rig", "sound", node=node)
 
     def find_leader(self) -> int:
         """The node that was the last to say that it leads, of those that run; else any that runs."""
@@ -317,12 +319,12 @@
                 pass  # killed by another fault, as the leader or a taker
             case FaultKind.RESTART:
                 async with self._turns[fault.node]:
-                    self.history.add("rig", "killed", node=fault.node)
+                    self.history.record("rig", "killed", node=fault.node)
                     self._down.add(fault.node)
                     await self.nodes[fault.node].stop()
                 await self.restart(fault.node)
             case FaultKind.UPGRADE | FaultKind.UPGRADE_KILL:
-                self.history.add("rig", "upgraded", node=fault.node)
+                self.history.record("rig", "upgraded", node=fault.node)
                 async with self._turns[fault.node]:
                     old = await self.nodes[fault.node].upgrade()
                 if fault.kind is FaultKind.UPGRADE_KILL:
@@ -376,7 +378,7 @@
                 copy.rename(store)
                 await asyncio.sleep(fault.duration_s / 2)
             case _:
-                self.history.add("rig", "full_disk", node=node)
+                self.history.record("rig", "full_disk", node=node)
                 self.nodes[node].limit_file_size()
                 await asyncio.sleep(fault.duration_s)
                 await self.kill(node)
@@ -388,22 +390,22 @@
             links = [link for pair, link in self.peer_links.items() if node in pair]
         match fault.kind:
             case FaultKind.RESET:
-                self.history.add("rig", "reset", node=node)
+                self.history.record("rig", "reset", node=node)
                 self.client_links[node].reset()
             case FaultKind.CUT_CLIENTS:
-                self.history.add("rig", "cut", node=node)
+                self.history.record("rig", "cut", node=node)
                 links = [self.client_links[node]]
                 links[0].cut()
             case FaultKind.CUT_PEERS | FaultKind.FLAP_PEERS:
-                self.history.add("rig", fault.kind.value, node=node)
+                self.history.record("rig", fault.kind.value, node=node)
                 for link in links:
                     link.cut()
             case FaultKind.DELAY | FaultKind.DELAY_PEERS:
-                self.history.add("rig", "delayed", node=node)
+                self.history.record("rig", "delayed", node=node)
                 for link in links:
                     link.delay = fault.value
             case kind:
-                self.history.add("rig", "cut", node=node)
+                self.history.record("rig", "cut", node=node)
                 for link in links:
                     link.cut(up=kind is not FaultKind.CUT_DOWN, down=kind is not FaultKind.CUT_UP)
         if fault.kind is FaultKind.FLAP_PEERS:
@@ -420,7 +422,7 @@
             await asyncio.sleep(fault.duration_s)
         for link in links:
             link.mend()
-        self.history.add("rig", "sound", node=node)
+        self.history.record("rig", "sound", node=node)
 
 
 @contextlib.asynccontextmanager
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -56,7 +56,7 @@
 
     async def _open(self, node: int, ident: str) -> None:
         cluster, word = self.cluster, ""
-        cluster.history.add("client", "knocks", ident=ident, node=node)
+        cluster.history.record("client", "knocks", ident=ident, node=node)
         with contextlib.suppress(OSError, TimeoutError):
             reader, writer = await asyncio.open_connection("127.0.0.1", cluster.nodes[node].port)
             try:
@@ -65,7 +65,7 @@
                 word = answer.decode().partition(" ")[0].strip()
             finally:
                 writer.close()
-        cluster.history.add("client", "heard word", ident=ident, node=node, word=word)
+        cluster.history.record("client", "heard word", ident=ident, node=node, word=word)
 
     # --- the operators' address
 
@@ -88,7 +88,7 @@
         path = self.cluster.folder / f"{ask}.sexp"
         path.write_text(text or f'(note "{ask}, {"x" * int(self.rng.integers(1, 50_000))}")')
         began = clock()
-        self.cluster.history.add("rig", "asks", node=node, text=ask)
+        self.cluster.history.record("rig", "asks", node=node, text=ask)
         turn, word = 0, ""
         while (clock() - began).total_seconds() < CHANGE:
             at = (node + turn) % self.cluster.node_count
@@ -99,7 +99,7 @@
                 if word and not word.startswith(("under way", "not known")):
                     self.words.append(word.partition(" ")[0].rstrip(":"))
                     number = int(word.split()[1]) if word.startswith("done") else 0
-                    self.cluster.history.add("rig", "ended", text=ask, word=word[:60], number=number)
+                    self.cluster.history.record("rig", "ended", text=ask, word=word[:60], number=number)
                     if word.startswith("done"):
                         self.report.record_delay("publish", clock() - began)
                     return word
@@ -171,7 +171,7 @@
             for node in range(nodes):
                 lines = await rig.call(node, "documents")
                 told = json.loads(lines[0])[NAME]["number"]
-                cluster.history.add("node", "follows", node=node, word=NAME, number=told)
+                cluster.history.record("node", "follows", node=node, word=NAME, number=told)
         finally:
             await rig.close()
         stamped = [
--- a/tansyladder/lab/chaos/experiments.py
+++ b/tansyladder/lab/chaos/experiments.py
@@ -113,12 +113,12 @@
     host, _, port = cluster.client_links[node].address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
-        cluster.history.add("client", "asked", client=client, ident=ident, token=token, text="once more")
-        cluster.history.add("front", "sent_to", ident=ident, node=node)
+        cluster.history.record("client", "asked", client=client, ident=ident, token=token, text="once more")
+        cluster.history.record("front", "sent_to", ident=ident, node=node)
         writer.write(f"OPEN {ident} {rest}\r\n".encode())
         answer = (await asyncio.wait_for(reader.readline(), ANSWER)).decode().strip()
         word = answer.partition(" ")[0]
-        cluster.history.add("client", "answered", client=client, ident=ident, word=word, text=answer)
+        cluster.history.record("client", "answered", client=client, ident=ident, word=word, text=answer)
         return word
     finally:
         writer.close()
--- a/tansyladder/lab/chaos/history.py
+++ b/tansyladder/lab/chaos/history.py
@@ -13,7 +13,7 @@
 
 from tansyladder.lab.report import MICROSECOND, clock
 
-FLUSH = 64  # events between two writes: a process that is ended loses fewer than these
+FLUSH_EVERY = 64  # events between two writes: a process that is ended loses fewer than these
 
 
 class Event(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -46,11 +46,11 @@
         self.events: list[Event] = []
         self._out, self._written = out, 0
 
-    def add(self, who: str, what: str, **fields: object) -> None:
+    def record(self, who: str, what: str, **fields: object) -> None:
         """One more event, of this moment."""
         told = {"at": clock() // MICROSECOND, "who": who, "what": what, **fields}
         self.events.append(msgspec.convert(told, Event))
-        if self._out is not None and len(self.events) - self._written >= FLUSH:
+        if self._out is not None and len(self.events) - self._written >= FLUSH_EVERY:
             self.flush()
 
     def flush(self) -> None:
@@ -67,7 +67,7 @@
     return [msgspec.json.decode(line, type=Event) for line in lines if line]
 
 
-def merged(*parts: Iterable[Event]) -> list[Event]:
+def merge(*parts: Iterable[Event]) -> list[Event]:
     """All events in the order of their moments."""
     return sorted((event for part in parts for event in part), key=lambda event: event.timestamp_us)
 
--- a/tansyladder/lab/chaos/hosts.py
+++ b/tansyladder/lab/chaos/hosts.py
@@ -29,12 +29,12 @@
         self.history = history
 
     def saw(self, what: str, held: HostedStream, number: int = 0) -> None:
-        self.history.add(
+        self.history.record(
             "host",
             what,
-            node=held.door,
+            node=held.listener_index,
             host=held.host.ident,
-            session=held.session,
+            session=held.session_id,
             epoch=held.epoch,
             number=number,
         )
@@ -48,7 +48,7 @@
         made = [StreamHost(world, f"s{i}") for i in range(hosts)]
         for host in made:
             await host.start(nodes)
-        sys.stdout.write(msgspec.json.encode([host.doors for host in made]).decode() + "\n")
+        sys.stdout.write(msgspec.json.encode([host.addresses for host in made]).decode() + "\n")
         sys.stdout.flush()
         orders = asyncio.ensure_future(_obey(made))
         while not orders.done():
@@ -56,9 +56,9 @@
             history.flush()
         await orders
         for host in made:
-            history.add("host", "holds", host=host.ident, number=len(host.held))
+            history.record("host", "holds", host=host.ident, number=len(host.streams))
         for rule, cases in world.report.cases.items():
-            history.add("host", "broken", word=rule, text="; ".join(cases))
+            history.record("host", "broken", word=rule, text="; ".join(cases))
         history.flush()
         for host in made:
             await host.close()
@@ -74,7 +74,7 @@
             case ["back", number]:
                 await hosts[int(number)].start()
             case _:
-                sys.stdout.write(msgspec.json.encode([len(host.held) for host in hosts]).decode() + "\n")
+                sys.stdout.write(msgspec.json.encode([len(host.streams) for host in hosts]).decode() + "\n")
                 sys.stdout.flush()
 
 
--- a/tansyladder/lab/chaos/links.py
+++ b/tansyladder/lab/chaos/links.py
@@ -161,7 +161,7 @@
     async def _reach(self, reader: asyncio.StreamReader) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         line = await reader.readline()
         node = self._choose()
-        self._history.add("front", "sent_to", ident=line.split(b" ")[1].decode(), node=node)
+        self._history.record("front", "sent_to", ident=line.split(b" ")[1].decode(), node=node)
         there, out = await _connect(self._nodes[node])
         out.write(line)
         return there, out
--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -9,18 +9,18 @@
 
 from tansyladder.lab.report import Report, clock
 
-REJOIN = (0.11, 0.82)  # seconds after which a client comes again
-SAY = 1.0  # seconds between two of its lines
-ACK_LINES = 8
-ANSWER = 5.0  # seconds beyond `d` until an answer counts as missing
-PATIENCE = 0.7  # the same for one that gives up on a silent node and comes again
-TRIES = 8  # in a row, until it gives up
+RECONNECT_DELAY = (0.11, 0.82)  # seconds after which a client comes again
+LINE_INTERVAL = 1.0  # seconds between two of its lines
+ACK_INTERVAL = 8
+ANSWER_TIMEOUT = 5.0  # seconds beyond `d` until an answer counts as missing
+ANSWER_TIMEOUT_OF_IMPATIENT = 0.7  # the same for one that gives up on a silent node and comes again
+MAX_ATTEMPTS = 8  # in a row, until it gives up
 
 
 class Client:
     """One viewer; `resumes` says whether it offers to go on after a break."""
 
-    tries = TRIES
+    max_attempts = MAX_ATTEMPTS
 
     def __init__(
         self,
@@ -29,56 +29,61 @@
         number: int,
         seed: int,
         resumes: bool,
-        say: float = SAY,
+        say: float = LINE_INTERVAL,
         silence: float | None = None,
     ) -> None:
         """`say`: seconds between two of its lines; `silence`: after which its connection counts as dead."""
-        self._silence, self._answer = silence, ANSWER if silence is None else PATIENCE
+        self._silence, self._answer = (
+            silence,
+            ANSWER_TIMEOUT if silence is None else ANSWER_TIMEOUT_OF_IMPATIENT,
+        )
         self.report, self.port, self.number, self.resumes = report, port, number, resumes
         self.say = say
         self.rng = random.Random(seed * 1_000_003 + number)
-        self.cls, self.wait = ("preview", 2000) if self.rng.random() < 0.17 else ("viewport", 1200)
-        self.key, self.group = f"{self.rng.getrandbits(64):016x}", f"{number // 8 + 1:x}"
+        self._class_name, self._deadline_ms = (
+            ("preview", 2000) if self.rng.random() < 0.17 else ("viewport", 1200)
+        )
+        self._key, self._group = f"{self.rng.getrandbits(64):016x}", f"{number // 8 + 1:x}"
         self.up = asyncio.Event()
-        self.connections = self.session_count = self.stood = 0
-        self.token = self.used = ""  # the one that lets it back, and the last one that did
+        self.connections = self.session_count = self.connections_at_watch = 0
+        self.token = self.used_token = ""  # the one that lets it back, and the last one that did
         self.served_at = timedelta(0)
-        self.last: timedelta | None = None  # when the newest frame came
+        self.last_frame_at: timedelta | None = None  # when the newest frame came
         self.gap = timedelta(0)  # the longest between two frames since the last `watch`
         self._heard = self._said = self._told = self._counted = 0
         self._unheard: list[int] = []  # its own lines that nobody has acknowledged
         self._writer: asyncio.StreamWriter | None = None
-        self.quiet = False  # from now on it says nothing
-        self._ending = False
+        self.is_quiet = False  # from now on it says nothing
+        self._is_leaving = False
 
     def saw(self, what: str, **fields: object) -> None:
         """For whoever keeps a history of what this client did and met."""
 
     def watch(self) -> None:
         """Measure gaps, and whether its connection stays, from now on."""
-        self.gap, self.stood = timedelta(0), self.connections
+        self.gap, self.connections_at_watch = timedelta(0), self.connections
 
     async def run(self) -> None:
         """Until `leave`."""
         tries = 0
-        while not self._ending and tries < self.tries:
+        while not self._is_leaving and tries < self.max_attempts:
             served = await self._connect()
             tries = 0 if served else tries + 1
-            if not self._ending:
-                await asyncio.sleep(self.rng.uniform(*REJOIN))
-        if tries >= self.tries:
+            if not self._is_leaving:
+                await asyncio.sleep(self.rng.uniform(*RECONNECT_DELAY))
+        if tries >= self.max_attempts:
             self.report.counts["gave_up"] += 1
 
     async def leave(self) -> None:
         """End for good, in good order."""
-        self._ending = True
+        self._is_leaving = True
         if self._writer is not None:
             with contextlib.suppress(OSError):
                 if self.resumes and self.up.is_set():
                     self._writer.write(b"RS END\r\n")
                 self._writer.close()
 
-    def unheard(self) -> int:
+    def unconfirmed_line_count(self) -> int:
         """How many of its lines no host has been seen to hear; 0 a moment after it stops saying any."""
         return self._said - self._counted if self.up.is_set() else 0
 
@@ -86,19 +91,20 @@
         """The first word of what a token that was used before is told; the session must not notice."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
-            names = f"c={self.cls},d={self.wait},g={self.group},rt={self.used},rp={self._heard}"
-            writer.write(f"OPEN {self.rng.getrandbits(60):x} {self.key} {names}\r\n".encode())
-            answer = await asyncio.wait_for(reader.readline(), ANSWER)
+            names = f"c={self._class_name},d={self._deadline_ms},g={self._group}"
+            names += f",rt={self.used_token},rp={self._heard}"
+            writer.write(f"OPEN {self.rng.getrandbits(60):x} {self._key} {names}\r\n".encode())
+            answer = await asyncio.wait_for(reader.readline(), ANSWER_TIMEOUT)
             return answer.split(b" ")[0].strip().decode()
         finally:
             writer.close()
 
     def abandon(self) -> tuple[str, str]:
         """Break the connection and come no more; its token, and the rest of a first line that shows it."""
-        self._ending = True
+        self._is_leaving = True
         self.drop()
-        names = f"c={self.cls},d={self.wait},g={self.group},rt={self.token},rp={self._heard}"
-        return self.token, f"{self.key} {names}"
+        names = f"c={self._class_name},d={self._deadline_ms},g={self._group},rt={self.token},rp={self._heard}"
+        return self.token, f"{self._key} {names}"
 
     def drop(self) -> None:
         """The connection breaks: a reset, as when a network is gone."""
@@ -115,10 +121,10 @@
             return False
         self._writer = writer
         back = bool(self.resumes and self.token)
-        names = f"c={self.cls},d={self.wait},g={self.group}"
+        names = f"c={self._class_name},d={self._deadline_ms},g={self._group}"
         if back:
             names += f",rt={self.token},rp={self._heard}"
-            self.token, self.used = "", self.token
+            self.token, self.used_token = "", self.token
         elif self.resumes:
             names += ",rs=1"
         if self.connections > 1:
@@ -127,15 +133,15 @@
         saying: asyncio.Task[None] | None = None
         try:
             ident = f"{self.rng.getrandbits(60):x}"
-            writer.write(f"OPEN {ident} {self.key} {names}\r\n".encode())
-            self.saw("asked", ident=ident, token=self.used if back else "")
-            answer = await asyncio.wait_for(reader.readline(), self.wait / 1000 + self._answer)
+            writer.write(f"OPEN {ident} {self._key} {names}\r\n".encode())
+            self.saw("asked", ident=ident, token=self.used_token if back else "")
+            answer = await asyncio.wait_for(reader.readline(), self._deadline_ms / 1000 + self._answer)
             word = answer.split(b" ")[0].strip().decode()
             self.saw("answered", ident=ident, word=word, text=answer.decode().strip())
             if word in ("BUSY", ""):
                 self._token_back(back)
             self.report.counts[f"answer_{word or 'none'}"] += 1
-            if word not in ("UP", "BUSY", "ERR") and not self._ending:
+            if word not in ("UP", "BUSY", "ERR") and not self._is_leaving:
                 self.report.record_violation(
                     "final_answers_wrong", f"{answer[:60]!r} on connection {self.connections}"
                 )
@@ -170,11 +176,11 @@
     def _token_back(self, back: bool) -> None:
         """Refused for now, or no answer came: the token may be good still."""
         if back:
-            self.token = self.used
+            self.token = self.used_token
 
     async def _say(self, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(self.rng.random() * self.say)
-        while not writer.transport.is_closing() and not self.quiet:
+        while not writer.transport.is_closing() and not self.is_quiet:
             self._said += 1
             self._unheard.append(self._said)
             self.saw("said", session=self.session_count, number=self._said)
@@ -214,9 +220,9 @@
     def _frame(self, number: int, heard: int, writer: asyncio.StreamWriter) -> None:
         moment = clock()
         self.saw("heard", session=self.session_count, number=number, of_own=heard)
-        if self.last is not None:
-            self.gap = max(self.gap, moment - self.last)
-        self.last = moment
+        if self.last_frame_at is not None:
+            self.gap = max(self.gap, moment - self.last_frame_at)
+        self.last_frame_at = moment
         if number > self._heard + 1:
             self.report.record_violation("lines_lost", f"host line {number} after {self._heard}")
         elif number <= self._heard:
@@ -224,6 +230,6 @@
         if heard > self._said:
             self.report.record_violation("lines_doubled", f"heard {heard} of {self._said}")
         self._heard, self._counted = max(self._heard, number), max(self._counted, heard)
-        if self.resumes and self._heard - self._told >= ACK_LINES:
+        if self.resumes and self._heard - self._told >= ACK_INTERVAL:
             self._told = self._heard
             writer.write(f"RS ACK {self._heard}\r\n".encode())
--- a/tansyladder/lab/discovery_server.py
+++ b/tansyladder/lab/discovery_server.py
@@ -17,7 +17,7 @@
 
     ident: str
     address: str
-    told: timedelta | None
+    drain_announced_at: timedelta | None
 
 
 class DiscoveryServer:
@@ -40,7 +40,7 @@
         if self._server is not None:
             self._server.close()
 
-    async def tell(self, phase: str, *hosts: ListedEndpoint) -> None:
+    async def set_phase(self, phase: str, *hosts: ListedEndpoint) -> None:
         """Set hosts' phase (up, draining, removed) in one revision."""
         async with self._news:
             self.revision += 1
@@ -73,8 +73,8 @@
                 await writer.drain()
                 for ident, phase in self._phases.items():
                     host = self._hosts[ident]
-                    if phase != "up" and host.told is None:
-                        host.told = clock()
+                    if phase != "up" and host.drain_announced_at is None:
+                        host.drain_announced_at = clock()
         except (OSError, ValueError, KeyError, IndexError, asyncio.CancelledError):
             pass  # cancelled: the run is over, and nothing waits for this one
         finally:
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -23,13 +23,13 @@
     async with running_topology(seed, ["sound"] * hosts, resumes, listed=1) as topology:
         first, rest = topology.hosts[0], topology.hosts[1:]
         await topology.connect_clients(sessions)
-        await topology.discovery.tell("up", *rest)
+        await topology.discovery.set_phase("up", *rest)
         await asyncio.sleep(1.5)  # the node hears of them, and its probes of how they do
-        held = len(first.held)
+        held = len(first.streams)
         for client in topology.clients:
             client.watch()
         gone_at = await _end(topology, first, style)
-        await topology.wait_until(lambda: not first.held, SETTLE_SECONDS)
+        await topology.wait_until(lambda: not first.streams, SETTLE_SECONDS)
         empty_after = clock() - gone_at
         await asyncio.sleep(max(0.0, SETTLE_SECONDS - empty_after.total_seconds()))
         await topology.quiesce()
@@ -41,21 +41,21 @@
     if style == "dies":
         await first.die()
         await asyncio.sleep(1.0)  # discovery is late
-        await topology.discovery.tell("removed", first)
+        await topology.discovery.set_phase("removed", first)
         return moment
-    first.draining = True
+    first.is_draining = True
     if style == "at-once":
         first.send_away()
-    await topology.discovery.tell("draining", first)
+    await topology.discovery.set_phase("draining", first)
     return moment
 
 
 def _result(topology: Topology, held: int, empty_after: timedelta, took: float, style: str) -> dict[str, Any]:
     report, resumed, in_aim = topology.report, 0, 0
     for client in topology.clients:
-        late = max(timedelta(0), client.gap - timedelta(seconds=topology.hosts[0].period))
+        late = max(timedelta(0), client.gap - timedelta(seconds=topology.hosts[0].frame_interval))
         report.record_delay("gap", late)
-        if client.connections == client.stood and client.up.is_set():
+        if client.connections == client.connections_at_watch and client.up.is_set():
             resumed += 1
             in_aim += late <= LATENCY_OBJECTIVE
     return {
@@ -67,7 +67,7 @@
         "gap_ms": report.percentiles("gap"),
         "set_up_ms": report.percentiles("set_up"),
         "host_empty_after_ms": round(empty_after / timedelta(milliseconds=1)),
-        "fenced": topology.host_cluster.store.fenced,
+        "fenced": topology.host_cluster.store.fenced_count,
         "moved": report.counts["moved"],
         "resume": topology.resumes,
         "style": style,
--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-MARK = "event=counts "
-SKIPPED = frozenset({"event", "at", "members"})
+COUNTS_MARK = "event=counts "
+OTHER_FIELDS = frozenset({"event", "at", "members"})
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
 
 def parse(line: str) -> dict[str, str] | None:
     """The fields of a `counts` line, whatever stands before it; none where it is another line."""
-    _, found, rest = line.partition(MARK)
+    _, found, rest = line.partition(COUNTS_MARK)
     if found:
         return dict(part.partition("=")[::2] for part in rest.split())
     if '"event": "counts"' in line:
@@ -55,7 +55,7 @@
                 continue
             try:
                 at = int(fields["at"])
-                counted = Counter({k: int(v) for k, v in fields.items() if k not in SKIPPED})
+                counted = Counter({k: int(v) for k, v in fields.items() if k not in OTHER_FIELDS})
                 held: Counter[str] = Counter()
                 for part in filter(None, fields["members"].split(",")):
                     member, _, figures = part.rpartition(":")
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -15,9 +15,9 @@
 
 from tansyladder.lab.report import clock
 
-START = 20.0  # seconds in which a node must have started
-END = 10.0  # seconds from SIGTERM to its end
-TICK = os.sysconf("SC_CLK_TCK")
+START_TIMEOUT = 20.0  # seconds in which a node must have started
+STOP_TIMEOUT = 10.0  # seconds from SIGTERM to its end
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 MODULE_SETTINGS: dict[str, Any] = {
     "family": "conn",
     "discovery": "on_request",
@@ -101,7 +101,7 @@
         if self._settings is not None:
             self._settings.write_text(settings.replace("FOLDER", str(folder)))
         self.log = folder / "node.log"
-        self._run: asyncio.subprocess.Process | None = None
+        self._process: asyncio.subprocess.Process | None = None
 
     async def start(self, skew: float = 0.0) -> None:
         """Until it listens. `skew`: seconds by which its wall clock is off."""
@@ -121,9 +121,9 @@
             env.pop(name, None)
         seen = self.log.stat().st_size if self.log.exists() else 0
         with self.log.open("ab") as out:
-            self._run = await asyncio.create_subprocess_exec(*words, env=env, stderr=out, stdout=out)
-        until = clock() + timedelta(seconds=START)
-        while clock() < until and self._run.returncode is None:
+            self._process = await asyncio.create_subprocess_exec(*words, env=env, stderr=out, stdout=out)
+        until = clock() + timedelta(seconds=START_TIMEOUT)
+        while clock() < until and self._process.returncode is None:
             if b"event=started" in self.log.read_bytes()[seen:]:
                 return
             await asyncio.sleep(0.02)
@@ -131,12 +131,12 @@
 
     async def upgrade(self) -> asyncio.subprocess.Process:
         """Start a new process beside the running one; once that knows it, it gets SIGTERM and is returned."""
-        assert self._run is not None
-        old, seen = self._run, self.log.stat().st_size
+        assert self._process is not None
+        old, seen = self._process, self.log.stat().st_size
         self.admin_port = spare_port()
         try:
             await self.start()
-            until = clock() + timedelta(seconds=START)
+            until = clock() + timedelta(seconds=START_TIMEOUT)
             while b"step=succeeded" not in self.log.read_bytes()[seen:]:
                 if clock() > until:
                     raise NodeError(f"the old process goes on:\n{self.log_tail()}")
@@ -150,32 +150,32 @@
 
     async def kill(self) -> None:
         """SIGKILL, as a crash would."""
-        assert self._run is not None
-        self._run.kill()
-        await self._run.wait()
+        assert self._process is not None
+        self._process.kill()
+        await self._process.wait()
 
     def signal(self, number: int) -> None:
         """A signal to this process alone, as SIGSTOP and SIGCONT."""
-        assert self._run is not None
-        self._run.send_signal(number)
+        assert self._process is not None
+        self._process.send_signal(number)
 
     def limit_file_size(self) -> None:
         """From now on it can't make any file longer (EFBIG, as ENOSPC where there is no room)."""
-        assert self._run is not None
-        resource.prlimit(self._run.pid, resource.RLIMIT_FSIZE, (0, 0))
+        assert self._process is not None
+        resource.prlimit(self._process.pid, resource.RLIMIT_FSIZE, (0, 0))
 
     async def stop(self) -> int:
         """SIGTERM, and its exit code; a kill where that does not end it in time."""
-        if self._run is None:
+        if self._process is None:
             return 0
-        if self._run.returncode is None:
-            self._run.terminate()
+        if self._process.returncode is None:
+            self._process.terminate()
             try:
-                await asyncio.wait_for(self._run.wait(), END)
+                await asyncio.wait_for(self._process.wait(), STOP_TIMEOUT)
             except TimeoutError:
-                self._run.kill()
-                await self._run.wait()
-        return self._run.returncode if self._run.returncode is not None else -1
+                self._process.kill()
+                await self._process.wait()
+        return self._process.returncode if self._process.returncode is not None else -1
 
     def log_tail(self) -> str:
         """The last lines of its log."""
@@ -184,8 +184,8 @@
     @property
     def pid(self) -> int:
         """Of its process."""
-        assert self._run is not None
-        return self._run.pid
+        assert self._process is not None
+        return self._process.pid
 
     def memory_bytes(self) -> int:
         """Bytes of its own memory that are in use now (RssAnon)."""
@@ -197,8 +197,8 @@
     def cpu_time(self) -> timedelta:
         """CPU time that it has spent."""
         fields = self._proc("stat").rpartition(")")[2].split()
-        return timedelta(seconds=(int(fields[11]) + int(fields[12])) / TICK)
+        return timedelta(seconds=(int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND)
 
     def _proc(self, name: str) -> str:
-        assert self._run is not None
-        return Path(f"/proc/{self._run.pid}/{name}").read_text()
+        assert self._process is not None
+        return Path(f"/proc/{self._process.pid}/{name}").read_text()
--- a/tansyladder/lab/reconnect.py
+++ b/tansyladder/lab/reconnect.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from tansyladder.lab.clients import REJOIN
+from tansyladder.lab.clients import RECONNECT_DELAY
 from tansyladder.lab.drain import RULES
 from tansyladder.lab.topology import running_topology
 
@@ -22,7 +22,7 @@
         for client in dropped:
             client.up.clear()
             client.drop()
-        back = await topology.wait_until(lambda: all(c.up.is_set() for c in dropped), REJOIN[1] + 8)
+        back = await topology.wait_until(lambda: all(c.up.is_set() for c in dropped), RECONNECT_DELAY[1] + 8)
         await asyncio.sleep(0.5)
         await topology.quiesce()
         for client in dropped:
--- a/tansyladder/lab/report.py
+++ b/tansyladder/lab/report.py
@@ -10,7 +10,7 @@
 
 MICROSECOND = timedelta(microseconds=1)
 MAX_DELAY_US = 120_000_000  # microseconds a histogram holds
-CASES_PER_RULE = 5  # kept of each kind of broken rule
+CASES_PER_INVARIANT = 5  # kept of each kind of broken rule
 
 
 def clock() -> timedelta:
@@ -24,23 +24,23 @@
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.cases: dict[str, list[str]] = {}
-        self._delays: dict[str, HdrHistogram] = {}
+        self._histograms: dict[str, HdrHistogram] = {}
 
     def record_violation(self, rule: str, case: str) -> None:
         """A rule was broken; the first cases are kept for whoever looks for the cause."""
         self.counts[rule] += 1
         kept = self.cases.setdefault(rule, [])
-        if len(kept) < CASES_PER_RULE:
+        if len(kept) < CASES_PER_INVARIANT:
             kept.append(case)
 
     def record_delay(self, name: str, span: timedelta) -> None:
         """One more delay of a kind."""
-        histogram = self._delays.setdefault(name, HdrHistogram(1, MAX_DELAY_US, 3))
+        histogram = self._histograms.setdefault(name, HdrHistogram(1, MAX_DELAY_US, 3))
         histogram.record_value(min(MAX_DELAY_US, max(1, span // MICROSECOND)))
 
     def percentiles(self, name: str) -> dict[str, float]:
         """p50, p99 and max of a kind of delay in ms; empty where there was none."""
-        histogram = self._delays.get(name)
+        histogram = self._histograms.get(name)
         if histogram is None:
             return {}
         values = {
@@ -53,7 +53,7 @@
     def as_text(self) -> str:
         """Everything, a line each."""
         lines = [f"{name:32} {count}" for name, count in sorted(self.counts.items())]
-        for name in sorted(self._delays):
+        for name in sorted(self._histograms):
             shown = " ".join(f"{k} {v} ms" for k, v in self.percentiles(name).items())
             lines.append(f"{name:32} {shown}")
         lines += [f"  {rule}: {case}" for rule, cases in self.cases.items() for case in cases]
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -29,7 +29,7 @@
         first = min(c.served_at for c in topology.clients if c.served_at > killed) - killed
         kept = sum(c.session_count == 1 for c in topology.clients)
         await asyncio.sleep(1.0)
-        again = [await client.replay() for client in topology.clients if client.used]
+        again = [await client.replay() for client in topology.clients if client.used_token]
         await asyncio.sleep(0.5)
         stood = sum(c.up.is_set() for c in topology.clients)
         await topology.quiesce()
--- a/tansyladder/lab/topology.py
+++ b/tansyladder/lab/topology.py
@@ -8,7 +8,7 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
 from pathlib import Path
 
-from tansyladder.lab.clients import SAY, Client
+from tansyladder.lab.clients import LINE_INTERVAL, Client
 from tansyladder.lab.discovery_server import DiscoveryServer
 from tansyladder.lab.hosts import StreamHost, StreamHostCluster
 from tansyladder.lab.node import LabNode
@@ -26,7 +26,7 @@
     """All parties of one run."""
 
     def __init__(self, seed: int, resumes: bool) -> None:
-        self.seed, self.resumes, self.line_interval = seed, resumes, SAY
+        self.seed, self.resumes, self.line_interval = seed, resumes, LINE_INTERVAL
         self.report = Report()
         self.host_cluster = StreamHostCluster(self.report, seed)
         self.discovery = DiscoveryServer()
@@ -66,21 +66,21 @@
     async def quiesce(self) -> None:
         """All fall silent; what no host has heard by then is lost."""
         for client in self.clients:
-            client.quiet = True
-        if not await self.wait_until(lambda: not any(c.unheard() for c in self.clients), 3):
+            client.is_quiet = True
+        if not await self.wait_until(lambda: not any(c.unconfirmed_line_count() for c in self.clients), 3):
             for client in self.clients:
-                if client.unheard():
+                if client.unconfirmed_line_count():
                     self.report.record_violation(
-                        "lines_lost", f"client {client.number}: {client.unheard()} unheard"
+                        "lines_lost", f"client {client.number}: {client.unconfirmed_line_count()} unheard"
                     )
 
     async def close(self) -> None:
         for client in self.clients:
             await client.leave()
-        await self.wait_until(lambda: not any(h.held for h in self.hosts), 3)
+        await self.wait_until(lambda: not any(h.streams for h in self.hosts), 3)
         for host in self.hosts:
-            if host.held:
-                self.report.record_violation("orphans", f"{host.ident}: {len(host.held)}")
+            if host.streams:
+                self.report.record_violation("orphans", f"{host.ident}: {len(host.streams)}")
         for task in self._tasks:
             task.cancel()
 
@@ -102,7 +102,7 @@
         for host in topology.hosts:
             await host.start()
         await topology.discovery.start()
-        await topology.discovery.tell("up", *topology.hosts[:listed])
+        await topology.discovery.set_phase("up", *topology.hosts[:listed])
         chosen = (RESUME_SETTINGS if resumes else "") if settings is None else settings
         topology.node = LabNode(Path(folder), topology.discovery.address, topology.discovery.listed(), chosen)
         endings: list[Callable[[], Awaitable[object]]] = [topology.node.stop, topology.discovery.close]
