--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -1,4 +1,4 @@
-"""What a whole fleet did, by second and by member, out of the `counts` lines in its nodes' logs."""
+"""What all nodes did, by second and by pool member, from the `counts` lines in their logs."""
 
 from __future__ import annotations
 
@@ -7,111 +7,167 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from pathlib import Path
+from typing import NamedTuple
 
 COUNTS_MARK = "event=counts "
-OTHER_FIELDS = frozenset({"event", "at", "members"})
+JSON_COUNTS_MARK = '"event": "counts"'
+START_MARKS = ("event=started", '"event": "started"')
+OTHER_FIELDS = frozenset({"event", "at", "members"})  # fields of a line that are no counts
+COLUMN_NAME_LENGTH = 10  # characters of a name that a table shows, from its end
+
+CountsBySecond = dict[int, Counter[str]]
+
+
+def _by_second() -> CountsBySecond:
+    return defaultdict(Counter)
 
 
 @dataclass(slots=True)
 class FleetCounts:
-    """The sums of all nodes; seconds count from the earliest line."""
+    """The sums over all nodes; seconds count from the earliest line."""
 
     nodes: int = 0
     unread: int = 0  # lines that are cut off or make no sense
     totals: Counter[str] = field(default_factory=Counter)
-    seconds: dict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    standing: dict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    sent: dict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    failed: dict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
+    seconds: CountsBySecond = field(default_factory=_by_second)
+    standing: CountsBySecond = field(default_factory=_by_second)  # connections, by member
+    sent: CountsBySecond = field(default_factory=_by_second)  # attempts, by member
+    failed: CountsBySecond = field(default_factory=_by_second)  # failed attempts, by member
 
     @property
     def members(self) -> list[str]:
-        return sorted({m for by in (self.standing, self.sent) for c in by.values() for m in c})
+        """The members that any second names, sorted."""
+        return sorted({m for by in (self.standing, self.sent) for counts in by.values() for m in counts})
+
+
+class MemberCounts(NamedTuple):
+    """What one node did at one member in one second."""
+
+    member: str
+    connections: int
+    attempts: int
+    failures: int
+
+
+@dataclass(frozen=True, slots=True)
+class CountsLine:
+    """One line of one node."""
+
+    second: int
+    counts: Counter[str]
+    members: list[MemberCounts]
 
 
 def parse(line: str) -> dict[str, str] | None:
-    """The fields of a `counts` line, whatever stands before it; none where it is another line."""
-    _, found, rest = line.partition(COUNTS_MARK)
-    if found:
+    """Return the fields of a `counts` line, whatever stands before it; None where it is another line."""
+    _, mark, rest = line.partition(COUNTS_MARK)
+    if mark:
         return dict(part.partition("=")[::2] for part in rest.split())
-    if '"event": "counts"' in line:
+    if JSON_COUNTS_MARK in line:
         try:
-            return {k: str(v) for k, v in json.loads(line[line.index("{") :]).items()}
+            return {key: str(value) for key, value in json.loads(line[line.index("{") :]).items()}
         except ValueError:
             return {}
     return None
 
 
+def _typed(fields: dict[str, str]) -> CountsLine:
+    """Return a line's fields by their types. Raises KeyError or ValueError where they make no sense."""
+    members = []
+    for part in filter(None, fields["members"].split(",")):
+        member, _, figures = part.rpartition(":")
+        connections, attempts, failures = map(int, figures.split("/"))
+        members.append(MemberCounts(member, connections, attempts, failures))
+    counts = Counter({key: int(value) for key, value in fields.items() if key not in OTHER_FIELDS})
+    return CountsLine(int(fields["at"]), counts, members)
+
+
 def read(logs: dict[str, Iterable[str]]) -> FleetCounts:
-    """The sums over the logs of many nodes, by their names."""
+    """Return the sums over the logs of many nodes, by the nodes' names."""
     fleet = FleetCounts(nodes=len(logs))
-    last: dict[str, dict[int, Counter[str]]] = {name: {} for name in logs}
-    for name, lines in logs.items():
-        for line in lines:
-            fields = parse(line)
-            if fields is None:
-                if "event=started" in line or '"event": "started"' in line:
-                    last[name][max(last[name], default=-2) + 1] = Counter()  # its connections died with it
-                continue
-            try:
-                at = int(fields["at"])
-                counted = Counter({k: int(v) for k, v in fields.items() if k not in OTHER_FIELDS})
-                held: Counter[str] = Counter()
-                for part in filter(None, fields["members"].split(",")):
-                    member, _, figures = part.rpartition(":")
-                    stands, sent, failed = map(int, figures.split("/"))
-                    held[member] = stands
-                    fleet.sent[at][member] += sent
-                    fleet.failed[at][member] += failed
-            except (KeyError, ValueError):
-                fleet.unread += 1
-                continue
-            last[name][at] = held
-            fleet.seconds[at].update(counted)
-            fleet.totals.update(counted)
-    _carry(fleet, last)
+    connections = [_read_log(lines, fleet) for lines in logs.values()]
+    if fleet.seconds:
+        _fill_quiet_seconds(fleet, connections)
+        _count_from_first_second(fleet)
     return fleet
 
 
-def _carry(fleet: FleetCounts, last: dict[str, dict[int, Counter[str]]]) -> None:
-    """A node writes nothing in a quiet second: what it held before still stands."""
-    if not fleet.seconds:
-        return
-    start, end = min(fleet.seconds), max(fleet.seconds)
-    for held in last.values():
+def _read_log(lines: Iterable[str], fleet: FleetCounts) -> CountsBySecond:
+    """Add one node's lines to the sums; return the node's connections in the seconds that have a line."""
+    connections: CountsBySecond = {}
+    for line in lines:
+        fields = parse(line)
+        if fields is None:
+            if any(mark in line for mark in START_MARKS):  # the connections of its earlier process are gone
+                connections[max(connections, default=-2) + 1] = Counter()
+            continue
+        try:
+            counts_line = _typed(fields)
+        except (KeyError, ValueError):
+            fleet.unread += 1
+            continue
+        second = counts_line.second
+        connections[second] = Counter()
+        for each in counts_line.members:
+            connections[second][each.member] = each.connections
+            fleet.sent[second][each.member] += each.attempts
+            fleet.failed[second][each.member] += each.failures
+        fleet.seconds[second].update(counts_line.counts)
+        fleet.totals.update(counts_line.counts)
+    return connections
+
+
+def _fill_quiet_seconds(fleet: FleetCounts, connections: list[CountsBySecond]) -> None:
+    """Sum up connections: a node writes nothing in a quiet second, so those of the last line still count."""
+    for of_node in connections:
         now: Counter[str] = Counter()
-        for at in range(start, end + 1):
-            now = held.get(at, now)
-            fleet.standing[at].update(now)
+        for second in range(min(fleet.seconds), max(fleet.seconds) + 1):
+            now = of_node.get(second, now)
+            fleet.standing[second].update(now)
+
+
+def _count_from_first_second(fleet: FleetCounts) -> None:
+    """Number all seconds from the first one of any node."""
+    first = min(fleet.seconds)
+    last = max(fleet.seconds)
     for name in ("seconds", "standing", "sent", "failed"):
-        by = getattr(fleet, name)
-        setattr(fleet, name, {at - start: by[at] for at in range(start, end + 1)})
+        by_second = getattr(fleet, name)
+        setattr(fleet, name, {second - first: by_second[second] for second in range(first, last + 1)})
 
 
 def read_folder(folder: Path) -> FleetCounts:
-    """The logs of a folder, a node each."""
-    paths = sorted(p for p in folder.iterdir() if p.is_file())
-    return read({p.stem: p.read_text(errors="replace").splitlines() for p in paths})
+    """Read the logs of a folder, one file a node."""
+    paths = sorted(path for path in folder.iterdir() if path.is_file())
+    return read({path.stem: path.read_text(errors="replace").splitlines() for path in paths})
 
 
 def table(fleet: FleetCounts, by_member: bool) -> str:
-    """A row for each second: what the nodes did, or connections/attempts/failures at each member."""
+    """Return a row for each second: what the nodes did, or connections/attempts/failures at each member."""
     if by_member:
         names = fleet.members
-        cells = {str(at): [_metrics(fleet, at, name) for name in names] for at in fleet.standing}
+        rows = {
+            str(second): [_member_cell(fleet, second, name) for name in names] for second in fleet.standing
+        }
     else:
         names = sorted(fleet.totals)
-        cells = {str(at): [str(row[name]) for name in names] for at, row in fleet.seconds.items()}
-        cells["all"] = [str(fleet.totals[name]) for name in names]
-    widths = [max(len(n[-10:]), *(len(row[i]) for row in cells.values())) for i, n in enumerate(names)]
-    head = " ".join(n[-10:].rjust(w) for n, w in zip(names, widths, strict=True))
-    rows = [
-        f"{at:>4} " + " ".join(cell.rjust(w) for cell, w in zip(row, widths, strict=True))
-        for at, row in cells.items()
+        rows = {
+            str(second): [str(counts[name]) for name in names] for second, counts in fleet.seconds.items()
+        }
+        rows["all"] = [str(fleet.totals[name]) for name in names]
+    headings = [name[-COLUMN_NAME_LENGTH:] for name in names]
+    widths = [
+        max(len(heading), *(len(row[column]) for row in rows.values()))
+        for column, heading in enumerate(headings)
     ]
-    return "\n".join([f"{fleet.nodes} nodes, {fleet.unread} lines unread", "   s " + head, *rows])
+    lines = [f"{fleet.nodes} nodes, {fleet.unread} lines unread", "   s " + _aligned(headings, widths)]
+    lines += [f"{label:>4} " + _aligned(row, widths) for label, row in rows.items()]
+    return "\n".join(lines)
+
+
+def _aligned(cells: list[str], widths: list[int]) -> str:
+    return " ".join(cell.rjust(width) for cell, width in zip(cells, widths, strict=True))
 
 
-def _metrics(fleet: FleetCounts, at: int, member: str) -> str:
-    counts = (fleet.standing[at], fleet.sent[at], fleet.failed[at])
-    return "/".join(str(counted[member]) for counted in counts)
+def _member_cell(fleet: FleetCounts, second: int, member: str) -> str:
+    by_metric = (fleet.standing[second], fleet.sent[second], fleet.failed[second])
+    return "/".join(str(counts[member]) for counts in by_metric)
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -1,4 +1,4 @@
-"""A real node as a process of its own, with a configuration written for the stand-ins round it."""
+"""A real node in a process of its own, with a configuration written for the stand-ins around it."""
 
 from __future__ import annotations
 
@@ -13,11 +13,15 @@
 from pathlib import Path
 from typing import Any
 
+from tansyladder.lab.connections import LOOPBACK
 from tansyladder.lab.report import clock
 
 START_TIMEOUT = 20.0  # seconds in which a node must have started
 STOP_TIMEOUT = 10.0  # seconds from SIGTERM to its end
-CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+POLL_INTERVAL = 0.02  # seconds between two looks into a node's log
+LOG_TAIL_LINES = 15
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # of the CPU times in /proc
+FOLDER_PLACEHOLDER = "FOLDER"  # in an operator's settings: stands for the node's folder
 MODULE_SETTINGS: dict[str, Any] = {
     "family": "conn",
     "discovery": "on_request",
@@ -49,98 +53,128 @@
     },
 }
 
-
 PORTS = range(10_000, 32_000)  # below those that the system gives to outgoing connections
-_ports = itertools.cycle(PORTS)
+_next_ports = itertools.cycle(PORTS)
 for _ in range(os.getpid() * 97 % len(PORTS)):  # runs beside each other begin at different ones
-    next(_ports)
+    next(_next_ports)
+
+
+class NodeError(Exception):
+    """The node did not start or end as it should; the message has the last lines of its log."""
 
 
 def spare_port() -> int:
-    """A port that nobody listens at, and that no outgoing connection takes until it is used."""
-    for port in itertools.islice(_ports, len(PORTS)):
+    """Return a port that nobody listens at, and that no outgoing connection takes until it is used.
+
+    Raises NodeError where none is free.
+    """
+    for port in itertools.islice(_next_ports, len(PORTS)):
         try:
-            with socket.create_server(("127.0.0.1", port)):
+            with socket.create_server((LOOPBACK, port)):
                 return port
         except OSError:
             continue
     raise NodeError("no port is free")
 
 
-class NodeError(Exception):
-    """The node did not start or end as it should; the message holds its log's last lines."""
-
-
 class LabNode:
-    """One node's process; its configuration and log are in a folder of the run."""
+    """One node's process; its configuration and log are in a folder of the run. Owned by one event loop."""
 
     def __init__(
         self,
         folder: Path,
-        discovery: str,
-        known: dict[str, Any],
-        settings: str = "",
+        discovery_address: str,
+        known_endpoints: dict[str, Any],
+        operator_settings: str = "",
         name: str = "lab",
-        nodes: int = 1,
+        node_count: int = 1,
     ) -> None:
-        """`known`: the list it starts with; `settings`: the operator's, empty for none; `nodes`: in all."""
-        self.folder, self._settings = folder, folder / "settings.sexp" if settings else None
-        self.port, self.admin_port = spare_port(), spare_port()
-        whole = {
+        """Write the node's configuration.
+
+        Args:
+            folder: of the node alone.
+            discovery_address: where it polls the endpoint list.
+            known_endpoints: the endpoint list that it starts with, in discovery's form.
+            operator_settings: empty for none; FOLDER stands for the node's folder.
+            name: of the node.
+            node_count: of all nodes that share the hosts.
+        """
+        self.folder = folder
+        self.port = spare_port()
+        self.admin_port = spare_port()
+        self.config = folder / "config.json"
+        self.log = folder / "node.log"
+        self._settings_file = folder / "settings.sexp" if operator_settings else None
+        self._process: asyncio.subprocess.Process | None = None
+        configuration = {
             "name": name,
-            "listen": f"127.0.0.1:{self.port}",
-            "operator": f"127.0.0.1:{self.admin_port}",
-            "discovery": discovery,
+            "listen": f"{LOOPBACK}:{self.port}",
+            "operator": f"{LOOPBACK}:{self.admin_port}",
+            "discovery": discovery_address,
             "seed": "1ab",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 8192},
-            "known": known,
-            "settings": MODULE_SETTINGS | {"balancers": nodes},
+            "known": known_endpoints,
+            "settings": MODULE_SETTINGS | {"balancers": node_count},
         }
-        self.config = folder / "config.json"
-        self.config.write_text(json.dumps(whole, indent=1))
-        if self._settings is not None:
-            self._settings.write_text(settings.replace("FOLDER", str(folder)))
-        self.log = folder / "node.log"
-        self._process: asyncio.subprocess.Process | None = None
+        self.config.write_text(json.dumps(configuration, indent=1))
+        if self._settings_file is not None:
+            self._settings_file.write_text(operator_settings.replace(FOLDER_PLACEHOLDER, str(folder)))
+
+    async def start(self, clock_offset: float = 0.0) -> None:
+        """Start a process and wait until it listens; `clock_offset`: seconds by which its wall clock is off.
+
+        Raises NodeError where it does not start in time.
+        """
+        log_size = self.log.stat().st_size if self.log.exists() else 0
+        with self.log.open("ab") as out:
+            self._process = await asyncio.create_subprocess_exec(
+                *self._command(clock_offset), env=self._environment(), stderr=out, stdout=out
+            )
+        deadline = clock() + timedelta(seconds=START_TIMEOUT)
+        while clock() < deadline and self._process.returncode is None:
+            if b"event=started" in self.log.read_bytes()[log_size:]:
+                return
+            await asyncio.sleep(POLL_INTERVAL)
+        raise NodeError(f"the node did not start:\n{self.log_tail()}")
 
-    async def start(self, skew: float = 0.0) -> None:
-        """Until it listens. `skew`: seconds by which its wall clock is off."""
-        words = [sys.executable, "-O", "-m", "tansyladder"]
-        if skew:
-            words = [*words[:-1], "tansyladder.lab.chaos.skewed_clock", str(skew)]
-        if self._settings is not None:
-            words += ["serve", "--settings", str(self._settings)]
-        env = {
+    def _command(self, clock_offset: float) -> list[str]:
+        command = [sys.executable, "-O", "-m"]
+        if clock_offset:
+            command += ["tansyladder.lab.chaos.skewed_clock", str(clock_offset)]
+        else:
+            command += ["tansyladder"]
+        if self._settings_file is not None:
+            command += ["serve", "--settings", str(self._settings_file)]
+        return command
+
+    def _environment(self) -> dict[str, str]:
+        environment = {
             **os.environ,
-            "GW_OPERATOR": f"127.0.0.1:{self.admin_port}",
+            "GW_OPERATOR": f"{LOOPBACK}:{self.admin_port}",
             "GW_CONFIG": str(self.config),
             "MALLOC_ARENA_MAX": "2",
             "TMPDIR": str(self.folder),
         }
         for name in ("GW_NAME", "GW_LISTEN", "GW_DISCOVERY"):
-            env.pop(name, None)
-        seen = self.log.stat().st_size if self.log.exists() else 0
-        with self.log.open("ab") as out:
-            self._process = await asyncio.create_subprocess_exec(*words, env=env, stderr=out, stdout=out)
-        until = clock() + timedelta(seconds=START_TIMEOUT)
-        while clock() < until and self._process.returncode is None:
-            if b"event=started" in self.log.read_bytes()[seen:]:
-                return
-            await asyncio.sleep(0.02)
-        raise NodeError(f"the node did not start:\n{self.log_tail()}")
+            environment.pop(name, None)
+        return environment
 
     async def upgrade(self) -> asyncio.subprocess.Process:
-        """Start a new process beside the running one; once that knows it, it gets SIGTERM and is returned."""
-        assert self._process is not None
-        old, seen = self._process, self.log.stat().st_size
+        """Start a new process beside the running one, and send SIGTERM to the old one once that knows of it.
+
+        Returns the old process, which is draining. Raises NodeError, with the old process killed, where the
+        new one does not take over in time.
+        """
+        old = self._running_process()
+        log_size = self.log.stat().st_size
         self.admin_port = spare_port()
         try:
             await self.start()
-            until = clock() + timedelta(seconds=START_TIMEOUT)
-            while b"step=succeeded" not in self.log.read_bytes()[seen:]:
-                if clock() > until:
+            deadline = clock() + timedelta(seconds=START_TIMEOUT)
+            while b"step=succeeded" not in self.log.read_bytes()[log_size:]:
+                if clock() > deadline:
                     raise NodeError(f"the old process goes on:\n{self.log_tail()}")
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(POLL_INTERVAL)
         except NodeError:
             old.kill()  # whoever holds this object knows of the new process only
             await old.wait()
@@ -149,23 +183,21 @@
         return old
 
     async def kill(self) -> None:
-        """SIGKILL, as a crash would."""
-        assert self._process is not None
-        self._process.kill()
-        await self._process.wait()
+        """End the process with SIGKILL, as a crash would."""
+        process = self._running_process()
+        process.kill()
+        await process.wait()
 
     def signal(self, number: int) -> None:
-        """A signal to this process alone, as SIGSTOP and SIGCONT."""
-        assert self._process is not None
-        self._process.send_signal(number)
+        """Send a signal to this process alone, as SIGSTOP and SIGCONT."""
+        self._running_process().send_signal(number)
 
     def limit_file_size(self) -> None:
-        """From now on it can't make any file longer (EFBIG, as ENOSPC where there is no room)."""
-        assert self._process is not None
-        resource.prlimit(self._process.pid, resource.RLIMIT_FSIZE, (0, 0))
+        """Let it make no file longer from now on (EFBIG, as ENOSPC where there is no room)."""
+        resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (0, 0))
 
     async def stop(self) -> int:
-        """SIGTERM, and its exit code; a kill where that does not end it in time."""
+        """End the process with SIGTERM, or SIGKILL where that takes too long; return its exit code."""
         if self._process is None:
             return 0
         if self._process.returncode is None:
@@ -178,27 +210,32 @@
         return self._process.returncode if self._process.returncode is not None else -1
 
     def log_tail(self) -> str:
-        """The last lines of its log."""
-        return "\n".join(self.log.read_text(errors="replace").splitlines()[-15:])
+        """Return the last lines of its log."""
+        return "\n".join(self.log.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:])
 
     @property
     def pid(self) -> int:
-        """Of its process."""
-        assert self._process is not None
-        return self._process.pid
+        """The process's id."""
+        return self._running_process().pid
 
     def memory_bytes(self) -> int:
-        """Bytes of its own memory that are in use now (RssAnon)."""
-        for line in self._proc("status").splitlines():
+        """Return the bytes of its own memory that are in use now (RssAnon)."""
+        for line in self._read_proc("status").splitlines():
             if line.startswith("RssAnon:"):
                 return int(line.split()[1]) * 1024
         return 0
 
     def cpu_time(self) -> timedelta:
-        """CPU time that it has spent."""
-        fields = self._proc("stat").rpartition(")")[2].split()
-        return timedelta(seconds=(int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND)
+        """Return the CPU time that it has spent."""
+        fields = self._read_proc("stat").rpartition(")")[2].split()
+        user_ticks = int(fields[11])
+        system_ticks = int(fields[12])
+        return timedelta(seconds=(user_ticks + system_ticks) / CLOCK_TICKS_PER_SECOND)
+
+    def _read_proc(self, name: str) -> str:
+        return Path(f"/proc/{self.pid}/{name}").read_text()
 
-    def _proc(self, name: str) -> str:
-        assert self._process is not None
-        return Path(f"/proc/{self._process.pid}/{name}").read_text()
+    def _running_process(self) -> asyncio.subprocess.Process:
+        if self._process is None:
+            raise NodeError("the node was not started")
+        return self._process
