--- a/tansyladder/lab/chaos/schedule.py
+++ b/tansyladder/lab/chaos/schedule.py
@@ -1,4 +1,4 @@
-"""Faults by time, drawn from a seed, written to a file and played again from it."""
+"""Schedules of faults: generated from a seed, written to a file and read from it."""
 
 from __future__ import annotations
 
@@ -9,9 +9,13 @@
 import msgspec
 import numpy
 
-APART = (1.2, 2.5)  # seconds between the starts of two faults
-LENGTH = (0.4, 3.0)  # seconds that one lasts
-DELAYS = (0.02, 0.4)  # seconds
+FIRST_START = 0.5  # seconds
+FAULT_INTERVAL = (1.2, 2.5)  # seconds between the starts of two faults, the least and the most
+FAULT_DURATION = (0.4, 3.0)  # seconds, the least and the most
+LINK_DELAY = (0.02, 0.4)  # seconds, the least and the most
+CLOCK_OFFSETS = (-1.8, -0.2, 0.2, 1.8)  # seconds; peers accept up to 2
+NODE_REST = 0.5  # seconds without a fault after one of the same node
+DISK_RECOVERY = 3.0  # seconds without another fault after one of a disk: its voter has to be admitted again
 
 
 class FaultKind(Enum):
@@ -30,7 +34,7 @@
     FLAP_PEERS = "flap_peers"  # the links to its peers fail and mend each 100 ms
     KILL_WITH_HOST = "kill_with_host"  # the host of the same number dies as well, and comes back at the end
     KILL_LEADER = "kill_leader"  # whichever node leads; started again at the end
-    KILL_TAKER = "kill_taker"  # whichever node is the next to be shown a token, at that moment
+    KILL_TAKER = "kill_taker"  # whichever node is the next to get a token, at that moment
     RESTART = "restart"  # SIGTERM, and started again once it has ended
     UPGRADE = "upgrade"  # a new process takes its place while it runs; SIGTERM to the old one then
     UPGRADE_KILL = "upgrade_kill"  # the same, and the old one is killed in the middle of its drain
@@ -41,66 +45,73 @@
     SKEW = "skew"  # started again with a clock that is off by `value`, and once more with a true one
 
 
-DISKS = frozenset({FaultKind.LOSE_DISK, FaultKind.OLD_DISK, FaultKind.FULL_DISK, FaultKind.KILL_ALL})
-SKEWS = (-1.8, -0.2, 0.2, 1.8)  # seconds; peers take up to 2
-RECOVERY = 3.0  # seconds without another fault after one of a disk: its voter has to be let in again
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+
+DISK_FAULTS = frozenset({FaultKind.LOSE_DISK, FaultKind.OLD_DISK, FaultKind.FULL_DISK, FaultKind.KILL_ALL})
 
 
 class Fault(msgspec.Struct, frozen=True):
     """One fault; it starts so many seconds after the schedule does."""
 
-    start_s: Annotated[float, msgspec.Meta(ge=0)] = msgspec.field(name="at")
+    start_s: NonNegativeFloat = msgspec.field(name="at")
     kind: FaultKind
-    node: Annotated[int, msgspec.Meta(ge=0)]
-    duration_s: Annotated[float, msgspec.Meta(ge=0)] = msgspec.field(name="length")
+    node: NonNegativeInt
+    duration_s: NonNegativeFloat = msgspec.field(name="length")
     value: float = 0.0  # seconds, of delay or of the clock
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A run's faults in the order of their starts, and all that it takes to play it again."""
+    """A run's faults in the order of their starts, and all that it takes to repeat the run."""
 
     seed: int
-    nodes: Annotated[int, msgspec.Meta(ge=1)]
-    hosts: Annotated[int, msgspec.Meta(ge=1)]
-    sessions: Annotated[int, msgspec.Meta(ge=1)]
+    nodes: PositiveInt
+    hosts: PositiveInt
+    sessions: PositiveInt
     faults: tuple[Fault, ...]
-    late: int = 0  # clients that come while the faults go on
+    late: int = 0  # clients that connect while the faults go on
 
 
 def generate(seed: int, nodes: int, hosts: int, sessions: int, seconds: float) -> Schedule:
-    """Faults for so many seconds; a node has one at a time, and a minority of the nodes is down at once."""
+    """Generate faults for so many seconds; a node has one at a time, and a minority of nodes has any."""
     rng = numpy.random.default_rng(seed)
-    faults: list[Fault] = []
     kinds = list(FaultKind)
-    at = 0.5
-    while at < seconds:
+    faults: list[Fault] = []
+    now = FIRST_START
+    while now < seconds:
         kind = kinds[rng.integers(len(kinds))]
-        length = round(float(rng.uniform(*LENGTH)), 3)
-        busy = {f.node for f in faults if f.start_s + f.duration_s + 0.5 > at}
-        free = [n for n in range(nodes) if n not in busy]
-        most = 1 if kind in DISKS else max(1, (nodes - 1) // 2)
-        if len(busy) < most and free:
+        duration_s = round(float(rng.uniform(*FAULT_DURATION)), 3)
+        busy = {fault.node for fault in faults if fault.start_s + fault.duration_s + NODE_REST > now}
+        free = [node for node in range(nodes) if node not in busy]
+        max_busy = 1 if kind in DISK_FAULTS else max(1, (nodes - 1) // 2)
+        if len(busy) < max_busy and free:
             node = int(free[rng.integers(len(free))])
-            value = 0.0
-            if kind in (FaultKind.DELAY, FaultKind.DELAY_PEERS):
-                value = round(float(rng.uniform(*DELAYS)), 3)
-            elif kind is FaultKind.SKEW:
-                value = SKEWS[rng.integers(len(SKEWS))]
-            faults.append(Fault(round(at, 3), kind, node, length, value))
-            at += length + RECOVERY if kind in DISKS else 0.0
-        at += float(rng.uniform(*APART))
+            faults.append(Fault(round(now, 3), kind, node, duration_s, _generate_value(kind, rng)))
+            if kind in DISK_FAULTS:
+                now += duration_s + DISK_RECOVERY
+        now += float(rng.uniform(*FAULT_INTERVAL))
     return Schedule(seed, nodes, hosts, sessions, tuple(faults))
 
 
+def _generate_value(kind: FaultKind, rng: numpy.random.Generator) -> float:
+    """Generate a fault's delay or clock offset, in seconds."""
+    if kind in (FaultKind.DELAY, FaultKind.DELAY_PEERS):
+        return round(float(rng.uniform(*LINK_DELAY)), 3)
+    if kind is FaultKind.SKEW:
+        return CLOCK_OFFSETS[rng.integers(len(CLOCK_OFFSETS))]
+    return 0.0
+
+
 def load(path: Path) -> Schedule:
-    """A schedule from its file; ValueError names what is wrong with it."""
-    told = msgspec.json.decode(path.read_bytes(), type=Schedule)
-    for number, fault in enumerate(told.faults):
-        if fault.node >= told.nodes:
-            raise ValueError(f"faults.{number}.node: there are {told.nodes} nodes, from 0")
-    return told
+    """Read a schedule from its file. Raises ValueError, which names what is wrong with it."""
+    schedule = msgspec.json.decode(path.read_bytes(), type=Schedule)
+    for number, fault in enumerate(schedule.faults):
+        if fault.node >= schedule.nodes:
+            raise ValueError(f"faults.{number}.node: there are {schedule.nodes} nodes, from 0")
+    return schedule
 
 
 def save(path: Path, schedule: Schedule) -> None:
-    """Write it, so that `load` gives the same."""
+    """Write a schedule, so that `load` returns the same."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(schedule), indent=1) + b"\n")
