--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -4,7 +4,7 @@
 
 import json
 from collections import Counter, defaultdict
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import NamedTuple
@@ -49,15 +49,6 @@
     failures: int
 
 
-@dataclass(frozen=True, slots=True)
-class CountsLine:
-    """One line of one node."""
-
-    second: int
-    counts: Counter[str]
-    members: list[MemberCounts]
-
-
 def parse(line: str) -> dict[str, str] | None:
     """Return the fields of a `counts` line, whatever stands before it; None where it is another line."""
     _, mark, rest = line.partition(COUNTS_MARK)
@@ -71,15 +62,12 @@
     return None
 
 
-def _typed(fields: dict[str, str]) -> CountsLine:
-    """Return a line's fields by their types. Raises KeyError or ValueError where they make no sense."""
-    members = []
-    for part in filter(None, fields["members"].split(",")):
+def _member_counts(text: str) -> Iterator[MemberCounts]:
+    """Yield the members of a line's `members` field. Raises ValueError where it is cut off."""
+    for part in filter(None, text.split(",")):
         member, _, figures = part.rpartition(":")
         connections, attempts, failures = map(int, figures.split("/"))
-        members.append(MemberCounts(member, connections, attempts, failures))
-    counts = Counter({key: int(value) for key, value in fields.items() if key not in OTHER_FIELDS})
-    return CountsLine(int(fields["at"]), counts, members)
+        yield MemberCounts(member, connections, attempts, failures)
 
 
 def read(logs: dict[str, Iterable[str]]) -> FleetCounts:
@@ -102,18 +90,19 @@
                 connections[max(connections, default=-2) + 1] = Counter()
             continue
         try:
-            counts_line = _typed(fields)
+            second = int(fields["at"])
+            counts = Counter({key: int(value) for key, value in fields.items() if key not in OTHER_FIELDS})
+            connections_now: Counter[str] = Counter()
+            for each in _member_counts(fields["members"]):
+                connections_now[each.member] = each.connections
+                fleet.sent[second][each.member] += each.attempts
+                fleet.failed[second][each.member] += each.failures
         except (KeyError, ValueError):
             fleet.unread += 1
             continue
-        second = counts_line.second
-        connections[second] = Counter()
-        for each in counts_line.members:
-            connections[second][each.member] = each.connections
-            fleet.sent[second][each.member] += each.attempts
-            fleet.failed[second][each.member] += each.failures
-        fleet.seconds[second].update(counts_line.counts)
-        fleet.totals.update(counts_line.counts)
+        connections[second] = connections_now
+        fleet.seconds[second].update(counts)
+        fleet.totals.update(counts)
     return connections
 
 
