--- a/tansyladder/lab/chaos/checkers.py
+++ b/tansyladder/lab/chaos/checkers.py
@@ -1,14 +1,17 @@
-"""The promises to resumable sessions, each read from one history; pure functions, no clocks, no processes.
-
-lost_lines, doubled_lines   a session's lines arrive each once and in order, both ways.
-two_owners                  a host takes a session's line only from the newest epoch; an epoch is one node's.
-token_twice                 a token opens once in the whole fleet.
-answers_wrong               a connection gets one final answer in time, unless its way there failed.
-sessions_lost               a client that shows a token of a session that lives gets that session back.
-rules_broken                hosts saw no second attempt, nothing new after a drain, no bad first line.
-documents_mixed             nothing is decided under a number after something was under a later one, and at
-                            the end all nodes follow one.
-orphans                     all being sound and settled, hosts hold no more connections than clients stand.
+"""The invariants of resumable sessions, each checked on the history of one run; pure functions.
+
+Each checker carries the name of its invariant and returns the cases that violate it. Reports have them under
+the keys of CHECKERS, which stay as they are:
+
+lost_lines, doubled_lines   the lines of a session arrive each once and in order, in both directions.
+two_owners                  a host accepts a session's lines from the newest epoch only, which one node has.
+token_twice                 a token opens one connection in the whole cluster.
+answers_wrong               a connection gets one final answer in time, unless a fault is on its way.
+sessions_lost               a client that shows the token of a live session gets that session back.
+rules_broken                hosts saw no second attempt, nothing new after a drain and no bad first line.
+documents_mixed             no request is decided under a version after one was under a later version, and
+                            in the end all nodes have the same version in force.
+orphans                     once all is quiet, hosts have no more connections than clients are served.
 """
 
 from __future__ import annotations
@@ -16,185 +19,262 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable, Sequence
 from datetime import timedelta
+from typing import NamedTuple
 
-from tansyladder.lab.chaos.history import Event
+from tansyladder.lab.chaos.history import Event, EventKind, Party
+from tansyladder.lab.clients import FINAL_ANSWERS
 from tansyladder.lab.report import MICROSECOND
 
-ANSWER = timedelta(milliseconds=2600) // MICROSECOND  # the longest deadline, and half a second and 100 ms
-FINAL = ("UP", "BUSY", "ERR")
-HARMFUL = ("killed", "stopped", "cut", "reset")  # what excuses that an answer is missing
+ANSWER_DEADLINE_US = timedelta(milliseconds=2600) // MICROSECOND  # the longest deadline, 500 ms and 100 ms
+EXCUSING_FAULTS = (EventKind.KILLED, EventKind.PAUSED, EventKind.LINK_CUT, EventKind.CONNECTIONS_RESET)
+CASES_IN_REPORT = 3  # of each checker
+
+Findings = list[str]
+
+
+class LineFindings(NamedTuple):
+    """Lines that arrived too late in their session or never, and lines that arrived more than once."""
+
+    lost: Findings
+    duplicated: Findings
+
+
+class Outage(NamedTuple):
+    """A stretch of time in which a node could not be reached, in microseconds."""
+
+    start_us: int
+    end_us: int
+
+
+class _ClientSession(NamedTuple):
+    """One of the sessions that a client has begun."""
+
+    client: int
+    session_count: int
+
 
-Found = list[str]
+def _session_of(event: Event) -> _ClientSession:
+    return _ClientSession(event.client, event.session_count)
 
 
-def lines(history: Sequence[Event]) -> tuple[Found, Found]:
-    """Lines lost and doubled."""
-    lost, doubled = Found(), Found()
-    heard: Counter[tuple[int, int]] = Counter()  # by a client and its session: host lines
-    told: Counter[str] = Counter()  # by session: client lines that hosts took
-    taken: dict[str, int] = {}  # the newest epoch
+def no_line_lost(history: Sequence[Event]) -> Findings:
+    """Find gaps in the numbers of received lines, and lines that were never confirmed."""
+    return _check_line_numbers(history).lost + _unconfirmed_lines(history)
+
+
+def no_line_duplicated(history: Sequence[Event]) -> Findings:
+    """Find lines that were received more than once."""
+    return _check_line_numbers(history).duplicated
+
+
+def _check_line_numbers(history: Sequence[Event]) -> LineFindings:
+    """Compare each received line's number with the last one before it."""
+    findings = LineFindings([], [])
+    host_lines: Counter[_ClientSession] = Counter()  # the last one that the client received
+    client_lines: Counter[str] = Counter()  # the last one that hosts received, by session id
     for event in history:
-        if event.party == "client" and event.kind == "heard":
-            at = (event.client, event.session_count)
-            if event.number > heard[at] + 1:
-                lost.append(f"client {event.client}: host line {event.number} after {heard[at]}")
-            elif event.number <= heard[at]:
-                doubled.append(f"client {event.client}: host line {event.number} again")
-            heard[at] = max(heard[at], event.number)
-        elif event.party == "host" and event.kind == "taken":
-            taken[event.session_id] = max(event.epoch, taken.get(event.session_id, 0))
-        elif event.party == "host" and event.kind == "heard" and event.session_id:
-            if event.number > told[event.session_id] + 1:
-                lost.append(f"session {event.session_id}: line {event.number} after {told[event.session_id]}")
-            elif event.number <= told[event.session_id]:
-                doubled.append(f"session {event.session_id}: client line {event.number} again")
-            told[event.session_id] = max(told[event.session_id], event.number)
-    return lost, doubled
-
-
-def unheard(history: Sequence[Event]) -> Found:
-    """Lines of clients that stood at the end and that no host was seen to hear."""
-    said: Counter[tuple[int, int]] = Counter()
-    heard: Counter[tuple[int, int]] = Counter()
-    standing: dict[int, int] = {}
+        if event.kind != EventKind.LINE_RECEIVED:
+            continue
+        number = event.number
+        if event.party == Party.CLIENT:
+            session = _session_of(event)
+            last = host_lines[session]
+            if number > last + 1:
+                findings.lost.append(f"client {event.client}: host line {number} after {last}")
+            elif number <= last:
+                findings.duplicated.append(f"client {event.client}: host line {number} again")
+            host_lines[session] = max(last, number)
+        elif event.party == Party.HOST and event.session_id:
+            last = client_lines[event.session_id]
+            if number > last + 1:
+                findings.lost.append(f"session {event.session_id}: line {number} after {last}")
+            elif number <= last:
+                findings.duplicated.append(f"session {event.session_id}: client line {number} again")
+            client_lines[event.session_id] = max(last, number)
+    return findings
+
+
+def _unconfirmed_lines(history: Sequence[Event]) -> Findings:
+    """Find clients that were served at the end with lines that no host had confirmed."""
+    sent: Counter[_ClientSession] = Counter()
+    confirmed: Counter[_ClientSession] = Counter()
+    served: dict[int, _ClientSession] = {}
     for event in history:
-        at = (event.client, event.session_count)
-        if event.party == "client" and event.kind == "said":
-            said[at] = event.number
-        elif event.party == "client" and event.kind == "heard":
-            heard[at] = max(heard[at], event.acknowledged_line)
-        elif event.party == "rig" and event.kind == "standing":
-            standing[event.client] = event.session_count
+        session = _session_of(event)
+        if event.party == Party.CLIENT and event.kind == EventKind.LINE_SENT:
+            sent[session] = event.number
+        elif event.party == Party.CLIENT and event.kind == EventKind.LINE_RECEIVED:
+            confirmed[session] = max(confirmed[session], event.acknowledged_line)
+        elif event.party == Party.CONTROLLER and event.kind == EventKind.CLIENT_CONNECTED:
+            served[event.client] = session
     return [
-        f"client {client}: {said[client, life] - heard[client, life]} lines unheard at the end"
-        for client, life in standing.items()
-        if said[client, life] > heard[client, life]
+        f"client {client}: {sent[session] - confirmed[session]} lines unheard at the end"
+        for client, session in served.items()
+        if sent[session] > confirmed[session]
     ]
 
 
-def single_owner(history: Sequence[Event]) -> Found:
-    """Lines taken from who has been replaced, and epochs that two nodes used."""
-    found = Found()
-    newest: dict[str, int] = {}
-    users: dict[tuple[str, int], int] = {}
+def single_owner(history: Sequence[Event]) -> Findings:
+    """Find lines accepted from an owner that was replaced, and epochs that two nodes used."""
+    findings: Findings = []
+    newest_epochs: dict[str, int] = {}  # by session id
+    epoch_users: dict[tuple[str, int], int] = {}  # nodes, by session id and epoch
     for event in history:
-        if event.party != "host" or not event.session_id:
+        if event.party != Party.HOST or not event.session_id:
             continue
-        epoch = newest.get(event.session_id, 0)
-        if event.kind == "taken":
-            user = users.setdefault((event.session_id, event.epoch), event.node)
+        session = f"session {event.session_id}"
+        newest = newest_epochs.get(event.session_id, 0)
+        if event.kind == EventKind.SESSION_ACQUIRED:
+            user = epoch_users.setdefault((event.session_id, event.epoch), event.node)
             if user != event.node:
-                found.append(
-                    f"session {event.session_id}: epoch {event.epoch} of nodes {user} and {event.node}"
-                )
-            if event.epoch < epoch:
-                found.append(f"session {event.session_id}: epoch {event.epoch} taken after {epoch}")
-            newest[event.session_id] = max(epoch, event.epoch)
-        elif event.kind == "heard" and event.epoch < epoch:
-            found.append(f"session {event.session_id}: node {event.node} heard, {event.epoch} after {epoch}")
-    return found
-
-
-def token_used_once(history: Sequence[Event]) -> Found:
-    """Tokens that were answered UP on more than one connection."""
-    shown = {event.connection_id: event.token for event in history if event.kind == "asked" and event.token}
+                findings.append(f"{session}: epoch {event.epoch} of nodes {user} and {event.node}")
+            if event.epoch < newest:
+                findings.append(f"{session}: epoch {event.epoch} taken after {newest}")
+            newest_epochs[event.session_id] = max(newest, event.epoch)
+        elif event.kind == EventKind.LINE_RECEIVED and event.epoch < newest:
+            findings.append(f"{session}: node {event.node} heard, {event.epoch} after {newest}")
+    return findings
+
+
+def token_used_once(history: Sequence[Event]) -> Findings:
+    """Find tokens that were answered UP on more than one connection."""
+    shown = _connections_with_token(history)
     opened = Counter(
-        shown[event.connection_id]
+        shown[event.connection_id].token
         for event in history
-        if event.kind == "answered" and event.label == "UP" and event.connection_id in shown
+        if event.kind == EventKind.ANSWERED and event.label == "UP" and event.connection_id in shown
     )
     return [f"token {token[:24]}: opened {count} times" for token, count in opened.items() if count > 1]
 
 
-def one_answer_in_time(history: Sequence[Event]) -> Found:
-    """Answers that are none, come late, or come not at all though nothing on their way failed."""
-    asked: dict[str, Event] = {}
-    went: dict[str, int] = {}
-    answers: Counter[str] = Counter()
-    found = Found()
-    bad: dict[int, list[tuple[int, int]]] = defaultdict(list)  # stretches in which a node was not reachable
-    since: dict[int, int] = {}
+def one_answer_in_time(history: Sequence[Event]) -> Findings:
+    """Find answers that are not final, late, given twice, or missing though no fault was on their way."""
+    answer_counts = Counter(event.connection_id for event in history if event.kind == EventKind.ANSWERED)
+    repeated = [f"connection {ident}: {count} answers" for ident, count in answer_counts.items() if count > 1]
+    return _wrong_answers(history) + _missing_answers(history) + repeated
+
+
+def _wrong_answers(history: Sequence[Event]) -> Findings:
+    findings: Findings = []
+    sent_at_us: dict[str, int] = {}  # by connection id
     for event in history:
-        if event.party == "rig" and event.kind in HARMFUL:
-            since.setdefault(event.node, event.timestamp_us)
-        elif event.party == "rig" and event.kind == "sound" and event.node in since:
-            bad[event.node].append((since.pop(event.node), event.timestamp_us))
-        elif event.kind == "asked":
-            asked[event.connection_id] = event
-        elif event.kind == "sent_to":
-            went[event.connection_id] = event.node
-        elif event.kind == "answered":
-            answers[event.connection_id] += 1
-            if event.label and event.label not in FINAL:
-                found.append(f"connection {event.connection_id}: {event.detail[:60]!r}")
-            elif (
-                event.label
-                and (late := event.timestamp_us - asked[event.connection_id].timestamp_us) > ANSWER
-            ):
-                found.append(f"connection {event.connection_id}: after {late} us")
-    end = history[-1].timestamp_us if history else 0
-    for node, at in since.items():
-        bad[node].append((at, end))
-    answered = {e.connection_id for e in history if e.kind == "answered" and e.label}
-    for ident, event in asked.items():
-        excused = any(
-            a <= event.timestamp_us + ANSWER and event.timestamp_us <= b for a, b in bad[went.get(ident, -1)]
+        if event.kind == EventKind.OPEN_SENT:
+            sent_at_us[event.connection_id] = event.timestamp_us
+        elif event.kind == EventKind.ANSWERED and event.label:
+            delay_us = event.timestamp_us - sent_at_us[event.connection_id]
+            if event.label not in FINAL_ANSWERS:
+                findings.append(f"connection {event.connection_id}: {event.detail[:60]!r}")
+            elif delay_us > ANSWER_DEADLINE_US:
+                findings.append(f"connection {event.connection_id}: after {delay_us} us")
+    return findings
+
+
+def _missing_answers(history: Sequence[Event]) -> Findings:
+    """Find connections without an answer that no outage of their node excuses."""
+    findings: Findings = []
+    nodes = {event.connection_id: event.node for event in history if event.kind == EventKind.FORWARDED}
+    outages = _outages(history)
+    end_us = history[-1].timestamp_us if history else 0
+    opened = {event.connection_id: event for event in history if event.kind == EventKind.OPEN_SENT}
+    answered = {event.connection_id for event in history if event.kind == EventKind.ANSWERED and event.label}
+    for connection_id, event in opened.items():
+        due_us = event.timestamp_us + ANSWER_DEADLINE_US
+        node = nodes.get(connection_id, -1)
+        is_excused = any(
+            outage.start_us <= due_us and event.timestamp_us <= outage.end_us for outage in outages[node]
         )
-        if ident not in answered and not excused and event.timestamp_us + ANSWER < end:
-            found.append(f"connection {ident}: no answer from node {went.get(ident, -1)}")
-    return found + [f"connection {i}: {n} answers" for i, n in answers.items() if n > 1]
+        if connection_id not in answered and not is_excused and due_us < end_us:
+            findings.append(f"connection {connection_id}: no answer from node {node}")
+    return findings
+
+
+def _outages(history: Sequence[Event]) -> defaultdict[int, list[Outage]]:
+    """Return the outages of each node; one that does not end lasts as long as the history."""
+    outages: defaultdict[int, list[Outage]] = defaultdict(list)
+    starts_us: dict[int, int] = {}
+    for event in history:
+        if event.party != Party.CONTROLLER:
+            continue
+        if event.kind in EXCUSING_FAULTS:
+            starts_us.setdefault(event.node, event.timestamp_us)
+        elif event.kind == EventKind.RECOVERED and event.node in starts_us:
+            outages[event.node].append(Outage(starts_us.pop(event.node), event.timestamp_us))
+    for node, start_us in starts_us.items():
+        outages[node].append(Outage(start_us, history[-1].timestamp_us))
+    return outages
 
 
-def no_session_lost(history: Sequence[Event]) -> Found:
-    """Sessions whose client has a good token, and was told that it opens nothing or to begin anew."""
-    shown = {event.connection_id: event for event in history if event.kind == "asked" and event.token}
-    found = Found()
+def no_session_lost(history: Sequence[Event]) -> Findings:
+    """Find clients with a good token whose session was refused, or ended with MOVE."""
+    shown = _connections_with_token(history)
+    findings: Findings = []
     for event in history:
-        if event.kind == "moved" and event.token:
-            found.append(f"client {event.client}: MOVE")
-        elif event.kind == "answered" and event.label == "ERR" and event.connection_id in shown:
-            tried = shown[event.connection_id]
-            if not tried.detail:  # what the rig shows once more on purpose has a word of its own
-                found.append(f"client {tried.client}: {event.detail[:60]}")
-    return found
-
-
-def no_host_rule_broken(history: Sequence[Event]) -> Found:
-    """What the hosts themselves saw amiss."""
-    return [f"{e.label}: {e.detail[:80]}" for e in history if e.party == "host" and e.kind == "broken"]
-
-
-def no_orphaned_connection(history: Sequence[Event]) -> Found:
-    """Connections that hosts hold for nobody at the end."""
-    standing = sum(event.party == "rig" and event.kind == "standing" for event in history)
-    held = sum(event.number for event in history if event.party == "rig" and event.kind == "held")
-    return [f"{held} connections at hosts, {standing} clients stand"] if held > standing else []
-
-
-def documents_consistent(history: Sequence[Event]) -> Found:
-    """First lines that were decided under a number that no longer held, and nodes that differ at the end."""
-    found, newest = Found(), dict[str, Event]()
-    for event in sorted((e for e in history if e.kind == "decided"), key=lambda e: e.decided_at_us):
-        last = newest.get(event.label)
-        if last is not None and event.number < last.number:
-            late = event.decided_at_us - last.decided_at_us
-            found.append(
-                f"{event.label}: node {event.node} decides under {event.number}, {late} us after "
-                f"node {last.node} did under {last.number}"
+        if event.kind == EventKind.MIGRATION_REQUESTED and event.token:
+            findings.append(f"client {event.client}: MOVE")
+        elif event.kind == EventKind.ANSWERED and event.label == "ERR" and event.connection_id in shown:
+            opened = shown[event.connection_id]
+            if not opened.detail:  # a token that the controller shows once more on purpose has a detail
+                findings.append(f"client {opened.client}: {event.detail[:60]}")
+    return findings
+
+
+def _connections_with_token(history: Sequence[Event]) -> dict[str, Event]:
+    """Return what was sent on the connections that show a token, by connection id."""
+    return {
+        event.connection_id: event for event in history if event.kind == EventKind.OPEN_SENT and event.token
+    }
+
+
+def no_host_rule_broken(history: Sequence[Event]) -> Findings:
+    """Find the violations that the hosts themselves have seen."""
+    return [
+        f"{event.label}: {event.detail[:80]}"
+        for event in history
+        if event.party == Party.HOST and event.kind == EventKind.INVARIANT_VIOLATED
+    ]
+
+
+def no_orphaned_connection(history: Sequence[Event]) -> Findings:
+    """Find connections that hosts still have for no client at the end."""
+    from_controller = [event for event in history if event.party == Party.CONTROLLER]
+    served = sum(event.kind == EventKind.CLIENT_CONNECTED for event in from_controller)
+    held = sum(event.number for event in from_controller if event.kind == EventKind.HOST_CONNECTION_COUNT)
+    return [f"{held} connections at hosts, {served} clients stand"] if held > served else []
+
+
+def documents_consistent(history: Sequence[Event]) -> Findings:
+    """Find requests decided under an outdated version, and versions that differ at the end."""
+    return _outdated_decisions(history) + _differing_versions(history)
+
+
+def _outdated_decisions(history: Sequence[Event]) -> Findings:
+    findings: Findings = []
+    newest: dict[str, Event] = {}  # the first decision under the newest version, by document
+    decisions = [event for event in history if event.kind == EventKind.REQUEST_DECIDED]
+    for event in sorted(decisions, key=lambda event: event.decided_at_us):
+        first = newest.get(event.label)
+        if first is not None and event.number < first.number:
+            late_us = event.decided_at_us - first.decided_at_us
+            findings.append(
+                f"{event.label}: node {event.node} decides under {event.number}, {late_us} us after "
+                f"node {first.node} did under {first.number}"
             )
-        elif last is None or event.number > last.number:
+        elif first is None or event.number > first.number:
             newest[event.label] = event
-    ends: dict[str, set[int]] = defaultdict(set)
+    return findings
+
+
+def _differing_versions(history: Sequence[Event]) -> Findings:
+    versions: dict[str, set[int]] = defaultdict(set)  # by document
     for event in history:
-        if event.kind == "follows":
-            ends[event.label].add(event.number)
-    found += [f"{name}: nodes follow {sorted(told)}" for name, told in ends.items() if len(told) > 1]
-    return found
+        if event.kind == EventKind.DOCUMENT_IN_FORCE:
+            versions[event.label].add(event.number)
+    return [f"{name}: nodes follow {sorted(found)}" for name, found in versions.items() if len(found) > 1]
 
 
-CHECKERS: dict[str, Callable[[Sequence[Event]], Found]] = {
-    "lost_lines": lambda history: lines(history)[0] + unheard(history),
-    "doubled_lines": lambda history: lines(history)[1],
+CHECKERS: dict[str, Callable[[Sequence[Event]], Findings]] = {
+    "lost_lines": no_line_lost,
+    "doubled_lines": no_line_duplicated,
     "two_owners": single_owner,
     "token_twice": token_used_once,
     "answers_wrong": one_answer_in_time,
@@ -205,6 +285,16 @@
 }
 
 
-def check(history: Sequence[Event]) -> dict[str, Found]:
-    """Every checker's findings."""
+def check(history: Sequence[Event]) -> dict[str, Findings]:
+    """Run every checker on a history that is in the order of its timestamps; return their findings by key."""
     return {name: checker(history) for name, checker in CHECKERS.items()}
+
+
+def violation_counts(findings: dict[str, Findings]) -> dict[str, int]:
+    """Return how many cases each checker has found."""
+    return {name: len(cases) for name, cases in findings.items()}
+
+
+def first_cases(findings: dict[str, Findings]) -> dict[str, Findings]:
+    """Return the first few cases of the checkers that have found any."""
+    return {name: cases[:CASES_IN_REPORT] for name, cases in findings.items() if cases}
--- a/tansyladder/lab/chaos/hosts.py
+++ b/tansyladder/lab/chaos/hosts.py
@@ -1,71 +1,86 @@
-"""Stand-in hosts and their session store in a process of their own; a door at each host for each node.
+"""Stand-in hosts and their session store in a process of their own; each host has a listener for each node.
 
     python -m tansyladder.lab.chaos.hosts HOSTS NODES SEED HISTORY
 
-It prints the doors' addresses as one JSON line and ends when its standard input does. Until then it takes
-lines there: `die N`, `back N` and `held`, which it answers with a JSON line, the connections at each host.
+It prints the listeners' addresses as one JSON line, and ends when its standard input does. Until then it
+reads commands there: `die N`, `back N` and `held`, which it answers with a JSON line, the connections at each
+host. `host_process.py` is the other end.
 """
 
 from __future__ import annotations
 
 import asyncio
 import sys
+from collections.abc import Sequence
 from pathlib import Path
 
 import msgspec
 
-from tansyladder.lab.chaos.history import History
+from tansyladder.lab.chaos.history import EventKind, History, Party
 from tansyladder.lab.hosts import HostedStream, StreamHost, StreamHostCluster
 from tansyladder.lab.report import Report
 
-LOOK = 0.2  # seconds between two looks at what is held, and writes of the history
+FLUSH_INTERVAL = 0.2  # seconds between two writes of the history
 
 
 class RecordingHostCluster(StreamHostCluster):
-    """All hosts write down what they take, refuse and hear."""
+    """Hosts that record which sessions they acquire and refuse, and which lines they receive."""
 
     def __init__(self, seed: int, history: History) -> None:
         super().__init__(Report(), seed)
-        self.history = history
-
-    def saw(self, what: str, held: HostedStream, number: int = 0) -> None:
-        self.history.record(
-            "host",
-            what,
-            node=held.listener_index,
-            host=held.host.ident,
-            session=held.session_id,
-            epoch=held.epoch,
+        self._history = history
+
+    def _record(self, kind: EventKind, stream: HostedStream, number: int = 0) -> None:
+        self._history.record(
+            Party.HOST,
+            kind,
+            node=stream.listener_index,
+            host=stream.host.ident,
+            session_id=stream.session_id,
+            epoch=stream.epoch,
             number=number,
         )
 
+    def on_session_acquired(self, stream: HostedStream) -> None:
+        """Record the session's owner."""
+        self._record(EventKind.SESSION_ACQUIRED, stream)
 
-async def serve(hosts: int, nodes: int, seed: int, path: Path) -> None:
-    """Until standard input ends."""
-    with path.open("wb") as out:
+    def on_session_fenced(self, stream: HostedStream) -> None:
+        """Record the owner that was refused."""
+        self._record(EventKind.SESSION_FENCED, stream)
+
+    def on_line_received(self, stream: HostedStream, number: int) -> None:
+        """Record a client's line."""
+        self._record(EventKind.LINE_RECEIVED, stream, number)
+
+
+async def serve(host_count: int, node_count: int, seed: int, history_path: Path) -> None:
+    """Serve until standard input ends, then write the rest of the history."""
+    with history_path.open("wb") as out:
         history = History(out)
-        world = RecordingHostCluster(seed, history)
-        made = [StreamHost(world, f"s{i}") for i in range(hosts)]
-        for host in made:
-            await host.start(nodes)
-        sys.stdout.write(msgspec.json.encode([host.addresses for host in made]).decode() + "\n")
-        sys.stdout.flush()
-        orders = asyncio.ensure_future(_obey(made))
-        while not orders.done():
-            await asyncio.wait([orders], timeout=LOOK)
+        cluster = RecordingHostCluster(seed, history)
+        hosts = [StreamHost(cluster, f"s{index}") for index in range(host_count)]
+        for host in hosts:
+            await host.start(node_count)
+        _print_json([host.addresses for host in hosts])
+        commands = asyncio.ensure_future(_run_commands(hosts))
+        while not commands.done():
+            await asyncio.wait([commands], timeout=FLUSH_INTERVAL)
             history.flush()
-        await orders
-        for host in made:
-            history.record("host", "holds", host=host.ident, number=len(host.streams))
-        for rule, cases in world.report.cases.items():
-            history.record("host", "broken", word=rule, text="; ".join(cases))
+        await commands
+        for host in hosts:
+            history.record(
+                Party.HOST, EventKind.FINAL_CONNECTION_COUNT, host=host.ident, number=len(host.streams)
+            )
+        for invariant, cases in cluster.report.cases.items():
+            history.record(Party.HOST, EventKind.INVARIANT_VIOLATED, label=invariant, detail="; ".join(cases))
         history.flush()
-        for host in made:
+        for host in hosts:
             await host.close()
 
 
-async def _obey(hosts: list[StreamHost]) -> None:
-    """What standard input tells, until it ends."""
+async def _run_commands(hosts: list[StreamHost]) -> None:
+    """Run the commands on standard input until it ends."""
     loop = asyncio.get_running_loop()
     while words := (await loop.run_in_executor(None, sys.stdin.readline)).split():
         match words:
@@ -74,8 +89,12 @@
             case ["back", number]:
                 await hosts[int(number)].start()
             case _:
-                sys.stdout.write(msgspec.json.encode([len(host.streams) for host in hosts]).decode() + "\n")
-                sys.stdout.flush()
+                _print_json([len(host.streams) for host in hosts])
+
+
+def _print_json(value: Sequence[object]) -> None:
+    sys.stdout.write(msgspec.json.encode(value).decode() + "\n")
+    sys.stdout.flush()
 
 
 if __name__ == "__main__":
--- a/tansyladder/lab/chaos/links.py
+++ b/tansyladder/lab/chaos/links.py
@@ -1,172 +1,193 @@
-"""Links that fail on command, and the front that spreads clients over the nodes."""
+"""Links whose faults a run controls, and the load balancer that spreads clients over the nodes."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 from datetime import timedelta
+from enum import Enum, auto
 
-from tansyladder.lab.chaos.history import History
+from tansyladder.lab.chaos.history import EventKind, History, Party
+from tansyladder.lab.connections import LOOPBACK, Connection, connection, open_connection
 from tansyladder.lab.report import clock
 
-CHUNK = 1 << 16
-ASK = 0.1  # seconds between two PINGs of the front to a node
-PATIENCE = 1.0  # seconds in which it expects the answer
-DEAF = timedelta(seconds=2)  # a node that did not answer gets clients for so long still
+CHUNK_BYTES = 1 << 16
+BACKLOG = 1024
+HEALTH_CHECK_INTERVAL = 0.1  # seconds between two PINGs of the load balancer to a node
+HEALTH_CHECK_TIMEOUT = 1.0  # seconds in which it expects the answer
+UNHEALTHY_AFTER = timedelta(seconds=2)  # a node that did not answer still gets clients for so long
 
 
-class _Relay:
-    """Connections that are passed on, and their end."""
+class Direction(Enum):
+    """Which way bytes pass through a proxy."""
+
+    TO_TARGET = auto()
+    FROM_TARGET = auto()
+
+
+class _Proxy:
+    """Forwards each of its connections to a target. Owned by one event loop; not thread-safe."""
 
     def __init__(self) -> None:
+        self.address = ""
+        self.forwarded_bytes = 0  # in both directions
         self._writers: set[asyncio.StreamWriter] = set()
-        self._serving: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
-        self.address = ""
-        self.passed = 0  # bytes, both ways
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=1024)
-        self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
+        """Listen on a free port."""
+        self._server = await asyncio.start_server(self._serve, LOOPBACK, 0, backlog=BACKLOG)
+        self.address = f"{LOOPBACK}:{self._server.sockets[0].getsockname()[1]}"
 
     def reset(self) -> None:
-        """Break all connections that are open now."""
+        """Reset all connections that are open now."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def close(self) -> None:
+        """Listen no more, and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
-        for task in self._serving:
+        for task in self._tasks:
             task.cancel()
-        await asyncio.gather(*self._serving, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, until both of its ways have ended."""
+        """Forward one connection until both of its directions have ended."""
         task = asyncio.current_task()
-        assert task is not None
-        self._serving.add(task)
+        if task is not None:
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+        client = Connection(reader, writer)
         self._writers.add(writer)
-        ours = [writer]
         try:
-            there, out = await self._reach(reader)
-            ours.append(out)
-            self._writers.add(out)
-            await asyncio.gather(self._pump(reader, out, True), self._pump(there, writer, False))
+            target = await self._connect_target(reader)
+            self._writers.add(target.writer)
+            try:
+                await asyncio.gather(
+                    self._forward(client.reader, target.writer, Direction.TO_TARGET),
+                    self._forward(target.reader, client.writer, Direction.FROM_TARGET),
+                )
+            finally:
+                self._writers.discard(target.writer)
+                target.writer.close()
         except (OSError, IndexError, asyncio.CancelledError):
-            writer.transport.abort()  # nobody is there, no first line came, or the run is over
+            writer.transport.abort()  # the target is gone, no first line came, or the run is over
         finally:
-            self._serving.discard(task)
-            for each in ours:
-                self._writers.discard(each)
-                each.close()
+            self._writers.discard(writer)
+            writer.close()
 
-    async def _reach(self, reader: asyncio.StreamReader) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """The other end. OSError: it can't be reached."""
+    async def _connect_target(self, reader: asyncio.StreamReader) -> Connection:
+        """Connect to the target of a client's connection. Raises OSError."""
         raise NotImplementedError
 
-    async def _open(self, up: bool) -> None:
-        """Until bytes may pass this way."""
+    async def _wait_until_open(self, direction: Direction) -> None:
+        """Wait until bytes may pass in a direction."""
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool) -> None:
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
+    ) -> None:
+        """Forward bytes in one direction, and its end."""
         try:
-            while data := await reader.read(CHUNK):
-                await self._open(up)
-                self.passed += len(data)
+            while data := await reader.read(CHUNK_BYTES):
+                await self._wait_until_open(direction)
+                self.forwarded_bytes += len(data)
                 writer.write(data)
                 await writer.drain()
-            await self._open(up)
+            await self._wait_until_open(direction)
             writer.write_eof()
         except OSError:
             writer.transport.abort()
 
 
-class Link(_Relay):
-    """One way between two parties; all of its connections share its faults."""
+class Link(_Proxy):
+    """The link between two parties; all of its connections share its faults."""
 
-    def __init__(self, target: str) -> None:
+    def __init__(self, target_address: str) -> None:
         super().__init__()
-        self._target = target
-        self.delay = 0.0  # seconds, each way
-        self._up, self._down = asyncio.Event(), asyncio.Event()  # which ways are open
-        self.mend()
-
-    def cut(self, up: bool = True, down: bool = True) -> None:
-        """Hold back all bytes towards the target (up) or from it (down), and keep all connections open."""
-        if up:
-            self._up.clear()
-        if down:
-            self._down.clear()
-
-    def mend(self) -> None:
-        """No faults; what was held back arrives now."""
+        self.delay = 0.0  # seconds, in each direction
+        self._target_address = target_address
+        self._is_open = {direction: asyncio.Event() for direction in Direction}
+        self.recover()
+
+    def cut(self, *directions: Direction) -> None:
+        """Hold back all bytes in these directions, or in both, and keep all connections open."""
+        for direction in directions or Direction:
+            self._is_open[direction].clear()
+
+    def recover(self) -> None:
+        """End all faults; what was held back arrives now."""
         self.delay = 0.0
-        self._up.set()
-        self._down.set()
+        for is_open in self._is_open.values():
+            is_open.set()
 
-    async def _open(self, up: bool) -> None:
+    async def _wait_until_open(self, direction: Direction) -> None:
         if self.delay:
             await asyncio.sleep(self.delay)
-        await (self._up if up else self._down).wait()
+        await self._is_open[direction].wait()
 
-    async def _reach(self, reader: asyncio.StreamReader) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        await self._open(True)
-        return await _connect(self._target)
+    async def _connect_target(self, reader: asyncio.StreamReader) -> Connection:
+        await self._wait_until_open(Direction.TO_TARGET)
+        return await open_connection(self._target_address)
 
 
-class Front(_Relay):
-    """Takes clients' connections and gives each to a node that answers PING, or did until a moment ago."""
+class LoadBalancer(_Proxy):
+    """Forwards clients' connections to the nodes in turn, leaving out those that fail their health checks."""
 
-    def __init__(self, history: History, nodes: list[str]) -> None:
+    def __init__(self, history: History, node_addresses: list[str]) -> None:
         super().__init__()
-        self._history, self._nodes = history, nodes
-        self._last = [timedelta(0)] * len(nodes)  # when each was last heard
-        self._turn = 0
-        self._watches: list[asyncio.Task[None]] = []
+        self._history = history
+        self._node_addresses = node_addresses
+        self._healthy_at = [timedelta(0)] * len(node_addresses)  # when each answered last
+        self._next_turn = 0
+        self._health_checks: list[asyncio.Task[None]] = []
 
     @property
     def port(self) -> int:
-        """Where clients come."""
+        """Where clients connect."""
         return int(self.address.rpartition(":")[2])
 
     async def start(self) -> None:
-        self._watches = [asyncio.ensure_future(self._watch(node)) for node in range(len(self._nodes))]
+        """Listen on a free port, and begin to check the nodes' health."""
+        self._health_checks = [
+            asyncio.ensure_future(self._check_health(node)) for node in range(len(self._node_addresses))
+        ]
         await super().start()
 
     async def close(self) -> None:
-        for task in self._watches:
+        """Listen no more, and reset all connections."""
+        for task in self._health_checks:
             task.cancel()
         await super().close()
 
-    async def _watch(self, node: int) -> None:
+    async def _check_health(self, node: int) -> None:
         while True:
-            with contextlib.suppress(OSError):  # a time-out too
-                async with asyncio.timeout(PATIENCE):
-                    reader, writer = await _connect(self._nodes[node])
-                    try:
-                        writer.write(b"PING\r\n")
-                        if await reader.readline() == b"PONG\r\n":
-                            self._last[node] = clock()
-                    finally:
-                        writer.close()
-            await asyncio.sleep(ASK)
-
-    def _choose(self) -> int:
-        alive = [n for n, last in enumerate(self._last) if clock() - last < DEAF]
-        alive = alive or list(range(len(self._nodes)))
-        self._turn += 1
-        return alive[self._turn % len(alive)]
-
-    async def _reach(self, reader: asyncio.StreamReader) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+            with contextlib.suppress(OSError):  # TimeoutError is one
+                async with (
+                    asyncio.timeout(HEALTH_CHECK_TIMEOUT),
+                    connection(self._node_addresses[node]) as opened,
+                ):
+                    opened.writer.write(b"PING\r\n")
+                    if await opened.reader.readline() == b"PONG\r\n":
+                        self._healthy_at[node] = clock()
+            await asyncio.sleep(HEALTH_CHECK_INTERVAL)
+
+    def _next_node(self) -> int:
+        """Return the next healthy node in turn; any node where none is healthy."""
+        now = clock()
+        healthy = [node for node, at in enumerate(self._healthy_at) if now - at < UNHEALTHY_AFTER]
+        candidates = healthy or list(range(len(self._node_addresses)))
+        self._next_turn += 1
+        return candidates[self._next_turn % len(candidates)]
+
+    async def _connect_target(self, reader: asyncio.StreamReader) -> Connection:
+        """Connect to a node, and forward the first line, which has the connection's id."""
         line = await reader.readline()
-        node = self._choose()
-        self._history.record("front", "sent_to", ident=line.split(b" ")[1].decode(), node=node)
-        there, out = await _connect(self._nodes[node])
-        out.write(line)
-        return there, out
-
-
-async def _connect(target: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    host, _, port = target.partition(":")
-    return await asyncio.open_connection(host, int(port))
+        node = self._next_node()
+        connection_id = line.split(b" ")[1].decode()
+        self._history.record(Party.LOAD_BALANCER, EventKind.FORWARDED, connection_id=connection_id, node=node)
+        target = await open_connection(self._node_addresses[node])
+        target.writer.write(line)
+        return target
--- /dev/null
+++ b/tansyladder/lab/chaos/peer_network.py
@@ -0,0 +1,69 @@
+"""The links between the nodes of a chaos run, and the settings that lead each node through its links."""
+
+from __future__ import annotations
+
+import itertools
+import secrets
+
+from tansyladder.lab.chaos.links import Link
+from tansyladder.lab.connections import LOOPBACK
+from tansyladder.lab.node import spare_port
+
+KEY_BYTES = 32
+MAX_VOTERS = 5
+SETTINGS = """(peers (enabled true) (fleet "lab") (key "{key}") (voters "{voters}") (listen "{listen}")
+ (members {members}))
+"""
+
+
+class PeerNetwork:
+    """All links between nodes. Owned by one event loop; not thread-safe."""
+
+    def __init__(self, node_count: int) -> None:
+        self._node_count = node_count
+        self._links: dict[tuple[int, int], Link] = {}  # from the lower to the higher number
+
+    @property
+    def forwarded_bytes(self) -> int:
+        """Bytes that all peers have sent to each other."""
+        return sum(link.forwarded_bytes for link in self._links.values())
+
+    def links_of(self, node: int) -> list[Link]:
+        """Return the links between a node and its peers."""
+        return [link for pair, link in self._links.items() if node in pair]
+
+    async def start(self) -> list[str]:
+        """Start the links; return the operator's settings of each node for its peers."""
+        listen_addresses = [f"{LOOPBACK}:{spare_port()}" for _ in range(self._node_count)]
+        for low, high in itertools.combinations(range(self._node_count), 2):
+            link = Link(listen_addresses[high])
+            self._links[low, high] = link
+            await link.start()
+        key = secrets.token_hex(KEY_BYTES)
+        odd_count = self._node_count - 1 + self._node_count % 2  # an even number of voters is no safer
+        voters = " ".join(f"n{number}" for number in range(min(MAX_VOTERS, odd_count)))
+        return [
+            SETTINGS.format(
+                key=key,
+                voters=voters,
+                listen=listen_addresses[node],
+                members=self._members_as_seen_by(node, listen_addresses),
+            )
+            for node in range(self._node_count)
+        ]
+
+    def _members_as_seen_by(self, node: int, listen_addresses: list[str]) -> str:
+        """Return the peers' addresses for one node: links to higher numbers, and the others directly.
+
+        The lower number of a pair connects, so that every connection goes through the pair's link.
+        """
+        addresses = [
+            self._links[node, peer].address if peer > node else listen_addresses[peer]
+            for peer in range(self._node_count)
+        ]
+        return " ".join(f'(n{peer} "{address}")' for peer, address in enumerate(addresses))
+
+    async def close(self) -> None:
+        """End all links."""
+        for link in self._links.values():
+            await link.close()
--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -1,81 +1,143 @@
-"""Stand-in clients: each opens a session, numbers its lines, checks the host's, and comes back if it must."""
+"""Stand-in clients: each opens a session, numbers its lines, checks the host's, and reconnects when it must.
+
+A client's lines are `M n`; the host's are `F n h`, where h is the last client line that the host received.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import random
+from dataclasses import dataclass, field
 from datetime import timedelta
+from typing import NamedTuple
 
+from tansyladder.lab.connections import LOOPBACK, Connection, connection, open_connection
 from tansyladder.lab.report import Report, clock
 
-RECONNECT_DELAY = (0.11, 0.82)  # seconds after which a client comes again
-LINE_INTERVAL = 1.0  # seconds between two of its lines
-ACK_INTERVAL = 8
-ANSWER_TIMEOUT = 5.0  # seconds beyond `d` until an answer counts as missing
-ANSWER_TIMEOUT_OF_IMPATIENT = 0.7  # the same for one that gives up on a silent node and comes again
-MAX_ATTEMPTS = 8  # in a row, until it gives up
+RECONNECT_DELAY = (0.11, 0.82)  # seconds, the least and the most before a client connects again
+LINE_INTERVAL = 1.0  # seconds between two lines of a client
+ACK_INTERVAL = 8  # host lines between two acknowledgements
+ANSWER_TIMEOUT = 5.0  # seconds beyond the client's deadline until an answer counts as missing
+ANSWER_TIMEOUT_OF_IMPATIENT = 0.7  # the same for a client that gives up on a silent node and connects again
+MAX_ATTEMPTS = 8  # unserved connections in a row until a client gives up
+PREVIEW_SHARE = 0.17  # of the clients
+CLIENTS_PER_GROUP = 8
+
+FINAL_ANSWERS = ("UP", "BUSY", "ERR")
+
+
+@dataclass(frozen=True, slots=True)
+class ClientSettings:
+    """What all clients of a run have in common."""
+
+    seed: int
+    resumes: bool  # whether they offer to resume their session on another connection
+    line_interval: float = LINE_INTERVAL  # seconds
+    silence_timeout: float | None = None  # seconds without a line after which a connection counts as dead
+
+    @property
+    def answer_timeout(self) -> float:
+        """Seconds beyond the client's deadline until an answer counts as missing."""
+        return ANSWER_TIMEOUT if self.silence_timeout is None else ANSWER_TIMEOUT_OF_IMPATIENT
+
+
+@dataclass(slots=True)
+class LineCounters:
+    """How far both directions of one session have come, by the numbers of their lines."""
+
+    received: int = 0  # the last host line
+    acknowledged: int = 0  # the last host line that the host was sent an acknowledgement for
+    sent: int = 0  # the last line of the client's own
+    confirmed: int = 0  # the last line of its own that a host has confirmed in a frame
+    unacknowledged: list[int] = field(default_factory=list)  # its own lines that may have to be sent again
+
+    def acknowledge(self, position: int) -> None:
+        """Forget the lines up to a position: nobody will ask for them again."""
+        self.unacknowledged = [number for number in self.unacknowledged if number > position]
+
+
+class AbandonedSession(NamedTuple):
+    """What it takes to show an abandoned session's token on another connection."""
+
+    token: str
+    open_parameters: str  # the first line after the connection's id
 
 
 class Client:
-    """One viewer; `resumes` says whether it offers to go on after a break."""
+    """One viewer with one session at a time. Owned by one event loop; not thread-safe.
+
+    Subclasses observe it through the `on_...` methods, which do nothing here.
+    """
 
     max_attempts = MAX_ATTEMPTS
 
-    def __init__(
-        self,
-        report: Report,
-        port: int,
-        number: int,
-        seed: int,
-        resumes: bool,
-        say: float = LINE_INTERVAL,
-        silence: float | None = None,
-    ) -> None:
-        """`say`: seconds between two of its lines; `silence`: after which its connection counts as dead."""
-        self._silence, self._answer = (
-            silence,
-            ANSWER_TIMEOUT if silence is None else ANSWER_TIMEOUT_OF_IMPATIENT,
-        )
-        self.report, self.port, self.number, self.resumes = report, port, number, resumes
-        self.say = say
-        self.rng = random.Random(seed * 1_000_003 + number)
-        self._class_name, self._deadline_ms = (
-            ("preview", 2000) if self.rng.random() < 0.17 else ("viewport", 1200)
-        )
-        self._key, self._group = f"{self.rng.getrandbits(64):016x}", f"{number // 8 + 1:x}"
-        self.up = asyncio.Event()
-        self.connections = self.session_count = self.connections_at_watch = 0
-        self.token = self.used_token = ""  # the one that lets it back, and the last one that did
+    def __init__(self, report: Report, port: int, number: int, settings: ClientSettings) -> None:
+        self.report = report
+        self.port = port
+        self.number = number
+        self.resumes = settings.resumes
+        self.rng = random.Random(settings.seed * 1_000_003 + number)
+        self.connections = 0  # opened so far
+        self.session_count = 0  # begun so far
+        self.connections_at_watch = 0
+        self.token = ""  # the one that resumes the session
+        self.used_token = ""  # the last one that was shown
+        self.up = asyncio.Event()  # set while the client is served
         self.served_at = timedelta(0)
-        self.last_frame_at: timedelta | None = None  # when the newest frame came
+        self.last_frame_at: timedelta | None = None
         self.gap = timedelta(0)  # the longest between two frames since the last `watch`
-        self._heard = self._said = self._told = self._counted = 0
-        self._unheard: list[int] = []  # its own lines that nobody has acknowledged
+        self.is_quiet = False  # set by the run: the client sends no more lines
+        self._settings = settings
+        if self.rng.random() < PREVIEW_SHARE:
+            self._class_name = "preview"
+            self._deadline_ms = 2000
+        else:
+            self._class_name = "viewport"
+            self._deadline_ms = 1200
+        self._key = f"{self.rng.getrandbits(64):016x}"
+        self._group = f"{number // CLIENTS_PER_GROUP + 1:x}"
+        self._lines = LineCounters()
         self._writer: asyncio.StreamWriter | None = None
-        self.is_quiet = False  # from now on it says nothing
         self._is_leaving = False
 
-    def saw(self, what: str, **fields: object) -> None:
-        """For whoever keeps a history of what this client did and met."""
+    # --- for subclasses that observe
+
+    def on_open_sent(self, connection_id: str, token: str) -> None:
+        """A first line was sent; `token` is empty where it shows none."""
+
+    def on_answered(self, connection_id: str, word: str, line: str) -> None:
+        """The first line back has come, or the connection ended without one (both are empty then)."""
+
+    def on_line_sent(self, number: int) -> None:
+        """A line of the client was sent for the first time."""
+
+    def on_line_received(self, number: int, confirmed: int) -> None:
+        """A host line has come; it confirms the client's lines up to `confirmed`."""
+
+    def on_migration_requested(self) -> None:
+        """MOVE has come; the token is still the session's."""
+
+    # --- for the run
 
     def watch(self) -> None:
         """Measure gaps, and whether its connection stays, from now on."""
-        self.gap, self.connections_at_watch = timedelta(0), self.connections
+        self.gap = timedelta(0)
+        self.connections_at_watch = self.connections
 
     async def run(self) -> None:
-        """Until `leave`."""
-        tries = 0
-        while not self._is_leaving and tries < self.max_attempts:
-            served = await self._connect()
-            tries = 0 if served else tries + 1
+        """Connect, and connect again after each end, until `leave` or too many attempts in a row fail."""
+        failed_attempts = 0
+        while not self._is_leaving and failed_attempts < self.max_attempts:
+            was_served = await self._use_one_connection()
+            failed_attempts = 0 if was_served else failed_attempts + 1
             if not self._is_leaving:
                 await asyncio.sleep(self.rng.uniform(*RECONNECT_DELAY))
-        if tries >= self.max_attempts:
+        if failed_attempts >= self.max_attempts:
             self.report.counts["gave_up"] += 1
 
     async def leave(self) -> None:
-        """End for good, in good order."""
+        """End the session and the connection in good order, for good."""
         self._is_leaving = True
         if self._writer is not None:
             with contextlib.suppress(OSError):
@@ -84,152 +146,171 @@
                 self._writer.close()
 
     def unconfirmed_line_count(self) -> int:
-        """How many of its lines no host has been seen to hear; 0 a moment after it stops saying any."""
-        return self._said - self._counted if self.up.is_set() else 0
+        """Return how many of its lines no host has confirmed; 0 a moment after it stops sending."""
+        return self._lines.sent - self._lines.confirmed if self.up.is_set() else 0
 
     async def replay(self) -> str:
-        """The first word of what a token that was used before is told; the session must not notice."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        try:
-            names = f"c={self._class_name},d={self._deadline_ms},g={self._group}"
-            names += f",rt={self.used_token},rp={self._heard}"
-            writer.write(f"OPEN {self.rng.getrandbits(60):x} {self._key} {names}\r\n".encode())
-            answer = await asyncio.wait_for(reader.readline(), ANSWER_TIMEOUT)
+        """Show the used token once more; return the answer's first word. The session must not notice."""
+        async with connection(f"{LOOPBACK}:{self.port}") as opened:
+            parameters = self._resume_parameters(self.used_token)
+            opened.writer.write(f"OPEN {self.rng.getrandbits(60):x} {parameters}\r\n".encode())
+            answer = await asyncio.wait_for(opened.reader.readline(), ANSWER_TIMEOUT)
             return answer.split(b" ")[0].strip().decode()
-        finally:
-            writer.close()
 
-    def abandon(self) -> tuple[str, str]:
-        """Break the connection and come no more; its token, and the rest of a first line that shows it."""
+    def abandon(self) -> AbandonedSession:
+        """Break the connection and connect no more."""
         self._is_leaving = True
         self.drop()
-        names = f"c={self._class_name},d={self._deadline_ms},g={self._group},rt={self.token},rp={self._heard}"
-        return self.token, f"{self._key} {names}"
+        return AbandonedSession(self.token, self._resume_parameters(self.token))
 
     def drop(self) -> None:
-        """The connection breaks: a reset, as when a network is gone."""
+        """Reset the connection, as when a network is gone."""
         if self._writer is not None:
             self._writer.transport.abort()
 
-    async def _connect(self) -> bool:
-        """One connection, from its first line to its end; whether it was served."""
+    # --- one connection
+
+    async def _use_one_connection(self) -> bool:
+        """Open a connection and use it until it ends; return whether it was served."""
         self.connections += 1
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
+            opened = await open_connection(f"{LOOPBACK}:{self.port}")
         except OSError:
             self.report.counts["refused_connections"] += 1
             return False
-        self._writer = writer
-        back = bool(self.resumes and self.token)
-        names = f"c={self._class_name},d={self._deadline_ms},g={self._group}"
-        if back:
-            names += f",rt={self.token},rp={self._heard}"
-            self.token, self.used_token = "", self.token
-        elif self.resumes:
-            names += ",rs=1"
-        if self.connections > 1:
-            names += ",again=1"
-        asked = clock()
-        saying: asyncio.Task[None] | None = None
+        self._writer = opened.writer
         try:
-            ident = f"{self.rng.getrandbits(60):x}"
-            writer.write(f"OPEN {ident} {self._key} {names}\r\n".encode())
-            self.saw("asked", ident=ident, token=self.used_token if back else "")
-            answer = await asyncio.wait_for(reader.readline(), self._deadline_ms / 1000 + self._answer)
-            word = answer.split(b" ")[0].strip().decode()
-            self.saw("answered", ident=ident, word=word, text=answer.decode().strip())
-            if word in ("BUSY", ""):
-                self._token_back(back)
-            self.report.counts[f"answer_{word or 'none'}"] += 1
-            if word not in ("UP", "BUSY", "ERR") and not self._is_leaving:
-                self.report.record_violation(
-                    "final_answers_wrong", f"{answer[:60]!r} on connection {self.connections}"
-                )
-            if word != "UP":
+            if not await self._open_session(opened):
                 return False
-            self.served_at = clock()
-            self.report.record_delay("come_back" if back else "set_up", clock() - asked)
-            if not back:
-                self.session_count += 1
-                self._heard = self._said = self._told = self._counted = 0
-                self._unheard = []
-            self.up.set()
-            saying = asyncio.ensure_future(self._say(writer))
-            await self._listen(reader, writer)
+            await self._exchange_lines(opened)
             return True
-        except TimeoutError:  # an OSError too, so it comes first
-            if saying is not None:
-                return True  # its node or the way to it is silent
-            self._token_back(back)
+        finally:
+            self.up.clear()
+            opened.writer.close()
+
+    async def _open_session(self, opened: Connection) -> bool:
+        """Send the first line and read its answer; return whether a session is served."""
+        shown_token = self.token if self.resumes else ""
+        if shown_token:
+            parameters = self._resume_parameters(shown_token)
+            self.token = ""
+            self.used_token = shown_token
+        else:
+            parameters = self._parameters() + (",rs=1" if self.resumes else "")
+        if self.connections > 1:
+            parameters += ",again=1"
+        connection_id = f"{self.rng.getrandbits(60):x}"
+        sent_at = clock()
+        try:
+            opened.writer.write(f"OPEN {connection_id} {parameters}\r\n".encode())
+            self.on_open_sent(connection_id, shown_token)
+            timeout = self._deadline_ms / 1000 + self._settings.answer_timeout
+            line = await asyncio.wait_for(opened.reader.readline(), timeout)
+            answer = line.decode()
+        except TimeoutError:  # is an OSError, so it comes first
+            self.token = shown_token
             self.report.record_violation("final_answers_wrong", f"no answer on connection {self.connections}")
             return False
         except (OSError, ValueError, asyncio.IncompleteReadError):
-            if saying is None:
-                self._token_back(back)
-            return saying is not None
-        finally:
-            if saying is not None:
-                saying.cancel()
-            self.up.clear()
-            writer.close()
+            self.token = shown_token
+            return False
+        self.on_answered(connection_id, answer.split(" ")[0].strip(), answer.strip())
+        return self._handle_answer(line, shown_token, sent_at)
+
+    def _handle_answer(self, line: bytes, shown_token: str, sent_at: timedelta) -> bool:
+        """Count an answer; return whether it is UP."""
+        word = line.split(b" ")[0].strip().decode()
+        self.report.counts[f"answer_{word or 'none'}"] += 1
+        if word not in FINAL_ANSWERS and not self._is_leaving:
+            self.report.record_violation(
+                "final_answers_wrong", f"{line[:60]!r} on connection {self.connections}"
+            )
+        if word in ("BUSY", ""):  # refused for now, or no answer came: the token may still be good
+            self.token = shown_token
+        if word != "UP":
+            return False
+        self.served_at = clock()
+        self.report.record_delay("come_back" if shown_token else "set_up", self.served_at - sent_at)
+        if not shown_token:
+            self.session_count += 1
+            self._lines = LineCounters()
+        self.up.set()
+        return True
+
+    def _parameters(self) -> str:
+        """Return what each of its first lines has after the connection's id."""
+        return f"{self._key} c={self._class_name},d={self._deadline_ms},g={self._group}"
 
-    def _token_back(self, back: bool) -> None:
-        """Refused for now, or no answer came: the token may be good still."""
-        if back:
-            self.token = self.used_token
+    def _resume_parameters(self, token: str) -> str:
+        """Return the same for a first line that shows a token."""
+        return f"{self._parameters()},rt={token},rp={self._lines.received}"
 
-    async def _say(self, writer: asyncio.StreamWriter) -> None:
-        await asyncio.sleep(self.rng.random() * self.say)
+    async def _exchange_lines(self, opened: Connection) -> None:
+        """Send and receive lines until the connection ends, breaks or falls silent."""
+        sender = asyncio.ensure_future(self._send_lines(opened.writer))
+        try:
+            await self._receive_lines(opened)
+        except (OSError, ValueError, asyncio.IncompleteReadError):
+            pass  # the node, or the way to it, is gone or silent (TimeoutError is an OSError)
+        finally:
+            sender.cancel()
+
+    async def _send_lines(self, writer: asyncio.StreamWriter) -> None:
+        interval = self._settings.line_interval
+        await asyncio.sleep(self.rng.random() * interval)
         while not writer.transport.is_closing() and not self.is_quiet:
-            self._said += 1
-            self._unheard.append(self._said)
-            self.saw("said", session=self.session_count, number=self._said)
-            writer.write(f"M {self._said}\r\n".encode())
-            await asyncio.sleep(self.say)
-
-    async def _listen(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while line := await asyncio.wait_for(reader.readline(), self._silence):
+            self._lines.sent += 1
+            self._lines.unacknowledged.append(self._lines.sent)
+            self.on_line_sent(self._lines.sent)
+            writer.write(f"M {self._lines.sent}\r\n".encode())
+            await asyncio.sleep(interval)
+
+    async def _receive_lines(self, opened: Connection) -> None:
+        while line := await asyncio.wait_for(opened.reader.readline(), self._settings.silence_timeout):
             words = line.decode().split()
             if words[0] == "RS":
-                self._control(words, writer)
+                self._handle_control_line(words, opened.writer)
             elif words[0] == "F":
-                self._frame(int(words[1]), int(words[2]), writer)
+                self._handle_frame(int(words[1]), int(words[2]), opened.writer)
             elif words[0] == "MOVE":
                 self.report.counts["moved"] += 1
-                self.saw("moved", token=self.token)
+                self.on_migration_requested()
                 self.token = ""
                 return
             else:
                 self.report.record_violation("final_answers_wrong", f"{line[:60]!r} after UP")
 
-    def _control(self, words: list[str], writer: asyncio.StreamWriter) -> None:
+    def _handle_control_line(self, words: list[str], writer: asyncio.StreamWriter) -> None:
         match words:
             case ["RS", "TOKEN", token, _]:
                 self.token = token
             case ["RS", "AT", position]:
-                self._unheard = [n for n in self._unheard if n > int(position)]
-                for n in self._unheard:
-                    writer.write(f"M {n}\r\n".encode())
+                self._lines.acknowledge(int(position))
+                for number in self._lines.unacknowledged:
+                    writer.write(f"M {number}\r\n".encode())
             case ["RS", "ACK", position]:
-                self._unheard = [n for n in self._unheard if n > int(position)]
+                self._lines.acknowledge(int(position))
             case ["RS", "OFF", *_]:
                 self.report.counts["cannot_return"] += 1
             case _:
                 self.report.record_violation("bad_words", " ".join(words))
 
-    def _frame(self, number: int, heard: int, writer: asyncio.StreamWriter) -> None:
-        moment = clock()
-        self.saw("heard", session=self.session_count, number=number, of_own=heard)
+    def _handle_frame(self, number: int, confirmed: int, writer: asyncio.StreamWriter) -> None:
+        """Check a host line's number and what it confirms, and acknowledge it when it is time."""
+        now = clock()
+        self.on_line_received(number, confirmed)
         if self.last_frame_at is not None:
-            self.gap = max(self.gap, moment - self.last_frame_at)
-        self.last_frame_at = moment
-        if number > self._heard + 1:
-            self.report.record_violation("lines_lost", f"host line {number} after {self._heard}")
-        elif number <= self._heard:
+            self.gap = max(self.gap, now - self.last_frame_at)
+        self.last_frame_at = now
+        lines = self._lines
+        if number > lines.received + 1:
+            self.report.record_violation("lines_lost", f"host line {number} after {lines.received}")
+        elif number <= lines.received:
             self.report.record_violation("lines_doubled", f"host line {number}")
-        if heard > self._said:
-            self.report.record_violation("lines_doubled", f"heard {heard} of {self._said}")
-        self._heard, self._counted = max(self._heard, number), max(self._counted, heard)
-        if self.resumes and self._heard - self._told >= ACK_INTERVAL:
-            self._told = self._heard
-            writer.write(f"RS ACK {self._heard}\r\n".encode())
+        if confirmed > lines.sent:
+            self.report.record_violation("lines_doubled", f"heard {confirmed} of {lines.sent}")
+        lines.received = max(lines.received, number)
+        lines.confirmed = max(lines.confirmed, confirmed)
+        if self.resumes and lines.received - lines.acknowledged >= ACK_INTERVAL:
+            lines.acknowledged = lines.received
+            writer.write(f"RS ACK {lines.received}\r\n".encode())
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -1,4 +1,4 @@
-"""What a drain costs: all sessions on one host when its drain is told, and where they go on."""
+"""What a drain costs: all sessions are on one host when it drains, and have to go on at the others."""
 
 from __future__ import annotations
 
@@ -7,70 +7,80 @@
 from datetime import timedelta
 from typing import Any
 
+from tansyladder.lab.discovery_server import Phase
 from tansyladder.lab.hosts import StreamHost
-from tansyladder.lab.report import clock
-from tansyladder.lab.topology import Topology, running_topology
+from tansyladder.lab.report import MILLISECOND, clock
+from tansyladder.lab.topology import Topology, TopologySettings, running_topology
 
-LATENCY_OBJECTIVE = timedelta(milliseconds=300)  # in which a viewport's set-up is wanted
+LATENCY_OBJECTIVE = timedelta(milliseconds=300)  # of a viewport's setup
 RULES = ("final_answers_wrong", "lines_lost", "lines_doubled", "second_attempts", "late_sends_after_drain")
-STYLES = ("told", "at-once", "dies")
-SETTLE_SECONDS = 5.0  # seconds for the drain's grace and what comes after it
+STYLES = ("told", "at-once", "dies")  # as the command line has them
+ANNOUNCED, AT_ONCE, DIES = STYLES
+SETTLE_TIME = 5.0  # seconds for the drain's grace and what comes after it
+LISTING_TIME = 1.5  # seconds until the node knows the other hosts and has checked their health
+DISCOVERY_DELAY = 1.0  # seconds until discovery learns that a host has died
 
 
 async def run(sessions: int, hosts: int, seed: int, resumes: bool, style: str) -> dict[str, Any]:
-    """Play it; `style`: the drain is told and the host waits, sends all away at once, or dies unannounced."""
+    """Drain the host that has all sessions, and report what became of them.
+
+    `style` is ANNOUNCED (the host waits for its sessions to leave), AT_ONCE (it sends all away) or DIES.
+    """
     started = time.monotonic()
-    async with running_topology(seed, ["sound"] * hosts, resumes, listed=1) as topology:
-        first, rest = topology.hosts[0], topology.hosts[1:]
+    async with running_topology(TopologySettings(seed, hosts, resumes, listed_count=1)) as topology:
+        drained_host = topology.hosts[0]
         await topology.connect_clients(sessions)
-        await topology.discovery.set_phase("up", *rest)
-        await asyncio.sleep(1.5)  # the node hears of them, and its probes of how they do
-        held = len(first.streams)
+        await topology.discovery.set_phase(Phase.UP, *topology.hosts[1:])
+        await asyncio.sleep(LISTING_TIME)
+        sessions_on_host = len(drained_host.streams)
         for client in topology.clients:
             client.watch()
-        gone_at = await _end(topology, first, style)
-        await topology.wait_until(lambda: not first.streams, SETTLE_SECONDS)
-        empty_after = clock() - gone_at
-        await asyncio.sleep(max(0.0, SETTLE_SECONDS - empty_after.total_seconds()))
+        drained_at = await _drain(topology, drained_host, style)
+        await topology.wait_until(lambda: not drained_host.streams, SETTLE_TIME)
+        empty_after = clock() - drained_at
+        await asyncio.sleep(max(0.0, SETTLE_TIME - empty_after.total_seconds()))
         await topology.quiesce()
-        return _result(topology, held, empty_after, time.monotonic() - started, style)
+        gaps = _measure_gaps(topology)
+        report = topology.report
+        return {
+            "sessions": sessions,
+            "on_the_host": sessions_on_host,
+            "resumed": len(gaps),
+            "resumed_within_aim": round(sum(gap <= LATENCY_OBJECTIVE for gap in gaps) / sessions, 4),
+            **{rule: report.counts[rule] for rule in RULES},
+            "gap_ms": report.percentiles("gap"),
+            "set_up_ms": report.percentiles("set_up"),
+            "host_empty_after_ms": round(empty_after / MILLISECOND),
+            "fenced": topology.host_cluster.store.fenced_count,
+            "moved": report.counts["moved"],
+            "resume": resumes,
+            "style": style,
+            "took_s": round(time.monotonic() - started, 1),
+            "cases": report.cases,
+        }
 
 
-async def _end(topology: Topology, first: StreamHost, style: str) -> timedelta:
-    moment = clock()
-    if style == "dies":
-        await first.die()
-        await asyncio.sleep(1.0)  # discovery is late
-        await topology.discovery.set_phase("removed", first)
-        return moment
-    first.is_draining = True
-    if style == "at-once":
-        first.send_away()
-    await topology.discovery.set_phase("draining", first)
-    return moment
+async def _drain(topology: Topology, host: StreamHost, style: str) -> timedelta:
+    """Begin the drain, or let the host die; return when that was."""
+    now = clock()
+    if style == DIES:
+        await host.die()
+        await asyncio.sleep(DISCOVERY_DELAY)
+        await topology.discovery.set_phase(Phase.REMOVED, host)
+        return now
+    host.is_draining = True
+    if style == AT_ONCE:
+        host.send_away()
+    await topology.discovery.set_phase(Phase.DRAINING, host)
+    return now
 
 
-def _result(topology: Topology, held: int, empty_after: timedelta, took: float, style: str) -> dict[str, Any]:
-    report, resumed, in_aim = topology.report, 0, 0
+def _measure_gaps(topology: Topology) -> list[timedelta]:
+    """Report how much later than due each client's latest frame came; return that of the resumed sessions."""
+    resumed = []
     for client in topology.clients:
-        late = max(timedelta(0), client.gap - timedelta(seconds=topology.hosts[0].frame_interval))
-        report.record_delay("gap", late)
+        gap = max(timedelta(0), client.gap - timedelta(seconds=topology.settings.frame_interval))
+        topology.report.record_delay("gap", gap)
         if client.connections == client.connections_at_watch and client.up.is_set():
-            resumed += 1
-            in_aim += late <= LATENCY_OBJECTIVE
-    return {
-        "sessions": len(topology.clients),
-        "on_the_host": held,
-        "resumed": resumed,
-        "resumed_within_aim": round(in_aim / len(topology.clients), 4),
-        **{name: report.counts[name] for name in RULES},
-        "gap_ms": report.percentiles("gap"),
-        "set_up_ms": report.percentiles("set_up"),
-        "host_empty_after_ms": round(empty_after / timedelta(milliseconds=1)),
-        "fenced": topology.host_cluster.store.fenced_count,
-        "moved": report.counts["moved"],
-        "resume": topology.resumes,
-        "style": style,
-        "took_s": round(took, 1),
-        "cases": report.cases,
-    }
+            resumed.append(gap)
+    return resumed
--- a/tansyladder/lab/reconnect.py
+++ b/tansyladder/lab/reconnect.py
@@ -1,4 +1,4 @@
-"""Clients whose connections break and that come back: by token, or from anew where nothing resumes."""
+"""Clients whose connections break: they reconnect by token, or with a new session where none resumes."""
 
 from __future__ import annotations
 
@@ -8,35 +8,40 @@
 
 from tansyladder.lab.clients import RECONNECT_DELAY
 from tansyladder.lab.drain import RULES
-from tansyladder.lab.topology import running_topology
+from tansyladder.lab.topology import TopologySettings, running_topology
+
+RECONNECT_TIMEOUT = RECONNECT_DELAY[1] + 8  # seconds in which all clients must be served again
+SETTLE_TIME = 0.5  # seconds that all sessions are served before and after the break
 
 
 async def run(sessions: int, hosts: int, seed: int, resumes: bool, share: float) -> dict[str, Any]:
-    """A share of the clients drops at one moment; what each had, and how soon it is served again."""
-    async with running_topology(seed, ["sound"] * hosts, resumes) as topology:
+    """Reset a share of the connections at one moment; report what each client had, and how soon again."""
+    async with running_topology(TopologySettings(seed, hosts, resumes)) as topology:
         await topology.connect_clients(sessions)
-        await asyncio.sleep(0.5)
+        await asyncio.sleep(SETTLE_TIME)
         dropped = topology.clients[: round(sessions * share)]
         for client in topology.clients:
             client.watch()
         for client in dropped:
             client.up.clear()
             client.drop()
-        back = await topology.wait_until(lambda: all(c.up.is_set() for c in dropped), RECONNECT_DELAY[1] + 8)
-        await asyncio.sleep(0.5)
+        all_back = await topology.wait_until(
+            lambda: all(client.up.is_set() for client in dropped), RECONNECT_TIMEOUT
+        )
+        await asyncio.sleep(SETTLE_TIME)
         await topology.quiesce()
+        report = topology.report
         for client in dropped:
-            topology.report.record_delay("gap", max(timedelta(0), client.gap))
-        kept = sum(c.session_count == 1 for c in dropped)
+            report.record_delay("gap", max(timedelta(0), client.gap))
         return {
             "sessions": sessions,
             "dropped": len(dropped),
-            "all_back": back,
-            "kept": kept,
-            **{name: topology.report.counts[name] for name in RULES},
-            "gap_ms": topology.report.percentiles("gap"),
-            "come_back_ms": topology.report.percentiles("come_back"),
-            "set_up_ms": topology.report.percentiles("set_up"),
+            "all_back": all_back,
+            "kept": sum(client.session_count == 1 for client in dropped),
+            **{rule: report.counts[rule] for rule in RULES},
+            "gap_ms": report.percentiles("gap"),
+            "come_back_ms": report.percentiles("come_back"),
+            "set_up_ms": report.percentiles("set_up"),
             "resume": resumes,
-            "cases": topology.report.cases,
+            "cases": report.cases,
         }
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -1,51 +1,60 @@
-"""A node that is ended with SIGKILL and started again: which sessions go on, and what old tokens open."""
+"""A node that is ended with SIGKILL and started again: which sessions go on, and what used tokens open."""
 
 from __future__ import annotations
 
 import asyncio
-from datetime import timedelta
 from typing import Any
 
 from tansyladder.lab.drain import RULES
-from tansyladder.lab.report import clock
-from tansyladder.lab.topology import RESUME_SETTINGS, running_topology
+from tansyladder.lab.report import MILLISECOND, clock
+from tansyladder.lab.topology import RESUME_SETTINGS, TopologySettings, running_topology
 
 STORE_SETTINGS = '(store (enabled true) (directory "FOLDER/store"))\n'
+RECONNECT_TIMEOUT = 20.0  # seconds in which all clients must be served again
+SETTLE_TIME = 1.0  # seconds that all sessions are served before the kill and before the replays
+REPLAY_TIME = 0.5  # seconds in which a replayed token would harm its session
 
 
-async def run(sessions: int, hosts: int, seed: int, keeps: bool) -> dict[str, Any]:
-    """All clients come back by themselves; then each presents the token that it has used once more."""
-    async with running_topology(
-        seed, ["sound"] * hosts, True, settings=RESUME_SETTINGS + (STORE_SETTINGS if keeps else "")
-    ) as topology:
+async def run(sessions: int, hosts: int, seed: int, has_store: bool) -> dict[str, Any]:
+    """Kill the node; all clients reconnect by themselves, and then each shows its used token once more."""
+    settings = TopologySettings(
+        seed,
+        hosts,
+        resumes=True,
+        operator_settings=RESUME_SETTINGS + (STORE_SETTINGS if has_store else ""),
+    )
+    async with running_topology(settings) as topology:
+        clients = topology.clients
         await topology.connect_clients(sessions)
-        await asyncio.sleep(1.0)
-        for client in topology.clients:
+        await asyncio.sleep(SETTLE_TIME)
+        for client in clients:
             client.up.clear()
         await topology.node.kill()
-        killed = clock()
+        killed_at = clock()
         await topology.node.start()
-        back = await topology.wait_until(lambda: all(c.up.is_set() for c in topology.clients), 20)
-        first = min(c.served_at for c in topology.clients if c.served_at > killed) - killed
-        kept = sum(c.session_count == 1 for c in topology.clients)
-        await asyncio.sleep(1.0)
-        again = [await client.replay() for client in topology.clients if client.used_token]
-        await asyncio.sleep(0.5)
-        stood = sum(c.up.is_set() for c in topology.clients)
+        all_back = await topology.wait_until(
+            lambda: all(client.up.is_set() for client in clients), RECONNECT_TIMEOUT
+        )
+        first_served_at = min(client.served_at for client in clients if client.served_at > killed_at)
+        kept_count = sum(client.session_count == 1 for client in clients)
+        await asyncio.sleep(SETTLE_TIME)
+        replay_answers = [await client.replay() for client in clients if client.used_token]
+        await asyncio.sleep(REPLAY_TIME)
+        served_after_replays = sum(client.up.is_set() for client in clients)
         await topology.quiesce()
         report = topology.report
         return {
             "sessions": sessions,
-            "all_back": back,
-            "kept": kept,
-            "share_kept": round(kept / sessions, 4),
-            "first_placement_ms": round(first / timedelta(milliseconds=1)),
-            "replayed": len(again),
-            "replays_refused": again.count("ERR"),
-            "stand_after_replays": stood,
-            **{name: report.counts[name] for name in RULES},
+            "all_back": all_back,
+            "kept": kept_count,
+            "share_kept": round(kept_count / sessions, 4),
+            "first_placement_ms": round((first_served_at - killed_at) / MILLISECOND),
+            "replayed": len(replay_answers),
+            "replays_refused": replay_answers.count("ERR"),
+            "stand_after_replays": served_after_replays,
+            **{rule: report.counts[rule] for rule in RULES},
             "come_back_ms": report.percentiles("come_back"),
             "set_up_ms": report.percentiles("set_up"),
-            "store": keeps,
+            "store": has_store,
             "cases": report.cases,
         }
--- a/tansyladder/lab/topology.py
+++ b/tansyladder/lab/topology.py
@@ -1,4 +1,4 @@
-"""A scene: stand-in hosts, a discovery, a node and clients, set up and taken down in one place."""
+"""One node among stand-in hosts, a discovery service and clients, set up and taken down in one place."""
 
 from __future__ import annotations
 
@@ -6,78 +6,129 @@
 import contextlib
 import tempfile
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 
-from tansyladder.lab.clients import LINE_INTERVAL, Client
-from tansyladder.lab.discovery_server import DiscoveryServer
-from tansyladder.lab.hosts import StreamHost, StreamHostCluster
+from tansyladder.lab.clients import LINE_INTERVAL, Client, ClientSettings
+from tansyladder.lab.discovery_server import DiscoveryServer, Phase
+from tansyladder.lab.hosts import HostBehaviour, StreamHost, StreamHostCluster
 from tansyladder.lab.node import LabNode
 from tansyladder.lab.report import Report
 
 RESUME_SETTINGS = '(resume (enabled true) (expires "30 s") (parked 2000))\n'
-CONCURRENT_CONNECTS = 24  # clients that open at the same time, so that a start is no storm
+CONCURRENT_CONNECTS = 24  # clients that open at the same time, so that a start is no burst of connections
+CONNECT_TIMEOUT = 30.0  # seconds in which a client must have a session
+POLL_INTERVAL = 0.02  # seconds between two looks at a condition
+QUIET_TIMEOUT = 3.0  # seconds in which lines that are under way arrive, and connections end
 
 
 class TopologyError(Exception):
-    """What the scene waited for did not come."""
+    """What a run waited for did not come."""
+
+
+@dataclass(frozen=True, slots=True)
+class TopologySettings:
+    """What a run sets up."""
+
+    seed: int
+    host_count: int
+    resumes: bool  # whether the node and its clients resume sessions
+    listed_count: int | None = None  # how many hosts the node knows at its start; None: all
+    frame_interval: float = 0.5  # seconds between two lines of a session
+    line_interval: float = LINE_INTERVAL  # seconds between two lines of a client
+    operator_settings: str | None = None  # of the node; None: those that `resumes` asks for
+
+
+async def connect_all(
+    clients: Sequence[Client], tasks: list[asyncio.Task[None]], client_timeout: float | None = None
+) -> None:
+    """Run clients, a few at a time, until each is served; their tasks are appended to `tasks`.
+
+    Raises TimeoutError where one is not served in `client_timeout` seconds.
+    """
+    gate = asyncio.Semaphore(CONCURRENT_CONNECTS)
+
+    async def connect(client: Client) -> None:
+        async with gate:
+            tasks.append(asyncio.ensure_future(client.run()))
+            await asyncio.wait_for(client.up.wait(), client_timeout)
+
+    await asyncio.gather(*(connect(client) for client in clients))
 
 
 class Topology:
-    """All parties of one run."""
+    """All parties of one run. Owned by one event loop; not thread-safe."""
 
-    def __init__(self, seed: int, resumes: bool) -> None:
-        self.seed, self.resumes, self.line_interval = seed, resumes, LINE_INTERVAL
+    node: LabNode
+
+    def __init__(self, settings: TopologySettings) -> None:
+        self.settings = settings
         self.report = Report()
-        self.host_cluster = StreamHostCluster(self.report, seed)
+        self.host_cluster = StreamHostCluster(self.report, settings.seed)
         self.discovery = DiscoveryServer()
-        self.hosts: list[StreamHost] = []
+        self.hosts = [
+            StreamHost(
+                self.host_cluster, f"s{index}", HostBehaviour.SOUND, frame_interval=settings.frame_interval
+            )
+            for index in range(settings.host_count)
+        ]
         self.clients: list[Client] = []
-        self.node: LabNode
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def connect_clients(self, count: int) -> None:
-        """So many more clients, each with a session that stands."""
-        gate = asyncio.Semaphore(CONCURRENT_CONNECTS)
-        start = len(self.clients)
-        for number in range(start, start + count):
-            client = Client(self.report, self.node.port, number, self.seed, self.resumes, self.line_interval)
-            self.clients.append(client)
-
-        async def come(client: Client) -> None:
-            async with gate:
-                self._tasks.append(asyncio.ensure_future(client.run()))
-                await asyncio.wait_for(client.up.wait(), 30)
+    async def start(self, folder: Path) -> None:
+        """Start hosts and discovery, and write the node's configuration into a folder."""
+        settings = self.settings
+        for host in self.hosts:
+            await host.start()
+        await self.discovery.start()
+        await self.discovery.set_phase(Phase.UP, *self.hosts[: settings.listed_count])
+        operator_settings = settings.operator_settings
+        if operator_settings is None:
+            operator_settings = RESUME_SETTINGS if settings.resumes else ""
+        self.node = LabNode(folder, self.discovery.address, self.discovery.listed(), operator_settings)
 
+    async def connect_clients(self, count: int) -> None:
+        """Add clients, each with a session that is served. Raises TopologyError."""
+        client_settings = ClientSettings(
+            self.settings.seed, self.settings.resumes, line_interval=self.settings.line_interval
+        )
+        first = len(self.clients)
+        new = [
+            Client(self.report, self.node.port, number, client_settings)
+            for number in range(first, first + count)
+        ]
+        self.clients += new
         try:
-            await asyncio.gather(*(come(c) for c in self.clients[start:]))
+            await connect_all(new, self._tasks, CONNECT_TIMEOUT)
         except TimeoutError as err:
-            raise TopologyError(
-                f"not all clients got in:\n{self.node.log_tail()}\n{self.report.as_text()}"
-            ) from err
-
-    async def wait_until(self, what: Callable[[], bool], seconds: float) -> bool:
-        """Wait for something, but not for ever; whether it came."""
-        for _ in range(int(seconds / 0.02)):
-            if what():
+            state = f"{self.node.log_tail()}\n{self.report.as_text()}"
+            raise TopologyError(f"not all clients got in:\n{state}") from err
+
+    async def wait_until(self, condition: Callable[[], bool], timeout: float) -> bool:
+        """Wait until a condition holds, but no longer than so many seconds; return whether it does."""
+        for _ in range(int(timeout / POLL_INTERVAL)):
+            if condition():
                 return True
-            await asyncio.sleep(0.02)
-        return what()
+            await asyncio.sleep(POLL_INTERVAL)
+        return condition()
 
     async def quiesce(self) -> None:
-        """All fall silent; what no host has heard by then is lost."""
+        """Let all clients send no more; lines that no host has confirmed a moment later are lost."""
         for client in self.clients:
             client.is_quiet = True
-        if not await self.wait_until(lambda: not any(c.unconfirmed_line_count() for c in self.clients), 3):
-            for client in self.clients:
-                if client.unconfirmed_line_count():
-                    self.report.record_violation(
-                        "lines_lost", f"client {client.number}: {client.unconfirmed_line_count()} unheard"
-                    )
+        if await self.wait_until(
+            lambda: not any(client.unconfirmed_line_count() for client in self.clients), QUIET_TIMEOUT
+        ):
+            return
+        for client in self.clients:
+            if count := client.unconfirmed_line_count():
+                self.report.record_violation("lines_lost", f"client {client.number}: {count} unheard")
 
     async def close(self) -> None:
+        """End all clients, and count connections that hosts still have then."""
         for client in self.clients:
             await client.leave()
-        await self.wait_until(lambda: not any(h.streams for h in self.hosts), 3)
+        await self.wait_until(lambda: not any(host.streams for host in self.hosts), QUIET_TIMEOUT)
         for host in self.hosts:
             if host.streams:
                 self.report.record_violation("orphans", f"{host.ident}: {len(host.streams)}")
@@ -86,31 +137,17 @@
 
 
 @contextlib.asynccontextmanager
-async def running_topology(
-    seed: int,
-    behaviours: Sequence[str],
-    resumes: bool,
-    listed: int | None = None,
-    make: Callable[[StreamHostCluster, str, str], StreamHost] | None = None,
-    settings: str | None = None,
-) -> AsyncIterator[Topology]:
-    """Stand-in hosts of these behaviours and a node that knows the first `listed` of them, or all."""
-    topology = Topology(seed, resumes)
-    build = make or (lambda world, ident, behaviour: StreamHost(world, ident, behaviour))
+async def running_topology(settings: TopologySettings) -> AsyncIterator[Topology]:
+    """Set up a node among stand-ins, and take everything down at the end of the block."""
+    topology = Topology(settings)
     with tempfile.TemporaryDirectory(prefix="tansyladder-lab-") as folder:
-        topology.hosts = [build(topology.host_cluster, f"s{i}", b) for i, b in enumerate(behaviours)]
-        for host in topology.hosts:
-            await host.start()
-        await topology.discovery.start()
-        await topology.discovery.set_phase("up", *topology.hosts[:listed])
-        chosen = (RESUME_SETTINGS if resumes else "") if settings is None else settings
-        topology.node = LabNode(Path(folder), topology.discovery.address, topology.discovery.listed(), chosen)
-        endings: list[Callable[[], Awaitable[object]]] = [topology.node.stop, topology.discovery.close]
-        endings += [host.close for host in topology.hosts]
+        await topology.start(Path(folder))
+        closers: list[Callable[[], Awaitable[object]]] = [topology.node.stop, topology.discovery.close]
+        closers += [host.close for host in topology.hosts]
         try:
             await topology.node.start()
             yield topology
         finally:
             await topology.close()
-            for ending in endings:
-                await ending()
+            for close in closers:
+                await close()
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -18,6 +18,7 @@
 from tansyladder.cluster.raft_storage import RaftStorage, RollbackDetector
 from tansyladder.config import operator_settings
 from tansyladder.lab.chaos import cluster, experiments, history, schedule
+from tansyladder.lab.chaos.faults import FaultInjector
 from tansyladder.lab.node import LabNode
 from tansyladder.raft.messages import Entry, EntryKind, Handshake, HardState, LogSuffix, Message, Snapshot
 from tansyladder.store import Durability, WriteOperation, open_store
@@ -76,14 +77,14 @@
 
 def test_a_new_version_joins_the_peers_with_the_store_once_the_old_one_has_ended(tmp_path: Path) -> None:
     async def story() -> tuple[int, bytes]:
-        async with cluster.running_cluster(3, 2, 1) as (whole, _):
-            await whole.connect_clients(12)
-            await whole.inject(schedule.Fault(0, KINDS.UPGRADE, 1, 0.0))
-            log = whole.nodes[1].log
+        async with cluster.running_cluster(3, 2, 1) as running:
+            await running.connect_clients(12)
+            await FaultInjector(running).inject(schedule.Fault(0, KINDS.UPGRADE, 1, 0.0))
+            log = running.nodes[1].process.log
             while log.read_bytes().count(b"event=cluster_joined") < 2:
                 await asyncio.sleep(0.02)
-            await whole.wait_until_all_connected(15)
-            return sum(client.session_count for client in whole.clients), log.read_bytes()
+            await running.wait_until_all_connected(15)
+            return sum(client.session_count for client in running.clients), log.read_bytes()
 
     sessions, log = asyncio.run(asyncio.wait_for(story(), 60))
     assert sessions == 12
@@ -107,24 +108,25 @@
 
 def test_a_token_in_the_buffers_of_a_stopped_node_is_good_still_when_its_client_has_left() -> None:
     async def story() -> list[str]:
-        async with cluster.running_cluster(3, 2, 1) as (whole, _):
-            await whole.connect_clients(6)
+        async with cluster.running_cluster(3, 2, 1) as running:
+            await running.connect_clients(6)
             answers = []
-            for client in whole.clients[:4]:
-                _, rest = client.abandon()
+            for client in running.clients[:4]:
+                rest = client.abandon().open_parameters
                 stopped, other = (1, 2) if client.number % 2 else (2, 0)
-                whole.pause(stopped)
-                _, writer = await asyncio.open_connection("127.0.0.1", whole.nodes[stopped].port)
+                running.nodes[stopped].pause()
+                port = running.nodes[stopped].process.port
+                _, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(f"OPEN {client.number:x}0 {rest}\r\n".encode())
                 await writer.drain()
                 writer.close()
                 await writer.wait_closed()
-                whole.resume(stopped)
-                reader, writer = await asyncio.open_connection("127.0.0.1", whole.nodes[stopped].port)
+                running.nodes[stopped].resume()
+                reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"PING\r\n")  # it has come to the token by then
                 assert await reader.readline() == b"PONG\r\n"
                 writer.close()
-                answers.append(await show(whole.nodes[other], rest, client.number * 256 + 1))
+                answers.append(await show(running.nodes[other].process, rest, client.number * 256 + 1))
             return answers
 
     assert asyncio.run(asyncio.wait_for(story(), 60)) == ["UP"] * 4
--- a/tests/lab/test_chaos.py
+++ b/tests/lab/test_chaos.py
@@ -8,41 +8,54 @@
 import pytest
 
 from tansyladder.lab.chaos import checkers, experiments, history, schedule
-from tansyladder.lab.chaos.history import Event
+from tansyladder.lab.chaos.history import Event, EventKind, Party
 
 S = 1_000_000
 
 
-def host(at: int, what: str, epoch: int, node: int = 0, number: int = 0) -> Event:
-    return Event(at, "host", what, node=node, session_id="s", epoch=epoch, number=number)
+def host(at: int, kind: EventKind, epoch: int, node: int = 0, number: int = 0) -> Event:
+    return Event(at, Party.HOST, kind, node=node, session_id="s", epoch=epoch, number=number)
 
 
 def shown(at: int, ident: str, word: str = "", after: int = 1000) -> list[Event]:
-    asked = Event(at, "client", "asked", client=1, session_count=1, connection_id=ident, token="T")
-    sent = Event(at + 1, "front", "sent_to", connection_id=ident, node=2)
+    asked = Event(
+        at, Party.CLIENT, EventKind.OPEN_SENT, client=1, session_count=1, connection_id=ident, token="T"
+    )
+    sent = Event(at + 1, Party.LOAD_BALANCER, EventKind.FORWARDED, connection_id=ident, node=2)
     if not word:
         return [asked, sent]
     return [
         asked,
         sent,
-        Event(at + after, "client", "answered", client=1, session_count=1, connection_id=ident, label=word),
+        Event(
+            at + after,
+            Party.CLIENT,
+            EventKind.ANSWERED,
+            client=1,
+            session_count=1,
+            connection_id=ident,
+            label=word,
+        ),
     ]
 
 
 def frame(at: int, number: int) -> Event:
-    return Event(at, "client", "heard", client=1, session_count=1, number=number)
+    return Event(at, Party.CLIENT, EventKind.LINE_RECEIVED, client=1, session_count=1, number=number)
 
 
-STOPPED = [Event(0, "rig", "stopped", node=2), Event(5 * S, "rig", "sound", node=2)]
-END = [Event(9 * S, "rig", "standing", client=1, session_count=1)]
+STOPPED = [
+    Event(0, Party.CONTROLLER, EventKind.PAUSED, node=2),
+    Event(5 * S, Party.CONTROLLER, EventKind.RECOVERED, node=2),
+]
+END = [Event(9 * S, Party.CONTROLLER, EventKind.CLIENT_CONNECTED, client=1, session_count=1)]
 SOUND = [
     *shown(1, "a", "UP"),
-    host(2, "taken", 1),
-    host(3, "heard", 1, 0, 1),
+    host(2, EventKind.SESSION_ACQUIRED, 1),
+    host(3, EventKind.LINE_RECEIVED, 1, 0, 1),
     frame(4, 1),
     frame(5, 2),
-    host(6, "taken", 2, 1),
-    host(7, "heard", 2, 1, 2),
+    host(6, EventKind.SESSION_ACQUIRED, 2, 1),
+    host(7, EventKind.LINE_RECEIVED, 2, 1, 2),
     *shown(8, "b", "BUSY"),
     *END,
 ]
@@ -54,13 +67,32 @@
         ("", SOUND),
         ("", [*STOPPED[:1], *shown(10, "a"), *STOPPED[1:], *END]),  # nobody could answer there
         ("lost_lines", [frame(1, 1), frame(2, 3)]),
-        ("lost_lines", [host(1, "taken", 1), host(2, "heard", 1, 0, 2)]),
-        ("lost_lines", [Event(1, "client", "said", client=1, session_count=1, number=1), *END]),
+        ("lost_lines", [host(1, EventKind.SESSION_ACQUIRED, 1), host(2, EventKind.LINE_RECEIVED, 1, 0, 2)]),
+        (
+            "lost_lines",
+            [Event(1, Party.CLIENT, EventKind.LINE_SENT, client=1, session_count=1, number=1), *END],
+        ),
         ("doubled_lines", [frame(1, 1), frame(2, 1)]),
-        ("doubled_lines", [host(1, "heard", 1, 0, 1), host(2, "heard", 1, 0, 1)]),
-        ("two_owners", [host(1, "taken", 1), host(2, "taken", 2, 1), host(3, "heard", 1, 0, 1)]),
-        ("two_owners", [host(1, "taken", 1, 0), host(2, "taken", 1, 1)]),
-        ("two_owners", [host(1, "taken", 3, 0), host(2, "taken", 2, 1)]),
+        (
+            "doubled_lines",
+            [host(1, EventKind.LINE_RECEIVED, 1, 0, 1), host(2, EventKind.LINE_RECEIVED, 1, 0, 1)],
+        ),
+        (
+            "two_owners",
+            [
+                host(1, EventKind.SESSION_ACQUIRED, 1),
+                host(2, EventKind.SESSION_ACQUIRED, 2, 1),
+                host(3, EventKind.LINE_RECEIVED, 1, 0, 1),
+            ],
+        ),
+        (
+            "two_owners",
+            [host(1, EventKind.SESSION_ACQUIRED, 1, 0), host(2, EventKind.SESSION_ACQUIRED, 1, 1)],
+        ),
+        (
+            "two_owners",
+            [host(1, EventKind.SESSION_ACQUIRED, 3, 0), host(2, EventKind.SESSION_ACQUIRED, 2, 1)],
+        ),
         ("token_twice", [*shown(1, "a", "UP"), *shown(5000, "b", "UP")]),
         ("answers_wrong", [*shown(1, "a", "WHAT")]),
         ("answers_wrong", [*shown(1, "a", "BUSY", 3 * S)]),
@@ -68,10 +100,25 @@
         ("answers_wrong", [*STOPPED, *shown(6 * S, "a"), *END]),  # it was sound again by then
         ("answers_wrong", [*shown(1, "a", "BUSY"), *shown(1, "a", "BUSY")[2:]]),
         ("sessions_lost", [*shown(1, "a", "ERR")]),
-        ("rules_broken", [Event(1, "host", "broken", label="second_attempts", detail="1f")]),
-        ("sessions_lost", [Event(1, "client", "moved", client=1, session_count=1, token="T")]),
-        ("", [Event(1, "client", "moved", client=1, session_count=1)]),
-        ("orphans", [*END, *(Event(1, "rig", "held", host=f"s{i}", number=1) for i in range(2))]),
+        (
+            "rules_broken",
+            [Event(1, Party.HOST, EventKind.INVARIANT_VIOLATED, label="second_attempts", detail="1f")],
+        ),
+        (
+            "sessions_lost",
+            [Event(1, Party.CLIENT, EventKind.MIGRATION_REQUESTED, client=1, session_count=1, token="T")],
+        ),
+        ("", [Event(1, Party.CLIENT, EventKind.MIGRATION_REQUESTED, client=1, session_count=1)]),
+        (
+            "orphans",
+            [
+                *END,
+                *(
+                    Event(1, Party.CONTROLLER, EventKind.HOST_CONNECTION_COUNT, host=f"s{i}", number=1)
+                    for i in range(2)
+                ),
+            ],
+        ),
     ],
 )
 def test_each_checker_finds_its_fault_and_no_other(name: str, told: list[Event]) -> None:
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -297,11 +297,19 @@
 def test_the_checker_of_numbers_finds_its_faults_and_no_other() -> None:
     def decided(moment: int, node: int, number: int) -> history.Event:
         return history.Event(
-            0, "node", "decided", node=node, label="note", number=number, decided_at_us=moment
+            0,
+            history.Party.NODE,
+            history.EventKind.REQUEST_DECIDED,
+            node=node,
+            label="note",
+            number=number,
+            decided_at_us=moment,
         )
 
     def follows(node: int, number: int) -> history.Event:
-        return history.Event(9, "node", "follows", node=node, label="note", number=number)
+        return history.Event(
+            9, history.Party.NODE, history.EventKind.DOCUMENT_IN_FORCE, node=node, label="note", number=number
+        )
 
     fine = [decided(2, 1, 2), decided(1, 0, 1), decided(3, 0, 2), follows(0, 2), follows(1, 2)]
     assert not checkers.documents_consistent(fine)
