--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -22,7 +22,7 @@
     RequestReceived,
 )
 
-OVERDUE = timedelta(milliseconds=25)  # past the deadline an answer still counts for a little
+ANSWER_GRACE = timedelta(milliseconds=25)  # past the deadline an answer still counts for a little
 
 
 class ClientDisconnectedEarly:
@@ -33,75 +33,88 @@
     """The client sent a line before UP, which the protocol does not allow."""
 
 
-Placed = UpstreamConnection | Reject | Fail | ClientDisconnectedEarly | ClientSentEarly
+AttemptLoopResult = UpstreamConnection | Reject | Fail | ClientDisconnectedEarly | ClientSentEarly
 
 
 @dataclass(slots=True)
 class AttemptLoop:
     """What the attempts of one request have in common."""
 
-    core: PolicyRunner
-    box: ActionQueue
-    number: int
-    cls: str
+    runner: PolicyRunner
+    action_queue: ActionQueue
+    request_id: int
+    class_name: str
     deadline: timedelta
     first_line: Callable[[timedelta], bytes]
     client: socket.socket | None = None  # whose leaving ends the placing; none: nobody is watched
-    lines: int = 1  # that make a member's answer
-    accept: Callable[[ConnectResult], bool] = lambda answer: True  # whether what stands can be used
+    answer_line_count: int = 1  # that make a member's answer
+    is_acceptable: Callable[[ConnectResult], bool] = lambda result: True  # whether what stands can be used
 
-    def run(self, request: RequestReceived) -> Placed:
+    def run(self, request: RequestReceived) -> AttemptLoopResult:
         """Follow the module until a flow stands or the request is given up; never two attempts at once."""
-        core, number, attempt = self.core, self.number, 0
-        core.handle_events(request)
+        runner, request_id, attempt = self.runner, self.request_id, 0
+        runner.handle_events(request)
         while True:
-            match order := self._next_order():
-                case StartAttempt(_, server, timeout):
-                    member, sent = core.endpoint(server), now()
-                    until = min(sent + timeout * MICROSECOND, self.deadline)
-                    connect = core.config.settings.connect_timeout_us * MICROSECOND
-                    flow = UpstreamConnector(member, self.first_line, until, connect, self._tried, self.lines)
-                    answer = flow.open(self.client, self.box)
-                    took = (now() - sent) // MICROSECOND
-                    if answer.sock is not None and answer.buffer is not None:
-                        if self.accept(answer):
-                            core.handle_events(AttemptEstablished(number, attempt, server, took))
-                            lines = (answer.receipt, *answer.ready)
+            match action := self._next_action():
+                case StartAttempt(_, endpoint_id, timeout):
+                    endpoint, started = runner.endpoint(endpoint_id), now()
+                    until = min(started + timeout * MICROSECOND, self.deadline)
+                    connect = runner.config.settings.connect_timeout_us * MICROSECOND
+                    connector = UpstreamConnector(
+                        endpoint,
+                        self.first_line,
+                        until,
+                        connect,
+                        self._record_attempt,
+                        self.answer_line_count,
+                    )
+                    result = connector.open(self.client, self.action_queue)
+                    duration_us = (now() - started) // MICROSECOND
+                    if result.sock is not None and result.buffer is not None:
+                        if self.is_acceptable(result):
+                            runner.handle_events(
+                                AttemptEstablished(request_id, attempt, endpoint_id, duration_us)
+                            )
+                            lines = (result.receipt, *result.ready)
                             return UpstreamConnection(
-                                member, answer.sock, answer.buffer, lines, attempt, took
+                                endpoint, result.sock, result.buffer, lines, attempt, duration_us
                             )
-                        answer.sock.close()
-                        answer.status = AttemptStatus.CANCELLED
-                    if answer.client_left or answer.client_spoke:
-                        end = AttemptEnded(number, attempt, server, answer.status, took, True)
-                        core.handle_events(ClientDisconnected(number), end)
-                        return ClientSentEarly() if answer.client_spoke else ClientDisconnectedEarly()
-                    core.handle_events(AttemptEnded(number, attempt, server, answer.status, took, False))
+                        result.sock.close()
+                        result.status = AttemptStatus.CANCELLED
+                    if result.client_left or result.client_spoke:
+                        attempt_ended = AttemptEnded(
+                            request_id, attempt, endpoint_id, result.status, duration_us, True
+                        )
+                        runner.handle_events(ClientDisconnected(request_id), attempt_ended)
+                        return ClientSentEarly() if result.client_spoke else ClientDisconnectedEarly()
+                    runner.handle_events(
+                        AttemptEnded(request_id, attempt, endpoint_id, result.status, duration_us, False)
+                    )
                     attempt += 1
                 case Reject():
-                    core.handle_events(ClientDisconnected(number))
-                    return order
+                    runner.handle_events(ClientDisconnected(request_id))
+                    return action
                 case Fail():
-                    return order
+                    return action
                 case CancelAttempt() | Migrate():
                     pass  # the attempt is over already, or nothing stands yet
                 case ClientDisconnectedEarly() | ClientSentEarly():
-                    core.handle_events(ClientDisconnected(number))
-                    return order
+                    runner.handle_events(ClientDisconnected(request_id))
+                    return action
 
-    def _tried(self) -> None:
-        self.core.metrics.tried(self.cls)
+    def _record_attempt(self) -> None:
+        self.runner.metrics.record_attempt(self.class_name)
 
-    def _next_order(self) -> QueuedAction | ClientDisconnectedEarly | ClientSentEarly:
+    def _next_action(self) -> QueuedAction | ClientDisconnectedEarly | ClientSentEarly:
         """What the module says next, or that the client is gone."""
-        until = self.deadline + OVERDUE
-        fds = [self.box.fileno()] + ([self.client.fileno()] if self.client else [])
+        until = self.deadline + ANSWER_GRACE
+        fds = [self.action_queue.fileno()] + ([self.client.fileno()] if self.client else [])
         while True:
-            order = self.box.take()
-            if order is not None and order.request_id == self.number:
-                return order
+            action = self.action_queue.take()
+            if action is not None and action.request_id == self.request_id:
+                return action
             ready = sockets.wait_readable(until, *fds)
-            if self.client and self.client.fileno() in ready and self.box.first() is None:
+            if self.client and self.client.fileno() in ready and self.action_queue.first() is None:
                 match sockets.heard(self.client):
                     case sockets.PeekResult.DATA:
                         return ClientSentEarly()
@@ -109,23 +122,28 @@
                         return ClientDisconnectedEarly()
             if not ready and now() >= until:
                 check_invariant(False, "answer_overdue")
-                return Reject(self.number, 0)
+                return Reject(self.request_id, 0)
 
 
-def request_of(
-    core: PolicyRunner, number: int, cls: int, opening: protocol.Opening, deadline: timedelta, back: bool
+def build_request(
+    runner: PolicyRunner,
+    request_id: int,
+    class_number: int,
+    opening: protocol.Opening,
+    deadline: timedelta,
+    is_reconnect: bool,
 ) -> RequestReceived:
-    """What the module is told of a request; `cls`: its class there; `back`: it broke or was moved."""
-    hint = None if opening.hint is None else int(opening.hint)
+    """The event that tells the policy of a request; `is_reconnect`: its connection broke or was migrated."""
+    load_hint = None if opening.hint is None else int(opening.hint)
     return RequestReceived(
-        number,
-        cls,
-        core.tenant_number(opening),
-        core.clock.micros(deadline),
+        request_id,
+        class_number,
+        runner.tenant_number(opening),
+        runner.clock.micros(deadline),
         opening.key,
         opening.group,
-        hint,
+        load_hint,
         opening.repeat,
         False,
-        back,
+        is_reconnect,
     )
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -18,35 +18,36 @@
 from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
 from tansyladder.net.protocol import TENANT, TICKET
 from tansyladder.node.lifecycle import NodeState
-from tansyladder.node.metrics import Ending
+from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.node.request_handler import RequestHandler
 from tansyladder.policy.actions import Migrate, Reject
 
-# Whoever has sent no whole first line by then gets an ERR, and whoever is still there after that a close: in
-# all under 3 s from the accept, however slowly the bytes drip and however busy the node is.
-FIRST_LINE = timedelta(seconds=1.8)
-GONE = timedelta(seconds=2.3)
-PINGS = timedelta(seconds=60)  # between two PINGs of the front on one connection
-MOST_PINGS = 20  # at once, and in a second: a front asks and waits for the answer
-STOCK = timedelta(milliseconds=20)  # between two looks for whose time is up
+# A client without a complete first line is answered ERR at the first deadline and closed at the second: under
+# 3 s after the accept, however slowly its bytes come and however busy the node is.
+FIRST_LINE_TIMEOUT = timedelta(seconds=1.8)
+PENDING_LIFETIME = timedelta(seconds=2.3)
+PING_IDLE_TIMEOUT = timedelta(seconds=60)  # between two PINGs of the front end on one connection
+MAX_PINGS_PER_SECOND = 20  # a front end asks and waits for the answer; more is a flood
+EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=20)  # between two checks of the deadlines
 # A connection this young has its line on the way: where too many come at once, the next ones wait in the
-# listener's queue for so long, and only then is one silent.
-YOUNG = timedelta(milliseconds=50)
-BATCH = 16  # connections taken in before those that are there are heard
-SINK = 1 << 16
-OPERATORS = 18  # descriptors for their address, which no client can have
-SPARE = 20  # descriptors for the listener, discovery, probes, logs and the configuration
-COME_BACK = timedelta(milliseconds=200)
-ARRIVALS = timedelta(milliseconds=450)  # after SIGTERM new connections come for up to 0.4 s
+# listener's queue for this long, and only then one of the table counts as silent.
+MIN_SILENCE = timedelta(milliseconds=50)
+ACCEPT_BATCH_SIZE = 16  # connections accepted before those that are there are read
+DISCARD_BUFFER_BYTES = 1 << 16
+ADMIN_DESCRIPTORS = 18  # for the operators' address, which no client can have
+RESERVED_DESCRIPTORS = 20  # for the listener, discovery, health checks, logs and the configuration
+REJECTION_RETRY_AFTER = timedelta(milliseconds=200)
+LATE_ARRIVAL_WINDOW = timedelta(milliseconds=450)  # after SIGTERM new connections come for up to 0.4 s
 KILL_MARGIN = timedelta(milliseconds=700)  # SIGKILL comes no earlier than the longest deadline and this
 EXIT_MARGIN = timedelta(milliseconds=400)
-CLOSING = timedelta(milliseconds=300)  # of that margin, in which who was told the end may end its side
-SEEN_OUT = timedelta(milliseconds=150)  # the same for who sent no valid OPEN
-STANDBY = timedelta(seconds=3.4)  # in which everybody has left after `standby`: 4 s, less a margin
-SETTLED = timedelta(milliseconds=500)  # before the end, the last client has been told to move
-SHORT = timedelta(milliseconds=20)
-PACE = timedelta(milliseconds=10)
+CLOSE_TIMEOUT = timedelta(milliseconds=300)  # of that margin, for a notified client to end its side
+PENDING_CLOSE_TIMEOUT = timedelta(milliseconds=150)  # the same for a client that sent no valid OPEN
+# After `standby` every client has left in 4 s, less a margin.
+STANDBY_DRAIN_DURATION = timedelta(seconds=3.4)
+LAST_MIGRATION_MARGIN = timedelta(milliseconds=500)  # from the last client's MOVE to the end of the drain
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)  # after an accept that failed for want of descriptors
+DRAIN_STEP_INTERVAL = timedelta(milliseconds=10)
 
 
 class PendingConnection:
@@ -54,24 +55,27 @@
 
     __slots__ = (
         "buffer",
-        "end_by",
-        "gone_by",
-        "heard",
-        "pings",
-        "pings_from",
-        "read_away",
+        "first_line_deadline",
+        "close_deadline",
+        "last_line_at",
+        "ping_count",
+        "ping_window_start",
+        "discarded_bytes",
         "sock",
-        "told",
+        "is_answered",
     )
 
     def __init__(self, sock: socket.socket) -> None:
         # Half a line is as good as none; only a whole PING sets the moment on.
-        self.sock, self.buffer, self.heard = sock, protocol.LineBuffer(), now()
+        self.sock, self.buffer, self.last_line_at = sock, protocol.LineBuffer(), now()
         sockets.at_once(sock)
-        self.end_by, self.gone_by = self.heard + FIRST_LINE, self.heard + GONE
-        self.told = False  # whether it has its answer, and only its own end is waited for
-        self.read_away = 0
-        self.pings, self.pings_from = 0, timedelta(0)
+        self.first_line_deadline, self.close_deadline = (
+            self.last_line_at + FIRST_LINE_TIMEOUT,
+            self.last_line_at + PENDING_LIFETIME,
+        )
+        self.is_answered = False  # whether it has its answer, and only its own end is waited for
+        self.discarded_bytes = 0
+        self.ping_count, self.ping_window_start = 0, timedelta(0)
 
 
 class ConnectionAcceptor:
@@ -81,90 +85,92 @@
     that are told of their errors, take nothing from the clients that are served.
     """
 
-    def __init__(self, listener: socket.socket, most: int, server: ClientListener) -> None:
-        self._listener, self._most, self._server = listener, most, server
-        self._newcomers: dict[int, PendingConnection] = {}
-        self._paused = self._held = self._ended = False
-        self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+    def __init__(self, listener: socket.socket, max_pending: int, owner: ClientListener) -> None:
+        self._listener, self._max_pending, self._owner = listener, max_pending, owner
+        self._pending: dict[int, PendingConnection] = {}
+        self._is_paused = self._is_yielded = self._is_stopping = False
+        self._wakeup = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._poll = select.poll()
-        self._sink = bytearray(SINK)
+        self._discard_buffer = bytearray(DISCARD_BUFFER_BYTES)
         # Kept for the moment when no descriptor is left: a full table must not leave clients unanswered.
-        self._reserve = os.open(os.devnull, os.O_RDONLY)
+        self._reserve_descriptor = os.open(os.devnull, os.O_RDONLY)
         listener.setblocking(False)
         self._poll.register(listener, select.POLLIN)
-        self._poll.register(self._wake, select.POLLIN)
+        self._poll.register(self._wakeup, select.POLLIN)
 
     @property
-    def newcomers(self) -> int:
-        return len(self._newcomers)
+    def pending_count(self) -> int:
+        return len(self._pending)
 
     @property
-    def expecting(self) -> bool:
+    def is_expecting_lines(self) -> bool:
         """Whether somebody's first line may be on its way; a front that only asks PING rests."""
-        untold = [n for n in list(self._newcomers.values()) if not n.told]
-        return any(n.buffer.rest or not n.pings for n in untold)
+        untold = [connection for connection in list(self._pending.values()) if not connection.is_answered]
+        return any(connection.buffer.rest or not connection.ping_count for connection in untold)
 
-    def hold(self, on: bool) -> None:
+    def yield_queue(self, on: bool) -> None:
         """Leave the listener's queue to another process from now on, or take from it again."""
-        self._held = on
-        os.eventfd_write(self._wake, 1)
+        self._is_yielded = on
+        os.eventfd_write(self._wakeup, 1)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Who is there is answered or told the end; nobody is taken in or heard after that."""
-        self._ended = True
-        os.eventfd_write(self._wake, 1)
+        self._is_stopping = True
+        os.eventfd_write(self._wakeup, 1)
 
     def run(self) -> None:
         """Until it is ended."""
-        stock = now()
-        while not self._ended:
-            for fd, _ in self._poll.poll(STOCK / timedelta(milliseconds=1) if self._newcomers else None):
-                newcomer = self._newcomers.get(fd)  # one that has been closed meanwhile is not there
-                if newcomer is not None:
-                    self._guarded(newcomer)
-                elif fd == self._wake:
-                    os.eventfd_read(self._wake)
-                    self._pause(self._held)
-                elif fd == self._listener.fileno() and not self._held:
-                    self._take_in()
-            if now() - stock >= STOCK:
-                stock = now()
-                for newcomer in list(self._newcomers.values()):
-                    self._look(newcomer, stock)
-                self._pause(self._held)
-        self._see_out()
-
-    def _see_out(self) -> None:
+        last_check = now()
+        while not self._is_stopping:
+            for fd, _ in self._poll.poll(
+                EXPIRY_CHECK_INTERVAL / timedelta(milliseconds=1) if self._pending else None
+            ):
+                connection = self._pending.get(fd)  # one that has been closed meanwhile is not there
+                if connection is not None:
+                    self._handle_readable(connection)
+                elif fd == self._wakeup:
+                    os.eventfd_read(self._wakeup)
+                    self._set_paused(self._is_yielded)
+                elif fd == self._listener.fileno() and not self._is_yielded:
+                    self._accept_batch()
+            if now() - last_check >= EXPIRY_CHECK_INTERVAL:
+                last_check = now()
+                for connection in list(self._pending.values()):
+                    self._check_deadlines(connection, last_check)
+                self._set_paused(self._is_yielded)
+        self._close_pending()
+
+    def _close_pending(self) -> None:
         """The end: what has come until now is answered, and nobody is cut off in the middle of a line.
 
         The sending sides are ended first, and what still comes is read to its end, within a bound: a close
         over unread bytes is a reset, and what was read after our end must not be served.
         """
-        until = now() + SEEN_OUT
-        while not self._held and now() < until and self._take_in():
+        until = now() + PENDING_CLOSE_TIMEOUT
+        while not self._is_yielded and now() < until and self._accept_batch():
             pass
-        for newcomer in list(self._newcomers.values()):
-            if not newcomer.told:
-                self._guarded(newcomer)
-            if not newcomer.told and self._newcomers.get(newcomer.sock.fileno()) is newcomer:
-                self._tell(newcomer, b"")
-        self._poll.unregister(self._wake)  # it may be readable still, and would spin the poll
+        for connection in list(self._pending.values()):
+            if not connection.is_answered:
+                self._handle_readable(connection)
+            if not connection.is_answered and self._pending.get(connection.sock.fileno()) is connection:
+                self._answer_and_shutdown(connection, b"")
+        self._poll.unregister(self._wakeup)  # it may be readable still, and would spin the poll
         with contextlib.suppress(OSError, KeyError):  # the listener was shut down
             self._poll.unregister(self._listener)
-        while self._newcomers and now() < until:
+        while self._pending and now() < until:
             for fd, _ in self._poll.poll(-(-seconds_left(until) * 1000 // 1)):
-                if (leaving := self._newcomers.get(fd)) is not None:
-                    self._guarded(leaving)
-        for newcomer in list(self._newcomers.values()):
-            self._close(newcomer)
+                if (closing := self._pending.get(fd)) is not None:
+                    self._handle_readable(closing)
+        for connection in list(self._pending.values()):
+            self._close(connection)
 
     # --- taking in
 
-    def _take_in(self) -> bool:
+    def _accept_batch(self) -> bool:
         """Take a few connections in; whether more may be there."""
-        for _ in range(BATCH):
-            if len(self._newcomers) >= self._most and not self._make_room():
-                self._pause(True)
+        for _ in range(ACCEPT_BATCH_SIZE):
+            if len(self._pending) >= self._max_pending and not self._evict_one():
+                self._set_paused(True)
                 return False
             try:
                 sock, _ = self._listener.accept()
@@ -172,170 +178,177 @@
                 return False
             except OSError as err:
                 if err.errno in (errno.EBADF, errno.EINVAL):
-                    self._ended = True  # it was shut down
+                    self._is_stopping = True  # it was shut down
                     return False
                 log(LogEvent.ACCEPT_FAILED, why=err)
                 if err.errno in (errno.EMFILE, errno.ENFILE):
-                    self._out_of_descriptors()
+                    self._handle_descriptor_exhaustion()
                 return False
-            newcomer = self._newcomers[sock.fileno()] = PendingConnection(sock)
+            connection = self._pending[sock.fileno()] = PendingConnection(sock)
             self._poll.register(sock, select.POLLIN)
-            self._guarded(newcomer)  # most lines are there already
+            self._handle_readable(connection)  # most lines are there already
         return True
 
-    def _pause(self, on: bool) -> None:
+    def _set_paused(self, on: bool) -> None:
         """Leave who comes in the listener's queue, or look there again."""
-        if on is not self._paused:
-            self._paused = on
+        if on is not self._is_paused:
+            self._is_paused = on
             with contextlib.suppress(OSError):  # it was shut down
                 self._poll.modify(self._listener, 0 if on else select.POLLIN)
 
-    def _make_room(self) -> bool:
+    def _evict_one(self) -> bool:
         """The oldest one that has its answer goes, else the longest silent one; False where all are young.
 
         Whoever sent PING or half a line once and stays is no better: where such ones fill the table, each new
         client would be the one to go, or to wait.
         """
-        oldest = min(self._newcomers.values(), key=lambda n: (not n.told, n.heard))
-        if not oldest.told:
-            if now() - oldest.heard < YOUNG:
+        oldest = min(
+            self._pending.values(),
+            key=lambda pending: (not pending.is_answered, pending.last_line_at),
+        )
+        if not oldest.is_answered:
+            if now() - oldest.last_line_at < MIN_SILENCE:
                 return False
-            self._guarded(oldest)  # its line may be there unread
-        if self._newcomers.get(oldest.sock.fileno()) is oldest:
-            if not oldest.told:
+            self._handle_readable(oldest)  # its line may be there unread
+        if self._pending.get(oldest.sock.fileno()) is oldest:
+            if not oldest.is_answered:
                 log(LogEvent.CLIENT_REJECTED, why="silent")
                 # Its line may come in this instant: then this is its answer.
-                self._tell(oldest, protocol.format_reject(self._server.come_back))
+                self._answer_and_shutdown(oldest, protocol.format_reject(self._owner.retry_after))
             self._close(oldest)
         return True
 
-    def _out_of_descriptors(self) -> None:
+    def _handle_descriptor_exhaustion(self) -> None:
         """A newcomer goes; where there is none, the reserved one takes a client in to be turned away."""
-        if self._newcomers and self._make_room():
+        if self._pending and self._evict_one():
             return
-        if self._reserve >= 0:
-            os.close(self._reserve)
-            self._reserve = -1  # its number may be another's at once: it must not be closed twice
+        if self._reserve_descriptor >= 0:
+            os.close(self._reserve_descriptor)
+            self._reserve_descriptor = -1  # its number may be another's at once: it must not be closed twice
         try:
             sock, _ = self._listener.accept()
-            newcomer = PendingConnection(sock)
+            connection = PendingConnection(sock)
             log(LogEvent.CLIENT_REJECTED, why="descriptors")
             with contextlib.suppress(OSError):
-                self._server.turned_away(sock.recv(protocol.MAX_LINE, socket.MSG_DONTWAIT))
-            self._tell(newcomer, protocol.format_reject(self._server.come_back))
+                self._owner.record_rejection(sock.recv(protocol.MAX_LINE, socket.MSG_DONTWAIT))
+            self._answer_and_shutdown(connection, protocol.format_reject(self._owner.retry_after))
             sock.close()
         except OSError:
-            _sleep(now() + SHORT)  # nobody could be taken in: the next try must not spin
+            _sleep_until(now() + ACCEPT_RETRY_DELAY)  # nobody could be taken in: the next try must not spin
         finally:
             with contextlib.suppress(OSError):
-                self._reserve = os.open(os.devnull, os.O_RDONLY)
+                self._reserve_descriptor = os.open(os.devnull, os.O_RDONLY)
 
     # --- hearing
 
-    def _guarded(self, newcomer: PendingConnection) -> None:
+    def _handle_readable(self, connection: PendingConnection) -> None:
         """Hear a newcomer; whatever it sent costs nobody else anything."""
         try:
-            self._hear(newcomer)
+            self._read(connection)
         except BlockingIOError:
             pass
         except protocol.LineError as err:
             log(LogEvent.INVALID_LINE, where="client", why=err)
-            self._server.unread()
-            self._tell(newcomer, protocol.ERR + b"\r\n")
+            self._owner.record_invalid_line()
+            self._answer_and_shutdown(connection, protocol.ERR + b"\r\n")
         except OSError:
-            self._close(newcomer)
+            self._close(connection)
         except Exception as err:
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
-            self._tell(newcomer, protocol.ERR + b"\r\n")
+            self._answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
-    def _hear(self, newcomer: PendingConnection) -> None:
-        sock = newcomer.sock
-        if newcomer.told:
+    def _read(self, connection: PendingConnection) -> None:
+        sock = connection.sock
+        if connection.is_answered:
             # TCP drops what is read with MSG_TRUNC without a copy: a flood costs the interpreter little.
-            size = sock.recv_into(self._sink, 0, socket.MSG_DONTWAIT | socket.MSG_TRUNC)
-            newcomer.read_away += size
-            if not size or newcomer.read_away > sockets.MOST_READ:
-                self._close(newcomer)
+            size = sock.recv_into(self._discard_buffer, 0, socket.MSG_DONTWAIT | socket.MSG_TRUNC)
+            connection.discarded_bytes += size
+            if not size or connection.discarded_bytes > sockets.MOST_READ:
+                self._close(connection)
             return
         data = sock.recv(2 * protocol.MAX_LINE, socket.MSG_DONTWAIT)
         arrived = now()
         if not data:
-            self._close(newcomer)  # half a line and a close is nobody's business
+            self._close(connection)  # half a line and a close is nobody's business
             return
-        lines = newcomer.buffer.feed(data)
+        lines = connection.buffer.feed(data)
         for line in lines:
             if protocol.content(line) == protocol.PING:
-                self._pong(newcomer, arrived)
-            elif len(lines) > 1 or newcomer.buffer.rest:
+                self._answer_ping(connection, arrived)
+            elif len(lines) > 1 or connection.buffer.rest:
                 raise protocol.LineError("more than one line before UP")
             else:
                 opening = protocol.parse_opening(line)
-                answer = self._server.admit(sock, opening, arrived, lambda: self._let_go(newcomer))
+                answer = self._owner.admit(sock, opening, arrived, lambda: self._release(connection))
                 if answer:
-                    self._tell(newcomer, answer)
+                    self._answer_and_shutdown(connection, answer)
 
-    def _pong(self, newcomer: PendingConnection, arrived: timedelta) -> None:
-        if arrived - newcomer.pings_from >= timedelta(seconds=1):
-            newcomer.pings, newcomer.pings_from = 0, arrived
-        newcomer.pings += 1
-        if newcomer.pings > MOST_PINGS:
+    def _answer_ping(self, connection: PendingConnection, arrived: timedelta) -> None:
+        if arrived - connection.ping_window_start >= timedelta(seconds=1):
+            connection.ping_count, connection.ping_window_start = 0, arrived
+        connection.ping_count += 1
+        if connection.ping_count > MAX_PINGS_PER_SECOND:
             raise protocol.LineError("a flood of PINGs")
-        if not self._server.ready:
-            self._tell(newcomer, protocol.BUSY + b"\r\n")  # and the end: the front keeps no connection here
+        if not self._owner.is_ready:
+            self._answer_and_shutdown(
+                connection, protocol.BUSY + b"\r\n"
+            )  # and the end: the front keeps no connection here
             return
-        newcomer.sock.send(protocol.PONG + b"\r\n", socket.MSG_DONTWAIT)
-        newcomer.heard, newcomer.end_by = arrived, arrived + PINGS
-        newcomer.gone_by = arrived + PINGS + sockets.LINGER  # a request may come in the instant of the end
+        connection.sock.send(protocol.PONG + b"\r\n", socket.MSG_DONTWAIT)
+        connection.last_line_at, connection.first_line_deadline = arrived, arrived + PING_IDLE_TIMEOUT
+        connection.close_deadline = (
+            arrived + PING_IDLE_TIMEOUT + sockets.LINGER
+        )  # a request may come in the instant of the end
 
-    def _tell(self, newcomer: PendingConnection, answer: bytes) -> None:
+    def _answer_and_shutdown(self, connection: PendingConnection, answer: bytes) -> None:
         """The final answer, and the end of our side; a close at once might overtake the answer."""
-        newcomer.told = True
-        newcomer.gone_by = min(newcomer.gone_by, now() + sockets.LINGER)
+        connection.is_answered = True
+        connection.close_deadline = min(connection.close_deadline, now() + sockets.LINGER)
         try:
             if answer:
-                newcomer.sock.send(answer, socket.MSG_DONTWAIT)
-            newcomer.sock.shutdown(socket.SHUT_WR)
+                connection.sock.send(answer, socket.MSG_DONTWAIT)
+            connection.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self._close(newcomer)
+            self._close(connection)
 
-    def _look(self, newcomer: PendingConnection, moment: timedelta) -> None:
+    def _check_deadlines(self, connection: PendingConnection, moment: timedelta) -> None:
         """Whoever is out of time goes."""
-        if moment >= newcomer.gone_by:
-            self._close(newcomer)
-        elif moment >= newcomer.end_by and not newcomer.told:
+        if moment >= connection.close_deadline:
+            self._close(connection)
+        elif moment >= connection.first_line_deadline and not connection.is_answered:
             log(LogEvent.INVALID_LINE, where="client", why="no first line")
-            self._tell(newcomer, protocol.ERR + b"\r\n")
+            self._answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
-    def _let_go(self, newcomer: PendingConnection) -> None:
-        self._poll.unregister(newcomer.sock)
-        del self._newcomers[newcomer.sock.fileno()]
+    def _release(self, connection: PendingConnection) -> None:
+        self._poll.unregister(connection.sock)
+        del self._pending[connection.sock.fileno()]
 
-    def _close(self, newcomer: PendingConnection) -> None:
-        if self._newcomers.get(newcomer.sock.fileno()) is newcomer:
-            self._let_go(newcomer)
-        newcomer.sock.close()
+    def _close(self, connection: PendingConnection) -> None:
+        if self._pending.get(connection.sock.fileno()) is connection:
+            self._release(connection)
+        connection.sock.close()
 
 
 class ClientListener:
     """The listener, and a thread for each connection that is served."""
 
-    def __init__(self, core: PolicyRunner, takeover: ListenerHandover | None = None) -> None:
+    def __init__(self, runner: PolicyRunner, handover: ListenerHandover | None = None) -> None:
         """`takeover`: the way to the process before this one, and to the next; none: there is none."""
-        self._core = core
-        self._takeover = core.listener_handover = takeover or ListenerHandover(core.config.listen, None)
+        self._runner = runner
+        self._handover = runner.listener_handover = handover or ListenerHandover(runner.config.listen, None)
         self._lock = threading.Lock()
-        self._open: set[str] = set()  # the ids of the connections that are served
-        self._closing = False  # whether who is heard now comes too late to be served
-        sockets_ = core.config.limits.sockets
-        newcomers = max(8, min(128, sockets_ // 6))
-        self._operators = OPERATORS if core.config.operator else 0
-        self._descriptors = sockets_ - SPARE - newcomers - self._operators
+        self._open_ids: set[str] = set()  # the ids of the connections that are served
+        self._is_rejecting_all = False  # whether who is heard now comes too late to be served
+        sockets_ = runner.config.limits.sockets
+        max_pending = max(8, min(128, sockets_ // 6))
+        self._admin_descriptors = ADMIN_DESCRIPTORS if runner.config.operator else 0
+        self._max_descriptors = sockets_ - RESERVED_DESCRIPTORS - max_pending - self._admin_descriptors
         # The port can be shared, for a new process that the old one does not answer.
-        self._listener = self._takeover.ask() or socket.create_server(
-            core.config.listen, backlog=1024, reuse_port=True
+        self._listener = self._handover.ask() or socket.create_server(
+            runner.config.listen, backlog=1024, reuse_port=True
         )
-        self._admission = ConnectionAcceptor(self._listener, newcomers, self)
-        self._hearing = threading.Thread(target=self._admission.run, name="admission", daemon=True)
+        self._acceptor = ConnectionAcceptor(self._listener, max_pending, self)
+        self._acceptor_thread = threading.Thread(target=self._acceptor.run, name="admission", daemon=True)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -343,103 +356,107 @@
         return host, port
 
     @property
-    def come_back(self) -> timedelta:
+    def retry_after(self) -> timedelta:
         """When who is turned away at the door may come again."""
-        settings = self._core.config.settings
-        most = settings.max_retry_after_us * MICROSECOND
-        return min(COME_BACK, most) if settings.can_send_retry_after else timedelta(0)
+        settings = self._runner.config.settings
+        longest = settings.max_retry_after_us * MICROSECOND
+        return min(REJECTION_RETRY_AFTER, longest) if settings.can_send_retry_after else timedelta(0)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """What a front that asks PING is told."""
-        return self._core.lifecycle.ready and self._core.may_decide()
+        return self._runner.lifecycle.is_ready and self._runner.may_decide()
 
     @property
-    def active(self) -> int:
+    def active_count(self) -> int:
         """Connections taken and not ended yet."""
-        return len(self._open)
+        return len(self._open_ids)
 
     def start(self) -> None:
-        self._hearing.start()
-        self._core.lifecycle.started()
-        self._takeover.serve(self._listener, self)
+        self._acceptor_thread.start()
+        self._runner.lifecycle.mark_started()
+        self._handover.serve(self._listener, self)
 
-    def unread(self) -> None:
+    def record_invalid_line(self) -> None:
         """A line that made no sense was answered."""
-        self._core.metrics.unread()
+        self._runner.metrics.record_invalid_line()
 
-    def turned_away(self, heard: bytes) -> None:
+    def record_rejection(self, heard: bytes) -> None:
         """Who said this found no descriptor."""
         try:
             cls = protocol.parse_opening(heard).cls
         except protocol.LineError:
-            self._core.metrics.unread()
+            self._runner.metrics.record_invalid_line()
         else:
-            self._core.metrics.answered(cls, Ending.SHED)
+            self._runner.metrics.record_outcome(cls, RequestOutcome.REJECTED)
 
     def admit(
         self, sock: socket.socket, opening: protocol.Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
         """Serve a connection in a thread of its own, from `take` on; else the answer that turns it away."""
         try:
-            answer = self._admit(sock, opening, arrived, take)
+            answer = self._try_admit(sock, opening, arrived, take)
         except protocol.LineError as err:
             log(LogEvent.INVALID_LINE, where="client", why=err)
             answer = protocol.ERR + b"\r\n"
         if answer:
-            self._core.metrics.answered(opening.cls, Ending.of(answer))
+            self._runner.metrics.record_outcome(opening.cls, RequestOutcome.of_answer(answer))
         return answer
 
-    def _admit(
+    def _try_admit(
         self, sock: socket.socket, opening: protocol.Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
-        if opening.cls not in self._core.class_numbers:
+        if opening.cls not in self._runner.class_numbers:
             raise protocol.LineError(f"c: unknown class {opening.cls[:40]}")
-        if self._core.config.tenants and opening.told.get(TENANT) not in self._core.config.tenants:
+        if self._runner.config.tenants and opening.told.get(TENANT) not in self._runner.config.tenants:
             raise protocol.LineError(f"t: unknown tenant {opening.told.get(TENANT, '')[:40]}")
-        if self._closing or not self._core.may_decide(opening.ident):
-            return protocol.format_reject(self.come_back)
-        resuming = self._core.session_service
+        if self._is_rejecting_all or not self._runner.may_decide(opening.ident):
+            return protocol.format_reject(self.retry_after)
+        resuming = self._runner.session_service
         if resuming is not None and TICKET in opening.told:
             return resuming.resume(sock, opening, arrived, take)
-        if not self._core.lifecycle.takes:
-            return protocol.format_reject(self.come_back)
-        standing = len(self._core.request_ids(True))
+        if not self._runner.lifecycle.accepts_requests:
+            return protocol.format_reject(self.retry_after)
+        established = len(self._runner.request_ids(True))
         # A resumable session keeps its mailbox's descriptor while it stands.
-        standing -= len(resuming.token_registry) if resuming is not None else 0
+        established -= len(resuming.token_registry) if resuming is not None else 0
         with self._lock:
-            if opening.ident in self._open:
+            if opening.ident in self._open_ids:
                 raise protocol.LineError("id: open already")
             # Two descriptors each, and a mailbox for those that do not stand yet.
-            full = 3 * (len(self._open) + 1) - standing > self._descriptors - self._takeover.elsewhere
+            full = (
+                3 * (len(self._open_ids) + 1) - established > self._max_descriptors - self._handover.elsewhere
+            )
             if not full:
-                self._open.add(opening.ident)
+                self._open_ids.add(opening.ident)
         if full:
             log(LogEvent.CLIENT_REJECTED, why="limit")
-            return protocol.format_reject(self.come_back)
+            return protocol.format_reject(self.retry_after)
         go = threading.Lock()  # the thread must not touch the socket before the admission has let it go
         with go:
             try:
-                threading.Thread(target=self._begin, args=(go, sock, opening, arrived), daemon=True).start()
+                threading.Thread(
+                    target=self._run_when_released, args=(go, sock, opening, arrived), daemon=True
+                ).start()
             except RuntimeError as err:  # no thread to be had: the admission answers
-                self._done(opening)
+                self._release_id(opening)
                 log(LogEvent.CLIENT_REJECTED, why=err)
-                return protocol.format_reject(self.come_back)
+                return protocol.format_reject(self.retry_after)
             take()
         return b""
 
-    def _begin(
+    def _run_when_released(
         self, go: threading.Lock, sock: socket.socket, opening: protocol.Opening, arrived: timedelta
     ) -> None:
         with go:
             pass
-        self._serve(sock, opening, arrived)
+        self._serve_connection(sock, opening, arrived)
 
-    def _done(self, opening: protocol.Opening) -> None:
+    def _release_id(self, opening: protocol.Opening) -> None:
         with self._lock:
-            self._open.discard(opening.ident)
+            self._open_ids.discard(opening.ident)
 
-    def _serve(
+    def _serve_connection(
         self,
         sock: socket.socket,
         opening: protocol.Opening,
@@ -447,31 +464,31 @@
         handed: tuple[ConnectionState, socket.socket] | None = None,
     ) -> None:
         """One connection's thread; `handed`: what the process before gave with it."""
-        transaction = RequestHandler(self._core, sock, opening, arrived, handed)
+        handler = RequestHandler(self._runner, sock, opening, arrived, handed)
         try:
             sockets.prepare(sock)
-            transaction.run()
+            handler.run()
         except OSError as err:
             log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
-            if not transaction.answered:
-                self._core.metrics.answered(opening.cls, Ending.LEFT)
+            if not handler.is_answered:
+                self._runner.metrics.record_outcome(opening.cls, RequestOutcome.CLIENT_LEFT)
         except Exception as err:  # one connection's mistake must not cost the others anything
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
-            if not transaction.answered:
-                self._core.metrics.answered(opening.cls, Ending.ERRORS)
+            if not handler.is_answered:
+                self._runner.metrics.record_outcome(opening.cls, RequestOutcome.FAILED)
             with contextlib.suppress(OSError):
                 sock.sendall(protocol.ERR + b"\r\n")
         finally:
             sock.close()
-            self._done(opening)
+            self._release_id(opening)
 
     def stop_listening(self) -> None:
         """End the admission, and wait until it has answered who is there; then close the listener."""
-        self._takeover.end()
-        self._admission.end()
-        if self._hearing.ident is not None:
-            self._hearing.join((CLOSING + SEEN_OUT).total_seconds())
-        if not self._takeover.given:
+        self._handover.end()
+        self._acceptor.stop()
+        if self._acceptor_thread.ident is not None:
+            self._acceptor_thread.join((CLOSE_TIMEOUT + PENDING_CLOSE_TIMEOUT).total_seconds())
+        if not self._handover.given:
             with contextlib.suppress(OSError):
                 self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -480,14 +497,14 @@
 
     def share(self) -> tuple[int, int]:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
-        used = 3 * len(self._open) - len(self._core.request_ids(True))
-        kept = SPARE + self._operators + self._admission.newcomers + used
-        free = max(0, self._descriptors - used)
+        used = 3 * len(self._open_ids) - len(self._runner.request_ids(True))
+        kept = RESERVED_DESCRIPTORS + self._admin_descriptors + self._acceptor.pending_count + used
+        free = max(0, self._max_descriptors - used)
         return kept + free // 2, free - free // 2
 
     def members(self) -> EndpointList:
         """The list as it is known."""
-        return self._core.endpoint_list()
+        return self._runner.endpoint_list()
 
     def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
         """Go on with a connection of the process before, in a thread of its own."""
@@ -495,9 +512,9 @@
             opening = protocol.parse_opening(handed.opening.encode() + b"\r\n")
             sockets.prepare(member)
             with self._lock:
-                self._open.add(opening.ident)
+                self._open_ids.add(opening.ident)
             args = (client, opening, now(), (handed, member))
-            threading.Thread(target=self._serve, args=args, daemon=True).start()
+            threading.Thread(target=self._serve_connection, args=args, daemon=True).start()
         except (protocol.LineError, RuntimeError) as err:  # no thread to be had
             log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
             member.close()
@@ -507,71 +524,85 @@
 
     def alone(self, alone: bool) -> None:
         """Another process takes the clients, or it is gone again; it matters only to a process that ends."""
-        if self._core.lifecycle.phase is NodeState.DRAINING:
-            self._admission.hold(not alone)
+        if self._runner.lifecycle.state is NodeState.DRAINING:
+            self._acceptor.yield_queue(not alone)
 
     def drain(self) -> None:
         """After SIGTERM: serve what still arrives, then move what stands, reject the rest in time."""
-        core = self._core
-        core.lifecycle.drain()
-        self._admission.hold(self._takeover.succeeded)
-        self._takeover.leave()
-        longest = min(core.config.longest_deadline, timedelta(seconds=3))
-        end = core.lifecycle.since + longest + KILL_MARGIN - EXIT_MARGIN
-        told = self._spread(core.lifecycle.since, end, until_empty=True)
-        self._closing = True
-        self._admission.end()
-        self._turn_out(told, end + CLOSING)
+        runner = self._runner
+        runner.lifecycle.begin_drain()
+        self._acceptor.yield_queue(self._handover.succeeded)
+        self._handover.leave()
+        longest = min(runner.config.longest_deadline, timedelta(seconds=3))
+        end = runner.lifecycle.state_since + longest + KILL_MARGIN - EXIT_MARGIN
+        notified = self._migrate_gradually(runner.lifecycle.state_since, end, until_empty=True)
+        self._is_rejecting_all = True
+        self._acceptor.stop()
+        self._evict_remaining(notified, end + CLOSE_TIMEOUT)
         self.stop_listening()
-        log(LogEvent.DRAINED, standing=len(core.request_ids(True)), in_hand=len(core.request_ids(False)))
+        log(LogEvent.DRAINED, standing=len(runner.request_ids(True)), in_hand=len(runner.request_ids(False)))
 
-    def watch_standby(self) -> None:
+    def run_standby_drains(self) -> None:
         """For a thread of its own: the same drain whenever the node goes to standby, without its end."""
-        core = self._core
+        runner = self._runner
         while True:
-            since = core.lifecycle.await_phase(NodeState.STANDBY)
-            moved = self._spread(since, since + STANDBY)
-            if not core.lifecycle.left(since, now()):
-                self._turn_out(moved, now())
+            since = runner.lifecycle.wait_for_state(NodeState.STANDBY)
+            moved = self._migrate_gradually(since, since + STANDBY_DRAIN_DURATION)
+            if not runner.lifecycle.wait_for_change(since, now()):
+                self._evict_remaining(moved, now())
                 log(
                     LogEvent.STANDBY_ENTERED,
-                    standing=len(core.request_ids(True)),
-                    in_hand=len(core.request_ids(False)),
+                    standing=len(runner.request_ids(True)),
+                    in_hand=len(runner.request_ids(False)),
                 )
-            core.lifecycle.left(since)
+            runner.lifecycle.wait_for_change(since)
 
-    def _spread(self, since: timedelta, end: timedelta, until_empty: bool = False) -> set[int]:
+    def _migrate_gradually(self, since: timedelta, end: timedelta, until_empty: bool = False) -> set[int]:
         """Move what stands, spread over the time until the end; whom it told. It ends early with the phase.
 
         All clients coming at once to the other nodes would fail together.
         """
-        core, moved = self._core, set[int]()
-        while not core.lifecycle.left(since, max(since + ARRIVALS, now() + PACE)) and now() < end:
-            standing = [n for n in core.request_ids(True) if n not in moved]
-            if until_empty and not self._open and not self._admission.expecting:
+        runner, moved = self._runner, set[int]()
+        while (
+            not runner.lifecycle.wait_for_change(
+                since, max(since + LATE_ARRIVAL_WINDOW, now() + DRAIN_STEP_INTERVAL)
+            )
+            and now() < end
+        ):
+            established = [connection for connection in runner.request_ids(True) if connection not in moved]
+            if until_empty and not self._open_ids and not self._acceptor.is_expecting_lines:
                 break
-            turns = max(1, (end - SETTLED - now()) // PACE)
-            some = standing[: -(-len(standing) // turns)]
+            turns = max(1, (end - LAST_MIGRATION_MARGIN - now()) // DRAIN_STEP_INTERVAL)
+            some = established[: -(-len(established) // turns)]
             moved.update(some)
-            core.dispatch([Migrate(n) for n in some])
+            runner.dispatch([Migrate(connection) for connection in some])
         return moved
 
-    def _turn_out(self, told: set[int], until: timedelta) -> None:
+    def _evict_remaining(self, notified: set[int], until: timedelta) -> None:
         """What is in hand is turned away, what stands is moved, until all have left or a moment has come.
 
         Each is told once: a refusal that finds its connection standing by then is a move. One that was
         admitted a moment ago may still be about to register, so it is looked for again and again.
         """
-        core = self._core
+        runner = self._runner
         while True:
-            waiting = [n for n in core.request_ids(False) if n not in told]
-            standing = [n for n in core.request_ids(True) if n not in told and n not in waiting]
-            told.update(waiting, standing)
-            core.dispatch([*(Reject(n) for n in waiting), *(Migrate(n) for n in standing)])
-            if not self._open or now() >= until:
+            waiting = [connection for connection in runner.request_ids(False) if connection not in notified]
+            established = [
+                connection
+                for connection in runner.request_ids(True)
+                if connection not in notified and connection not in waiting
+            ]
+            notified.update(waiting, established)
+            runner.dispatch(
+                [
+                    *(Reject(connection) for connection in waiting),
+                    *(Migrate(connection) for connection in established),
+                ]
+            )
+            if not self._open_ids or now() >= until:
                 return
-            _sleep(now() + PACE)
+            _sleep_until(now() + DRAIN_STEP_INTERVAL)
 
 
-def _sleep(until: timedelta) -> None:
+def _sleep_until(until: timedelta) -> None:
     threading.Event().wait(seconds_left(until))
--- a/tansyladder/node/event_counters.py
+++ b/tansyladder/node/event_counters.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from tansyladder.node.metrics import Ending, Metrics
+from tansyladder.node.metrics import Metrics, RequestOutcome
 from tansyladder.policy.actions import Action, CheckHealth, Fail, Migrate, Reject, StartAttempt
 from tansyladder.policy.events import (
     AttemptEnded,
@@ -25,8 +25,12 @@
 )
 from tansyladder.policy.settings import ClassSettings
 
-SECOND = 1_000_000  # microseconds
-ENDINGS = {Ending.OK: "up", Ending.SHED: "refused", Ending.ERRORS: "failed"}  # as a line names them
+MICROSECONDS_PER_SECOND = 1_000_000  # microseconds
+OUTCOME_FIELDS = {
+    RequestOutcome.OK: "up",
+    RequestOutcome.REJECTED: "refused",
+    RequestOutcome.FAILED: "failed",
+}  # as a line names them
 
 
 class EventCounters:
@@ -35,61 +39,65 @@
     def __init__(
         self, classes: Sequence[ClassSettings], name_of: Callable[[int], str], metrics: Metrics
     ) -> None:
-        self.classes, self._name_of, self._metrics = classes, name_of, metrics
-        self._told = metrics.sums()  # what earlier lines have told of them
+        self.class_settings, self._endpoint_name, self._metrics = classes, name_of, metrics
+        self._reported_totals = metrics.total_counts()  # what earlier lines have told of them
         self._second = 0
         self._counts: Counter[str] = Counter()
-        self._standing: Counter[int] = Counter()  # connections, by member
-        self._sent: Counter[int] = Counter()  # attempts of this second, by member
-        self._failed: Counter[int] = Counter()  # those that ended without standing
-        self._wanted: dict[int, int] = {}  # by when each request in hand should stand
-        self._stands: dict[int, int] = {}  # the member of each connection that stands
+        self._connections: Counter[int] = Counter()  # connections, by member
+        self._attempts: Counter[int] = Counter()  # attempts of this second, by member
+        self._failures: Counter[int] = Counter()  # those that ended without standing
+        self._objective_deadlines: dict[int, int] = {}  # by when each request in hand should stand
+        self._endpoint_of_request: dict[int, int] = {}  # the member of each connection that stands
 
-    def turn(self, now: int) -> dict[str, object]:
+    def finish_second(self, now: int) -> dict[str, object]:
         """The fields of the line on a second that is over; empty where there is none to write."""
-        second, self._second = self._second, now // SECOND
+        second, self._second = self._second, now // MICROSECONDS_PER_SECOND
         if second == self._second:
             return {}
-        sums = self._metrics.sums()
-        for ending, name in ENDINGS.items():
-            self._counts[name] += sums[ending.value] - self._told[ending.value]
-        self._told = sums
+        totals = self._metrics.total_counts()
+        for outcome, name in OUTCOME_FIELDS.items():
+            self._counts[name] += totals[outcome.value] - self._reported_totals[outcome.value]
+        self._reported_totals = totals
         if not any(self._counts.values()):
             return {}
         fields: dict[str, object] = {"at": second, **{k: v for k, v in sorted(self._counts.items()) if v}}
-        members = sorted(n for n in {*+self._standing, *self._sent, *self._failed})
+        endpoint_ids = sorted({*+self._connections, *self._attempts, *self._failures})
         fields["members"] = ",".join(
-            f"{self._name_of(n)}:{self._standing[n]}/{self._sent[n]}/{self._failed[n]}" for n in members
+            f"{self._endpoint_name(endpoint_id)}:"
+            f"{self._connections[endpoint_id]}/{self._attempts[endpoint_id]}/{self._failures[endpoint_id]}"
+            for endpoint_id in endpoint_ids
         )
-        for counted in (self._counts, self._sent, self._failed):
+        for counted in (self._counts, self._attempts, self._failures):
             counted.clear()
         return fields
 
-    def event(self, event: Event, now: int) -> None:
+    def count_event(self, event: Event, now: int) -> None:
         """The module is told this."""
         match event:
-            case RequestReceived(id, cls, _, deadline):
+            case RequestReceived(request_id, class_number, _, deadline):
                 self._counts["back" if event.is_reconnect else "new"] += 1
-                self._wanted[id] = (
-                    deadline - self.classes[cls].deadline_us + self.classes[cls].latency_objective_us
+                self._objective_deadlines[request_id] = (
+                    deadline
+                    - self.class_settings[class_number].deadline_us
+                    + self.class_settings[class_number].latency_objective_us
                 )
-            case ConnectionAdopted(id, _, _, server):
+            case ConnectionAdopted(request_id, _, _, endpoint_id):
                 self._counts["taken_up"] += 1
-                self._stand(id, server)
-            case AttemptEstablished(id, attempt, server):
+                self._add_connection(request_id, endpoint_id)
+            case AttemptEstablished(request_id, attempt, endpoint_id):
                 self._counts["retries"] += attempt > 0
-                self._counts["late"] += now > self._wanted.pop(id, now)
-                self._stand(id, server)
-            case AttemptEnded(id, attempt, server, status):
-                if self._stands.pop(id, None) is not None:
-                    self._standing[server] -= 1
+                self._counts["late"] += now > self._objective_deadlines.pop(request_id, now)
+                self._add_connection(request_id, endpoint_id)
+            case AttemptEnded(request_id, attempt, endpoint_id, status):
+                if self._endpoint_of_request.pop(request_id, None) is not None:
+                    self._connections[endpoint_id] -= 1
                     self._counts["ended_" + status.name.lower()] += 1
                 else:
-                    self._failed[server] += 1
+                    self._failures[endpoint_id] += 1
                     self._counts[status.name.lower()] += 1
                     self._counts["retries"] += attempt > 0
-            case ClientDisconnected(id):
-                self._wanted.pop(id, None)
+            case ClientDisconnected(request_id):
+                self._objective_deadlines.pop(request_id, None)
             case ConnectionReport(_, ReportKind.REPORTED_DELAY):
                 self._counts["notes"] += 1
             case HealthCheckResult(_, status) if status is not AttemptStatus.OK:
@@ -97,14 +105,14 @@
             case _:
                 pass
 
-    def action(self, action: Action) -> None:
+    def count_action(self, action: Action) -> None:
         """The module says this."""
         match action:
-            case StartAttempt(_, server):
+            case StartAttempt(_, endpoint_id):
                 self._counts["sends"] += 1
-                self._sent[server] += 1
-            case Reject(id) | Fail(id):
-                self._wanted.pop(id, None)
+                self._attempts[endpoint_id] += 1
+            case Reject(request_id) | Fail(request_id):
+                self._objective_deadlines.pop(request_id, None)
             case CheckHealth():
                 self._counts["probes"] += 1
             case Migrate():
@@ -112,10 +120,10 @@
             case _:
                 pass
 
-    def call(self, failed: bool) -> None:
+    def count_discovery_call(self, failed: bool) -> None:
         """A call to discovery is over."""
         self._counts["calls_failed" if failed else "calls"] += 1
 
-    def _stand(self, id: int, server: int) -> None:
-        self._stands[id] = server
-        self._standing[server] += 1
+    def _add_connection(self, request_id: int, endpoint_id: int) -> None:
+        self._endpoint_of_request[request_id] = endpoint_id
+        self._connections[endpoint_id] += 1
--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -43,8 +43,8 @@
 class DecisionPermit(Protocol):
     """What the fleet has agreed on, and whether this node may act on what it knows of that."""
 
-    def may_decide(self, ident: str = "") -> bool:
-        """Whether anything may be decided now; `ident`: of the first line that it is asked for."""
+    def may_decide(self, connection_id: str = "") -> bool:
+        """Whether anything may be decided now; `connection_id`: of the first line that it is asked for."""
 
     def describe(self) -> str:
         """What holds here, as JSON."""
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -10,7 +10,7 @@
 from tansyladder.net.clock import now, seconds_left
 
 # After the first no to PING the front's new connections come for 0.2 s, and it asks each 0.1 s.
-LATECOMERS = timedelta(seconds=1)
+LATE_REQUEST_WINDOW = timedelta(seconds=1)
 
 
 class NodeState(Enum):
@@ -27,66 +27,66 @@
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
-        self._phase, self._since = NodeState.STARTING, now()
+        self._state, self._state_since = NodeState.STARTING, now()
 
     @property
-    def phase(self) -> NodeState:
-        return self._phase
+    def state(self) -> NodeState:
+        return self._state
 
     @property
-    def since(self) -> timedelta:
+    def state_since(self) -> timedelta:
         """When it came to be so."""
-        return self._since
+        return self._state_since
 
     @property
-    def leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether who has to leave a member leaves this node."""
-        return self._phase in (NodeState.STANDBY, NodeState.DRAINING)
+        return self._state in (NodeState.STANDBY, NodeState.DRAINING)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """The answer to PING. SIGTERM leaves it at yes: the platform stops sending by itself."""
-        return self._phase is not NodeState.STANDBY
+        return self._state is not NodeState.STANDBY
 
     @property
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether a first line is served: in standby only that of who was on the way."""
-        return self._phase is not NodeState.STANDBY or now() - self._since < LATECOMERS
+        return self._state is not NodeState.STANDBY or now() - self._state_since < LATE_REQUEST_WINDOW
 
-    def started(self) -> None:
+    def mark_started(self) -> None:
         """The node takes clients, unless standby was asked for meanwhile."""
-        self._become(NodeState.SERVING, NodeState.STARTING)
+        self._transition(NodeState.SERVING, NodeState.STARTING)
 
-    def stand_by(self) -> bool:
+    def enter_standby(self) -> bool:
         """Send clients away; False where the node ends anyway. Twice is no error, and begins nothing anew."""
-        self._become(NodeState.STANDBY, NodeState.STARTING, NodeState.SERVING)
-        return self._phase is NodeState.STANDBY
+        self._transition(NodeState.STANDBY, NodeState.STARTING, NodeState.SERVING)
+        return self._state is NodeState.STANDBY
 
     def activate(self) -> bool:
         """Back to work, also from the middle of a drain; False where the node ends."""
-        self._become(NodeState.SERVING, NodeState.STANDBY)
-        return self._phase in (NodeState.SERVING, NodeState.STARTING)
+        self._transition(NodeState.SERVING, NodeState.STANDBY)
+        return self._state in (NodeState.SERVING, NodeState.STARTING)
 
-    def drain(self) -> None:
+    def begin_drain(self) -> None:
         """SIGTERM, in any state."""
-        self._become(NodeState.DRAINING, *NodeState)
+        self._transition(NodeState.DRAINING, *NodeState)
 
-    def left(self, since: timedelta, until: timedelta | None = None) -> bool:
+    def wait_for_change(self, since: timedelta, until: timedelta | None = None) -> bool:
         """Wait until a moment; True as soon as what began then is over."""
         with self._changed:
             left = None if until is None else seconds_left(until)
-            return self._changed.wait_for(lambda: self._since != since, left)
+            return self._changed.wait_for(lambda: self._state_since != since, left)
 
-    def await_phase(self, phase: NodeState) -> timedelta:
+    def wait_for_state(self, state: NodeState) -> timedelta:
         """Wait for as long as it takes; when it began."""
         with self._changed:
-            self._changed.wait_for(lambda: self._phase is phase)
-            return self._since
+            self._changed.wait_for(lambda: self._state is state)
+            return self._state_since
 
-    def _become(self, phase: NodeState, *before: NodeState) -> None:
+    def _transition(self, state: NodeState, *before: NodeState) -> None:
         with self._changed:
-            if self._phase not in before:
+            if self._state not in before:
                 return
-            was, self._phase, self._since = self._phase, phase, now()
+            previous, self._state, self._state_since = self._state, state, now()
             self._changed.notify_all()
-        log(LogEvent.STATE_CHANGED, now=phase.value, was=was.value)
+        log(LogEvent.STATE_CHANGED, now=state.value, was=previous.value)
--- a/tansyladder/node/metrics.py
+++ b/tansyladder/node/metrics.py
@@ -14,18 +14,18 @@
 from tansyladder.net.protocol import BUSY, word_of
 
 
-class Ending(Enum):
+class RequestOutcome(Enum):
     """What a request came to, for its client."""
 
     OK = "ok"  # brought up
-    SHED = "shed"  # refused: trying again is harmless
-    ERRORS = "errors"  # failed
-    LEFT = "left"  # the client went before it had an answer
+    REJECTED = "shed"  # refused: trying again is harmless
+    FAILED = "errors"  # failed
+    CLIENT_LEFT = "left"  # the client went before it had an answer
 
     @classmethod
-    def of(cls, answer: bytes) -> Ending:
+    def of_answer(cls, answer: bytes) -> RequestOutcome:
         """What a client makes of a line of the node's own."""
-        return cls.SHED if word_of(answer) == BUSY else cls.ERRORS
+        return cls.REJECTED if word_of(answer) == BUSY else cls.FAILED
 
 
 class Metrics:
@@ -34,62 +34,62 @@
     def __init__(self, classes: Iterable[str]) -> None:
         self._lock = threading.Lock()
         self._classes: dict[str, Counter[str]] = {}
-        self._files: Counter[str] = Counter()
-        self._unread = 0  # first lines that were answered ERR and named no class
-        self.know(classes)
+        self._reloads: Counter[str] = Counter()
+        self._invalid_line_count = 0  # first lines that were answered ERR and named no class
+        self.add_classes(classes)
 
-    def know(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """From now on these classes have metrics too."""
         with self._lock:
             for name in classes:
-                self._begin(name)
+                self._class_counter(name)
 
-    def answered(self, cls: str, ending: Ending) -> None:
+    def record_outcome(self, class_name: str, outcome: RequestOutcome) -> None:
         """A request has its final answer, or nobody to give it to."""
-        self._add(cls, ending.value)
+        self._increment(class_name, outcome.value)
 
-    def tried(self, cls: str) -> None:
+    def record_attempt(self, class_name: str) -> None:
         """An attempt's last byte was written to a member."""
-        self._add(cls, TRIES)
+        self._increment(class_name, ATTEMPTS_KEY)
 
-    def unread(self) -> None:
+    def record_invalid_line(self) -> None:
         """A first line that made no sense was answered."""
         with self._lock:
-            self._unread += 1
+            self._invalid_line_count += 1
 
-    def file(self, applied: bool) -> None:
+    def record_reload(self, applied: bool) -> None:
         """A configuration was taken, or turned down, at SIGHUP."""
         with self._lock:
-            self._files["config_applied" if applied else "config_rejected"] += 1
+            self._reloads["config_applied" if applied else "config_rejected"] += 1
 
     def totals(self) -> dict[str, object]:
         """All of them, by their names."""
         with self._lock:
-            classes = {name: dict(counted) for name, counted in self._classes.items()}
+            classes = {name: dict(counter) for name, counter in self._classes.items()}
             return {
                 "responses": classes,
-                TRIES: sum(counted[TRIES] for counted in self._classes.values()),
-                "unread": self._unread,
-                "config_applied": self._files["config_applied"],
-                "config_rejected": self._files["config_rejected"],
+                ATTEMPTS_KEY: sum(counter[ATTEMPTS_KEY] for counter in self._classes.values()),
+                "unread": self._invalid_line_count,
+                "config_applied": self._reloads["config_applied"],
+                "config_rejected": self._reloads["config_rejected"],
             }
 
-    def sums(self) -> Counter[str]:
+    def total_counts(self) -> Counter[str]:
         """Over all classes."""
         with self._lock:
             return sum(self._classes.values(), Counter[str]())
 
-    def _add(self, cls: str, key: str) -> None:
+    def _increment(self, class_name: str, key: str) -> None:
         with self._lock:
-            if cls not in self._classes and len(self._classes) >= MOST_CLASSES:
-                self._unread += 1  # who invents names fills no memory
+            if class_name not in self._classes and len(self._classes) >= MAX_CLASSES:
+                self._invalid_line_count += 1  # who invents names fills no memory
                 return
-            self._begin(cls)[key] += 1
+            self._class_counter(class_name)[key] += 1
 
-    def _begin(self, cls: str) -> Counter[str]:
-        return self._classes.setdefault(cls, Counter(dict.fromkeys((*ENDINGS, TRIES), 0)))
+    def _class_counter(self, class_name: str) -> Counter[str]:
+        return self._classes.setdefault(class_name, Counter(dict.fromkeys((*OUTCOME_KEYS, ATTEMPTS_KEY), 0)))
 
 
-MOST_CLASSES = 64  # with those that first lines named and no settings knew
-ENDINGS = tuple(ending.value for ending in Ending)
-TRIES = "tries"
+MAX_CLASSES = 64  # with those that first lines named and no settings knew
+OUTCOME_KEYS = tuple(outcome.value for outcome in RequestOutcome)
+ATTEMPTS_KEY = "tries"
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -56,13 +56,17 @@
 )
 from tansyladder.policy.settings import ClassSettings
 
-PHASES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
-_T = TypeVar("_T")
-MOST_MS = 10**14  # no member started after the year 5000: its clock is out of range
-BACKLOG = 256  # probes and watch calls that may wait for their threads; more than a fleet has members
+ENDPOINT_STATES = {
+    "up": EndpointState.READY,
+    "draining": EndpointState.DRAINING,
+    "removed": EndpointState.GONE,
+}
+ItemT = TypeVar("ItemT")
+MAX_STARTED_AT_MS = 10**14  # no member started after the year 5000: its clock is out of range
+QUEUE_CAPACITY = 256  # probes and watch calls that may wait for their threads; more than a fleet has members
 
 
-def _terms_of(config: Config) -> list[tuple[str, ClassSettings]]:
+def _named_classes(config: Config) -> list[tuple[str, ClassSettings]]:
     """The classes of a configuration, by name and terms."""
     return list(zip(config.class_names, config.settings.classes, strict=True))
 
@@ -93,12 +97,12 @@
         self._zone_numbers = {name: i for i, name in enumerate(config.zones)}
         self._kind_numbers = {name: i for i, name in enumerate(config.kinds)}
         self._request_ids = itertools.count(1)
-        self.health_checks: queue.Queue[Endpoint] = queue.Queue(BACKLOG)
-        self.discovery_polls: queue.Queue[bool] = queue.Queue(BACKLOG)
+        self.health_checks: queue.Queue[Endpoint] = queue.Queue(QUEUE_CAPACITY)
+        self.discovery_polls: queue.Queue[bool] = queue.Queue(QUEUE_CAPACITY)
         self.revision = config.known_endpoints.revision
         self.delay_meter = self._build_delay_meter(config)
         self.class_numbers = {name: i for i, name in enumerate(config.class_names)}  # that are in force
-        self._class_versions = {key: i for i, key in enumerate(_terms_of(config))}  # and those that were
+        self._class_versions = {key: i for i, key in enumerate(_named_classes(config))}  # and those that were
         self._event_counters = EventCounters(
             config.settings.classes, lambda number: self._endpoints[number].id, self.metrics
         )
@@ -109,18 +113,18 @@
 
     @staticmethod
     def _build_delay_meter(config: Config) -> DelayMeter | None:
-        aims = [
+        objectives = [
             c.message_latency_objective_us for c in config.settings.classes if c.message_latency_objective_us
         ]
-        return DelayMeter(min(aims) * MICROSECOND / 3) if config.reports_delay and aims else None
+        return DelayMeter(min(objectives) * MICROSECOND / 3) if config.reports_delay and objectives else None
 
-    def may_decide(self, ident: str = "") -> bool:
+    def may_decide(self, connection_id: str = "") -> bool:
         """Whether this node may decide now: where documents are agreed on, only under those that hold."""
         if not self.options.documents.enabled:
             return True
-        return self.decision_permit is not None and self.decision_permit.may_decide(ident)
+        return self.decision_permit is not None and self.decision_permit.may_decide(connection_id)
 
-    def reconfigure(self, told: Config) -> None:
+    def reconfigure(self, config: Config) -> None:
         """New settings, in one step. A class whose terms changed gets a number of its own in the module.
 
         What is under way goes on under the number, and so the terms, that it began with.
@@ -128,35 +132,35 @@
         with self._lock:
             numbers = {
                 key[0]: self._class_versions.setdefault(key, len(self._class_versions))
-                for key in _terms_of(told)
+                for key in _named_classes(config)
             }
             retired = frozenset(self._class_versions.values()) - set(numbers.values())
             classes = tuple(terms for _, terms in self._class_versions)  # in the order of their numbers
-            settings = replace(told.settings, classes=classes, retired_classes=retired)
-            self.config, self.class_numbers = replace(told, settings=settings), numbers
-            self._event_counters.classes = classes
-            self.delay_meter = self._build_delay_meter(told)
-            woken = self._decide([settings])
-        self.metrics.know(numbers)
-        self._wake_and_log(woken)
+            settings = replace(config.settings, classes=classes, retired_classes=retired)
+            self.config, self.class_numbers = replace(config, settings=settings), numbers
+            self._event_counters.class_settings = classes
+            self.delay_meter = self._build_delay_meter(config)
+            woken_queues = self._decide([settings])
+        self.metrics.add_classes(numbers)
+        self._wake_and_log(woken_queues)
 
     def start(self) -> None:
         """Hand the module its last known list and start the timers."""
-        known = self.config.known_endpoints
-        kept = self.endpoint_cache.cached_endpoints() if self.endpoint_cache else None
-        if kept is not None and kept.endpoints.revision > known.revision:
-            age = timedelta(microseconds=self.clock.micros(now()) - kept.saved_at_us)
+        endpoint_list = self.config.known_endpoints
+        cached = self.endpoint_cache.cached_endpoints() if self.endpoint_cache else None
+        if cached is not None and cached.endpoints.revision > endpoint_list.revision:
+            age = timedelta(microseconds=self.clock.micros(now()) - cached.saved_at_us)
             log(
                 LogEvent.CACHED_ENDPOINTS_USED,
-                revision=kept.endpoints.revision,
-                entries=len(kept.endpoints.endpoints),
+                revision=cached.endpoints.revision,
+                entries=len(cached.endpoints.endpoints),
                 age=age,
             )
-            known = kept.endpoints
-        before = self.listener_handover.members
-        if before is not None and before.revision >= known.revision:
-            known = before
-        self.update_endpoints(known, ListUpdateKind.CACHED)
+            endpoint_list = cached.endpoints
+        handed_over = self.listener_handover.members
+        if handed_over is not None and handed_over.revision >= endpoint_list.revision:
+            endpoint_list = handed_over
+        self.update_endpoints(endpoint_list, ListUpdateKind.CACHED)
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
     # --- the module's events and actions
@@ -164,58 +168,66 @@
     def handle_events(self, *events: Event) -> None:
         """Let the module hear events of this moment, in order, and hand out what it says."""
         with self._lock:
-            woken = self._decide(events)
-        self._wake_and_log(woken)
+            woken_queues = self._decide(events)
+        self._wake_and_log(woken_queues)
 
-    def _wake_and_log(self, woken: list[ActionQueue]) -> None:
+    def _wake_and_log(self, woken_queues: list[ActionQueue]) -> None:
         """What is left to do once the lock is released."""
-        for box in woken:
-            box.wake()
+        for action_queue in woken_queues:
+            action_queue.wake()
         while self._pending_count_lines:
             with contextlib.suppress(IndexError):  # another thread was quicker
                 log(LogEvent.COUNTS, **self._pending_count_lines.popleft())
 
     def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
         """Under the lock: one call of the module; returns whose holders to wake once it is released."""
-        woken, moment = [], self.clock.micros(now())
-        if fields := self._event_counters.turn(moment):
+        woken_queues, now_us = [], self.clock.micros(now())
+        if fields := self._event_counters.finish_second(now_us):
             self._pending_count_lines.append(fields)
         for event in events:
-            self._event_counters.event(event, moment)
-        for action in self._balancer.handle(moment, events):
-            self._event_counters.action(action)
+            self._event_counters.count_event(event, now_us)
+        for action in self._balancer.handle(now_us, events):
+            self._event_counters.count_action(action)
             match action:
                 case SetTimer(at, token):
                     heapq.heappush(self._timers, (self.clock.moment(at), token))
                     if self._timers[0][1] == token:
                         self._timers_changed.notify()
-                case StartAttempt(id) | Reject(id) | Fail(id) | CancelAttempt(id) | Migrate(id):
-                    box = self._action_queues.get(id)
+                case (
+                    StartAttempt(request_id)
+                    | Reject(request_id)
+                    | Fail(request_id)
+                    | CancelAttempt(request_id)
+                    | Migrate(request_id)
+                ):
+                    action_queue = self._action_queues.get(request_id)
                     # Neither a withdrawal of what stands nor a move of what does not comes through.
-                    if box and not isinstance(action, CancelAttempt if box.standing else Migrate):
-                        box.post(action)
-                        woken.append(box)
-                case CheckHealth(server):
-                    self._enqueue(self.health_checks, self._endpoints[server])
-                case PollDiscovery(on):
-                    self._enqueue(self.discovery_polls, on)
+                    if action_queue and not isinstance(
+                        action, CancelAttempt if action_queue.standing else Migrate
+                    ):
+                        action_queue.post(action)
+                        woken_queues.append(action_queue)
+                case CheckHealth(endpoint_id):
+                    self._enqueue(self.health_checks, self._endpoints[endpoint_id])
+                case PollDiscovery(is_polling):
+                    self._enqueue(self.discovery_polls, is_polling)
                 case Log(text):
                     log(LogEvent.POLICY, text=text)
                 case SendPeerMessage():
                     check_invariant(False, "tell_without_peers")
-        return woken
+        return woken_queues
 
     def record_discovery_call(self, failed: bool) -> None:
         """A call to discovery is over."""
         with self._lock:
-            self._event_counters.call(failed)
+            self._event_counters.count_discovery_call(failed)
 
     def request_discovery_poll(self) -> None:
         """Watch discovery without the module's word: its address has changed."""
         self._enqueue(self.discovery_polls, True)
 
     @staticmethod
-    def _enqueue(to: queue.Queue[_T], item: _T) -> None:
+    def _enqueue(to: queue.Queue[ItemT], item: ItemT) -> None:
         try:
             to.put_nowait(item)
         except queue.Full:
@@ -231,37 +243,37 @@
                 moment = now()
                 while self._timers and self._timers[0][0] <= moment:
                     due.append(TimerExpired(heapq.heappop(self._timers)[1]))
-                woken = self._decide(due)
-            self._wake_and_log(woken)
+                woken_queues = self._decide(due)
+            self._wake_and_log(woken_queues)
 
     # --- transactions
 
-    def register_request(self, box: ActionQueue) -> int:
+    def register_request(self, action_queue: ActionQueue) -> int:
         """A new transaction's number."""
         with self._lock:
             number = next(self._request_ids)
-            self._action_queues[number] = box
+            self._action_queues[number] = action_queue
             return number
 
     def unregister_request(self, number: int) -> None:
         with self._lock:
             self._action_queues.pop(number, None)
 
-    def dispatch(self, orders: Sequence[QueuedAction]) -> None:
+    def dispatch(self, actions: Sequence[QueuedAction]) -> None:
         """Hand out orders of the node's own; who is over already is passed by."""
         with self._lock:
-            boxes = [
-                (o, self._action_queues[o.request_id]) for o in orders if o.request_id in self._action_queues
+            action_queues = [
+                (o, self._action_queues[o.request_id]) for o in actions if o.request_id in self._action_queues
             ]
-            for order, box in boxes:
-                box.post(order)
-        for _, box in boxes:
-            box.wake()
+            for action, action_queue in action_queues:
+                action_queue.post(action)
+        for _, action_queue in action_queues:
+            action_queue.wake()
 
     def request_ids(self, standing: bool) -> list[int]:
         """The transactions whose connections stand, or those still in hand."""
         with self._lock:
-            return [n for n, box in self._action_queues.items() if box.standing == standing]
+            return [n for n, action_queue in self._action_queues.items() if action_queue.standing == standing]
 
     def delay_reports(self, number: int, attempt: int, member: int) -> DelayReports:
         """What takes in the delays of a standing connection's messages and tells the module where due."""
@@ -282,9 +294,9 @@
         with self._lock:
             return self._endpoints[number]
 
-    def endpoint_by_id(self, ident: str) -> Endpoint | None:
+    def endpoint_by_id(self, endpoint_id: str) -> Endpoint | None:
         with self._lock:
-            number = self._endpoint_numbers.get(ident)
+            number = self._endpoint_numbers.get(endpoint_id)
             return self._endpoints.get(number) if number is not None else None
 
     def pool_metrics(self) -> dict[str, int]:
@@ -295,14 +307,16 @@
     def update_endpoints(self, listed: EndpointList, kind: ListUpdateKind) -> None:
         """The list or changes of it; entries that make no sense are left out and logged."""
         with self._lock:
-            lines = [line for line in map(self._endpoint_update, listed.endpoints) if line is not None]
+            updates = [
+                update for update in map(self._endpoint_update, listed.endpoints) if update is not None
+            ]
             self.revision = listed.revision
             if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
                 self._entries.clear()
             self._entries.update((entry.id, entry) for entry in listed.endpoints)
             self._entries = {k: entry for k, entry in self._entries.items() if entry.state != "removed"}
-            woken = self._decide([EndpointListUpdate(kind, tuple(lines), listed.revision)])
-        self._wake_and_log(woken)
+            woken_queues = self._decide([EndpointListUpdate(kind, tuple(updates), listed.revision)])
+        self._wake_and_log(woken_queues)
 
     def endpoint_list(self) -> EndpointList:
         """The whole list as it is known, for the process that takes our place."""
@@ -310,21 +324,23 @@
             return EndpointList(self.revision, True, list(self._entries.values()))
 
     def _endpoint_update(self, entry: EndpointEntry) -> EndpointUpdate | None:
-        state = PHASES.get(entry.state)
+        state = ENDPOINT_STATES.get(entry.state)
         try:
-            reach = parse_address(entry.address, "host_port")
+            address = parse_address(entry.address, "host_port")
             if state is None:
                 raise ConfigError(f"phase: unknown: {entry.state[:40]}")
-            if not 0 <= entry.started_at_ms < MOST_MS:
+            if not 0 <= entry.started_at_ms < MAX_STARTED_AT_MS:
                 raise ConfigError("up_since_ms: out of range")
         except ConfigError as err:
             log(LogEvent.INVALID_ENDPOINT, id=entry.id, why=err)
             return None
         number = self._endpoint_numbers.setdefault(entry.id, len(self._endpoint_numbers) + 1)
-        self._endpoints[number] = Endpoint(number, entry.id, reach, state)
-        since = 0
+        self._endpoints[number] = Endpoint(number, entry.id, address, state)
+        started_at_us = 0
         if entry.started_at_ms:
-            since = self.clock.micros(self.clock.of_wall(EPOCH + timedelta(milliseconds=entry.started_at_ms)))
+            started_at_us = self.clock.micros(
+                self.clock.of_wall(EPOCH + timedelta(milliseconds=entry.started_at_ms))
+            )
         return EndpointUpdate(
             number,
             self._zone_numbers.setdefault(entry.zone, len(self._zone_numbers)),
@@ -332,6 +348,6 @@
             self._kind_numbers.setdefault(entry.kind, len(self._kind_numbers)),
             entry.capacity,
             state,
-            since,
+            started_at_us,
             zlib.crc32(entry.id.encode()),  # nodes number members in the order in which they hear of them
         )
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -13,7 +13,7 @@
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.policy_runner import PolicyRunner
 
-MOST_KEYS = 300  # characters of the keys that changed, in the log
+MAX_LOGGED_KEYS_LENGTH = 300  # characters of the keys that changed, in the log
 
 
 class Reloader:
@@ -22,51 +22,51 @@
     def __init__(
         self,
         environ: Mapping[str, str],
-        core: PolicyRunner,
+        runner: PolicyRunner,
         discovery: DiscoveryClient,
         settings: str | Path | None = None,
     ) -> None:
         """`settings`: the operator's file, where one was named at the start."""
-        self._environ, self._core, self._discovery, self._settings = environ, core, discovery, settings
-        self._running, self._options = core.config, core.options
-        self._asked = threading.Event()
+        self._environ, self._runner, self._discovery, self._settings = environ, runner, discovery, settings
+        self._running_config, self._running_options = runner.config, runner.options
+        self._requested = threading.Event()
 
     def start(self) -> None:
         threading.Thread(target=self._run, name="reload", daemon=True).start()
 
-    def ask(self) -> None:
-        self._asked.set()
+    def request_reload(self) -> None:
+        self._requested.set()
 
     def _run(self) -> None:
         while True:
-            self._asked.wait()
-            self._asked.clear()  # before the file is read: a later signal may mean a newer one
-            if self._core.lifecycle.phase is NodeState.DRAINING:
+            self._requested.wait()
+            self._requested.clear()  # before the file is read: a later signal may mean a newer one
+            if self._runner.lifecycle.state is NodeState.DRAINING:
                 return  # nothing changes any more
-            self.read()
+            self.reload_now()
 
-    def read(self) -> None:
+    def reload_now(self) -> None:
         """Read the file now, and put it in force, or leave all as it was."""
-        core = self._core
+        runner = self._runner
         try:
-            told, keys, fixed = reload(self._environ, self._running)
+            config, changed_keys, ignored_keys = reload(self._environ, self._running_config)
             options = load(self._settings)
         except (ConfigError, OptionsError) as err:
             log(LogEvent.RELOAD_FAILED, why=err)
-            core.metrics.file(applied=False)
+            runner.metrics.record_reload(applied=False)
             return
         except Exception as err:  # whatever a file may hold, the next one must still be read
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
-            core.metrics.file(applied=False)
+            runner.metrics.record_reload(applied=False)
             return
-        fixed += restart_required_changes(self._options, options)
-        if fixed:
-            log(LogEvent.RELOAD_IGNORED, keys=",".join(fixed))
-        self._running = told
-        core.reconfigure(told)
-        if core.session_service is not None:
-            core.session_service.rotate_keys(options.resume)
-        switched = self._discovery.switch(told.discovery)
-        core.metrics.file(applied=True)
-        shown = ",".join(keys)[:MOST_KEYS]
-        log(LogEvent.RELOADED, discovery="{}:{}".format(*told.discovery), switched=switched, keys=shown)
+        ignored_keys += restart_required_changes(self._running_options, options)
+        if ignored_keys:
+            log(LogEvent.RELOAD_IGNORED, keys=",".join(ignored_keys))
+        self._running_config = config
+        runner.reconfigure(config)
+        if runner.session_service is not None:
+            runner.session_service.rotate_keys(options.resume)
+        switched = self._discovery.switch_address(config.discovery)
+        runner.metrics.record_reload(applied=True)
+        shown = ",".join(changed_keys)[:MAX_LOGGED_KEYS_LENGTH]
+        log(LogEvent.RELOADED, discovery="{}:{}".format(*config.discovery), switched=switched, keys=shown)
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -14,13 +14,15 @@
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
-from tansyladder.node.attempt_loop import AttemptLoop, ClientDisconnectedEarly, ClientSentEarly, request_of
-from tansyladder.node.metrics import Ending
+from tansyladder.node.attempt_loop import AttemptLoop, ClientDisconnectedEarly, ClientSentEarly, build_request
+from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Fail, Reject
 from tansyladder.policy.events import AttemptEnded, AttemptStatus, ConnectionAdopted
 
-AGAIN = timedelta(milliseconds=100)  # between two tries to take up a connection from before the run
+RESTORE_RETRY_INTERVAL = timedelta(
+    milliseconds=100
+)  # between two tries to take up a connection from before the run
 
 
 class RequestHandler:
@@ -28,140 +30,170 @@
 
     def __init__(
         self,
-        core: PolicyRunner,
+        runner: PolicyRunner,
         client: socket.socket,
         opening: Opening,
         arrived: timedelta,
-        handed: tuple[ConnectionState, socket.socket] | None = None,
+        adopted: tuple[ConnectionState, socket.socket] | None = None,
     ) -> None:
         """`handed`: of one that stood in the process before this one, what that gave with it."""
-        self._core, self._client, self._opening, self._handed = core, client, opening, handed
+        self._runner, self._client, self._opening, self._adopted = runner, client, opening, adopted
         # Its class keeps its number and so its terms; that of what another process took in may be unknown.
-        self._cls = core.class_numbers.get(opening.cls, 0)
+        self._class_number = runner.class_numbers.get(opening.cls, 0)
         self._deadline = arrived + opening.wait
-        self._box = ActionQueue()
-        self._number = 0
-        self.answered = handed is not None  # whether the client has its final answer, or left
+        self._action_queue = ActionQueue()
+        self._request_id = 0
+        self.is_answered = adopted is not None  # whether the client has its final answer, or left
 
     def run(self) -> None:
         """Serve the transaction; the client's socket is closed at the end."""
         try:
-            self._box.open()
+            self._action_queue.open()
         except OSError as err:  # out of descriptors: trying again is harmless
             log(LogEvent.CLIENT_REJECTED, why=err)
-            self._answer(Ending.SHED, format_reject(AGAIN))
+            self._answer(RequestOutcome.REJECTED, format_reject(RESTORE_RETRY_INTERVAL))
             return
-        self._number = self._core.register_request(self._box)
+        self._request_id = self._runner.register_request(self._action_queue)
         try:
-            if self._handed is not None:
-                self._go_on(*self._handed)
+            if self._adopted is not None:
+                self._adopt(*self._adopted)
             elif self._opening.at is None:
-                self._live()
+                self._serve_request()
             else:
-                self._take_up(self._opening.at)
+                self._restore(self._opening.at)
         finally:
-            self._core.unregister_request(self._number)
-            self._box.close()
+            self._runner.unregister_request(self._request_id)
+            self._action_queue.close()
             self._client.close()
 
-    def _live(self) -> None:
+    def _serve_request(self) -> None:
         """OPEN, the module's choice and server-side flows, UP or an answer, the relay, the end."""
-        core, number, opening, resuming = self._core, self._number, self._opening, self._core.session_service
+        runner, request_id, opening, session_service = (
+            self._runner,
+            self._request_id,
+            self._opening,
+            self._runner.session_service,
+        )
         first_line: Callable[[timedelta], bytes] = opening.for_member
         stream = None
-        if resuming is not None and resuming.offers_resumption(opening):
-            stream = resuming.new_stream()
-            first_line = resuming.first_line_builder(opening, stream)
-        placing = AttemptLoop(core, self._box, number, opening.cls, self._deadline, first_line, self._client)
-        placed = placing.run(request_of(core, number, self._cls, opening, self._deadline, opening.again))
-        if isinstance(placed, UpstreamConnection):
-            self._answer(Ending.OK)  # its UP is the member's, and goes out with the first lines
-        match placed:
-            case UpstreamConnection() as standing if resuming is not None and stream is not None:
-                resuming.serve(self._box, self._client, self._cls, opening, stream, standing, number)
-            case UpstreamConnection() as standing:
-                member, attempt = standing.member, standing.attempt
-                relay = self._relay(standing.sock, standing.buffer, member, attempt)
-                status = relay.run(standing.lines)
-                core.handle_events(standing.ended(number, status))
+        if session_service is not None and session_service.offers_resumption(opening):
+            stream = session_service.new_stream()
+            first_line = session_service.first_line_builder(opening, stream)
+        attempt_loop = AttemptLoop(
+            runner, self._action_queue, request_id, opening.cls, self._deadline, first_line, self._client
+        )
+        result = attempt_loop.run(
+            build_request(runner, request_id, self._class_number, opening, self._deadline, opening.again)
+        )
+        if isinstance(result, UpstreamConnection):
+            self._answer(RequestOutcome.OK)  # its UP is the member's, and goes out with the first lines
+        match result:
+            case UpstreamConnection() as connection if session_service is not None and stream is not None:
+                session_service.serve(
+                    self._action_queue,
+                    self._client,
+                    self._class_number,
+                    opening,
+                    stream,
+                    connection,
+                    request_id,
+                )
+            case UpstreamConnection() as connection:
+                endpoint, attempt = connection.member, connection.attempt
+                relay = self._new_relay(connection.sock, connection.buffer, endpoint, attempt)
+                status = relay.run(connection.lines)
+                runner.handle_events(connection.ended(request_id, status))
             case Reject(_, wait):
-                self._answer(Ending.SHED, format_reject(wait * MICROSECOND))
+                self._answer(RequestOutcome.REJECTED, format_reject(wait * MICROSECOND))
             case Fail():
-                self._answer(Ending.ERRORS, protocol.ERR + b"\r\n")
+                self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
             case ClientSentEarly():
                 log(LogEvent.INVALID_LINE, where="client", why="a second line before UP")
-                self._answer(Ending.ERRORS, protocol.ERR + b"\r\n")
+                self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
             case ClientDisconnectedEarly():
-                self._answer(Ending.LEFT)
+                self._answer(RequestOutcome.CLIENT_LEFT)
 
-    def _answer(self, ending: Ending, line: bytes = b"") -> None:
+    def _answer(self, outcome: RequestOutcome, line: bytes = b"") -> None:
         """The final answer: counted here, and said where it is the node's own."""
-        self.answered = True
-        self._core.metrics.answered(self._opening.cls, ending)
+        self.is_answered = True
+        self._runner.metrics.record_outcome(self._opening.cls, outcome)
         if line:
             sockets.finish(self._client, line)
 
-    def _relay(
+    def _new_relay(
         self,
         sock: socket.socket,
         buffer: protocol.LineBuffer,
-        member: Endpoint,
+        endpoint: Endpoint,
         attempt: int,
     ) -> Relay:
-        core = self._core
-        notes = core.delay_reports(self._number, attempt, member.number)
+        runner = self._runner
+        delay_reports = runner.delay_reports(self._request_id, attempt, endpoint.number)
         relay = Relay(
-            self._client, sock, self._box, self._opening, member.id, buffer, notes, core.listener_handover
+            self._client,
+            sock,
+            self._action_queue,
+            self._opening,
+            endpoint.id,
+            buffer,
+            delay_reports,
+            runner.listener_handover,
         )
-        self._box.stand(relay.nudge)
+        self._action_queue.stand(relay.nudge)
         return relay
 
-    def _take_up(self, ident: str) -> None:
+    def _restore(self, endpoint_id: str) -> None:
         """A connection that stood at a pool member before the run goes back there."""
-        core, opening = self._core, self._opening
-        member = core.endpoint_by_id(ident)
-        answer = ConnectResult(AttemptStatus.CONNECT_FAILED)
-        while member is not None and answer.sock is None and not answer.client_left:
-            connect = core.config.settings.connect_timeout_us * MICROSECOND
-            flow = UpstreamConnector(
-                member, opening.for_member, self._deadline, connect, lambda: core.metrics.tried(opening.cls)
+        runner, opening = self._runner, self._opening
+        endpoint = runner.endpoint_by_id(endpoint_id)
+        result = ConnectResult(AttemptStatus.CONNECT_FAILED)
+        while endpoint is not None and result.sock is None and not result.client_left:
+            connect = runner.config.settings.connect_timeout_us * MICROSECOND
+            connector = UpstreamConnector(
+                endpoint,
+                opening.for_member,
+                self._deadline,
+                connect,
+                lambda: runner.metrics.record_attempt(opening.cls),
             )
-            answer = flow.open(self._client, self._box)
-            if answer.sock is None and now() + AGAIN >= self._deadline:
+            result = connector.open(self._client, self._action_queue)
+            if result.sock is None and now() + RESTORE_RETRY_INTERVAL >= self._deadline:
                 break
-            if answer.sock is None and not answer.client_left:
-                sockets.wait_readable(now() + AGAIN, self._box.fileno())
-                if isinstance(self._box.first(), Reject):
+            if result.sock is None and not result.client_left:
+                sockets.wait_readable(now() + RESTORE_RETRY_INTERVAL, self._action_queue.fileno())
+                if isinstance(self._action_queue.first(), Reject):
                     break
-        if member is None or answer.sock is None or answer.buffer is None:
-            log(LogEvent.CONNECTION_RESTORE_FAILED, member=ident, status=answer.status.name)
-            if answer.client_left:
-                self._answer(Ending.LEFT)
+        if endpoint is None or result.sock is None or result.buffer is None:
+            log(LogEvent.CONNECTION_RESTORE_FAILED, member=endpoint_id, status=result.status.name)
+            if result.client_left:
+                self._answer(RequestOutcome.CLIENT_LEFT)
             else:
-                self._answer(Ending.SHED, format_reject(AGAIN))
+                self._answer(RequestOutcome.REJECTED, format_reject(RESTORE_RETRY_INTERVAL))
             return
-        self._answer(Ending.OK)
-        self._opened(member)
-        status = self._relay(answer.sock, answer.buffer, member, 0).run((answer.receipt, *answer.ready))
-        core.handle_events(AttemptEnded(self._number, 0, member.number, status, 0, True))
+        self._answer(RequestOutcome.OK)
+        self._report_adopted(endpoint)
+        status = self._new_relay(result.sock, result.buffer, endpoint, 0).run((result.receipt, *result.ready))
+        runner.handle_events(AttemptEnded(self._request_id, 0, endpoint.number, status, 0, True))
 
-    def _go_on(self, handed: ConnectionState, sock: socket.socket) -> None:
+    def _adopt(self, adopted: ConnectionState, sock: socket.socket) -> None:
         """A connection that stood in the process before this one goes on where it was."""
-        core, member = self._core, self._core.endpoint_by_id(handed.member)
-        if member is None:
-            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=handed.member)
+        runner, endpoint = self._runner, self._runner.endpoint_by_id(adopted.member)
+        if endpoint is None:
+            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=adopted.member)
             sock.close()
             sockets.finish(self._client, protocol.MOVE + b"\r\n")
             return
-        self._opened(member)
-        status = self._relay(sock, protocol.LineBuffer(), member, 0).go_on(handed)
-        core.handle_events(AttemptEnded(self._number, 0, member.number, status, 0, True))
+        self._report_adopted(endpoint)
+        status = self._new_relay(sock, protocol.LineBuffer(), endpoint, 0).go_on(adopted)
+        runner.handle_events(AttemptEnded(self._request_id, 0, endpoint.number, status, 0, True))
 
-    def _opened(self, member: Endpoint) -> None:
+    def _report_adopted(self, endpoint: Endpoint) -> None:
         """The module is told of a connection that it did not place."""
         opening = self._opening
-        hint = None if opening.hint is None else int(opening.hint)
-        tenant = self._core.tenant_number(opening)
-        self._core.handle_events(
-            ConnectionAdopted(self._number, self._cls, tenant, member.number, opening.key, hint)
+        load_hint = None if opening.hint is None else int(opening.hint)
+        tenant = self._runner.tenant_number(opening)
+        self._runner.handle_events(
+            ConnectionAdopted(
+                self._request_id, self._class_number, tenant, endpoint.number, opening.key, load_hint
+            )
         )
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -91,7 +91,7 @@
     )
     log(LogEvent.SETTINGS_ABSENT, what=",".join(platform.absent_features(told)))
     while (got := signal.sigwait(SIGNALS)) == signal.SIGHUP:
-        reloader.ask()  # read elsewhere: a SIGTERM meanwhile must not wait for a slow disk
+        reloader.request_reload()  # read elsewhere: a SIGTERM meanwhile must not wait for a slow disk
     log(LogEvent.STOPPING, signal=signal.Signals(got).name)
     front.drain()
     if core.decision_permit is not None:
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -15,7 +15,7 @@
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import POSITION, TICKET, Opening
 from tansyladder.net.upstream import UpstreamConnection
-from tansyladder.node.metrics import Ending
+from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.stream import Stream
@@ -159,7 +159,7 @@
                 self._claiming.discard(claim.session_id)
 
     def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
-        self._core.metrics.answered(opening.cls, Ending.of(answer))
+        self._core.metrics.record_outcome(opening.cls, RequestOutcome.of_answer(answer))
         sockets.prepare(sock)
         sockets.finish(sock, answer)
 
@@ -173,7 +173,7 @@
         Nothing waits here. A refusal changes nothing for the session that stands.
         """
         try:
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 if self.resumes_on_any_node:
                     return RETRY_SOON  # another node takes it over
                 raise TokenError("draining")
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -20,8 +20,8 @@
 from tansyladder.net.protocol import Opening
 from tansyladder.net.response_timeout import OVERDUE, ResponseTimeout
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection
-from tansyladder.node.attempt_loop import AttemptLoop, request_of
-from tansyladder.node.metrics import Ending
+from tansyladder.node.attempt_loop import AttemptLoop, build_request
+from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Reject
 from tansyladder.policy.events import AttemptStatus
@@ -388,7 +388,7 @@
             self._shared.release_suspended()
         sockets.prepare(visitor.sock)
         self._client = BufferedSocket(visitor.sock)
-        self._core.metrics.answered(self._opening.cls, Ending.OK)
+        self._core.metrics.record_outcome(self._opening.cls, RequestOutcome.OK)
         log(LogEvent.SESSION_RESUMED, position=visitor.position)
         self._tell_client(self._receipt + at + self._token() + b"".join(lines))
         if self._client is not None:  # else it was gone: the token is in doubt, not spent
@@ -409,7 +409,7 @@
                     continue
             if self._box.replaced:
                 raise _SessionEnded(SessionEnd.CLAIMED_BY_OTHER_NODE)
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED)
             if now() >= self._expiry:
                 raise _SessionEnded(SessionEnd.EXPIRED)
@@ -439,7 +439,7 @@
             self._moves += 1
             if self._moves > MOST_MOVES:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=protocol.MOVE + b"\r\n")
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=self._send_off())
             visitor = None if self._client is not None else self._await_return()
             if visitor is not None and served:
@@ -484,7 +484,7 @@
 
         first_line = self._shared.first_line_builder(opening, stream)
         number = core.register_request(box)
-        request = request_of(core, number, self._cls, opening, deadline, True)
+        request = build_request(core, number, self._cls, opening, deadline, True)
         found = AttemptLoop(core, box, number, opening.cls, deadline, first_line, None, 2, accept).run(
             request
         )
@@ -495,6 +495,6 @@
         return found.retry_after_us * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
     def _refuse(self, visitor: ResumingClient, answer: bytes) -> None:
-        self._core.metrics.answered(self._opening.cls, Ending.of(answer))
+        self._core.metrics.record_outcome(self._opening.cls, RequestOutcome.of_answer(answer))
         sockets.prepare(visitor.sock)
         sockets.finish(visitor.sock, answer)
--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -11,7 +11,7 @@
 from tansyladder.lab import fleet_counts
 from tansyladder.log import render
 from tansyladder.node.event_counters import EventCounters
-from tansyladder.node.metrics import Ending, Metrics
+from tansyladder.node.metrics import Metrics, RequestOutcome
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
 from tansyladder.policy.events import (
     AttemptEnded,
@@ -46,16 +46,16 @@
         ((at + 5) * S, [], []),
     ]
     for now, events, actions in story:
-        if fields := counts.turn(now):
+        if fields := counts.finish_second(now):
             lines.append("7.1 " + render(None, "msg", {"event": "counts", **fields}))
         for event in events:
-            counts.event(event, now)
+            counts.count_event(event, now)
             if isinstance(event, AttemptEstablished):
-                figures.answered("chat", Ending.OK)
+                figures.record_outcome("chat", RequestOutcome.OK)
         for action in actions:
-            counts.action(action)
+            counts.count_action(action)
             if isinstance(action, Reject):
-                figures.answered("chat", Ending.SHED)
+                figures.record_outcome("chat", RequestOutcome.REJECTED)
     return lines
 
 
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -200,7 +200,7 @@
     old = ClientListener(core, ListenerHandover(("127.0.0.1", 1), str(tmp_path)))
     kept, left = old.share()
     assert 0 < left < kept < 200 - left  # what a full table of newcomers may take stays with neither
-    old._open = {str(i) for i in range(30)}
+    old._open_ids = {str(i) for i in range(30)}
     fuller, less = old.share()
     assert fuller - kept == 90 - (left - less) and less < left
     old.stop_listening()
@@ -210,11 +210,11 @@
     front = ClientListener(RecordingPolicyRunner(load_test_config(tmp_path)), candidate(tmp_path, 1))
     gone = threading.Event()
     monkeypatch.setattr(front, "alone", lambda _: gone.set())
-    front._takeover.serve(front._listener, front)
+    front._handover.serve(front._listener, front)
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.settimeout(5)
         sock.connect(str(tmp_path / "tansyladder-127.0.0.1-1.sock"))
         sock.sendall(b"GET / HTTP/1.1\r\n")
         assert Peer(sock).read_line() == ""
-    assert not front._takeover.given and not gone.is_set()
+    assert not front._handover.given and not gone.is_set()
     front.stop_listening()
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tansyladder.node import client_listener
-from tansyladder.node.admin_server import LINE, MOST_CALLERS, AdminServer
+from tansyladder.node.admin_server import MAX_CALLERS, MAX_LINE_BYTES, AdminServer
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.policy.events import ClientDisconnected
 from tests.node.harness import SETTINGS, Node, Peer, ScriptedServer, answer_up, running_node
@@ -84,7 +84,7 @@
         (b"\r\n", "-ERR empty"),
         (b"\xff\xfe\r\n", "-ERR unreadable"),
         (b"\x1b[2J\r\n", "-ERR unknown: '\\x1b[2J'"),
-        (b"s" * (LINE + 1), "-ERR too long"),
+        (b"s" * (MAX_LINE_BYTES + 1), "-ERR too long"),
     ],
 )
 def test_each_call_has_its_answer_and_a_fault_its_reason(tmp_path: Path, line: bytes, answer: str) -> None:
@@ -96,12 +96,12 @@
 
 def test_callers_that_finish_no_call_hold_nobody_up(tmp_path: Path) -> None:
     with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
-        idle = [n.caller() for _ in range(2 * MOST_CALLERS)]
-        for caller in idle[MOST_CALLERS:]:
+        idle = [n.caller() for _ in range(2 * MAX_CALLERS)]
+        for caller in idle[MAX_CALLERS:]:
             caller.sock.sendall(b"stat")
         assert n.call(b"status\r\n") == ["+OK serving"]
-        assert len(n.operator._callers) <= MOST_CALLERS  # who came first is gone, and costs nothing any more
-        assert [caller.read_line() for caller in idle[:MOST_CALLERS]] == [""] * MOST_CALLERS
+        assert len(n.operator._callers) <= MAX_CALLERS  # who came first is gone, and costs nothing any more
+        assert [caller.read_line() for caller in idle[:MAX_CALLERS]] == [""] * MAX_CALLERS
         for caller in idle:
             caller.close()
 
@@ -155,7 +155,7 @@
 def test_who_left_and_who_the_drain_ended_are_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for name, span in (("ARRIVALS", 0.01), ("STANDBY", 0.05)):
+    for name, span in (("LATE_ARRIVAL_WINDOW", 0.01), ("STANDBY_DRAIN_DURATION", 0.05)):
         monkeypatch.setattr(client_listener, name, timedelta(seconds=span))
     came, free = threading.Semaphore(0), threading.Event()
 
@@ -180,12 +180,16 @@
 @pytest.mark.parametrize(
     ("steps", "phase", "answers"),
     [
-        (["stand_by", "started"], "standby", [True, None]),  # asked for during the start: it comes up so
-        (["activate", "started"], "serving", [True, None]),
-        (["started", "stand_by", "stand_by", "activate"], "serving", [None, True, True, True]),
-        (["started", "stand_by", "drain", "activate"], "draining", [None, True, None, False]),
-        (["drain", "stand_by"], "draining", [None, False]),
-        (["drain", "started"], "draining", [None, None]),
+        (
+            ["enter_standby", "mark_started"],
+            "standby",
+            [True, None],
+        ),  # asked for during the start: it comes up so
+        (["activate", "mark_started"], "serving", [True, None]),
+        (["mark_started", "enter_standby", "enter_standby", "activate"], "serving", [None, True, True, True]),
+        (["mark_started", "enter_standby", "begin_drain", "activate"], "draining", [None, True, None, False]),
+        (["begin_drain", "enter_standby"], "draining", [None, False]),
+        (["begin_drain", "mark_started"], "draining", [None, None]),
     ],
 )
 def test_one_state_and_what_each_step_does_to_it(
@@ -193,11 +197,11 @@
 ) -> None:
     life = Lifecycle()
     assert [getattr(life, step)() for step in steps] == answers
-    assert (life.phase.value, life.ready) == (phase, phase != "standby")
+    assert (life.state.value, life.is_ready) == (phase, phase != "standby")
 
 
 def test_sigterm_in_standby_ends_the_node(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(seconds=0.01))
+    monkeypatch.setattr(client_listener, "LATE_ARRIVAL_WINDOW", timedelta(seconds=0.01))
     with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
         client = n.open()
         assert client.read_line() == "UP r1"
@@ -213,7 +217,11 @@
 def test_standby_moves_everybody_says_no_and_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for name, span in (("ARRIVALS", 0.05), ("SETTLED", 0.05), ("STANDBY", 0.3)):
+    for name, span in (
+        ("LATE_ARRIVAL_WINDOW", 0.05),
+        ("LAST_MIGRATION_MARGIN", 0.05),
+        ("STANDBY_DRAIN_DURATION", 0.3),
+    ):
         monkeypatch.setattr(client_listener, name, timedelta(seconds=span))
     with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
         clients = [n.open() for _ in range(6)]
@@ -228,7 +236,7 @@
         assert late.read_line() == "UP r1"  # who was on the way is served, and moved like the others
         assert [client.read_line() for client in (*clients, late)] == ["MOVE"] * 7
         assert n.call(b"status\r\n") == ["-ERR standby"] and ping(n) == "BUSY"
-        monkeypatch.setattr("tansyladder.node.lifecycle.LATECOMERS", timedelta(0))
+        monkeypatch.setattr("tansyladder.node.lifecycle.LATE_REQUEST_WINDOW", timedelta(0))
         refused = n.open()
         assert refused.read_line().startswith("BUSY")
         assert n.call(b"active\r\n") == n.call(b"active\r\n") == ["+OK serving"]
@@ -242,7 +250,9 @@
 def test_active_in_the_middle_of_a_drain_leaves_the_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(seconds=30))  # the moves would begin then
+    monkeypatch.setattr(
+        client_listener, "LATE_ARRIVAL_WINDOW", timedelta(seconds=30)
+    )  # the moves would begin then
     with office(tmp_path, ScriptedServer(answer_up(echoes))) as n:
         client = n.open()
         assert client.read_line() == "UP r1"
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -57,7 +57,7 @@
 def until_served(n: Node) -> None:
     """Wait until no connection is in hand or stands."""
     until = now() + SOON
-    while n.listener.active:
+    while n.listener.active_count:
         assert now() < until
         threading.Event().wait(0.005)
 
@@ -106,7 +106,7 @@
             client.close()
         n.runner.wait_for(ClientDisconnected)  # and not after 9 s: the wait for the connection is over
         assert n.runner.wait_for(AttemptEnded).is_closed
-        assert n.runner.metrics.sums()["tries"] == 0
+        assert n.runner.metrics.total_counts()["tries"] == 0
     # Whatever connection comes up later brings nothing; there is none where the wait was given up.
     host.sock.settimeout(0.0)
     with pytest.raises(BlockingIOError):
@@ -266,13 +266,13 @@
 
 def at_the_end(monkeypatch: pytest.MonkeyPatch, then: Callable[[ConnectionAcceptor], None]) -> None:
     """Do something in the moment in which a node's admission ends."""
-    see_out = ConnectionAcceptor._see_out
+    see_out = ConnectionAcceptor._close_pending
 
     def first(self: ConnectionAcceptor) -> None:
         then(self)
         see_out(self)
 
-    monkeypatch.setattr(ConnectionAcceptor, "_see_out", first)
+    monkeypatch.setattr(ConnectionAcceptor, "_close_pending", first)
 
 
 @pytest.mark.parametrize("rests", [True, False], ids=["resting", "in the queue"])
@@ -310,14 +310,14 @@
         client = n.connect()
         client.send_lines("PING")
         assert client.read_line() == "PONG"
-        tell = ConnectionAcceptor._tell
+        tell = ConnectionAcceptor._answer_and_shutdown
 
         def cross(self: ConnectionAcceptor, newcomer: Any, answer: bytes) -> None:
             tell(self, newcomer, answer)
             assert client.read_line() == ""  # our end has come, and now a request crosses it
             client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
 
-        monkeypatch.setattr(ConnectionAcceptor, "_tell", cross)
+        monkeypatch.setattr(ConnectionAcceptor, "_answer_and_shutdown", cross)
         end(n)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # it was not reset
         assert not [e for e in n.runner.events if isinstance(e, RequestReceived)]
@@ -325,19 +325,19 @@
 
 def test_a_half_line_at_sigterm_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A node that had nobody else ended within half a second, in the middle of a slow client's line."""
-    monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(0))
+    monkeypatch.setattr(client_listener, "LATE_ARRIVAL_WINDOW", timedelta(0))
     with running_node(tmp_path, ScriptedServer(answer_up(lambda peer: peer.send_lines("BYE")))) as n:
         client = n.connect()
         client.sock.sendall(b"OPEN 7e7")
         expecting = threading.Event()
-        look: property = vars(ConnectionAcceptor)["expecting"]
+        look: property = vars(ConnectionAcceptor)["is_expecting_lines"]
 
         def seen(self: ConnectionAcceptor) -> bool:
             if found := look.__get__(self):
                 expecting.set()
             return bool(found)
 
-        monkeypatch.setattr(ConnectionAcceptor, "expecting", property(seen))
+        monkeypatch.setattr(ConnectionAcceptor, "is_expecting_lines", property(seen))
         drain = threading.Thread(target=n.listener.drain, daemon=True)
         drain.start()
         assert expecting.wait(10)
@@ -352,12 +352,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It had no number yet when all that were in hand got their refusal, and was cut off at the exit."""
-    monkeypatch.setattr(client_listener, "ARRIVALS", timedelta(0))
+    monkeypatch.setattr(client_listener, "LATE_ARRIVAL_WINDOW", timedelta(0))
     monkeypatch.setattr(client_listener, "KILL_MARGIN", client_listener.EXIT_MARGIN - timedelta(seconds=1))
     go_on = threading.Event()
-    begin = ClientListener._begin
+    begin = ClientListener._run_when_released
     turned_out = threading.Event()
-    turn_out = ClientListener._turn_out
+    turn_out = ClientListener._evict_remaining
 
     def late(self: ClientListener, *args: Any) -> None:
         assert turned_out.wait(10) and go_on.wait(10)
@@ -373,8 +373,8 @@
         order(self, orders)
         go_on.set()  # the first round found nobody
 
-    monkeypatch.setattr(ClientListener, "_begin", late)
-    monkeypatch.setattr(ClientListener, "_turn_out", told)
+    monkeypatch.setattr(ClientListener, "_run_when_released", late)
+    monkeypatch.setattr(ClientListener, "_evict_remaining", told)
     monkeypatch.setattr(RecordingPolicyRunner, "dispatch", first_order)
 
     def never(peer: Peer) -> None:
@@ -384,7 +384,7 @@
     with running_node(tmp_path, ScriptedServer(never)) as n:
         client = n.open("c=chat,d=9000")
         end(n)
-        assert not n.listener.active  # at the exit it would have been cut off
+        assert not n.listener.active_count  # at the exit it would have been cut off
         assert client.read_line().startswith("BUSY")
 
 
@@ -396,14 +396,14 @@
         start = threading.Thread.start
 
         def none_left(self: threading.Thread) -> None:
-            if "_begin" in repr(self._target):  # type: ignore[attr-defined]
+            if "_run_when_released" in repr(self._target):  # type: ignore[attr-defined]
                 raise RuntimeError("can't start new thread")
             start(self)
 
         monkeypatch.setattr(threading.Thread, "start", none_left)
         client = n.open()
         assert [client.read_line(), client.read_line()] == ["BUSY 200", ""]
-        assert n.listener.active == 0 and n.runner.metrics.sums()["shed"] == 1
+        assert n.listener.active_count == 0 and n.runner.metrics.total_counts()["shed"] == 1
 
 
 def test_a_resting_front_is_told_the_end_before_the_close(tmp_path: Path) -> None:
@@ -413,14 +413,14 @@
         for _ in range(2):  # the second answer shows that all of the first one is done
             client.send_lines("PING")
             assert client.read_line() == "PONG"
-        [newcomer] = n.listener._admission._newcomers.values()
-        assert newcomer.gone_by - newcomer.end_by == sockets.LINGER
-        n.listener._admission._look(newcomer, newcomer.end_by)  # the minute is over
+        [newcomer] = n.listener._acceptor._pending.values()
+        assert newcomer.close_deadline - newcomer.first_line_deadline == sockets.LINGER
+        n.listener._acceptor._check_deadlines(newcomer, newcomer.first_line_deadline)  # the minute is over
         assert [client.read_line(), client.read_line()] == ["ERR", ""]
         client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
         client.sock.shutdown(socket.SHUT_WR)
         until = now() + SOON
-        while n.listener._admission.newcomers and now() < until:  # until it has read that
+        while n.listener._acceptor.pending_count and now() < until:  # until it has read that
             threading.Event().wait(0.005)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         assert not [e for e in n.runner.events if isinstance(e, RequestReceived)]
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -463,8 +463,8 @@
     with monkeypatch.context() as patch:
         patch.setattr(os, "open", none_left)
         patch.setattr(os, "close", closed.append)
-        front._admission._out_of_descriptors()
-        front._admission._out_of_descriptors()
+        front._acceptor._handle_descriptor_exhaustion()
+        front._acceptor._handle_descriptor_exhaustion()
     assert len(closed) == 1
     os.close(closed[0])
     front.stop_listening()
@@ -530,7 +530,7 @@
         assert threading.active_count() - before <= 2 * 20 + 2  # these clients', and their members' scripts
         # The oldest went, and not without a word: its line might have come in that instant.
         assert [silent[0].read_line() for _ in range(2)] == ["BUSY 200", ""]
-        assert len(n.listener._admission._newcomers) <= 256 // 6
+        assert len(n.listener._acceptor._pending) <= 256 // 6
 
 
 def test_a_crowd_that_connects_before_it_speaks_is_heard(tmp_path: Path) -> None:
@@ -602,8 +602,8 @@
         client = n.open()
         assert client.read_line() == "UP r1"
         host_, port = new.address.split(":")
-        assert discovery.switch((host_, int(port)))
-        assert not discovery.switch((host_, int(port)))
+        assert discovery.switch_address((host_, int(port)))
+        assert not discovery.switch_address((host_, int(port)))
         assert old.ended.wait(5)
         told_new = n.runner.wait_for(EndpointListUpdate, 3)
         assert (told_new.kind, told_new.version) == (ListUpdateKind.SNAPSHOT, 2)
@@ -622,8 +622,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The module's next call after a failed one comes too late; two that are silent in a row are failed."""
-    monkeypatch.setattr(discovery_of, "WAIT", timedelta(milliseconds=100))
-    monkeypatch.setattr(discovery_of, "SILENT", timedelta(milliseconds=100))
+    monkeypatch.setattr(discovery_of, "POLL_TIMEOUT", timedelta(milliseconds=100))
+    monkeypatch.setattr(discovery_of, "ANSWER_MARGIN", timedelta(milliseconds=100))
     calls: list[str] = []
 
     def never(peer: Peer) -> None:
@@ -638,7 +638,7 @@
         tmp_path, discovery=ScriptedServer(never, later._serve, never, never).address, settings=seldom
     ) as n:
         discovery = DiscoveryClient(n.runner)
-        discovery._new = False  # its list is not old
+        discovery._needs_snapshot = False  # its list is not old
         discovery.start()
         n.runner.discovery_polls.put(True)
         n.runner.wait_for(
@@ -656,7 +656,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where lists are pushed nobody watched: the node went by the list of its start for ever."""
-    monkeypatch.setattr(discovery_of, "FIRST_LIST", timedelta(seconds=10))
+    monkeypatch.setattr(discovery_of, "FIRST_LIST_TIMEOUT", timedelta(seconds=10))
     agent = Roster(5, endpoint_entry("s7", "127.0.0.1:9"))
     flaky = ScriptedServer(void, agent._serve)  # what it gets at its return counts at once
     pushed = SETTINGS | {"discovery": "pushed"}
@@ -685,7 +685,7 @@
         discovery = DiscoveryClient(n.runner)
         discovery.start()
         host, port = flaky.address.split(":")
-        discovery.switch((host, int(port)))
+        discovery.switch_address((host, int(port)))
         until = time.monotonic() + 10
         while n.runner.endpoint_by_id("s1") is None and time.monotonic() < until:
             time.sleep(0.01)
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -115,7 +115,7 @@
         with pytest.raises(ConfigError) as err:
             reload(self.environ, self.node.runner.config)
         files = self.node.runner.metrics.totals()["config_rejected"]
-        self.reloader.read()
+        self.reloader.reload_now()
         assert self.node.runner.metrics.totals()["config_rejected"] == files + 1  # type: ignore[operator]
         return str(err.value)
 
@@ -134,7 +134,7 @@
         other = terms | {"name": "draw", "hard_limit": 900_000, "effect": "non_idempotent"}
         n.edit(setting("settings.classes", [other]), setting("settings.ceilings.attempts_cap", 1))
         n.edit(setting("name", "else"), setting("settings.ceilings.connect_timeout", 50_000))
-        n.reloader.read()
+        n.reloader.reload_now()
         assert core.metrics.totals()["config_applied"] == 1
         assert (core.config.name, core.config.settings.connect_timeout_us) == ("n0", 50_000)
         gone, new = n.node.open(), n.node.open("c=draw,d=900")
@@ -147,7 +147,7 @@
         n.edit(setting("settings.classes", [terms, shorter]))
         assert "settings.classes.0.effect: missing" in n.refused()  # the default would be a laxer one
         n.edit(setting("settings.classes", [terms | {"effect": "read_like"}, shorter]))
-        n.reloader.read()
+        n.reloader.reload_now()
         assert core.class_numbers == {
             "chat": 0,
             "draw": 2,
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -57,7 +57,10 @@
     for at in each:  # a call that hangs, and the one after it, must both be over within the 6 s
         gaps = [later - earlier for earlier, later in pairwise(at)]
         assert (
-            max(gaps) + (discovery_client.AFTER_FAILURE + 2 * discovery_client.SILENT) // MICROSECOND <= 6 * S
+            max(gaps)
+            + (discovery_client.POLL_TIMEOUT_AFTER_FAILURE + 2 * discovery_client.ANSWER_MARGIN)
+            // MICROSECOND
+            <= 6 * S
         )
         assert sum(gaps) / len(gaps) > 1.7 * S
     for start in range(5, 50, 5):  # in step with nobody
@@ -183,7 +186,7 @@
 def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
     with running_node(tmp_path) as n:
         n.runner.request_discovery_poll()
-        discovery_client.DiscoveryClient(n.runner)._rest(timedelta(hours=1))
+        discovery_client.DiscoveryClient(n.runner)._wait_for_request(timedelta(hours=1))
 
 
 @pytest.mark.parametrize("nodes", [3, 40, 10**9])
@@ -204,17 +207,19 @@
         )
 
     monkeypatch.setattr(HttpClient, "get", get)
-    monkeypatch.setattr(discovery_client.DiscoveryClient, "_rest", lambda _, span: paused.append(span))
+    monkeypatch.setattr(
+        discovery_client.DiscoveryClient, "_wait_for_request", lambda _, span: paused.append(span)
+    )
     monkeypatch.setattr(random, "uniform", lambda low, high: high)
     told: dict[str, Any] = SETTINGS | {"balancers": nodes}
     known = {"revision": 7, "members": [{"id": "s0", "host_port": "127.0.0.1:9", "phase": "up"}]}
     with running_node(tmp_path, settings=told, known=known) as n, contextlib.suppress(IndexError):
         watch = discovery_client.DiscoveryClient(n.runner)
-        assert watch._call()
-        assert watch._call()
+        assert watch._poll_once()
+        assert watch._poll_once()
     assert asked[0] == "/v1/servers?since=7&timeout_ms=4500"  # what changed since the list that it knows
     assert (
-        timedelta(seconds=5.5) > discovery_client.WAIT + discovery_client.SILENT
+        timedelta(seconds=5.5) > discovery_client.POLL_TIMEOUT + discovery_client.ANSWER_MARGIN
     )  # the rest is for the call in its place
-    assert paused == ([discovery_client.FOLLOW] if nodes > 6 else [])
-    assert timedelta(0) < discovery_client.FOLLOW < timedelta(milliseconds=200)
+    assert paused == ([discovery_client.POLL_AGAIN_SPREAD] if nodes > 6 else [])
+    assert timedelta(0) < discovery_client.POLL_AGAIN_SPREAD < timedelta(milliseconds=200)
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -173,7 +173,7 @@
         assert [again.read_line(), again.read_line()] == ["ERR resume spent", ""]
         viewer.say("M 2")
         assert viewer.hear() == "F 4"  # and the second use hurt nobody
-        counted = n.runner.metrics.sums()
+        counted = n.runner.metrics.total_counts()
         assert (counted["ok"], counted["errors"], counted["shed"], counted["tries"]) == (2, 1, 0, 1)
 
 
@@ -391,7 +391,7 @@
         parked.lose()
         draining = threading.Thread(target=n.listener.drain)
         draining.start()
-        while not n.runner.lifecycle.leaving:
+        while not n.runner.lifecycle.is_draining:
             pass
         late = parked.back()
         assert late.read_line() in ("ERR resume draining", "")
