--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -19,7 +19,7 @@
 from tansyladder.config.operator_settings import PeersOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
-from tansyladder.raft.messages import Message, ProposalResult, Propose
+from tansyladder.raft.messages import Message, ProposalRequest, ProposalResult
 from tansyladder.raft.node import Effects, RaftNode, Role
 from tansyladder.replication.content_transfer import ChangeNotice
 from tansyladder.replication.documents import (
@@ -89,7 +89,7 @@
         voters = options.voters.split()
         agreed = ReplicatedState(voters, taken)
         others = [name for name in options.members if name not in voters]
-        kept, start = self._records.kept, self._micros()
+        kept, start = self._records.persisted, self._micros()
         self._agreement = RaftNode(me, voters, others, kept, agreed, Random(os.urandom(16)), start)
         # After what the disk holds is loaded: content of documents that it names is looked for there.
         peers = [name for name in options.members if name != me]
@@ -123,7 +123,7 @@
                 received = self._next()
                 for_it = [(sender, told) for sender, told in received if not isinstance(told, ChangeNotice)]
                 if self.holding is not None:
-                    self._agreement.eager = self.holding.urgent
+                    self._agreement.announces_commits_at_once = self.holding.urgent
                 out = self._agreement.handle(self._micros(), for_it)
                 self._records.write(out.writes)  # before anything leaves
                 if self.holding is not None:
@@ -132,7 +132,13 @@
                     )
                 self._hand_out(out)
                 core = self._agreement
-                state = (core.role.value, core.term, core.leader or "none", core.voting, core.doubt)
+                state = (
+                    core.role.value,
+                    core.term,
+                    core.leader or "none",
+                    core.is_voting,
+                    core.stale_disk_suspected,
+                )
                 if state != told:
                     told = state
                     names = ("role", "term", "leader", "voting", "doubt")
@@ -164,7 +170,7 @@
 
     def _next(self) -> list[tuple[str, Message | ChangeNotice]]:
         """What has come, a good part of it at once; nothing when it is time to look."""
-        left = (self._agreement.due - self._micros()) / 1e6
+        left = (self._agreement.next_deadline - self._micros()) / 1e6
         if self.holding is not None:
             left = min(left, self.holding.wait() / 1e6)
         try:
@@ -181,8 +187,8 @@
     def _hand_out(self, out: Effects) -> None:
         for to, message in out.messages:
             self.peering.send(to, message)
-        for decided in out.answers:
-            waiting = self._waiting.pop(decided.request, None)
+        for decided in out.results:
+            waiting = self._waiting.pop(decided.request_id, None)
             if waiting is not None:
                 waiting.decided = decided
                 waiting.event.set()
@@ -193,7 +199,7 @@
 
     def _propose(self, entry: Entry) -> None:
         request = f"{self.by}/{next(self._numbers)}"
-        self._heard(self._me, Propose(request, msgspec.msgpack.encode(entry)))
+        self._heard(self._me, ProposalRequest(request, msgspec.msgpack.encode(entry)))
 
     def rule(self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment, or nobody leads.
@@ -229,7 +235,7 @@
         while not self.stopped and len(self._waiting) < WAITING and now() < until:
             request, waiting = f"{self.by}/{next(self._numbers)}", _PendingProposal()
             self._waiting[request] = waiting
-            self._heard(self._me, Propose(request, data))
+            self._heard(self._me, ProposalRequest(request, data))
             waiting.event.wait(min(until - now(), again).total_seconds())
             again *= 2  # a fleet that is slow must not get more of it
             self._waiting.pop(request, None)
--- a/tansyladder/cluster/raft_storage.py
+++ b/tansyladder/cluster/raft_storage.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from tansyladder.log import LogEvent, log
-from tansyladder.raft.messages import Entry, HardState, LogSuffix, PersistentState, Snapshot, Write
+from tansyladder.raft.messages import HardState, LogEntry, LogSuffix, PersistentState, Snapshot, Write
 from tansyladder.store import Durability, Op, Store
 
 HARD, SNAPSHOT, ENTRY = b"peers/hard", b"peers/snapshot", b"peers/log/"
@@ -89,23 +89,23 @@
         held = dict(store.items(b"peers/")) if store else {}
         hard = held.get(HARD)
         parts = sorted(key for key in held if key.startswith(SNAPSHOT))
-        snapshot, entries, index = Snapshot(), list[Entry](), 0
+        snapshot, entries, index = Snapshot(), list[LogEntry](), 0
         if parts:
             snapshot = msgspec.msgpack.decode(b"".join(held[key] for key in parts), type=Snapshot)
         index = snapshot.index
         while (data := held.get(self._key(index + len(entries) + 1))) is not None:
-            entries.append(msgspec.msgpack.decode(data, type=Entry))
+            entries.append(msgspec.msgpack.decode(data, type=LogEntry))
         self._first, self._last, self._parts = index + 1, index + len(entries), len(parts)
         decoded = (
-            msgspec.msgpack.decode(hard, type=HardState) if hard else HardState(ident=os.urandom(8).hex())
+            msgspec.msgpack.decode(hard, type=HardState) if hard else HardState(disk_id=os.urandom(8).hex())
         )
-        self._ident, self._count = decoded.ident, int.from_bytes(held.get(COUNT, b""), "big")
+        self._ident, self._count = decoded.disk_id, int.from_bytes(held.get(COUNT, b""), "big")
         whole = all(key <= self._key(self._last) for key in held if key.startswith(ENTRY))
-        newest = witness.agrees(decoded.ident, self._count) and whole
+        newest = witness.agrees(decoded.disk_id, self._count) and whole
         if hard and not newest:
-            decoded = msgspec.structs.replace(decoded, doubt=True)
+            decoded = msgspec.structs.replace(decoded, stale_disk_suspected=True)
             log(LogEvent.STALE_DISK_SUSPECTED, whole=whole)
-        self.kept = PersistentState(decoded, snapshot, tuple(entries))
+        self.persisted = PersistentState(decoded, snapshot, tuple(entries))
         if store is None:
             witness.end()  # a store that comes back later is behind what this start promises
         self.write([decoded])
--- a/tansyladder/raft/messages.py
+++ b/tansyladder/raft/messages.py
@@ -6,39 +6,43 @@
 
 import msgspec
 
-Place = tuple[int, int]  # an entry's term and index; of two logs, the one whose last place is higher wins
+LogPosition = tuple[
+    int, int
+]  # an entry's term and index; of two logs, the one whose last place is higher wins
 
 
 class EntryKind(IntEnum):
     """What an entry is for."""
 
-    NOTHING = 0  # a new leader's first, which commits what came before it
-    DATA = 1  # for the state that the log decides
-    ADMIT = 2  # `request` names a voter, `data` the disk and the start with which it votes from now on
+    NO_OP = 0  # a new leader's first, which commits what came before it
+    COMMAND = 1  # for the state that the log decides
+    ADMIT_DISK = (
+        2  # `request_id` names a voter, `data` the disk and the start with which it votes from now on
+    )
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; `request` is its proposer's name for it."""
+class LogEntry(msgspec.Struct, frozen=True, array_like=True):
+    """One entry of the log; `request_id` is its proposer's name for it."""
 
     term: int
-    kind: EntryKind = EntryKind.NOTHING
-    request: str = ""
+    kind: EntryKind = EntryKind.NO_OP
+    request_id: str = ""
     data: bytes = b""
 
 
 class Handshake(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
     """Who a node is on this disk and at this start, and how far its log goes.
 
-    `founders`: which voters' disks it knows to have founded the fleet; none: none.
+    `initial_disks`: which voters' disks it knows to have founded the fleet; none: none.
     """
 
-    ident: str
-    start: str  # drawn anew at each one
-    founders: dict[str, str]
-    to: str = ""  # the start of whom it is for, as far as the sender knows
-    wants: bool = False  # an answer that names the sender's start
+    disk_id: str
+    incarnation: str  # drawn anew at each one
+    initial_disks: dict[str, str]
+    recipient_incarnation: str = ""  # the start of whom it is for, as far as the sender knows
+    wants_reply: bool = False  # an answer that names the sender's start
     term: int = 0
-    last: Place = (0, 0)
+    last_position: LogPosition = (0, 0)
 
 
 class CommitPosition(msgspec.Struct, frozen=True, array_like=True):
@@ -49,12 +53,12 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """For a vote in this term; `trial`: whether it would be given, which binds nobody (pre-vote)."""
+    """For a vote in this term; `pre_vote`: whether it would be given, which binds nobody (pre-vote)."""
 
     term: int
-    last_index: int
-    last_term: int
-    trial: bool
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool
     committed: CommitPosition
 
 
@@ -62,9 +66,9 @@
     """The answer to it, under the disk that gives it."""
 
     term: int
-    given: bool
-    trial: bool
-    ident: str
+    granted: bool
+    pre_vote: bool
+    disk_id: str
     committed: CommitPosition
 
 
@@ -72,44 +76,44 @@
     """A leader's entries behind one that both should have, and how far the log is committed."""
 
     term: int
-    before: int
-    before_term: int
-    entries: tuple[Entry, ...]
-    commit: int
+    prev_log_index: int
+    prev_log_term: int
+    entries: tuple[LogEntry, ...]
+    leader_commit: int
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """How far the log agrees with the leader's; where it doesn't (`fits` false), where to try again."""
+    """How far the log agrees with the leader's; where it doesn't (`success` false), where to try again."""
 
     term: int
-    fits: bool
+    success: bool
     index: int
-    ident: str
-    start: str
-    counts: bool  # whether its disk is known to hold all that it ever acknowledged
+    disk_id: str
+    incarnation: str
+    is_disk_trusted: bool  # whether its disk is known to hold all that it ever acknowledged
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
     """The state up to an entry that the leader has no more."""
 
     term: int
-    index: int
-    index_term: int
-    voters: dict[str, str]
+    last_included_index: int
+    last_included_term: int
+    voter_disks: dict[str, str]
     state: bytes
 
 
-class Propose(msgspec.Struct, frozen=True, array_like=True, tag="propose"):
+class ProposalRequest(msgspec.Struct, frozen=True, array_like=True, tag="propose"):
     """For the leader: an entry of another node."""
 
-    request: str
+    request_id: str
     data: bytes
 
 
 class ProposalResult(msgspec.Struct, frozen=True, array_like=True, tag="decided"):
     """What became of a proposal; none: nothing that this node knows of, it may be asked for again."""
 
-    request: str
+    request_id: str
     result: bytes | None
 
 
@@ -120,50 +124,70 @@
     | AppendEntries
     | AppendEntriesResponse
     | InstallSnapshot
-    | Propose
+    | ProposalRequest
     | ProposalResult
 )
 
 
-class HardState(msgspec.Struct, frozen=True):
-    """What must never be forgotten: the term, the vote in it, the disk's name and those of the founders.
-
-    `sure`: the entry of the last admission that is known to be committed; a voter that was admitted, and
-    nobody knows of any more, could not be counted. `doubt`: the disk may be an older copy. `floor`: the
-    furthest log that the others told of when the doubt ended; a log that ends before gets no vote.
+class HardState(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "voted_for": "vote",
+        "disk_id": "ident",
+        "initial_disks": "founders",
+        "committed_admission_index": "sure",
+        "stale_disk_suspected": "doubt",
+        "vote_floor": "floor",
+    },
+):
+    """State that must be on disk before a message that rests on it leaves.
+
+    Raft's current term and vote, and the identity of the disk itself.
+
+    Attributes:
+        term: The latest term that the node has seen.
+        voted_for: The candidate that got this node's vote in `term`; empty if none did.
+        disk_id: The name of this disk, drawn when it was made.
+        initial_disks: The disk with which each voter founded the cluster, by voter; empty until known.
+        committed_admission_index: The newest disk admission in the log that is known to be committed. Without
+            it a voter whose admission nobody remembers as committed could not be counted.
+        stale_disk_suspected: Whether the disk may be an older copy of itself.
+        vote_floor: The furthest log position that other voters reported when the suspicion ended; a candidate
+            whose log ends before it gets no vote.
     """
 
     term: int = 0
-    vote: str = ""
-    ident: str = ""
-    founders: dict[str, str] = {}
-    sure: int = 0
-    doubt: bool = False
-    floor: Place = (0, 0)
+    voted_for: str = ""
+    disk_id: str = ""
+    initial_disks: dict[str, str] = {}
+    committed_admission_index: int = 0
+    stale_disk_suspected: bool = False
+    vote_floor: LogPosition = (0, 0)
 
 
-class Snapshot(msgspec.Struct, frozen=True):
+class Snapshot(msgspec.Struct, frozen=True, rename={"voter_disks": "voters"}):
     """The state after an entry, in place of all entries up to it."""
 
     index: int = 0
     term: int = 0
-    voters: dict[str, str] = {}
+    voter_disks: dict[str, str] = {}
     state: bytes = b""
 
 
-class PersistentState(msgspec.Struct, frozen=True):
+class PersistentState(msgspec.Struct, frozen=True, rename={"hard_state": "hard"}):
     """All that a disk holds; `entries` begin behind the snapshot."""
 
-    hard: HardState = HardState()
+    hard_state: HardState = HardState()
     snapshot: Snapshot = Snapshot()
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[LogEntry, ...] = ()
 
 
 class LogSuffix(msgspec.Struct, frozen=True):
     """Entries to write from an index on; whatever was there from it on is void."""
 
     index: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 Write = HardState | Snapshot | LogSuffix
--- a/tansyladder/raft/node.py
+++ b/tansyladder/raft/node.py
@@ -35,29 +35,33 @@
     AppendEntries,
     AppendEntriesResponse,
     CommitPosition,
-    Entry,
     EntryKind,
     Handshake,
     HardState,
     InstallSnapshot,
+    LogEntry,
+    LogPosition,
     LogSuffix,
     Message,
     PersistentState,
-    Place,
+    ProposalRequest,
     ProposalResult,
-    Propose,
     RequestVote,
     Snapshot,
     VoteResponse,
     Write,
 )
 
-BEAT = 250_000  # us between two signs of life of a leader: at five nodes under 2 KB/s at the leader
-ELECTION = 4 * BEAT  # us without a leader until a follower asks for votes; drawn up to twice that
-BATCH = 128  # entries in one message
-KEEP = 1024  # entries applied until they make way for a snapshot
-NOBODY = "-"  # the vote in a term in which one may have been given that was forgotten
-OPEN = 2048  # entries out that are not committed; further proposals are turned down
+HEARTBEAT_INTERVAL = (
+    250_000  # us between two signs of life of a leader: at five nodes under 2 KB/s at the leader
+)
+ELECTION_TIMEOUT = (
+    4 * HEARTBEAT_INTERVAL
+)  # us without a leader until a follower asks for votes; drawn up to twice that
+MAX_ENTRIES_PER_MESSAGE = 128  # entries in one message
+SNAPSHOT_THRESHOLD = 1024  # entries applied until they make way for a snapshot
+UNKNOWN_CANDIDATE = "-"  # the vote in a term in which one may have been given that was forgotten
+MAX_UNCOMMITTED_ENTRIES = 2048  # entries out that are not committed; further proposals are turned down
 
 
 class StateMachine(Protocol):
@@ -66,10 +70,10 @@
     def apply(self, data: bytes) -> bytes:
         """Take in an entry; the answer to who proposed it."""
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         """All of it."""
 
-    def load(self, dumped: bytes) -> None:
+    def restore(self, dumped: bytes) -> None:
         """Be what was dumped, in place of what it is."""
 
 
@@ -77,7 +81,7 @@
     """What a node is in its term."""
 
     FOLLOWER = "follower"
-    TRYING = "trying"  # asks whether votes would be given
+    PRE_CANDIDATE = "trying"  # asks whether votes would be given
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -88,18 +92,18 @@
 
     writes: list[Write] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
-    answers: list[ProposalResult] = field(default_factory=list)  # to proposals made at this node
+    results: list[ProposalResult] = field(default_factory=list)  # to proposals made at this node
 
 
 @dataclass(slots=True)
-class _Follower:
+class PeerProgress:
     """What a leader knows of another node."""
 
-    next: int  # the entry to send next
-    match: int = 0  # up to here its log is known to be the leader's
-    held: int = 0  # the same, of what counts
-    heard: int = 0
-    ident: str = ""
+    next_index: int  # the entry to send next
+    match_index: int = 0  # up to here its log is known to be the leader's
+    trusted_match_index: int = 0  # the same, of what counts
+    last_contact_at: int = 0
+    disk_id: str = ""
 
 
 class RaftNode:
@@ -119,69 +123,75 @@
 
         `kept.hard.ident` is the disk's name; it has been synced before.
         """
-        if not kept.hard.ident:
+        if not kept.hard_state.disk_id:
             raise ValueError("ident: the disk has no name")
-        self.me, self._voters, self._state, self._rng = me, tuple(voters), state, rng
+        self.name, self._voters, self._state, self._rng = me, tuple(voters), state, rng
         self._peers = [name for name in (*voters, *others) if name != me]
-        self._hard, self._snapshot, self._log = kept.hard, kept.snapshot, list(kept.entries)
-        self.commit = self.applied = kept.snapshot.index
+        self._hard_state, self._snapshot, self._log = kept.hard_state, kept.snapshot, list(kept.entries)
+        self.commit_index = self.last_applied = kept.snapshot.index
         if kept.snapshot.index:
-            state.load(kept.snapshot.state)
+            state.restore(kept.snapshot.state)
         self.role, self.leader = Role.FOLLOWER, ""
         self._votes: set[str] = set()
-        self._known: dict[str, _Follower] = {}  # by a leader
+        self._known: dict[str, PeerProgress] = {}  # by a leader
         self._start = f"{rng.getrandbits(64):016x}"
-        self._idents = {me: kept.hard.ident}  # of who has said hello since the start
+        self._idents = {me: kept.hard_state.disk_id}  # of who has said hello since the start
         self._starts: dict[str, str] = {}  # theirs
-        self._told_us: dict[str, Handshake] = {}  # the first answer of each to this start
+        self._handshake_replies: dict[str, Handshake] = {}  # the first answer of each to this start
         self._at_admission: dict[str, str] = {}  # starts whose entry is out
-        self._admitted = dict(kept.snapshot.voters)  # disks that count in place of the founders'
+        self._admitted = dict(kept.snapshot.voter_disks)  # disks that count in place of the founders'
         self._proposers: dict[int, tuple[str, str]] = {}  # by index: who waits for an entry of this term
         self._now, self._fresh = now, False
-        self.eager = False  # whether a leader tells of commits at once; else they go with what comes next
-        self._heard = now - 2 * ELECTION  # from a leader
-        self._election = self._beat = self._hello = 0
-        self._out = Effects()
-        self._commit_to(min(kept.hard.sure, self.last))
-        self._wait()
+        self.announces_commits_at_once = (
+            False  # whether a leader tells of commits at once; else they go with what comes next
+        )
+        self._leader_contact_at = now - 2 * ELECTION_TIMEOUT  # from a leader
+        self._election = self._heartbeat_at = self._handshake_at = 0
+        self._effects = Effects()
+        self._commit_to(min(kept.hard_state.committed_admission_index, self.last_index))
+        self._reset_election_timer()
 
     # --- what others may look at
 
     @property
     def term(self) -> int:
-        return self._hard.term
+        return self._hard_state.term
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """The index of the last entry."""
         return self._snapshot.index + len(self._log)
 
     @property
-    def voting(self) -> bool:
+    def is_voting(self) -> bool:
         """Whether this node votes and counts: a voter on the disk by which the fleet knows it."""
-        return self.me in self._voters and self._disk(self.me) == self._hard.ident and not self._hard.doubt
+        return (
+            self.name in self._voters
+            and self._disk(self.name) == self._hard_state.disk_id
+            and not self._hard_state.stale_disk_suspected
+        )
 
     @property
-    def doubt(self) -> bool:
+    def stale_disk_suspected(self) -> bool:
         """Whether this node's disk may be an older copy."""
-        return self._hard.doubt
+        return self._hard_state.stale_disk_suspected
 
     @property
-    def whole(self) -> bool:
+    def is_electable(self) -> bool:
         """Whether this node votes, and its log holds again all that it may have forgotten."""
-        return self.voting and self._place() >= self._hard.floor
+        return self.is_voting and self._place() >= self._hard_state.vote_floor
 
     @property
-    def due(self) -> int:
+    def next_deadline(self) -> int:
         """When `handle` is to be called though nothing has come."""
-        return min(self._beat if self.role is Role.LEADER else self._election, self._hello)
+        return min(self._heartbeat_at if self.role is Role.LEADER else self._election, self._handshake_at)
 
     @property
     def snapshot_index(self) -> int:
         """The last entry that a snapshot stands for; those up to it are gone."""
         return self._snapshot.index
 
-    def entry(self, index: int) -> Entry:
+    def entry(self, index: int) -> LogEntry:
         """An entry that is still there."""
         return self._log[index - self._snapshot.index - 1]
 
@@ -189,156 +199,179 @@
 
     def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Effects:
         """Take in messages and the time. Proposals of this node come from itself."""
-        self._now, self._out, before = max(self._now, now), Effects(), self.commit
+        self._now, self._effects, before = max(self._now, now), Effects(), self.commit_index
         for sender, message in received:
             match message:
                 case Handshake():
-                    self._greeted(sender, message)
+                    self._on_handshake(sender, message)
                 case RequestVote():
-                    self._asked(sender, message)
+                    self._on_request_vote(sender, message)
                 case VoteResponse():
-                    self._voted(sender, message)
+                    self._on_vote_response(sender, message)
                 case AppendEntries():
-                    self._append(sender, message)
+                    self._on_append_entries(sender, message)
                 case AppendEntriesResponse():
-                    self._appended(sender, message)
+                    self._on_append_entries_response(sender, message)
                 case InstallSnapshot():
-                    self._install(sender, message)
-                case Propose():
-                    self._propose(sender, message)
+                    self._on_install_snapshot(sender, message)
+                case ProposalRequest():
+                    self._on_proposal(sender, message)
                 case ProposalResult():
-                    self._out.answers.append(message)
-        self._keep_time()
-        told = self.eager and self.commit > before
+                    self._effects.results.append(message)
+        self._tick()
+        told = self.announces_commits_at_once and self.commit_index > before
         if self._fresh or told:
             self._fresh = False
             for name in self._peers if self.role is Role.LEADER else ():
                 self._send_entries(name, told)
-        return self._out
+        return self._effects
 
-    def _keep_time(self) -> None:
-        if self._now >= self._hello:
-            self._hello = self._now + (ELECTION if self._hard.founders else BEAT)
+    def _tick(self) -> None:
+        if self._now >= self._handshake_at:
+            self._handshake_at = self._now + (
+                ELECTION_TIMEOUT if self._hard_state.initial_disks else HEARTBEAT_INTERVAL
+            )
             for name in self._peers:
-                if not self._hard.founders or name not in self._told_us:
-                    self._greet(name)
-        if self._hard.doubt and self._told_us.keys() >= {*self._voters} - {self.me}:
+                if not self._hard_state.initial_disks or name not in self._handshake_replies:
+                    self._send_handshake(name)
+        if self._hard_state.stale_disk_suspected and self._handshake_replies.keys() >= {*self._voters} - {
+            self.name
+        }:
             self._trust()
         if self.role is Role.LEADER:
-            since = self._now - ELECTION
-            if not self._majority({name for name, p in self._known.items() if p.heard > since}):
-                self._follow(self.term, "")  # nobody may hear it any more: who asks is to be told so at once
-            elif self._now >= self._beat:
-                self._beat = self._now + BEAT
+            since = self._now - ELECTION_TIMEOUT
+            if not self._majority({name for name, p in self._known.items() if p.last_contact_at > since}):
+                self._become_follower(
+                    self.term, ""
+                )  # nobody may hear it any more: who asks is to be told so at once
+            elif self._now >= self._heartbeat_at:
+                self._heartbeat_at = self._now + HEARTBEAT_INTERVAL
                 for name in self._peers:
                     self._send_entries(name, True)
         elif self._now >= self._election:
-            self._wait()
+            self._reset_election_timer()
             self.leader = ""
-            if self.whole:
+            if self.is_electable:
                 self._campaign(trial=True)
 
     # --- who is who
 
     def _disk(self, voter: str) -> str | None:
         """The disk of a voter that counts, as far as this node knows the log to be committed."""
-        return self._admitted.get(voter) or self._hard.founders.get(voter)
+        return self._admitted.get(voter) or self._hard_state.initial_disks.get(voter)
 
     def _majority(self, names: set[str]) -> bool:
         """Whether these, with this node, are more than half of the voters, on the disks that count."""
-        return sum(n in names or n == self.me for n in self._counting()) * 2 > len(self._voters)
+        return sum(n in names or n == self.name for n in self._counting()) * 2 > len(self._voters)
 
     def _counting(self) -> list[str]:
         """The voters that are here on the disks that count."""
         return [n for n in self._voters if n in self._idents and self._disk(n) == self._idents[n]]
 
-    def _greeted(self, sender: str, hello: Handshake) -> None:
-        self._idents[sender], self._starts[sender] = hello.ident, hello.start
-        if not self._hard.founders and hello.founders:
-            self._keep(founders=hello.founders)
-        if hello.to == self._start:
-            self._told_us.setdefault(sender, hello)
+    def _on_handshake(self, sender: str, hello: Handshake) -> None:
+        self._idents[sender], self._starts[sender] = hello.disk_id, hello.incarnation
+        if not self._hard_state.initial_disks and hello.initial_disks:
+            self._persist(initial_disks=hello.initial_disks)
+        if hello.recipient_incarnation == self._start:
+            self._handshake_replies.setdefault(sender, hello)
         # Who answers this very start, and knows of no founders, has not voted: no other disk has founded.
-        all_here = self.me == self._voters[0] and self._told_us.keys() >= {*self._voters} - {self.me}
-        if all_here and not self._hard.founders:
-            self._keep(founders={name: self._idents[name] for name in self._voters})
-        if hello.wants or hello.to != self._start or (self._hard.founders and not hello.founders):
-            self._greet(sender)
-
-    def _greet(self, name: str) -> None:
-        hard, to, wants = self._hard, self._starts.get(name, ""), name not in self._told_us
+        all_here = self.name == self._voters[0] and self._handshake_replies.keys() >= {*self._voters} - {
+            self.name
+        }
+        if all_here and not self._hard_state.initial_disks:
+            self._persist(initial_disks={name: self._idents[name] for name in self._voters})
+        if (
+            hello.wants_reply
+            or hello.recipient_incarnation != self._start
+            or (self._hard_state.initial_disks and not hello.initial_disks)
+        ):
+            self._send_handshake(sender)
+
+    def _send_handshake(self, name: str) -> None:
+        hard, to, wants = self._hard_state, self._starts.get(name, ""), name not in self._handshake_replies
         place = self._place()
-        self._say(name, Handshake(hard.ident, self._start, hard.founders, to, wants, hard.term, place))
+        self._send(
+            name, Handshake(hard.disk_id, self._start, hard.initial_disks, to, wants, hard.term, place)
+        )
 
     def _trust(self) -> None:
         """All other voters have told how far they are: what was forgotten does not go beyond that."""
-        told = [self._told_us[name] for name in self._voters if name != self.me]
+        told = [self._handshake_replies[name] for name in self._voters if name != self.name]
         term = max(self.term, *(hello.term for hello in told), 0)
-        floor = max(self._hard.floor, *(hello.last for hello in told), (0, 0))
+        floor = max(self._hard_state.vote_floor, *(hello.last_position for hello in told), (0, 0))
         if term > self.term:
-            self._follow(term, "")
-        self._keep(vote=self._hard.vote or NOBODY, doubt=False, floor=floor)
+            self._become_follower(term, "")
+        self._persist(
+            voted_for=self._hard_state.voted_for or UNKNOWN_CANDIDATE,
+            stale_disk_suspected=False,
+            vote_floor=floor,
+        )
 
     # --- elections
 
-    def _wait(self) -> None:
-        self._election = self._now + ELECTION + self._rng.randrange(ELECTION)
+    def _reset_election_timer(self) -> None:
+        self._election = self._now + ELECTION_TIMEOUT + self._rng.randrange(ELECTION_TIMEOUT)
 
     def _last_term(self) -> int:
         return self._log[-1].term if self._log else self._snapshot.term
 
-    def _place(self) -> Place:
-        return self._last_term(), self.last
+    def _place(self) -> LogPosition:
+        return self._last_term(), self.last_index
 
     def _campaign(self, trial: bool) -> None:
-        self.role, self._votes = (Role.TRYING if trial else Role.CANDIDATE), {self.me}
+        self.role, self._votes = (Role.PRE_CANDIDATE if trial else Role.CANDIDATE), {self.name}
         if not trial:
-            self._keep(term=self.term + 1, vote=self.me)
+            self._persist(term=self.term + 1, voted_for=self.name)
         for name in self._voters:
-            if name != self.me:
-                self._say(
-                    name, RequestVote(self.term + trial, self.last, self._last_term(), trial, self._mark())
+            if name != self.name:
+                self._send(
+                    name,
+                    RequestVote(
+                        self.term + trial, self.last_index, self._last_term(), trial, self._commit_position()
+                    ),
                 )
         self._count_votes(trial)
 
-    def _asked(self, sender: str, ask: RequestVote) -> None:
-        led = self.role is Role.LEADER or self._now - self._heard < ELECTION
+    def _on_request_vote(self, sender: str, ask: RequestVote) -> None:
+        led = self.role is Role.LEADER or self._now - self._leader_contact_at < ELECTION_TIMEOUT
         if led and ask.term > self.term:  # who was cut off must not unseat a leader that all others hear
             return self._vote(sender, ask, False)
-        self._learn(ask.committed)
-        if not ask.trial and ask.term > self.term:
-            self._follow(ask.term, "")
-        fits = (ask.last_term, ask.last_index) >= max(self._place(), self._hard.floor)
-        free = ask.term > self.term if ask.trial else self._hard.vote in ("", sender)
-        given = self.voting and ask.term >= self.term and fits and free
-        if given and not ask.trial:
-            self._keep(vote=sender)
-            self._wait()
+        self._learn_commit(ask.committed)
+        if not ask.pre_vote and ask.term > self.term:
+            self._become_follower(ask.term, "")
+        fits = (ask.last_log_term, ask.last_log_index) >= max(self._place(), self._hard_state.vote_floor)
+        free = ask.term > self.term if ask.pre_vote else self._hard_state.voted_for in ("", sender)
+        given = self.is_voting and ask.term >= self.term and fits and free
+        if given and not ask.pre_vote:
+            self._persist(voted_for=sender)
+            self._reset_election_timer()
         self._vote(sender, ask, given)
 
     def _vote(self, to: str, ask: RequestVote, given: bool) -> None:
         term = ask.term if given else self.term
-        self._say(to, VoteResponse(term, given, ask.trial, self._hard.ident, self._mark()))
+        self._send(
+            to, VoteResponse(term, given, ask.pre_vote, self._hard_state.disk_id, self._commit_position())
+        )
 
-    def _mark(self) -> CommitPosition:
-        return CommitPosition(self.commit, self._term_at(self.commit))
+    def _commit_position(self) -> CommitPosition:
+        return CommitPosition(self.commit_index, self._term_at(self.commit_index))
 
-    def _learn(self, mark: CommitPosition) -> None:
+    def _learn_commit(self, mark: CommitPosition) -> None:
         """Who was admitted knows it, but others may have the entry and not know that it is committed."""
-        if self.commit < mark.index <= self.last and self._term_at(mark.index) == mark.term:
+        if self.commit_index < mark.index <= self.last_index and self._term_at(mark.index) == mark.term:
             self._commit_to(mark.index)
 
-    def _voted(self, sender: str, vote: VoteResponse) -> None:
-        self._idents[sender] = vote.ident
-        self._learn(vote.committed)
-        if not vote.given:
+    def _on_vote_response(self, sender: str, vote: VoteResponse) -> None:
+        self._idents[sender] = vote.disk_id
+        self._learn_commit(vote.committed)
+        if not vote.granted:
             if vote.term > self.term:
-                self._follow(vote.term, "")
+                self._become_follower(vote.term, "")
             return
-        trying = self.role is (Role.TRYING if vote.trial else Role.CANDIDATE)
-        if trying and vote.term == self.term + vote.trial:
+        trying = self.role is (Role.PRE_CANDIDATE if vote.pre_vote else Role.CANDIDATE)
+        if trying and vote.term == self.term + vote.pre_vote:
             self._votes.add(sender)
-            self._count_votes(vote.trial)
+            self._count_votes(vote.pre_vote)
 
     def _count_votes(self, trial: bool) -> None:
         if not self._majority(self._votes):
@@ -346,27 +379,29 @@
         if trial:
             self._campaign(trial=False)
             return
-        self.role, self.leader = Role.LEADER, self.me
-        self._known = {name: _Follower(self.last + 1, heard=self._now) for name in self._peers}
+        self.role, self.leader = Role.LEADER, self.name
+        self._known = {
+            name: PeerProgress(self.last_index + 1, last_contact_at=self._now) for name in self._peers
+        }
         self._at_admission.clear()
-        self._beat = self._now + BEAT
-        self._add(Entry(self.term))
+        self._heartbeat_at = self._now + HEARTBEAT_INTERVAL
+        self._add(LogEntry(self.term))
 
-    def _follow(self, term: int, leader: str) -> None:
+    def _become_follower(self, term: int, leader: str) -> None:
         """Be a follower; proposals that waited here have no known end."""
         for sender, request in self._proposers.values():
             self._decided(sender, ProposalResult(request, None))
         self._proposers.clear()
         if term > self.term:
-            self._keep(term=term, vote="")
+            self._persist(term=term, voted_for="")
         self.role, self.leader = Role.FOLLOWER, leader
-        self._wait()
+        self._reset_election_timer()
 
     # --- the log
 
-    def _add(self, *entries: Entry) -> None:
+    def _add(self, *entries: LogEntry) -> None:
         """A leader's own entries."""
-        self._out.writes.append(LogSuffix(self.last + 1, entries))
+        self._effects.writes.append(LogSuffix(self.last_index + 1, entries))
         self._log += entries
         self._fresh = True  # what comes at once goes out in one message
         self._advance()
@@ -376,166 +411,195 @@
 
     def _send_entries(self, name: str, always: bool) -> None:
         peer = self._known[name]
-        if peer.next <= self._snapshot.index:
+        if peer.next_index <= self._snapshot.index:
             s = self._snapshot
-            self._say(name, InstallSnapshot(self.term, s.index, s.term, s.voters, s.state))
-            peer.next = s.index + 1
-        entries = tuple(self._log[peer.next - self._snapshot.index - 1 :][:BATCH])
+            self._send(name, InstallSnapshot(self.term, s.index, s.term, s.voter_disks, s.state))
+            peer.next_index = s.index + 1
+        entries = tuple(self._log[peer.next_index - self._snapshot.index - 1 :][:MAX_ENTRIES_PER_MESSAGE])
         if entries or always:
-            before = peer.next - 1
-            self._say(name, AppendEntries(self.term, before, self._term_at(before), entries, self.commit))
-            peer.next += len(entries)
+            before = peer.next_index - 1
+            self._send(
+                name, AppendEntries(self.term, before, self._term_at(before), entries, self.commit_index)
+            )
+            peer.next_index += len(entries)
 
-    def _append(self, sender: str, told: AppendEntries) -> None:
+    def _on_append_entries(self, sender: str, told: AppendEntries) -> None:
         if told.term < self.term:
             return self._acknowledge(sender, False, 0)
         self._hear_leader(sender, told.term)
-        skipped = max(0, self._snapshot.index - told.before)  # a snapshot has them
-        before = told.before + skipped
-        if before > self.last or (not skipped and self._term_at(before) != told.before_term):
-            behind = min(self.last, told.before - 1)
-            return self._acknowledge(sender, False, max(behind, self.commit))
+        skipped = max(0, self._snapshot.index - told.prev_log_index)  # a snapshot has them
+        before = told.prev_log_index + skipped
+        if before > self.last_index or (not skipped and self._term_at(before) != told.prev_log_term):
+            behind = min(self.last_index, told.prev_log_index - 1)
+            return self._acknowledge(sender, False, max(behind, self.commit_index))
         for number, entry in enumerate(told.entries[skipped:], before + 1):
-            if number > self.last or self.entry(number).term != entry.term:
-                check_invariant(number > self.commit, "agreement_committed_entry_void")
-                rest = told.entries[number - told.before - 1 :]
+            if number > self.last_index or self.entry(number).term != entry.term:
+                check_invariant(number > self.commit_index, "agreement_committed_entry_void")
+                rest = told.entries[number - told.prev_log_index - 1 :]
                 del self._log[number - self._snapshot.index - 1 :]
                 self._log += rest
-                self._out.writes.append(LogSuffix(number, rest))
+                self._effects.writes.append(LogSuffix(number, rest))
                 break
-        agreed = max(before, told.before + len(told.entries))
-        self._commit_to(min(told.commit, agreed))
+        agreed = max(before, told.prev_log_index + len(told.entries))
+        self._commit_to(min(told.leader_commit, agreed))
         self._acknowledge(sender, True, agreed)
 
     def _acknowledge(self, to: str, fits: bool, index: int) -> None:
-        hard = self._hard
-        self._say(to, AppendEntriesResponse(self.term, fits, index, hard.ident, self._start, not hard.doubt))
+        hard = self._hard_state
+        self._send(
+            to,
+            AppendEntriesResponse(
+                self.term, fits, index, hard.disk_id, self._start, not hard.stale_disk_suspected
+            ),
+        )
 
     def _hear_leader(self, sender: str, term: int) -> None:
         check_invariant(self.role is not Role.LEADER or term > self.term, "agreement_two_leaders")
         if term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
-            self._follow(term, sender)
-        self._heard = self._now
-        self._wait()
+            self._become_follower(term, sender)
+        self._leader_contact_at = self._now
+        self._reset_election_timer()
 
-    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
+    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
         if told.term > self.term:
-            return self._follow(told.term, "")
+            return self._become_follower(told.term, "")
         if self.role is not Role.LEADER or told.term < self.term or sender not in self._known:
             return
         peer = self._known[sender]
-        if peer.ident != told.ident:
-            peer.match = peer.held = 0  # what another disk held
-        peer.heard, peer.ident, self._idents[sender] = self._now, told.ident, told.ident
-        if not told.fits:
-            peer.next = min(told.index, self.last) + 1
+        if peer.disk_id != told.disk_id:
+            peer.match_index = peer.trusted_match_index = 0  # what another disk held
+        peer.last_contact_at, peer.disk_id, self._idents[sender] = self._now, told.disk_id, told.disk_id
+        if not told.success:
+            peer.next_index = min(told.index, self.last_index) + 1
             return self._send_entries(sender, False)
-        peer.match = max(peer.match, told.index)
-        peer.held = max(peer.held, told.index) if told.counts else peer.held
-        peer.next = max(peer.next, peer.match + 1)
+        peer.match_index = max(peer.match_index, told.index)
+        peer.trusted_match_index = (
+            max(peer.trusted_match_index, told.index) if told.is_disk_trusted else peer.trusted_match_index
+        )
+        peer.next_index = max(peer.next_index, peer.match_index + 1)
         self._advance()
         self._admit(sender, peer, told)
-        if peer.next <= self.last:
+        if peer.next_index <= self.last_index:
             self._send_entries(sender, False)
 
-    def _admit(self, name: str, peer: _Follower, told: AppendEntriesResponse) -> None:
+    def _admit(self, name: str, peer: PeerProgress, told: AppendEntriesResponse) -> None:
         """A voter whose disk does not count has all that is committed: let the log admit it."""
-        forgot = name in self._voters and (self._disk(name) != told.ident or not told.counts)
-        if forgot and peer.match >= self.commit and self._at_admission.get(name) != told.start:
-            self._at_admission[name] = told.start
-            self._add(Entry(self.term, EntryKind.ADMIT, name, f"{told.ident} {told.start}".encode()))
+        forgot = name in self._voters and (self._disk(name) != told.disk_id or not told.is_disk_trusted)
+        if (
+            forgot
+            and peer.match_index >= self.commit_index
+            and self._at_admission.get(name) != told.incarnation
+        ):
+            self._at_admission[name] = told.incarnation
+            self._add(
+                LogEntry(self.term, EntryKind.ADMIT_DISK, name, f"{told.disk_id} {told.incarnation}".encode())
+            )
 
     def _advance(self) -> None:
         """Commit what a majority holds; of earlier terms only along with an entry of this one (5.4.2)."""
-        held = [self.last if name == self.me else self._known[name].held for name in self._counting()]
+        held = [
+            self.last_index if name == self.name else self._known[name].trusted_match_index
+            for name in self._counting()
+        ]
         half = len(self._voters) // 2
         if len(held) > half:
             index = sorted(held, reverse=True)[half]
-            if index > self.commit and self._own(index):
+            if index > self.commit_index and self._own(index):
                 self._commit_to(index)
 
     def _own(self, index: int) -> bool:
         return self.entry(index).term == self.term
 
     def _commit_to(self, index: int) -> None:
-        while self.commit < index:
-            self.commit += 1
-            entry = self.entry(self.commit)
-            result = self._state.apply(entry.data) if entry.kind is EntryKind.DATA else b""
-            if entry.kind is EntryKind.ADMIT:
-                self._admitted[entry.request], start = entry.data.decode().split()
-                if self.commit > self._hard.sure:
-                    self._keep(sure=self.commit)
+        while self.commit_index < index:
+            self.commit_index += 1
+            entry = self.entry(self.commit_index)
+            result = self._state.apply(entry.data) if entry.kind is EntryKind.COMMAND else b""
+            if entry.kind is EntryKind.ADMIT_DISK:
+                self._admitted[entry.request_id], start = entry.data.decode().split()
+                if self.commit_index > self._hard_state.committed_admission_index:
+                    self._persist(committed_admission_index=self.commit_index)
                 if start == self._start:
-                    self._keep(vote=self._hard.vote or NOBODY, doubt=False)
-            self.applied = self.commit
-            waiting = self._proposers.pop(self.commit, None)
+                    self._persist(
+                        voted_for=self._hard_state.voted_for or UNKNOWN_CANDIDATE, stale_disk_suspected=False
+                    )
+            self.last_applied = self.commit_index
+            waiting = self._proposers.pop(self.commit_index, None)
             if waiting is not None:
                 self._decided(waiting[0], ProposalResult(waiting[1], result))
-        if self.applied - self._snapshot.index >= KEEP:
+        if self.last_applied - self._snapshot.index >= SNAPSHOT_THRESHOLD:
             self._cut()
 
     def _cut(self) -> None:
         """Put the state in place of the entries that made it."""
-        index = self.applied
+        index = self.last_applied
         term = self._term_at(index)
         del self._log[: index - self._snapshot.index]
-        self._snapshot = Snapshot(index, term, dict(self._admitted), self._state.dump())
-        self._out.writes.append(self._snapshot)
+        self._snapshot = Snapshot(index, term, dict(self._admitted), self._state.snapshot())
+        self._effects.writes.append(self._snapshot)
 
-    def _install(self, sender: str, told: InstallSnapshot) -> None:
+    def _on_install_snapshot(self, sender: str, told: InstallSnapshot) -> None:
         if told.term < self.term:
             return self._acknowledge(sender, False, 0)
         self._hear_leader(sender, told.term)
-        if told.index > self.commit:
-            fits = told.index < self.last and self._term_at(told.index) == told.index_term
-            rest = self._log[told.index - self._snapshot.index :] if fits else []
-            self._snapshot = Snapshot(told.index, told.index_term, told.voters, told.state)
-            self._log, self.commit, self.applied = rest, told.index, told.index
-            self._admitted = dict(told.voters)
-            self._state.load(told.state)
-            self._out.writes += [self._snapshot, LogSuffix(told.index + 1, tuple(rest))]
-        self._acknowledge(sender, True, told.index)
+        if told.last_included_index > self.commit_index:
+            fits = (
+                told.last_included_index < self.last_index
+                and self._term_at(told.last_included_index) == told.last_included_term
+            )
+            rest = self._log[told.last_included_index - self._snapshot.index :] if fits else []
+            self._snapshot = Snapshot(
+                told.last_included_index, told.last_included_term, told.voter_disks, told.state
+            )
+            self._log, self.commit_index, self.last_applied = (
+                rest,
+                told.last_included_index,
+                told.last_included_index,
+            )
+            self._admitted = dict(told.voter_disks)
+            self._state.restore(told.state)
+            self._effects.writes += [self._snapshot, LogSuffix(told.last_included_index + 1, tuple(rest))]
+        self._acknowledge(sender, True, told.last_included_index)
 
     # --- proposals
 
-    def _propose(self, sender: str, told: Propose) -> None:
-        if self.role is Role.LEADER and self.last - self.commit < OPEN:
-            self._proposers[self.last + 1] = (sender, told.request)
-            self._add(Entry(self.term, EntryKind.DATA, told.request, told.data))
-        elif sender == self.me and self.leader and self.role is not Role.LEADER:
-            self._say(self.leader, told)
+    def _on_proposal(self, sender: str, told: ProposalRequest) -> None:
+        if self.role is Role.LEADER and self.last_index - self.commit_index < MAX_UNCOMMITTED_ENTRIES:
+            self._proposers[self.last_index + 1] = (sender, told.request_id)
+            self._add(LogEntry(self.term, EntryKind.COMMAND, told.request_id, told.data))
+        elif sender == self.name and self.leader and self.role is not Role.LEADER:
+            self._send(self.leader, told)
         else:  # no leader is known, or what came from elsewhere is not for this node
-            self._decided(sender, ProposalResult(told.request, None))
+            self._decided(sender, ProposalResult(told.request_id, None))
 
     def _decided(self, to: str, decided: ProposalResult) -> None:
-        if to == self.me:
-            self._out.answers.append(decided)
+        if to == self.name:
+            self._effects.results.append(decided)
         else:
-            self._say(to, decided)
+            self._send(to, decided)
 
     # --- out
 
-    def _say(self, to: str, message: Message) -> None:
-        self._out.messages.append((to, message))
+    def _send(self, to: str, message: Message) -> None:
+        self._effects.messages.append((to, message))
 
-    def _keep(
+    def _persist(
         self,
         term: int | None = None,
-        vote: str | None = None,
-        founders: dict[str, str] | None = None,
-        sure: int | None = None,
-        doubt: bool | None = None,
-        floor: Place | None = None,
+        voted_for: str | None = None,
+        initial_disks: dict[str, str] | None = None,
+        committed_admission_index: int | None = None,
+        stale_disk_suspected: bool | None = None,
+        vote_floor: LogPosition | None = None,
     ) -> None:
-        old = self._hard
-        self._hard = HardState(
+        old = self._hard_state
+        self._hard_state = HardState(
             old.term if term is None else term,
-            old.vote if vote is None else vote,
-            old.ident,
-            old.founders if founders is None else founders,
-            old.sure if sure is None else sure,
-            old.doubt if doubt is None else doubt,
-            old.floor if floor is None else floor,
+            old.voted_for if voted_for is None else voted_for,
+            old.disk_id,
+            old.initial_disks if initial_disks is None else initial_disks,
+            old.committed_admission_index if committed_admission_index is None else committed_admission_index,
+            old.stale_disk_suspected if stale_disk_suspected is None else stale_disk_suspected,
+            old.vote_floor if vote_floor is None else vote_floor,
         )
-        self._out.writes.append(self._hard)
+        self._effects.writes.append(self._hard_state)
--- a/tansyladder/replication/replicated_state.py
+++ b/tansyladder/replication/replicated_state.py
@@ -52,10 +52,10 @@
             return self.claims.apply(data)
         return msgspec.msgpack.encode(self.documents.apply(told))
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         return msgspec.msgpack.encode(StateSnapshot(self.claims.dump(), self.documents.dump()))
 
-    def load(self, dumped: bytes) -> None:
+    def restore(self, dumped: bytes) -> None:
         """ValueError: it is of no version that is known."""
         try:
             whole = msgspec.msgpack.decode(dumped, type=StateSnapshot)
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -18,7 +18,7 @@
 import numpy
 
 from tansyladder.invariants import check_invariant
-from tansyladder.raft.messages import Message, Propose
+from tansyladder.raft.messages import Message, ProposalRequest
 from tansyladder.raft.node import RaftNode, Role
 from tansyladder.replication.documents import (
     MS,
@@ -59,10 +59,10 @@
             return b""  # the fleet's other load
         return msgspec.msgpack.encode(self.documents.apply(told))
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         return msgspec.msgpack.encode((self.came, self.documents.dump()))
 
-    def load(self, dumped: bytes) -> None:
+    def restore(self, dumped: bytes) -> None:
         self.came, kept = msgspec.msgpack.decode(dumped, type=tuple[list[bytes], DocumentsSnapshot])
         self.documents.load(kept)
 
@@ -195,7 +195,7 @@
             self._stopped[node.name] += received
             return
         if node.core is not None and node.name in self.seats:
-            node.core.eager = self.seats[node.name].steward.urgent(self._clock(node.name))
+            node.core.announces_commits_at_once = self.seats[node.name].steward.urgent(self._clock(node.name))
         super()._step(node, *received)
         if node.core is not None and node.name in self.seats:
             self._arm(node)
@@ -217,7 +217,7 @@
 
     def _propose_entry(self, node: SimulatedNode, start: int, request: str, data: bytes) -> None:
         if node.start == start:
-            self._step(node, (node.name, Propose(request, data)))
+            self._step(node, (node.name, ProposalRequest(request, data)))
 
     def _look(self, node: SimulatedNode) -> None:
         core, seat, clock = node.core, self.seats[node.name], self._clock(node.name)
--- a/tansyladder/simulation/raft_cluster.py
+++ b/tansyladder/simulation/raft_cluster.py
@@ -18,13 +18,13 @@
 import numpy
 
 from tansyladder.raft.messages import (
-    Entry,
     EntryKind,
     HardState,
+    LogEntry,
     LogSuffix,
     Message,
     PersistentState,
-    Propose,
+    ProposalRequest,
     Snapshot,
     Write,
 )
@@ -43,7 +43,7 @@
     """What is synced, and what was written since; a crash takes the latter back."""
 
     def __init__(self, ident: str) -> None:
-        self.kept = PersistentState(HardState(ident=ident))
+        self.kept = PersistentState(HardState(disk_id=ident))
 
     def write(self, writes: list[Write]) -> None:
         """Synced when it returns."""
@@ -54,10 +54,10 @@
                     self.kept = PersistentState(write, kept.snapshot, kept.entries)
                 case Snapshot():
                     rest = kept.entries[max(0, write.index - kept.snapshot.index) :]
-                    self.kept = PersistentState(kept.hard, write, rest)
+                    self.kept = PersistentState(kept.hard_state, write, rest)
                 case LogSuffix():
                     before = kept.entries[: write.index - kept.snapshot.index - 1]
-                    self.kept = PersistentState(kept.hard, kept.snapshot, (*before, *write.entries))
+                    self.kept = PersistentState(kept.hard_state, kept.snapshot, (*before, *write.entries))
 
 
 class SumStateMachine:
@@ -70,10 +70,10 @@
         self.came.append(data)
         return str(len(self.came)).encode()
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         return b",".join(self.came)
 
-    def load(self, dumped: bytes) -> None:
+    def restore(self, dumped: bytes) -> None:
         self.came = dumped.split(b",") if dumped else []
 
 
@@ -131,7 +131,7 @@
         self._order = itertools.count()
         self._cuts: set[tuple[str, str]] = set()  # ways on which nothing arrives
         self.leaders: dict[int, str] = {}  # by term
-        self.committed: list[Entry] = []  # as first seen
+        self.committed: list[LogEntry] = []  # as first seen
         self.answered: dict[str, bytes] = {}  # requests that were answered with a result
         self._open: dict[str, str] = {}
         self._asked = itertools.count(1)
@@ -197,24 +197,26 @@
     def _doubt(self, node: SimulatedNode) -> None:
         """As at a start that finds no witness for its disk."""
         self.counts["doubted"] += 1
-        node.disk.write([msgspec.structs.replace(node.disk.kept.hard, doubt=True)])
+        node.disk.write([msgspec.structs.replace(node.disk.kept.hard_state, stale_disk_suspected=True)])
 
     def _step(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
         core = node.core
         if core is None:
             return
-        before, log, base = core.commit, list(core._log), core.snapshot_index
+        before, log, base = core.commit_index, list(core._log), core.snapshot_index
         out = core.handle(self.now, received)
         log += [entry for write in out.writes if isinstance(write, LogSuffix) for entry in write.entries]
         if self._synced:
             node.disk.write(out.writes)
         else:  # terms and votes are on their way still: what a crash takes where syncs are not waited for
-            founders = node.disk.kept.hard.founders
-            node.disk.write([w for w in out.writes if not isinstance(w, HardState) or w.founders != founders])
+            founders = node.disk.kept.hard_state.initial_disks
+            node.disk.write(
+                [w for w in out.writes if not isinstance(w, HardState) or w.initial_disks != founders]
+            )
         self._check(node, before, log, base)
         self._carry(node, out)
         node.waits += 1
-        self.at(core.due, partial(self._wake, node, node.waits, node.start))
+        self.at(core.next_deadline, partial(self._wake, node, node.waits, node.start))
 
     def _wake(self, node: SimulatedNode, wait: int, start: int) -> None:
         if (node.waits, node.start) == (wait, start):
@@ -228,12 +230,12 @@
                 if self._net.random() >= self.faults.loss:
                     delay = int(self._net.integers(*self.faults.delay))
                     self.at(self.now + delay, partial(self._arrive, node.name, to, message))
-        for answer in out.answers:
-            self._open.pop(answer.request, None)
+        for answer in out.results:
+            self._open.pop(answer.request_id, None)
             if answer.result is None:
                 self.counts["unknown"] += 1
             else:
-                self.answered[answer.request] = answer.result
+                self.answered[answer.request_id] = answer.result
 
     def _arrive(self, sender: str, to: str, message: Message) -> None:
         if (sender, to) not in self._cuts:
@@ -244,18 +246,18 @@
         request = f"r{next(self._asked)}"
         self.counts["asked"] += 1
         self._open[request] = name
-        self._step(self.nodes[name], (name, Propose(request, request.encode())))
+        self._step(self.nodes[name], (name, ProposalRequest(request, request.encode())))
         return request
 
     # --- checkers
 
-    def _check(self, node: SimulatedNode, before: int, log: list[Entry], base: int) -> None:
+    def _check(self, node: SimulatedNode, before: int, log: list[LogEntry], base: int) -> None:
         """`log`: what there was of it behind `base`, and was added: a snapshot may have taken its place."""
         core = node.core
         assert core is not None
         if core.role is Role.LEADER and self.leaders.setdefault(core.term, node.name) != node.name:
             raise InvariantViolation(f"{self.now}: two leaders in term {core.term}")
-        for index in range(before + 1, core.commit + 1):
+        for index in range(before + 1, core.commit_index + 1):
             if index <= len(self.committed):
                 try:
                     entry = core.entry(index) if index > core.snapshot_index else None
@@ -269,9 +271,9 @@
             else:
                 gone = index <= core.snapshot_index
                 self.committed.append(log[index - base - 1] if gone else core.entry(index))
-        came = [e.data for e in self.committed[: core.applied] if e.kind is EntryKind.DATA]
+        came = [e.data for e in self.committed[: core.last_applied] if e.kind is EntryKind.COMMAND]
         if node.sums.came != came:
-            raise InvariantViolation(f"{self.now}: {node.name} has another state at {core.applied}")
+            raise InvariantViolation(f"{self.now}: {node.name} has another state at {core.last_applied}")
 
     def finish(self) -> None:
         """Faults over, all up. Broken: an answered proposal is gone, or none goes through in time."""
@@ -289,14 +291,14 @@
         else:
             raise InvariantViolation(f"{self.now}: no proposal goes through at all nodes")
         self.run(self.now + 2 * S)
-        logged = {e.request for e in self.committed}
+        logged = {e.request_id for e in self.committed}
         for request in self.answered:
             if request not in logged:
                 raise InvariantViolation(f"{self.now}: {request} was answered and is in no log")
         for node in self.nodes.values():
-            if node.core is not None and node.core.commit != len(self.committed):
+            if node.core is not None and node.core.commit_index != len(self.committed):
                 raise InvariantViolation(
-                    f"{self.now}: {node.name} is at {node.core.commit} of {len(self.committed)}"
+                    f"{self.now}: {node.name} is at {node.core.commit_index} of {len(self.committed)}"
                 )
 
     # --- fate
@@ -324,7 +326,7 @@
             return
         # A disk may go while all other voters are up on disks that count; more at once is a majority lost.
         others = [self.nodes[v].core for v in self.voters if v != name]
-        spared = bool(others) and all(core is not None and core.whole for core in others)
+        spared = bool(others) and all(core is not None and core.is_electable for core in others)
         fate = self._fate.random()
         self.crash(name, bool(spared and fate < self.faults.wiped))
         if spared and 0 <= fate - self.faults.wiped < self.faults.older:
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -19,7 +19,7 @@
 from tansyladder.config import operator_settings
 from tansyladder.lab.chaos import cluster, history, play, schedule
 from tansyladder.lab.node import LabNode
-from tansyladder.raft.messages import Entry, EntryKind, Handshake, HardState, LogSuffix, Message, Snapshot
+from tansyladder.raft.messages import EntryKind, Handshake, HardState, LogEntry, LogSuffix, Message, Snapshot
 from tansyladder.store import Durability, Op, open_store
 from tansyladder.store.files import RealFiles
 
@@ -175,7 +175,7 @@
     ends.start()
     sender, message = send_until_heard(ends)
     assert (sender, type(message)) == ("a", Handshake)
-    large = LogSuffix(1, (Entry(1, EntryKind.DATA, "r", b"x" * (2 << 20)),)).entries[0]
+    large = LogSuffix(1, (LogEntry(1, EntryKind.COMMAND, "r", b"x" * (2 << 20)),)).entries[0]
     from tansyladder.raft.messages import AppendEntries
 
     ends.nodes[1].send("a", AppendEntries(1, 0, 0, (large,), 0))
@@ -252,21 +252,21 @@
         return RaftStorage(store, RollbackDetector(str(tmp_path), "n")), store
 
     records, store = opened()
-    ident = records.kept.hard.ident
-    entries = tuple(Entry(1, EntryKind.DATA, f"r{i}", b"x") for i in range(6))
+    ident = records.persisted.hard_state.disk_id
+    entries = tuple(LogEntry(1, EntryKind.COMMAND, f"r{i}", b"x") for i in range(6))
     records.write(
         [HardState(3, "n1", ident, {"n1": "d"}, 2), LogSuffix(1, entries), LogSuffix(5, entries[:1])]
     )
     records.write([Snapshot(2, 1, {"n1": "e"}, b"s" * 200_000)])
     store.close()  # type: ignore[attr-defined]
     again, store = opened()
-    assert again.kept.hard == HardState(3, "n1", ident, {"n1": "d"}, 2)
-    assert again.kept.snapshot == Snapshot(2, 1, {"n1": "e"}, b"s" * 200_000)
-    assert again.kept.entries == (*entries[2:4], entries[0])
+    assert again.persisted.hard_state == HardState(3, "n1", ident, {"n1": "d"}, 2)
+    assert again.persisted.snapshot == Snapshot(2, 1, {"n1": "e"}, b"s" * 200_000)
+    assert again.persisted.entries == (*entries[2:4], entries[0])
     again.write([Snapshot(5, 1, {}, b"small")])
     store.close()  # type: ignore[attr-defined]
     last, store = opened()
-    assert (last.kept.snapshot.state, last.kept.entries) == (b"small", ())
+    assert (last.persisted.snapshot.state, last.persisted.entries) == (b"small", ())
     store.close()  # type: ignore[attr-defined]
 
 
@@ -283,20 +283,24 @@
         store.write(ops, Durability.SYNCED)
         store.close()
 
-    assert not opened().kept.hard.doubt  # a new disk has forgotten nothing
+    assert not opened().persisted.hard_state.stale_disk_suspected  # a new disk has forgotten nothing
     shutil.copytree(tmp_path / "store", tmp_path / "copy")
-    assert not opened().kept.hard.doubt
+    assert not opened().persisted.hard_state.stale_disk_suspected
     shutil.rmtree(tmp_path / "store")
     (tmp_path / "copy").rename(tmp_path / "store")
-    assert opened().kept.hard.doubt
-    assert opened().kept.hard.doubt  # until the agreement ends it
-    write(Op(records_of.HARD, msgspec.msgpack.encode(HardState(ident=opened().kept.hard.ident))))
-    assert not opened().kept.hard.doubt
-    write(Op(RaftStorage._key(2), msgspec.msgpack.encode(Entry(1))))  # the first one is missing
-    assert opened().kept.hard.doubt
-    write(Op(records_of.HARD, msgspec.msgpack.encode(HardState(ident=opened().kept.hard.ident))))
+    assert opened().persisted.hard_state.stale_disk_suspected
+    assert opened().persisted.hard_state.stale_disk_suspected  # until the agreement ends it
+    write(
+        Op(records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id)))
+    )
+    assert not opened().persisted.hard_state.stale_disk_suspected
+    write(Op(RaftStorage._key(2), msgspec.msgpack.encode(LogEntry(1))))  # the first one is missing
+    assert opened().persisted.hard_state.stale_disk_suspected
+    write(
+        Op(records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id)))
+    )
     write(Op(RaftStorage._key(2), None))
-    assert opened("elsewhere").kept.hard.doubt  # as after a start of the machine
+    assert opened("elsewhere").persisted.hard_state.stale_disk_suspected  # as after a start of the machine
 
 
 RESUME = f'(resume (enabled true) (keys (1 "{KEY}")))'
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -25,7 +25,7 @@
 from tansyladder.replication import content_transfer, documents, replicated_state, session_ownership
 
 Place = tuple[int, int]  # term and index of a log entry
-LogEntry = messages.Entry
+LogEntry = messages.LogEntry
 PeerMessage = messages.Message | content_transfer.ChangeNotice
 LogCommand = replicated_state.Entry
 EndpointList = EndpointList
@@ -92,14 +92,20 @@
 
 
 def log_entry(*, term: int, kind: int, request: str, data: bytes) -> LogEntry:
-    return messages.Entry(term=term, kind=messages.EntryKind(kind), request=request, data=data)
+    return messages.LogEntry(term=term, kind=messages.EntryKind(kind), request_id=request, data=data)
 
 
 def hello(
     *, disk: str, start: str, founders: dict[str, str], to: str, wants_answer: bool, term: int, last: Place
 ) -> PeerMessage:
     return messages.Handshake(
-        ident=disk, start=start, founders=founders, to=to, wants=wants_answer, term=term, last=last
+        disk_id=disk,
+        incarnation=start,
+        initial_disks=founders,
+        recipient_incarnation=to,
+        wants_reply=wants_answer,
+        term=term,
+        last_position=last,
     )
 
 
@@ -108,7 +114,7 @@
 ) -> PeerMessage:
     committed = messages.CommitPosition(index=commit_index, term=commit_term)
     return messages.RequestVote(
-        term=term, last_index=last_index, last_term=last_term, trial=pre_vote, committed=committed
+        term=term, last_log_index=last_index, last_log_term=last_term, pre_vote=pre_vote, committed=committed
     )
 
 
@@ -116,14 +122,20 @@
     *, term: int, granted: bool, pre_vote: bool, disk: str, commit_index: int, commit_term: int
 ) -> PeerMessage:
     committed = messages.CommitPosition(index=commit_index, term=commit_term)
-    return messages.VoteResponse(term=term, given=granted, trial=pre_vote, ident=disk, committed=committed)
+    return messages.VoteResponse(
+        term=term, granted=granted, pre_vote=pre_vote, disk_id=disk, committed=committed
+    )
 
 
 def append_entries(
     *, term: int, previous_index: int, previous_term: int, entries: tuple[LogEntry, ...], commit: int
 ) -> PeerMessage:
     return messages.AppendEntries(
-        term=term, before=previous_index, before_term=previous_term, entries=entries, commit=commit
+        term=term,
+        prev_log_index=previous_index,
+        prev_log_term=previous_term,
+        entries=entries,
+        leader_commit=commit,
     )
 
 
@@ -131,22 +143,24 @@
     *, term: int, success: bool, index: int, disk: str, start: str, counts: bool
 ) -> PeerMessage:
     return messages.AppendEntriesResponse(
-        term=term, fits=success, index=index, ident=disk, start=start, counts=counts
+        term=term, success=success, index=index, disk_id=disk, incarnation=start, is_disk_trusted=counts
     )
 
 
 def install_snapshot(
     *, term: int, index: int, index_term: int, voters: dict[str, str], state: bytes
 ) -> PeerMessage:
-    return messages.InstallSnapshot(term=term, index=index, index_term=index_term, voters=voters, state=state)
+    return messages.InstallSnapshot(
+        term=term, last_included_index=index, last_included_term=index_term, voter_disks=voters, state=state
+    )
 
 
 def propose(*, request: str, data: bytes) -> PeerMessage:
-    return messages.Propose(request=request, data=data)
+    return messages.ProposalRequest(request_id=request, data=data)
 
 
 def proposal_result(*, request: str, result: bytes | None) -> PeerMessage:
-    return messages.ProposalResult(request=request, result=result)
+    return messages.ProposalResult(request_id=request, result=result)
 
 
 def lease_renewal(*, start: str) -> PeerMessage:
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -77,10 +77,10 @@
         return self._state.apply(encode(command))
 
     def dump(self) -> bytes:
-        return self._state.dump()
+        return self._state.snapshot()
 
     def load(self, dumped: bytes) -> None:
-        self._state.load(dumped)
+        self._state.restore(dumped)
 
     def owners(self) -> dict[int, SessionOwner]:
         """By session."""
@@ -182,27 +182,33 @@
 
 
 def raft_hard_state(storage: RaftStorage) -> HardState:
-    return storage.kept.hard
+    return storage.persisted.hard_state
 
 
 def raft_snapshot(storage: RaftStorage) -> Snapshot:
-    return storage.kept.snapshot
+    return storage.persisted.snapshot
 
 
 def raft_entries(storage: RaftStorage) -> tuple[LogEntry, ...]:
-    return storage.kept.entries
+    return storage.persisted.entries
 
 
 def hard_state(
     *, term: int, vote: str, disk: str, founders: dict[str, str], sure: int, doubt: bool, floor: Place
 ) -> HardState:
     return messages.HardState(
-        term=term, vote=vote, ident=disk, founders=founders, sure=sure, doubt=doubt, floor=floor
+        term=term,
+        voted_for=vote,
+        disk_id=disk,
+        initial_disks=founders,
+        committed_admission_index=sure,
+        stale_disk_suspected=doubt,
+        vote_floor=floor,
     )
 
 
 def snapshot(*, index: int, term: int, voters: dict[str, str], state: bytes) -> Snapshot:
-    return messages.Snapshot(index=index, term=term, voters=voters, state=state)
+    return messages.Snapshot(index=index, term=term, voter_disks=voters, state=state)
 
 
 def write_hard_state(storage: RaftStorage, state: HardState) -> None:
--- a/tests/raft/test_raft.py
+++ b/tests/raft/test_raft.py
@@ -94,10 +94,10 @@
         world._up(name)
     world.run(10 * S)
     cores = [world.nodes[name].core for name in world.voters[:2]]
-    assert not any(core is None or core.voting for core in cores)  # the third may know of more
+    assert not any(core is None or core.is_voting for core in cores)  # the third may know of more
     world._up("n2")
     world.run(20 * S)
-    assert all(core is not None and core.whole for core in cores)
+    assert all(core is not None and core.is_electable for core in cores)
     request = world.propose("n0")
     world.run(21 * S)
     assert request in world.answered
@@ -122,10 +122,10 @@
     world._up("n2")
     world.run(9 * S)
     lost = world.nodes["n2"].core
-    assert lost is not None and not lost.voting  # n0 alone is no majority, and it doesn't count
+    assert lost is not None and not lost.is_voting  # n0 alone is no majority, and it doesn't count
     world._up("n1")
     world.run(15 * S)
-    assert lost.voting
+    assert lost.is_voting
     world.crash("n1", False)
     world.run(20 * S)
     request = world.propose("n0")
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -188,12 +188,12 @@
         ValidationVote(1, "a/1", S),
     ):
         whole.apply(msgspec.msgpack.encode(entry))
-    again.load(whole.dump())
-    assert again.dump() == whole.dump() and again.documents.change is not None
+    again.restore(whole.snapshot())
+    assert again.snapshot() == whole.snapshot() and again.documents.change is not None
     assert again.documents.change.yes == {"a/1"} and again.claims.records[7].owner == "a/1"
     before = SessionOwnership()
     before.apply(msgspec.msgpack.encode(claim))
-    old.load(before.dump())
+    old.restore(before.dump())
     assert old.claims.records[7].tenure == 2 and not old.documents.leases
 
 
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -11,8 +11,8 @@
     AppendEntriesResponse,
     CommitPosition,
     Message,
+    ProposalRequest,
     ProposalResult,
-    Propose,
     RequestVote,
 )
 from tansyladder.raft.node import Effects, RaftNode
@@ -34,31 +34,31 @@
 class VotesForAnyLog(RaftNode):
     """Without the election restriction."""
 
-    def _asked(self, sender: str, ask: RequestVote) -> None:
-        super()._asked(sender, RequestVote(ask.term, 1 << 60, 1 << 60, ask.trial, ask.committed))
+    def _on_request_vote(self, sender: str, ask: RequestVote) -> None:
+        super()._on_request_vote(sender, RequestVote(ask.term, 1 << 60, 1 << 60, ask.pre_vote, ask.committed))
 
 
 class VotesTwice(RaftNode):
     """Without the one vote in a term."""
 
-    def _asked(self, sender: str, ask: RequestVote) -> None:
-        if not ask.trial:
-            self._hard = msgspec.structs.replace(self._hard, vote="")
-        super()._asked(sender, ask)
+    def _on_request_vote(self, sender: str, ask: RequestVote) -> None:
+        if not ask.pre_vote:
+            self._hard_state = msgspec.structs.replace(self._hard_state, voted_for="")
+        super()._on_request_vote(sender, ask)
 
 
 class VotesAfterForgetting(RaftNode):
     """Without the names of disks: a voter that lost its disk votes and counts on."""
 
     @property
-    def voting(self) -> bool:
-        return self.me in self._voters
+    def is_voting(self) -> bool:
+        return self.name in self._voters
 
-    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
-        super()._appended(sender, msgspec.structs.replace(told, counts=True))
+    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
+        super()._on_append_entries_response(sender, msgspec.structs.replace(told, is_disk_trusted=True))
 
     def _majority(self, names: set[str]) -> bool:
-        return len({*names, self.me}.intersection(self._voters)) * 2 > len(self._voters)
+        return len({*names, self.name}.intersection(self._voters)) * 2 > len(self._voters)
 
     def _counting(self) -> list[str]:
         return list(self._voters)
@@ -68,8 +68,8 @@
     """Without doubt: a voter on an older copy of its disk votes and counts on."""
 
     def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Effects:
-        if self._hard.doubt:
-            self._hard = msgspec.structs.replace(self._hard, doubt=False)
+        if self._hard_state.stale_disk_suspected:
+            self._hard_state = msgspec.structs.replace(self._hard_state, stale_disk_suspected=False)
         return super().handle(now, received)
 
 
@@ -77,7 +77,7 @@
     """Without the place that the others' logs have reached, and without the end of their terms."""
 
     def _trust(self) -> None:
-        self._keep(doubt=False)
+        self._persist(stale_disk_suspected=False)
 
 
 class VotesForShorterLogs(RaftNode):
@@ -85,24 +85,24 @@
 
     def _trust(self) -> None:
         super()._trust()
-        self._keep(floor=(0, 0))
+        self._persist(vote_floor=(0, 0))
 
 
 class VotesInDoubtfulTerms(RaftNode):
     """Without leaving out the terms in which it may have voted."""
 
     def _trust(self) -> None:
-        term, vote = self.term, self._hard.vote
+        term, vote = self.term, self._hard_state.voted_for
         super()._trust()
-        self._hard = msgspec.structs.replace(self._hard, term=term, vote=vote)
-        self._out.writes.append(self._hard)
+        self._hard_state = msgspec.structs.replace(self._hard_state, term=term, voted_for=vote)
+        self._effects.writes.append(self._hard_state)
 
 
 class CountsInDoubt(RaftNode):
     """Without leaving out what a voter holds whose disk may be an older copy."""
 
-    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
-        super()._appended(sender, msgspec.structs.replace(told, counts=True))
+    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
+        super()._on_append_entries_response(sender, msgspec.structs.replace(told, is_disk_trusted=True))
 
 
 class CommitsOldTerms(RaftNode):
@@ -115,52 +115,52 @@
 class AppendsAnywhere(RaftNode):
     """Without the look whether the entry before fits."""
 
-    def _append(self, sender: str, told: AppendEntries) -> None:
-        if self.snapshot_index <= told.before <= self.last:
-            told = msgspec.structs.replace(told, before_term=self._term_at(told.before))
-        super()._append(sender, told)
+    def _on_append_entries(self, sender: str, told: AppendEntries) -> None:
+        if self.snapshot_index <= told.prev_log_index <= self.last_index:
+            told = msgspec.structs.replace(told, prev_log_term=self._term_at(told.prev_log_index))
+        super()._on_append_entries(sender, told)
 
 
 class AnswersEarly(RaftNode):
     """Without the wait for the entry to be committed."""
 
-    def _propose(self, sender: str, told: Propose) -> None:
-        super()._propose(sender, told)
-        if self._proposers.pop(self.last, None):
-            self._decided(sender, ProposalResult(told.request, b"done"))
+    def _on_proposal(self, sender: str, told: ProposalRequest) -> None:
+        super()._on_proposal(sender, told)
+        if self._proposers.pop(self.last_index, None):
+            self._decided(sender, ProposalResult(told.request_id, b"done"))
 
 
 class TakesAnyTerm(RaftNode):
     """Without the look at the term of who says that it leads."""
 
-    def _append(self, sender: str, told: AppendEntries) -> None:
-        if told.term < self.term and self.leader != self.me:
+    def _on_append_entries(self, sender: str, told: AppendEntries) -> None:
+        if told.term < self.term and self.leader != self.name:
             told = msgspec.structs.replace(told, term=self.term)
-        super()._append(sender, told)
+        super()._on_append_entries(sender, told)
 
 
 class CountsOldAnswers(RaftNode):
     """Without the look at the term of an answer to the leader."""
 
-    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
+    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
         if told.term < self.term:
             told = msgspec.structs.replace(told, term=self.term)
-        super()._appended(sender, told)
+        super()._on_append_entries_response(sender, told)
 
 
 class NeverStepsDown(RaftNode):
     """Without check-quorum: a leader that nobody hears goes on."""
 
-    def _keep_time(self) -> None:
+    def _tick(self) -> None:
         for peer in self._known.values():
-            peer.heard = self._now
-        super()._keep_time()
+            peer.last_contact_at = self._now
+        super()._tick()
 
 
 class LearnsNoCommit(RaftNode):
     """Without learning from votes how far the log is committed: who was admitted may count for nobody."""
 
-    def _learn(self, mark: CommitPosition) -> None:
+    def _learn_commit(self, mark: CommitPosition) -> None:
         pass
 
 
