--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -20,7 +20,7 @@
 from tansyladder.lab.chaos import cluster, history, play, schedule
 from tansyladder.lab.node import LabNode
 from tansyladder.raft.messages import EntryKind, Handshake, HardState, LogEntry, LogSuffix, Message, Snapshot
-from tansyladder.store import Durability, Op, open_store
+from tansyladder.store import Durability, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 
 KEY = "ab" * 32
@@ -278,7 +278,7 @@
         store.close()
         return records
 
-    def write(*ops: Op) -> None:
+    def write(*ops: WriteOperation) -> None:
         store = open_store(RealFiles(tmp_path / "store"), "n", lambda: 1)
         store.write(ops, Durability.SYNCED)
         store.close()
@@ -291,15 +291,21 @@
     assert opened().persisted.hard_state.stale_disk_suspected
     assert opened().persisted.hard_state.stale_disk_suspected  # until the agreement ends it
     write(
-        Op(records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id)))
+        WriteOperation(
+            records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
+        )
     )
     assert not opened().persisted.hard_state.stale_disk_suspected
-    write(Op(RaftStorage._key(2), msgspec.msgpack.encode(LogEntry(1))))  # the first one is missing
+    write(
+        WriteOperation(RaftStorage._key(2), msgspec.msgpack.encode(LogEntry(1)))
+    )  # the first one is missing
     assert opened().persisted.hard_state.stale_disk_suspected
     write(
-        Op(records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id)))
+        WriteOperation(
+            records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
+        )
     )
-    write(Op(RaftStorage._key(2), None))
+    write(WriteOperation(RaftStorage._key(2), None))
     assert opened("elsewhere").persisted.hard_state.stale_disk_suspected  # as after a start of the machine
 
 
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -19,10 +19,10 @@
 from tansyladder.resumption import tokens
 from tansyladder.sessions import session_store
 from tansyladder.sessions.session_registry import SessionRegistry
-from tansyladder.store import Durability, Op, Store, open_store
+from tansyladder.store import Durability, Store, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 from tests.formats.adapter import LogCommand, LogEntry, Place, encode
-from tests.node.harness import HeardCore, told
+from tests.node.harness import RecordingPolicyRunner, load_test_config
 
 HardState = messages.HardState
 Snapshot = messages.Snapshot
@@ -158,11 +158,11 @@
 
 
 def put(store: Store, key: bytes, value: bytes, expiry: int = 0) -> None:
-    store.write([Op(key, value, expiry)], Durability.SYNCED)
+    store.write([WriteOperation(key, value, expiry)], Durability.SYNCED)
 
 
 def put_unsynced(store: Store, pairs: list[tuple[bytes, bytes]]) -> None:
-    store.write([Op(key, value) for key, value in pairs], Durability.SOON)
+    store.write([WriteOperation(key, value) for key, value in pairs], Durability.BUFFERED)
 
 
 def delete(store: Store, key: bytes) -> None:
@@ -232,35 +232,35 @@
 
 def node_life(opened: SessionStore) -> tuple[bytes, bytes, int]:
     """Identity, token key and number of starts."""
-    return opened.life.ident, opened.life.key, opened.life.starts
+    return opened.identity.node_life, opened.identity.token_key, opened.identity.start_count
 
 
 def save_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> None:
-    opened.keep(session, line, floor, expiry)
+    opened.save_session(session, line, floor, expiry)
 
 
 def redeem_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> bool:
-    return opened.spend(session, line, floor, expiry)
+    return opened.redeem_session(session, line, floor, expiry)
 
 
 def end_session(opened: SessionStore, session: int) -> None:
-    opened.end(session)
+    opened.delete_session(session)
 
 
 def saved_session(opened: SessionStore, session: int) -> tuple[str, int, int] | None:
     """First line, floor and expiry."""
-    found = opened.session(session)
-    return (found.line, found.floor, found.expiry) if found is not None else None
+    found = opened.load_session(session)
+    return (found.first_line, found.generation_floor, found.expires_at_us) if found is not None else None
 
 
 def save_endpoints(opened: SessionStore, listed: EndpointList) -> None:
-    opened.tell_members(listed)
+    opened.save_endpoints(listed)
 
 
 def saved_endpoints(opened: SessionStore) -> tuple[int, EndpointList] | None:
     """When the list was kept, and the list."""
-    found = opened.last_members()
-    return (found.at, found.members) if found is not None else None
+    found = opened.cached_endpoints()
+    return (found.saved_at_us, found.endpoints) if found is not None else None
 
 
 # --- tokens
@@ -268,7 +268,7 @@
 
 def node_keyring(folder: Path, sessions: SessionStore) -> Keyring:
     """Of a node `n0` that keeps its sessions in a store, with the key that it drew."""
-    return SessionRegistry(HeardCore(told(folder)), sessions).keyring
+    return SessionRegistry(RecordingPolicyRunner(load_test_config(folder)), sessions).keyring
 
 
 def fleet_keyring(folder: Path, keys: list[tuple[int, bytes]]) -> Keyring:
@@ -276,7 +276,9 @@
     peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
     entries = tuple(KeyEntry(id=number, digits=secret.hex()) for number, secret in keys)
     resume = ResumeOptions(enabled=True, keys=entries)
-    return SessionRegistry(HeardCore(told(folder), Options(resume=resume, peers=peers)), None).keyring
+    return SessionRegistry(
+        RecordingPolicyRunner(load_test_config(folder), Options(resume=resume, peers=peers)), None
+    ).keyring
 
 
 def seal_token(
@@ -289,14 +291,14 @@
     group: int,
     key: int,
 ) -> str:
-    claim = tokens.TokenPayload(session=session, generation=generation, expiry=expiry)
-    return ring.seal(claim, tokens.TokenClaims(cls=service_class, group=group, key=key))
+    claim = tokens.TokenPayload(session_id=session, generation=generation, expires_at_us=expiry)
+    return ring.seal(claim, tokens.TokenClaims(service_class=service_class, group=group, key=key))
 
 
 def open_token(ring: Keyring, text: str, *, service_class: str, group: int, key: int) -> tuple[int, int, int]:
     """Session, generation and expiry. TokenError."""
-    found = ring.open(text, tokens.TokenClaims(cls=service_class, group=group, key=key))
-    return found.session, found.generation, found.expiry
+    found = ring.open(text, tokens.TokenClaims(service_class=service_class, group=group, key=key))
+    return found.session_id, found.generation, found.expires_at_us
 
 
 # --- peers' connections
