--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -59,7 +59,7 @@
         told.lease,
     )
     resuming.ownership_service = agreeing
-    if agreeing.holding is not None:
-        core.decision_permit = DocumentPublisher(agreeing, agreeing.holding, told.stamps)
+    if agreeing.document_replica is not None:
+        core.decision_permit = DocumentPublisher(agreeing, agreeing.document_replica, told.stamps)
     agreeing.start()
     log(LogEvent.CLUSTER_JOINED, store=keeping is not None)
--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -119,7 +119,7 @@
         until, ruled = now() + PUBLISH, None
         try:
             while now() < until and (ruled is None or ruled.word == "busy"):
-                ruled = self._agreeing.publish(name, content, ask, min(until, now() + TRY))
+                ruled = self._agreeing.publish_document(name, content, ask, min(until, now() + TRY))
                 if ruled is None or ruled.word == "busy":
                     threading.Event().wait(0.2)
         except ValueError as err:
@@ -150,4 +150,4 @@
 
     def leave(self) -> None:
         """This node decides nothing any more: nobody has to wait for the end of its lease."""
-        self._agreeing.leave(now() + LEAVE)
+        self._agreeing.release_lease(now() + LEAVE)
--- a/tansyladder/cluster/peer_transport.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -144,7 +144,7 @@
         self._channels: dict[str, PeerChannel] = {}
         self._lock = threading.Lock()
         self._newcomers = threading.BoundedSemaphore(NEWCOMERS)
-        self.counts: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         listen = parse_address(options.listen or options.members[me], "peers.listen")
         self._listener = socket.create_server(listen, backlog=len(self._peers) + 16, reuse_port=True)
         self._decoder = msgspec.msgpack.Decoder(Message | ChangeNotice)
@@ -164,7 +164,7 @@
                 return
         except queue.Full:
             pass
-        self.counts["dropped"] += 1
+        self.counters["dropped"] += 1
 
     # --- both ends of the greeting
 
@@ -229,7 +229,7 @@
                 continue
             if not self._newcomers.acquire(blocking=False):
                 sock.close()
-                self.counts["turned_away"] += 1
+                self.counters["turned_away"] += 1
                 continue
             try:
                 threading.Thread(target=self._take_in, args=(sock,), name="peer-in", daemon=True).start()
@@ -247,7 +247,7 @@
                     self._newcomers.release()
                 self._run(channel)
             except PeerError as err:
-                self.counts["refused"] += 1
+                self.counters["refused"] += 1
                 log(LogEvent.PEER_REJECTED, why=err)
             except OSError:
                 pass
@@ -271,7 +271,7 @@
             writer.start()
             while True:
                 data = channel.receive()
-                self.counts["bytes_in"] += len(data) + MARK + _LENGTH.size
+                self.counters["bytes_in"] += len(data) + MARK + _LENGTH.size
                 try:
                     message = self._decoder.decode(data)
                 except msgspec.MsgspecError as err:
@@ -282,7 +282,7 @@
                 if self._channels.get(channel.peer) is channel:
                     del self._channels[channel.peer]
             self._end(channel)
-            log(LogEvent.PEER_DISCONNECTED, peer=channel.peer, dropped=self.counts["dropped"])
+            log(LogEvent.PEER_DISCONNECTED, peer=channel.peer, dropped=self.counters["dropped"])
 
     @staticmethod
     def _end(channel: PeerChannel) -> None:
@@ -296,7 +296,7 @@
             try:
                 check_invariant(len(data) <= MOST_FRAME, "peer_frame_too_large")
                 channel.send(data)
-                self.counts["bytes_out"] += len(data) + MARK + _LENGTH.size
+                self.counters["bytes_out"] += len(data) + MARK + _LENGTH.size
             except OSError:
                 self._end(channel)
                 return
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -79,42 +79,42 @@
 
         StoreError, OSError: the records can't be read, or the peers' address can't be listened at.
         """
-        self._records = RaftStorage(store, RollbackDetector(folder, me))
-        self.by = f"{me}/{os.urandom(4).hex()}"  # the node and its start
-        self._me = me
+        self._storage = RaftStorage(store, RollbackDetector(folder, me))
+        self.incarnation = f"{me}/{os.urandom(4).hex()}"  # the node and its start
+        self._name = me
         self._inbox: queue.Queue[tuple[str, Message | ChangeNotice]] = queue.Queue(INBOX)
-        self._waiting: dict[str, _PendingProposal] = {}
-        self._numbers = itertools.count(1)
-        self.stopped = False
+        self._pending: dict[str, _PendingProposal] = {}
+        self._request_numbers = itertools.count(1)
+        self.is_stopped = False
         voters = options.voters.split()
         agreed = ReplicatedState(voters, taken)
         others = [name for name in options.members if name not in voters]
-        kept, start = self._records.persisted, self._micros()
-        self._agreement = RaftNode(me, voters, others, kept, agreed, Random(os.urandom(16)), start)
+        kept, start = self._storage.persisted, self._monotonic_us()
+        self._node = RaftNode(me, voters, others, kept, agreed, Random(os.urandom(16)), start)
         # After what the disk holds is loaded: content of documents that it names is looked for there.
         peers = [name for name in options.members if name != me]
-        self.holding: DocumentReplica | None = None
+        self.document_replica: DocumentReplica | None = None
         if checks is not None:
-            self.holding = DocumentReplica(
-                self.by, peers, agreed.documents, store, checks, micros, cut_off, lease
+            self.document_replica = DocumentReplica(
+                self.incarnation, peers, agreed.documents, store, checks, micros, cut_off, lease
             )
-        self.peering = PeerTransport(me, options, self._heard, micros)
+        self.transport = PeerTransport(me, options, self._on_message, micros)
 
     @staticmethod
-    def _micros() -> int:
+    def _monotonic_us() -> int:
         return time.monotonic_ns() // 1000
 
     def start(self) -> None:
-        self.peering.start()
-        if self.holding is not None:
-            self.holding.start()
+        self.transport.start()
+        if self.document_replica is not None:
+            self.document_replica.start()
         threading.Thread(target=self._run, name="agreement", daemon=True).start()
 
-    def _heard(self, sender: str, message: Message | ChangeNotice) -> None:
+    def _on_message(self, sender: str, message: Message | ChangeNotice) -> None:
         try:
             self._inbox.put_nowait((sender, message))
         except queue.Full:
-            self.peering.counts["dropped"] += 1
+            self.transport.counters["dropped"] += 1
 
     def _run(self) -> None:
         told = ("", 0, "", False, False)
@@ -122,16 +122,17 @@
             while True:
                 received = self._next()
                 for_it = [(sender, told) for sender, told in received if not isinstance(told, ChangeNotice)]
-                if self.holding is not None:
-                    self._agreement.announces_commits_at_once = self.holding.urgent
-                out = self._agreement.handle(self._micros(), for_it)
-                self._records.write(out.writes)  # before anything leaves
-                if self.holding is not None:
+                if self.document_replica is not None:
+                    self._node.announces_commits_at_once = self.document_replica.urgent
+                out = self._node.handle(self._monotonic_us(), for_it)
+                self._storage.write(out.writes)  # before anything leaves
+                if self.document_replica is not None:
                     self._hold(
-                        self.holding, [(s, told) for s, told in received if isinstance(told, ChangeNotice)]
+                        self.document_replica,
+                        [(s, told) for s, told in received if isinstance(told, ChangeNotice)],
                     )
                 self._hand_out(out)
-                core = self._agreement
+                core = self._node
                 state = (
                     core.role.value,
                     core.term,
@@ -144,14 +145,14 @@
                     names = ("role", "term", "leader", "voting", "doubt")
                     log(LogEvent.RAFT_STATE, **dict(zip(names, state, strict=True)))
         except Exception as err:  # what it has promised can't be known any more: it takes no further part
-            self.stopped = True
+            self.is_stopped = True
             log(LogEvent.RAFT_STOPPED, why=repr(err))
-            for waiting in list(self._waiting.values()):
+            for waiting in list(self._pending.values()):
                 waiting.event.set()
 
     def _hold(self, holding: DocumentReplica, spoken: list[tuple[str, ChangeNotice]]) -> None:
         """What documents ask for after a step; a lease is cut before anything of the step leaves."""
-        core = self._agreement
+        core = self._node
         entries, messages = holding.turn(core.leader, core.role is Role.LEADER)
         for sender, told in spoken:
             messages += holding.hear(sender, told)
@@ -164,15 +165,15 @@
                     number=entry.number,
                     why=why,
                 )
-            self._propose(entry)
+            self._propose_entry(entry)
         for to, message in messages:
-            self.peering.send(to, message)
+            self.transport.send(to, message)
 
     def _next(self) -> list[tuple[str, Message | ChangeNotice]]:
         """What has come, a good part of it at once; nothing when it is time to look."""
-        left = (self._agreement.next_deadline - self._micros()) / 1e6
-        if self.holding is not None:
-            left = min(left, self.holding.wait() / 1e6)
+        left = (self._node.next_deadline - self._monotonic_us()) / 1e6
+        if self.document_replica is not None:
+            left = min(left, self.document_replica.wait() / 1e6)
         try:
             received = [self._inbox.get(timeout=max(0.001, left))]
         except queue.Empty:
@@ -186,22 +187,24 @@
 
     def _hand_out(self, out: Effects) -> None:
         for to, message in out.messages:
-            self.peering.send(to, message)
+            self.transport.send(to, message)
         for decided in out.results:
-            waiting = self._waiting.pop(decided.request_id, None)
+            waiting = self._pending.pop(decided.request_id, None)
             if waiting is not None:
                 waiting.decided = decided
                 waiting.event.set()
 
-    def tell(self, entry: SessionOpened) -> None:
+    def propose(self, entry: SessionOpened) -> None:
         """Propose an entry whose loss does no harm, and wait for nothing."""
-        self._propose(entry)
+        self._propose_entry(entry)
 
-    def _propose(self, entry: Entry) -> None:
-        request = f"{self.by}/{next(self._numbers)}"
-        self._heard(self._me, ProposalRequest(request, msgspec.msgpack.encode(entry)))
+    def _propose_entry(self, entry: Entry) -> None:
+        request = f"{self.incarnation}/{next(self._request_numbers)}"
+        self._on_message(self._name, ProposalRequest(request, msgspec.msgpack.encode(entry)))
 
-    def rule(self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta) -> ClaimResult | None:
+    def decide_ownership(
+        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+    ) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment, or nobody leads.
 
         None may have been a yes: what it was about must not be taken for granted either way.
@@ -209,36 +212,36 @@
         result = self._decide(entry, until)
         return msgspec.msgpack.decode(result, type=ClaimResult) if result is not None else None
 
-    def publish(self, name: str, content: bytes, ask: str, until: timedelta) -> ChangeResult | None:
+    def publish_document(self, name: str, content: bytes, ask: str, until: timedelta) -> ChangeResult | None:
         """Have a document changed in the whole fleet; what became of that, as far as it is known by a moment.
 
         None may be a yes still: asked again with the same `ask` it is the same change. ValueError: this node
         itself finds a fault in it, and has asked nobody.
         """
-        if self.holding is None:
+        if self.document_replica is None:
             raise ValueError("documents: not enabled")
-        offer = self.holding.offer(name, content, ask)
+        offer = self.document_replica.offer(name, content, ask)
         result = self._decide(offer, until)
         if result is None:
             return None
         ruled = msgspec.msgpack.decode(result, type=ChangeResult)
-        return self.holding.ended(ask, until) if ruled.word == "under way" else ruled
+        return self.document_replica.ended(ask, until) if ruled.word == "under way" else ruled
 
-    def leave(self, until: timedelta) -> None:
+    def release_lease(self, until: timedelta) -> None:
         """This node decides nothing any more: nobody has to wait for the end of its lease."""
-        if self.holding is not None:
-            self.holding.give_up()
-            self._decide(LeaseRelease(self.by, self.holding.micros()), until)
+        if self.document_replica is not None:
+            self.document_replica.give_up()
+            self._decide(LeaseRelease(self.incarnation, self.document_replica.micros()), until)
 
     def _decide(self, entry: Entry, until: timedelta) -> bytes | None:
         data, again = msgspec.msgpack.encode(entry), AGAIN
-        while not self.stopped and len(self._waiting) < WAITING and now() < until:
-            request, waiting = f"{self.by}/{next(self._numbers)}", _PendingProposal()
-            self._waiting[request] = waiting
-            self._heard(self._me, ProposalRequest(request, data))
+        while not self.is_stopped and len(self._pending) < WAITING and now() < until:
+            request, waiting = f"{self.incarnation}/{next(self._request_numbers)}", _PendingProposal()
+            self._pending[request] = waiting
+            self._on_message(self._name, ProposalRequest(request, data))
             waiting.event.wait(min(until - now(), again).total_seconds())
             again *= 2  # a fleet that is slow must not get more of it
-            self._waiting.pop(request, None)
+            self._pending.pop(request, None)
             if waiting.decided is not None:
                 return waiting.decided.result
         return None
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -86,7 +86,7 @@
 
     def on_ownership_claimed(self, session: int, tenure: int, by: str) -> None:
         """The log says that another node owns a session: what there is of it here ends."""
-        if self.ownership_service is not None and by != self.ownership_service.by:
+        if self.ownership_service is not None and by != self.ownership_service.incarnation:
             box = self.token_registry.handle_before_epoch(session, tenure)
             if box is not None:
                 box.replaced = True
@@ -132,9 +132,11 @@
             if sockets.left(sock):  # nobody is there to go on with it
                 return self._answer(sock, opening, RETRY_SOON)
             at, keep = self.retention_period()
-            by, ask = self.ownership_service.by, next(self.confirmation_numbers)
+            by, ask = self.ownership_service.incarnation, next(self.confirmation_numbers)
             entry = OwnershipClaim(claim.session_id, claim.generation, claim.expires_at_us, by, at, keep, ask)
-            ruling = self.ownership_service.rule(entry, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT))
+            ruling = self.ownership_service.decide_ownership(
+                entry, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT)
+            )
             if ruling is None:
                 return self._answer(sock, opening, RETRY_SOON)
             if not ruling.tenure:
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -48,12 +48,14 @@
 class OwnershipService(Protocol):
     """Where the fleet decides who owns a session."""
 
-    by: str  # the node and its start
+    incarnation: str  # the node and its start
 
-    def tell(self, entry: SessionOpened) -> None:
+    def propose(self, entry: SessionOpened) -> None:
         """Propose an entry whose loss does no harm, and wait for nothing."""
 
-    def rule(self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta) -> ClaimResult | None:
+    def decide_ownership(
+        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+    ) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment."""
 
 
@@ -154,12 +156,12 @@
                 tenure,
                 floor,
                 visitor.expiry,
-                self.ownership_service.by,
+                self.ownership_service.incarnation,
                 at,
                 keep,
                 next(self.confirmation_numbers),
             )
-            ruling = self.ownership_service.rule(
+            ruling = self.ownership_service.decide_ownership(
                 entry, min(visitor.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
             )
             late = now() > visitor.deadline or sockets.left(visitor.sock)
@@ -174,7 +176,7 @@
                     RETRY_SOON if ruling.why == "claimed" else control_messages.format_rejection(ruling.why)
                 )
             self._unconfirmed_openings[session] = SessionOpened(
-                session, tenure, self.ownership_service.by, at, entry.turn
+                session, tenure, self.ownership_service.incarnation, at, entry.turn
             )
         self.token_registry.redeem(session)
         return b""
@@ -183,7 +185,7 @@
         """UP has gone out to who came back: where there are peers they hear that the token is spent."""
         told = self._unconfirmed_openings.pop(session, None)
         if told is not None and self.ownership_service is not None:
-            self.ownership_service.tell(told)
+            self.ownership_service.propose(told)
 
     def end(self, session: int, why: SessionEnd) -> None:
         """Nobody comes back to it any more."""
@@ -207,7 +209,10 @@
             until = self._core.clock.moment(entry.expiry)
             while (
                 now() < until
-                and self.ownership_service.rule(entry, min(until, now() + RELEASE_ATTEMPT_TIMEOUT)) is None
+                and self.ownership_service.decide_ownership(
+                    entry, min(until, now() + RELEASE_ATTEMPT_TIMEOUT)
+                )
+                is None
             ):
                 time.sleep(random.uniform(0.05, 0.25))
             with self._lock:
