--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -26,14 +26,14 @@
     OSError, ValueError, ConfigError: the settings don't fit. StoreError: the records can't be read. Where a
     process before this one runs, that is known only later, and written to the log.
     """
-    if core.takeover.gone.is_set():
+    if core.takeover.predecessor_gone.is_set():
         _join(core, resuming, folder)
     else:
         threading.Thread(target=_follow, args=(core, resuming, folder), name="join", daemon=True).start()
 
 
 def _follow(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
-    core.takeover.gone.wait()
+    core.takeover.predecessor_gone.wait()
     try:
         _join(core, resuming, folder)
     except (OSError, ValueError, ConfigError, StoreError) as err:
--- a/tansyladder/net/action_queue.py
+++ b/tansyladder/net/action_queue.py
@@ -33,22 +33,22 @@
     """A client that came back with a token to the session that it opens."""
 
     sock: socket.socket
-    position: int  # how many of the stream host's lines it has
+    received_line_count: int  # how many of the stream host's lines it has
     deadline: timedelta  # by when it wants its answer
-    expiry: int = 0  # of its token, microseconds of Unix time
+    token_expiry_us: int = 0  # of its token, microseconds of Unix time
 
 
 class ActionQueue:
     """What the module tells one transaction; whoever polls on sockets can poll on it as well."""
 
     def __init__(self) -> None:
-        self._orders: deque[QueuedAction] = deque()
+        self._actions: deque[QueuedAction] = deque()
         self._lock = threading.Lock()
         self._event = -1
-        self._nudge: Callable[[], None] | None = None
-        self._visitors: deque[ResumingClient] = deque()
-        self.standing = False  # whether the transaction's connection stands
-        self.replaced = False  # whether another node owns the session
+        self._callback: Callable[[], None] | None = None
+        self._clients: deque[ResumingClient] = deque()
+        self.is_established = False  # whether the transaction's connection stands
+        self.is_superseded = False  # whether another node owns the session
 
     def open(self) -> None:
         """Take the descriptor that makes it pollable; raises OSError where none is left."""
@@ -58,7 +58,7 @@
         return self._event
 
     def post(self, order: QueuedAction) -> None:
-        self._orders.append(order)
+        self._actions.append(order)
 
     def take(self) -> QueuedAction | None:
         """The next order, if there is one."""
@@ -67,52 +67,52 @@
                 # Read even when nothing is there: a late wake would spin the poll.
                 with contextlib.suppress(BlockingIOError):
                     os.eventfd_read(self._event)
-                if len(self._orders) > 1:
+                if len(self._actions) > 1:
                     os.eventfd_write(self._event, 1)
-            return self._orders.popleft() if self._orders else None
+            return self._actions.popleft() if self._actions else None
 
-    def first(self) -> QueuedAction | None:
+    def peek(self) -> QueuedAction | None:
         """The next order, left where it is."""
-        return self._orders[0] if self._orders else None
+        return self._actions[0] if self._actions else None
 
-    def visit(self, visitor: ResumingClient) -> None:
+    def add_client(self, visitor: ResumingClient) -> None:
         """Hand over a client that comes back to this session, and wake its holder."""
-        self._visitors.append(visitor)
+        self._clients.append(visitor)
         self.wake()
 
-    def visitor(self) -> ResumingClient | None:
+    def take_client(self) -> ResumingClient | None:
         """The next client that came back, if there is one."""
-        return self._visitors.popleft() if self._visitors else None
+        return self._clients.popleft() if self._clients else None
 
     def wake(self) -> None:
         with self._lock:  # its own lock: the descriptor or socket can't be closed, and reused, meanwhile
             if self._event >= 0:
                 os.eventfd_write(self._event, 1)
-            elif self._nudge:
-                self._nudge()
+            elif self._callback:
+                self._callback()
 
-    def stand(self, nudge: Callable[[], None]) -> None:
+    def use_callback(self, nudge: Callable[[], None]) -> None:
         """From now on a call wakes the holder: a standing connection costs no descriptor of its own here."""
         with self._lock:
             self._release()
-            self._nudge, self.standing = nudge, True
-            if self._orders:
+            self._callback, self.is_established = nudge, True
+            if self._actions:
                 nudge()
 
-    def hold(self) -> None:
+    def mark_established(self) -> None:
         """The connection stands, and its holder goes on polling here, at a descriptor's price."""
         with self._lock:
-            self.standing = True
+            self.is_established = True
 
-    def unhold(self) -> None:
+    def mark_lost(self) -> None:
         """It stands no more; its holder may be about to place it anew."""
         with self._lock:
-            self.standing = False
+            self.is_established = False
 
     def close(self) -> None:
         with self._lock:
             self._release()
-            self._nudge, self.standing = None, False
+            self._callback, self.is_established = None, False
 
     def _release(self) -> None:
         if self._event >= 0:
--- a/tansyladder/net/delay_reports.py
+++ b/tansyladder/net/delay_reports.py
@@ -16,46 +16,46 @@
 from tansyladder.net.clock import now
 from tansyladder.policy.events import ReportKind
 
-EVERY = timedelta(seconds=1)  # a note a member at most, while its messages take long
-WINDOW = timedelta(seconds=1)  # what is heard within it is taken together
-KEPT = 64
-MOST_LOAD = 1e9  # microseconds of work a second: a thousand cores
-MOST_MS = 600_000  # of a message: nobody waits for one any longer
+REPORT_INTERVAL = timedelta(seconds=1)  # a note a member at most, while its messages take long
+SAMPLE_WINDOW = timedelta(seconds=1)  # what is heard within it is taken together
+MAX_SAMPLES = 64
+MAX_LOAD = 1e9  # microseconds of work a second: a thousand cores
+MAX_DELAY_MS = 600_000  # of a message: nobody waits for one any longer
 
 
-class _Heard:
-    __slots__ = ("noted_at", "over", "samples")
+class _EndpointDelays:
+    __slots__ = ("last_report_at", "is_above_threshold", "samples")
 
     def __init__(self) -> None:
-        self.samples: deque[tuple[timedelta, timedelta]] = deque(maxlen=KEPT)
-        self.noted_at = timedelta(0)
-        self.over = False
+        self.samples: deque[tuple[timedelta, timedelta]] = deque(maxlen=MAX_SAMPLES)
+        self.last_report_at = timedelta(0)
+        self.is_above_threshold = False
 
 
 class DelayMeter:
     """Collects the delays of all connections to a member and says when a note is due."""
 
-    def __init__(self, bound: timedelta) -> None:
-        self._bound = bound
-        self._members: dict[int, _Heard] = {}
+    def __init__(self, threshold: timedelta) -> None:
+        self._threshold = threshold
+        self._endpoints: dict[int, _EndpointDelays] = {}
         self._lock = threading.Lock()
 
-    def heard(self, member: int, delay: timedelta) -> timedelta | None:
+    def record(self, endpoint_number: int, delay: timedelta) -> timedelta | None:
         """Take in a message's delay; the value of a note where one is due."""
         moment = now()
         with self._lock:
-            at = self._members.setdefault(member, _Heard())
+            at = self._endpoints.setdefault(endpoint_number, _EndpointDelays())
             at.samples.append((moment, delay))
-            while at.samples[0][0] < moment - WINDOW:
+            while at.samples[0][0] < moment - SAMPLE_WINDOW:
                 at.samples.popleft()
             value = sorted(d for _, d in at.samples)[len(at.samples) // 2]
-            if value > self._bound:
-                if at.over and moment - at.noted_at < EVERY:
+            if value > self._threshold:
+                if at.is_above_threshold and moment - at.last_report_at < REPORT_INTERVAL:
                     return None
-                at.over, at.noted_at = True, moment
+                at.is_above_threshold, at.last_report_at = True, moment
                 return value
-            if at.over:
-                at.over = False
+            if at.is_above_threshold:
+                at.is_above_threshold = False
                 return value
             return None
 
@@ -63,33 +63,38 @@
 class DelayReports:
     """One standing connection's part in it."""
 
-    __slots__ = ("_loads", "_member", "_meter", "_tell")
+    __slots__ = ("_reports_load", "_endpoint_number", "_current_meter", "_send_report")
 
     def __init__(
         self,
-        member: int,
-        meter: Callable[[], DelayMeter | None],
-        tell: Callable[[ReportKind, float], None],
-        loads: Callable[[], bool] = lambda: False,
+        endpoint_number: int,
+        current_meter: Callable[[], DelayMeter | None],
+        send_report: Callable[[ReportKind, float], None],
+        reports_load: Callable[[], bool] = lambda: False,
     ) -> None:
         """`meter`: of the settings in force; none where no delays are told. `loads`: whether loads are.
 
         `tell` takes milliseconds of a delay, microseconds a second of a load.
         """
-        self._member, self._meter, self._tell, self._loads = member, meter, tell, loads
-
-    def timed(self, delay: timedelta) -> None:
+        self._endpoint_number, self._current_meter, self._send_report, self._reports_load = (
+            endpoint_number,
+            current_meter,
+            send_report,
+            reports_load,
+        )
+
+    def record_delay(self, delay: timedelta) -> None:
         """A line was answered, or has waited, for so long."""
-        meter = self._meter()
-        value = meter.heard(self._member, delay) if meter is not None else None
+        meter = self._current_meter()
+        value = meter.record(self._endpoint_number, delay) if meter is not None else None
         if value is not None:
-            self._tell(ReportKind.MEASURED_DELAY, value.total_seconds() * 1000)
+            self._send_report(ReportKind.MEASURED_DELAY, value.total_seconds() * 1000)
 
-    def told(self, line: bytes) -> None:
+    def record_load_line(self, line: bytes) -> None:
         """The member's own word; what makes no sense is passed by."""
-        values = protocol.parse_load(line)
-        if self._loads():
-            if len(values) == 1 and 0 <= values[0] < MOST_LOAD:
-                self._tell(ReportKind.LOAD, values[0])
-        elif self._meter() is not None and len(values) == 1 and 0 <= values[0] < MOST_MS:
-            self._tell(ReportKind.REPORTED_DELAY, values[0])
+        values = protocol.parse_load_line(line)
+        if self._reports_load():
+            if len(values) == 1 and 0 <= values[0] < MAX_LOAD:
+                self._send_report(ReportKind.LOAD, values[0])
+        elif self._current_meter() is not None and len(values) == 1 and 0 <= values[0] < MAX_DELAY_MS:
+            self._send_report(ReportKind.REPORTED_DELAY, values[0])
--- a/tansyladder/net/protocol.py
+++ b/tansyladder/net/protocol.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-MAX_LINE = 4096
+MAX_LINE_BYTES = 4096
 MILLISECOND = timedelta(milliseconds=1)
-MOST_WAIT = timedelta(seconds=60)  # that a client may ask for
-MOST_STOOD = timedelta(hours=2)  # for what stood before a run: its `d` is no wait that anybody keeps to
+MAX_WAIT = timedelta(seconds=60)  # that a client may ask for
+MAX_ADOPTED_WAIT = timedelta(hours=2)  # for what stood before a run: its `d` is no wait that anybody keeps to
 PING, PONG, STATS, UP, ERR = b"PING", b"PONG", b"STATS", b"UP", b"ERR"
 BUSY, BYE, MOVE, LOAD = b"BUSY", b"BYE", b"MOVE", b"LOAD"
 # Names in a client's first line, for sessions that can be resumed; where they can't, they mean nothing.
-OFFER, TICKET, POSITION = "rs", "rt", "rp"
-TENANT = "t"
+RESUME_OFFER_FIELD, RESUME_TOKEN_FIELD, RESUME_POSITION_FIELD = "rs", "rt", "rp"
+TENANT_FIELD = "t"
 _ID = re.compile(r"[0-9a-f]{1,16}\Z", re.I | re.A)
 _NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?\Z", re.A)  # no sign, no exponent, no inf, no huge one
 _NAME = re.compile(r"[a-z][a-z0-9_]{0,31}\Z", re.A)
@@ -30,20 +30,20 @@
 class LineBuffer:
     """Cuts what arrives into whole lines, each with its line end; holds 4 KiB of a broken one at most."""
 
-    __slots__ = ("rest",)
+    __slots__ = ("partial_line",)
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.partial_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """The lines that are whole now."""
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) >= MAX_LINE or any(len(line) >= MAX_LINE for line in lines):
-            raise LineError(f"a line longer than {MAX_LINE} bytes")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
+        if len(self.partial_line) >= MAX_LINE_BYTES or any(len(line) >= MAX_LINE_BYTES for line in lines):
+            raise LineError(f"a line longer than {MAX_LINE_BYTES} bytes")
         return [line + b"\n" for line in lines]
 
 
-def content(line: bytes) -> bytes:
+def strip_line_end(line: bytes) -> bytes:
     """A line without its end, which must be CRLF."""
     if not line.endswith(b"\r\n"):
         raise LineError("a line that does not end in CRLF")
@@ -54,29 +54,29 @@
 class Opening:
     """A client's first line."""
 
-    ident: str
+    connection_id: str
     key: int
-    cls: str
+    class_name: str
     wait: timedelta
-    group: int
-    repeat: bool
-    again: bool
-    at: str | None
-    hint: float | None
-    names: tuple[tuple[str, str], ...]
-    start: str  # the line's first words, as they came
+    group_key: int
+    is_retry: bool
+    is_reconnect: bool
+    endpoint_id: str | None
+    load_hint: float | None
+    fields: tuple[tuple[str, str], ...]
+    prefix: str  # the line's first words, as they came
 
     @property
     def line(self) -> str:
         """The whole line again."""
-        return f"{self.start} {','.join(f'{k}={v}' for k, v in self.names)}"
+        return f"{self.prefix} {','.join(f'{k}={v}' for k, v in self.fields)}"
 
     @property
-    def told(self) -> dict[str, str]:
+    def field_values(self) -> dict[str, str]:
         """The names and values."""
-        return dict(self.names)
+        return dict(self.fields)
 
-    def for_member(
+    def format_for_endpoint(
         self, wait: timedelta, without: Collection[str] = (), added: tuple[tuple[str, str], ...] = ()
     ) -> bytes:
         """The line as a pool member gets it: unchanged but for `d`, the time that this node will wait.
@@ -84,15 +84,15 @@
         Names that are between the client and this node can be left out, and some of the node's added.
         """
         left = str(max(1, wait // MILLISECOND))
-        named = [(k, v) for k, v in self.names if k not in without]
+        named = [(k, v) for k, v in self.fields if k not in without]
         values = ",".join(f"{k}={left if k == 'd' else v}" for k, v in (*named, *added))
-        return f"{self.start} {values}\r\n".encode()
+        return f"{self.prefix} {values}\r\n".encode()
 
 
 def parse_opening(line: bytes) -> Opening:
     """A client's OPEN line, checked."""
     try:
-        words = content(line).decode("utf-8").split(" ")
+        words = strip_line_end(line).decode("utf-8").split(" ")
     except UnicodeDecodeError as err:
         raise LineError("a line that is not UTF-8") from err
     if len(words) != 4 or words[0] != "OPEN":
@@ -109,7 +109,7 @@
     if "c" not in told:
         raise LineError("c: missing")
     wait = _number(told, "d") * MILLISECOND
-    if not timedelta(0) < wait <= (MOST_STOOD if "at" in told else MOST_WAIT):
+    if not timedelta(0) < wait <= (MAX_ADOPTED_WAIT if "at" in told else MAX_WAIT):
         raise LineError(f"d: out of range: {told['d']}")
     if not _ID.match(told.get("g", "0")):
         raise LineError("g: up to 16 hexadecimal digits expected")
@@ -120,17 +120,17 @@
         if told.get(name, "0") not in ("0", "1"):
             raise LineError(f"{name}: 0 or 1 expected")
     return Opening(
-        ident=ident.lower(),
+        connection_id=ident.lower(),
         key=int(key, 16),
-        cls=told["c"],
+        class_name=told["c"],
         wait=wait,
-        group=int(told.get("g", "0"), 16),
-        repeat=told.get("r") == "1",
-        again=told.get("again") == "1",
-        at=told.get("at"),
-        hint=hint,
-        names=names,
-        start=f"OPEN {ident} {key}",
+        group_key=int(told.get("g", "0"), 16),
+        is_retry=told.get("r") == "1",
+        is_reconnect=told.get("again") == "1",
+        endpoint_id=told.get("at"),
+        load_hint=hint,
+        fields=names,
+        prefix=f"OPEN {ident} {key}",
     )
 
 
@@ -153,12 +153,12 @@
     return b"BUSY %d\r\n" % ms if ms > 0 else b"BUSY\r\n"
 
 
-def word_of(line: bytes) -> bytes:
+def first_word(line: bytes) -> bytes:
     """The first word of a line."""
     return line.rstrip(b"\r\n").split(b" ", 1)[0]
 
 
-def parse_report(line: bytes, columns: Sequence[str]) -> tuple[float, ...]:
+def parse_load_report(line: bytes, columns: Sequence[str]) -> tuple[float, ...]:
     """The load report that a line ends with (`x0=0.4,qps=12`), in the order of the settings' columns.
 
     None (empty) where there is none, or where a column is missing or no finite number.
@@ -172,7 +172,7 @@
     return values if all(map(math.isfinite, values)) else ()
 
 
-def parse_load(line: bytes) -> tuple[float, ...]:
+def parse_load_line(line: bytes) -> tuple[float, ...]:
     """The values of a LOAD line; none where one is not a number."""
     try:
         values = tuple(float(v) for v in line.decode("ascii").replace(",", " ").split()[1:])
--- a/tansyladder/net/sockets.py
+++ b/tansyladder/net/sockets.py
@@ -11,24 +11,26 @@
 
 from tansyladder.net.clock import now, seconds_left
 
-SEND_WAIT = timedelta(seconds=5)  # a peer that takes nothing for this long is given up
-LINGER = timedelta(milliseconds=500)  # a peer that was told the end has this long to end its side
-CHUNK = 8192
-MOST_READ = 1 << 20  # bytes read away of a peer that was told the end; a close with unread ones is a reset
+SEND_TIMEOUT = timedelta(seconds=5)  # a peer that takes nothing for this long is given up
+DRAIN_TIMEOUT = timedelta(milliseconds=500)  # a peer that was told the end has this long to end its side
+READ_SIZE_BYTES = 8192
+MAX_DRAIN_BYTES = (
+    1 << 20
+)  # bytes read away of a peer that was told the end; a close with unread ones is a reset
 _RESET = struct.pack("ii", 1, 0)
 _LAST_DATA = struct.Struct("52xI")  # of `struct tcp_info`, tcp(7)
 
 
-def at_once(sock: socket.socket) -> None:
+def disable_send_delay(sock: socket.socket) -> None:
     """Small writes go out at once: what the system held back would go with the connection at its end."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def prepare(sock: socket.socket) -> None:
+def configure_stream(sock: socket.socket) -> None:
     """Lines go out at once, and no send waits without an end."""
-    at_once(sock)
-    sock.settimeout(SEND_WAIT.total_seconds())
+    disable_send_delay(sock)
+    sock.settimeout(SEND_TIMEOUT.total_seconds())
 
 
 def wait_readable(until: timedelta, *fds: int) -> set[int]:
@@ -53,28 +55,28 @@
 
     NOTHING = 0
     DATA = 1
-    END = 2  # its own, or that of the connection
+    CLOSED = 2  # its own, or that of the connection
 
 
-def heard(sock: socket.socket) -> PeekResult:
+def peek(sock: socket.socket) -> PeekResult:
     """A look at what comes next; it waits for nothing and reads nothing away."""
     # With a time-out Python waits before each call, whatever its flags say: so it is asked first.
     if not wait_readable(timedelta(0), sock.fileno()):
         return PeekResult.NOTHING
     try:
-        return PeekResult.DATA if sock.recv(1, socket.MSG_PEEK) else PeekResult.END
+        return PeekResult.DATA if sock.recv(1, socket.MSG_PEEK) else PeekResult.CLOSED
     except OSError:
-        return PeekResult.END
+        return PeekResult.CLOSED
 
 
-def left(sock: socket.socket) -> bool:
+def is_disconnected(sock: socket.socket) -> bool:
     """Whether the other side has ended its connection, whatever it said before that is still unread."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
-def quiet(sock: socket.socket) -> timedelta:
+def time_since_last_data(sock: socket.socket) -> timedelta:
     """How long ago the last data came in, as the system knows it (`tcpi_last_data_recv`, in milliseconds).
 
     A process that was stopped or starved sees what came meanwhile only when it runs again.
@@ -90,7 +92,7 @@
     sock.close()
 
 
-def finish(sock: socket.socket, last: bytes = b"") -> None:
+def shutdown_and_drain(sock: socket.socket, last: bytes = b"") -> None:
     """Send the last words and end in good order.
 
     A close with unread input turns into a reset, which may overtake the last words: so the sending side is
@@ -100,10 +102,10 @@
         if last:
             sock.sendall(last)
         sock.shutdown(socket.SHUT_WR)
-        until, left = now() + LINGER, MOST_READ
-        while left > 0 and now() < until and wait_readable(until, sock.fileno()):
-            size = sock.recv_into(bytearray(CHUNK), 0, socket.MSG_TRUNC)  # dropped without a copy
+        until, remaining = now() + DRAIN_TIMEOUT, MAX_DRAIN_BYTES
+        while remaining > 0 and now() < until and wait_readable(until, sock.fileno()):
+            size = sock.recv_into(bytearray(READ_SIZE_BYTES), 0, socket.MSG_TRUNC)  # dropped without a copy
             if not size:
                 break
-            left -= size
+            remaining -= size
     sock.close()
--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -30,28 +30,30 @@
     """How a flow's opening went; the socket is there only where the connection stands."""
 
     status: AttemptStatus
-    receipt: bytes = b""
+    up_line: bytes = b""
     sock: socket.socket | None = None
     buffer: protocol.LineBuffer | None = None
-    ready: tuple[bytes, ...] = ()  # lines that came right behind the receipt
-    client_left: bool = False
-    client_spoke: bool = False  # a line before UP, which the protocol does not allow
+    following_lines: tuple[bytes, ...] = ()  # lines that came right behind the receipt
+    is_client_disconnected: bool = False
+    has_client_sent: bool = False  # a line before UP, which the protocol does not allow
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamConnection:
     """A connection that stands at a pool member; the module has been told First."""
 
-    member: Endpoint
+    endpoint: Endpoint
     sock: socket.socket
     buffer: protocol.LineBuffer
-    lines: tuple[bytes, ...]  # the receipt, and what came right behind it
+    initial_lines: tuple[bytes, ...]  # the receipt, and what came right behind it
     attempt: int
-    took: int  # microseconds
+    setup_duration_us: int  # microseconds
 
-    def ended(self, number: int, status: AttemptStatus) -> AttemptEnded:
+    def attempt_ended(self, request_id: int, status: AttemptStatus) -> AttemptEnded:
         """What the module is told once it is over."""
-        return AttemptEnded(number, self.attempt, self.member.number, status, self.took, True)
+        return AttemptEnded(
+            request_id, self.attempt, self.endpoint.number, status, self.setup_duration_us, True
+        )
 
 
 class UpstreamConnector:
@@ -59,127 +61,139 @@
 
     def __init__(
         self,
-        member: Endpoint,
-        first_line: Callable[[timedelta], bytes],
-        until: timedelta,
-        connect: timedelta,
-        written: Callable[[], None],
-        lines: int = 1,
+        endpoint: Endpoint,
+        format_first_line: Callable[[timedelta], bytes],
+        deadline: timedelta,
+        connect_timeout: timedelta,
+        on_written: Callable[[], None],
+        response_line_count: int = 1,
     ) -> None:
         """`first_line`: what the member gets, by how long the node waits; `lines`: that make an answer.
 
         `written` is called once the line's last byte is out: from then on the attempt counts.
         """
-        self._member, self._first_line, self._until = member, first_line, until
-        self._connect, self._written, self._lines = connect, written, lines
-
-    def open(self, client: socket.socket | None, box: ActionQueue) -> ConnectResult:
+        self._endpoint, self._first_line, self._deadline = endpoint, format_first_line, deadline
+        self._connect_timeout, self._on_written, self._response_line_count = (
+            connect_timeout,
+            on_written,
+            response_line_count,
+        )
+
+    def open(self, client: socket.socket | None, actions: ActionQueue) -> ConnectResult:
         """Connect, send the first line and wait for the answer; unless it stands, the socket is closed.
 
         Without a client nobody's leaving is watched for: its connection stands already, or is gone.
         """
-        began = self._reach(client, box)
+        began = self._connect_and_send(client, actions)
         if isinstance(began, ConnectResult):
             return began
         sock = began
         try:
-            answer = self._ask(sock, client, box)
+            answer = self._wait_for_response(sock, client, actions)
         except OSError as err:
             # The line's last byte may have gone out: the member may have run it.
-            log(LogEvent.ENDPOINT_CONNECTION_RESET, member=self._member.id, why=err)
+            log(LogEvent.ENDPOINT_CONNECTION_RESET, member=self._endpoint.id, why=err)
             answer = ConnectResult(AttemptStatus.RESET)
         if answer.sock is None:
             sock.close()
         return answer
 
-    def _reach(self, client: socket.socket | None, box: ActionQueue) -> socket.socket | ConnectResult:
+    def _connect_and_send(
+        self, client: socket.socket | None, actions: ActionQueue
+    ) -> socket.socket | ConnectResult:
         """Connect and write the line: what breaks before its last byte is out never ran.
 
         No attempt begins for a client that has left, however long the connection takes to come up: it is
         watched meanwhile, and looked at once more in the moment before the line goes out.
         """
-        until = min(now() + self._connect, self._until)
-        if now() >= until:
+        deadline = min(now() + self._connect_timeout, self._deadline)
+        if now() >= deadline:
             return ConnectResult(AttemptStatus.CONNECT_FAILED)
         sock: socket.socket | None = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # or no descriptor is left
-            ended = self._come_up(sock, until, client, box) or _client_word(client)
+            ended = self._wait_until_connected(sock, deadline, client, actions) or _client_word(client)
             if ended is None:
-                sockets.prepare(sock)
-                sock.sendall(self._first_line(self._until - now()))
+                sockets.configure_stream(sock)
+                sock.sendall(self._first_line(self._deadline - now()))
         except OSError as err:
-            log(LogEvent.CONNECT_FAILED, member=self._member.id, why=err)
+            log(LogEvent.CONNECT_FAILED, member=self._endpoint.id, why=err)
             ended = ConnectResult(AttemptStatus.CONNECT_FAILED)
         if sock is not None and ended is None:
-            self._written()
+            self._on_written()
             return sock
         if sock is not None:
             sock.close()
         return ended or ConnectResult(AttemptStatus.CONNECT_FAILED)
 
-    def _come_up(
-        self, sock: socket.socket, until: timedelta, client: socket.socket | None, box: ActionQueue
+    def _wait_until_connected(
+        self, sock: socket.socket, deadline: timedelta, client: socket.socket | None, actions: ActionQueue
     ) -> ConnectResult | None:
         """Wait until the connection is up; what ends the wait sooner. OSError: it does not come up."""
         sock.setblocking(False)
-        code = sock.connect_ex(self._member.address)
+        code = sock.connect_ex(self._endpoint.address)
         if code not in (0, errno.EINPROGRESS):
             raise OSError(code, os.strerror(code))
-        watched = [box.fileno()] + ([client.fileno()] if client else [])
-        while not (ready := sockets.wait_connected(sock, until, *watched)) & {sock.fileno()}:
+        watched = [actions.fileno()] + ([client.fileno()] if client else [])
+        while not (ready := sockets.wait_connected(sock, deadline, *watched)) & {sock.fileno()}:
             if ended := _client_word(client):
                 return ended
-            if isinstance(box.first(), Reject):
+            if isinstance(actions.peek(), Reject):
                 return ConnectResult(
                     AttemptStatus.CANCELLED
                 )  # the node itself ends the transaction, and reads why
-            if box.fileno() in ready and isinstance(box.take(), CancelAttempt):
+            if actions.fileno() in ready and isinstance(actions.take(), CancelAttempt):
                 return ConnectResult(AttemptStatus.CANCELLED)
-            if not ready and now() >= until:
+            if not ready and now() >= deadline:
                 raise TimeoutError("timed out")
         if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             raise OSError(code, os.strerror(code))
         return None
 
-    def _ask(self, sock: socket.socket, client: socket.socket | None, box: ActionQueue) -> ConnectResult:
+    def _wait_for_response(
+        self, sock: socket.socket, client: socket.socket | None, actions: ActionQueue
+    ) -> ConnectResult:
         buffer = protocol.LineBuffer()
         heard: list[bytes] = []
-        fds = [sock.fileno(), box.fileno()] + ([client.fileno()] if client else [])
+        fds = [sock.fileno(), actions.fileno()] + ([client.fileno()] if client else [])
         while True:
-            ready = sockets.wait_readable(self._until, *fds)
+            ready = sockets.wait_readable(self._deadline, *fds)
             # Before the answer is looked at: who spoke before UP is not served as if it had not.
             if client and client.fileno() in ready and (ended := _client_word(client)):
                 return ended
             if sock.fileno() in ready:
-                data = sock.recv(sockets.CHUNK)
+                data = sock.recv(sockets.READ_SIZE_BYTES)
                 if not data:
                     return ConnectResult(AttemptStatus.RESET)
                 try:
                     heard += buffer.feed(data)
                 except protocol.LineError as err:
-                    log(LogEvent.INVALID_RESPONSE, member=self._member.id, why=err)
+                    log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=err)
                     return ConnectResult(AttemptStatus.ERROR)
-                if len(heard) >= self._lines or (heard and protocol.word_of(heard[0]) != protocol.UP):
-                    return self._read(sock, buffer, heard)
+                if len(heard) >= self._response_line_count or (
+                    heard and protocol.first_word(heard[0]) != protocol.UP
+                ):
+                    return self._parse_response(sock, buffer, heard)
                 continue
-            if box.fileno() in ready:
-                if isinstance(box.first(), Reject):
+            if actions.fileno() in ready:
+                if isinstance(actions.peek(), Reject):
                     return ConnectResult(
                         AttemptStatus.CANCELLED
                     )  # the node itself ends the transaction, and reads why
-                if isinstance(box.take(), CancelAttempt):
+                if isinstance(actions.take(), CancelAttempt):
                     return ConnectResult(AttemptStatus.CANCELLED)
-            elif not ready and now() >= self._until:
+            elif not ready and now() >= self._deadline:
                 return ConnectResult(AttemptStatus.TIMEOUT)
 
-    def _read(self, sock: socket.socket, buffer: protocol.LineBuffer, lines: list[bytes]) -> ConnectResult:
+    def _parse_response(
+        self, sock: socket.socket, buffer: protocol.LineBuffer, lines: list[bytes]
+    ) -> ConnectResult:
         first, *more = lines
-        word = protocol.word_of(first)
+        word = protocol.first_word(first)
         if word == protocol.UP:
             return ConnectResult(AttemptStatus.OK, first, sock, buffer, tuple(more))
         if word not in WORDS:
-            log(LogEvent.INVALID_RESPONSE, member=self._member.id, line=first[:80])
+            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, line=first[:80])
         return ConnectResult(WORDS.get(word, AttemptStatus.ERROR))
 
 
@@ -188,9 +202,9 @@
 
     A client that ends its side, or whose connection broke, has left.
     """
-    match client and sockets.heard(client):
-        case PeekResult.END:
-            return ConnectResult(AttemptStatus.CANCELLED, client_left=True)
+    match client and sockets.peek(client):
+        case PeekResult.CLOSED:
+            return ConnectResult(AttemptStatus.CANCELLED, is_client_disconnected=True)
         case PeekResult.DATA:
-            return ConnectResult(AttemptStatus.CANCELLED, client_spoke=True)
+            return ConnectResult(AttemptStatus.CANCELLED, has_client_sent=True)
     return None
--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -200,7 +200,7 @@
             self._poll.modify(caller.sock, select.POLLOUT)  # what else it sends must not keep us busy
         elif not caller.out:
             # Read away until the caller ends its side: a close with unread bytes would be a reset.
-            if not caller.sock.recv(protocol.MAX_LINE) or now() - caller.came > sockets.LINGER:
+            if not caller.sock.recv(protocol.MAX_LINE_BYTES) or now() - caller.came > sockets.DRAIN_TIMEOUT:
                 self._close(caller)
             return
         caller.out = caller.out[caller.sock.send(caller.out) :]
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -66,16 +66,16 @@
                     if answer.sock is not None and answer.buffer is not None:
                         if self.accept(answer):
                             core.tell(AttemptEstablished(number, attempt, server, took))
-                            lines = (answer.receipt, *answer.ready)
+                            lines = (answer.up_line, *answer.following_lines)
                             return UpstreamConnection(
                                 member, answer.sock, answer.buffer, lines, attempt, took
                             )
                         answer.sock.close()
                         answer.status = AttemptStatus.CANCELLED
-                    if answer.client_left or answer.client_spoke:
+                    if answer.is_client_disconnected or answer.has_client_sent:
                         end = AttemptEnded(number, attempt, server, answer.status, took, True)
                         core.tell(ClientDisconnected(number), end)
-                        return ClientSentEarly() if answer.client_spoke else ClientDisconnectedEarly()
+                        return ClientSentEarly() if answer.has_client_sent else ClientDisconnectedEarly()
                     core.tell(AttemptEnded(number, attempt, server, answer.status, took, False))
                     attempt += 1
                 case Reject():
@@ -101,11 +101,11 @@
             if order is not None and order.request_id == self.number:
                 return order
             ready = sockets.wait_readable(until, *fds)
-            if self.client and self.client.fileno() in ready and self.box.first() is None:
-                match sockets.heard(self.client):
+            if self.client and self.client.fileno() in ready and self.box.peek() is None:
+                match sockets.peek(self.client):
                     case sockets.PeekResult.DATA:
                         return ClientSentEarly()
-                    case sockets.PeekResult.END:
+                    case sockets.PeekResult.CLOSED:
                         return ClientDisconnectedEarly()
             if not ready and now() >= until:
                 check_invariant(False, "answer_overdue")
@@ -116,16 +116,16 @@
     core: PolicyRunner, number: int, cls: int, opening: protocol.Opening, deadline: timedelta, back: bool
 ) -> RequestReceived:
     """What the module is told of a request; `cls`: its class there; `back`: it broke or was moved."""
-    hint = None if opening.hint is None else int(opening.hint)
+    hint = None if opening.load_hint is None else int(opening.load_hint)
     return RequestReceived(
         number,
         cls,
         core.tenant(opening),
         core.clock.micros(deadline),
         opening.key,
-        opening.group,
+        opening.group_key,
         hint,
-        opening.repeat,
+        opening.is_retry,
         False,
         back,
     )
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -16,7 +16,7 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
 from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
-from tansyladder.net.protocol import TENANT, TICKET
+from tansyladder.net.protocol import RESUME_TOKEN_FIELD, TENANT_FIELD
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import Ending
 from tansyladder.node.policy_runner import PolicyRunner
@@ -67,7 +67,7 @@
     def __init__(self, sock: socket.socket) -> None:
         # Half a line is as good as none; only a whole PING sets the moment on.
         self.sock, self.buffer, self.heard = sock, protocol.LineBuffer(), now()
-        sockets.at_once(sock)
+        sockets.disable_send_delay(sock)
         self.end_by, self.gone_by = self.heard + FIRST_LINE, self.heard + GONE
         self.told = False  # whether it has its answer, and only its own end is waited for
         self.read_away = 0
@@ -102,7 +102,7 @@
     def expecting(self) -> bool:
         """Whether somebody's first line may be on its way; a front that only asks PING rests."""
         untold = [n for n in list(self._newcomers.values()) if not n.told]
-        return any(n.buffer.rest or not n.pings for n in untold)
+        return any(n.buffer.partial_line or not n.pings for n in untold)
 
     def hold(self, on: bool) -> None:
         """Leave the listener's queue to another process from now on, or take from it again."""
@@ -221,7 +221,7 @@
             newcomer = PendingConnection(sock)
             log(LogEvent.CLIENT_REJECTED, why="descriptors")
             with contextlib.suppress(OSError):
-                self._server.turned_away(sock.recv(protocol.MAX_LINE, socket.MSG_DONTWAIT))
+                self._server.turned_away(sock.recv(protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT))
             self._tell(newcomer, protocol.format_reject(self._server.come_back))
             sock.close()
         except OSError:
@@ -254,19 +254,19 @@
             # TCP drops what is read with MSG_TRUNC without a copy: a flood costs the interpreter little.
             size = sock.recv_into(self._sink, 0, socket.MSG_DONTWAIT | socket.MSG_TRUNC)
             newcomer.read_away += size
-            if not size or newcomer.read_away > sockets.MOST_READ:
+            if not size or newcomer.read_away > sockets.MAX_DRAIN_BYTES:
                 self._close(newcomer)
             return
-        data = sock.recv(2 * protocol.MAX_LINE, socket.MSG_DONTWAIT)
+        data = sock.recv(2 * protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
         arrived = now()
         if not data:
             self._close(newcomer)  # half a line and a close is nobody's business
             return
         lines = newcomer.buffer.feed(data)
         for line in lines:
-            if protocol.content(line) == protocol.PING:
+            if protocol.strip_line_end(line) == protocol.PING:
                 self._pong(newcomer, arrived)
-            elif len(lines) > 1 or newcomer.buffer.rest:
+            elif len(lines) > 1 or newcomer.buffer.partial_line:
                 raise protocol.LineError("more than one line before UP")
             else:
                 opening = protocol.parse_opening(line)
@@ -285,12 +285,14 @@
             return
         newcomer.sock.send(protocol.PONG + b"\r\n", socket.MSG_DONTWAIT)
         newcomer.heard, newcomer.end_by = arrived, arrived + PINGS
-        newcomer.gone_by = arrived + PINGS + sockets.LINGER  # a request may come in the instant of the end
+        newcomer.gone_by = (
+            arrived + PINGS + sockets.DRAIN_TIMEOUT
+        )  # a request may come in the instant of the end
 
     def _tell(self, newcomer: PendingConnection, answer: bytes) -> None:
         """The final answer, and the end of our side; a close at once might overtake the answer."""
         newcomer.told = True
-        newcomer.gone_by = min(newcomer.gone_by, now() + sockets.LINGER)
+        newcomer.gone_by = min(newcomer.gone_by, now() + sockets.DRAIN_TIMEOUT)
         try:
             if answer:
                 newcomer.sock.send(answer, socket.MSG_DONTWAIT)
@@ -331,7 +333,7 @@
         self._operators = OPERATORS if core.config.operator else 0
         self._descriptors = sockets_ - SPARE - newcomers - self._operators
         # The port can be shared, for a new process that the old one does not answer.
-        self._listener = self._takeover.ask() or socket.create_server(
+        self._listener = self._takeover.request_listener() or socket.create_server(
             core.config.listen, backlog=1024, reuse_port=True
         )
         self._admission = ConnectionAcceptor(self._listener, newcomers, self)
@@ -371,7 +373,7 @@
     def turned_away(self, heard: bytes) -> None:
         """Who said this found no descriptor."""
         try:
-            cls = protocol.parse_opening(heard).cls
+            cls = protocol.parse_opening(heard).class_name
         except protocol.LineError:
             self._core.metrics.unread()
         else:
@@ -387,20 +389,23 @@
             log(LogEvent.INVALID_LINE, where="client", why=err)
             answer = protocol.ERR + b"\r\n"
         if answer:
-            self._core.metrics.answered(opening.cls, Ending.of(answer))
+            self._core.metrics.answered(opening.class_name, Ending.of(answer))
         return answer
 
     def _admit(
         self, sock: socket.socket, opening: protocol.Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
-        if opening.cls not in self._core.classes:
-            raise protocol.LineError(f"c: unknown class {opening.cls[:40]}")
-        if self._core.config.tenants and opening.told.get(TENANT) not in self._core.config.tenants:
-            raise protocol.LineError(f"t: unknown tenant {opening.told.get(TENANT, '')[:40]}")
-        if self._closing or not self._core.permitted(opening.ident):
+        if opening.class_name not in self._core.classes:
+            raise protocol.LineError(f"c: unknown class {opening.class_name[:40]}")
+        if (
+            self._core.config.tenants
+            and opening.field_values.get(TENANT_FIELD) not in self._core.config.tenants
+        ):
+            raise protocol.LineError(f"t: unknown tenant {opening.field_values.get(TENANT_FIELD, '')[:40]}")
+        if self._closing or not self._core.permitted(opening.connection_id):
             return protocol.format_reject(self.come_back)
         resuming = self._core.resuming
-        if resuming is not None and TICKET in opening.told:
+        if resuming is not None and RESUME_TOKEN_FIELD in opening.field_values:
             return resuming.come_back(sock, opening, arrived, take)
         if not self._core.lifecycle.takes:
             return protocol.format_reject(self.come_back)
@@ -408,12 +413,15 @@
         # A resumable session keeps its mailbox's descriptor while it stands.
         standing -= len(resuming.ledger) if resuming is not None else 0
         with self._lock:
-            if opening.ident in self._open:
+            if opening.connection_id in self._open:
                 raise protocol.LineError("id: open already")
             # Two descriptors each, and a mailbox for those that do not stand yet.
-            full = 3 * (len(self._open) + 1) - standing > self._descriptors - self._takeover.elsewhere
+            full = (
+                3 * (len(self._open) + 1) - standing
+                > self._descriptors - self._takeover.remote_descriptor_count
+            )
             if not full:
-                self._open.add(opening.ident)
+                self._open.add(opening.connection_id)
         if full:
             log(LogEvent.CLIENT_REJECTED, why="limit")
             return protocol.format_reject(self.come_back)
@@ -437,7 +445,7 @@
 
     def _done(self, opening: protocol.Opening) -> None:
         with self._lock:
-            self._open.discard(opening.ident)
+            self._open.discard(opening.connection_id)
 
     def _serve(
         self,
@@ -449,16 +457,16 @@
         """One connection's thread; `handed`: what the process before gave with it."""
         transaction = RequestHandler(self._core, sock, opening, arrived, handed)
         try:
-            sockets.prepare(sock)
+            sockets.configure_stream(sock)
             transaction.run()
         except OSError as err:
             log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
             if not transaction.answered:
-                self._core.metrics.answered(opening.cls, Ending.LEFT)
+                self._core.metrics.answered(opening.class_name, Ending.LEFT)
         except Exception as err:  # one connection's mistake must not cost the others anything
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             if not transaction.answered:
-                self._core.metrics.answered(opening.cls, Ending.ERRORS)
+                self._core.metrics.answered(opening.class_name, Ending.ERRORS)
             with contextlib.suppress(OSError):
                 sock.sendall(protocol.ERR + b"\r\n")
         finally:
@@ -467,55 +475,57 @@
 
     def stop_listening(self) -> None:
         """End the admission, and wait until it has answered who is there; then close the listener."""
-        self._takeover.end()
+        self._takeover.unpublish()
         self._admission.end()
         if self._hearing.ident is not None:
             self._hearing.join((CLOSING + SEEN_OUT).total_seconds())
-        if not self._takeover.given:
+        if not self._takeover.is_listener_shared:
             with contextlib.suppress(OSError):
                 self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
     # --- what a process that takes our place, or whose place we took, wants
 
-    def share(self) -> tuple[int, int]:
+    def split_descriptors(self) -> tuple[int, int]:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
         used = 3 * len(self._open) - len(self._core.held(True))
         kept = SPARE + self._operators + self._admission.newcomers + used
         free = max(0, self._descriptors - used)
         return kept + free // 2, free - free // 2
 
-    def members(self) -> EndpointList:
+    def known_endpoints(self) -> EndpointList:
         """The list as it is known."""
         return self._core.listed()
 
-    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
+    def adopt_connection(
+        self, state: ConnectionState, client: socket.socket, upstream: socket.socket
+    ) -> None:
         """Go on with a connection of the process before, in a thread of its own."""
         try:
-            opening = protocol.parse_opening(handed.opening.encode() + b"\r\n")
-            sockets.prepare(member)
+            opening = protocol.parse_opening(state.opening.encode() + b"\r\n")
+            sockets.configure_stream(upstream)
             with self._lock:
-                self._open.add(opening.ident)
-            args = (client, opening, now(), (handed, member))
+                self._open.add(opening.connection_id)
+            args = (client, opening, now(), (state, upstream))
             threading.Thread(target=self._serve, args=args, daemon=True).start()
         except (protocol.LineError, RuntimeError) as err:  # no thread to be had
             log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
-            member.close()
+            upstream.close()
             with contextlib.suppress(OSError):
                 client.send(protocol.MOVE + b"\r\n", socket.MSG_DONTWAIT)
             client.close()
 
-    def alone(self, alone: bool) -> None:
+    def set_accepting(self, accepting: bool) -> None:
         """Another process takes the clients, or it is gone again; it matters only to a process that ends."""
         if self._core.lifecycle.phase is NodeState.DRAINING:
-            self._admission.hold(not alone)
+            self._admission.hold(not accepting)
 
     def drain(self) -> None:
         """After SIGTERM: serve what still arrives, then move what stands, reject the rest in time."""
         core = self._core
         core.lifecycle.drain()
-        self._admission.hold(self._takeover.succeeded)
-        self._takeover.leave()
+        self._admission.hold(self._takeover.has_successor)
+        self._takeover.begin_migration()
         longest = min(core.config.longest_deadline, timedelta(seconds=3))
         end = core.lifecycle.since + longest + KILL_MARGIN - EXIT_MARGIN
         told = self._spread(core.lifecycle.since, end, until_empty=True)
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -51,11 +51,11 @@
                     if not (left := seconds_left(until)):
                         raise TimeoutError  # however many bytes came now and then
                     sock.settimeout(left)
-                    data = sock.recv(protocol.MAX_LINE)
+                    data = sock.recv(protocol.MAX_LINE_BYTES)
                     if not data:
                         return AttemptStatus.RESET, ()
                     lines += buffer.feed(data)
-                    if protocol.word_of(lines[0] if lines else b"PONG") != protocol.PONG:
+                    if protocol.first_word(lines[0] if lines else b"PONG") != protocol.PONG:
                         return AttemptStatus.ERROR, ()
             except TimeoutError:
                 if lines:  # it answers, and has no report: it stays as it was known
@@ -66,7 +66,7 @@
             except protocol.LineError as err:
                 log(LogEvent.INVALID_RESPONSE, member=member.id, why=err)
                 return AttemptStatus.ERROR, ()
-        report = protocol.parse_report(lines[-1], self._columns) if self._columns else ()
+        report = protocol.parse_load_report(lines[-1], self._columns) if self._columns else ()
         if self._columns and not report:
             log(LogEvent.INVALID_LOAD_REPORT, member=member.id, line=lines[-1][:80])
         return AttemptStatus.OK, report
--- a/tansyladder/node/metrics.py
+++ b/tansyladder/node/metrics.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from enum import Enum
 
-from tansyladder.net.protocol import BUSY, word_of
+from tansyladder.net.protocol import BUSY, first_word
 
 
 class Ending(Enum):
@@ -25,7 +25,7 @@
     @classmethod
     def of(cls, answer: bytes) -> Ending:
         """What a client makes of a line of the node's own."""
-        return cls.SHED if word_of(answer) == BUSY else cls.ERRORS
+        return cls.SHED if first_word(answer) == BUSY else cls.ERRORS
 
 
 class Metrics:
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -26,7 +26,7 @@
 from tansyladder.net.clock import EPOCH, MICROSECOND, Clock, now
 from tansyladder.net.delay_reports import DelayMeter, DelayReports
 from tansyladder.net.listener_handover import ListenerHandover
-from tansyladder.net.protocol import TENANT, Opening
+from tansyladder.net.protocol import TENANT_FIELD, Opening
 from tansyladder.node.event_counters import EventCounters
 from tansyladder.node.extension_points import DecisionPermit, EndpointListCache, SessionService
 from tansyladder.node.lifecycle import Lifecycle
@@ -148,7 +148,7 @@
                 age=age,
             )
             known = kept.members
-        before = self.takeover.members
+        before = self.takeover.endpoints
         if before is not None and before.revision >= known.revision:
             known = before
         self.tell_members(known, ListUpdateKind.CACHED)
@@ -187,7 +187,7 @@
                 case StartAttempt(id) | Reject(id) | Fail(id) | CancelAttempt(id) | Migrate(id):
                     box = self._boxes.get(id)
                     # Neither a withdrawal of what stands nor a move of what does not comes through.
-                    if box and not isinstance(action, CancelAttempt if box.standing else Migrate):
+                    if box and not isinstance(action, CancelAttempt if box.is_established else Migrate):
                         box.post(action)
                         woken.append(box)
                 case CheckHealth(server):
@@ -254,7 +254,7 @@
     def held(self, standing: bool) -> list[int]:
         """The transactions whose connections stand, or those still in hand."""
         with self._lock:
-            return [n for n, box in self._boxes.items() if box.standing == standing]
+            return [n for n, box in self._boxes.items() if box.is_established == standing]
 
     def delay_notes(self, number: int, attempt: int, member: int) -> DelayReports:
         """What takes in the delays of a standing connection's messages and tells the module where due."""
@@ -266,7 +266,7 @@
 
     def tenant(self, opening: Opening) -> int:
         """The number of the tenant that a first line names; 0 where the settings have no such."""
-        name, tenants = opening.told.get(TENANT, ""), self.config.tenants
+        name, tenants = opening.field_values.get(TENANT_FIELD, ""), self.config.tenants
         return tenants.index(name) if name in tenants else 0
 
     # --- pool members
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -37,7 +37,7 @@
         """`handed`: of one that stood in the process before this one, what that gave with it."""
         self._core, self._client, self._opening, self._handed = core, client, opening, handed
         # Its class keeps its number and so its terms; that of what another process took in may be unknown.
-        self._cls = core.classes.get(opening.cls, 0)
+        self._cls = core.classes.get(opening.class_name, 0)
         self._deadline = arrived + opening.wait
         self._box = ActionQueue()
         self._number = 0
@@ -55,10 +55,10 @@
         try:
             if self._handed is not None:
                 self._go_on(*self._handed)
-            elif self._opening.at is None:
+            elif self._opening.endpoint_id is None:
                 self._live()
             else:
-                self._take_up(self._opening.at)
+                self._take_up(self._opening.endpoint_id)
         finally:
             self._core.forget(self._number)
             self._box.close()
@@ -67,23 +67,27 @@
     def _live(self) -> None:
         """OPEN, the module's choice and server-side flows, UP or an answer, the relay, the end."""
         core, number, opening, resuming = self._core, self._number, self._opening, self._core.resuming
-        first_line: Callable[[timedelta], bytes] = opening.for_member
+        first_line: Callable[[timedelta], bytes] = opening.format_for_endpoint
         stream = None
         if resuming is not None and resuming.offered(opening):
             stream = resuming.stream()
             first_line = resuming.first_line(opening, stream)
-        placing = AttemptLoop(core, self._box, number, opening.cls, self._deadline, first_line, self._client)
-        placed = placing.run(request_of(core, number, self._cls, opening, self._deadline, opening.again))
+        placing = AttemptLoop(
+            core, self._box, number, opening.class_name, self._deadline, first_line, self._client
+        )
+        placed = placing.run(
+            request_of(core, number, self._cls, opening, self._deadline, opening.is_reconnect)
+        )
         if isinstance(placed, UpstreamConnection):
             self._answer(Ending.OK)  # its UP is the member's, and goes out with the first lines
         match placed:
             case UpstreamConnection() as standing if resuming is not None and stream is not None:
                 resuming.serve(self._box, self._client, self._cls, opening, stream, standing, number)
             case UpstreamConnection() as standing:
-                member, attempt = standing.member, standing.attempt
+                member, attempt = standing.endpoint, standing.attempt
                 relay = self._relay(standing.sock, standing.buffer, member, attempt)
-                status = relay.run(standing.lines)
-                core.tell(standing.ended(number, status))
+                status = relay.run(standing.initial_lines)
+                core.tell(standing.attempt_ended(number, status))
             case Reject(_, wait):
                 self._answer(Ending.SHED, format_reject(wait * MICROSECOND))
             case Fail():
@@ -97,9 +101,9 @@
     def _answer(self, ending: Ending, line: bytes = b"") -> None:
         """The final answer: counted here, and said where it is the node's own."""
         self.answered = True
-        self._core.metrics.answered(self._opening.cls, ending)
+        self._core.metrics.answered(self._opening.class_name, ending)
         if line:
-            sockets.finish(self._client, line)
+            sockets.shutdown_and_drain(self._client, line)
 
     def _relay(
         self,
@@ -111,7 +115,7 @@
         core = self._core
         notes = core.delay_notes(self._number, attempt, member.number)
         relay = Relay(self._client, sock, self._box, self._opening, member.id, buffer, notes, core.takeover)
-        self._box.stand(relay.nudge)
+        self._box.use_callback(relay.wake)
         return relay
 
     def _take_up(self, ident: str) -> None:
@@ -119,45 +123,51 @@
         core, opening = self._core, self._opening
         member = core.member_of_id(ident)
         answer = ConnectResult(AttemptStatus.CONNECT_FAILED)
-        while member is not None and answer.sock is None and not answer.client_left:
+        while member is not None and answer.sock is None and not answer.is_client_disconnected:
             connect = core.config.settings.connect_timeout_us * MICROSECOND
             flow = UpstreamConnector(
-                member, opening.for_member, self._deadline, connect, lambda: core.metrics.tried(opening.cls)
+                member,
+                opening.format_for_endpoint,
+                self._deadline,
+                connect,
+                lambda: core.metrics.tried(opening.class_name),
             )
             answer = flow.open(self._client, self._box)
             if answer.sock is None and now() + AGAIN >= self._deadline:
                 break
-            if answer.sock is None and not answer.client_left:
+            if answer.sock is None and not answer.is_client_disconnected:
                 sockets.wait_readable(now() + AGAIN, self._box.fileno())
-                if isinstance(self._box.first(), Reject):
+                if isinstance(self._box.peek(), Reject):
                     break
         if member is None or answer.sock is None or answer.buffer is None:
             log(LogEvent.CONNECTION_RESTORE_FAILED, member=ident, status=answer.status.name)
-            if answer.client_left:
+            if answer.is_client_disconnected:
                 self._answer(Ending.LEFT)
             else:
                 self._answer(Ending.SHED, format_reject(AGAIN))
             return
         self._answer(Ending.OK)
         self._opened(member)
-        status = self._relay(answer.sock, answer.buffer, member, 0).run((answer.receipt, *answer.ready))
+        status = self._relay(answer.sock, answer.buffer, member, 0).run(
+            (answer.up_line, *answer.following_lines)
+        )
         core.tell(AttemptEnded(self._number, 0, member.number, status, 0, True))
 
     def _go_on(self, handed: ConnectionState, sock: socket.socket) -> None:
         """A connection that stood in the process before this one goes on where it was."""
-        core, member = self._core, self._core.member_of_id(handed.member)
+        core, member = self._core, self._core.member_of_id(handed.endpoint_id)
         if member is None:
-            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=handed.member)
+            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=handed.endpoint_id)
             sock.close()
-            sockets.finish(self._client, protocol.MOVE + b"\r\n")
+            sockets.shutdown_and_drain(self._client, protocol.MOVE + b"\r\n")
             return
         self._opened(member)
-        status = self._relay(sock, protocol.LineBuffer(), member, 0).go_on(handed)
+        status = self._relay(sock, protocol.LineBuffer(), member, 0).resume(handed)
         core.tell(AttemptEnded(self._number, 0, member.number, status, 0, True))
 
     def _opened(self, member: Endpoint) -> None:
         """The module is told of a connection that it did not place."""
         opening = self._opening
-        hint = None if opening.hint is None else int(opening.hint)
+        hint = None if opening.load_hint is None else int(opening.load_hint)
         tenant = self._core.tenant(opening)
         self._core.tell(ConnectionAdopted(self._number, self._cls, tenant, member.number, opening.key, hint))
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -13,7 +13,7 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, ResumingClient
 from tansyladder.net.clock import now
-from tansyladder.net.protocol import POSITION, TICKET, Opening
+from tansyladder.net.protocol import RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.node.metrics import Ending
 from tansyladder.node.policy_runner import PolicyRunner
@@ -70,7 +70,9 @@
         try:
             box.open()
             stream = Stream.revived(claim.session, self.budget, self.options.buffer, start)
-            session = Session(self._core, self, box, None, self._core.classes[opening.cls], opening, stream)
+            session = Session(
+                self._core, self, box, None, self._core.classes[opening.class_name], opening, stream
+            )
             session.expires_at(self._core.clock.moment(expiry))
             self.ledger.begin(claim.session, box, floor, tenure)
             threading.Thread(target=session.run, daemon=True).start()
@@ -87,7 +89,7 @@
         if self.agreeing is not None and by != self.agreeing.by:
             box = self.ledger.handle(session, tenure)
             if box is not None:
-                box.replaced = True
+                box.is_superseded = True
                 box.wake()
 
     def _take_over(
@@ -123,7 +125,7 @@
         try:
             if self.ledger.knows(claim.session):  # an earlier claim of this node has just gone through
                 return self._answer(sock, opening, BUSY)
-            if sockets.left(sock):  # nobody is there to go on with it
+            if sockets.is_disconnected(sock):  # nobody is there to go on with it
                 return self._answer(sock, opening, BUSY)
             at, keep = self.span()
             by, ask = self.agreeing.by, next(self.turns)
@@ -134,9 +136,11 @@
             if not ruling.tenure:
                 again = ruling.why in ("claimed", "full")
                 return self._answer(sock, opening, BUSY if again else control_messages.refused(ruling.why))
-            visitor = ResumingClient(sock, int(opening.told[POSITION]), deadline, claim.expiry)
+            visitor = ResumingClient(
+                sock, int(opening.field_values[RESUME_POSITION_FIELD]), deadline, claim.expiry
+            )
             self._revive(claim, opening, claim.generation, claim.expiry, ruling.tenure)
-            self.ledger.claim(claim, self._core.clock.micros(arrived), lambda box: box.visit(visitor))
+            self.ledger.claim(claim, self._core.clock.micros(arrived), lambda box: box.add_client(visitor))
             log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.tenure, took=now() - arrived)
         except TokenError as err:  # no room, or two clients with one token here at the same moment
             self._answer(
@@ -147,9 +151,9 @@
                 self._taking.discard(claim.session)
 
     def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
-        self._core.metrics.answered(opening.cls, Ending.of(answer))
-        sockets.prepare(sock)
-        sockets.finish(sock, answer)
+        self._core.metrics.answered(opening.class_name, Ending.of(answer))
+        sockets.configure_stream(sock)
+        sockets.shutdown_and_drain(sock, answer)
 
     # --- coming back
 
@@ -167,12 +171,12 @@
                 raise TokenError("draining")
             if self.anywhere and self.agreeing is None:
                 return BUSY
-            position = opening.told.get(POSITION, "")
+            position = opening.field_values.get(RESUME_POSITION_FIELD, "")
             if not _POSITION.match(position):
-                raise protocol.LineError(f"{POSITION}: a position expected")
-            claim = self.keyring.open(opening.told[TICKET], binding(opening))
+                raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
+            claim = self.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], binding(opening))
             if self.agreeing is not None:  # a node that was stopped has clients of long ago in its buffers
-                arrived = min(arrived, now() - sockets.quiet(sock))
+                arrived = min(arrived, now() - sockets.time_since_last_data(sock))
             if not self.ledger.knows(claim.session):
                 if self.agreeing is not None:
                     return self._take_over(sock, opening, claim, arrived, take)
@@ -182,7 +186,7 @@
 
             def deliver(box: ActionQueue) -> None:
                 take()
-                box.visit(visitor)
+                box.add_client(visitor)
 
             self.ledger.claim(claim, self._core.clock.micros(arrived), deliver)
         except TokenError as err:
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -18,7 +18,7 @@
 from tansyladder.net.action_queue import ActionQueue, ResumingClient
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
 from tansyladder.net.protocol import Opening
-from tansyladder.net.response_timeout import OVERDUE, ResponseTimeout
+from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection
 from tansyladder.node.attempt_loop import AttemptLoop, request_of
 from tansyladder.node.metrics import Ending
@@ -63,7 +63,7 @@
     @property
     def stuck(self) -> bool:
         """Whether it has taken nothing for long."""
-        return bool(self.waiting) and now() - self.took > sockets.SEND_WAIT
+        return bool(self.waiting) and now() - self.took > sockets.SEND_TIMEOUT
 
 
 class _UpstreamLost(Exception):
@@ -129,7 +129,7 @@
                 standing, number = self._go_on(_UpstreamLost(AttemptStatus.RESET, "restart"))
                 self._host = BufferedSocket(standing.sock, standing.buffer)
             else:
-                self._receipt = standing.lines[0]
+                self._receipt = standing.initial_lines[0]
                 self._host = BufferedSocket(standing.sock, standing.buffer)
                 shared.ledger.begin(session, self._box)
                 self._tell_client(self._receipt + self._token())  # the final answer of the first request
@@ -141,7 +141,12 @@
                     self._leave_host(standing, number, lost.status)
                     standing, number = self._go_on(lost)
                     self._host = BufferedSocket(standing.sock, standing.buffer)
-                    log(LogEvent.SESSION_MOVED, member=standing.member.id, why=lost.why, took=now() - lost_at)
+                    log(
+                        LogEvent.SESSION_MOVED,
+                        member=standing.endpoint.id,
+                        why=lost.why,
+                        took=now() - lost_at,
+                    )
         except _SessionEnded as end:
             over = end
         finally:
@@ -149,7 +154,7 @@
                 self._leave_host(standing, number, over.status)
             # In this order: once the ledger has it ended, nobody else comes, and who came is answered.
             shared.end(session, over.why)
-            while visitor := self._box.visitor():
+            while visitor := self._box.take_client():
                 taken = over.why is SessionEnd.TAKEN  # it may be taken back in a moment
                 self._refuse(visitor, shared.busy if taken else control_messages.refused(over.why.value))
             core.forget(number)
@@ -158,8 +163,8 @@
             if self._parked:
                 self._shared.unpark()
             if self._client is not None:
-                sockets.prepare(self._client.sock)
-                sockets.finish(self._client.sock, self._client.waiting + over.last)
+                sockets.configure_stream(self._client.sock)
+                sockets.shutdown_and_drain(self._client.sock, self._client.waiting + over.last)
 
     # --- standing
 
@@ -167,18 +172,18 @@
         """Pass lines until the flow is lost or the session over; ends with _Lost or _Over only."""
         core, stream, box = self._core, self._stream, self._box
         assert self._host is not None
-        self._member = standing.member.id
-        self._notes = core.delay_notes(number, standing.attempt, standing.member.number)
-        self._question = ResponseTimeout(self._notes.timed)
-        box.hold()
+        self._member = standing.endpoint.id
+        self._notes = core.delay_notes(number, standing.attempt, standing.endpoint.number)
+        self._question = ResponseTimeout(self._notes.record_delay)
+        box.mark_established()
         if self._missing:
-            self._question.asked()
+            self._question.line_sent()
             self._tell_host(self._missing)
-        self._take_host_lines(standing.lines[1:])
+        self._take_host_lines(standing.initial_lines[1:])
         while True:
-            if box.replaced:
+            if box.is_superseded:
                 raise _SessionEnded(SessionEnd.TAKEN)
-            while visitor := box.visitor():
+            while visitor := box.take_client():
                 self._let_in(visitor)
             self._keep_up()
             ready = self._wait()
@@ -213,7 +218,7 @@
             raise _UpstreamLost(AttemptStatus.TIMEOUT, "stuck")
         if client.stuck:
             self._park("stuck")
-        elif not client.waiting and self._question.silent():
+        elif not client.waiting and self._question.check_silent():
             raise _UpstreamLost(AttemptStatus.TIMEOUT, "silent")
         elif self._until is None:
             if self._ack_at is not None and moment >= self._ack_at:
@@ -244,8 +249,8 @@
             poll.register(host.sock, events)
         due = [self._expiry if client is None else self._renew_at]
         due += [t for t in (self._ack_at, self._until) if t is not None]
-        if self._question.open or host.waiting or (client is not None and client.waiting):
-            due.append(now() + OVERDUE)
+        if self._question.is_waiting or host.waiting or (client is not None and client.waiting):
+            due.append(now() + OVERDUE_INTERVAL)
         return {fd for fd, _ in poll.poll(-(-seconds_left(min(due)) * 1000 // 1))}
 
     def _serve_client(self, client: BufferedSocket) -> None:
@@ -254,7 +259,7 @@
             client.say(b"")
             if self._host.waiting or self._until is not None:
                 return
-            data = client.sock.recv(sockets.CHUNK, socket.MSG_DONTWAIT)
+            data = client.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return
         except OSError:
@@ -274,7 +279,7 @@
             log(LogEvent.INVALID_LINE, where="session", why=err)
             raise _SessionEnded(SessionEnd.MOVED, last=protocol.MOVE + b"\r\n") from err
         if self._stream.from_client.end > counted:  # nobody answers an acknowledgment
-            self._question.asked()
+            self._question.line_sent()
             self._ack_at = self._ack_at or now() + ACK_WITHIN
         self._tell_host(out.to_host)
         self._tell_client(out.to_client)
@@ -289,7 +294,7 @@
             host.say(b"")
             if self._client is not None and self._client.waiting:
                 return
-            data = host.sock.recv(sockets.CHUNK, socket.MSG_DONTWAIT)
+            data = host.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return
         except OSError as err:
@@ -321,10 +326,10 @@
             passed += out.to_client
             if out.to_client:
                 self._moves = 0
-                word = protocol.word_of(line)
-                self._question.answered(word)
+                word = protocol.first_word(line)
+                self._question.line_received(word)
                 if word == protocol.LOAD:
-                    self._notes.told(line)
+                    self._notes.record_load_line(line)
             if out.host_leaves or out.host_ends:
                 break
         self._tell_client(passed)
@@ -369,7 +374,7 @@
     def _let_in(self, visitor: ResumingClient) -> None:
         """A client came back: fence off its old connection, then tell it where both sides are."""
         try:
-            at, *lines = self._stream.returns(visitor.position)
+            at, *lines = self._stream.returns(visitor.received_line_count)
         except PositionError as err:
             self._shared.ledger.restore(self._stream.number)
             self._refuse(visitor, control_messages.refused(err.why))
@@ -383,10 +388,10 @@
         if self._parked:
             self._parked = False
             self._shared.unpark()
-        sockets.prepare(visitor.sock)
+        sockets.configure_stream(visitor.sock)
         self._client = BufferedSocket(visitor.sock)
-        self._core.metrics.answered(self._opening.cls, Ending.OK)
-        log(LogEvent.SESSION_RESUMED, position=visitor.position)
+        self._core.metrics.answered(self._opening.class_name, Ending.OK)
+        log(LogEvent.SESSION_RESUMED, position=visitor.received_line_count)
         self._tell_client(self._receipt + at + self._token() + b"".join(lines))
         if self._client is not None:  # else it was gone: the token is in doubt, not spent
             self._shared.answered(self._stream.number)
@@ -394,17 +399,17 @@
     def _await_return(self) -> ResumingClient:
         """The next client that comes back to a session adrift; _Over once nobody can."""
         while True:
-            visitor = self._box.visitor()
+            visitor = self._box.take_client()
             if visitor is not None:
-                self._stream.adopt(visitor.position)
+                self._stream.adopt(visitor.received_line_count)
                 try:
-                    self._stream.from_host.since(visitor.position)
+                    self._stream.from_host.since(visitor.received_line_count)
                     return visitor
                 except PositionError as err:
                     self._shared.ledger.restore(self._stream.number)
                     self._refuse(visitor, control_messages.refused(err.why))
                     continue
-            if self._box.replaced:
+            if self._box.is_superseded:
                 raise _SessionEnded(SessionEnd.TAKEN)
             if self._core.lifecycle.leaving:
                 raise _SessionEnded(SessionEnd.MOVED)
@@ -421,8 +426,8 @@
         assert self._host is not None
         self._host.sock.close()
         self._host = None
-        self._box.unhold()
-        self._core.tell(standing.ended(number, status))
+        self._box.mark_lost()
+        self._core.tell(standing.attempt_ended(number, status))
         self._core.forget(number)
 
     def _go_on(self, lost: _UpstreamLost) -> tuple[UpstreamConnection, int]:
@@ -445,7 +450,7 @@
             found = self._place(visitor.deadline if visitor else now() + MOVE_WITHIN)
             if isinstance(found, tuple):
                 if visitor is not None:
-                    self._receipt = found[0].lines[0]
+                    self._receipt = found[0].initial_lines[0]
                     self._let_in(visitor)
                 return found
             if visitor is None:
@@ -469,11 +474,11 @@
 
         def accept(answer: ConnectResult) -> bool:
             try:
-                self._missing = stream.placed(answer.ready[0])
+                self._missing = stream.placed(answer.following_lines[0])
             except PositionError as err:
                 log(
                     LogEvent.REPLAY_MISMATCH,
-                    receipt=answer.receipt.decode(errors="replace").strip()[:80],
+                    receipt=answer.up_line.decode(errors="replace").strip()[:80],
                     why=err.why,
                 )
                 return False
@@ -482,16 +487,16 @@
         first_line = self._shared.first_line(opening, stream)
         number = core.register(box)
         request = request_of(core, number, self._cls, opening, deadline, True)
-        found = AttemptLoop(core, box, number, opening.cls, deadline, first_line, None, 2, accept).run(
+        found = AttemptLoop(core, box, number, opening.class_name, deadline, first_line, None, 2, accept).run(
             request
         )
         if isinstance(found, UpstreamConnection):
-            lines = (found.lines[0], *found.lines[2:])  # without its word of positions
-            return replace(found, lines=lines), number
+            lines = (found.initial_lines[0], *found.initial_lines[2:])  # without its word of positions
+            return replace(found, initial_lines=lines), number
         core.forget(number)
         return found.retry_after_us * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
     def _refuse(self, visitor: ResumingClient, answer: bytes) -> None:
-        self._core.metrics.answered(self._opening.cls, Ending.of(answer))
-        sockets.prepare(visitor.sock)
-        sockets.finish(visitor.sock, answer)
+        self._core.metrics.answered(self._opening.class_name, Ending.of(answer))
+        sockets.configure_stream(visitor.sock)
+        sockets.shutdown_and_drain(visitor.sock, answer)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -19,7 +19,7 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, ResumingClient
 from tansyladder.net.clock import now
-from tansyladder.net.protocol import OFFER, POSITION, TICKET, Opening
+from tansyladder.net.protocol import RESUME_OFFER_FIELD, RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.replay_buffer import MemoryBudget
@@ -42,7 +42,9 @@
 MARGIN = timedelta(milliseconds=100)  # of a client's patience that is left for its answer
 SKEW = timedelta(seconds=5)  # of the nodes' clocks, and longer than an entry is under way
 BUSY = protocol.format_reject(timedelta(milliseconds=200))
-BETWEEN = frozenset({OFFER, TICKET, POSITION})  # that no stream host sees
+BETWEEN = frozenset(
+    {RESUME_OFFER_FIELD, RESUME_TOKEN_FIELD, RESUME_POSITION_FIELD}
+)  # that no stream host sees
 
 
 class OwnershipService(Protocol):
@@ -97,7 +99,10 @@
 
     def offered(self, opening: Opening) -> bool:
         """Whether a client's first line asks for a session that can be resumed."""
-        return opening.told.get(OFFER) == "1" and TICKET not in opening.told
+        return (
+            opening.field_values.get(RESUME_OFFER_FIELD) == "1"
+            and RESUME_TOKEN_FIELD not in opening.field_values
+        )
 
     def stream(self) -> Stream:
         """A new session's positions; its number is the secret that stream hosts know it by."""
@@ -107,7 +112,7 @@
     @staticmethod
     def first_line(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
         """What a stream host gets, by how long the node waits; each call counts as a placement."""
-        return lambda wait: opening.for_member(wait, BETWEEN, stream.place())
+        return lambda wait: opening.format_for_endpoint(wait, BETWEEN, stream.place())
 
     def token(self, session: int, opening: Opening) -> bytes:
         """The line that lets a client come back from now on."""
@@ -136,16 +141,18 @@
         if self.agreeing is not None:
             from tansyladder.replication.session_ownership import ClaimConfirmation, SessionOpened
 
-            if sockets.left(visitor.sock):  # this node was slow: its client shows the token elsewhere by now
+            if sockets.is_disconnected(
+                visitor.sock
+            ):  # this node was slow: its client shows the token elsewhere by now
                 return BUSY
             floor = self.ledger.next_floor(session)
             at, keep = self.span()
             tenure = floor >> TENURE_BITS
             entry = ClaimConfirmation(
-                session, tenure, floor, visitor.expiry, self.agreeing.by, at, keep, next(self.turns)
+                session, tenure, floor, visitor.token_expiry_us, self.agreeing.by, at, keep, next(self.turns)
             )
             ruling = self.agreeing.rule(entry, min(visitor.deadline - MARGIN, now() + CONFIRM))
-            late = now() > visitor.deadline or sockets.left(visitor.sock)
+            late = now() > visitor.deadline or sockets.is_disconnected(visitor.sock)
             if ruling is None or (ruling.tenure and late):
                 good = self.ledger.floor(session)  # as it was
                 self._give_back(msgspec.structs.replace(entry, floor=good, turn=next(self.turns)))
@@ -211,4 +218,4 @@
 
 def binding(opening: Opening) -> TokenClaims:
     """What a client must name again when it comes back."""
-    return TokenClaims(opening.cls, opening.group, opening.key)
+    return TokenClaims(opening.class_name, opening.group_key, opening.key)
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -273,7 +273,7 @@
 
 
 def listener_handover(*, kept_descriptors: int, endpoints: EndpointList) -> object:
-    return DescriptorTransfer(kept=kept_descriptors, members=endpoints)
+    return DescriptorTransfer(retained_descriptor_count=kept_descriptors, endpoints=endpoints)
 
 
 def connection_handover(
@@ -287,11 +287,11 @@
 ) -> ConnectionState:
     return ConnectionState(
         opening=first_line,
-        member=host,
-        last_word=last_word,
-        asked=asked,
-        rests=partial_lines,
-        waiting=waiting_lines,
+        endpoint_id=host,
+        last_upstream_word=last_word,
+        waiting_since_us=asked,
+        partial_lines=partial_lines,
+        pending_lines=waiting_lines,
     )
 
 
@@ -314,16 +314,16 @@
 
     def ask(self) -> socket.socket | None:
         """The listener, where the running process gave it."""
-        return self._takeover.ask()
+        return self._takeover.request_listener()
 
     @property
     def kept_descriptors(self) -> int:
         """Descriptors that the running process keeps."""
-        return self._takeover.elsewhere
+        return self._takeover.remote_descriptor_count
 
     @property
     def endpoints(self) -> EndpointList | None:
-        return self._takeover.members
+        return self._takeover.endpoints
 
 
 class RunningProcess:
@@ -339,18 +339,20 @@
         self._takeover.serve(listener, self)
 
     def hand_over(self, connection: ConnectionState, client: socket.socket, host: socket.socket) -> bool:
-        return self._takeover.hand(connection, client, host)
+        return self._takeover.hand_over(connection, client, host)
 
-    def share(self) -> tuple[int, int]:
+    def split_descriptors(self) -> tuple[int, int]:
         return self._kept, 0
 
-    def members(self) -> EndpointList:
+    def known_endpoints(self) -> EndpointList:
         return self._endpoints
 
-    def alone(self, alone: bool) -> None:
-        (self.is_alone_again if alone else self.has_successor).set()
+    def set_accepting(self, accepting: bool) -> None:
+        (self.is_alone_again if accepting else self.has_successor).set()
 
-    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
+    def adopt_connection(
+        self, state: ConnectionState, client: socket.socket, upstream: socket.socket
+    ) -> None:
         raise AssertionError("nothing runs before this process")
 
 
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -35,15 +35,15 @@
 
 
 def asked(new: ListenerHandover) -> socket.socket:
-    listener = new.ask()
+    listener = new.request_listener()
     assert listener is not None
     return listener
 
 
 def goes(new: ListenerHandover) -> None:
     """The process that asked dies: nothing of it is left."""
-    assert new._before is not None
-    new._before.close()
+    assert new._predecessor is not None
+    new._predecessor.close()
 
 
 def test_a_new_process_serves_and_what_stands_goes_along(
@@ -115,7 +115,7 @@
         assert old.wait(10) == 0
         queued = client_of(port)
         read = told(tmp_path, member("s0", host.address), listen=f"127.0.0.1:{port}")
-        monkeypatch.setattr(new, "ask", lambda: listener)
+        monkeypatch.setattr(new, "request_listener", lambda: listener)
         core = HeardCore(read)
         front = ClientListener(core, new)
         core.start()
@@ -141,8 +141,8 @@
         assert came.wait(10)
         new = candidate(tmp_path, port)
         listener = asked(new)
-        assert new._before is not None
-        new._before.sendall(listener_handover.SERVING)
+        assert new._predecessor is not None
+        new._predecessor.sendall(listener_handover.SERVING)
         until_line(old, b"event=listener_handover step=succeeded")
         old.send_signal(signal.SIGTERM)
         until_line(old, b"event=state_changed now=draining")
@@ -162,17 +162,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A stale file, a process that hangs, no folder at all: a plain start, beside whoever listens."""
-    monkeypatch.setattr(listener_handover, "PATIENCE", timedelta(milliseconds=50))
+    monkeypatch.setattr(listener_handover, "MESSAGE_TIMEOUT", timedelta(milliseconds=50))
     first = ClientListener(HeardCore(told(tmp_path)))
     port = first.address[1]
     name = tmp_path / f"tansyladder-127.0.0.1-{port}.sock"
     hangs = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     hangs.bind(str(name))
-    assert candidate(tmp_path, port).ask() is None  # nobody listens there
+    assert candidate(tmp_path, port).request_listener() is None  # nobody listens there
     hangs.listen(1)
-    assert candidate(tmp_path, port).ask() is None
-    assert ListenerHandover(("127.0.0.1", port), None).ask() is None
-    assert ListenerHandover(("127.0.0.1", port), str(tmp_path / "none")).ask() is None
+    assert candidate(tmp_path, port).request_listener() is None
+    assert ListenerHandover(("127.0.0.1", port), None).request_listener() is None
+    assert ListenerHandover(("127.0.0.1", port), str(tmp_path / "none")).request_listener() is None
     beside = ClientListener(HeardCore(told(tmp_path, listen=f"127.0.0.1:{port}")), candidate(tmp_path, port))
     assert beside.address == first.address
     beside.start()
@@ -188,10 +188,10 @@
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
     core = HeardCore(told(tmp_path, limits=limits))
     old = ClientListener(core, ListenerHandover(("127.0.0.1", 1), str(tmp_path)))
-    kept, left = old.share()
+    kept, left = old.split_descriptors()
     assert 0 < left < kept < 200 - left  # what a full table of newcomers may take stays with neither
     old._open = {str(i) for i in range(30)}
-    fuller, less = old.share()
+    fuller, less = old.split_descriptors()
     assert fuller - kept == 90 - (left - less) and less < left
     old.stop_listening()
 
@@ -199,12 +199,12 @@
 def test_strangers_at_the_socket_get_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     front = ClientListener(HeardCore(told(tmp_path)), candidate(tmp_path, 1))
     gone = threading.Event()
-    monkeypatch.setattr(front, "alone", lambda _: gone.set())
+    monkeypatch.setattr(front, "set_accepting", lambda _: gone.set())
     front._takeover.serve(front._listener, front)
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.settimeout(5)
         sock.connect(str(tmp_path / "tansyladder-127.0.0.1-1.sock"))
         sock.sendall(b"GET / HTTP/1.1\r\n")
         assert Peer(sock).hear() == ""
-    assert not front._takeover.given and not gone.is_set()
+    assert not front._takeover.is_listener_shared and not gone.is_set()
     front.stop_listening()
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -76,13 +76,13 @@
 ) -> None:
     """A connection that came up late got the first line of a client that had gone long before."""
     trying = threading.Event()
-    come_up = UpstreamConnector._come_up
+    come_up = UpstreamConnector._wait_until_connected
 
     def told(self: UpstreamConnector, *args: Any) -> ConnectResult | None:
         trying.set()
         return come_up(self, *args)
 
-    monkeypatch.setattr(UpstreamConnector, "_come_up", told)
+    monkeypatch.setattr(UpstreamConnector, "_wait_until_connected", told)
     host = Full()
     with node(tmp_path, host, settings=PATIENT) as n:  # type: ignore[arg-type]
         client = n.open("c=chat,d=9000")
@@ -109,7 +109,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Between a connection that is up and its first line nobody looked at the client again."""
-    come_up = UpstreamConnector._come_up
+    come_up = UpstreamConnector._wait_until_connected
     clients: list[Peer] = []
     opened = threading.Event()
 
@@ -126,7 +126,7 @@
         until_left(client)
         return answer
 
-    monkeypatch.setattr(UpstreamConnector, "_come_up", left_meanwhile)
+    monkeypatch.setattr(UpstreamConnector, "_wait_until_connected", left_meanwhile)
     heard: list[str] = []
     ended = threading.Event()
 
@@ -396,7 +396,7 @@
             client.say("PING")
             assert client.hear() == "PONG"
         [newcomer] = n.front._admission._newcomers.values()
-        assert newcomer.gone_by - newcomer.end_by == sockets.LINGER
+        assert newcomer.gone_by - newcomer.end_by == sockets.DRAIN_TIMEOUT
         n.front._admission._look(newcomer, newcomer.end_by)  # the minute is over
         assert [client.hear(), client.hear()] == ["ERR", ""]
         client.say(f"OPEN {fresh()} 7f c=chat,d=1200")
--- a/tests/node/test_second_deployment.py
+++ b/tests/node/test_second_deployment.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tansyladder.config.platform import ConfigError, absent
-from tansyladder.net.protocol import parse_report
+from tansyladder.net.protocol import parse_load_report
 from tansyladder.node.health_checker import HealthChecker
 from tansyladder.policy.events import (
     AttemptEnded,
@@ -106,8 +106,8 @@
 
 
 def test_reports_name_their_columns() -> None:
-    assert parse_report(b"BYE inflight=7,queue=2,util=0.61\r\n", ("util", "queue")) == (0.61, 2.0)
-    assert parse_report(b"BYE\r\n", ("util",)) == ()
+    assert parse_load_report(b"BYE inflight=7,queue=2,util=0.61\r\n", ("util", "queue")) == (0.61, 2.0)
+    assert parse_load_report(b"BYE\r\n", ("util",)) == ()
 
 
 @pytest.mark.parametrize(
