--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -138,16 +138,16 @@
     def start(self) -> None:
         """Hand the module its last known list and start the timers."""
         known = self.config.known
-        kept = self.keeping.last_members() if self.keeping else None
-        if kept is not None and kept.members.revision > known.revision:
-            age = timedelta(microseconds=self.clock.micros(now()) - kept.at)
+        kept = self.keeping.cached_endpoints() if self.keeping else None
+        if kept is not None and kept.endpoints.revision > known.revision:
+            age = timedelta(microseconds=self.clock.micros(now()) - kept.saved_at_us)
             log(
                 LogEvent.CACHED_ENDPOINTS_USED,
-                revision=kept.members.revision,
-                entries=len(kept.members.members),
+                revision=kept.endpoints.revision,
+                entries=len(kept.endpoints.members),
                 age=age,
             )
-            known = kept.members
+            known = kept.endpoints
         before = self.takeover.endpoints
         if before is not None and before.revision >= known.revision:
             known = before
@@ -282,8 +282,8 @@
 
     def pool(self) -> dict[str, int]:
         """The metrics of the list of members, as the module sees it."""
-        size, ejected = self._balancer.pool()
-        return {"pool_size": size, "pool_ejected": ejected}
+        counts = self._balancer.endpoint_counts()
+        return {"pool_size": counts.listed, "pool_ejected": counts.ejected}
 
     def tell_members(self, listed: EndpointList, kind: ListUpdateKind) -> None:
         """The list or changes of it; entries that make no sense are left out and logged."""
