--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -71,7 +71,7 @@
             box.open()
             stream = Stream.restored(claim.session_id, self.memory_budget, self.options.buffer, start)
             session = Session(
-                self._core, self, box, None, self._core.classes[opening.class_name], opening, stream
+                self._core, self, box, None, self._core.class_numbers[opening.class_name], opening, stream
             )
             session.expires_at(self._core.clock.moment(expiry))
             self.token_registry.add(claim.session_id, box, floor, tenure)
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -160,7 +160,7 @@
                     visitor,
                     shared.retry_soon_answer if taken else control_messages.format_rejection(over.why.value),
                 )
-            core.forget(number)
+            core.unregister_request(number)
             self._box.close()
             self._stream.close()
             if self._parked:
@@ -176,7 +176,7 @@
         core, stream, box = self._core, self._stream, self._box
         assert self._host is not None
         self._member = standing.endpoint.id
-        self._notes = core.delay_notes(number, standing.attempt, standing.endpoint.number)
+        self._notes = core.delay_reports(number, standing.attempt, standing.endpoint.number)
         self._question = ResponseTimeout(self._notes.record_delay)
         box.mark_established()
         if self._missing:
@@ -430,8 +430,8 @@
         self._host.sock.close()
         self._host = None
         self._box.mark_lost()
-        self._core.tell(standing.attempt_ended(number, status))
-        self._core.forget(number)
+        self._core.handle_events(standing.attempt_ended(number, status))
+        self._core.unregister_request(number)
 
     def _go_on(self, lost: _UpstreamLost) -> tuple[UpstreamConnection, int]:
         """Place the session anew, once there is a client to place it for; _Over where that can't be."""
@@ -488,7 +488,7 @@
             return True
 
         first_line = self._shared.first_line_builder(opening, stream)
-        number = core.register(box)
+        number = core.register_request(box)
         request = request_of(core, number, self._cls, opening, deadline, True)
         found = AttemptLoop(core, box, number, opening.class_name, deadline, first_line, None, 2, accept).run(
             request
@@ -496,7 +496,7 @@
         if isinstance(found, UpstreamConnection):
             lines = (found.initial_lines[0], *found.initial_lines[2:])  # without its word of positions
             return replace(found, initial_lines=lines), number
-        core.forget(number)
+        core.unregister_request(number)
         return found.retry_after_us * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
     def _refuse(self, visitor: ResumingClient, answer: bytes) -> None:
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -112,8 +112,8 @@
         """Keep the list as it is after these changes."""
         if listed.complete:
             self._endpoints = {}
-        for entry in listed.members:
-            if entry.phase == "removed":
+        for entry in listed.endpoints:
+            if entry.state == "removed":
                 self._endpoints.pop(entry.id, None)
             else:
                 self._endpoints[entry.id] = entry
@@ -131,7 +131,7 @@
             return None
         found = msgspec.msgpack.decode(kept, type=StoredEndpointList) if kept else None
         if found is not None:
-            self._endpoints = {entry.id: entry for entry in found.endpoints.members}
+            self._endpoints = {entry.id: entry for entry in found.endpoints.endpoints}
         return found
 
     # --- sessions
