--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -518,7 +518,7 @@
     def set_accepting(self, accepting: bool) -> None:
         """Another process takes the clients, or it is gone again; it matters only to a process that ends."""
         if self._core.lifecycle.phase is NodeState.DRAINING:
-            self._admission.hold(not alone)
+            self._admission.hold(not accepting)
 
     def drain(self) -> None:
         """After SIGTERM: serve what still arrives, then move what stands, reject the rest in time."""
