--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -202,7 +202,10 @@
             self._poll.modify(caller.sock, select.POLLOUT)  # what else it sends must not keep us busy
         elif not caller.unsent:
             # Read away until the caller ends its side: a close with unread bytes would be a reset.
-            if not caller.sock.recv(protocol.MAX_LINE) or now() - caller.accepted_at > sockets.LINGER:
+            if (
+                not caller.sock.recv(protocol.MAX_LINE_BYTES)
+                or now() - caller.accepted_at > sockets.DRAIN_TIMEOUT
+            ):
                 self._close(caller)
             return
         caller.unsent = caller.unsent[caller.sock.send(caller.unsent) :]
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -75,18 +75,18 @@
                             runner.handle_events(
                                 AttemptEstablished(request_id, attempt, endpoint_id, duration_us)
                             )
-                            lines = (result.receipt, *result.ready)
+                            lines = (result.up_line, *result.following_lines)
                             return UpstreamConnection(
                                 endpoint, result.sock, result.buffer, lines, attempt, duration_us
                             )
                         result.sock.close()
                         result.status = AttemptStatus.CANCELLED
-                    if result.client_left or result.client_spoke:
+                    if result.is_client_disconnected or result.has_client_sent:
                         attempt_ended = AttemptEnded(
                             request_id, attempt, endpoint_id, result.status, duration_us, True
                         )
                         runner.handle_events(ClientDisconnected(request_id), attempt_ended)
-                        return ClientSentEarly() if result.client_spoke else ClientDisconnectedEarly()
+                        return ClientSentEarly() if result.has_client_sent else ClientDisconnectedEarly()
                     runner.handle_events(
                         AttemptEnded(request_id, attempt, endpoint_id, result.status, duration_us, False)
                     )
@@ -114,11 +114,11 @@
             if action is not None and action.request_id == self.request_id:
                 return action
             ready = sockets.wait_readable(until, *fds)
-            if self.client and self.client.fileno() in ready and self.action_queue.first() is None:
-                match sockets.heard(self.client):
+            if self.client and self.client.fileno() in ready and self.action_queue.peek() is None:
+                match sockets.peek(self.client):
                     case sockets.PeekResult.DATA:
                         return ClientSentEarly()
-                    case sockets.PeekResult.END:
+                    case sockets.PeekResult.CLOSED:
                         return ClientDisconnectedEarly()
             if not ready and now() >= until:
                 check_invariant(False, "answer_overdue")
@@ -134,16 +134,16 @@
     is_reconnect: bool,
 ) -> RequestReceived:
     """The event that tells the policy of a request; `is_reconnect`: its connection broke or was migrated."""
-    load_hint = None if opening.hint is None else int(opening.hint)
+    load_hint = None if opening.load_hint is None else int(opening.load_hint)
     return RequestReceived(
         request_id,
         class_number,
         runner.tenant_number(opening),
         runner.clock.micros(deadline),
         opening.key,
-        opening.group,
+        opening.group_key,
         load_hint,
-        opening.repeat,
+        opening.is_retry,
         False,
         is_reconnect,
     )
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -16,7 +16,7 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
 from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
-from tansyladder.net.protocol import TENANT, TICKET
+from tansyladder.net.protocol import RESUME_TOKEN_FIELD, TENANT_FIELD
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
@@ -68,7 +68,7 @@
     def __init__(self, sock: socket.socket) -> None:
         # Half a line is as good as none; only a whole PING sets the moment on.
         self.sock, self.buffer, self.last_line_at = sock, protocol.LineBuffer(), now()
-        sockets.at_once(sock)
+        sockets.disable_send_delay(sock)
         self.first_line_deadline, self.close_deadline = (
             self.last_line_at + FIRST_LINE_TIMEOUT,
             self.last_line_at + PENDING_LIFETIME,
@@ -106,7 +106,7 @@
     def is_expecting_lines(self) -> bool:
         """Whether somebody's first line may be on its way; a front that only asks PING rests."""
         untold = [connection for connection in list(self._pending.values()) if not connection.is_answered]
-        return any(connection.buffer.rest or not connection.ping_count for connection in untold)
+        return any(connection.buffer.partial_line or not connection.ping_count for connection in untold)
 
     def yield_queue(self, on: bool) -> None:
         """Leave the listener's queue to another process from now on, or take from it again."""
@@ -230,7 +230,7 @@
             connection = PendingConnection(sock)
             log(LogEvent.CLIENT_REJECTED, why="descriptors")
             with contextlib.suppress(OSError):
-                self._owner.record_rejection(sock.recv(protocol.MAX_LINE, socket.MSG_DONTWAIT))
+                self._owner.record_rejection(sock.recv(protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT))
             self._answer_and_shutdown(connection, protocol.format_reject(self._owner.retry_after))
             sock.close()
         except OSError:
@@ -263,19 +263,19 @@
             # TCP drops what is read with MSG_TRUNC without a copy: a flood costs the interpreter little.
             size = sock.recv_into(self._discard_buffer, 0, socket.MSG_DONTWAIT | socket.MSG_TRUNC)
             connection.discarded_bytes += size
-            if not size or connection.discarded_bytes > sockets.MOST_READ:
+            if not size or connection.discarded_bytes > sockets.MAX_DRAIN_BYTES:
                 self._close(connection)
             return
-        data = sock.recv(2 * protocol.MAX_LINE, socket.MSG_DONTWAIT)
+        data = sock.recv(2 * protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
         arrived = now()
         if not data:
             self._close(connection)  # half a line and a close is nobody's business
             return
         lines = connection.buffer.feed(data)
         for line in lines:
-            if protocol.content(line) == protocol.PING:
+            if protocol.strip_line_end(line) == protocol.PING:
                 self._answer_ping(connection, arrived)
-            elif len(lines) > 1 or connection.buffer.rest:
+            elif len(lines) > 1 or connection.buffer.partial_line:
                 raise protocol.LineError("more than one line before UP")
             else:
                 opening = protocol.parse_opening(line)
@@ -297,13 +297,13 @@
         connection.sock.send(protocol.PONG + b"\r\n", socket.MSG_DONTWAIT)
         connection.last_line_at, connection.first_line_deadline = arrived, arrived + PING_IDLE_TIMEOUT
         connection.close_deadline = (
-            arrived + PING_IDLE_TIMEOUT + sockets.LINGER
+            arrived + PING_IDLE_TIMEOUT + sockets.DRAIN_TIMEOUT
         )  # a request may come in the instant of the end
 
     def _answer_and_shutdown(self, connection: PendingConnection, answer: bytes) -> None:
         """The final answer, and the end of our side; a close at once might overtake the answer."""
         connection.is_answered = True
-        connection.close_deadline = min(connection.close_deadline, now() + sockets.LINGER)
+        connection.close_deadline = min(connection.close_deadline, now() + sockets.DRAIN_TIMEOUT)
         try:
             if answer:
                 connection.sock.send(answer, socket.MSG_DONTWAIT)
@@ -344,7 +344,7 @@
         self._admin_descriptors = ADMIN_DESCRIPTORS if runner.config.operator else 0
         self._max_descriptors = sockets_ - RESERVED_DESCRIPTORS - max_pending - self._admin_descriptors
         # The port can be shared, for a new process that the old one does not answer.
-        self._listener = self._handover.ask() or socket.create_server(
+        self._listener = self._handover.request_listener() or socket.create_server(
             runner.config.listen, backlog=1024, reuse_port=True
         )
         self._acceptor = ConnectionAcceptor(self._listener, max_pending, self)
@@ -384,7 +384,7 @@
     def record_rejection(self, heard: bytes) -> None:
         """Who said this found no descriptor."""
         try:
-            cls = protocol.parse_opening(heard).cls
+            cls = protocol.parse_opening(heard).class_name
         except protocol.LineError:
             self._runner.metrics.record_invalid_line()
         else:
@@ -400,20 +400,23 @@
             log(LogEvent.INVALID_LINE, where="client", why=err)
             answer = protocol.ERR + b"\r\n"
         if answer:
-            self._runner.metrics.record_outcome(opening.cls, RequestOutcome.of_answer(answer))
+            self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
         return answer
 
     def _try_admit(
         self, sock: socket.socket, opening: protocol.Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
-        if opening.cls not in self._runner.class_numbers:
-            raise protocol.LineError(f"c: unknown class {opening.cls[:40]}")
-        if self._runner.config.tenants and opening.told.get(TENANT) not in self._runner.config.tenants:
-            raise protocol.LineError(f"t: unknown tenant {opening.told.get(TENANT, '')[:40]}")
-        if self._is_rejecting_all or not self._runner.may_decide(opening.ident):
+        if opening.class_name not in self._runner.class_numbers:
+            raise protocol.LineError(f"c: unknown class {opening.class_name[:40]}")
+        if (
+            self._runner.config.tenants
+            and opening.field_values.get(TENANT_FIELD) not in self._runner.config.tenants
+        ):
+            raise protocol.LineError(f"t: unknown tenant {opening.field_values.get(TENANT_FIELD, '')[:40]}")
+        if self._is_rejecting_all or not self._runner.may_decide(opening.connection_id):
             return protocol.format_reject(self.retry_after)
         resuming = self._runner.session_service
-        if resuming is not None and TICKET in opening.told:
+        if resuming is not None and RESUME_TOKEN_FIELD in opening.field_values:
             return resuming.resume(sock, opening, arrived, take)
         if not self._runner.lifecycle.accepts_requests:
             return protocol.format_reject(self.retry_after)
@@ -421,14 +424,15 @@
         # A resumable session keeps its mailbox's descriptor while it stands.
         established -= len(resuming.token_registry) if resuming is not None else 0
         with self._lock:
-            if opening.ident in self._open_ids:
+            if opening.connection_id in self._open_ids:
                 raise protocol.LineError("id: open already")
             # Two descriptors each, and a mailbox for those that do not stand yet.
             full = (
-                3 * (len(self._open_ids) + 1) - established > self._max_descriptors - self._handover.elsewhere
+                3 * (len(self._open_ids) + 1) - established
+                > self._max_descriptors - self._handover.remote_descriptor_count
             )
             if not full:
-                self._open_ids.add(opening.ident)
+                self._open_ids.add(opening.connection_id)
         if full:
             log(LogEvent.CLIENT_REJECTED, why="limit")
             return protocol.format_reject(self.retry_after)
@@ -454,7 +458,7 @@
 
     def _release_id(self, opening: protocol.Opening) -> None:
         with self._lock:
-            self._open_ids.discard(opening.ident)
+            self._open_ids.discard(opening.connection_id)
 
     def _serve_connection(
         self,
@@ -466,16 +470,16 @@
         """One connection's thread; `handed`: what the process before gave with it."""
         handler = RequestHandler(self._runner, sock, opening, arrived, handed)
         try:
-            sockets.prepare(sock)
+            sockets.configure_stream(sock)
             handler.run()
         except OSError as err:
             log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
             if not handler.is_answered:
-                self._runner.metrics.record_outcome(opening.cls, RequestOutcome.CLIENT_LEFT)
+                self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.CLIENT_LEFT)
         except Exception as err:  # one connection's mistake must not cost the others anything
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             if not handler.is_answered:
-                self._runner.metrics.record_outcome(opening.cls, RequestOutcome.FAILED)
+                self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.FAILED)
             with contextlib.suppress(OSError):
                 sock.sendall(protocol.ERR + b"\r\n")
         finally:
@@ -484,55 +488,57 @@
 
     def stop_listening(self) -> None:
         """End the admission, and wait until it has answered who is there; then close the listener."""
-        self._handover.end()
+        self._handover.unpublish()
         self._acceptor.stop()
         if self._acceptor_thread.ident is not None:
             self._acceptor_thread.join((CLOSE_TIMEOUT + PENDING_CLOSE_TIMEOUT).total_seconds())
-        if not self._handover.given:
+        if not self._handover.is_listener_shared:
             with contextlib.suppress(OSError):
                 self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
     # --- what a process that takes our place, or whose place we took, wants
 
-    def share(self) -> tuple[int, int]:
+    def split_descriptors(self) -> tuple[int, int]:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
         used = 3 * len(self._open_ids) - len(self._runner.request_ids(True))
         kept = RESERVED_DESCRIPTORS + self._admin_descriptors + self._acceptor.pending_count + used
         free = max(0, self._max_descriptors - used)
         return kept + free // 2, free - free // 2
 
-    def members(self) -> EndpointList:
+    def known_endpoints(self) -> EndpointList:
         """The list as it is known."""
         return self._runner.endpoint_list()
 
-    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
+    def adopt_connection(
+        self, state: ConnectionState, client: socket.socket, upstream: socket.socket
+    ) -> None:
         """Go on with a connection of the process before, in a thread of its own."""
         try:
-            opening = protocol.parse_opening(handed.opening.encode() + b"\r\n")
-            sockets.prepare(member)
+            opening = protocol.parse_opening(state.opening.encode() + b"\r\n")
+            sockets.configure_stream(upstream)
             with self._lock:
-                self._open_ids.add(opening.ident)
-            args = (client, opening, now(), (handed, member))
+                self._open_ids.add(opening.connection_id)
+            args = (client, opening, now(), (state, upstream))
             threading.Thread(target=self._serve_connection, args=args, daemon=True).start()
         except (protocol.LineError, RuntimeError) as err:  # no thread to be had
             log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
-            member.close()
+            upstream.close()
             with contextlib.suppress(OSError):
                 client.send(protocol.MOVE + b"\r\n", socket.MSG_DONTWAIT)
             client.close()
 
-    def alone(self, alone: bool) -> None:
+    def set_accepting(self, accepting: bool) -> None:
         """Another process takes the clients, or it is gone again; it matters only to a process that ends."""
         if self._runner.lifecycle.state is NodeState.DRAINING:
-            self._acceptor.yield_queue(not alone)
+            self._acceptor.yield_queue(not accepting)
 
     def drain(self) -> None:
         """After SIGTERM: serve what still arrives, then move what stands, reject the rest in time."""
         runner = self._runner
         runner.lifecycle.begin_drain()
-        self._acceptor.yield_queue(self._handover.succeeded)
-        self._handover.leave()
+        self._acceptor.yield_queue(self._handover.has_successor)
+        self._handover.begin_migration()
         longest = min(runner.config.longest_deadline, timedelta(seconds=3))
         end = runner.lifecycle.state_since + longest + KILL_MARGIN - EXIT_MARGIN
         notified = self._migrate_gradually(runner.lifecycle.state_since, end, until_empty=True)
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -54,11 +54,11 @@
                     if not (remaining_seconds := seconds_left(deadline)):
                         raise TimeoutError  # however many bytes came now and then
                     sock.settimeout(remaining_seconds)
-                    data = sock.recv(protocol.MAX_LINE)
+                    data = sock.recv(protocol.MAX_LINE_BYTES)
                     if not data:
                         return AttemptStatus.RESET, ()
                     lines += buffer.feed(data)
-                    if protocol.word_of(lines[0] if lines else b"PONG") != protocol.PONG:
+                    if protocol.first_word(lines[0] if lines else b"PONG") != protocol.PONG:
                         return AttemptStatus.ERROR, ()
             except TimeoutError:
                 if lines:  # it answers, and has no report: it stays as it was known
@@ -69,7 +69,7 @@
             except protocol.LineError as err:
                 log(LogEvent.INVALID_RESPONSE, member=endpoint.id, why=err)
                 return AttemptStatus.ERROR, ()
-        report = protocol.parse_report(lines[-1], self._report_columns) if self._report_columns else ()
+        report = protocol.parse_load_report(lines[-1], self._report_columns) if self._report_columns else ()
         if self._report_columns and not report:
             log(LogEvent.INVALID_LOAD_REPORT, member=endpoint.id, line=lines[-1][:80])
         return AttemptStatus.OK, report
--- a/tansyladder/node/metrics.py
+++ b/tansyladder/node/metrics.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from enum import Enum
 
-from tansyladder.net.protocol import BUSY, word_of
+from tansyladder.net.protocol import BUSY, first_word
 
 
 class RequestOutcome(Enum):
@@ -25,7 +25,7 @@
     @classmethod
     def of_answer(cls, answer: bytes) -> RequestOutcome:
         """What a client makes of a line of the node's own."""
-        return cls.REJECTED if word_of(answer) == BUSY else cls.FAILED
+        return cls.REJECTED if first_word(answer) == BUSY else cls.FAILED
 
 
 class Metrics:
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -26,7 +26,7 @@
 from tansyladder.net.clock import EPOCH, MICROSECOND, Clock, now
 from tansyladder.net.delay_reports import DelayMeter, DelayReports
 from tansyladder.net.listener_handover import ListenerHandover
-from tansyladder.net.protocol import TENANT, Opening
+from tansyladder.net.protocol import TENANT_FIELD, Opening
 from tansyladder.node.event_counters import EventCounters
 from tansyladder.node.extension_points import DecisionPermit, EndpointListCache, SessionService
 from tansyladder.node.lifecycle import Lifecycle
@@ -157,7 +157,7 @@
                 age=age,
             )
             endpoint_list = cached.endpoints
-        handed_over = self.listener_handover.members
+        handed_over = self.listener_handover.endpoints
         if handed_over is not None and handed_over.revision >= endpoint_list.revision:
             endpoint_list = handed_over
         self.update_endpoints(endpoint_list, ListUpdateKind.CACHED)
@@ -203,7 +203,7 @@
                     action_queue = self._action_queues.get(request_id)
                     # Neither a withdrawal of what stands nor a move of what does not comes through.
                     if action_queue and not isinstance(
-                        action, CancelAttempt if action_queue.standing else Migrate
+                        action, CancelAttempt if action_queue.is_established else Migrate
                     ):
                         action_queue.post(action)
                         woken_queues.append(action_queue)
@@ -273,7 +273,11 @@
     def request_ids(self, standing: bool) -> list[int]:
         """The transactions whose connections stand, or those still in hand."""
         with self._lock:
-            return [n for n, action_queue in self._action_queues.items() if action_queue.standing == standing]
+            return [
+                n
+                for n, action_queue in self._action_queues.items()
+                if action_queue.is_established == standing
+            ]
 
     def delay_reports(self, number: int, attempt: int, member: int) -> DelayReports:
         """What takes in the delays of a standing connection's messages and tells the module where due."""
@@ -285,7 +289,7 @@
 
     def tenant_number(self, opening: Opening) -> int:
         """The number of the tenant that a first line names; 0 where the settings have no such."""
-        name, tenants = opening.told.get(TENANT, ""), self.config.tenants
+        name, tenants = opening.field_values.get(TENANT_FIELD, ""), self.config.tenants
         return tenants.index(name) if name in tenants else 0
 
     # --- pool members
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -39,7 +39,7 @@
         """`handed`: of one that stood in the process before this one, what that gave with it."""
         self._runner, self._client, self._opening, self._adopted = runner, client, opening, adopted
         # Its class keeps its number and so its terms; that of what another process took in may be unknown.
-        self._class_number = runner.class_numbers.get(opening.cls, 0)
+        self._class_number = runner.class_numbers.get(opening.class_name, 0)
         self._deadline = arrived + opening.wait
         self._action_queue = ActionQueue()
         self._request_id = 0
@@ -57,10 +57,10 @@
         try:
             if self._adopted is not None:
                 self._adopt(*self._adopted)
-            elif self._opening.at is None:
+            elif self._opening.endpoint_id is None:
                 self._serve_request()
             else:
-                self._restore(self._opening.at)
+                self._restore(self._opening.endpoint_id)
         finally:
             self._runner.unregister_request(self._request_id)
             self._action_queue.close()
@@ -74,16 +74,24 @@
             self._opening,
             self._runner.session_service,
         )
-        first_line: Callable[[timedelta], bytes] = opening.for_member
+        first_line: Callable[[timedelta], bytes] = opening.format_for_endpoint
         stream = None
         if session_service is not None and session_service.offers_resumption(opening):
             stream = session_service.new_stream()
             first_line = session_service.first_line_builder(opening, stream)
         attempt_loop = AttemptLoop(
-            runner, self._action_queue, request_id, opening.cls, self._deadline, first_line, self._client
+            runner,
+            self._action_queue,
+            request_id,
+            opening.class_name,
+            self._deadline,
+            first_line,
+            self._client,
         )
         result = attempt_loop.run(
-            build_request(runner, request_id, self._class_number, opening, self._deadline, opening.again)
+            build_request(
+                runner, request_id, self._class_number, opening, self._deadline, opening.is_reconnect
+            )
         )
         if isinstance(result, UpstreamConnection):
             self._answer(RequestOutcome.OK)  # its UP is the member's, and goes out with the first lines
@@ -99,10 +107,10 @@
                     request_id,
                 )
             case UpstreamConnection() as connection:
-                endpoint, attempt = connection.member, connection.attempt
+                endpoint, attempt = connection.endpoint, connection.attempt
                 relay = self._new_relay(connection.sock, connection.buffer, endpoint, attempt)
-                status = relay.run(connection.lines)
-                runner.handle_events(connection.ended(request_id, status))
+                status = relay.run(connection.initial_lines)
+                runner.handle_events(connection.attempt_ended(request_id, status))
             case Reject(_, wait):
                 self._answer(RequestOutcome.REJECTED, format_reject(wait * MICROSECOND))
             case Fail():
@@ -116,9 +124,9 @@
     def _answer(self, outcome: RequestOutcome, line: bytes = b"") -> None:
         """The final answer: counted here, and said where it is the node's own."""
         self.is_answered = True
-        self._runner.metrics.record_outcome(self._opening.cls, outcome)
+        self._runner.metrics.record_outcome(self._opening.class_name, outcome)
         if line:
-            sockets.finish(self._client, line)
+            sockets.shutdown_and_drain(self._client, line)
 
     def _new_relay(
         self,
@@ -139,7 +147,7 @@
             delay_reports,
             runner.listener_handover,
         )
-        self._action_queue.stand(relay.nudge)
+        self._action_queue.use_callback(relay.wake)
         return relay
 
     def _restore(self, endpoint_id: str) -> None:
@@ -147,50 +155,52 @@
         runner, opening = self._runner, self._opening
         endpoint = runner.endpoint_by_id(endpoint_id)
         result = ConnectResult(AttemptStatus.CONNECT_FAILED)
-        while endpoint is not None and result.sock is None and not result.client_left:
+        while endpoint is not None and result.sock is None and not result.is_client_disconnected:
             connect = runner.config.settings.connect_timeout_us * MICROSECOND
             connector = UpstreamConnector(
                 endpoint,
-                opening.for_member,
+                opening.format_for_endpoint,
                 self._deadline,
                 connect,
-                lambda: runner.metrics.record_attempt(opening.cls),
+                lambda: runner.metrics.record_attempt(opening.class_name),
             )
             result = connector.open(self._client, self._action_queue)
             if result.sock is None and now() + RESTORE_RETRY_INTERVAL >= self._deadline:
                 break
-            if result.sock is None and not result.client_left:
+            if result.sock is None and not result.is_client_disconnected:
                 sockets.wait_readable(now() + RESTORE_RETRY_INTERVAL, self._action_queue.fileno())
-                if isinstance(self._action_queue.first(), Reject):
+                if isinstance(self._action_queue.peek(), Reject):
                     break
         if endpoint is None or result.sock is None or result.buffer is None:
             log(LogEvent.CONNECTION_RESTORE_FAILED, member=endpoint_id, status=result.status.name)
-            if result.client_left:
+            if result.is_client_disconnected:
                 self._answer(RequestOutcome.CLIENT_LEFT)
             else:
                 self._answer(RequestOutcome.REJECTED, format_reject(RESTORE_RETRY_INTERVAL))
             return
         self._answer(RequestOutcome.OK)
         self._report_adopted(endpoint)
-        status = self._new_relay(result.sock, result.buffer, endpoint, 0).run((result.receipt, *result.ready))
+        status = self._new_relay(result.sock, result.buffer, endpoint, 0).run(
+            (result.up_line, *result.following_lines)
+        )
         runner.handle_events(AttemptEnded(self._request_id, 0, endpoint.number, status, 0, True))
 
     def _adopt(self, adopted: ConnectionState, sock: socket.socket) -> None:
         """A connection that stood in the process before this one goes on where it was."""
-        runner, endpoint = self._runner, self._runner.endpoint_by_id(adopted.member)
+        runner, endpoint = self._runner, self._runner.endpoint_by_id(adopted.endpoint_id)
         if endpoint is None:
-            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=adopted.member)
+            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=adopted.endpoint_id)
             sock.close()
-            sockets.finish(self._client, protocol.MOVE + b"\r\n")
+            sockets.shutdown_and_drain(self._client, protocol.MOVE + b"\r\n")
             return
         self._report_adopted(endpoint)
-        status = self._new_relay(sock, protocol.LineBuffer(), endpoint, 0).go_on(adopted)
+        status = self._new_relay(sock, protocol.LineBuffer(), endpoint, 0).resume(adopted)
         runner.handle_events(AttemptEnded(self._request_id, 0, endpoint.number, status, 0, True))
 
     def _report_adopted(self, endpoint: Endpoint) -> None:
         """The module is told of a connection that it did not place."""
         opening = self._opening
-        load_hint = None if opening.hint is None else int(opening.hint)
+        load_hint = None if opening.load_hint is None else int(opening.load_hint)
         tenant = self._runner.tenant_number(opening)
         self._runner.handle_events(
             ConnectionAdopted(
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -13,7 +13,7 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, ResumingClient
 from tansyladder.net.clock import now
-from tansyladder.net.protocol import POSITION, TICKET, Opening
+from tansyladder.net.protocol import RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
@@ -71,7 +71,7 @@
             box.open()
             stream = Stream.restored(claim.session_id, self.memory_budget, self.options.buffer, start)
             session = Session(
-                self._core, self, box, None, self._core.class_numbers[opening.cls], opening, stream
+                self._core, self, box, None, self._core.class_numbers[opening.class_name], opening, stream
             )
             session.expires_at(self._core.clock.moment(expiry))
             self.token_registry.add(claim.session_id, box, floor, tenure)
@@ -86,10 +86,10 @@
 
     def on_ownership_claimed(self, session: int, tenure: int, by: str) -> None:
         """The log says that another node owns a session: what there is of it here ends."""
-        if self.ownership_service is not None and by != self.ownership_service.by:
+        if self.ownership_service is not None and by != self.ownership_service.incarnation:
             box = self.token_registry.handle_before_epoch(session, tenure)
             if box is not None:
-                box.replaced = True
+                box.is_superseded = True
                 box.wake()
 
     def _start_claim(
@@ -129,12 +129,14 @@
                 claim.session_id
             ):  # an earlier claim of this node has just gone through
                 return self._answer(sock, opening, RETRY_SOON)
-            if sockets.left(sock):  # nobody is there to go on with it
+            if sockets.is_disconnected(sock):  # nobody is there to go on with it
                 return self._answer(sock, opening, RETRY_SOON)
             at, keep = self.retention_period()
-            by, ask = self.ownership_service.by, next(self.confirmation_numbers)
+            by, ask = self.ownership_service.incarnation, next(self.confirmation_numbers)
             entry = OwnershipClaim(claim.session_id, claim.generation, claim.expires_at_us, by, at, keep, ask)
-            ruling = self.ownership_service.rule(entry, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT))
+            ruling = self.ownership_service.decide_ownership(
+                entry, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT)
+            )
             if ruling is None:
                 return self._answer(sock, opening, RETRY_SOON)
             if not ruling.tenure:
@@ -142,10 +144,12 @@
                 return self._answer(
                     sock, opening, RETRY_SOON if again else control_messages.format_rejection(ruling.why)
                 )
-            visitor = ResumingClient(sock, int(opening.told[POSITION]), deadline, claim.expires_at_us)
+            visitor = ResumingClient(
+                sock, int(opening.field_values[RESUME_POSITION_FIELD]), deadline, claim.expires_at_us
+            )
             self._restore(claim, opening, claim.generation, claim.expires_at_us, ruling.tenure)
             self.token_registry.begin_resume(
-                claim, self._core.clock.micros(arrived), lambda box: box.visit(visitor)
+                claim, self._core.clock.micros(arrived), lambda box: box.add_client(visitor)
             )
             log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.tenure, took=now() - arrived)
         except TokenError as err:  # no room, or two clients with one token here at the same moment
@@ -159,9 +163,9 @@
                 self._claiming.discard(claim.session_id)
 
     def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
-        self._core.metrics.record_outcome(opening.cls, RequestOutcome.of_answer(answer))
-        sockets.prepare(sock)
-        sockets.finish(sock, answer)
+        self._core.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
+        sockets.configure_stream(sock)
+        sockets.shutdown_and_drain(sock, answer)
 
     # --- coming back
 
@@ -179,14 +183,14 @@
                 raise TokenError("draining")
             if self.resumes_on_any_node and self.ownership_service is None:
                 return RETRY_SOON
-            position = opening.told.get(POSITION, "")
+            position = opening.field_values.get(RESUME_POSITION_FIELD, "")
             if not _POSITION.match(position):
-                raise protocol.LineError(f"{POSITION}: a position expected")
-            claim = self.keyring.open(opening.told[TICKET], token_claims(opening))
+                raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
+            claim = self.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
             if (
                 self.ownership_service is not None
             ):  # a node that was stopped has clients of long ago in its buffers
-                arrived = min(arrived, now() - sockets.quiet(sock))
+                arrived = min(arrived, now() - sockets.time_since_last_data(sock))
             if not self.token_registry.is_known(claim.session_id):
                 if self.ownership_service is not None:
                     return self._start_claim(sock, opening, claim, arrived, take)
@@ -196,7 +200,7 @@
 
             def deliver(box: ActionQueue) -> None:
                 take()
-                box.visit(visitor)
+                box.add_client(visitor)
 
             self.token_registry.begin_resume(claim, self._core.clock.micros(arrived), deliver)
         except TokenError as err:
