--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -8,7 +8,7 @@
 
 import threading
 
-from tansyladder.cluster.document_publisher import CHECKS, DocumentPublisher
+from tansyladder.cluster.document_publisher import VALIDATORS, DocumentPublisher
 from tansyladder.cluster.document_replica import LeaseExpiryPolicy
 from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.config.platform import ConfigError
@@ -54,7 +54,7 @@
         resuming.replaced,
         lambda: core.clock.micros(now()),
         folder,
-        CHECKS if told.enabled else None,
+        VALIDATORS if told.enabled else None,
         LeaseExpiryPolicy(told.cut_off),
         told.lease,
     )
--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -10,26 +10,28 @@
 
 import msgspec
 
-from tansyladder.cluster.document_replica import Check, DocumentReplica
+from tansyladder.cluster.document_replica import DocumentReplica, Validator
 from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
-from tansyladder.replication.documents import MOST_SIZE, ChangeResult
+from tansyladder.replication.documents import MAX_CONTENT_BYTES, ChangeResult
 
-PUBLISH = timedelta(seconds=60)  # for a change, asked for again until then: a lease may have to end first
-TRY = timedelta(seconds=5)
-LEAVE = timedelta(milliseconds=200)
-MOST_PUBLISHING = 4  # changes that this node has been asked for at once
-KEPT = 64  # of those, whose end is known here
-MOST_NOTE = 64 << 10  # bytes
+PUBLISH_TIMEOUT = timedelta(
+    seconds=60
+)  # for a change, asked for again until then: a lease may have to end first
+ATTEMPT_TIMEOUT = timedelta(seconds=5)
+LEASE_RELEASE_TIMEOUT = timedelta(milliseconds=200)
+MAX_PENDING_CHANGES = 4  # changes that this node has been asked for at once
+MAX_KNOWN_CHANGES = 64  # of those, whose end is known here
+MAX_NOTE_BYTES = 64 << 10  # bytes
 
 
-def check_note(content: bytes) -> str:
+def validate_note(content: bytes) -> str:
     """A note to the staff of all nodes, which changes nothing: (note "text")."""
     import sexpdata
 
-    if len(content) > MOST_NOTE:
-        return f"note: {len(content)} bytes, {MOST_NOTE} at most"
+    if len(content) > MAX_NOTE_BYTES:
+        return f"note: {len(content)} bytes, {MAX_NOTE_BYTES} at most"
     try:
         read = sexpdata.loads(content.decode())
     except UnicodeDecodeError:
@@ -40,7 +42,7 @@
     return "" if sound and isinstance(read[1], str) else 'note: (note "text") expected'
 
 
-CHECKS: dict[str, Check] = {"note": check_note}
+VALIDATORS: dict[str, Validator] = {"note": validate_note}
 
 
 class DecisionStamp(msgspec.Struct, frozen=True):
@@ -59,37 +61,37 @@
 
         OSError: it can't be written.
         """
-        self._agreeing, self._holding = agreeing, holding
-        self._stamps = (
+        self._raft_runner, self._replica = agreeing, holding
+        self._stamp_descriptor = (
             os.open(stamps, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600) if stamps else -1
         )
-        self._asked: dict[str, ChangeResult | None] = {}
+        self._results: dict[str, ChangeResult | None] = {}
         self._lock = threading.Lock()
 
     def permitted(self, ident: str = "") -> bool:
         """Whether anything may be decided now."""
-        at, permit = self._holding.micros(), self._holding.permit
-        allowed = self._holding.allows(permit, at)
-        if ident and allowed and self._stamps >= 0:
-            held = [(name, permit.version(name, at)) for name in permit.versions]
+        at, permit = self._replica.now_us(), self._replica.lease
+        allowed = self._replica.may_decide(permit, at)
+        if ident and allowed and self._stamp_descriptor >= 0:
+            held = [(name, permit.version_at(name, at)) for name in permit.versions]
             numbers = {name: version.number for name, version in held if version is not None}
             # In one call, so that a process that is killed leaves whole lines.
-            os.write(self._stamps, msgspec.json.encode(DecisionStamp(at, ident, numbers)) + b"\n")
+            os.write(self._stamp_descriptor, msgspec.json.encode(DecisionStamp(at, ident, numbers)) + b"\n")
         return allowed
 
     def describe(self) -> str:
         """What holds here, as JSON."""
-        at, permit = self._holding.micros(), self._holding.permit
-        out: dict[str, object] = {"lease_ms": max(0, permit.until - at) // 1000, **self._holding.counts}
+        at, permit = self._replica.now_us(), self._replica.lease
+        out: dict[str, object] = {"lease_ms": max(0, permit.end_us - at) // 1000, **self._replica.counts}
         for name in permit.versions:
-            version = permit.version(name, at)
+            version = permit.version_at(name, at)
             if version is not None:
-                here = self._holding.content(version) is not None
+                here = self._replica.content(version) is not None
                 out[name] = {
                     "number": version.number,
                     "digest": version.digest.hex(),
                     "size": version.size,
-                    "since": version.since,
+                    "since": version.effective_at_us,
                     "here": here,
                 }
         return msgspec.json.encode(out).decode()
@@ -98,17 +100,17 @@
         """Begin to change a document to what a file holds. ValueError: nobody has been asked."""
         try:
             with Path(path).open("rb") as file:
-                content = file.read(MOST_SIZE + 1)
+                content = file.read(MAX_CONTENT_BYTES + 1)
         except OSError as err:
             raise ValueError(f"file: {err.strerror or err}") from err
         with self._lock:
-            if ask in self._asked:
+            if ask in self._results:
                 return "under way"
-            if sum(ruled is None for ruled in self._asked.values()) >= MOST_PUBLISHING:
-                raise ValueError(f"busy: {MOST_PUBLISHING} changes are under way here")
-            while len(self._asked) >= KEPT:
-                del self._asked[next(a for a, ruled in self._asked.items() if ruled is not None)]
-            self._asked[ask] = None
+            if sum(ruled is None for ruled in self._results.values()) >= MAX_PENDING_CHANGES:
+                raise ValueError(f"busy: {MAX_PENDING_CHANGES} changes are under way here")
+            while len(self._results) >= MAX_KNOWN_CHANGES:
+                del self._results[next(a for a, ruled in self._results.items() if ruled is not None)]
+            self._results[ask] = None
         log(
             LogEvent.DOCUMENT_CHANGE_REQUESTED, name=name, ask=ask, digest=hashlib.sha256(content).hexdigest()
         )
@@ -116,11 +118,11 @@
         return "under way"
 
     def _publish(self, name: str, content: bytes, ask: str) -> None:
-        until, ruled = now() + PUBLISH, None
+        until, ruled = now() + PUBLISH_TIMEOUT, None
         try:
-            while now() < until and (ruled is None or ruled.word == "busy"):
-                ruled = self._agreeing.publish(name, content, ask, min(until, now() + TRY))
-                if ruled is None or ruled.word == "busy":
+            while now() < until and (ruled is None or ruled.outcome == "busy"):
+                ruled = self._raft_runner.publish(name, content, ask, min(until, now() + ATTEMPT_TIMEOUT))
+                if ruled is None or ruled.outcome == "busy":
                     threading.Event().wait(0.2)
         except ValueError as err:
             ruled = ChangeResult("refused", 0, str(err))
@@ -129,25 +131,25 @@
             LogEvent.DOCUMENT_CHANGE_ENDED,
             name=name,
             ask=ask,
-            word=ruled.word,
+            word=ruled.outcome,
             number=ruled.number,
-            why=ruled.why or "none",
+            why=ruled.reason or "none",
         )
         with self._lock:
-            self._asked[ask] = ruled
+            self._results[ask] = ruled
 
     def ended(self, ask: str) -> str:
         """What became of a change. ValueError: it has not taken hold, or that is not known."""
         with self._lock:
-            known = ask in self._asked
-            ruled = self._asked.get(ask)
-        ruled = self._holding.found(ask) or ruled
+            known = ask in self._results
+            ruled = self._results.get(ask)
+        ruled = self._replica.result(ask) or ruled
         if ruled is None:
             raise ValueError("under way" if known else "not known")
-        if ruled.word != "done":
-            raise ValueError(f"{ruled.word}: {ruled.why or 'nothing is known of it'}")
+        if ruled.outcome != "done":
+            raise ValueError(f"{ruled.outcome}: {ruled.reason or 'nothing is known of it'}")
         return f"done {ruled.number}"
 
     def leave(self) -> None:
         """This node decides nothing any more: nobody has to wait for the end of its lease."""
-        self._agreeing.leave(now() + LEAVE)
+        self._raft_runner.leave(now() + LEASE_RELEASE_TIMEOUT)
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -19,37 +19,39 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now, seconds_left
 from tansyladder.replication import documents as core
-from tansyladder.replication.content_transfer import ChangeNotice, ContentStore, digest_of
+from tansyladder.replication.content_transfer import ContentStore, DocumentMessage, digest_of
 from tansyladder.replication.documents import (
-    MOST_SIZE,
-    MS,
+    MAX_CONTENT_BYTES,
+    MILLISECOND_US,
+    SECOND_US,
     ChangeResult,
     Documents,
     LeaseCoordinator,
     LeaseHolder,
     LeaseRenewal,
     Proposal,
-    S,
     ValidationVote,
     Version,
-    holding_at,
+    version_in_force,
 )
 from tansyladder.replication.replicated_state import Entry
 from tansyladder.store import Durability, Op, Store, StoreError
 
-CONTENT = b"documents/"
-PART = 48 << 10  # bytes of a content in one record
-HERE = 12  # times in a lease that a node tells the leader that it is there
-SOON = 50 * MS  # between two turns while a change is under way, or no lease is held
-SELDOM = 1 * S
-AGAIN = 150 * MS  # after which what was proposed, and is not in the log, is proposed again
-TO_CHECK = 8  # contents that wait to be checked
+CONTENT_KEY_PREFIX = b"documents/"
+RECORD_BYTES = 48 << 10  # bytes of a content in one record
+RENEWALS_PER_LEASE = 12  # times in a lease that a node tells the leader that it is there
+BUSY_INTERVAL_US = 50 * MILLISECOND_US  # between two turns while a change is under way, or no lease is held
+IDLE_INTERVAL_US = 1 * SECOND_US
+REPROPOSE_INTERVAL_US = (
+    150 * MILLISECOND_US
+)  # after which what was proposed, and is not in the log, is proposed again
+VALIDATION_QUEUE_SIZE = 8  # contents that wait to be checked
 FORGET = -1  # in place of the number of a change: the content's digest is to be forgotten
-OFFERED = 90 * S  # that content is kept for which this node has been asked for a change
-DIGEST = 32  # bytes
-LEASE = timedelta(seconds=30)
-TOLD = timedelta(milliseconds=10)  # between two looks for what became of a change
-Check = Callable[[bytes], str]  # the path of a content's first fault, and what it is; none: it is sound
+PROPOSED_RETENTION_US = 90 * SECOND_US  # that content is kept for which this node has been asked for a change
+DIGEST_BYTES = 32  # bytes
+DEFAULT_LEASE_DURATION = timedelta(seconds=30)
+RESULT_POLL_INTERVAL = timedelta(milliseconds=10)  # between two looks for what became of a change
+Validator = Callable[[bytes], str]  # the path of a content's first fault, and what it is; none: it is sound
 
 
 class LeaseExpiryPolicy(Enum):
@@ -63,12 +65,12 @@
 class DocumentLease:
     """What may be decided now: read by any thread, replaced as a whole."""
 
-    until: int = 0  # microseconds of Unix time; no lease from then on
+    end_us: int = 0  # microseconds of Unix time; no lease from then on
     versions: Mapping[str, tuple[Version, ...]] = field(default_factory=dict)
 
-    def version(self, name: str, at: int) -> Version | None:
+    def version_at(self, name: str, at: int) -> Version | None:
         """What a decision about something with this name is to follow; none: it has never been agreed."""
-        return holding_at(self.versions.get(name, ()), at)
+        return version_in_force(self.versions.get(name, ()), at)
 
 
 class DocumentReplica:
@@ -80,71 +82,81 @@
         peers: list[str],
         documents: Documents,
         store: Store | None,
-        checks: Mapping[str, Check],
+        checks: Mapping[str, Validator],
         micros: Callable[[], int],
         cut_off: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP,
-        lease: timedelta = LEASE,
+        lease: timedelta = DEFAULT_LEASE_DURATION,
     ) -> None:
         """`start`: the node's name and this start of it; `checks`: by the name of a document.
 
         `micros`: Unix time in microseconds. StoreError: what is kept can't be read.
         """
-        self._start, self._documents, self._store, self._checks = start, documents, store, dict(checks)
-        self.micros, self._cut_off = micros, cut_off
-        length = self._length = lease // timedelta(microseconds=1)
-        self._follower, self._steward = (
+        self._incarnation, self._documents, self._store, self._validators = (
+            start,
+            documents,
+            store,
+            dict(checks),
+        )
+        self.now_us, self._lease_expiry_policy = micros, cut_off
+        length = self._lease_duration_us = lease // timedelta(microseconds=1)
+        self._lease_holder, self._coordinator = (
             LeaseHolder(start, documents),
             LeaseCoordinator(start, documents, length),
         )
-        self._over = False
+        self._is_stopped = False
         self.counts: Counter[str] = Counter()
         self._contents = ContentStore(peers, Random(start))
-        self._to_check: queue.Queue[tuple[str, int, bytes]] = queue.Queue(TO_CHECK)
-        self._checked: queue.Queue[tuple[int, bytes, str]] = queue.Queue()
-        self._offered: dict[bytes, int] = {}  # contents that this node has offered: until when they are kept
-        self._faults: dict[int, str] = {}  # by the number of a change: what its check found
-        self._checking = 0
-        self._said: dict[str, int] = {}  # what was proposed, and when
-        self._here_at = 0
-        self._published = DocumentLease()
+        self._validation_queue: queue.Queue[tuple[str, int, bytes]] = queue.Queue(VALIDATION_QUEUE_SIZE)
+        self._validation_results: queue.Queue[tuple[int, bytes, str]] = queue.Queue()
+        self._proposed_until_us: dict[
+            bytes, int
+        ] = {}  # contents that this node has offered: until when they are kept
+        self._faults_by_number: dict[int, str] = {}  # by the number of a change: what its check found
+        self._validating_number = 0
+        self._proposed_at_us: dict[str, int] = {}  # what was proposed, and when
+        self._next_renewal_at_us = 0
+        self._lease = DocumentLease()
         self._lock = threading.Lock()  # of the contents
-        for digest in documents.digests():
-            content = self._read(digest)
+        for digest in documents.referenced_digests():
+            content = self._read_content(digest)
             if content is not None and digest_of(content) == digest:
-                self._contents.have(content)
+                self._contents.add(content)
 
     def start(self) -> None:
         if self._store is not None:  # of changes that came to nothing
-            wanted = self._documents.digests()
-            stored = {key[len(CONTENT) : len(CONTENT) + DIGEST] for key, _ in self._store.items(CONTENT)}
+            wanted = self._documents.referenced_digests()
+            stored = {
+                key[len(CONTENT_KEY_PREFIX) : len(CONTENT_KEY_PREFIX) + DIGEST_BYTES]
+                for key, _ in self._store.items(CONTENT_KEY_PREFIX)
+            }
             for digest in stored - wanted:
-                self._forget(digest)
-        threading.Thread(target=self._check, name="documents", daemon=True).start()
+                self._delete_content(digest)
+        threading.Thread(target=self._run_validation, name="documents", daemon=True).start()
 
     # --- for anybody
 
     @property
-    def permit(self) -> DocumentLease:
+    def lease(self) -> DocumentLease:
         """What this node may decide under, as of its last turn."""
-        return self._published
+        return self._lease
 
-    def allows(self, permit: DocumentLease, at: int) -> bool:
+    def may_decide(self, permit: DocumentLease, at: int) -> bool:
         """Whether anything may be decided at a moment. Where the settings say so, also without a lease, if
         there was one."""
-        if self._over or at < permit.until:
-            return not self._over
-        if self._cut_off is LeaseExpiryPolicy.SERVE and permit.until:
+        if self._is_stopped or at < permit.end_us:
+            return not self._is_stopped
+        if self._lease_expiry_policy is LeaseExpiryPolicy.SERVE and permit.end_us:
             self.counts["stale"] += 1
             return True
         return False
 
-    def found(self, ask: str) -> ChangeResult | None:
+    def result(self, ask: str) -> ChangeResult | None:
         """What became of a change, as far as this node has heard the log."""
-        return self._documents.ends.get(ask)
+        return self._documents.results.get(ask)
 
-    def give_up(self) -> None:
+    def stop_deciding(self) -> None:
         """Decide nothing from now on."""
-        self._over = True
+        self._is_stopped = True
 
     def content(self, version: Version) -> bytes | None:
         """The content of a version, where it is here."""
@@ -154,159 +166,174 @@
     # --- for the agreement's thread
 
     @property
-    def urgent(self) -> bool:
+    def is_urgent(self) -> bool:
         """Whether what the log decides must not wait for the leader's next sign of life."""
-        return self._steward.urgent(self.micros())
+        return self._coordinator.is_urgent(self.now_us())
 
-    def wait(self) -> int:
+    def next_step_in_us(self) -> int:
         """How long until a turn is due though nothing has come; microseconds."""
-        busy = self._documents.change is not None or self.micros() >= self._published.until - S
-        return SOON if busy else SELDOM
+        busy = self._documents.change is not None or self.now_us() >= self._lease.end_us - SECOND_US
+        return BUSY_INTERVAL_US if busy else IDLE_INTERVAL_US
 
-    def hear(self, sender: str, told: ChangeNotice) -> list[tuple[str, ChangeNotice]]:
+    def handle(self, sender: str, told: DocumentMessage) -> list[tuple[str, DocumentMessage]]:
         """A message of another node; what to send."""
-        match told.what:
+        match told.body:
             case LeaseRenewal(start):
-                if core.node_of(start) == sender:
-                    self._steward.hear(start, self.micros())
+                if core.node_name(start) == sender:
+                    self._coordinator.record_renewal(start, self.now_us())
                 return []
             case what:
                 with self._lock:
-                    self._contents.received(sender, what, self.micros())
-                return self._outgoing()
+                    self._contents.handle(sender, what, self.now_us())
+                return self._take_outgoing()
 
-    def _outgoing(self) -> list[tuple[str, ChangeNotice]]:
+    def _take_outgoing(self) -> list[tuple[str, DocumentMessage]]:
         with self._lock:
-            out, self._contents.out = self._contents.out, []
-        return [(to, ChangeNotice(what)) for to, what in out]
+            out, self._contents.outgoing = self._contents.outgoing, []
+        return [(to, DocumentMessage(what)) for to, what in out]
 
-    def turn(self, leader: str, leads: bool) -> tuple[list[Entry], list[tuple[str, ChangeNotice]]]:
+    def step(self, leader: str, leads: bool) -> tuple[list[Entry], list[tuple[str, DocumentMessage]]]:
         """After a step of the agreement: entries to propose, messages to send."""
-        at, entries, messages = self.micros(), list[Entry](), list[tuple[str, ChangeNotice]]()
-        armed = self._follower.arm(at)
+        at, entries, messages = self.now_us(), list[Entry](), list[tuple[str, DocumentMessage]]()
+        armed = self._lease_holder.prepare(at)
         if armed is not None:
-            entries += self._once(armed, f"armed {armed.number} {armed.round}", at)
-        self._look_at_change(at, entries)
+            entries += self._propose_once(armed, f"armed {armed.number} {armed.round}", at)
+        self._advance_change(at, entries)
         versions = {name: self._documents.versions(name) for name in self._documents.names()}
         with self._lock:
             newest = [held[-1] for held in versions.values()]
             for version in newest:
-                self._contents.want(version.digest, version.size, at)
-            self._contents.step(at)
+                self._contents.fetch(version.digest, version.size, at)
+            self._contents.retry_overdue(at)
             whole = all(self._contents.get(version.digest) is not None for version in newest)
         # Who has heard that a document holds and lacks its content can't follow it.
-        self._published = DocumentLease(self._follower.until() if whole else 0, versions)
+        self._lease = DocumentLease(self._lease_holder.lease_end_us() if whole else 0, versions)
         if leads:
-            self._steward.hear(self._start, at)
-            entries += self._steward.step(at)
+            self._coordinator.record_renewal(self._incarnation, at)
+            entries += self._coordinator.next_entries(at)
         else:
-            self._steward.rest()
-        if leader and not leads and at >= self._here_at:
-            soon = self._documents.change is not None or at >= self._published.until - S
-            self._here_at = at + (AGAIN if soon else self._length // HERE)
-            messages.append((leader, ChangeNotice(LeaseRenewal(self._start))))
-        return entries, messages + self._outgoing()
-
-    def _once(self, entry: Entry, key: str, at: int) -> list[Entry]:
+            self._coordinator.reset()
+        if leader and not leads and at >= self._next_renewal_at_us:
+            soon = self._documents.change is not None or at >= self._lease.end_us - SECOND_US
+            self._next_renewal_at_us = at + (
+                REPROPOSE_INTERVAL_US if soon else self._lease_duration_us // RENEWALS_PER_LEASE
+            )
+            messages.append((leader, DocumentMessage(LeaseRenewal(self._incarnation))))
+        return entries, messages + self._take_outgoing()
+
+    def _propose_once(self, entry: Entry, key: str, at: int) -> list[Entry]:
         """An entry of this node's own, unless it was proposed a moment ago."""
-        if at - self._said.get(key, -AGAIN) < AGAIN:
+        if at - self._proposed_at_us.get(key, -REPROPOSE_INTERVAL_US) < REPROPOSE_INTERVAL_US:
             return []
-        if len(self._said) > 64:
-            self._said = {k: when for k, when in self._said.items() if at - when < S}
-        self._said[key] = at
+        if len(self._proposed_at_us) > 64:
+            self._proposed_at_us = {
+                k: when for k, when in self._proposed_at_us.items() if at - when < SECOND_US
+            }
+        self._proposed_at_us[key] = at
         return [entry]
 
-    def _look_at_change(self, at: int, entries: list[Entry]) -> None:
+    def _advance_change(self, at: int, entries: list[Entry]) -> None:
         while True:
             try:
-                number, content, fault = self._checked.get_nowait()
+                number, content, fault = self._validation_results.get_nowait()
             except queue.Empty:
                 break
-            self._faults[number] = fault
+            self._faults_by_number[number] = fault
             if content:
                 with self._lock:
-                    self._contents.have(content)
+                    self._contents.add(content)
         with self._lock:
-            whole, self._contents.whole = self._contents.whole, []
-        change = self._follower.check()
+            whole, self._contents.completed = self._contents.completed, []
+        change = self._lease_holder.change_to_validate()
         for digest, content in whole:
             number = change.number if change is not None and change.digest == digest else 0
-            self._hand_over(change.name if change is not None and number else "", number, content)
+            self._queue_for_validation(change.name if change is not None and number else "", number, content)
         if change is None:
-            self._faults.clear()
-            self._forget_others(at)
+            self._faults_by_number.clear()
+            self._discard_unreferenced(at)
             return
-        if change.number in self._faults:
-            verdict = ValidationVote(change.number, self._start, at, self._faults[change.number])
-            entries += self._once(verdict, f"verdict {change.number}", at)
+        if change.number in self._faults_by_number:
+            verdict = ValidationVote(
+                change.number, self._incarnation, at, self._faults_by_number[change.number]
+            )
+            entries += self._propose_once(verdict, f"verdict {change.number}", at)
             return
         with self._lock:
             content_here = self._contents.get(change.digest)
-            self._contents.want(change.digest, change.size, at)
-        if content_here is not None and self._checking != change.number:
-            self._hand_over(change.name, change.number, content_here)
+            self._contents.fetch(change.digest, change.size, at)
+        if content_here is not None and self._validating_number != change.number:
+            self._queue_for_validation(change.name, change.number, content_here)
 
-    def _forget_others(self, at: int) -> None:
+    def _discard_unreferenced(self, at: int) -> None:
         """Content that no document has, and no change that is under way or was asked for a moment ago."""
         if self._documents.change is not None:
             return
         with self._lock:
-            self._offered = {digest: until for digest, until in self._offered.items() if until > at}
-            gone = self._contents.keep_only(self._documents.digests() | self._offered.keys())
+            self._proposed_until_us = {
+                digest: until for digest, until in self._proposed_until_us.items() if until > at
+            }
+            gone = self._contents.retain_only(
+                self._documents.referenced_digests() | self._proposed_until_us.keys()
+            )
         for digest in gone:
             with contextlib.suppress(queue.Full):  # the next start forgets it
-                self._to_check.put_nowait(("", FORGET, digest))
+                self._validation_queue.put_nowait(("", FORGET, digest))
 
-    def _forget(self, digest: bytes) -> None:
+    def _delete_content(self, digest: bytes) -> None:
         """Take a content off the disk, unless it is wanted again meanwhile."""
         assert self._store is not None
         with self._lock:
-            if self._contents.get(digest) is not None or digest in self._offered:
+            if self._contents.get(digest) is not None or digest in self._proposed_until_us:
                 return
         try:
-            keys = [CONTENT + digest + n.to_bytes(2, "big") for n in range(-(-MOST_SIZE // PART))]
+            keys = [
+                CONTENT_KEY_PREFIX + digest + n.to_bytes(2, "big")
+                for n in range(-(-MAX_CONTENT_BYTES // RECORD_BYTES))
+            ]
             there = [Op(key, None) for key in keys if self._store.get(key) is not None]
             self._store.write(there, Durability.SOON)
         except StoreError as err:
             log(LogEvent.DOCUMENT_DELETE_FAILED, why=err)
 
-    def _hand_over(self, name: str, number: int, content: bytes) -> None:
+    def _queue_for_validation(self, name: str, number: int, content: bytes) -> None:
         try:
-            self._to_check.put_nowait((name, number, content))
-            self._checking = number or self._checking
+            self._validation_queue.put_nowait((name, number, content))
+            self._validating_number = number or self._validating_number
         except queue.Full:
             pass  # it is looked at again at the next turn, or fetched again
 
     # --- the thread that checks and writes
 
-    def _check(self) -> None:
+    def _run_validation(self) -> None:
         while True:
-            name, number, content = self._to_check.get()
+            name, number, content = self._validation_queue.get()
             fault = ""
             if number == FORGET:
                 if self._store is not None:
-                    self._forget(content)
+                    self._delete_content(content)
                 continue
             if number:
                 try:
                     fault = (
-                        self._checks[name](content) if name in self._checks else f"{name}: no such document"
+                        self._validators[name](content)
+                        if name in self._validators
+                        else f"{name}: no such document"
                     )
                 except Exception as err:  # a check that fails is no yes
                     fault = f"{name}: {err!r}"
-            if not fault and not self._keep(content):
+            if not fault and not self._write_content(content):
                 fault = "disk: the content can't be kept"
             if number or not fault:
-                self._checked.put((number, content if not fault else b"", fault[:200]))
+                self._validation_results.put((number, content if not fault else b"", fault[:200]))
 
-    def _keep(self, content: bytes) -> bool:
+    def _write_content(self, content: bytes) -> bool:
         """On the disk when it returns true. Without a store the node's memory has to do."""
         if self._store is None:
             return True
         digest = digest_of(content)
         ops = [
-            Op(CONTENT + digest + number.to_bytes(2, "big"), content[at : at + PART])
-            for number, at in enumerate(range(0, len(content), PART))
+            Op(CONTENT_KEY_PREFIX + digest + number.to_bytes(2, "big"), content[at : at + RECORD_BYTES])
+            for number, at in enumerate(range(0, len(content), RECORD_BYTES))
         ]
         try:
             for op in ops[:-1]:
@@ -317,12 +344,12 @@
             return False
         return True
 
-    def _read(self, digest: bytes) -> bytes | None:
+    def _read_content(self, digest: bytes) -> bytes | None:
         if self._store is None:
             return None
         parts = []
-        for number in range(-(-MOST_SIZE // PART)):
-            part = self._store.get(CONTENT + digest + number.to_bytes(2, "big"))
+        for number in range(-(-MAX_CONTENT_BYTES // RECORD_BYTES)):
+            part = self._store.get(CONTENT_KEY_PREFIX + digest + number.to_bytes(2, "big"))
             if part is None:
                 break
             parts.append(part)
@@ -330,30 +357,30 @@
 
     # --- changes
 
-    def offer(self, name: str, content: bytes, ask: str) -> Proposal:
+    def propose(self, name: str, content: bytes, ask: str) -> Proposal:
         """What to propose for a change; its content is here, and is there for others, from now on.
 
         ValueError: it can't be a document. StoreError is told as a ValueError too.
         """
-        if name not in self._checks:
+        if name not in self._validators:
             raise ValueError(f"name: no such document: {name[:40]}")
-        if not 0 < len(content) <= MOST_SIZE:
-            raise ValueError(f"size: from 1 to {MOST_SIZE} bytes, not {len(content)}")
-        fault = self._checks[name](content)
+        if not 0 < len(content) <= MAX_CONTENT_BYTES:
+            raise ValueError(f"size: from 1 to {MAX_CONTENT_BYTES} bytes, not {len(content)}")
+        fault = self._validators[name](content)
         if fault:
             raise ValueError(fault)
         with self._lock:
-            self._offered[digest_of(content)] = self.micros() + OFFERED
-        if not self._keep(content):
+            self._proposed_until_us[digest_of(content)] = self.now_us() + PROPOSED_RETENTION_US
+        if not self._write_content(content):
             raise ValueError("disk: the content can't be kept")
         with self._lock:
-            digest = self._contents.have(content)
-        return Proposal(name, digest, len(content), ask, self._start, self.micros())
+            digest = self._contents.add(content)
+        return Proposal(name, digest, len(content), ask, self._incarnation, self.now_us())
 
-    def ended(self, ask: str, until: timedelta) -> ChangeResult | None:
+    def wait_for_result(self, ask: str, until: timedelta) -> ChangeResult | None:
         """Wait for what became of a change; none: that is not known by a moment."""
         while True:
-            ruled = self._documents.ends.get(ask)
+            ruled = self._documents.results.get(ask)
             if ruled is not None or now() >= until:
                 return ruled
-            threading.Event().wait(min(TOLD.total_seconds(), seconds_left(until)))
+            threading.Event().wait(min(RESULT_POLL_INTERVAL.total_seconds(), seconds_left(until)))
--- a/tansyladder/cluster/peer_transport.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -28,7 +28,7 @@
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
 from tansyladder.raft.messages import Message
-from tansyladder.replication.content_transfer import ChangeNotice
+from tansyladder.replication.content_transfer import DocumentMessage
 
 VERSION = 2
 QUEUE = 512  # messages that wait for a peer
@@ -125,7 +125,7 @@
         self,
         me: str,
         options: PeersOptions,
-        heard: Callable[[str, Message | ChangeNotice], None],
+        heard: Callable[[str, Message | DocumentMessage], None],
         micros: Callable[[], int],
     ) -> None:
         """`heard` takes each message in and must not wait; `micros`: Unix time in microseconds.
@@ -145,7 +145,7 @@
         self.counts: Counter[str] = Counter()
         listen = address(options.listen or options.members[me], "peers.listen")
         self._listener = socket.create_server(listen, backlog=len(self._peers) + 16, reuse_port=True)
-        self._decoder = msgspec.msgpack.Decoder(Message | ChangeNotice)
+        self._decoder = msgspec.msgpack.Decoder(Message | DocumentMessage)
 
     def start(self) -> None:
         threading.Thread(target=self._accept, name="peers", daemon=True).start()
@@ -153,7 +153,7 @@
             if self._me < name:
                 threading.Thread(target=self._dial, args=(name,), name=f"peer-{name}", daemon=True).start()
 
-    def send(self, to: str, message: Message | ChangeNotice) -> None:
+    def send(self, to: str, message: Message | DocumentMessage) -> None:
         """Queue a message; one that finds no connection or no room is dropped, as on a bad network."""
         channel = self._channels.get(to)
         try:
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -13,7 +13,12 @@
 
 import msgspec
 
-from tansyladder.cluster.document_replica import LEASE, Check, DocumentReplica, LeaseExpiryPolicy
+from tansyladder.cluster.document_replica import (
+    DEFAULT_LEASE_DURATION,
+    DocumentReplica,
+    LeaseExpiryPolicy,
+    Validator,
+)
 from tansyladder.cluster.peer_transport import PeerTransport
 from tansyladder.cluster.raft_storage import RaftStorage, RollbackDetector
 from tansyladder.config.operator_settings import PeersOptions
@@ -21,7 +26,7 @@
 from tansyladder.net.clock import now
 from tansyladder.raft.messages import Message, ProposalResult, Propose
 from tansyladder.raft.node import Effects, RaftNode, Role
-from tansyladder.replication.content_transfer import ChangeNotice
+from tansyladder.replication.content_transfer import DocumentMessage
 from tansyladder.replication.documents import (
     Abort,
     ChangeResult,
@@ -66,9 +71,9 @@
         taken: Callable[[int, int, str], None],
         micros: Callable[[], int],
         folder: str | None = None,
-        checks: Mapping[str, Check] | None = None,
+        checks: Mapping[str, Validator] | None = None,
         cut_off: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP,
-        lease: timedelta = LEASE,
+        lease: timedelta = DEFAULT_LEASE_DURATION,
     ) -> None:
         """`taken`: told of each claim that holds: session, tenure, and whose; it must not wait.
 
@@ -82,7 +87,7 @@
         self._records = RaftStorage(store, RollbackDetector(folder, me))
         self.by = f"{me}/{os.urandom(4).hex()}"  # the node and its start
         self._me = me
-        self._inbox: queue.Queue[tuple[str, Message | ChangeNotice]] = queue.Queue(INBOX)
+        self._inbox: queue.Queue[tuple[str, Message | DocumentMessage]] = queue.Queue(INBOX)
         self._waiting: dict[str, _PendingProposal] = {}
         self._numbers = itertools.count(1)
         self.stopped = False
@@ -110,7 +115,7 @@
             self.holding.start()
         threading.Thread(target=self._run, name="agreement", daemon=True).start()
 
-    def _heard(self, sender: str, message: Message | ChangeNotice) -> None:
+    def _heard(self, sender: str, message: Message | DocumentMessage) -> None:
         try:
             self._inbox.put_nowait((sender, message))
         except queue.Full:
@@ -121,14 +126,16 @@
         try:
             while True:
                 received = self._next()
-                for_it = [(sender, told) for sender, told in received if not isinstance(told, ChangeNotice)]
+                for_it = [
+                    (sender, told) for sender, told in received if not isinstance(told, DocumentMessage)
+                ]
                 if self.holding is not None:
-                    self._agreement.eager = self.holding.urgent
+                    self._agreement.eager = self.holding.is_urgent
                 out = self._agreement.handle(self._micros(), for_it)
                 self._records.write(out.writes)  # before anything leaves
                 if self.holding is not None:
                     self._hold(
-                        self.holding, [(s, told) for s, told in received if isinstance(told, ChangeNotice)]
+                        self.holding, [(s, told) for s, told in received if isinstance(told, DocumentMessage)]
                     )
                 self._hand_out(out)
                 core = self._agreement
@@ -143,15 +150,15 @@
             for waiting in list(self._waiting.values()):
                 waiting.event.set()
 
-    def _hold(self, holding: DocumentReplica, spoken: list[tuple[str, ChangeNotice]]) -> None:
+    def _hold(self, holding: DocumentReplica, spoken: list[tuple[str, DocumentMessage]]) -> None:
         """What documents ask for after a step; a lease is cut before anything of the step leaves."""
         core = self._agreement
-        entries, messages = holding.turn(core.leader, core.role is Role.LEADER)
+        entries, messages = holding.step(core.leader, core.role is Role.LEADER)
         for sender, told in spoken:
-            messages += holding.hear(sender, told)
+            messages += holding.handle(sender, told)
         for entry in entries:
             if isinstance(entry, ValidationVote | Prepare | Commit | Abort):
-                why = getattr(entry, "fault", "") or getattr(entry, "why", "") or "none"
+                why = getattr(entry, "fault", "") or getattr(entry, "reason", "") or "none"
                 log(
                     LogEvent.DOCUMENT_CHANGE_STEP,
                     step=entry.__struct_config__.tag,
@@ -162,11 +169,11 @@
         for to, message in messages:
             self.peering.send(to, message)
 
-    def _next(self) -> list[tuple[str, Message | ChangeNotice]]:
+    def _next(self) -> list[tuple[str, Message | DocumentMessage]]:
         """What has come, a good part of it at once; nothing when it is time to look."""
         left = (self._agreement.due - self._micros()) / 1e6
         if self.holding is not None:
-            left = min(left, self.holding.wait() / 1e6)
+            left = min(left, self.holding.next_step_in_us() / 1e6)
         try:
             received = [self._inbox.get(timeout=max(0.001, left))]
         except queue.Empty:
@@ -211,18 +218,18 @@
         """
         if self.holding is None:
             raise ValueError("documents: not enabled")
-        offer = self.holding.offer(name, content, ask)
+        offer = self.holding.propose(name, content, ask)
         result = self._decide(offer, until)
         if result is None:
             return None
         ruled = msgspec.msgpack.decode(result, type=ChangeResult)
-        return self.holding.ended(ask, until) if ruled.word == "under way" else ruled
+        return self.holding.wait_for_result(ask, until) if ruled.outcome == "under way" else ruled
 
     def leave(self, until: timedelta) -> None:
         """This node decides nothing any more: nobody has to wait for the end of its lease."""
         if self.holding is not None:
-            self.holding.give_up()
-            self._decide(LeaseRelease(self.by, self.holding.micros()), until)
+            self.holding.stop_deciding()
+            self._decide(LeaseRelease(self.by, self.holding.now_us()), until)
 
     def _decide(self, entry: Entry, until: timedelta) -> bytes | None:
         data, again = msgspec.msgpack.encode(entry), AGAIN
--- a/tansyladder/replication/content_transfer.py
+++ b/tansyladder/replication/content_transfer.py
@@ -14,35 +14,38 @@
 
 import msgspec
 
-from tansyladder.replication.documents import MOST_SIZE, MS, LeaseRenewal, S
+from tansyladder.replication.documents import MAX_CONTENT_BYTES, MILLISECOND_US, SECOND_US, LeaseRenewal
 
-PIECE = 48 << 10  # bytes in one message
-WINDOW = 4  # pieces asked for at once, of one content
-PATIENCE = 400 * MS  # for a piece, before another peer is asked
-MOST_FETCHED = 4  # contents at once; the next ones wait their turn
-RETRY = (200 * MS, 2 * S)  # between two rounds of peers none of whom had it, drawn, doubling
+CHUNK_BYTES = 48 << 10  # bytes in one message
+MAX_CHUNKS_IN_FLIGHT = 4  # pieces asked for at once, of one content
+CHUNK_TIMEOUT_US = 400 * MILLISECOND_US  # for a piece, before another peer is asked
+MAX_CONCURRENT_FETCHES = 4  # contents at once; the next ones wait their turn
+RETRY_BACKOFF_US = (
+    200 * MILLISECOND_US,
+    2 * SECOND_US,
+)  # between two rounds of peers none of whom had it, drawn, doubling
 
 
 class ChunkRequest(msgspec.Struct, frozen=True, array_like=True, tag="want"):
     """The bytes of a content from there on."""
 
     digest: bytes
-    at: int
+    offset: int
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
     """They are these, of so many; none of a content that its sender does not have."""
 
     digest: bytes
-    at: int
-    size: int
+    offset: int
+    content_size: int
     data: bytes
 
 
-class ChangeNotice(msgspec.Struct, frozen=True, array_like=True, tag="spoken"):
+class DocumentMessage(msgspec.Struct, frozen=True, array_like=True, tag="spoken"):
     """What one node tells another beside the agreement."""
 
-    what: LeaseRenewal | ChunkRequest | Chunk
+    body: LeaseRenewal | ChunkRequest | Chunk
 
 
 def digest_of(content: bytes) -> bytes:
@@ -56,10 +59,10 @@
 
     size: int
     peers: list[str]  # to ask, the next one last
-    asked: dict[int, int] = field(default_factory=dict)  # by offset: when
-    parts: dict[int, bytes] = field(default_factory=dict)
-    again: int = 0
-    rounds: int = 0
+    requested_at_us: dict[int, int] = field(default_factory=dict)  # by offset: when
+    chunks: dict[int, bytes] = field(default_factory=dict)
+    retry_at_us: int = 0
+    failed_rounds: int = 0
 
 
 class ContentStore:
@@ -67,94 +70,101 @@
 
     def __init__(self, peers: Sequence[str], rng: Random) -> None:
         self._peers, self._rng = tuple(peers), rng
-        self._have: dict[bytes, bytes] = {}
+        self._contents: dict[bytes, bytes] = {}
         self._fetches: dict[bytes, _Fetch] = {}
-        self.out: list[tuple[str, ChunkRequest | Chunk]] = []  # messages to send
-        self.whole: list[tuple[bytes, bytes]] = []  # to keep: digest, content; then call `have`
+        self.outgoing: list[tuple[str, ChunkRequest | Chunk]] = []  # messages to send
+        self.completed: list[tuple[bytes, bytes]] = []  # to keep: digest, content; then call `have`
 
-    def have(self, content: bytes) -> bytes:
+    def add(self, content: bytes) -> bytes:
         """Content that is on this node's disk; its digest."""
         digest = digest_of(content)
-        self._have[digest] = content
+        self._contents[digest] = content
         self._fetches.pop(digest, None)
         return digest
 
     def get(self, digest: bytes) -> bytes | None:
         """Content that is here."""
-        return self._have.get(digest)
+        return self._contents.get(digest)
 
-    def keep_only(self, digests: Iterable[bytes]) -> list[bytes]:
+    def retain_only(self, digests: Iterable[bytes]) -> list[bytes]:
         """Forget all others, and what is fetched of them; those whose records can go."""
         wanted = set(digests)
-        gone = [digest for digest in self._have if digest not in wanted]
+        gone = [digest for digest in self._contents if digest not in wanted]
         for digest in gone:
-            del self._have[digest]
+            del self._contents[digest]
         for digest in [d for d in self._fetches if d not in wanted]:
             del self._fetches[digest]
         return gone
 
-    def want(self, digest: bytes, size: int, now: int) -> None:
+    def fetch(self, digest: bytes, size: int, now: int) -> None:
         """Fetch a content; asked again it changes nothing."""
-        known = digest in self._have or digest in self._fetches
-        if not known and 0 < size <= MOST_SIZE and len(self._fetches) < MOST_FETCHED:
-            self._fetches[digest] = _Fetch(size, self._order())
-            self._ask(digest, self._fetches[digest], now)
+        known = digest in self._contents or digest in self._fetches
+        if not known and 0 < size <= MAX_CONTENT_BYTES and len(self._fetches) < MAX_CONCURRENT_FETCHES:
+            self._fetches[digest] = _Fetch(size, self._shuffled_peers())
+            self._request_chunks(digest, self._fetches[digest], now)
 
-    def received(self, sender: str, told: ChunkRequest | Chunk, now: int) -> None:
+    def handle(self, sender: str, told: ChunkRequest | Chunk, now: int) -> None:
         """A message of a peer."""
         if isinstance(told, ChunkRequest):
-            content = self._have.get(told.digest, b"")
-            data = content[told.at : told.at + PIECE] if 0 <= told.at < len(content) else b""
-            self.out.append((sender, Chunk(told.digest, told.at, len(content), data)))
+            content = self._contents.get(told.digest, b"")
+            data = (
+                content[told.offset : told.offset + CHUNK_BYTES] if 0 <= told.offset < len(content) else b""
+            )
+            self.outgoing.append((sender, Chunk(told.digest, told.offset, len(content), data)))
             return
         fetch = self._fetches.get(told.digest)
-        if fetch is None or not fetch.peers or sender != fetch.peers[-1] or told.at not in fetch.asked:
+        if (
+            fetch is None
+            or not fetch.peers
+            or sender != fetch.peers[-1]
+            or told.offset not in fetch.requested_at_us
+        ):
             return  # of an earlier round, or not asked for
-        if told.size != fetch.size or len(told.data) != min(PIECE, fetch.size - told.at):
+        if told.content_size != fetch.size or len(told.data) != min(CHUNK_BYTES, fetch.size - told.offset):
             self._next_peer(told.digest, fetch, now)
             return
-        del fetch.asked[told.at]
-        fetch.parts[told.at] = told.data
-        if sum(map(len, fetch.parts.values())) < fetch.size:
-            self._ask(told.digest, fetch, now)
+        del fetch.requested_at_us[told.offset]
+        fetch.chunks[told.offset] = told.data
+        if sum(map(len, fetch.chunks.values())) < fetch.size:
+            self._request_chunks(told.digest, fetch, now)
             return
-        content = b"".join(data for _, data in sorted(fetch.parts.items()))
+        content = b"".join(data for _, data in sorted(fetch.chunks.items()))
         if digest_of(content) == told.digest:
             del self._fetches[told.digest]
-            self.whole.append((told.digest, content))
+            self.completed.append((told.digest, content))
         else:  # a byte was turned on the way, or on that peer's disk
-            fetch.parts.clear()
+            fetch.chunks.clear()
             self._next_peer(told.digest, fetch, now)
 
-    def step(self, now: int) -> None:
+    def retry_overdue(self, now: int) -> None:
         """Ask others where nobody has answered in time."""
         for digest, fetch in list(self._fetches.items()):
             if not fetch.peers:
-                if now >= fetch.again:
-                    fetch.peers = self._order()
-                    self._ask(digest, fetch, now)
-            elif fetch.asked and now - min(fetch.asked.values()) >= PATIENCE:
+                if now >= fetch.retry_at_us:
+                    fetch.peers = self._shuffled_peers()
+                    self._request_chunks(digest, fetch, now)
+            elif fetch.requested_at_us and now - min(fetch.requested_at_us.values()) >= CHUNK_TIMEOUT_US:
                 self._next_peer(digest, fetch, now)
 
-    def _order(self) -> list[str]:
+    def _shuffled_peers(self) -> list[str]:
         return self._rng.sample(self._peers, len(self._peers))
 
     def _next_peer(self, digest: bytes, fetch: _Fetch, now: int) -> None:
         if fetch.peers:
             fetch.peers.pop()
-        fetch.asked.clear()
+        fetch.requested_at_us.clear()
         if fetch.peers:
-            self._ask(digest, fetch, now)
+            self._request_chunks(digest, fetch, now)
         else:
-            least, most = RETRY
-            span = min(least << fetch.rounds, most)
-            fetch.rounds = min(fetch.rounds + 1, 8)
-            fetch.again = now + self._rng.randint(span // 2, span)
-
-    def _ask(self, digest: bytes, fetch: _Fetch, now: int) -> None:
-        for at in range(0, fetch.size, PIECE):
-            if len(fetch.asked) >= WINDOW or not fetch.peers:
+            least, most = RETRY_BACKOFF_US
+            span = min(least << fetch.failed_rounds, most)
+            fetch.failed_rounds = min(fetch.failed_rounds + 1, 8)
+            fetch.retry_at_us = now + self._rng.randint(span // 2, span)
+
+    def _request_chunks(self, digest: bytes, fetch: _Fetch, now: int) -> None:
+        for at in range(0, fetch.size, CHUNK_BYTES):
+            if len(fetch.requested_at_us) >= MAX_CHUNKS_IN_FLIGHT or not fetch.peers:
                 return
-            if at not in fetch.parts and at not in fetch.asked:
-                fetch.asked[at] = now
-                self.out.append((fetch.peers[-1], ChunkRequest(digest, at)))
+            if at not in fetch.chunks and at not in fetch.requested_at_us:
+                fetch.requested_at_us[at] = now
+                self.outgoing.append((fetch.peers[-1], ChunkRequest(digest, at)))
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -27,13 +27,13 @@
 
 import msgspec
 
-MOST_SIZE = 1 << 20  # bytes of content
-MOST_NAMES = 64
-MOST_STARTS = 1024  # that hold a lease, or did until a moment ago
-ENDS_KEPT = 128  # changes whose end is told to who asks again
-BEFORE = 8  # earlier versions of a document that are known
+MAX_CONTENT_BYTES = 1 << 20  # bytes of content
+MAX_DOCUMENTS = 64
+MAX_LEASES = 1024  # that hold a lease, or did until a moment ago
+MAX_RESULTS = 128  # changes whose end is told to who asks again
+MAX_PREVIOUS_VERSIONS = 8  # earlier versions of a document that are known
 
-S, MS = 1_000_000, 1000
+SECOND_US, MILLISECOND_US = 1_000_000, 1000
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
@@ -42,17 +42,17 @@
     name: str
     digest: bytes
     size: int
-    ask: str
-    by: str
-    at: int
+    idempotency_key: str
+    node: str
+    timestamp_us: int
 
 
 class ValidationVote(msgspec.Struct, frozen=True, array_like=True, tag="verdict"):
     """A node has the content on its disk and finds it sound, or says with the fault's path why not."""
 
     number: int
-    by: str
-    at: int
+    node: str
+    timestamp_us: int
     fault: str = ""
 
 
@@ -60,9 +60,9 @@
     """All have said yes: from here on leases are short."""
 
     number: int
-    by: str
-    at: int
-    short: int
+    node: str
+    timestamp_us: int
+    short_lease_us: int
 
 
 class Prepared(msgspec.Struct, frozen=True, array_like=True, tag="armed"):
@@ -70,41 +70,41 @@
 
     number: int
     round: int
-    by: str
-    at: int
+    node: str
+    timestamp_us: int
 
 
 class Commit(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
     """All have armed, or hold no lease: the document is to be in force."""
 
     number: int
-    by: str
-    at: int
+    node: str
+    timestamp_us: int
 
 
 class Abort(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
     """The change is off; or with no reason: its leases need not be short for now."""
 
     number: int
-    by: str
-    at: int
-    why: str = ""
+    node: str
+    timestamp_us: int
+    reason: str = ""
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
     """These starts of nodes were heard of a moment ago, and may decide for so long."""
 
-    to: tuple[str, ...]
-    length: int
-    by: str
-    at: int
+    incarnations: tuple[str, ...]
+    duration_us: int
+    node: str
+    timestamp_us: int
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
     """A node decides nothing any more, and gives back its lease."""
 
-    by: str
-    at: int
+    node: str
+    timestamp_us: int
 
 
 Entry = Proposal | ValidationVote | Prepare | Prepared | Commit | Abort | LeaseGrant | LeaseRelease
@@ -113,22 +113,22 @@
 class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True, tag="here"):
     """To the leader, beside the log: a node's start is there, and wants to go on deciding."""
 
-    start: str
+    incarnation: str
 
 
 class ChangeResult(msgspec.Struct, frozen=True, array_like=True):
     """What became of an entry: `done`, or a word for why not; the number that it is about."""
 
-    word: str
+    outcome: str
     number: int = 0
-    why: str = ""
+    reason: str = ""
 
 
 class ChangePhase(IntEnum):
     """How far a change is."""
 
-    OFFERED = 1
-    ARMED = 2
+    PROPOSED = 1
+    PREPARED = 2
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
@@ -137,12 +137,12 @@
     number: int
     digest: bytes
     size: int
-    since: int
+    effective_at_us: int
 
 
-def holding_at(versions: Sequence[Version], at: int) -> Version | None:
+def version_in_force(versions: Sequence[Version], at: int) -> Version | None:
     """Of a document's versions, the newest last, the one that holds at a moment."""
-    return next((version for version in reversed(versions) if version.since <= at), None)
+    return next((version for version in reversed(versions) if version.effective_at_us <= at), None)
 
 
 class PendingChange(msgspec.Struct, array_like=True):
@@ -152,29 +152,29 @@
     number: int  # counts the changes of all documents
     digest: bytes
     size: int
-    ask: str
-    at: int
-    stage: ChangePhase = ChangePhase.OFFERED
-    yes: set[str] = msgspec.field(default_factory=set)
+    idempotency_key: str
+    proposed_at_us: int
+    phase: ChangePhase = ChangePhase.PROPOSED
+    accepted_by: set[str] = msgspec.field(default_factory=set)
     round: int = 0  # counts the times that it was armed
-    armed_at: int = 0
-    short: int = 0
-    must: set[str] = msgspec.field(default_factory=set)  # who held a lease when it was armed
-    armed: set[str] = msgspec.field(default_factory=set)
+    prepare_started_at_us: int = 0
+    short_lease_us: int = 0
+    participants: set[str] = msgspec.field(default_factory=set)  # who held a lease when it was armed
+    prepared_by: set[str] = msgspec.field(default_factory=set)
 
 
 class DocumentsSnapshot(msgspec.Struct, array_like=True):
     """All of the state, in the order of a snapshot."""
 
-    number: int = 0
-    held: dict[str, list[Version]] = {}  # the newest last
+    change_count: int = 0
+    versions: dict[str, list[Version]] = {}  # the newest last
     change: PendingChange | None = None
     leases: dict[str, int] = {}  # by start: until when
-    ends: list[tuple[str, ChangeResult]] = []
-    latest: int = 0
+    results: list[tuple[str, ChangeResult]] = []
+    latest_timestamp_us: int = 0
 
 
-def node_of(start: str) -> str:
+def node_name(start: str) -> str:
     """The node's name in the name of one of its starts."""
     return start.partition("/")[0]
 
@@ -185,152 +185,174 @@
     def __init__(self, voters: Sequence[str]) -> None:
         """`voters`: of the log, by name: most of them must have a document's content before it holds."""
         self._voters = frozenset(voters)
-        self._number = 0
-        self._held: dict[str, list[Version]] = {}
+        self._change_count = 0
+        self._versions: dict[str, list[Version]] = {}
         self.change: PendingChange | None = None
         self.leases: dict[str, int] = {}
-        self.ends: OrderedDict[str, ChangeResult] = OrderedDict()
-        self.latest = 0  # the latest time that an entry told
+        self.results: OrderedDict[str, ChangeResult] = OrderedDict()
+        self.latest_timestamp_us = 0  # the latest time that an entry told
 
     # --- what others may look at
 
-    def version(self, name: str, at: int) -> Version | None:
+    def version_at(self, name: str, at: int) -> Version | None:
         """The version that holds at a moment."""
-        return holding_at(self._held.get(name, ()), at)
+        return version_in_force(self._versions.get(name, ()), at)
 
     def versions(self, name: str) -> tuple[Version, ...]:
         """Those that are known, the newest last: it may hold from a moment to come."""
-        return tuple(self._held.get(name, ()))
+        return tuple(self._versions.get(name, ()))
 
     def names(self) -> list[str]:
         """Of all documents."""
-        return sorted(self._held)
+        return sorted(self._versions)
 
-    def digests(self) -> set[bytes]:
+    def referenced_digests(self) -> set[bytes]:
         """Of all content that may be asked for."""
-        found = {v.digest for versions in self._held.values() for v in versions}
+        found = {v.digest for versions in self._versions.values() for v in versions}
         return found | ({self.change.digest} if self.change else set())
 
     # --- entries
 
     def apply(self, told: Entry) -> ChangeResult:
         """Take in an entry."""
-        self.latest = max(self.latest, told.at)
+        self.latest_timestamp_us = max(self.latest_timestamp_us, told.timestamp_us)
         match told:
             case Proposal():
-                return self._offer(told)
+                return self._apply_proposal(told)
             case LeaseGrant():
-                return self._lease(told)
+                return self._apply_lease_grant(told)
             case LeaseRelease():
-                self.leases.pop(told.by, None)
+                self.leases.pop(told.node, None)
                 return ChangeResult("done")
         change = self.change
         if change is None or change.number != told.number:
             return ChangeResult("over", told.number)
         match told:
             case ValidationVote():
-                return self._verdict(change, told)
+                return self._apply_validation_vote(change, told)
             case Prepare():
-                return self._arm(change, told)
+                return self._apply_prepare(change, told)
             case Prepared():
-                return self._armed(change, told)
+                return self._apply_prepared(change, told)
             case Commit():
-                return self._hold(change, told)
-        return self._drop(change, told)
+                return self._apply_commit(change, told)
+        return self._apply_abort(change, told)
 
-    def _offer(self, told: Proposal) -> ChangeResult:
-        if told.ask in self.ends:
-            return self.ends[told.ask]
+    def _apply_proposal(self, told: Proposal) -> ChangeResult:
+        if told.idempotency_key in self.results:
+            return self.results[told.idempotency_key]
         if self.change is not None:
-            same = self.change.ask == told.ask
+            same = self.change.idempotency_key == told.idempotency_key
             return ChangeResult(
                 "under way" if same else "busy", self.change.number, "" if same else self.change.name
             )
-        if not 0 < told.size <= MOST_SIZE:
-            return ChangeResult("refused", 0, f"size: from 1 to {MOST_SIZE} bytes")
-        if told.name not in self._held and len(self._held) >= MOST_NAMES:
-            return ChangeResult("refused", 0, f"name: there are {MOST_NAMES} documents")
-        self._number += 1
-        self.change = PendingChange(told.name, self._number, told.digest, told.size, told.ask, told.at)
-        return ChangeResult("under way", self._number)
-
-    def _lease(self, told: LeaseGrant) -> ChangeResult:
-        if self.change is not None and self.change.stage is ChangePhase.ARMED:
+        if not 0 < told.size <= MAX_CONTENT_BYTES:
+            return ChangeResult("refused", 0, f"size: from 1 to {MAX_CONTENT_BYTES} bytes")
+        if told.name not in self._versions and len(self._versions) >= MAX_DOCUMENTS:
+            return ChangeResult("refused", 0, f"name: there are {MAX_DOCUMENTS} documents")
+        self._change_count += 1
+        self.change = PendingChange(
+            told.name, self._change_count, told.digest, told.size, told.idempotency_key, told.timestamp_us
+        )
+        return ChangeResult("under way", self._change_count)
+
+    def _apply_lease_grant(self, told: LeaseGrant) -> ChangeResult:
+        if self.change is not None and self.change.phase is ChangePhase.PREPARED:
             return ChangeResult("armed")  # what is held now is counted on to end
         leases = dict(self.leases)  # anew: other threads read the one that there was
-        for start in told.to:
-            if start in leases or len(leases) < MOST_STARTS:
-                leases[start] = max(told.at + told.length, leases.get(start, 0))
+        for start in told.incarnations:
+            if start in leases or len(leases) < MAX_LEASES:
+                leases[start] = max(told.timestamp_us + told.duration_us, leases.get(start, 0))
         # One that ended so long ago holds nothing up on any clock.
-        self.leases = {start: until for start, until in leases.items() if until > self.latest - told.length}
+        self.leases = {
+            start: until
+            for start, until in leases.items()
+            if until > self.latest_timestamp_us - told.duration_us
+        }
         return ChangeResult("done")
 
-    def _verdict(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
+    def _apply_validation_vote(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
         if told.fault:
-            return self._end(
-                change, ChangeResult("refused", change.number, f"{node_of(told.by)}: {told.fault}")
+            return self._finish_change(
+                change, ChangeResult("refused", change.number, f"{node_name(told.node)}: {told.fault}")
             )
-        change.yes.add(told.by)
+        change.accepted_by.add(told.node)
         return ChangeResult("done", change.number)
 
-    def _arm(self, change: PendingChange, told: Prepare) -> ChangeResult:
-        holding = {start for start, until in self.leases.items() if until > told.at}
-        if change.stage is ChangePhase.ARMED or self.waited_for(change, holding):
+    def _apply_prepare(self, change: PendingChange, told: Prepare) -> ChangeResult:
+        holding = {start for start, until in self.leases.items() if until > told.timestamp_us}
+        if change.phase is ChangePhase.PREPARED or self.missing_acceptances(change, holding):
             return ChangeResult("early", change.number)
-        change.round, change.must, change.armed = change.round + 1, holding, set()
-        change.armed_at, change.short = told.at, told.short
-        change.stage = ChangePhase.ARMED
+        change.round, change.participants, change.prepared_by = change.round + 1, holding, set()
+        change.prepare_started_at_us, change.short_lease_us = told.timestamp_us, told.short_lease_us
+        change.phase = ChangePhase.PREPARED
         return ChangeResult("done", change.number)
 
-    def waited_for(self, change: PendingChange, holding: set[str]) -> set[str]:
+    def missing_acceptances(self, change: PendingChange, holding: set[str]) -> set[str]:
         """Who has to say yes still; among them voters, as long as most of them have not."""
-        voters = {node_of(start) for start in change.yes} & self._voters
+        voters = {node_name(start) for start in change.accepted_by} & self._voters
         missing = set() if len(voters) * 2 > len(self._voters) else self._voters - voters
-        return (holding - change.yes) | missing
+        return (holding - change.accepted_by) | missing
 
-    def _armed(self, change: PendingChange, told: Prepared) -> ChangeResult:
-        if change.stage is not ChangePhase.ARMED or change.round != told.round or told.by not in change.must:
+    def _apply_prepared(self, change: PendingChange, told: Prepared) -> ChangeResult:
+        if (
+            change.phase is not ChangePhase.PREPARED
+            or change.round != told.round
+            or told.node not in change.participants
+        ):
             return ChangeResult("over", change.number)
         # Its own word of when its lease ends; what an earlier entry gave is void from that moment.
-        self.leases[told.by] = min(self.leases.get(told.by, 0), told.at + change.short)
-        change.armed.add(told.by)
+        self.leases[told.node] = min(self.leases.get(told.node, 0), told.timestamp_us + change.short_lease_us)
+        change.prepared_by.add(told.node)
         return ChangeResult("done", change.number)
 
-    def _hold(self, change: PendingChange, told: Commit) -> ChangeResult:
-        if change.stage is not ChangePhase.ARMED or self.unarmed(change, told.at):
+    def _apply_commit(self, change: PendingChange, told: Commit) -> ChangeResult:
+        if change.phase is not ChangePhase.PREPARED or self.unprepared_holders(change, told.timestamp_us):
             return ChangeResult("early", change.number)
-        since = max([told.at, *self.leases.values()])
-        held = [*self._held.get(change.name, ()), Version(change.number, change.digest, change.size, since)]
-        self._held[change.name] = held[-BEFORE - 1 :]
-        return self._end(change, ChangeResult("done", change.number))
+        since = max([told.timestamp_us, *self.leases.values()])
+        held = [
+            *self._versions.get(change.name, ()),
+            Version(change.number, change.digest, change.size, since),
+        ]
+        self._versions[change.name] = held[-MAX_PREVIOUS_VERSIONS - 1 :]
+        return self._finish_change(change, ChangeResult("done", change.number))
 
-    def unarmed(self, change: PendingChange, at: int) -> set[str]:
+    def unprepared_holders(self, change: PendingChange, at: int) -> set[str]:
         """Who may decide under the document before for longer than a short lease."""
-        return {s for s in change.must - change.armed if self.leases.get(s, 0) > at}
+        return {s for s in change.participants - change.prepared_by if self.leases.get(s, 0) > at}
 
-    def _drop(self, change: PendingChange, told: Abort) -> ChangeResult:
-        if told.why:
-            return self._end(change, ChangeResult("dropped", change.number, told.why))
-        change.stage = ChangePhase.OFFERED
+    def _apply_abort(self, change: PendingChange, told: Abort) -> ChangeResult:
+        if told.reason:
+            return self._finish_change(change, ChangeResult("dropped", change.number, told.reason))
+        change.phase = ChangePhase.PROPOSED
         return ChangeResult("done", change.number)
 
-    def _end(self, change: PendingChange, ruled: ChangeResult) -> ChangeResult:
+    def _finish_change(self, change: PendingChange, ruled: ChangeResult) -> ChangeResult:
         self.change = None
-        self.ends[change.ask] = ruled
-        while len(self.ends) > ENDS_KEPT:
-            self.ends.popitem(last=False)
+        self.results[change.idempotency_key] = ruled
+        while len(self.results) > MAX_RESULTS:
+            self.results.popitem(last=False)
         return ruled
 
     # --- snapshots
 
     def dump(self) -> DocumentsSnapshot:
         return DocumentsSnapshot(
-            self._number, self._held, self.change, self.leases, list(self.ends.items()), self.latest
+            self._change_count,
+            self._versions,
+            self.change,
+            self.leases,
+            list(self.results.items()),
+            self.latest_timestamp_us,
         )
 
     def load(self, kept: DocumentsSnapshot) -> None:
-        self._number, self._held, self.change = kept.number, dict(kept.held), kept.change
-        self.leases, self.ends, self.latest = dict(kept.leases), OrderedDict(kept.ends), kept.latest
+        self._change_count, self._versions, self.change = kept.change_count, dict(kept.versions), kept.change
+        self.leases, self.results, self.latest_timestamp_us = (
+            dict(kept.leases),
+            OrderedDict(kept.results),
+            kept.latest_timestamp_us,
+        )
 
 
 class LeaseHolder:
@@ -338,45 +360,50 @@
 
     def __init__(self, me: str, documents: Documents) -> None:
         """`me`: the node and its start; the documents as far as this node has heard the log."""
-        self.me, self._documents = me, documents
-        self._armed = (0, 0)  # number and round that it has armed for
-        self._bound = 0  # when its lease ends at the latest, as long as the log does not have that
+        self.incarnation, self._documents = me, documents
+        self._prepared_round = (0, 0)  # number and round that it has armed for
+        self._lease_limit_us = 0  # when its lease ends at the latest, as long as the log does not have that
 
-    def until(self) -> int:
+    def lease_end_us(self) -> int:
         """When its lease ends, by its own clock."""
-        until = self._documents.leases.get(self.me, 0)
+        until = self._documents.leases.get(self.incarnation, 0)
         change = self._documents.change
         if (
             change is not None
-            and (change.number, change.round) == self._armed
-            and self.me not in change.armed
+            and (change.number, change.round) == self._prepared_round
+            and self.incarnation not in change.prepared_by
         ):
-            until = min(until, self._bound)
+            until = min(until, self._lease_limit_us)
         return until
 
-    def may_decide(self, at: int) -> bool:
+    def has_lease(self, at: int) -> bool:
         """Whether this start holds a lease at a moment of its own clock."""
-        return at < self.until()
+        return at < self.lease_end_us()
 
-    def version(self, name: str, at: int) -> Version | None:
+    def version_at(self, name: str, at: int) -> Version | None:
         """What it decides under, where it may."""
-        return self._documents.version(name, at)
+        return self._documents.version_at(name, at)
 
-    def check(self) -> PendingChange | None:
+    def change_to_validate(self) -> PendingChange | None:
         """The change that it has to fetch, check and say its verdict on."""
         change = self._documents.change
-        return change if change is not None and self.me not in change.yes else None
+        return change if change is not None and self.incarnation not in change.accepted_by else None
 
-    def arm(self, at: int) -> Prepared | None:
+    def prepare(self, at: int) -> Prepared | None:
         """After entries were taken in: what it has to say of its lease, which is cut by then."""
         change = self._documents.change
-        if change is None or change.stage is not ChangePhase.ARMED:
+        if change is None or change.phase is not ChangePhase.PREPARED:
             return None
-        if self.me in change.armed or self.me not in change.must:
+        if self.incarnation in change.prepared_by or self.incarnation not in change.participants:
             return None
-        if self._armed != (change.number, change.round):
-            self._armed, self._bound = (change.number, change.round), at + change.short
-        return Prepared(change.number, change.round, self.me, self._bound - change.short)
+        if self._prepared_round != (change.number, change.round):
+            self._prepared_round, self._lease_limit_us = (
+                (change.number, change.round),
+                at + change.short_lease_us,
+            )
+        return Prepared(
+            change.number, change.round, self.incarnation, self._lease_limit_us - change.short_lease_us
+        )
 
 
 class LeaseCoordinator:
@@ -385,89 +412,115 @@
     Nothing rests on it: what it proposes too early, or as a leader of the past, the log turns down.
     """
 
-    LENGTH = 30 * S  # of a lease
-    SHORT = 300 * MS
-    CHECK = 10 * S  # in which who is heard of has to say yes or no
-    AGAIN = 100 * MS  # between two entries of one kind
-    PATIENCE = 180 * MS  # for all to arm, before leases are given anew
-    PAUSE = 200 * MS  # until they are cut again; doubles with each round that was called off
+    LEASE_DURATION_US = 30 * SECOND_US  # of a lease
+    SHORT_LEASE_US = 300 * MILLISECOND_US
+    VALIDATION_TIMEOUT_US = 10 * SECOND_US  # in which who is heard of has to say yes or no
+    REPROPOSE_INTERVAL_US = 100 * MILLISECOND_US  # between two entries of one kind
+    PREPARE_TIMEOUT_US = 180 * MILLISECOND_US  # for all to arm, before leases are given anew
+    PREPARE_BACKOFF_US = (
+        200 * MILLISECOND_US
+    )  # until they are cut again; doubles with each round that was called off
 
-    def __init__(self, me: str, documents: Documents, length: int = LENGTH) -> None:
+    def __init__(self, me: str, documents: Documents, length: int = LEASE_DURATION_US) -> None:
         """`length`: of a lease."""
-        self._me, self._documents, self._length = me, documents, length
-        self._heard: dict[str, int] = {}  # by start
-        self._said: dict[type, int] = {}
-        self._later = 0  # when to arm again
-        self._failed = self._round = 0  # rounds of this change that were called off; the last of them
+        self._incarnation, self._documents, self._lease_duration_us = me, documents, length
+        self._last_renewal_us: dict[str, int] = {}  # by start
+        self._proposed_at_us: dict[type, int] = {}
+        self._prepare_not_before_us = 0  # when to arm again
+        self._aborted_rounds = self._last_aborted_round = (
+            0  # rounds of this change that were called off; the last of them
+        )
 
-    def hear(self, start: str, at: int) -> None:
+    def record_renewal(self, start: str, at: int) -> None:
         """A node's start has said that it is there."""
-        if start in self._heard or len(self._heard) < MOST_STARTS:
-            self._heard[start] = at
+        if start in self._last_renewal_us or len(self._last_renewal_us) < MAX_LEASES:
+            self._last_renewal_us[start] = at
 
-    def rest(self) -> None:
+    def reset(self) -> None:
         """This node does not lead: what it has heard will be old when it does."""
-        self._heard.clear()
-        self._said.clear()
+        self._last_renewal_us.clear()
+        self._proposed_at_us.clear()
 
-    def urgent(self, at: int) -> bool:
+    def is_urgent(self, at: int) -> bool:
         """Whether what the log decides is waited for: a change is under way, or leases are short still."""
         leases = self._documents.leases
-        return self._documents.change is not None or any(leases.get(s, 0) < at + S for s in self._heard)
+        return self._documents.change is not None or any(
+            leases.get(s, 0) < at + SECOND_US for s in self._last_renewal_us
+        )
 
-    def step(self, at: int) -> list[Entry]:
+    def next_entries(self, at: int) -> list[Entry]:
         """What to propose now."""
-        self._heard = {start: seen for start, seen in self._heard.items() if at - seen < self._length}
+        self._last_renewal_us = {
+            start: seen
+            for start, seen in self._last_renewal_us.items()
+            if at - seen < self._lease_duration_us
+        }
         change = self._documents.change
         if change is None:
-            self._failed = self._later = self._round = 0
-            return self._grant(at)
-        if change.stage is ChangePhase.ARMED:
-            if not self._documents.unarmed(change, at):
-                return self._once(Commit(change.number, self._me, at), at)
-            if at - change.armed_at <= self.PATIENCE:
+            self._aborted_rounds = self._prepare_not_before_us = self._last_aborted_round = 0
+            return self._renew_leases(at)
+        if change.phase is ChangePhase.PREPARED:
+            if not self._documents.unprepared_holders(change, at):
+                return self._propose_once(Commit(change.number, self._incarnation, at), at)
+            if at - change.prepare_started_at_us <= self.PREPARE_TIMEOUT_US:
                 return []
             # Who armed is to have a long lease again, before the short one ends; who did not may be gone.
-            if self._round != change.round:
-                self._round = change.round
-                self._later = at + (self.PAUSE << min(self._failed, 5))
-                self._failed += 1
-            return self._once(Abort(change.number, self._me, at), at)
-        return self._grant(at) + self._urge(change, at)
-
-    def _urge(self, change: PendingChange, at: int) -> list[Entry]:
+            if self._last_aborted_round != change.round:
+                self._last_aborted_round = change.round
+                self._prepare_not_before_us = at + (self.PREPARE_BACKOFF_US << min(self._aborted_rounds, 5))
+                self._aborted_rounds += 1
+            return self._propose_once(Abort(change.number, self._incarnation, at), at)
+        return self._renew_leases(at) + self._advance_proposed(change, at)
+
+    def _advance_proposed(self, change: PendingChange, at: int) -> list[Entry]:
         """Arm a change that all have said yes to; drop one that somebody who is there says nothing to."""
         leases = self._documents.leases
         holding = {start for start, until in leases.items() if until > at}
-        missing = self._documents.waited_for(change, holding)
+        missing = self._documents.missing_acceptances(change, holding)
         if not missing:
             # Who is silent will not arm: its lease is to end first.
-            if at < self._later or any(at - self._heard.get(s, 0) > self._length // 4 for s in holding):
+            if at < self._prepare_not_before_us or any(
+                at - self._last_renewal_us.get(s, 0) > self._lease_duration_us // 4 for s in holding
+            ):
                 return []
-            return self._once(Prepare(change.number, self._me, at, self.SHORT), at)
+            return self._propose_once(Prepare(change.number, self._incarnation, at, self.SHORT_LEASE_US), at)
         late = sorted(
-            node_of(start) for start in missing if at - self._heard.get(start, 0) < self._length // 4
+            node_name(start)
+            for start in missing
+            if at - self._last_renewal_us.get(start, 0) < self._lease_duration_us // 4
         )
-        if late and at - change.at > self.CHECK:
-            return self._once(Abort(change.number, self._me, at, f"no answer of {late[0]}"), at)
-        if at - change.at > 2 * (self._length + self.CHECK):
-            return self._once(
-                Abort(change.number, self._me, at, f"no answer of {min(map(node_of, missing))}"), at
+        if late and at - change.proposed_at_us > self.VALIDATION_TIMEOUT_US:
+            return self._propose_once(
+                Abort(change.number, self._incarnation, at, f"no answer of {late[0]}"), at
+            )
+        if at - change.proposed_at_us > 2 * (self._lease_duration_us + self.VALIDATION_TIMEOUT_US):
+            return self._propose_once(
+                Abort(change.number, self._incarnation, at, f"no answer of {min(map(node_name, missing))}"),
+                at,
             )
         return []
 
-    def _grant(self, at: int) -> list[Entry]:
-        leases, fresh = self._documents.leases, self._length // 4
+    def _renew_leases(self, at: int) -> list[Entry]:
+        leases, fresh = self._documents.leases, self._lease_duration_us // 4
         to = [
             start
-            for start, seen in self._heard.items()
-            if at - seen < fresh and leases.get(start, 0) - at < self._length * 2 // 3
+            for start, seen in self._last_renewal_us.items()
+            if at - seen < fresh and leases.get(start, 0) - at < self._lease_duration_us * 2 // 3
         ]
-        return self._once(LeaseGrant(tuple(sorted(to)), self._length, self._me, at), at) if to else []
+        return (
+            self._propose_once(
+                LeaseGrant(tuple(sorted(to)), self._lease_duration_us, self._incarnation, at), at
+            )
+            if to
+            else []
+        )
 
-    def _once(self, entry: Entry, at: int) -> list[Entry]:
+    def _propose_once(self, entry: Entry, at: int) -> list[Entry]:
         """An entry, unless its like was proposed a moment ago."""
-        if at - self._said.get(type(entry), -self.AGAIN) < self.AGAIN:
+        if (
+            at - self._proposed_at_us.get(type(entry), -self.REPROPOSE_INTERVAL_US)
+            < self.REPROPOSE_INTERVAL_US
+        ):
             return []
-        self._said[type(entry)] = at
+        self._proposed_at_us[type(entry)] = at
         return [entry]
--- a/tansyladder/replication/session_ownership.py
+++ b/tansyladder/replication/session_ownership.py
@@ -19,8 +19,10 @@
 
 from tansyladder.resumption.token_registry import TENURE_BITS
 
-YOUNG = 15_000_000  # us after a confirmation in which its owner may say what became of it
-MOST = 16_384  # records; a claim that finds no room is refused
+CONFIRMATION_UNCERTAINTY_US = (
+    15_000_000  # us after a confirmation in which its owner may say what became of it
+)
+MAX_RECORDS = 16_384  # records; a claim that finds no room is refused
 
 
 class OwnershipClaim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
@@ -28,11 +30,11 @@
 
     session: int
     generation: int
-    expiry: int  # of the token
-    by: str  # the node and its start
-    at: int
-    keep: int  # until when tokens issued by now may be out
-    ask: int  # the node's number for this take-over: said again, it is the same claim
+    token_expiry_us: int  # of the token
+    node: str  # the node and its start
+    timestamp_us: int
+    retain_until_us: int  # until when tokens issued by now may be out
+    idempotency_key: int  # the node's number for this take-over: said again, it is the same claim
 
 
 class ClaimConfirmation(msgspec.Struct, frozen=True, array_like=True, tag="confirm"):
@@ -43,44 +45,46 @@
     """
 
     session: int
-    tenure: int
-    floor: int
-    expiry: int  # of the token that was shown
-    by: str
-    at: int
-    keep: int
-    turn: int  # counts the owner's confirmations of a session; one that is overtaken by a later one is void
+    epoch: int
+    generation_floor: int
+    token_expiry_us: int  # of the token that was shown
+    node: str
+    timestamp_us: int
+    retain_until_us: int
+    sequence: (
+        int  # counts the owner's confirmations of a session; one that is overtaken by a later one is void
+    )
 
 
 class SessionOpened(msgspec.Struct, frozen=True, array_like=True, tag="opened"):
     """The owner has answered UP by the confirmation of that turn: its token is spent beyond doubt."""
 
     session: int
-    tenure: int
-    by: str
-    at: int
-    turn: int
+    epoch: int
+    node: str
+    timestamp_us: int
+    sequence: int
 
 
 class ClaimResult(msgspec.Struct, frozen=True, array_like=True):
     """The tenure that is the node's, or the word (`spent`, `expired`, `claimed`, `full`) why not."""
 
-    tenure: int = 0
-    why: str = ""
+    epoch: int = 0
+    reason: str = ""
 
 
 class OwnershipRecord(msgspec.Struct, array_like=True):
     """What is known of a session that has been claimed or confirmed."""
 
-    tenure: int
+    epoch: int
     owner: str
-    floor: int  # tokens of lower generations are spent
-    keep: int
-    base: int = 0  # the floor when it was claimed, which its owner can't lower
-    turn: int = 0
-    confirmed_at: int = 0
-    ask: int = 0
-    opened: bool = False  # whether the owner has said that it answered UP
+    generation_floor: int  # tokens of lower generations are spent
+    retain_until_us: int
+    claimed_floor: int = 0  # the floor when it was claimed, which its owner can't lower
+    sequence: int = 0
+    confirmed_at_us: int = 0
+    idempotency_key: int = 0
+    is_opened: bool = False  # whether the owner has said that it answered UP
 
 
 class SessionOwnership:
@@ -88,88 +92,118 @@
 
     def __init__(self, taken: Callable[[int, int, str], None] | None = None) -> None:
         """`taken`: told of each claim that holds: session, tenure, and whose it is now."""
-        self._taken = taken
+        self._on_owner_change = taken
         self.records: OrderedDict[int, OwnershipRecord] = OrderedDict()
-        self._latest = 0  # the latest time that any entry told
+        self._latest_timestamp_us = 0  # the latest time that any entry told
 
     def apply(self, data: bytes) -> bytes:
         """Take in an encoded Claim, Confirm or Opened; an encoded Ruling."""
         told = msgspec.msgpack.decode(data, type=OwnershipClaim | ClaimConfirmation | SessionOpened)
         # One node's clock may be behind: what was forgotten by an earlier entry stays forgotten.
-        self._latest = max(self._latest, told.at)
-        while self.records and next(iter(self.records.values())).keep <= self._latest:
+        self._latest_timestamp_us = max(self._latest_timestamp_us, told.timestamp_us)
+        while self.records and next(iter(self.records.values())).retain_until_us <= self._latest_timestamp_us:
             self.records.popitem(last=False)
         match told:
             case OwnershipClaim():
-                return msgspec.msgpack.encode(self._claim(told))
+                return msgspec.msgpack.encode(self._apply_claim(told))
             case ClaimConfirmation():
-                return msgspec.msgpack.encode(self._confirm(told))
-        return msgspec.msgpack.encode(self._open(told))
+                return msgspec.msgpack.encode(self._apply_confirmation(told))
+        return msgspec.msgpack.encode(self._apply_opened(told))
 
-    def _claim(self, told: OwnershipClaim) -> ClaimResult:
+    def _apply_claim(self, told: OwnershipClaim) -> ClaimResult:
         known = self.records.get(told.session)
-        if known is not None and (known.owner, known.ask) == (told.by, told.ask):
-            return ClaimResult(known.tenure)  # its answer was lost, or a copy was long under way
-        if known is not None and told.generation < known.floor:
+        if known is not None and (known.owner, known.idempotency_key) == (told.node, told.idempotency_key):
+            return ClaimResult(known.epoch)  # its answer was lost, or a copy was long under way
+        if known is not None and told.generation < known.generation_floor:
             # Its owner may have turned the client away, and be about to give the token back: no guess is made
             # until it says so, or that it answered, or has been silent for long.
-            unsure = not known.opened and told.at - known.confirmed_at < YOUNG
-            return ClaimResult(why="claimed" if unsure and told.generation >= known.base else "spent")
-        if told.expiry <= self._latest:
-            return ClaimResult(why="expired")
-        if known is None and len(self.records) >= MOST:
-            return ClaimResult(why="full")
-        tenure = max(known.tenure if known else 0, told.generation >> TENURE_BITS) + 1
-        floor = known.floor if known else 0
-        self._put(
-            told.session, OwnershipRecord(tenure, told.by, floor, self._keep(told), floor, ask=told.ask)
+            unsure = (
+                not known.is_opened
+                and told.timestamp_us - known.confirmed_at_us < CONFIRMATION_UNCERTAINTY_US
+            )
+            return ClaimResult(
+                reason="claimed" if unsure and told.generation >= known.claimed_floor else "spent"
+            )
+        if told.token_expiry_us <= self._latest_timestamp_us:
+            return ClaimResult(reason="expired")
+        if known is None and len(self.records) >= MAX_RECORDS:
+            return ClaimResult(reason="full")
+        tenure = max(known.epoch if known else 0, told.generation >> TENURE_BITS) + 1
+        floor = known.generation_floor if known else 0
+        self._store_record(
+            told.session,
+            OwnershipRecord(
+                tenure,
+                told.node,
+                floor,
+                self._retain_until_us(told),
+                floor,
+                idempotency_key=told.idempotency_key,
+            ),
         )
-        if self._taken is not None:
-            self._taken(told.session, tenure, told.by)
+        if self._on_owner_change is not None:
+            self._on_owner_change(told.session, tenure, told.node)
         return ClaimResult(tenure)
 
-    def _confirm(self, told: ClaimConfirmation) -> ClaimResult:
+    def _apply_confirmation(self, told: ClaimConfirmation) -> ClaimResult:
         known = self.records.get(told.session)
-        if told.expiry <= self._latest:  # what was known of it may be forgotten: who replaced this owner, too
-            return ClaimResult(why="expired")
-        if known is None and len(self.records) >= MOST:
-            return ClaimResult(why="full")
+        if (
+            told.token_expiry_us <= self._latest_timestamp_us
+        ):  # what was known of it may be forgotten: who replaced this owner, too
+            return ClaimResult(reason="expired")
+        if known is None and len(self.records) >= MAX_RECORDS:
+            return ClaimResult(reason="full")
         # Unknown: its owner since it began, or since a claim so old that its tokens have expired.
-        if known is not None and (known.tenure, known.owner) != (told.tenure, told.by):
-            return ClaimResult(why="claimed")
-        if known is not None and told.turn < known.turn:
-            return ClaimResult(why="claimed")
-        base = known.base if known else 0
-        floor, ask = max(base, told.floor), known.ask if known else 0
-        record = OwnershipRecord(told.tenure, told.by, floor, self._keep(told), base, told.turn, told.at, ask)
-        self._put(told.session, record)
-        return ClaimResult(told.tenure)
-
-    def _open(self, told: SessionOpened) -> ClaimResult:
-        known = self.records.get(told.session)
-        if known is None or (known.tenure, known.owner, known.turn) != (told.tenure, told.by, told.turn):
-            return ClaimResult(why="claimed")
-        known.opened = True
-        return ClaimResult(told.tenure)
-
-    def _keep(self, told: OwnershipClaim | ClaimConfirmation) -> int:
-        return max(self._latest + told.keep - told.at, told.expiry)
+        if known is not None and (known.epoch, known.owner) != (told.epoch, told.node):
+            return ClaimResult(reason="claimed")
+        if known is not None and told.sequence < known.sequence:
+            return ClaimResult(reason="claimed")
+        base = known.claimed_floor if known else 0
+        floor, ask = max(base, told.generation_floor), known.idempotency_key if known else 0
+        record = OwnershipRecord(
+            told.epoch,
+            told.node,
+            floor,
+            self._retain_until_us(told),
+            base,
+            told.sequence,
+            told.timestamp_us,
+            ask,
+        )
+        self._store_record(told.session, record)
+        return ClaimResult(told.epoch)
 
-    def _put(self, session: int, record: OwnershipRecord) -> None:
+    def _apply_opened(self, told: SessionOpened) -> ClaimResult:
+        known = self.records.get(told.session)
+        if known is None or (known.epoch, known.owner, known.sequence) != (
+            told.epoch,
+            told.node,
+            told.sequence,
+        ):
+            return ClaimResult(reason="claimed")
+        known.is_opened = True
+        return ClaimResult(told.epoch)
+
+    def _retain_until_us(self, told: OwnershipClaim | ClaimConfirmation) -> int:
+        return max(self._latest_timestamp_us + told.retain_until_us - told.timestamp_us, told.token_expiry_us)
+
+    def _store_record(self, session: int, record: OwnershipRecord) -> None:
         """Records keep the order of their ends; one that is to end sooner than the last one lasts as long."""
         if self.records:
-            record.keep = max(record.keep, next(reversed(self.records.values())).keep)
+            record.retain_until_us = max(
+                record.retain_until_us, next(reversed(self.records.values())).retain_until_us
+            )
         self.records.pop(session, None)
         self.records[session] = record
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode((self._latest, list(self.records.items())))
+        return msgspec.msgpack.encode((self._latest_timestamp_us, list(self.records.items())))
 
     def load(self, dumped: bytes) -> None:
-        self._latest, items = msgspec.msgpack.decode(
+        self._latest_timestamp_us, items = msgspec.msgpack.decode(
             dumped, type=tuple[int, list[tuple[int, OwnershipRecord]]]
         )
         self.records = OrderedDict(items)
-        if self._taken is not None:  # who was away for long hears of the claims that it has missed
+        if self._on_owner_change is not None:  # who was away for long hears of the claims that it has missed
             for session, record in items:
-                self._taken(session, record.tenure, record.owner)
+                self._on_owner_change(session, record.epoch, record.owner)
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -131,13 +131,13 @@
             ruling = self.agreeing.rule(entry, min(deadline - MARGIN, now() + TAKE))
             if ruling is None:
                 return self._answer(sock, opening, BUSY)
-            if not ruling.tenure:
-                again = ruling.why in ("claimed", "full")
-                return self._answer(sock, opening, BUSY if again else control_messages.refused(ruling.why))
+            if not ruling.epoch:
+                again = ruling.reason in ("claimed", "full")
+                return self._answer(sock, opening, BUSY if again else control_messages.refused(ruling.reason))
             visitor = ResumingClient(sock, int(opening.told[POSITION]), deadline, claim.expiry)
-            self._revive(claim, opening, claim.generation, claim.expiry, ruling.tenure)
+            self._revive(claim, opening, claim.generation, claim.expiry, ruling.epoch)
             self.ledger.claim(claim, self._core.clock.micros(arrived), lambda box: box.visit(visitor))
-            log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.tenure, took=now() - arrived)
+            log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.epoch, took=now() - arrived)
         except TokenError as err:  # no room, or two clients with one token here at the same moment
             self._answer(
                 sock, opening, BUSY if err.why in ("room", "claimed") else control_messages.refused(err.why)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -146,13 +146,15 @@
             )
             ruling = self.agreeing.rule(entry, min(visitor.deadline - MARGIN, now() + CONFIRM))
             late = now() > visitor.deadline or sockets.left(visitor.sock)
-            if ruling is None or (ruling.tenure and late):
+            if ruling is None or (ruling.epoch and late):
                 good = self.ledger.floor(session)  # as it was
-                self._give_back(msgspec.structs.replace(entry, floor=good, turn=next(self.turns)))
+                self._give_back(
+                    msgspec.structs.replace(entry, generation_floor=good, sequence=next(self.turns))
+                )
                 return BUSY
-            if not ruling.tenure:  # who has claimed it since may fail: its token may be good still
-                return BUSY if ruling.why == "claimed" else control_messages.refused(ruling.why)
-            self._unsaid[session] = SessionOpened(session, tenure, self.agreeing.by, at, entry.turn)
+            if not ruling.epoch:  # who has claimed it since may fail: its token may be good still
+                return BUSY if ruling.reason == "claimed" else control_messages.refused(ruling.reason)
+            self._unsaid[session] = SessionOpened(session, tenure, self.agreeing.by, at, entry.sequence)
         self.ledger.spend(session)
         return b""
 
@@ -179,7 +181,7 @@
 
         def run() -> None:
             assert self.agreeing is not None
-            until = self._core.clock.moment(entry.expiry)
+            until = self._core.clock.moment(entry.token_expiry_us)
             while now() < until and self.agreeing.rule(entry, min(until, now() + GIVE_BACK)) is None:
                 time.sleep(random.uniform(0.05, 0.25))
             with self._lock:
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -21,7 +21,8 @@
 from tansyladder.raft.messages import Message, Propose
 from tansyladder.raft.node import RaftNode, Role
 from tansyladder.replication.documents import (
-    MS,
+    MILLISECOND_US,
+    SECOND_US,
     ChangeResult,
     Documents,
     DocumentsSnapshot,
@@ -30,18 +31,22 @@
     LeaseHolder,
     LeaseRenewal,
     Proposal,
-    S,
     ValidationVote,
 )
 from tansyladder.simulation.raft_cluster import FaultRates, SimulatedCluster, SimulatedNode, SumStateMachine
 
 NAME = "rules"
-DECIDES = 15 * MS  # between two clients of a node
-AGAIN = 150 * MS  # after which what was proposed, and is not in the log, is proposed again
-HERE = 1 * S  # between two words of a node that it is there
-TICK = 20 * MS  # between two looks of a leader at the change that is under way
-FETCH = (5 * MS, 800 * MS)  # until a node has a document's content, and has checked it
-LIVE = 60 * S  # after the last fault by when a change must go through: a lease, and arming again in between
+DECIDES = 15 * MILLISECOND_US  # between two clients of a node
+AGAIN = 150 * MILLISECOND_US  # after which what was proposed, and is not in the log, is proposed again
+HERE = 1 * SECOND_US  # between two words of a node that it is there
+TICK = 20 * MILLISECOND_US  # between two looks of a leader at the change that is under way
+FETCH = (
+    5 * MILLISECOND_US,
+    800 * MILLISECOND_US,
+)  # until a node has a document's content, and has checked it
+LIVE = (
+    60 * SECOND_US
+)  # after the last fault by when a change must go through: a lease, and arming again in between
 
 
 class DocumentStateMachine(SumStateMachine):
@@ -102,9 +107,9 @@
         documents: Callable[[Sequence[str]], Documents] = Documents,
         follower: Callable[[str, Documents], LeaseHolder] = LeaseHolder,
         steward: type[LeaseCoordinator] = LeaseCoordinator,
-        skew: int = 25 * MS,
+        skew: int = 25 * MILLISECOND_US,
         bad: float = 0.15,
-        stops_every: int = 4 * S,
+        stops_every: int = 4 * SECOND_US,
     ) -> None:
         """`skew`: of a clock, either way; `bad`: documents with a fault that some node finds."""
         self.seats: dict[str, DocumentNode] = {}
@@ -132,7 +137,7 @@
     def _clock(self, name: str) -> int:
         if name not in self.skews:
             self.skews[name] = int(self._net.integers(-self.skew, self.skew + 1))
-        return self.now + self.skews[name] + 100 * S
+        return self.now + self.skews[name] + 100 * SECOND_US
 
     def _new_state(self) -> SumStateMachine:
         return DocumentStateMachine(self.voters, self._documents)
@@ -162,12 +167,12 @@
             return
         if name not in self._stopped:
             for other in self.names:
-                self._send(name, other, LeaseRenewal(self.seats[name].follower.me))
+                self._send(name, other, LeaseRenewal(self.seats[name].follower.incarnation))
         self.at(self.now + HERE, partial(self._say_here, name, start))
 
     def _send(self, name: str, to: str, here: LeaseRenewal) -> None:
         if to == name:
-            self.seats[name].steward.hear(here.start, self._clock(name))
+            self.seats[name].steward.record_renewal(here.incarnation, self._clock(name))
         elif self._net.random() >= self.faults.loss:
             self.at(
                 self.now + int(self._net.integers(*self.faults.delay)), partial(self._heard, name, to, here)
@@ -175,7 +180,7 @@
 
     def _heard(self, sender: str, to: str, here: LeaseRenewal) -> None:
         if (sender, to) not in self._cuts and to not in self._stopped and self.nodes[to].core is not None:
-            self.seats[to].steward.hear(here.start, self._clock(to))
+            self.seats[to].steward.record_renewal(here.incarnation, self._clock(to))
 
     def _arrive(self, sender: str, to: str, message: Message) -> None:
         if to in self._stopped:
@@ -195,14 +200,14 @@
             self._stopped[node.name] += received
             return
         if node.core is not None and node.name in self.seats:
-            node.core.eager = self.seats[node.name].steward.urgent(self._clock(node.name))
+            node.core.eager = self.seats[node.name].steward.is_urgent(self._clock(node.name))
         super()._step(node, *received)
         if node.core is not None and node.name in self.seats:
             self._arm(node)
 
     def _arm(self, node: SimulatedNode) -> None:
         """At once after entries: a lease is cut before anything else is said."""
-        told = self.seats[node.name].follower.arm(self._clock(node.name))
+        told = self.seats[node.name].follower.prepare(self._clock(node.name))
         if told is not None:
             self._say(node, told, f"armed {told.number} {told.round}")
 
@@ -211,7 +216,7 @@
         seat = self.seats[node.name]
         if self.now - seat.said.get(key, -AGAIN) >= AGAIN:
             seat.said[key] = self.now
-            request = f"{seat.follower.me}:{key}:{self.now}"
+            request = f"{seat.follower.incarnation}:{key}:{self.now}"
             data = msgspec.msgpack.encode(entry)
             self.at(self.now, partial(self._propose_entry, node, node.start, request, data))
 
@@ -222,15 +227,19 @@
     def _look(self, node: SimulatedNode) -> None:
         core, seat, clock = node.core, self.seats[node.name], self._clock(node.name)
         assert core is not None
-        change = seat.follower.check()
+        change = seat.follower.change_to_validate()
         if change is not None:
-            self.found.setdefault(change.number, change.ask)
+            self.found.setdefault(change.number, change.idempotency_key)
             if change.number not in seat.fetched:
                 seat.fetched[change.number] = "?"
                 after = self.now + int(self._net.integers(*FETCH))
-                self.at(after, partial(self._fetched, node, node.start, change.number, change.ask))
+                self.at(
+                    after, partial(self._fetched, node, node.start, change.number, change.idempotency_key)
+                )
             elif seat.fetched[change.number] != "?":
-                verdict = ValidationVote(change.number, seat.follower.me, clock, seat.fetched[change.number])
+                verdict = ValidationVote(
+                    change.number, seat.follower.incarnation, clock, seat.fetched[change.number]
+                )
                 self._say(node, verdict, f"verdict {change.number}")
         for version in seat.documents.versions(NAME)[-1:]:  # one that it was not there for
             if version.number not in self._contents[node.name] and version.number not in seat.fetched:
@@ -238,14 +247,14 @@
                 after = self.now + int(self._net.integers(*FETCH))
                 self.at(after, partial(self._brought, node, node.start, version.number))
         self._arm(node)
-        for ask, ruled in seat.documents.ends.items():
+        for ask, ruled in seat.documents.results.items():
             first = self.ends.setdefault(ask, ruled)
             check_invariant(first == ruled, "two_ends_of_a_change")
         if core.role is Role.LEADER:
-            for entry in seat.steward.step(clock):
+            for entry in seat.steward.next_entries(clock):
                 self._say(node, entry, type(entry).__name__)
         else:
-            seat.steward.rest()
+            seat.steward.reset()
 
     def _fetched(self, node: SimulatedNode, start: int, number: int, ask: str) -> None:
         if node.start == start and node.core is not None:
@@ -268,8 +277,8 @@
     def _serve(self, name: str) -> None:
         seat, clock = self.seats[name], self._clock(name)
         self.counts["decisions"] += 1
-        version = seat.follower.version(NAME, clock)
-        if seat.follower.may_decide(clock) and (version is None or version.number in self._contents[name]):
+        version = seat.follower.version_at(NAME, clock)
+        if seat.follower.has_lease(clock) and (version is None or version.number in self._contents[name]):
             self.decided.append(Decision(self.now, name, version.number if version else 0, clock))
         else:
             self.turned_away.append((self.now, name))
@@ -289,7 +298,9 @@
             return
         node = self.nodes[name]
         if node.core is not None and name not in self._stopped:
-            offer = Proposal(NAME, ask.encode(), 100, ask, self.seats[name].follower.me, self._clock(name))
+            offer = Proposal(
+                NAME, ask.encode(), 100, ask, self.seats[name].follower.incarnation, self._clock(name)
+            )
             self._say(node, offer, f"offer {ask}")
         self.at(self.now + 2 * AGAIN, partial(self._ask, name, ask, until))
 
@@ -316,18 +327,20 @@
 
     def trouble(self, seconds: float) -> None:
         """Faults, changes and clients for so long."""
-        end = self.now + int(seconds * S)
+        end = self.now + int(seconds * SECOND_US)
 
         def one(draw: numpy.random.Generator) -> str:
             return self.names[draw.integers(len(self.names))]
 
         def length() -> int:
-            return int(self._fate.integers(S // 5, 12 * S))
+            return int(self._fate.integers(SECOND_US // 5, 12 * SECOND_US))
 
         if self._stops_every:
             self._plan(self._stops_every, end, lambda: self.stop(one(self._fate), length()))
-        self._plan(3 * S, end, lambda: self.offer(one(self._load), bool(self._load.random() >= self._bad)))
-        self.storm(seconds, 500 * MS)
+        self._plan(
+            3 * SECOND_US, end, lambda: self.offer(one(self._load), bool(self._load.random() >= self._bad))
+        )
+        self.storm(seconds, 500 * MILLISECOND_US)
 
     def settle(self) -> None:
         """Faults over, all up: a change goes through everywhere in time."""
@@ -336,15 +349,15 @@
         for name in self.names:
             if self.nodes[name].core is None:
                 self._up(name)
-        self.run(self.now + 13 * S)  # the last of the stops has ended
+        self.run(self.now + 13 * SECOND_US)  # the last of the stops has ended
         self.quiet_from = self.now
         until = self.now + 2 * LIVE
         last = ""
-        while self.now < until and not (last and self.ends.get(last, ChangeResult("")).word == "done"):
+        while self.now < until and not (last and self.ends.get(last, ChangeResult("")).outcome == "done"):
             if not last or last in self.ends:
                 last = self.offer(self.names[0])
-            self.run(self.now + S)
-        self.run(self.now + 3 * S)
+            self.run(self.now + SECOND_US)
+        self.run(self.now + 3 * SECOND_US)
         self.last = last
 
 
@@ -369,19 +382,19 @@
     asks = {number: fleet.ends.get(ask) for number, ask in fleet.found.items()}
     for number in sorted(used - {0}):
         ended = asks.get(number)
-        if ended is None or ended.word != "done":
+        if ended is None or ended.outcome != "done":
             out.append(f"number {number} is decided under and ended {ended}")
     out += [f"number {number} holds after a no" for number in sorted(used & fleet.no_to)]
-    if fleet.ends.get(fleet.last, ChangeResult("")).word != "done":
+    if fleet.ends.get(fleet.last, ChangeResult("")).outcome != "done":
         out.append(f"no change goes through: {fleet.last} {fleet.ends.get(fleet.last)}")
     else:
         now_under = {name: 0 for name in fleet.names}
         for decision in fleet.decided:
-            if decision.at > fleet.now - S:
+            if decision.at > fleet.now - SECOND_US:
                 now_under[decision.node] = decision.number
         if len(set(now_under.values())) > 1:
             out.append(f"at the end nodes follow {now_under}")
-        late = [at for at, _ in fleet.turned_away if at > fleet.now - 2 * S]
+        late = [at for at, _ in fleet.turned_away if at > fleet.now - 2 * SECOND_US]
         if late:
             out.append(f"{len(late)} clients turned away with nothing wrong")
     return out
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -26,7 +26,7 @@
 
 Place = tuple[int, int]  # term and index of a log entry
 LogEntry = messages.Entry
-PeerMessage = messages.Message | content_transfer.ChangeNotice
+PeerMessage = messages.Message | content_transfer.DocumentMessage
 LogCommand = replicated_state.Entry
 EndpointList = EndpointList
 
@@ -59,7 +59,7 @@
 
 def peer_message_tags() -> set[str]:
     """Of all messages that a peer may send."""
-    beside = typing.get_args(typing.get_type_hints(content_transfer.ChangeNotice)["what"])
+    beside = typing.get_args(typing.get_type_hints(content_transfer.DocumentMessage)["body"])
     return {_tag(kind) for kind in (*typing.get_args(PeerMessage), *beside)}
 
 
@@ -150,16 +150,16 @@
 
 
 def lease_renewal(*, start: str) -> PeerMessage:
-    return content_transfer.ChangeNotice(what=documents.LeaseRenewal(start=start))
+    return content_transfer.DocumentMessage(body=documents.LeaseRenewal(incarnation=start))
 
 
 def chunk_request(*, digest: bytes, offset: int) -> PeerMessage:
-    return content_transfer.ChangeNotice(what=content_transfer.ChunkRequest(digest=digest, at=offset))
+    return content_transfer.DocumentMessage(body=content_transfer.ChunkRequest(digest=digest, offset=offset))
 
 
 def chunk(*, digest: bytes, offset: int, size: int, data: bytes) -> PeerMessage:
-    return content_transfer.ChangeNotice(
-        what=content_transfer.Chunk(digest=digest, at=offset, size=size, data=data)
+    return content_transfer.DocumentMessage(
+        body=content_transfer.Chunk(digest=digest, offset=offset, content_size=size, data=data)
     )
 
 
@@ -170,7 +170,13 @@
     *, session: int, generation: int, expiry: int, node: str, time: int, keep: int, number: int
 ) -> LogCommand:
     return session_ownership.OwnershipClaim(
-        session=session, generation=generation, expiry=expiry, by=node, at=time, keep=keep, ask=number
+        session=session,
+        generation=generation,
+        token_expiry_us=expiry,
+        node=node,
+        timestamp_us=time,
+        retain_until_us=keep,
+        idempotency_key=number,
     )
 
 
@@ -179,58 +185,62 @@
 ) -> LogCommand:
     return session_ownership.ClaimConfirmation(
         session=session,
-        tenure=tenure,
-        floor=floor,
-        expiry=expiry,
-        by=node,
-        at=time,
-        keep=keep,
-        turn=turn,
+        epoch=tenure,
+        generation_floor=floor,
+        token_expiry_us=expiry,
+        node=node,
+        timestamp_us=time,
+        retain_until_us=keep,
+        sequence=turn,
     )
 
 
 def session_opened(*, session: int, tenure: int, node: str, time: int, turn: int) -> LogCommand:
-    return session_ownership.SessionOpened(session=session, tenure=tenure, by=node, at=time, turn=turn)
+    return session_ownership.SessionOpened(
+        session=session, epoch=tenure, node=node, timestamp_us=time, sequence=turn
+    )
 
 
 def claim_result(*, tenure: int, why: str) -> object:
-    return session_ownership.ClaimResult(tenure=tenure, why=why)
+    return session_ownership.ClaimResult(epoch=tenure, reason=why)
 
 
 def proposal(*, name: str, digest: bytes, size: int, key: str, node: str, time: int) -> LogCommand:
-    return documents.Proposal(name=name, digest=digest, size=size, ask=key, by=node, at=time)
+    return documents.Proposal(
+        name=name, digest=digest, size=size, idempotency_key=key, node=node, timestamp_us=time
+    )
 
 
 def validation_vote(*, number: int, node: str, time: int, fault: str) -> LogCommand:
-    return documents.ValidationVote(number=number, by=node, at=time, fault=fault)
+    return documents.ValidationVote(number=number, node=node, timestamp_us=time, fault=fault)
 
 
 def prepare(*, number: int, node: str, time: int, short_lease: int) -> LogCommand:
-    return documents.Prepare(number=number, by=node, at=time, short=short_lease)
+    return documents.Prepare(number=number, node=node, timestamp_us=time, short_lease_us=short_lease)
 
 
 def prepared(*, number: int, round: int, node: str, time: int) -> LogCommand:
-    return documents.Prepared(number=number, round=round, by=node, at=time)
+    return documents.Prepared(number=number, round=round, node=node, timestamp_us=time)
 
 
 def commit(*, number: int, node: str, time: int) -> LogCommand:
-    return documents.Commit(number=number, by=node, at=time)
+    return documents.Commit(number=number, node=node, timestamp_us=time)
 
 
 def abort(*, number: int, node: str, time: int, why: str) -> LogCommand:
-    return documents.Abort(number=number, by=node, at=time, why=why)
+    return documents.Abort(number=number, node=node, timestamp_us=time, reason=why)
 
 
 def lease_grant(*, starts: tuple[str, ...], length: int, node: str, time: int) -> LogCommand:
-    return documents.LeaseGrant(to=starts, length=length, by=node, at=time)
+    return documents.LeaseGrant(incarnations=starts, duration_us=length, node=node, timestamp_us=time)
 
 
 def lease_release(*, node: str, time: int) -> LogCommand:
-    return documents.LeaseRelease(by=node, at=time)
+    return documents.LeaseRelease(node=node, timestamp_us=time)
 
 
 def change_result(*, word: str, number: int, why: str) -> object:
-    return documents.ChangeResult(word=word, number=number, why=why)
+    return documents.ChangeResult(outcome=word, number=number, reason=why)
 
 
 def greeting(
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -86,15 +86,15 @@
         """By session."""
         return {
             session: SessionOwner(
-                tenure=record.tenure,
+                tenure=record.epoch,
                 owner=record.owner,
-                floor=record.floor,
-                keep=record.keep,
-                base=record.base,
-                turn=record.turn,
-                confirmed_at=record.confirmed_at,
-                number=record.ask,
-                opened=record.opened,
+                floor=record.generation_floor,
+                keep=record.retain_until_us,
+                base=record.claimed_floor,
+                turn=record.sequence,
+                confirmed_at=record.confirmed_at_us,
+                number=record.idempotency_key,
+                opened=record.is_opened,
             )
             for session, record in self._state.claims.records.items()
         }
@@ -106,14 +106,16 @@
     def versions(self, name: str) -> list[tuple[int, bytes, int, int]]:
         """Number, digest, size and since of each known version of a document."""
         known = self._state.documents.versions(name)
-        return [(version.number, version.digest, version.size, version.since) for version in known]
+        return [(version.number, version.digest, version.size, version.effective_at_us) for version in known]
 
     def leases(self) -> dict[str, int]:
         return dict(self._state.documents.leases)
 
     def results(self) -> dict[str, tuple[str, int, str]]:
         """By idempotency key: what became of a change."""
-        return {key: (end.word, end.number, end.why) for key, end in self._state.documents.ends.items()}
+        return {
+            key: (end.outcome, end.number, end.reason) for key, end in self._state.documents.results.items()
+        }
 
     def pending_change(self) -> PendingChange | None:
         change = self._state.documents.change
@@ -124,15 +126,15 @@
             number=change.number,
             digest=change.digest,
             size=change.size,
-            key=change.ask,
-            time=change.at,
-            stage=int(change.stage),
-            accepted_by=change.yes,
+            key=change.idempotency_key,
+            time=change.proposed_at_us,
+            stage=int(change.phase),
+            accepted_by=change.accepted_by,
             round=change.round,
-            prepared_at=change.armed_at,
-            short_lease=change.short,
-            must_prepare=change.must,
-            prepared_by=change.armed,
+            prepared_at=change.prepare_started_at_us,
+            short_lease=change.short_lease_us,
+            must_prepare=change.participants,
+            prepared_by=change.prepared_by,
         )
 
     def open_documents(self, store: Store, time: int) -> DocumentStore:
@@ -147,7 +149,7 @@
 
 def offer_document(opened: DocumentStore, name: str, content: bytes, key: str) -> LogCommand:
     """Keep a document's content in the store, and make the proposal of it."""
-    return opened.offer(name, content, key)
+    return opened.propose(name, content, key)
 
 
 # --- the store
--- a/tests/raft/test_raft.py
+++ b/tests/raft/test_raft.py
@@ -156,14 +156,14 @@
     assert say(claims, claim("b", token)) == ClaimResult(
         3
     )  # not confirmed yet, so its owner may be gone as well
-    assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)).why == "claimed"
+    assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)).reason == "claimed"
     assert say(claims, confirm("b", 3, 3 << TENURE_BITS | 1)) == ClaimResult(3)
     assert say(claims, confirm("b", 3, 3 << TENURE_BITS | 1)) == ClaimResult(3)  # its answer was lost
-    assert say(claims, claim("c", token, 9)).why == "claimed"  # whether its owner answered is not known
-    assert say(claims, SessionOpened(7, 3, "b", 9 * S, 2)).why  # another confirmation than the newest
-    assert say(claims, claim("c", token, 9)).why == "claimed"
+    assert say(claims, claim("c", token, 9)).reason == "claimed"  # whether its owner answered is not known
+    assert say(claims, SessionOpened(7, 3, "b", 9 * S, 2)).reason  # another confirmation than the newest
+    assert say(claims, claim("c", token, 9)).reason == "claimed"
     assert say(claims, SessionOpened(7, 3, "b", 9 * S, 1)) == ClaimResult(3)
-    assert say(claims, claim("c", token, 9)).why == "spent"
+    assert say(claims, claim("c", token, 9)).reason == "spent"
     assert say(claims, claim("c", 3 << TENURE_BITS | 2)) == ClaimResult(4)
 
 
@@ -174,18 +174,18 @@
     assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)) == ClaimResult(2)
     assert say(claims, once) == ClaimResult(2)
     assert say(claims, claim("b", 2 << TENURE_BITS | 1)) == ClaimResult(3)
-    assert say(claims, confirm("a", 2, 9)).why == "claimed"
+    assert say(claims, confirm("a", 2, 9)).reason == "claimed"
 
 
 def test_a_token_is_given_back_by_an_owner_that_did_not_answer_with_it() -> None:
     token, claims = 1 << TENURE_BITS | 3, SessionOwnership()
     say(claims, claim("a", token))
     assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1)) == ClaimResult(2)
-    assert say(claims, claim("b", token, 3)).why == "claimed"  # a moment later it may be good again
+    assert say(claims, claim("b", token, 3)).reason == "claimed"  # a moment later it may be good again
     assert say(claims, confirm("a", 2, token, 3, turn=2)) == ClaimResult(2)
-    assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1, 3)).why == "claimed"  # under way for long
+    assert say(claims, confirm("a", 2, 2 << TENURE_BITS | 1, 3)).reason == "claimed"  # under way for long
     assert say(claims, claim("b", token, 3)) == ClaimResult(3)
-    assert say(claims, confirm("a", 2, token, 4, turn=3)).why == "claimed"
+    assert say(claims, confirm("a", 2, token, 4, turn=3)).reason == "claimed"
 
 
 def test_a_claim_of_a_node_whose_clock_is_behind_is_not_forgotten_while_its_tokens_are_good() -> None:
@@ -194,7 +194,7 @@
     say(claims, told)  # the others are at 25 s; the tokens expire at 30 s; no record is left of this one
     assert say(claims, claim("a", token, -60)) == ClaimResult(2)
     assert say(claims, claim("b", token, 26)) == ClaimResult(3)  # not the same tenure once more
-    assert say(claims, confirm("a", 2, 9, -59)).why == "claimed"
+    assert say(claims, confirm("a", 2, 9, -59)).reason == "claimed"
 
 
 def test_an_owner_that_was_replaced_long_ago_confirms_nothing() -> None:
@@ -203,7 +203,7 @@
     say(claims, claim("b", 1 << TENURE_BITS | 3))
     say(claims, claim("x", 1 << TENURE_BITS | 3, 60, 8))
     assert list(claims.records) == []  # the second one's token had expired
-    assert say(claims, confirm("a", 1, 9, 61)).why == "expired"
+    assert say(claims, confirm("a", 1, 9, 61)).reason == "expired"
 
 
 STEPS = st.lists(st.tuples(st.integers(0, 2), st.sampled_from("ab"), st.booleans()), max_size=30)
@@ -218,18 +218,18 @@
     for at, (session, by, confirms) in enumerate(steps):
         newest = max((t for (s, _), t in owned.items() if s == session), default=1)
         if not confirms:
-            spent = say(claims, claim("c", floor[session] - 1, at, session)).why
+            spent = say(claims, claim("c", floor[session] - 1, at, session)).reason
             assert bool(spent) is (floor[session] > 1 << TENURE_BITS)
-            owned[session, by] = say(claims, claim(by, floor[session], at, session)).tenure
+            owned[session, by] = say(claims, claim(by, floor[session], at, session)).epoch
             assert owned[session, by] > newest
         elif (session, by) in owned:
             tenure = owned[session, by]
             ruling = say(claims, confirm(by, tenure, tenure << TENURE_BITS, at, session))
-            assert ruling == (ClaimResult(tenure) if tenure == newest else ClaimResult(why="claimed"))
+            assert ruling == (ClaimResult(tenure) if tenure == newest else ClaimResult(reason="claimed"))
             if tenure == newest:
                 floor[session] = tenure << TENURE_BITS
     told: list[tuple[int, int, str]] = []
     same = SessionOwnership(lambda *claim: told.append(claim))
     same.load(claims.dump())
-    assert told == [(session, record.tenure, record.owner) for session, record in claims.records.items()]
+    assert told == [(session, record.epoch, record.owner) for session, record in claims.records.items()]
     assert (same.records, same.dump()) == (claims.records, claims.dump())
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -16,11 +16,12 @@
 
 from tansyladder.cluster.document_replica import DocumentReplica
 from tansyladder.lab.chaos import checkers, documents, history
-from tansyladder.replication.content_transfer import PIECE, Chunk, ChunkRequest, ContentStore
+from tansyladder.replication.content_transfer import CHUNK_BYTES, Chunk, ChunkRequest, ContentStore
 from tansyladder.replication.documents import (
-    BEFORE,
-    MOST_SIZE,
-    MS,
+    MAX_CONTENT_BYTES,
+    MAX_PREVIOUS_VERSIONS,
+    MILLISECOND_US,
+    SECOND_US,
     Abort,
     ChangeResult,
     Commit,
@@ -30,7 +31,6 @@
     Prepare,
     Prepared,
     Proposal,
-    S,
     ValidationVote,
 )
 from tansyladder.replication.replicated_state import ReplicatedState
@@ -43,14 +43,16 @@
 
 HARD = FaultRates(
     loss=0.1,
-    delay=(1 * MS, 300 * MS),
-    crash_every=4 * S,
-    down=(100 * MS, 6 * S),
+    delay=(1 * MILLISECOND_US, 300 * MILLISECOND_US),
+    crash_every=4 * SECOND_US,
+    down=(100 * MILLISECOND_US, 6 * SECOND_US),
     wiped=0.2,
-    cut_every=3 * S,
-    cut=(200 * MS, 20 * S),
+    cut_every=3 * SECOND_US,
+    cut=(200 * MILLISECOND_US, 20 * SECOND_US),
+)
+CALM = FaultRates(
+    loss=0.0, doubled=0.0, delay=(1 * MILLISECOND_US, 5 * MILLISECOND_US), crash_every=0, cut_every=0
 )
-CALM = FaultRates(loss=0.0, doubled=0.0, delay=(1 * MS, 5 * MS), crash_every=0, cut_every=0)
 
 
 @pytest.mark.parametrize(("voters", "learners"), [(1, 1), (3, 2), (5, 0)])
@@ -59,14 +61,14 @@
 ) -> None:
     fleets = [play(seed, 20.0, voters=voters, learners=learners, faults=HARD) for seed in range(2)]
     assert [found(fleet) for fleet in fleets] == [[]] * 2
-    words = [ruled.word for fleet in fleets for ruled in fleet.ends.values()]
+    words = [ruled.outcome for fleet in fleets for ruled in fleet.ends.values()]
     assert words.count("done") >= 4 and sum(f.counts["crashes"] + f.counts["stops"] for f in fleets) > 5
 
 
 def test_where_nothing_fails_nobody_is_turned_away_for_a_change() -> None:
     fleet = play(1, 20.0, voters=5, learners=0, faults=CALM, bad=0.3, stops_every=0)
-    assert not found(fleet) and "refused" in {ruled.word for ruled in fleet.ends.values()}
-    assert [at for at, _ in fleet.turned_away if at > 4 * S] == []
+    assert not found(fleet) and "refused" in {ruled.outcome for ruled in fleet.ends.values()}
+    assert [at for at, _ in fleet.turned_away if at > 4 * SECOND_US] == []
 
 
 def test_the_same_seed_gives_the_same_history() -> None:
@@ -90,7 +92,7 @@
 # --- the state, entry by entry
 
 
-LENGTH, SHORT = 30 * S, 300 * MS
+LENGTH, SHORT = 30 * SECOND_US, 300 * MILLISECOND_US
 
 
 def agreed_by(*nodes: str, change: bool = True) -> Documents:
@@ -107,21 +109,21 @@
 
 def test_a_change_takes_hold_when_the_last_short_lease_has_ended() -> None:
     state = agreed_by(*ALL)
-    arm = Prepare(1, "a/1", 2 * S, SHORT)
+    arm = Prepare(1, "a/1", 2 * SECOND_US, SHORT)
     for start in ALL:
-        assert state.apply(arm).word == "early"
-        state.apply(ValidationVote(1, start, S))
-    assert state.apply(Commit(1, "a/1", 2 * S)).word == "early"
-    assert state.apply(arm).word == "done"
-    assert state.apply(LeaseGrant(ALL, LENGTH, "a/1", 2 * S)).word == "armed"
+        assert state.apply(arm).outcome == "early"
+        state.apply(ValidationVote(1, start, SECOND_US))
+    assert state.apply(Commit(1, "a/1", 2 * SECOND_US)).outcome == "early"
+    assert state.apply(arm).outcome == "done"
+    assert state.apply(LeaseGrant(ALL, LENGTH, "a/1", 2 * SECOND_US)).outcome == "armed"
     for at, start in enumerate(ALL):
-        assert state.apply(Commit(1, "a/1", 3 * S)).word == "early"
-        state.apply(Prepared(1, 1, start, 2 * S + at * MS))
-    assert state.apply(Commit(1, "a/1", 2 * S + 9 * MS)) == ChangeResult("done", 1)
-    since = 2 * S + 2 * MS + SHORT
-    assert state.version("rules", since - 1) is None
-    assert state.version("rules", since) == state.versions("rules")[0]
-    assert state.apply(Proposal("rules", b"d", 10, "ask", "b/7", 9 * S)) == ChangeResult(
+        assert state.apply(Commit(1, "a/1", 3 * SECOND_US)).outcome == "early"
+        state.apply(Prepared(1, 1, start, 2 * SECOND_US + at * MILLISECOND_US))
+    assert state.apply(Commit(1, "a/1", 2 * SECOND_US + 9 * MILLISECOND_US)) == ChangeResult("done", 1)
+    since = 2 * SECOND_US + 2 * MILLISECOND_US + SHORT
+    assert state.version_at("rules", since - 1) is None
+    assert state.version_at("rules", since) == state.versions("rules")[0]
+    assert state.apply(Proposal("rules", b"d", 10, "ask", "b/7", 9 * SECOND_US)) == ChangeResult(
         "done", 1
     )  # it is over, and was a yes
 
@@ -130,20 +132,27 @@
     ("told", "ruled"),
     [
         (
-            [ValidationVote(1, "b/1", S, "rules.2: no such zone")],
+            [ValidationVote(1, "b/1", SECOND_US, "rules.2: no such zone")],
             ChangeResult("refused", 1, "b: rules.2: no such zone"),
         ),
-        ([Abort(1, "a/1", S, "no answer of c")], ChangeResult("dropped", 1, "no answer of c")),
-        ([Proposal("sets", b"e", 10, "other", "c/1", S)], ChangeResult("busy", 1, "rules")),
-        ([Proposal("rules", b"d", 10, "ask", "c/1", S)], ChangeResult("under way", 1)),
-        ([ValidationVote(2, "b/1", S)], ChangeResult("over", 2)),
+        ([Abort(1, "a/1", SECOND_US, "no answer of c")], ChangeResult("dropped", 1, "no answer of c")),
+        ([Proposal("sets", b"e", 10, "other", "c/1", SECOND_US)], ChangeResult("busy", 1, "rules")),
+        ([Proposal("rules", b"d", 10, "ask", "c/1", SECOND_US)], ChangeResult("under way", 1)),
+        ([ValidationVote(2, "b/1", SECOND_US)], ChangeResult("over", 2)),
         (
-            [*(ValidationVote(1, s, S) for s in ALL), Prepare(1, "a/1", S, SHORT), Prepared(1, 2, "b/1", S)],
+            [
+                *(ValidationVote(1, s, SECOND_US) for s in ALL),
+                Prepare(1, "a/1", SECOND_US, SHORT),
+                Prepared(1, 2, "b/1", SECOND_US),
+            ],
             ChangeResult("over", 1),
         ),
         (
-            [Abort(1, "a/1", S, "x"), Proposal("rules", b"d", MOST_SIZE + 1, "n", "a/1", S)],
-            ChangeResult("refused", 0, f"size: from 1 to {MOST_SIZE} bytes"),
+            [
+                Abort(1, "a/1", SECOND_US, "x"),
+                Proposal("rules", b"d", MAX_CONTENT_BYTES + 1, "n", "a/1", SECOND_US),
+            ],
+            ChangeResult("refused", 0, f"size: from 1 to {MAX_CONTENT_BYTES} bytes"),
         ),
     ],
 )
@@ -157,55 +166,57 @@
     for leaves in (False, True):
         state = agreed_by(*ALL)
         for start in ALL[:2]:
-            state.apply(ValidationVote(1, start, S))
+            state.apply(ValidationVote(1, start, SECOND_US))
         if leaves:
-            state.apply(LeaseRelease("c/1", S))
-        early, late = 20 * S, LENGTH
+            state.apply(LeaseRelease("c/1", SECOND_US))
+        early, late = 20 * SECOND_US, LENGTH
         state.apply(LeaseGrant(ALL[:2], LENGTH, "a/1", early))
-        assert state.apply(Prepare(1, "a/1", early, SHORT)).word == ("done" if leaves else "early")
+        assert state.apply(Prepare(1, "a/1", early, SHORT)).outcome == ("done" if leaves else "early")
         if not leaves:
-            assert state.apply(Prepare(1, "a/1", late, SHORT)).word == "done"
-        assert state.change is not None and state.change.must == set(ALL[:2])
+            assert state.apply(Prepare(1, "a/1", late, SHORT)).outcome == "done"
+        assert state.change is not None and state.change.participants == set(ALL[:2])
 
 
 def test_most_voters_have_the_content_before_it_holds() -> None:
     state = agreed_by("a/1")
-    state.apply(ValidationVote(1, "a/1", S))
-    assert state.apply(Prepare(1, "a/1", S, SHORT)).word == "early"
-    state.apply(ValidationVote(1, "b/4", S))
-    assert state.apply(Prepare(1, "a/1", S, SHORT)).word == "done"
+    state.apply(ValidationVote(1, "a/1", SECOND_US))
+    assert state.apply(Prepare(1, "a/1", SECOND_US, SHORT)).outcome == "early"
+    state.apply(ValidationVote(1, "b/4", SECOND_US))
+    assert state.apply(Prepare(1, "a/1", SECOND_US, SHORT)).outcome == "done"
 
 
 def test_a_snapshot_has_all_of_it_and_that_of_the_version_before_is_read() -> None:
     whole, again, old = (ReplicatedState(["a", "b", "c"]) for _ in range(3))
-    claim = OwnershipClaim(7, 1 << 32, 90 * S, "a/1", S, 90 * S, 1)
+    claim = OwnershipClaim(7, 1 << 32, 90 * SECOND_US, "a/1", SECOND_US, 90 * SECOND_US, 1)
     assert msgspec.msgpack.decode(
         whole.apply(msgspec.msgpack.encode(claim)), type=ClaimResult
     ) == ClaimResult(2)
     for entry in (
         LeaseGrant(ALL, LENGTH, "a/1", 0),
         Proposal("rules", b"d", 9, "k", "a/1", 0),
-        ValidationVote(1, "a/1", S),
+        ValidationVote(1, "a/1", SECOND_US),
     ):
         whole.apply(msgspec.msgpack.encode(entry))
     again.load(whole.dump())
     assert again.dump() == whole.dump() and again.documents.change is not None
-    assert again.documents.change.yes == {"a/1"} and again.claims.records[7].owner == "a/1"
+    assert again.documents.change.accepted_by == {"a/1"} and again.claims.records[7].owner == "a/1"
     before = SessionOwnership()
     before.apply(msgspec.msgpack.encode(claim))
     old.load(before.dump())
-    assert old.claims.records[7].tenure == 2 and not old.documents.leases
+    assert old.claims.records[7].epoch == 2 and not old.documents.leases
 
 
 def test_versions_are_kept_to_a_bound() -> None:
     state = Documents(["a"])
-    for number in range(1, 2 * BEFORE):
-        state.apply(Proposal("rules", b"%d" % number, 1, f"ask{number}", "a/1", number * S))
-        state.apply(ValidationVote(number, "a/1", number * S))
-        state.apply(Prepare(number, "a/1", number * S, SHORT))
-        assert state.apply(Commit(number, "a/1", number * S)).word == "done"
-    assert [v.number for v in state.versions("rules")] == list(range(BEFORE - 1, 2 * BEFORE))
-    assert len(state.digests()) == BEFORE + 1
+    for number in range(1, 2 * MAX_PREVIOUS_VERSIONS):
+        state.apply(Proposal("rules", b"%d" % number, 1, f"ask{number}", "a/1", number * SECOND_US))
+        state.apply(ValidationVote(number, "a/1", number * SECOND_US))
+        state.apply(Prepare(number, "a/1", number * SECOND_US, SHORT))
+        assert state.apply(Commit(number, "a/1", number * SECOND_US)).outcome == "done"
+    assert [v.number for v in state.versions("rules")] == list(
+        range(MAX_PREVIOUS_VERSIONS - 1, 2 * MAX_PREVIOUS_VERSIONS)
+    )
+    assert len(state.referenced_digests()) == MAX_PREVIOUS_VERSIONS + 1
 
 
 # --- content
@@ -213,7 +224,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(
-    st.integers(1, 9 * PIECE),
+    st.integers(1, 9 * CHUNK_BYTES),
     st.lists(st.sampled_from(["sound", "none", "turned", "silent"]), min_size=1, max_size=4),
     st.integers(0, 99),
 )
@@ -222,46 +233,46 @@
     content = Random(seed).randbytes(size)
     names = [f"{kind}{i}" for i, kind in enumerate([*peers, "sound"])]
     server, client = ContentStore([], Random(1)), ContentStore(names, Random(seed))
-    digest, now = server.have(content), 0
+    digest, now = server.add(content), 0
     assert digest == hashlib.sha256(content).digest()
-    client.want(digest, size, now)
+    client.fetch(digest, size, now)
     for _ in range(400):
-        now += 20 * MS
-        asked, client.out = client.out, []
+        now += 20 * MILLISECOND_US
+        asked, client.outgoing = client.outgoing, []
         for name, want in asked:
             assert isinstance(want, ChunkRequest) and len(asked) <= 8
-            server.received("client", want, now)
-            [(_, piece)] = server.out
-            server.out = []
-            assert isinstance(piece, Chunk) and len(piece.data) <= PIECE
+            server.handle("client", want, now)
+            [(_, piece)] = server.outgoing
+            server.outgoing = []
+            assert isinstance(piece, Chunk) and len(piece.data) <= CHUNK_BYTES
             if name.startswith("none"):
-                piece = Chunk(digest, want.at, 0, b"")
+                piece = Chunk(digest, want.offset, 0, b"")
             elif name.startswith("turned"):
-                piece = Chunk(digest, want.at, size, bytes([piece.data[0] ^ 1]) + piece.data[1:])
+                piece = Chunk(digest, want.offset, size, bytes([piece.data[0] ^ 1]) + piece.data[1:])
             if not name.startswith("silent"):
-                client.received(name, piece, now)
-        client.step(now)
-        if client.whole:
+                client.handle(name, piece, now)
+        client.retry_overdue(now)
+        if client.completed:
             break
-    assert client.whole == [(digest, content)] and client.get(digest) is None
-    client.have(content)
-    assert client.get(digest) == content and client.keep_only([]) == [digest] and client.get(digest) is None
+    assert client.completed == [(digest, content)] and client.get(digest) is None
+    client.add(content)
+    assert client.get(digest) == content and client.retain_only([]) == [digest] and client.get(digest) is None
 
 
 def test_content_that_no_document_has_is_forgotten_here_and_on_the_disk(tmp_path: Path) -> None:
     """What was offered for a change that came to nothing must not fill the disk; the next start looks too."""
-    store, now = open_store(RealFiles(tmp_path), "n0", lambda: 0), 1000 * S
+    store, now = open_store(RealFiles(tmp_path), "n0", lambda: 0), 1000 * SECOND_US
 
     def holding(start: str) -> DocumentReplica:
         return DocumentReplica(start, [], Documents(["a"]), store, {"note": lambda content: ""}, lambda: now)
 
     one = holding("a/1")
-    digest = one.offer("note", b"x" * (3 * PIECE), "ask").digest
-    one.turn("", False)
+    digest = one.propose("note", b"x" * (3 * CHUNK_BYTES), "ask").digest
+    one.step("", False)
     assert len(store.items(b"documents/")) == 3 and one._contents.get(digest)
-    now += 100 * S
-    one.turn("", False)
-    assert one._contents.get(digest) is None and one._to_check.qsize() == 1
+    now += 100 * SECOND_US
+    one.step("", False)
+    assert one._contents.get(digest) is None and one._validation_queue.qsize() == 1
     holding("a/2").start()  # it begins with a look at its disk
     assert not store.items(b"documents/")
     store.close()
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -27,7 +27,7 @@
     PendingChange,
     Prepared,
     ValidationVote,
-    node_of,
+    node_name,
 )
 
 
@@ -192,43 +192,43 @@
 class HoldsWithoutAll(Documents):
     """Without the wait for who has not armed: for its lease to end."""
 
-    def unarmed(self, change: PendingChange, at: int) -> set[str]:
+    def unprepared_holders(self, change: PendingChange, at: int) -> set[str]:
         return set()
 
 
 class HoldsAtOnce(Documents):
     """Without the moment at which the last lease ends: it holds from when that was proposed."""
 
-    def _hold(self, change: PendingChange, told: Commit) -> ChangeResult:
-        ruled = super()._hold(change, told)
-        if ruled.word == "done":
-            held = self._held[change.name]
-            held[-1] = msgspec.structs.replace(held[-1], since=told.at)
+    def _apply_commit(self, change: PendingChange, told: Commit) -> ChangeResult:
+        ruled = super()._apply_commit(change, told)
+        if ruled.outcome == "done":
+            held = self._versions[change.name]
+            held[-1] = msgspec.structs.replace(held[-1], effective_at_us=told.timestamp_us)
         return ruled
 
 
 class TakesNoForYes(Documents):
     """Without the no of one node."""
 
-    def _verdict(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
-        return super()._verdict(change, msgspec.structs.replace(told, fault=""))
+    def _apply_validation_vote(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
+        return super()._apply_validation_vote(change, msgspec.structs.replace(told, fault=""))
 
 
 class ArmsBeforeAllSaid(Documents):
     """Without the wait for everybody's word."""
 
-    def waited_for(self, change: PendingChange, holding: set[str]) -> set[str]:
+    def missing_acceptances(self, change: PendingChange, holding: set[str]) -> set[str]:
         return set()
 
 
 class GrantsWhileArmed(Documents):
     """Without the rest of leases while they are cut."""
 
-    def _lease(self, told: LeaseGrant) -> ChangeResult:
+    def _apply_lease_grant(self, told: LeaseGrant) -> ChangeResult:
         change = self.change
         self.change = None
         try:
-            return super()._lease(told)
+            return super()._apply_lease_grant(told)
         finally:
             self.change = change
 
@@ -236,15 +236,15 @@
 class GrantsAlways(LeaseCoordinator):
     """A leader's part of it, which would hide that."""
 
-    def step(self, at: int) -> list[Entry]:
-        return super().step(at) + self._grant(at)
+    def next_entries(self, at: int) -> list[Entry]:
+        return super().next_entries(at) + self._renew_leases(at)
 
 
 class CountsOldRounds(Documents):
     """Without the number of the round in which a lease was cut."""
 
-    def _armed(self, change: PendingChange, told: Prepared) -> ChangeResult:
-        return super()._armed(change, msgspec.structs.replace(told, round=change.round))
+    def _apply_prepared(self, change: PendingChange, told: Prepared) -> ChangeResult:
+        return super()._apply_prepared(change, msgspec.structs.replace(told, round=change.round))
 
 
 class ArmsInWords(LeaseHolder):
@@ -252,20 +252,20 @@
 
     _uncut = 0
 
-    def until(self) -> int:
-        return max(self._documents.leases.get(self.me, 0), self._uncut)
+    def lease_end_us(self) -> int:
+        return max(self._documents.leases.get(self.incarnation, 0), self._uncut)
 
-    def arm(self, at: int) -> Prepared | None:
-        self._uncut = max(self._uncut, self._documents.leases.get(self.me, 0))
-        return super().arm(at)
+    def prepare(self, at: int) -> Prepared | None:
+        self._uncut = max(self._uncut, self._documents.leases.get(self.incarnation, 0))
+        return super().prepare(at)
 
 
 class KeepsLeaseOverStarts(LeaseHolder):
     """Without the start in the name of a lease: one that was given to the process before is used."""
 
-    def until(self) -> int:
-        me, leases = node_of(self.me), self._documents.leases
-        return max((until for start, until in leases.items() if node_of(start) == me), default=0)
+    def lease_end_us(self) -> int:
+        me, leases = node_name(self.incarnation), self._documents.leases
+        return max((until for start, until in leases.items() if node_name(start) == me), default=0)
 
 
 # By name: what is put in place, the seed of a history that finds it, and its words; 0: found in none of 40.
