--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -68,7 +68,7 @@
         self._results: dict[str, ChangeResult | None] = {}
         self._lock = threading.Lock()
 
-    def permitted(self, ident: str = "") -> bool:
+    def may_decide(self, ident: str = "") -> bool:
         """Whether anything may be decided now."""
         at, permit = self._replica.now_us(), self._replica.lease
         allowed = self._replica.may_decide(permit, at)
@@ -138,7 +138,7 @@
         with self._lock:
             self._results[ask] = ruled
 
-    def ended(self, ask: str) -> str:
+    def change_result(self, ask: str) -> str:
         """What became of a change. ValueError: it has not taken hold, or that is not known."""
         with self._lock:
             known = ask in self._results
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -35,7 +35,7 @@
     version_in_force,
 )
 from tansyladder.replication.replicated_state import Entry
-from tansyladder.store import Durability, Op, Store, StoreError
+from tansyladder.store import Durability, Store, StoreError, WriteOperation
 
 CONTENT_KEY_PREFIX = b"documents/"
 RECORD_BYTES = 48 << 10  # bytes of a content in one record
@@ -290,8 +290,8 @@
                 CONTENT_KEY_PREFIX + digest + n.to_bytes(2, "big")
                 for n in range(-(-MAX_CONTENT_BYTES // RECORD_BYTES))
             ]
-            there = [Op(key, None) for key in keys if self._store.get(key) is not None]
-            self._store.write(there, Durability.SOON)
+            there = [WriteOperation(key, None) for key in keys if self._store.get(key) is not None]
+            self._store.write(there, Durability.BUFFERED)
         except StoreError as err:
             log(LogEvent.DOCUMENT_DELETE_FAILED, why=err)
 
@@ -332,12 +332,14 @@
             return True
         digest = digest_of(content)
         ops = [
-            Op(CONTENT_KEY_PREFIX + digest + number.to_bytes(2, "big"), content[at : at + RECORD_BYTES])
+            WriteOperation(
+                CONTENT_KEY_PREFIX + digest + number.to_bytes(2, "big"), content[at : at + RECORD_BYTES]
+            )
             for number, at in enumerate(range(0, len(content), RECORD_BYTES))
         ]
         try:
             for op in ops[:-1]:
-                self._store.write((op,), Durability.SOON)
+                self._store.write((op,), Durability.BUFFERED)
             self._store.write((ops[-1],), Durability.SYNCED)
         except StoreError as err:
             log(LogEvent.DOCUMENT_STORE_FAILED, why=err)
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -16,7 +16,7 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
 from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
-from tansyladder.net.protocol import TENANT, TICKET
+from tansyladder.net.protocol import RESUME_TOKEN_FIELD, TENANT_FIELD
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import Ending
 from tansyladder.node.policy_runner import PolicyRunner
@@ -67,7 +67,7 @@
     def __init__(self, sock: socket.socket) -> None:
         # Half a line is as good as none; only a whole PING sets the moment on.
         self.sock, self.buffer, self.heard = sock, protocol.LineBuffer(), now()
-        sockets.at_once(sock)
+        sockets.disable_send_delay(sock)
         self.end_by, self.gone_by = self.heard + FIRST_LINE, self.heard + GONE
         self.told = False  # whether it has its answer, and only its own end is waited for
         self.read_away = 0
@@ -102,7 +102,7 @@
     def expecting(self) -> bool:
         """Whether somebody's first line may be on its way; a front that only asks PING rests."""
         untold = [n for n in list(self._newcomers.values()) if not n.told]
-        return any(n.buffer.rest or not n.pings for n in untold)
+        return any(n.buffer.partial_line or not n.pings for n in untold)
 
     def hold(self, on: bool) -> None:
         """Leave the listener's queue to another process from now on, or take from it again."""
@@ -221,7 +221,7 @@
             newcomer = PendingConnection(sock)
             log(LogEvent.CLIENT_REJECTED, why="descriptors")
             with contextlib.suppress(OSError):
-                self._server.turned_away(sock.recv(protocol.MAX_LINE, socket.MSG_DONTWAIT))
+                self._server.turned_away(sock.recv(protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT))
             self._tell(newcomer, protocol.format_reject(self._server.come_back))
             sock.close()
         except OSError:
@@ -254,19 +254,19 @@
             # TCP drops what is read with MSG_TRUNC without a copy: a flood costs the interpreter little.
             size = sock.recv_into(self._sink, 0, socket.MSG_DONTWAIT | socket.MSG_TRUNC)
             newcomer.read_away += size
-            if not size or newcomer.read_away > sockets.MOST_READ:
+            if not size or newcomer.read_away > sockets.MAX_DRAIN_BYTES:
                 self._close(newcomer)
             return
-        data = sock.recv(2 * protocol.MAX_LINE, socket.MSG_DONTWAIT)
+        data = sock.recv(2 * protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
         arrived = now()
         if not data:
             self._close(newcomer)  # half a line and a close is nobody's business
             return
         lines = newcomer.buffer.feed(data)
         for line in lines:
-            if protocol.content(line) == protocol.PING:
+            if protocol.strip_line_end(line) == protocol.PING:
                 self._pong(newcomer, arrived)
-            elif len(lines) > 1 or newcomer.buffer.rest:
+            elif len(lines) > 1 or newcomer.buffer.partial_line:
                 raise protocol.LineError("more than one line before UP")
             else:
                 opening = protocol.parse_opening(line)
@@ -285,12 +285,14 @@
             return
         newcomer.sock.send(protocol.PONG + b"\r\n", socket.MSG_DONTWAIT)
         newcomer.heard, newcomer.end_by = arrived, arrived + PINGS
-        newcomer.gone_by = arrived + PINGS + sockets.LINGER  # a request may come in the instant of the end
+        newcomer.gone_by = (
+            arrived + PINGS + sockets.DRAIN_TIMEOUT
+        )  # a request may come in the instant of the end
 
     def _tell(self, newcomer: PendingConnection, answer: bytes) -> None:
         """The final answer, and the end of our side; a close at once might overtake the answer."""
         newcomer.told = True
-        newcomer.gone_by = min(newcomer.gone_by, now() + sockets.LINGER)
+        newcomer.gone_by = min(newcomer.gone_by, now() + sockets.DRAIN_TIMEOUT)
         try:
             if answer:
                 newcomer.sock.send(answer, socket.MSG_DONTWAIT)
@@ -322,7 +324,7 @@
     def __init__(self, core: PolicyRunner, takeover: ListenerHandover | None = None) -> None:
         """`takeover`: the way to the process before this one, and to the next; none: there is none."""
         self._core = core
-        self._takeover = core.takeover = takeover or ListenerHandover(core.config.listen, None)
+        self._takeover = core.listener_handover = takeover or ListenerHandover(core.config.listen, None)
         self._lock = threading.Lock()
         self._open: set[str] = set()  # the ids of the connections that are served
         self._closing = False  # whether who is heard now comes too late to be served
@@ -331,7 +333,7 @@
         self._operators = OPERATORS if core.config.operator else 0
         self._descriptors = sockets_ - SPARE - newcomers - self._operators
         # The port can be shared, for a new process that the old one does not answer.
-        self._listener = self._takeover.ask() or socket.create_server(
+        self._listener = self._takeover.request_listener() or socket.create_server(
             core.config.listen, backlog=1024, reuse_port=True
         )
         self._admission = ConnectionAcceptor(self._listener, newcomers, self)
@@ -352,7 +354,7 @@
     @property
     def ready(self) -> bool:
         """What a front that asks PING is told."""
-        return self._core.lifecycle.ready and self._core.permitted()
+        return self._core.lifecycle.ready and self._core.may_decide()
 
     @property
     def active(self) -> int:
@@ -371,7 +373,7 @@
     def turned_away(self, heard: bytes) -> None:
         """Who said this found no descriptor."""
         try:
-            cls = protocol.parse_opening(heard).cls
+            cls = protocol.parse_opening(heard).class_name
         except protocol.LineError:
             self._core.metrics.unread()
         else:
@@ -387,33 +389,39 @@
             log(LogEvent.INVALID_LINE, where="client", why=err)
             answer = protocol.ERR + b"\r\n"
         if answer:
-            self._core.metrics.answered(opening.cls, Ending.of(answer))
+            self._core.metrics.answered(opening.class_name, Ending.of(answer))
         return answer
 
     def _admit(
         self, sock: socket.socket, opening: protocol.Opening, arrived: timedelta, take: Callable[[], None]
     ) -> bytes:
-        if opening.cls not in self._core.classes:
-            raise protocol.LineError(f"c: unknown class {opening.cls[:40]}")
-        if self._core.config.tenants and opening.told.get(TENANT) not in self._core.config.tenants:
-            raise protocol.LineError(f"t: unknown tenant {opening.told.get(TENANT, '')[:40]}")
-        if self._closing or not self._core.permitted(opening.ident):
+        if opening.class_name not in self._core.class_numbers:
+            raise protocol.LineError(f"c: unknown class {opening.class_name[:40]}")
+        if (
+            self._core.config.tenants
+            and opening.field_values.get(TENANT_FIELD) not in self._core.config.tenants
+        ):
+            raise protocol.LineError(f"t: unknown tenant {opening.field_values.get(TENANT_FIELD, '')[:40]}")
+        if self._closing or not self._core.may_decide(opening.connection_id):
             return protocol.format_reject(self.come_back)
-        resuming = self._core.resuming
-        if resuming is not None and TICKET in opening.told:
-            return resuming.come_back(sock, opening, arrived, take)
+        resuming = self._core.session_service
+        if resuming is not None and RESUME_TOKEN_FIELD in opening.field_values:
+            return resuming.resume(sock, opening, arrived, take)
         if not self._core.lifecycle.takes:
             return protocol.format_reject(self.come_back)
-        standing = len(self._core.held(True))
+        standing = len(self._core.request_ids(True))
         # A resumable session keeps its mailbox's descriptor while it stands.
-        standing -= len(resuming.ledger) if resuming is not None else 0
+        standing -= len(resuming.token_registry) if resuming is not None else 0
         with self._lock:
-            if opening.ident in self._open:
+            if opening.connection_id in self._open:
                 raise protocol.LineError("id: open already")
             # Two descriptors each, and a mailbox for those that do not stand yet.
-            full = 3 * (len(self._open) + 1) - standing > self._descriptors - self._takeover.elsewhere
+            full = (
+                3 * (len(self._open) + 1) - standing
+                > self._descriptors - self._takeover.remote_descriptor_count
+            )
             if not full:
-                self._open.add(opening.ident)
+                self._open.add(opening.connection_id)
         if full:
             log(LogEvent.CLIENT_REJECTED, why="limit")
             return protocol.format_reject(self.come_back)
@@ -437,7 +445,7 @@
 
     def _done(self, opening: protocol.Opening) -> None:
         with self._lock:
-            self._open.discard(opening.ident)
+            self._open.discard(opening.connection_id)
 
     def _serve(
         self,
@@ -449,16 +457,16 @@
         """One connection's thread; `handed`: what the process before gave with it."""
         transaction = RequestHandler(self._core, sock, opening, arrived, handed)
         try:
-            sockets.prepare(sock)
+            sockets.configure_stream(sock)
             transaction.run()
         except OSError as err:
             log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
             if not transaction.answered:
-                self._core.metrics.answered(opening.cls, Ending.LEFT)
+                self._core.metrics.answered(opening.class_name, Ending.LEFT)
         except Exception as err:  # one connection's mistake must not cost the others anything
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             if not transaction.answered:
-                self._core.metrics.answered(opening.cls, Ending.ERRORS)
+                self._core.metrics.answered(opening.class_name, Ending.ERRORS)
             with contextlib.suppress(OSError):
                 sock.sendall(protocol.ERR + b"\r\n")
         finally:
@@ -467,55 +475,57 @@
 
     def stop_listening(self) -> None:
         """End the admission, and wait until it has answered who is there; then close the listener."""
-        self._takeover.end()
+        self._takeover.unpublish()
         self._admission.end()
         if self._hearing.ident is not None:
             self._hearing.join((CLOSING + SEEN_OUT).total_seconds())
-        if not self._takeover.given:
+        if not self._takeover.is_listener_shared:
             with contextlib.suppress(OSError):
                 self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
     # --- what a process that takes our place, or whose place we took, wants
 
-    def share(self) -> tuple[int, int]:
+    def split_descriptors(self) -> tuple[int, int]:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
-        used = 3 * len(self._open) - len(self._core.held(True))
+        used = 3 * len(self._open) - len(self._core.request_ids(True))
         kept = SPARE + self._operators + self._admission.newcomers + used
         free = max(0, self._descriptors - used)
         return kept + free // 2, free - free // 2
 
-    def members(self) -> EndpointList:
+    def known_endpoints(self) -> EndpointList:
         """The list as it is known."""
-        return self._core.listed()
+        return self._core.endpoint_list()
 
-    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
+    def adopt_connection(
+        self, state: ConnectionState, client: socket.socket, upstream: socket.socket
+    ) -> None:
         """Go on with a connection of the process before, in a thread of its own."""
         try:
-            opening = protocol.parse_opening(handed.opening.encode() + b"\r\n")
-            sockets.prepare(member)
+            opening = protocol.parse_opening(state.opening.encode() + b"\r\n")
+            sockets.configure_stream(upstream)
             with self._lock:
-                self._open.add(opening.ident)
-            args = (client, opening, now(), (handed, member))
+                self._open.add(opening.connection_id)
+            args = (client, opening, now(), (state, upstream))
             threading.Thread(target=self._serve, args=args, daemon=True).start()
         except (protocol.LineError, RuntimeError) as err:  # no thread to be had
             log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
-            member.close()
+            upstream.close()
             with contextlib.suppress(OSError):
                 client.send(protocol.MOVE + b"\r\n", socket.MSG_DONTWAIT)
             client.close()
 
-    def alone(self, alone: bool) -> None:
+    def set_accepting(self, accepting: bool) -> None:
         """Another process takes the clients, or it is gone again; it matters only to a process that ends."""
         if self._core.lifecycle.phase is NodeState.DRAINING:
-            self._admission.hold(not alone)
+            self._admission.hold(not accepting)
 
     def drain(self) -> None:
         """After SIGTERM: serve what still arrives, then move what stands, reject the rest in time."""
         core = self._core
         core.lifecycle.drain()
-        self._admission.hold(self._takeover.succeeded)
-        self._takeover.leave()
+        self._admission.hold(self._takeover.has_successor)
+        self._takeover.begin_migration()
         longest = min(core.config.longest_deadline, timedelta(seconds=3))
         end = core.lifecycle.since + longest + KILL_MARGIN - EXIT_MARGIN
         told = self._spread(core.lifecycle.since, end, until_empty=True)
@@ -523,7 +533,7 @@
         self._admission.end()
         self._turn_out(told, end + CLOSING)
         self.stop_listening()
-        log(LogEvent.DRAINED, standing=len(core.held(True)), in_hand=len(core.held(False)))
+        log(LogEvent.DRAINED, standing=len(core.request_ids(True)), in_hand=len(core.request_ids(False)))
 
     def watch_standby(self) -> None:
         """For a thread of its own: the same drain whenever the node goes to standby, without its end."""
@@ -533,7 +543,11 @@
             moved = self._spread(since, since + STANDBY)
             if not core.lifecycle.left(since, now()):
                 self._turn_out(moved, now())
-                log(LogEvent.STANDBY_ENTERED, standing=len(core.held(True)), in_hand=len(core.held(False)))
+                log(
+                    LogEvent.STANDBY_ENTERED,
+                    standing=len(core.request_ids(True)),
+                    in_hand=len(core.request_ids(False)),
+                )
             core.lifecycle.left(since)
 
     def _spread(self, since: timedelta, end: timedelta, until_empty: bool = False) -> set[int]:
@@ -543,13 +557,13 @@
         """
         core, moved = self._core, set[int]()
         while not core.lifecycle.left(since, max(since + ARRIVALS, now() + PACE)) and now() < end:
-            standing = [n for n in core.held(True) if n not in moved]
+            standing = [n for n in core.request_ids(True) if n not in moved]
             if until_empty and not self._open and not self._admission.expecting:
                 break
             turns = max(1, (end - SETTLED - now()) // PACE)
             some = standing[: -(-len(standing) // turns)]
             moved.update(some)
-            core.order([Migrate(n) for n in some])
+            core.dispatch([Migrate(n) for n in some])
         return moved
 
     def _turn_out(self, told: set[int], until: timedelta) -> None:
@@ -560,10 +574,10 @@
         """
         core = self._core
         while True:
-            waiting = [n for n in core.held(False) if n not in told]
-            standing = [n for n in core.held(True) if n not in told and n not in waiting]
+            waiting = [n for n in core.request_ids(False) if n not in told]
+            standing = [n for n in core.request_ids(True) if n not in told and n not in waiting]
             told.update(waiting, standing)
-            core.order([*(Reject(n) for n in waiting), *(Migrate(n) for n in standing)])
+            core.dispatch([*(Reject(n) for n in waiting), *(Migrate(n) for n in standing)])
             if not self._open or now() >= until:
                 return
             _sleep(now() + PACE)
--- a/tansyladder/replication/session_ownership.py
+++ b/tansyladder/replication/session_ownership.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from tansyladder.resumption.token_registry import TENURE_BITS
+from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS
 
 CONFIRMATION_UNCERTAINTY_US = (
     15_000_000  # us after a confirmation in which its owner may say what became of it
@@ -128,7 +128,7 @@
             return ClaimResult(reason="expired")
         if known is None and len(self.records) >= MAX_RECORDS:
             return ClaimResult(reason="full")
-        tenure = max(known.epoch if known else 0, told.generation >> TENURE_BITS) + 1
+        tenure = max(known.epoch if known else 0, told.generation >> GENERATION_COUNTER_BITS) + 1
         floor = known.generation_floor if known else 0
         self._store_record(
             told.session,
