--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -121,7 +121,9 @@
         until, ruled = now() + PUBLISH_TIMEOUT, None
         try:
             while now() < until and (ruled is None or ruled.outcome == "busy"):
-                ruled = self._raft_runner.publish(name, content, ask, min(until, now() + ATTEMPT_TIMEOUT))
+                ruled = self._raft_runner.publish_document(
+                    name, content, ask, min(until, now() + ATTEMPT_TIMEOUT)
+                )
                 if ruled is None or ruled.outcome == "busy":
                     threading.Event().wait(0.2)
         except ValueError as err:
@@ -152,4 +154,4 @@
 
     def leave(self) -> None:
         """This node decides nothing any more: nobody has to wait for the end of its lease."""
-        self._raft_runner.leave(now() + LEASE_RELEASE_TIMEOUT)
+        self._raft_runner.release_lease(now() + LEASE_RELEASE_TIMEOUT)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -50,12 +50,14 @@
 class OwnershipService(Protocol):
     """Where the fleet decides who owns a session."""
 
-    by: str  # the node and its start
+    incarnation: str  # the node and its start
 
-    def tell(self, entry: SessionOpened) -> None:
+    def propose(self, entry: SessionOpened) -> None:
         """Propose an entry whose loss does no harm, and wait for nothing."""
 
-    def rule(self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta) -> ClaimResult | None:
+    def decide_ownership(
+        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+    ) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment."""
 
 
@@ -163,12 +165,12 @@
                 tenure,
                 floor,
                 visitor.token_expiry_us,
-                self.ownership_service.by,
+                self.ownership_service.incarnation,
                 at,
                 keep,
                 next(self.confirmation_numbers),
             )
-            ruling = self.ownership_service.rule(
+            ruling = self.ownership_service.decide_ownership(
                 entry, min(visitor.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
             )
             late = now() > visitor.deadline or sockets.is_disconnected(visitor.sock)
@@ -187,7 +189,7 @@
                     else control_messages.format_rejection(ruling.reason)
                 )
             self._unconfirmed_openings[session] = SessionOpened(
-                session, tenure, self.ownership_service.by, at, entry.sequence
+                session, tenure, self.ownership_service.incarnation, at, entry.sequence
             )
         self.token_registry.redeem(session)
         return b""
@@ -196,7 +198,7 @@
         """UP has gone out to who came back: where there are peers they hear that the token is spent."""
         told = self._unconfirmed_openings.pop(session, None)
         if told is not None and self.ownership_service is not None:
-            self.ownership_service.tell(told)
+            self.ownership_service.propose(told)
 
     def end(self, session: int, why: SessionEnd) -> None:
         """Nobody comes back to it any more."""
@@ -220,7 +222,10 @@
             until = self._core.clock.moment(entry.token_expiry_us)
             while (
                 now() < until
-                and self.ownership_service.rule(entry, min(until, now() + RELEASE_ATTEMPT_TIMEOUT)) is None
+                and self.ownership_service.decide_ownership(
+                    entry, min(until, now() + RELEASE_ATTEMPT_TIMEOUT)
+                )
+                is None
             ):
                 time.sleep(random.uniform(0.05, 0.25))
             with self._lock:
