--- a/tansyladder/resumption/control_messages.py
+++ b/tansyladder/resumption/control_messages.py
@@ -53,17 +53,17 @@
     """A client's control line; WordError for any other."""
     if line == END_LINE:
         return EndOfSession()
-    if found := _ACKNOWLEDGEMENT.match(line):
-        return Acknowledgement(_parse_position(found[1]))
+    if match := _ACKNOWLEDGEMENT.match(line):
+        return Acknowledgement(_parse_position(match[1]))
     raise ControlMessageError("RS ACK N or RS END expected")
 
 
 def parse_host(line: bytes) -> Acknowledgement | ResumePosition:
     """A stream host's control line; WordError for any other."""
-    if found := _ACKNOWLEDGEMENT.match(line):
-        return Acknowledgement(_parse_position(found[1]))
-    if found := _RESUME_POSITION.match(line):
-        return ResumePosition(_parse_position(found[1]), _parse_position(found[2]))
+    if match := _ACKNOWLEDGEMENT.match(line):
+        return Acknowledgement(_parse_position(match[1]))
+    if match := _RESUME_POSITION.match(line):
+        return ResumePosition(_parse_position(match[1]), _parse_position(match[2]))
     raise ControlMessageError("RS ACK N or RS AT N M expected")
 
 
@@ -82,19 +82,25 @@
     return b"RS TOKEN %s %d\r\n" % (text.encode("ascii"), milliseconds)
 
 
-def format_resumption_lost(why: str) -> bytes:
+def format_resumption_lost(reason: str) -> bytes:
     """To a client: there is no coming back to this session any more; it goes on as it stands."""
-    return b"RS OFF %s\r\n" % why.encode("ascii")
+    return b"RS OFF %s\r\n" % reason.encode("ascii")
 
 
-def format_rejection(why: str) -> bytes:
+def format_rejection(reason: str) -> bytes:
     """The final answer to a token that opens nothing; `ERR` is a failure to whoever knows no more."""
-    return b"ERR resume %s\r\n" % why.encode("ascii")
+    return b"ERR resume %s\r\n" % reason.encode("ascii")
 
 
 def placement_parameters(
-    session: int, epoch: int, held_from: int, held_to: int, said: int
+    session_id: int, epoch: int, replayable_from: int, replayable_to: int, host_position: int
 ) -> tuple[tuple[str, str], ...]:
     """The names in the first line to a stream host; the epoch fences off who held the session before."""
-    values = (("rsn", f"{session:016x}"), ("re", epoch), ("ra", held_from), ("ri", held_to), ("ro", said))
+    values = (
+        ("rsn", f"{session_id:016x}"),
+        ("re", epoch),
+        ("ra", replayable_from),
+        ("ri", replayable_to),
+        ("ro", host_position),
+    )
     return tuple((name, str(value)) for name, value in values)
--- a/tansyladder/resumption/replay_buffer.py
+++ b/tansyladder/resumption/replay_buffer.py
@@ -16,16 +16,16 @@
 class PositionError(Exception):
     """A position that this window can't serve: `ahead` of what there is, or `behind` what is kept."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(why)
-        self.why = why
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
 class MemoryBudget:
     """Bytes that all windows of a node may keep together; safe to share between threads."""
 
-    def __init__(self, most: int) -> None:
-        self.limit_bytes = most
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
         self._used_bytes = 0
         self._lock = threading.Lock()
 
@@ -33,18 +33,18 @@
     def used_bytes(self) -> int:
         return self._used_bytes
 
-    def reserve(self, size: int) -> bool:
+    def reserve(self, size_bytes: int) -> bool:
         """Reserve bytes; False, and nothing reserved, where they would go over the bound."""
         with self._lock:
-            if self._used_bytes + size > self.limit_bytes:
+            if self._used_bytes + size_bytes > self.limit_bytes:
                 return False
-            self._used_bytes += size
+            self._used_bytes += size_bytes
             return True
 
-    def release(self, size: int) -> None:
+    def release(self, size_bytes: int) -> None:
         """Give reserved bytes back."""
         with self._lock:
-            self._used_bytes -= size
+            self._used_bytes -= size_bytes
             check_invariant(self._used_bytes >= 0, "resume_budget")
 
 
@@ -61,8 +61,8 @@
         "can_replay",
     )
 
-    def __init__(self, budget: MemoryBudget, most: int) -> None:
-        self._budget, self._limit_bytes = budget, most
+    def __init__(self, budget: MemoryBudget, limit_bytes: int) -> None:
+        self._budget, self._limit_bytes = budget, limit_bytes
         self._lines: deque[bytes] = deque()
         self._size_bytes = 0
         self.acknowledged_position = self.end_position = 0
@@ -78,11 +78,11 @@
         self.end_position += 1
         if not self.can_replay:
             return
-        cost = len(line) + LINE_OVERHEAD_BYTES
-        if self._size_bytes + cost > self._limit_bytes or not self._budget.reserve(cost):
+        cost_bytes = len(line) + LINE_OVERHEAD_BYTES
+        if self._size_bytes + cost_bytes > self._limit_bytes or not self._budget.reserve(cost_bytes):
             self.discard()
             return
-        self._size_bytes += cost
+        self._size_bytes += cost_bytes
         self._lines.append(line)
 
     def acknowledge(self, position: int) -> None:
@@ -92,13 +92,13 @@
         if not self.can_replay:
             self.acknowledged_position = max(self.acknowledged_position, position)
             return
-        given = 0
+        released_bytes = 0
         while self.acknowledged_position < position:
             self.acknowledged_position += 1
-            given += len(self._lines.popleft()) + LINE_OVERHEAD_BYTES
-        if given:
-            self._size_bytes -= given
-            self._budget.release(given)
+            released_bytes += len(self._lines.popleft()) + LINE_OVERHEAD_BYTES
+        if released_bytes:
+            self._size_bytes -= released_bytes
+            self._budget.release(released_bytes)
 
     def lines_after(self, position: int) -> Iterable[bytes]:
         """The lines after a position, oldest first. PositionError where they are not all there."""
--- a/tansyladder/resumption/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -34,7 +34,7 @@
 
     __slots__ = (
         "_acknowledged_to_client",
-        "_durable",
+        "_is_durable",
         "_awaits_first_line",
         "_duplicate_lines_expected",
         "_resumption_loss_unreported",
@@ -47,23 +47,28 @@
     )
 
     def __init__(
-        self, number: int, budget: MemoryBudget, most: int, start: int = 0, durable: bool = False
+        self,
+        session_id: int,
+        budget: MemoryBudget,
+        buffer_limit_bytes: int,
+        node_start: int = 0,
+        is_durable: bool = False,
     ) -> None:
         """`most`: bytes kept each way, with a fixed cost for each line.
 
         `start`: which start of the node's life this is: its epochs are above all of an earlier start.
         `durable`: the session may outlive the node, so the client hears only of lines that its host holds.
         """
-        self.session_id, self._durable = number, durable
+        self.session_id, self._is_durable = session_id, is_durable
         self.positions_unknown = (
             False  # whether the node that knew the positions died; the client and a host tell them
         )
         self._duplicate_lines_expected = (
             0  # lines that a client that came back says again though they are here
         )
-        self.from_client = ReplayBuffer(budget, most)  # kept until the stream host has them
-        self.from_host = ReplayBuffer(budget, most)  # kept until the client has them
-        self.epoch = start << 20  # how often it has been placed
+        self.from_client = ReplayBuffer(budget, buffer_limit_bytes)  # kept until the stream host has them
+        self.from_host = ReplayBuffer(budget, buffer_limit_bytes)  # kept until the client has them
+        self.epoch = node_start << 20  # how often it has been placed
         self.host_resumes = False  # whether the stream host speaks of positions
         self._awaits_first_line = True  # whether the next line is the first behind UP
         self._acknowledged_to_client = 0  # position of the client's last acknowledgment from us
@@ -88,9 +93,9 @@
         self.epoch += 1
         self._awaits_first_line = True
         up, down = self.from_client, self.from_host
-        most = control_messages.MAX_POSITION if self.positions_unknown else up.end_position
+        replayable_to = control_messages.MAX_POSITION if self.positions_unknown else up.end_position
         return control_messages.placement_parameters(
-            self.session_id, self.epoch, up.acknowledged_position, most, down.end_position
+            self.session_id, self.epoch, up.acknowledged_position, replayable_to, down.end_position
         )
 
     def complete_placement(self, line: bytes) -> bytes:
@@ -100,20 +105,20 @@
         (`behind`), more than was ever sent, or does not go on where the last one ended (`ahead`).
         """
         try:
-            said = control_messages.parse_host(line) if control_messages.is_control(line) else None
-        except control_messages.ControlMessageError as err:
-            raise PositionError("silent") from err
-        if not isinstance(said, control_messages.ResumePosition):
+            message = control_messages.parse_host(line) if control_messages.is_control(line) else None
+        except control_messages.ControlMessageError as error:
+            raise PositionError("silent") from error
+        if not isinstance(message, control_messages.ResumePosition):
             raise PositionError("silent")
-        if said.sent != self.from_host.end_position:
-            raise PositionError("ahead" if said.sent > self.from_host.end_position else "behind")
+        if message.sent != self.from_host.end_position:
+            raise PositionError("ahead" if message.sent > self.from_host.end_position else "behind")
         if self.positions_unknown:
             self.from_client.acknowledged_position = self.from_client.end_position = (
                 self._acknowledged_to_client
-            ) = said.received
+            ) = message.received
             self.positions_unknown = False
-        lines = b"".join(self.from_client.lines_after(said.received))
-        self.from_client.acknowledge(said.received)
+        lines = b"".join(self.from_client.lines_after(message.received))
+        self.from_client.acknowledge(message.received)
         self._awaits_first_line, self.host_resumes = False, True
         return lines
 
@@ -126,10 +131,10 @@
         if first:
             self.from_client.discard()  # it will never acknowledge: nothing is kept for another one
         if self.host_resumes and control_messages.is_control(line):
-            said = control_messages.parse_host(line)
-            if not isinstance(said, control_messages.Acknowledgement):
+            message = control_messages.parse_host(line)
+            if not isinstance(message, control_messages.Acknowledgement):
                 raise control_messages.ControlMessageError("RS AT stands behind UP only")
-            self.from_client.acknowledge(said.position)
+            self.from_client.acknowledge(message.position)
             return StreamOutput()
         if line == MOVE_LINE:
             return StreamOutput(host_redirects=True)
@@ -139,9 +144,11 @@
     # --- the client
 
     @classmethod
-    def restored(cls, number: int, budget: MemoryBudget, most: int, start: int) -> Stream:
+    def restored(
+        cls, session_id: int, budget: MemoryBudget, buffer_limit_bytes: int, node_start: int
+    ) -> Stream:
         """A session of an earlier start: where it is, its client and the next stream host say."""
-        stream = cls(number, budget, most, start, True)
+        stream = cls(session_id, budget, buffer_limit_bytes, node_start, True)
         stream.host_resumes = stream.positions_unknown = True
         return stream
 
@@ -155,7 +162,7 @@
         """How many of the client's lines it need not say again, whatever becomes of this node."""
         return (
             self.from_client.acknowledged_position
-            if self._durable and self.host_resumes
+            if self._is_durable and self.host_resumes
             else self.from_client.end_position
         )
 
@@ -167,21 +174,25 @@
     def receive_from_client(self, line: bytes) -> StreamOutput:
         """A whole line of the client. WordError or PositionError: its mistake."""
         if control_messages.is_control(line):
-            said = control_messages.parse_client(line)
-            if isinstance(said, control_messages.EndOfSession):
+            message = control_messages.parse_client(line)
+            if isinstance(message, control_messages.EndOfSession):
                 return StreamOutput(
                     to_host=control_messages.END_LINE if self.host_resumes else b"", client_left=True
                 )
-            self.from_host.acknowledge(said.position)
+            self.from_host.acknowledge(message.position)
             return StreamOutput(
-                to_host=control_messages.format_acknowledgement(said.position) if self.host_resumes else b""
+                to_host=control_messages.format_acknowledgement(message.position)
+                if self.host_resumes
+                else b""
             )
         if self._duplicate_lines_expected:
             self._duplicate_lines_expected -= 1
             return StreamOutput()
         self.from_client.append(line)
-        due = self.from_client.end_position - self._acknowledged_to_client >= LINES_PER_ACKNOWLEDGEMENT
-        return StreamOutput(to_host=line, to_client=self.acknowledge_client() if due else b"")
+        acknowledgement_due = (
+            self.from_client.end_position - self._acknowledged_to_client >= LINES_PER_ACKNOWLEDGEMENT
+        )
+        return StreamOutput(to_host=line, to_client=self.acknowledge_client() if acknowledgement_due else b"")
 
     def acknowledge_client(self) -> bytes:
         """What tells the client how many of its lines are held; nothing where it knows."""
--- a/tansyladder/resumption/tokens.py
+++ b/tansyladder/resumption/tokens.py
@@ -26,9 +26,9 @@
 class TokenError(Exception):
     """A token that opens nothing; `why` is the word that its presenter is told."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(why)
-        self.why = why
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
 class TokenPayload(NamedTuple):
@@ -56,55 +56,55 @@
 
     def __init__(
         self,
-        life: bytes,
+        node_life: bytes,
         keys: Sequence[tuple[int, bytes]],
-        random: Callable[[int], bytes],
-        own: bytes | None = None,
+        random_bytes: Callable[[int], bytes],
+        default_key: bytes | None = None,
     ) -> None:
         """`life`: LIFE_BYTES that no other node and no other life of this one has; `random`: os.urandom.
 
         `own`: the key where the operator names none; one that is drawn here if there is none either.
         """
-        if len(life) != NODE_LIFE_BYTES:
+        if len(node_life) != NODE_LIFE_BYTES:
             raise ValueError(f"life: {NODE_LIFE_BYTES} bytes expected")
-        self._node_life, self._random = life, random
-        self._default_keys = ((0, own or random(KEY_BYTES)),)
+        self._node_life, self._random_bytes = node_life, random_bytes
+        self._default_keys = ((0, default_key or random_bytes(KEY_BYTES)),)
         self.rotate(keys)
 
     def rotate(self, keys: Sequence[tuple[int, bytes]]) -> None:
         """Seal with the first key from now on and open with all; tokens of other keys open nothing."""
         keys = tuple(keys) or self._default_keys
-        if len({ident for ident, _ in keys}) != len(keys):
+        if len({key_id for key_id, _ in keys}) != len(keys):
             raise ValueError("keys: an id stands twice")
         # One store: threads see all of the new set or nothing of it.
-        self._keys = {ident: AESGCM(secret) for ident, secret in keys}
+        self._keys = {key_id: AESGCM(secret) for key_id, secret in keys}
 
-    def seal(self, claim: TokenPayload, binding: TokenClaims) -> str:
+    def seal(self, payload: TokenPayload, claims: TokenClaims) -> str:
         """The text of a token."""
-        ident, aead = next(iter(self._keys.items()))
-        head, nonce = bytes((ident,)) + self._node_life, self._random(NONCE_BYTES)
-        sealed = aead.encrypt(nonce, _PAYLOAD.pack(*claim), head + binding.encode())
-        return base64.urlsafe_b64encode(head + nonce + sealed).rstrip(b"=").decode()
+        key_id, aead = next(iter(self._keys.items()))
+        header, nonce = bytes((key_id,)) + self._node_life, self._random_bytes(NONCE_BYTES)
+        sealed = aead.encrypt(nonce, _PAYLOAD.pack(*payload), header + claims.encode())
+        return base64.urlsafe_b64encode(header + nonce + sealed).rstrip(b"=").decode()
 
-    def open(self, text: str, binding: TokenClaims) -> TokenPayload:
+    def open(self, text: str, claims: TokenClaims) -> TokenPayload:
         """What a token says. TokenError: malformed, elsewhere (another node or life) or forged."""
         if len(text) != TOKEN_LENGTH:
             raise TokenError("malformed")
         try:
             raw = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
-        except (binascii.Error, ValueError) as err:
-            raise TokenError("malformed") from err
-        head, nonce, sealed = (
+        except (binascii.Error, ValueError) as error:
+            raise TokenError("malformed") from error
+        header, nonce, sealed = (
             raw[:_HEADER_BYTES],
             raw[_HEADER_BYTES : _HEADER_BYTES + NONCE_BYTES],
             raw[_HEADER_BYTES + NONCE_BYTES :],
         )
-        if head[1:] != self._node_life:  # no secret: it only tells whose token this is
+        if header[1:] != self._node_life:  # no secret: it only tells whose token this is
             raise TokenError("elsewhere")
-        aead = self._keys.get(head[0])
+        aead = self._keys.get(header[0])
         if aead is None:
             raise TokenError("forged")  # or sealed with a key that has been taken out
         try:
-            return TokenPayload(*_PAYLOAD.unpack(aead.decrypt(nonce, sealed, head + binding.encode())))
-        except InvalidTag as err:
-            raise TokenError("forged") from err
+            return TokenPayload(*_PAYLOAD.unpack(aead.decrypt(nonce, sealed, header + claims.encode())))
+        except InvalidTag as error:
+            raise TokenError("forged") from error
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -150,7 +150,9 @@
             self._answer(
                 sock,
                 opening,
-                RETRY_SOON if err.why in ("room", "claimed") else control_messages.format_rejection(err.why),
+                RETRY_SOON
+                if err.reason in ("room", "claimed")
+                else control_messages.format_rejection(err.reason),
             )
         finally:
             with self._lock:
@@ -198,10 +200,10 @@
 
             self.token_registry.begin_resume(claim, self._core.clock.micros(arrived), deliver)
         except TokenError as err:
-            log(LogEvent.RESUME_REJECTED, why=err.why)
+            log(LogEvent.RESUME_REJECTED, why=err.reason)
             # Its client may have given up on an answer that is still on its way, and shows the token again.
-            again = self.ownership_service is not None and err.why == "claimed"
-            return RETRY_SOON if again else control_messages.format_rejection(err.why)
+            again = self.ownership_service is not None and err.reason == "claimed"
+            return RETRY_SOON if again else control_messages.format_rejection(err.reason)
         return b""
 
     def rotate_keys(self, options: ResumeOptions) -> None:
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -375,7 +375,7 @@
             at, *lines = self._stream.resume_client(visitor.position)
         except PositionError as err:
             self._shared.token_registry.cancel_resume(self._stream.session_id)
-            self._refuse(visitor, control_messages.format_rejection(err.why))
+            self._refuse(visitor, control_messages.format_rejection(err.reason))
             return
         if refusal := self._shared.redeem(self._stream.session_id, self._opening, visitor):
             self._shared.token_registry.cancel_resume(self._stream.session_id)
@@ -405,7 +405,7 @@
                     return visitor
                 except PositionError as err:
                     self._shared.token_registry.cancel_resume(self._stream.session_id)
-                    self._refuse(visitor, control_messages.format_rejection(err.why))
+                    self._refuse(visitor, control_messages.format_rejection(err.reason))
                     continue
             if self._box.replaced:
                 raise _SessionEnded(SessionEnd.CLAIMED_BY_OTHER_NODE)
@@ -477,7 +477,7 @@
                 log(
                     LogEvent.REPLAY_MISMATCH,
                     receipt=answer.receipt.decode(errors="replace").strip()[:80],
-                    why=err.why,
+                    why=err.reason,
                 )
                 return False
             return True
--- a/tests/resumption/test_resumption.py
+++ b/tests/resumption/test_resumption.py
@@ -43,7 +43,7 @@
         super().__init__()
         self.budget = MemoryBudget(SHARED)
         self.other = ReplayBuffer(self.budget, SHARED)  # what another session takes of the node's bytes
-        self.stream = Stream(7, self.budget, MOST, durable=self.durable)
+        self.stream = Stream(7, self.budget, MOST, is_durable=self.durable)
         self.stream.begin_placement()
         self.stream.receive_from_host(b"RS AT 0 0\r\n")
         self.said = self.has = 0  # the client's lines, and the host lines that it has got
@@ -128,7 +128,7 @@
         try:
             at, *lines = self.stream.resume_client(self.has)
         except PositionError as err:
-            assert err.why == "behind" and not self.stream.can_resume_client
+            assert err.reason == "behind" and not self.stream.can_resume_client
             return
         self.here = True
         self.to_client = deque(lines)
@@ -255,7 +255,7 @@
         try:
             self.ledger.begin_resume(self.keys.open(text, self.binding), self.now, reached.append)
         except TokenError as err:
-            assert (err.why, reached) == (want, [])
+            assert (err.reason, reached) == (want, [])
         else:
             assert (want, reached) == ("", ["session"])
             self.claimed = True
@@ -312,7 +312,7 @@
     for other in {touched, text[:cut], text + letter} - {text}:
         with pytest.raises(TokenError) as err:
             keys.open(other, BINDING)
-        assert err.value.why in ("malformed", "elsewhere", "forged")
+        assert err.value.reason in ("malformed", "elsewhere", "forged")
 
 
 @pytest.mark.parametrize(
