--- a/tansyladder/resumption/__init__.py
+++ b/tansyladder/resumption/__init__.py
@@ -1,1 +1,1 @@
-"""Resumable streams without sockets or clocks: words, tokens, the ledger, positions and replay."""
+"""Resumable sessions without sockets or clocks: control messages, tokens, replay buffers and positions."""
--- a/tansyladder/resumption/control_messages.py
+++ b/tansyladder/resumption/control_messages.py
@@ -1,7 +1,7 @@
-"""The lines that parties to a resumable session add between the platform's own; pure parsing and formatting.
+"""Parsing and formatting of the control lines of resumable sessions.
 
-A control line begins with `RS `, a first word that whoever offers resuming gives up for lines of its own.
-Control lines are not counted in positions. The whole grammar stands in docs/design/resumable-streams.md.
+A control line begins with `RS `; a client that offers resumption must not use that word for lines of its own.
+Control lines are not counted in positions. The grammar is in docs/design/resumable-streams.md.
 """
 
 from __future__ import annotations
@@ -9,36 +9,35 @@
 import re
 from typing import NamedTuple
 
+from tansyladder.resumption.errors import ControlMessageError
+
 CONTROL_PREFIX = b"RS "
 END_LINE = b"RS END\r\n"
-MAX_POSITION = 10**15  # lines: no session gets that far, and no figure of thousands of digits is read
+FIRST_POSITION_LINE = b"RS AT 0 0\r\n"  # of a stream host that supports resumption, for a new session
+MAX_POSITION = 10**15  # lines; no session reaches it, and a bound keeps huge numerals from being parsed
 _ACKNOWLEDGEMENT = re.compile(rb"RS ACK ([0-9]{1,16})\r\n\Z")
 _RESUME_POSITION = re.compile(rb"RS AT ([0-9]{1,16}) ([0-9]{1,16})\r\n\Z")
 
 
-class ControlMessageError(Exception):
-    """A control line that no party may send."""
-
-
 class Acknowledgement(NamedTuple):
-    """Its sender has the other side's lines up to this position and never asks for them again."""
+    """The sender has all of the other side's lines up to `position`; they need not be replayed."""
 
     position: int
 
 
 class ResumePosition(NamedTuple):
-    """A stream host's word behind UP: it holds the client's lines up to `heard` and goes on after `said`."""
+    """Where a stream host continues: it has `received` lines of the client and has sent `sent` of its own."""
 
     received: int
     sent: int
 
 
 class EndOfSession(NamedTuple):
-    """The client leaves for good: any other end of its connection is a break."""
+    """The client ends the session. Without it, the end of a connection is treated as a broken connection."""
 
 
 def is_control(line: bytes) -> bool:
-    """Whether a whole line is one of these."""
+    """Whether a complete line is a control line."""
     return line.startswith(CONTROL_PREFIX)
 
 
@@ -50,7 +49,7 @@
 
 
 def parse_client(line: bytes) -> Acknowledgement | EndOfSession:
-    """A client's control line; WordError for any other."""
+    """Parse a client's control line. ControlMessageError: it is not one that a client may send."""
     if line == END_LINE:
         return EndOfSession()
     if match := _ACKNOWLEDGEMENT.match(line):
@@ -59,7 +58,7 @@
 
 
 def parse_host(line: bytes) -> Acknowledgement | ResumePosition:
-    """A stream host's control line; WordError for any other."""
+    """Parse a stream host's control line. ControlMessageError: it is not one that a host may send."""
     if match := _ACKNOWLEDGEMENT.match(line):
         return Acknowledgement(_parse_position(match[1]))
     if match := _RESUME_POSITION.match(line):
@@ -68,34 +67,38 @@
 
 
 def format_acknowledgement(position: int) -> bytes:
-    """To either side: its lines are held up to here."""
+    """To either side: all of its lines up to this position have been received."""
     return b"RS ACK %d\r\n" % position
 
 
 def format_resume_position(position: int) -> bytes:
-    """To a client that came back: what the node holds of its lines."""
+    """To a client that resumes: how many of its lines the node has."""
     return b"RS AT %d\r\n" % position
 
 
-def format_token(text: str, milliseconds: int) -> bytes:
-    """To a client: what lets it come back, and for how long."""
-    return b"RS TOKEN %s %d\r\n" % (text.encode("ascii"), milliseconds)
+def format_token(text: str, lifetime_ms: int) -> bytes:
+    """To a client: a token that resumes the session, and its lifetime in milliseconds."""
+    return b"RS TOKEN %s %d\r\n" % (text.encode("ascii"), lifetime_ms)
 
 
 def format_resumption_lost(reason: str) -> bytes:
-    """To a client: there is no coming back to this session any more; it goes on as it stands."""
+    """To a client: the session continues but can't be resumed any more."""
     return b"RS OFF %s\r\n" % reason.encode("ascii")
 
 
 def format_rejection(reason: str) -> bytes:
-    """The final answer to a token that opens nothing; `ERR` is a failure to whoever knows no more."""
+    """The final answer to a token that resumes nothing; a client without resumption reads it as an error."""
     return b"ERR resume %s\r\n" % reason.encode("ascii")
 
 
 def placement_parameters(
     session_id: int, epoch: int, replayable_from: int, replayable_to: int, host_position: int
 ) -> tuple[tuple[str, str], ...]:
-    """The names in the first line to a stream host; the epoch fences off who held the session before."""
+    """Names and values for the first line to a stream host; hosts reject older epochs (fencing).
+
+    The node can replay the client's lines after `replayable_from` up to `replayable_to`, and has the host's
+    lines up to `host_position`.
+    """
     values = (
         ("rsn", f"{session_id:016x}"),
         ("re", epoch),
--- a/tansyladder/resumption/replay_buffer.py
+++ b/tansyladder/resumption/replay_buffer.py
@@ -1,4 +1,4 @@
-"""Counted lines of one direction that went out and are not acknowledged, within bounds on their bytes."""
+"""Lines of one direction that were sent and are not acknowledged yet, within bounds on their bytes."""
 
 from __future__ import annotations
 
@@ -7,22 +7,13 @@
 from collections.abc import Iterable
 
 from tansyladder.invariants import check_invariant
+from tansyladder.resumption.errors import PositionError, PositionMismatch
 
-LINE_OVERHEAD_BYTES = (
-    64  # bytes that a kept line takes beside its text: its object's head and its place in the queue
-)
-
-
-class PositionError(Exception):
-    """A position that this window can't serve: `ahead` of what there is, or `behind` what is kept."""
-
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
-        self.reason = reason
+LINE_OVERHEAD_BYTES = 64  # of a buffered line beside its text: the object's header and its place in the queue
 
 
 class MemoryBudget:
-    """Bytes that all windows of a node may keep together; safe to share between threads."""
+    """Bytes that all replay buffers of a node may use together. Thread-safe."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
@@ -31,10 +22,11 @@
 
     @property
     def used_bytes(self) -> int:
+        """Bytes that are reserved now."""
         return self._used_bytes
 
     def reserve(self, size_bytes: int) -> bool:
-        """Reserve bytes; False, and nothing reserved, where they would go over the bound."""
+        """Reserve bytes; False, and nothing is reserved, where that would exceed the limit."""
         with self._lock:
             if self._used_bytes + size_bytes > self.limit_bytes:
                 return False
@@ -42,39 +34,46 @@
             return True
 
     def release(self, size_bytes: int) -> None:
-        """Give reserved bytes back."""
+        """Return reserved bytes."""
         with self._lock:
             self._used_bytes -= size_bytes
             check_invariant(self._used_bytes >= 0, "resume_budget")
 
 
 class ReplayBuffer:
-    """Lines `base + 1` to `end`; counting goes on when keeping had to end."""
+    """The lines after `acknowledged_position` up to `end_position`, counted from 1.
+
+    Once a limit is exceeded no line is buffered any more, and positions are still counted. Owned by the
+    session's thread.
+    """
 
     __slots__ = (
         "_budget",
-        "_lines",
         "_limit_bytes",
+        "_lines",
         "_size_bytes",
         "acknowledged_position",
-        "end_position",
         "can_replay",
+        "end_position",
     )
 
     def __init__(self, budget: MemoryBudget, limit_bytes: int) -> None:
-        self._budget, self._limit_bytes = budget, limit_bytes
+        """`limit_bytes`: of this buffer; `budget`: shared with the other buffers of the node."""
+        self._budget = budget
+        self._limit_bytes = limit_bytes
         self._lines: deque[bytes] = deque()
         self._size_bytes = 0
-        self.acknowledged_position = self.end_position = 0
-        self.can_replay = True  # whether all after `base` can still be said again
+        self.acknowledged_position = 0
+        self.end_position = 0
+        self.can_replay = True  # whether all lines after `acknowledged_position` are buffered
 
     @property
     def size_bytes(self) -> int:
-        """Bytes kept, with what each line costs beside its text."""
+        """Bytes of the buffered lines, with LINE_OVERHEAD_BYTES for each."""
         return self._size_bytes
 
     def append(self, line: bytes) -> None:
-        """Count a whole line and keep it; where it doesn't fit, nothing is kept from now on."""
+        """Count a complete line and buffer it; where it exceeds a limit, all buffered lines are discarded."""
         self.end_position += 1
         if not self.can_replay:
             return
@@ -86,9 +85,12 @@
         self._lines.append(line)
 
     def acknowledge(self, position: int) -> None:
-        """The other end has all up to a position; an older one says nothing new. PositionError: ahead."""
+        """Drop the lines up to a position; one that was acknowledged before changes nothing.
+
+        PositionError: the position is ahead of the newest line.
+        """
         if position > self.end_position:
-            raise PositionError("ahead")
+            raise PositionError(PositionMismatch.AHEAD)
         if not self.can_replay:
             self.acknowledged_position = max(self.acknowledged_position, position)
             return
@@ -101,18 +103,23 @@
             self._budget.release(released_bytes)
 
     def lines_after(self, position: int) -> Iterable[bytes]:
-        """The lines after a position, oldest first. PositionError where they are not all there."""
+        """The lines after a position, oldest first. PositionError: not all of them are buffered."""
         if position > self.end_position:
-            raise PositionError("ahead")
+            raise PositionError(PositionMismatch.AHEAD)
         if position < self.acknowledged_position or not self.can_replay:
-            raise PositionError("behind")
+            raise PositionError(PositionMismatch.BEHIND)
         lines = iter(self._lines)
         for _ in range(position - self.acknowledged_position):
             next(lines)
         return lines
 
+    def restart_at(self, position: int) -> None:
+        """Continue an empty buffer from a position that the other side told."""
+        self.acknowledged_position = position
+        self.end_position = position
+
     def discard(self) -> None:
-        """Keep nothing more and give the bytes back; counting goes on."""
+        """Discard the buffered lines and buffer none from now on; positions are still counted."""
         self.can_replay = False
         self._lines.clear()
         self._budget.release(self._size_bytes)
--- a/tansyladder/resumption/tokens.py
+++ b/tansyladder/resumption/tokens.py
@@ -1,8 +1,8 @@
-"""Tokens: opaque, authentic, bound to a node's life and to what a session is; sealed with AES-256-GCM.
+"""Resumption tokens: opaque and authenticated text, bound to its issuer and to what a session is.
 
-The seal is AEAD of the `cryptography` library (RFC 5116), which compares tags in constant time. The session's
-class, group and key are bound as associated data: they are not in the token, and whoever presents it must
-name the same ones.
+A token is sealed with AES-256-GCM of the `cryptography` library (RFC 5116), which compares tags in constant
+time. The session's service class, group and key are bound as associated data: they are not in the token, and
+whoever presents it must name the same ones.
 """
 
 from __future__ import annotations
@@ -16,95 +16,102 @@
 from cryptography.exceptions import InvalidTag
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
-KEY_BYTES, NONCE_BYTES, TAG_BYTES, NODE_LIFE_BYTES = 32, 12, 16, 8
-_PAYLOAD = struct.Struct(">QQQ")  # session, generation, expiry in microseconds
-_HEADER_BYTES = 1 + NODE_LIFE_BYTES  # key id, life
+from tansyladder.resumption.errors import ResumeRejection, TokenError
+
+KEY_BYTES = 32  # AES-256
+NONCE_BYTES = 12  # as RFC 5116 recommends for AES-GCM
+TAG_BYTES = 16
+ISSUER_ID_BYTES = 8
+_PAYLOAD = struct.Struct(">QQQ")  # session id, generation, expiry in microseconds
+_HEADER_BYTES = 1 + ISSUER_ID_BYTES  # key id, issuer id
 TOKEN_BYTES = _HEADER_BYTES + NONCE_BYTES + _PAYLOAD.size + TAG_BYTES
-TOKEN_LENGTH = -(-TOKEN_BYTES * 4 // 3)  # characters of a token: 82, well under a value's 128
+TOKEN_LENGTH = -(-TOKEN_BYTES * 4 // 3)  # 82 characters of unpadded base64, under the 128 of a value in OPEN
 
 
-class TokenError(Exception):
-    """A token that opens nothing; `why` is the word that its presenter is told."""
+class SealingKey(NamedTuple):
+    """A key that seals and opens tokens; its id stands in the token."""
 
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
-        self.reason = reason
+    key_id: int  # 0 to 255
+    secret: bytes  # KEY_BYTES
 
 
 class TokenPayload(NamedTuple):
-    """What a token says once it is open."""
+    """The sealed content of a token."""
 
     session_id: int
     generation: int
-    expires_at_us: int  # microseconds on the clock of whoever sealed it
+    expires_at_us: int  # on the clock of the issuer
 
 
 class TokenClaims(NamedTuple):
-    """What must be the same when a token comes back."""
+    """What a client that presents a token must name as it did when the session began."""
 
     service_class: str
     group: int
     key: int
 
     def encode(self) -> bytes:
-        """Unambiguous bytes: the figures have fixed sizes and stand first."""
+        """Unambiguous bytes: the numbers have fixed sizes and come first."""
         return struct.pack(">QQ", self.group, self.key) + self.service_class.encode()
 
 
 class Keyring:
-    """The keys of one life of a node, the sealing one first; a new set may take its place at any time."""
+    """The keys of one issuer, the sealing one first. Thread-safe: keys may be rotated at any time."""
 
     def __init__(
         self,
-        node_life: bytes,
-        keys: Sequence[tuple[int, bytes]],
+        issuer_id: bytes,
+        keys: Sequence[SealingKey],
         random_bytes: Callable[[int], bytes],
-        default_key: bytes | None = None,
+        default_secret: bytes | None = None,
     ) -> None:
-        """`life`: LIFE_BYTES that no other node and no other life of this one has; `random`: os.urandom.
+        """`issuer_id`: ISSUER_ID_BYTES that no other node has; `random_bytes`: os.urandom.
 
-        `own`: the key where the operator names none; one that is drawn here if there is none either.
+        `default_secret`: of the key that is used where `keys` is empty; drawn here if there is none either.
         """
-        if len(node_life) != NODE_LIFE_BYTES:
-            raise ValueError(f"life: {NODE_LIFE_BYTES} bytes expected")
-        self._node_life, self._random_bytes = node_life, random_bytes
-        self._default_keys = ((0, default_key or random_bytes(KEY_BYTES)),)
+        if len(issuer_id) != ISSUER_ID_BYTES:
+            raise ValueError(f"issuer_id: {ISSUER_ID_BYTES} bytes expected")
+        self._issuer_id = issuer_id
+        self._random_bytes = random_bytes
+        self._default_keys = (SealingKey(0, default_secret or random_bytes(KEY_BYTES)),)
         self.rotate(keys)
 
-    def rotate(self, keys: Sequence[tuple[int, bytes]]) -> None:
-        """Seal with the first key from now on and open with all; tokens of other keys open nothing."""
+    def rotate(self, keys: Sequence[SealingKey]) -> None:
+        """Seal with the first key from now on, and open tokens of all of them but of no other key.
+
+        ValueError: two keys have one id.
+        """
         keys = tuple(keys) or self._default_keys
-        if len({key_id for key_id, _ in keys}) != len(keys):
+        if len({key.key_id for key in keys}) != len(keys):
             raise ValueError("keys: an id stands twice")
-        # One store: threads see all of the new set or nothing of it.
-        self._keys = {key_id: AESGCM(secret) for key_id, secret in keys}
+        # One assignment, so that other threads see either the old set or the new one.
+        self._ciphers = {key.key_id: AESGCM(key.secret) for key in keys}
 
     def seal(self, payload: TokenPayload, claims: TokenClaims) -> str:
-        """The text of a token."""
-        key_id, aead = next(iter(self._keys.items()))
-        header, nonce = bytes((key_id,)) + self._node_life, self._random_bytes(NONCE_BYTES)
-        sealed = aead.encrypt(nonce, _PAYLOAD.pack(*payload), header + claims.encode())
+        """The text of a token, TOKEN_LENGTH characters."""
+        key_id, cipher = next(iter(self._ciphers.items()))
+        header = bytes((key_id,)) + self._issuer_id
+        nonce = self._random_bytes(NONCE_BYTES)
+        sealed = cipher.encrypt(nonce, _PAYLOAD.pack(*payload), header + claims.encode())
         return base64.urlsafe_b64encode(header + nonce + sealed).rstrip(b"=").decode()
 
     def open(self, text: str, claims: TokenClaims) -> TokenPayload:
-        """What a token says. TokenError: malformed, elsewhere (another node or life) or forged."""
+        """The payload of a token. TokenError: malformed, elsewhere (another issuer) or forged."""
         if len(text) != TOKEN_LENGTH:
-            raise TokenError("malformed")
+            raise TokenError(ResumeRejection.MALFORMED)
         try:
-            raw = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
+            token = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
         except (binascii.Error, ValueError) as error:
-            raise TokenError("malformed") from error
-        header, nonce, sealed = (
-            raw[:_HEADER_BYTES],
-            raw[_HEADER_BYTES : _HEADER_BYTES + NONCE_BYTES],
-            raw[_HEADER_BYTES + NONCE_BYTES :],
-        )
-        if header[1:] != self._node_life:  # no secret: it only tells whose token this is
-            raise TokenError("elsewhere")
-        aead = self._keys.get(header[0])
-        if aead is None:
-            raise TokenError("forged")  # or sealed with a key that has been taken out
+            raise TokenError(ResumeRejection.MALFORMED) from error
+        header = token[:_HEADER_BYTES]
+        nonce = token[_HEADER_BYTES : _HEADER_BYTES + NONCE_BYTES]
+        sealed = token[_HEADER_BYTES + NONCE_BYTES :]
+        if header[1:] != self._issuer_id:  # not secret: it only tells another node's token from a forged one
+            raise TokenError(ResumeRejection.ELSEWHERE)
+        cipher = self._ciphers.get(header[0])
+        if cipher is None:  # forged, or sealed with a key that was removed
+            raise TokenError(ResumeRejection.FORGED)
         try:
-            return TokenPayload(*_PAYLOAD.unpack(aead.decrypt(nonce, sealed, header + claims.encode())))
+            return TokenPayload(*_PAYLOAD.unpack(cipher.decrypt(nonce, sealed, header + claims.encode())))
         except InvalidTag as error:
-            raise TokenError("forged") from error
+            raise TokenError(ResumeRejection.FORGED) from error
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -18,9 +18,10 @@
 from tansyladder.node.metrics import Ending
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
+from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd
-from tansyladder.resumption.tokens import TokenError, TokenPayload
+from tansyladder.resumption.tokens import SealingKey, TokenPayload
 from tansyladder.sessions.session import Session
 from tansyladder.sessions.session_registry import ANSWER_MARGIN, RETRY_SOON, SessionRegistry, token_claims
 from tansyladder.sessions.session_store import SessionStore
@@ -56,7 +57,7 @@
         if kept is None:
             return
         if claim.generation < kept.generation_floor:
-            raise TokenError("spent")
+            raise TokenError(ResumeRejection.SPENT)
         opening = protocol.parse_opening(kept.first_line.encode() + b"\r\n")
         self._restore(claim, opening, kept.generation_floor, kept.expires_at_us, 0)
 
@@ -77,7 +78,7 @@
         except (OSError, RuntimeError) as err:
             self.token_registry.end(claim.session_id, SessionEnd.NO_CAPACITY)
             box.close()
-            raise TokenError("room") from err
+            raise TokenError(ResumeRejection.NO_CAPACITY) from err
         log(LogEvent.SESSION_RESTORED, left=self._core.clock.moment(expiry) - now())
 
     # --- taking over
@@ -176,7 +177,7 @@
             if self._core.lifecycle.leaving:
                 if self.resumes_on_any_node:
                     return RETRY_SOON  # another node takes it over
-                raise TokenError("draining")
+                raise TokenError(ResumeRejection.DRAINING)
             if self.resumes_on_any_node and self.ownership_service is None:
                 return RETRY_SOON
             position = opening.told.get(POSITION, "")
@@ -208,4 +209,4 @@
 
     def rotate_keys(self, options: ResumeOptions) -> None:
         """Put the keys of new settings in force."""
-        self.keyring.rotate([(k.id, k.secret) for k in options.keys])
+        self.keyring.rotate([SealingKey(key.id, key.secret) for key in options.keys])
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -26,8 +26,8 @@
 from tansyladder.policy.actions import Reject
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption import control_messages
-from tansyladder.resumption.replay_buffer import PositionError
-from tansyladder.resumption.stream import Stream, StreamOutput
+from tansyladder.resumption.errors import ControlMessageError, PositionError
+from tansyladder.resumption.stream import Stream, StreamOutput, StreamSignal
 from tansyladder.resumption.token_registry import SessionEnd
 from tansyladder.sessions.session_registry import SessionRegistry
 
@@ -270,10 +270,10 @@
                 said = self._stream.receive_from_client(line)
                 out.to_host += said.to_host
                 out.to_client += said.to_client
-                out.client_left |= said.client_left
-                if said.client_left:
+                out.signal = said.signal
+                if said.signal is StreamSignal.CLIENT_LEFT:
                     break
-        except (protocol.LineError, control_messages.ControlMessageError, PositionError) as err:
+        except (protocol.LineError, ControlMessageError, PositionError) as err:
             log(LogEvent.INVALID_LINE, where="session", why=err)
             raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=protocol.MOVE + b"\r\n") from err
         if self._stream.from_client.end_position > counted:  # nobody answers an acknowledgment
@@ -281,7 +281,7 @@
             self._ack_at = self._ack_at or now() + ACK_WITHIN
         self._tell_host(out.to_host)
         self._tell_client(out.to_client)
-        if out.client_left:
+        if out.signal is StreamSignal.CLIENT_LEFT:
             self._until = now() + LAST_WORDS
             if not self._host.waiting:
                 with contextlib.suppress(OSError):
@@ -318,7 +318,7 @@
         for line in lines:
             try:
                 out = self._stream.receive_from_host(line)
-            except (control_messages.ControlMessageError, PositionError) as err:
+            except (ControlMessageError, PositionError) as err:
                 log(LogEvent.INVALID_RESPONSE, member=self._member, why=err)
                 raise _UpstreamLost(AttemptStatus.ERROR, "bad_word") from err
             passed += out.to_client
@@ -328,13 +328,13 @@
                 self._question.answered(word)
                 if word == protocol.LOAD:
                     self._notes.told(line)
-            if out.host_redirects or out.host_finished:
+            if out.signal is not StreamSignal.NONE:
                 break
         self._tell_client(passed)
         self._tell_client(self._stream.report_lost_resumption())
-        if out.host_redirects:
+        if out.signal is StreamSignal.HOST_REDIRECTED:
             raise _UpstreamLost(AttemptStatus.CANCELLED, "sent_away")
-        if out.host_finished:
+        if out.signal is StreamSignal.HOST_FINISHED:
             if self._client is None and self._stream.can_resume_client:
                 raise _UpstreamLost(AttemptStatus.OK, "served")  # its last lines wait for the client
             raise _SessionEnded(SessionEnd.ENDED, AttemptStatus.OK)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -25,7 +25,7 @@
 from tansyladder.resumption.replay_buffer import MemoryBudget
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS, SessionEnd, TokenRegistry
-from tansyladder.resumption.tokens import NODE_LIFE_BYTES, Keyring, TokenClaims
+from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenClaims
 from tansyladder.sessions.session_store import SessionStore
 
 if TYPE_CHECKING:
@@ -75,9 +75,9 @@
         self.session_store = None if peers.enabled else keeping
         kept = self.session_store.identity if self.session_store else None
         # Bound to the name as well: a folder that was copied to another node makes no tokens of this one.
-        drawn = b"" if peers.enabled else kept.node_life if kept else os.urandom(32)
-        life = hashlib.blake2b(drawn, digest_size=NODE_LIFE_BYTES, key=name).digest()
-        keys = [(k.id, k.secret) for k in self.options.keys]
+        drawn = b"" if peers.enabled else kept.issuer_id if kept else os.urandom(32)
+        life = hashlib.blake2b(drawn, digest_size=ISSUER_ID_BYTES, key=name).digest()
+        keys = [SealingKey(key.id, key.secret) for key in self.options.keys]
         self.keyring = Keyring(life, keys, os.urandom, kept.token_key if kept else None)
         self.start_number = 1 if peers.enabled else kept.start_count if kept else 0
         self._durable = peers.enabled or self.session_store is not None
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -16,7 +16,7 @@
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import Clock, now
-from tansyladder.resumption.tokens import KEY_BYTES, NODE_LIFE_BYTES
+from tansyladder.resumption.tokens import ISSUER_ID_BYTES, KEY_BYTES
 from tansyladder.store import Durability, Store, StoreError, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 
@@ -32,7 +32,7 @@
 class NodeIdentity(msgspec.Struct, frozen=True):
     """What makes tokens of an earlier start open: they are sealed for the life, not for the process."""
 
-    node_life: bytes = msgspec.field(name="ident")
+    issuer_id: bytes = msgspec.field(name="ident")
     token_key: bytes = msgspec.field(name="key")
     start_count: int = msgspec.field(name="starts")
 
@@ -66,9 +66,9 @@
         self._endpoints: dict[str, EndpointEntry] = {}
         self._stop = threading.Event()
         kept = store.get(IDENTITY_KEY)
-        drawn = NodeIdentity(os.urandom(NODE_LIFE_BYTES), os.urandom(KEY_BYTES), 0)
+        drawn = NodeIdentity(os.urandom(ISSUER_ID_BYTES), os.urandom(KEY_BYTES), 0)
         before = msgspec.msgpack.decode(kept, type=NodeIdentity) if kept else drawn
-        self.identity = NodeIdentity(before.node_life, before.token_key, before.start_count + 1)
+        self.identity = NodeIdentity(before.issuer_id, before.token_key, before.start_count + 1)
         store.put(
             IDENTITY_KEY, msgspec.msgpack.encode(self.identity)
         )  # before anything is sealed under this start
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -16,7 +16,7 @@
 from tansyladder.config.platform import EndpointList
 from tansyladder.raft import messages
 from tansyladder.replication import replicated_state
-from tansyladder.resumption import tokens
+from tansyladder.resumption import errors, tokens
 from tansyladder.sessions import session_store
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.store import Durability, Store, WriteOperation, open_store
@@ -29,7 +29,7 @@
 DocumentStore = DocumentReplica
 SessionStore = session_store.SessionStore
 RaftStorage = raft_storage.RaftStorage
-TokenError = tokens.TokenError
+TokenError = errors.TokenError
 Keyring = tokens.Keyring
 
 # --- the state that the log decides
@@ -226,7 +226,7 @@
 
 def node_life(opened: SessionStore) -> tuple[bytes, bytes, int]:
     """Identity, token key and number of starts."""
-    return opened.identity.node_life, opened.identity.token_key, opened.identity.start_count
+    return opened.identity.issuer_id, opened.identity.token_key, opened.identity.start_count
 
 
 def save_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> None:
--- a/tests/resumption/test_resumption.py
+++ b/tests/resumption/test_resumption.py
@@ -11,20 +11,20 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from tansyladder.resumption import control_messages
+from tansyladder.resumption.errors import ControlMessageError, PositionError, TokenError
 from tansyladder.resumption.replay_buffer import (
     LINE_OVERHEAD_BYTES,
     MemoryBudget,
-    PositionError,
     ReplayBuffer,
 )
-from tansyladder.resumption.stream import MOVE_LINE, Stream
+from tansyladder.resumption.stream import MOVE_LINE, Stream, StreamSignal
 from tansyladder.resumption.token_registry import SessionEnd, TokenRegistry
 from tansyladder.resumption.tokens import (
-    NODE_LIFE_BYTES,
+    ISSUER_ID_BYTES,
     TOKEN_LENGTH,
     Keyring,
+    SealingKey,
     TokenClaims,
-    TokenError,
     TokenPayload,
 )
 
@@ -216,7 +216,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.ledger: TokenRegistry[str] = TokenRegistry(1)
-        self.keys = Keyring(b"n" * NODE_LIFE_BYTES, [(1, b"1" * 32)], random.Random(3).randbytes)
+        self.keys = Keyring(b"n" * ISSUER_ID_BYTES, [SealingKey(1, b"1" * 32)], random.Random(3).randbytes)
         self.binding = TokenClaims("chat", 5, 7)
         self.ledger.add(9, "session")
         self.now = 0
@@ -294,8 +294,8 @@
 BINDING = TokenClaims("chat", 0x5C, 0x7F)
 
 
-def ring(life: bytes = b"l" * NODE_LIFE_BYTES, *keys: tuple[int, bytes]) -> Keyring:
-    return Keyring(life, keys or [(1, b"k" * 32)], random.Random(1).randbytes)
+def ring(life: bytes = b"l" * ISSUER_ID_BYTES, *keys: SealingKey) -> Keyring:
+    return Keyring(life, keys or [SealingKey(1, b"k" * 32)], random.Random(1).randbytes)
 
 
 @given(
@@ -318,9 +318,9 @@
 @pytest.mark.parametrize(
     ("other", "binding", "why"),
     [
-        (ring(b"m" * NODE_LIFE_BYTES), BINDING, "elsewhere"),
-        (ring(b"l" * NODE_LIFE_BYTES, (1, b"q" * 32)), BINDING, "forged"),
-        (ring(b"l" * NODE_LIFE_BYTES, (2, b"k" * 32)), BINDING, "forged"),
+        (ring(b"m" * ISSUER_ID_BYTES), BINDING, "elsewhere"),
+        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(1, b"q" * 32)), BINDING, "forged"),
+        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(2, b"k" * 32)), BINDING, "forged"),
         (ring(), TokenClaims("chat", 0x5C, 0x80), "forged"),
         (ring(), TokenClaims("chat", 0x5D, 0x7F), "forged"),
         (ring(), TokenClaims("chats", 0x5C, 0x7F), "forged"),
@@ -332,7 +332,9 @@
 
 
 def test_keys_rotate_and_old_tokens_open_while_their_key_is_there() -> None:
-    keys, old, new = ring(), (1, b"k" * 32), (2, b"n" * 32)
+    keys = ring()
+    old = SealingKey(1, b"k" * 32)
+    new = SealingKey(2, b"n" * 32)
     text = keys.seal(TokenPayload(5, 1, 1000), BINDING)
     keys.rotate([new, old])
     assert keys.open(text, BINDING).session_id == 5
@@ -382,7 +384,7 @@
     stream.begin_placement()
     assert stream.receive_from_host(b"hello\r\n").to_client == b"hello\r\n" and not stream.can_migrate
     assert stream.receive_from_host(b"RS AT 0 0\r\n").to_client == b"RS AT 0 0\r\n"
-    assert stream.receive_from_host(MOVE_LINE).host_redirects
+    assert stream.receive_from_host(MOVE_LINE).signal is StreamSignal.HOST_REDIRECTED
     assert stream.receive_from_client(b"RS ACK 1\r\n").to_host == b"" and stream.can_resume_client
 
 
@@ -393,10 +395,10 @@
     for parse in (control_messages.parse_client, control_messages.parse_host):
         try:
             parse(line)
-        except control_messages.ControlMessageError:
+        except ControlMessageError:
             continue
     for huge in (b"9" * 16, b"9" * 400, b"-1", b"1.0", "٣".encode()):
-        with pytest.raises(control_messages.ControlMessageError):
+        with pytest.raises(ControlMessageError):
             control_messages.parse_client(b"RS ACK " + huge + b"\r\n")
 
 
