--- /dev/null
+++ b/tests/resumption/test_control_messages.py
@@ -0,0 +1,24 @@
+"""Control lines of any content."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from tansyladder.resumption import control_messages
+from tansyladder.resumption.errors import ControlMessageError
+
+
+@given(st.binary(max_size=60))
+@settings(max_examples=300, deadline=None, derandomize=True)
+def test_any_control_line_is_read_or_refused(rest: bytes) -> None:
+    line = control_messages.CONTROL_PREFIX + rest.replace(b"\n", b"") + b"\r\n"
+    for parse in (control_messages.parse_client, control_messages.parse_host):
+        try:
+            parse(line)
+        except ControlMessageError:
+            continue
+    for huge in (b"9" * 16, b"9" * 400, b"-1", b"1.0", "٣".encode()):
+        with pytest.raises(ControlMessageError):
+            control_messages.parse_client(b"RS ACK " + huge + b"\r\n")
--- /dev/null
+++ b/tests/resumption/test_host_positions.py
@@ -0,0 +1,47 @@
+"""What a stream host may say after UP, and hosts that know nothing of positions."""
+
+from __future__ import annotations
+
+import pytest
+
+from tansyladder.resumption.errors import PositionError
+from tansyladder.resumption.replay_buffer import (
+    MemoryBudget,
+)
+from tansyladder.resumption.stream import MOVE_LINE, Stream, StreamSignal
+
+
+@pytest.mark.parametrize(
+    "said",
+    [b"RS AT 3 2\r\n", b"RS AT 0 2\r\n", b"RS AT 1 1\r\n", b"RS AT 1 3\r\n", b"F 1\r\n", b"RS ACK 1\r\n"],
+)
+def test_a_host_that_does_not_hold_the_session_is_not_gone_on_with(said: bytes) -> None:
+    """Two lines of the client, one acknowledged, and two of the host."""
+    stream = Stream(7, MemoryBudget(10_000), 5000)
+    stream.begin_placement()
+    for line in (b"RS AT 0 0\r\n", b"F 1\r\n", b"F 2\r\n"):
+        stream.receive_from_host(line)
+    for line in (b"M 1\r\n", b"M 2\r\n"):
+        stream.receive_from_client(line)
+    stream.receive_from_host(b"RS ACK 1\r\n")
+    assert dict(stream.begin_placement()) == {
+        "rsn": "0" * 15 + "7",
+        "re": "2",
+        "ra": "1",
+        "ri": "2",
+        "ro": "2",
+    }
+    with pytest.raises(PositionError):
+        stream.complete_placement(said)
+    assert stream.complete_placement(b"RS AT 1 2\r\n") == b"M 2\r\n"
+    assert stream.complete_placement(b"RS AT 2 2\r\n") == b""
+    assert dict(stream.begin_placement())["ra"] == "2"  # what a host holds is not asked of the next one
+
+
+def test_an_old_host_is_passed_on_word_for_word() -> None:
+    stream = Stream(7, MemoryBudget(10_000), 5000)
+    stream.begin_placement()
+    assert stream.receive_from_host(b"hello\r\n").to_client == b"hello\r\n" and not stream.can_migrate
+    assert stream.receive_from_host(b"RS AT 0 0\r\n").to_client == b"RS AT 0 0\r\n"
+    assert stream.receive_from_host(MOVE_LINE).signal is StreamSignal.HOST_REDIRECTED
+    assert stream.receive_from_client(b"RS ACK 1\r\n").to_host == b"" and stream.can_resume_client
--- /dev/null
+++ b/tests/resumption/test_token_registry.py
@@ -0,0 +1,96 @@
+"""Which token resumes a session, against a simple model of one session's tokens."""
+
+from __future__ import annotations
+
+import random
+
+from hypothesis import HealthCheck, settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
+
+from tansyladder.resumption.errors import TokenError
+from tansyladder.resumption.token_registry import SessionEnd, TokenRegistry
+from tansyladder.resumption.tokens import (
+    ISSUER_ID_BYTES,
+    Keyring,
+    SealingKey,
+    TokenClaims,
+)
+
+
+class Spending(RuleBasedStateMachine):
+    """One session's tokens against a model of them: which opens it, and what the others are told."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.ledger: TokenRegistry[str] = TokenRegistry(1)
+        self.keys = Keyring(b"n" * ISSUER_ID_BYTES, [SealingKey(1, b"1" * 32)], random.Random(3).randbytes)
+        self.binding = TokenClaims("chat", 5, 7)
+        self.ledger.add(9, "session")
+        self.now = 0
+        self.tokens: list[tuple[str, int]] = []  # with their expiry
+        self.spent = 0  # tokens that are good no more, counted from the first
+        self.claimed = False
+        self.ended: SessionEnd | None = None
+
+    @precondition(lambda self: self.ended is None)
+    @rule(life=st.integers(1, 10))
+    def issue(self, life: int) -> None:
+        claim = self.ledger.issue(9, self.now + life)
+        self.tokens.append((self.keys.seal(claim, self.binding), self.now + life))
+
+    @rule(span=st.integers(1, 6))
+    def time_passes(self, span: int) -> None:
+        self.now += span
+
+    @precondition(lambda self: self.tokens)
+    @rule(data=st.data())
+    def present(self, data: st.DataObject) -> None:
+        which = data.draw(st.integers(0, len(self.tokens) - 1))
+        text, expiry = self.tokens[which]
+        reached: list[str] = []
+        want = (
+            self.ended.value
+            if self.ended
+            else "spent"
+            if which < self.spent
+            else "expired"
+            if expiry <= self.now
+            else "claimed"
+            if self.claimed
+            else ""
+        )
+        try:
+            self.ledger.begin_resume(self.keys.open(text, self.binding), self.now, reached.append)
+        except TokenError as err:
+            assert (err.reason, reached) == (want, [])
+        else:
+            assert (want, reached) == ("", ["session"])
+            self.claimed = True
+
+    @precondition(lambda self: self.claimed and self.ended is None)
+    @rule(through=st.booleans())
+    def resume_is_over(self, through: bool) -> None:
+        self.claimed = False
+        if through:
+            self.ledger.redeem(9)
+            self.spent = len(self.tokens)
+        else:
+            self.ledger.cancel_resume(9)
+
+    @precondition(lambda self: self.ended is None)
+    @rule(why=st.sampled_from(list(SessionEnd)))
+    def end(self, why: SessionEnd) -> None:
+        self.ledger.end(9, why)
+        # One that was taken is not remembered: its new owner knows of it, and it may come back from there.
+        self.ended = SessionEnd.EXPIRED if why is SessionEnd.CLAIMED_BY_OTHER_NODE else why
+
+
+TestSpending = Spending.TestCase
+TestSpending.settings = settings(
+    max_examples=120,
+    stateful_step_count=50,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=list(HealthCheck),
+)
--- /dev/null
+++ b/tests/resumption/test_tokens.py
@@ -0,0 +1,79 @@
+"""Sealing and opening of tokens, and rotation of keys."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from tansyladder.resumption.errors import TokenError
+from tansyladder.resumption.tokens import (
+    ISSUER_ID_BYTES,
+    TOKEN_LENGTH,
+    Keyring,
+    SealingKey,
+    TokenClaims,
+    TokenPayload,
+)
+
+BINDING = TokenClaims("chat", 0x5C, 0x7F)
+
+
+def ring(life: bytes = b"l" * ISSUER_ID_BYTES, *keys: SealingKey) -> Keyring:
+    return Keyring(life, keys or [SealingKey(1, b"k" * 32)], random.Random(1).randbytes)
+
+
+@given(
+    at=st.integers(0, TOKEN_LENGTH - 1),
+    letter=st.sampled_from("AQgw-_09z="),
+    cut=st.integers(0, TOKEN_LENGTH - 1),
+)
+@settings(max_examples=200, deadline=None, derandomize=True)
+def test_a_token_that_was_touched_opens_nothing(at: int, letter: str, cut: int) -> None:
+    keys, claim = ring(), TokenPayload(5, 1, 1000)
+    text = keys.seal(claim, BINDING)
+    assert keys.open(text, BINDING) == claim and len(text) == TOKEN_LENGTH
+    touched = text[:at] + letter + text[at + 1 :]
+    for other in {touched, text[:cut], text + letter} - {text}:
+        with pytest.raises(TokenError) as err:
+            keys.open(other, BINDING)
+        assert err.value.reason in ("malformed", "elsewhere", "forged")
+
+
+@pytest.mark.parametrize(
+    ("other", "binding", "why"),
+    [
+        (ring(b"m" * ISSUER_ID_BYTES), BINDING, "elsewhere"),
+        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(1, b"q" * 32)), BINDING, "forged"),
+        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(2, b"k" * 32)), BINDING, "forged"),
+        (ring(), TokenClaims("chat", 0x5C, 0x80), "forged"),
+        (ring(), TokenClaims("chat", 0x5D, 0x7F), "forged"),
+        (ring(), TokenClaims("chats", 0x5C, 0x7F), "forged"),
+    ],
+)
+def test_a_token_opens_only_where_and_for_whom_it_is(other: Keyring, binding: TokenClaims, why: str) -> None:
+    with pytest.raises(TokenError, match=why):
+        other.open(ring().seal(TokenPayload(5, 1, 1000), BINDING), binding)
+
+
+def test_keys_rotate_and_old_tokens_open_while_their_key_is_there() -> None:
+    keys = ring()
+    old = SealingKey(1, b"k" * 32)
+    new = SealingKey(2, b"n" * 32)
+    text = keys.seal(TokenPayload(5, 1, 1000), BINDING)
+    keys.rotate([new, old])
+    assert keys.open(text, BINDING).session_id == 5
+    later = keys.seal(TokenPayload(5, 2, 1000), BINDING)
+    keys.rotate([new])
+    assert keys.open(later, BINDING).generation == 2
+    with pytest.raises(TokenError, match="forged"):
+        keys.open(text, BINDING)
+    with pytest.raises(ValueError, match="twice"):
+        keys.rotate([new, new])
+
+
+def test_no_two_seals_are_alike() -> None:
+    keys = ring()
+    assert len({keys.seal(TokenPayload(5, 1, 1000), BINDING) for _ in range(50)}) == 50
