--- a/tests/resumption/test_control_messages.py
+++ b/tests/resumption/test_control_messages.py
@@ -12,7 +12,7 @@
 
 @given(st.binary(max_size=60))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_any_control_line_is_read_or_refused(rest: bytes) -> None:
+def test_every_control_line_is_parsed_or_rejected(rest: bytes) -> None:
     line = control_messages.CONTROL_PREFIX + rest.replace(b"\n", b"") + b"\r\n"
     for parse in (control_messages.parse_client, control_messages.parse_host):
         try:
--- a/tests/resumption/test_host_positions.py
+++ b/tests/resumption/test_host_positions.py
@@ -15,7 +15,7 @@
     "said",
     [b"RS AT 3 2\r\n", b"RS AT 0 2\r\n", b"RS AT 1 1\r\n", b"RS AT 1 3\r\n", b"F 1\r\n", b"RS ACK 1\r\n"],
 )
-def test_a_host_that_does_not_hold_the_session_is_not_gone_on_with(said: bytes) -> None:
+def test_a_host_whose_position_does_not_fit_is_rejected(said: bytes) -> None:
     """Two lines of the client, one acknowledged, and two of the host."""
     stream = Stream(7, MemoryBudget(10_000), 5000)
     stream.begin_placement()
@@ -38,7 +38,7 @@
     assert dict(stream.begin_placement())["ra"] == "2"  # what a host holds is not asked of the next one
 
 
-def test_an_old_host_is_passed_on_word_for_word() -> None:
+def test_lines_of_a_host_without_resumption_pass_unchanged() -> None:
     stream = Stream(7, MemoryBudget(10_000), 5000)
     stream.begin_placement()
     assert stream.receive_from_host(b"hello\r\n").to_client == b"hello\r\n"
--- a/tests/resumption/test_replay_buffer.py
+++ b/tests/resumption/test_replay_buffer.py
@@ -12,15 +12,15 @@
 )
 
 
-def test_a_window_that_overflows_gives_its_bytes_back_and_counts_on() -> None:
+def test_an_overflowing_buffer_releases_its_memory_and_keeps_counting() -> None:
     budget = MemoryBudget(1000)
-    window = ReplayBuffer(budget, 3 * (LINE_OVERHEAD_BYTES + 10))
+    buffer = ReplayBuffer(budget, 3 * (LINE_OVERHEAD_BYTES + 10))
     for _ in range(3):
-        window.append(b"x" * 10)
-    assert window.can_replay
+        buffer.append(b"x" * 10)
+    assert buffer.can_replay
     assert budget.used_bytes == 3 * (LINE_OVERHEAD_BYTES + 10)
-    window.append(b"x")
-    assert (window.can_replay, budget.used_bytes, window.end_position) == (False, 0, 4)
-    window.acknowledge(4)
+    buffer.append(b"x")
+    assert (buffer.can_replay, budget.used_bytes, buffer.end_position) == (False, 0, 4)
+    buffer.acknowledge(4)
     with pytest.raises(PositionError, match="behind"):
-        window.lines_after(4)
+        buffer.lines_after(4)
--- a/tests/resumption/test_stream.py
+++ b/tests/resumption/test_stream.py
@@ -17,10 +17,10 @@
 )
 from tansyladder.resumption.stream import Stream
 
-MOST, SHARED = 1200, 1700
+BUFFER_LIMIT_BYTES, BUDGET_BYTES = 1200, 1700
 
 
-class Lines(RuleBasedStateMachine):
+class StreamMachine(RuleBasedStateMachine):
     """A client, a node's Stream and hosts on a common store, each losing what is under way at any moment.
 
     The model is the plain truth: what each end has got so far must be 1, 2, 3, ... without a gap.
@@ -30,21 +30,21 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.budget = MemoryBudget(SHARED)
-        self.other = ReplayBuffer(self.budget, SHARED)  # what another session takes of the node's bytes
-        self.stream = Stream(7, self.budget, MOST, is_durable=self.durable)
+        self.budget = MemoryBudget(BUDGET_BYTES)
+        self.other = ReplayBuffer(self.budget, BUDGET_BYTES)  # what another session takes of the node's bytes
+        self.stream = Stream(7, self.budget, BUFFER_LIMIT_BYTES, is_durable=self.durable)
         self.stream.begin_placement()
         self.stream.receive_from_host(b"RS AT 0 0\r\n")
         self.said = self.has = 0  # the client's lines, and the host lines that it has got
-        self.unheard: deque[int] = deque()  # its lines that it may have to say again
+        self.unacknowledged: deque[int] = deque()  # its lines that it may have to say again
         self.heard = self.frames = 0  # the store's counts
         self.to_client: deque[bytes] = deque()
         self.to_host: deque[bytes] = deque()
-        self.here = True
-        self.off = False
+        self.is_connected = True
+        self.resumption_lost = False
 
     def _out(self, to_client: bytes, to_host: bytes) -> None:
-        if self.here:
+        if self.is_connected:
             self.to_client.extend(to_client.splitlines(keepends=True))
         self.to_host.extend(to_host.splitlines(keepends=True))
 
@@ -52,21 +52,21 @@
         out = self.stream.receive_from_client(b"M %d\r\n" % number)
         self._out(out.to_client, out.to_host)
 
-    @precondition(lambda self: self.here)
+    @precondition(lambda self: self.is_connected)
     @rule()
-    def client_says(self) -> None:
+    def client_sends(self) -> None:
         self.said += 1
-        self.unheard.append(self.said)
+        self.unacknowledged.append(self.said)
         self._say(self.said)
 
     @rule(size=st.integers(0, 300))
-    def host_says(self, size: int) -> None:
+    def host_sends(self, size: int) -> None:
         self.frames += 1
         out = self.stream.receive_from_host(b"F %d %s\r\n" % (self.frames, b"x" * size))
         self._out(out.to_client + self.stream.report_lost_resumption(), out.to_host)
 
     @rule(count=st.integers(1, 5))
-    def host_hears(self, count: int) -> None:
+    def host_receives(self, count: int) -> None:
         for _ in range(min(count, len(self.to_host))):
             line = self.to_host.popleft()
             if not control_messages.is_control(line):
@@ -74,7 +74,7 @@
                 self.heard += 1
 
     @rule(count=st.integers(1, 5))
-    def client_hears(self, count: int) -> None:
+    def client_receives(self, count: int) -> None:
         for _ in range(min(count, len(self.to_client))):
             line = self.to_client.popleft()
             match line.split():
@@ -84,45 +84,45 @@
                 case [b"RS", b"ACK", position]:
                     self._held(int(position))
                 case [b"RS", b"OFF", _]:
-                    self.off = True
+                    self.resumption_lost = True
 
     def _held(self, position: int) -> None:
         assert position <= (self.heard if self.durable else self.said)
-        while self.unheard and self.unheard[0] <= position:
-            self.unheard.popleft()
+        while self.unacknowledged and self.unacknowledged[0] <= position:
+            self.unacknowledged.popleft()
 
     @rule()
     def host_acknowledges(self) -> None:
         self.stream.receive_from_host(control_messages.format_acknowledgement(self.heard))
 
-    @precondition(lambda self: self.here)
+    @precondition(lambda self: self.is_connected)
     @rule()
     def client_acknowledges(self) -> None:
         out = self.stream.receive_from_client(control_messages.format_acknowledgement(self.has))
         self._out(out.to_client, out.to_host)
 
-    @precondition(lambda self: self.here)
+    @precondition(lambda self: self.is_connected)
     @rule(lost=st.integers(0, 3))
     def client_breaks(self, lost: int) -> None:
         """What is under way to it is lost, and its last lines never arrive."""
-        self.here = False
+        self.is_connected = False
         self.to_client.clear()
         for _ in range(lost):
             self.said += 1
-            self.unheard.append(self.said)
+            self.unacknowledged.append(self.said)
 
     @rule()
-    def client_returns(self) -> None:
+    def client_resumes(self) -> None:
         """Also while its old connection looks sound: what that one had not delivered is lost."""
         if not self.stream.can_resume_client:
             with pytest.raises(PositionError, match="behind"):
                 self.stream.resume_client(self.has)
             return
         at, *lines = self.stream.resume_client(self.has)
-        self.here = True
+        self.is_connected = True
         self.to_client = deque(lines)
         self._held(int(at.split()[2]))
-        for number in list(self.unheard):
+        for number in list(self.unacknowledged):
             self._say(number)
 
     @rule()
@@ -138,7 +138,7 @@
         self.to_host.extend(lines.splitlines(keepends=True))
 
     @rule(ahead=st.integers(1, 9))
-    def nobody_is_ahead(self, ahead: int) -> None:
+    def positions_ahead_are_rejected(self, ahead: int) -> None:
         """Positions of what never was are refused and change nothing."""
         before = (self.stream.from_host.acknowledged_position, self.stream.from_client.acknowledged_position)
         with pytest.raises(PositionError, match="ahead"):
@@ -159,21 +159,23 @@
     @rule()
     def another_session_ends(self) -> None:
         self.other.discard()
-        self.other = ReplayBuffer(self.budget, SHARED)
+        self.other = ReplayBuffer(self.budget, BUDGET_BYTES)
 
     @invariant()
-    def all_is_bounded(self) -> None:
+    def memory_is_bounded(self) -> None:
         up, down = self.stream.from_client, self.stream.from_host
-        assert up.size_bytes <= MOST
-        assert down.size_bytes <= MOST
-        assert self.budget.used_bytes == up.size_bytes + down.size_bytes + self.other.size_bytes <= SHARED
+        assert up.size_bytes <= BUFFER_LIMIT_BYTES
+        assert down.size_bytes <= BUFFER_LIMIT_BYTES
+        assert (
+            self.budget.used_bytes == up.size_bytes + down.size_bytes + self.other.size_bytes <= BUDGET_BYTES
+        )
         assert up.acknowledged_position <= self.heard
         assert down.acknowledged_position <= self.has
-        if not down.can_replay and self.here and not self.to_client:
-            assert self.off or self.stream.report_lost_resumption()
+        if not down.can_replay and self.is_connected and not self.to_client:
+            assert self.resumption_lost or self.stream.report_lost_resumption()
 
 
-class DurableLines(Lines):
+class DurableStreamMachine(StreamMachine):
     """The same where the node may die with all that it knew, and its next start revives the session."""
 
     durable = True
@@ -188,7 +190,7 @@
         """Its client comes back to the next start, which asks a host where the client's lines are."""
         self.starts += 1
         self.stream.close()
-        self.stream = Stream.restored(7, self.budget, MOST, self.starts)
+        self.stream = Stream.restored(7, self.budget, BUFFER_LIMIT_BYTES, self.starts)
         self.to_client.clear()
         self.to_host.clear()
         self.stream.adopt_client_position(self.has)
@@ -199,16 +201,16 @@
         with pytest.raises(PositionError, match="ahead"):
             self.stream.complete_placement(b"RS AT %d %d\r\n" % (self.heard, self.has + 1))
         assert self.stream.complete_placement(b"RS AT %d %d\r\n" % (self.heard, self.has)) == b""
-        self.off = False
-        self.client_returns()
+        self.resumption_lost = False
+        self.client_resumes()
 
 
-TestLines = Lines.TestCase
+TestStream = StreamMachine.TestCase
 
 
-TestDurableLines = DurableLines.TestCase
+TestDurableStream = DurableStreamMachine.TestCase
 
-for case in (TestLines, TestDurableLines):
+for case in (TestStream, TestDurableStream):
     case.settings = settings(
         max_examples=120,
         stateful_step_count=50,
--- a/tests/resumption/test_token_registry.py
+++ b/tests/resumption/test_token_registry.py
@@ -19,15 +19,15 @@
 )
 
 
-class Spending(RuleBasedStateMachine):
+class RedemptionMachine(RuleBasedStateMachine):
     """One session's tokens against a model of them: which opens it, and what the others are told."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.ledger: TokenRegistry[str] = TokenRegistry(1)
+        self.registry: TokenRegistry[str] = TokenRegistry(1)
         self.keys = Keyring(b"n" * ISSUER_ID_BYTES, [SealingKey(1, b"1" * 32)], random.Random(3).randbytes)
-        self.binding = TokenClaims("chat", 5, 7)
-        self.ledger.add(9, "session")
+        self.claims = TokenClaims("chat", 5, 7)
+        self.registry.add(9, "session")
         self.now = 0
         self.tokens: list[tuple[str, int]] = []  # with their expiry
         self.spent = 0  # tokens that are good no more, counted from the first
@@ -35,10 +35,10 @@
         self.ended: SessionEnd | None = None
 
     @precondition(lambda self: self.ended is None)
-    @rule(life=st.integers(1, 10))
-    def issue(self, life: int) -> None:
-        claim = self.ledger.issue(9, self.now + life)
-        self.tokens.append((self.keys.seal(claim, self.binding), self.now + life))
+    @rule(lifetime=st.integers(1, 10))
+    def issue(self, lifetime: int) -> None:
+        claim = self.registry.issue(9, self.now + lifetime)
+        self.tokens.append((self.keys.seal(claim, self.claims), self.now + lifetime))
 
     @rule(span=st.integers(1, 6))
     def time_passes(self, span: int) -> None:
@@ -51,13 +51,13 @@
         text, expiry = self.tokens[which]
         reached: list[str] = []
         expected = self._expected_rejection(which, expiry)
-        payload = self.keys.open(text, self.binding)
+        payload = self.keys.open(text, self.claims)
         if expected:
             with pytest.raises(TokenError) as raised:
-                self.ledger.begin_resume(payload, self.now, reached.append)
+                self.registry.begin_resume(payload, self.now, reached.append)
             assert (raised.value.reason, reached) == (expected, [])
         else:
-            self.ledger.begin_resume(payload, self.now, reached.append)
+            self.registry.begin_resume(payload, self.now, reached.append)
             assert reached == ["session"]
             self.claimed = True
 
@@ -75,21 +75,21 @@
     def resume_is_over(self, through: bool) -> None:
         self.claimed = False
         if through:
-            self.ledger.redeem(9)
+            self.registry.redeem(9)
             self.spent = len(self.tokens)
         else:
-            self.ledger.cancel_resume(9)
+            self.registry.cancel_resume(9)
 
     @precondition(lambda self: self.ended is None)
     @rule(why=st.sampled_from(list(SessionEnd)))
     def end(self, why: SessionEnd) -> None:
-        self.ledger.end(9, why)
+        self.registry.end(9, why)
         # One that was taken is not remembered: its new owner knows of it, and it may come back from there.
         self.ended = SessionEnd.EXPIRED if why is SessionEnd.CLAIMED_BY_OTHER_NODE else why
 
 
-TestSpending = Spending.TestCase
-TestSpending.settings = settings(
+TestTokenRedemption = RedemptionMachine.TestCase
+TestTokenRedemption.settings = settings(
     max_examples=120,
     stateful_step_count=50,
     deadline=None,
--- a/tests/resumption/test_tokens.py
+++ b/tests/resumption/test_tokens.py
@@ -18,11 +18,11 @@
     TokenPayload,
 )
 
-BINDING = TokenClaims("chat", 0x5C, 0x7F)
+CLAIMS = TokenClaims("chat", 0x5C, 0x7F)
 
 
-def ring(life: bytes = b"l" * ISSUER_ID_BYTES, *keys: SealingKey) -> Keyring:
-    return Keyring(life, keys or [SealingKey(1, b"k" * 32)], random.Random(1).randbytes)
+def ring(issuer_id: bytes = b"l" * ISSUER_ID_BYTES, *keys: SealingKey) -> Keyring:
+    return Keyring(issuer_id, keys or [SealingKey(1, b"k" * 32)], random.Random(1).randbytes)
 
 
 @given(
@@ -31,50 +31,52 @@
     cut=st.integers(0, TOKEN_LENGTH - 1),
 )
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_a_token_that_was_touched_opens_nothing(at: int, letter: str, cut: int) -> None:
+def test_an_altered_token_is_rejected(at: int, letter: str, cut: int) -> None:
     keys, claim = ring(), TokenPayload(5, 1, 1000)
-    text = keys.seal(claim, BINDING)
-    assert keys.open(text, BINDING) == claim
+    text = keys.seal(claim, CLAIMS)
+    assert keys.open(text, CLAIMS) == claim
     assert len(text) == TOKEN_LENGTH
-    touched = text[:at] + letter + text[at + 1 :]
-    for other in {touched, text[:cut], text + letter} - {text}:
+    altered = text[:at] + letter + text[at + 1 :]
+    for other in {altered, text[:cut], text + letter} - {text}:
         with pytest.raises(TokenError) as err:
-            keys.open(other, BINDING)
+            keys.open(other, CLAIMS)
         assert err.value.reason in ("malformed", "elsewhere", "forged")
 
 
 @pytest.mark.parametrize(
     ("other", "binding", "why"),
     [
-        (ring(b"m" * ISSUER_ID_BYTES), BINDING, "elsewhere"),
-        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(1, b"q" * 32)), BINDING, "forged"),
-        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(2, b"k" * 32)), BINDING, "forged"),
+        (ring(b"m" * ISSUER_ID_BYTES), CLAIMS, "elsewhere"),
+        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(1, b"q" * 32)), CLAIMS, "forged"),
+        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(2, b"k" * 32)), CLAIMS, "forged"),
         (ring(), TokenClaims("chat", 0x5C, 0x80), "forged"),
         (ring(), TokenClaims("chat", 0x5D, 0x7F), "forged"),
         (ring(), TokenClaims("chats", 0x5C, 0x7F), "forged"),
     ],
 )
-def test_a_token_opens_only_where_and_for_whom_it_is(other: Keyring, binding: TokenClaims, why: str) -> None:
+def test_a_token_is_accepted_only_by_its_issuer_with_its_claims(
+    other: Keyring, binding: TokenClaims, why: str
+) -> None:
     with pytest.raises(TokenError, match=why):
-        other.open(ring().seal(TokenPayload(5, 1, 1000), BINDING), binding)
+        other.open(ring().seal(TokenPayload(5, 1, 1000), CLAIMS), binding)
 
 
-def test_keys_rotate_and_old_tokens_open_while_their_key_is_there() -> None:
+def test_tokens_stay_valid_while_their_key_is_in_the_ring() -> None:
     keys = ring()
     old = SealingKey(1, b"k" * 32)
     new = SealingKey(2, b"n" * 32)
-    text = keys.seal(TokenPayload(5, 1, 1000), BINDING)
+    text = keys.seal(TokenPayload(5, 1, 1000), CLAIMS)
     keys.rotate([new, old])
-    assert keys.open(text, BINDING).session_id == 5
-    later = keys.seal(TokenPayload(5, 2, 1000), BINDING)
+    assert keys.open(text, CLAIMS).session_id == 5
+    later = keys.seal(TokenPayload(5, 2, 1000), CLAIMS)
     keys.rotate([new])
-    assert keys.open(later, BINDING).generation == 2
+    assert keys.open(later, CLAIMS).generation == 2
     with pytest.raises(TokenError, match="forged"):
-        keys.open(text, BINDING)
+        keys.open(text, CLAIMS)
     with pytest.raises(ValueError, match="twice"):
         keys.rotate([new, new])
 
 
-def test_no_two_seals_are_alike() -> None:
+def test_every_seal_has_its_own_nonce() -> None:
     keys = ring()
-    assert len({keys.seal(TokenPayload(5, 1, 1000), BINDING) for _ in range(50)}) == 50
+    assert len({keys.seal(TokenPayload(5, 1, 1000), CLAIMS) for _ in range(50)}) == 50
