--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -66,7 +66,7 @@
         self._asked: dict[str, ChangeResult | None] = {}
         self._lock = threading.Lock()
 
-    def permitted(self, ident: str = "") -> bool:
+    def may_decide(self, ident: str = "") -> bool:
         """Whether anything may be decided now."""
         at, permit = self._holding.micros(), self._holding.permit
         allowed = self._holding.allows(permit, at)
@@ -119,7 +119,7 @@
         until, ruled = now() + PUBLISH, None
         try:
             while now() < until and (ruled is None or ruled.word == "busy"):
-                ruled = self._agreeing.publish(name, content, ask, min(until, now() + TRY))
+                ruled = self._agreeing.publish_document(name, content, ask, min(until, now() + TRY))
                 if ruled is None or ruled.word == "busy":
                     threading.Event().wait(0.2)
         except ValueError as err:
@@ -136,7 +136,7 @@
         with self._lock:
             self._asked[ask] = ruled
 
-    def ended(self, ask: str) -> str:
+    def change_result(self, ask: str) -> str:
         """What became of a change. ValueError: it has not taken hold, or that is not known."""
         with self._lock:
             known = ask in self._asked
@@ -150,4 +150,4 @@
 
     def leave(self) -> None:
         """This node decides nothing any more: nobody has to wait for the end of its lease."""
-        self._agreeing.leave(now() + LEAVE)
+        self._agreeing.release_lease(now() + LEAVE)
--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -57,7 +57,7 @@
         self._documents: dict[tuple[str, int], Callable[..., list[str]]] = {
             ("documents", 0): lambda: [self._permits.describe(), "."],
             ("publish", 3): lambda name, ask, path: [self._permits.publish(name, ask, path)],
-            ("change", 1): lambda ask: [self._permits.ended(ask)],
+            ("change", 1): lambda ask: [self._permits.change_result(ask)],
         }
         self._listener = socket.create_server(address, backlog=128)
         self._listener.setblocking(False)
@@ -83,9 +83,9 @@
 
     @property
     def _permits(self) -> DecisionPermit:
-        if self._core.permits is None:
+        if self._core.decision_permit is None:
             raise CallError("not joined: this process has no part in the fleet yet")
-        return self._core.permits
+        return self._core.decision_permit
 
     def _status(self) -> list[str]:
         phase = self._core.lifecycle.phase
@@ -97,7 +97,7 @@
         metrics = {
             **self._core.metrics.totals(),
             "active": self._front.active,
-            **self._core.pool(),
+            **self._core.pool_metrics(),
             "phase": self._core.lifecycle.phase.value,
         }
         return [msgspec.json.encode(metrics).decode(), "."]
@@ -200,7 +200,7 @@
             self._poll.modify(caller.sock, select.POLLOUT)  # what else it sends must not keep us busy
         elif not caller.out:
             # Read away until the caller ends its side: a close with unread bytes would be a reset.
-            if not caller.sock.recv(protocol.MAX_LINE) or now() - caller.came > sockets.LINGER:
+            if not caller.sock.recv(protocol.MAX_LINE_BYTES) or now() - caller.came > sockets.DRAIN_TIMEOUT:
                 self._close(caller)
             return
         caller.out = caller.out[caller.sock.send(caller.out) :]
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -25,7 +25,7 @@
 from tansyladder.replication import content_transfer, documents, replicated_state, session_ownership
 
 Place = tuple[int, int]  # term and index of a log entry
-LogEntry = messages.Entry
+LogEntry = messages.LogEntry
 PeerMessage = messages.Message | content_transfer.ChangeNotice
 LogCommand = replicated_state.Entry
 EndpointList = EndpointList
@@ -92,14 +92,20 @@
 
 
 def log_entry(*, term: int, kind: int, request: str, data: bytes) -> LogEntry:
-    return messages.Entry(term=term, kind=messages.EntryKind(kind), request=request, data=data)
+    return messages.LogEntry(term=term, kind=messages.EntryKind(kind), request_id=request, data=data)
 
 
 def hello(
     *, disk: str, start: str, founders: dict[str, str], to: str, wants_answer: bool, term: int, last: Place
 ) -> PeerMessage:
     return messages.Handshake(
-        ident=disk, start=start, founders=founders, to=to, wants=wants_answer, term=term, last=last
+        disk_id=disk,
+        incarnation=start,
+        initial_disks=founders,
+        recipient_incarnation=to,
+        wants_reply=wants_answer,
+        term=term,
+        last_position=last,
     )
 
 
@@ -108,7 +114,7 @@
 ) -> PeerMessage:
     committed = messages.CommitPosition(index=commit_index, term=commit_term)
     return messages.RequestVote(
-        term=term, last_index=last_index, last_term=last_term, trial=pre_vote, committed=committed
+        term=term, last_log_index=last_index, last_log_term=last_term, pre_vote=pre_vote, committed=committed
     )
 
 
@@ -116,14 +122,20 @@
     *, term: int, granted: bool, pre_vote: bool, disk: str, commit_index: int, commit_term: int
 ) -> PeerMessage:
     committed = messages.CommitPosition(index=commit_index, term=commit_term)
-    return messages.VoteResponse(term=term, given=granted, trial=pre_vote, ident=disk, committed=committed)
+    return messages.VoteResponse(
+        term=term, granted=granted, pre_vote=pre_vote, disk_id=disk, committed=committed
+    )
 
 
 def append_entries(
     *, term: int, previous_index: int, previous_term: int, entries: tuple[LogEntry, ...], commit: int
 ) -> PeerMessage:
     return messages.AppendEntries(
-        term=term, before=previous_index, before_term=previous_term, entries=entries, commit=commit
+        term=term,
+        prev_log_index=previous_index,
+        prev_log_term=previous_term,
+        entries=entries,
+        leader_commit=commit,
     )
 
 
@@ -131,22 +143,24 @@
     *, term: int, success: bool, index: int, disk: str, start: str, counts: bool
 ) -> PeerMessage:
     return messages.AppendEntriesResponse(
-        term=term, fits=success, index=index, ident=disk, start=start, counts=counts
+        term=term, success=success, index=index, disk_id=disk, incarnation=start, is_disk_trusted=counts
     )
 
 
 def install_snapshot(
     *, term: int, index: int, index_term: int, voters: dict[str, str], state: bytes
 ) -> PeerMessage:
-    return messages.InstallSnapshot(term=term, index=index, index_term=index_term, voters=voters, state=state)
+    return messages.InstallSnapshot(
+        term=term, last_included_index=index, last_included_term=index_term, voter_disks=voters, state=state
+    )
 
 
 def propose(*, request: str, data: bytes) -> PeerMessage:
-    return messages.Propose(request=request, data=data)
+    return messages.ProposalRequest(request_id=request, data=data)
 
 
 def proposal_result(*, request: str, result: bytes | None) -> PeerMessage:
-    return messages.ProposalResult(request=request, result=result)
+    return messages.ProposalResult(request_id=request, result=result)
 
 
 def lease_renewal(*, start: str) -> PeerMessage:
@@ -255,25 +269,25 @@
 ) -> EndpointEntry:
     return EndpointEntry(
         id=id,
-        host_port=address,
-        phase=phase,
-        locality=locality,
-        flavor=flavor,
+        address=address,
+        state=phase,
+        zone=locality,
+        kind=flavor,
         cell=cell,
-        size=size,
-        up_since_ms=up_since_ms,
+        capacity=size,
+        started_at_ms=up_since_ms,
     )
 
 
 def endpoint_list(*, revision: int, complete: bool, endpoints: list[EndpointEntry]) -> EndpointList:
-    return EndpointList(revision=revision, complete=complete, members=endpoints)
+    return EndpointList(revision=revision, complete=complete, endpoints=endpoints)
 
 
 # --- an upgrade
 
 
 def listener_handover(*, kept_descriptors: int, endpoints: EndpointList) -> object:
-    return DescriptorTransfer(kept=kept_descriptors, members=endpoints)
+    return DescriptorTransfer(retained_descriptor_count=kept_descriptors, endpoints=endpoints)
 
 
 def connection_handover(
@@ -287,11 +301,11 @@
 ) -> ConnectionState:
     return ConnectionState(
         opening=first_line,
-        member=host,
-        last_word=last_word,
-        asked=asked,
-        rests=partial_lines,
-        waiting=waiting_lines,
+        endpoint_id=host,
+        last_upstream_word=last_word,
+        waiting_since_us=asked,
+        partial_lines=partial_lines,
+        pending_lines=waiting_lines,
     )
 
 
@@ -314,16 +328,16 @@
 
     def ask(self) -> socket.socket | None:
         """The listener, where the running process gave it."""
-        return self._takeover.ask()
+        return self._takeover.request_listener()
 
     @property
     def kept_descriptors(self) -> int:
         """Descriptors that the running process keeps."""
-        return self._takeover.elsewhere
+        return self._takeover.remote_descriptor_count
 
     @property
     def endpoints(self) -> EndpointList | None:
-        return self._takeover.members
+        return self._takeover.endpoints
 
 
 class RunningProcess:
@@ -339,18 +353,20 @@
         self._takeover.serve(listener, self)
 
     def hand_over(self, connection: ConnectionState, client: socket.socket, host: socket.socket) -> bool:
-        return self._takeover.hand(connection, client, host)
+        return self._takeover.hand_over(connection, client, host)
 
-    def share(self) -> tuple[int, int]:
+    def split_descriptors(self) -> tuple[int, int]:
         return self._kept, 0
 
-    def members(self) -> EndpointList:
+    def known_endpoints(self) -> EndpointList:
         return self._endpoints
 
-    def alone(self, alone: bool) -> None:
-        (self.is_alone_again if alone else self.has_successor).set()
+    def set_accepting(self, accepting: bool) -> None:
+        (self.is_alone_again if accepting else self.has_successor).set()
 
-    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
+    def adopt_connection(
+        self, state: ConnectionState, client: socket.socket, upstream: socket.socket
+    ) -> None:
         raise AssertionError("nothing runs before this process")
 
 
