--- a/tansyladder/net/http.py
+++ b/tansyladder/net/http.py
@@ -1,4 +1,4 @@
-"""As much of HTTP/1.1 as discovery needs: one GET at a time on a kept connection."""
+"""As much of HTTP/1.1 as discovery needs: one GET at a time on a connection that is kept alive."""
 
 from __future__ import annotations
 
@@ -7,128 +7,175 @@
 import socket
 import threading
 from datetime import timedelta
+from typing import NamedTuple
 
 from tansyladder.config.platform import Address
 from tansyladder.net.clock import now, seconds_left
+from tansyladder.net.errors import NetworkError
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 4 * 1024 * 1024
+MAX_HEAD_BYTES = 16 * 1024  # far over what the platform's front end sends
+MAX_BODY_BYTES = 4 * 1024 * 1024  # far over any list of endpoints; it bounds the node's memory
+READ_SIZE_BYTES = 64 * 1024  # of one read: a list of endpoints takes few reads
+_STATUS_OK = 200
+_STATUS = re.compile("[0-9]{3}")
 
 
-class HttpError(Exception):
-    """An answer that is broken, or is not the one asked for."""
+class HttpError(NetworkError):
+    """A response that is broken, or is not the one asked for."""
+
+
+class HttpStatusError(HttpError):
+    """A whole response with another status than 200, which is in `status`."""
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"status {status}")
+        self.status = status
 
 
 class HttpTimeoutError(HttpError):
-    """No answer in time, or none to the end: the other side may be there and not know of the call."""
+    """No whole response in time: the server may be there and not know of the request."""
+
+
+class ResponseHead(NamedTuple):
+    """A response's status line and headers."""
+
+    status: int
+    headers: dict[str, str]  # by name in lower case
 
 
 class HttpClient:
-    """Blocking GETs; every call has its end."""
+    """A blocking client of one server.
+
+    `get` and `close` are called by one thread; `abort` is thread-safe.
+    """
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._sock: socket.socket | None = None
-        self._rest = b""
-        self._over = False
+        self._received = b""  # beyond the part of the response that has been parsed
+        self._is_aborted = False
         self._lock = threading.Lock()  # the descriptor must not be closed, and reused, while it is shut down
 
     def close(self) -> None:
+        """Close the connection; the next call makes a new one."""
         with self._lock:
             if self._sock is not None:
                 self._sock.close()
-            self._sock, self._rest = None, b""
+            self._sock = None
+            self._received = b""
 
-    def end(self) -> None:
-        """From another thread: a call that waits fails now, and so does every later one."""
+    def abort(self) -> None:
+        """Make a call that another thread waits in fail now, and every later one as well."""
         with self._lock:
-            self._over = True
+            self._is_aborted = True
             if self._sock is not None:
                 with contextlib.suppress(OSError):
                     self._sock.shutdown(socket.SHUT_RDWR)  # wakes a blocked recv, which a close does not
 
-    def get(self, path: str, connect: timedelta, wait: timedelta) -> bytes:
-        """The body of a 200 answer; HttpError or OSError otherwise, and the connection is given up."""
+    def get(self, path: str, connect_timeout: timedelta, timeout: timedelta) -> bytes:
+        """Return the body of a response with status 200; after any error the connection is closed.
+
+        `timeout` bounds the whole call; `connect_timeout` the connect, and the sending of the request.
+
+        Raises:
+            HttpStatusError: The status is another.
+            HttpTimeoutError: The response is not whole in time.
+            HttpError: The response is broken or too long, or the client was aborted.
+            OSError: The connection can't be made or broke.
+        """
         try:
-            until = now() + wait
-            sock = self._connected(connect)
-            host = f"{self._address[0]}:{self._address[1]}"
-            sock.settimeout(connect.total_seconds())
-            ask = f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
-            sock.sendall(ask.encode())
-            head = self._until(b"\r\n\r\n", until, MAX_HEAD)
-            status, headers = parse_head(head)
-            body = self._body(headers, until)
-            if headers.get("connection", "").lower() == "close":
-                self.close()
+            return self._get(path, connect_timeout, now() + timeout)
         except (OSError, HttpError):
             self.close()
             raise
-        if status != 200:
+
+    def _get(self, path: str, connect_timeout: timedelta, deadline: timedelta) -> bytes:
+        sock = self._connect(connect_timeout)
+        sock.settimeout(connect_timeout.total_seconds())
+        sock.sendall(self._format_request(path))
+        head = parse_head(self._read_until(b"\r\n\r\n", deadline, MAX_HEAD_BYTES))
+        body = self._read_body(head.headers, deadline)
+        if head.headers.get("connection", "").lower() == "close":
             self.close()
-            raise HttpError(f"status {status}")
+        if head.status != _STATUS_OK:
+            raise HttpStatusError(head.status)
         return body
 
-    def _connected(self, wait: timedelta) -> socket.socket:
+    def _format_request(self, path: str) -> bytes:
+        host = f"{self._address[0]}:{self._address[1]}"
+        return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
+
+    def _connect(self, timeout: timedelta) -> socket.socket:
         if self._sock is None:
-            sock = socket.create_connection(self._address, wait.total_seconds())
+            sock = socket.create_connection(self._address, timeout.total_seconds())
             with self._lock:
                 self._sock = sock
-        if self._over:
+        if self._is_aborted:
             raise HttpError("ended")
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return self._sock
 
-    def _more(self, until: timedelta) -> None:
+    def _receive(self, deadline: timedelta) -> None:
+        """Append what comes next to what was received."""
         assert self._sock is not None
-        left = seconds_left(until)
+        left = seconds_left(deadline)
         if not left:
             raise HttpTimeoutError("no answer in time")
         self._sock.settimeout(left)
         try:
-            data = self._sock.recv(65536)
+            data = self._sock.recv(READ_SIZE_BYTES)
         except TimeoutError as err:
             raise HttpTimeoutError("no answer in time") from err
         if not data:
             raise HttpError("the connection ended within an answer")
-        self._rest += data
+        self._received += data
 
-    def _until(self, mark: bytes, until: timedelta, most: int) -> bytes:
-        while mark not in self._rest:
-            if len(self._rest) > most:
+    def _read_until(self, delimiter: bytes, deadline: timedelta, max_bytes: int) -> bytes:
+        """Read up to a delimiter, which is not returned."""
+        while delimiter not in self._received:
+            if len(self._received) > max_bytes:
                 raise HttpError("a part of the answer is too long")
-            self._more(until)
-        part, self._rest = self._rest.split(mark, 1)
+            self._receive(deadline)
+        part, self._received = self._received.split(delimiter, 1)
         return part
 
-    def _take(self, size: int, until: timedelta) -> bytes:
-        if not 0 <= size <= MAX_BODY:
+    def _read_exactly(self, size: int, deadline: timedelta) -> bytes:
+        if not 0 <= size <= MAX_BODY_BYTES:
             raise HttpError("the body is too long")
-        while len(self._rest) < size:
-            self._more(until)
-        part, self._rest = self._rest[:size], self._rest[size:]
+        while len(self._received) < size:
+            self._receive(deadline)
+        part = self._received[:size]
+        self._received = self._received[size:]
         return part
 
-    def _body(self, headers: dict[str, str], until: timedelta) -> bytes:
+    def _read_body(self, headers: dict[str, str], deadline: timedelta) -> bytes:
         if headers.get("transfer-encoding", "").lower() == "chunked":
-            parts: list[bytes] = []
-            while True:
-                text = self._until(b"\r\n", until, MAX_HEAD).split(b";", 1)[0].strip()
-                size = _number(text.decode("latin-1"), 16, "chunk size")
-                if size == 0:
-                    while self._until(b"\r\n", until, MAX_HEAD):
-                        pass
-                    return b"".join(parts)
-                parts.append(self._take(size, until))
-                if sum(map(len, parts)) > MAX_BODY or self._take(2, until) != b"\r\n":
-                    raise HttpError("a broken chunk")
+            return self._read_chunks(deadline)
         if "content-length" in headers:
-            return self._take(_number(headers["content-length"], 10, "content-length"), until)
+            return self._read_exactly(
+                _parse_number(headers["content-length"], 10, "content-length"), deadline
+            )
         raise HttpError("an answer without a length")
 
-
-def _number(text: str, base: int, name: str) -> int:
-    if not text.isascii() or not text.isalnum():
+    def _read_chunks(self, deadline: timedelta) -> bytes:
+        chunks: list[bytes] = []
+        body_size = 0
+        while True:
+            size_line = self._read_until(b"\r\n", deadline, MAX_HEAD_BYTES)
+            size_text = size_line.split(b";", 1)[0].strip()  # an extension may follow the size
+            size = _parse_number(size_text.decode("latin-1"), 16, "chunk size")
+            if size == 0:
+                while self._read_until(b"\r\n", deadline, MAX_HEAD_BYTES):
+                    pass  # trailers, up to an empty line
+                return b"".join(chunks)
+            chunks.append(self._read_exactly(size, deadline))
+            body_size += size
+            if body_size > MAX_BODY_BYTES or self._read_exactly(2, deadline) != b"\r\n":
+                raise HttpError("a broken chunk")
+
+
+def _parse_number(text: str, base: int, name: str) -> int:
+    if not text.isascii() or not text.isalnum():  # `int` would take signs, spaces and underscores
         raise HttpError(f"{name}: not a number")
     try:
         return int(text, base)
@@ -136,16 +183,20 @@
         raise HttpError(f"{name}: not a number") from err
 
 
-def parse_head(head: bytes) -> tuple[int, dict[str, str]]:
-    """The status and the headers, by their names in lower case."""
-    first, *lines = head.decode("latin-1").split("\r\n")
-    words = first.split(" ", 2)
-    if len(words) < 2 or not words[0].startswith("HTTP/1.") or not re.fullmatch("[0-9]{3}", words[1]):
+def parse_head(head: bytes) -> ResponseHead:
+    """Parse a response's head, which comes without the empty line that ends it.
+
+    Raises:
+        HttpError: It is no head of an HTTP/1.x response.
+    """
+    status_line, *header_lines = head.decode("latin-1").split("\r\n")
+    parts = status_line.split(" ", 2)
+    if len(parts) < 2 or not parts[0].startswith("HTTP/1.") or not _STATUS.fullmatch(parts[1]):
         raise HttpError("not an HTTP/1.1 answer")
     headers = {}
-    for line in lines:
+    for line in header_lines:
         name, colon, value = line.partition(":")
         if not colon:
             raise HttpError("a broken header")
         headers[name.strip().lower()] = value.strip()
-    return int(words[1]), headers
+    return ResponseHead(int(parts[1]), headers)
--- a/tansyladder/net/protocol.py
+++ b/tansyladder/net/protocol.py
@@ -8,8 +8,11 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
+from tansyladder.net.clock import MILLISECOND
+from tansyladder.net.errors import NetworkError
+
 MAX_LINE_BYTES = 4096
-MILLISECOND = timedelta(milliseconds=1)
+
 MAX_WAIT = timedelta(seconds=60)  # that a client may ask for
 MAX_ADOPTED_WAIT = timedelta(hours=2)  # for what stood before a run: its `d` is no wait that anybody keeps to
 PING, PONG, STATS, UP, ERR = b"PING", b"PONG", b"STATS", b"UP", b"ERR"
@@ -23,7 +26,7 @@
 _VALUE = re.compile(r"[!-~]{1,128}\Z", re.A)  # what a pool member gets as it came: printable, and not huge
 
 
-class LineError(Exception):
+class LineError(NetworkError):
     """A line that does not follow the protocol."""
 
 
--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -11,7 +11,7 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue
-from tansyladder.net.clock import now, seconds_left
+from tansyladder.net.clock import milliseconds_left, now
 from tansyladder.net.delay_reports import DelayReports
 from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
 from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
@@ -163,7 +163,7 @@
             events |= select.POLLOUT if self._pending[side] else 0
             if events:
                 poll.register(side, events)
-        return {fd for fd, _ in poll.poll(-(-seconds_left(until) * 1000 // 1))}
+        return {fd for fd, _ in poll.poll(milliseconds_left(until))}
 
     def _flush(self, side: socket.socket) -> None:
         """Write what a side takes now; once all is out, pass the other side's end on."""
--- a/tansyladder/net/sockets.py
+++ b/tansyladder/net/sockets.py
@@ -1,4 +1,7 @@
-"""Small helpers on blocking sockets; every wait has an end."""
+"""Helpers on blocking sockets; every wait has a deadline.
+
+A deadline is a moment of `clock.now`. The functions keep no state; a socket belongs to the thread that uses it.
+"""
 
 from __future__ import annotations
 
@@ -9,58 +12,66 @@
 from datetime import timedelta
 from enum import Enum
 
-from tansyladder.net.clock import now, seconds_left
+from tansyladder.net.clock import milliseconds_left, now
 
 SEND_TIMEOUT = timedelta(seconds=5)  # a peer that takes nothing for this long is given up
-DRAIN_TIMEOUT = timedelta(milliseconds=500)  # a peer that was told the end has this long to end its side
-READ_SIZE_BYTES = 8192
-MAX_DRAIN_BYTES = (
-    1 << 20
-)  # bytes read away of a peer that was told the end; a close with unread ones is a reset
-_RESET = struct.pack("ii", 1, 0)
-_LAST_DATA = struct.Struct("52xI")  # of `struct tcp_info`, tcp(7)
+DRAIN_TIMEOUT = timedelta(
+    milliseconds=500
+)  # after our end of a connection its peer has this long for its own
+READ_SIZE_BYTES = 8192  # of one read; a connection's lines are short, and a read seldom holds two
+MAX_DRAIN_BYTES = 1 << 20  # read and dropped after our end; a close with unread input would be a reset
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # `struct linger`: on, 0 s
+_LAST_DATA_RECEIVED = struct.Struct("52xI")  # `tcpi_last_data_recv` of `struct tcp_info`, tcp(7)
 
 
 def disable_send_delay(sock: socket.socket) -> None:
-    """Small writes go out at once: what the system held back would go with the connection at its end."""
+    """Send small writes at once: what Nagle's algorithm holds back is lost when the connection is reset."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def configure_stream(sock: socket.socket) -> None:
-    """Lines go out at once, and no send waits without an end."""
+    """Make lines go out at once, and every send and receive end within `SEND_TIMEOUT`."""
     disable_send_delay(sock)
     sock.settimeout(SEND_TIMEOUT.total_seconds())
 
 
-def wait_readable(until: timedelta, *fds: int) -> set[int]:
-    """Which of these can be read, or have ended, by a moment."""
+def poll_until(poll: select.poll, deadline: timedelta) -> set[int]:
+    """Wait on registered descriptors; return those that are ready, or none once the deadline has passed."""
+    return {fd for fd, _ in poll.poll(milliseconds_left(deadline))}
+
+
+def wait_readable(deadline: timedelta, *fds: int) -> set[int]:
+    """Return which of these descriptors can be read, or have ended, by a deadline."""
     poll = select.poll()
     for fd in fds:
         poll.register(fd, select.POLLIN)
-    return {fd for fd, _ in poll.poll(-(-seconds_left(until) * 1000 // 1))}
+    return poll_until(poll, deadline)
 
 
-def wait_connected(sock: socket.socket, until: timedelta, *fds: int) -> set[int]:
-    """Whether a connection has come up, or failed to, by a moment; and which of the others can be read."""
+def wait_connected(sock: socket.socket, deadline: timedelta, *fds: int) -> set[int]:
+    """Wait for a connect that is under way; return which descriptors are ready by a deadline.
+
+    `sock` is among them once it is connected or has failed to, the others once they can be read.
+    """
     poll = select.poll()
     poll.register(sock, select.POLLOUT)
     for fd in fds:
         poll.register(fd, select.POLLIN)
-    return {fd for fd, _ in poll.poll(-(-seconds_left(until) * 1000 // 1))}
+    return poll_until(poll, deadline)
 
 
 class PeekResult(Enum):
-    """What has come from another side and is not read yet."""
+    """What has come from the other side and is not read yet."""
 
     NOTHING = 0
     DATA = 1
-    CLOSED = 2  # its own, or that of the connection
+    CLOSED = 2  # the other side ended its half, or the connection is broken
 
 
 def peek(sock: socket.socket) -> PeekResult:
-    """A look at what comes next; it waits for nothing and reads nothing away."""
-    # With a time-out Python waits before each call, whatever its flags say: so it is asked first.
+    """Return what the next read would find, without waiting or reading anything."""
+    # With a time-out Python waits before each call, whatever its flags say: so it is polled first.
     if not wait_readable(timedelta(0), sock.fileno()):
         return PeekResult.NOTHING
     try:
@@ -70,42 +81,47 @@
 
 
 def is_disconnected(sock: socket.socket) -> bool:
-    """Whether the other side has ended its connection, whatever it said before that is still unread."""
+    """Return whether the other side has ended its connection, even where data before that is unread."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def time_since_last_data(sock: socket.socket) -> timedelta:
-    """How long ago the last data came in, as the system knows it (`tcpi_last_data_recv`, in milliseconds).
+    """Return how long ago the system received the last data, to the millisecond.
+
+    A process that was stopped or starved sees what came meanwhile only when it runs again; the system's own
+    `tcpi_last_data_recv` tells when it came.
 
-    A process that was stopped or starved sees what came meanwhile only when it runs again.
+    Raises:
+        OSError: The connection is broken.
     """
-    told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_DATA.size)
-    return timedelta(milliseconds=_LAST_DATA.unpack(told)[0])
+    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_DATA_RECEIVED.size)
+    return timedelta(milliseconds=_LAST_DATA_RECEIVED.unpack(info)[0])
 
 
 def reset(sock: socket.socket) -> None:
-    """End a connection with a reset."""
+    """Close a connection with a reset, so that its other side sees that it broke."""
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     sock.close()
 
 
-def shutdown_and_drain(sock: socket.socket, last: bytes = b"") -> None:
-    """Send the last words and end in good order.
+def shutdown_and_drain(sock: socket.socket, last_data: bytes = b"") -> None:
+    """Send the last data and close a connection in good order, within `DRAIN_TIMEOUT` after the send.
 
-    A close with unread input turns into a reset, which may overtake the last words: so the sending side is
-    ended first, and what still comes is read away for a moment.
+    A close with unread input turns into a reset, which may overtake the last data: so the sending side is
+    ended first, and what still comes is read and dropped. A connection that is broken is closed silently.
     """
     with contextlib.suppress(OSError):
-        if last:
-            sock.sendall(last)
+        if last_data:
+            sock.sendall(last_data)
         sock.shutdown(socket.SHUT_WR)
-        until, remaining = now() + DRAIN_TIMEOUT, MAX_DRAIN_BYTES
-        while remaining > 0 and now() < until and wait_readable(until, sock.fileno()):
+        deadline = now() + DRAIN_TIMEOUT
+        remaining_bytes = MAX_DRAIN_BYTES
+        while remaining_bytes > 0 and now() < deadline and wait_readable(deadline, sock.fileno()):
             size = sock.recv_into(bytearray(READ_SIZE_BYTES), 0, socket.MSG_TRUNC)  # dropped without a copy
             if not size:
                 break
-            remaining -= size
+            remaining_bytes -= size
     sock.close()
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -81,7 +81,7 @@
                 return False
             old, self._http = self._http, HttpClient(to)
             self._address, self._new, self._retry = to, True, self._spread
-        old.end()
+        old.abort()
         self._core.request_discovery_poll()
         return True
 
