--- a/tansyladder/net/errors.py
+++ b/tansyladder/net/errors.py
@@ -1,6 +1,7 @@
 """The base of the network package's errors.
 
-Modules define theirs under it: `protocol.LineError`, `http.HttpError`. What the operating system reports stays an `OSError`.
+Modules define theirs under it: `protocol.LineError`, `http.HttpError`.
+What the operating system reports stays an `OSError`.
 """
 
 from __future__ import annotations
--- a/tansyladder/net/sockets.py
+++ b/tansyladder/net/sockets.py
@@ -1,6 +1,6 @@
 """Helpers on blocking sockets; every wait has a deadline.
 
-A deadline is a moment of `clock.now`. The functions keep no state; a socket belongs to the thread that uses it.
+A deadline is a moment of `clock.now`. The functions keep no state: a socket belongs to its user's thread.
 """
 
 from __future__ import annotations
