--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -85,7 +85,7 @@
                 return False
             old, self._http = self._http, HttpClient(address)
             self._address, self._needs_snapshot, self._retry_spread = address, True, self._first_call_spread
-        old.end()
+        old.abort()
         self._runner.request_discovery_poll()
         return True
 
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -25,7 +25,7 @@
 from tansyladder.resumption.replay_buffer import MemoryBudget
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS, SessionEnd, TokenRegistry
-from tansyladder.resumption.tokens import NODE_LIFE_BYTES, Keyring, TokenClaims
+from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenClaims
 from tansyladder.sessions.session_store import SessionStore
 
 if TYPE_CHECKING:
@@ -79,9 +79,9 @@
         self.session_store = None if peers.enabled else keeping
         kept = self.session_store.identity if self.session_store else None
         # Bound to the name as well: a folder that was copied to another node makes no tokens of this one.
-        drawn = b"" if peers.enabled else kept.node_life if kept else os.urandom(32)
-        life = hashlib.blake2b(drawn, digest_size=NODE_LIFE_BYTES, key=name).digest()
-        keys = [(k.id, k.secret) for k in self.options.keys]
+        drawn = b"" if peers.enabled else kept.issuer_id if kept else os.urandom(32)
+        life = hashlib.blake2b(drawn, digest_size=ISSUER_ID_BYTES, key=name).digest()
+        keys = [SealingKey(key.id, key.secret) for key in self.options.keys]
         self.keyring = Keyring(life, keys, os.urandom, kept.token_key if kept else None)
         self.start_number = 1 if peers.enabled else kept.start_count if kept else 0
         self._durable = peers.enabled or self.session_store is not None
@@ -174,18 +174,22 @@
                 entry, min(visitor.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
             )
             late = now() > visitor.deadline or sockets.is_disconnected(visitor.sock)
-            if ruling is None or (ruling.tenure and late):
+            if ruling is None or (ruling.epoch and late):
                 good = self.token_registry.generation_floor(session)  # as it was
                 self._release_token(
-                    msgspec.structs.replace(entry, floor=good, turn=next(self.confirmation_numbers))
+                    msgspec.structs.replace(
+                        entry, generation_floor=good, sequence=next(self.confirmation_numbers)
+                    )
                 )
                 return RETRY_SOON
-            if not ruling.tenure:  # who has claimed it since may fail: its token may be good still
+            if not ruling.epoch:  # who has claimed it since may fail: its token may be good still
                 return (
-                    RETRY_SOON if ruling.why == "claimed" else control_messages.format_rejection(ruling.why)
+                    RETRY_SOON
+                    if ruling.reason == "claimed"
+                    else control_messages.format_rejection(ruling.reason)
                 )
             self._unconfirmed_openings[session] = SessionOpened(
-                session, tenure, self.ownership_service.incarnation, at, entry.turn
+                session, tenure, self.ownership_service.incarnation, at, entry.sequence
             )
         self.token_registry.redeem(session)
         return b""
@@ -215,7 +219,7 @@
 
         def run() -> None:
             assert self.ownership_service is not None
-            until = self._core.clock.moment(entry.expiry)
+            until = self._core.clock.moment(entry.token_expiry_us)
             while (
                 now() < until
                 and self.ownership_service.decide_ownership(
