--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -5,6 +5,7 @@
 import contextlib
 import math
 import random
+import threading
 from collections import Counter
 from datetime import timedelta
 from itertools import pairwise
@@ -201,6 +202,8 @@
     paused: list[timedelta] = []
 
     def get(self: object, path: str, connect: timedelta, wait: timedelta) -> bytes:
+        if threading.current_thread() is not threading.main_thread():
+            raise OSError("a discovery thread of an earlier test's node")
         asked.append(path)
         return b'{"revision":8,"complete":false,"members":[%s]}' % (
             b'{"id":"s1","host_port":"127.0.0.1:9","phase":"up"}' if len(asked) == 1 else b""
