--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -21,7 +21,8 @@
 from tansyladder.net.clock import now
 from tansyladder.net.upstream import ConnectResult, UpstreamConnector
 from tansyladder.node import client_listener
-from tansyladder.node.client_listener import ClientListener, ConnectionAcceptor
+from tansyladder.node.client_listener import ClientListener
+from tansyladder.node.connection_acceptor import ConnectionAcceptor
 from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.policy.events import (
     AttemptEnded,
