--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -16,7 +16,8 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
-from tansyladder.node.client_listener import ADMIN_DESCRIPTORS, ClientListener
+from tansyladder.node.admission_control import ADMIN_DESCRIPTORS
+from tansyladder.node.client_listener import ClientListener
 from tansyladder.node.extension_points import DecisionPermit
 from tansyladder.node.lifecycle import Lifecycle, NodeState
 from tansyladder.node.policy_runner import PolicyRunner
@@ -72,7 +73,9 @@
 
     def start(self) -> None:
         threading.Thread(target=self._run, name="operator", daemon=True).start()
-        threading.Thread(target=self._client_listener.run_standby_drains, name="standby", daemon=True).start()
+        threading.Thread(
+            target=self._client_listener.drainer.run_standby_drains, name="standby", daemon=True
+        ).start()
 
     def stop(self) -> None:
         """Nobody is listened to any more."""
--- /dev/null
+++ b/tansyladder/node/admission_control.py
@@ -0,0 +1,92 @@
+"""Decides which requests this node serves: known classes and tenants, within its descriptors."""
+
+from __future__ import annotations
+
+import threading
+from datetime import timedelta
+
+from tansyladder.net import protocol
+from tansyladder.net.clock import MICROSECOND
+from tansyladder.net.listener_handover import ListenerHandover
+from tansyladder.net.protocol import TENANT_FIELD, Opening
+from tansyladder.node.policy_runner import PolicyRunner
+
+# Of the descriptors that the machine grants, a pending connection needs one; a served one needs two, and a
+# third for its action queue until it is established.
+SERVED_DESCRIPTORS = 3
+ADMIN_DESCRIPTORS = 18  # for the operators' address, which no client can have
+RESERVED_DESCRIPTORS = 20  # for the listener, discovery, health checks, logs and the configuration
+MIN_PENDING = 8
+MAX_PENDING = 128
+PENDING_SHARE = 6  # one descriptor in so many may be a pending connection's
+REJECTION_RETRY_AFTER = timedelta(milliseconds=200)  # that a client rejected at admission is told
+
+
+class AdmissionControl:
+    """Counts the connections that are served and admits others while there are descriptors.
+
+    Thread-safe: `_lock` guards `_open_ids`, and nothing else is called under it.
+    """
+
+    def __init__(self, runner: PolicyRunner, handover: ListenerHandover) -> None:
+        """`handover`: to another process, which has a part of the descriptors while it runs."""
+        self._runner = runner
+        self._handover = handover
+        self._lock = threading.Lock()
+        self._open_ids: set[str] = set()  # of the connections that are served
+        limits = runner.config.limits
+        self.max_pending = max(MIN_PENDING, min(MAX_PENDING, limits.sockets // PENDING_SHARE))
+        self._reserved = RESERVED_DESCRIPTORS + (ADMIN_DESCRIPTORS if runner.config.operator else 0)
+        self._available = limits.sockets - self._reserved - self.max_pending
+
+    @property
+    def active_count(self) -> int:
+        """Connections that are served at the moment."""
+        return len(self._open_ids)
+
+    @property
+    def retry_after(self) -> timedelta:
+        """When a client rejected here may come again; zero where the platform sends no such time."""
+        settings = self._runner.config.settings
+        if not settings.can_send_retry_after:
+            return timedelta(0)
+        return min(REJECTION_RETRY_AFTER, settings.max_retry_after_us * MICROSECOND)
+
+    def check_fields(self, opening: Opening) -> None:
+        """Raise LineError where the settings know no such class or tenant."""
+        if opening.class_name not in self._runner.class_numbers:
+            raise protocol.LineError(f"c: unknown class {opening.class_name[:40]}")
+        tenants = self._runner.config.tenants
+        if tenants and opening.field_values.get(TENANT_FIELD) not in tenants:
+            raise protocol.LineError(f"t: unknown tenant {opening.field_values.get(TENANT_FIELD, '')[:40]}")
+
+    def reserve(self, connection_id: str) -> bool:
+        """Count a connection as served; False at the limit, LineError where its id is open already."""
+        # An established connection has given its action queue's descriptor back; a resumable one keeps it.
+        released = len(self._runner.request_ids(True))
+        if self._runner.session_service is not None:
+            released -= len(self._runner.session_service.token_registry)
+        available = self._available - self._handover.remote_descriptor_count
+        with self._lock:
+            if connection_id in self._open_ids:
+                raise protocol.LineError("id: open already")
+            if SERVED_DESCRIPTORS * (len(self._open_ids) + 1) - released > available:
+                return False
+            self._open_ids.add(connection_id)
+            return True
+
+    def add(self, connection_id: str) -> None:
+        """Count a connection that the process before handed over, whatever the limit is."""
+        with self._lock:
+            self._open_ids.add(connection_id)
+
+    def release(self, connection_id: str) -> None:
+        """A connection has ended."""
+        with self._lock:
+            self._open_ids.discard(connection_id)
+
+    def split_descriptors(self, pending_count: int) -> tuple[int, int]:
+        """Descriptors that this process keeps where another one comes, and what that leaves to it."""
+        used = SERVED_DESCRIPTORS * len(self._open_ids) - len(self._runner.request_ids(True))
+        free = max(0, self._available - used)
+        return self._reserved + pending_count + used + free // 2, free - free // 2
--- /dev/null
+++ b/tansyladder/node/connection_drainer.py
@@ -0,0 +1,93 @@
+"""Drains a node: established connections are migrated, waiting requests are rejected, each told once."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable
+from datetime import timedelta
+
+from tansyladder.log import LogEvent, log
+from tansyladder.net.clock import now
+from tansyladder.node.lifecycle import NodeState
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.policy.actions import Migrate, Reject
+
+LATE_ARRIVAL_WINDOW = timedelta(milliseconds=450)  # after SIGTERM new connections come for up to 0.4 s
+LONGEST_REQUEST_WAIT = timedelta(seconds=3)  # that a shutdown grants, however long the deadlines are
+KILL_MARGIN = timedelta(milliseconds=700)  # SIGKILL comes no earlier than the longest deadline and this
+EXIT_MARGIN = timedelta(milliseconds=400)  # of that margin, for the end of the process
+# After `standby` every client has left in 4 s, less a margin.
+STANDBY_DRAIN_DURATION = timedelta(seconds=3.4)
+LAST_MIGRATION_MARGIN = timedelta(milliseconds=500)  # from the last client's MOVE to the end of the drain
+DRAIN_STEP_INTERVAL = timedelta(milliseconds=10)
+
+
+class ConnectionDrainer:
+    """Tells connections to leave; thread-safe, as it has no state of its own that changes."""
+
+    def __init__(self, runner: PolicyRunner, active_count: Callable[[], int]) -> None:
+        """`active_count`: how many connections are served at the moment."""
+        self._runner = runner
+        self._active_count = active_count
+
+    def shutdown_deadline(self) -> timedelta:
+        """Until when a shutdown may spread its migrations, from the moment it began."""
+        longest_wait = min(self._runner.config.longest_deadline, LONGEST_REQUEST_WAIT)
+        return self._runner.lifecycle.state_since + longest_wait + KILL_MARGIN - EXIT_MARGIN
+
+    def run_standby_drains(self) -> None:
+        """Drain whenever the node goes to standby; never returns, for a thread of its own."""
+        lifecycle = self._runner.lifecycle
+        while True:
+            since = lifecycle.wait_for_state(NodeState.STANDBY)
+            notified = self.migrate_gradually(since, since + STANDBY_DRAIN_DURATION)
+            if not lifecycle.wait_for_change(since, now()):
+                self.evict_remaining(notified, now())
+                self.log_remaining(LogEvent.STANDBY_ENTERED)
+            lifecycle.wait_for_change(since)
+
+    def migrate_gradually(
+        self, since: timedelta, end: timedelta, is_finished: Callable[[], bool] = lambda: False
+    ) -> set[int]:
+        """Migrate established connections, spread until `end`; returns the ids of those that were told.
+
+        All clients coming at once to the other nodes would fail together. It ends early once the lifecycle's
+        state, which began at `since`, changes, or `is_finished` says so.
+        """
+        runner = self._runner
+        notified = set[int]()
+        while True:
+            step_end = max(since + LATE_ARRIVAL_WINDOW, now() + DRAIN_STEP_INTERVAL)
+            if runner.lifecycle.wait_for_change(since, step_end) or now() >= end:
+                return notified
+            established = [number for number in runner.request_ids(True) if number not in notified]
+            if is_finished():
+                return notified
+            steps_left = max(1, (end - LAST_MIGRATION_MARGIN - now()) // DRAIN_STEP_INTERVAL)
+            share = established[: -(-len(established) // steps_left)]
+            notified.update(share)
+            runner.dispatch([Migrate(number) for number in share])
+
+    def evict_remaining(self, notified: set[int], until: timedelta) -> None:
+        """Reject waiting requests and migrate established ones until all have left or a moment has come.
+
+        Each is told once: a rejection that finds its connection established by then becomes a migration. A
+        request that was admitted a moment ago may not be registered yet, so this looks again and again.
+        """
+        runner = self._runner
+        while True:
+            waiting = [number for number in runner.request_ids(False) if number not in notified]
+            notified.update(waiting)
+            established = [number for number in runner.request_ids(True) if number not in notified]
+            notified.update(established)
+            rejections = [Reject(number) for number in waiting]
+            migrations = [Migrate(number) for number in established]
+            runner.dispatch([*rejections, *migrations])
+            if not self._active_count() or now() >= until:
+                return
+            threading.Event().wait(DRAIN_STEP_INTERVAL.total_seconds())
+
+    def log_remaining(self, event: LogEvent) -> None:
+        """Log how many connections are left, established and waiting."""
+        established_count = len(self._runner.request_ids(True))
+        log(event, standing=established_count, in_hand=len(self._runner.request_ids(False)))
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -5,6 +5,7 @@
 import socket
 from collections.abc import Callable
 from datetime import timedelta
+from typing import NamedTuple
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
@@ -25,6 +26,13 @@
 )  # between two tries to take up a connection from before the run
 
 
+class AdoptedConnection(NamedTuple):
+    """An established connection that the process before this one handed over."""
+
+    state: ConnectionState
+    upstream: socket.socket
+
+
 class RequestHandler:
     """One request of a client and its final answer; its thread alone uses its sockets."""
 
@@ -34,7 +42,7 @@
         client: socket.socket,
         opening: Opening,
         arrived: timedelta,
-        adopted: tuple[ConnectionState, socket.socket] | None = None,
+        adopted: AdoptedConnection | None = None,
     ) -> None:
         """`handed`: of one that stood in the process before this one, what that gave with it."""
         self._runner, self._client, self._opening, self._adopted = runner, client, opening, adopted
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -200,7 +200,8 @@
     old = ClientListener(core, ListenerHandover(("127.0.0.1", 1), str(tmp_path)))
     kept, left = old.split_descriptors()
     assert 0 < left < kept < 200 - left  # what a full table of newcomers may take stays with neither
-    old._open_ids = {str(i) for i in range(30)}
+    for number in range(30):
+        old._admission.add(str(number))
     fuller, less = old.split_descriptors()
     assert fuller - kept == 90 - (left - less) and less < left
     old.stop_listening()
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tansyladder.node import client_listener
+from tansyladder.node import connection_drainer
 from tansyladder.node.admin_server import MAX_CALLERS, MAX_LINE_BYTES, AdminServer
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.policy.events import ClientDisconnected
@@ -156,7 +156,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name, span in (("LATE_ARRIVAL_WINDOW", 0.01), ("STANDBY_DRAIN_DURATION", 0.05)):
-        monkeypatch.setattr(client_listener, name, timedelta(seconds=span))
+        monkeypatch.setattr(connection_drainer, name, timedelta(seconds=span))
     came, free = threading.Semaphore(0), threading.Event()
 
     def holds(peer: Peer) -> None:
@@ -201,7 +201,7 @@
 
 
 def test_sigterm_in_standby_ends_the_node(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_listener, "LATE_ARRIVAL_WINDOW", timedelta(seconds=0.01))
+    monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(seconds=0.01))
     with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
         client = n.open()
         assert client.read_line() == "UP r1"
@@ -222,7 +222,7 @@
         ("LAST_MIGRATION_MARGIN", 0.05),
         ("STANDBY_DRAIN_DURATION", 0.3),
     ):
-        monkeypatch.setattr(client_listener, name, timedelta(seconds=span))
+        monkeypatch.setattr(connection_drainer, name, timedelta(seconds=span))
     with office(tmp_path, ScriptedServer(answer_up(stays))) as n:
         clients = [n.open() for _ in range(6)]
         assert [client.read_line() for client in clients] == ["UP r1"] * 6
@@ -251,7 +251,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        client_listener, "LATE_ARRIVAL_WINDOW", timedelta(seconds=30)
+        connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(seconds=30)
     )  # the moves would begin then
     with office(tmp_path, ScriptedServer(answer_up(echoes))) as n:
         client = n.open()
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -20,10 +20,12 @@
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
 from tansyladder.net.upstream import ConnectResult, UpstreamConnector
-from tansyladder.node import client_listener
+from tansyladder.node import connection_drainer
 from tansyladder.node.client_listener import ClientListener
 from tansyladder.node.connection_acceptor import ConnectionAcceptor
+from tansyladder.node.connection_drainer import ConnectionDrainer
 from tansyladder.node.discovery_client import DiscoveryClient
+from tansyladder.node.pending_connections import PendingConnections
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -267,13 +269,13 @@
 
 def at_the_end(monkeypatch: pytest.MonkeyPatch, then: Callable[[ConnectionAcceptor], None]) -> None:
     """Do something in the moment in which a node's admission ends."""
-    see_out = ConnectionAcceptor._close_pending
+    see_out = ConnectionAcceptor._finish
 
     def first(self: ConnectionAcceptor) -> None:
         then(self)
         see_out(self)
 
-    monkeypatch.setattr(ConnectionAcceptor, "_close_pending", first)
+    monkeypatch.setattr(ConnectionAcceptor, "_finish", first)
 
 
 @pytest.mark.parametrize("rests", [True, False], ids=["resting", "in the queue"])
@@ -311,14 +313,14 @@
         client = n.connect()
         client.send_lines("PING")
         assert client.read_line() == "PONG"
-        tell = ConnectionAcceptor._answer_and_shutdown
+        tell = PendingConnections.answer_and_shutdown
 
-        def cross(self: ConnectionAcceptor, newcomer: Any, answer: bytes) -> None:
+        def cross(self: PendingConnections, newcomer: Any, answer: bytes) -> None:
             tell(self, newcomer, answer)
             assert client.read_line() == ""  # our end has come, and now a request crosses it
             client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
 
-        monkeypatch.setattr(ConnectionAcceptor, "_answer_and_shutdown", cross)
+        monkeypatch.setattr(PendingConnections, "answer_and_shutdown", cross)
         end(n)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # it was not reset
         assert not [e for e in n.runner.events if isinstance(e, RequestReceived)]
@@ -326,7 +328,7 @@
 
 def test_a_half_line_at_sigterm_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A node that had nobody else ended within half a second, in the middle of a slow client's line."""
-    monkeypatch.setattr(client_listener, "LATE_ARRIVAL_WINDOW", timedelta(0))
+    monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(0))
     with running_node(tmp_path, ScriptedServer(answer_up(lambda peer: peer.send_lines("BYE")))) as n:
         client = n.connect()
         client.sock.sendall(b"OPEN 7e7")
@@ -353,18 +355,20 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It had no number yet when all that were in hand got their refusal, and was cut off at the exit."""
-    monkeypatch.setattr(client_listener, "LATE_ARRIVAL_WINDOW", timedelta(0))
-    monkeypatch.setattr(client_listener, "KILL_MARGIN", client_listener.EXIT_MARGIN - timedelta(seconds=1))
+    monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(0))
+    monkeypatch.setattr(
+        connection_drainer, "KILL_MARGIN", connection_drainer.EXIT_MARGIN - timedelta(seconds=1)
+    )
     go_on = threading.Event()
-    begin = ClientListener._run_when_released
+    begin = ClientListener._serve_when_released
     turned_out = threading.Event()
-    turn_out = ClientListener._evict_remaining
+    turn_out = ConnectionDrainer.evict_remaining
 
     def late(self: ClientListener, *args: Any) -> None:
         assert turned_out.wait(10) and go_on.wait(10)
         begin(self, *args)
 
-    def told(self: ClientListener, told: set[int], until: timedelta) -> None:
+    def told(self: ConnectionDrainer, told: set[int], until: timedelta) -> None:
         turned_out.set()
         turn_out(self, told, now() + SOON)
 
@@ -374,8 +378,8 @@
         order(self, orders)
         go_on.set()  # the first round found nobody
 
-    monkeypatch.setattr(ClientListener, "_run_when_released", late)
-    monkeypatch.setattr(ClientListener, "_evict_remaining", told)
+    monkeypatch.setattr(ClientListener, "_serve_when_released", late)
+    monkeypatch.setattr(ConnectionDrainer, "evict_remaining", told)
     monkeypatch.setattr(RecordingPolicyRunner, "dispatch", first_order)
 
     def never(peer: Peer) -> None:
@@ -397,7 +401,7 @@
         start = threading.Thread.start
 
         def none_left(self: threading.Thread) -> None:
-            if "_run_when_released" in repr(self._target):  # type: ignore[attr-defined]
+            if "_serve_when_released" in repr(self._target):  # type: ignore[attr-defined]
                 raise RuntimeError("can't start new thread")
             start(self)
 
@@ -414,9 +418,11 @@
         for _ in range(2):  # the second answer shows that all of the first one is done
             client.send_lines("PING")
             assert client.read_line() == "PONG"
-        [newcomer] = n.listener._acceptor._pending.values()
+        [newcomer] = n.listener._acceptor._pending.all()
         assert newcomer.close_deadline - newcomer.first_line_deadline == sockets.DRAIN_TIMEOUT
-        n.listener._acceptor._check_deadlines(newcomer, newcomer.first_line_deadline)  # the minute is over
+        n.listener._acceptor._pending.check_deadlines(
+            newcomer, newcomer.first_line_deadline
+        )  # the minute is over
         assert [client.read_line(), client.read_line()] == ["ERR", ""]
         client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
         client.sock.shutdown(socket.SHUT_WR)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -530,7 +530,7 @@
         assert threading.active_count() - before <= 2 * 20 + 2  # these clients', and their members' scripts
         # The oldest went, and not without a word: its line might have come in that instant.
         assert [silent[0].read_line() for _ in range(2)] == ["BUSY 200", ""]
-        assert len(n.listener._acceptor._pending) <= 256 // 6
+        assert n.listener._acceptor.pending_count <= 256 // 6
 
 
 def test_a_crowd_that_connects_before_it_speaks_is_heard(tmp_path: Path) -> None:
