--- a/tansyladder/net/protocol.py
+++ b/tansyladder/net/protocol.py
@@ -1,45 +1,76 @@
-"""The platform's lines: pure parsing and formatting, no sockets."""
+"""The platform's line protocol between clients, nodes and endpoints: parsing and formatting, no sockets.
+
+A line ends in CRLF and holds words with one space between them; the first word says what it is. A client
+opens a connection with `OPEN ID KEY FIELDS`, where the fields are `name=value` pairs with commas between.
+"""
 
 from __future__ import annotations
 
 import math
 import re
-from collections.abc import Collection, Sequence
+from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
 from datetime import timedelta
+from typing import NamedTuple
 
 from tansyladder.net.clock import MILLISECOND
 from tansyladder.net.errors import NetworkError
 
-MAX_LINE_BYTES = 4096
-
+MAX_LINE_BYTES = 4096  # without the line end; the platform's own limit
 MAX_WAIT = timedelta(seconds=60)  # that a client may ask for
-MAX_ADOPTED_WAIT = timedelta(hours=2)  # for what stood before a run: its `d` is no wait that anybody keeps to
-PING, PONG, STATS, UP, ERR = b"PING", b"PONG", b"STATS", b"UP", b"ERR"
-BUSY, BYE, MOVE, LOAD = b"BUSY", b"BYE", b"MOVE", b"LOAD"
-# Names in a client's first line, for sessions that can be resumed; where they can't, they mean nothing.
-RESUME_OFFER_FIELD, RESUME_TOKEN_FIELD, RESUME_POSITION_FIELD = "rs", "rt", "rp"
+# Of a connection that was open before the node's run: its `d` is no wait that anybody keeps to.
+MAX_ADOPTED_WAIT = timedelta(hours=2)
+MAX_LOAD_HINT = 4e9  # exclusive; far over any load of one connection, and whole numbers fit 32 bits
+
+# First words of lines.
+PING = b"PING"
+PONG = b"PONG"
+STATS = b"STATS"
+UP = b"UP"
+ERR = b"ERR"
+BUSY = b"BUSY"
+BYE = b"BYE"
+MOVE = b"MOVE"
+LOAD = b"LOAD"
+
+# Names of fields in a client's first line.
+WAIT_FIELD = "d"
+CLASS_FIELD = "c"
+GROUP_FIELD = "g"
+LOAD_HINT_FIELD = "h"
+RETRY_FIELD = "r"
+RECONNECT_FIELD = "again"
+ENDPOINT_FIELD = "at"
 TENANT_FIELD = "t"
+# Those of sessions that can be resumed; where sessions can't, they mean nothing.
+RESUME_OFFER_FIELD = "rs"
+RESUME_TOKEN_FIELD = "rt"
+RESUME_POSITION_FIELD = "rp"
+
 _ID = re.compile(r"[0-9a-f]{1,16}\Z", re.I | re.A)
 _NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?\Z", re.A)  # no sign, no exponent, no inf, no huge one
-_NAME = re.compile(r"[a-z][a-z0-9_]{0,31}\Z", re.A)
-_VALUE = re.compile(r"[!-~]{1,128}\Z", re.A)  # what a pool member gets as it came: printable, and not huge
+_FIELD_NAME = re.compile(r"[a-z][a-z0-9_]{0,31}\Z", re.A)
+_FIELD_VALUE = re.compile(r"[!-~]{1,128}\Z", re.A)  # endpoints get it as it came: printable, and not huge
 
 
 class LineError(NetworkError):
-    """A line that does not follow the protocol."""
+    """A line that does not follow the protocol; the text says how."""
 
 
 class LineBuffer:
-    """Cuts what arrives into whole lines, each with its line end; holds 4 KiB of a broken one at most."""
+    """Cuts received data into whole lines. Owned by the thread that reads the connection."""
 
     __slots__ = ("partial_line",)
 
     def __init__(self) -> None:
-        self.partial_line = b""
+        self.partial_line = b""  # received, without a line end yet; under `MAX_LINE_BYTES`
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole now."""
+        """Return the lines that are whole now, each with its line end.
+
+        Raises:
+            LineError: A line is too long; the buffer is of no further use.
+        """
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         if len(self.partial_line) >= MAX_LINE_BYTES or any(len(line) >= MAX_LINE_BYTES for line in lines):
             raise LineError(f"a line longer than {MAX_LINE_BYTES} bytes")
@@ -47,138 +78,182 @@
 
 
 def strip_line_end(line: bytes) -> bytes:
-    """A line without its end, which must be CRLF."""
+    """Return a line without its end.
+
+    Raises:
+        LineError: The line does not end in CRLF.
+    """
     if not line.endswith(b"\r\n"):
         raise LineError("a line that does not end in CRLF")
     return line[:-2]
 
 
+def first_word(line: bytes) -> bytes:
+    """Return the first word of a line."""
+    return line.rstrip(b"\r\n").split(b" ", 1)[0]
+
+
+class Field(NamedTuple):
+    """One `name=value` pair of a client's first line."""
+
+    name: str
+    value: str
+
+
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """A client's first line."""
+    """A client's first line, checked."""
 
-    connection_id: str
-    key: int
+    connection_id: str  # in lower case
+    key: int  # that connections are spread by
     class_name: str
-    wait: timedelta
+    wait: timedelta  # from the line's arrival, in which the client wants its answer
     group_key: int
     is_retry: bool
     is_reconnect: bool
-    endpoint_id: str | None
+    endpoint_id: str | None  # where the connection was open before the node's run
     load_hint: float | None
-    fields: tuple[tuple[str, str], ...]
-    prefix: str  # the line's first words, as they came
+    fields: tuple[Field, ...]
+    prefix: str  # the words before the fields, as they came
 
     @property
     def line(self) -> str:
-        """The whole line again."""
-        return f"{self.prefix} {','.join(f'{k}={v}' for k, v in self.fields)}"
+        """The whole line again, without its end."""
+        return f"{self.prefix} {','.join(f'{name}={value}' for name, value in self.fields)}"
 
     @property
     def field_values(self) -> dict[str, str]:
-        """The names and values."""
+        """The fields' values by name."""
         return dict(self.fields)
 
     def format_for_endpoint(
-        self, wait: timedelta, without: Collection[str] = (), added: tuple[tuple[str, str], ...] = ()
+        self, wait: timedelta, omitted: Collection[str] = (), added: tuple[tuple[str, str], ...] = ()
     ) -> bytes:
-        """The line as a pool member gets it: unchanged but for `d`, the time that this node will wait.
+        """Return the line as an endpoint gets it: as it came but for `d`, which says how long the node waits.
 
-        Names that are between the client and this node can be left out, and some of the node's added.
+        Names that are between the client and the node can be omitted, and fields of the node's added.
         """
-        left = str(max(1, wait // MILLISECOND))
-        named = [(k, v) for k, v in self.fields if k not in without]
-        values = ",".join(f"{k}={left if k == 'd' else v}" for k, v in (*named, *added))
-        return f"{self.prefix} {values}\r\n".encode()
+        wait_ms = str(max(1, wait // MILLISECOND))
+        fields = [field for field in self.fields if field.name not in omitted]
+        text = ",".join(
+            f"{name}={wait_ms if name == WAIT_FIELD else value}" for name, value in (*fields, *added)
+        )
+        return f"{self.prefix} {text}\r\n".encode()
 
 
 def parse_opening(line: bytes) -> Opening:
-    """A client's OPEN line, checked."""
+    """Parse a client's OPEN line with its line end.
+
+    Raises:
+        LineError: The line is no OPEN, or a word or field of it is out of its form or range.
+    """
+    connection_id, key, fields = _split_opening(line)
+    values = dict(fields)
+    if len(values) != len(fields):
+        raise LineError("a name stands twice")
+    if CLASS_FIELD not in values:
+        raise LineError("c: missing")
+    wait = _parse_wait(values)
+    group_key = values.get(GROUP_FIELD, "0")
+    if not _ID.match(group_key):
+        raise LineError("g: up to 16 hexadecimal digits expected")
+    return Opening(
+        connection_id=connection_id.lower(),
+        key=int(key, 16),
+        class_name=values[CLASS_FIELD],
+        wait=wait,
+        group_key=int(group_key, 16),
+        load_hint=_parse_load_hint(values),
+        is_retry=_parse_flag(values, RETRY_FIELD),
+        is_reconnect=_parse_flag(values, RECONNECT_FIELD),
+        endpoint_id=values.get(ENDPOINT_FIELD),
+        fields=fields,
+        prefix=f"OPEN {connection_id} {key}",
+    )
+
+
+class _OpeningWords(NamedTuple):
+    connection_id: str
+    key: str
+    fields: tuple[Field, ...]
+
+
+def _split_opening(line: bytes) -> _OpeningWords:
     try:
         words = strip_line_end(line).decode("utf-8").split(" ")
     except UnicodeDecodeError as err:
         raise LineError("a line that is not UTF-8") from err
     if len(words) != 4 or words[0] != "OPEN":
         raise LineError("not OPEN ID KEY VALUES")
-    _, ident, key, values = words
-    if not _ID.match(ident):
+    _, connection_id, key, fields = words
+    if not _ID.match(connection_id):
         raise LineError("id: up to 16 hexadecimal digits expected")
     if not _ID.match(key):
         raise LineError("key: up to 16 hexadecimal digits expected")
-    names = tuple(_pair(part) for part in values.split(","))
-    told = dict(names)
-    if len(told) != len(names):
-        raise LineError("a name stands twice")
-    if "c" not in told:
-        raise LineError("c: missing")
-    wait = _number(told, "d") * MILLISECOND
-    if not timedelta(0) < wait <= (MAX_ADOPTED_WAIT if "at" in told else MAX_WAIT):
-        raise LineError(f"d: out of range: {told['d']}")
-    if not _ID.match(told.get("g", "0")):
-        raise LineError("g: up to 16 hexadecimal digits expected")
-    hint = _number(told, "h") if "h" in told else None
-    if hint is not None and hint >= 4e9:
-        raise LineError("h: out of range")
-    for name in ("r", "again"):
-        if told.get(name, "0") not in ("0", "1"):
-            raise LineError(f"{name}: 0 or 1 expected")
-    return Opening(
-        connection_id=ident.lower(),
-        key=int(key, 16),
-        class_name=told["c"],
-        wait=wait,
-        group_key=int(told.get("g", "0"), 16),
-        is_retry=told.get("r") == "1",
-        is_reconnect=told.get("again") == "1",
-        endpoint_id=told.get("at"),
-        load_hint=hint,
-        fields=names,
-        prefix=f"OPEN {ident} {key}",
-    )
+    return _OpeningWords(connection_id, key, tuple(_parse_field(text) for text in fields.split(",")))
 
 
-def _pair(text: str) -> tuple[str, str]:
+def _parse_field(text: str) -> Field:
     name, _, value = text.partition("=")
-    if not _NAME.match(name) or not _VALUE.match(value):
+    if not _FIELD_NAME.match(name) or not _FIELD_VALUE.match(value):
         raise LineError("NAME=VALUE expected")
-    return name, value
+    return Field(name, value)
 
 
-def _number(told: dict[str, str], name: str) -> float:
-    if not _NUMBER.match(told.get(name, "")):
-        raise LineError(f"{name}: a number expected")
-    return float(told[name])
+def _parse_wait(values: Mapping[str, str]) -> timedelta:
+    wait = _parse_number(values, WAIT_FIELD) * MILLISECOND
+    longest = MAX_ADOPTED_WAIT if ENDPOINT_FIELD in values else MAX_WAIT
+    if not timedelta(0) < wait <= longest:
+        raise LineError(f"d: out of range: {values[WAIT_FIELD]}")
+    return wait
 
 
-def format_reject(come_back: timedelta) -> bytes:
-    """The answer that turns a client away."""
-    ms = -(-come_back // MILLISECOND)
-    return b"BUSY %d\r\n" % ms if ms > 0 else b"BUSY\r\n"
+def _parse_load_hint(values: Mapping[str, str]) -> float | None:
+    if LOAD_HINT_FIELD not in values:
+        return None
+    hint = _parse_number(values, LOAD_HINT_FIELD)
+    if hint >= MAX_LOAD_HINT:
+        raise LineError("h: out of range")
+    return hint
 
 
-def first_word(line: bytes) -> bytes:
-    """The first word of a line."""
-    return line.rstrip(b"\r\n").split(b" ", 1)[0]
+def _parse_flag(values: Mapping[str, str], name: str) -> bool:
+    value = values.get(name, "0")
+    if value not in ("0", "1"):
+        raise LineError(f"{name}: 0 or 1 expected")
+    return value == "1"
+
+
+def _parse_number(values: Mapping[str, str], name: str) -> float:
+    if not _NUMBER.match(values.get(name, "")):
+        raise LineError(f"{name}: a number expected")
+    return float(values[name])
+
+
+def format_reject(retry_after: timedelta) -> bytes:
+    """Return the line that rejects a client; it may come again after a time, rounded up to milliseconds."""
+    milliseconds = -(-retry_after // MILLISECOND)
+    return b"BUSY %d\r\n" % milliseconds if milliseconds > 0 else b"BUSY\r\n"
 
 
 def parse_load_report(line: bytes, columns: Sequence[str]) -> tuple[float, ...]:
-    """The load report that a line ends with (`x0=0.4,qps=12`), in the order of the settings' columns.
+    """Return the load report that a line ends with (`x0=0.4,qps=12`), in the order of the settings' columns.
 
-    None (empty) where there is none, or where a column is missing or no finite number.
+    Empty where there is none, or where a column is missing or no finite number.
     """
-    parts = line.decode("ascii", "replace").strip().rpartition(" ")[2].split(",")
-    told = {name: value for name, _, value in (part.partition("=") for part in parts)}
+    fields = line.decode("ascii", "replace").strip().rpartition(" ")[2].split(",")
+    texts = {name: text for name, _, text in (field.partition("=") for field in fields)}
     try:
-        values = tuple(float(told[name]) for name in columns)
+        values = tuple(float(texts[name]) for name in columns)
     except (KeyError, ValueError):
         return ()
     return values if all(map(math.isfinite, values)) else ()
 
 
 def parse_load_line(line: bytes) -> tuple[float, ...]:
-    """The values of a LOAD line; none where one is not a number."""
+    """Return the values of a LOAD line; empty where one of them is no finite number."""
     try:
-        values = tuple(float(v) for v in line.decode("ascii").replace(",", " ").split()[1:])
+        values = tuple(float(text) for text in line.decode("ascii").replace(",", " ").split()[1:])
     except ValueError:
         return ()
     return values if all(map(math.isfinite, values)) else ()
