--- a/tansyladder/net/action_queue.py
+++ b/tansyladder/net/action_queue.py
@@ -1,4 +1,4 @@
-"""What the node's core tells the one thread that serves a transaction, and what a pool member is to both."""
+"""What the node's policy tells the one thread that serves a request, and an endpoint's network address."""
 
 from __future__ import annotations
 
@@ -20,9 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A stream host as this node reaches it."""
+    """An endpoint's network address, as this node reaches it.
 
-    number: int  # the module's number for it
+    The policy's `Endpoint` is a different type: that one is the state that decisions are made by.
+    """
+
+    number: int  # the policy's number for it
     id: str
     address: Address
     state: EndpointState
@@ -33,38 +36,50 @@
     """A client that came back with a token to the session that it opens."""
 
     sock: socket.socket
-    received_line_count: int  # how many of the stream host's lines it has
+    received_line_count: int  # of the endpoint's lines, since the session began
     deadline: timedelta  # by when it wants its answer
-    token_expiry_us: int = 0  # of its token, microseconds of Unix time
+    token_expiry_us: int = 0  # in microseconds of Unix time
 
 
 class ActionQueue:
-    """What the module tells one transaction; whoever polls on sockets can poll on it as well."""
+    """The policy's actions for one request, on which its thread can poll beside its sockets.
+
+    Thread-safe: any thread may post and wake; one thread, the request's, takes. Until the connection is
+    established the queue is pollable and costs a descriptor. After that the request's thread can have a
+    callback wake it instead, so that a node of many connections needs no descriptor for each queue.
+    """
 
     def __init__(self) -> None:
         self._actions: deque[QueuedAction] = deque()
+        self._clients: deque[ResumingClient] = deque()
+        # Guards the descriptor and the callback: neither may be closed, and reused, while a wake uses it.
         self._lock = threading.Lock()
-        self._event = -1
+        self._event = -1  # an eventfd, readable while the thread is to be woken; -1: none
         self._callback: Callable[[], None] | None = None
-        self._clients: deque[ResumingClient] = deque()
-        self.is_established = False  # whether the transaction's connection stands
-        self.is_superseded = False  # whether another node owns the session
+        self.is_established = False  # whether the request's connection is
+        self.is_superseded = False  # whether another node owns the session now
 
     def open(self) -> None:
-        """Take the descriptor that makes it pollable; raises OSError where none is left."""
+        """Take the descriptor that makes the queue pollable.
+
+        Raises:
+            OSError: No descriptor is left.
+        """
         self._event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
 
     def fileno(self) -> int:
+        """Return the descriptor to poll on; -1 where the queue is not open."""
         return self._event
 
-    def post(self, order: QueuedAction) -> None:
-        self._actions.append(order)
+    def post(self, action: QueuedAction) -> None:
+        """Append an action; the caller wakes the thread when all its actions are posted."""
+        self._actions.append(action)
 
     def take(self) -> QueuedAction | None:
-        """The next order, if there is one."""
+        """Remove and return the next action, if there is one."""
         with self._lock:
             if self._event >= 0:
-                # Read even when nothing is there: a late wake would spin the poll.
+                # Read even when no action is there: a late wake would make the poll spin.
                 with contextlib.suppress(BlockingIOError):
                     os.eventfd_read(self._event)
                 if len(self._actions) > 1:
@@ -72,49 +87,57 @@
             return self._actions.popleft() if self._actions else None
 
     def peek(self) -> QueuedAction | None:
-        """The next order, left where it is."""
+        """Return the next action without removing it, if there is one."""
         return self._actions[0] if self._actions else None
 
-    def add_client(self, visitor: ResumingClient) -> None:
-        """Hand over a client that comes back to this session, and wake its holder."""
-        self._clients.append(visitor)
+    def add_client(self, client: ResumingClient) -> None:
+        """Hand over a client that comes back to this session, and wake the session's thread."""
+        self._clients.append(client)
         self.wake()
 
     def take_client(self) -> ResumingClient | None:
-        """The next client that came back, if there is one."""
+        """Remove and return the next client that came back, if there is one."""
         return self._clients.popleft() if self._clients else None
 
     def wake(self) -> None:
-        with self._lock:  # its own lock: the descriptor or socket can't be closed, and reused, meanwhile
+        """Wake the request's thread; without effect once the queue is closed."""
+        with self._lock:
             if self._event >= 0:
                 os.eventfd_write(self._event, 1)
             elif self._callback:
                 self._callback()
 
-    def use_callback(self, nudge: Callable[[], None]) -> None:
-        """From now on a call wakes the holder: a standing connection costs no descriptor of its own here."""
+    def use_callback(self, callback: Callable[[], None]) -> None:
+        """Mark the connection established; from now on a wake is a call, and no descriptor is held.
+
+        The callback runs in the waking thread, under the queue's lock: it must neither block nor use
+        the queue. It is called at once where actions are waiting.
+        """
         with self._lock:
-            self._release()
-            self._callback, self.is_established = nudge, True
+            self._close_event()
+            self._callback = callback
+            self.is_established = True
             if self._actions:
-                nudge()
+                callback()
 
     def mark_established(self) -> None:
-        """The connection stands, and its holder goes on polling here, at a descriptor's price."""
+        """Mark the connection established, for a thread that goes on polling at a descriptor's price."""
         with self._lock:
             self.is_established = True
 
     def mark_lost(self) -> None:
-        """It stands no more; its holder may be about to place it anew."""
+        """Mark the connection as no longer established; its thread may be about to place it anew."""
         with self._lock:
             self.is_established = False
 
     def close(self) -> None:
+        """Release the descriptor and the callback; actions that are posted later wake nobody."""
         with self._lock:
-            self._release()
-            self._callback, self.is_established = None, False
+            self._close_event()
+            self._callback = None
+            self.is_established = False
 
-    def _release(self) -> None:
+    def _close_event(self) -> None:
         if self._event >= 0:
             os.close(self._event)
             self._event = -1
--- a/tansyladder/net/delay_reports.py
+++ b/tansyladder/net/delay_reports.py
@@ -1,8 +1,8 @@
-"""Delay notes: how long messages take at each pool member, told to the module as the simulator does.
+"""Delay reports: how long messages take at each endpoint, told to the policy as the simulator does.
 
-Where the settings say that delays are told, and loads are not, a member's line `LOAD X` is such a note, in
-milliseconds. Where loads are told it is the connection's load, in microseconds of work a second. Beside it
-lines that wait unanswered are timed: a member that says nothing sends no note either.
+Where the settings say that endpoints report delays, and not loads, an endpoint's line `LOAD X` is such a
+report, in milliseconds. Where they report loads it is the connection's load, in microseconds of work a
+second. Besides, lines that wait unanswered are timed: an endpoint that says nothing reports no delay either.
 """
 
 from __future__ import annotations
@@ -16,54 +16,61 @@
 from tansyladder.net.clock import now
 from tansyladder.policy.events import ReportKind
 
-REPORT_INTERVAL = timedelta(seconds=1)  # a note a member at most, while its messages take long
-SAMPLE_WINDOW = timedelta(seconds=1)  # what is heard within it is taken together
-MAX_SAMPLES = 64
+REPORT_INTERVAL = timedelta(seconds=1)  # between two reports of an endpoint while its messages take long
+SAMPLE_WINDOW = timedelta(seconds=1)  # delays within it are taken together
+MAX_SAMPLES = 64  # of an endpoint; bounds the sorting done under the lock
 MAX_LOAD = 1e9  # microseconds of work a second: a thousand cores
 MAX_DELAY_MS = 600_000  # of a message: nobody waits for one any longer
 
 
 class _EndpointDelays:
-    __slots__ = ("last_report_at", "is_above_threshold", "samples")
+    """The latest delays at one endpoint, and what has been reported of them. Guarded by the meter's lock."""
+
+    __slots__ = ("is_above_threshold", "last_report_at", "samples")
 
     def __init__(self) -> None:
+        # Time and delay; a bare tuple, as one is made for each line that passes.
         self.samples: deque[tuple[timedelta, timedelta]] = deque(maxlen=MAX_SAMPLES)
         self.last_report_at = timedelta(0)
-        self.is_above_threshold = False
+        self.is_above_threshold = False  # as last reported
 
 
 class DelayMeter:
-    """Collects the delays of all connections to a member and says when a note is due."""
+    """Collects the delays of all connections to each endpoint and says when a report is due. Thread-safe."""
 
     def __init__(self, threshold: timedelta) -> None:
-        self._threshold = threshold
+        self._threshold = threshold  # for the median delay of the window
         self._endpoints: dict[int, _EndpointDelays] = {}
         self._lock = threading.Lock()
 
     def record(self, endpoint_number: int, delay: timedelta) -> timedelta | None:
-        """Take in a message's delay; the value of a note where one is due."""
-        moment = now()
+        """Take in a message's delay; return the median delay where a report is due.
+
+        One is due once in an interval while the median is over the threshold, and when it comes back.
+        """
+        time = now()
         with self._lock:
-            at = self._endpoints.setdefault(endpoint_number, _EndpointDelays())
-            at.samples.append((moment, delay))
-            while at.samples[0][0] < moment - SAMPLE_WINDOW:
-                at.samples.popleft()
-            value = sorted(d for _, d in at.samples)[len(at.samples) // 2]
-            if value > self._threshold:
-                if at.is_above_threshold and moment - at.last_report_at < REPORT_INTERVAL:
+            endpoint = self._endpoints.setdefault(endpoint_number, _EndpointDelays())
+            endpoint.samples.append((time, delay))
+            while endpoint.samples[0][0] < time - SAMPLE_WINDOW:
+                endpoint.samples.popleft()
+            median = sorted(delay for _, delay in endpoint.samples)[len(endpoint.samples) // 2]
+            if median > self._threshold:
+                if endpoint.is_above_threshold and time - endpoint.last_report_at < REPORT_INTERVAL:
                     return None
-                at.is_above_threshold, at.last_report_at = True, moment
-                return value
-            if at.is_above_threshold:
-                at.is_above_threshold = False
-                return value
+                endpoint.is_above_threshold = True
+                endpoint.last_report_at = time
+                return median
+            if endpoint.is_above_threshold:
+                endpoint.is_above_threshold = False
+                return median
             return None
 
 
 class DelayReports:
-    """One standing connection's part in it."""
+    """The delay and load reports of one connection. Owned by the connection's thread."""
 
-    __slots__ = ("_reports_load", "_endpoint_number", "_current_meter", "_send_report")
+    __slots__ = ("_current_meter", "_endpoint_number", "_reports_load", "_send_report")
 
     def __init__(
         self,
@@ -72,26 +79,28 @@
         send_report: Callable[[ReportKind, float], None],
         reports_load: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`meter`: of the settings in force; none where no delays are told. `loads`: whether loads are.
+        """Make the reports of a connection to the endpoint with this number of the policy's.
 
-        `tell` takes milliseconds of a delay, microseconds a second of a load.
+        Args:
+            endpoint_number: The policy's number for the endpoint.
+            current_meter: Returns the meter of the settings in force; None where delays are not reported.
+            send_report: Takes milliseconds of a delay, microseconds a second of a load.
+            reports_load: Returns whether endpoints report loads by the settings in force.
         """
-        self._endpoint_number, self._current_meter, self._send_report, self._reports_load = (
-            endpoint_number,
-            current_meter,
-            send_report,
-            reports_load,
-        )
+        self._endpoint_number = endpoint_number
+        self._current_meter = current_meter
+        self._send_report = send_report
+        self._reports_load = reports_load
 
     def record_delay(self, delay: timedelta) -> None:
-        """A line was answered, or has waited, for so long."""
+        """Take in how long a line waited for its answer, or has waited until now."""
         meter = self._current_meter()
-        value = meter.record(self._endpoint_number, delay) if meter is not None else None
-        if value is not None:
-            self._send_report(ReportKind.MEASURED_DELAY, value.total_seconds() * 1000)
+        median = meter.record(self._endpoint_number, delay) if meter is not None else None
+        if median is not None:
+            self._send_report(ReportKind.MEASURED_DELAY, median.total_seconds() * 1000)
 
     def record_load_line(self, line: bytes) -> None:
-        """The member's own word; what makes no sense is passed by."""
+        """Take in the endpoint's own report, a LOAD line; one that makes no sense is ignored."""
         values = protocol.parse_load_line(line)
         if self._reports_load():
             if len(values) == 1 and 0 <= values[0] < MAX_LOAD:
