--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -1,4 +1,4 @@
-"""One server-side flow: connect, the first line with its own `d`, and what comes back as a Status."""
+"""One attempt at an endpoint: the connect, the first line, and the answer as a status for the policy."""
 
 from __future__ import annotations
 
@@ -17,47 +17,49 @@
 from tansyladder.policy.actions import CancelAttempt, Reject
 from tansyladder.policy.events import AttemptEnded, AttemptStatus
 
-WORDS = {
+# What an answer's first word, other than UP, makes of the attempt.
+STATUS_BY_WORD = {
     protocol.BUSY: AttemptStatus.FULL,
     protocol.ERR: AttemptStatus.ERROR,
     protocol.MOVE: AttemptStatus.CANCELLED,
     protocol.BYE: AttemptStatus.OK,
 }
+MAX_LOGGED_BYTES = 80  # of an answer that makes no sense
 
 
 @dataclass(slots=True)
 class ConnectResult:
-    """How a flow's opening went; the socket is there only where the connection stands."""
+    """How an attempt went; the socket is there only where the connection is established."""
 
     status: AttemptStatus
     up_line: bytes = b""
     sock: socket.socket | None = None
     buffer: protocol.LineBuffer | None = None
-    following_lines: tuple[bytes, ...] = ()  # lines that came right behind the receipt
+    following_lines: tuple[bytes, ...] = ()  # that came right behind UP
     is_client_disconnected: bool = False
     has_client_sent: bool = False  # a line before UP, which the protocol does not allow
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamConnection:
-    """A connection that stands at a pool member; the module has been told First."""
+    """An established connection to an endpoint, of which the policy has had `AttemptEstablished`."""
 
     endpoint: Endpoint
     sock: socket.socket
     buffer: protocol.LineBuffer
-    initial_lines: tuple[bytes, ...]  # the receipt, and what came right behind it
+    initial_lines: tuple[bytes, ...]  # UP, and what came right behind it
     attempt: int
-    setup_duration_us: int  # microseconds
+    setup_duration_us: int
 
     def attempt_ended(self, request_id: int, status: AttemptStatus) -> AttemptEnded:
-        """What the module is told once it is over."""
+        """Return the event that tells the policy of the connection's end."""
         return AttemptEnded(
             request_id, self.attempt, self.endpoint.number, status, self.setup_duration_us, True
         )
 
 
 class UpstreamConnector:
-    """One attempt of a transaction at a pool member."""
+    """One attempt of a request at an endpoint. Owned by the request's thread."""
 
     def __init__(
         self,
@@ -68,141 +70,161 @@
         on_written: Callable[[], None],
         response_line_count: int = 1,
     ) -> None:
-        """`first_line`: what the member gets, by how long the node waits; `lines`: that make an answer.
-
-        `written` is called once the line's last byte is out: from then on the attempt counts.
+        """Prepare an attempt; `open` makes it.
+
+        Args:
+            endpoint: Where the attempt goes.
+            format_first_line: Returns what the endpoint gets, by how long the node will wait.
+            deadline: By when the answer must be there.
+            connect_timeout: Of the connect and the first line, within the deadline.
+            on_written: Called once the line's last byte is out: from then on the attempt counts.
+            response_line_count: How many lines an answer that begins with UP has.
         """
-        self._endpoint, self._first_line, self._deadline = endpoint, format_first_line, deadline
-        self._connect_timeout, self._on_written, self._response_line_count = (
-            connect_timeout,
-            on_written,
-            response_line_count,
-        )
+        self._endpoint = endpoint
+        self._format_first_line = format_first_line
+        self._deadline = deadline
+        self._connect_timeout = connect_timeout
+        self._on_written = on_written
+        self._response_line_count = response_line_count
 
     def open(self, client: socket.socket | None, actions: ActionQueue) -> ConnectResult:
-        """Connect, send the first line and wait for the answer; unless it stands, the socket is closed.
+        """Connect, send the first line and wait for the answer; unless it is UP, the socket is closed.
 
-        Without a client nobody's leaving is watched for: its connection stands already, or is gone.
+        The client is watched meanwhile; there is none where its connection is established already, or gone.
         """
-        began = self._connect_and_send(client, actions)
-        if isinstance(began, ConnectResult):
-            return began
-        sock = began
+        connected = self._connect_and_send(client, actions)
+        if isinstance(connected, ConnectResult):
+            return connected
+        sock = connected
         try:
-            answer = self._wait_for_response(sock, client, actions)
+            result = self._wait_for_response(sock, client, actions)
         except OSError as err:
-            # The line's last byte may have gone out: the member may have run it.
+            # The line's last byte may have gone out: the endpoint may have run it.
             log(LogEvent.ENDPOINT_CONNECTION_RESET, member=self._endpoint.id, why=err)
-            answer = ConnectResult(AttemptStatus.RESET)
-        if answer.sock is None:
+            result = ConnectResult(AttemptStatus.RESET)
+        if result.sock is None:
             sock.close()
-        return answer
+        return result
 
     def _connect_and_send(
         self, client: socket.socket | None, actions: ActionQueue
     ) -> socket.socket | ConnectResult:
-        """Connect and write the line: what breaks before its last byte is out never ran.
+        """Connect and send the line: what breaks before its last byte is out was definitely not executed.
 
-        No attempt begins for a client that has left, however long the connection takes to come up: it is
-        watched meanwhile, and looked at once more in the moment before the line goes out.
+        No attempt begins for a client that has left, however long the connect takes: it is watched meanwhile,
+        and looked at once more in the moment before the line goes out.
         """
         deadline = min(now() + self._connect_timeout, self._deadline)
         if now() >= deadline:
             return ConnectResult(AttemptStatus.CONNECT_FAILED)
         sock: socket.socket | None = None
         try:
-            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # or no descriptor is left
-            ended = self._wait_until_connected(sock, deadline, client, actions) or _client_word(client)
-            if ended is None:
+            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # fails where no descriptor is left
+            result = self._wait_until_connected(sock, deadline, client, actions) or _result_of_client(client)
+            if result is None:
                 sockets.configure_stream(sock)
-                sock.sendall(self._first_line(self._deadline - now()))
+                sock.sendall(self._format_first_line(self._deadline - now()))
         except OSError as err:
             log(LogEvent.CONNECT_FAILED, member=self._endpoint.id, why=err)
-            ended = ConnectResult(AttemptStatus.CONNECT_FAILED)
-        if sock is not None and ended is None:
+            result = ConnectResult(AttemptStatus.CONNECT_FAILED)
+        if sock is not None and result is None:
             self._on_written()
             return sock
         if sock is not None:
             sock.close()
-        return ended or ConnectResult(AttemptStatus.CONNECT_FAILED)
+        return result or ConnectResult(AttemptStatus.CONNECT_FAILED)
 
     def _wait_until_connected(
         self, sock: socket.socket, deadline: timedelta, client: socket.socket | None, actions: ActionQueue
     ) -> ConnectResult | None:
-        """Wait until the connection is up; what ends the wait sooner. OSError: it does not come up."""
+        """Wait until the connection is established; return what ends the wait sooner.
+
+        Raises:
+            OSError: The connect fails, or is not done by the deadline.
+        """
         sock.setblocking(False)
-        code = sock.connect_ex(self._endpoint.address)
-        if code not in (0, errno.EINPROGRESS):
-            raise OSError(code, os.strerror(code))
+        error = sock.connect_ex(self._endpoint.address)
+        if error != errno.EINPROGRESS:
+            _raise_error(error)
         watched = [actions.fileno()] + ([client.fileno()] if client else [])
         while not (ready := sockets.wait_connected(sock, deadline, *watched)) & {sock.fileno()}:
-            if ended := _client_word(client):
-                return ended
-            if isinstance(actions.peek(), Reject):
-                return ConnectResult(
-                    AttemptStatus.CANCELLED
-                )  # the node itself ends the transaction, and reads why
-            if actions.fileno() in ready and isinstance(actions.take(), CancelAttempt):
+            if result := _result_of_client(client):
+                return result
+            if _is_ended_by_policy(actions, actions.fileno() in ready):
                 return ConnectResult(AttemptStatus.CANCELLED)
             if not ready and now() >= deadline:
                 raise TimeoutError("timed out")
-        if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            raise OSError(code, os.strerror(code))
+        _raise_error(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
         return None
 
     def _wait_for_response(
         self, sock: socket.socket, client: socket.socket | None, actions: ActionQueue
     ) -> ConnectResult:
         buffer = protocol.LineBuffer()
-        heard: list[bytes] = []
-        fds = [sock.fileno(), actions.fileno()] + ([client.fileno()] if client else [])
+        lines: list[bytes] = []
+        watched = [sock.fileno(), actions.fileno()] + ([client.fileno()] if client else [])
         while True:
-            ready = sockets.wait_readable(self._deadline, *fds)
-            # Before the answer is looked at: who spoke before UP is not served as if it had not.
-            if client and client.fileno() in ready and (ended := _client_word(client)):
-                return ended
+            ready = sockets.wait_readable(self._deadline, *watched)
+            # Before the answer is read: a client that sent before UP is not served as if it had not.
+            if client and client.fileno() in ready and (result := _result_of_client(client)):
+                return result
             if sock.fileno() in ready:
-                data = sock.recv(sockets.READ_SIZE_BYTES)
-                if not data:
-                    return ConnectResult(AttemptStatus.RESET)
-                try:
-                    heard += buffer.feed(data)
-                except protocol.LineError as err:
-                    log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=err)
-                    return ConnectResult(AttemptStatus.ERROR)
-                if len(heard) >= self._response_line_count or (
-                    heard and protocol.first_word(heard[0]) != protocol.UP
-                ):
-                    return self._parse_response(sock, buffer, heard)
-                continue
-            if actions.fileno() in ready:
-                if isinstance(actions.peek(), Reject):
-                    return ConnectResult(
-                        AttemptStatus.CANCELLED
-                    )  # the node itself ends the transaction, and reads why
-                if isinstance(actions.take(), CancelAttempt):
+                if result := self._read_response(sock, buffer, lines):
+                    return result
+            elif actions.fileno() in ready:
+                if _is_ended_by_policy(actions, True):
                     return ConnectResult(AttemptStatus.CANCELLED)
             elif not ready and now() >= self._deadline:
                 return ConnectResult(AttemptStatus.TIMEOUT)
 
-    def _parse_response(
+    def _read_response(
         self, sock: socket.socket, buffer: protocol.LineBuffer, lines: list[bytes]
-    ) -> ConnectResult:
-        first, *more = lines
-        word = protocol.first_word(first)
+    ) -> ConnectResult | None:
+        """Read what has come and append it to the answer's lines; None: the answer is not whole yet."""
+        data = sock.recv(sockets.READ_SIZE_BYTES)
+        if not data:
+            return ConnectResult(AttemptStatus.RESET)
+        try:
+            lines += buffer.feed(data)
+        except protocol.LineError as err:
+            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=err)
+            return ConnectResult(AttemptStatus.ERROR)
+        if not lines:
+            return None
+        word = protocol.first_word(lines[0])
         if word == protocol.UP:
-            return ConnectResult(AttemptStatus.OK, first, sock, buffer, tuple(more))
-        if word not in WORDS:
-            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, line=first[:80])
-        return ConnectResult(WORDS.get(word, AttemptStatus.ERROR))
+            if len(lines) < self._response_line_count:
+                return None
+            return ConnectResult(AttemptStatus.OK, lines[0], sock, buffer, tuple(lines[1:]))
+        if word not in STATUS_BY_WORD:
+            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, line=lines[0][:MAX_LOGGED_BYTES])
+        return ConnectResult(STATUS_BY_WORD.get(word, AttemptStatus.ERROR))
 
 
-def _client_word(client: socket.socket | None) -> ConnectResult | None:
-    """What a client that has done anything before UP makes of the attempt; None: it waits.
+def _raise_error(code: int) -> None:
+    """Raise the OSError of an error number, unless it is 0."""
+    if code:
+        raise OSError(code, os.strerror(code))
+
+
+def _is_ended_by_policy(actions: ActionQueue, is_ready: bool) -> bool:
+    """Whether the policy ends the attempt; any other action is dropped where the queue is ready.
+
+    A rejection ends the whole request: it stays in the queue, as the request's thread reads there why.
+    """
+    if isinstance(actions.peek(), Reject):
+        return True
+    return is_ready and isinstance(actions.take(), CancelAttempt)
+
+
+def _result_of_client(client: socket.socket | None) -> ConnectResult | None:
+    """Return what a client that has done anything before UP makes of the attempt; None: it waits.
 
     A client that ends its side, or whose connection broke, has left.
     """
-    match client and sockets.peek(client):
+    if client is None:
+        return None
+    match sockets.peek(client):
         case PeekResult.CLOSED:
             return ConnectResult(AttemptStatus.CANCELLED, is_client_disconnected=True)
         case PeekResult.DATA:
