--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -14,7 +14,8 @@
 from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
-from tansyladder.replication.documents import MAX_CONTENT_BYTES, ChangeResult
+from tansyladder.replication.document_messages import ChangeResult
+from tansyladder.replication.documents import MAX_CONTENT_BYTES
 
 PUBLISH_TIMEOUT = timedelta(
     seconds=60
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -18,23 +18,19 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now, seconds_left
-from tansyladder.replication import documents as core
 from tansyladder.replication.content_transfer import ContentStore, DocumentMessage, digest_of
+from tansyladder.replication.document_messages import ChangeResult, LeaseRenewal, Proposal, ValidationVote
 from tansyladder.replication.documents import (
     MAX_CONTENT_BYTES,
-    MILLISECOND_US,
-    SECOND_US,
-    ChangeResult,
     Documents,
-    LeaseCoordinator,
-    LeaseHolder,
-    LeaseRenewal,
-    Proposal,
-    ValidationVote,
     Version,
+    node_name,
     version_in_force,
 )
+from tansyladder.replication.lease_coordinator import LeaseCoordinator
+from tansyladder.replication.lease_holder import LeaseHolder
 from tansyladder.replication.replicated_state import Entry
+from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.store import Durability, Store, StoreError, WriteOperation
 
 CONTENT_KEY_PREFIX = b"documents/"
@@ -179,7 +175,7 @@
         """A message of another node; what to send."""
         match told.body:
             case LeaseRenewal(start):
-                if core.node_name(start) == sender:
+                if node_name(start) == sender:
                     self._coordinator.record_renewal(start, self.now_us())
                 return []
             case what:
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -27,7 +27,7 @@
 from tansyladder.raft.messages import Message, ProposalRequest, ProposalResult
 from tansyladder.raft.node import Effects, RaftNode, Role
 from tansyladder.replication.content_transfer import DocumentMessage
-from tansyladder.replication.documents import (
+from tansyladder.replication.document_messages import (
     Abort,
     ChangeResult,
     Commit,
--- a/tansyladder/replication/content_transfer.py
+++ b/tansyladder/replication/content_transfer.py
@@ -14,7 +14,9 @@
 
 import msgspec
 
-from tansyladder.replication.documents import MAX_CONTENT_BYTES, MILLISECOND_US, SECOND_US, LeaseRenewal
+from tansyladder.replication.document_messages import LeaseRenewal
+from tansyladder.replication.documents import MAX_CONTENT_BYTES
+from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 
 CHUNK_BYTES = 48 << 10  # bytes in one message
 MAX_CHUNKS_IN_FLIGHT = 4  # pieces asked for at once, of one content
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -27,101 +27,32 @@
 
 import msgspec
 
-MAX_CONTENT_BYTES = 1 << 20  # bytes of content
-MAX_DOCUMENTS = 64
-MAX_LEASES = 1024  # that hold a lease, or did until a moment ago
-MAX_RESULTS = 128  # changes whose end is told to who asks again
-MAX_PREVIOUS_VERSIONS = 8  # earlier versions of a document that are known
-
-SECOND_US, MILLISECOND_US = 1_000_000, 1000
-
-
-class Proposal(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
-    """Somebody wants a document changed. `ask` names the wish: said again, it is the same one."""
-
-    name: str
-    digest: bytes
-    size: int
-    idempotency_key: str
-    node: str
-    timestamp_us: int
-
-
-class ValidationVote(msgspec.Struct, frozen=True, array_like=True, tag="verdict"):
-    """A node has the content on its disk and finds it sound, or says with the fault's path why not."""
-
-    number: int
-    node: str
-    timestamp_us: int
-    fault: str = ""
-
-
-class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="arm"):
-    """All have said yes: from here on leases are short."""
-
-    number: int
-    node: str
-    timestamp_us: int
-    short_lease_us: int
-
-
-class Prepared(msgspec.Struct, frozen=True, array_like=True, tag="armed"):
-    """A node has cut its lease to the short one, counted from `at`, in that round."""
-
-    number: int
-    round: int
-    node: str
-    timestamp_us: int
-
-
-class Commit(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
-    """All have armed, or hold no lease: the document is to be in force."""
-
-    number: int
-    node: str
-    timestamp_us: int
-
-
-class Abort(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """The change is off; or with no reason: its leases need not be short for now."""
-
-    number: int
-    node: str
-    timestamp_us: int
-    reason: str = ""
-
-
-class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
-    """These starts of nodes were heard of a moment ago, and may decide for so long."""
+from tansyladder.replication.document_messages import (
+    Abort,
+    ChangeResult,
+    Commit,
+    Entry,
+    LeaseGrant,
+    LeaseRelease,
+    Prepare,
+    Prepared,
+    Proposal,
+    ValidationVote,
+)
 
-    incarnations: tuple[str, ...]
-    duration_us: int
-    node: str
-    timestamp_us: int
-
-
-class LeaseRelease(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
-    """A node decides nothing any more, and gives back its lease."""
-
-    node: str
-    timestamp_us: int
+MAX_CONTENT_BYTES = 1 << 20  # bytes of content
 
 
-Entry = Proposal | ValidationVote | Prepare | Prepared | Commit | Abort | LeaseGrant | LeaseRelease
+MAX_DOCUMENTS = 64
 
 
-class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True, tag="here"):
-    """To the leader, beside the log: a node's start is there, and wants to go on deciding."""
+MAX_LEASES = 1024  # that hold a lease, or did until a moment ago
 
-    incarnation: str
 
+MAX_RESULTS = 128  # changes whose end is told to who asks again
 
-class ChangeResult(msgspec.Struct, frozen=True, array_like=True):
-    """What became of an entry: `done`, or a word for why not; the number that it is about."""
 
-    outcome: str
-    number: int = 0
-    reason: str = ""
+MAX_PREVIOUS_VERSIONS = 8  # earlier versions of a document that are known
 
 
 class ChangePhase(IntEnum):
@@ -353,174 +284,3 @@
             OrderedDict(kept.results),
             kept.latest_timestamp_us,
         )
-
-
-class LeaseHolder:
-    """One start of a node: what it may decide under, and what it owes to a change."""
-
-    def __init__(self, me: str, documents: Documents) -> None:
-        """`me`: the node and its start; the documents as far as this node has heard the log."""
-        self.incarnation, self._documents = me, documents
-        self._prepared_round = (0, 0)  # number and round that it has armed for
-        self._lease_limit_us = 0  # when its lease ends at the latest, as long as the log does not have that
-
-    def lease_end_us(self) -> int:
-        """When its lease ends, by its own clock."""
-        until = self._documents.leases.get(self.incarnation, 0)
-        change = self._documents.change
-        if (
-            change is not None
-            and (change.number, change.round) == self._prepared_round
-            and self.incarnation not in change.prepared_by
-        ):
-            until = min(until, self._lease_limit_us)
-        return until
-
-    def has_lease(self, at: int) -> bool:
-        """Whether this start holds a lease at a moment of its own clock."""
-        return at < self.lease_end_us()
-
-    def version_at(self, name: str, at: int) -> Version | None:
-        """What it decides under, where it may."""
-        return self._documents.version_at(name, at)
-
-    def change_to_validate(self) -> PendingChange | None:
-        """The change that it has to fetch, check and say its verdict on."""
-        change = self._documents.change
-        return change if change is not None and self.incarnation not in change.accepted_by else None
-
-    def prepare(self, at: int) -> Prepared | None:
-        """After entries were taken in: what it has to say of its lease, which is cut by then."""
-        change = self._documents.change
-        if change is None or change.phase is not ChangePhase.PREPARED:
-            return None
-        if self.incarnation in change.prepared_by or self.incarnation not in change.participants:
-            return None
-        if self._prepared_round != (change.number, change.round):
-            self._prepared_round, self._lease_limit_us = (
-                (change.number, change.round),
-                at + change.short_lease_us,
-            )
-        return Prepared(
-            change.number, change.round, self.incarnation, self._lease_limit_us - change.short_lease_us
-        )
-
-
-class LeaseCoordinator:
-    """What the leader does for leases and for the change that is under way; others' stewards rest.
-
-    Nothing rests on it: what it proposes too early, or as a leader of the past, the log turns down.
-    """
-
-    LEASE_DURATION_US = 30 * SECOND_US  # of a lease
-    SHORT_LEASE_US = 300 * MILLISECOND_US
-    VALIDATION_TIMEOUT_US = 10 * SECOND_US  # in which who is heard of has to say yes or no
-    REPROPOSE_INTERVAL_US = 100 * MILLISECOND_US  # between two entries of one kind
-    PREPARE_TIMEOUT_US = 180 * MILLISECOND_US  # for all to arm, before leases are given anew
-    PREPARE_BACKOFF_US = (
-        200 * MILLISECOND_US
-    )  # until they are cut again; doubles with each round that was called off
-
-    def __init__(self, me: str, documents: Documents, length: int = LEASE_DURATION_US) -> None:
-        """`length`: of a lease."""
-        self._incarnation, self._documents, self._lease_duration_us = me, documents, length
-        self._last_renewal_us: dict[str, int] = {}  # by start
-        self._proposed_at_us: dict[type, int] = {}
-        self._prepare_not_before_us = 0  # when to arm again
-        self._aborted_rounds = self._last_aborted_round = (
-            0  # rounds of this change that were called off; the last of them
-        )
-
-    def record_renewal(self, start: str, at: int) -> None:
-        """A node's start has said that it is there."""
-        if start in self._last_renewal_us or len(self._last_renewal_us) < MAX_LEASES:
-            self._last_renewal_us[start] = at
-
-    def reset(self) -> None:
-        """This node does not lead: what it has heard will be old when it does."""
-        self._last_renewal_us.clear()
-        self._proposed_at_us.clear()
-
-    def is_urgent(self, at: int) -> bool:
-        """Whether what the log decides is waited for: a change is under way, or leases are short still."""
-        leases = self._documents.leases
-        return self._documents.change is not None or any(
-            leases.get(s, 0) < at + SECOND_US for s in self._last_renewal_us
-        )
-
-    def next_entries(self, at: int) -> list[Entry]:
-        """What to propose now."""
-        self._last_renewal_us = {
-            start: seen
-            for start, seen in self._last_renewal_us.items()
-            if at - seen < self._lease_duration_us
-        }
-        change = self._documents.change
-        if change is None:
-            self._aborted_rounds = self._prepare_not_before_us = self._last_aborted_round = 0
-            return self._renew_leases(at)
-        if change.phase is ChangePhase.PREPARED:
-            if not self._documents.unprepared_holders(change, at):
-                return self._propose_once(Commit(change.number, self._incarnation, at), at)
-            if at - change.prepare_started_at_us <= self.PREPARE_TIMEOUT_US:
-                return []
-            # Who armed is to have a long lease again, before the short one ends; who did not may be gone.
-            if self._last_aborted_round != change.round:
-                self._last_aborted_round = change.round
-                self._prepare_not_before_us = at + (self.PREPARE_BACKOFF_US << min(self._aborted_rounds, 5))
-                self._aborted_rounds += 1
-            return self._propose_once(Abort(change.number, self._incarnation, at), at)
-        return self._renew_leases(at) + self._advance_proposed(change, at)
-
-    def _advance_proposed(self, change: PendingChange, at: int) -> list[Entry]:
-        """Arm a change that all have said yes to; drop one that somebody who is there says nothing to."""
-        leases = self._documents.leases
-        holding = {start for start, until in leases.items() if until > at}
-        missing = self._documents.missing_acceptances(change, holding)
-        if not missing:
-            # Who is silent will not arm: its lease is to end first.
-            if at < self._prepare_not_before_us or any(
-                at - self._last_renewal_us.get(s, 0) > self._lease_duration_us // 4 for s in holding
-            ):
-                return []
-            return self._propose_once(Prepare(change.number, self._incarnation, at, self.SHORT_LEASE_US), at)
-        late = sorted(
-            node_name(start)
-            for start in missing
-            if at - self._last_renewal_us.get(start, 0) < self._lease_duration_us // 4
-        )
-        if late and at - change.proposed_at_us > self.VALIDATION_TIMEOUT_US:
-            return self._propose_once(
-                Abort(change.number, self._incarnation, at, f"no answer of {late[0]}"), at
-            )
-        if at - change.proposed_at_us > 2 * (self._lease_duration_us + self.VALIDATION_TIMEOUT_US):
-            return self._propose_once(
-                Abort(change.number, self._incarnation, at, f"no answer of {min(map(node_name, missing))}"),
-                at,
-            )
-        return []
-
-    def _renew_leases(self, at: int) -> list[Entry]:
-        leases, fresh = self._documents.leases, self._lease_duration_us // 4
-        to = [
-            start
-            for start, seen in self._last_renewal_us.items()
-            if at - seen < fresh and leases.get(start, 0) - at < self._lease_duration_us * 2 // 3
-        ]
-        return (
-            self._propose_once(
-                LeaseGrant(tuple(sorted(to)), self._lease_duration_us, self._incarnation, at), at
-            )
-            if to
-            else []
-        )
-
-    def _propose_once(self, entry: Entry, at: int) -> list[Entry]:
-        """An entry, unless its like was proposed a moment ago."""
-        if (
-            at - self._proposed_at_us.get(type(entry), -self.REPROPOSE_INTERVAL_US)
-            < self.REPROPOSE_INTERVAL_US
-        ):
-            return []
-        self._proposed_at_us[type(entry)] = at
-        return [entry]
--- a/tansyladder/replication/replicated_state.py
+++ b/tansyladder/replication/replicated_state.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from tansyladder.replication import documents, session_ownership
+from tansyladder.replication import document_messages, session_ownership
 from tansyladder.replication.documents import Documents, DocumentsSnapshot
 from tansyladder.replication.session_ownership import (
     SessionOwnership,
@@ -20,7 +20,7 @@
     session_ownership.OwnershipClaim
     | session_ownership.ClaimConfirmation
     | session_ownership.SessionOpened
-    | documents.Entry
+    | document_messages.Entry
 )
 
 
@@ -41,7 +41,7 @@
         self._decoder = msgspec.msgpack.Decoder(Entry)
 
     def apply(self, data: bytes) -> bytes:
-        """Take in an encoded entry; an encoded `ClaimResult` or `documents.ChangeResult`."""
+        """Take in an encoded entry; an encoded `ClaimResult` or `document_messages.ChangeResult`."""
         told = self._decoder.decode(data)
         if isinstance(
             told,
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -20,19 +20,17 @@
 from tansyladder.invariants import check_invariant
 from tansyladder.raft.messages import Message, ProposalRequest
 from tansyladder.raft.node import RaftNode, Role
-from tansyladder.replication.documents import (
-    MILLISECOND_US,
-    SECOND_US,
+from tansyladder.replication.document_messages import (
     ChangeResult,
-    Documents,
-    DocumentsSnapshot,
     Entry,
-    LeaseCoordinator,
-    LeaseHolder,
     LeaseRenewal,
     Proposal,
     ValidationVote,
 )
+from tansyladder.replication.documents import Documents, DocumentsSnapshot
+from tansyladder.replication.lease_coordinator import LeaseCoordinator
+from tansyladder.replication.lease_holder import LeaseHolder
+from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.simulation.raft_cluster import FaultRates, SimulatedCluster, SimulatedNode, SumStateMachine
 
 NAME = "rules"
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -22,7 +22,7 @@
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.net.listener_handover import ConnectionState, DescriptorTransfer, ListenerHandover
 from tansyladder.raft import messages
-from tansyladder.replication import content_transfer, documents, replicated_state, session_ownership
+from tansyladder.replication import content_transfer, document_messages, replicated_state, session_ownership
 
 Place = tuple[int, int]  # term and index of a log entry
 LogEntry = messages.LogEntry
@@ -50,7 +50,7 @@
 
 
 def decode_change_result(data: bytes) -> object:
-    return msgspec.msgpack.decode(data, type=documents.ChangeResult)
+    return msgspec.msgpack.decode(data, type=document_messages.ChangeResult)
 
 
 def decode_greeting(data: bytes) -> object:
@@ -164,7 +164,7 @@
 
 
 def lease_renewal(*, start: str) -> PeerMessage:
-    return content_transfer.DocumentMessage(body=documents.LeaseRenewal(incarnation=start))
+    return content_transfer.DocumentMessage(body=document_messages.LeaseRenewal(incarnation=start))
 
 
 def chunk_request(*, digest: bytes, offset: int) -> PeerMessage:
@@ -220,41 +220,41 @@
 
 
 def proposal(*, name: str, digest: bytes, size: int, key: str, node: str, time: int) -> LogCommand:
-    return documents.Proposal(
+    return document_messages.Proposal(
         name=name, digest=digest, size=size, idempotency_key=key, node=node, timestamp_us=time
     )
 
 
 def validation_vote(*, number: int, node: str, time: int, fault: str) -> LogCommand:
-    return documents.ValidationVote(number=number, node=node, timestamp_us=time, fault=fault)
+    return document_messages.ValidationVote(number=number, node=node, timestamp_us=time, fault=fault)
 
 
 def prepare(*, number: int, node: str, time: int, short_lease: int) -> LogCommand:
-    return documents.Prepare(number=number, node=node, timestamp_us=time, short_lease_us=short_lease)
+    return document_messages.Prepare(number=number, node=node, timestamp_us=time, short_lease_us=short_lease)
 
 
 def prepared(*, number: int, round: int, node: str, time: int) -> LogCommand:
-    return documents.Prepared(number=number, round=round, node=node, timestamp_us=time)
+    return document_messages.Prepared(number=number, round=round, node=node, timestamp_us=time)
 
 
 def commit(*, number: int, node: str, time: int) -> LogCommand:
-    return documents.Commit(number=number, node=node, timestamp_us=time)
+    return document_messages.Commit(number=number, node=node, timestamp_us=time)
 
 
 def abort(*, number: int, node: str, time: int, why: str) -> LogCommand:
-    return documents.Abort(number=number, node=node, timestamp_us=time, reason=why)
+    return document_messages.Abort(number=number, node=node, timestamp_us=time, reason=why)
 
 
 def lease_grant(*, starts: tuple[str, ...], length: int, node: str, time: int) -> LogCommand:
-    return documents.LeaseGrant(incarnations=starts, duration_us=length, node=node, timestamp_us=time)
+    return document_messages.LeaseGrant(incarnations=starts, duration_us=length, node=node, timestamp_us=time)
 
 
 def lease_release(*, node: str, time: int) -> LogCommand:
-    return documents.LeaseRelease(node=node, timestamp_us=time)
+    return document_messages.LeaseRelease(node=node, timestamp_us=time)
 
 
 def change_result(*, word: str, number: int, why: str) -> object:
-    return documents.ChangeResult(outcome=word, number=number, reason=why)
+    return document_messages.ChangeResult(outcome=word, number=number, reason=why)
 
 
 def greeting(
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -17,15 +17,10 @@
 from tansyladder.cluster.document_replica import DocumentReplica
 from tansyladder.lab.chaos import checkers, documents, history
 from tansyladder.replication.content_transfer import CHUNK_BYTES, Chunk, ChunkRequest, ContentStore
-from tansyladder.replication.documents import (
-    MAX_CONTENT_BYTES,
-    MAX_PREVIOUS_VERSIONS,
-    MILLISECOND_US,
-    SECOND_US,
+from tansyladder.replication.document_messages import (
     Abort,
     ChangeResult,
     Commit,
-    Documents,
     LeaseGrant,
     LeaseRelease,
     Prepare,
@@ -33,8 +28,10 @@
     Proposal,
     ValidationVote,
 )
+from tansyladder.replication.documents import MAX_CONTENT_BYTES, MAX_PREVIOUS_VERSIONS, Documents
 from tansyladder.replication.replicated_state import ReplicatedState
 from tansyladder.replication.session_ownership import ClaimResult, OwnershipClaim, SessionOwnership
+from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.simulation.document_cluster import found, play
 from tansyladder.simulation.raft_cluster import FaultRates
 from tansyladder.store import open_store
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -16,19 +16,17 @@
     RequestVote,
 )
 from tansyladder.raft.node import Effects, RaftNode
-from tansyladder.replication.documents import (
+from tansyladder.replication.document_messages import (
     ChangeResult,
     Commit,
-    Documents,
     Entry,
-    LeaseCoordinator,
     LeaseGrant,
-    LeaseHolder,
-    PendingChange,
     Prepared,
     ValidationVote,
-    node_name,
 )
+from tansyladder.replication.documents import Documents, PendingChange, node_name
+from tansyladder.replication.lease_coordinator import LeaseCoordinator
+from tansyladder.replication.lease_holder import LeaseHolder
 
 
 class VotesForAnyLog(RaftNode):
