--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -29,7 +29,7 @@
 )
 from tansyladder.replication.lease_coordinator import LeaseCoordinator
 from tansyladder.replication.lease_holder import LeaseHolder
-from tansyladder.replication.replicated_state import Entry
+from tansyladder.replication.replicated_state import Command
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.store import Durability, Store, StoreError, WriteOperation
 
@@ -188,9 +188,9 @@
             out, self._contents.outgoing = self._contents.outgoing, []
         return [(to, DocumentMessage(what)) for to, what in out]
 
-    def step(self, leader: str, leads: bool) -> tuple[list[Entry], list[tuple[str, DocumentMessage]]]:
+    def step(self, leader: str, leads: bool) -> tuple[list[Command], list[tuple[str, DocumentMessage]]]:
         """After a step of the agreement: entries to propose, messages to send."""
-        at, entries, messages = self.now_us(), list[Entry](), list[tuple[str, DocumentMessage]]()
+        at, entries, messages = self.now_us(), list[Command](), list[tuple[str, DocumentMessage]]()
         armed = self._lease_holder.prepare(at)
         if armed is not None:
             entries += self._propose_once(armed, f"armed {armed.number} {armed.round}", at)
@@ -206,7 +206,7 @@
         self._lease = DocumentLease(self._lease_holder.lease_end_us() if whole else 0, versions)
         if leads:
             self._coordinator.record_renewal(self._incarnation, at)
-            entries += self._coordinator.next_entries(at)
+            entries += self._coordinator.next_commands(at)
         else:
             self._coordinator.reset()
         if leader and not leads and at >= self._next_renewal_at_us:
@@ -217,7 +217,7 @@
             messages.append((leader, DocumentMessage(LeaseRenewal(self._incarnation))))
         return entries, messages + self._take_outgoing()
 
-    def _propose_once(self, entry: Entry, key: str, at: int) -> list[Entry]:
+    def _propose_once(self, entry: Command, key: str, at: int) -> list[Command]:
         """An entry of this node's own, unless it was proposed a moment ago."""
         if at - self._proposed_at_us.get(key, -REPROPOSE_INTERVAL_US) < REPROPOSE_INTERVAL_US:
             return []
@@ -228,7 +228,7 @@
         self._proposed_at_us[key] = at
         return [entry]
 
-    def _advance_change(self, at: int, entries: list[Entry]) -> None:
+    def _advance_change(self, at: int, entries: list[Command]) -> None:
         while True:
             try:
                 number, content, fault = self._validation_results.get_nowait()
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -35,7 +35,7 @@
     Prepare,
     ValidationVote,
 )
-from tansyladder.replication.replicated_state import Entry, ReplicatedState
+from tansyladder.replication.replicated_state import Command, ReplicatedState
 from tansyladder.replication.session_ownership import (
     ClaimConfirmation,
     ClaimResult,
@@ -205,7 +205,7 @@
         """Propose an entry whose loss does no harm, and wait for nothing."""
         self._propose_entry(entry)
 
-    def _propose_entry(self, entry: Entry) -> None:
+    def _propose_entry(self, entry: Command) -> None:
         request = f"{self.incarnation}/{next(self._request_numbers)}"
         self._on_message(self._name, ProposalRequest(request, msgspec.msgpack.encode(entry)))
 
@@ -240,7 +240,7 @@
             self.document_replica.stop_deciding()
             self._decide(LeaseRelease(self.incarnation, self.document_replica.now_us()), until)
 
-    def _decide(self, entry: Entry, until: timedelta) -> bytes | None:
+    def _decide(self, entry: Command, until: timedelta) -> bytes | None:
         data, again = msgspec.msgpack.encode(entry), AGAIN
         while not self.is_stopped and len(self._pending) < WAITING and now() < until:
             request, waiting = f"{self.incarnation}/{next(self._request_numbers)}", _PendingProposal()
--- a/tansyladder/replication/document_messages.py
+++ b/tansyladder/replication/document_messages.py
@@ -76,7 +76,7 @@
     timestamp_us: int
 
 
-Entry = Proposal | ValidationVote | Prepare | Prepared | Commit | Abort | LeaseGrant | LeaseRelease
+DocumentCommand = Proposal | ValidationVote | Prepare | Prepared | Commit | Abort | LeaseGrant | LeaseRelease
 
 
 class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True, tag="here"):
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -31,7 +31,7 @@
     Abort,
     ChangeResult,
     Commit,
-    Entry,
+    DocumentCommand,
     LeaseGrant,
     LeaseRelease,
     Prepare,
@@ -144,7 +144,7 @@
 
     # --- entries
 
-    def apply(self, told: Entry) -> ChangeResult:
+    def apply(self, told: DocumentCommand) -> ChangeResult:
         """Take in an entry."""
         self.latest_timestamp_us = max(self.latest_timestamp_us, told.timestamp_us)
         match told:
@@ -267,7 +267,7 @@
 
     # --- snapshots
 
-    def dump(self) -> DocumentsSnapshot:
+    def snapshot(self) -> DocumentsSnapshot:
         return DocumentsSnapshot(
             self._change_count,
             self._versions,
@@ -277,7 +277,7 @@
             self.latest_timestamp_us,
         )
 
-    def load(self, kept: DocumentsSnapshot) -> None:
+    def restore(self, kept: DocumentsSnapshot) -> None:
         self._change_count, self._versions, self.change = kept.change_count, dict(kept.versions), kept.change
         self.leases, self.results, self.latest_timestamp_us = (
             dict(kept.leases),
--- a/tansyladder/replication/lease_coordinator.py
+++ b/tansyladder/replication/lease_coordinator.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tansyladder.replication.document_messages import Abort, Commit, Entry, LeaseGrant, Prepare
+from tansyladder.replication.document_messages import Abort, Commit, DocumentCommand, LeaseGrant, Prepare
 from tansyladder.replication.documents import MAX_LEASES, ChangePhase, Documents, PendingChange, node_name
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 
@@ -49,7 +49,7 @@
             leases.get(s, 0) < at + SECOND_US for s in self._last_renewal_us
         )
 
-    def next_entries(self, at: int) -> list[Entry]:
+    def next_commands(self, at: int) -> list[DocumentCommand]:
         """What to propose now."""
         self._last_renewal_us = {
             start: seen
@@ -73,7 +73,7 @@
             return self._propose_once(Abort(change.number, self._incarnation, at), at)
         return self._renew_leases(at) + self._advance_proposed(change, at)
 
-    def _advance_proposed(self, change: PendingChange, at: int) -> list[Entry]:
+    def _advance_proposed(self, change: PendingChange, at: int) -> list[DocumentCommand]:
         """Arm a change that all have said yes to; drop one that somebody who is there says nothing to."""
         leases = self._documents.leases
         holding = {start for start, until in leases.items() if until > at}
@@ -101,7 +101,7 @@
             )
         return []
 
-    def _renew_leases(self, at: int) -> list[Entry]:
+    def _renew_leases(self, at: int) -> list[DocumentCommand]:
         leases, fresh = self._documents.leases, self._lease_duration_us // 4
         to = [
             start
@@ -116,7 +116,7 @@
             else []
         )
 
-    def _propose_once(self, entry: Entry, at: int) -> list[Entry]:
+    def _propose_once(self, entry: DocumentCommand, at: int) -> list[DocumentCommand]:
         """An entry, unless its like was proposed a moment ago."""
         if (
             at - self._proposed_at_us.get(type(entry), -self.REPROPOSE_INTERVAL_US)
--- a/tansyladder/replication/replicated_state.py
+++ b/tansyladder/replication/replicated_state.py
@@ -16,18 +16,18 @@
     SessionOwnership,
 )
 
-Entry = (
+Command = (
     session_ownership.OwnershipClaim
     | session_ownership.ClaimConfirmation
     | session_ownership.SessionOpened
-    | document_messages.Entry
+    | document_messages.DocumentCommand
 )
 
 
 class StateSnapshot(msgspec.Struct, array_like=True, tag="agreed 2"):
     """A snapshot; the version before wrote the claims alone."""
 
-    claims: bytes
+    session_ownership: bytes
     documents: DocumentsSnapshot
 
 
@@ -36,9 +36,9 @@
 
     def __init__(self, voters: Sequence[str], taken: Callable[[int, int, str], None] | None = None) -> None:
         """`voters`: of the log, by name; `taken`: told of each claim that holds: session, tenure, whose."""
-        self.claims = SessionOwnership(taken)
+        self.session_ownership = SessionOwnership(taken)
         self.documents = Documents(voters)
-        self._decoder = msgspec.msgpack.Decoder(Entry)
+        self._decoder = msgspec.msgpack.Decoder(Command)
 
     def apply(self, data: bytes) -> bytes:
         """Take in an encoded entry; an encoded `ClaimResult` or `document_messages.ChangeResult`."""
@@ -49,11 +49,13 @@
             | session_ownership.ClaimConfirmation
             | session_ownership.SessionOpened,
         ):
-            return self.claims.apply(data)
+            return self.session_ownership.apply(data)
         return msgspec.msgpack.encode(self.documents.apply(told))
 
     def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode(StateSnapshot(self.claims.dump(), self.documents.dump()))
+        return msgspec.msgpack.encode(
+            StateSnapshot(self.session_ownership.snapshot(), self.documents.snapshot())
+        )
 
     def restore(self, dumped: bytes) -> None:
         """ValueError: it is of no version that is known."""
@@ -61,5 +63,5 @@
             whole = msgspec.msgpack.decode(dumped, type=StateSnapshot)
         except msgspec.ValidationError:  # of the version before
             whole = StateSnapshot(dumped, DocumentsSnapshot())
-        self.claims.load(whole.claims)
-        self.documents.load(whole.documents)
+        self.session_ownership.restore(whole.session_ownership)
+        self.documents.restore(whole.documents)
--- a/tansyladder/replication/session_ownership.py
+++ b/tansyladder/replication/session_ownership.py
@@ -196,10 +196,10 @@
         self.records.pop(session, None)
         self.records[session] = record
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         return msgspec.msgpack.encode((self._latest_timestamp_us, list(self.records.items())))
 
-    def load(self, dumped: bytes) -> None:
+    def restore(self, dumped: bytes) -> None:
         self._latest_timestamp_us, items = msgspec.msgpack.decode(
             dumped, type=tuple[int, list[tuple[int, OwnershipRecord]]]
         )
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -22,7 +22,7 @@
 from tansyladder.raft.node import RaftNode, Role
 from tansyladder.replication.document_messages import (
     ChangeResult,
-    Entry,
+    DocumentCommand,
     LeaseRenewal,
     Proposal,
     ValidationVote,
@@ -57,17 +57,17 @@
     def apply(self, data: bytes) -> bytes:
         super().apply(data)
         try:
-            told = msgspec.msgpack.decode(data, type=Entry)
+            told = msgspec.msgpack.decode(data, type=DocumentCommand)
         except msgspec.MsgspecError:
             return b""  # the fleet's other load
         return msgspec.msgpack.encode(self.documents.apply(told))
 
     def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode((self.came, self.documents.dump()))
+        return msgspec.msgpack.encode((self.came, self.documents.snapshot()))
 
     def restore(self, dumped: bytes) -> None:
         self.came, kept = msgspec.msgpack.decode(dumped, type=tuple[list[bytes], DocumentsSnapshot])
-        self.documents.load(kept)
+        self.documents.restore(kept)
 
 
 @dataclass
@@ -211,7 +211,7 @@
         if told is not None:
             self._say(node, told, f"armed {told.number} {told.round}")
 
-    def _say(self, node: SimulatedNode, entry: Entry, key: str) -> None:
+    def _say(self, node: SimulatedNode, entry: DocumentCommand, key: str) -> None:
         """Propose an entry of the node's own; once more where it is not in the log after a while."""
         seat = self.seats[node.name]
         if self.now - seat.said.get(key, -AGAIN) >= AGAIN:
@@ -251,7 +251,7 @@
             first = self.ends.setdefault(ask, ruled)
             check_invariant(first == ruled, "two_ends_of_a_change")
         if core.role is Role.LEADER:
-            for entry in seat.steward.next_entries(clock):
+            for entry in seat.steward.next_commands(clock):
                 self._say(node, entry, type(entry).__name__)
         else:
             seat.steward.reset()
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -27,7 +27,7 @@
 Place = tuple[int, int]  # term and index of a log entry
 LogEntry = messages.LogEntry
 PeerMessage = messages.Message | content_transfer.DocumentMessage
-LogCommand = replicated_state.Entry
+LogCommand = replicated_state.Command
 EndpointList = EndpointList
 
 # --- msgpack and JSON as the package uses them
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -96,12 +96,12 @@
                 number=record.idempotency_key,
                 opened=record.is_opened,
             )
-            for session, record in self._state.claims.records.items()
+            for session, record in self._state.session_ownership.records.items()
         }
 
     def dump_owners(self) -> bytes:
         """What a snapshot was before there were documents."""
-        return self._state.claims.dump()
+        return self._state.session_ownership.snapshot()
 
     def versions(self, name: str) -> list[tuple[int, bytes, int, int]]:
         """Number, digest, size and since of each known version of a document."""
--- a/tests/raft/test_raft.py
+++ b/tests/raft/test_raft.py
@@ -234,6 +234,6 @@
                 floor[session] = tenure << GENERATION_COUNTER_BITS
     told: list[tuple[int, int, str]] = []
     same = SessionOwnership(lambda *claim: told.append(claim))
-    same.load(claims.dump())
+    same.restore(claims.snapshot())
     assert told == [(session, record.epoch, record.owner) for session, record in claims.records.items()]
-    assert (same.records, same.dump()) == (claims.records, claims.dump())
+    assert (same.records, same.snapshot()) == (claims.records, claims.snapshot())
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -196,11 +196,11 @@
         whole.apply(msgspec.msgpack.encode(entry))
     again.restore(whole.snapshot())
     assert again.snapshot() == whole.snapshot() and again.documents.change is not None
-    assert again.documents.change.accepted_by == {"a/1"} and again.claims.records[7].owner == "a/1"
+    assert again.documents.change.accepted_by == {"a/1"} and again.session_ownership.records[7].owner == "a/1"
     before = SessionOwnership()
     before.apply(msgspec.msgpack.encode(claim))
-    old.restore(before.dump())
-    assert old.claims.records[7].epoch == 2 and not old.documents.leases
+    old.restore(before.snapshot())
+    assert old.session_ownership.records[7].epoch == 2 and not old.documents.leases
 
 
 def test_versions_are_kept_to_a_bound() -> None:
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -19,7 +19,7 @@
 from tansyladder.replication.document_messages import (
     ChangeResult,
     Commit,
-    Entry,
+    DocumentCommand,
     LeaseGrant,
     Prepared,
     ValidationVote,
@@ -234,8 +234,8 @@
 class GrantsAlways(LeaseCoordinator):
     """A leader's part of it, which would hide that."""
 
-    def next_entries(self, at: int) -> list[Entry]:
-        return super().next_entries(at) + self._renew_leases(at)
+    def next_commands(self, at: int) -> list[DocumentCommand]:
+        return super().next_commands(at) + self._renew_leases(at)
 
 
 class CountsOldRounds(Documents):
