--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -231,6 +231,7 @@
 
     def _commit(self, group: list[_Batch]) -> None:
         """One write and, where asked for, one sync; only the leader comes here."""
+        self._must_be_usable()  # a step of upkeep may have failed while these waited
         size = sum(batch.size for batch in group)
         if self._active.size + size > self._most and self._active.size > frames.HEAD_SIZE:
             self._roll()
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -74,10 +74,8 @@
     snapshot = store.snapshot()
     assert set(snapshot.items()) == STORE_RECORDS
     snapshot.close()
-    assert (store.rebuilt_hint_count, store.dropped_bytes) == (
-        2,
-        0,
-    )  # segments sealed after the last upkeep have no hint
+    # Segments sealed after the last upkeep have no hint.
+    assert (store.rebuilt_hint_count, store.dropped_bytes) == (2, 0)
     assert store.get(b"beta") is None and store.get(b"gamma") is None
     assert store.get(b"short") == b"gone in a second"
     store.close()
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import json
 import random
 import subprocess
@@ -268,6 +269,37 @@
     assert said.items() <= dict(again.items()).items()
 
 
+def test_a_write_that_waits_while_maintenance_breaks_the_store_is_refused() -> None:
+    """The failed sync dropped what stands before it in the log: a recovery would not reach this write."""
+    files, store = fresh(size=1 << 16)
+    store.put(b"before", b"x", durability=Durability.BUFFERED)
+    refused = list[StoreError]()
+
+    def write_late() -> None:
+        try:
+            store.put(b"late", b"x")
+        except StoreError as err:
+            refused.append(err)
+
+    writer = threading.Thread(target=write_late)
+
+    def fail_once_the_writer_waits() -> None:
+        files.before_sync = lambda: None
+        writer.start()
+        deadline = time.monotonic() + 20
+        while not store._queue and time.monotonic() < deadline:
+            time.sleep(0.0005)
+        files.fail[files.steps] = errno.EIO
+
+    files.before_sync = fail_once_the_writer_waits
+    with pytest.raises(errors.StoreBrokenError):
+        store.maintain()
+    writer.join(20)
+    assert [type(error) for error in refused] == [errors.StoreBrokenError]
+    _, again = fresh(files.after_loss(random.Random(1), 0), 1 << 16)
+    assert dict(again.items()) == {}
+
+
 def test_a_frame_inside_a_value_is_no_frame() -> None:
     """Nor is one that an earlier write left behind: each check is good at its own place alone."""
     body = frames.op_bytes(frames.PUT, b"evil", b"x", 99, 0, 1, 40 + frames.FRAME_SIZE)
