--- a/tansyladder/lab/fault_injecting_files.py
+++ b/tansyladder/lab/fault_injecting_files.py
@@ -84,11 +84,11 @@
         del self.seen[name]
         self.pending.append((name, None))
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(self.seen)
 
-    def sync_names(self) -> None:
-        self.step("sync_names")
+    def sync_directory(self) -> None:
+        self.step("sync_directory")
         self.disk, self.pending = dict(self.seen), []
 
     def lock(self) -> None:
--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -78,7 +78,7 @@
 
 
 def _node_of(folder: Path) -> str:
-    return manifest.read(RealFiles(folder)).node
+    return manifest.read_manifest(RealFiles(folder)).node
 
 
 @store.command()
--- a/tansyladder/store/compaction.py
+++ b/tansyladder/store/compaction.py
@@ -11,8 +11,8 @@
 from tansyladder.store import frames, hints
 from tansyladder.store.errors import StoreCorruptError
 from tansyladder.store.files import Files
-from tansyladder.store.hints import Hint, digest
-from tansyladder.store.recovery import Segment, name
+from tansyladder.store.hints import Hint, hash_key
+from tansyladder.store.recovery import Segment, segment_file_name
 
 GARBAGE = 0.5  # share of a run that must be dead: bytes written for a byte freed stay under one
 FRAME_BODY = 256 << 10  # bytes of a frame that compaction writes
@@ -51,29 +51,31 @@
         self.moved: list[tuple[int, int, int, int]] = []  # hash, old place, new place or 0, size
         self.kept = 0  # records in the new segment
         self._files, self._number, self._oldest, self._secret = files, number, oldest, secret
-        self._file = files.create(name(number))
-        self._file.write_at(0, frames.head(number, node))
-        self._size = frames.HEAD_SIZE
+        self._file = files.create(segment_file_name(number))
+        self._file.write_at(0, frames.encode_segment_header(number, node))
+        self._size = frames.SEGMENT_HEADER_BYTES
         self._hint = Hint()
-        self._which, self._at = 0, frames.HEAD_SIZE
+        self._which, self._at = 0, frames.SEGMENT_HEADER_BYTES
         self._data, self._data_at = b"", 0
-        self._body, self._ops, self._stamp = bytearray(), 0, 0
+        self._body, self._ops, self._latest_time_us = bytearray(), 0, 0
 
     def step(self, budget: int, is_live: Callable[[int, int], bool], now: int) -> bool:
         """Read so many bytes of the run and write what lives; True once all is read. OSError, Damaged."""
         for segment in self.run:
-            self._stamp = max(self._stamp, segment.hint.stamp if segment.hint else 0)
+            self._latest_time_us = max(
+                self._latest_time_us, segment.hint.latest_time_us if segment.hint else 0
+            )
         left = budget
         while left > 0:
             if self._which == len(self.run):
                 return True
             segment = self.run[self._which]
             if self._at >= segment.size:
-                self._which, self._at = self._which + 1, frames.HEAD_SIZE
+                self._which, self._at = self._which + 1, frames.SEGMENT_HEADER_BYTES
                 self._data, self._data_at = b"", 0
                 continue
             frame = self._frame(segment)
-            self._stamp = max(self._stamp, frame.stamp)
+            self._latest_time_us = max(self._latest_time_us, frame.latest_time_us)
             for record in frame.records:
                 self._take(segment, record, is_live, now)
             left -= frame.end - self._at
@@ -82,23 +84,23 @@
 
     def _frame(self, segment: Segment) -> frames.Frame:
         """The next frame, read in larger pieces."""
-        for size in (READ, frames.FRAME_SIZE + frames.MOST_BODY):
+        for size in (READ, frames.FRAME_HEADER_BYTES + frames.MAX_FRAME_BODY_BYTES):
             at = self._at - self._data_at
             if 0 <= at < len(self._data):
-                frame = frames.read_frame(self._data, segment.id, self._at, at)
+                frame = frames.decode_frame(self._data, segment.id, self._at, at)
                 if frame is not None:
                     return frame
             self._data, self._data_at = segment.file.read_at(self._at, size), self._at
-        frame = frames.read_frame(self._data, segment.id, self._at, 0)
+        frame = frames.decode_frame(self._data, segment.id, self._at, 0)
         if frame is None:
-            raise StoreCorruptError(f"{name(segment.id)}: broken at byte {self._at}")
+            raise StoreCorruptError(f"{segment_file_name(segment.id)}: broken at byte {self._at}")
         return frame
 
     def _take(
         self, segment: Segment, record: frames.Record, is_live: Callable[[int, int], bool], now: int
     ) -> None:
-        hashed, old = digest(record.key, self._secret), segment.id << frames.SEGMENT_BITS | record.offset
-        kind, value, expiry = record.kind, record.value, record.expiry
+        hashed, old = hash_key(record.key, self._secret), segment.id << frames.OFFSET_BITS | record.offset
+        kind, value, expiry = record.kind, record.value, record.expiry_us
         if kind == frames.PUT:
             if not is_live(hashed, old):
                 return
@@ -107,21 +109,23 @@
                 self.moved.append((hashed, old, 0, 0))
         if kind == frames.DELETE and self._oldest:
             return
-        if len(self._body) + record.size > FRAME_BODY or self._ops == frames.MOST_OPS:
+        if len(self._body) + record.size > FRAME_BODY or self._ops == frames.MAX_RECORDS_PER_FRAME:
             self._flush()
-        place = self._size + frames.FRAME_SIZE + len(self._body)
-        self._body += frames.op_bytes(kind, record.key, value, record.sequence, expiry, self._number, place)
+        place = self._size + frames.FRAME_HEADER_BYTES + len(self._body)
+        self._body += frames.encode_record(
+            kind, record.key, value, record.sequence, expiry, self._number, place
+        )
         self._ops += 1
         self.kept += 1
         made = frames.Record(place, kind, record.sequence, expiry, record.key, value)
         self._hint.add(made, hashed)
         if kind == frames.PUT:
-            self.moved.append((hashed, old, self._number << frames.SEGMENT_BITS | place, made.size))
+            self.moved.append((hashed, old, self._number << frames.OFFSET_BITS | place, made.size))
 
     def _flush(self) -> None:
         if self._ops:
             body = bytes(self._body)
-            frame = frames.frame_bytes(body, self._ops, 0, self._stamp, self._number, self._size)
+            frame = frames.encode_frame(body, self._ops, 0, self._latest_time_us, self._number, self._size)
             self._file.write_at(self._size, frame)
             self._size += len(frame)
             self._body, self._ops = bytearray(), 0
@@ -130,8 +134,8 @@
         """The new segment, on disk but for its name, which nothing relies on yet."""
         self._flush()
         self._file.sync()
-        self._hint.stamp = self._stamp
-        hints.write(self._files, self._hint, self._number, self._size)
+        self._hint.latest_time_us = self._latest_time_us
+        hints.write_hint(self._files, self._hint, self._number, self._size)
         return Segment(self._number, self._file, self._size)
 
     def give_up(self) -> None:
--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -30,7 +30,7 @@
     StoreUnusableError,
 )
 from tansyladder.store.files import Files
-from tansyladder.store.hints import Hint, digest
+from tansyladder.store.hints import Hint, hash_key
 from tansyladder.store.recovery import Segment
 
 SEGMENT = 32 << 20  # bytes from which a new segment is begun
@@ -54,7 +54,7 @@
 
     key: bytes
     value: bytes | None
-    expiry: int = 0
+    expiry_us: int = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -83,20 +83,22 @@
         for _, place in self._index:
             record = read_place(self._segments, place)
             if record.key.startswith(prefix):
-                yield record.key, record.value, record.expiry
+                yield record.key, record.value, record.expiry_us
 
 
 def read_place(segments: dict[int, Segment], place: int) -> frames.Record:
     """The record at a place of the index. Damaged where it is not as it was written."""
-    segment, offset = place >> frames.SEGMENT_BITS, place & (1 << frames.SEGMENT_BITS) - 1
+    segment, offset = place >> frames.OFFSET_BITS, place & (1 << frames.OFFSET_BITS) - 1
     file = segments[segment].file
     data = file.read_at(offset, FIRST_READ)
-    if len(data) >= frames.OP.size and frames.op_size(data) > len(data):
-        most = frames.OP.size + frames.MOST_KEY + frames.MOST_VALUE
-        data = file.read_at(offset, min(frames.op_size(data), most))
-    record = frames.read_op(data, segment, offset)
+    if len(data) >= frames.RECORD_HEADER.size and frames.encoded_record_bytes(data) > len(data):
+        most = frames.RECORD_HEADER.size + frames.MAX_KEY_BYTES + frames.MAX_VALUE_BYTES
+        data = file.read_at(offset, min(frames.encoded_record_bytes(data), most))
+    record = frames.decode_record(data, segment, offset)
     if record is None:
-        raise StoreCorruptError(f"{recovery.name(segment)}: the record at byte {offset} is broken")
+        raise StoreCorruptError(
+            f"{recovery.segment_file_name(segment)}: the record at byte {offset} is broken"
+        )
     return record
 
 
@@ -111,7 +113,8 @@
         self._secret = int(found.manifest.secret, 16)
         self._node = frames.name_hash(found.manifest.node)
         self._index, self._sequence = found.index, found.sequence
-        self._stamp = max(found.stamp, clock())  # by which the recovery has left out what had expired
+        # The recovery has left out what had expired by then.
+        self._latest_time_us = max(found.latest_time_us, clock())
         self.dropped_bytes = found.dropped_bytes
         self.rebuilt_hint_count = found.rebuilt_hint_count
         self._lock = threading.Lock()  # over the index, the segments, the queue; never held over a write
@@ -133,11 +136,11 @@
     def get(self, key: bytes) -> bytes | None:
         """A key's value; None where there is none, or it has expired. Damaged where its record is broken."""
         with self._lock:
-            place = self._index.get(digest(key, self._secret))
+            place = self._index.get(hash_key(key, self._secret))
             if not place:
                 return None
             record = read_place(self._segments, place)
-        if record.key != key or (record.expiry and record.expiry <= self._now()):
+        if record.key != key or (record.expiry_us and record.expiry_us <= self._now()):
             return None
         return record.value
 
@@ -173,10 +176,10 @@
     # --- writing
 
     def put(
-        self, key: bytes, value: bytes, expiry: int = 0, durability: Durability = Durability.SYNCED
+        self, key: bytes, value: bytes, expiry_us: int = 0, durability: Durability = Durability.SYNCED
     ) -> None:
         """Set a key."""
-        self.write((WriteOperation(key, value, expiry),), durability)
+        self.write((WriteOperation(key, value, expiry_us),), durability)
 
     def delete(self, key: bytes, durability: Durability = Durability.SYNCED) -> None:
         """End a key; one that is not there is no error."""
@@ -233,35 +236,39 @@
         """One write and, where asked for, one sync; only the leader comes here."""
         self._must_be_usable()  # a step of upkeep may have failed while these waited
         size = sum(batch.size for batch in group)
-        if self._active.size + size > self._most and self._active.size > frames.HEAD_SIZE:
+        if self._active.size + size > self._most and self._active.size > frames.SEGMENT_HEADER_BYTES:
             self._roll()
-        active, stamp = self._active, self._now()
+        active, latest_time_us = self._active, self._now()
         data, hint, places = bytearray(), Hint(), list[tuple[int, int, int]]()
         sequence = self._sequence
         for batch in group:
             start = active.size + len(data)
-            at = start + frames.FRAME_SIZE
+            at = start + frames.FRAME_HEADER_BYTES
             body = bytearray()
             for op in batch.ops:
                 sequence += 1
                 kind, value = (frames.DELETE, b"") if op.value is None else (frames.PUT, op.value)
-                hashed = digest(op.key, self._secret)
+                hashed = hash_key(op.key, self._secret)
                 self._no_collision(hashed, op.key)
-                raw = frames.op_bytes(kind, op.key, value, sequence, op.expiry, active.id, at + len(body))
-                record = frames.Record(at + len(body), kind, sequence, op.expiry, op.key, value)
+                raw = frames.encode_record(
+                    kind, op.key, value, sequence, op.expiry_us, active.id, at + len(body)
+                )
+                record = frames.Record(at + len(body), kind, sequence, op.expiry_us, op.key, value)
                 hint.add(record, hashed)
                 places.append((hashed, record.offset if kind == frames.PUT else 0, record.size))
                 body += raw
-            data += frames.frame_bytes(bytes(body), len(batch.ops), self._synced, stamp, active.id, start)
+            data += frames.encode_frame(
+                bytes(body), len(batch.ops), self._synced, latest_time_us, active.id, start
+            )
         self._append(bytes(data), any(batch.synced for batch in group))
         with self._lock:
             self._sequence = sequence
-            self._keep_hint(active, hint, stamp)
-            active.fixed += len(group) * frames.FRAME_SIZE
+            self._keep_hint(active, hint, latest_time_us)
+            active.fixed += len(group) * frames.FRAME_HEADER_BYTES
             for hashed, offset, size in places:
                 self._forget(hashed)
                 if offset:
-                    self._index.put(hashed, active.id << frames.SEGMENT_BITS | offset)
+                    self._index.put(hashed, active.id << frames.OFFSET_BITS | offset)
                     active.live += size
                 else:
                     self._index.remove(hashed)
@@ -272,9 +279,11 @@
             place = self._index.get(hashed)
             if not place:
                 return
-            file = self._segments[place >> frames.SEGMENT_BITS].file
-            data = file.read_at(place & (1 << frames.SEGMENT_BITS) - 1, frames.OP.size + len(key))
-        if len(data) >= frames.OP.size and (frames.key_size(data) != len(key) or not data.endswith(key)):
+            file = self._segments[place >> frames.OFFSET_BITS].file
+            data = file.read_at(place & (1 << frames.OFFSET_BITS) - 1, frames.RECORD_HEADER.size + len(key))
+        if len(data) >= frames.RECORD_HEADER.size and (
+            frames.encoded_key_bytes(data) != len(key) or not data.endswith(key)
+        ):
             raise KeyCollisionError(f"{key[:40]!r} has the hash of another key")
 
     def _append(self, data: bytes, sync: bool) -> None:
@@ -303,17 +312,17 @@
         """Under the lock: the place that a hash had is dead now."""
         place = self._index.get(hashed)
         if place:
-            segment = self._segments[place >> frames.SEGMENT_BITS]
-            offset = place & (1 << frames.SEGMENT_BITS) - 1
+            segment = self._segments[place >> frames.OFFSET_BITS]
+            offset = place & (1 << frames.OFFSET_BITS) - 1
             with contextlib.suppress(OSError):
-                head = segment.file.read_at(offset, frames.OP.size)
-                if len(head) == frames.OP.size:
-                    segment.live -= min(segment.live, frames.op_size(head))
+                head = segment.file.read_at(offset, frames.RECORD_HEADER.size)
+                if len(head) == frames.RECORD_HEADER.size:
+                    segment.live -= min(segment.live, frames.encoded_record_bytes(head))
 
     @staticmethod
-    def _keep_hint(segment: Segment, hint: Hint, stamp: int) -> None:
+    def _keep_hint(segment: Segment, hint: Hint, latest_time_us: int) -> None:
         kept = segment.hint = segment.hint or Hint()
-        kept.stamp = max(kept.stamp, stamp)
+        kept.latest_time_us = max(kept.latest_time_us, latest_time_us)
         for name, _ in hints.COLUMNS:
             getattr(kept, name).extend(getattr(hint, name))
 
@@ -322,15 +331,15 @@
     def _begin_segment(self) -> Segment:
         """A new active segment: its head and its name are on disk before the manifest names it."""
         number = self._next
-        file = self._files.create(recovery.name(number))
+        file = self._files.create(recovery.segment_file_name(number))
         try:
-            file.write_at(0, frames.head(number, self._node))
+            file.write_at(0, frames.encode_segment_header(number, self._node))
             file.sync()
-            self._files.sync_names()
+            self._files.sync_directory()
         except OSError:
             file.close()
             raise
-        segment = Segment(number, file, frames.HEAD_SIZE, fixed=frames.HEAD_SIZE)
+        segment = Segment(number, file, frames.SEGMENT_HEADER_BYTES, fixed=frames.SEGMENT_HEADER_BYTES)
         order = [*self._order, number]
         try:
             self._write_manifest(order, number, number + 1, {**self._segments, number: segment})
@@ -340,7 +349,7 @@
         with self._lock:  # not before: no reader waits for the disk
             self._next = number + 1
             self._segments = {**self._segments, number: segment}
-            self._order, self._active, self._synced = order, segment, frames.HEAD_SIZE
+            self._order, self._active, self._synced = order, segment, frames.SEGMENT_HEADER_BYTES
         return segment
 
     def _write_manifest(
@@ -348,7 +357,7 @@
     ) -> None:
         listed = tuple(manifest.SegmentEntry(i, -1 if i == active else segments[i].size) for i in order)
         told = manifest.Manifest(manifest.VERSION, self._manifest.node, self._manifest.secret, after, listed)
-        manifest.write(self._files, told)
+        manifest.write_manifest(self._files, told)
         self._manifest = told
 
     def _roll(self) -> None:
@@ -390,7 +399,7 @@
             segment = self._segments[number]
             if segment.hint is not None and segment is not self._active:
                 with contextlib.suppress(OSError):  # a shortcut only
-                    hints.write(self._files, segment.hint, number, segment.size)
+                    hints.write_hint(self._files, segment.hint, number, segment.size)
                 segment.hint = None
                 return True
         if self._compaction is None:
@@ -443,7 +452,7 @@
         keep = [made.id] if work.kept else []
         order = self._order[:at] + keep + self._order[at + len(victims) :]
         segments = {**self._segments, made.id: made}
-        self._files.sync_names()
+        self._files.sync_directory()
         self._write_manifest(order, self._active.id, self._next, segments)
         with self._lock:
             self._segments[made.id] = made
@@ -466,7 +475,7 @@
             for segment in gone:
                 segment.release()
         for segment in gone:
-            for file in (recovery.name(segment.id), hints.name(segment.id)):
+            for file in (recovery.segment_file_name(segment.id), hints.hint_file_name(segment.id)):
                 with contextlib.suppress(OSError):  # the next start sweeps
                     self._files.remove(file)
 
@@ -497,14 +506,14 @@
                 "segments": len(self._order),
                 "bytes": sum(self._segments[i].size for i in self._order),
                 "live": sum(self._segments[i].live for i in self._order),
-                "index_bytes": self._index.nbytes,
+                "index_bytes": self._index.size_bytes,
                 "sequence": self._sequence,
             }
 
     def _now(self) -> int:
         """The latest moment read: a clock that steps back must not bring back what has expired."""
-        self._stamp = max(self._clock(), self._stamp)
-        return self._stamp
+        self._latest_time_us = max(self._clock(), self._latest_time_us)
+        return self._latest_time_us
 
     def _failed(self, err: OSError, what: str) -> StoreError:
         """Want of room leaves everything as it was; after any other failure nothing more is taken."""
@@ -541,16 +550,16 @@
 
 def _checked(ops: Sequence[WriteOperation]) -> int:
     """The bytes of a batch in the log."""
-    size = frames.FRAME_SIZE
+    size = frames.FRAME_HEADER_BYTES
     for op in ops:
-        if not 0 < len(op.key) <= frames.MOST_KEY:
-            raise RecordTooLargeError(f"a key of {len(op.key)} bytes: 1 to {frames.MOST_KEY}")
-        if op.value is not None and len(op.value) > frames.MOST_VALUE:
-            raise RecordTooLargeError(f"a value of {len(op.value)} bytes: up to {frames.MOST_VALUE}")
-        if not 0 <= op.expiry < 1 << 63:
-            raise RecordTooLargeError(f"an expiry out of range: {op.expiry}")
-        size += frames.OP.size + len(op.key) + len(op.value or b"")
-    if len(ops) > frames.MOST_OPS or size > frames.MOST_BODY:
+        if not 0 < len(op.key) <= frames.MAX_KEY_BYTES:
+            raise RecordTooLargeError(f"a key of {len(op.key)} bytes: 1 to {frames.MAX_KEY_BYTES}")
+        if op.value is not None and len(op.value) > frames.MAX_VALUE_BYTES:
+            raise RecordTooLargeError(f"a value of {len(op.value)} bytes: up to {frames.MAX_VALUE_BYTES}")
+        if not 0 <= op.expiry_us < 1 << 63:
+            raise RecordTooLargeError(f"an expiry out of range: {op.expiry_us}")
+        size += frames.RECORD_HEADER.size + len(op.key) + len(op.value or b"")
+    if len(ops) > frames.MAX_RECORDS_PER_FRAME or size > frames.MAX_FRAME_BODY_BYTES:
         raise RecordTooLargeError(f"a batch of {len(ops)} ops and {size} bytes")
     return size
 
@@ -568,10 +577,10 @@
         raise StoreUnusableError(str(err)) from err
     found: recovery.RecoveryResult | None = None
     try:
-        if manifest.NAME not in files.names():
+        if manifest.FILE_NAME not in files.list_names():
             _make(files, node)
         found = recovery.recover(files, node, clock())
-        kept = {segment.id for segment in found.segments if segment.size > frames.HEAD_SIZE}
+        kept = {segment.id for segment in found.segments if segment.size > frames.SEGMENT_HEADER_BYTES}
         for segment in [s for s in found.segments if s.id not in kept]:
             found.segments.remove(segment)
             segment.release()
@@ -596,7 +605,7 @@
 
 
 def _make(files: Files, node: str) -> None:
-    if any(name.endswith(".log") for name in files.names()):
-        raise StoreCorruptError(f"{manifest.NAME}: missing, and there are segments")
+    if any(name.endswith(".log") for name in files.list_names()):
+        raise StoreCorruptError(f"{manifest.FILE_NAME}: missing, and there are segments")
     secret = os.urandom(8).hex()
-    manifest.write(files, manifest.Manifest(manifest.VERSION, node, secret, 1, ()))
+    manifest.write_manifest(files, manifest.Manifest(manifest.VERSION, node, secret, 1, ()))
--- a/tansyladder/store/files.py
+++ b/tansyladder/store/files.py
@@ -36,18 +36,18 @@
     """One directory."""
 
     def create(self, name: str) -> File:
-        """A new, empty file; its name is on disk only after `sync_names`."""
+        """A new, empty file; its name is on disk only after `sync_directory`."""
 
     def open(self, name: str) -> File: ...
 
     def rename(self, old: str, new: str) -> None:
-        """Replace `new` in one step: at a power loss before `sync_names` either of the two is there."""
+        """Replace `new` in one step: at a power loss before `sync_directory` either of the two is there."""
 
     def remove(self, name: str) -> None: ...
 
-    def names(self) -> list[str]: ...
+    def list_names(self) -> list[str]: ...
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """All names made, changed and removed so far are on disk."""
 
     def lock(self) -> None:
@@ -118,10 +118,10 @@
     def remove(self, name: str) -> None:
         os.unlink(self._path / name)
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         return sorted(os.listdir(self._path))
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         fd = os.open(self._path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
--- a/tansyladder/store/hints.py
+++ b/tansyladder/store/hints.py
@@ -15,10 +15,10 @@
 
 from tansyladder.store.files import Files
 from tansyladder.store.frames import Record
-from tansyladder.store.index import usable
+from tansyladder.store.index import avoid_reserved_hashes
 
 MAGIC, VERSION = b"TLHNT\x00", 1
-HEAD = struct.Struct("<6sHQQIQ")  # magic, version, segment, its size, entries, stamp
+HEAD = struct.Struct("<6sHQQIQ")  # magic, version, segment, its size, entries, latest_time_us
 COLUMNS = (
     ("hashes", "Q"),
     ("sequences", "Q"),
@@ -35,16 +35,16 @@
     def __init__(self) -> None:
         self.hashes, self.sequences, self.expiries = array("Q"), array("Q"), array("Q")
         self.offsets, self.sizes, self.kinds = array("I"), array("I"), array("B")
-        self.stamp = 0
+        self.latest_time_us = 0
 
     def __len__(self) -> int:
         return len(self.hashes)
 
-    def add(self, record: Record, digest: int) -> None:
+    def add(self, record: Record, key_hash: int) -> None:
         """One more record."""
-        self.hashes.append(digest)
+        self.hashes.append(key_hash)
         self.sequences.append(record.sequence)
-        self.expiries.append(record.expiry)
+        self.expiries.append(record.expiry_us)
         self.offsets.append(record.offset)
         self.sizes.append(record.size)
         self.kinds.append(record.kind)
@@ -52,7 +52,7 @@
     def encode(self, segment: int, size: int) -> bytes:
         """The bytes of the file."""
         columns = [getattr(self, name).tobytes() for name, _ in COLUMNS]
-        raw = HEAD.pack(MAGIC, VERSION, segment, size, len(self), self.stamp) + b"".join(columns)
+        raw = HEAD.pack(MAGIC, VERSION, segment, size, len(self), self.latest_time_us) + b"".join(columns)
         return raw + xxhash.xxh3_64_digest(raw)
 
     @classmethod
@@ -60,11 +60,11 @@
         """None where this is no hint of this segment at this size."""
         if len(data) < HEAD.size + 8 or xxhash.xxh3_64_digest(data[:-8]) != data[-8:]:
             return None
-        magic, version, number, told, count, stamp = HEAD.unpack_from(data)
+        magic, version, number, told, count, latest_time_us = HEAD.unpack_from(data)
         if (magic, version, number, told) != (MAGIC, VERSION, segment, size):
             return None
         hint, at = cls(), HEAD.size
-        hint.stamp = stamp
+        hint.latest_time_us = latest_time_us
         for name, code in COLUMNS:
             column: array[Any] = getattr(hint, name)
             end = at + count * array(code).itemsize
@@ -73,26 +73,26 @@
         return hint if at == len(data) - 8 else None
 
 
-def name(segment: int) -> str:
+def hint_file_name(segment: int) -> str:
     """The file of a segment's hint."""
     return f"{segment:016x}.hint"
 
 
-def write(files: Files, hint: Hint, segment: int, size: int) -> None:
+def write_hint(files: Files, hint: Hint, segment: int, size: int) -> None:
     """Keep a hint. It need not be on disk at any moment: a part of it is no hint."""
-    file = files.create(name(segment) + ".new")
+    file = files.create(hint_file_name(segment) + ".new")
     try:
         file.write_at(0, hint.encode(segment, size))
         file.sync()
     finally:
         file.close()
-    files.rename(name(segment) + ".new", name(segment))
+    files.rename(hint_file_name(segment) + ".new", hint_file_name(segment))
 
 
-def read(files: Files, segment: int, size: int) -> Hint | None:
+def read_hint(files: Files, segment: int, size: int) -> Hint | None:
     """A segment's hint; None where there is none that can be used."""
     try:
-        file = files.open(name(segment))
+        file = files.open(hint_file_name(segment))
     except OSError:
         return None
     try:
@@ -103,14 +103,14 @@
         file.close()
 
 
-def of_records(records: Iterable[Record], secret: int) -> Hint:
+def build_hint(records: Iterable[Record], hash_secret: int) -> Hint:
     """A hint made from the segment itself."""
     hint = Hint()
     for record in records:
-        hint.add(record, digest(record.key, secret))
+        hint.add(record, hash_key(record.key, hash_secret))
     return hint
 
 
-def digest(key: bytes, secret: int) -> int:
+def hash_key(key: bytes, hash_secret: int) -> int:
     """A key's hash in the index."""
-    return usable(xxhash.xxh3_64_intdigest(key, seed=secret))
+    return avoid_reserved_hashes(xxhash.xxh3_64_intdigest(key, seed=hash_secret))
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -47,19 +47,19 @@
     segments: list[Segment] = field(default_factory=list)
     index: Index = field(default_factory=Index)
     sequence: int = 0  # the highest that any record has
-    stamp: int = 0  # the highest Unix time, in microseconds, that the store has seen
+    latest_time_us: int = 0  # the highest Unix time, in microseconds, that the store has seen
     dropped_bytes: int = 0  # bytes of a tail that no crash-free write left
     rebuilt_hint_count: int = 0  # segments whose hint could not be used
 
 
-def name(segment: int) -> str:
+def segment_file_name(segment: int) -> str:
     """The file of a segment."""
     return f"{segment:016x}.log"
 
 
 def recover(files: Files, node: str, now: int) -> RecoveryResult:
     """Read everything, up to a tail that is no frame; changes nothing. Damaged, Foreign, Newer, OSError."""
-    told = manifest.read(files)
+    told = manifest.read_manifest(files)
     if told.node != node:
         raise NotAStoreError(f"the store is of node {told.node!r}, not {node!r}")
     found = RecoveryResult(told)
@@ -81,19 +81,21 @@
     files: Files, listed: manifest.SegmentEntry, node: str, secret: int, found: RecoveryResult
 ) -> tuple[Segment, Hint]:
     try:
-        file = files.open(name(listed.id))
+        file = files.open(segment_file_name(listed.id))
     except FileNotFoundError as err:
-        raise StoreCorruptError(f"{name(listed.id)}: missing") from err
+        raise StoreCorruptError(f"{segment_file_name(listed.id)}: missing") from err
     try:
-        head = frames.read_head(file.read_at(0, frames.HEAD_SIZE), listed.id)
+        head = frames.decode_segment_header(file.read_at(0, frames.SEGMENT_HEADER_BYTES), listed.id)
         if head is None:
-            raise StoreCorruptError(f"{name(listed.id)}: its head is broken")
+            raise StoreCorruptError(f"{segment_file_name(listed.id)}: its head is broken")
         if head[1] != frames.name_hash(node):
-            raise NotAStoreError(f"{name(listed.id)}: of another node")
+            raise NotAStoreError(f"{segment_file_name(listed.id)}: of another node")
         size = file.size()
         if listed.size >= 0 and size < listed.size:
-            raise StoreCorruptError(f"{name(listed.id)}: {size} bytes, and {listed.size} had been written")
-        hint = hints.read(files, listed.id, listed.size) if listed.size >= 0 else None
+            raise StoreCorruptError(
+                f"{segment_file_name(listed.id)}: {size} bytes, and {listed.size} had been written"
+            )
+        hint = hints.read_hint(files, listed.id, listed.size) if listed.size >= 0 else None
         if hint is not None:
             return Segment(listed.id, file, listed.size, fixed=listed.size - sum(hint.sizes)), hint
         size, hint = _scan(file, listed, secret, found)
@@ -108,20 +110,22 @@
 def _scan(file: File, listed: manifest.SegmentEntry, secret: int, found: RecoveryResult) -> tuple[int, Hint]:
     """A segment without a hint: its sound size, and a hint for it."""
     found.rebuilt_hint_count += listed.size >= 0
-    scan = frames.Scan(file.read_at(0, listed.size if listed.size >= 0 else file.size()), listed.id)
+    scan = frames.SegmentScan(file.read_at(0, listed.size if listed.size >= 0 else file.size()), listed.id)
     read = list(scan.frames())
     sealed = listed.size >= 0
     if scan.holes and (sealed or scan.holes[0][0] < scan.synced):
         at, behind = scan.holes[0]
         raise StoreCorruptError(
-            f"{name(listed.id)}: bytes {at} to {behind} are broken, with sound ones behind them"
+            f"{segment_file_name(listed.id)}: bytes {at} to {behind} are broken, with sound ones behind them"
         )
     if sealed and scan.end != listed.size:
-        raise StoreCorruptError(f"{name(listed.id)}: broken from byte {scan.end} of {listed.size} on")
+        raise StoreCorruptError(
+            f"{segment_file_name(listed.id)}: broken from byte {scan.end} of {listed.size} on"
+        )
     # Behind a hole that no sync had covered stands what was never acknowledged, and came after what is lost.
     whole = [frame for frame in read if frame.end <= scan.end]
-    hint = hints.of_records((record for frame in whole for record in frame.records), secret)
-    hint.stamp = max((frame.stamp for frame in whole), default=0)
+    hint = hints.build_hint((record for frame in whole for record in frame.records), secret)
+    hint.latest_time_us = max((frame.latest_time_us for frame in whole), default=0)
     return scan.end, hint
 
 
@@ -135,7 +139,7 @@
     def column(which: str, kind: type) -> np.ndarray[tuple[int], np.dtype[np.uint64]]:
         return np.concatenate([np.frombuffer(getattr(hint, which), kind) for _, hint in loaded])
 
-    found.stamp = max(hint.stamp for _, hint in loaded)
+    found.latest_time_us = max(hint.latest_time_us for _, hint in loaded)
     sequences = column("sequences", np.uint64)
     found.sequence = int(sequences.max())
     hashes = column("hashes", np.uint64)
@@ -147,11 +151,11 @@
     hashes = hashes[newest]
     expiries = column("expiries", np.uint64)[newest]
     alive = (column("kinds", np.uint8)[newest] == frames.PUT) & (
-        (expiries == 0) | (expiries > max(now, found.stamp))
+        (expiries == 0) | (expiries > max(now, found.latest_time_us))
     )
     which = np.repeat(np.arange(len(loaded)), [len(hint) for _, hint in loaded])[newest][alive]
     ids = np.array([segment.id for segment, _ in loaded], np.uint64)
-    places = (ids[which] << np.uint64(frames.SEGMENT_BITS)) | column("offsets", np.uint32)[newest][alive]
+    places = (ids[which] << np.uint64(frames.OFFSET_BITS)) | column("offsets", np.uint32)[newest][alive]
     sizes = np.bincount(which, column("sizes", np.uint32)[newest][alive], len(loaded))
     for (segment, _), size in zip(loaded, sizes, strict=True):
         segment.live = int(size)
@@ -161,7 +165,7 @@
 def sweep(files: Files, kept: set[int]) -> int:
     """Remove what no manifest names: a compaction or a new segment that a crash cut short; how many."""
     removed = 0
-    for file in files.names():
+    for file in files.list_names():
         stem, _, kind = file.partition(".")
         unnamed = kind in ("log", "hint") and not (len(stem) == 16 and _number(stem) in kept)
         if unnamed or file.endswith(".new"):
--- a/tansyladder/store/repair.py
+++ b/tansyladder/store/repair.py
@@ -42,18 +42,18 @@
     def faults(self) -> list[str]:
         """Everything that is not as it should be; empty for a sound store."""
         own = [self.fault] if self.fault else []
-        return own + [f"{recovery.name(s.id)}: {s.fault}" for s in self.segments if s.fault]
+        return own + [f"{recovery.segment_file_name(s.id)}: {s.fault}" for s in self.segments if s.fault]
 
 
 def examine(files: Files, progress: Progress = lambda *_: None) -> Examination:
     """Read every byte and change none; a store that is in use may look torn at its end."""
     found = Examination()
     try:
-        found.manifest = manifest.read(files)
+        found.manifest = manifest.read_manifest(files)
     except (StoreError, OSError) as err:
         found.fault = str(err)
     listed = {s.id: s.size for s in found.manifest.segments} if found.manifest else {}
-    there = sorted(int(n[:16], 16) for n in files.names() if n.endswith(".log") and len(n) == 20)
+    there = sorted(int(n[:16], 16) for n in files.list_names() if n.endswith(".log") and len(n) == 20)
     numbers = list(dict.fromkeys([*listed, *there]))
     for done, number in enumerate(numbers):
         progress("segments", done, len(numbers))
@@ -72,14 +72,14 @@
     looked.size = len(data)
     if listed is not None and listed >= 0:
         data = data[:listed]
-    if frames.read_head(data, number) is None:
+    if frames.decode_segment_header(data, number) is None:
         looked.fault = "its head is broken"
-    scan = frames.Scan(data, number)
+    scan = frames.SegmentScan(data, number)
     for frame in scan.frames():
         looked.frames += 1
         looked.records += len(frame.records)
     looked.sound, looked.holes = scan.end, scan.holes
-    looked.hinted = listed is not None and listed >= 0 and hints.read(files, number, listed) is not None
+    looked.hinted = listed is not None and listed >= 0 and hints.read_hint(files, number, listed) is not None
     if looked.fault or listed is None:
         return looked
     if scan.holes and (listed >= 0 or scan.holes[0][0] < scan.synced):
@@ -92,7 +92,7 @@
 
 
 def _read(files: Files, number: int) -> bytes:
-    file = files.open(recovery.name(number))
+    file = files.open(recovery.segment_file_name(number))
     try:
         return file.read_at(0, file.size())
     finally:
@@ -110,7 +110,7 @@
             continue
         if looked.listed is not None and looked.listed >= 0:
             data = data[: looked.listed]
-        for frame in frames.Scan(data, looked.id).frames():
+        for frame in frames.SegmentScan(data, looked.id).frames():
             yield from frame.records
 
 
@@ -140,13 +140,13 @@
         if kept is None or kept.sequence < record.sequence:
             newest[record.key] = record
     live = [r for r in sorted(newest.values(), key=lambda r: r.sequence) if r.kind == frames.PUT]
-    if any(name != "LOCK" for name in target.names()):
+    if any(name != "LOCK" for name in target.list_names()):
         raise StoreError("the target is not empty")
     store = open_store(target, found.manifest.node if found.manifest else "repaired", clock)
     try:
         for start in range(0, len(live), BATCH):
             progress("records", start, len(live))
-            store.write([WriteOperation(r.key, r.value, r.expiry) for r in live[start : start + BATCH]])
+            store.write([WriteOperation(r.key, r.value, r.expiry_us) for r in live[start : start + BATCH]])
         progress("records", len(live), len(live))
     finally:
         store.close()
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -31,8 +31,8 @@
     open_store,
 )
 from tansyladder.store.files import RealFiles
-from tansyladder.store.frames import MOST_KEY, MOST_VALUE
-from tansyladder.store.index import SMALL, Index, usable
+from tansyladder.store.frames import MAX_KEY_BYTES, MAX_VALUE_BYTES
+from tansyladder.store.index import MAX_SLOTS_WITHOUT_NUMPY, Index, avoid_reserved_hashes
 from tansyladder.store.repair import examine, repair
 
 KEYS = [b"k%d" % n for n in range(6)]
@@ -110,7 +110,7 @@
 
     @invariant()
     def it_is_the_dict(self) -> None:
-        moment = max(self.clock.now, self.store._stamp)
+        moment = max(self.clock.now, self.store._latest_time_us)
         alive = {k: v for k, (v, expiry) in self.model.items() if not expiry or expiry > moment}
         self.expired |= {(k, *told) for k, told in self.model.items() if k not in alive}
         found = {k: v for k in KEYS if (v := self.store.get(k)) is not None}
@@ -182,8 +182,8 @@
     with pytest.raises(errors.StoreLockedError):
         open_store(files, "n1", crash_consistency.ManualClock())
     store.close()
-    told = manifest.read(files)
-    manifest.write(files, manifest.Manifest(9, told.node, told.secret, told.next, told.segments))
+    told = manifest.read_manifest(files)
+    manifest.write_manifest(files, manifest.Manifest(9, told.node, told.secret, told.next, told.segments))
     with pytest.raises(errors.StoreVersionError, match="version 9"):
         fresh(files)
     with pytest.raises(errors.StoreCorruptError, match="missing"):
@@ -201,27 +201,31 @@
 
 def test_bounds_of_keys_values_and_batches() -> None:
     files, store = fresh(size=4 << 20)
-    store.write([WriteOperation(b"k" * MOST_KEY, b"v" * MOST_VALUE), WriteOperation(b"k", b"")])
+    store.write([WriteOperation(b"k" * MAX_KEY_BYTES, b"v" * MAX_VALUE_BYTES), WriteOperation(b"k", b"")])
     for ops in (
         [WriteOperation(b"", b"v")],
-        [WriteOperation(b"k" * (MOST_KEY + 1), b"v")],
-        [WriteOperation(b"k", b"v" * (MOST_VALUE + 1))],
+        [WriteOperation(b"k" * (MAX_KEY_BYTES + 1), b"v")],
+        [WriteOperation(b"k", b"v" * (MAX_VALUE_BYTES + 1))],
         [WriteOperation(b"k", b"v", -1)],
         [WriteOperation(b"k", b"v")] * 65_536,
-        [WriteOperation(b"k%d" % n, b"v" * MOST_VALUE) for n in range(17)],
+        [WriteOperation(b"k%d" % n, b"v" * MAX_VALUE_BYTES) for n in range(17)],
     ):
         with pytest.raises(errors.RecordTooLargeError):
             store.write(ops)
     store.close()
     _, store = fresh(files)
-    assert store.get(b"k" * MOST_KEY) == b"v" * MOST_VALUE and store.get(b"k") == b"" and len(store) == 2
+    assert (
+        store.get(b"k" * MAX_KEY_BYTES) == b"v" * MAX_VALUE_BYTES
+        and store.get(b"k") == b""
+        and len(store) == 2
+    )
 
 
 def test_what_was_expired_stays_so_when_the_clock_steps_back() -> None:
     files, clock = FaultInjectingFiles(), crash_consistency.ManualClock()
     store = open_store(files, "n1", clock, 400)
     store.put(b"k", b"old")
-    store.put(b"k", b"new", expiry=clock.now + 10)
+    store.put(b"k", b"new", expiry_us=clock.now + 10)
     clock.now += 20
     store.put(b"other", b"x")
     clock.now -= 20
@@ -302,8 +306,8 @@
 
 def test_a_frame_inside_a_value_is_no_frame() -> None:
     """Nor is one that an earlier write left behind: each check is good at its own place alone."""
-    body = frames.op_bytes(frames.PUT, b"evil", b"x", 99, 0, 1, 40 + frames.FRAME_SIZE)
-    fake = frames.frame_bytes(body, 1, 10**9, 0, 1, 40)
+    body = frames.encode_record(frames.PUT, b"evil", b"x", 99, 0, 1, 40 + frames.FRAME_HEADER_BYTES)
+    fake = frames.encode_frame(body, 1, 10**9, 0, 1, 40)
     files, store = fresh(size=1 << 16)
     store.put(b"a", b"x")
     store.put(b"b", fake * 2 + b"y", durability=Durability.BUFFERED)
@@ -320,7 +324,7 @@
         store.put(key, key * 20)
     name = f"{store.active_segment_id:016x}.log"
     whole = bytes(files.seen[name].seen)
-    for at in (frames.HEAD_SIZE + 5, frames.HEAD_SIZE + frames.FRAME_SIZE + 30):
+    for at in (frames.SEGMENT_HEADER_BYTES + 5, frames.SEGMENT_HEADER_BYTES + frames.FRAME_HEADER_BYTES + 30):
         files.seen[name].seen = bytearray(whole)
         files.seen[name].seen[at] ^= 1
         with pytest.raises(errors.StoreCorruptError, match="broken"):
@@ -355,7 +359,7 @@
     assert not examine(FaultInjectingFiles(whole)).faults
     victim = sorted(name for name in whole if name.endswith(".log"))[1]
     hurt = bytearray(whole[victim])
-    hurt[frames.HEAD_SIZE + frames.FRAME_SIZE + 30] ^= 1
+    hurt[frames.SEGMENT_HEADER_BYTES + frames.FRAME_HEADER_BYTES + 30] ^= 1
     broken = {**whole, victim: bytes(hurt)}
     with pytest.raises(errors.StoreCorruptError, match=victim):
         fresh(FaultInjectingFiles(broken))
@@ -372,7 +376,7 @@
 def test_a_hint_is_only_a_shortcut() -> None:
     files = full(upkeep=True)
     _, store = fresh(files)
-    assert store.rebuilt_hint_count == 0 and any(name.endswith(".hint") for name in files.names())
+    assert store.rebuilt_hint_count == 0 and any(name.endswith(".hint") for name in files.list_names())
     store.close()
     for name, inode in files.seen.items():
         if name.endswith(".hint"):
@@ -416,7 +420,7 @@
 def test_a_manifest_in_doubt_ends_the_writing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its rename may be on disk and seal the segment: what was appended behind that size would be lost."""
     files, store = fresh()
-    real, calls = files.sync_names, list[int]()
+    real, calls = files.sync_directory, list[int]()
 
     def no_room() -> None:
         calls.append(1)
@@ -424,16 +428,18 @@
             raise OSError(28, "no room")
         real()
 
-    monkeypatch.setattr(files, "sync_names", no_room)
+    monkeypatch.setattr(files, "sync_directory", no_room)
     with pytest.raises(errors.StoreBrokenError):
         for n in range(40):
             store.put(b"k%d" % n, b"v" * 40)
 
 
 def test_an_index_keeps_all_keys_while_it_grows_small_and_large() -> None:
-    """Up to `SMALL` slots it is rebuilt key by key, beyond that by numpy."""
+    """Up to `MAX_SLOTS_WITHOUT_NUMPY` slots it is rebuilt key by key, beyond that by numpy."""
     index, rng = Index(), random.Random(5)
-    kept = {usable(rng.getrandbits(64)): place for place in range(1, 2 * SMALL)}
+    kept = {
+        avoid_reserved_hashes(rng.getrandbits(64)): place for place in range(1, 2 * MAX_SLOTS_WITHOUT_NUMPY)
+    }
     for number, (digest, place) in enumerate(kept.items()):
         index.put(digest, place)
         if number % 3 == 0:
