--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -169,7 +169,8 @@
     except OSError as err:
         log(LogEvent.STORE_UNUSABLE, word="unusable", why=err)
         return None
-    log(LogEvent.STORE_OPEN, dropped=store.dropped_bytes, rebuilt=store.rebuilt_hint_count, **store.stats)
+    figures = store.stats._asdict()
+    log(LogEvent.STORE_OPEN, dropped=store.dropped_bytes, rebuilt=store.rebuilt_hint_count, **figures)
     try:
         return SessionStore(store, micros)
     except StoreError as err:
--- a/tansyladder/store/__init__.py
+++ b/tansyladder/store/__init__.py
@@ -1,6 +1,8 @@
 """A small embedded store: a log in segments, an index in memory, compaction and recovery."""
 
-from tansyladder.store.engine import Durability, Store, WriteOperation, open_store
+from tansyladder.store.engine import Store
 from tansyladder.store.errors import StoreError
+from tansyladder.store.opening import open_store
+from tansyladder.store.operations import Durability, WriteOperation
 
-__all__ = ["Durability", "WriteOperation", "Store", "StoreError", "open_store"]
+__all__ = ["Durability", "Store", "StoreError", "WriteOperation", "open_store"]
--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -1,43 +1,56 @@
-"""The tool: look at a store, check it, compact it, write it out, save what is left of a damaged one."""
+"""The commands `tansyladder store ...`: inspect, verify, compact, dump and repair a store."""
 
 from __future__ import annotations
 
+import contextlib
 import json
 import sys
 import time
 from collections.abc import Iterator
-from contextlib import contextmanager
 from pathlib import Path
 
 import click
 
 from tansyladder.store import manifest
-from tansyladder.store import repair as fixing
-from tansyladder.store.engine import open_store
-from tansyladder.store.errors import StoreError
+from tansyladder.store import repair as repairing
+from tansyladder.store.engine import Store
+from tansyladder.store.errors import StoreError, StoreUnusableError
 from tansyladder.store.files import RealFiles
+from tansyladder.store.opening import open_store
 
+EXIT_FAULTS = 1
+EXIT_ERROR = 3
+COMPACTION_BUDGET_BYTES = 8 << 20  # between two reports of the progress
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 
 
-def _clock() -> int:
+def _clock_us() -> int:
     return time.time_ns() // 1000
 
 
-def _progress(what: str, done: int, total: int) -> None:
+def _show_progress(what: str, done: int, total: int) -> None:
     if sys.stderr.isatty():
-        print(f"\r{what}: {done} of {total}  ", end="" if done < total else "\n", file=sys.stderr, flush=True)
+        line_end = "" if done < total else "\n"
+        print(f"\r{what}: {done} of {total}  ", end=line_end, file=sys.stderr, flush=True)
 
 
-@contextmanager
-def _named() -> Iterator[None]:
-    """Errors with their word and exit code 3; no traceback."""
+@contextlib.contextmanager
+def _reporting_errors() -> Iterator[None]:
+    """Print an error with its code in place of a traceback, and exit."""
     try:
         yield
     except (StoreError, OSError) as err:
-        word = err.code if isinstance(err, StoreError) else "unusable"
-        click.echo(f"{word}: {err}", err=True)
-        sys.exit(3)
+        code = err.code if isinstance(err, StoreError) else StoreUnusableError.code
+        click.echo(f"{code}: {err}", err=True)
+        sys.exit(EXIT_ERROR)
+
+
+@contextlib.contextmanager
+def _opened(folder: Path) -> Iterator[Store]:
+    """The store in a folder, whichever node's it is."""
+    node = manifest.read_manifest(RealFiles(folder)).node
+    with contextlib.closing(open_store(RealFiles(folder), node, _clock_us)) as opened:
+        yield opened
 
 
 @click.group()
@@ -49,66 +62,58 @@
 @FOLDER
 def inspect(folder: Path) -> None:
     """Show the manifest and the segments; changes nothing, and works beside a running node."""
-    with _named():
-        found = fixing.examine(RealFiles(folder), _progress)
-    if found.manifest is not None:
-        told = found.manifest
-        click.echo(f"node {told.node}, format {told.version}, next segment {told.next}")
-    for s in found.segments:
-        state = "not named" if s.listed is None else "active" if s.listed < 0 else "sealed"
-        hinted = ", hint" if s.hinted else ""
-        more = f", tail of {s.tail}" if s.tail else ""
-        more += f"  FAULT: {s.fault}" if s.fault else ""
-        figures = f"{s.size} bytes, {s.frames} batches, {s.records} records"
-        click.echo(f"{s.id:016x}  {state}{hinted}  {figures}{more}")
-    for fault in found.faults:
+    with _reporting_errors():
+        examination = repairing.examine(RealFiles(folder), _show_progress)
+    found = examination.manifest
+    if found is not None:
+        click.echo(f"node {found.node}, format {found.version}, next segment {found.next_segment_id}")
+    for report in examination.segments:
+        click.echo(_segment_line(report))
+    for fault in examination.faults:
         click.echo(fault, err=True)
 
 
+def _segment_line(report: repairing.SegmentReport) -> str:
+    state = "not named"
+    if report.entry is not None:
+        state = "sealed" if report.entry.is_sealed else "active"
+    hint = ", hint" if report.has_hint else ""
+    tail = f", tail of {report.tail_bytes}" if report.tail_bytes else ""
+    fault = f"  FAULT: {report.fault}" if report.fault else ""
+    figures = f"{report.size} bytes, {report.frame_count} batches, {report.record_count} records"
+    return f"{report.id:016x}  {state}{hint}  {figures}{tail}{fault}"
+
+
 @store.command()
 @FOLDER
 def verify(folder: Path) -> None:
     """Read every byte; exit code 1 where something is not as it should be."""
-    with _named():
-        found = fixing.examine(RealFiles(folder), _progress)
-    for fault in found.faults:
+    with _reporting_errors():
+        examination = repairing.examine(RealFiles(folder), _show_progress)
+    for fault in examination.faults:
         click.echo(fault, err=True)
-    click.echo(f"{len(found.segments)} segments, {len(found.faults)} faults")
-    sys.exit(1 if found.faults else 0)
-
-
-def _node_of(folder: Path) -> str:
-    return manifest.read_manifest(RealFiles(folder)).node
+    click.echo(f"{len(examination.segments)} segments, {len(examination.faults)} faults")
+    sys.exit(EXIT_FAULTS if examination.faults else 0)
 
 
 @store.command()
 @FOLDER
 def compact(folder: Path) -> None:
     """Do all the upkeep that is due; the node must not run."""
-    with _named():
-        opened = open_store(RealFiles(folder), _node_of(folder), _clock)
-        try:
-            before = opened.stats["bytes"]
-            while opened.maintain(8 << 20):
-                _progress("bytes", opened.compacted_bytes, before)
-            click.echo(f"{before} bytes before, {opened.stats['bytes']} now, {len(opened)} keys")
-        finally:
-            opened.close()
+    with _reporting_errors(), _opened(folder) as opened:
+        bytes_before = opened.stats.bytes
+        while opened.maintain(COMPACTION_BUDGET_BYTES):
+            _show_progress("bytes", opened.compacted_bytes, bytes_before)
+        click.echo(f"{bytes_before} bytes before, {opened.stats.bytes} now, {len(opened)} keys")
 
 
 @store.command()
 @FOLDER
 def dump(folder: Path) -> None:
     """Write every live key as a line of JSON with hexadecimal digits; the node must not run."""
-    with _named():
-        opened = open_store(RealFiles(folder), _node_of(folder), _clock)
-        try:
-            snapshot = opened.snapshot()
-            for key, value, expiry in snapshot.items():
-                click.echo(json.dumps({"key": key.hex(), "value": value.hex(), "expiry": expiry}))
-            snapshot.close()
-        finally:
-            opened.close()
+    with _reporting_errors(), _opened(folder) as opened, opened.snapshot() as snapshot:
+        for key, value, expiry_us in snapshot.items():
+            click.echo(json.dumps({"key": key.hex(), "value": value.hex(), "expiry": expiry_us}))
 
 
 @store.command("repair")
@@ -116,8 +121,9 @@
 @click.argument("target", type=click.Path(path_type=Path))
 def repair_command(folder: Path, target: Path) -> None:
     """Save what can be read into TARGET, a new folder; the damaged one stays as it is."""
-    with _named():
-        done = fixing.repair(RealFiles(folder), RealFiles(target), _clock, _progress)
-    for fault in done.faults:
+    with _reporting_errors():
+        result = repairing.repair(RealFiles(folder), RealFiles(target), _clock_us, _show_progress)
+    for fault in result.faults:
         click.echo(fault, err=True)
-    click.echo(f"{done.kept} keys kept; {done.lost_sequences} changes not found (compacted ones among them)")
+    lost = f"{result.lost_sequences} changes not found (compacted ones among them)"
+    click.echo(f"{result.saved_keys} keys kept; {lost}")
--- /dev/null
+++ b/tansyladder/store/commit_queue.py
@@ -0,0 +1,116 @@
+"""Group commit: of the threads that write at once, one writes and syncs for all that wait."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable, Iterator, Sequence
+from contextlib import contextmanager
+from dataclasses import dataclass, field
+
+from tansyladder.store.errors import StoreError
+from tansyladder.store.lifecycle import StoreLifecycle
+from tansyladder.store.operations import WriteOperation
+
+MAX_GROUP_BYTES = 4 << 20  # of one write to the log: bounds how long the last of a group waits
+
+
+@dataclass(slots=True, eq=False)
+class PendingBatch:
+    """The operations of one caller, which waits for them."""
+
+    operations: Sequence[WriteOperation]
+    size: int  # bytes in the log
+    needs_sync: bool
+    # Held while the caller waits, and released to wake it up: the cheapest thing to block on.
+    wakeup: threading.Lock = field(default_factory=threading.Lock)
+    is_leader: bool = False
+    error: StoreError | None = None
+
+
+class CommitQueue:
+    """The batches that wait, and who writes them.
+
+    At any moment at most one thread is the leader. It alone may use what the commit writes to: the log, the
+    maintenance and whatever changes the record table.
+
+    Thread-safe: `_lock` guards the queue and the leadership; it isn't held while a group is written.
+    """
+
+    def __init__(self, commit: Callable[[Sequence[PendingBatch]], None], lifecycle: StoreLifecycle) -> None:
+        self._commit = commit
+        self._lifecycle = lifecycle
+        self._lock = threading.Lock()
+        self._waiting: list[PendingBatch] = []
+        self._has_leader = False
+
+    def __len__(self) -> int:
+        return len(self._waiting)
+
+    def submit(self, batch: PendingBatch) -> None:
+        """Return once the batch is written, by this thread or by another. StoreError: it is not."""
+        with self._lock:
+            self._lifecycle.check_open()
+            self._waiting.append(batch)
+            if self._has_leader:
+                batch.wakeup.acquire()
+            else:
+                self._has_leader = batch.is_leader = True
+        if not batch.is_leader:
+            batch.wakeup.acquire()  # until it is written, or its turn to lead has come
+        if batch.is_leader:
+            self._lead()
+        if batch.error is not None:
+            raise batch.error
+
+    @contextmanager
+    def leadership(self) -> Iterator[bool]:
+        """Become the leader for a block of work, or yield False where another thread is. StoreBrokenError."""
+        with self._lock:
+            self._lifecycle.check_open()
+            is_leader = not self._has_leader
+            self._has_leader = True
+        try:
+            yield is_leader
+        finally:
+            if is_leader:
+                self._finish((), None)
+
+    def _lead(self) -> None:
+        """Write what waits, this thread's own batch first; then the next that waits leads."""
+        group = self._take_group()
+        error: StoreError | None = None
+        try:
+            self._commit(group)
+        except StoreError as err:
+            error = err
+        self._finish(group, error)
+
+    def _take_group(self) -> list[PendingBatch]:
+        with self._lock:
+            count = 0
+            size = 0
+            for batch in self._waiting:
+                if count and size + batch.size > MAX_GROUP_BYTES:
+                    break
+                count += 1
+                size += batch.size
+            group = self._waiting[:count]
+            self._waiting = self._waiting[count:]
+        return group
+
+    def _finish(self, group: Sequence[PendingBatch], error: StoreError | None) -> None:
+        """Wake up the group and hand the leadership on. Where the store is broken, all that wait fail too."""
+        with self._lock:
+            if error is not None and self._lifecycle.is_broken:
+                group = [*group, *self._waiting]
+                self._waiting = []
+            successor = self._waiting[0] if self._waiting else None
+            self._has_leader = successor is not None
+            if successor is not None:
+                successor.is_leader = True
+        for batch in group:
+            batch.error = error
+            if not batch.is_leader:
+                batch.wakeup.release()
+        if successor is not None:
+            successor.wakeup.release()
--- a/tansyladder/store/compaction.py
+++ b/tansyladder/store/compaction.py
@@ -1,143 +1,231 @@
 """Compaction: the live records of a run of neighbouring segments are written anew, a few at a time.
 
-A record of an end (a delete, or a value that has expired) must stay while an older segment may hold an older
-value of its key; where the run begins with the oldest one there is none, and it goes.
+A deletion, or a value that has expired, must stay while an older segment may hold an older value of its key;
+where the run begins with the oldest segment there is none, and it goes.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
+from typing import NamedTuple
 
 from tansyladder.store import frames, hints
 from tansyladder.store.errors import StoreCorruptError
 from tansyladder.store.files import Files
 from tansyladder.store.hints import Hint, hash_key
-from tansyladder.store.recovery import Segment, segment_file_name
+from tansyladder.store.record_table import MovedRecord
+from tansyladder.store.segment import Segment, segment_file_name
 
-GARBAGE = 0.5  # share of a run that must be dead: bytes written for a byte freed stay under one
-FRAME_BODY = 256 << 10  # bytes of a frame that compaction writes
-SMALL = 1 << 20  # a segment smaller than this is merged with its neighbours, many starts leave many
-MANY = 8  # of them
-READ = 1 << 20  # bytes read at a time
+MIN_DEAD_SHARE = 0.5  # of a run: less than one byte is written for each byte that is freed
+SMALL_SEGMENT_BYTES = 1 << 20  # segments below this are merged with their neighbours: each start leaves one
+SMALL_RUN_LENGTH = 8  # as many of them at a time
+FRAME_BODY_BYTES = 256 << 10  # of a frame that compaction writes
+READ_BYTES = 1 << 20  # at a time
+MAX_FRAME_BYTES = frames.FRAME_HEADER_BYTES + frames.MAX_FRAME_BODY_BYTES
 
+IsLive = Callable[[int, int], bool]  # of a key's hash and a location: whether its newest record is there
 
-def choose(sealed: Sequence[Segment]) -> list[Segment]:
-    """The run worth most: of those with enough garbage the one that frees most; or many small neighbours."""
+
+class CompactionTarget(NamedTuple):
+    """The segment that a compaction writes."""
+
+    segment_id: int
+    node_hash: int
+    hash_secret: int
+
+
+def choose_run(sealed: Sequence[Segment]) -> list[Segment]:
+    """The run most worth compacting: with enough dead bytes, the one that frees most; else small ones."""
     best: list[Segment] = []
-    most = 0
+    most_dead_bytes = 0
     for start in range(len(sealed)):
-        size = dead = 0
+        size = 0
+        dead_bytes = 0
         for end in range(start, len(sealed)):
             size += sealed[end].size
-            dead += sealed[end].dead
-            if dead > most and dead > GARBAGE * size:
-                best, most = list(sealed[start : end + 1]), dead
-    if best:
-        return best
-    for start in range(len(sealed) - MANY + 1):
-        run = list(sealed[start : start + MANY])
-        if all(segment.size < SMALL for segment in run):
+            dead_bytes += sealed[end].dead_bytes
+            if dead_bytes > most_dead_bytes and dead_bytes > MIN_DEAD_SHARE * size:
+                best = list(sealed[start : end + 1])
+                most_dead_bytes = dead_bytes
+    return best or _choose_small_run(sealed)
+
+
+def _choose_small_run(sealed: Sequence[Segment]) -> list[Segment]:
+    for start in range(len(sealed) - SMALL_RUN_LENGTH + 1):
+        run = list(sealed[start : start + SMALL_RUN_LENGTH])
+        if all(segment.size < SMALL_SEGMENT_BYTES for segment in run):
             return run
     return []
 
 
+class FrameReader:
+    """Reads the frames of one segment in order. Not thread-safe."""
+
+    def __init__(self, segment: Segment) -> None:
+        self._segment = segment
+        self._position = frames.SEGMENT_HEADER_BYTES  # of the next frame
+        self._buffer = b""
+        self._buffer_offset = 0
+
+    def next_frame(self) -> frames.Frame | None:
+        """The next frame; None at the segment's end. StoreCorruptError, OSError."""
+        if self._position >= self._segment.size:
+            return None
+        frame = self._decode()
+        for read_bytes in (READ_BYTES, MAX_FRAME_BYTES):
+            if frame is None:
+                self._buffer = self._segment.file.read_at(self._position, read_bytes)
+                self._buffer_offset = self._position
+                frame = self._decode()
+        if frame is None:
+            path = segment_file_name(self._segment.id)
+            raise StoreCorruptError(f"broken at byte {self._position}", path=path)
+        self._position = frame.end
+        return frame
+
+    def _decode(self) -> frames.Frame | None:
+        start = self._position - self._buffer_offset
+        return frames.decode_frame(self._buffer, self._segment.id, self._position, start)
+
+
+class SegmentWriter:
+    """Writes the new segment frame by frame. Not thread-safe."""
+
+    def __init__(self, files: Files, target: CompactionTarget) -> None:
+        """OSError: the file can't be made."""
+        self._files = files
+        self._segment_id = target.segment_id
+        self._hash_secret = target.hash_secret
+        self._file = files.create(segment_file_name(target.segment_id))
+        self._file.write_at(0, frames.encode_segment_header(target.segment_id, target.node_hash))
+        self._size = frames.SEGMENT_HEADER_BYTES
+        self._hint = Hint()
+        self._body = bytearray()
+        self._body_records = 0
+
+    @property
+    def record_count(self) -> int:
+        """Records added so far."""
+        return len(self._hint)
+
+    def note_time(self, latest_time_us: int) -> None:
+        """Frames from here on tell that the store has seen this time."""
+        self._hint.latest_time_us = max(self._hint.latest_time_us, latest_time_us)
+
+    def add(self, record: frames.Record, key_hash: int) -> int:
+        """Add a record of an old segment; its location in the new one. OSError."""
+        if (
+            len(self._body) + record.size > FRAME_BODY_BYTES
+            or self._body_records == frames.MAX_RECORDS_PER_FRAME
+        ):
+            self._flush()
+        offset = self._size + frames.FRAME_HEADER_BYTES + len(self._body)
+        copied = frames.Record(
+            offset, record.kind, record.sequence, record.expiry_us, record.key, record.value
+        )
+        self._body += frames.encode_record(copied, self._segment_id)
+        self._body_records += 1
+        self._hint.add(copied, key_hash)
+        return self._segment_id << frames.OFFSET_BITS | offset
+
+    def _flush(self) -> None:
+        if not self._body_records:
+            return
+        frame = frames.encode_frame(
+            bytes(self._body), self._body_records, 0, self._hint.latest_time_us, self._segment_id, self._size
+        )
+        self._file.write_at(self._size, frame)
+        self._size += len(frame)
+        self._body = bytearray()
+        self._body_records = 0
+
+    def finish(self) -> Segment:
+        """The segment, on disk but for its name, which nothing relies on yet. OSError."""
+        self._flush()
+        self._file.sync()
+        hints.write_hint(self._files, self._hint, self._segment_id, self._size)
+        return Segment(self._segment_id, self._file, self._size)
+
+    def abort(self) -> None:
+        """Close the file; the next start removes it."""
+        self._file.close()
+
+
 class Compaction:
-    """One run on its way into one new segment."""
+    """One run on its way into a new segment. Owned by the commit leader: no lock.
+
+    Attributes:
+        run: the segments that are compacted.
+        moved: the records that the index has to point to elsewhere, or not at all.
+    """
 
     def __init__(
-        self, files: Files, number: int, node: int, run: list[Segment], oldest: bool, secret: int
+        self, files: Files, target: CompactionTarget, run: list[Segment], includes_oldest: bool
     ) -> None:
+        """OSError: the new segment can't be made."""
         self.run = run
-        self.moved: list[tuple[int, int, int, int]] = []  # hash, old place, new place or 0, size
-        self.kept = 0  # records in the new segment
-        self._files, self._number, self._oldest, self._secret = files, number, oldest, secret
-        self._file = files.create(segment_file_name(number))
-        self._file.write_at(0, frames.encode_segment_header(number, node))
-        self._size = frames.SEGMENT_HEADER_BYTES
-        self._hint = Hint()
-        self._which, self._at = 0, frames.SEGMENT_HEADER_BYTES
-        self._data, self._data_at = b"", 0
-        self._body, self._ops, self._latest_time_us = bytearray(), 0, 0
-
-    def step(self, budget: int, is_live: Callable[[int, int], bool], now: int) -> bool:
-        """Read so many bytes of the run and write what lives; True once all is read. OSError, Damaged."""
+        self.moved: list[MovedRecord] = []
+        self._includes_oldest = includes_oldest
+        self._hash_secret = target.hash_secret
+        self._writer = SegmentWriter(files, target)
+        self._unread = list(run)
+        self._reader = FrameReader(self._unread[0])
+
+    @property
+    def record_count(self) -> int:
+        """Records in the new segment."""
+        return self._writer.record_count
+
+    def step(self, budget_bytes: int, is_live: IsLive, now_us: int) -> bool:
+        """Read so many bytes of the run and write what is live; True once all is read.
+
+        StoreCorruptError, OSError.
+        """
         for segment in self.run:
-            self._latest_time_us = max(
-                self._latest_time_us, segment.hint.latest_time_us if segment.hint else 0
-            )
-        left = budget
-        while left > 0:
-            if self._which == len(self.run):
+            if segment.pending_hint is not None:
+                self._writer.note_time(segment.pending_hint.latest_time_us)
+        remaining_bytes = budget_bytes
+        while remaining_bytes > 0:
+            if not self._unread:
                 return True
-            segment = self.run[self._which]
-            if self._at >= segment.size:
-                self._which, self._at = self._which + 1, frames.SEGMENT_HEADER_BYTES
-                self._data, self._data_at = b"", 0
+            segment = self._unread[0]
+            frame = self._reader.next_frame()
+            if frame is None:
+                self._next_segment()
                 continue
-            frame = self._frame(segment)
-            self._latest_time_us = max(self._latest_time_us, frame.latest_time_us)
+            self._writer.note_time(frame.latest_time_us)
             for record in frame.records:
-                self._take(segment, record, is_live, now)
-            left -= frame.end - self._at
-            self._at = frame.end
+                self._copy(segment, record, is_live, now_us)
+            remaining_bytes -= frame.end - frame.offset
         return False
 
-    def _frame(self, segment: Segment) -> frames.Frame:
-        """The next frame, read in larger pieces."""
-        for size in (READ, frames.FRAME_HEADER_BYTES + frames.MAX_FRAME_BODY_BYTES):
-            at = self._at - self._data_at
-            if 0 <= at < len(self._data):
-                frame = frames.decode_frame(self._data, segment.id, self._at, at)
-                if frame is not None:
-                    return frame
-            self._data, self._data_at = segment.file.read_at(self._at, size), self._at
-        frame = frames.decode_frame(self._data, segment.id, self._at, 0)
-        if frame is None:
-            raise StoreCorruptError(f"{segment_file_name(segment.id)}: broken at byte {self._at}")
-        return frame
-
-    def _take(
-        self, segment: Segment, record: frames.Record, is_live: Callable[[int, int], bool], now: int
-    ) -> None:
-        hashed, old = hash_key(record.key, self._secret), segment.id << frames.OFFSET_BITS | record.offset
-        kind, value, expiry = record.kind, record.value, record.expiry_us
-        if kind == frames.PUT:
-            if not is_live(hashed, old):
+    def _next_segment(self) -> None:
+        del self._unread[0]
+        if self._unread:
+            self._reader = FrameReader(self._unread[0])
+
+    def _copy(self, segment: Segment, record: frames.Record, is_live: IsLive, now_us: int) -> None:
+        """Write a record anew if it must stay, and note what it means for the index."""
+        key_hash = hash_key(record.key, self._hash_secret)
+        location = segment.id << frames.OFFSET_BITS | record.offset
+        if record.kind == frames.PUT:
+            if not is_live(key_hash, location):
                 return
-            if expiry and expiry <= now:
-                kind, value, expiry = frames.DELETE, b"", 0
-                self.moved.append((hashed, old, 0, 0))
-        if kind == frames.DELETE and self._oldest:
+            if record.expiry_us and record.expiry_us <= now_us:
+                self.moved.append(MovedRecord(key_hash, location, 0, 0))
+                record = frames.Record(
+                    record.offset, frames.DELETE, record.sequence, 0, record.key, value=b""
+                )
+        if record.kind == frames.DELETE and self._includes_oldest:
             return
-        if len(self._body) + record.size > FRAME_BODY or self._ops == frames.MAX_RECORDS_PER_FRAME:
-            self._flush()
-        place = self._size + frames.FRAME_HEADER_BYTES + len(self._body)
-        self._body += frames.encode_record(
-            kind, record.key, value, record.sequence, expiry, self._number, place
-        )
-        self._ops += 1
-        self.kept += 1
-        made = frames.Record(place, kind, record.sequence, expiry, record.key, value)
-        self._hint.add(made, hashed)
-        if kind == frames.PUT:
-            self.moved.append((hashed, old, self._number << frames.OFFSET_BITS | place, made.size))
-
-    def _flush(self) -> None:
-        if self._ops:
-            body = bytes(self._body)
-            frame = frames.encode_frame(body, self._ops, 0, self._latest_time_us, self._number, self._size)
-            self._file.write_at(self._size, frame)
-            self._size += len(frame)
-            self._body, self._ops = bytearray(), 0
+        new_location = self._writer.add(record, key_hash)
+        if record.kind == frames.PUT:
+            self.moved.append(MovedRecord(key_hash, location, new_location, record.size))
 
     def finish(self) -> Segment:
-        """The new segment, on disk but for its name, which nothing relies on yet."""
-        self._flush()
-        self._file.sync()
-        self._hint.latest_time_us = self._latest_time_us
-        hints.write_hint(self._files, self._hint, self._number, self._size)
-        return Segment(self._number, self._file, self._size)
+        """The new segment, on disk but for its name. OSError."""
+        return self._writer.finish()
 
-    def give_up(self) -> None:
-        """Leave the file to the next start's sweep."""
-        self._file.close()
+    def abort(self) -> None:
+        """Give the new segment up."""
+        self._writer.abort()
--- a/tansyladder/store/files.py
+++ b/tansyladder/store/files.py
@@ -1,19 +1,23 @@
-"""The file system as the store needs it, and no more; the real one. The lab has one that fails on purpose.
+"""The file system as far as the store needs it, and the real one; the lab has one that fails on purpose.
 
-What the store relies on is written at each call: anything else may happen at a power loss.
+The store relies on what the docstrings of `File` and `Files` promise: anything else may happen at a loss of
+power. Each call raises OSError where the file system refuses it.
 """
 
 from __future__ import annotations
 
 import contextlib
+import errno
 import fcntl
 import os
 from pathlib import Path
 from typing import Protocol
 
+LOCK_FILE_NAME = "LOCK"
+
 
 class File(Protocol):
-    """An open file."""
+    """An open file. Thread-safe: reads and writes name their offset."""
 
     def write_at(self, offset: int, data: bytes) -> None:
         """All of the data, or OSError with any part of it written. On disk only after `sync`."""
@@ -27,25 +31,30 @@
     def truncate(self, size: int) -> None:
         """Cut; on disk only after `sync`."""
 
-    def size(self) -> int: ...
+    def size(self) -> int:
+        """Bytes of the file."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Give the file up; does nothing the second time."""
 
 
 class Files(Protocol):
-    """One directory."""
+    """One directory. Thread-safe, but for `lock` and `unlock`, which belong to the owner of the store."""
 
     def create(self, name: str) -> File:
         """A new, empty file; its name is on disk only after `sync_directory`."""
 
-    def open(self, name: str) -> File: ...
+    def open(self, name: str) -> File:
+        """An existing file, for reading and writing. FileNotFoundError."""
 
     def rename(self, old: str, new: str) -> None:
         """Replace `new` in one step: at a power loss before `sync_directory` either of the two is there."""
 
-    def remove(self, name: str) -> None: ...
+    def remove(self, name: str) -> None:
+        """Remove a file; it is gone from the disk only after `sync_directory`. FileNotFoundError."""
 
-    def list_names(self) -> list[str]: ...
+    def list_names(self) -> list[str]:
+        """The names of all files, sorted."""
 
     def sync_directory(self) -> None:
         """All names made, changed and removed so far are on disk."""
@@ -53,92 +62,106 @@
     def lock(self) -> None:
         """Own the directory until `unlock` or the process's end. BlockingIOError: somebody else does."""
 
-    def unlock(self) -> None: ...
+    def unlock(self) -> None:
+        """Give the directory up; does nothing where it isn't owned."""
 
 
 class RealFile:
-    """A file by its descriptor."""
+    """A file of the operating system. Thread-safe."""
 
-    def __init__(self, fd: int) -> None:
-        self._fd = fd
+    def __init__(self, descriptor: int) -> None:
+        self._descriptor = descriptor
 
     def write_at(self, offset: int, data: bytes) -> None:
+        """All of the data, or OSError with any part of it written."""
         view = memoryview(data)
         while view:
-            done = os.pwrite(self._fd, view, offset)
-            offset, view = offset + done, view[done:]
+            written = os.pwrite(self._descriptor, view, offset)
+            offset += written
+            view = view[written:]
 
     def read_at(self, offset: int, size: int) -> bytes:
-        data = os.pread(self._fd, size, offset)
+        """Up to so many bytes; fewer at the end of the file only."""
+        data = os.pread(self._descriptor, size, offset)
         while 0 < len(data) < size:
-            more = os.pread(self._fd, size - len(data), offset + len(data))
+            more = os.pread(self._descriptor, size - len(data), offset + len(data))
             if not more:
                 break
             data += more
         return data
 
     def sync(self) -> None:
-        os.fdatasync(self._fd)  # which includes the size, as without it the data could not be read
+        """All data written so far is on disk, and the size."""
+        os.fdatasync(self._descriptor)  # which includes the size, as without it the data could not be read
 
     def truncate(self, size: int) -> None:
-        os.ftruncate(self._fd, size)
+        """Cut the file."""
+        os.ftruncate(self._descriptor, size)
 
     def size(self) -> int:
-        return os.fstat(self._fd).st_size
+        """Bytes of the file."""
+        return os.fstat(self._descriptor).st_size
 
     def close(self) -> None:
-        if self._fd >= 0:
-            os.close(self._fd)
-            self._fd = -1
+        """Give the file up; does nothing the second time."""
+        if self._descriptor >= 0:
+            os.close(self._descriptor)
+            self._descriptor = -1
 
 
 class RealFiles:
-    """A real directory, made where it is missing."""
-
-    LOCK = "LOCK"
+    """A directory of the operating system, made where it is missing. Thread rule: that of `Files`."""
 
     def __init__(self, path: Path) -> None:
-        """OSError where it can't be made or written."""
+        """OSError: the directory can't be made, read or written."""
         path.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._path = path
-        self._lock = -1
+        self._lock_descriptor = -1
         if not os.access(path, os.R_OK | os.W_OK | os.X_OK):
-            raise PermissionError(13, "not readable and writable", str(path))
+            raise PermissionError(errno.EACCES, "not readable and writable", str(path))
 
     def create(self, name: str) -> File:
+        """A new, empty file."""
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         return RealFile(os.open(self._path / name, flags, 0o600))
 
     def open(self, name: str) -> File:
+        """An existing file. FileNotFoundError."""
         return RealFile(os.open(self._path / name, os.O_RDWR | os.O_CLOEXEC))
 
     def rename(self, old: str, new: str) -> None:
+        """Replace `new` in one step."""
         os.rename(self._path / old, self._path / new)
 
     def remove(self, name: str) -> None:
+        """Remove a file. FileNotFoundError."""
         os.unlink(self._path / name)
 
     def list_names(self) -> list[str]:
+        """The names of all files, sorted."""
         return sorted(os.listdir(self._path))
 
     def sync_directory(self) -> None:
-        fd = os.open(self._path, os.O_RDONLY | os.O_CLOEXEC)
+        """All changes of names so far are on disk."""
+        descriptor = os.open(self._path, os.O_RDONLY | os.O_CLOEXEC)
         try:
-            os.fsync(fd)
+            os.fsync(descriptor)
         finally:
-            os.close(fd)
+            os.close(descriptor)
 
     def lock(self) -> None:
-        fd = os.open(self._path / self.LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        """Own the directory until `unlock` or the process's end. BlockingIOError: another process does."""
+        descriptor = os.open(self._path / LOCK_FILE_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(fd)
+            os.close(descriptor)
             raise
-        self._lock = fd
+        self._lock_descriptor = descriptor
 
     def unlock(self) -> None:
-        if self._lock >= 0:
+        """Give the directory up; does nothing where it isn't owned."""
+        if self._lock_descriptor >= 0:
             with contextlib.suppress(OSError):
-                os.close(self._lock)
-            self._lock = -1
+                os.close(self._lock_descriptor)
+            self._lock_descriptor = -1
--- a/tansyladder/store/frames.py
+++ b/tansyladder/store/frames.py
@@ -1,7 +1,10 @@
-"""The bytes of a segment: a head, then frames, each one batch. Pure encoding and decoding; little endian.
+"""Encoding and decoding of a segment's bytes: a header, then frames, each one batch of records.
 
-docs/store-format.md says the same byte by byte. Every checksum is XXH3-64 seeded with the place it stands at,
-so that bytes left from an earlier write, or a frame inside somebody's value, are no frame anywhere else.
+docs/store-format.md describes the same byte by byte; all numbers are little endian. Every checksum is XXH3-64
+seeded with the position of what it covers, so that bytes left from an earlier write, or a frame inside a
+value, are not valid anywhere else.
+
+No I/O; functions are pure, and `SegmentScan` is owned by one thread.
 """
 
 from __future__ import annotations
@@ -15,31 +18,51 @@
 
 VERSION = 1
 MAGIC = b"TLSEG\x00"
-SEGMENT_HEADER = struct.Struct("<6sHQQ")  # magic, version, segment, hash of the node's name; then the check
-SEGMENT_HEADER_BYTES = SEGMENT_HEADER.size + 8
+CHECKSUM_BYTES = 8
+# Magic, version, segment, hash of the node's name; a checksum follows.
+SEGMENT_HEADER = struct.Struct("<6sHQQ")
+SEGMENT_HEADER_BYTES = SEGMENT_HEADER.size + CHECKSUM_BYTES
 FRAME_MAGIC = b"\xa7\x5e"
-FRAME_HEADER = struct.Struct("<2sHIQQ")  # mark, ops, bytes of the body, synced, latest time; then the check
-FRAME_HEADER_BYTES = FRAME_HEADER.size + 8
-RECORD_HEADER = struct.Struct("<IBxHIQQ")  # check, kind, bytes of the key, of the value, sequence, expiry
-PUT, DELETE = 1, 2
-MAX_KEY_BYTES, MAX_VALUE_BYTES = 1024, 1 << 20
-MAX_RECORDS_PER_FRAME, MAX_FRAME_BODY_BYTES = 65_535, 16 << 20
-OFFSET_BITS = 32  # of an offset: a segment is smaller than 4 GiB
+# Magic, records, bytes of the body, synced bytes, latest time; a checksum follows.
+FRAME_HEADER = struct.Struct("<2sHIQQ")
+FRAME_HEADER_BYTES = FRAME_HEADER.size + CHECKSUM_BYTES
+# Checksum, kind, bytes of the key, bytes of the value, sequence, expiry; key and value follow.
+RECORD_HEADER = struct.Struct("<IBxHIQQ")
+RECORD_CHECKSUM_BYTES = 4
+RECORD_CHECKSUM_MASK = 0xFFFFFFFF  # a record's checksum is the low half of the hash
+
+# Kinds of records. Plain integers: they are compared for every record that is written.
+PUT = 1
+DELETE = 2
+
+MAX_KEY_BYTES = 1024
+MAX_VALUE_BYTES = 1 << 20
+MAX_RECORDS_PER_FRAME = 65_535
+MAX_FRAME_BODY_BYTES = 16 << 20
+OFFSET_BITS = 32  # a segment is smaller than 4 GiB
+SEED_MASK = (1 << 64) - 1
+
+
+class SegmentHeader(NamedTuple):
+    """What the header of a segment says of it."""
+
+    version: int
+    node_hash: int
 
 
 class Record(NamedTuple):
-    """One op as it stands in a segment."""
+    """One change of a key as it stands in a segment."""
 
-    offset: int  # of the op's own bytes
-    kind: int
+    offset: int  # of the record in its segment
+    kind: int  # PUT or DELETE
     sequence: int
-    expiry_us: int  # microseconds of Unix time; 0: never
+    expiry_us: int  # Unix time in microseconds; 0: never
     key: bytes
     value: bytes
 
     @property
     def size(self) -> int:
-        """Its bytes in the segment."""
+        """Bytes of the record in its segment."""
         return RECORD_HEADER.size + len(self.key) + len(self.value)
 
 
@@ -49,136 +72,168 @@
 
     offset: int
     end: int
-    synced: int  # bytes of this segment that were on disk for sure when it was written
-    latest_time_us: int  # the highest Unix time, in microseconds, that the store had seen
+    synced_bytes: int  # of this segment that were on disk for sure when the frame was written
+    latest_time_us: int  # the highest Unix time that the store had seen
     records: tuple[Record, ...]
 
 
-def _check(data: bytes, segment: int, offset: int) -> int:
-    return xxhash.xxh3_64_intdigest(data, seed=(segment << OFFSET_BITS | offset) & (1 << 64) - 1)
+class ByteRange(NamedTuple):
+    """Bytes of a segment from `start` up to `end`, which is not one of them."""
+
+    start: int
+    end: int
+
+
+def _checksum(data: bytes, segment_id: int, offset: int) -> int:
+    return xxhash.xxh3_64_intdigest(data, seed=(segment_id << OFFSET_BITS | offset) & SEED_MASK)
 
 
-def name_hash(name: str) -> int:
-    """What stands for a node's name."""
+def hash_node_name(name: str) -> int:
+    """The hash of a node's name, as the header of each segment holds it."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
-def encode_segment_header(segment: int, node: int) -> bytes:
+def encode_segment_header(segment_id: int, node_hash: int) -> bytes:
     """The first bytes of a segment."""
-    raw = SEGMENT_HEADER.pack(MAGIC, VERSION, segment, node)
-    return raw + _check(raw, segment, 0).to_bytes(8, "little")
+    header = SEGMENT_HEADER.pack(MAGIC, VERSION, segment_id, node_hash)
+    return header + _checksum(header, segment_id, 0).to_bytes(CHECKSUM_BYTES, "little")
 
 
-def decode_segment_header(data: bytes, segment: int) -> tuple[int, int] | None:
-    """A segment's version and node; None where its head is no head."""
+def decode_segment_header(data: bytes, segment_id: int) -> SegmentHeader | None:
+    """The header at the start of a segment's bytes; None where they hold no valid header of this segment."""
     if len(data) < SEGMENT_HEADER_BYTES:
         return None
-    magic, version, number, node = SEGMENT_HEADER.unpack_from(data)
-    check = int.from_bytes(data[SEGMENT_HEADER.size : SEGMENT_HEADER_BYTES], "little")
-    if magic != MAGIC or number != segment or check != _check(data[: SEGMENT_HEADER.size], segment, 0):
+    magic, version, number, node_hash = SEGMENT_HEADER.unpack_from(data)
+    checksum = int.from_bytes(data[SEGMENT_HEADER.size : SEGMENT_HEADER_BYTES], "little")
+    is_sound = checksum == _checksum(data[: SEGMENT_HEADER.size], segment_id, 0)
+    if magic != MAGIC or number != segment_id or not is_sound:
         return None
-    return version, node
+    return SegmentHeader(version, node_hash)
 
 
-def encode_record(
-    kind: int, key: bytes, value: bytes, sequence: int, expiry_us: int, segment: int, offset: int
-) -> bytes:
-    """One op for its place; its own check lets a read of it alone be trusted."""
-    raw = RECORD_HEADER.pack(0, kind, len(key), len(value), sequence, expiry_us)[4:] + key + value
-    return (_check(raw, segment, offset) & 0xFFFFFFFF).to_bytes(4, "little") + raw
+def encode_record(record: Record, segment_id: int) -> bytes:
+    """One record for its offset. Its own checksum lets a read of it alone be trusted."""
+    offset, kind, sequence, expiry_us, key, value = record
+    header = RECORD_HEADER.pack(0, kind, len(key), len(value), sequence, expiry_us)
+    checked = header[RECORD_CHECKSUM_BYTES:] + key + value
+    checksum = _checksum(checked, segment_id, offset) & RECORD_CHECKSUM_MASK
+    return checksum.to_bytes(RECORD_CHECKSUM_BYTES, "little") + checked
 
 
-def encode_frame(body: bytes, ops: int, synced: int, latest_time_us: int, segment: int, offset: int) -> bytes:
-    """A frame for its place; the body is made by `encode_record` from `offset + FRAME_HEADER_BYTES` on."""
-    raw = FRAME_HEADER.pack(FRAME_MAGIC, ops, len(body), synced, latest_time_us)
-    return raw + _check(raw + body, segment, offset).to_bytes(8, "little") + body
+def encode_frame(
+    body: bytes, record_count: int, synced_bytes: int, latest_time_us: int, segment_id: int, offset: int
+) -> bytes:
+    """A frame for its offset; the body holds records encoded from `offset + FRAME_HEADER_BYTES` on."""
+    header = FRAME_HEADER.pack(FRAME_MAGIC, record_count, len(body), synced_bytes, latest_time_us)
+    return header + _checksum(header + body, segment_id, offset).to_bytes(CHECKSUM_BYTES, "little") + body
 
 
 def decode_record(
-    data: bytes, segment: int, offset: int, at: int = 0, limit: int | None = None
+    data: bytes, segment_id: int, offset: int, start: int = 0, limit: int | None = None
 ) -> Record | None:
-    """The op at `at` of the data, which stands at `offset` of its segment and ends by `limit`.
+    """The record at `data[start:]`, which stands at `offset` of its segment and ends by `data[limit]`.
 
-    None where it is cut or touched.
+    None where it is cut off or its checksum is wrong.
     """
     limit = len(data) if limit is None else limit
-    if limit - at < RECORD_HEADER.size:
+    if limit - start < RECORD_HEADER.size:
         return None
-    check, kind, key_size, value_size, sequence, expiry = RECORD_HEADER.unpack_from(data, at)
-    end = at + RECORD_HEADER.size + key_size + value_size
-    if end > limit or check != _check(data[at + 4 : end], segment, offset) & 0xFFFFFFFF:
+    checksum, kind, key_bytes, value_bytes, sequence, expiry_us = RECORD_HEADER.unpack_from(data, start)
+    key_start = start + RECORD_HEADER.size
+    key_end = key_start + key_bytes
+    end = key_end + value_bytes
+    if end > limit:
         return None
-    middle = at + RECORD_HEADER.size + key_size
-    return Record(offset, kind, sequence, expiry, data[at + RECORD_HEADER.size : middle], data[middle:end])
+    checked = data[start + RECORD_CHECKSUM_BYTES : end]
+    if checksum != _checksum(checked, segment_id, offset) & RECORD_CHECKSUM_MASK:
+        return None
+    return Record(offset, kind, sequence, expiry_us, data[key_start:key_end], data[key_end:end])
+
 
+def encoded_record_bytes(header: bytes) -> int:
+    """Bytes of the record that begins here, as its header says; the header isn't checked."""
+    _, _, key_bytes, value_bytes, _, _ = RECORD_HEADER.unpack_from(header)
+    return int(RECORD_HEADER.size + key_bytes + value_bytes)
 
-def encoded_record_bytes(data: bytes) -> int:
-    """Bytes of the op that begins here, by its own word."""
-    _, _, key_size, value_size, _, _ = RECORD_HEADER.unpack_from(data)
-    return int(RECORD_HEADER.size + key_size + value_size)
 
+def encoded_key_bytes(header: bytes) -> int:
+    """Bytes of the key of the record that begins here, as its header says; the header isn't checked."""
+    return int(RECORD_HEADER.unpack_from(header)[2])
 
-def encoded_key_bytes(data: bytes) -> int:
-    """Bytes of the key of the op that begins here, by its own word."""
-    return int(RECORD_HEADER.unpack_from(data)[2])
 
+def decode_frame(data: bytes, segment_id: int, offset: int, start: int) -> Frame | None:
+    """The frame at `data[start:]`, which stands at `offset` of its segment.
 
-def decode_frame(data: bytes, segment: int, offset: int, at: int) -> Frame | None:
-    """The frame at `at` of the data, which stands at `offset`; None where there is no whole, sound one."""
-    if len(data) - at < FRAME_HEADER_BYTES or data[at : at + 2] != FRAME_MAGIC:
+    None where it is cut off or a checksum is wrong.
+    """
+    if len(data) - start < FRAME_HEADER_BYTES or data[start : start + len(FRAME_MAGIC)] != FRAME_MAGIC:
         return None
-    _, ops, size, synced, latest_time_us = FRAME_HEADER.unpack_from(data, at)
-    body_at = at + FRAME_HEADER_BYTES
-    end = body_at + size
-    if size > MAX_FRAME_BODY_BYTES or end > len(data):
+    _, record_count, body_bytes, synced_bytes, latest_time_us = FRAME_HEADER.unpack_from(data, start)
+    header_end = start + FRAME_HEADER.size
+    body_start = start + FRAME_HEADER_BYTES
+    end = body_start + body_bytes
+    if body_bytes > MAX_FRAME_BODY_BYTES or end > len(data):
         return None
-    check = int.from_bytes(data[at + FRAME_HEADER.size : body_at], "little")
-    if check != _check(data[at : at + FRAME_HEADER.size] + data[body_at:end], segment, offset):
+    checksum = int.from_bytes(data[header_end:body_start], "little")
+    if checksum != _checksum(data[start:header_end] + data[body_start:end], segment_id, offset):
         return None
-    records, place = [], body_at
-    for _ in range(ops):
-        record = decode_record(data, segment, offset + place - at, place, end)
+    records = []
+    position = body_start
+    for _ in range(record_count):
+        record = decode_record(data, segment_id, offset + position - start, position, end)
         if record is None:
             return None
         records.append(record)
-        place += record.size
-    if place != end:
+        position += record.size
+    if position != end:
         return None
-    return Frame(offset, offset + end - at, synced, latest_time_us, tuple(records))
+    return Frame(offset, offset + end - start, synced_bytes, latest_time_us, tuple(records))
 
 
 class SegmentScan:
-    """What a walk over a segment's bytes found."""
+    """A walk over the bytes of one segment.
+
+    Attributes, which hold once `frames` is exhausted:
+        valid_end: the end of the last frame of the unbroken run from the start.
+        holes: bytes that are no frame, with a valid frame behind them.
+        synced_bytes: the highest count of bytes that a frame says had been on disk.
+    """
 
-    def __init__(self, data: bytes, segment: int) -> None:
-        self.data, self.segment = data, segment
-        self.end = SEGMENT_HEADER_BYTES  # behind the last frame of the unbroken run from the start
-        self.holes: list[tuple[int, int]] = []  # bytes that are no frame, with a sound frame behind them
-        self.synced = 0  # the highest mark of what had been on disk
+    def __init__(self, data: bytes, segment_id: int) -> None:
+        self._data = data
+        self._segment_id = segment_id
+        self.valid_end = SEGMENT_HEADER_BYTES
+        self.holes: list[ByteRange] = []
+        self.synced_bytes = 0
+
+    def first_damage(self, is_sealed: bool) -> ByteRange | None:
+        """The first bytes that are damage: any hole of a sealed segment, else one that had been on disk."""
+        if self.holes and (is_sealed or self.holes[0].start < self.synced_bytes):
+            return self.holes[0]
+        return None
 
     def frames(self) -> Iterator[Frame]:
-        """The sound frames in order, also those behind a hole; `end`, `holes` and `synced` hold after it."""
-        at = SEGMENT_HEADER_BYTES
-        while at < len(self.data):
-            frame = decode_frame(self.data, self.segment, at, at)
+        """The valid frames in order, those behind a hole too."""
+        position = SEGMENT_HEADER_BYTES
+        while position < len(self._data):
+            frame = decode_frame(self._data, self._segment_id, position, position)
             if frame is None:
-                found = self._next(at + 1)
-                if found is None:
+                frame = self._find_frame(position + 1)
+                if frame is None:
                     return
-                self.holes.append((at, found.offset))
-                frame = found
+                self.holes.append(ByteRange(position, frame.offset))
             if not self.holes:
-                self.end = frame.end
-            self.synced = max(self.synced, frame.synced)
-            at = frame.end
+                self.valid_end = frame.end
+            self.synced_bytes = max(self.synced_bytes, frame.synced_bytes)
+            position = frame.end
             yield frame
 
-    def _next(self, start: int) -> Frame | None:
-        """The first sound frame from here on; only looked for where something is broken."""
-        at = self.data.find(FRAME_MAGIC, start)
-        while at >= 0:
-            frame = decode_frame(self.data, self.segment, at, at)
+    def _find_frame(self, start: int) -> Frame | None:
+        """The first valid frame from `start` on; only searched for where something is broken."""
+        position = self._data.find(FRAME_MAGIC, start)
+        while position >= 0:
+            frame = decode_frame(self._data, self._segment_id, position, position)
             if frame is not None:
                 return frame
-            at = self.data.find(FRAME_MAGIC, at + 1)
+            position = self._data.find(FRAME_MAGIC, position + 1)
         return None
--- /dev/null
+++ b/tansyladder/store/group_writer.py
@@ -0,0 +1,89 @@
+"""The write path behind the commit queue: a group of batches becomes frames of the active segment."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from tansyladder.store import frames
+from tansyladder.store.commit_queue import PendingBatch
+from tansyladder.store.forward_clock import ForwardClock
+from tansyladder.store.hints import Hint, hash_key
+from tansyladder.store.lifecycle import StoreLifecycle
+from tansyladder.store.operations import WriteOperation
+from tansyladder.store.record_table import RecordTable
+from tansyladder.store.segment_log import SegmentLog
+
+
+class GroupWriter:
+    """Writes groups of batches. Owned by the commit leader: no lock."""
+
+    def __init__(
+        self,
+        log: SegmentLog,
+        records: RecordTable,
+        lifecycle: StoreLifecycle,
+        clock: ForwardClock,
+        last_sequence: int,
+    ) -> None:
+        self._log = log
+        self._records = records
+        self._lifecycle = lifecycle
+        self._clock = clock
+        self._last_sequence = last_sequence
+
+    @property
+    def last_sequence(self) -> int:
+        """The sequence of the newest record; any thread may read it."""
+        return self._last_sequence
+
+    def commit(self, group: Sequence[PendingBatch]) -> None:
+        """Write all batches at once, sync once if one of them needs it, and make them visible.
+
+        Raises:
+            StoreFullError, KeyCollisionError: nothing of the group is kept.
+            StoreBrokenError: it is not known what is kept.
+        """
+        self._lifecycle.check_open()  # a step of maintenance may have failed while these waited
+        self._log.make_room(sum(batch.size for batch in group))
+        written = Hint()
+        data = self._encode(group, written)
+        self._log.append(data, any(batch.needs_sync for batch in group))
+        self._records.apply(self._log.active, written, len(group))
+        self._last_sequence += len(written)
+
+    def _encode(self, group: Sequence[PendingBatch], written: Hint) -> bytes:
+        """The frames of a group for the end of the active segment; their records are added to `written`."""
+        active = self._log.active
+        synced_bytes = self._log.synced_bytes
+        written.latest_time_us = self._clock.now_us()
+        encoded = []
+        offset = active.size
+        for batch in group:
+            body = self._encode_body(batch.operations, offset + frames.FRAME_HEADER_BYTES, written)
+            record_count = len(batch.operations)
+            frame = frames.encode_frame(
+                body, record_count, synced_bytes, written.latest_time_us, active.id, offset
+            )
+            encoded.append(frame)
+            offset += len(frame)
+        return b"".join(encoded)
+
+    def _encode_body(self, operations: Sequence[WriteOperation], offset: int, written: Hint) -> bytes:
+        """The records of one batch from an offset of the active segment on; they are added to `written`."""
+        segment_id = self._log.active.id
+        hash_secret = self._log.hash_secret
+        sequence = self._last_sequence + len(written)
+        encoded = []
+        for key, value, expiry_us in operations:
+            sequence += 1
+            key_hash = hash_key(key, hash_secret)
+            self._records.check_collision(key_hash, key)
+            if value is None:
+                record = frames.Record(offset, frames.DELETE, sequence, expiry_us, key, b"")
+            else:
+                record = frames.Record(offset, frames.PUT, sequence, expiry_us, key, value)
+            data = frames.encode_record(record, segment_id)
+            written.add(record, key_hash)
+            encoded.append(data)
+            offset += len(data)
+        return b"".join(encoded)
--- a/tansyladder/store/hints.py
+++ b/tansyladder/store/hints.py
@@ -1,15 +1,15 @@
 """Hint files: what the index needs to know of a sealed segment, without its keys and values.
 
-A hint is only ever a shortcut: one that is missing, cut, touched or of another size of its segment is made
-anew.
+A hint only saves time: one that is missing, cut off, changed or of another size of its segment is made anew.
 """
 
 from __future__ import annotations
 
+import contextlib
 import struct
 from array import array
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 import xxhash
 
@@ -17,31 +17,54 @@
 from tansyladder.store.frames import Record
 from tansyladder.store.index import avoid_reserved_hashes
 
-MAGIC, VERSION = b"TLHNT\x00", 1
-HEAD = struct.Struct("<6sHQQIQ")  # magic, version, segment, its size, entries, latest_time_us
+MAGIC = b"TLHNT\x00"
+VERSION = 1
+HEADER = struct.Struct("<6sHQQIQ")  # magic, version, segment, its size, entries, latest time
+CHECKSUM_BYTES = 8
+
+
+class Column(NamedTuple):
+    """One column of a hint: the attribute that holds it, and its type code for `array`."""
+
+    attribute: str
+    type_code: str
+
+
 COLUMNS = (
-    ("hashes", "Q"),
-    ("sequences", "Q"),
-    ("expiries", "Q"),
-    ("offsets", "I"),
-    ("sizes", "I"),
-    ("kinds", "B"),
+    Column("hashes", "Q"),
+    Column("sequences", "Q"),
+    Column("expiries", "Q"),
+    Column("offsets", "I"),
+    Column("sizes", "I"),
+    Column("kinds", "B"),
 )
 
 
 class Hint:
-    """One segment's records in columns, in the order in which they stand."""
+    """The records of one segment in columns, in their order in the segment. Not thread-safe.
+
+    Attributes:
+        hashes: of the keys.
+        expiries: Unix time in microseconds, 0 for never.
+        offsets: of the records in the segment.
+        sizes: of the records, in bytes.
+        latest_time_us: the highest Unix time that the store had seen.
+    """
 
     def __init__(self) -> None:
-        self.hashes, self.sequences, self.expiries = array("Q"), array("Q"), array("Q")
-        self.offsets, self.sizes, self.kinds = array("I"), array("I"), array("B")
+        self.hashes = array("Q")
+        self.sequences = array("Q")
+        self.expiries = array("Q")
+        self.offsets = array("I")
+        self.sizes = array("I")
+        self.kinds = array("B")
         self.latest_time_us = 0
 
     def __len__(self) -> int:
         return len(self.hashes)
 
     def add(self, record: Record, key_hash: int) -> None:
-        """One more record."""
+        """Append a record."""
         self.hashes.append(key_hash)
         self.sequences.append(record.sequence)
         self.expiries.append(record.expiry_us)
@@ -49,62 +72,68 @@
         self.sizes.append(record.size)
         self.kinds.append(record.kind)
 
-    def encode(self, segment: int, size: int) -> bytes:
-        """The bytes of the file."""
-        columns = [getattr(self, name).tobytes() for name, _ in COLUMNS]
-        raw = HEAD.pack(MAGIC, VERSION, segment, size, len(self), self.latest_time_us) + b"".join(columns)
-        return raw + xxhash.xxh3_64_digest(raw)
+    def extend(self, later: Hint) -> None:
+        """Append the records of a later part of the same segment."""
+        self.latest_time_us = max(self.latest_time_us, later.latest_time_us)
+        self.hashes.extend(later.hashes)
+        self.sequences.extend(later.sequences)
+        self.expiries.extend(later.expiries)
+        self.offsets.extend(later.offsets)
+        self.sizes.extend(later.sizes)
+        self.kinds.extend(later.kinds)
+
+    def encode(self, segment_id: int, segment_size: int) -> bytes:
+        """The bytes of the hint's file."""
+        columns = [getattr(self, column.attribute).tobytes() for column in COLUMNS]
+        header = HEADER.pack(MAGIC, VERSION, segment_id, segment_size, len(self), self.latest_time_us)
+        content = header + b"".join(columns)
+        return content + xxhash.xxh3_64_digest(content)
 
     @classmethod
-    def decode(cls, data: bytes, segment: int, size: int) -> Hint | None:
-        """None where this is no hint of this segment at this size."""
-        if len(data) < HEAD.size + 8 or xxhash.xxh3_64_digest(data[:-8]) != data[-8:]:
+    def decode(cls, data: bytes, segment_id: int, segment_size: int) -> Hint | None:
+        """The hint in a file's bytes; None where it is no valid hint of this segment at this size."""
+        content_end = len(data) - CHECKSUM_BYTES
+        if content_end < HEADER.size or xxhash.xxh3_64_digest(data[:content_end]) != data[content_end:]:
             return None
-        magic, version, number, told, count, latest_time_us = HEAD.unpack_from(data)
-        if (magic, version, number, told) != (MAGIC, VERSION, segment, size):
+        *identity, count, latest_time_us = HEADER.unpack_from(data)
+        if identity != [MAGIC, VERSION, segment_id, segment_size]:
             return None
-        hint, at = cls(), HEAD.size
+        hint = cls()
         hint.latest_time_us = latest_time_us
-        for name, code in COLUMNS:
-            column: array[Any] = getattr(hint, name)
-            end = at + count * array(code).itemsize
-            column.frombytes(data[at:end])
-            at = end
-        return hint if at == len(data) - 8 else None
+        start = HEADER.size
+        for column in COLUMNS:
+            values: array[Any] = getattr(hint, column.attribute)
+            end = start + count * values.itemsize
+            values.frombytes(data[start:end])
+            start = end
+        return hint if start == content_end else None
 
 
-def hint_file_name(segment: int) -> str:
-    """The file of a segment's hint."""
-    return f"{segment:016x}.hint"
+def hint_file_name(segment_id: int) -> str:
+    """The name of a segment's hint file."""
+    return f"{segment_id:016x}.hint"
 
 
-def write_hint(files: Files, hint: Hint, segment: int, size: int) -> None:
-    """Keep a hint. It need not be on disk at any moment: a part of it is no hint."""
-    file = files.create(hint_file_name(segment) + ".new")
-    try:
-        file.write_at(0, hint.encode(segment, size))
+def write_hint(files: Files, hint: Hint, segment_id: int, segment_size: int) -> None:
+    """Write a hint file. Its name need not be on disk at any moment: the hint can be made anew. OSError."""
+    new_name = hint_file_name(segment_id) + ".new"
+    with contextlib.closing(files.create(new_name)) as file:
+        file.write_at(0, hint.encode(segment_id, segment_size))
         file.sync()
-    finally:
-        file.close()
-    files.rename(hint_file_name(segment) + ".new", hint_file_name(segment))
+    files.rename(new_name, hint_file_name(segment_id))
 
 
-def read_hint(files: Files, segment: int, size: int) -> Hint | None:
+def read_hint(files: Files, segment_id: int, segment_size: int) -> Hint | None:
     """A segment's hint; None where there is none that can be used."""
     try:
-        file = files.open(hint_file_name(segment))
-    except OSError:
-        return None
-    try:
-        return Hint.decode(file.read_at(0, file.size()), segment, size)
+        with contextlib.closing(files.open(hint_file_name(segment_id))) as file:
+            return Hint.decode(file.read_at(0, file.size()), segment_id, segment_size)
     except OSError:
         return None
-    finally:
-        file.close()
 
 
 def build_hint(records: Iterable[Record], hash_secret: int) -> Hint:
-    """A hint made from the segment itself."""
+    """A hint made from the records of a segment."""
     hint = Hint()
     for record in records:
         hint.add(record, hash_key(record.key, hash_secret))
--- /dev/null
+++ b/tansyladder/store/lifecycle.py
@@ -0,0 +1,72 @@
+"""Whether the store takes writes, and what a failed call of the file system means for it."""
+
+from __future__ import annotations
+
+import enum
+import errno
+import threading
+
+from tansyladder.store.errors import StoreBrokenError, StoreError, StoreFullError
+from tansyladder.store.manifest import UncertainWriteError
+
+NO_SPACE_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+
+
+class StoreState(enum.Enum):
+    """What the store can be used for."""
+
+    OPEN = "open"
+    BROKEN = "broken"  # what is on disk is not known: it refuses writes, and can still be read
+    CLOSED = "closed"
+
+
+TRANSITIONS = {
+    StoreState.OPEN: (StoreState.BROKEN, StoreState.CLOSED),
+    StoreState.BROKEN: (StoreState.CLOSED,),
+    StoreState.CLOSED: (),
+}
+
+
+class StoreLifecycle:
+    """The state of one store. Thread-safe: `_lock` guards the state and the reason."""
+
+    def __init__(self) -> None:
+        self._lock = threading.Lock()
+        self._state = StoreState.OPEN
+        self._reason = ""  # why it isn't open
+
+    @property
+    def is_broken(self) -> bool:
+        """Whether a failure made it refuse writes, and nobody has closed it since."""
+        return self._state is StoreState.BROKEN
+
+    def check_open(self) -> None:
+        """Raise StoreBrokenError, with the reason, unless the store takes writes."""
+        if self._state is not StoreState.OPEN:
+            raise StoreBrokenError(self._reason)
+
+    def close(self) -> StoreState | None:
+        """Enter CLOSED. The state before it; None where it was closed already."""
+        with self._lock:
+            previous = self._state
+            return previous if self._enter(StoreState.CLOSED, "closed") else None
+
+    def mark_broken(self, reason: str) -> StoreBrokenError:
+        """Enter BROKEN, unless the store is closed; the error to raise."""
+        with self._lock:
+            self._enter(StoreState.BROKEN, reason)
+        return StoreBrokenError(reason)
+
+    def error_for(self, err: OSError, action: str) -> StoreError:
+        """The error to raise for a failed action: want of space changed nothing, others break the store."""
+        if err.errno in NO_SPACE_ERRNOS and not isinstance(err, UncertainWriteError):
+            return StoreFullError(f"{action}: {err}")
+        return self.mark_broken(f"{action}: {err}")
+
+    def _enter(self, state: StoreState, reason: str) -> bool:
+        """Whether the state changed."""
+        if state not in TRANSITIONS[self._state]:
+            return False
+        self._reason = reason
+        self._state = state
+        return True
--- a/tansyladder/store/manifest.py
+++ b/tansyladder/store/manifest.py
@@ -1,50 +1,67 @@
-"""The manifest: which segments make up the store, in the order of their age. Replaced in one step."""
+"""The manifest: which segments make up the store, in the order of their age. It is replaced in one step."""
 
 from __future__ import annotations
 
+import contextlib
+
 import msgspec
 import xxhash
 
 from tansyladder.store.errors import StoreCorruptError, StoreVersionError
 from tansyladder.store.files import Files
 
-FILE_NAME, NEW_FILE_NAME = "MANIFEST", "MANIFEST.new"
+FILE_NAME = "MANIFEST"
+NEW_FILE_NAME = "MANIFEST.new"
 MAGIC = b"TLMAN\n"
 VERSION = 1
+CHECKSUM_DIGITS = 16  # hexadecimal digits of the checksum, followed by a line feed
 MAX_BYTES = 16 << 20
+ACTIVE_SIZE = -1  # stands for the size of the segment that is written to
 
 
 class UncertainWriteError(OSError):
-    """It is not known which of two manifests is on disk: only what both of them name counts."""
+    """The old or the new manifest is on disk, and it is not known which: only what both name counts."""
 
 
 class SegmentEntry(msgspec.Struct, frozen=True):
-    """One segment; `size` is -1 for the one that is written to."""
+    """One segment; `size` in bytes, or ACTIVE_SIZE."""
 
     id: int
     size: int
 
+    @property
+    def is_sealed(self) -> bool:
+        """Whether the segment is complete, so that its size is known."""
+        return self.size != ACTIVE_SIZE
+
 
 class Manifest(msgspec.Struct, frozen=True):
-    """The whole of it; `secret` keys the hashes of the index, in hexadecimal digits."""
+    """The content of the manifest; the names of the JSON fields are those of docs/store-format.md."""
 
     version: int
-    node: str
-    secret: str
-    next: int
+    node: str  # the name of the node whose store it is
+    hash_secret_hex: str = msgspec.field(name="secret")  # seeds the hashes of the index
+    next_segment_id: int = msgspec.field(name="next")
     segments: tuple[SegmentEntry, ...]
 
+    @property
+    def hash_secret(self) -> int:
+        """The seed of the keys' hashes."""
+        return int(self.hash_secret_hex, 16)
+
 
 def write_manifest(files: Files, manifest: Manifest) -> None:
-    """Put a manifest in the last one's place; on disk when this returns. OSError: the old one; Unsure."""
+    """Replace the manifest; the new one is on disk when this returns.
+
+    Raises:
+        UncertainWriteError: the old or the new one is on disk.
+        OSError: the old one is on disk.
+    """
     body = msgspec.json.encode(manifest)
-    file = files.create(NEW_FILE_NAME)
-    try:
-        check = xxhash.xxh3_64_hexdigest(body).encode()
-        file.write_at(0, MAGIC + check + b"\n" + body)
+    checksum = xxhash.xxh3_64_hexdigest(body).encode()
+    with contextlib.closing(files.create(NEW_FILE_NAME)) as file:
+        file.write_at(0, MAGIC + checksum + b"\n" + body)
         file.sync()
-    finally:
-        file.close()
     try:
         files.rename(NEW_FILE_NAME, FILE_NAME)
         files.sync_directory()
@@ -53,19 +70,25 @@
 
 
 def read_manifest(files: Files) -> Manifest:
-    """The manifest. Damaged, or Newer where a later version wrote it."""
-    file = files.open(FILE_NAME)
-    try:
+    """The manifest as it is on disk.
+
+    Raises:
+        StoreCorruptError: it is not as it was written.
+        StoreVersionError: a later version of the program wrote it.
+        OSError: it can't be read.
+    """
+    with contextlib.closing(files.open(FILE_NAME)) as file:
         data = file.read_at(0, MAX_BYTES)
-    finally:
-        file.close()
-    magic, check, body = data[: len(MAGIC)], data[len(MAGIC) : len(MAGIC) + 16], data[len(MAGIC) + 17 :]
-    if magic != MAGIC or check != xxhash.xxh3_64_hexdigest(body).encode():
-        raise StoreCorruptError(f"{FILE_NAME}: not as it was written")
+    checksum_end = len(MAGIC) + CHECKSUM_DIGITS
+    magic = data[: len(MAGIC)]
+    checksum = data[len(MAGIC) : checksum_end]
+    body = data[checksum_end + 1 :]
+    if magic != MAGIC or checksum != xxhash.xxh3_64_hexdigest(body).encode():
+        raise StoreCorruptError("not as it was written", path=FILE_NAME)
     try:
         version = msgspec.json.decode(body, type=dict[str, object]).get("version")
-        if isinstance(version, int) and version > VERSION:
-            raise StoreVersionError(f"{FILE_NAME}: version {version}, and this program knows up to {VERSION}")
-        return msgspec.json.decode(body, type=Manifest)
+        if not isinstance(version, int) or version <= VERSION:
+            return msgspec.json.decode(body, type=Manifest)
     except msgspec.MsgspecError as err:
-        raise StoreCorruptError(f"{FILE_NAME}: {err}") from err
+        raise StoreCorruptError(str(err), path=FILE_NAME) from err
+    raise StoreVersionError(f"version {version}, and this program knows up to {VERSION}", path=FILE_NAME)
--- /dev/null
+++ b/tansyladder/store/opening.py
@@ -0,0 +1,83 @@
+"""Opening a store: the lock on its directory, a manifest where there is none, recovery, and cleaning up."""
+
+from __future__ import annotations
+
+import contextlib
+import ctypes
+import os
+from collections.abc import Callable
+
+from tansyladder.store import frames, manifest, recovery
+from tansyladder.store.engine import DEFAULT_SEGMENT_BYTES, Store
+from tansyladder.store.errors import StoreCorruptError, StoreLockedError, StoreUnusableError
+from tansyladder.store.files import Files
+from tansyladder.store.segment import LOG_SUFFIX
+
+FIRST_SEGMENT_ID = 1
+HASH_SECRET_BYTES = 8
+TRIM_MIN_KEYS = 10_000  # from which opening takes memory worth giving back
+
+
+def open_store(
+    files: Files, node: str, read_clock: Callable[[], int], max_segment_bytes: int = DEFAULT_SEGMENT_BYTES
+) -> Store:
+    """Open a node's store, or create it. `read_clock`: Unix time in microseconds.
+
+    Raises:
+        StoreLockedError: another process owns the directory.
+        StoreUnusableError: it can't be read or written.
+        StoreVersionError, NotAStoreError, StoreCorruptError: it stays as it is.
+    """
+    try:
+        files.lock()
+    except BlockingIOError as err:
+        raise StoreLockedError("another process owns the directory") from err
+    except OSError as err:
+        raise StoreUnusableError(str(err)) from err
+    try:
+        return _open_locked(files, node, read_clock, max_segment_bytes)
+    except BaseException as err:
+        files.unlock()
+        if isinstance(err, OSError):
+            raise StoreUnusableError(str(err)) from err
+        raise
+
+
+def _open_locked(files: Files, node: str, read_clock: Callable[[], int], max_segment_bytes: int) -> Store:
+    if manifest.FILE_NAME not in files.list_names():
+        _create_manifest(files, node)
+    recovered = recovery.recover(files, node, read_clock())
+    try:
+        _drop_empty_segments(recovered)
+        store = Store(files, recovered, read_clock, max_segment_bytes)
+        used_ids = {segment.id for segment in recovered.segments} | {store.active_segment_id}
+        recovery.remove_unused_files(files, used_ids)
+    except BaseException:
+        for segment in recovered.segments:
+            segment.release()
+        raise
+    if len(store) > TRIM_MIN_KEYS:
+        _trim_memory()
+    return store
+
+
+def _create_manifest(files: Files, node: str) -> None:
+    if any(name.endswith(LOG_SUFFIX) for name in files.list_names()):
+        raise StoreCorruptError("missing, and there are segments", path=manifest.FILE_NAME)
+    hash_secret_hex = os.urandom(HASH_SECRET_BYTES).hex()
+    created = manifest.Manifest(manifest.VERSION, node, hash_secret_hex, FIRST_SEGMENT_ID, ())
+    manifest.write_manifest(files, created)
+
+
+def _drop_empty_segments(recovered: recovery.RecoveryResult) -> None:
+    """Leave out segments without a frame, as each start that writes nothing makes one."""
+    for segment in list(recovered.segments):
+        if segment.size <= frames.SEGMENT_HEADER_BYTES:
+            recovered.segments.remove(segment)
+            segment.release()
+
+
+def _trim_memory() -> None:
+    """Opening takes columns of all records for a moment; the allocator would keep what they took."""
+    with contextlib.suppress(OSError, AttributeError):
+        ctypes.CDLL(None).malloc_trim(0)
--- /dev/null
+++ b/tansyladder/store/operations.py
@@ -0,0 +1,47 @@
+"""What callers ask of the store: operations, how durable a write must be, and the bounds of a batch."""
+
+from __future__ import annotations
+
+import enum
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from tansyladder.store import frames
+from tansyladder.store.errors import RecordTooLargeError
+
+MAX_EXPIRY_US = (1 << 63) - 1
+
+
+class Durability(enum.Enum):
+    """What a write waits for."""
+
+    # On disk: the write outlives a loss of power.
+    SYNCED = "synced"
+    # With the operating system: it outlives the process, and is on disk after the next sync or `maintain`.
+    BUFFERED = "buffered"
+
+
+class WriteOperation(NamedTuple):
+    """One change: `value` of a key, or None to delete it; `expiry_us` in Unix time, 0 for never."""
+
+    key: bytes
+    value: bytes | None
+    expiry_us: int = 0
+
+
+def encoded_batch_bytes(operations: Sequence[WriteOperation]) -> int:
+    """The bytes of a batch in the log. RecordTooLargeError: it, or something in it, exceeds a bound."""
+    size = frames.FRAME_HEADER_BYTES
+    for key, value, expiry_us in operations:
+        if not 0 < len(key) <= frames.MAX_KEY_BYTES:
+            raise RecordTooLargeError(f"a key of {len(key)} bytes: 1 to {frames.MAX_KEY_BYTES}", key=key)
+        if value is not None and len(value) > frames.MAX_VALUE_BYTES:
+            raise RecordTooLargeError(
+                f"a value of {len(value)} bytes: up to {frames.MAX_VALUE_BYTES}", key=key
+            )
+        if not 0 <= expiry_us <= MAX_EXPIRY_US:
+            raise RecordTooLargeError(f"an expiry out of range: {expiry_us}", key=key)
+        size += frames.RECORD_HEADER.size + len(key) + len(value or b"")
+    if len(operations) > frames.MAX_RECORDS_PER_FRAME or size > frames.MAX_FRAME_BODY_BYTES:
+        raise RecordTooLargeError(f"a batch of {len(operations)} operations and {size} bytes")
+    return size
--- /dev/null
+++ b/tansyladder/store/record_table.py
@@ -0,0 +1,194 @@
+"""Where each key's newest record is: the index, and the segments that it points into."""
+
+from __future__ import annotations
+
+import contextlib
+import threading
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from tansyladder.store import frames
+from tansyladder.store.errors import KeyCollisionError
+from tansyladder.store.hints import Hint, hash_key
+from tansyladder.store.index import Index
+from tansyladder.store.segment import OFFSET_MASK, Segment, read_record
+from tansyladder.store.snapshot import Snapshot
+
+KEY_EXCERPT_BYTES = 40  # of a key in an error message
+
+
+class MovedRecord(NamedTuple):
+    """A record that a compaction wrote anew, or left out because it has expired."""
+
+    key_hash: int
+    old_location: int
+    new_location: int  # 0: it has expired
+    size: int  # in bytes
+
+
+class SegmentStats(NamedTuple):
+    """Figures of one segment, in bytes."""
+
+    size: int
+    dead_bytes: int
+
+
+class StoreStats(NamedTuple):
+    """Figures of the whole store; the names are those of the log's fields."""
+
+    keys: int  # those that expired and are not compacted away included
+    segments: int
+    bytes: int  # of all segments
+    live: int  # bytes of records that the index points to
+    index_bytes: int  # of memory
+    sequence: int  # of the newest record
+
+
+class RecordTable:
+    """The index and the segments of an open store, in the order of their age.
+
+    Thread-safe: `_lock` guards the index, the segments' dictionary and order, and their live bytes, fixed
+    bytes and references. A record is read under it, so that its file stays open; nothing is written under it.
+    Only the commit leader calls the methods that change the table.
+    """
+
+    def __init__(self, index: Index, segments: Sequence[Segment], hash_secret: int) -> None:
+        self._lock = threading.Lock()
+        self._index = index
+        self._hash_secret = hash_secret
+        self._segments = {segment.id: segment for segment in segments}
+        self._ids_by_age = [segment.id for segment in segments]
+
+    def __len__(self) -> int:
+        return len(self._index)
+
+    def segments_by_age(self) -> list[Segment]:
+        """The segments, oldest first, the active one last."""
+        with self._lock:
+            return [self._segments[segment_id] for segment_id in self._ids_by_age]
+
+    def read(self, key: bytes) -> frames.Record | None:
+        """The newest record of a key; None where there is none. StoreCorruptError, OSError."""
+        with self._lock:
+            location = self._index.get(hash_key(key, self._hash_secret))
+            if not location:
+                return None
+            record = read_record(self._segments[location >> frames.OFFSET_BITS], location & OFFSET_MASK)
+        return record if record.key == key else None
+
+    def snapshot(self) -> Snapshot:
+        """The table as it is now, whatever is written or compacted later."""
+        with self._lock:
+            locations = [location for _, location in self._index.items()]
+            segments = dict(self._segments)
+            for segment in segments.values():
+                segment.acquire()
+        return Snapshot(segments, locations, self._release)
+
+    def _release(self, segments: Sequence[Segment]) -> None:
+        with self._lock:
+            for segment in segments:
+                segment.release()
+
+    def is_live(self, key_hash: int, location: int) -> bool:
+        """Whether the record at this location is the newest of its key."""
+        with self._lock:
+            return self._index.get(key_hash) == location
+
+    def check_collision(self, key_hash: int, key: bytes) -> None:
+        """Raise KeyCollisionError where another key has this hash: both can't be kept."""
+        with self._lock:
+            location = self._index.get(key_hash)
+            if not location:
+                return
+            file = self._segments[location >> frames.OFFSET_BITS].file
+            data = file.read_at(location & OFFSET_MASK, frames.RECORD_HEADER.size + len(key))
+        if len(data) < frames.RECORD_HEADER.size:
+            return
+        if frames.encoded_key_bytes(data) != len(key) or not data.endswith(key):
+            raise KeyCollisionError(f"{key[:KEY_EXCERPT_BYTES]!r} has the hash of another key", key=key)
+
+    def add_segment(self, segment: Segment) -> None:
+        """Add a segment that is younger than all others."""
+        with self._lock:
+            self._segments = {**self._segments, segment.id: segment}
+            self._ids_by_age = [*self._ids_by_age, segment.id]
+
+    def apply(self, segment: Segment, written: Hint, frame_count: int) -> None:
+        """Make records visible that were appended to a segment in so many frames."""
+        segment_bits = segment.id << frames.OFFSET_BITS
+        columns = zip(written.hashes, written.kinds, written.offsets, written.sizes, strict=True)
+        with self._lock:
+            if segment.pending_hint is None:
+                segment.pending_hint = Hint()
+            segment.pending_hint.extend(written)
+            segment.fixed_bytes += frame_count * frames.FRAME_HEADER_BYTES
+            for key_hash, kind, offset, size in columns:
+                self._count_dead(key_hash)
+                if kind == frames.PUT:
+                    self._index.put(key_hash, segment_bits | offset)
+                    segment.live_bytes += size
+                else:
+                    self._index.remove(key_hash)
+
+    def _count_dead(self, key_hash: int) -> None:
+        """Under the lock: the record that a hash points to, if any, is live no more."""
+        location = self._index.get(key_hash)
+        if not location:
+            return
+        segment = self._segments[location >> frames.OFFSET_BITS]
+        with contextlib.suppress(OSError):  # the figure only chooses what is compacted
+            header = segment.file.read_at(location & OFFSET_MASK, frames.RECORD_HEADER.size)
+            if len(header) == frames.RECORD_HEADER.size:
+                segment.live_bytes -= min(segment.live_bytes, frames.encoded_record_bytes(header))
+
+    def add_compacted(self, segment: Segment) -> None:
+        """Add a segment that a compaction wrote; it has no place in the order until `replace_segments`."""
+        with self._lock:
+            self._segments[segment.id] = segment
+
+    def move_records(self, moved: Sequence[MovedRecord], target: Segment) -> None:
+        """Point the index at records that were copied to the target, but for those overwritten meanwhile."""
+        with self._lock:
+            for record in moved:
+                if self._index.get(record.key_hash) != record.old_location:
+                    continue
+                if record.new_location:
+                    self._index.put(record.key_hash, record.new_location)
+                    target.live_bytes += record.size
+                else:
+                    self._index.remove(record.key_hash)
+
+    def replace_segments(self, old: Sequence[Segment], compacted: Segment, order: list[Segment]) -> None:
+        """Drop segments that were compacted, and the new one too where the order doesn't name it."""
+        with self._lock:
+            # What is dead in the new segment now must stay; else it would be compacted again without end.
+            compacted.fixed_bytes = compacted.size - compacted.live_bytes
+            self._ids_by_age = [segment.id for segment in order]
+            for segment in (*old, compacted):
+                if segment not in order:
+                    del self._segments[segment.id]
+                    segment.release()
+
+    def close(self) -> None:
+        """Give up all segments; files that a snapshot uses stay open for it."""
+        with self._lock:
+            for segment in self._segments.values():
+                segment.release()
+
+    def stats(self, sequence: int) -> StoreStats:
+        """Figures for logs and tools; `sequence` is that of the newest record."""
+        with self._lock:
+            segments = [self._segments[segment_id] for segment_id in self._ids_by_age]
+            return StoreStats(
+                keys=len(self._index),
+                segments=len(segments),
+                bytes=sum(segment.size for segment in segments),
+                live=sum(segment.live_bytes for segment in segments),
+                index_bytes=self._index.size_bytes,
+                sequence=sequence,
+            )
+
+    def stats_by_segment(self) -> dict[int, SegmentStats]:
+        """Figures of each segment by its number, oldest first."""
+        return {s.id: SegmentStats(s.size, s.dead_bytes) for s in self.segments_by_age()}
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -1,182 +1,193 @@
-"""Opening: what is on disk becomes an index again, and what a crash left half done is undone.
+"""Recovery: what is on disk becomes an index again, and what a crash left incomplete is left out.
 
-Only the last segment may end in something that is no frame: nothing behind its last sync was acknowledged.
-What had been on disk for sure and is broken now is Damaged, never dropped.
+Only the active segment may end in bytes that are no frame: nothing behind its last sync was acknowledged.
+What had been on disk for sure and is broken now is a StoreCorruptError, never dropped.
 """
 
 from __future__ import annotations
 
 import contextlib
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from tansyladder.store import frames, hints, manifest
 from tansyladder.store.errors import NotAStoreError, StoreCorruptError
 from tansyladder.store.files import File, Files
 from tansyladder.store.hints import Hint
 from tansyladder.store.index import Index
+from tansyladder.store.manifest import Manifest, SegmentEntry
+from tansyladder.store.segment import Segment, segment_file_name
 
+if TYPE_CHECKING:
+    import numpy as np
 
-@dataclass(slots=True, eq=False)
-class Segment:
-    """A segment of an open store."""
-
-    id: int
-    file: File
-    size: int
-    live: int = 0  # bytes of records that the index points to
-    fixed: int = 0  # bytes that no compaction would free: heads, and ends that must stay
-    users: int = 1  # the store, and each snapshot; closed at 0
-    hint: Hint | None = None  # where its file has yet to be written
-
-    @property
-    def dead(self) -> int:
-        """Bytes that a compaction may free."""
-        return self.size - self.fixed - self.live
-
-    def release(self) -> None:
-        self.users -= 1
-        if not self.users:
-            self.file.close()
+SEGMENT_ID_DIGITS = 16  # hexadecimal digits of a segment's number in the names of its files
 
 
 @dataclass(slots=True)
 class RecoveryResult:
-    """All that opening found."""
+    """All that opening found; sizes in bytes."""
 
-    manifest: manifest.Manifest
-    segments: list[Segment] = field(default_factory=list)
+    manifest: Manifest
+    segments: list[Segment] = field(default_factory=list)  # oldest first
     index: Index = field(default_factory=Index)
-    sequence: int = 0  # the highest that any record has
-    latest_time_us: int = 0  # the highest Unix time, in microseconds, that the store has seen
-    dropped_bytes: int = 0  # bytes of a tail that no crash-free write left
+    last_sequence: int = 0  # the highest that any record has
+    latest_time_us: int = 0  # the highest Unix time that the store has seen
+    dropped_bytes: int = 0  # of an incomplete tail
     rebuilt_hint_count: int = 0  # segments whose hint could not be used
 
 
-def segment_file_name(segment: int) -> str:
-    """The file of a segment."""
-    return f"{segment:016x}.log"
+class LoadedSegment(NamedTuple):
+    """A segment with what the index needs of its records."""
 
+    segment: Segment
+    hint: Hint
 
-def recover(files: Files, node: str, now: int) -> RecoveryResult:
-    """Read everything, up to a tail that is no frame; changes nothing. Damaged, Foreign, Newer, OSError."""
-    told = manifest.read_manifest(files)
-    if told.node != node:
-        raise NotAStoreError(f"the store is of node {told.node!r}, not {node!r}")
-    found = RecoveryResult(told)
-    secret = int(told.secret, 16)
-    loaded: list[tuple[Segment, Hint]] = []
-    try:
-        for listed in told.segments:
-            loaded.append(_load(files, listed, node, secret, found))
-        _index(loaded, found, now)
-    except BaseException:
-        for segment, _ in loaded:
-            segment.release()
-        raise
-    found.segments = [segment for segment, _ in loaded]
-    return found
 
+class ScannedSegment(NamedTuple):
+    """The bytes of a segment that count, and a hint made from them."""
 
-def _load(
-    files: Files, listed: manifest.SegmentEntry, node: str, secret: int, found: RecoveryResult
-) -> tuple[Segment, Hint]:
+    size: int
+    hint: Hint
+
+
+def recover(files: Files, node: str, now_us: int) -> RecoveryResult:
+    """Read the whole store, up to an incomplete tail; changes nothing on disk.
+
+    Raises:
+        StoreCorruptError, StoreVersionError: the store can't be opened by this program.
+        NotAStoreError: it is another node's.
+        OSError: it can't be read.
+    """
+    result = RecoveryResult(manifest.read_manifest(files))
+    if result.manifest.node != node:
+        raise NotAStoreError(f"the store is of node {result.manifest.node!r}, not {node!r}")
+    loaded: list[LoadedSegment] = []
+    with contextlib.ExitStack() as undo:
+        for entry in result.manifest.segments:
+            found = _load_segment(files, entry, result)
+            undo.callback(found.segment.release)
+            loaded.append(found)
+        _build_index(loaded, result, now_us)
+        undo.pop_all()
+    result.segments = [segment for segment, _ in loaded]
+    return result
+
+
+def _load_segment(files: Files, entry: SegmentEntry, result: RecoveryResult) -> LoadedSegment:
+    path = segment_file_name(entry.id)
     try:
-        file = files.open(segment_file_name(listed.id))
+        file = files.open(path)
     except FileNotFoundError as err:
-        raise StoreCorruptError(f"{segment_file_name(listed.id)}: missing") from err
+        raise StoreCorruptError("missing", path=path) from err
     try:
-        head = frames.decode_segment_header(file.read_at(0, frames.SEGMENT_HEADER_BYTES), listed.id)
-        if head is None:
-            raise StoreCorruptError(f"{segment_file_name(listed.id)}: its head is broken")
-        if head[1] != frames.name_hash(node):
-            raise NotAStoreError(f"{segment_file_name(listed.id)}: of another node")
-        size = file.size()
-        if listed.size >= 0 and size < listed.size:
-            raise StoreCorruptError(
-                f"{segment_file_name(listed.id)}: {size} bytes, and {listed.size} had been written"
-            )
-        hint = hints.read_hint(files, listed.id, listed.size) if listed.size >= 0 else None
-        if hint is not None:
-            return Segment(listed.id, file, listed.size, fixed=listed.size - sum(hint.sizes)), hint
-        size, hint = _scan(file, listed, secret, found)
-        if listed.size < 0:
-            found.dropped_bytes += file.size() - size  # the next manifest names the size that counts
-        return Segment(listed.id, file, size, fixed=size - sum(hint.sizes), hint=hint), hint
+        _check_header(file, entry, result.manifest.node)
+        return _read_segment(files, file, entry, result)
     except BaseException:
         file.close()
         raise
 
 
-def _scan(file: File, listed: manifest.SegmentEntry, secret: int, found: RecoveryResult) -> tuple[int, Hint]:
-    """A segment without a hint: its sound size, and a hint for it."""
-    found.rebuilt_hint_count += listed.size >= 0
-    scan = frames.SegmentScan(file.read_at(0, listed.size if listed.size >= 0 else file.size()), listed.id)
-    read = list(scan.frames())
-    sealed = listed.size >= 0
-    if scan.holes and (sealed or scan.holes[0][0] < scan.synced):
-        at, behind = scan.holes[0]
-        raise StoreCorruptError(
-            f"{segment_file_name(listed.id)}: bytes {at} to {behind} are broken, with sound ones behind them"
-        )
-    if sealed and scan.end != listed.size:
-        raise StoreCorruptError(
-            f"{segment_file_name(listed.id)}: broken from byte {scan.end} of {listed.size} on"
-        )
-    # Behind a hole that no sync had covered stands what was never acknowledged, and came after what is lost.
-    whole = [frame for frame in read if frame.end <= scan.end]
-    hint = hints.build_hint((record for frame in whole for record in frame.records), secret)
-    hint.latest_time_us = max((frame.latest_time_us for frame in whole), default=0)
-    return scan.end, hint
-
-
-def _index(loaded: list[tuple[Segment, Hint]], found: RecoveryResult, now: int) -> None:
+def _check_header(file: File, entry: SegmentEntry, node: str) -> None:
+    path = segment_file_name(entry.id)
+    header = frames.decode_segment_header(file.read_at(0, frames.SEGMENT_HEADER_BYTES), entry.id)
+    if header is None:
+        raise StoreCorruptError("its head is broken", path=path)
+    if header.node_hash != frames.hash_node_name(node):
+        raise NotAStoreError("of another node", path=path)
+    if entry.is_sealed and file.size() < entry.size:
+        raise StoreCorruptError(f"{file.size()} bytes, and {entry.size} had been written", path=path)
+
+
+def _read_segment(files: Files, file: File, entry: SegmentEntry, result: RecoveryResult) -> LoadedSegment:
+    """By its hint where it has a valid one, else by reading all of it."""
+    if entry.is_sealed:
+        hint = hints.read_hint(files, entry.id, entry.size)
+        if hint is not None:
+            fixed_bytes = entry.size - sum(hint.sizes)
+            return LoadedSegment(Segment(entry.id, file, entry.size, fixed_bytes=fixed_bytes), hint)
+    size, hint = _scan_segment(file, entry, result.manifest.hash_secret)
+    if entry.is_sealed:
+        result.rebuilt_hint_count += 1
+    else:
+        result.dropped_bytes += file.size() - size  # the next manifest names the size that counts
+    segment = Segment(entry.id, file, size, fixed_bytes=size - sum(hint.sizes), pending_hint=hint)
+    return LoadedSegment(segment, hint)
+
+
+def _scan_segment(file: File, entry: SegmentEntry, hash_secret: int) -> ScannedSegment:
+    path = segment_file_name(entry.id)
+    scan = frames.SegmentScan(file.read_at(0, entry.size if entry.is_sealed else file.size()), entry.id)
+    found = list(scan.frames())
+    damage = scan.first_damage(entry.is_sealed)
+    if damage is not None:
+        message = f"bytes {damage.start} to {damage.end} are broken, with sound ones behind them"
+        raise StoreCorruptError(message, path=path)
+    if entry.is_sealed and scan.valid_end != entry.size:
+        raise StoreCorruptError(f"broken from byte {scan.valid_end} of {entry.size} on", path=path)
+    # What stands behind a hole that no sync had covered was never acknowledged, and came after what is lost.
+    counted = [frame for frame in found if frame.end <= scan.valid_end]
+    hint = hints.build_hint((record for frame in counted for record in frame.records), hash_secret)
+    hint.latest_time_us = max((frame.latest_time_us for frame in counted), default=0)
+    return ScannedSegment(scan.valid_end, hint)
+
+
+def _build_index(all_loaded: list[LoadedSegment], result: RecoveryResult, now_us: int) -> None:
     """Of each key the record with the highest sequence counts, if it is a value that has not expired."""
-    loaded = [(segment, hint) for segment, hint in loaded if len(hint)]
+    loaded = [(segment, hint) for segment, hint in all_loaded if len(hint)]
     if not loaded:
         return
     import numpy as np
 
-    def column(which: str, kind: type) -> np.ndarray[tuple[int], np.dtype[np.uint64]]:
-        return np.concatenate([np.frombuffer(getattr(hint, which), kind) for _, hint in loaded])
+    def column(attribute: str, number_type: type) -> np.ndarray[Any, Any]:
+        return np.concatenate([np.frombuffer(getattr(hint, attribute), number_type) for _, hint in loaded])
 
-    found.latest_time_us = max(hint.latest_time_us for _, hint in loaded)
+    result.latest_time_us = max(hint.latest_time_us for _, hint in loaded)
     sequences = column("sequences", np.uint64)
-    found.sequence = int(sequences.max())
+    result.last_sequence = int(sequences.max())
     hashes = column("hashes", np.uint64)
-    order = np.lexsort((sequences, hashes))
-    del sequences
-    ordered = hashes[order]
-    newest = order[np.append(ordered[1:] != ordered[:-1], True)]
-    del order, ordered
+    newest = _newest_of_each(hashes, sequences)
+    del sequences  # each column is as long as the store has records: none is kept for longer than needed
     hashes = hashes[newest]
     expiries = column("expiries", np.uint64)[newest]
-    alive = (column("kinds", np.uint8)[newest] == frames.PUT) & (
-        (expiries == 0) | (expiries > max(now, found.latest_time_us))
-    )
-    which = np.repeat(np.arange(len(loaded)), [len(hint) for _, hint in loaded])[newest][alive]
-    ids = np.array([segment.id for segment, _ in loaded], np.uint64)
-    places = (ids[which] << np.uint64(frames.OFFSET_BITS)) | column("offsets", np.uint32)[newest][alive]
-    sizes = np.bincount(which, column("sizes", np.uint32)[newest][alive], len(loaded))
-    for (segment, _), size in zip(loaded, sizes, strict=True):
-        segment.live = int(size)
-    found.index = Index.build(hashes[alive], places)
-
-
-def sweep(files: Files, kept: set[int]) -> int:
-    """Remove what no manifest names: a compaction or a new segment that a crash cut short; how many."""
-    removed = 0
-    for file in files.list_names():
-        stem, _, kind = file.partition(".")
-        unnamed = kind in ("log", "hint") and not (len(stem) == 16 and _number(stem) in kept)
-        if unnamed or file.endswith(".new"):
+    is_put = column("kinds", np.uint8)[newest] == frames.PUT
+    is_live = is_put & ((expiries == 0) | (expiries > max(now_us, result.latest_time_us)))
+    newest = newest[is_live]
+    segment_numbers = np.repeat(np.arange(len(loaded)), [len(hint) for _, hint in loaded])[newest]
+    segment_ids = np.array([segment.id for segment, _ in loaded], np.uint64)
+    segment_bits = segment_ids[segment_numbers] << np.uint64(frames.OFFSET_BITS)
+    locations = segment_bits | column("offsets", np.uint32)[newest]
+    live_bytes = np.bincount(segment_numbers, column("sizes", np.uint32)[newest], len(loaded))
+    for (segment, _), segment_live_bytes in zip(loaded, live_bytes, strict=True):
+        segment.live_bytes = int(segment_live_bytes)
+    result.index = Index.build(hashes[is_live], locations)
+
+
+def _newest_of_each(hashes: np.ndarray[Any, Any], sequences: np.ndarray[Any, Any]) -> np.ndarray[Any, Any]:
+    """The position of each hash's record with the highest sequence."""
+    import numpy as np
+
+    order = np.lexsort((sequences, hashes))
+    ordered = hashes[order]
+    is_last_of_hash = np.append(ordered[1:] != ordered[:-1], True)
+    newest: np.ndarray[Any, Any] = order[is_last_of_hash]
+    return newest
+
+
+def remove_unused_files(files: Files, used_ids: set[int]) -> None:
+    """Remove what no manifest names: a compaction or a new segment that a crash cut short. OSError."""
+    for name in files.list_names():
+        stem, _, suffix = name.partition(".")
+        is_segment_file = suffix in ("log", "hint")
+        is_used = len(stem) == SEGMENT_ID_DIGITS and _parse_hex(stem) in used_ids
+        if (is_segment_file and not is_used) or name.endswith(".new"):
             with contextlib.suppress(FileNotFoundError):
-                files.remove(file)
-                removed += 1
-    return removed
+                files.remove(name)
 
 
-def _number(stem: str) -> int:
+def _parse_hex(digits: str) -> int:
+    """The number, or -1 where it is none."""
     try:
-        return int(stem, 16)
+        return int(digits, 16)
     except ValueError:
         return -1
--- a/tansyladder/store/repair.py
+++ b/tansyladder/store/repair.py
@@ -1,154 +1,182 @@
-"""Looking at a store without changing it, and saving what can be read of a damaged one into a new place."""
+"""Examining a store without changing it, and saving what can be read of a damaged one into a new place."""
 
 from __future__ import annotations
 
+import contextlib
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from tansyladder.store import frames, hints, manifest, recovery
-from tansyladder.store.engine import WriteOperation, open_store
+from tansyladder.store import frames, hints, manifest
 from tansyladder.store.errors import StoreError
-from tansyladder.store.files import Files
+from tansyladder.store.files import LOCK_FILE_NAME, Files
+from tansyladder.store.manifest import Manifest, SegmentEntry
+from tansyladder.store.opening import open_store
+from tansyladder.store.operations import WriteOperation
+from tansyladder.store.recovery import SEGMENT_ID_DIGITS
+from tansyladder.store.segment import LOG_SUFFIX, segment_file_name
 
-BATCH = 1000  # records a batch that `repair` writes
-Progress = Callable[[str, int, int], None]  # what, done, of
+RECORDS_PER_BATCH = 1000  # that `repair` writes at once
+NODE_WITHOUT_MANIFEST = "repaired"
+Progress = Callable[[str, int, int], None]  # what is counted, done, in all
+
+
+def _no_progress(_what: str, _done: int, _total: int) -> None:
+    """Report nothing."""
 
 
 @dataclass(slots=True)
 class SegmentReport:
-    """One segment as it is on disk."""
+    """One segment as it is on disk; sizes in bytes."""
 
     id: int
-    size: int
-    listed: int | None  # its size by the manifest; -1 while it was written to, None where it is not named
-    sound: int = 0  # bytes of the unbroken run from the start
-    frames: int = 0
-    records: int = 0
-    holes: list[tuple[int, int]] = field(default_factory=list)
-    hinted: bool = False
+    entry: SegmentEntry | None  # None where the manifest doesn't name it
+    size: int = 0
+    frame_count: int = 0
+    record_count: int = 0
+    has_hint: bool = False
     fault: str = ""  # empty where all is as it should be
-    tail: int = 0  # bytes behind the last frame of the active segment: what a crash leaves, and no fault
+    tail_bytes: int = 0  # behind the last frame of the active segment: what a crash leaves, and no fault
 
 
 @dataclass(slots=True)
 class Examination:
-    """A whole store."""
+    """What is known of a whole store."""
 
-    manifest: manifest.Manifest | None = None
-    fault: str = ""  # of the manifest
+    manifest: Manifest | None = None
+    manifest_fault: str = ""
     segments: list[SegmentReport] = field(default_factory=list)
 
     @property
     def faults(self) -> list[str]:
-        """Everything that is not as it should be; empty for a sound store."""
-        own = [self.fault] if self.fault else []
-        return own + [f"{recovery.segment_file_name(s.id)}: {s.fault}" for s in self.segments if s.fault]
+        """A line for everything that is not as it should be; empty for a sound store."""
+        of_segments = [f"{segment_file_name(s.id)}: {s.fault}" for s in self.segments if s.fault]
+        return [self.manifest_fault, *of_segments] if self.manifest_fault else of_segments
 
 
-def examine(files: Files, progress: Progress = lambda *_: None) -> Examination:
-    """Read every byte and change none; a store that is in use may look torn at its end."""
-    found = Examination()
+@dataclass(slots=True)
+class RepairResult:
+    """What a repair came to."""
+
+    faults: list[str]
+    saved_keys: int
+    lost_sequences: int  # changes between the first and the last that are not there, compacted ones too
+
+
+def examine(files: Files, progress: Progress = _no_progress) -> Examination:
+    """Read every byte and change none; a store that is in use may look torn at its end. OSError."""
+    examination = Examination()
     try:
-        found.manifest = manifest.read_manifest(files)
+        examination.manifest = manifest.read_manifest(files)
     except (StoreError, OSError) as err:
-        found.fault = str(err)
-    listed = {s.id: s.size for s in found.manifest.segments} if found.manifest else {}
-    there = sorted(int(n[:16], 16) for n in files.list_names() if n.endswith(".log") and len(n) == 20)
-    numbers = list(dict.fromkeys([*listed, *there]))
-    for done, number in enumerate(numbers):
-        progress("segments", done, len(numbers))
-        found.segments.append(_look(files, number, listed.get(number)))
-    progress("segments", len(numbers), len(numbers))
-    return found
-
-
-def _look(files: Files, number: int, listed: int | None) -> SegmentReport:
-    looked = SegmentReport(number, 0, listed)
+        examination.manifest_fault = str(err)
+    named = examination.manifest.segments if examination.manifest else ()
+    entries: dict[int, SegmentEntry | None] = {entry.id: entry for entry in named}
+    for segment_id in _segment_ids_on_disk(files):
+        entries.setdefault(segment_id, None)
+    for done, (segment_id, entry) in enumerate(entries.items()):
+        progress("segments", done, len(entries))
+        examination.segments.append(_examine_segment(files, segment_id, entry))
+    progress("segments", len(entries), len(entries))
+    return examination
+
+
+def _segment_ids_on_disk(files: Files) -> list[int]:
+    name_length = SEGMENT_ID_DIGITS + len(LOG_SUFFIX)
+    names = [name for name in files.list_names() if name.endswith(LOG_SUFFIX) and len(name) == name_length]
+    return sorted(int(name[:SEGMENT_ID_DIGITS], 16) for name in names)
+
+
+def _examine_segment(files: Files, segment_id: int, entry: SegmentEntry | None) -> SegmentReport:
+    report = SegmentReport(segment_id, entry)
     try:
-        data = _read(files, number)
+        data = _read_segment(files, segment_id)
     except OSError as err:
-        looked.fault = str(err) or "missing"
-        return looked
-    looked.size = len(data)
-    if listed is not None and listed >= 0:
-        data = data[:listed]
-    if frames.decode_segment_header(data, number) is None:
-        looked.fault = "its head is broken"
-    scan = frames.SegmentScan(data, number)
+        report.fault = str(err) or "missing"
+        return report
+    report.size = len(data)
+    data = _counted_bytes(data, entry)
+    scan = frames.SegmentScan(data, segment_id)
     for frame in scan.frames():
-        looked.frames += 1
-        looked.records += len(frame.records)
-    looked.sound, looked.holes = scan.end, scan.holes
-    looked.hinted = listed is not None and listed >= 0 and hints.read_hint(files, number, listed) is not None
-    if looked.fault or listed is None:
-        return looked
-    if scan.holes and (listed >= 0 or scan.holes[0][0] < scan.synced):
-        looked.fault = f"bytes {scan.holes[0][0]} to {scan.holes[0][1]} are broken"
-    elif listed >= 0 and scan.end != listed:
-        looked.fault = f"broken from byte {scan.end} of {listed} on"
-    else:
-        looked.tail = len(data) - scan.end
-    return looked
-
-
-def _read(files: Files, number: int) -> bytes:
-    file = files.open(recovery.segment_file_name(number))
-    try:
+        report.frame_count += 1
+        report.record_count += len(frame.records)
+    if entry is not None and entry.is_sealed:
+        report.has_hint = hints.read_hint(files, segment_id, entry.size) is not None
+    if frames.decode_segment_header(data, segment_id) is None:
+        report.fault = "its head is broken"
+    elif entry is not None:
+        report.fault = _frame_fault(scan, entry)
+        if not report.fault:
+            report.tail_bytes = len(data) - scan.valid_end
+    return report
+
+
+def _frame_fault(scan: frames.SegmentScan, entry: SegmentEntry) -> str:
+    """What is wrong with the frames of a segment that the manifest names; empty where nothing is."""
+    damage = scan.first_damage(entry.is_sealed)
+    if damage is not None:
+        return f"bytes {damage.start} to {damage.end} are broken"
+    if entry.is_sealed and scan.valid_end != entry.size:
+        return f"broken from byte {scan.valid_end} of {entry.size} on"
+    return ""
+
+
+def _read_segment(files: Files, segment_id: int) -> bytes:
+    with contextlib.closing(files.open(segment_file_name(segment_id))) as file:
         return file.read_at(0, file.size())
-    finally:
-        file.close()
 
 
-def records(files: Files, found: Examination) -> Iterator[frames.Record]:
+def _counted_bytes(data: bytes, entry: SegmentEntry | None) -> bytes:
+    """The bytes of a segment up to the size that the manifest names, if it does."""
+    return data[: entry.size] if entry is not None and entry.is_sealed else data
+
+
+def read_records(files: Files, examination: Examination) -> Iterator[frames.Record]:
     """Every record that can be read, whatever stands between them."""
-    for looked in found.segments:
-        if looked.listed is None and found.manifest is not None:
+    for report in examination.segments:
+        if report.entry is None and examination.manifest is not None:
             continue  # a compaction that a crash cut short: its records are elsewhere
         try:
-            data = _read(files, looked.id)
+            data = _read_segment(files, report.id)
         except OSError:
             continue
-        if looked.listed is not None and looked.listed >= 0:
-            data = data[: looked.listed]
-        for frame in frames.SegmentScan(data, looked.id).frames():
+        for frame in frames.SegmentScan(_counted_bytes(data, report.entry), report.id).frames():
             yield from frame.records
 
 
-@dataclass(slots=True)
-class RepairResult:
-    """What a repair came to."""
-
-    faults: list[str]
-    kept: int  # keys
-    lost_sequences: int  # changes between the first and the last that are not there, compacted ones too
-
-
 def repair(
-    source: Files, target: Files, clock: Callable[[], int], progress: Progress = lambda *_: None
+    source: Files, target: Files, read_clock: Callable[[], int], progress: Progress = _no_progress
 ) -> RepairResult:
     """Save the newest readable record of each key into a new, empty store; the damaged one stays as it is.
 
-    A change that was lost may have been a key's newest one: then an older value is kept. StoreError where the
-    target is no empty place.
+    A change that was lost may have been a key's newest one: then an older value is kept. `read_clock`: Unix
+    time in microseconds.
+
+    Raises:
+        StoreError: the target is not empty, or can't be written.
+        OSError: the source can't be read.
     """
-    found = examine(source, progress)
+    examination = examine(source, progress)
     newest: dict[bytes, frames.Record] = {}
-    seen = set[int]()
-    for record in records(source, found):
-        seen.add(record.sequence)
-        kept = newest.get(record.key)
-        if kept is None or kept.sequence < record.sequence:
+    sequences = set[int]()
+    for record in read_records(source, examination):
+        sequences.add(record.sequence)
+        known = newest.get(record.key)
+        if known is None or known.sequence < record.sequence:
             newest[record.key] = record
-    live = [r for r in sorted(newest.values(), key=lambda r: r.sequence) if r.kind == frames.PUT]
-    if any(name != "LOCK" for name in target.list_names()):
+    by_sequence = sorted(newest.values(), key=lambda record: record.sequence)
+    live = [record for record in by_sequence if record.kind == frames.PUT]
+    if any(name != LOCK_FILE_NAME for name in target.list_names()):
         raise StoreError("the target is not empty")
-    store = open_store(target, found.manifest.node if found.manifest else "repaired", clock)
-    try:
-        for start in range(0, len(live), BATCH):
+    node = examination.manifest.node if examination.manifest else NODE_WITHOUT_MANIFEST
+    with contextlib.closing(open_store(target, node, read_clock)) as store:
+        for start in range(0, len(live), RECORDS_PER_BATCH):
             progress("records", start, len(live))
-            store.write([WriteOperation(r.key, r.value, r.expiry_us) for r in live[start : start + BATCH]])
+            batch = live[start : start + RECORDS_PER_BATCH]
+            store.write([WriteOperation(record.key, record.value, record.expiry_us) for record in batch])
         progress("records", len(live), len(live))
-    finally:
-        store.close()
-    missing = max(seen) - min(seen) + 1 - len(seen) if seen else 0
-    return RepairResult(found.faults, len(live), missing)
+    return RepairResult(examination.faults, len(live), _count_missing(sequences))
+
+
+def _count_missing(sequences: set[int]) -> int:
+    """Numbers between the lowest and the highest that are not there."""
+    return max(sequences) - min(sequences) + 1 - len(sequences) if sequences else 0
--- /dev/null
+++ b/tansyladder/store/segment_log.py
@@ -0,0 +1,138 @@
+"""The log: appends to the active segment, new segments, and the manifest that names them."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from tansyladder.store import frames, manifest
+from tansyladder.store.files import Files
+from tansyladder.store.lifecycle import StoreLifecycle
+from tansyladder.store.manifest import Manifest, SegmentEntry
+from tansyladder.store.record_table import RecordTable
+from tansyladder.store.segment import Segment, segment_file_name
+
+
+class SegmentLog:
+    """The segments as files. Owned by the commit leader: no lock.
+
+    Making one begins a new segment: nothing is ever written behind bytes that a crash may have left.
+
+    Attributes:
+        files: the store's directory.
+        active: the segment that is written to.
+        synced_bytes: bytes of the active segment that are on disk.
+        written_bytes: bytes written to all segments, compaction included.
+    """
+
+    def __init__(
+        self,
+        files: Files,
+        current: Manifest,
+        records: RecordTable,
+        lifecycle: StoreLifecycle,
+        max_segment_bytes: int,
+    ) -> None:
+        self.files = files
+        self.node_hash = frames.hash_node_name(current.node)
+        self.hash_secret = current.hash_secret
+        self._manifest = current
+        self._records = records
+        self._lifecycle = lifecycle
+        self._max_segment_bytes = max_segment_bytes
+        self._next_segment_id = current.next_segment_id
+        self.written_bytes = 0
+        self._begin_segment()
+
+    @property
+    def has_unsynced_bytes(self) -> bool:
+        """Whether something of the active segment may not be on disk."""
+        return self.synced_bytes < self.active.size
+
+    def make_room(self, size: int) -> None:
+        """Seal the active segment and begin another where so many bytes would exceed the bound.
+
+        StoreFullError, StoreBrokenError.
+        """
+        if (
+            self.active.size + size <= self._max_segment_bytes
+            or self.active.size <= frames.SEGMENT_HEADER_BYTES
+        ):
+            return
+        self.sync()  # the manifest may only list a segment as sealed once all of it is on disk
+        try:
+            self._begin_segment()
+        except OSError as err:
+            raise self._lifecycle.error_for(err, "new segment") from err
+
+    def append(self, data: bytes, sync: bool) -> None:
+        """Append to the active segment. StoreFullError: it is as before. StoreBrokenError."""
+        active = self.active
+        try:
+            active.file.write_at(active.size, data)
+        except OSError as err:
+            try:
+                active.file.truncate(active.size)
+            except OSError as second:
+                raise self._lifecycle.mark_broken(f"after a failed write: {second}") from second
+            raise self._lifecycle.error_for(err, "write") from err
+        active.size += len(data)
+        self.written_bytes += len(data)
+        if sync:
+            self.sync()
+
+    def sync(self) -> None:
+        """Have all of the active segment on disk. StoreBrokenError: it is not known what is.
+
+        A second try would not help: the system drops what it failed to write, and then reports success.
+        """
+        try:
+            self.active.file.sync()
+        except OSError as err:
+            raise self._lifecycle.mark_broken(f"sync: {err}") from err
+        self.synced_bytes = self.active.size
+
+    def reserve_segment_id(self) -> int:
+        """A number for a segment that a compaction writes."""
+        segment_id = self._next_segment_id
+        self._next_segment_id += 1
+        return segment_id
+
+    def replace_segments(self, order: Sequence[Segment]) -> None:
+        """Name these complete segments in the manifest, which is on disk when this returns. OSError."""
+        self.files.sync_directory()
+        self._write_manifest(order, self.active, self._next_segment_id)
+
+    def _begin_segment(self) -> None:
+        """A new active segment: its header and its name are on disk before the manifest names it. OSError."""
+        segment_id = self._next_segment_id
+        file = self.files.create(segment_file_name(segment_id))
+        try:
+            file.write_at(0, frames.encode_segment_header(segment_id, self.node_hash))
+            file.sync()
+            self.files.sync_directory()
+            size = frames.SEGMENT_HEADER_BYTES
+            segment = Segment(segment_id, file, size, fixed_bytes=size)
+            order = [*self._records.segments_by_age(), segment]
+            self._write_manifest(order, segment, segment_id + 1)
+        except OSError:
+            file.close()
+            raise
+        self._records.add_segment(segment)
+        self._next_segment_id = segment_id + 1
+        self.active = segment
+        self.synced_bytes = size
+
+    def _write_manifest(self, order: Sequence[Segment], active: Segment, next_segment_id: int) -> None:
+        entries = tuple(
+            SegmentEntry(segment.id, manifest.ACTIVE_SIZE if segment is active else segment.size)
+            for segment in order
+        )
+        changed = Manifest(
+            version=manifest.VERSION,
+            node=self._manifest.node,
+            hash_secret_hex=self._manifest.hash_secret_hex,
+            next_segment_id=next_segment_id,
+            segments=entries,
+        )
+        manifest.write_manifest(self.files, changed)
+        self._manifest = changed
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -144,7 +144,7 @@
         viewer = Viewer(n)
         viewer.begin()
         assert isinstance(n.core.keeping, SessionStore)
-        n.core.keeping._store._broken = "made to fail"
+        n.core.keeping._store._lifecycle.mark_broken("made to fail")
         refused = viewer.back()
         assert [refused.hear(), refused.hear()] == ["ERR resume store", ""]
         viewer.say("M 2")
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -11,6 +11,7 @@
 import time
 from pathlib import Path
 
+import msgspec
 import pytest
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -110,7 +111,7 @@
 
     @invariant()
     def it_is_the_dict(self) -> None:
-        moment = max(self.clock.now, self.store._latest_time_us)
+        moment = max(self.clock.now, self.store.latest_time_us)
         alive = {k: v for k, (v, expiry) in self.model.items() if not expiry or expiry > moment}
         self.expired |= {(k, *told) for k, told in self.model.items() if k not in alive}
         found = {k: v for k in KEYS if (v := self.store.get(k)) is not None}
@@ -118,7 +119,7 @@
         # Upkeep may have dropped what had expired before a clock that is behind: it does not come back.
         assert {k for k in alive.keys() - found.keys() if (k, *self.model[k]) not in self.expired} == set()
         stats = self.store.stats
-        assert 0 <= stats["live"] <= stats["bytes"]
+        assert 0 <= stats.live <= stats.bytes
 
 
 def test_what_a_recovery_took_for_expired_stays_so_when_the_clock_steps_back() -> None:
@@ -183,7 +184,7 @@
         open_store(files, "n1", crash_consistency.ManualClock())
     store.close()
     told = manifest.read_manifest(files)
-    manifest.write_manifest(files, manifest.Manifest(9, told.node, told.secret, told.next, told.segments))
+    manifest.write_manifest(files, msgspec.structs.replace(told, version=9))
     with pytest.raises(errors.StoreVersionError, match="version 9"):
         fresh(files)
     with pytest.raises(errors.StoreCorruptError, match="missing"):
@@ -253,7 +254,7 @@
 
     def others_come() -> None:
         for _ in range(200):
-            if len(store._queue) >= 8:
+            if store.waiting_write_count >= 8:
                 return
             time.sleep(0.0005)
 
@@ -291,7 +292,7 @@
         files.before_sync = lambda: None
         writer.start()
         deadline = time.monotonic() + 20
-        while not store._queue and time.monotonic() < deadline:
+        while not store.waiting_write_count and time.monotonic() < deadline:
             time.sleep(0.0005)
         files.fail[files.steps] = errno.EIO
 
@@ -306,7 +307,9 @@
 
 def test_a_frame_inside_a_value_is_no_frame() -> None:
     """Nor is one that an earlier write left behind: each check is good at its own place alone."""
-    body = frames.encode_record(frames.PUT, b"evil", b"x", 99, 0, 1, 40 + frames.FRAME_HEADER_BYTES)
+    body = frames.encode_record(
+        frames.Record(40 + frames.FRAME_HEADER_BYTES, frames.PUT, 99, 0, b"evil", b"x"), 1
+    )
     fake = frames.encode_frame(body, 1, 10**9, 0, 1, 40)
     files, store = fresh(size=1 << 16)
     store.put(b"a", b"x")
@@ -366,7 +369,7 @@
     source, target = FaultInjectingFiles(broken), FaultInjectingFiles()
     done = repair(source, target, crash_consistency.ManualClock())
     assert {n: bytes(i.seen) for n, i in source.seen.items()} == broken
-    assert done.kept == 39 and done.lost_sequences == 1 and victim in done.faults[0]
+    assert done.saved_keys == 39 and done.lost_sequences == 1 and victim in done.faults[0]
     _, store = fresh(target)
     assert len(store) == 39
     with pytest.raises(StoreError, match="not empty"):
