--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -25,8 +25,8 @@
 from tansyladder.replication import content_transfer, documents, replicated_state, session_ownership
 
 Place = tuple[int, int]  # term and index of a log entry
-LogEntry = messages.Entry
-PeerMessage = messages.Message | content_transfer.ChangeNotice
+LogEntry = messages.LogEntry
+PeerMessage = messages.Message | content_transfer.DocumentMessage
 LogCommand = replicated_state.Entry
 EndpointList = EndpointList
 
@@ -59,7 +59,7 @@
 
 def peer_message_tags() -> set[str]:
     """Of all messages that a peer may send."""
-    beside = typing.get_args(typing.get_type_hints(content_transfer.ChangeNotice)["what"])
+    beside = typing.get_args(typing.get_type_hints(content_transfer.DocumentMessage)["body"])
     return {_tag(kind) for kind in (*typing.get_args(PeerMessage), *beside)}
 
 
@@ -92,14 +92,20 @@
 
 
 def log_entry(*, term: int, kind: int, request: str, data: bytes) -> LogEntry:
-    return messages.Entry(term=term, kind=messages.EntryKind(kind), request=request, data=data)
+    return messages.LogEntry(term=term, kind=messages.EntryKind(kind), request_id=request, data=data)
 
 
 def hello(
     *, disk: str, start: str, founders: dict[str, str], to: str, wants_answer: bool, term: int, last: Place
 ) -> PeerMessage:
     return messages.Handshake(
-        ident=disk, start=start, founders=founders, to=to, wants=wants_answer, term=term, last=last
+        disk_id=disk,
+        incarnation=start,
+        initial_disks=founders,
+        recipient_incarnation=to,
+        wants_reply=wants_answer,
+        term=term,
+        last_position=last,
     )
 
 
@@ -108,7 +114,7 @@
 ) -> PeerMessage:
     committed = messages.CommitPosition(index=commit_index, term=commit_term)
     return messages.RequestVote(
-        term=term, last_index=last_index, last_term=last_term, trial=pre_vote, committed=committed
+        term=term, last_log_index=last_index, last_log_term=last_term, pre_vote=pre_vote, committed=committed
     )
 
 
@@ -116,14 +122,20 @@
     *, term: int, granted: bool, pre_vote: bool, disk: str, commit_index: int, commit_term: int
 ) -> PeerMessage:
     committed = messages.CommitPosition(index=commit_index, term=commit_term)
-    return messages.VoteResponse(term=term, given=granted, trial=pre_vote, ident=disk, committed=committed)
+    return messages.VoteResponse(
+        term=term, granted=granted, pre_vote=pre_vote, disk_id=disk, committed=committed
+    )
 
 
 def append_entries(
     *, term: int, previous_index: int, previous_term: int, entries: tuple[LogEntry, ...], commit: int
 ) -> PeerMessage:
     return messages.AppendEntries(
-        term=term, before=previous_index, before_term=previous_term, entries=entries, commit=commit
+        term=term,
+        prev_log_index=previous_index,
+        prev_log_term=previous_term,
+        entries=entries,
+        leader_commit=commit,
     )
 
 
@@ -131,35 +143,37 @@
     *, term: int, success: bool, index: int, disk: str, start: str, counts: bool
 ) -> PeerMessage:
     return messages.AppendEntriesResponse(
-        term=term, fits=success, index=index, ident=disk, start=start, counts=counts
+        term=term, success=success, index=index, disk_id=disk, incarnation=start, is_disk_trusted=counts
     )
 
 
 def install_snapshot(
     *, term: int, index: int, index_term: int, voters: dict[str, str], state: bytes
 ) -> PeerMessage:
-    return messages.InstallSnapshot(term=term, index=index, index_term=index_term, voters=voters, state=state)
+    return messages.InstallSnapshot(
+        term=term, last_included_index=index, last_included_term=index_term, voter_disks=voters, state=state
+    )
 
 
 def propose(*, request: str, data: bytes) -> PeerMessage:
-    return messages.Propose(request=request, data=data)
+    return messages.ProposalRequest(request_id=request, data=data)
 
 
 def proposal_result(*, request: str, result: bytes | None) -> PeerMessage:
-    return messages.ProposalResult(request=request, result=result)
+    return messages.ProposalResult(request_id=request, result=result)
 
 
 def lease_renewal(*, start: str) -> PeerMessage:
-    return content_transfer.ChangeNotice(what=documents.LeaseRenewal(start=start))
+    return content_transfer.DocumentMessage(body=documents.LeaseRenewal(incarnation=start))
 
 
 def chunk_request(*, digest: bytes, offset: int) -> PeerMessage:
-    return content_transfer.ChangeNotice(what=content_transfer.ChunkRequest(digest=digest, at=offset))
+    return content_transfer.DocumentMessage(body=content_transfer.ChunkRequest(digest=digest, offset=offset))
 
 
 def chunk(*, digest: bytes, offset: int, size: int, data: bytes) -> PeerMessage:
-    return content_transfer.ChangeNotice(
-        what=content_transfer.Chunk(digest=digest, at=offset, size=size, data=data)
+    return content_transfer.DocumentMessage(
+        body=content_transfer.Chunk(digest=digest, offset=offset, content_size=size, data=data)
     )
 
 
@@ -170,7 +184,13 @@
     *, session: int, generation: int, expiry: int, node: str, time: int, keep: int, number: int
 ) -> LogCommand:
     return session_ownership.OwnershipClaim(
-        session=session, generation=generation, expiry=expiry, by=node, at=time, keep=keep, ask=number
+        session=session,
+        generation=generation,
+        token_expiry_us=expiry,
+        node=node,
+        timestamp_us=time,
+        retain_until_us=keep,
+        idempotency_key=number,
     )
 
 
@@ -179,58 +199,62 @@
 ) -> LogCommand:
     return session_ownership.ClaimConfirmation(
         session=session,
-        tenure=tenure,
-        floor=floor,
-        expiry=expiry,
-        by=node,
-        at=time,
-        keep=keep,
-        turn=turn,
+        epoch=tenure,
+        generation_floor=floor,
+        token_expiry_us=expiry,
+        node=node,
+        timestamp_us=time,
+        retain_until_us=keep,
+        sequence=turn,
     )
 
 
 def session_opened(*, session: int, tenure: int, node: str, time: int, turn: int) -> LogCommand:
-    return session_ownership.SessionOpened(session=session, tenure=tenure, by=node, at=time, turn=turn)
+    return session_ownership.SessionOpened(
+        session=session, epoch=tenure, node=node, timestamp_us=time, sequence=turn
+    )
 
 
 def claim_result(*, tenure: int, why: str) -> object:
-    return session_ownership.ClaimResult(tenure=tenure, why=why)
+    return session_ownership.ClaimResult(epoch=tenure, reason=why)
 
 
 def proposal(*, name: str, digest: bytes, size: int, key: str, node: str, time: int) -> LogCommand:
-    return documents.Proposal(name=name, digest=digest, size=size, ask=key, by=node, at=time)
+    return documents.Proposal(
+        name=name, digest=digest, size=size, idempotency_key=key, node=node, timestamp_us=time
+    )
 
 
 def validation_vote(*, number: int, node: str, time: int, fault: str) -> LogCommand:
-    return documents.ValidationVote(number=number, by=node, at=time, fault=fault)
+    return documents.ValidationVote(number=number, node=node, timestamp_us=time, fault=fault)
 
 
 def prepare(*, number: int, node: str, time: int, short_lease: int) -> LogCommand:
-    return documents.Prepare(number=number, by=node, at=time, short=short_lease)
+    return documents.Prepare(number=number, node=node, timestamp_us=time, short_lease_us=short_lease)
 
 
 def prepared(*, number: int, round: int, node: str, time: int) -> LogCommand:
-    return documents.Prepared(number=number, round=round, by=node, at=time)
+    return documents.Prepared(number=number, round=round, node=node, timestamp_us=time)
 
 
 def commit(*, number: int, node: str, time: int) -> LogCommand:
-    return documents.Commit(number=number, by=node, at=time)
+    return documents.Commit(number=number, node=node, timestamp_us=time)
 
 
 def abort(*, number: int, node: str, time: int, why: str) -> LogCommand:
-    return documents.Abort(number=number, by=node, at=time, why=why)
+    return documents.Abort(number=number, node=node, timestamp_us=time, reason=why)
 
 
 def lease_grant(*, starts: tuple[str, ...], length: int, node: str, time: int) -> LogCommand:
-    return documents.LeaseGrant(to=starts, length=length, by=node, at=time)
+    return documents.LeaseGrant(incarnations=starts, duration_us=length, node=node, timestamp_us=time)
 
 
 def lease_release(*, node: str, time: int) -> LogCommand:
-    return documents.LeaseRelease(by=node, at=time)
+    return documents.LeaseRelease(node=node, timestamp_us=time)
 
 
 def change_result(*, word: str, number: int, why: str) -> object:
-    return documents.ChangeResult(word=word, number=number, why=why)
+    return documents.ChangeResult(outcome=word, number=number, reason=why)
 
 
 def greeting(
@@ -255,25 +279,25 @@
 ) -> EndpointEntry:
     return EndpointEntry(
         id=id,
-        host_port=address,
-        phase=phase,
-        locality=locality,
-        flavor=flavor,
+        address=address,
+        state=phase,
+        zone=locality,
+        kind=flavor,
         cell=cell,
-        size=size,
-        up_since_ms=up_since_ms,
+        capacity=size,
+        started_at_ms=up_since_ms,
     )
 
 
 def endpoint_list(*, revision: int, complete: bool, endpoints: list[EndpointEntry]) -> EndpointList:
-    return EndpointList(revision=revision, complete=complete, members=endpoints)
+    return EndpointList(revision=revision, complete=complete, endpoints=endpoints)
 
 
 # --- an upgrade
 
 
 def listener_handover(*, kept_descriptors: int, endpoints: EndpointList) -> object:
-    return DescriptorTransfer(kept=kept_descriptors, members=endpoints)
+    return DescriptorTransfer(retained_descriptor_count=kept_descriptors, endpoints=endpoints)
 
 
 def connection_handover(
@@ -287,11 +311,11 @@
 ) -> ConnectionState:
     return ConnectionState(
         opening=first_line,
-        member=host,
-        last_word=last_word,
-        asked=asked,
-        rests=partial_lines,
-        waiting=waiting_lines,
+        endpoint_id=host,
+        last_upstream_word=last_word,
+        waiting_since_us=asked,
+        partial_lines=partial_lines,
+        pending_lines=waiting_lines,
     )
 
 
@@ -314,16 +338,16 @@
 
     def ask(self) -> socket.socket | None:
         """The listener, where the running process gave it."""
-        return self._takeover.ask()
+        return self._takeover.request_listener()
 
     @property
     def kept_descriptors(self) -> int:
         """Descriptors that the running process keeps."""
-        return self._takeover.elsewhere
+        return self._takeover.remote_descriptor_count
 
     @property
     def endpoints(self) -> EndpointList | None:
-        return self._takeover.members
+        return self._takeover.endpoints
 
 
 class RunningProcess:
@@ -339,18 +363,20 @@
         self._takeover.serve(listener, self)
 
     def hand_over(self, connection: ConnectionState, client: socket.socket, host: socket.socket) -> bool:
-        return self._takeover.hand(connection, client, host)
+        return self._takeover.hand_over(connection, client, host)
 
-    def share(self) -> tuple[int, int]:
+    def split_descriptors(self) -> tuple[int, int]:
         return self._kept, 0
 
-    def members(self) -> EndpointList:
+    def known_endpoints(self) -> EndpointList:
         return self._endpoints
 
-    def alone(self, alone: bool) -> None:
-        (self.is_alone_again if alone else self.has_successor).set()
+    def set_accepting(self, accepting: bool) -> None:
+        (self.is_alone_again if accepting else self.has_successor).set()
 
-    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
+    def adopt_connection(
+        self, state: ConnectionState, client: socket.socket, upstream: socket.socket
+    ) -> None:
         raise AssertionError("nothing runs before this process")
 
 
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -16,20 +16,20 @@
 from tansyladder.config.platform import EndpointList
 from tansyladder.raft import messages
 from tansyladder.replication import replicated_state
-from tansyladder.resumption import tokens
+from tansyladder.resumption import errors, tokens
 from tansyladder.sessions import session_store
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.store import Durability, Store, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 from tests.formats.adapter import LogCommand, LogEntry, Place, encode
-from tests.node.harness import HeardCore, told
+from tests.node.harness import RecordingPolicyRunner, load_test_config
 
 HardState = messages.HardState
 Snapshot = messages.Snapshot
 DocumentStore = DocumentReplica
 SessionStore = session_store.SessionStore
 RaftStorage = raft_storage.RaftStorage
-TokenError = tokens.TokenError
+TokenError = errors.TokenError
 Keyring = tokens.Keyring
 
 # --- the state that the log decides
@@ -77,24 +77,24 @@
         return self._state.apply(encode(command))
 
     def dump(self) -> bytes:
-        return self._state.dump()
+        return self._state.snapshot()
 
     def load(self, dumped: bytes) -> None:
-        self._state.load(dumped)
+        self._state.restore(dumped)
 
     def owners(self) -> dict[int, SessionOwner]:
         """By session."""
         return {
             session: SessionOwner(
-                tenure=record.tenure,
+                tenure=record.epoch,
                 owner=record.owner,
-                floor=record.floor,
-                keep=record.keep,
-                base=record.base,
-                turn=record.turn,
-                confirmed_at=record.confirmed_at,
-                number=record.ask,
-                opened=record.opened,
+                floor=record.generation_floor,
+                keep=record.retain_until_us,
+                base=record.claimed_floor,
+                turn=record.sequence,
+                confirmed_at=record.confirmed_at_us,
+                number=record.idempotency_key,
+                opened=record.is_opened,
             )
             for session, record in self._state.claims.records.items()
         }
@@ -106,14 +106,16 @@
     def versions(self, name: str) -> list[tuple[int, bytes, int, int]]:
         """Number, digest, size and since of each known version of a document."""
         known = self._state.documents.versions(name)
-        return [(version.number, version.digest, version.size, version.since) for version in known]
+        return [(version.number, version.digest, version.size, version.effective_at_us) for version in known]
 
     def leases(self) -> dict[str, int]:
         return dict(self._state.documents.leases)
 
     def results(self) -> dict[str, tuple[str, int, str]]:
         """By idempotency key: what became of a change."""
-        return {key: (end.word, end.number, end.why) for key, end in self._state.documents.ends.items()}
+        return {
+            key: (end.outcome, end.number, end.reason) for key, end in self._state.documents.results.items()
+        }
 
     def pending_change(self) -> PendingChange | None:
         change = self._state.documents.change
@@ -124,15 +126,15 @@
             number=change.number,
             digest=change.digest,
             size=change.size,
-            key=change.ask,
-            time=change.at,
-            stage=int(change.stage),
-            accepted_by=change.yes,
+            key=change.idempotency_key,
+            time=change.proposed_at_us,
+            stage=int(change.phase),
+            accepted_by=change.accepted_by,
             round=change.round,
-            prepared_at=change.armed_at,
-            short_lease=change.short,
-            must_prepare=change.must,
-            prepared_by=change.armed,
+            prepared_at=change.prepare_started_at_us,
+            short_lease=change.short_lease_us,
+            must_prepare=change.participants,
+            prepared_by=change.prepared_by,
         )
 
     def open_documents(self, store: Store, time: int) -> DocumentStore:
@@ -147,7 +149,7 @@
 
 def offer_document(opened: DocumentStore, name: str, content: bytes, key: str) -> LogCommand:
     """Keep a document's content in the store, and make the proposal of it."""
-    return opened.offer(name, content, key)
+    return opened.propose(name, content, key)
 
 
 # --- the store
@@ -182,27 +184,33 @@
 
 
 def raft_hard_state(storage: RaftStorage) -> HardState:
-    return storage.kept.hard
+    return storage.persisted.hard_state
 
 
 def raft_snapshot(storage: RaftStorage) -> Snapshot:
-    return storage.kept.snapshot
+    return storage.persisted.snapshot
 
 
 def raft_entries(storage: RaftStorage) -> tuple[LogEntry, ...]:
-    return storage.kept.entries
+    return storage.persisted.entries
 
 
 def hard_state(
     *, term: int, vote: str, disk: str, founders: dict[str, str], sure: int, doubt: bool, floor: Place
 ) -> HardState:
     return messages.HardState(
-        term=term, vote=vote, ident=disk, founders=founders, sure=sure, doubt=doubt, floor=floor
+        term=term,
+        voted_for=vote,
+        disk_id=disk,
+        initial_disks=founders,
+        committed_admission_index=sure,
+        stale_disk_suspected=doubt,
+        vote_floor=floor,
     )
 
 
 def snapshot(*, index: int, term: int, voters: dict[str, str], state: bytes) -> Snapshot:
-    return messages.Snapshot(index=index, term=term, voters=voters, state=state)
+    return messages.Snapshot(index=index, term=term, voter_disks=voters, state=state)
 
 
 def write_hard_state(storage: RaftStorage, state: HardState) -> None:
@@ -226,35 +234,35 @@
 
 def node_life(opened: SessionStore) -> tuple[bytes, bytes, int]:
     """Identity, token key and number of starts."""
-    return opened.life.ident, opened.life.key, opened.life.starts
+    return opened.identity.issuer_id, opened.identity.token_key, opened.identity.start_count
 
 
 def save_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> None:
-    opened.keep(session, line, floor, expiry)
+    opened.save_session(session, line, floor, expiry)
 
 
 def redeem_session(opened: SessionStore, session: int, line: str, floor: int, expiry: int) -> bool:
-    return opened.spend(session, line, floor, expiry)
+    return opened.redeem_session(session, line, floor, expiry)
 
 
 def end_session(opened: SessionStore, session: int) -> None:
-    opened.end(session)
+    opened.delete_session(session)
 
 
 def saved_session(opened: SessionStore, session: int) -> tuple[str, int, int] | None:
     """First line, floor and expiry."""
-    found = opened.session(session)
-    return (found.line, found.floor, found.expiry) if found is not None else None
+    found = opened.load_session(session)
+    return (found.first_line, found.generation_floor, found.expires_at_us) if found is not None else None
 
 
 def save_endpoints(opened: SessionStore, listed: EndpointList) -> None:
-    opened.tell_members(listed)
+    opened.save_endpoints(listed)
 
 
 def saved_endpoints(opened: SessionStore) -> tuple[int, EndpointList] | None:
     """When the list was kept, and the list."""
-    found = opened.last_members()
-    return (found.at, found.members) if found is not None else None
+    found = opened.cached_endpoints()
+    return (found.saved_at_us, found.endpoints) if found is not None else None
 
 
 # --- tokens
@@ -262,7 +270,7 @@
 
 def node_keyring(folder: Path, sessions: SessionStore) -> Keyring:
     """Of a node `n0` that keeps its sessions in a store, with the key that it drew."""
-    return SessionRegistry(HeardCore(told(folder)), sessions).keyring
+    return SessionRegistry(RecordingPolicyRunner(load_test_config(folder)), sessions).keyring
 
 
 def fleet_keyring(folder: Path, keys: list[tuple[int, bytes]]) -> Keyring:
@@ -270,7 +278,9 @@
     peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
     entries = tuple(KeyEntry(id=number, digits=secret.hex()) for number, secret in keys)
     resume = ResumeOptions(enabled=True, keys=entries)
-    return SessionRegistry(HeardCore(told(folder), Options(resume=resume, peers=peers)), None).keyring
+    return SessionRegistry(
+        RecordingPolicyRunner(load_test_config(folder), Options(resume=resume, peers=peers)), None
+    ).keyring
 
 
 def seal_token(
@@ -283,14 +293,14 @@
     group: int,
     key: int,
 ) -> str:
-    claim = tokens.TokenPayload(session=session, generation=generation, expiry=expiry)
-    return ring.seal(claim, tokens.TokenClaims(cls=service_class, group=group, key=key))
+    claim = tokens.TokenPayload(session_id=session, generation=generation, expires_at_us=expiry)
+    return ring.seal(claim, tokens.TokenClaims(service_class=service_class, group=group, key=key))
 
 
 def open_token(ring: Keyring, text: str, *, service_class: str, group: int, key: int) -> tuple[int, int, int]:
     """Session, generation and expiry. TokenError."""
-    found = ring.open(text, tokens.TokenClaims(cls=service_class, group=group, key=key))
-    return found.session, found.generation, found.expiry
+    found = ring.open(text, tokens.TokenClaims(service_class=service_class, group=group, key=key))
+    return found.session_id, found.generation, found.expires_at_us
 
 
 # --- peers' connections
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -11,8 +11,8 @@
     AppendEntriesResponse,
     CommitPosition,
     Message,
+    ProposalRequest,
     ProposalResult,
-    Propose,
     RequestVote,
 )
 from tansyladder.raft.node import Effects, RaftNode
@@ -27,38 +27,38 @@
     PendingChange,
     Prepared,
     ValidationVote,
-    node_of,
+    node_name,
 )
 
 
 class VotesForAnyLog(RaftNode):
     """Without the election restriction."""
 
-    def _asked(self, sender: str, ask: RequestVote) -> None:
-        super()._asked(sender, RequestVote(ask.term, 1 << 60, 1 << 60, ask.trial, ask.committed))
+    def _on_request_vote(self, sender: str, ask: RequestVote) -> None:
+        super()._on_request_vote(sender, RequestVote(ask.term, 1 << 60, 1 << 60, ask.pre_vote, ask.committed))
 
 
 class VotesTwice(RaftNode):
     """Without the one vote in a term."""
 
-    def _asked(self, sender: str, ask: RequestVote) -> None:
-        if not ask.trial:
-            self._hard = msgspec.structs.replace(self._hard, vote="")
-        super()._asked(sender, ask)
+    def _on_request_vote(self, sender: str, ask: RequestVote) -> None:
+        if not ask.pre_vote:
+            self._hard_state = msgspec.structs.replace(self._hard_state, voted_for="")
+        super()._on_request_vote(sender, ask)
 
 
 class VotesAfterForgetting(RaftNode):
     """Without the names of disks: a voter that lost its disk votes and counts on."""
 
     @property
-    def voting(self) -> bool:
-        return self.me in self._voters
+    def is_voting(self) -> bool:
+        return self.name in self._voters
 
-    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
-        super()._appended(sender, msgspec.structs.replace(told, counts=True))
+    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
+        super()._on_append_entries_response(sender, msgspec.structs.replace(told, is_disk_trusted=True))
 
     def _majority(self, names: set[str]) -> bool:
-        return len({*names, self.me}.intersection(self._voters)) * 2 > len(self._voters)
+        return len({*names, self.name}.intersection(self._voters)) * 2 > len(self._voters)
 
     def _counting(self) -> list[str]:
         return list(self._voters)
@@ -68,8 +68,8 @@
     """Without doubt: a voter on an older copy of its disk votes and counts on."""
 
     def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Effects:
-        if self._hard.doubt:
-            self._hard = msgspec.structs.replace(self._hard, doubt=False)
+        if self._hard_state.stale_disk_suspected:
+            self._hard_state = msgspec.structs.replace(self._hard_state, stale_disk_suspected=False)
         return super().handle(now, received)
 
 
@@ -77,7 +77,7 @@
     """Without the place that the others' logs have reached, and without the end of their terms."""
 
     def _trust(self) -> None:
-        self._keep(doubt=False)
+        self._persist(stale_disk_suspected=False)
 
 
 class VotesForShorterLogs(RaftNode):
@@ -85,24 +85,24 @@
 
     def _trust(self) -> None:
         super()._trust()
-        self._keep(floor=(0, 0))
+        self._persist(vote_floor=(0, 0))
 
 
 class VotesInDoubtfulTerms(RaftNode):
     """Without leaving out the terms in which it may have voted."""
 
     def _trust(self) -> None:
-        term, vote = self.term, self._hard.vote
+        term, vote = self.term, self._hard_state.voted_for
         super()._trust()
-        self._hard = msgspec.structs.replace(self._hard, term=term, vote=vote)
-        self._out.writes.append(self._hard)
+        self._hard_state = msgspec.structs.replace(self._hard_state, term=term, voted_for=vote)
+        self._effects.writes.append(self._hard_state)
 
 
 class CountsInDoubt(RaftNode):
     """Without leaving out what a voter holds whose disk may be an older copy."""
 
-    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
-        super()._appended(sender, msgspec.structs.replace(told, counts=True))
+    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
+        super()._on_append_entries_response(sender, msgspec.structs.replace(told, is_disk_trusted=True))
 
 
 class CommitsOldTerms(RaftNode):
@@ -115,52 +115,52 @@
 class AppendsAnywhere(RaftNode):
     """Without the look whether the entry before fits."""
 
-    def _append(self, sender: str, told: AppendEntries) -> None:
-        if self.snapshot_index <= told.before <= self.last:
-            told = msgspec.structs.replace(told, before_term=self._term_at(told.before))
-        super()._append(sender, told)
+    def _on_append_entries(self, sender: str, told: AppendEntries) -> None:
+        if self.snapshot_index <= told.prev_log_index <= self.last_index:
+            told = msgspec.structs.replace(told, prev_log_term=self._term_at(told.prev_log_index))
+        super()._on_append_entries(sender, told)
 
 
 class AnswersEarly(RaftNode):
     """Without the wait for the entry to be committed."""
 
-    def _propose(self, sender: str, told: Propose) -> None:
-        super()._propose(sender, told)
-        if self._proposers.pop(self.last, None):
-            self._decided(sender, ProposalResult(told.request, b"done"))
+    def _on_proposal(self, sender: str, told: ProposalRequest) -> None:
+        super()._on_proposal(sender, told)
+        if self._proposers.pop(self.last_index, None):
+            self._decided(sender, ProposalResult(told.request_id, b"done"))
 
 
 class TakesAnyTerm(RaftNode):
     """Without the look at the term of who says that it leads."""
 
-    def _append(self, sender: str, told: AppendEntries) -> None:
-        if told.term < self.term and self.leader != self.me:
+    def _on_append_entries(self, sender: str, told: AppendEntries) -> None:
+        if told.term < self.term and self.leader != self.name:
             told = msgspec.structs.replace(told, term=self.term)
-        super()._append(sender, told)
+        super()._on_append_entries(sender, told)
 
 
 class CountsOldAnswers(RaftNode):
     """Without the look at the term of an answer to the leader."""
 
-    def _appended(self, sender: str, told: AppendEntriesResponse) -> None:
+    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
         if told.term < self.term:
             told = msgspec.structs.replace(told, term=self.term)
-        super()._appended(sender, told)
+        super()._on_append_entries_response(sender, told)
 
 
 class NeverStepsDown(RaftNode):
     """Without check-quorum: a leader that nobody hears goes on."""
 
-    def _keep_time(self) -> None:
+    def _tick(self) -> None:
         for peer in self._known.values():
-            peer.heard = self._now
-        super()._keep_time()
+            peer.last_contact_at = self._now
+        super()._tick()
 
 
 class LearnsNoCommit(RaftNode):
     """Without learning from votes how far the log is committed: who was admitted may count for nobody."""
 
-    def _learn(self, mark: CommitPosition) -> None:
+    def _learn_commit(self, mark: CommitPosition) -> None:
         pass
 
 
@@ -192,43 +192,43 @@
 class HoldsWithoutAll(Documents):
     """Without the wait for who has not armed: for its lease to end."""
 
-    def unarmed(self, change: PendingChange, at: int) -> set[str]:
+    def unprepared_holders(self, change: PendingChange, at: int) -> set[str]:
         return set()
 
 
 class HoldsAtOnce(Documents):
     """Without the moment at which the last lease ends: it holds from when that was proposed."""
 
-    def _hold(self, change: PendingChange, told: Commit) -> ChangeResult:
-        ruled = super()._hold(change, told)
-        if ruled.word == "done":
-            held = self._held[change.name]
-            held[-1] = msgspec.structs.replace(held[-1], since=told.at)
+    def _apply_commit(self, change: PendingChange, told: Commit) -> ChangeResult:
+        ruled = super()._apply_commit(change, told)
+        if ruled.outcome == "done":
+            held = self._versions[change.name]
+            held[-1] = msgspec.structs.replace(held[-1], effective_at_us=told.timestamp_us)
         return ruled
 
 
 class TakesNoForYes(Documents):
     """Without the no of one node."""
 
-    def _verdict(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
-        return super()._verdict(change, msgspec.structs.replace(told, fault=""))
+    def _apply_validation_vote(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
+        return super()._apply_validation_vote(change, msgspec.structs.replace(told, fault=""))
 
 
 class ArmsBeforeAllSaid(Documents):
     """Without the wait for everybody's word."""
 
-    def waited_for(self, change: PendingChange, holding: set[str]) -> set[str]:
+    def missing_acceptances(self, change: PendingChange, holding: set[str]) -> set[str]:
         return set()
 
 
 class GrantsWhileArmed(Documents):
     """Without the rest of leases while they are cut."""
 
-    def _lease(self, told: LeaseGrant) -> ChangeResult:
+    def _apply_lease_grant(self, told: LeaseGrant) -> ChangeResult:
         change = self.change
         self.change = None
         try:
-            return super()._lease(told)
+            return super()._apply_lease_grant(told)
         finally:
             self.change = change
 
@@ -236,15 +236,15 @@
 class GrantsAlways(LeaseCoordinator):
     """A leader's part of it, which would hide that."""
 
-    def step(self, at: int) -> list[Entry]:
-        return super().step(at) + self._grant(at)
+    def next_entries(self, at: int) -> list[Entry]:
+        return super().next_entries(at) + self._renew_leases(at)
 
 
 class CountsOldRounds(Documents):
     """Without the number of the round in which a lease was cut."""
 
-    def _armed(self, change: PendingChange, told: Prepared) -> ChangeResult:
-        return super()._armed(change, msgspec.structs.replace(told, round=change.round))
+    def _apply_prepared(self, change: PendingChange, told: Prepared) -> ChangeResult:
+        return super()._apply_prepared(change, msgspec.structs.replace(told, round=change.round))
 
 
 class ArmsInWords(LeaseHolder):
@@ -252,20 +252,20 @@
 
     _uncut = 0
 
-    def until(self) -> int:
-        return max(self._documents.leases.get(self.me, 0), self._uncut)
+    def lease_end_us(self) -> int:
+        return max(self._documents.leases.get(self.incarnation, 0), self._uncut)
 
-    def arm(self, at: int) -> Prepared | None:
-        self._uncut = max(self._uncut, self._documents.leases.get(self.me, 0))
-        return super().arm(at)
+    def prepare(self, at: int) -> Prepared | None:
+        self._uncut = max(self._uncut, self._documents.leases.get(self.incarnation, 0))
+        return super().prepare(at)
 
 
 class KeepsLeaseOverStarts(LeaseHolder):
     """Without the start in the name of a lease: one that was given to the process before is used."""
 
-    def until(self) -> int:
-        me, leases = node_of(self.me), self._documents.leases
-        return max((until for start, until in leases.items() if node_of(start) == me), default=0)
+    def lease_end_us(self) -> int:
+        me, leases = node_name(self.incarnation), self._documents.leases
+        return max((until for start, until in leases.items() if node_name(start) == me), default=0)
 
 
 # By name: what is put in place, the seed of a history that finds it, and its words; 0: found in none of 40.
