--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -15,7 +15,7 @@
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.net.upstream import UpstreamConnection
-from tansyladder.node.metrics import Ending
+from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import ResumeRejection, TokenError
@@ -166,7 +166,7 @@
                 self._claiming.discard(claim.session_id)
 
     def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
-        self._core.metrics.answered(opening.class_name, Ending.of(answer))
+        self._core.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(sock)
         sockets.shutdown_and_drain(sock, answer)
 
@@ -180,7 +180,7 @@
         Nothing waits here. A refusal changes nothing for the session that stands.
         """
         try:
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 if self.resumes_on_any_node:
                     return RETRY_SOON  # another node takes it over
                 raise TokenError(ResumeRejection.DRAINING)
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -20,8 +20,8 @@
 from tansyladder.net.protocol import Opening
 from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection
-from tansyladder.node.attempt_loop import AttemptLoop, request_of
-from tansyladder.node.metrics import Ending
+from tansyladder.node.attempt_loop import AttemptLoop, build_request
+from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Reject
 from tansyladder.policy.events import AttemptStatus
@@ -393,7 +393,7 @@
             self._shared.release_suspended()
         sockets.configure_stream(visitor.sock)
         self._client = BufferedSocket(visitor.sock)
-        self._core.metrics.answered(self._opening.class_name, Ending.OK)
+        self._core.metrics.record_outcome(self._opening.class_name, RequestOutcome.OK)
         log(LogEvent.SESSION_RESUMED, position=visitor.received_line_count)
         self._tell_client(self._receipt + at + self._token() + b"".join(lines))
         if self._client is not None:  # else it was gone: the token is in doubt, not spent
@@ -414,7 +414,7 @@
                     continue
             if self._box.is_superseded:
                 raise _SessionEnded(SessionEnd.CLAIMED_BY_OTHER_NODE)
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED)
             if now() >= self._expiry:
                 raise _SessionEnded(SessionEnd.EXPIRED)
@@ -444,7 +444,7 @@
             self._moves += 1
             if self._moves > MOST_MOVES:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=protocol.MOVE + b"\r\n")
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=self._send_off())
             visitor = None if self._client is not None else self._await_return()
             if visitor is not None and served:
@@ -489,7 +489,7 @@
 
         first_line = self._shared.first_line_builder(opening, stream)
         number = core.register_request(box)
-        request = request_of(core, number, self._cls, opening, deadline, True)
+        request = build_request(core, number, self._cls, opening, deadline, True)
         found = AttemptLoop(core, box, number, opening.class_name, deadline, first_line, None, 2, accept).run(
             request
         )
@@ -500,6 +500,6 @@
         return found.retry_after_us * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
     def _refuse(self, visitor: ResumingClient, answer: bytes) -> None:
-        self._core.metrics.answered(self._opening.class_name, Ending.of(answer))
+        self._core.metrics.record_outcome(self._opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(visitor.sock)
         sockets.shutdown_and_drain(visitor.sock, answer)
