--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -20,14 +20,14 @@
 from tansyladder.net.protocol import Opening
 from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection
-from tansyladder.node.attempt_loop import AttemptLoop, request_of
-from tansyladder.node.metrics import Ending
+from tansyladder.node.attempt_loop import AttemptLoop, build_request
+from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Reject
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption import control_messages
-from tansyladder.resumption.replay_buffer import PositionError
-from tansyladder.resumption.stream import Stream, StreamOutput
+from tansyladder.resumption.errors import ControlMessageError, PositionError
+from tansyladder.resumption.stream import Stream, StreamOutput, StreamSignal
 from tansyladder.resumption.token_registry import SessionEnd
 from tansyladder.sessions.session_registry import SessionRegistry
 
@@ -275,10 +275,10 @@
                 said = self._stream.receive_from_client(line)
                 out.to_host += said.to_host
                 out.to_client += said.to_client
-                out.client_left |= said.client_left
-                if said.client_left:
+                out.signal = said.signal
+                if said.signal is StreamSignal.CLIENT_LEFT:
                     break
-        except (protocol.LineError, control_messages.ControlMessageError, PositionError) as err:
+        except (protocol.LineError, ControlMessageError, PositionError) as err:
             log(LogEvent.INVALID_LINE, where="session", why=err)
             raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=protocol.MOVE + b"\r\n") from err
         if self._stream.from_client.end_position > counted:  # nobody answers an acknowledgment
@@ -286,7 +286,7 @@
             self._ack_at = self._ack_at or now() + ACK_WITHIN
         self._tell_host(out.to_host)
         self._tell_client(out.to_client)
-        if out.client_left:
+        if out.signal is StreamSignal.CLIENT_LEFT:
             self._until = now() + LAST_WORDS
             if not self._host.waiting:
                 with contextlib.suppress(OSError):
@@ -323,7 +323,7 @@
         for line in lines:
             try:
                 out = self._stream.receive_from_host(line)
-            except (control_messages.ControlMessageError, PositionError) as err:
+            except (ControlMessageError, PositionError) as err:
                 log(LogEvent.INVALID_RESPONSE, member=self._member, why=err)
                 raise _UpstreamLost(AttemptStatus.ERROR, "bad_word") from err
             passed += out.to_client
@@ -333,13 +333,13 @@
                 self._question.line_received(word)
                 if word == protocol.LOAD:
                     self._notes.record_load_line(line)
-            if out.host_redirects or out.host_finished:
+            if out.signal is not StreamSignal.NONE:
                 break
         self._tell_client(passed)
         self._tell_client(self._stream.report_lost_resumption())
-        if out.host_redirects:
+        if out.signal is StreamSignal.HOST_REDIRECTED:
             raise _UpstreamLost(AttemptStatus.CANCELLED, "sent_away")
-        if out.host_finished:
+        if out.signal is StreamSignal.HOST_FINISHED:
             if self._client is None and self._stream.can_resume_client:
                 raise _UpstreamLost(AttemptStatus.OK, "served")  # its last lines wait for the client
             raise _SessionEnded(SessionEnd.ENDED, AttemptStatus.OK)
@@ -380,7 +380,7 @@
             at, *lines = self._stream.resume_client(visitor.received_line_count)
         except PositionError as err:
             self._shared.token_registry.cancel_resume(self._stream.session_id)
-            self._refuse(visitor, control_messages.format_rejection(err.why))
+            self._refuse(visitor, control_messages.format_rejection(err.reason))
             return
         if refusal := self._shared.redeem(self._stream.session_id, self._opening, visitor):
             self._shared.token_registry.cancel_resume(self._stream.session_id)
@@ -393,7 +393,7 @@
             self._shared.release_suspended()
         sockets.configure_stream(visitor.sock)
         self._client = BufferedSocket(visitor.sock)
-        self._core.metrics.answered(self._opening.class_name, Ending.OK)
+        self._core.metrics.record_outcome(self._opening.class_name, RequestOutcome.OK)
         log(LogEvent.SESSION_RESUMED, position=visitor.received_line_count)
         self._tell_client(self._receipt + at + self._token() + b"".join(lines))
         if self._client is not None:  # else it was gone: the token is in doubt, not spent
@@ -410,11 +410,11 @@
                     return visitor
                 except PositionError as err:
                     self._shared.token_registry.cancel_resume(self._stream.session_id)
-                    self._refuse(visitor, control_messages.format_rejection(err.why))
+                    self._refuse(visitor, control_messages.format_rejection(err.reason))
                     continue
             if self._box.is_superseded:
                 raise _SessionEnded(SessionEnd.CLAIMED_BY_OTHER_NODE)
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED)
             if now() >= self._expiry:
                 raise _SessionEnded(SessionEnd.EXPIRED)
@@ -444,7 +444,7 @@
             self._moves += 1
             if self._moves > MOST_MOVES:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=protocol.MOVE + b"\r\n")
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 raise _SessionEnded(SessionEnd.CLIENT_REDIRECTED, last=self._send_off())
             visitor = None if self._client is not None else self._await_return()
             if visitor is not None and served:
@@ -482,14 +482,14 @@
                 log(
                     LogEvent.REPLAY_MISMATCH,
                     receipt=answer.up_line.decode(errors="replace").strip()[:80],
-                    why=err.why,
+                    why=err.reason,
                 )
                 return False
             return True
 
         first_line = self._shared.first_line_builder(opening, stream)
         number = core.register_request(box)
-        request = request_of(core, number, self._cls, opening, deadline, True)
+        request = build_request(core, number, self._cls, opening, deadline, True)
         found = AttemptLoop(core, box, number, opening.class_name, deadline, first_line, None, 2, accept).run(
             request
         )
@@ -500,6 +500,6 @@
         return found.retry_after_us * MICROSECOND if isinstance(found, Reject) else timedelta(0)
 
     def _refuse(self, visitor: ResumingClient, answer: bytes) -> None:
-        self._core.metrics.answered(self._opening.class_name, Ending.of(answer))
+        self._core.metrics.record_outcome(self._opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(visitor.sock)
         sockets.shutdown_and_drain(visitor.sock, answer)
