--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -219,7 +219,8 @@
         self._acceptor.stop()
         self.drainer.evict_remaining(notified, end + CLOSE_TIMEOUT)
         self.stop_listening()
-        self.drainer.log_remaining(LogEvent.DRAINED)
+        left = self.drainer.remaining()
+        log(LogEvent.DRAINED, standing=left.established, in_hand=left.waiting)
 
     def stop_listening(self) -> None:
         """Stop the acceptor, wait until it has answered its clients, then close the listener."""
--- a/tansyladder/node/connection_drainer.py
+++ b/tansyladder/node/connection_drainer.py
@@ -5,6 +5,7 @@
 import threading
 from collections.abc import Callable
 from datetime import timedelta
+from typing import NamedTuple
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
@@ -22,6 +23,13 @@
 DRAIN_STEP_INTERVAL = timedelta(milliseconds=10)
 
 
+class RemainingRequests(NamedTuple):
+    """Counts of the requests that a drain has not ended."""
+
+    established: int
+    waiting: int
+
+
 class ConnectionDrainer:
     """Tells connections to leave; thread-safe, as it has no state of its own that changes."""
 
@@ -43,7 +51,8 @@
             notified = self.migrate_gradually(since, since + STANDBY_DRAIN_DURATION)
             if not lifecycle.wait_for_change(since, now()):
                 self.evict_remaining(notified, now())
-                self.log_remaining(LogEvent.STANDBY_ENTERED)
+                left = self.remaining()
+                log(LogEvent.STANDBY_ENTERED, standing=left.established, in_hand=left.waiting)
             lifecycle.wait_for_change(since)
 
     def migrate_gradually(
@@ -87,7 +96,7 @@
                 return
             threading.Event().wait(DRAIN_STEP_INTERVAL.total_seconds())
 
-    def log_remaining(self, event: LogEvent) -> None:
-        """Log how many connections are left, established and waiting."""
+    def remaining(self) -> RemainingRequests:
+        """How many requests this node still has."""
         established_count = len(self._runner.request_ids(True))
-        log(event, standing=established_count, in_hand=len(self._runner.request_ids(False)))
+        return RemainingRequests(established_count, len(self._runner.request_ids(False)))
