--- a/tansyladder/cluster/raft_storage.py
+++ b/tansyladder/cluster/raft_storage.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from tansyladder.log import LogEvent, log
-from tansyladder.raft.messages import HardState, LogEntry, LogSuffix, PersistentState, Snapshot, Write
+from tansyladder.raft.messages import LogEntry
+from tansyladder.raft.persistent_state import HardState, LogSuffix, PersistentState, Snapshot, Write
 from tansyladder.store import Durability, Store, WriteOperation
 
 HARD, SNAPSHOT, ENTRY = b"peers/hard", b"peers/snapshot", b"peers/log/"
--- a/tansyladder/raft/node.py
+++ b/tansyladder/raft/node.py
@@ -37,20 +37,16 @@
     CommitPosition,
     EntryKind,
     Handshake,
-    HardState,
     InstallSnapshot,
     LogEntry,
     LogPosition,
-    LogSuffix,
     Message,
-    PersistentState,
     ProposalRequest,
     ProposalResult,
     RequestVote,
-    Snapshot,
     VoteResponse,
-    Write,
 )
+from tansyladder.raft.persistent_state import HardState, LogSuffix, PersistentState, Snapshot, Write
 
 HEARTBEAT_INTERVAL = (
     250_000  # us between two signs of life of a leader: at five nodes under 2 KB/s at the leader
--- a/tansyladder/simulation/raft_cluster.py
+++ b/tansyladder/simulation/raft_cluster.py
@@ -17,18 +17,9 @@
 import msgspec
 import numpy
 
-from tansyladder.raft.messages import (
-    EntryKind,
-    HardState,
-    LogEntry,
-    LogSuffix,
-    Message,
-    PersistentState,
-    ProposalRequest,
-    Snapshot,
-    Write,
-)
+from tansyladder.raft.messages import EntryKind, LogEntry, Message, ProposalRequest
 from tansyladder.raft.node import Effects, RaftNode, Role
+from tansyladder.raft.persistent_state import HardState, LogSuffix, PersistentState, Snapshot, Write
 
 MS, S = 1000, 1_000_000
 LIVE = 10 * S  # after the last fault by when a proposal must go through
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -19,7 +19,8 @@
 from tansyladder.config import operator_settings
 from tansyladder.lab.chaos import cluster, experiments, history, schedule
 from tansyladder.lab.node import LabNode
-from tansyladder.raft.messages import EntryKind, Handshake, HardState, LogEntry, LogSuffix, Message, Snapshot
+from tansyladder.raft.messages import EntryKind, Handshake, LogEntry, Message
+from tansyladder.raft.persistent_state import HardState, LogSuffix, Snapshot
 from tansyladder.store import Durability, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -14,7 +14,7 @@
 from tansyladder.cluster.peer_transport import PeerChannel, PeerTransport
 from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
 from tansyladder.config.platform import EndpointList
-from tansyladder.raft import messages
+from tansyladder.raft import persistent_state
 from tansyladder.replication import replicated_state
 from tansyladder.resumption import tokens
 from tansyladder.sessions import session_store
@@ -24,8 +24,8 @@
 from tests.formats.adapter import LogCommand, LogEntry, Place, encode
 from tests.node.harness import RecordingPolicyRunner, load_test_config
 
-HardState = messages.HardState
-Snapshot = messages.Snapshot
+HardState = persistent_state.HardState
+Snapshot = persistent_state.Snapshot
 DocumentStore = DocumentReplica
 SessionStore = session_store.SessionStore
 RaftStorage = raft_storage.RaftStorage
@@ -196,7 +196,7 @@
 def hard_state(
     *, term: int, vote: str, disk: str, founders: dict[str, str], sure: int, doubt: bool, floor: Place
 ) -> HardState:
-    return messages.HardState(
+    return persistent_state.HardState(
         term=term,
         voted_for=vote,
         disk_id=disk,
@@ -208,7 +208,7 @@
 
 
 def snapshot(*, index: int, term: int, voters: dict[str, str], state: bytes) -> Snapshot:
-    return messages.Snapshot(index=index, term=term, voter_disks=voters, state=state)
+    return persistent_state.Snapshot(index=index, term=term, voter_disks=voters, state=state)
 
 
 def write_hard_state(storage: RaftStorage, state: HardState) -> None:
@@ -220,7 +220,7 @@
 
 
 def write_log(storage: RaftStorage, index: int, entries: tuple[LogEntry, ...]) -> None:
-    storage.write([messages.LogSuffix(index=index, entries=entries)])
+    storage.write([persistent_state.LogSuffix(index=index, entries=entries)])
 
 
 # --- sessions and the list of stream hosts
