--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -19,8 +19,10 @@
 from tansyladder.config.operator_settings import PeersOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
+from tansyladder.raft.effects import Effects
 from tansyladder.raft.messages import Message, ProposalRequest, ProposalResult
-from tansyladder.raft.node import Effects, RaftNode, Role
+from tansyladder.raft.node import RaftNode
+from tansyladder.raft.node_state import Membership, Role
 from tansyladder.replication.content_transfer import ChangeNotice
 from tansyladder.replication.documents import (
     Abort,
@@ -90,7 +92,7 @@
         agreed = ReplicatedState(voters, taken)
         others = [name for name in options.members if name not in voters]
         kept, start = self._storage.persisted, self._monotonic_us()
-        self._node = RaftNode(me, voters, others, kept, agreed, Random(os.urandom(16)), start)
+        self._node = RaftNode(Membership(me, voters, others), kept, agreed, Random(os.urandom(16)), start)
         # After what the disk holds is loaded: content of documents that it names is looked for there.
         peers = [name for name in options.members if name != me]
         self.document_replica: DocumentReplica | None = None
--- /dev/null
+++ b/tansyladder/raft/elections.py
@@ -0,0 +1,133 @@
+"""Elections: pre-votes, votes, and the election restriction."""
+
+from __future__ import annotations
+
+from tansyladder.raft.commits import CommittedLog
+from tansyladder.raft.leader import LeaderReplication
+from tansyladder.raft.messages import LogPosition, RequestVote, VoteResponse
+from tansyladder.raft.node_state import NodeState, Role
+from tansyladder.raft.timing import ELECTION_TIMEOUT
+from tansyladder.raft.voter_disks import VoterDisks
+
+
+class Elections:
+    """Grants votes, and stands for election when no leader is heard. Owned by the node's thread."""
+
+    def __init__(
+        self, state: NodeState, disks: VoterDisks, commits: CommittedLog, leader: LeaderReplication
+    ) -> None:
+        """`leader`: begins a term once this node is elected."""
+        self._state = state
+        self._disks = disks
+        self._commits = commits
+        self._leader = leader
+        self._votes: set[str] = set()  # who has granted a vote in the election that is under way
+
+    @property
+    def is_electable(self) -> bool:
+        """Whether this node votes, and its log holds again all that its disk may have lost."""
+        state = self._state
+        return self._disks.is_voting and state.log.last_position >= state.hard_state.vote_floor
+
+    def tick(self) -> None:
+        """Ask for pre-votes once the election timeout has passed; not to be called at a leader."""
+        state = self._state
+        if state.now >= state.election_at:
+            state.reset_election_timer()
+            state.leader = ""
+            if self.is_electable:
+                self._start_pre_vote()
+
+    def on_request_vote(self, sender: str, request: RequestVote) -> None:
+        """Grant a vote or refuse it."""
+        state = self._state
+        if request.term > state.term and self._hears_leader():
+            # A node that was cut off must not unseat a leader that all others hear.
+            self._respond(sender, request, granted=False)
+            return
+        self._commits.learn(request.committed)
+        if not request.pre_vote and request.term > state.term:
+            state.become_follower(request.term, "")
+        granted = self._may_grant(sender, request)
+        if granted and not request.pre_vote:
+            state.persist(state.hard_state.with_vote(sender))
+            state.reset_election_timer()
+        self._respond(sender, request, granted)
+
+    def on_vote_response(self, sender: str, response: VoteResponse) -> None:
+        """Count a vote, or a pre-vote, of the election that is under way."""
+        state = self._state
+        self._disks.observe(sender, response.disk_id)
+        self._commits.learn(response.committed)
+        if not response.granted:
+            if response.term > state.term:
+                state.become_follower(response.term, "")
+            return
+        expected_role = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
+        expected_term = state.term + 1 if response.pre_vote else state.term
+        if state.role is expected_role and response.term == expected_term:
+            self._votes.add(sender)
+            self._count_votes()
+
+    def _hears_leader(self) -> bool:
+        state = self._state
+        return state.role is Role.LEADER or state.now - state.leader_contact_at < ELECTION_TIMEOUT
+
+    def _may_grant(self, sender: str, request: RequestVote) -> bool:
+        """Whether the vote is free, and the candidate's log holds all that may be committed."""
+        state = self._state
+        if not self._disks.is_voting or request.term < state.term:
+            return False
+        if request.pre_vote:
+            is_vote_free = request.term > state.term
+        else:
+            is_vote_free = state.hard_state.voted_for in ("", sender)
+        candidate_position = LogPosition(request.last_log_term, request.last_log_index)
+        return is_vote_free and candidate_position >= max(
+            state.log.last_position, state.hard_state.vote_floor
+        )
+
+    def _respond(self, candidate: str, request: RequestVote, granted: bool) -> None:
+        state = self._state
+        response = VoteResponse(
+            term=request.term if granted else state.term,
+            granted=granted,
+            pre_vote=request.pre_vote,
+            disk_id=state.hard_state.disk_id,
+            committed=self._commits.position,
+        )
+        state.outbox.send(candidate, response)
+
+    def _start_pre_vote(self) -> None:
+        """Ask whether votes in the next term would be granted, without beginning that term (9.6)."""
+        self._state.role = Role.PRE_CANDIDATE
+        self._request_votes(self._state.term + 1)
+
+    def _start_election(self) -> None:
+        """Begin a new term with a vote for this node."""
+        state = self._state
+        state.role = Role.CANDIDATE
+        state.persist(state.hard_state.with_term(state.term + 1).with_vote(state.name))
+        self._request_votes(state.term)
+
+    def _request_votes(self, term: int) -> None:
+        state = self._state
+        self._votes = {state.name}
+        request = RequestVote(
+            term=term,
+            last_log_index=state.log.last_index,
+            last_log_term=state.log.last_term,
+            pre_vote=state.role is Role.PRE_CANDIDATE,
+            committed=self._commits.position,
+        )
+        for voter in state.other_voters:
+            state.outbox.send(voter, request)
+        self._count_votes()
+
+    def _count_votes(self) -> None:
+        if not self._disks.has_majority(self._votes):
+            return
+        if self._state.role is Role.PRE_CANDIDATE:
+            self._start_election()
+        else:
+            self._leader.begin_term()
--- /dev/null
+++ b/tansyladder/raft/leader.py
@@ -0,0 +1,172 @@
+"""The leader's side of replication: sends entries, counts acknowledgments, commits."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from tansyladder.raft.commits import CommittedLog
+from tansyladder.raft.disk_admission import AdmittedDisk
+from tansyladder.raft.messages import AppendEntries, AppendEntriesResponse, LogEntry
+from tansyladder.raft.node_state import NodeState, Role
+from tansyladder.raft.snapshots import Snapshots
+from tansyladder.raft.timing import ELECTION_TIMEOUT, HEARTBEAT_INTERVAL
+from tansyladder.raft.voter_disks import VoterDisks
+
+MAX_ENTRIES_PER_MESSAGE = 128
+
+
+@dataclass(slots=True)
+class PeerProgress:
+    """What a leader knows of another node's log."""
+
+    next_index: int  # the entry to send next
+    last_contact_at: int  # when it last answered, or when the term began
+    match_index: int = 0  # up to here its log is known to be the leader's
+    trusted_match_index: int = 0  # the same, of what was acknowledged on a disk that is not suspected
+    disk_id: str = ""  # the disk that holds it
+
+    def observe(self, response: AppendEntriesResponse, now: int) -> None:
+        """Note an answer; what another disk held is void."""
+        if self.disk_id != response.disk_id:
+            self.match_index = 0
+            self.trusted_match_index = 0
+        self.last_contact_at = now
+        self.disk_id = response.disk_id
+
+    def acknowledge(self, response: AppendEntriesResponse) -> None:
+        """Note how far the node's log agrees with the leader's."""
+        self.match_index = max(self.match_index, response.index)
+        if response.is_disk_trusted:
+            self.trusted_match_index = max(self.trusted_match_index, response.index)
+        self.next_index = max(self.next_index, self.match_index + 1)
+
+
+class LeaderReplication:
+    """Replicates the log while this node leads. Owned by the node's thread."""
+
+    def __init__(
+        self, state: NodeState, disks: VoterDisks, commits: CommittedLog, snapshots: Snapshots
+    ) -> None:
+        """The part rests until `begin_term`."""
+        self.heartbeat_at = 0
+        self._state = state
+        self._disks = disks
+        self._commits = commits
+        self._snapshots = snapshots
+        self._progress: dict[str, PeerProgress] = {}
+        self._proposed_admissions: dict[str, str] = {}  # by voter: the incarnation whose entry is in the log
+        self._has_new_entries = False  # appended in this step; they go out together at its end
+
+    def begin_term(self) -> None:
+        """Lead the term that this node has been elected for."""
+        state = self._state
+        state.role = Role.LEADER
+        state.leader = state.name
+        next_index = state.log.last_index + 1
+        self._progress = {name: PeerProgress(next_index, state.now) for name in state.peers}
+        self._proposed_admissions.clear()
+        self.heartbeat_at = state.now + HEARTBEAT_INTERVAL
+        self.append(LogEntry(state.term))
+
+    def tick(self) -> None:
+        """Step down without a majority in contact (6.2 of the paper); send heartbeats that are due."""
+        state = self._state
+        if not self.has_quorum_contact():
+            # Perhaps nobody hears this node any more: clients are to learn at once that it can't commit.
+            state.become_follower(state.term, "")
+        elif state.now >= self.heartbeat_at:
+            self.heartbeat_at = state.now + HEARTBEAT_INTERVAL
+            for peer in state.peers:
+                self._send_entries(peer, even_if_empty=True)
+
+    def has_quorum_contact(self) -> bool:
+        """Whether a majority has answered within the election timeout."""
+        oldest = self._state.now - ELECTION_TIMEOUT
+        in_contact = {name for name, peer in self._progress.items() if peer.last_contact_at > oldest}
+        return self._disks.has_majority(in_contact)
+
+    def end_step(self, announces_commit: bool) -> None:
+        """Send what the step has appended; with `announces_commit` also how far the log is committed."""
+        if not self._has_new_entries and not announces_commit:
+            return
+        self._has_new_entries = False
+        if self._state.role is Role.LEADER:
+            for peer in self._state.peers:
+                self._send_entries(peer, even_if_empty=announces_commit)
+
+    def append(self, entry: LogEntry) -> None:
+        """Add an entry of the leader's own term."""
+        self._state.outbox.write(self._state.log.append((entry,)))
+        self._has_new_entries = True
+        self._advance_commit()
+
+    def on_append_entries_response(self, sender: str, response: AppendEntriesResponse) -> None:
+        """Note how far a follower's log agrees; send it more, or earlier entries where it doesn't."""
+        state = self._state
+        if response.term > state.term:
+            state.become_follower(response.term, "")
+            return
+        if state.role is not Role.LEADER or response.term < state.term or sender not in self._progress:
+            return
+        peer = self._progress[sender]
+        peer.observe(response, state.now)
+        self._disks.observe(sender, response.disk_id)
+        if not response.success:
+            peer.next_index = min(response.index, state.log.last_index) + 1
+            self._send_entries(sender, even_if_empty=False)
+            return
+        peer.acknowledge(response)
+        self._advance_commit()
+        self._propose_admission(sender, peer, response)
+        if peer.next_index <= state.log.last_index:
+            self._send_entries(sender, even_if_empty=False)
+
+    def _propose_admission(self, sender: str, peer: PeerProgress, response: AppendEntriesResponse) -> None:
+        """Let the log admit a voter's disk that doesn't count, once it holds all that is committed."""
+        if sender not in self._state.voters or peer.match_index < self._commits.commit_index:
+            return
+        if self._disks.is_admitted(sender, response.disk_id) and response.is_disk_trusted:
+            return
+        if self._proposed_admissions.get(sender) != response.incarnation:
+            self._proposed_admissions[sender] = response.incarnation
+            admitted = AdmittedDisk(sender, response.disk_id, response.incarnation)
+            self.append(admitted.to_entry(self._state.term))
+
+    def _advance_commit(self) -> None:
+        """Commit what a majority holds; entries of earlier terms only along with one of this term (5.4.2)."""
+        match_indexes = [self._trusted_match_index(name) for name in self._disks.counted_voters()]
+        majority = len(self._state.voters) // 2 + 1
+        if len(match_indexes) < majority:
+            return
+        index = sorted(match_indexes, reverse=True)[majority - 1]
+        if index > self._commits.commit_index and self._is_of_own_term(index):
+            self._commits.commit_to(index)
+
+    def _trusted_match_index(self, voter: str) -> int:
+        if voter == self._state.name:
+            return self._state.log.last_index
+        return self._progress[voter].trusted_match_index
+
+    def _is_of_own_term(self, index: int) -> bool:
+        return self._state.log.entry(index).term == self._state.term
+
+    def _send_entries(self, recipient: str, even_if_empty: bool) -> None:
+        """Send what the recipient lacks: the snapshot if it lacks compacted entries, and the next entries."""
+        state = self._state
+        peer = self._progress[recipient]
+        if peer.next_index <= state.log.snapshot.index:
+            state.outbox.send(recipient, self._snapshots.message())
+            peer.next_index = state.log.snapshot.index + 1
+        entries = state.log.entries_from(peer.next_index, MAX_ENTRIES_PER_MESSAGE)
+        if not entries and not even_if_empty:
+            return
+        prev_log_index = peer.next_index - 1
+        message = AppendEntries(
+            term=state.term,
+            prev_log_index=prev_log_index,
+            prev_log_term=state.log.term_at(prev_log_index),
+            entries=entries,
+            leader_commit=self._commits.commit_index,
+        )
+        state.outbox.send(recipient, message)
+        peer.next_index += len(entries)
--- a/tansyladder/raft/messages.py
+++ b/tansyladder/raft/messages.py
@@ -1,28 +1,37 @@
-"""What goes between the agreement of two nodes, and what it writes down. Indexes count entries from 1."""
+"""Messages between the nodes of a Raft cluster, and the entries of its log.
+
+Log indexes count from 1. The messages are encoded as arrays: the order of the fields and the tags are the
+format on the wire and in the log.
+"""
 
 from __future__ import annotations
 
 from enum import IntEnum
+from typing import NamedTuple
 
 import msgspec
 
-LogPosition = tuple[
-    int, int
-]  # an entry's term and index; of two logs, the one whose last place is higher wins
+
+class LogPosition(NamedTuple):
+    """The end of a log; of two logs the one with the higher position is more up to date."""
+
+    term: int
+    log_index: int
+
+
+START_OF_LOG = LogPosition(0, 0)
 
 
 class EntryKind(IntEnum):
-    """What an entry is for."""
+    """What a log entry is for."""
 
-    NO_OP = 0  # a new leader's first, which commits what came before it
-    COMMAND = 1  # for the state that the log decides
-    ADMIT_DISK = (
-        2  # `request_id` names a voter, `data` the disk and the start with which it votes from now on
-    )
+    NO_OP = 0  # the first entry of a new leader, which commits the entries of earlier terms
+    COMMAND = 1  # a command for the state machine
+    ADMIT_DISK = 2  # `request_id` names a voter, `data` the disk and the incarnation with which it votes now
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; `request_id` is its proposer's name for it."""
+    """One entry of the log; `request_id` was chosen by the node that proposed it."""
 
     term: int
     kind: EntryKind = EntryKind.NO_OP
@@ -31,29 +40,36 @@
 
 
 class Handshake(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """Who a node is on this disk and at this start, and how far its log goes.
-
-    `initial_disks`: which voters' disks it knows to have founded the fleet; none: none.
+    """Identifies a node, its disk and its incarnation, and tells how far its log goes.
+
+    Attributes:
+        disk_id: The name of the sender's disk.
+        incarnation: The sender's start, drawn anew at each one.
+        initial_disks: The disk with which each voter founded the cluster; empty if not known.
+        recipient_incarnation: The start of the recipient, as far as the sender knows it.
+        wants_reply: Whether the sender lacks a handshake that names its own incarnation.
+        term: The sender's term.
+        last_position: The end of the sender's log.
     """
 
     disk_id: str
-    incarnation: str  # drawn anew at each one
+    incarnation: str
     initial_disks: dict[str, str]
-    recipient_incarnation: str = ""  # the start of whom it is for, as far as the sender knows
-    wants_reply: bool = False  # an answer that names the sender's start
+    recipient_incarnation: str = ""
+    wants_reply: bool = False
     term: int = 0
-    last_position: LogPosition = (0, 0)
+    last_position: LogPosition = START_OF_LOG
 
 
 class CommitPosition(msgspec.Struct, frozen=True, array_like=True):
-    """How far its sender knows the log to be committed: whoever has that same entry knows it as well."""
+    """The last entry that the sender knows to be committed; who has the same entry knows it as well then."""
 
     index: int
     term: int
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """For a vote in this term; `pre_vote`: whether it would be given, which binds nobody (pre-vote)."""
+    """Asks for a vote in `term`; with `pre_vote`, only whether it would be granted, which binds nobody."""
 
     term: int
     last_log_index: int
@@ -63,7 +79,7 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """The answer to it, under the disk that gives it."""
+    """The answer to `RequestVote`; the vote counts for the disk `disk_id`."""
 
     term: int
     granted: bool
@@ -73,7 +89,7 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
-    """A leader's entries behind one that both should have, and how far the log is committed."""
+    """Entries of the leader's log that follow `prev_log_index`; without entries, a heartbeat."""
 
     term: int
     prev_log_index: int
@@ -83,18 +99,27 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """How far the log agrees with the leader's; where it doesn't (`success` false), where to try again."""
+    """The answer to `AppendEntries` and `InstallSnapshot`.
+
+    Attributes:
+        term: The follower's term.
+        success: Whether the follower's log agrees with the leader's up to `index`.
+        index: Up to where the logs agree; without success, the index after which the leader is to try again.
+        disk_id: The name of the follower's disk.
+        incarnation: The follower's start.
+        is_disk_trusted: Whether the disk is known to hold all that the follower ever acknowledged.
+    """
 
     term: int
     success: bool
     index: int
     disk_id: str
     incarnation: str
-    is_disk_trusted: bool  # whether its disk is known to hold all that it ever acknowledged
+    is_disk_trusted: bool
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
-    """The state up to an entry that the leader has no more."""
+    """The state up to an entry that the leader's log holds no more."""
 
     term: int
     last_included_index: int
@@ -104,14 +129,17 @@
 
 
 class ProposalRequest(msgspec.Struct, frozen=True, array_like=True, tag="propose"):
-    """For the leader: an entry of another node."""
+    """A command that another node forwards to the leader."""
 
     request_id: str
     data: bytes
 
 
 class ProposalResult(msgspec.Struct, frozen=True, array_like=True, tag="decided"):
-    """What became of a proposal; none: nothing that this node knows of, it may be asked for again."""
+    """The state machine's answer to a proposal.
+
+    `result` is None where the outcome is not known: the proposal may have been lost, or may be committed yet.
+    """
 
     request_id: str
     result: bytes | None
--- /dev/null
+++ b/tansyladder/raft/node_state.py
@@ -0,0 +1,96 @@
+"""The state that all parts of a Raft node share."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import Enum
+from random import Random
+
+from tansyladder.raft.effects import Outbox
+from tansyladder.raft.log import RaftLog
+from tansyladder.raft.pending_proposals import PendingProposals
+from tansyladder.raft.persistent_state import HardState, PersistentState
+from tansyladder.raft.timing import ELECTION_TIMEOUT
+
+
+class Role(Enum):
+    """What a node is in its term. The values stand in log lines."""
+
+    FOLLOWER = "follower"
+    PRE_CANDIDATE = "trying"  # asks whether votes would be granted
+    CANDIDATE = "candidate"
+    LEADER = "leader"
+
+
+@dataclass(frozen=True, slots=True)
+class Membership:
+    """The nodes of a cluster, as one of them sees it; voters and learners are the same at every node."""
+
+    name: str  # of the node itself
+    voters: Sequence[str]
+    learners: Sequence[str]  # nodes that have no vote
+
+    @property
+    def peers(self) -> tuple[str, ...]:
+        """All nodes but this one, voters first."""
+        return tuple(name for name in (*self.voters, *self.learners) if name != self.name)
+
+    @property
+    def other_voters(self) -> tuple[str, ...]:
+        """All voters but this node."""
+        return tuple(name for name in self.voters if name != self.name)
+
+
+class NodeState:
+    """Role, term, vote, log and election timer of one node. Owned by the node's thread.
+
+    Times are microseconds of the caller's monotonic clock.
+    """
+
+    def __init__(self, membership: Membership, persisted: PersistentState, rng: Random, now: int) -> None:
+        """`rng`: for election timeouts. The timer runs once `reset_election_timer` is called."""
+        self.name = membership.name
+        self.voters = tuple(membership.voters)
+        self.other_voters = membership.other_voters
+        self.peers = membership.peers
+        self.hard_state = persisted.hard_state
+        self.log = RaftLog(persisted.snapshot, persisted.entries)
+        self.role = Role.FOLLOWER
+        self.leader = ""  # the leader of the term; empty if none is known
+        self.now = now
+        self.leader_contact_at = now - 2 * ELECTION_TIMEOUT  # the last message of a leader
+        self.election_at = 0  # when to start an election unless a leader is heard by then
+        self.outbox = Outbox(self.name)
+        self.pending_proposals = PendingProposals(self.outbox)
+        self._rng = rng
+
+    @property
+    def term(self) -> int:
+        """The latest term that the node has seen."""
+        return self.hard_state.term
+
+    def persist(self, hard_state: HardState) -> None:
+        """Change the hard state, in memory and on disk."""
+        self.hard_state = hard_state
+        self.outbox.write(hard_state)
+
+    def reset_election_timer(self) -> None:
+        """Draw a new election timeout, from one to two times `ELECTION_TIMEOUT`."""
+        self.election_at = self.now + ELECTION_TIMEOUT + self._rng.randrange(ELECTION_TIMEOUT)
+
+    def become_follower(self, term: int, leader: str) -> None:
+        """Follow a leader, or none yet (""); a higher term than the node's own begins without a vote."""
+        self.pending_proposals.abandon_all()
+        if term > self.term:
+            self.persist(self.hard_state.with_term(term))
+        self.role = Role.FOLLOWER
+        self.leader = leader
+        self.reset_election_timer()
+
+    def accept_leader(self, leader: str, term: int) -> None:
+        """Follow the sender of a leader's message, whose term is not below the node's own."""
+        if term > self.term or self.role is not Role.FOLLOWER or self.leader != leader:
+            self.become_follower(term, leader)
+        self.leader_contact_at = self.now
+        self.reset_election_timer()
--- /dev/null
+++ b/tansyladder/raft/pending_proposals.py
@@ -0,0 +1,45 @@
+"""Which node waits for the result of which entry."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from tansyladder.raft.effects import Outbox
+from tansyladder.raft.messages import ProposalResult
+
+
+@dataclass(frozen=True, slots=True)
+class PendingProposal:
+    """A proposal whose entry is not committed yet."""
+
+    proposer: str  # the node that made it
+    request_id: str
+
+
+class PendingProposals:
+    """The proposals of a leader's term that are not committed yet, by index. Owned by the node's thread."""
+
+    def __init__(self, outbox: Outbox) -> None:
+        """Begin with none."""
+        self._outbox = outbox
+        self._by_index: dict[int, PendingProposal] = {}
+
+    def add(self, index: int, proposal: PendingProposal) -> None:
+        """Wait for the entry at an index."""
+        self._by_index[index] = proposal
+
+    def remove(self, index: int) -> PendingProposal | None:
+        """Forget the proposal at an index, if there is one, and return it."""
+        return self._by_index.pop(index, None)
+
+    def resolve(self, index: int, result: bytes) -> None:
+        """Answer the proposal at an index, if there is one."""
+        proposal = self.remove(index)
+        if proposal is not None:
+            self._outbox.answer(proposal.proposer, ProposalResult(proposal.request_id, result))
+
+    def abandon_all(self) -> None:
+        """Answer all proposals that their outcome is not known: another leader decides on their entries."""
+        for proposal in self._by_index.values():
+            self._outbox.answer(proposal.proposer, ProposalResult(proposal.request_id, None))
+        self._by_index.clear()
--- a/tansyladder/raft/persistent_state.py
+++ b/tansyladder/raft/persistent_state.py
@@ -1,10 +1,16 @@
-"""What a node keeps on disk, and the writes that change it."""
+"""What a node keeps on disk, and the writes that change it.
+
+The structs are stored as maps; `rename` gives the keys under which their fields are stored.
+"""
 
 from __future__ import annotations
 
 import msgspec
+from msgspec.structs import replace
+
+from tansyladder.raft.messages import START_OF_LOG, LogEntry, LogPosition
 
-from tansyladder.raft.messages import LogEntry, LogPosition
+UNKNOWN_CANDIDATE = "-"  # stands for a vote of which the disk holds no record, but which may have been given
 
 
 class HardState(
@@ -19,7 +25,7 @@
         "vote_floor": "floor",
     },
 ):
-    """State that must be on disk before a message that rests on it leaves.
+    """State that must be on disk before a message that rests on it leaves. Immutable.
 
     Raft's current term and vote, and the identity of the disk itself.
 
@@ -41,11 +47,45 @@
     initial_disks: dict[str, str] = {}
     committed_admission_index: int = 0
     stale_disk_suspected: bool = False
-    vote_floor: LogPosition = (0, 0)
+    vote_floor: LogPosition = START_OF_LOG
+
+    def with_term(self, term: int) -> HardState:
+        """Return the state in a new term, in which no vote is given yet."""
+        return replace(self, term=term, voted_for="")
+
+    def with_vote(self, candidate: str) -> HardState:
+        """Return the state after a vote for a candidate in the current term."""
+        return replace(self, voted_for=candidate)
+
+    def with_initial_disks(self, disks: dict[str, str]) -> HardState:
+        """Return the state that knows the disks with which the cluster was founded, by voter."""
+        return replace(self, initial_disks=disks)
+
+    def with_committed_admission(self, index: int) -> HardState:
+        """Return the state that knows the admission at an index to be committed."""
+        return replace(self, committed_admission_index=index)
+
+    def with_trusted_disk(self) -> HardState:
+        """Return the state of a disk that is no longer suspected to be stale.
+
+        The node may have voted in the current term without a record of it, so it gives no vote in this term.
+        """
+        return replace(self, stale_disk_suspected=False, voted_for=self.voted_for or UNKNOWN_CANDIDATE)
+
+    def with_vote_floor(self, floor: LogPosition) -> HardState:
+        """Return the state that grants no vote to a log that ends before a position."""
+        return replace(self, vote_floor=floor)
 
 
 class Snapshot(msgspec.Struct, frozen=True, rename={"voter_disks": "voters"}):
-    """The state after an entry, in place of all entries up to it."""
+    """The state after the entry at `index`, in place of all entries up to it. Immutable.
+
+    Attributes:
+        index: The last entry that the snapshot includes; 0: none.
+        term: The term of that entry.
+        voter_disks: The disks that the log has admitted by then, by voter.
+        state: The state machine's own snapshot.
+    """
 
     index: int = 0
     term: int = 0
@@ -54,7 +94,7 @@
 
 
 class PersistentState(msgspec.Struct, frozen=True, rename={"hard_state": "hard"}):
-    """All that a disk holds; `entries` begin behind the snapshot."""
+    """All that a disk holds; `entries` begin after the snapshot. Immutable."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot = Snapshot()
@@ -62,7 +102,7 @@
 
 
 class LogSuffix(msgspec.Struct, frozen=True):
-    """Entries to write from an index on; whatever was there from it on is void."""
+    """Entries to write from `index` on; they replace all entries from there on. Immutable."""
 
     index: int
     entries: tuple[LogEntry, ...]
--- /dev/null
+++ b/tansyladder/raft/snapshots.py
@@ -0,0 +1,52 @@
+"""Snapshots: taken in place of applied entries, and installed at followers that are far behind."""
+
+from __future__ import annotations
+
+from tansyladder.raft.messages import InstallSnapshot
+from tansyladder.raft.node_state import NodeState
+from tansyladder.raft.persistent_state import Snapshot
+from tansyladder.raft.state_machine import StateMachine
+from tansyladder.raft.voter_disks import VoterDisks
+
+SNAPSHOT_THRESHOLD = 1024  # applied entries in the log from which on a snapshot takes their place
+
+
+class Snapshots:
+    """Moves the state between the state machine, the log and messages. Owned by the node's thread."""
+
+    def __init__(self, state: NodeState, disks: VoterDisks, state_machine: StateMachine) -> None:
+        """`load` brings the state machine to the snapshot that was on the disk."""
+        self._state = state
+        self._disks = disks
+        self._state_machine = state_machine
+
+    def load(self) -> None:
+        """Bring the state machine to the log's own snapshot, if there is one."""
+        snapshot = self._state.log.snapshot
+        if snapshot.index:
+            self._state_machine.restore(snapshot.state)
+
+    def compact_if_due(self, last_applied: int) -> None:
+        """Put a snapshot in place of the applied entries once there are enough of them."""
+        log = self._state.log
+        if last_applied - log.snapshot.index >= SNAPSHOT_THRESHOLD:
+            snapshot = log.compact(last_applied, self._disks.admitted, self._state_machine.snapshot())
+            self._state.outbox.write(snapshot)
+
+    def install(self, message: InstallSnapshot) -> None:
+        """Take a leader's snapshot in place of the state and of the entries up to it."""
+        snapshot = Snapshot(
+            message.last_included_index, message.last_included_term, message.voter_disks, message.state
+        )
+        suffix = self._state.log.install(snapshot)
+        self._disks.restore(snapshot.voter_disks)
+        self._state_machine.restore(snapshot.state)
+        self._state.outbox.write(snapshot)
+        self._state.outbox.write(suffix)
+
+    def message(self) -> InstallSnapshot:
+        """Return the message that sends the log's snapshot to a follower."""
+        snapshot = self._state.log.snapshot
+        return InstallSnapshot(
+            self._state.term, snapshot.index, snapshot.term, snapshot.voter_disks, snapshot.state
+        )
--- /dev/null
+++ b/tansyladder/raft/voter_disks.py
@@ -0,0 +1,68 @@
+"""Which disk of each voter counts, and what is a majority of them."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from tansyladder.raft.node_state import NodeState
+
+
+class VoterDisks:
+    """The disks of the cluster's nodes. Owned by the node's thread.
+
+    A voter votes and counts only on the disk by which the cluster knows it: at first the one with which it
+    founded the cluster, later the one that the log admitted last.
+    """
+
+    def __init__(self, state: NodeState) -> None:
+        """Begin with the disks that the snapshot names."""
+        self._state = state
+        self._admitted = dict(state.log.snapshot.voter_disks)
+        self._current = {state.name: state.hard_state.disk_id}  # of the nodes heard from since the start
+
+    @property
+    def admitted(self) -> dict[str, str]:
+        """A copy of the disks that the log has admitted in place of the initial ones, by voter."""
+        return dict(self._admitted)
+
+    def admit(self, voter: str, disk_id: str) -> None:
+        """Let a voter count on a disk from now on."""
+        self._admitted[voter] = disk_id
+
+    def restore(self, admitted: dict[str, str]) -> None:
+        """Take the admitted disks of a snapshot in place of those known so far."""
+        self._admitted = dict(admitted)
+
+    def observe(self, node: str, disk_id: str) -> None:
+        """Note the disk that a node has now."""
+        self._current[node] = disk_id
+
+    def current(self, node: str) -> str:
+        """Return the disk that a node has now. KeyError: nothing has come from it since the start."""
+        return self._current[node]
+
+    def is_admitted(self, voter: str, disk_id: str) -> bool:
+        """Whether a voter counts on a disk, as far as this node knows the log to be committed."""
+        known = self._admitted.get(voter) or self._state.hard_state.initial_disks.get(voter)
+        return known == disk_id
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether this node votes and counts: a voter on an admitted disk that is not suspected."""
+        state = self._state
+        hard_state = state.hard_state
+        is_admitted = state.name in state.voters and self.is_admitted(state.name, hard_state.disk_id)
+        return is_admitted and not hard_state.stale_disk_suspected
+
+    def counted_voters(self) -> list[str]:
+        """Return the voters that have been heard from on admitted disks."""
+        return [
+            name
+            for name in self._state.voters
+            if name in self._current and self.is_admitted(name, self._current[name])
+        ]
+
+    def has_majority(self, names: Collection[str]) -> bool:
+        """Whether these nodes, with this one, are more than half of the voters, on admitted disks."""
+        count = sum(name in names or name == self._state.name for name in self.counted_voters())
+        return count * 2 > len(self._state.voters)
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -19,7 +19,8 @@
 
 from tansyladder.invariants import check_invariant
 from tansyladder.raft.messages import Message, ProposalRequest
-from tansyladder.raft.node import RaftNode, Role
+from tansyladder.raft.node import STANDARD_COMPONENTS, RaftComponents
+from tansyladder.raft.node_state import Role
 from tansyladder.replication.documents import (
     MS,
     ChangeResult,
@@ -98,7 +99,7 @@
         voters: int = 3,
         learners: int = 2,
         faults: FaultRates | None = None,
-        make: Callable[..., RaftNode] = RaftNode,
+        components: RaftComponents = STANDARD_COMPONENTS,
         documents: Callable[[Sequence[str]], Documents] = Documents,
         follower: Callable[[str, Documents], LeaseHolder] = LeaseHolder,
         steward: type[LeaseCoordinator] = LeaseCoordinator,
@@ -122,7 +123,7 @@
         )  # by node: numbers whose content is on its disk
         self.skews: dict[str, int] = {}
         self.skew = skew
-        super().__init__(seed, voters, learners, faults, make)
+        super().__init__(seed, voters, learners, faults, components)
         self.counts |= {"stops": 0, "decisions": 0}
         for name in self.names:
             self.at(int(self._load.integers(DECIDES)), partial(self._decide, name))
--- a/tansyladder/simulation/raft_cluster.py
+++ b/tansyladder/simulation/raft_cluster.py
@@ -17,8 +17,10 @@
 import msgspec
 import numpy
 
+from tansyladder.raft.effects import Effects
 from tansyladder.raft.messages import EntryKind, LogEntry, Message, ProposalRequest
-from tansyladder.raft.node import Effects, RaftNode, Role
+from tansyladder.raft.node import STANDARD_COMPONENTS, RaftComponents, RaftNode
+from tansyladder.raft.node_state import Membership, Role
 from tansyladder.raft.persistent_state import HardState, LogSuffix, PersistentState, Snapshot, Write
 
 MS, S = 1000, 1_000_000
@@ -106,13 +108,14 @@
         voters: int = 3,
         learners: int = 1,
         faults: FaultRates | None = None,
-        make: Callable[..., RaftNode] = RaftNode,
+        components: RaftComponents = STANDARD_COMPONENTS,
         synced: bool = True,
     ) -> None:
-        """`make`: the core, or one with a guard taken out; `synced`: whether writes outlive crashes."""
+        """`components`: of the nodes; `synced`: whether writes outlive crashes."""
         parts = numpy.random.SeedSequence(seed).spawn(4)
         self._net, self._fate, self._load, seeds = (numpy.random.default_rng(part) for part in parts)
-        self.now, self.faults, self._make, self._synced = 0, faults or FaultRates(), make, synced
+        self.now, self.faults, self._synced = 0, faults or FaultRates(), synced
+        self._components = components
         self.names = [f"n{i}" for i in range(voters + learners)]
         self.voters, self.learners = self.names[:voters], self.names[voters:]
         self._seeds = seeds
@@ -156,7 +159,8 @@
         node = self.nodes[name]
         node.start, node.sums = node.start + 1, self._new_state()
         rng = Random(int(self._seeds.integers(1 << 60)))
-        node.core = self._make(name, self.voters, self.learners, node.disk.kept, node.sums, rng, self.now)
+        membership = Membership(name, self.voters, self.learners)
+        node.core = RaftNode(membership, node.disk.kept, node.sums, rng, self.now, self._components)
         self._begin(node)
         self._step(node)
 
@@ -194,7 +198,7 @@
         core = node.core
         if core is None:
             return
-        before, log, base = core.commit_index, list(core._log), core.snapshot_index
+        before, log, base = core.commit_index, list(core.log.entries), core.log.snapshot.index
         out = core.handle(self.now, received)
         log += [entry for write in out.writes if isinstance(write, LogSuffix) for entry in write.entries]
         if self._synced:
@@ -251,7 +255,7 @@
         for index in range(before + 1, core.commit_index + 1):
             if index <= len(self.committed):
                 try:
-                    entry = core.entry(index) if index > core.snapshot_index else None
+                    entry = core.log.entry(index) if index > core.log.snapshot.index else None
                 except IndexError:
                     entry = None
                 if entry is not None and entry != self.committed[index - 1]:
@@ -260,8 +264,8 @@
                         f"{self.now}: {node.name} commits {entry} at {index}, not {first}"
                     )
             else:
-                gone = index <= core.snapshot_index
-                self.committed.append(log[index - base - 1] if gone else core.entry(index))
+                gone = index <= core.log.snapshot.index
+                self.committed.append(log[index - base - 1] if gone else core.log.entry(index))
         came = [e.data for e in self.committed[: core.last_applied] if e.kind is EntryKind.COMMAND]
         if node.sums.came != came:
             raise InvariantViolation(f"{self.now}: {node.name} has another state at {core.last_applied}")
@@ -356,11 +360,11 @@
     learners: int = 1,
     seconds: float = 20.0,
     faults: FaultRates | None = None,
-    make: Callable[..., RaftNode] = RaftNode,
+    components: RaftComponents = STANDARD_COMPONENTS,
     synced: bool = True,
 ) -> SimulatedCluster:
     """One history, checked to its end. Broken: a promise did not hold."""
-    world = SimulatedCluster(seed, voters, learners, faults, make, synced)
+    world = SimulatedCluster(seed, voters, learners, faults, components, synced)
     world.storm(seconds)
     world.finish()
     return world
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -105,7 +105,7 @@
         recipient_incarnation=to,
         wants_reply=wants_answer,
         term=term,
-        last_position=last,
+        last_position=messages.LogPosition(*last),
     )
 
 
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -14,7 +14,7 @@
 from tansyladder.cluster.peer_transport import PeerChannel, PeerTransport
 from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
 from tansyladder.config.platform import EndpointList
-from tansyladder.raft import persistent_state
+from tansyladder.raft import messages, persistent_state
 from tansyladder.replication import replicated_state
 from tansyladder.resumption import tokens
 from tansyladder.sessions import session_store
@@ -203,7 +203,7 @@
         initial_disks=founders,
         committed_admission_index=sure,
         stale_disk_suspected=doubt,
-        vote_floor=floor,
+        vote_floor=messages.LogPosition(*floor),
     )
 
 
--- a/tests/raft/test_raft.py
+++ b/tests/raft/test_raft.py
@@ -61,7 +61,7 @@
     play(seed, 3, 1, 15.0, HARD)
     with pytest.raises(InvariantViolation, match=found):
         if guard:
-            play(seed, 3, 1, 15.0, HARD, make=GUARDS[guard])
+            play(seed, 3, 1, 15.0, HARD, components=GUARDS[guard])
         else:
             play(seed, 3, 1, 15.0, HARD, synced=False)
 
@@ -81,7 +81,7 @@
 def test_a_guard_against_older_disks_taken_out_is_found(guard: str, seed: int) -> None:
     play(seed, 3, 1, 15.0, OLD)
     with pytest.raises(InvariantViolation, match="commits"):
-        play(seed, 3, 1, 15.0, OLD, make=GUARDS[guard])
+        play(seed, 3, 1, 15.0, OLD, components=GUARDS[guard])
 
 
 def test_a_fleet_of_which_nobody_knows_its_disk_agrees_again_once_all_voters_are_back() -> None:
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -1,21 +1,29 @@
-"""Agreements with one guard taken out, to show that the checkers find what each guard is for."""
+"""Components with one guard taken out, to show that the checkers find what each guard is for."""
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Collection
 
 import msgspec
 
+from tansyladder.raft.commits import CommittedLog
+from tansyladder.raft.disk_admission import DiskAdmission
+from tansyladder.raft.elections import Elections
+from tansyladder.raft.follower import FollowerReplication
+from tansyladder.raft.leader import LeaderReplication
 from tansyladder.raft.messages import (
+    START_OF_LOG,
     AppendEntries,
     AppendEntriesResponse,
     CommitPosition,
-    Message,
     ProposalRequest,
     ProposalResult,
     RequestVote,
 )
-from tansyladder.raft.node import Effects, RaftNode
+from tansyladder.raft.node import RaftComponents
+from tansyladder.raft.node_state import NodeState
+from tansyladder.raft.proposals import ProposalHandler
+from tansyladder.raft.voter_disks import VoterDisks
 from tansyladder.replication.documents import (
     ChangeResult,
     Commit,
@@ -31,158 +39,160 @@
 )
 
 
-class VotesForAnyLog(RaftNode):
+class VotesForAnyLog(Elections):
     """Without the election restriction."""
 
-    def _on_request_vote(self, sender: str, ask: RequestVote) -> None:
-        super()._on_request_vote(sender, RequestVote(ask.term, 1 << 60, 1 << 60, ask.pre_vote, ask.committed))
+    def on_request_vote(self, sender: str, request: RequestVote) -> None:
+        beyond_all = 1 << 60
+        any_log = msgspec.structs.replace(request, last_log_index=beyond_all, last_log_term=beyond_all)
+        super().on_request_vote(sender, any_log)
 
 
-class VotesTwice(RaftNode):
+class VotesTwice(Elections):
     """Without the one vote in a term."""
 
-    def _on_request_vote(self, sender: str, ask: RequestVote) -> None:
-        if not ask.pre_vote:
-            self._hard_state = msgspec.structs.replace(self._hard_state, voted_for="")
-        super()._on_request_vote(sender, ask)
+    def on_request_vote(self, sender: str, request: RequestVote) -> None:
+        if not request.pre_vote:
+            self._state.hard_state = self._state.hard_state.with_vote("")
+        super().on_request_vote(sender, request)
 
 
-class VotesAfterForgetting(RaftNode):
+class CountsAnyDisk(VoterDisks):
     """Without the names of disks: a voter that lost its disk votes and counts on."""
 
     @property
     def is_voting(self) -> bool:
-        return self.name in self._voters
+        return self._state.name in self._state.voters
 
-    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
-        super()._on_append_entries_response(sender, msgspec.structs.replace(told, is_disk_trusted=True))
+    def has_majority(self, names: Collection[str]) -> bool:
+        voters = self._state.voters
+        return len({*names, self._state.name}.intersection(voters)) * 2 > len(voters)
 
-    def _majority(self, names: set[str]) -> bool:
-        return len({*names, self.name}.intersection(self._voters)) * 2 > len(self._voters)
+    def counted_voters(self) -> list[str]:
+        return list(self._state.voters)
 
-    def _counting(self) -> list[str]:
-        return list(self._voters)
 
+class CountsAnyAcknowledgment(LeaderReplication):
+    """Without leaving out what a voter holds whose disk may be an older copy."""
 
-class TrustsAnyDisk(RaftNode):
-    """Without doubt: a voter on an older copy of its disk votes and counts on."""
-
-    def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Effects:
-        if self._hard_state.stale_disk_suspected:
-            self._hard_state = msgspec.structs.replace(self._hard_state, stale_disk_suspected=False)
-        return super().handle(now, received)
+    def on_append_entries_response(self, sender: str, response: AppendEntriesResponse) -> None:
+        trusted = msgspec.structs.replace(response, is_disk_trusted=True)
+        super().on_append_entries_response(sender, trusted)
 
 
-class TrustsAtOnce(RaftNode):
-    """Without the place that the others' logs have reached, and without the end of their terms."""
+class TrustsAnyDisk(DiskAdmission):
+    """Without the suspicion: a voter on an older copy of its disk votes and counts on."""
 
-    def _trust(self) -> None:
-        self._persist(stale_disk_suspected=False)
+    def __init__(self, state: NodeState, disks: VoterDisks, incarnation: str) -> None:
+        state.hard_state = msgspec.structs.replace(state.hard_state, stale_disk_suspected=False)
+        super().__init__(state, disks, incarnation)
 
 
-class VotesForShorterLogs(RaftNode):
-    """Without the place that the others' logs had reached when its doubt ended."""
+class TrustsAtOnce(DiskAdmission):
+    """Without the position that the others' logs have reached, and without the end of their terms."""
 
-    def _trust(self) -> None:
-        super()._trust()
-        self._persist(vote_floor=(0, 0))
+    def _end_suspicion(self) -> None:
+        trusted = msgspec.structs.replace(self._state.hard_state, stale_disk_suspected=False)
+        self._state.persist(trusted)
 
 
-class VotesInDoubtfulTerms(RaftNode):
-    """Without leaving out the terms in which it may have voted."""
+class VotesForShorterLogs(DiskAdmission):
+    """Without the position that the others' logs had reached when the suspicion ended."""
 
-    def _trust(self) -> None:
-        term, vote = self.term, self._hard_state.voted_for
-        super()._trust()
-        self._hard_state = msgspec.structs.replace(self._hard_state, term=term, voted_for=vote)
-        self._effects.writes.append(self._hard_state)
+    def _end_suspicion(self) -> None:
+        super()._end_suspicion()
+        self._state.persist(self._state.hard_state.with_vote_floor(START_OF_LOG))
 
 
-class CountsInDoubt(RaftNode):
-    """Without leaving out what a voter holds whose disk may be an older copy."""
+class VotesInDoubtfulTerms(DiskAdmission):
+    """Without leaving out the terms in which it may have voted."""
 
-    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
-        super()._on_append_entries_response(sender, msgspec.structs.replace(told, is_disk_trusted=True))
+    def _end_suspicion(self) -> None:
+        before = self._state.hard_state
+        super()._end_suspicion()
+        after = self._state.hard_state
+        self._state.persist(msgspec.structs.replace(after, term=before.term, voted_for=before.voted_for))
 
 
-class CommitsOldTerms(RaftNode):
+class CommitsOldTerms(LeaderReplication):
     """Without the rule that only entries of the leader's own term are counted."""
 
-    def _own(self, index: int) -> bool:
+    def _is_of_own_term(self, index: int) -> bool:
         return True
 
 
-class AppendsAnywhere(RaftNode):
+class AppendsAnywhere(FollowerReplication):
     """Without the look whether the entry before fits."""
 
-    def _on_append_entries(self, sender: str, told: AppendEntries) -> None:
-        if self.snapshot_index <= told.prev_log_index <= self.last_index:
-            told = msgspec.structs.replace(told, prev_log_term=self._term_at(told.prev_log_index))
-        super()._on_append_entries(sender, told)
+    def on_append_entries(self, sender: str, message: AppendEntries) -> None:
+        log = self._state.log
+        if log.snapshot.index <= message.prev_log_index <= log.last_index:
+            own_term = log.term_at(message.prev_log_index)
+            message = msgspec.structs.replace(message, prev_log_term=own_term)
+        super().on_append_entries(sender, message)
 
 
-class AnswersEarly(RaftNode):
+class AnswersEarly(ProposalHandler):
     """Without the wait for the entry to be committed."""
 
-    def _on_proposal(self, sender: str, told: ProposalRequest) -> None:
-        super()._on_proposal(sender, told)
-        if self._proposers.pop(self.last_index, None):
-            self._decided(sender, ProposalResult(told.request_id, b"done"))
+    def on_proposal(self, sender: str, request: ProposalRequest) -> None:
+        super().on_proposal(sender, request)
+        state = self._state
+        if state.pending_proposals.remove(state.log.last_index):
+            state.outbox.answer(sender, ProposalResult(request.request_id, b"done"))
 
 
-class TakesAnyTerm(RaftNode):
+class TakesAnyTerm(FollowerReplication):
     """Without the look at the term of who says that it leads."""
 
-    def _on_append_entries(self, sender: str, told: AppendEntries) -> None:
-        if told.term < self.term and self.leader != self.name:
-            told = msgspec.structs.replace(told, term=self.term)
-        super()._on_append_entries(sender, told)
+    def on_append_entries(self, sender: str, message: AppendEntries) -> None:
+        state = self._state
+        if message.term < state.term and state.leader != state.name:
+            message = msgspec.structs.replace(message, term=state.term)
+        super().on_append_entries(sender, message)
 
 
-class CountsOldAnswers(RaftNode):
+class CountsOldAnswers(LeaderReplication):
     """Without the look at the term of an answer to the leader."""
 
-    def _on_append_entries_response(self, sender: str, told: AppendEntriesResponse) -> None:
-        if told.term < self.term:
-            told = msgspec.structs.replace(told, term=self.term)
-        super()._on_append_entries_response(sender, told)
+    def on_append_entries_response(self, sender: str, response: AppendEntriesResponse) -> None:
+        if response.term < self._state.term:
+            response = msgspec.structs.replace(response, term=self._state.term)
+        super().on_append_entries_response(sender, response)
 
 
-class NeverStepsDown(RaftNode):
+class NeverStepsDown(LeaderReplication):
     """Without check-quorum: a leader that nobody hears goes on."""
 
-    def _tick(self) -> None:
-        for peer in self._known.values():
-            peer.last_contact_at = self._now
-        super()._tick()
+    def has_quorum_contact(self) -> bool:
+        for peer in self._progress.values():
+            peer.last_contact_at = self._state.now
+        return super().has_quorum_contact()
 
 
-class LearnsNoCommit(RaftNode):
+class LearnsNoCommit(CommittedLog):
     """Without learning from votes how far the log is committed: who was admitted may count for nobody."""
 
-    def _learn_commit(self, mark: CommitPosition) -> None:
+    def learn(self, position: CommitPosition) -> None:
         pass
 
 
-GUARDS: dict[str, type[RaftNode]] = {
-    core.__name__: core
-    for core in (
-        VotesForAnyLog,
-        VotesTwice,
-        VotesAfterForgetting,
-        TrustsAnyDisk,
-        TrustsAtOnce,
-        VotesForShorterLogs,
-        VotesInDoubtfulTerms,
-        CountsInDoubt,
-        CommitsOldTerms,
-        AppendsAnywhere,
-        AnswersEarly,
-        TakesAnyTerm,
-        CountsOldAnswers,
-        NeverStepsDown,
-        LearnsNoCommit,
-    )
+GUARDS: dict[str, RaftComponents] = {
+    "VotesForAnyLog": RaftComponents(elections=VotesForAnyLog),
+    "VotesTwice": RaftComponents(elections=VotesTwice),
+    "VotesAfterForgetting": RaftComponents(disks=CountsAnyDisk, leader=CountsAnyAcknowledgment),
+    "TrustsAnyDisk": RaftComponents(admission=TrustsAnyDisk),
+    "TrustsAtOnce": RaftComponents(admission=TrustsAtOnce),
+    "VotesForShorterLogs": RaftComponents(admission=VotesForShorterLogs),
+    "VotesInDoubtfulTerms": RaftComponents(admission=VotesInDoubtfulTerms),
+    "CountsInDoubt": RaftComponents(leader=CountsAnyAcknowledgment),
+    "CommitsOldTerms": RaftComponents(leader=CommitsOldTerms),
+    "AppendsAnywhere": RaftComponents(follower=AppendsAnywhere),
+    "AnswersEarly": RaftComponents(proposals=AnswersEarly),
+    "TakesAnyTerm": RaftComponents(follower=TakesAnyTerm),
+    "CountsOldAnswers": RaftComponents(leader=CountsOldAnswers),
+    "NeverStepsDown": RaftComponents(leader=NeverStepsDown),
+    "LearnsNoCommit": RaftComponents(commits=LearnsNoCommit),
 }
 
 
