--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -15,12 +15,13 @@
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.net.upstream import UpstreamConnection
-from tansyladder.node.metrics import Ending
+from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
+from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd
-from tansyladder.resumption.tokens import TokenError, TokenPayload
+from tansyladder.resumption.tokens import SealingKey, TokenPayload
 from tansyladder.sessions.session import Session
 from tansyladder.sessions.session_registry import ANSWER_MARGIN, RETRY_SOON, SessionRegistry, token_claims
 from tansyladder.sessions.session_store import SessionStore
@@ -56,7 +57,7 @@
         if kept is None:
             return
         if claim.generation < kept.generation_floor:
-            raise TokenError("spent")
+            raise TokenError(ResumeRejection.SPENT)
         opening = protocol.parse_opening(kept.first_line.encode() + b"\r\n")
         self._restore(claim, opening, kept.generation_floor, kept.expires_at_us, 0)
 
@@ -79,7 +80,7 @@
         except (OSError, RuntimeError) as err:
             self.token_registry.end(claim.session_id, SessionEnd.NO_CAPACITY)
             box.close()
-            raise TokenError("room") from err
+            raise TokenError(ResumeRejection.NO_CAPACITY) from err
         log(LogEvent.SESSION_RESTORED, left=self._core.clock.moment(expiry) - now())
 
     # --- taking over
@@ -139,31 +140,33 @@
             )
             if ruling is None:
                 return self._answer(sock, opening, RETRY_SOON)
-            if not ruling.tenure:
-                again = ruling.why in ("claimed", "full")
+            if not ruling.epoch:
+                again = ruling.reason in ("claimed", "full")
                 return self._answer(
-                    sock, opening, RETRY_SOON if again else control_messages.format_rejection(ruling.why)
+                    sock, opening, RETRY_SOON if again else control_messages.format_rejection(ruling.reason)
                 )
             visitor = ResumingClient(
                 sock, int(opening.field_values[RESUME_POSITION_FIELD]), deadline, claim.expires_at_us
             )
-            self._restore(claim, opening, claim.generation, claim.expires_at_us, ruling.tenure)
+            self._restore(claim, opening, claim.generation, claim.expires_at_us, ruling.epoch)
             self.token_registry.begin_resume(
                 claim, self._core.clock.micros(arrived), lambda box: box.add_client(visitor)
             )
-            log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.tenure, took=now() - arrived)
+            log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.epoch, took=now() - arrived)
         except TokenError as err:  # no room, or two clients with one token here at the same moment
             self._answer(
                 sock,
                 opening,
-                RETRY_SOON if err.why in ("room", "claimed") else control_messages.format_rejection(err.why),
+                RETRY_SOON
+                if err.reason in ("room", "claimed")
+                else control_messages.format_rejection(err.reason),
             )
         finally:
             with self._lock:
                 self._claiming.discard(claim.session_id)
 
     def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
-        self._core.metrics.answered(opening.class_name, Ending.of(answer))
+        self._core.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(sock)
         sockets.shutdown_and_drain(sock, answer)
 
@@ -177,10 +180,10 @@
         Nothing waits here. A refusal changes nothing for the session that stands.
         """
         try:
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 if self.resumes_on_any_node:
                     return RETRY_SOON  # another node takes it over
-                raise TokenError("draining")
+                raise TokenError(ResumeRejection.DRAINING)
             if self.resumes_on_any_node and self.ownership_service is None:
                 return RETRY_SOON
             position = opening.field_values.get(RESUME_POSITION_FIELD, "")
@@ -204,12 +207,12 @@
 
             self.token_registry.begin_resume(claim, self._core.clock.micros(arrived), deliver)
         except TokenError as err:
-            log(LogEvent.RESUME_REJECTED, why=err.why)
+            log(LogEvent.RESUME_REJECTED, why=err.reason)
             # Its client may have given up on an answer that is still on its way, and shows the token again.
-            again = self.ownership_service is not None and err.why == "claimed"
-            return RETRY_SOON if again else control_messages.format_rejection(err.why)
+            again = self.ownership_service is not None and err.reason == "claimed"
+            return RETRY_SOON if again else control_messages.format_rejection(err.reason)
         return b""
 
     def rotate_keys(self, options: ResumeOptions) -> None:
         """Put the keys of new settings in force."""
-        self.keyring.rotate([(k.id, k.secret) for k in options.keys])
+        self.keyring.rotate([SealingKey(key.id, key.secret) for key in options.keys])
