--- a/tansyladder/store/index.py
+++ b/tansyladder/store/index.py
@@ -1,8 +1,8 @@
-"""The index: where each key's newest record stands. 16 bytes a slot, open addressing, keys by their hash.
+"""The index: a hash table from each key's hash to the location of its newest record, 16 bytes a slot.
 
-A place is `segment << 32 | offset`. Two keys with one hash can't both be kept: the hash is 64 bits wide and
-keyed by a secret of the store, so that among a million keys it happens once in 37 million stores, and nobody
-can aim at it; the store refuses the second one by comparing keys.
+A location is `segment << 32 | offset`. Two keys with one hash can't both be kept: the hash is 64 bits wide
+and keyed by a secret of the store, so that among a million keys it happens once in 37 million stores, and
+nobody can aim at it; the store refuses the second one by comparing keys.
 """
 
 from __future__ import annotations
@@ -14,133 +14,149 @@
 if TYPE_CHECKING:
     import numpy as np
 
-FREE, DELETED = 0, 1  # hashes that no key has
-MOST_FILLED = 0.7  # of the slots, those of deleted keys included: beyond it walks grow long
-LEAST = 64
-SMALL = 1 << 14  # slots up to which a table is rebuilt without numpy: some milliseconds at most
+# Two values that no key's hash has.
+EMPTY_SLOT = 0
+DELETED_SLOT = 1
+SLOT_BYTES = 16
+MAX_LOAD_FACTOR = 0.7  # share of occupied slots, those of deleted keys included: beyond it probing gets slow
+MIN_SLOTS = 64
+MAX_SLOTS_WITHOUT_NUMPY = 1 << 14  # up to which a table is rebuilt without numpy: some milliseconds at most
 
 
-def usable(digest: int) -> int:
+def avoid_reserved_hashes(key_hash: int) -> int:
     """A hash that stands for no special slot."""
-    return digest if digest > DELETED else digest + 2
+    return key_hash if key_hash > DELETED_SLOT else key_hash + 2
 
 
 class Index:
-    """A table from hashes to places."""
+    """A hash table with open addressing and linear probing.
 
-    def __init__(self, slots: int = LEAST) -> None:
-        self._make(slots)
+    Not thread-safe: the record table's lock guards it.
+    """
 
-    def _make(self, slots: int) -> None:
-        self._mask = slots - 1
-        self._hashes = array("Q", bytes(8 * slots))
-        self._places = array("Q", bytes(8 * slots))
-        self._used = self._filled = 0
+    def __init__(self, slot_count: int = MIN_SLOTS) -> None:
+        self._allocate(slot_count)
+
+    def _allocate(self, slot_count: int) -> None:
+        self._mask = slot_count - 1
+        self._hashes = array("Q", bytes(8 * slot_count))
+        self._locations = array("Q", bytes(8 * slot_count))
+        self._key_count = 0
+        self._occupied_slots = 0  # those of deleted keys included
 
     def __len__(self) -> int:
-        return self._used
+        return self._key_count
 
     @property
-    def nbytes(self) -> int:
-        return 16 * len(self._hashes)
+    def size_bytes(self) -> int:
+        """Bytes of memory that the slots take."""
+        return SLOT_BYTES * len(self._hashes)
 
-    def _slot(self, digest: int) -> int:
+    def _find_slot(self, key_hash: int) -> int:
         """The slot that holds a hash, else -1."""
-        hashes, mask = self._hashes, self._mask
-        at = digest & mask
-        while (found := hashes[at]) != FREE:
-            if found == digest:
-                return at
-            at = (at + 1) & mask
+        hashes = self._hashes
+        mask = self._mask
+        slot = key_hash & mask
+        while (found := hashes[slot]) != EMPTY_SLOT:
+            if found == key_hash:
+                return slot
+            slot = (slot + 1) & mask
         return -1
 
-    def get(self, digest: int) -> int:
-        """The place of a hash; 0 where there is none."""
-        at = self._slot(digest)
-        return self._places[at] if at >= 0 else 0
+    def get(self, key_hash: int) -> int:
+        """The location of a hash; 0 where there is none."""
+        slot = self._find_slot(key_hash)
+        return self._locations[slot] if slot >= 0 else 0
 
-    def put(self, digest: int, place: int) -> None:
-        """Set or replace."""
-        at = self._slot(digest)
-        if at < 0:
-            if self._filled + 1 > MOST_FILLED * len(self._hashes):
+    def put(self, key_hash: int, location: int) -> None:
+        """Set the location of a hash, or replace it."""
+        slot = self._find_slot(key_hash)
+        if slot < 0:
+            if self._occupied_slots + 1 > MAX_LOAD_FACTOR * len(self._hashes):
                 self._grow()
-            hashes, mask = self._hashes, self._mask
-            at = digest & mask
-            while hashes[at] > DELETED:
-                at = (at + 1) & mask
-            self._filled += hashes[at] == FREE
-            hashes[at] = digest
-            self._used += 1
-        self._places[at] = place
-
-    def remove(self, digest: int) -> None:
-        at = self._slot(digest)
-        if at >= 0:
-            self._hashes[at], self._places[at] = DELETED, 0
-            self._used -= 1
+            hashes = self._hashes
+            mask = self._mask
+            slot = key_hash & mask
+            while hashes[slot] > DELETED_SLOT:
+                slot = (slot + 1) & mask
+            self._occupied_slots += hashes[slot] == EMPTY_SLOT
+            hashes[slot] = key_hash
+            self._key_count += 1
+        self._locations[slot] = location
+
+    def remove(self, key_hash: int) -> None:
+        """Remove a hash; one that is not there is no error."""
+        slot = self._find_slot(key_hash)
+        if slot >= 0:
+            self._hashes[slot] = DELETED_SLOT
+            self._locations[slot] = 0
+            self._key_count -= 1
 
     def items(self) -> Iterator[tuple[int, int]]:
-        """Hashes and places; the table must not change meanwhile."""
-        return ((h, p) for h, p in zip(self._hashes, self._places, strict=True) if h > DELETED)
-
-    def copy(self) -> Index:
-        other = Index.__new__(Index)
-        other._mask, other._used, other._filled = self._mask, self._used, self._filled
-        other._hashes, other._places = self._hashes[:], self._places[:]
-        return other
+        """Hashes and locations; the table must not change meanwhile."""
+        pairs = zip(self._hashes, self._locations, strict=True)
+        return ((key_hash, location) for key_hash, location in pairs if key_hash > DELETED_SLOT)
 
     def _grow(self) -> None:
-        slots = len(self._hashes)
-        while self._used + 1 > MOST_FILLED / 2 * slots:
-            slots *= 2
-        if slots <= SMALL:
-            self._grow_small(slots)
-            return
+        slot_count = len(self._hashes)
+        while self._key_count + 1 > MAX_LOAD_FACTOR / 2 * slot_count:
+            slot_count *= 2
+        if slot_count <= MAX_SLOTS_WITHOUT_NUMPY:
+            self._rebuild_key_by_key(slot_count)
+        else:
+            self._rebuild_with_numpy(slot_count)
+
+    def _rebuild_key_by_key(self, slot_count: int) -> None:
+        """Without numpy, whose import takes longer than this: the store's lock is held for so long."""
+        live = list(self.items())
+        self._allocate(slot_count)
+        hashes = self._hashes
+        locations = self._locations
+        mask = self._mask
+        for key_hash, location in live:
+            slot = key_hash & mask
+            while hashes[slot] != EMPTY_SLOT:
+                slot = (slot + 1) & mask
+            hashes[slot] = key_hash
+            locations[slot] = location
+        self._key_count = self._occupied_slots = len(live)
+
+    def _rebuild_with_numpy(self, slot_count: int) -> None:
         import numpy as np
 
-        hashes, places = np.frombuffer(self._hashes, np.uint64), np.frombuffer(self._places, np.uint64)
-        live = hashes > DELETED
-        kept = hashes[live], places[live]
-        del hashes, places
-        self._make(slots)
-        self._insert(*kept)
-
-    def _grow_small(self, slots: int) -> None:
-        """Key by key: the library's first use takes longer, and keeps the store's lock for so long."""
-        live = list(self.items())
-        self._make(slots)
-        hashes, places, mask = self._hashes, self._places, self._mask
-        for digest, place in live:
-            at = digest & mask
-            while hashes[at] != FREE:
-                at = (at + 1) & mask
-            hashes[at], places[at] = digest, place
-        self._used = self._filled = len(live)
+        hashes = np.frombuffer(self._hashes, np.uint64)
+        is_live = hashes > DELETED_SLOT
+        live_hashes = hashes[is_live]
+        live_locations = np.frombuffer(self._locations, np.uint64)[is_live]
+        del hashes  # which keeps the old table in memory
+        self._allocate(slot_count)
+        self._insert_all(live_hashes, live_locations)
 
     @classmethod
-    def build(cls, hashes: np.ndarray[Any, Any], places: np.ndarray[Any, Any]) -> Index:
+    def build(cls, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> Index:
         """A table of distinct hashes, filled in a few passes over whole arrays."""
-        slots = LEAST
-        while len(hashes) + 1 > MOST_FILLED * slots:
-            slots *= 2
-        index = cls(slots)
-        index._insert(hashes, places)
+        slot_count = MIN_SLOTS
+        while len(hashes) + 1 > MAX_LOAD_FACTOR * slot_count:
+            slot_count *= 2
+        index = cls(slot_count)
+        index._insert_all(hashes, locations)
         return index
 
-    def _insert(self, hashes: np.ndarray[Any, Any], places: np.ndarray[Any, Any]) -> None:
-        """Into an empty table: all that meet an empty slot take it, the losers go one slot on."""
+    def _insert_all(self, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> None:
+        """Fill an empty table: in each pass all that meet an empty slot take it, others go one slot on."""
         import numpy as np
 
-        table, found = np.frombuffer(self._hashes, np.uint64), np.frombuffer(self._places, np.uint64)
+        table_hashes = np.frombuffer(self._hashes, np.uint64)
+        table_locations = np.frombuffer(self._locations, np.uint64)
         mask = np.uint64(self._mask)
         slots = hashes & mask
         while len(hashes):
-            empty = table[slots] == FREE
-            table[slots[empty]] = hashes[empty]  # of several at one slot the last stays
-            won = table[slots] == hashes
-            found[slots[won]] = places[won]
-            lost = ~won
-            hashes, places = hashes[lost], places[lost]
-            slots = (slots[lost] + np.uint64(1)) & mask
-        self._used = self._filled = int((table > DELETED).sum())
+            is_empty = table_hashes[slots] == EMPTY_SLOT
+            table_hashes[slots[is_empty]] = hashes[is_empty]  # of several at one slot the last stays
+            is_placed = table_hashes[slots] == hashes
+            table_locations[slots[is_placed]] = locations[is_placed]
+            remaining = ~is_placed
+            hashes = hashes[remaining]
+            locations = locations[remaining]
+            slots = (slots[remaining] + np.uint64(1)) & mask
+        self._key_count = self._occupied_slots = int((table_hashes > DELETED_SLOT).sum())
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -24,19 +24,17 @@
 from tansyladder.raft.node_state import NodeState
 from tansyladder.raft.proposals import ProposalHandler
 from tansyladder.raft.voter_disks import VoterDisks
-from tansyladder.replication.documents import (
+from tansyladder.replication.document_messages import (
     ChangeResult,
     Commit,
-    Documents,
-    Entry,
-    LeaseCoordinator,
+    DocumentCommand,
     LeaseGrant,
-    LeaseHolder,
-    PendingChange,
     Prepared,
     ValidationVote,
-    node_name,
 )
+from tansyladder.replication.documents import Documents, PendingChange, node_name
+from tansyladder.replication.lease_coordinator import LeaseCoordinator
+from tansyladder.replication.lease_holder import LeaseHolder
 
 
 class VotesForAnyLog(Elections):
@@ -246,8 +244,8 @@
 class GrantsAlways(LeaseCoordinator):
     """A leader's part of it, which would hide that."""
 
-    def next_entries(self, at: int) -> list[Entry]:
-        return super().next_entries(at) + self._renew_leases(at)
+    def next_commands(self, at: int) -> list[DocumentCommand]:
+        return super().next_commands(at) + self._renew_leases(at)
 
 
 class CountsOldRounds(Documents):
