--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -13,7 +13,8 @@
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import milliseconds_left, now
 from tansyladder.net.delay_reports import DelayReports
-from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
+from tansyladder.net.handover_messages import BytesByDirection, ConnectionState
+from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
 from tansyladder.policy.events import AttemptStatus
 
@@ -90,8 +91,8 @@
             self._endpoint_id,
             self._last_upstream_word.decode("utf-8", "replace"),
             self._response_timeout.waiting_since_us,
-            (self._to_client.partial_line, self._to_upstream.partial_line),
-            (self._pending[self._client], self._pending[self._upstream]),
+            BytesByDirection(self._to_client.partial_line, self._to_upstream.partial_line),
+            BytesByDirection(self._pending[self._client], self._pending[self._upstream]),
         )
         if self._handover.hand_over(handed, self._client, self._upstream):
             return True
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -15,7 +15,8 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import MICROSECOND, now, seconds_left
-from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
+from tansyladder.net.handover_messages import ConnectionState, DescriptorSplit
+from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.protocol import RESUME_TOKEN_FIELD, TENANT_FIELD
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import RequestOutcome
@@ -499,12 +500,12 @@
 
     # --- what a process that takes our place, or whose place we took, wants
 
-    def split_descriptors(self) -> tuple[int, int]:
+    def split_descriptors(self) -> DescriptorSplit:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
         used = 3 * len(self._open_ids) - len(self._runner.request_ids(True))
         kept = RESERVED_DESCRIPTORS + self._admin_descriptors + self._acceptor.pending_count + used
         free = max(0, self._max_descriptors - used)
-        return kept + free // 2, free - free // 2
+        return DescriptorSplit(kept + free // 2, free - free // 2)
 
     def known_endpoints(self) -> EndpointList:
         """The list as it is known."""
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -10,7 +10,7 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, Endpoint
 from tansyladder.net.clock import MICROSECOND, now
-from tansyladder.net.listener_handover import ConnectionState
+from tansyladder.net.handover_messages import ConnectionState
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -20,7 +20,13 @@
 from tansyladder.cluster.document_publisher import DecisionStamp
 from tansyladder.cluster.peer_transport import Greeting
 from tansyladder.config.platform import EndpointEntry, EndpointList
-from tansyladder.net.listener_handover import ConnectionState, DescriptorTransfer, ListenerHandover
+from tansyladder.net.handover_messages import (
+    BytesByDirection,
+    ConnectionState,
+    DescriptorSplit,
+    DescriptorTransfer,
+)
+from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.raft import messages
 from tansyladder.replication import content_transfer, document_messages, replicated_state, session_ownership
 
@@ -314,8 +320,8 @@
         endpoint_id=host,
         last_upstream_word=last_word,
         waiting_since_us=asked,
-        partial_lines=partial_lines,
-        pending_lines=waiting_lines,
+        partial_lines=BytesByDirection(*partial_lines),
+        pending_lines=BytesByDirection(*waiting_lines),
     )
 
 
@@ -365,8 +371,8 @@
     def hand_over(self, connection: ConnectionState, client: socket.socket, host: socket.socket) -> bool:
         return self._takeover.hand_over(connection, client, host)
 
-    def split_descriptors(self) -> tuple[int, int]:
-        return self._kept, 0
+    def split_descriptors(self) -> DescriptorSplit:
+        return DescriptorSplit(self._kept, 0)
 
     def known_endpoints(self) -> EndpointList:
         return self._endpoints
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tansyladder.net import listener_handover
+from tansyladder.net import handover_messages, listener_handover
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.node.client_listener import ClientListener
 from tests.node.harness import (
@@ -149,7 +149,7 @@
         new = candidate(tmp_path, port)
         listener = asked(new)
         assert new._predecessor is not None
-        new._predecessor.sendall(listener_handover.SERVING)
+        new._predecessor.sendall(handover_messages.SERVING)
         until_line(old, b"event=listener_handover step=succeeded")
         old.send_signal(signal.SIGTERM)
         until_line(old, b"event=state_changed now=draining")
