--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -74,7 +74,7 @@
             session = Session(
                 self._core, self, box, None, self._core.class_numbers[opening.class_name], opening, stream
             )
-            session.expires_at(self._core.clock.moment(expiry))
+            session.set_expiry(self._core.clock.moment(expiry))
             self.token_registry.add(claim.session_id, box, floor, tenure)
             threading.Thread(target=session.run, daemon=True).start()
         except (OSError, RuntimeError) as err:
