--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -140,19 +140,19 @@
             )
             if ruling is None:
                 return self._answer(sock, opening, RETRY_SOON)
-            if not ruling.tenure:
-                again = ruling.why in ("claimed", "full")
+            if not ruling.epoch:
+                again = ruling.reason in ("claimed", "full")
                 return self._answer(
-                    sock, opening, RETRY_SOON if again else control_messages.format_rejection(ruling.why)
+                    sock, opening, RETRY_SOON if again else control_messages.format_rejection(ruling.reason)
                 )
             visitor = ResumingClient(
                 sock, int(opening.field_values[RESUME_POSITION_FIELD]), deadline, claim.expires_at_us
             )
-            self._restore(claim, opening, claim.generation, claim.expires_at_us, ruling.tenure)
+            self._restore(claim, opening, claim.generation, claim.expires_at_us, ruling.epoch)
             self.token_registry.begin_resume(
                 claim, self._core.clock.micros(arrived), lambda box: box.add_client(visitor)
             )
-            log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.tenure, took=now() - arrived)
+            log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.epoch, took=now() - arrived)
         except TokenError as err:  # no room, or two clients with one token here at the same moment
             self._answer(
                 sock,
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -174,18 +174,22 @@
                 entry, min(visitor.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
             )
             late = now() > visitor.deadline or sockets.is_disconnected(visitor.sock)
-            if ruling is None or (ruling.tenure and late):
+            if ruling is None or (ruling.epoch and late):
                 good = self.token_registry.generation_floor(session)  # as it was
                 self._release_token(
-                    msgspec.structs.replace(entry, floor=good, turn=next(self.confirmation_numbers))
+                    msgspec.structs.replace(
+                        entry, generation_floor=good, sequence=next(self.confirmation_numbers)
+                    )
                 )
                 return RETRY_SOON
-            if not ruling.tenure:  # who has claimed it since may fail: its token may be good still
+            if not ruling.epoch:  # who has claimed it since may fail: its token may be good still
                 return (
-                    RETRY_SOON if ruling.why == "claimed" else control_messages.format_rejection(ruling.why)
+                    RETRY_SOON
+                    if ruling.reason == "claimed"
+                    else control_messages.format_rejection(ruling.reason)
                 )
             self._unconfirmed_openings[session] = SessionOpened(
-                session, tenure, self.ownership_service.incarnation, at, entry.turn
+                session, tenure, self.ownership_service.incarnation, at, entry.sequence
             )
         self.token_registry.redeem(session)
         return b""
@@ -215,7 +219,7 @@
 
         def run() -> None:
             assert self.ownership_service is not None
-            until = self._core.clock.moment(entry.expiry)
+            until = self._core.clock.moment(entry.token_expiry_us)
             while (
                 now() < until
                 and self.ownership_service.decide_ownership(
