--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -4,6 +4,7 @@
 
 import socket
 from collections.abc import Callable, Sized
+from dataclasses import dataclass
 from datetime import timedelta
 from typing import TYPE_CHECKING, Protocol
 
@@ -59,6 +60,16 @@
         """This node decides nothing any more."""
 
 
+@dataclass(frozen=True, slots=True)
+class ResumableRequest:
+    """A request whose client offered to resume its session."""
+
+    action_queue: ActionQueue
+    class_number: int  # of its service class, as the policy numbers them
+    opening: Opening
+    stream: Stream
+
+
 class SessionService(Protocol):
     """Sessions that can be resumed."""
 
@@ -76,14 +87,7 @@
         """What a stream host gets, by how long the node waits."""
 
     def serve(
-        self,
-        box: ActionQueue,
-        client: socket.socket,
-        cls: int,
-        opening: Opening,
-        stream: Stream,
-        standing: UpstreamConnection,
-        number: int,
+        self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
         """Serve one from its first UP to its end; the client's socket is closed then."""
 
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -15,6 +15,7 @@
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
 from tansyladder.node.attempt_loop import AttemptLoop, ClientDisconnectedEarly, ClientSentEarly, request_of
+from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.node.metrics import Ending
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Fail, Reject
@@ -82,7 +83,8 @@
             self._answer(Ending.OK)  # its UP is the member's, and goes out with the first lines
         match placed:
             case UpstreamConnection() as standing if resuming is not None and stream is not None:
-                resuming.serve(self._box, self._client, self._cls, opening, stream, standing, number)
+                request = ResumableRequest(self._box, self._cls, opening, stream)
+                resuming.serve(request, self._client, standing, number)
             case UpstreamConnection() as standing:
                 member, attempt = standing.endpoint, standing.attempt
                 relay = self._relay(standing.sock, standing.buffer, member, attempt)
--- /dev/null
+++ b/tansyladder/sessions/buffered_socket.py
@@ -0,0 +1,43 @@
+"""A socket that is written without blocking, with the bytes that it has not taken yet."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+
+from tansyladder.net import protocol, sockets
+from tansyladder.net.clock import now
+
+
+class BufferedSocket:
+    """One socket of a session, its unsent bytes and its buffer of received lines. Owned by one thread."""
+
+    __slots__ = ("last_progress", "line_buffer", "sock", "unsent")
+
+    def __init__(self, sock: socket.socket, line_buffer: protocol.LineBuffer | None = None) -> None:
+        """`line_buffer`: with what was received before; a new one where nothing was."""
+        sock.settimeout(None)  # with a timeout Python waits before each call, whatever its flags say
+        self.sock = sock
+        self.line_buffer = line_buffer or protocol.LineBuffer()
+        self.unsent = b""
+        self.last_progress = now()
+
+    def send(self, data: bytes = b"") -> None:
+        """Send what the socket takes now and keep the rest; without data, only what is left of earlier calls.
+
+        OSError: the connection is broken.
+        """
+        if not data and not self.unsent:
+            return
+        if not self.unsent:
+            self.last_progress = now()
+        self.unsent += data
+        with contextlib.suppress(BlockingIOError):
+            sent_count = self.sock.send(self.unsent, socket.MSG_DONTWAIT)
+            self.unsent = self.unsent[sent_count:]
+            self.last_progress = now()
+
+    @property
+    def is_stalled(self) -> bool:
+        """Whether bytes have waited for longer than SEND_TIMEOUT without any being taken."""
+        return bool(self.unsent) and now() - self.last_progress > sockets.SEND_TIMEOUT
--- /dev/null
+++ b/tansyladder/sessions/client_connection.py
@@ -0,0 +1,168 @@
+"""The client of a session: its connection, its tokens, its suspension and its resumption."""
+
+from __future__ import annotations
+
+import socket
+from datetime import timedelta
+
+from tansyladder.log import LogEvent, log
+from tansyladder.net import sockets
+from tansyladder.net.action_queue import ResumingClient
+from tansyladder.net.clock import now
+from tansyladder.net.protocol import Opening
+from tansyladder.node.metrics import Ending, Metrics
+from tansyladder.resumption import control_messages
+from tansyladder.resumption.errors import PositionError
+from tansyladder.resumption.stream import Stream
+from tansyladder.resumption.token_registry import SessionEnd
+from tansyladder.sessions.buffered_socket import BufferedSocket
+from tansyladder.sessions.errors import SessionEndedError, SuspendReason
+from tansyladder.sessions.session_registry import SessionRegistry
+from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
+
+ACKNOWLEDGEMENT_INTERVAL = timedelta(seconds=4)  # at most, of lines of a client that are not acknowledged
+CLOSING_TIMEOUT = timedelta(milliseconds=800)  # what one side ended, the other has ended within a second
+
+
+class ClientConnection:
+    """The client of one session, connected or awaited. Owned by the session's thread."""
+
+    def __init__(
+        self,
+        registry: SessionRegistry,
+        metrics: Metrics,
+        lifecycle: SessionLifecycle,
+        opening: Opening,
+        stream: Stream,
+    ) -> None:
+        """A client that is not connected yet; `connect` gives it its socket."""
+        self._registry = registry
+        self._metrics = metrics
+        self._lifecycle = lifecycle
+        self._opening = opening
+        self._stream = stream
+        self.socket: BufferedSocket | None = None
+        self.up_line = b""  # of the stream host; a client that resumes gets it again
+        self.expires_at = now()  # until when the client may resume
+        self.closing_deadline: timedelta | None = None  # of the host's last lines, once the client has left
+        self._renew_at = now()  # when the next token is due
+        self._acknowledge_at: timedelta | None = None
+
+    def connect(self, sock: socket.socket) -> None:
+        """Take the socket of the client that began the session."""
+        self.socket = BufferedSocket(sock)
+
+    # --- sending
+
+    def send(self, data: bytes) -> None:
+        """Send to the client if it is connected; one whose connection is broken suspends the session."""
+        if self.socket is not None and data:
+            try:
+                self.socket.send(data)
+            except OSError:
+                self.suspend(SuspendReason.BROKEN)
+
+    def issue_token(self) -> bytes:
+        """The line of a new token, empty where resumption has become impossible.
+
+        The next one is due after half its lifetime.
+        """
+        lifetime = self._registry.options.expires
+        moment = now()
+        self._renew_at = moment + lifetime / 2
+        self.expires_at = moment + lifetime
+        if not self._stream.can_resume_client:
+            return b""
+        return self._registry.issue_token_line(self._stream.session_id, self._opening)
+
+    def lines_forwarded(self) -> None:
+        """Have the client's new lines acknowledged before long."""
+        self._acknowledge_at = self._acknowledge_at or now() + ACKNOWLEDGEMENT_INTERVAL
+
+    def send_due_lines(self, moment: timedelta) -> None:
+        """Send the acknowledgement and the token that are due by now."""
+        if self._acknowledge_at is not None and moment >= self._acknowledge_at:
+            self.send(self._stream.acknowledge_client())
+            has_more = self._stream.has_unacknowledged_lines
+            self._acknowledge_at = moment + ACKNOWLEDGEMENT_INTERVAL if has_more else None
+        if moment >= self._renew_at:
+            self.send(self.issue_token())
+
+    def next_deadline(self) -> timedelta:
+        """When something is due for the client, or its time to resume is over."""
+        deadline = self.expires_at if self.socket is None else self._renew_at
+        if self._acknowledge_at is not None:
+            deadline = min(deadline, self._acknowledge_at)
+        if self.closing_deadline is not None:
+            deadline = min(deadline, self.closing_deadline)
+        return deadline
+
+    # --- suspension and resumption
+
+    def suspend(self, reason: SuspendReason) -> None:
+        """Drop a connected client, and await that it resumes.
+
+        SessionEndedError: it had left, can't resume any more, or too many sessions wait already.
+        """
+        if self.closing_deadline is not None:
+            raise SessionEndedError(SessionEnd.ENDED)
+        if self.socket is not None:
+            sockets.reset(self.socket.sock)
+        self.socket = None
+        self._acknowledge_at = None
+        if not self._stream.can_resume_client:
+            raise SessionEndedError(SessionEnd.BUFFER_OVERFLOW)
+        if not self._registry.reserve_suspended():
+            raise SessionEndedError(SessionEnd.NO_CAPACITY)
+        self._lifecycle.apply(SessionEvent.CLIENT_LOST)
+        log(LogEvent.SESSION_SUSPENDED, why=reason)
+
+    def resume(self, client: ResumingClient) -> None:
+        """Connect a client that came back, or reject it.
+
+        The old connection is reset first, so it gets no further line. The new one gets the session's
+        positions, a new token and the lines that it lacks.
+        """
+        try:
+            position_line, *lines = self._stream.resume_client(client.received_line_count)
+        except PositionError as error:
+            self.cancel_resume(client, control_messages.format_rejection(error.reason))
+            return
+        if rejection := self._registry.redeem(self._stream.session_id, self._opening, client):
+            self.cancel_resume(client, rejection)
+            return
+        if self.socket is not None:
+            sockets.reset(self.socket.sock)
+        if self._lifecycle.state.awaits_client:
+            self._registry.release_suspended()
+        sockets.configure_stream(client.sock)
+        self.socket = BufferedSocket(client.sock)
+        self._lifecycle.apply(SessionEvent.CLIENT_CONNECTED)
+        self._metrics.answered(self._opening.class_name, Ending.OK)
+        log(LogEvent.SESSION_RESUMED, position=client.received_line_count)
+        self.send(self.up_line + position_line + self.issue_token() + b"".join(lines))
+        if self.socket is not None:  # else the client may not have seen that its token is redeemed
+            self._registry.confirm_opened(self._stream.session_id)
+
+    def cancel_resume(self, client: ResumingClient, answer: bytes) -> None:
+        """Reject a client that came back; its token stays valid."""
+        self._registry.token_registry.cancel_resume(self._stream.session_id)
+        self.reject(client, answer)
+
+    def reject(self, client: ResumingClient, answer: bytes) -> None:
+        """Send a client that came back its final answer and close its connection."""
+        self._metrics.answered(self._opening.class_name, Ending.of(answer))
+        sockets.configure_stream(client.sock)
+        sockets.shutdown_and_drain(client.sock, answer)
+
+    # --- the end
+
+    def start_closing(self) -> None:
+        """The client has left: it still gets the host's last lines, for a limited time."""
+        self.closing_deadline = now() + CLOSING_TIMEOUT
+
+    def close(self, last_line: bytes) -> None:
+        """Send what is left and a last line, and close the connection."""
+        if self.socket is not None:
+            sockets.configure_stream(self.socket.sock)
+            sockets.shutdown_and_drain(self.socket.sock, self.socket.unsent + last_line)
--- /dev/null
+++ b/tansyladder/sessions/errors.py
@@ -0,0 +1,65 @@
+"""Errors that end a connection of a session or the session itself, and the reasons that stand in the log."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+from tansyladder.policy.events import AttemptStatus
+from tansyladder.resumption.token_registry import SessionEnd
+
+
+class UpstreamLossReason(StrEnum):
+    """Why a session left its stream host; the value is `why` of `session_moved` and `session_rejected`."""
+
+    RESTART = "restart"  # the session was restored here and has no stream host yet
+    ORDERED = "ordered"  # the policy migrates it
+    STALLED = "stuck"  # the host takes no bytes
+    SILENT = "silent"  # the host does not answer
+    RESET = "reset"
+    CLOSED = "ended"  # the host closed its connection without BYE
+    INVALID_LINE = "bad_line"
+    INVALID_MESSAGE = "bad_word"
+    REDIRECTED = "sent_away"  # the host sent MOVE
+    FINISHED = "served"  # the host sent BYE while the client was away
+
+
+class SuspendReason(StrEnum):
+    """Why a session lost its client; the value is `why` of `session_suspended`."""
+
+    BROKEN = "broke"
+    STALLED = "stuck"  # the client takes no bytes
+
+
+class SessionError(Exception):
+    """Base of the errors of this package."""
+
+
+class UpstreamLostError(SessionError):
+    """The connection to the stream host can't continue; the session may, at another host.
+
+    `status` is what the policy is told of the attempt.
+    """
+
+    def __init__(self, status: AttemptStatus, reason: UpstreamLossReason) -> None:
+        super().__init__(reason)
+        self.status = status
+        self.reason = reason
+
+
+class SessionEndedError(SessionError):
+    """The session ends.
+
+    `status` is what the policy is told of the attempt, `last_line` goes to the client before its connection
+    is closed.
+    """
+
+    def __init__(
+        self,
+        session_end: SessionEnd,
+        status: AttemptStatus = AttemptStatus.CANCELLED,
+        last_line: bytes = b"",
+    ) -> None:
+        super().__init__(session_end.value)
+        self.session_end = session_end
+        self.status = status
+        self.last_line = last_line
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -15,6 +15,7 @@
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.net.upstream import UpstreamConnection
+from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.node.metrics import Ending
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
@@ -39,17 +40,10 @@
         self._claiming: set[int] = set()  # sessions that are being claimed
 
     def serve(
-        self,
-        box: ActionQueue,
-        client: socket.socket,
-        cls: int,
-        opening: Opening,
-        stream: Stream,
-        standing: UpstreamConnection,
-        number: int,
+        self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
         """Serve a session from its first UP to its end; the client's socket is closed then."""
-        Session(self._core, self, box, client, cls, opening, stream).run(standing, number)
+        Session(self._core, self, request, client).run(upstream, request_id)
 
     def _restore_stored(self, claim: TokenPayload) -> None:
         """Where a session of an earlier start is still kept, begin it anew, without a client or a host."""
@@ -71,9 +65,8 @@
         try:
             box.open()
             stream = Stream.restored(claim.session_id, self.memory_budget, self.options.buffer, start)
-            session = Session(
-                self._core, self, box, None, self._core.class_numbers[opening.class_name], opening, stream
-            )
+            class_number = self._core.class_numbers[opening.class_name]
+            session = Session(self._core, self, ResumableRequest(box, class_number, opening, stream))
             session.set_expiry(self._core.clock.moment(expiry))
             self.token_registry.add(claim.session_id, box, floor, tenure)
             threading.Thread(target=session.run, daemon=True).start()
--- /dev/null
+++ b/tansyladder/sessions/upstream_placement.py
@@ -0,0 +1,90 @@
+"""Placement of a session at a stream host: one request to the policy, with the session's positions."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from datetime import timedelta
+
+from tansyladder.log import LogEvent, log
+from tansyladder.net.clock import MICROSECOND
+from tansyladder.net.upstream import ConnectResult, UpstreamConnection
+from tansyladder.node.attempt_loop import AttemptLoop, request_of
+from tansyladder.node.extension_points import ResumableRequest
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.policy.actions import Reject
+from tansyladder.resumption.errors import PositionError
+from tansyladder.sessions.buffered_socket import BufferedSocket
+from tansyladder.sessions.session_registry import SessionRegistry
+
+MAX_LOGGED_LINE = 80  # characters of a stream host's UP line
+LINES_OF_ANSWER = 2  # UP, and the position at which the host continues
+
+
+@dataclass(frozen=True, slots=True)
+class PlacedUpstream:
+    """The stream host that a session is connected to."""
+
+    connection: UpstreamConnection
+    request_id: int
+    socket: BufferedSocket
+    replay: bytes = b""  # the client's lines that the host lacks
+
+    @classmethod
+    def of(cls, connection: UpstreamConnection, request_id: int, replay: bytes = b"") -> PlacedUpstream:
+        """The host of an established connection, whose socket is used from now on."""
+        return cls(connection, request_id, BufferedSocket(connection.sock, connection.buffer), replay)
+
+
+@dataclass(frozen=True, slots=True)
+class PlacementRejected:
+    """No stream host took the session; another try is worthwhile after `retry_after`."""
+
+    retry_after: timedelta
+
+
+class UpstreamPlacer:
+    """Places one session. Owned by the session's thread."""
+
+    def __init__(self, core: PolicyRunner, registry: SessionRegistry, request: ResumableRequest) -> None:
+        self._core = core
+        self._request = request
+        self._first_line = registry.first_line_builder(request.opening, request.stream)
+        self._replay = b""
+
+    def place(self, deadline: timedelta) -> PlacedUpstream | PlacementRejected:
+        """Follow the policy until a stream host continues the session, or the request is given up."""
+        core = self._core
+        request = self._request
+        queue = request.action_queue
+        opening = request.opening
+        request_id = core.register_request(queue)
+        loop = AttemptLoop(
+            core,
+            queue,
+            request_id,
+            opening.class_name,
+            deadline,
+            self._first_line,
+            None,
+            LINES_OF_ANSWER,
+            self._accept,
+        )
+        answer = loop.run(request_of(core, request_id, request.class_number, opening, deadline, True))
+        if isinstance(answer, UpstreamConnection):
+            up_line, _position, *following_lines = answer.initial_lines
+            connection = replace(answer, initial_lines=(up_line, *following_lines))
+            return PlacedUpstream.of(connection, request_id, self._replay)
+        core.unregister_request(request_id)
+        if isinstance(answer, Reject):
+            return PlacementRejected(answer.retry_after_us * MICROSECOND)
+        return PlacementRejected(timedelta(0))
+
+    def _accept(self, result: ConnectResult) -> bool:
+        """Whether the position that a stream host told is one from which the session can continue."""
+        try:
+            self._replay = self._request.stream.complete_placement(result.following_lines[0])
+        except PositionError as error:
+            up_line = result.up_line.decode(errors="replace").strip()
+            log(LogEvent.REPLAY_MISMATCH, receipt=up_line[:MAX_LOGGED_LINE], why=error.reason)
+            return False
+        return True
