--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -10,7 +10,7 @@
 from tansyladder.net.action_queue import ResumingClient
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import Opening
-from tansyladder.node.metrics import Ending, Metrics
+from tansyladder.node.metrics import Metrics, RequestOutcome
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import PositionError
 from tansyladder.resumption.stream import Stream
@@ -138,7 +138,7 @@
         sockets.configure_stream(client.sock)
         self.socket = BufferedSocket(client.sock)
         self._lifecycle.apply(SessionEvent.CLIENT_CONNECTED)
-        self._metrics.answered(self._opening.class_name, Ending.OK)
+        self._metrics.record_outcome(self._opening.class_name, RequestOutcome.OK)
         log(LogEvent.SESSION_RESUMED, position=client.received_line_count)
         self.send(self.up_line + position_line + self.issue_token() + b"".join(lines))
         if self.socket is not None:  # else the client may not have seen that its token is redeemed
@@ -151,7 +151,7 @@
 
     def reject(self, client: ResumingClient, answer: bytes) -> None:
         """Send a client that came back its final answer and close its connection."""
-        self._metrics.answered(self._opening.class_name, Ending.of(answer))
+        self._metrics.record_outcome(self._opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(client.sock)
         sockets.shutdown_and_drain(client.sock, answer)
 
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -152,7 +152,7 @@
         self._migrations_without_progress += 1
         if self._migrations_without_progress > MAX_MIGRATIONS_WITHOUT_PROGRESS:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE)
-        if self._core.lifecycle.leaving:
+        if self._core.lifecycle.is_draining:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
 
     def _migrate(self, lost: UpstreamLostError) -> PlacedUpstream:
@@ -189,7 +189,7 @@
                 continue
             if self._queue.is_superseded:
                 raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
-            if self._core.lifecycle.leaving:
+            if self._core.lifecycle.is_draining:
                 raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED)
             expires_at = self._client.expires_at
             if now() >= expires_at:
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -8,7 +8,7 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection
-from tansyladder.node.attempt_loop import AttemptLoop, request_of
+from tansyladder.node.attempt_loop import AttemptLoop, build_request
 from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Reject
@@ -69,7 +69,7 @@
             LINES_OF_ANSWER,
             self._accept,
         )
-        answer = loop.run(request_of(core, request_id, request.class_number, opening, deadline, True))
+        answer = loop.run(build_request(core, request_id, request.class_number, opening, deadline, True))
         if isinstance(answer, UpstreamConnection):
             up_line, _position, *following_lines = answer.initial_lines
             connection = replace(answer, initial_lines=(up_line, *following_lines))
