--- a/tansyladder/node/admission_control.py
+++ b/tansyladder/node/admission_control.py
@@ -7,6 +7,7 @@
 
 from tansyladder.net import protocol
 from tansyladder.net.clock import MICROSECOND
+from tansyladder.net.handover_messages import DescriptorSplit
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.protocol import TENANT_FIELD, Opening
 from tansyladder.node.policy_runner import PolicyRunner
@@ -85,8 +86,9 @@
         with self._lock:
             self._open_ids.discard(connection_id)
 
-    def split_descriptors(self, pending_count: int) -> tuple[int, int]:
+    def split_descriptors(self, pending_count: int) -> DescriptorSplit:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
         used = SERVED_DESCRIPTORS * len(self._open_ids) - len(self._runner.request_ids(True))
         free = max(0, self._available - used)
-        return self._reserved + pending_count + used + free // 2, free - free // 2
+        kept = self._reserved + pending_count + used + free // 2
+        return DescriptorSplit(kept, free - free // 2)
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -12,7 +12,8 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
-from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
+from tansyladder.net.handover_messages import ConnectionState, DescriptorSplit
+from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.protocol import RESUME_TOKEN_FIELD, Opening
 from tansyladder.node.admission_control import AdmissionControl
 from tansyladder.node.connection_acceptor import PENDING_CLOSE_TIMEOUT, ConnectionAcceptor
@@ -175,7 +176,7 @@
 
     # --- the handover between processes, as a ConnectionOwner
 
-    def split_descriptors(self) -> tuple[int, int]:
+    def split_descriptors(self) -> DescriptorSplit:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
         return self._admission.split_descriptors(self._acceptor.pending_count)
 
