--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -14,7 +14,7 @@
 from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
-from tansyladder.replication.document_messages import ChangeResult
+from tansyladder.replication.document_messages import ChangeOutcome, ChangeResult
 from tansyladder.replication.documents import MAX_CONTENT_BYTES
 
 PUBLISH_TIMEOUT = timedelta(
@@ -121,20 +121,20 @@
     def _publish(self, name: str, content: bytes, ask: str) -> None:
         until, ruled = now() + PUBLISH_TIMEOUT, None
         try:
-            while now() < until and (ruled is None or ruled.outcome == "busy"):
+            while now() < until and (ruled is None or ruled.outcome is ChangeOutcome.BUSY):
                 ruled = self._raft_runner.publish_document(
                     name, content, ask, min(until, now() + ATTEMPT_TIMEOUT)
                 )
-                if ruled is None or ruled.outcome == "busy":
+                if ruled is None or ruled.outcome is ChangeOutcome.BUSY:
                     threading.Event().wait(0.2)
         except ValueError as err:
-            ruled = ChangeResult("refused", 0, str(err))
-        ruled = ruled or ChangeResult("not known")  # it may take hold still
+            ruled = ChangeResult(ChangeOutcome.REJECTED, 0, str(err))
+        ruled = ruled or ChangeResult(ChangeOutcome.UNKNOWN)  # it may take hold still
         log(
             LogEvent.DOCUMENT_CHANGE_ENDED,
             name=name,
             ask=ask,
-            word=ruled.outcome,
+            word=ruled.outcome.value,
             number=ruled.number,
             why=ruled.reason or "none",
         )
@@ -149,7 +149,7 @@
         ruled = self._replica.result(ask) or ruled
         if ruled is None:
             raise ValueError("under way" if known else "not known")
-        if ruled.outcome != "done":
+        if ruled.outcome is not ChangeOutcome.DONE:
             raise ValueError(f"{ruled.outcome}: {ruled.reason or 'nothing is known of it'}")
         return f"done {ruled.number}"
 
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -28,12 +28,10 @@
 from tansyladder.raft.node import Effects, RaftNode, Role
 from tansyladder.replication.content_transfer import DocumentMessage
 from tansyladder.replication.document_messages import (
-    Abort,
+    ChangeOutcome,
     ChangeResult,
-    Commit,
     LeaseRelease,
-    Prepare,
-    ValidationVote,
+    change_step,
 )
 from tansyladder.replication.replicated_state import Command, ReplicatedState
 from tansyladder.replication.session_ownership import (
@@ -164,13 +162,13 @@
         for sender, told in spoken:
             messages += holding.handle(sender, told)
         for entry in entries:
-            if isinstance(entry, ValidationVote | Prepare | Commit | Abort):
-                why = getattr(entry, "fault", "") or getattr(entry, "reason", "") or "none"
+            step = change_step(entry)
+            if step is not None:
                 log(
                     LogEvent.DOCUMENT_CHANGE_STEP,
-                    step=entry.__struct_config__.tag,
-                    number=entry.number,
-                    why=why,
+                    step=step.name,
+                    number=step.number,
+                    why=step.detail or "none",
                 )
             self._propose_entry(entry)
         for to, message in messages:
@@ -232,7 +230,11 @@
         if result is None:
             return None
         ruled = msgspec.msgpack.decode(result, type=ChangeResult)
-        return self.document_replica.wait_for_result(ask, until) if ruled.outcome == "under way" else ruled
+        return (
+            self.document_replica.wait_for_result(ask, until)
+            if ruled.outcome is ChangeOutcome.IN_PROGRESS
+            else ruled
+        )
 
     def release_lease(self, until: timedelta) -> None:
         """This node decides nothing any more: nobody has to wait for the end of its lease."""
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -1,34 +1,40 @@
-"""Agreed documents: content with a name and a number that only grows, which holds at all nodes or at none.
+"""The state machine of agreed documents: content with a name, and versions with numbers that only grow.
 
-What decides, and what follows it, stand here; no I/O, no clock. Times are microseconds of Unix time, told by
-who proposes. The log holds digests; the content goes between nodes by itself, once.
+A version is in force at all nodes or at none. This module is the state that the log's commands lead to; it
+has no I/O and no clock. Times are microseconds of Unix time, stated by the node that proposed the command.
+The log holds digests only; content goes between nodes outside the log (`content_transfer`).
 
-A node decides under a document only as long as it holds a *lease*, which an entry of the log gives to one
-start of it. So whoever is down, cut off or stopped can't act on what it knows for longer than that, and who
-starts anew has none, whatever its disk says, until an entry that was made after its start has reached it.
+A node makes decisions under a document only while it holds a lease, which the log grants to one incarnation
+of the node. A node that is down, partitioned or paused can't act on what it knows for longer than its
+lease, and a node that restarts has no lease, whatever its disk holds, until a grant made after its start
+has reached it.
 
-A change goes in three steps. *Offered*: every node that holds a lease gets the content, keeps it, checks it,
-and says yes or no; one no is a no. *Armed*: once all who hold a lease have said yes, each of them cuts its
-own lease to a short one, and says so. *Held*: once all of these have, the entry that puts the document in
-force names the moment from which it is, which is when the last lease ends that was held under the one
-before. Who has heard of that entry by then goes from the one to the other at that moment; who has not has no
-lease any more, and can get none without having heard of it. Who does not answer at all holds a change up
-until its lease has ended.
+A change is a two-phase commit over the lease holders:
 
-All of it is by the nodes' own clocks: what is decided under one number is stamped before what is under the
-next. What two clocks differ by is the error that this has.
+1. Proposed: every lease holder fetches the content, stores it, validates it and votes. One rejection ends
+   the change.
+2. Prepared: once all lease holders have accepted, each of them shortens its own lease and says so.
+3. Committed: once all of them have, the commit states when the new version takes effect: at the end of the
+   last lease held under the previous one. A node that has applied the commit by then switches at that
+   moment; any other node has no lease any more, and can't get one without having applied the commit.
+
+A node that doesn't answer delays a change until its lease has ended. Decisions are ordered by the clocks of
+the nodes that make them; the difference between two clocks is the error of that.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from enum import IntEnum
+from typing import NamedTuple
 
 import msgspec
 
 from tansyladder.replication.document_messages import (
     Abort,
+    ChangeCommand,
+    ChangeOutcome,
     ChangeResult,
     Commit,
     DocumentCommand,
@@ -40,247 +46,295 @@
     ValidationVote,
 )
 
-MAX_CONTENT_BYTES = 1 << 20  # bytes of content
-
-
+MAX_CONTENT_BYTES = 1 << 20
 MAX_DOCUMENTS = 64
-
-
-MAX_LEASES = 1024  # that hold a lease, or did until a moment ago
-
-
-MAX_RESULTS = 128  # changes whose end is told to who asks again
-
-
-MAX_PREVIOUS_VERSIONS = 8  # earlier versions of a document that are known
+MAX_LEASES = 1024  # running leases, and those that ended less than one lease duration ago
+MAX_RESULTS = 128  # finished changes whose result a repeated proposal still gets
+MAX_PREVIOUS_VERSIONS = 8  # of one document, besides the newest
 
 
 class ChangePhase(IntEnum):
-    """How far a change is."""
+    """The phase of a change; the values of the first two are stored in snapshots."""
 
     PROPOSED = 1
     PREPARED = 2
+    COMMITTED = 3
+    ABORTED = 4
+
+
+# A change may be aborted at any time; an aborted round makes it proposed again.
+_TRANSITIONS: Mapping[ChangePhase, frozenset[ChangePhase]] = {
+    ChangePhase.PROPOSED: frozenset({ChangePhase.PROPOSED, ChangePhase.PREPARED, ChangePhase.ABORTED}),
+    ChangePhase.PREPARED: frozenset({ChangePhase.PROPOSED, ChangePhase.COMMITTED, ChangePhase.ABORTED}),
+    ChangePhase.COMMITTED: frozenset(),
+    ChangePhase.ABORTED: frozenset(),
+}
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
-    """A document that holds, or did; `since`: the moment from which it does."""
+    """A version of a document, in force from `effective_at_us` until the next one takes effect."""
 
     number: int
     digest: bytes
-    size: int
+    size: int  # bytes
     effective_at_us: int
 
 
-def version_in_force(versions: Sequence[Version], at: int) -> Version | None:
-    """Of a document's versions, the newest last, the one that holds at a moment."""
-    return next((version for version in reversed(versions) if version.effective_at_us <= at), None)
+def version_in_force(versions: Sequence[Version], at_us: int) -> Version | None:
+    """Return the version in force at a moment; `versions` are those of one document, the newest last."""
+    return next((version for version in reversed(versions) if version.effective_at_us <= at_us), None)
+
+
+class PrepareRound(NamedTuple):
+    """A round of preparing, of one change."""
+
+    change_number: int
+    round: int
 
 
 class PendingChange(msgspec.Struct, array_like=True):
-    """The change that is under way: one in the whole fleet."""
+    """The change that is in progress; there is at most one in the whole cluster."""
 
     name: str
     number: int  # counts the changes of all documents
     digest: bytes
-    size: int
+    size: int  # bytes
     idempotency_key: str
     proposed_at_us: int
     phase: ChangePhase = ChangePhase.PROPOSED
-    accepted_by: set[str] = msgspec.field(default_factory=set)
-    round: int = 0  # counts the times that it was armed
+    accepted_by: set[str] = msgspec.field(default_factory=set)  # incarnations
+    round: int = 0  # counts the rounds of preparing
     prepare_started_at_us: int = 0
     short_lease_us: int = 0
-    participants: set[str] = msgspec.field(default_factory=set)  # who held a lease when it was armed
+    participants: set[str] = msgspec.field(default_factory=set)  # that held a lease when the round began
     prepared_by: set[str] = msgspec.field(default_factory=set)
 
+    @property
+    def prepare_round(self) -> PrepareRound:
+        """The newest round of preparing."""
+        return PrepareRound(self.number, self.round)
+
+    def can_enter(self, phase: ChangePhase) -> bool:
+        """Whether the change may go from its phase to that one."""
+        return phase in _TRANSITIONS[self.phase]
+
+    def begin_round(self, participants: set[str], prepare: Prepare) -> None:
+        """Enter the prepared phase with a new round."""
+        self.round += 1
+        self.participants = participants
+        self.prepared_by = set()
+        self.prepare_started_at_us = prepare.timestamp_us
+        self.short_lease_us = prepare.short_lease_us
+        self.phase = ChangePhase.PREPARED
+
 
 class DocumentsSnapshot(msgspec.Struct, array_like=True):
-    """All of the state, in the order of a snapshot."""
+    """The whole state, in the order of its encoded form."""
 
     change_count: int = 0
-    versions: dict[str, list[Version]] = {}  # the newest last
+    versions: dict[str, list[Version]] = {}  # by document, the newest last
     change: PendingChange | None = None
-    leases: dict[str, int] = {}  # by start: until when
-    results: list[tuple[str, ChangeResult]] = []
+    leases: dict[str, int] = {}  # by incarnation: the end, in microseconds of Unix time
+    results: list[tuple[str, ChangeResult]] = []  # by idempotency key, the oldest first
     latest_timestamp_us: int = 0
 
 
-def node_name(start: str) -> str:
-    """The node's name in the name of one of its starts."""
-    return start.partition("/")[0]
+def node_name(incarnation: str) -> str:
+    """Return the node's name from the name of one of its incarnations."""
+    return incarnation.partition("/")[0]
 
 
 class Documents:
-    """The state that the log decides: the same entries give the same state everywhere."""
+    """The replicated state machine of documents and leases.
+
+    The same commands give the same state at every node. Owned by the Raft thread; other threads may read
+    `results` and `leases`, and get the state before or after a command.
+    """
 
     def __init__(self, voters: Sequence[str]) -> None:
-        """`voters`: of the log, by name: most of them must have a document's content before it holds."""
+        """`voters`: names of the log's voters; a majority of them must store a content before its commit."""
         self._voters = frozenset(voters)
         self._change_count = 0
         self._versions: dict[str, list[Version]] = {}
         self.change: PendingChange | None = None
         self.leases: dict[str, int] = {}
         self.results: OrderedDict[str, ChangeResult] = OrderedDict()
-        self.latest_timestamp_us = 0  # the latest time that an entry told
+        self.latest_timestamp_us = 0
 
-    # --- what others may look at
+    # --- queries
 
-    def version_at(self, name: str, at: int) -> Version | None:
-        """The version that holds at a moment."""
-        return version_in_force(self._versions.get(name, ()), at)
+    def version_at(self, name: str, at_us: int) -> Version | None:
+        """Return the version of a document in force at a moment; None before its first one."""
+        return version_in_force(self._versions.get(name, ()), at_us)
 
     def versions(self, name: str) -> tuple[Version, ...]:
-        """Those that are known, the newest last: it may hold from a moment to come."""
+        """Return a document's known versions, the newest last; that one may take effect later."""
         return tuple(self._versions.get(name, ()))
 
     def names(self) -> list[str]:
-        """Of all documents."""
+        """Return the names of all documents, sorted."""
         return sorted(self._versions)
 
     def referenced_digests(self) -> set[bytes]:
-        """Of all content that may be asked for."""
-        found = {v.digest for versions in self._versions.values() for v in versions}
-        return found | ({self.change.digest} if self.change else set())
-
-    # --- entries
-
-    def apply(self, told: DocumentCommand) -> ChangeResult:
-        """Take in an entry."""
-        self.latest_timestamp_us = max(self.latest_timestamp_us, told.timestamp_us)
-        match told:
+        """Return the digests of all known versions and of the pending change."""
+        digests = {version.digest for versions in self._versions.values() for version in versions}
+        if self.change is not None:
+            digests.add(self.change.digest)
+        return digests
+
+    def lease_holders(self, at_us: int) -> set[str]:
+        """Return the incarnations that hold a lease at a moment."""
+        return {incarnation for incarnation, end_us in self.leases.items() if end_us > at_us}
+
+    def missing_acceptances(self, change: PendingChange, holders: set[str]) -> set[str]:
+        """Return who has yet to accept a change: lease holders, and voters until a majority of them has."""
+        voters = {node_name(incarnation) for incarnation in change.accepted_by} & self._voters
+        has_majority = len(voters) * 2 > len(self._voters)
+        missing_voters = set() if has_majority else self._voters - voters
+        return (holders - change.accepted_by) | missing_voters
+
+    def unprepared_holders(self, change: PendingChange, at_us: int) -> set[str]:
+        """Return the participants that may still decide under the previous version on a long lease."""
+        unprepared = change.participants - change.prepared_by
+        return {incarnation for incarnation in unprepared if self.leases.get(incarnation, 0) > at_us}
+
+    # --- commands
+
+    def apply(self, command: DocumentCommand) -> ChangeResult:
+        """Apply a command of the log."""
+        self.latest_timestamp_us = max(self.latest_timestamp_us, command.timestamp_us)
+        match command:
             case Proposal():
-                return self._apply_proposal(told)
+                return self._apply_proposal(command)
             case LeaseGrant():
-                return self._apply_lease_grant(told)
+                return self._apply_lease_grant(command)
             case LeaseRelease():
-                self.leases.pop(told.node, None)
-                return ChangeResult("done")
+                self.leases.pop(command.node, None)
+                return ChangeResult(ChangeOutcome.DONE)
+        return self._apply_to_change(command)
+
+    def _apply_to_change(self, command: ChangeCommand) -> ChangeResult:
         change = self.change
-        if change is None or change.number != told.number:
-            return ChangeResult("over", told.number)
-        match told:
+        if change is None or change.number != command.number:
+            return ChangeResult(ChangeOutcome.STALE, command.number)
+        match command:
             case ValidationVote():
-                return self._apply_validation_vote(change, told)
+                return self._apply_validation_vote(change, command)
             case Prepare():
-                return self._apply_prepare(change, told)
+                return self._apply_prepare(change, command)
             case Prepared():
-                return self._apply_prepared(change, told)
+                return self._apply_prepared(change, command)
             case Commit():
-                return self._apply_commit(change, told)
-        return self._apply_abort(change, told)
+                return self._apply_commit(change, command)
+        return self._apply_abort(change, command)
 
-    def _apply_proposal(self, told: Proposal) -> ChangeResult:
-        if told.idempotency_key in self.results:
-            return self.results[told.idempotency_key]
+    def _apply_proposal(self, proposal: Proposal) -> ChangeResult:
+        if proposal.idempotency_key in self.results:
+            return self.results[proposal.idempotency_key]
         if self.change is not None:
-            same = self.change.idempotency_key == told.idempotency_key
-            return ChangeResult(
-                "under way" if same else "busy", self.change.number, "" if same else self.change.name
-            )
-        if not 0 < told.size <= MAX_CONTENT_BYTES:
-            return ChangeResult("refused", 0, f"size: from 1 to {MAX_CONTENT_BYTES} bytes")
-        if told.name not in self._versions and len(self._versions) >= MAX_DOCUMENTS:
-            return ChangeResult("refused", 0, f"name: there are {MAX_DOCUMENTS} documents")
+            if self.change.idempotency_key == proposal.idempotency_key:
+                return ChangeResult(ChangeOutcome.IN_PROGRESS, self.change.number)
+            return ChangeResult(ChangeOutcome.BUSY, self.change.number, self.change.name)
+        if not 0 < proposal.size <= MAX_CONTENT_BYTES:
+            return ChangeResult(ChangeOutcome.REJECTED, 0, f"size: from 1 to {MAX_CONTENT_BYTES} bytes")
+        if proposal.name not in self._versions and len(self._versions) >= MAX_DOCUMENTS:
+            return ChangeResult(ChangeOutcome.REJECTED, 0, f"name: there are {MAX_DOCUMENTS} documents")
         self._change_count += 1
         self.change = PendingChange(
-            told.name, self._change_count, told.digest, told.size, told.idempotency_key, told.timestamp_us
+            name=proposal.name,
+            number=self._change_count,
+            digest=proposal.digest,
+            size=proposal.size,
+            idempotency_key=proposal.idempotency_key,
+            proposed_at_us=proposal.timestamp_us,
         )
-        return ChangeResult("under way", self._change_count)
+        return ChangeResult(ChangeOutcome.IN_PROGRESS, self._change_count)
 
-    def _apply_lease_grant(self, told: LeaseGrant) -> ChangeResult:
+    def _apply_lease_grant(self, grant: LeaseGrant) -> ChangeResult:
         if self.change is not None and self.change.phase is ChangePhase.PREPARED:
-            return ChangeResult("armed")  # what is held now is counted on to end
-        leases = dict(self.leases)  # anew: other threads read the one that there was
-        for start in told.incarnations:
-            if start in leases or len(leases) < MAX_LEASES:
-                leases[start] = max(told.timestamp_us + told.duration_us, leases.get(start, 0))
-        # One that ended so long ago holds nothing up on any clock.
+            return ChangeResult(ChangeOutcome.LEASES_FROZEN)  # the commit counts on the present ends
+        leases = dict(self.leases)  # a copy: other threads read the present one
+        for incarnation in grant.incarnations:
+            if incarnation in leases or len(leases) < MAX_LEASES:
+                end_us = grant.timestamp_us + grant.duration_us
+                leases[incarnation] = max(end_us, leases.get(incarnation, 0))
+        # A lease that ended one duration ago has ended by any node's clock.
+        oldest_end_us = self.latest_timestamp_us - grant.duration_us
         self.leases = {
-            start: until
-            for start, until in leases.items()
-            if until > self.latest_timestamp_us - told.duration_us
+            incarnation: end_us for incarnation, end_us in leases.items() if end_us > oldest_end_us
         }
-        return ChangeResult("done")
-
-    def _apply_validation_vote(self, change: PendingChange, told: ValidationVote) -> ChangeResult:
-        if told.fault:
-            return self._finish_change(
-                change, ChangeResult("refused", change.number, f"{node_name(told.node)}: {told.fault}")
-            )
-        change.accepted_by.add(told.node)
-        return ChangeResult("done", change.number)
-
-    def _apply_prepare(self, change: PendingChange, told: Prepare) -> ChangeResult:
-        holding = {start for start, until in self.leases.items() if until > told.timestamp_us}
-        if change.phase is ChangePhase.PREPARED or self.missing_acceptances(change, holding):
-            return ChangeResult("early", change.number)
-        change.round, change.participants, change.prepared_by = change.round + 1, holding, set()
-        change.prepare_started_at_us, change.short_lease_us = told.timestamp_us, told.short_lease_us
-        change.phase = ChangePhase.PREPARED
-        return ChangeResult("done", change.number)
-
-    def missing_acceptances(self, change: PendingChange, holding: set[str]) -> set[str]:
-        """Who has to say yes still; among them voters, as long as most of them have not."""
-        voters = {node_name(start) for start in change.accepted_by} & self._voters
-        missing = set() if len(voters) * 2 > len(self._voters) else self._voters - voters
-        return (holding - change.accepted_by) | missing
-
-    def _apply_prepared(self, change: PendingChange, told: Prepared) -> ChangeResult:
-        if (
-            change.phase is not ChangePhase.PREPARED
-            or change.round != told.round
-            or told.node not in change.participants
+        return ChangeResult(ChangeOutcome.DONE)
+
+    def _apply_validation_vote(self, change: PendingChange, vote: ValidationVote) -> ChangeResult:
+        if vote.fault:
+            reason = f"{node_name(vote.node)}: {vote.fault}"
+            result = ChangeResult(ChangeOutcome.REJECTED, change.number, reason)
+            return self._finish_change(change, ChangePhase.ABORTED, result)
+        change.accepted_by.add(vote.node)
+        return ChangeResult(ChangeOutcome.DONE, change.number)
+
+    def _apply_prepare(self, change: PendingChange, prepare: Prepare) -> ChangeResult:
+        holders = self.lease_holders(prepare.timestamp_us)
+        if not change.can_enter(ChangePhase.PREPARED) or self.missing_acceptances(change, holders):
+            return ChangeResult(ChangeOutcome.TOO_EARLY, change.number)
+        change.begin_round(holders, prepare)
+        return ChangeResult(ChangeOutcome.DONE, change.number)
+
+    def _apply_prepared(self, change: PendingChange, prepared: Prepared) -> ChangeResult:
+        is_current = change.phase is ChangePhase.PREPARED and change.round == prepared.round
+        if not is_current or prepared.node not in change.participants:
+            return ChangeResult(ChangeOutcome.STALE, change.number)
+        # The node itself says when its lease ends; what an earlier grant gave it is void from that moment.
+        short_end_us = prepared.timestamp_us + change.short_lease_us
+        self.leases[prepared.node] = min(self.leases.get(prepared.node, 0), short_end_us)
+        change.prepared_by.add(prepared.node)
+        return ChangeResult(ChangeOutcome.DONE, change.number)
+
+    def _apply_commit(self, change: PendingChange, commit: Commit) -> ChangeResult:
+        if not change.can_enter(ChangePhase.COMMITTED) or self.unprepared_holders(
+            change, commit.timestamp_us
         ):
-            return ChangeResult("over", change.number)
-        # Its own word of when its lease ends; what an earlier entry gave is void from that moment.
-        self.leases[told.node] = min(self.leases.get(told.node, 0), told.timestamp_us + change.short_lease_us)
-        change.prepared_by.add(told.node)
-        return ChangeResult("done", change.number)
-
-    def _apply_commit(self, change: PendingChange, told: Commit) -> ChangeResult:
-        if change.phase is not ChangePhase.PREPARED or self.unprepared_holders(change, told.timestamp_us):
-            return ChangeResult("early", change.number)
-        since = max([told.timestamp_us, *self.leases.values()])
-        held = [
-            *self._versions.get(change.name, ()),
-            Version(change.number, change.digest, change.size, since),
-        ]
-        self._versions[change.name] = held[-MAX_PREVIOUS_VERSIONS - 1 :]
-        return self._finish_change(change, ChangeResult("done", change.number))
-
-    def unprepared_holders(self, change: PendingChange, at: int) -> set[str]:
-        """Who may decide under the document before for longer than a short lease."""
-        return {s for s in change.participants - change.prepared_by if self.leases.get(s, 0) > at}
-
-    def _apply_abort(self, change: PendingChange, told: Abort) -> ChangeResult:
-        if told.reason:
-            return self._finish_change(change, ChangeResult("dropped", change.number, told.reason))
+            return ChangeResult(ChangeOutcome.TOO_EARLY, change.number)
+        effective_at_us = max([commit.timestamp_us, *self.leases.values()])
+        version = Version(change.number, change.digest, change.size, effective_at_us)
+        versions = [*self._versions.get(change.name, ()), version]
+        self._versions[change.name] = versions[-MAX_PREVIOUS_VERSIONS - 1 :]
+        result = ChangeResult(ChangeOutcome.DONE, change.number)
+        return self._finish_change(change, ChangePhase.COMMITTED, result)
+
+    def _apply_abort(self, change: PendingChange, abort: Abort) -> ChangeResult:
+        if abort.reason:
+            result = ChangeResult(ChangeOutcome.ABORTED, change.number, abort.reason)
+            return self._finish_change(change, ChangePhase.ABORTED, result)
         change.phase = ChangePhase.PROPOSED
-        return ChangeResult("done", change.number)
+        return ChangeResult(ChangeOutcome.DONE, change.number)
 
-    def _finish_change(self, change: PendingChange, ruled: ChangeResult) -> ChangeResult:
+    def _finish_change(self, change: PendingChange, phase: ChangePhase, result: ChangeResult) -> ChangeResult:
+        change.phase = phase
         self.change = None
-        self.results[change.idempotency_key] = ruled
+        self.results[change.idempotency_key] = result
         while len(self.results) > MAX_RESULTS:
             self.results.popitem(last=False)
-        return ruled
+        return result
 
     # --- snapshots
 
     def snapshot(self) -> DocumentsSnapshot:
+        """Return the whole state. It shares its parts with this object: encode it before the next command."""
         return DocumentsSnapshot(
-            self._change_count,
-            self._versions,
-            self.change,
-            self.leases,
-            list(self.results.items()),
-            self.latest_timestamp_us,
+            change_count=self._change_count,
+            versions=self._versions,
+            change=self.change,
+            leases=self.leases,
+            results=list(self.results.items()),
+            latest_timestamp_us=self.latest_timestamp_us,
         )
 
-    def restore(self, kept: DocumentsSnapshot) -> None:
-        self._change_count, self._versions, self.change = kept.change_count, dict(kept.versions), kept.change
-        self.leases, self.results, self.latest_timestamp_us = (
-            dict(kept.leases),
-            OrderedDict(kept.results),
-            kept.latest_timestamp_us,
-        )
+    def restore(self, snapshot: DocumentsSnapshot) -> None:
+        """Replace the whole state by a snapshot's."""
+        self._change_count = snapshot.change_count
+        self._versions = dict(snapshot.versions)
+        self.change = snapshot.change
+        self.leases = dict(snapshot.leases)
+        self.results = OrderedDict(snapshot.results)
+        self.latest_timestamp_us = snapshot.latest_timestamp_us
--- a/tansyladder/replication/lease_coordinator.py
+++ b/tansyladder/replication/lease_coordinator.py
@@ -1,4 +1,4 @@
-"""What the leader proposes for leases and for the change that is under way."""
+"""What the leader proposes: lease grants, and the next step of the pending change."""
 
 from __future__ import annotations
 
@@ -6,122 +6,142 @@
 from tansyladder.replication.documents import MAX_LEASES, ChangePhase, Documents, PendingChange, node_name
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 
+MAX_BACKOFF_DOUBLINGS = 5  # of the pause between two rounds of preparing: 6.4 s at most
+ABORTED_ROUND = ""  # the reason of an abort that ends only the round
+
 
 class LeaseCoordinator:
-    """What the leader does for leases and for the change that is under way; others' stewards rest.
+    """The leader's part in leases and in the pending change; it decides from the replicated state alone.
 
-    Nothing rests on it: what it proposes too early, or as a leader of the past, the log turns down.
+    Safety doesn't depend on it: the state machine turns down what a coordinator proposes too early or as a
+    former leader. Owned by the Raft thread. Times are microseconds of Unix time by the leader's clock.
     """
 
-    LEASE_DURATION_US = 30 * SECOND_US  # of a lease
-    SHORT_LEASE_US = 300 * MILLISECOND_US
-    VALIDATION_TIMEOUT_US = 10 * SECOND_US  # in which who is heard of has to say yes or no
-    REPROPOSE_INTERVAL_US = 100 * MILLISECOND_US  # between two entries of one kind
-    PREPARE_TIMEOUT_US = 180 * MILLISECOND_US  # for all to arm, before leases are given anew
-    PREPARE_BACKOFF_US = (
-        200 * MILLISECOND_US
-    )  # until they are cut again; doubles with each round that was called off
-
-    def __init__(self, me: str, documents: Documents, length: int = LEASE_DURATION_US) -> None:
-        """`length`: of a lease."""
-        self._incarnation, self._documents, self._lease_duration_us = me, documents, length
-        self._last_renewal_us: dict[str, int] = {}  # by start
+    LEASE_DURATION_US = 30 * SECOND_US
+    SHORT_LEASE_US = 300 * MILLISECOND_US  # while a change is prepared
+    VALIDATION_TIMEOUT_US = 10 * SECOND_US  # for the vote of a node that is up
+    REPROPOSE_INTERVAL_US = 100 * MILLISECOND_US  # between two commands of one type
+    PREPARE_TIMEOUT_US = 180 * MILLISECOND_US  # of a round; the rest of a short lease is left to renew it
+    PREPARE_BACKOFF_US = 200 * MILLISECOND_US  # after an aborted round; doubles with each
+
+    def __init__(
+        self, incarnation: str, documents: Documents, lease_duration_us: int = LEASE_DURATION_US
+    ) -> None:
+        """`incarnation`: of the node that this coordinator runs at."""
+        self._incarnation = incarnation
+        self._documents = documents
+        self._lease_duration_us = lease_duration_us
+        self._renewal_window_us = lease_duration_us // 4  # a node silent for longer counts as down
+        self._last_renewal_us: dict[str, int] = {}  # by incarnation
         self._proposed_at_us: dict[type, int] = {}
-        self._prepare_not_before_us = 0  # when to arm again
-        self._aborted_rounds = self._last_aborted_round = (
-            0  # rounds of this change that were called off; the last of them
-        )
+        self._prepare_not_before_us = 0
+        self._aborted_round_count = 0  # of the pending change
+        self._last_aborted_round = 0
 
-    def record_renewal(self, start: str, at: int) -> None:
-        """A node's start has said that it is there."""
-        if start in self._last_renewal_us or len(self._last_renewal_us) < MAX_LEASES:
-            self._last_renewal_us[start] = at
+    def record_renewal(self, incarnation: str, now_us: int) -> None:
+        """Note that a node is up and wants its lease renewed."""
+        if incarnation in self._last_renewal_us or len(self._last_renewal_us) < MAX_LEASES:
+            self._last_renewal_us[incarnation] = now_us
 
     def reset(self) -> None:
-        """This node does not lead: what it has heard will be old when it does."""
+        """Forget all renewals: this node doesn't lead, and they will be old when it does."""
         self._last_renewal_us.clear()
         self._proposed_at_us.clear()
 
-    def is_urgent(self, at: int) -> bool:
-        """Whether what the log decides is waited for: a change is under way, or leases are short still."""
+    def is_urgent(self, now_us: int) -> bool:
+        """Whether nodes wait for commits: a change is pending, or a renewed lease is short or has ended."""
         leases = self._documents.leases
         return self._documents.change is not None or any(
-            leases.get(s, 0) < at + SECOND_US for s in self._last_renewal_us
+            leases.get(incarnation, 0) < now_us + SECOND_US for incarnation in self._last_renewal_us
         )
 
-    def next_commands(self, at: int) -> list[DocumentCommand]:
-        """What to propose now."""
+    def next_commands(self, now_us: int) -> list[DocumentCommand]:
+        """Return what to propose now."""
         self._last_renewal_us = {
-            start: seen
-            for start, seen in self._last_renewal_us.items()
-            if at - seen < self._lease_duration_us
+            incarnation: renewed_at_us
+            for incarnation, renewed_at_us in self._last_renewal_us.items()
+            if now_us - renewed_at_us < self._lease_duration_us
         }
         change = self._documents.change
         if change is None:
-            self._aborted_rounds = self._prepare_not_before_us = self._last_aborted_round = 0
-            return self._renew_leases(at)
+            self._aborted_round_count = 0
+            self._prepare_not_before_us = 0
+            self._last_aborted_round = 0
+            return self._renew_leases(now_us)
         if change.phase is ChangePhase.PREPARED:
-            if not self._documents.unprepared_holders(change, at):
-                return self._propose_once(Commit(change.number, self._incarnation, at), at)
-            if at - change.prepare_started_at_us <= self.PREPARE_TIMEOUT_US:
-                return []
-            # Who armed is to have a long lease again, before the short one ends; who did not may be gone.
-            if self._last_aborted_round != change.round:
-                self._last_aborted_round = change.round
-                self._prepare_not_before_us = at + (self.PREPARE_BACKOFF_US << min(self._aborted_rounds, 5))
-                self._aborted_rounds += 1
-            return self._propose_once(Abort(change.number, self._incarnation, at), at)
-        return self._renew_leases(at) + self._advance_proposed(change, at)
-
-    def _advance_proposed(self, change: PendingChange, at: int) -> list[DocumentCommand]:
-        """Arm a change that all have said yes to; drop one that somebody who is there says nothing to."""
-        leases = self._documents.leases
-        holding = {start for start, until in leases.items() if until > at}
-        missing = self._documents.missing_acceptances(change, holding)
+            return self._advance_prepared(change, now_us)
+        return self._renew_leases(now_us) + self._advance_proposed(change, now_us)
+
+    def _advance_prepared(self, change: PendingChange, now_us: int) -> list[DocumentCommand]:
+        """Commit a change that all participants are prepared for; abort a round that takes too long."""
+        if not self._documents.unprepared_holders(change, now_us):
+            return self._propose_once(Commit(change.number, self._incarnation, now_us), now_us)
+        if now_us - change.prepare_started_at_us <= self.PREPARE_TIMEOUT_US:
+            return []
+        # Prepared nodes get a long lease again before their short one ends; the others may be down.
+        if self._last_aborted_round != change.round:
+            self._last_aborted_round = change.round
+            doublings = min(self._aborted_round_count, MAX_BACKOFF_DOUBLINGS)
+            self._prepare_not_before_us = now_us + (self.PREPARE_BACKOFF_US << doublings)
+            self._aborted_round_count += 1
+        return self._propose_once(Abort(change.number, self._incarnation, now_us, ABORTED_ROUND), now_us)
+
+    def _advance_proposed(self, change: PendingChange, now_us: int) -> list[DocumentCommand]:
+        """Prepare a change that all have accepted; abort one that a node doesn't vote on in time."""
+        holders = self._documents.lease_holders(now_us)
+        missing = self._documents.missing_acceptances(change, holders)
         if not missing:
-            # Who is silent will not arm: its lease is to end first.
-            if at < self._prepare_not_before_us or any(
-                at - self._last_renewal_us.get(s, 0) > self._lease_duration_us // 4 for s in holding
-            ):
-                return []
-            return self._propose_once(Prepare(change.number, self._incarnation, at, self.SHORT_LEASE_US), at)
-        late = sorted(
-            node_name(start)
-            for start in missing
-            if at - self._last_renewal_us.get(start, 0) < self._lease_duration_us // 4
-        )
-        if late and at - change.proposed_at_us > self.VALIDATION_TIMEOUT_US:
-            return self._propose_once(
-                Abort(change.number, self._incarnation, at, f"no answer of {late[0]}"), at
-            )
-        if at - change.proposed_at_us > 2 * (self._lease_duration_us + self.VALIDATION_TIMEOUT_US):
-            return self._propose_once(
-                Abort(change.number, self._incarnation, at, f"no answer of {min(map(node_name, missing))}"),
-                at,
-            )
+            return self._prepare(change, holders, now_us)
+        pending_us = now_us - change.proposed_at_us
+        overdue = {
+            incarnation
+            for incarnation in missing
+            if self._silence_us(incarnation, now_us) < self._renewal_window_us
+        }
+        if overdue and pending_us > self.VALIDATION_TIMEOUT_US:
+            return self._abort_unanswered(change, overdue, now_us)
+        if pending_us > 2 * (self._lease_duration_us + self.VALIDATION_TIMEOUT_US):
+            return self._abort_unanswered(change, missing, now_us)
         return []
 
-    def _renew_leases(self, at: int) -> list[DocumentCommand]:
-        leases, fresh = self._documents.leases, self._lease_duration_us // 4
-        to = [
-            start
-            for start, seen in self._last_renewal_us.items()
-            if at - seen < fresh and leases.get(start, 0) - at < self._lease_duration_us * 2 // 3
+    def _prepare(self, change: PendingChange, holders: set[str], now_us: int) -> list[DocumentCommand]:
+        """Begin a round, unless a lease holder is silent: it won't prepare, so its lease is to end first."""
+        if now_us < self._prepare_not_before_us:
+            return []
+        if any(self._silence_us(holder, now_us) > self._renewal_window_us for holder in holders):
+            return []
+        prepare = Prepare(change.number, self._incarnation, now_us, self.SHORT_LEASE_US)
+        return self._propose_once(prepare, now_us)
+
+    def _abort_unanswered(
+        self, change: PendingChange, incarnations: set[str], now_us: int
+    ) -> list[DocumentCommand]:
+        """Abort a change as nodes haven't voted; the reason names the first of them."""
+        reason = f"no answer of {min(map(node_name, incarnations))}"
+        return self._propose_once(Abort(change.number, self._incarnation, now_us, reason), now_us)
+
+    def _renew_leases(self, now_us: int) -> list[DocumentCommand]:
+        """Grant a lease to each node that was heard from and has used up a third of its present one."""
+        leases = self._documents.leases
+        renewed = [
+            incarnation
+            for incarnation in self._last_renewal_us
+            if self._silence_us(incarnation, now_us) < self._renewal_window_us
+            and leases.get(incarnation, 0) - now_us < self._lease_duration_us * 2 // 3
         ]
-        return (
-            self._propose_once(
-                LeaseGrant(tuple(sorted(to)), self._lease_duration_us, self._incarnation, at), at
-            )
-            if to
-            else []
-        )
+        if not renewed:
+            return []
+        grant = LeaseGrant(tuple(sorted(renewed)), self._lease_duration_us, self._incarnation, now_us)
+        return self._propose_once(grant, now_us)
+
+    def _silence_us(self, incarnation: str, now_us: int) -> int:
+        """Return for how long a node hasn't asked for a renewal; since 1970 where it never has."""
+        return now_us - self._last_renewal_us.get(incarnation, 0)
 
-    def _propose_once(self, entry: DocumentCommand, at: int) -> list[DocumentCommand]:
-        """An entry, unless its like was proposed a moment ago."""
-        if (
-            at - self._proposed_at_us.get(type(entry), -self.REPROPOSE_INTERVAL_US)
-            < self.REPROPOSE_INTERVAL_US
-        ):
+    def _propose_once(self, command: DocumentCommand, now_us: int) -> list[DocumentCommand]:
+        """Return the command, unless one of its type was proposed a moment ago."""
+        last_proposed_us = self._proposed_at_us.get(type(command), -self.REPROPOSE_INTERVAL_US)
+        if now_us - last_proposed_us < self.REPROPOSE_INTERVAL_US:
             return []
-        self._proposed_at_us[type(entry)] = at
-        return [entry]
+        self._proposed_at_us[type(command)] = now_us
+        return [command]
--- a/tansyladder/replication/lease_holder.py
+++ b/tansyladder/replication/lease_holder.py
@@ -1,57 +1,59 @@
-"""What one start of a node may decide under, and what it owes to a change."""
+"""The lease of one incarnation of a node, as far as the node has applied the log."""
 
 from __future__ import annotations
 
 from tansyladder.replication.document_messages import Prepared
-from tansyladder.replication.documents import ChangePhase, Documents, PendingChange, Version
+from tansyladder.replication.documents import ChangePhase, Documents, PendingChange, PrepareRound
 
 
 class LeaseHolder:
-    """One start of a node: what it may decide under, and what it owes to a change."""
+    """Says how long a node may decide, and what it owes to the pending change.
 
-    def __init__(self, me: str, documents: Documents) -> None:
-        """`me`: the node and its start; the documents as far as this node has heard the log."""
-        self.incarnation, self._documents = me, documents
-        self._prepared_round = (0, 0)  # number and round that it has armed for
-        self._lease_limit_us = 0  # when its lease ends at the latest, as long as the log does not have that
+    Owned by the Raft thread. Times are microseconds of Unix time by the node's own clock.
+    """
+
+    def __init__(self, incarnation: str, documents: Documents) -> None:
+        """`documents`: the state as this node has applied it."""
+        self.incarnation = incarnation
+        self._documents = documents
+        self._prepared_round = PrepareRound(0, 0)  # for which it has shortened its lease
+        self._short_lease_end_us = 0  # in that round
 
     def lease_end_us(self) -> int:
-        """When its lease ends, by its own clock."""
-        until = self._documents.leases.get(self.incarnation, 0)
+        """Return when the lease ends; 0 without a lease.
+
+        From the moment it is shortened the short end counts, though the log may not have it yet.
+        """
+        end_us = self._documents.leases.get(self.incarnation, 0)
         change = self._documents.change
-        if (
-            change is not None
-            and (change.number, change.round) == self._prepared_round
-            and self.incarnation not in change.prepared_by
-        ):
-            until = min(until, self._lease_limit_us)
-        return until
-
-    def has_lease(self, at: int) -> bool:
-        """Whether this start holds a lease at a moment of its own clock."""
-        return at < self.lease_end_us()
-
-    def version_at(self, name: str, at: int) -> Version | None:
-        """What it decides under, where it may."""
-        return self._documents.version_at(name, at)
+        if change is None or self.incarnation in change.prepared_by:
+            return end_us
+        if change.prepare_round != self._prepared_round:
+            return end_us
+        return min(end_us, self._short_lease_end_us)
+
+    def has_lease(self, now_us: int) -> bool:
+        """Whether this incarnation may decide now."""
+        return now_us < self.lease_end_us()
 
     def change_to_validate(self) -> PendingChange | None:
-        """The change that it has to fetch, check and say its verdict on."""
+        """Return the pending change if this incarnation hasn't accepted it yet."""
         change = self._documents.change
         return change if change is not None and self.incarnation not in change.accepted_by else None
 
-    def prepare(self, at: int) -> Prepared | None:
-        """After entries were taken in: what it has to say of its lease, which is cut by then."""
+    def prepare(self, now_us: int) -> Prepared | None:
+        """Shorten the lease if the pending change asks for it, and return what to propose about that.
+
+        Call it after each application of commands, before anything else leaves the node. Called again it
+        returns the same message until the log has it.
+        """
         change = self._documents.change
         if change is None or change.phase is not ChangePhase.PREPARED:
             return None
         if self.incarnation in change.prepared_by or self.incarnation not in change.participants:
             return None
-        if self._prepared_round != (change.number, change.round):
-            self._prepared_round, self._lease_limit_us = (
-                (change.number, change.round),
-                at + change.short_lease_us,
-            )
-        return Prepared(
-            change.number, change.round, self.incarnation, self._lease_limit_us - change.short_lease_us
-        )
+        if self._prepared_round != change.prepare_round:
+            self._prepared_round = change.prepare_round
+            self._short_lease_end_us = now_us + change.short_lease_us
+        shortened_at_us = self._short_lease_end_us - change.short_lease_us
+        return Prepared(change.number, change.round, self.incarnation, shortened_at_us)
--- a/tansyladder/replication/units.py
+++ b/tansyladder/replication/units.py
@@ -1,3 +1,4 @@
-"""Spans of time in microseconds."""
+"""Spans of time in microseconds, the unit of all times in this package."""
 
-SECOND_US, MILLISECOND_US = 1_000_000, 1000
+MILLISECOND_US = 1_000
+SECOND_US = 1_000_000
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -21,6 +21,7 @@
 from tansyladder.raft.messages import Message, ProposalRequest
 from tansyladder.raft.node import RaftNode, Role
 from tansyladder.replication.document_messages import (
+    ChangeOutcome,
     ChangeResult,
     DocumentCommand,
     LeaseRenewal,
@@ -277,7 +278,7 @@
     def _serve(self, name: str) -> None:
         seat, clock = self.seats[name], self._clock(name)
         self.counts["decisions"] += 1
-        version = seat.follower.version_at(NAME, clock)
+        version = seat.documents.version_at(NAME, clock)
         if seat.follower.has_lease(clock) and (version is None or version.number in self._contents[name]):
             self.decided.append(Decision(self.now, name, version.number if version else 0, clock))
         else:
@@ -353,7 +354,9 @@
         self.quiet_from = self.now
         until = self.now + 2 * LIVE
         last = ""
-        while self.now < until and not (last and self.ends.get(last, ChangeResult("")).outcome == "done"):
+        while self.now < until and not (
+            last and self.ends.get(last, ChangeResult(ChangeOutcome.UNKNOWN)).outcome == ChangeOutcome.DONE
+        ):
             if not last or last in self.ends:
                 last = self.offer(self.names[0])
             self.run(self.now + SECOND_US)
@@ -382,10 +385,10 @@
     asks = {number: fleet.ends.get(ask) for number, ask in fleet.found.items()}
     for number in sorted(used - {0}):
         ended = asks.get(number)
-        if ended is None or ended.outcome != "done":
+        if ended is None or ended.outcome != ChangeOutcome.DONE:
             out.append(f"number {number} is decided under and ended {ended}")
     out += [f"number {number} holds after a no" for number in sorted(used & fleet.no_to)]
-    if fleet.ends.get(fleet.last, ChangeResult("")).outcome != "done":
+    if fleet.ends.get(fleet.last, ChangeResult(ChangeOutcome.UNKNOWN)).outcome != ChangeOutcome.DONE:
         out.append(f"no change goes through: {fleet.last} {fleet.ends.get(fleet.last)}")
     else:
         now_under = {name: 0 for name in fleet.names}
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -254,7 +254,9 @@
 
 
 def change_result(*, word: str, number: int, why: str) -> object:
-    return document_messages.ChangeResult(outcome=word, number=number, reason=why)
+    return document_messages.ChangeResult(
+        outcome=document_messages.ChangeOutcome(word), number=number, reason=why
+    )
 
 
 def greeting(
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -19,14 +19,17 @@
 from tansyladder.replication.content_transfer import CHUNK_BYTES, Chunk, ChunkRequest, ContentStore
 from tansyladder.replication.document_messages import (
     Abort,
+    ChangeOutcome,
     ChangeResult,
     Commit,
+    DocumentCommand,
     LeaseGrant,
     LeaseRelease,
     Prepare,
     Prepared,
     Proposal,
     ValidationVote,
+    change_step,
 )
 from tansyladder.replication.documents import MAX_CONTENT_BYTES, MAX_PREVIOUS_VERSIONS, Documents
 from tansyladder.replication.replicated_state import ReplicatedState
@@ -59,12 +62,15 @@
     fleets = [play(seed, 20.0, voters=voters, learners=learners, faults=HARD) for seed in range(2)]
     assert [found(fleet) for fleet in fleets] == [[]] * 2
     words = [ruled.outcome for fleet in fleets for ruled in fleet.ends.values()]
-    assert words.count("done") >= 4 and sum(f.counts["crashes"] + f.counts["stops"] for f in fleets) > 5
+    assert (
+        words.count(ChangeOutcome.DONE) >= 4
+        and sum(f.counts["crashes"] + f.counts["stops"] for f in fleets) > 5
+    )
 
 
 def test_where_nothing_fails_nobody_is_turned_away_for_a_change() -> None:
     fleet = play(1, 20.0, voters=5, learners=0, faults=CALM, bad=0.3, stops_every=0)
-    assert not found(fleet) and "refused" in {ruled.outcome for ruled in fleet.ends.values()}
+    assert not found(fleet) and ChangeOutcome.REJECTED in {ruled.outcome for ruled in fleet.ends.values()}
     assert [at for at, _ in fleet.turned_away if at > 4 * SECOND_US] == []
 
 
@@ -86,7 +92,35 @@
     assert any(kind in case for case in found(play(seed, 25.0, faults=HARD, **how)))
 
 
-# --- the state, entry by entry
+# --- the state, command by command
+
+
+def test_the_outcomes_are_the_words_of_the_log_and_of_the_operators_answers() -> None:
+    """Snapshots, peers of other versions and the operators' scripts read them."""
+    words = ("done", "under way", "busy", "refused", "dropped", "over", "early", "armed", "not known")
+    assert tuple(ChangeOutcome) == words
+    encoded = msgspec.msgpack.encode(ChangeResult(ChangeOutcome.IN_PROGRESS, 3))
+    assert msgspec.msgpack.decode(encoded) == ["under way", 3, ""]
+
+
+@pytest.mark.parametrize(
+    ("command", "step"),
+    [
+        (Proposal("note", b"d", 1, "ask", "a/1", 0), None),
+        (ValidationVote(4, "a/1", 0, "note: no"), ("verdict", 4, "note: no")),
+        (Prepare(4, "a/1", 0, 300), ("arm", 4, "")),
+        (Prepared(4, 1, "a/1", 0), None),
+        (Commit(4, "a/1", 0), ("hold", 4, "")),
+        (Abort(4, "a/1", 0, "no answer of c"), ("drop", 4, "no answer of c")),
+        (LeaseRelease("a/1", 0), None),
+    ],
+)
+def test_the_log_names_a_step_by_the_tag_of_its_command(
+    command: DocumentCommand, step: tuple[str, int, str] | None
+) -> None:
+    described = change_step(command)
+    assert described == step
+    assert described is None or described.name == command.__struct_config__.tag
 
 
 LENGTH, SHORT = 30 * SECOND_US, 300 * MILLISECOND_US
@@ -97,7 +131,9 @@
     state = Documents(["a", "b", "c"])
     state.apply(LeaseGrant(nodes, LENGTH, "a/1", 0))
     if change:
-        assert state.apply(Proposal("rules", b"d", 10, "ask", "a/1", 0)) == ChangeResult("under way", 1)
+        assert state.apply(Proposal("rules", b"d", 10, "ask", "a/1", 0)) == ChangeResult(
+            ChangeOutcome.IN_PROGRESS, 1
+        )
     return state
 
 
@@ -108,20 +144,22 @@
     state = agreed_by(*ALL)
     arm = Prepare(1, "a/1", 2 * SECOND_US, SHORT)
     for start in ALL:
-        assert state.apply(arm).outcome == "early"
+        assert state.apply(arm).outcome == ChangeOutcome.TOO_EARLY
         state.apply(ValidationVote(1, start, SECOND_US))
-    assert state.apply(Commit(1, "a/1", 2 * SECOND_US)).outcome == "early"
-    assert state.apply(arm).outcome == "done"
-    assert state.apply(LeaseGrant(ALL, LENGTH, "a/1", 2 * SECOND_US)).outcome == "armed"
+    assert state.apply(Commit(1, "a/1", 2 * SECOND_US)).outcome == ChangeOutcome.TOO_EARLY
+    assert state.apply(arm).outcome == ChangeOutcome.DONE
+    assert state.apply(LeaseGrant(ALL, LENGTH, "a/1", 2 * SECOND_US)).outcome == ChangeOutcome.LEASES_FROZEN
     for at, start in enumerate(ALL):
-        assert state.apply(Commit(1, "a/1", 3 * SECOND_US)).outcome == "early"
+        assert state.apply(Commit(1, "a/1", 3 * SECOND_US)).outcome == ChangeOutcome.TOO_EARLY
         state.apply(Prepared(1, 1, start, 2 * SECOND_US + at * MILLISECOND_US))
-    assert state.apply(Commit(1, "a/1", 2 * SECOND_US + 9 * MILLISECOND_US)) == ChangeResult("done", 1)
+    assert state.apply(Commit(1, "a/1", 2 * SECOND_US + 9 * MILLISECOND_US)) == ChangeResult(
+        ChangeOutcome.DONE, 1
+    )
     since = 2 * SECOND_US + 2 * MILLISECOND_US + SHORT
     assert state.version_at("rules", since - 1) is None
     assert state.version_at("rules", since) == state.versions("rules")[0]
     assert state.apply(Proposal("rules", b"d", 10, "ask", "b/7", 9 * SECOND_US)) == ChangeResult(
-        "done", 1
+        ChangeOutcome.DONE, 1
     )  # it is over, and was a yes
 
 
@@ -130,26 +168,32 @@
     [
         (
             [ValidationVote(1, "b/1", SECOND_US, "rules.2: no such zone")],
-            ChangeResult("refused", 1, "b: rules.2: no such zone"),
+            ChangeResult(ChangeOutcome.REJECTED, 1, "b: rules.2: no such zone"),
+        ),
+        (
+            [Abort(1, "a/1", SECOND_US, "no answer of c")],
+            ChangeResult(ChangeOutcome.ABORTED, 1, "no answer of c"),
+        ),
+        (
+            [Proposal("sets", b"e", 10, "other", "c/1", SECOND_US)],
+            ChangeResult(ChangeOutcome.BUSY, 1, "rules"),
         ),
-        ([Abort(1, "a/1", SECOND_US, "no answer of c")], ChangeResult("dropped", 1, "no answer of c")),
-        ([Proposal("sets", b"e", 10, "other", "c/1", SECOND_US)], ChangeResult("busy", 1, "rules")),
-        ([Proposal("rules", b"d", 10, "ask", "c/1", SECOND_US)], ChangeResult("under way", 1)),
-        ([ValidationVote(2, "b/1", SECOND_US)], ChangeResult("over", 2)),
+        ([Proposal("rules", b"d", 10, "ask", "c/1", SECOND_US)], ChangeResult(ChangeOutcome.IN_PROGRESS, 1)),
+        ([ValidationVote(2, "b/1", SECOND_US)], ChangeResult(ChangeOutcome.STALE, 2)),
         (
             [
                 *(ValidationVote(1, s, SECOND_US) for s in ALL),
                 Prepare(1, "a/1", SECOND_US, SHORT),
                 Prepared(1, 2, "b/1", SECOND_US),
             ],
-            ChangeResult("over", 1),
+            ChangeResult(ChangeOutcome.STALE, 1),
         ),
         (
             [
                 Abort(1, "a/1", SECOND_US, "x"),
                 Proposal("rules", b"d", MAX_CONTENT_BYTES + 1, "n", "a/1", SECOND_US),
             ],
-            ChangeResult("refused", 0, f"size: from 1 to {MAX_CONTENT_BYTES} bytes"),
+            ChangeResult(ChangeOutcome.REJECTED, 0, f"size: from 1 to {MAX_CONTENT_BYTES} bytes"),
         ),
     ],
 )
@@ -168,18 +212,20 @@
             state.apply(LeaseRelease("c/1", SECOND_US))
         early, late = 20 * SECOND_US, LENGTH
         state.apply(LeaseGrant(ALL[:2], LENGTH, "a/1", early))
-        assert state.apply(Prepare(1, "a/1", early, SHORT)).outcome == ("done" if leaves else "early")
+        assert state.apply(Prepare(1, "a/1", early, SHORT)).outcome == (
+            ChangeOutcome.DONE if leaves else ChangeOutcome.TOO_EARLY
+        )
         if not leaves:
-            assert state.apply(Prepare(1, "a/1", late, SHORT)).outcome == "done"
+            assert state.apply(Prepare(1, "a/1", late, SHORT)).outcome == ChangeOutcome.DONE
         assert state.change is not None and state.change.participants == set(ALL[:2])
 
 
 def test_most_voters_have_the_content_before_it_holds() -> None:
     state = agreed_by("a/1")
     state.apply(ValidationVote(1, "a/1", SECOND_US))
-    assert state.apply(Prepare(1, "a/1", SECOND_US, SHORT)).outcome == "early"
+    assert state.apply(Prepare(1, "a/1", SECOND_US, SHORT)).outcome == ChangeOutcome.TOO_EARLY
     state.apply(ValidationVote(1, "b/4", SECOND_US))
-    assert state.apply(Prepare(1, "a/1", SECOND_US, SHORT)).outcome == "done"
+    assert state.apply(Prepare(1, "a/1", SECOND_US, SHORT)).outcome == ChangeOutcome.DONE
 
 
 def test_a_snapshot_has_all_of_it_and_that_of_the_version_before_is_read() -> None:
@@ -209,7 +255,7 @@
         state.apply(Proposal("rules", b"%d" % number, 1, f"ask{number}", "a/1", number * SECOND_US))
         state.apply(ValidationVote(number, "a/1", number * SECOND_US))
         state.apply(Prepare(number, "a/1", number * SECOND_US, SHORT))
-        assert state.apply(Commit(number, "a/1", number * SECOND_US)).outcome == "done"
+        assert state.apply(Commit(number, "a/1", number * SECOND_US)).outcome == ChangeOutcome.DONE
     assert [v.number for v in state.versions("rules")] == list(
         range(MAX_PREVIOUS_VERSIONS - 1, 2 * MAX_PREVIOUS_VERSIONS)
     )
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -17,6 +17,7 @@
 )
 from tansyladder.raft.node import Effects, RaftNode
 from tansyladder.replication.document_messages import (
+    ChangeOutcome,
     ChangeResult,
     Commit,
     DocumentCommand,
@@ -199,7 +200,7 @@
 
     def _apply_commit(self, change: PendingChange, told: Commit) -> ChangeResult:
         ruled = super()._apply_commit(change, told)
-        if ruled.outcome == "done":
+        if ruled.outcome == ChangeOutcome.DONE:
             held = self._versions[change.name]
             held[-1] = msgspec.structs.replace(held[-1], effective_at_us=told.timestamp_us)
         return ruled
