--- a/tansyladder/lab/crash_consistency.py
+++ b/tansyladder/lab/crash_consistency.py
@@ -19,10 +19,10 @@
 from tansyladder.store import Durability, StoreError, WriteOperation, open_store
 from tansyladder.store.errors import StoreCorruptError, StoreFullError
 
-SEGMENT = 700  # bytes: a few batches fill one
+MAX_SEGMENT_BYTES = 700  # bytes: a few batches fill one
 NODE = "n1"
 State = dict[bytes, bytes]
-Batch = tuple[tuple[WriteOperation, ...], Durability]
+BatchStep = tuple[tuple[WriteOperation, ...], Durability]
 
 
 class ManualClock:
@@ -35,9 +35,9 @@
         return self.now
 
 
-def script(seed: int, batches: int) -> list[Batch | None]:
+def draw_workload(seed: int, batches: int) -> list[BatchStep | None]:
     """A seeded life of a store: batches, and None for a step of upkeep. Few keys: much is overwritten."""
-    rng, out = random.Random(seed), list[Batch | None]()
+    rng, out = random.Random(seed), list[BatchStep | None]()
     for number in range(batches):
         ops = []
         for _ in range(rng.choice((1, 1, 1, 2, 4))):
@@ -52,15 +52,15 @@
 class StoreLifetime:
     """One run of a script, as far as it gets."""
 
-    def __init__(self, files: FaultInjectingFiles, steps: list[Batch | None]) -> None:
+    def __init__(self, files: FaultInjectingFiles, steps: list[BatchStep | None]) -> None:
         self.files, self.clock = files, ManualClock()
         self.states: list[State] = [{}]  # after each batch that was asked for
-        self.sure = 0  # the newest state that a synced write acknowledged
+        self.acknowledged_state = 0  # the newest state that a synced write acknowledged
         with contextlib.suppress(SimulatedPowerLoss, StoreError):
             self._run(steps)
 
-    def _run(self, steps: list[Batch | None]) -> None:
-        store = open_store(self.files, NODE, self.clock, SEGMENT)
+    def _run(self, steps: list[BatchStep | None]) -> None:
+        store = open_store(self.files, NODE, self.clock, MAX_SEGMENT_BYTES)
         for step in steps:
             if step is None:
                 with contextlib.suppress(StoreFullError):
@@ -80,12 +80,12 @@
                 self.states.pop()
                 continue
             if durability is Durability.SYNCED:
-                self.sure = len(self.states) - 1
+                self.acknowledged_state = len(self.states) - 1
 
 
-def contents(files: FaultInjectingFiles, clock: Callable[[], int]) -> State:
+def recover_contents(files: FaultInjectingFiles, clock: Callable[[], int]) -> State:
     """What a store holds after recovery, record by record. StoreError: it can't be opened or read."""
-    store = open_store(files, NODE, clock, SEGMENT)
+    store = open_store(files, NODE, clock, MAX_SEGMENT_BYTES)
     try:
         return dict(store.items())
     finally:
@@ -97,97 +97,103 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.slowest = 0.0
+        self.slowest_recovery = 0.0
         self.cases: list[str] = []
 
-    def judge(self, files: FaultInjectingFiles, life: StoreLifetime, what: str, damage: bool = False) -> None:
+    def check_recovery(
+        self, files: FaultInjectingFiles, life: StoreLifetime, what: str, damage: bool = False
+    ) -> None:
         """Recover and compare; `damage`: bytes were changed, so Damaged and older tails are allowed."""
         self.counts["recoveries"] += 1
         started = time.perf_counter()
         try:
-            found = contents(files, life.clock)
+            found = recover_contents(files, life.clock)
         except StoreCorruptError as err:
             if damage:
                 self.counts["named"] += 1
             else:
-                self._bad("lost", f"{what}: {err}")
+                self._report("lost", f"{what}: {err}")
             return
         except StoreError as err:
-            self._bad("lost", f"{what}: {err!r}")
+            self._report("lost", f"{what}: {err!r}")
             return
         finally:
-            self.slowest = max(self.slowest, time.perf_counter() - started)
-        least = 0 if damage else life.sure
+            self.slowest_recovery = max(self.slowest_recovery, time.perf_counter() - started)
+        least = 0 if damage else life.acknowledged_state
         if found not in life.states[least:]:
-            self._bad(self._kind(found, life, least), f"{what}: {found} is no state from {least} on")
+            self._report(
+                self._broken_promise(found, life, least), f"{what}: {found} is no state from {least} on"
+            )
 
     @staticmethod
-    def _kind(found: State, life: StoreLifetime, least: int) -> str:
+    def _broken_promise(found: State, life: StoreLifetime, least: int) -> str:
         """Which promise a state breaks: an old one lost something, else a batch is in part there or back."""
         if found in life.states[:least]:
             return "lost"
         ever = {(k, v) for state in life.states[least:] for k, v in state.items()}
         return "half_batches" if set(found.items()) <= ever else "resurrected"
 
-    def _bad(self, kind: str, case: str) -> None:
+    def _report(self, kind: str, case: str) -> None:
         self.counts[kind] += 1
         if len(self.cases) < 5:
             self.cases.append(f"{kind}: {case}"[:400])
 
 
-def power_losses(
-    seed: int, batches: int, draws: int, subsets: int, verdicts: CheckResults, every: int = 1
+def check_power_losses(
+    seed: int, batches: int, draws: int, subsets: int, results: CheckResults, every: int = 1
 ) -> int:
     """The machine goes at each step of a life; how many steps. Twice over: in the recovery as well."""
-    steps = script(seed, batches)
-    whole = StoreLifetime(FaultInjectingFiles(), steps).files.steps
+    steps = draw_workload(seed, batches)
+    whole = StoreLifetime(FaultInjectingFiles(), steps).files.step_count
     rng = random.Random(seed)
     for at in range(0, whole, every):
         files = FaultInjectingFiles()
-        files.loss_at = at
+        files.power_loss_step = at
         life = StoreLifetime(files, steps)
-        verdicts.judge(files.after_kill(), life, f"killed at {at}")
-        for n, state in enumerate(files.every_loss(subsets)):
-            verdicts.judge(state, life, f"loss at {at}, set {n}")
+        results.check_recovery(files.after_process_kill(), life, f"killed at {at}")
+        for n, state in enumerate(files.every_power_loss(subsets)):
+            results.check_recovery(state, life, f"loss at {at}, set {n}")
         for n in range(draws):
-            state = files.after_loss(rng, rng.choice((0.1, 0.5, 0.9)))
-            _again(state, rng, life, verdicts, f"loss at {at}, draw {n}")
+            state = files.after_power_loss(rng, rng.choice((0.1, 0.5, 0.9)))
+            _check_second_loss(state, rng, life, results, f"loss at {at}, draw {n}")
     return whole
 
 
-def _again(
-    state: FaultInjectingFiles, rng: random.Random, life: StoreLifetime, verdicts: CheckResults, what: str
+def _check_second_loss(
+    state: FaultInjectingFiles, rng: random.Random, life: StoreLifetime, results: CheckResults, what: str
 ) -> None:
     """A second loss in the recovery from the first one, and then a recovery that may finish."""
-    state.loss_at = rng.randrange(12)
+    state.power_loss_step = rng.randrange(12)
     with contextlib.suppress(SimulatedPowerLoss, StoreError):
-        open_store(state, NODE, life.clock, SEGMENT).maintain(300)
-    state.loss_at = -1
-    verdicts.judge(state.after_loss(rng, rng.random()), life, f"{what}, twice")
+        open_store(state, NODE, life.clock, MAX_SEGMENT_BYTES).maintain(300)
+    state.power_loss_step = -1
+    results.check_recovery(state.after_power_loss(rng, rng.random()), life, f"{what}, twice")
 
 
-def failures(seed: int, batches: int, verdicts: CheckResults, every: int = 1) -> int:
+def check_failing_calls(seed: int, batches: int, results: CheckResults, every: int = 1) -> int:
     """Each call fails once, with EIO or ENOSPC, then the machine goes; how many faults."""
-    steps, rng, count = script(seed, batches), random.Random(seed + 1), 0
+    steps, rng, count = draw_workload(seed, batches), random.Random(seed + 1), 0
     probe = StoreLifetime(FaultInjectingFiles(), steps).files
-    for at in range(0, probe.steps, every):
+    for at in range(0, probe.step_count, every):
         for code in (errno.EIO, errno.ENOSPC):
             files = FaultInjectingFiles()
-            files.fail[at] = code
+            files.failing_steps[at] = code
             life = StoreLifetime(files, steps)
             count += 1
-            verdicts.judge(files.after_kill(), life, f"errno {code} at {at} ({probe.kinds[at]}), killed")
-            state = files.after_loss(rng, rng.random())
-            verdicts.judge(state, life, f"errno {code} at {at} ({probe.kinds[at]}), loss")
+            results.check_recovery(
+                files.after_process_kill(), life, f"errno {code} at {at} ({probe.step_kinds[at]}), killed"
+            )
+            state = files.after_power_loss(rng, rng.random())
+            results.check_recovery(state, life, f"errno {code} at {at} ({probe.step_kinds[at]}), loss")
     return count
 
 
-def touched(seed: int, batches: int, verdicts: CheckResults, every: int = 1) -> int:
+def check_changed_bytes(seed: int, batches: int, results: CheckResults, every: int = 1) -> int:
     """Cut and flip at each offset of each file of a store in the middle of its life; how many offsets."""
-    steps = script(seed, batches)
+    steps = draw_workload(seed, batches)
     files = FaultInjectingFiles()
     life = StoreLifetime(files, steps)
-    whole = {name: bytes(inode.seen) for name, inode in files.seen.items()}
+    whole = {name: bytes(inode.visible) for name, inode in files.visible.items()}
     rng, offsets = random.Random(seed + 2), 0
     for name, data in whole.items():
         for at in range(rng.randrange(every), len(data), every):
@@ -196,28 +202,30 @@
             flipped[at] ^= 1 << rng.randrange(8)
             for change, how in ((data[:at], "cut"), (bytes(flipped), "flipped")):
                 state = FaultInjectingFiles({**whole, name: change})
-                verdicts.judge(state, life, f"{name} {how} at {at}", damage=True)
+                results.check_recovery(state, life, f"{name} {how} at {at}", damage=True)
         for change in (b"", bytes(len(data))):
-            verdicts.judge(FaultInjectingFiles({**whole, name: change}), life, f"{name} emptied", damage=True)
+            results.check_recovery(
+                FaultInjectingFiles({**whole, name: change}), life, f"{name} emptied", damage=True
+            )
     return offsets
 
 
 def run(seed: int, full: bool) -> dict[str, Any]:
     """All of it; `full`: every step and every offset, with more draws."""
-    verdicts, started = CheckResults(), time.monotonic()
+    results, started = CheckResults(), time.monotonic()
     batches = 60 if full else 36
-    faults = power_losses(seed, batches, 6 if full else 3, 10 if full else 6, verdicts, 1 if full else 2)
-    faults += failures(seed, batches, verdicts)
-    offsets = touched(seed, batches, verdicts, 1 if full else 5)
+    faults = check_power_losses(seed, batches, 6 if full else 3, 10 if full else 6, results, 1 if full else 2)
+    faults += check_failing_calls(seed, batches, results)
+    offsets = check_changed_bytes(seed, batches, results, 1 if full else 5)
     return {
         "offsets": offsets,
         "faults": faults,
-        "recoveries": verdicts.counts["recoveries"],
-        "named": verdicts.counts["named"],
-        "lost": verdicts.counts["lost"],
-        "half_batches": verdicts.counts["half_batches"],
-        "resurrected": verdicts.counts["resurrected"],
-        "max_recovery_ms": round(verdicts.slowest * 1000, 1),
+        "recoveries": results.counts["recoveries"],
+        "named": results.counts["named"],
+        "lost": results.counts["lost"],
+        "half_batches": results.counts["half_batches"],
+        "resurrected": results.counts["resurrected"],
+        "max_recovery_ms": round(results.slowest_recovery * 1000, 1),
         "took_s": round(time.monotonic() - started, 1),
-        "cases": verdicts.cases,
+        "cases": results.cases,
     }
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -92,7 +92,7 @@
     @rule(keep=st.floats(0, 1))
     def power_goes_after_a_sync(self, keep: float) -> None:
         self.store.maintain(1)
-        self.files = self.files.after_loss(self.rng, keep)
+        self.files = self.files.after_power_loss(self.rng, keep)
         self.store = self._open()
 
     @rule()
@@ -259,18 +259,18 @@
             time.sleep(0.0005)
 
     files.before_sync = others_come
-    files.fail[files.steps + 60] = 5
+    files.failing_steps[files.step_count + 60] = 5
     threads = [threading.Thread(target=work, args=(n,)) for n in range(16)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join(20)
     assert not any(thread.is_alive() for thread in threads)
-    syncs = files.kinds.count("sync")
+    syncs = files.step_kinds.count("sync")
     assert len(said) > 4 * syncs
     with pytest.raises(errors.StoreBrokenError):
         store.put(b"k", b"v")
-    _, again = fresh(files.after_loss(random.Random(1), 0.5), 1 << 20)
+    _, again = fresh(files.after_power_loss(random.Random(1), 0.5), 1 << 20)
     assert said.items() <= dict(again.items()).items()
 
 
@@ -294,14 +294,14 @@
         deadline = time.monotonic() + 20
         while not store.waiting_write_count and time.monotonic() < deadline:
             time.sleep(0.0005)
-        files.fail[files.steps] = errno.EIO
+        files.failing_steps[files.step_count] = errno.EIO
 
     files.before_sync = fail_once_the_writer_waits
     with pytest.raises(errors.StoreBrokenError):
         store.maintain()
     writer.join(20)
     assert [type(error) for error in refused] == [errors.StoreBrokenError]
-    _, again = fresh(files.after_loss(random.Random(1), 0), 1 << 16)
+    _, again = fresh(files.after_power_loss(random.Random(1), 0), 1 << 16)
     assert dict(again.items()) == {}
 
 
@@ -314,9 +314,9 @@
     files, store = fresh(size=1 << 16)
     store.put(b"a", b"x")
     store.put(b"b", fake * 2 + b"y", durability=Durability.BUFFERED)
-    inode = files.seen[f"{store.active_segment_id:016x}.log"]
-    inode.seen = inode.seen[:-1]  # the last record is torn, and the frames inside its value are whole
-    _, store = fresh(files.after_kill())
+    inode = files.visible[f"{store.active_segment_id:016x}.log"]
+    inode.visible = inode.visible[:-1]  # the last record is torn, and the frames inside its value are whole
+    _, store = fresh(files.after_process_kill())
     assert dict(store.items()) == {b"a": b"x"} and store.dropped_bytes > 0
 
 
@@ -326,15 +326,15 @@
     for key in (b"a", b"b", b"c"):
         store.put(key, key * 20)
     name = f"{store.active_segment_id:016x}.log"
-    whole = bytes(files.seen[name].seen)
+    whole = bytes(files.visible[name].visible)
     for at in (frames.SEGMENT_HEADER_BYTES + 5, frames.SEGMENT_HEADER_BYTES + frames.FRAME_HEADER_BYTES + 30):
-        files.seen[name].seen = bytearray(whole)
-        files.seen[name].seen[at] ^= 1
+        files.visible[name].visible = bytearray(whole)
+        files.visible[name].visible[at] ^= 1
         with pytest.raises(errors.StoreCorruptError, match="broken"):
-            fresh(files.after_kill())
-    files.seen[name].seen = bytearray(whole)
-    files.seen[name].seen[-1] ^= 1  # the last one can't be told from a crash
-    _, store = fresh(files.after_kill())
+            fresh(files.after_process_kill())
+    files.visible[name].visible = bytearray(whole)
+    files.visible[name].visible[-1] ^= 1  # the last one can't be told from a crash
+    _, store = fresh(files.after_process_kill())
     assert set(dict(store.items())) == {b"a", b"b"}
 
 
@@ -358,7 +358,7 @@
 
 def test_repair_saves_what_can_be_read_and_changes_nothing() -> None:
     files = full()
-    whole = {name: bytes(inode.seen) for name, inode in files.seen.items()}
+    whole = {name: bytes(inode.visible) for name, inode in files.visible.items()}
     assert not examine(FaultInjectingFiles(whole)).faults
     victim = sorted(name for name in whole if name.endswith(".log"))[1]
     hurt = bytearray(whole[victim])
@@ -368,7 +368,7 @@
         fresh(FaultInjectingFiles(broken))
     source, target = FaultInjectingFiles(broken), FaultInjectingFiles()
     done = repair(source, target, crash_consistency.ManualClock())
-    assert {n: bytes(i.seen) for n, i in source.seen.items()} == broken
+    assert {n: bytes(i.visible) for n, i in source.visible.items()} == broken
     assert done.saved_keys == 39 and done.lost_sequences == 1 and victim in done.faults[0]
     _, store = fresh(target)
     assert len(store) == 39
@@ -381,9 +381,9 @@
     _, store = fresh(files)
     assert store.rebuilt_hint_count == 0 and any(name.endswith(".hint") for name in files.list_names())
     store.close()
-    for name, inode in files.seen.items():
+    for name, inode in files.visible.items():
         if name.endswith(".hint"):
-            inode.seen[len(inode.seen) // 2] ^= 4
+            inode.visible[len(inode.visible) // 2] ^= 4
     _, store = fresh(files)
     assert store.rebuilt_hint_count > 0 and len(store) == 40
     assert hints.Hint.decode(b"", 1, 1) is None
