--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import dataclasses
 import json
 import signal
 import sys
@@ -319,9 +320,9 @@
     """Hurt a store's files in every way that the stand-in knows, and check what is there after recovery."""
     from tansyladder.lab import crash_consistency
 
-    found = crash_consistency.run(seed, full)
-    _show(found, as_json)
-    sys.exit(1 if any(found[name] for name in ("lost", "half_batches", "resurrected")) else 0)
+    report = crash_consistency.run(seed, full)
+    _show(dataclasses.asdict(report), as_json)
+    sys.exit(1 if report.broken_promises else 0)
 
 
 @click.command("store-kill")
@@ -335,9 +336,9 @@
     from tansyladder.lab import store_kill
 
     with tempfile.TemporaryDirectory(prefix="tansyladder-kill-") as folder:
-        found = store_kill.play(Path(folder), seed, rounds)
-    _show(found, as_json)
-    sys.exit(1 if found["lost"] or found["wrong"] else 0)
+        report = store_kill.run(Path(folder), seed, rounds)
+    _show(dataclasses.asdict(report), as_json)
+    sys.exit(1 if report.lost or report.wrong else 0)
 
 
 @click.command("store-bench")
--- a/tansyladder/lab/crash_consistency.py
+++ b/tansyladder/lab/crash_consistency.py
@@ -1,8 +1,8 @@
-"""Every way to hurt the store's files that the stand-in knows, and what is there after recovery.
+"""Every fault that the fault-injecting files know, and whether a store recovers from it to an allowed state.
 
 The checker knows the states that the store went through, one for each batch. What is recovered must be one of
 them: not older than what was acknowledged as synced, not newer than what was asked for. Nothing else is
-allowed, but the named error Damaged where bytes that had been on disk were changed behind the store's back.
+allowed, but StoreCorruptError where bytes that had been on disk were changed behind the store's back.
 """
 
 from __future__ import annotations
@@ -11,71 +11,142 @@
 import errno
 import random
 import time
-from collections import Counter
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import NamedTuple
 
-from tansyladder.lab.fault_injecting_files import FaultInjectingFiles, SimulatedPowerLoss
+from tansyladder.lab.fault_injecting_files import NO_STEP, FaultInjectingFiles, SimulatedPowerLoss
 from tansyladder.store import Durability, StoreError, WriteOperation, open_store
 from tansyladder.store.errors import StoreCorruptError, StoreFullError
 
-MAX_SEGMENT_BYTES = 700  # bytes: a few batches fill one
+MAX_SEGMENT_BYTES = 700  # a few batches fill one
+MAINTENANCE_BUDGET_BYTES = 300  # so that a compaction takes several steps
 NODE = "n1"
+KEY_COUNT = 9  # few, so that much is overwritten
+RECOVERY_STEPS = 12  # of a recovery, among which a second loss of power is drawn
+MAX_CASES = 5  # described in the report
+MAX_CASE_LENGTH = 400  # characters
+KEEP_SHARES = (0.1, 0.5, 0.9)  # of the unsynced changes that are on disk after a loss of power
+
 State = dict[bytes, bytes]
-BatchStep = tuple[tuple[WriteOperation, ...], Durability]
+
+
+class WorkloadStep(NamedTuple):
+    """One batch of a workload, or a step of maintenance where there are no operations."""
+
+    operations: tuple[WriteOperation, ...] = ()
+    durability: Durability = Durability.SYNCED
+
+
+class BrokenPromise(Enum):
+    """What a recovered state that isn't allowed amounts to; the values name the report's fields."""
+
+    LOST = "lost"
+    HALF_BATCH = "half_batches"
+    RESURRECTED = "resurrected"
+
+
+@dataclass(frozen=True, slots=True)
+class Thoroughness:
+    """How much of all that could be tried is tried."""
+
+    batches: int  # of a workload
+    draws: int  # states that are drawn for each loss of power
+    max_changes: int  # up to which every set of unsynced changes is tried
+    step_interval: int  # between two steps at which power is lost
+    offset_interval: int  # between two bytes that are changed
+
+
+QUICK = Thoroughness(batches=36, draws=3, max_changes=6, step_interval=2, offset_interval=5)
+FULL = Thoroughness(batches=60, draws=6, max_changes=10, step_interval=1, offset_interval=1)
+
+
+@dataclass(frozen=True, slots=True)
+class CrashConsistencyReport:
+    """What a run came to; the names are those of the JSON report."""
+
+    offsets: int  # at which bytes were cut or flipped
+    faults: int  # losses of power and failing calls
+    recoveries: int
+    named: int  # recoveries that were refused with StoreCorruptError, where that is allowed
+    lost: int
+    half_batches: int
+    resurrected: int
+    max_recovery_ms: float
+    took_s: float
+    cases: list[str]  # the first of the recoveries that broke a promise
+
+    @property
+    def broken_promises(self) -> int:
+        """Recoveries to a state that isn't allowed."""
+        return self.lost + self.half_batches + self.resurrected
 
 
 class ManualClock:
-    """Unix time in microseconds, told by the run."""
+    """Unix time in microseconds, set by the run."""
 
     def __init__(self) -> None:
         self.now = 1_000_000
 
     def __call__(self) -> int:
+        """The time that was set."""
         return self.now
 
 
-def draw_workload(seed: int, batches: int) -> list[BatchStep | None]:
-    """A seeded life of a store: batches, and None for a step of upkeep. Few keys: much is overwritten."""
-    rng, out = random.Random(seed), list[BatchStep | None]()
+def draw_workload(seed: int, batches: int) -> list[WorkloadStep]:
+    """A seeded workload of so many batches, with steps of maintenance between them."""
+    rng = random.Random(seed)
+    steps: list[WorkloadStep] = []
     for number in range(batches):
-        ops = []
+        operations = []
         for _ in range(rng.choice((1, 1, 1, 2, 4))):
-            key = b"k%d" % rng.randrange(9)
+            key = b"k%d" % rng.randrange(KEY_COUNT)
             value = b"%d-%d" % (number, rng.randrange(99)) * rng.randrange(1, 9)
-            ops.append(WriteOperation(key, None if rng.random() < 0.25 else value))
-        out.append((tuple(ops), Durability.BUFFERED if rng.random() < 0.3 else Durability.SYNCED))
-        out += [None] * rng.choice((0, 0, 1, 3))
-    return out
+            operations.append(WriteOperation(key, None if rng.random() < 0.25 else value))
+        durability = Durability.BUFFERED if rng.random() < 0.3 else Durability.SYNCED
+        steps.append(WorkloadStep(tuple(operations), durability))
+        steps += [WorkloadStep()] * rng.choice((0, 0, 1, 3))
+    return steps
 
 
-class StoreLifetime:
-    """One run of a script, as far as it gets."""
+def state_after(state: State, operations: tuple[WriteOperation, ...]) -> State:
+    """A state with a batch applied."""
+    changed = dict(state)
+    for operation in operations:
+        if operation.value is None:
+            changed.pop(operation.key, None)
+        else:
+            changed[operation.key] = operation.value
+    return changed
 
-    def __init__(self, files: FaultInjectingFiles, steps: list[BatchStep | None]) -> None:
-        self.files, self.clock = files, ManualClock()
-        self.states: list[State] = [{}]  # after each batch that was asked for
-        self.acknowledged_state = 0  # the newest state that a synced write acknowledged
+
+class StoreLifetime:
+    """One run of a workload, as far as it gets before the power is lost or the store refuses to go on.
+
+    Attributes:
+        states: the empty state, and the state after each batch that was asked for.
+        acknowledged_state: the number of the newest state that a synced write acknowledged.
+    """
+
+    def __init__(self, files: FaultInjectingFiles, steps: list[WorkloadStep]) -> None:
+        self.files = files
+        self.clock = ManualClock()
+        self.states: list[State] = [{}]
+        self.acknowledged_state = 0
         with contextlib.suppress(SimulatedPowerLoss, StoreError):
             self._run(steps)
 
-    def _run(self, steps: list[BatchStep | None]) -> None:
+    def _run(self, steps: list[WorkloadStep]) -> None:
         store = open_store(self.files, NODE, self.clock, MAX_SEGMENT_BYTES)
-        for step in steps:
-            if step is None:
+        for operations, durability in steps:
+            if not operations:
                 with contextlib.suppress(StoreFullError):
-                    store.maintain(300)
+                    store.maintain(MAINTENANCE_BUDGET_BYTES)
                 continue
-            ops, durability = step
-            state = dict(self.states[-1])
-            for op in ops:
-                if op.value is None:
-                    state.pop(op.key, None)
-                else:
-                    state[op.key] = op.value
-            self.states.append(state)
+            self.states.append(state_after(self.states[-1], operations))
             try:
-                store.write(ops, durability)
+                store.write(operations, durability)
             except StoreFullError:
                 self.states.pop()
                 continue
@@ -84,148 +155,157 @@
 
 
 def recover_contents(files: FaultInjectingFiles, clock: Callable[[], int]) -> State:
-    """What a store holds after recovery, record by record. StoreError: it can't be opened or read."""
-    store = open_store(files, NODE, clock, MAX_SEGMENT_BYTES)
-    try:
+    """What a store holds after recovery. StoreError: it can't be opened or read."""
+    with contextlib.closing(open_store(files, NODE, clock, MAX_SEGMENT_BYTES)) as store:
         return dict(store.items())
-    finally:
-        store.close()
 
 
+@dataclass(slots=True)
 class CheckResults:
     """What the recoveries of a run came to."""
 
-    def __init__(self) -> None:
-        self.counts: Counter[str] = Counter()
-        self.slowest_recovery = 0.0
-        self.cases: list[str] = []
+    recoveries: int = 0
+    named: int = 0  # refused with StoreCorruptError, where that is allowed
+    broken: dict[BrokenPromise, int] = field(default_factory=lambda: dict.fromkeys(BrokenPromise, 0))
+    slowest_recovery_s: float = 0.0
+    cases: list[str] = field(default_factory=list)
 
     def check_recovery(
-        self, files: FaultInjectingFiles, life: StoreLifetime, what: str, damage: bool = False
+        self, files: FaultInjectingFiles, life: StoreLifetime, case: str, is_damaged: bool = False
     ) -> None:
-        """Recover and compare; `damage`: bytes were changed, so Damaged and older tails are allowed."""
-        self.counts["recoveries"] += 1
+        """Recover and compare; `is_damaged`: bytes were changed, so older states and refusals are allowed."""
+        self.recoveries += 1
         started = time.perf_counter()
         try:
             found = recover_contents(files, life.clock)
         except StoreCorruptError as err:
-            if damage:
-                self.counts["named"] += 1
+            if is_damaged:
+                self.named += 1
             else:
-                self._report("lost", f"{what}: {err}")
+                self._report(BrokenPromise.LOST, f"{case}: {err}")
             return
         except StoreError as err:
-            self._report("lost", f"{what}: {err!r}")
+            self._report(BrokenPromise.LOST, f"{case}: {err!r}")
             return
         finally:
-            self.slowest_recovery = max(self.slowest_recovery, time.perf_counter() - started)
-        least = 0 if damage else life.acknowledged_state
-        if found not in life.states[least:]:
-            self._report(
-                self._broken_promise(found, life, least), f"{what}: {found} is no state from {least} on"
-            )
-
-    @staticmethod
-    def _broken_promise(found: State, life: StoreLifetime, least: int) -> str:
-        """Which promise a state breaks: an old one lost something, else a batch is in part there or back."""
-        if found in life.states[:least]:
-            return "lost"
-        ever = {(k, v) for state in life.states[least:] for k, v in state.items()}
-        return "half_batches" if set(found.items()) <= ever else "resurrected"
-
-    def _report(self, kind: str, case: str) -> None:
-        self.counts[kind] += 1
-        if len(self.cases) < 5:
-            self.cases.append(f"{kind}: {case}"[:400])
-
-
-def check_power_losses(
-    seed: int, batches: int, draws: int, subsets: int, results: CheckResults, every: int = 1
-) -> int:
-    """The machine goes at each step of a life; how many steps. Twice over: in the recovery as well."""
-    steps = draw_workload(seed, batches)
-    whole = StoreLifetime(FaultInjectingFiles(), steps).files.step_count
+            self.slowest_recovery_s = max(self.slowest_recovery_s, time.perf_counter() - started)
+        oldest_allowed = 0 if is_damaged else life.acknowledged_state
+        if found not in life.states[oldest_allowed:]:
+            promise = _broken_promise(found, life, oldest_allowed)
+            self._report(promise, f"{case}: {found} is no state from {oldest_allowed} on")
+
+    def _report(self, promise: BrokenPromise, case: str) -> None:
+        self.broken[promise] += 1
+        if len(self.cases) < MAX_CASES:
+            self.cases.append(f"{promise.value}: {case}"[:MAX_CASE_LENGTH])
+
+
+def _broken_promise(found: State, life: StoreLifetime, oldest_allowed: int) -> BrokenPromise:
+    """Which promise a state breaks: an old one lost something, else a batch is in part there or back."""
+    if found in life.states[:oldest_allowed]:
+        return BrokenPromise.LOST
+    allowed_pairs = {pair for state in life.states[oldest_allowed:] for pair in state.items()}
+    return BrokenPromise.HALF_BATCH if set(found.items()) <= allowed_pairs else BrokenPromise.RESURRECTED
+
+
+def check_power_losses(seed: int, thoroughness: Thoroughness, results: CheckResults) -> int:
+    """Lose power at each step of a life, and once more in the recovery; how many steps there are."""
+    steps = draw_workload(seed, thoroughness.batches)
+    step_count = StoreLifetime(FaultInjectingFiles(), steps).files.step_count
     rng = random.Random(seed)
-    for at in range(0, whole, every):
+    for step in range(0, step_count, thoroughness.step_interval):
         files = FaultInjectingFiles()
-        files.power_loss_step = at
+        files.power_loss_step = step
         life = StoreLifetime(files, steps)
-        results.check_recovery(files.after_process_kill(), life, f"killed at {at}")
-        for n, state in enumerate(files.every_power_loss(subsets)):
-            results.check_recovery(state, life, f"loss at {at}, set {n}")
-        for n in range(draws):
-            state = files.after_power_loss(rng, rng.choice((0.1, 0.5, 0.9)))
-            _check_second_loss(state, rng, life, results, f"loss at {at}, draw {n}")
-    return whole
+        results.check_recovery(files.after_process_kill(), life, f"killed at {step}")
+        for number, state in enumerate(files.every_power_loss(thoroughness.max_changes)):
+            results.check_recovery(state, life, f"loss at {step}, set {number}")
+        for number in range(thoroughness.draws):
+            state = files.after_power_loss(rng, rng.choice(KEEP_SHARES))
+            _check_second_loss(state, rng, life, results, f"loss at {step}, draw {number}")
+    return step_count
 
 
 def _check_second_loss(
-    state: FaultInjectingFiles, rng: random.Random, life: StoreLifetime, results: CheckResults, what: str
+    files: FaultInjectingFiles, rng: random.Random, life: StoreLifetime, results: CheckResults, case: str
 ) -> None:
-    """A second loss in the recovery from the first one, and then a recovery that may finish."""
-    state.power_loss_step = rng.randrange(12)
+    """Lose power in the recovery from a first loss too, and then let a recovery finish."""
+    files.power_loss_step = rng.randrange(RECOVERY_STEPS)
     with contextlib.suppress(SimulatedPowerLoss, StoreError):
-        open_store(state, NODE, life.clock, MAX_SEGMENT_BYTES).maintain(300)
-    state.power_loss_step = -1
-    results.check_recovery(state.after_power_loss(rng, rng.random()), life, f"{what}, twice")
+        open_store(files, NODE, life.clock, MAX_SEGMENT_BYTES).maintain(MAINTENANCE_BUDGET_BYTES)
+    files.power_loss_step = NO_STEP
+    results.check_recovery(files.after_power_loss(rng, rng.random()), life, f"{case}, twice")
 
 
-def check_failing_calls(seed: int, batches: int, results: CheckResults, every: int = 1) -> int:
-    """Each call fails once, with EIO or ENOSPC, then the machine goes; how many faults."""
-    steps, rng, count = draw_workload(seed, batches), random.Random(seed + 1), 0
-    probe = StoreLifetime(FaultInjectingFiles(), steps).files
-    for at in range(0, probe.step_count, every):
+def check_failing_calls(seed: int, batches: int, results: CheckResults) -> int:
+    """Let each call fail once, with EIO or ENOSPC, then crash; how many faults."""
+    steps = draw_workload(seed, batches)
+    rng = random.Random(seed + 1)
+    undisturbed = StoreLifetime(FaultInjectingFiles(), steps).files
+    faults = 0
+    for step, kind in enumerate(undisturbed.step_kinds):
         for code in (errno.EIO, errno.ENOSPC):
             files = FaultInjectingFiles()
-            files.failing_steps[at] = code
+            files.failing_steps[step] = code
             life = StoreLifetime(files, steps)
-            count += 1
-            results.check_recovery(
-                files.after_process_kill(), life, f"errno {code} at {at} ({probe.step_kinds[at]}), killed"
-            )
-            state = files.after_power_loss(rng, rng.random())
-            results.check_recovery(state, life, f"errno {code} at {at} ({probe.step_kinds[at]}), loss")
-    return count
+            faults += 1
+            case = f"errno {code} at {step} ({kind})"
+            results.check_recovery(files.after_process_kill(), life, f"{case}, killed")
+            results.check_recovery(files.after_power_loss(rng, rng.random()), life, f"{case}, loss")
+    return faults
 
 
-def check_changed_bytes(seed: int, batches: int, results: CheckResults, every: int = 1) -> int:
-    """Cut and flip at each offset of each file of a store in the middle of its life; how many offsets."""
-    steps = draw_workload(seed, batches)
+def check_changed_bytes(seed: int, thoroughness: Thoroughness, results: CheckResults) -> int:
+    """Cut and flip the files of a store in the middle of its life at each offset; how many offsets."""
     files = FaultInjectingFiles()
-    life = StoreLifetime(files, steps)
-    whole = {name: bytes(inode.visible) for name, inode in files.visible.items()}
-    rng, offsets = random.Random(seed + 2), 0
-    for name, data in whole.items():
-        for at in range(rng.randrange(every), len(data), every):
-            offsets += 1
-            flipped = bytearray(data)
-            flipped[at] ^= 1 << rng.randrange(8)
-            for change, how in ((data[:at], "cut"), (bytes(flipped), "flipped")):
-                state = FaultInjectingFiles({**whole, name: change})
-                results.check_recovery(state, life, f"{name} {how} at {at}", damage=True)
-        for change in (b"", bytes(len(data))):
-            results.check_recovery(
-                FaultInjectingFiles({**whole, name: change}), life, f"{name} emptied", damage=True
-            )
-    return offsets
-
-
-def run(seed: int, full: bool) -> dict[str, Any]:
+    life = StoreLifetime(files, draw_workload(seed, thoroughness.batches))
+    intact = {name: bytes(inode.visible) for name, inode in files.visible.items()}
+    rng = random.Random(seed + 2)
+    offset_count = 0
+    for name, data in intact.items():
+        offsets = range(rng.randrange(thoroughness.offset_interval), len(data), thoroughness.offset_interval)
+        offset_count += len(offsets)
+        for changed, case in _changed_copies(data, offsets, rng):
+            damaged = FaultInjectingFiles({**intact, name: changed})
+            results.check_recovery(damaged, life, f"{name} {case}", is_damaged=True)
+    return offset_count
+
+
+class ChangedCopy(NamedTuple):
+    """A file's bytes after something changed them, and what that was."""
+
+    data: bytes
+    case: str
+
+
+def _changed_copies(data: bytes, offsets: range, rng: random.Random) -> Iterator[ChangedCopy]:
+    """A file cut at each offset, with a bit flipped there, emptied, and zeroed."""
+    for offset in offsets:
+        flipped = bytearray(data)
+        flipped[offset] ^= 1 << rng.randrange(8)
+        yield ChangedCopy(data[:offset], f"cut at {offset}")
+        yield ChangedCopy(bytes(flipped), f"flipped at {offset}")
+    yield ChangedCopy(b"", "emptied")
+    yield ChangedCopy(bytes(len(data)), "zeroed")
+
+
+def run(seed: int, full: bool) -> CrashConsistencyReport:
     """All of it; `full`: every step and every offset, with more draws."""
-    results, started = CheckResults(), time.monotonic()
-    batches = 60 if full else 36
-    faults = check_power_losses(seed, batches, 6 if full else 3, 10 if full else 6, results, 1 if full else 2)
-    faults += check_failing_calls(seed, batches, results)
-    offsets = check_changed_bytes(seed, batches, results, 1 if full else 5)
-    return {
-        "offsets": offsets,
-        "faults": faults,
-        "recoveries": results.counts["recoveries"],
-        "named": results.counts["named"],
-        "lost": results.counts["lost"],
-        "half_batches": results.counts["half_batches"],
-        "resurrected": results.counts["resurrected"],
-        "max_recovery_ms": round(results.slowest_recovery * 1000, 1),
-        "took_s": round(time.monotonic() - started, 1),
-        "cases": results.cases,
-    }
+    thoroughness = FULL if full else QUICK
+    results = CheckResults()
+    started = time.monotonic()
+    faults = check_power_losses(seed, thoroughness, results)
+    faults += check_failing_calls(seed, thoroughness.batches, results)
+    offsets = check_changed_bytes(seed, thoroughness, results)
+    return CrashConsistencyReport(
+        offsets=offsets,
+        faults=faults,
+        recoveries=results.recoveries,
+        named=results.named,
+        lost=results.broken[BrokenPromise.LOST],
+        half_batches=results.broken[BrokenPromise.HALF_BATCH],
+        resurrected=results.broken[BrokenPromise.RESURRECTED],
+        max_recovery_ms=round(results.slowest_recovery_s * 1000, 1),
+        took_s=round(time.monotonic() - started, 1),
+        cases=results.cases,
+    )
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -17,9 +17,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tansyladder.lab import crash_consistency
+from tansyladder.lab import crash_consistency, store_kill
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
-from tansyladder.lab.store_kill import play as kill_loop
 from tansyladder.store import (
     Durability,
     Store,
@@ -149,14 +148,16 @@
 def test_no_fault_of_the_files_loses_what_was_acknowledged() -> None:
     """Power losses at steps of a life and of its recovery, calls that fail, and files cut and flipped."""
     found = crash_consistency.run(1, False)
-    assert not found["cases"], found
-    assert (found["lost"], found["half_batches"], found["resurrected"]) == (0, 0, 0)
-    assert found["recoveries"] > 2000 and found["named"] > 100
+    assert not found.cases, found
+    assert (found.lost, found.half_batches, found.resurrected) == (0, 0, 0)
+    assert found.recoveries > 2000
+    assert found.named > 100
 
 
 def test_a_writer_that_is_killed_keeps_its_word(tmp_path: Path) -> None:
-    found = kill_loop(tmp_path, seed=3, rounds=6)
-    assert (found["lost"], found["wrong"]) == (0, 0) and found["acknowledged"] > 0
+    found = store_kill.run(tmp_path, seed=3, rounds=6)
+    assert (found.lost, found.wrong) == (0, 0)
+    assert found.acknowledged > 0
 
 
 def fresh(files: FaultInjectingFiles | None = None, size: int = 400) -> tuple[FaultInjectingFiles, Store]:
