--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -10,11 +10,12 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, Endpoint
 from tansyladder.net.clock import MICROSECOND, now
-from tansyladder.net.listener_handover import ConnectionState
+from tansyladder.net.handover_messages import ConnectionState
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
 from tansyladder.node.attempt_loop import AttemptLoop, ClientDisconnectedEarly, ClientSentEarly, build_request
+from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Fail, Reject
@@ -97,15 +98,8 @@
             self._answer(RequestOutcome.OK)  # its UP is the member's, and goes out with the first lines
         match result:
             case UpstreamConnection() as connection if session_service is not None and stream is not None:
-                session_service.serve(
-                    self._action_queue,
-                    self._client,
-                    self._class_number,
-                    opening,
-                    stream,
-                    connection,
-                    request_id,
-                )
+                request = ResumableRequest(self._action_queue, self._class_number, opening, stream)
+                session_service.serve(request, self._client, connection, request_id)
             case UpstreamConnection() as connection:
                 endpoint, attempt = connection.endpoint, connection.attempt
                 relay = self._new_relay(connection.sock, connection.buffer, endpoint, attempt)
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -17,15 +17,10 @@
 from tansyladder.cluster.document_replica import DocumentReplica
 from tansyladder.lab.chaos import checkers, documents, history
 from tansyladder.replication.content_transfer import CHUNK_BYTES, Chunk, ChunkRequest, ContentStore
-from tansyladder.replication.documents import (
-    MAX_CONTENT_BYTES,
-    MAX_PREVIOUS_VERSIONS,
-    MILLISECOND_US,
-    SECOND_US,
+from tansyladder.replication.document_messages import (
     Abort,
     ChangeResult,
     Commit,
-    Documents,
     LeaseGrant,
     LeaseRelease,
     Prepare,
@@ -33,8 +28,10 @@
     Proposal,
     ValidationVote,
 )
+from tansyladder.replication.documents import MAX_CONTENT_BYTES, MAX_PREVIOUS_VERSIONS, Documents
 from tansyladder.replication.replicated_state import ReplicatedState
 from tansyladder.replication.session_ownership import ClaimResult, OwnershipClaim, SessionOwnership
+from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.simulation.document_cluster import found, play
 from tansyladder.simulation.raft_cluster import FaultRates
 from tansyladder.store import open_store
@@ -199,11 +196,11 @@
         whole.apply(msgspec.msgpack.encode(entry))
     again.restore(whole.snapshot())
     assert again.snapshot() == whole.snapshot() and again.documents.change is not None
-    assert again.documents.change.accepted_by == {"a/1"} and again.claims.records[7].owner == "a/1"
+    assert again.documents.change.accepted_by == {"a/1"} and again.session_ownership.records[7].owner == "a/1"
     before = SessionOwnership()
     before.apply(msgspec.msgpack.encode(claim))
-    old.restore(before.dump())
-    assert old.claims.records[7].epoch == 2 and not old.documents.leases
+    old.restore(before.snapshot())
+    assert old.session_ownership.records[7].epoch == 2 and not old.documents.leases
 
 
 def test_versions_are_kept_to_a_bound() -> None:
