--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -95,20 +95,20 @@
     """Add up the `counts` lines of a fleet's logs, a file for each node, by second."""
     from tansyladder.lab import fleet_counts
 
-    running_cluster = fleet_counts.read_folder(folder)
+    counts = fleet_counts.read_folder(folder)
     if as_json:
         show(
             {
-                "nodes": running_cluster.nodes,
-                "unread": running_cluster.unread,
-                "totals": running_cluster.totals,
-                "seconds": running_cluster.seconds,
-                "standing": running_cluster.standing,
+                "nodes": counts.nodes,
+                "unread": counts.unread,
+                "totals": counts.totals,
+                "seconds": counts.seconds,
+                "standing": counts.standing,
             },
             True,
         )
     else:
-        click.echo(fleet_counts.table(running_cluster, members))
+        click.echo(fleet_counts.table(counts, members))
 
 
 @click.command("store-faults")
