--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -19,7 +19,7 @@
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Fail, Reject
-from tansyladder.policy.events import AttemptEnded, AttemptStatus, ConnectionAdopted
+from tansyladder.policy.events import AttemptStatus, ConnectionAdopted
 
 RESTORE_RETRY_INTERVAL = timedelta(
     milliseconds=100
@@ -101,9 +101,7 @@
                 request = ResumableRequest(self._action_queue, self._class_number, opening, stream)
                 session_service.serve(request, self._client, connection, request_id)
             case UpstreamConnection() as connection:
-                endpoint, attempt = connection.endpoint, connection.attempt
-                relay = self._new_relay(connection.sock, connection.buffer, endpoint, attempt)
-                status = relay.run(connection.initial_lines)
+                status = self._new_relay(connection).run()
                 runner.handle_events(connection.attempt_ended(request_id, status))
             case Reject(_, wait):
                 self._answer(RequestOutcome.REJECTED, format_reject(wait * MICROSECOND))
@@ -122,22 +120,14 @@
         if line:
             sockets.shutdown_and_drain(self._client, line)
 
-    def _new_relay(
-        self,
-        sock: socket.socket,
-        buffer: protocol.LineBuffer,
-        endpoint: Endpoint,
-        attempt: int,
-    ) -> Relay:
+    def _new_relay(self, connection: UpstreamConnection) -> Relay:
         runner = self._runner
-        delay_reports = runner.delay_reports(self._request_id, attempt, endpoint.number)
+        delay_reports = runner.delay_reports(self._request_id, connection.attempt, connection.endpoint.number)
         relay = Relay(
             self._client,
-            sock,
-            self._action_queue,
+            connection,
             self._opening,
-            endpoint.id,
-            buffer,
+            self._action_queue,
             delay_reports,
             runner.listener_handover,
         )
@@ -174,10 +164,10 @@
             return
         self._answer(RequestOutcome.OK)
         self._report_adopted(endpoint)
-        status = self._new_relay(result.sock, result.buffer, endpoint, 0).run(
-            (result.up_line, *result.following_lines)
-        )
-        runner.handle_events(AttemptEnded(self._request_id, 0, endpoint.number, status, 0, True))
+        initial_lines = (result.up_line, *result.following_lines)
+        connection = UpstreamConnection(endpoint, result.sock, result.buffer, initial_lines, 0, 0)
+        status = self._new_relay(connection).run()
+        runner.handle_events(connection.attempt_ended(self._request_id, status))
 
     def _adopt(self, adopted: ConnectionState, sock: socket.socket) -> None:
         """A connection that stood in the process before this one goes on where it was."""
@@ -188,8 +178,9 @@
             sockets.shutdown_and_drain(self._client, protocol.MOVE + b"\r\n")
             return
         self._report_adopted(endpoint)
-        status = self._new_relay(sock, protocol.LineBuffer(), endpoint, 0).resume(adopted)
-        runner.handle_events(AttemptEnded(self._request_id, 0, endpoint.number, status, 0, True))
+        connection = UpstreamConnection(endpoint, sock, protocol.LineBuffer(), (), 0, 0)
+        status = self._new_relay(connection).resume(adopted)
+        runner.handle_events(connection.attempt_ended(self._request_id, status))
 
     def _report_adopted(self, endpoint: Endpoint) -> None:
         """The module is told of a connection that it did not place."""
