--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -19,8 +19,10 @@
 
 from tansyladder.invariants import check_invariant
 from tansyladder.raft.messages import Message, ProposalRequest
-from tansyladder.raft.node import RaftNode, Role
+from tansyladder.raft.node import STANDARD_COMPONENTS, RaftComponents
+from tansyladder.raft.node_state import Role
 from tansyladder.replication.document_messages import (
+    ChangeOutcome,
     ChangeResult,
     DocumentCommand,
     LeaseRenewal,
@@ -101,7 +103,7 @@
         voters: int = 3,
         learners: int = 2,
         faults: FaultRates | None = None,
-        make: Callable[..., RaftNode] = RaftNode,
+        components: RaftComponents = STANDARD_COMPONENTS,
         documents: Callable[[Sequence[str]], Documents] = Documents,
         follower: Callable[[str, Documents], LeaseHolder] = LeaseHolder,
         steward: type[LeaseCoordinator] = LeaseCoordinator,
@@ -125,7 +127,7 @@
         )  # by node: numbers whose content is on its disk
         self.skews: dict[str, int] = {}
         self.skew = skew
-        super().__init__(seed, voters, learners, faults, make)
+        super().__init__(seed, voters, learners, faults, components)
         self.counts |= {"stops": 0, "decisions": 0}
         for name in self.names:
             self.at(int(self._load.integers(DECIDES)), partial(self._decide, name))
@@ -277,7 +279,7 @@
     def _serve(self, name: str) -> None:
         seat, clock = self.seats[name], self._clock(name)
         self.counts["decisions"] += 1
-        version = seat.follower.version_at(NAME, clock)
+        version = seat.documents.version_at(NAME, clock)
         if seat.follower.has_lease(clock) and (version is None or version.number in self._contents[name]):
             self.decided.append(Decision(self.now, name, version.number if version else 0, clock))
         else:
@@ -353,7 +355,9 @@
         self.quiet_from = self.now
         until = self.now + 2 * LIVE
         last = ""
-        while self.now < until and not (last and self.ends.get(last, ChangeResult("")).outcome == "done"):
+        while self.now < until and not (
+            last and self.ends.get(last, ChangeResult(ChangeOutcome.UNKNOWN)).outcome == ChangeOutcome.DONE
+        ):
             if not last or last in self.ends:
                 last = self.offer(self.names[0])
             self.run(self.now + SECOND_US)
@@ -382,10 +386,10 @@
     asks = {number: fleet.ends.get(ask) for number, ask in fleet.found.items()}
     for number in sorted(used - {0}):
         ended = asks.get(number)
-        if ended is None or ended.outcome != "done":
+        if ended is None or ended.outcome != ChangeOutcome.DONE:
             out.append(f"number {number} is decided under and ended {ended}")
     out += [f"number {number} holds after a no" for number in sorted(used & fleet.no_to)]
-    if fleet.ends.get(fleet.last, ChangeResult("")).outcome != "done":
+    if fleet.ends.get(fleet.last, ChangeResult(ChangeOutcome.UNKNOWN)).outcome != ChangeOutcome.DONE:
         out.append(f"no change goes through: {fleet.last} {fleet.ends.get(fleet.last)}")
     else:
         now_under = {name: 0 for name in fleet.names}
