--- a/tansyladder/lab/chaos/links.py
+++ b/tansyladder/lab/chaos/links.py
@@ -79,7 +79,7 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _connect_target(self, reader: asyncio.StreamReader) -> Connection:
+    async def _connect_target(self, reader: asyncio.StreamReader, /) -> Connection:
         """Connect to the target of a client's connection. Raises OSError."""
         raise NotImplementedError
 
@@ -128,7 +128,7 @@
             await asyncio.sleep(self.delay)
         await self._is_open[direction].wait()
 
-    async def _connect_target(self, reader: asyncio.StreamReader) -> Connection:
+    async def _connect_target(self, _reader: asyncio.StreamReader, /) -> Connection:
         await self._wait_until_open(Direction.TO_TARGET)
         return await open_connection(self._target_address)
 
@@ -182,7 +182,7 @@
         self._next_turn += 1
         return candidates[self._next_turn % len(candidates)]
 
-    async def _connect_target(self, reader: asyncio.StreamReader) -> Connection:
+    async def _connect_target(self, reader: asyncio.StreamReader, /) -> Connection:
         """Connect to a node, and forward the first line, which has the connection's id."""
         line = await reader.readline()
         node = self._next_node()
--- a/tansyladder/lab/chaos/recording_client.py
+++ b/tansyladder/lab/chaos/recording_client.py
@@ -43,4 +43,4 @@
 
     def on_migration_requested(self) -> None:
         """Record MOVE, with the token that the client had."""
-        self._record(EventKind.MIGRATION_REQUESTED, {"token": self.token})
+        self._record(EventKind.MIGRATION_REQUESTED, {"token": self.session.token})
--- a/tansyladder/lab/chaos/skewed_clock.py
+++ b/tansyladder/lab/chaos/skewed_clock.py
@@ -1,6 +1,6 @@
-"""A node whose wall clock is off by some seconds.
+"""Runs a node whose wall clock is off by some seconds.
 
-Usage: `python -m tansyladder.lab.chaos.skewed_clock SECONDS …`.
+Usage: `python -m tansyladder.lab.chaos.skewed_clock SECONDS …`; the rest is as for `python -m tansyladder`.
 """
 
 from __future__ import annotations
@@ -11,16 +11,17 @@
 from tansyladder.__main__ import main
 from tansyladder.net import clock
 
-OFF = timedelta(seconds=float(sys.argv.pop(1)))
+CLOCK_OFFSET = timedelta(seconds=float(sys.argv.pop(1)))
 
 
 class SkewedDatetime(datetime):
-    """The node reads the wall clock once, at its start."""
+    """The wall clock with its offset; a node reads it once, at its start."""
 
     @classmethod
     def now(cls, tz: tzinfo | None = None) -> SkewedDatetime:
-        there = super().now(tz)
-        return there + OFF
+        """Return the time that the node takes for the present."""
+        true_time = super().now(tz)
+        return true_time + CLOCK_OFFSET
 
 
 setattr(clock, "datetime", SkewedDatetime)  # noqa: B010
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -79,7 +79,7 @@
     """Report how much later than due each client's latest frame came; return that of the resumed sessions."""
     resumed = []
     for client in topology.clients:
-        gap = max(timedelta(0), client.gap - timedelta(seconds=topology.settings.frame_interval))
+        gap = max(timedelta(0), client.gaps.longest - timedelta(seconds=topology.settings.frame_interval))
         topology.report.record_delay("gap", gap)
         if client.connections == client.connections_at_watch and client.up.is_set():
             resumed.append(gap)
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -170,11 +170,7 @@
         self.admin_port = spare_port()
         try:
             await self.start()
-            deadline = clock() + timedelta(seconds=START_TIMEOUT)
-            while b"step=succeeded" not in self.log.read_bytes()[log_size:]:
-                if clock() > deadline:
-                    raise NodeError(f"the old process goes on:\n{self.log_tail()}")
-                await asyncio.sleep(POLL_INTERVAL)
+            await self._wait_for_handover(log_size)
         except NodeError:
             old.kill()  # whoever holds this object knows of the new process only
             await old.wait()
@@ -182,6 +178,14 @@
         old.terminate()
         return old
 
+    async def _wait_for_handover(self, log_size: int) -> None:
+        """Wait until the log says, beyond so many bytes, that the old process has a successor."""
+        deadline = clock() + timedelta(seconds=START_TIMEOUT)
+        while b"step=succeeded" not in self.log.read_bytes()[log_size:]:
+            if clock() > deadline:
+                raise NodeError(f"the old process goes on:\n{self.log_tail()}")
+            await asyncio.sleep(POLL_INTERVAL)
+
     async def kill(self) -> None:
         """End the process with SIGKILL, as a crash would."""
         process = self._running_process()
--- a/tansyladder/lab/reconnect.py
+++ b/tansyladder/lab/reconnect.py
@@ -32,7 +32,7 @@
         await topology.quiesce()
         report = topology.report
         for client in dropped:
-            report.record_delay("gap", max(timedelta(0), client.gap))
+            report.record_delay("gap", max(timedelta(0), client.gaps.longest))
         return {
             "sessions": sessions,
             "dropped": len(dropped),
