--- a/tansyladder/log.py
+++ b/tansyladder/log.py
@@ -19,11 +19,13 @@
 if TYPE_CHECKING:
     from structlog.typing import EventDict, WrappedLogger
 
-WINDOW = timedelta(seconds=1)
-PER_WINDOW = 20  # lines of one event in a window: a storm of bad input must not fill the disk or the core
-SECRET = frozenset({"token", "rt", "key_bytes"})  # fields that are written as how long they are
+RATE_WINDOW = timedelta(seconds=1)
+MAX_LINES_PER_WINDOW = (
+    20  # lines of one event in a window: a storm of bad input must not fill the disk or the core
+)
+SECRET_FIELDS = frozenset({"token", "rt", "key_bytes"})  # fields that are written as how long they are
 
-_as_json = False
+_is_json = False
 
 
 class LogEvent(StrEnum):
@@ -89,13 +91,13 @@
     STORE_UNUSABLE = "store_unusable"
 
 
-def write_json(on: bool) -> None:
+def use_json_format(on: bool) -> None:
     """From now on lines are JSON objects, or key=value pairs again."""
-    global _as_json
-    _as_json = on
+    global _is_json
+    _is_json = on
 
 
-class PerWindow:
+class RateLimiter:
     """A processor that lets an event have so many lines in a window and tells later how many it kept back."""
 
     def __init__(self) -> None:
@@ -108,9 +110,9 @@
         now, name = timedelta(seconds=time.monotonic()), event["event"]
         with self._lock:
             start, lines, left_out = self._seen.get(name, (now, 0, 0))
-            if now - start >= WINDOW:
+            if now - start >= RATE_WINDOW:
                 start, lines = now, 0
-            if lines >= PER_WINDOW:
+            if lines >= MAX_LINES_PER_WINDOW:
                 self._seen[name] = (start, lines, left_out + 1)
                 raise DropEvent
             self._seen[name] = (start, lines + 1, 0)
@@ -119,14 +121,14 @@
         return event
 
 
-def hide_secrets(logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
+def redact_secrets(logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
     """A processor: of what opens a session to whoever reads it, only the length is written."""
-    for name in SECRET & event.keys():
+    for name in SECRET_FIELDS & event.keys():
         event[name] = f"hidden:{len(str(event[name]))}"
     return event
 
 
-def _value(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, timedelta):
         return f"{value.total_seconds() * 1000:.1f}ms"
     text = str(value)
@@ -134,15 +136,15 @@
     return text if plain and text else json.dumps(text[:300])
 
 
-def render(logger: WrappedLogger, method: str, event: EventDict) -> str:
+def render_line(logger: WrappedLogger, method: str, event: EventDict) -> str:
     """The last processor: one line, `event` first."""
-    if _as_json:
+    if _is_json:
         return json.dumps({k: v if isinstance(v, int | float) else str(v)[:300] for k, v in event.items()})
     name = event.pop("event")
-    return " ".join([f"event={name}", *(f"{k}={_value(v)}" for k, v in event.items())])
+    return " ".join([f"event={name}", *(f"{k}={_format_value(v)}" for k, v in event.items())])
 
 
-def _print(line: str) -> None:
+def _write_line(line: str) -> None:
     with contextlib.suppress(OSError, ValueError):  # whoever read the log is gone: the node goes on
         sys.stderr.write(line + "\n")
         sys.stderr.flush()
@@ -152,15 +154,17 @@
     """What structlog writes to; looked up at each line, as tests put another stream there."""
 
     def msg(self, message: str) -> None:
-        _print(message)
+        _write_line(message)
 
 
 @functools.cache
-def _logger() -> Any:
+def _structlog_logger() -> Any:
     import structlog
 
     return structlog.wrap_logger(
-        _Stderr(), processors=[PerWindow(), hide_secrets, render], wrapper_class=structlog.BoundLoggerBase
+        _Stderr(),
+        processors=[RateLimiter(), redact_secrets, render_line],
+        wrapper_class=structlog.BoundLoggerBase,
     )
 
 
@@ -169,4 +173,4 @@
     from structlog import DropEvent
 
     with contextlib.suppress(DropEvent):
-        _logger()._proxy_to_logger("msg", event, **fields)
+        _structlog_logger()._proxy_to_logger("msg", event, **fields)
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -23,7 +23,7 @@
     signal.signal(signal.SIGHUP, lambda *_: None)  # an ignored one might not even wait
 
     from tansyladder.config import operator_settings, platform
-    from tansyladder.log import LogEvent, log, write_json
+    from tansyladder.log import LogEvent, log, use_json_format
     from tansyladder.net.listener_handover import ListenerHandover
     from tansyladder.node.client_listener import ClientListener
     from tansyladder.node.discovery_client import DiscoveryClient
@@ -41,7 +41,7 @@
     except operator_settings.OptionsError as err:
         print(f"event=bad_settings why={err}", file=sys.stderr)
         return 2
-    write_json(chosen.log.json)
+    use_json_format(chosen.log.json)
     threading.stack_size(STACK)
     sys.setswitchinterval(SWITCH)
     threading.excepthook = lambda args: log(LogEvent.INTERNAL_ERROR, why=repr(args.exc_value))
--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -151,20 +151,20 @@
         plain="x",
         token="s3cret",
     )
-    logging.write_json(True)
+    logging.use_json_format(True)
     try:
         logging.log(logging.LogEvent.DRAINED, why='a "b"', count=3)
     finally:
-        logging.write_json(False)
+        logging.use_json_format(False)
     first, second = capsys.readouterr().err.splitlines()
     assert first == 'event=started why="two words" after=1.5ms plain=x token=hidden:6'
     assert json.loads(second) == {"event": "drained", "why": 'a "b"', "count": 3}
 
 
 def test_of_one_event_so_many_lines_are_written(capsys: pytest.CaptureFixture[str]) -> None:
-    limit = logging.PerWindow()
+    limit = logging.RateLimiter()
     dropped = 0
-    for _ in range(logging.PER_WINDOW + 5):
+    for _ in range(logging.MAX_LINES_PER_WINDOW + 5):
         try:
             limit(None, "msg", {"event": "flood"})
         except DropEvent:
--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -9,7 +9,7 @@
 from tansyladder.cli import commands
 from tansyladder.lab import commands as lab_commands
 from tansyladder.lab import fleet_counts
-from tansyladder.log import render
+from tansyladder.log import render_line
 from tansyladder.node.event_counters import EventCounters
 from tansyladder.node.metrics import Metrics, RequestOutcome
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
@@ -47,7 +47,7 @@
     ]
     for now, events, actions in story:
         if fields := counts.finish_second(now):
-            lines.append("7.1 " + render(None, "msg", {"event": "counts", **fields}))
+            lines.append("7.1 " + render_line(None, "msg", {"event": "counts", **fields}))
         for event in events:
             counts.count_event(event, now)
             if isinstance(event, AttemptEstablished):
