--- a/tansyladder/log.py
+++ b/tansyladder/log.py
@@ -14,16 +14,17 @@
 import time
 from datetime import timedelta
 from enum import StrEnum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+
     from structlog.typing import EventDict, WrappedLogger
 
 RATE_WINDOW = timedelta(seconds=1)
-MAX_LINES_PER_WINDOW = (
-    20  # lines of one event in a window: a storm of bad input must not fill the disk or the core
-)
-SECRET_FIELDS = frozenset({"token", "rt", "key_bytes"})  # fields that are written as how long they are
+MAX_LINES_PER_WINDOW = 20  # of one event: a storm of bad input must fill neither the disk nor the processor
+MAX_VALUE_LENGTH = 300  # characters of a quoted value, and of any but a number in JSON: lines stay readable
+SECRET_FIELDS = frozenset({"token", "rt", "key_bytes"})  # whose length alone is written
 
 _is_json = False
 
@@ -91,38 +92,55 @@
     STORE_UNUSABLE = "store_unusable"
 
 
-def use_json_format(on: bool) -> None:
-    """From now on lines are JSON objects, or key=value pairs again."""
+def use_json_format(enabled: bool) -> None:
+    """Write lines as JSON objects from now on, or as key=value pairs again."""
     global _is_json
-    _is_json = on
+    _is_json = enabled
+
+
+class _EventWindow(NamedTuple):
+    """What was written of one event since a window began."""
+
+    start: timedelta
+    line_count: int = 0
+    dropped_count: int = 0
 
 
 class RateLimiter:
-    """A processor that lets an event have so many lines in a window and tells later how many it kept back."""
+    """A structlog processor that bounds the lines of each event in a window. Thread-safe.
+
+    The next line that is written says how many were dropped before it.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._seen: dict[str, tuple[timedelta, int, int]] = {}  # event: window's start, lines, left out
+        self._windows: dict[str, _EventWindow] = {}  # by event
 
-    def __call__(self, logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
+    def __call__(self, _bound: WrappedLogger, _method: str, event: EventDict) -> EventDict:
+        """Return the event, with `left_out` where lines were dropped before it.
+
+        Raises:
+            structlog.DropEvent: The event has had its lines of this window.
+        """
         from structlog import DropEvent
 
-        now, name = timedelta(seconds=time.monotonic()), event["event"]
+        now = timedelta(seconds=time.monotonic())
+        name = event["event"]
         with self._lock:
-            start, lines, left_out = self._seen.get(name, (now, 0, 0))
-            if now - start >= RATE_WINDOW:
-                start, lines = now, 0
-            if lines >= MAX_LINES_PER_WINDOW:
-                self._seen[name] = (start, lines, left_out + 1)
+            window = self._windows.get(name, _EventWindow(now))
+            if now - window.start >= RATE_WINDOW:
+                window = _EventWindow(now, 0, window.dropped_count)
+            if window.line_count >= MAX_LINES_PER_WINDOW:
+                self._windows[name] = window._replace(dropped_count=window.dropped_count + 1)
                 raise DropEvent
-            self._seen[name] = (start, lines + 1, 0)
-        if left_out:
-            event["left_out"] = left_out
+            self._windows[name] = _EventWindow(window.start, window.line_count + 1)
+        if window.dropped_count:
+            event["left_out"] = window.dropped_count
         return event
 
 
-def redact_secrets(logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
-    """A processor: of what opens a session to whoever reads it, only the length is written."""
+def redact_secrets(_bound: WrappedLogger, _method: str, event: EventDict) -> EventDict:
+    """A structlog processor: of what opens a session to whoever reads it, only the length is written."""
     for name in SECRET_FIELDS & event.keys():
         event[name] = f"hidden:{len(str(event[name]))}"
     return event
@@ -132,45 +150,53 @@
     if isinstance(value, timedelta):
         return f"{value.total_seconds() * 1000:.1f}ms"
     text = str(value)
-    plain = text.isascii() and text.isprintable() and not any(c in text for c in ' "=')
-    return text if plain and text else json.dumps(text[:300])
+    is_plain = text.isascii() and text.isprintable() and not any(char in text for char in ' "=')
+    return text if is_plain and text else json.dumps(text[:MAX_VALUE_LENGTH])
 
 
-def render_line(logger: WrappedLogger, method: str, event: EventDict) -> str:
-    """The last processor: one line, `event` first."""
+def render_line(_bound: WrappedLogger, _method: str, event: EventDict) -> str:
+    """The last structlog processor: one line without its end, `event` first."""
     if _is_json:
-        return json.dumps({k: v if isinstance(v, int | float) else str(v)[:300] for k, v in event.items()})
-    name = event.pop("event")
-    return " ".join([f"event={name}", *(f"{k}={_format_value(v)}" for k, v in event.items())])
-
-
-def _write_line(line: str) -> None:
-    with contextlib.suppress(OSError, ValueError):  # whoever read the log is gone: the node goes on
-        sys.stderr.write(line + "\n")
-        sys.stderr.flush()
+        fields = {
+            name: value if isinstance(value, int | float) else str(value)[:MAX_VALUE_LENGTH]
+            for name, value in event.items()
+        }
+        return json.dumps(fields)
+    event_name = event.pop("event")
+    return " ".join([f"event={event_name}", *(f"{name}={_format_value(v)}" for name, v in event.items())])
 
 
-class _Stderr:
+class _StandardError:
     """What structlog writes to; looked up at each line, as tests put another stream there."""
 
     def msg(self, message: str) -> None:
-        _write_line(message)
+        """Write a line; where nobody reads the log any more the node goes on without it."""
+        with contextlib.suppress(OSError, ValueError):
+            sys.stderr.write(message + "\n")
+            sys.stderr.flush()
 
 
 @functools.cache
-def _structlog_logger() -> Any:
+def _line_writer() -> Callable[..., None]:
+    """Load structlog, once; return what writes an event with its fields."""
     import structlog
 
-    return structlog.wrap_logger(
-        _Stderr(),
-        processors=[RateLimiter(), redact_secrets, render_line],
-        wrapper_class=structlog.BoundLoggerBase,
+    class EventLogger(structlog.BoundLoggerBase):
+        """A logger of events without levels."""
+
+        def write(self, event: LogEvent, **fields: object) -> None:
+            """Pass an event through the processors, unless one of them drops it."""
+            self._proxy_to_logger("msg", event, **fields)
+
+    logger: EventLogger = structlog.wrap_logger(
+        _StandardError(), processors=[RateLimiter(), redact_secrets, render_line], wrapper_class=EventLogger
     )
+    return logger.write
 
 
 def log(event: LogEvent, **fields: object) -> None:
-    """Write one line, unless this event has had its lines of this second."""
-    from structlog import DropEvent
+    """Write one line with an event and its fields, unless the event has had its lines of this second.
 
-    with contextlib.suppress(DropEvent):
-        _structlog_logger()._proxy_to_logger("msg", event, **fields)
+    Thread-safe. A `timedelta` is written in milliseconds, the fields in `SECRET_FIELDS` as their length.
+    """
+    _line_writer()(event, **fields)
--- a/tansyladder/net/handover_sockets.py
+++ b/tansyladder/net/handover_sockets.py
@@ -128,9 +128,10 @@
             for successor in self._serving:
                 try:
                     socket.send_fds(self._connections[successor], [message], descriptors)
-                    return True
                 except OSError as err:
                     log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
+                else:
+                    return True
         return False
 
 
--- a/tansyladder/net/listener_handover.py
+++ b/tansyladder/net/listener_handover.py
@@ -15,6 +15,7 @@
 import select
 import socket
 import threading
+from typing import NamedTuple
 
 import msgspec
 
@@ -68,16 +69,9 @@
         predecessor.settimeout(MESSAGE_TIMEOUT.total_seconds())
         try:
             self._address.connect(predecessor)
-            predecessor.sendall(REQUEST_LISTENER)
-            message, descriptors, _, _ = socket.recv_fds(predecessor, MAX_MESSAGE_BYTES, 1)
-            transfer = msgspec.json.decode(message, type=DescriptorTransfer)
-            if not descriptors:
-                raise HandoverError("no descriptor came")
-        except (
-            OSError,
-            HandoverError,
-            msgspec.MsgspecError,
-        ) as err:  # no process, or it hangs, or another kind
+            transfer, listener = _exchange_request(predecessor)
+        # No process is there, it hangs, or it is another kind of program.
+        except (OSError, HandoverError, msgspec.MsgspecError) as err:
             predecessor.close()
             if not isinstance(err, FileNotFoundError):
                 log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
@@ -87,7 +81,7 @@
         self.endpoints = transfer.endpoints
         self.predecessor_gone.clear()
         log(LogEvent.LISTENER_HANDOVER, step="got_listener")
-        return socket.socket(fileno=descriptors[0])
+        return listener
 
     # --- to the next process
 
@@ -159,8 +153,8 @@
                     pass
                 except OSError as err:
                     log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
-                # Whatever came there, the process goes on, and its next version must still get through.
-                except Exception as err:
+                # The thread's top: whatever came there, the next version must still get through.
+                except Exception as err:  # noqa: BLE001
                     log(LogEvent.INTERNAL_ERROR, why=repr(err))
 
     def _handle_readable(self, descriptor: int) -> None:
@@ -229,3 +223,23 @@
                 self._owner.set_accepting(True)
         if not self._successors.sockets():
             self.remote_descriptor_count = 0
+
+
+class _ReceivedListener(NamedTuple):
+    transfer: DescriptorTransfer
+    listener: socket.socket
+
+
+def _exchange_request(predecessor: socket.socket) -> _ReceivedListener:
+    """Ask the running process for the clients' listener.
+
+    Raises:
+        OSError: It does not answer.
+        HandoverError, msgspec.MsgspecError: It answers with something else.
+    """
+    predecessor.sendall(REQUEST_LISTENER)
+    message, descriptors, _, _ = socket.recv_fds(predecessor, MAX_MESSAGE_BYTES, 1)
+    transfer = msgspec.json.decode(message, type=DescriptorTransfer)
+    if not descriptors:
+        raise HandoverError("no descriptor came")
+    return _ReceivedListener(transfer, socket.socket(fileno=descriptors[0]))
--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -168,8 +168,7 @@
                 self._forward_end(source, destination)
         except OSError:
             self._end_with_reset(destination)
-            return False
-        return True
+        return self._final_status is None
 
     def _forward(self, source: RelaySide, destination: RelaySide, data: bytes) -> None:
         lines = source.lines.feed(data)
