--- a/tansyladder/replication/replicated_state.py
+++ b/tansyladder/replication/replicated_state.py
@@ -1,67 +1,68 @@
-"""All that the nodes of a fleet have agreed on: who owns which session, and the documents that hold.
+"""All that the nodes of a cluster agree on through one log: session ownership and documents.
 
-One log decides both. An entry says by its tag whom it is for; what this version does not know ends the
-node's part in the log, as its state would not be that of the others from there on.
+A command says by its tag which state machine it is for. A command that this version doesn't know ends the
+node's part in the log, as its state would differ from the others' from there on.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
 import msgspec
 
-from tansyladder.replication import document_messages, session_ownership
+from tansyladder.replication.document_messages import DocumentCommand
 from tansyladder.replication.documents import Documents, DocumentsSnapshot
 from tansyladder.replication.session_ownership import (
+    ClaimConfirmation,
+    OwnerChangeCallback,
+    OwnershipClaim,
+    OwnershipCommand,
+    SessionOpened,
     SessionOwnership,
 )
 
-Command = (
-    session_ownership.OwnershipClaim
-    | session_ownership.ClaimConfirmation
-    | session_ownership.SessionOpened
-    | document_messages.DocumentCommand
-)
+Command = OwnershipCommand | DocumentCommand
 
 
 class StateSnapshot(msgspec.Struct, array_like=True, tag="agreed 2"):
-    """A snapshot; the version before wrote the claims alone."""
+    """A snapshot of both state machines; the version before encoded session ownership alone."""
 
     session_ownership: bytes
     documents: DocumentsSnapshot
 
 
 class ReplicatedState:
-    """The state of the log."""
+    """The log's state machine. Owned by the Raft thread."""
 
-    def __init__(self, voters: Sequence[str], taken: Callable[[int, int, str], None] | None = None) -> None:
-        """`voters`: of the log, by name; `taken`: told of each claim that holds: session, tenure, whose."""
-        self.session_ownership = SessionOwnership(taken)
+    def __init__(self, voters: Sequence[str], on_owner_change: OwnerChangeCallback | None = None) -> None:
+        """`voters`: names of the log's voters; `on_owner_change`: called with each accepted claim."""
+        self.session_ownership = SessionOwnership(on_owner_change)
         self.documents = Documents(voters)
         self._decoder = msgspec.msgpack.Decoder(Command)
 
     def apply(self, data: bytes) -> bytes:
-        """Take in an encoded entry; an encoded `ClaimResult` or `document_messages.ChangeResult`."""
-        told = self._decoder.decode(data)
-        if isinstance(
-            told,
-            session_ownership.OwnershipClaim
-            | session_ownership.ClaimConfirmation
-            | session_ownership.SessionOpened,
-        ):
-            return self.session_ownership.apply(data)
-        return msgspec.msgpack.encode(self.documents.apply(told))
+        """Apply an encoded command; return an encoded `ClaimResult` or `ChangeResult`.
+
+        msgspec.ValidationError: this version doesn't know the command.
+        """
+        command = self._decoder.decode(data)
+        if isinstance(command, OwnershipClaim | ClaimConfirmation | SessionOpened):
+            return msgspec.msgpack.encode(self.session_ownership.apply(command))
+        return msgspec.msgpack.encode(self.documents.apply(command))
 
     def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode(
-            StateSnapshot(self.session_ownership.snapshot(), self.documents.snapshot())
-        )
+        """Return the whole state, encoded."""
+        ownership = self.session_ownership.snapshot()
+        return msgspec.msgpack.encode(StateSnapshot(ownership, self.documents.snapshot()))
+
+    def restore(self, snapshot: bytes) -> None:
+        """Replace the whole state by a snapshot's, of this version or the one before.
 
-    def restore(self, dumped: bytes) -> None:
-        """ValueError: it is of no version that is known."""
+        msgspec.ValidationError: it is of no known version.
+        """
         try:
-            whole = msgspec.msgpack.decode(dumped, type=StateSnapshot)
+            state = msgspec.msgpack.decode(snapshot, type=StateSnapshot)
         except msgspec.ValidationError:  # of the version before
-            whole = StateSnapshot(dumped, DocumentsSnapshot())
-        self.session_ownership.restore(whole.session_ownership)
-        self.documents.restore(whole.documents)
+            state = StateSnapshot(snapshot, DocumentsSnapshot())
+        self.session_ownership.restore(state.session_ownership)
+        self.documents.restore(state.documents)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -12,8 +12,6 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Protocol
 
-import msgspec
-
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
@@ -176,11 +174,7 @@
             late = now() > visitor.deadline or sockets.is_disconnected(visitor.sock)
             if ruling is None or (ruling.epoch and late):
                 good = self.token_registry.generation_floor(session)  # as it was
-                self._release_token(
-                    msgspec.structs.replace(
-                        entry, generation_floor=good, sequence=next(self.confirmation_numbers)
-                    )
-                )
+                self._release_token(entry.releasing(good, next(self.confirmation_numbers)))
                 return RETRY_SOON
             if not ruling.epoch:  # who has claimed it since may fail: its token may be good still
                 return (
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -222,7 +222,7 @@
 
 
 def claim_result(*, tenure: int, why: str) -> object:
-    return session_ownership.ClaimResult(epoch=tenure, reason=why)
+    return session_ownership.ClaimResult(epoch=tenure, reason=session_ownership.ClaimRejection(why))
 
 
 def proposal(*, name: str, digest: bytes, size: int, key: str, node: str, time: int) -> LogCommand:
--- a/tests/raft/test_raft.py
+++ b/tests/raft/test_raft.py
@@ -12,8 +12,10 @@
 
 from tansyladder.replication.session_ownership import (
     ClaimConfirmation,
+    ClaimRejection,
     ClaimResult,
     OwnershipClaim,
+    OwnershipCommand,
     SessionOpened,
     SessionOwnership,
 )
@@ -134,7 +136,9 @@
 
 
 def say(claims: SessionOwnership, entry: OwnershipClaim | ClaimConfirmation | SessionOpened) -> ClaimResult:
-    return msgspec.msgpack.decode(claims.apply(msgspec.msgpack.encode(entry)), type=ClaimResult)
+    """Apply a command as the log has it, and read the result as its proposer does."""
+    command = msgspec.msgpack.decode(msgspec.msgpack.encode(entry), type=OwnershipCommand)
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(claims.apply(command)), type=ClaimResult)
 
 
 ASKS = itertools.count(1)
@@ -229,7 +233,9 @@
         elif (session, by) in owned:
             tenure = owned[session, by]
             ruling = say(claims, confirm(by, tenure, tenure << GENERATION_COUNTER_BITS, at, session))
-            assert ruling == (ClaimResult(tenure) if tenure == newest else ClaimResult(reason="claimed"))
+            assert ruling == (
+                ClaimResult(tenure) if tenure == newest else ClaimResult(reason=ClaimRejection.CLAIMED)
+            )
             if tenure == newest:
                 floor[session] = tenure << GENERATION_COUNTER_BITS
     told: list[tuple[int, int, str]] = []
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -244,7 +244,7 @@
     assert again.snapshot() == whole.snapshot() and again.documents.change is not None
     assert again.documents.change.accepted_by == {"a/1"} and again.session_ownership.records[7].owner == "a/1"
     before = SessionOwnership()
-    before.apply(msgspec.msgpack.encode(claim))
+    before.apply(claim)
     old.restore(before.snapshot())
     assert old.session_ownership.records[7].epoch == 2 and not old.documents.leases
 
