--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -20,7 +20,8 @@
     Validator,
 )
 from tansyladder.cluster.peer_transport import PeerTransport
-from tansyladder.cluster.raft_storage import RaftStorage, RollbackDetector
+from tansyladder.cluster.raft_storage import RaftStorage
+from tansyladder.cluster.rollback_detector import RollbackDetector
 from tansyladder.config.operator_settings import PeersOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -13,9 +13,9 @@
 import msgspec
 import pytest
 
-from tansyladder.cluster import raft_storage as records_of
 from tansyladder.cluster.peer_transport import MOST_GREETING, VERSION, Greeting, PeerTransport
-from tansyladder.cluster.raft_storage import RaftStorage, RollbackDetector
+from tansyladder.cluster.raft_storage import HARD_STATE_KEY, RaftStorage, log_entry_key
+from tansyladder.cluster.rollback_detector import RollbackDetector
 from tansyladder.config import operator_settings
 from tansyladder.lab.chaos import cluster, experiments, history, schedule
 from tansyladder.lab.node import LabNode
@@ -293,20 +293,18 @@
     assert opened().persisted.hard_state.stale_disk_suspected  # until the agreement ends it
     write(
         WriteOperation(
-            records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
+            HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
         )
     )
     assert not opened().persisted.hard_state.stale_disk_suspected
-    write(
-        WriteOperation(RaftStorage._key(2), msgspec.msgpack.encode(LogEntry(1)))
-    )  # the first one is missing
+    write(WriteOperation(log_entry_key(2), msgspec.msgpack.encode(LogEntry(1))))  # the first one is missing
     assert opened().persisted.hard_state.stale_disk_suspected
     write(
         WriteOperation(
-            records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
+            HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
         )
     )
-    write(WriteOperation(RaftStorage._key(2), None))
+    write(WriteOperation(log_entry_key(2), None))
     assert opened("elsewhere").persisted.hard_state.stale_disk_suspected  # as after a start of the machine
 
 
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tansyladder.cluster import raft_storage
+from tansyladder.cluster import raft_storage, rollback_detector
 from tansyladder.cluster.document_replica import DocumentReplica
 from tansyladder.cluster.peer_transport import PeerChannel, PeerTransport
 from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
@@ -176,11 +176,11 @@
 
 def use_boot_file(monkeypatch: pytest.MonkeyPatch, file: Path) -> None:
     """Read the machine's boot id from there."""
-    monkeypatch.setattr(raft_storage, "BOOT", file)
+    monkeypatch.setattr(rollback_detector, "BOOT_ID_FILE", file)
 
 
 def open_raft_storage(store: Store, witness_folder: Path) -> RaftStorage:
-    return raft_storage.RaftStorage(store, raft_storage.RollbackDetector(str(witness_folder), "n1"))
+    return raft_storage.RaftStorage(store, rollback_detector.RollbackDetector(str(witness_folder), "n1"))
 
 
 def raft_hard_state(storage: RaftStorage) -> HardState:
