--- /dev/null
+++ b/tansyladder/cluster/errors.py
@@ -0,0 +1,28 @@
+"""Errors of connections between the nodes of a cluster."""
+
+from __future__ import annotations
+
+
+class ClusterError(Exception):
+    """The base of this package's errors."""
+
+
+class ClusterConfigurationError(ClusterError, ValueError):
+    """The settings can't describe a cluster with this node in it; `path` names the setting."""
+
+    def __init__(self, path: str, problem: str) -> None:
+        """`problem`: what is wrong with the setting."""
+        super().__init__(f"{path}: {problem}")
+        self.path = path
+
+
+class PeerError(ClusterError):
+    """The other end of a connection is no peer of this node, or sends what no peer sends."""
+
+
+class PeerProtocolError(PeerError):
+    """What came is no message of the protocol."""
+
+
+class PeerRejectedError(PeerError):
+    """The other end is of another cluster or version, has another key, or its clock is off."""
--- /dev/null
+++ b/tansyladder/cluster/peer_channel.py
@@ -0,0 +1,105 @@
+"""Frames between two peers that have proved the cluster's key to each other.
+
+A frame is its length (4 bytes), an authentication tag (16 bytes) and a message in msgpack. The tags are keyed
+by both sides' nonces and cover the number of the frame in its direction, so a frame of another connection, or
+one that came before on this one, is not accepted.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import hmac
+import queue
+import socket
+import struct
+
+from tansyladder.cluster.errors import PeerProtocolError
+
+MAX_FRAME_BYTES = 4 << 20  # more than a snapshot of all session owners at their bound
+SEND_QUEUE_SIZE = 512  # messages that wait for a peer
+TAG_BYTES = 16
+RECEIVE_BYTES = 1 << 16  # of one call
+LENGTH = struct.Struct(">I")
+FRAME_OVERHEAD_BYTES = TAG_BYTES + LENGTH.size
+_FRAME_NUMBER = struct.Struct(">Q")
+
+
+def receive_exactly(sock: socket.socket, size: int) -> bytes:
+    """Receive so many bytes. OSError: the connection has ended, or nothing came in time."""
+    parts = []
+    missing = size
+    while missing:
+        data = sock.recv(min(missing, RECEIVE_BYTES))
+        if not data:
+            raise ConnectionResetError("ended")
+        parts.append(data)
+        missing -= len(data)
+    return b"".join(parts)
+
+
+class _FrameAuthenticator:
+    """Makes the tags of one direction's frames, which are numbered from 0."""
+
+    def __init__(self, key: bytes, sender: bytes) -> None:
+        self._key = hmac.digest(key, b"frames " + sender, "sha256")
+        self._frame_number = 0
+
+    def next_tag(self, data: bytes) -> bytes:
+        """Return the tag of the next frame."""
+        message = _FRAME_NUMBER.pack(self._frame_number) + data
+        self._frame_number += 1
+        return hmac.digest(self._key, message, "sha256")[:TAG_BYTES]
+
+
+class PeerChannel:
+    """One authenticated connection.
+
+    One thread receives and one sends; `enqueue` and `close` are thread-safe.
+    """
+
+    def __init__(self, sock: socket.socket, peer: str, key: bytes, is_dialler: bool) -> None:
+        """`key`: of this connection alone; `is_dialler`: whether this node has opened it."""
+        self.sock = sock
+        self.peer = peer
+        own_side, other_side = (b"dialler", b"listener") if is_dialler else (b"listener", b"dialler")
+        self._outgoing = _FrameAuthenticator(key, own_side)
+        self._incoming = _FrameAuthenticator(key, other_side)
+        self._queue: queue.Queue[bytes | None] = queue.Queue(SEND_QUEUE_SIZE)  # None: the channel is closed
+
+    def send(self, data: bytes) -> None:
+        """Send a message. OSError: the connection has ended."""
+        tag = self._outgoing.next_tag(data)
+        self.sock.sendall(LENGTH.pack(len(data)) + tag + data)
+
+    def receive(self) -> bytes:
+        """Receive a message.
+
+        OSError: the connection has ended. PeerProtocolError: this is not what the peer sent next.
+        """
+        (length,) = LENGTH.unpack(receive_exactly(self.sock, LENGTH.size))
+        if length > MAX_FRAME_BYTES:
+            raise PeerProtocolError(f"a frame of {length} bytes")
+        tag = receive_exactly(self.sock, TAG_BYTES)
+        data = receive_exactly(self.sock, length)
+        if not hmac.compare_digest(tag, self._incoming.next_tag(data)):
+            raise PeerProtocolError("a frame that is not authentic")
+        return data
+
+    def enqueue(self, data: bytes) -> bool:
+        """Queue a message for the sending thread; False: the queue is full."""
+        try:
+            self._queue.put_nowait(data)
+        except queue.Full:
+            return False
+        return True
+
+    def next_queued(self) -> bytes | None:
+        """Wait for a queued message; None once the channel is closed."""
+        return self._queue.get()
+
+    def close(self) -> None:
+        """End the connection and wake up both threads; the receiving thread closes the socket."""
+        with contextlib.suppress(OSError):
+            self.sock.shutdown(socket.SHUT_RDWR)
+        with contextlib.suppress(queue.Full):
+            self._queue.put_nowait(None)
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -122,7 +122,7 @@
         try:
             self._inbox.put_nowait((sender, message))
         except queue.Full:
-            self.transport.counters["dropped"] += 1
+            self.transport.counters.messages_dropped += 1
 
     def _run(self) -> None:
         told = ("", 0, "", False, False)
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -13,7 +13,8 @@
 import msgspec
 import pytest
 
-from tansyladder.cluster.peer_transport import MOST_GREETING, VERSION, Greeting, PeerTransport
+from tansyladder.cluster.peer_handshake import MAX_GREETING_BYTES, PROTOCOL_VERSION, Greeting
+from tansyladder.cluster.peer_transport import PeerTransport
 from tansyladder.cluster.raft_storage import HARD_STATE_KEY, RaftStorage, log_entry_key
 from tansyladder.cluster.rollback_detector import RollbackDetector
 from tansyladder.config import operator_settings
@@ -205,7 +206,7 @@
 @pytest.mark.parametrize(
     "said",
     [
-        struct.pack(">I", MOST_GREETING + 1),
+        struct.pack(">I", MAX_GREETING_BYTES + 1),
         struct.pack(">I", 3) + b"abc",
         b"OPEN 1 2 c=chat,d=1\r\n",
     ],
@@ -228,18 +229,21 @@
 
     def greet(proof: bytes) -> tuple[Greeting, bytes]:
         with socket.create_connection((host, int(port)), 5) as sock:
-            data = msgspec.msgpack.encode(Greeting(VERSION, "f", "a", "b", b"n" * 16, 60_000_000))
+            data = msgspec.msgpack.encode(Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000))
             sock.sendall(struct.pack(">I", len(data)) + data)
             (size,) = struct.unpack(">I", sock.recv(4, socket.MSG_WAITALL))
             theirs = msgspec.msgpack.decode(sock.recv(size, socket.MSG_WAITALL), type=Greeting)
-            again = msgspec.msgpack.encode(Greeting(VERSION, "f", "a", "b", b"n" * 16, 60_000_000, proof))
+            again = msgspec.msgpack.encode(
+                Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000, proof)
+            )
             sock.sendall(struct.pack(">I", len(again)) + again)
             return theirs, sock.recv(1)
 
-    asked = Greeting(VERSION, "f", "a", "b", b"n" * 16, 60_000_000)
+    asked = Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000)
     first, ended = greet(b"?" * 32)
     assert ended == b""
-    proof = ends.nodes[1]._proof(b"dialler", asked, first)  # what a true dialler had said to that nonce
+    # The proof with which a true dialler had answered that nonce.
+    proof = ends.nodes[1].handshake.proof(b"dialler", asked, first)
     second, ended = greet(proof)
     assert (ended, first.nonce == second.nonce) == (b"", False)
 
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from tansyladder.cluster.document_publisher import DecisionStamp
-from tansyladder.cluster.peer_transport import Greeting
+from tansyladder.cluster.peer_handshake import Greeting
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.net.handover_messages import (
     BytesByDirection,
@@ -266,7 +266,9 @@
 def greeting(
     *, version: int, fleet: str, name: str, to: str, nonce: bytes, time: int, proof: bytes
 ) -> object:
-    return Greeting(version=version, fleet=fleet, name=name, to=to, nonce=nonce, at=time, proof=proof)
+    return Greeting(
+        version=version, cluster=fleet, sender=name, recipient=to, nonce=nonce, sent_at_us=time, proof=proof
+    )
 
 
 # --- the list of endpoints
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -11,7 +11,8 @@
 
 from tansyladder.cluster import raft_storage, rollback_detector
 from tansyladder.cluster.document_replica import DocumentReplica
-from tansyladder.cluster.peer_transport import PeerChannel, PeerTransport
+from tansyladder.cluster.peer_channel import PeerChannel
+from tansyladder.cluster.peer_transport import PeerTransport
 from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
 from tansyladder.config.platform import EndpointList
 from tansyladder.raft import messages, persistent_state
@@ -321,9 +322,9 @@
 
 def dial(transport: PeerTransport, sock: socket.socket, name: str) -> PeerChannel:
     """The dialling side's greeting."""
-    return transport._greet(sock, name)
+    return transport.handshake.dial(sock, name)
 
 
 def welcome(transport: PeerTransport, sock: socket.socket) -> PeerChannel:
     """The listening side's greeting."""
-    return transport._welcome(sock)
+    return transport.handshake.accept(sock)
