--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -25,6 +25,7 @@
 from tansyladder.raft.proposals import ProposalHandler
 from tansyladder.raft.voter_disks import VoterDisks
 from tansyladder.replication.document_messages import (
+    ChangeOutcome,
     ChangeResult,
     Commit,
     DocumentCommand,
@@ -209,7 +210,7 @@
 
     def _apply_commit(self, change: PendingChange, told: Commit) -> ChangeResult:
         ruled = super()._apply_commit(change, told)
-        if ruled.outcome == "done":
+        if ruled.outcome == ChangeOutcome.DONE:
             held = self._versions[change.name]
             held[-1] = msgspec.structs.replace(held[-1], effective_at_us=told.timestamp_us)
         return ruled
