--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -9,9 +9,10 @@
 
 import pytest
 
-from tansyladder.cluster import raft_storage
+from tansyladder.cluster import raft_storage, rollback_detector
 from tansyladder.cluster.document_replica import DocumentReplica
-from tansyladder.cluster.peer_transport import PeerChannel, PeerTransport
+from tansyladder.cluster.peer_channel import PeerChannel
+from tansyladder.cluster.peer_transport import PeerTransport
 from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
 from tansyladder.config.platform import EndpointList
 from tansyladder.raft import messages, persistent_state
@@ -176,11 +177,11 @@
 
 def use_boot_file(monkeypatch: pytest.MonkeyPatch, file: Path) -> None:
     """Read the machine's boot id from there."""
-    monkeypatch.setattr(raft_storage, "BOOT", file)
+    monkeypatch.setattr(rollback_detector, "BOOT_ID_FILE", file)
 
 
 def open_raft_storage(store: Store, witness_folder: Path) -> RaftStorage:
-    return raft_storage.RaftStorage(store, raft_storage.RollbackDetector(str(witness_folder), "n1"))
+    return raft_storage.RaftStorage(store, rollback_detector.RollbackDetector(str(witness_folder), "n1"))
 
 
 def raft_hard_state(storage: RaftStorage) -> HardState:
@@ -321,9 +322,9 @@
 
 def dial(transport: PeerTransport, sock: socket.socket, name: str) -> PeerChannel:
     """The dialling side's greeting."""
-    return transport._greet(sock, name)
+    return transport.handshake.dial(sock, name)
 
 
 def welcome(transport: PeerTransport, sock: socket.socket) -> PeerChannel:
     """The listening side's greeting."""
-    return transport._welcome(sock)
+    return transport.handshake.accept(sock)
