--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -18,7 +18,12 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now, seconds_left
-from tansyladder.replication.content_transfer import ContentStore, DocumentMessage, digest_of
+from tansyladder.replication.content_transfer import (
+    AddressedMessage,
+    ContentStore,
+    DocumentMessage,
+    digest_of,
+)
 from tansyladder.replication.document_messages import ChangeResult, LeaseRenewal, Proposal, ValidationVote
 from tansyladder.replication.documents import (
     MAX_CONTENT_BYTES,
@@ -171,7 +176,7 @@
         busy = self._documents.change is not None or self.now_us() >= self._lease.end_us - SECOND_US
         return BUSY_INTERVAL_US if busy else IDLE_INTERVAL_US
 
-    def handle(self, sender: str, told: DocumentMessage) -> list[tuple[str, DocumentMessage]]:
+    def handle(self, sender: str, told: DocumentMessage) -> list[AddressedMessage]:
         """A message of another node; what to send."""
         match told.body:
             case LeaseRenewal(start):
@@ -183,14 +188,13 @@
                     self._contents.handle(sender, what, self.now_us())
                 return self._take_outgoing()
 
-    def _take_outgoing(self) -> list[tuple[str, DocumentMessage]]:
+    def _take_outgoing(self) -> list[AddressedMessage]:
         with self._lock:
-            out, self._contents.outgoing = self._contents.outgoing, []
-        return [(to, DocumentMessage(what)) for to, what in out]
+            return self._contents.take_outgoing()
 
-    def step(self, leader: str, leads: bool) -> tuple[list[Command], list[tuple[str, DocumentMessage]]]:
+    def step(self, leader: str, leads: bool) -> tuple[list[Command], list[AddressedMessage]]:
         """After a step of the agreement: entries to propose, messages to send."""
-        at, entries, messages = self.now_us(), list[Command](), list[tuple[str, DocumentMessage]]()
+        at, entries, messages = self.now_us(), list[Command](), list[AddressedMessage]()
         armed = self._lease_holder.prepare(at)
         if armed is not None:
             entries += self._propose_once(armed, f"armed {armed.number} {armed.round}", at)
@@ -214,7 +218,7 @@
             self._next_renewal_at_us = at + (
                 REPROPOSE_INTERVAL_US if soon else self._lease_duration_us // RENEWALS_PER_LEASE
             )
-            messages.append((leader, DocumentMessage(LeaseRenewal(self._incarnation))))
+            messages.append(AddressedMessage(leader, DocumentMessage(LeaseRenewal(self._incarnation))))
         return entries, messages + self._take_outgoing()
 
     def _propose_once(self, entry: Command, key: str, at: int) -> list[Command]:
@@ -239,10 +243,10 @@
                 with self._lock:
                     self._contents.add(content)
         with self._lock:
-            whole, self._contents.completed = self._contents.completed, []
+            completed = self._contents.take_completed()
         change = self._lease_holder.change_to_validate()
-        for digest, content in whole:
-            number = change.number if change is not None and change.digest == digest else 0
+        for content in completed:
+            number = change.number if change is not None and change.digest == digest_of(content) else 0
             self._queue_for_validation(change.name if change is not None and number else "", number, content)
         if change is None:
             self._faults_by_number.clear()
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -281,12 +281,13 @@
     client.fetch(digest, size, now)
     for _ in range(400):
         now += 20 * MILLISECOND_US
-        asked, client.outgoing = client.outgoing, []
-        for name, want in asked:
+        asked = client.take_outgoing()
+        for name, message in asked:
+            want = message.body
             assert isinstance(want, ChunkRequest) and len(asked) <= 8
             server.handle("client", want, now)
-            [(_, piece)] = server.outgoing
-            server.outgoing = []
+            [(_, answer)] = server.take_outgoing()
+            piece = answer.body
             assert isinstance(piece, Chunk) and len(piece.data) <= CHUNK_BYTES
             if name.startswith("none"):
                 piece = Chunk(digest, want.offset, 0, b"")
@@ -295,9 +296,10 @@
             if not name.startswith("silent"):
                 client.handle(name, piece, now)
         client.retry_overdue(now)
-        if client.completed:
+        completed = client.take_completed()
+        if completed:
             break
-    assert client.completed == [(digest, content)] and client.get(digest) is None
+    assert completed == [content] and client.get(digest) is None
     client.add(content)
     assert client.get(digest) == content and client.retain_only([]) == [digest] and client.get(digest) is None
 
