--- a/tansyladder/policy/balancer.py
+++ b/tansyladder/policy/balancer.py
@@ -1,4 +1,4 @@
-"""All decisions of a tansyladder node. Types, events and actions: tansyladder/interface.py.
+"""All decisions of a tansyladder node.
 
 The ordinary path is modified binary exponential back-off ("Exponential back-off, revisited"): a failed
 set-up raises n, the retry falls uniformly in 0..2^n slots, and the next timer starts where that interval
@@ -11,6 +11,7 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
+from tansyladder.policy import events as event_types
 from tansyladder.policy.actions import (
     Action,
     CheckHealth,
@@ -22,23 +23,7 @@
     StartAttempt,
 )
 from tansyladder.policy.backoff import Backoff
-from tansyladder.policy.events import (
-    AttemptEnded,
-    AttemptEstablished,
-    AttemptStatus,
-    ClientDisconnected,
-    ConnectionAdopted,
-    ConnectionReport,
-    EndpointListUpdate,
-    EndpointState,
-    Event,
-    HealthCheckResult,
-    ListUpdateKind,
-    PeerMessage,
-    ReportKind,
-    RequestReceived,
-    TimerExpired,
-)
+from tansyladder.policy.events import AttemptStatus, EndpointState, Event, ListUpdateKind, ReportKind
 from tansyladder.policy.records import EVEN_STRAIN, MASK, Endpoint, EndpointCounts, EndpointPool, Request, mix
 from tansyladder.policy.settings import DeduplicationScope, Idempotency, Settings
 
@@ -65,13 +50,7 @@
 FIRST_CALLS = 6  # times sooner than the pace of calls that a first one is made; those that fail keep the pace
 FILL = 8.0  # connections that fill a unit of a server's size at least, so a cold one's budget is no less
 TURNS = 30  # nodes that the grants for a cold server go round among; of more, some share a turn
-BLAMED = (
-    AttemptStatus.FULL,
-    AttemptStatus.TIMEOUT,
-    AttemptStatus.CONNECT_FAILED,
-    AttemptStatus.RESET,
-    AttemptStatus.ERROR,
-)
+BLAMED = frozenset(AttemptStatus) - {AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.NOT_ATTEMPTED}
 
 
 class Balancer:
@@ -89,16 +68,16 @@
         self.held: dict[int, int] = {}  # connections that stand, by tenant; counted as they come and go
         self.watching, self.watch_due = Backoff(), False
         self.handlers: dict[type, Callable[..., None]] = {
-            EndpointListUpdate: self._members,
-            RequestReceived: self._request,
-            ConnectionAdopted: self._opened,
-            AttemptEstablished: self._first,
-            ConnectionReport: self._note,
-            AttemptEnded: self._outcome,
-            ClientDisconnected: self._gone,
-            TimerExpired: self._timer,
-            HealthCheckResult: self._probed,
-            PeerMessage: self._peer,
+            event_types.EndpointListUpdate: self._members,
+            event_types.RequestReceived: self._request,
+            event_types.ConnectionAdopted: self._opened,
+            event_types.AttemptEstablished: self._first,
+            event_types.ConnectionReport: self._note,
+            event_types.AttemptEnded: self._outcome,
+            event_types.ClientDisconnected: self._gone,
+            event_types.TimerExpired: self._timer,
+            event_types.HealthCheckResult: self._probed,
+            event_types.PeerMessage: self._peer,
             Settings: self._settings,
         }
         self._settings(settings)
@@ -137,14 +116,14 @@
         self.timers[self.token] = (call, arg)
         self.out.append(SetTimer(max(at, self.now), self.token))
 
-    def _timer(self, event: TimerExpired) -> None:
+    def _timer(self, event: event_types.TimerExpired) -> None:
         call, arg = self.timers.pop(event.timer_id, (None, 0))
         if call:
             call(arg)
 
     # --- the list of servers
 
-    def _members(self, event: EndpointListUpdate) -> None:
+    def _members(self, event: event_types.EndpointListUpdate) -> None:
         if event.kind is ListUpdateKind.FAILED:
             self._watch_later()
             return
@@ -175,12 +154,9 @@
         self.home.servers = [s for s in ready if s.zone == self.set.zone]
         self.away.servers = [s for s in ready if s.zone != self.set.zone]
         self.home.looked_at = self.away.looked_at = -1
-        if (
-            event.kind is ListUpdateKind.CACHED
-            and self.set.health_check_interval_us
-            and self.set.can_check_health
-        ):
-            self._later(self.now + self.rng.randint(0, self.set.health_check_interval_us), self._ask_round, 0)
+        interval = self.set.health_check_interval_us
+        if event.kind is ListUpdateKind.CACHED and interval and self.set.can_check_health:
+            self._later(self.now + self.rng.randint(0, interval), self._ask_round, 0)
         if event.kind is ListUpdateKind.CACHED and self.set.polls_discovery:
             # All nodes may start together: their first calls are spread, or the list's one service chokes.
             # But soon: until then a node that comes back takes those that started meanwhile for warm.
@@ -201,16 +177,8 @@
 
     # --- requests and the back-off
 
-    def _request(self, event: RequestReceived) -> None:
-        r = Request(
-            event.request_id,
-            event.class_index,
-            event.tenant,
-            event.deadline_us,
-            event.key,
-            event.group_key,
-            event.load_hint,
-        )
+    def _request(self, event: event_types.RequestReceived) -> None:
+        r = Request(event, event.deadline_us)
         r.backoff = self.keys.get(event.key) if event.key else None
         self.requests[event.request_id] = r
         if event.is_midstream and self.set.pass_through and event.deadline_us > self.now:
@@ -251,10 +219,10 @@
     def _turn_away(self, r: Request, wait: int) -> None:
         """The final answer: a refusal where it is harmless, else a failure."""
         c = self.set.classes[r.cls]
-        keyed_apart = (
-            c.idempotency is Idempotency.WITH_KEY and c.deduplication_scope is not DeduplicationScope.ALL
+        harmless = c.idempotency is Idempotency.IDEMPOTENT or (
+            c.idempotency is Idempotency.WITH_KEY and c.deduplication_scope is DeduplicationScope.ALL
         )
-        if r.ran and (c.idempotency is Idempotency.NONE or keyed_apart):
+        if r.ran and not harmless:
             self.out.append(Fail(r.id))
         else:
             wait = max(0, min(wait, self.set.max_retry_after_us)) if self.set.can_send_retry_after else 0
@@ -320,18 +288,12 @@
 
     def _share(self, s: Endpoint) -> float:
         """The share of its capacity that a server surely has by now."""
-        if (
-            not s.ready_at
-            or not self.set.slow_start_duration_us
-            or self.now - s.ready_at >= self.set.slow_start_duration_us
-        ):
+        age = self.now - s.ready_at
+        duration = self.set.slow_start_duration_us
+        if not s.ready_at or not duration or age >= duration:
             return 1.0
-        return (
-            self.set.slow_start_initial_capacity
-            + (1 - self.set.slow_start_initial_capacity)
-            * max(0, self.now - s.ready_at)
-            / self.set.slow_start_duration_us
-        )
+        initial = self.set.slow_start_initial_capacity
+        return initial + (1 - initial) * max(0, age) / duration
 
     def _cold(self, s: Endpoint) -> bool:
         return self._share(s) < 1.0
@@ -363,18 +325,12 @@
         and a chord lies under a root.) Of more than TURNS nodes some share each grant: they see so little
         that most would pass unused. There chance keeps the sum, and the bound is as many times as high.
         """
-        full = (
-            self.set.overload_factor
-            * FILL
-            * s.whole
-            / self.set.slow_start_duration_us
-            * self.set.overload_duration_us
-        )
+        duration = self.set.slow_start_duration_us
+        span = self.set.overload_duration_us
+        full = self.set.overload_factor * FILL * s.whole / duration * span
         first, last = (n + 2 * math.sqrt(n) + 1 for n in (full * self.set.slow_start_initial_capacity, full))
         t = max(0, at - s.ready_at)
-        return (first * t + (last - first) * t * t / (2 * self.set.slow_start_duration_us)) / (
-            2 * self.set.overload_duration_us
-        )
+        return (first * t + (last - first) * t * t / (2 * duration)) / (2 * span)
 
     def _grant(self, s: Endpoint) -> int:
         """The oldest grant for a cold server that this node has and may use now; 0: there is none."""
@@ -455,9 +411,8 @@
         """Whether the home zone's own clients fill it, as far as this node's tell of its zone's."""
         zones = len({s.zone for s in self.servers.values()})
         conns = sum(len(s.conns) for s in self.home.servers)
-        return (
-            0 < LIMIT * self.set.connections_per_unit * self.home.size < conns * self.set.node_count / zones
-        )
+        capacity = LIMIT * self.set.connections_per_unit * self.home.size
+        return 0 < capacity < conns * self.set.node_count / zones
 
     def _pick(self, r: Request) -> Endpoint | None:
         crowded = self.set.connections_per_unit > 0 and self._crowded()
@@ -496,7 +451,7 @@
         if s.mark.at <= self.now:
             s.mark.failed(self.now, self.patience // 2, 4, self.rng)
 
-    def _first(self, event: AttemptEstablished) -> None:
+    def _first(self, event: event_types.AttemptEstablished) -> None:
         r = self.requests.get(event.request_id)
         if r is None or r.server is None:
             return
@@ -516,10 +471,8 @@
         if r and r.up:
             self.keys.pop(r.key, None)
 
-    def _opened(self, event: ConnectionAdopted) -> None:
-        r = Request(
-            event.request_id, event.class_index, event.tenant, 0, event.key, event.group_key, event.load_hint
-        )
+    def _opened(self, event: event_types.ConnectionAdopted) -> None:
+        r = Request(event, 0)
         s = self.servers.get(event.endpoint_id)
         self.requests[event.request_id] = r
         r.up, r.sent, r.server = True, 1, s
@@ -548,7 +501,7 @@
             self._hold_for(r.tenant, -1)
         r.server, r.up = None, False
 
-    def _outcome(self, event: AttemptEnded) -> None:
+    def _outcome(self, event: event_types.AttemptEnded) -> None:
         r = self.requests.get(event.request_id)
         s = self.servers.get(event.endpoint_id)
         if s and event.status in BLAMED:
@@ -571,7 +524,7 @@
         else:
             self._failed(r)
 
-    def _gone(self, event: ClientDisconnected) -> None:
+    def _gone(self, event: event_types.ClientDisconnected) -> None:
         r = self.requests.get(event.request_id)
         if r is None:
             return
@@ -585,7 +538,7 @@
         if 0 <= self.x0 < len(load) and 0.0 <= load[self.x0] < 1e6:
             s.strain, s.strain_at = load[self.x0], self.now
 
-    def _probed(self, event: HealthCheckResult) -> None:
+    def _probed(self, event: event_types.HealthCheckResult) -> None:
         s = self.servers.get(event.endpoint_id)
         if s is None:
             return
@@ -617,7 +570,7 @@
             s.probing = True
             self.out.append(CheckHealth(s.id))
 
-    def _timed(self, s: Endpoint, event: HealthCheckResult) -> None:
+    def _timed(self, s: Endpoint, event: event_types.HealthCheckResult) -> None:
         """A probe that takes far longer than the server's best, twice in a row, stands for late messages.
 
         So does one answered far sooner than ever: what hangs has no work that holds up the answer. Taken for
@@ -649,7 +602,7 @@
             self._mark(s)
             self._plan_move(s)
 
-    def _note(self, event: ConnectionReport) -> None:
+    def _note(self, event: event_types.ConnectionReport) -> None:
         r = self.requests.get(event.request_id)
         s = self.servers.get(event.endpoint_id)
         if s is None or r is None or not 0.0 <= event.value < 1e12:
@@ -659,9 +612,8 @@
                 s.load = max(0.0, s.load + event.value - r.load)
                 r.load = event.value
         elif event.kind in (ReportKind.REPORTED_DELAY, ReportKind.MEASURED_DELAY):
-            s.tells |= (
-                event.kind == ReportKind.REPORTED_DELAY
-            )  # what was heard decides, not what the settings promise
+            # What was heard decides, not what the settings promise.
+            s.tells |= event.kind == ReportKind.REPORTED_DELAY
             self._delayed(s, event.value * 1000)
 
     # --- moves
@@ -714,13 +666,12 @@
 
     def _density(self, r: Request) -> float:
         """What a connection is worth for its load; what goes over its tenant's share is worth less."""
-        worth = self.set.classes[r.cls].priority_weight * (
-            1.0 if self.set.weight_scales_with_load else 1.0 / max(r.load, 1.0)
-        )
+        by_load = 1.0 if self.set.weight_scales_with_load else 1.0 / max(r.load, 1.0)
+        worth = self.set.classes[r.cls].priority_weight * by_load
         quota = self.set.tenant_quotas[r.tenant] if r.tenant < len(self.set.tenant_quotas) else math.inf
         if self.held.get(r.tenant, 0) * self.set.node_count > quota:
             worth *= self.set.over_quota_weight
         return worth
 
-    def _peer(self, event: PeerMessage) -> None:
+    def _peer(self, event: event_types.PeerMessage) -> None:
         """No message of a peer is acted on yet."""
--- a/tansyladder/policy/records.py
+++ b/tansyladder/policy/records.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from tansyladder.policy.backoff import Backoff
-from tansyladder.policy.events import EndpointUpdate
+from tansyladder.policy.events import ConnectionAdopted, EndpointUpdate, RequestReceived
 
 EVEN_STRAIN = 0.6  # strain taken for a server that carries the mean, where nobody reports
 MASK = (1 << 64) - 1
@@ -130,12 +130,14 @@
         "failed",
     )
 
-    def __init__(
-        self, rid: int, cls: int, tenant: int, deadline: int, key: int, group: int, hint: int | None
-    ) -> None:
-        self.id, self.cls, self.tenant, self.deadline = rid, cls, tenant, deadline
-        self.key, self.group = key, group
-        self.load = float(hint) if hint else 1.0
+    def __init__(self, event: RequestReceived | ConnectionAdopted, deadline: int) -> None:
+        self.id = event.request_id
+        self.cls = event.class_index
+        self.tenant = event.tenant
+        self.deadline = deadline
+        self.key = event.key
+        self.group = event.group_key
+        self.load = float(event.load_hint) if event.load_hint else 1.0
         self.sent = 0
         self.server: Endpoint | None = None  # where its attempt is out, or its connection stands
         self.up = self.done = False
