--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -193,7 +193,7 @@
                 }
             )
             actions = core.handle(now, [told])
-            assert core.patience == deadline * MS  # paces go by the classes in force
+            assert core.context.reaction_time_us == deadline * MS  # paces go by the classes in force
         while actions or timers:
             timers += [a for a in actions if isinstance(a, SetTimer)]
             for action in actions:
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -51,7 +51,7 @@
         send, attempt, start = only_send(acts), 0, None
         while True:
             acts = node.fail(send, attempt)
-            b = node.node.keys[7]
+            b = node.node.requests.backoffs[7]
             if start is not None:
                 assert b.at >= start  # at or after the last interval's end
             start = b.end
@@ -70,23 +70,23 @@
     node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
     node.now += 100 * MS
     node.give(AttemptEnded(rid, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MS, True))
-    assert node.node.keys[7].n == 1
+    assert node.node.requests.backoffs[7].n == 1
     node.run(node.now + S)
     rid, acts = node.ask()
     send = only_send(acts)
     node.fail(send, 0)
-    assert node.node.keys[7].n == 2
+    assert node.node.requests.backoffs[7].n == 2
     send = only_send(node.step())
     node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
     node.run(node.now + DEADLINE + 1)
-    assert 7 not in node.node.keys
+    assert 7 not in node.node.requests.backoffs
 
 
 def test_a_client_that_comes_again_within_its_interval_waits_for_its_retry() -> None:
     node = Node(FLEET)
     _, acts = node.ask()
     node.fail(only_send(acts), 0)
-    due = node.node.keys[7].at
+    due = node.node.requests.backoffs[7].at
     rid, acts = node.ask()
     assert acts == []
     sent = [a for a in node.run(due) if isinstance(a, StartAttempt)]
@@ -115,7 +115,7 @@
         seen = node.step()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Reject(rid, node.node.keys[7].end - node.now)
+    assert seen[0] == Reject(rid, node.node.requests.backoffs[7].end - node.now)
 
 
 def test_attempts_run_out() -> None:
@@ -132,11 +132,11 @@
     _, acts = node.ask(key=0)
     node.fail(only_send(acts), 0)
     assert only_send(node.step())
-    assert not node.node.keys
+    assert not node.node.requests.backoffs
 
 
 def test_keys_are_bounded() -> None:
     node = Node([], max_attempts=1)
     for key in range(1, 5000):
         node.ask(key=key)
-    assert len(node.node.keys) <= 4096
+    assert len(node.node.requests.backoffs) <= 4096
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -18,13 +18,13 @@
 from tansyladder.net.http import HttpClient
 from tansyladder.node import discovery_client
 from tansyladder.policy.actions import PollDiscovery, StartAttempt
-from tansyladder.policy.balancer import FILL, TURNS
 from tansyladder.policy.events import (
     AttemptEstablished,
     ConnectionAdopted,
     EndpointListUpdate,
     ListUpdateKind,
 )
+from tansyladder.policy.slow_start import CONNECTIONS_PER_WEIGHT, PERMIT_ROTATION_SIZE
 from tests.node.harness import SETTINGS, node
 from tests.policy.harness import MS, START, Node, S, line
 
@@ -86,9 +86,9 @@
         asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     asking.step(60 * S)
     asking.give(EndpointListUpdate(ListUpdateKind.DELTA, ()))
-    start = asking.now = max(asking.now, asking.node.watching.end)
+    start = asking.now = max(asking.now, asking.node.endpoints.poll_backoff.end)
     asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
-    assert asking.node.watching.end - start == 2 * S
+    assert asking.node.endpoints.poll_backoff.end - start == 2 * S
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 40])
@@ -144,10 +144,12 @@
             for send in [a for a in acts if isinstance(a, StartAttempt)]:
                 n.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
                 sent += [tick * 50 * MS] * (send.endpoint_id == 2)
-    shared = -(-nodes // TURNS)  # by how many nodes a grant is, where there are more than turns
+    shared = -(
+        -nodes // PERMIT_ROTATION_SIZE
+    )  # by how many nodes a grant is, where there are more than turns
     for begin in sent:
         share = 0.15 + 0.85 * min(1.0, (begin + S) / (20 * S))  # of its capacity, when the second is over
-        budget = 3.0 * FILL / (20 * S) * share * S
+        budget = 3.0 * CONNECTIONS_PER_WEIGHT / (20 * S) * share * S
         assert sum(begin <= at < begin + S for at in sent) <= shared * (budget + 2 * math.sqrt(budget) + 2)
     assert traffic != "even" or len(sent) >= 8  # and what it may have is used
 
@@ -171,7 +173,7 @@
         of_forty.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
         if key == 1:
             assert send.endpoint_id in (1, 2)  # home first
-    assert {int(s.id >= 10) for s in of_forty.node.servers.values() if s.conns} == zones
+    assert {int(s.id >= 10) for s in of_forty.node.endpoints.by_id.values() if s.conns} == zones
 
 
 def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -9,6 +9,7 @@
 
 from tansyladder.config.platform import probe_pace
 from tansyladder.policy.actions import CheckHealth, Migrate, StartAttempt
+from tansyladder.policy.endpoint_load import is_delayed
 from tansyladder.policy.events import (
     AttemptEstablished,
     AttemptStatus,
@@ -33,7 +34,7 @@
 
 def answer(node: Node, took: int, status: AttemptStatus = AttemptStatus.OK) -> list[object]:
     """Let the node ask member 1, which answers so slowly; what else the node does at once."""
-    while not node.node.servers[1].probing:
+    while not node.node.endpoints.by_id[1].probing:
         node.step()
     node.now += took
     return list(node.give(HealthCheckResult(1, status, took)))
@@ -79,7 +80,7 @@
     node = rig()
     assert answer(node, 40 * MS) == [CheckHealth(1)]  # once may be chance: it is asked again at once
     answer(node, 40 * MS)
-    assert node.node.servers[1].mark.n == 1
+    assert node.node.endpoints.by_id[1].mark.n == 1
     moves = [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
     assert 5 < len(moves) < 40
     _, acts = node.ask()
@@ -93,12 +94,12 @@
         answer(node, 5 * MS)
     answer(node, MS)
     answer(node, MS)
-    server = node.node.servers[1]
+    server = node.node.endpoints.by_id[1]
     assert (server.mark.n, server.best) == (1, 5 * MS)
     assert [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
     for _ in range(3):
         answer(node, 5 * MS)
-    assert not node.node._late(server)
+    assert not is_delayed(node.node.context, server)
     for _ in range(40):
         answer(node, MS)
     assert server.best == MS  # it goes on: the best was measured in a bad time
@@ -115,7 +116,7 @@
     }
     assert drawn == {2, 3, 4}
     answer(node, 5 * MS)
-    node.run(node.node.servers[1].mark.end)
+    node.run(node.node.endpoints.by_id[1].mark.end)
     drawn = {
         a.endpoint_id for key in range(16) for a in node.ask(key=key + 99)[1] if isinstance(a, StartAttempt)
     }
@@ -132,11 +133,11 @@
         for _ in range(sound):  # one in twenty is late by chance
             took = 5 * MS * rng.uniform(1, 1.5) * (8 if rng.random() < 0.05 else 1)
             answer(node, int(took))
-        marked += node.node.servers[1].mark.n
-        node.node.servers[1].mark.n = node.node.servers[1].mark.at = 0
+        marked += node.node.endpoints.by_id[1].mark.n
+        node.node.endpoints.by_id[1].mark.n = node.node.endpoints.by_id[1].mark.at = 0
         for _ in range(2):  # it has become slow: the second answer, asked for at once, decides
             answer(node, int(5 * MS * rng.uniform(3.2, 8.4)))
-        assert node.node.servers[1].mark.n == 1 or node.node.servers[1].best > 8 * MS
+        assert node.node.endpoints.by_id[1].mark.n == 1 or node.node.endpoints.by_id[1].best > 8 * MS
     assert marked <= 2
 
 
@@ -146,12 +147,12 @@
     answer(node, 5 * MS)
     answer(node, 7 * MS)
     answer(node, 7 * MS)
-    assert node.node.servers[1].mark.n == 0
+    assert node.node.endpoints.by_id[1].mark.n == 0
     answer(node, 100 * MS, AttemptStatus.ERROR)
     answer(node, 100 * MS, AttemptStatus.ERROR)
-    assert node.node.servers[1].delay > 0
+    assert node.node.endpoints.by_id[1].delay > 0
     answer(node, 5 * MS)
-    assert node.node.servers[1].delay == 0
+    assert node.node.endpoints.by_id[1].delay == 0
     assert not [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
 
 
@@ -161,7 +162,7 @@
     node = Node([line(1), line(2)], can_check_health=True, discovery_call_interval_us=S, node_count=nodes)
     for key in range(1, 61):
         node.ask(key=key)
-    assert [node.node.servers[i].trying for i in (1, 2)] == [most, most]
+    assert [node.node.endpoints.by_id[i].trying for i in (1, 2)] == [most, most]
     answered = [a for _, a in node.log if isinstance(a, StartAttempt)][: min(4, 2 * most)]
     for send in answered:
         node.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
@@ -176,12 +177,12 @@
         *(ConnectionAdopted(100 + i, 0, 0, 1) for i in range(30)),
         *(ConnectionAdopted(200 + i, 0, 0, 2) for i in range(9)),
     )
-    node.node.servers[3].mark.at = node.now + 10 * S
-    node.node.servers[1].mark.at = node.now + 10 * S
+    node.node.endpoints.by_id[3].mark.at = node.now + 10 * S
+    node.node.endpoints.by_id[1].mark.at = node.now + 10 * S
     _, acts = node.ask(key=9)
     assert [a.endpoint_id for a in acts if isinstance(a, StartAttempt)] == [2]
-    node.node.servers[2].mark.at = node.now + 10 * S
-    node.node.servers[1].mark.at = 0
+    node.node.endpoints.by_id[2].mark.at = node.now + 10 * S
+    node.node.endpoints.by_id[1].mark.at = 0
     _, acts = node.ask(key=10)
     assert [a.endpoint_id for a in acts if isinstance(a, StartAttempt)] == [
         1
@@ -195,7 +196,9 @@
         _, acts = node.ask(key=group, group_key=group)
         [first] = [a for a in acts if isinstance(a, StartAttempt)]
         node.fail(first, 0)
-        node.node.servers[first.endpoint_id].mark.n = node.node.servers[first.endpoint_id].mark.at = 0
+        node.node.endpoints.by_id[first.endpoint_id].mark.n = node.node.endpoints.by_id[
+            first.endpoint_id
+        ].mark.at = 0
         again = [a for a in node.step() if isinstance(a, StartAttempt)] or [
             a for a in node.run(node.now + S) if isinstance(a, StartAttempt)
         ]
@@ -235,7 +238,7 @@
     node.give(ConnectionAdopted(1, 0, 0, 1), ConnectionReport(1, kind, 0, 1, 300.0))
     node.run(node.now + 3 * S)
     node.give()
-    assert node.node._late(node.node.servers[1]) is late
+    assert is_delayed(node.node.context, node.node.endpoints.by_id[1]) is late
 
 
 @pytest.mark.parametrize("nodes", [67, 200, 10**14])
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
+from tansyladder.policy.endpoint_selection import sample
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptEstablished,
@@ -152,7 +153,7 @@
             HealthCheckResult(2, AttemptStatus.OK, MS, ()),
         )
         node.give(ConnectionReport(77, 2, 0, 1, value), ConnectionReport(1, 9, 0, 1, 5.0))
-    assert node.node.servers[1].strain_at == -1
+    assert node.node.endpoints.by_id[1].strain_at == -1
     rid, acts = node.ask()
     acts = acts + node.run(node.now + S)
     assert [a for a in acts if isinstance(a, StartAttempt | Reject) and a.request_id == rid]
@@ -162,9 +163,9 @@
     node = Node([line(1)])
     _, acts = node.ask(key=1)
     node.fail(only_send(acts), 0)
-    node.run(node.node.servers[1].mark.end)
+    node.run(node.node.endpoints.by_id[1].mark.end)
     sent = [a for k in range(2, 9) for a in node.ask(key=k)[1] if isinstance(a, StartAttempt)]
-    out = [r for r in node.node.requests.values() if r.server]
+    out = [r for r in node.node.requests.by_id.values() if r.server]
     assert len(out) == 1
     assert len(sent) <= 1
     node.give(AttemptEstablished(out[0].id, out[0].sent - 1, 1, MS))
@@ -176,9 +177,9 @@
     rid, acts = node.ask(load_hint=500)
     node.give(AttemptEstablished(rid, 0, 1, MS))
     node.give(ConnectionReport(rid, ReportKind.LOAD, 0, 1, 900.0))
-    assert node.node.servers[1].load == 900.0
+    assert node.node.endpoints.by_id[1].load == 900.0
     node.give(AttemptEnded(rid, 0, 1, AttemptStatus.CANCELLED, S, True))
-    assert (node.node.servers[1].load, node.node.servers[1].trying) == (0.0, 0)
+    assert (node.node.endpoints.by_id[1].load, node.node.endpoints.by_id[1].trying) == (0.0, 0)
     assert only_send(acts).endpoint_id == 1
 
 
@@ -187,12 +188,12 @@
     node = Node([line(1)])
     rid, _ = node.ask(tenant=2)
     node.give(AttemptEstablished(rid, 0, 1, MS), ConnectionAdopted(900, 0, 2, 1))
-    assert node.node.held == {2: 2}
+    assert node.node.context.connections_by_tenant == {2: 2}
     node.give(
         AttemptEnded(rid, 0, 1, AttemptStatus.OK, S, True),
         AttemptEnded(900, 0, 1, AttemptStatus.RESET, S, True),
     )
-    assert node.node.held == {2: 0}
+    assert node.node.context.connections_by_tenant == {2: 0}
 
 
 def failing(node: Node, times: int) -> None:
@@ -209,16 +210,16 @@
     node = Node([line(i) for i in range(1, 30)])
     node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(30)))
     failing(node, 1)
-    narrow = node.node.keys[100].end - START - MS
+    narrow = node.node.requests.backoffs[100].end - START - MS
     failing(node, 12)
-    assert node.node.ill > 0.5
+    assert node.node.context.setup_failure_rate > 0.5
     now = node.now
     _, acts = node.ask(key=300)
     send = only_send([a for a in acts if isinstance(a, StartAttempt)])
     assert send.timeout_us == node.settings.classes[0].deadline_us
     node.fail(send, 0, AttemptStatus.TIMEOUT)
-    assert node.node.keys[300].n == 1
-    assert node.node.keys[300].end - now > 3 * narrow
+    assert node.node.requests.backoffs[300].n == 1
+    assert node.node.requests.backoffs[300].end - now > 3 * narrow
     late(node, 600.0)
     assert not [a for a in node.run(node.now + S) if isinstance(a, Migrate)]
 
@@ -228,14 +229,16 @@
     for over in ({}, {"pass_through": True}):
         node = Node([line(i) for i in range(1, 401)], **over)
         rid, _ = node.ask()
-        looked = node.node.home.looked_at
-        assert len(node.node._sample(node.node.home, node.node.requests[rid], 16)) == 16
+        looked = node.node.endpoints.home.looked_at
+        assert (
+            len(sample(node.node.context, node.node.endpoints.home, node.node.requests.by_id[rid], 16)) == 16
+        )
         node.now += MS
         node.ask()
-        assert node.node.home.looked_at == looked
+        assert node.node.endpoints.home.looked_at == looked
         node.now += S
         node.ask()
-        assert node.node.home.looked_at == node.now
+        assert node.node.endpoints.home.looked_at == node.now
 
 
 def test_a_burst_within_one_look_finds_room() -> None:
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -52,7 +52,7 @@
     send = only_send(acts)
     node.give(ClientDisconnected(rid))
     assert node.give(AttemptEnded(rid, 0, send.endpoint_id, AttemptStatus.TIMEOUT, S, True)) == []
-    assert rid not in node.node.requests
+    assert rid not in node.node.requests.by_id
 
 
 def test_the_time_out_at_the_deadline_gets_the_final_answer() -> None:
