--- a/tansyladder/policy/context.py
+++ b/tansyladder/policy/context.py
@@ -38,6 +38,6 @@
 
     def check_health(self, endpoint: Endpoint) -> None:
         """Start a health check of an endpoint unless one is in flight."""
-        if not endpoint.probing:
-            endpoint.probing = True
+        if not endpoint.is_check_in_flight:
+            endpoint.is_check_in_flight = True
             self.actions.append(CheckHealth(endpoint.id))
--- a/tansyladder/policy/discovery.py
+++ b/tansyladder/policy/discovery.py
@@ -15,7 +15,7 @@
     if event.kind is ListUpdateKind.FAILED:
         _poll_later(context, table)
         return
-    table.poll_backoff.n = 0
+    table.poll_backoff.attempt = 0
     if event.kind is not ListUpdateKind.DELTA:
         listed = {update.endpoint_id for update in event.endpoints}
         for endpoint in table.by_id.values():
@@ -46,7 +46,7 @@
 def _change_state(context: Context, endpoint: Endpoint, state: EndpointState) -> None:
     if endpoint.state is not state:
         endpoint.state = state
-        endpoint.told_at = context.now
+        endpoint.state_changed_at = context.now
         migration.drain(context, endpoint)
 
 
@@ -65,8 +65,8 @@
         # Two intervals and a call are within the list's age. They don't start shorter: where the calls of all
         # nodes fail for their number, that keeps them failing.
         slot = min(MAX_LIST_AGE_US, context.settings.poll_interval_us) // 6
-        table.poll_backoff.failed(context.now, slot, 1, context.rng)
-        context.schedule(table.poll_backoff.at, _poll, context, table)
+        table.poll_backoff.record_failure(context.now, slot, 1, context.rng)
+        context.schedule(table.poll_backoff.retry_at, _poll, context, table)
 
 
 def _poll(context: Context, table: EndpointTable) -> None:
--- a/tansyladder/policy/endpoint_load.py
+++ b/tansyladder/policy/endpoint_load.py
@@ -12,38 +12,38 @@
 
 def is_delayed(context: Context, endpoint: Endpoint) -> bool:
     """Whether messages at an endpoint are known to be late."""
-    return context.now < endpoint.late_to and endpoint.delay > context.delay_limit_us
+    return context.now < endpoint.delay_valid_until and endpoint.message_delay_us > context.delay_limit_us
 
 
 def is_utilization_known(context: Context, endpoint: Endpoint) -> bool:
     """Whether an endpoint's last load report is still of use."""
-    age = context.now - endpoint.strain_at
-    return endpoint.strain_at >= 0 and age < context.settings.slow_start_duration_us // 4
+    age = context.now - endpoint.utilization_at
+    return endpoint.utilization_at >= 0 and age < context.settings.slow_start_duration_us // 4
 
 
 def pending_utilization(context: Context, endpoint: Endpoint) -> float:
     """The utilization by requests of this node that no report shows yet."""
-    age = context.now - endpoint.added_at
-    return endpoint.added * max(0.0, 1.0 - age / context.reaction_time_us)
+    age = context.now - endpoint.pending_at
+    return endpoint.pending_utilization * max(0.0, 1.0 - age / context.reaction_time_us)
 
 
 def refresh_pool(context: Context, pool: EndpointPool) -> EndpointPool:
     """Compute a pool's figures anew where they are older than a part of the deadline."""
     max_age = context.reaction_time_us // POOL_REFRESHES_PER_DEADLINE
-    if pool.looked_at >= 0 and context.now - pool.looked_at <= max_age:
+    if pool.refreshed_at >= 0 and context.now - pool.refreshed_at <= max_age:
         return pool
-    endpoints = pool.servers
-    pool.looked_at = context.now
-    pool.cold = [e for e in endpoints if capacity_share(context, e) < 1.0]
-    pool.size = sum(e.size * capacity_share(context, e) for e in endpoints)
-    pool.mean = sum(e.load for e in endpoints) / pool.size if pool.size else 0.0
+    endpoints = pool.endpoints
+    pool.refreshed_at = context.now
+    pool.warming_up = [e for e in endpoints if capacity_share(context, e) < 1.0]
+    pool.capacity = sum(e.weight * capacity_share(context, e) for e in endpoints)
+    pool.mean_load = sum(e.load for e in endpoints) / pool.capacity if pool.capacity else 0.0
     if context.utilization_column < 0:  # nobody reports: late messages are all that is known
         objective = context.message_objective_us
-        delays = [e.delay / objective if is_delayed(context, e) else 0.0 for e in endpoints]
+        delays = [e.message_delay_us / objective if is_delayed(context, e) else 0.0 for e in endpoints]
         known = [max(ASSUMED_MEAN_UTILIZATION, min(1.0, delay)) for delay in delays]
     else:
-        known = [min(e.strain, 1.0) for e in endpoints if is_utilization_known(context, e)]
-    pool.tide = sum(known) / len(known) if known else ASSUMED_MEAN_UTILIZATION
+        known = [min(e.utilization, 1.0) for e in endpoints if is_utilization_known(context, e)]
+    pool.mean_utilization = sum(known) / len(known) if known else ASSUMED_MEAN_UTILIZATION
     return pool
 
 
@@ -53,31 +53,31 @@
     if share < 1.0 and not available_permit(context, endpoint):
         return 0.0
     if is_utilization_known(context, endpoint):
-        utilization = endpoint.strain + pending_utilization(context, endpoint)
+        utilization = endpoint.utilization + pending_utilization(context, endpoint)
     else:
-        relative_load = endpoint.load / (endpoint.size * share) / pool.mean if pool.mean else 1.0
-        utilization = pool.tide * relative_load
-        if context.settings.health_check_interval_us and not endpoint.tells:
+        relative_load = endpoint.load / (endpoint.weight * share) / pool.mean_load if pool.mean_load else 1.0
+        utilization = pool.mean_utilization * relative_load
+        if context.settings.health_check_interval_us and not endpoint.reports_delay:
             utilization = min(utilization, MAX_GUESSED_UTILIZATION)  # a guess ranks, but rejects nobody
-    if context.now < endpoint.late_to:
-        utilization = max(utilization, endpoint.delay / context.message_objective_us)
-    return float(endpoint.size * share * max(0.0, UTILIZATION_LIMIT - utilization) ** 2)
+    if context.now < endpoint.delay_valid_until:
+        utilization = max(utilization, endpoint.message_delay_us / context.message_objective_us)
+    return float(endpoint.weight * share * max(0.0, UTILIZATION_LIMIT - utilization) ** 2)
 
 
 def record_assignment(context: Context, request: Request, endpoint: Endpoint, pool: EndpointPool) -> None:
     """Count a request until reports show it, or all go to the endpoint that was last reported idle."""
     # Other nodes are taken to do as this one does, so its own mean load stands for the fleet's.
-    mean_load = refresh_pool(context, pool).mean * endpoint.size
-    if pool.size:
-        pool.mean += request.load / pool.size  # or a burst would find all endpoints over the mean
+    mean_load = refresh_pool(context, pool).mean_load * endpoint.weight
+    if pool.capacity:
+        pool.mean_load += request.load / pool.capacity  # or a burst would find all endpoints over the mean
     added = ASSUMED_MEAN_UTILIZATION * request.load / max(mean_load, request.load)
-    endpoint.added = pending_utilization(context, endpoint) + added
-    endpoint.added_at = context.now
+    endpoint.pending_utilization = pending_utilization(context, endpoint) + added
+    endpoint.pending_at = context.now
 
 
 def record_load_report(context: Context, endpoint: Endpoint, report: tuple[float, ...]) -> None:
     """Take the utilization out of a load report, where it makes sense."""
     column = context.utilization_column
     if 0 <= column < len(report) and 0.0 <= report[column] < 1e6:  # a larger one makes no sense
-        endpoint.strain = report[column]
-        endpoint.strain_at = context.now
+        endpoint.utilization = report[column]
+        endpoint.utilization_at = context.now
--- a/tansyladder/policy/outlier_detection.py
+++ b/tansyladder/policy/outlier_detection.py
@@ -17,8 +17,8 @@
 
 def eject(context: Context, endpoint: Endpoint) -> None:
     """Leave an endpoint out for an interval that doubles with each failure, then try it again."""
-    if endpoint.mark.at <= context.now:
-        endpoint.mark.failed(context.now, context.reaction_time_us // 2, 4, context.rng)
+    if endpoint.ejection.retry_at <= context.now:
+        endpoint.ejection.record_failure(context.now, context.reaction_time_us // 2, 4, context.rng)
 
 
 def start_periodic_checks(context: Context, table: EndpointTable) -> None:
@@ -29,8 +29,8 @@
 
 
 def _check_next(context: Context, table: EndpointTable, turn: int) -> None:
-    ready = table.home.servers + table.away.servers
-    if ready and not ready[turn % len(ready)].tells:
+    ready = table.home.endpoints + table.away.endpoints
+    if ready and not ready[turn % len(ready)].reports_delay:
         context.check_health(ready[turn % len(ready)])
     gap = max(MIN_CHECK_GAP_US, context.settings.health_check_interval_us // max(1, len(ready)))
     context.schedule(context.now + gap, _check_next, context, table, turn + 1)
@@ -38,7 +38,7 @@
 
 def judge_health_check(context: Context, endpoint: Endpoint, result: HealthCheckResult) -> None:
     """Judge an endpoint by the latency, the status and the load report of a health check."""
-    if context.settings.health_check_interval_us and not endpoint.tells:
+    if context.settings.health_check_interval_us and not endpoint.reports_delay:
         _judge_latency(context, endpoint, result)
     if result.status is AttemptStatus.OK:
         record_load_report(context, endpoint, result.load_report)
@@ -51,35 +51,35 @@
     # So is one far sooner than ever: what hangs has no work that holds up the answer. Taken for a new best it
     # would make the endpoint look slow for good once it works again.
     latency = result.latency_us
-    best = endpoint.best
+    best = endpoint.best_latency_us
     is_ok = result.status is AttemptStatus.OK
-    is_best_reliable = endpoint.timed >= RELIABLE_SAMPLE_COUNT
+    is_best_reliable = endpoint.latency_sample_count >= RELIABLE_SAMPLE_COUNT
     is_idle = is_ok and is_best_reliable and latency < best * IDLE_LATENCY_FACTOR
     if is_idle:
-        endpoint.timed -= 1  # unless it goes on: then the best was measured in a bad time
+        endpoint.latency_sample_count -= 1  # unless it goes on: then the best was measured in a bad time
         latency = best * 2
     elif is_ok:
-        best = endpoint.best = min(best or latency, latency)
-        endpoint.timed = min(endpoint.timed + 1, RELIABLE_SAMPLE_COUNT * 4)
+        best = endpoint.best_latency_us = min(best or latency, latency)
+        endpoint.latency_sample_count = min(endpoint.latency_sample_count + 1, RELIABLE_SAMPLE_COUNT * 4)
     elif result.status not in (AttemptStatus.ERROR, AttemptStatus.TIMEOUT) or not best:
         return  # no answer to be timed; the ejection is enough
     slow_from = best * SLOW_LATENCY_FACTOR
     is_slow = is_idle or (latency > slow_from and latency > best + LATENCY_JITTER_US)
-    if is_slow and not endpoint.doubt:
+    if is_slow and not endpoint.is_suspect:
         context.check_health(endpoint)  # once may be chance
     elif is_slow:
         record_message_delay(context, endpoint, context.message_objective_us * latency / slow_from)
     elif is_delayed(context, endpoint):
         record_message_delay(context, endpoint, 0)
-    endpoint.doubt = is_slow
+    endpoint.is_suspect = is_slow
 
 
 def record_message_delay(context: Context, endpoint: Endpoint, delay_us: float) -> None:
     """Take down how long messages take at an endpoint; where they are late, eject it and migrate."""
-    endpoint.delay = delay_us
-    endpoint.delay_at = context.now
-    validity = context.reaction_time_us if endpoint.tells else context.delay_validity_us
-    endpoint.late_to = context.now + validity
+    endpoint.message_delay_us = delay_us
+    endpoint.message_delay_at = context.now
+    validity = context.reaction_time_us if endpoint.reports_delay else context.delay_validity_us
+    endpoint.delay_valid_until = context.now + validity
     if delay_us > context.delay_limit_us:
         eject(context, endpoint)
         schedule_migration(context, endpoint)
--- a/tansyladder/policy/records.py
+++ b/tansyladder/policy/records.py
@@ -39,81 +39,81 @@
     """What this node knows of one endpoint."""
 
     __slots__ = (
-        "best",
+        "best_latency_us",
         "cell",
-        "conns",
-        "late_to",
-        "mark",
-        "groups",
-        "seed",
+        "connections",
+        "delay_valid_until",
+        "ejection",
+        "group_counts",
+        "hash_seed",
         "id",
-        "probing",
-        "moving",
-        "doubt",
-        "spent",
-        "timed",
+        "is_check_in_flight",
+        "is_migration_scheduled",
+        "is_suspect",
+        "last_permit",
+        "latency_sample_count",
         "load",
-        "delay_at",
-        "delay",
-        "moves",
-        "added_at",
-        "trying",
-        "added",
+        "message_delay_at",
+        "message_delay_us",
+        "migration_backoff",
+        "pending_at",
+        "pending_attempt_count",
+        "pending_utilization",
         "ready_at",
-        "tells",
-        "turn",
-        "whole",
+        "reports_delay",
+        "stable_id",
+        "start_weight",
         "state",
-        "told_at",
-        "strain",
-        "strain_at",
-        "waiting",
-        "size",
+        "state_changed_at",
+        "utilization",
+        "utilization_at",
+        "waiting_request_ids",
+        "weight",
         "zone",
     )
 
     def __init__(self, update: EndpointUpdate, weight: float, now: int) -> None:
         self.id = update.endpoint_id
-        self.turn = update.stable_id or update.endpoint_id
-        self.seed = hash64(update.endpoint_id)
+        self.stable_id = update.stable_id or update.endpoint_id
+        self.hash_seed = hash64(update.endpoint_id)
         self.zone = update.zone
         self.cell = update.cell
-        self.size = weight
+        self.weight = weight
         self.state: EndpointState = update.state
-        self.told_at = now
-        self.conns: dict[int, Request] = {}  # attempts that are out among them
-        self.groups: dict[int, int] = {}  # connections of each group key
+        self.state_changed_at = now
+        self.connections: dict[int, Request] = {}  # attempts that are out among them
+        self.group_counts: dict[int, int] = {}  # connections of each group key
         self.load = 0.0  # of the connections
-        self.trying = 0  # attempts that neither ended nor established their connection
-        self.probing = False
-        self.waiting: list[int] = []  # requests that wait for the health check in flight
+        self.pending_attempt_count = 0  # attempts that neither ended nor established their connection
+        self.is_check_in_flight = False
+        self.waiting_request_ids: list[int] = []  # requests that wait for the health check in flight
         self.restart(update.ready_at_us, weight)
 
     def restart(self, ready_at: int, weight: float) -> None:
         """Forget what was learnt of an earlier process."""
         self.ready_at = ready_at
-        self.whole = weight  # while the process is empty: some weights fall with the load
-        self.mark = Backoff()  # it gets no requests before `retry_at`
-        self.strain = 0.0  # as it last reported
-        self.strain_at = -1  # when; -1: never
-        self.delay = 0.0
-        self.delay_at = -1  # when it was heard of; -1: never
-        self.late_to = 0
-        self.added = 0.0  # by requests of this node that no report shows yet
-        self.added_at = 0
-        self.spent = 0  # the newest slow-start permit that this node has used
-        self.moves = Backoff()
-        self.moving = False
-        self.best = 0  # of its health checks; 0: none yet
-        self.timed = 0  # health checks that bear the best latency out
-        self.doubt = False  # whether the last health check was slow
-        self.tells = False  # it did, whatever the settings promise
+        self.start_weight = weight  # while the process is empty: some weights fall with the load
+        self.ejection = Backoff()  # it gets no requests before `retry_at`
+        self.utilization = 0.0  # as it last reported
+        self.utilization_at = -1  # when; -1: never
+        self.message_delay_us = 0.0
+        self.message_delay_at = -1  # when it was heard of; -1: never
+        self.delay_valid_until = 0
+        self.pending_utilization = 0.0  # by requests of this node that no report shows yet
+        self.pending_at = 0
+        self.last_permit = 0  # the newest slow-start permit that this node has used
+        self.migration_backoff = Backoff()
+        self.is_migration_scheduled = False
+        self.best_latency_us = 0  # of its health checks; 0: none yet
+        self.latency_sample_count = 0  # health checks that bear the best latency out
+        self.is_suspect = False  # whether the last health check was slow
+        self.reports_delay = False  # it did, whatever the settings promise
 
     def update(self, update: EndpointUpdate, weight: float) -> None:
         """Take over the attributes that discovery tells, the state aside."""
         self.zone = update.zone
         self.cell = update.cell
-        self.size = weight
+        self.weight = weight
 
     def finish_check(self) -> list[int]:
         """Note that the health check in flight has ended.
@@ -121,35 +121,35 @@
         Returns:
             The ids of the requests that waited for it.
         """
-        self.probing = False
-        waiting_ids = self.waiting
-        self.waiting = []
+        self.is_check_in_flight = False
+        waiting_ids = self.waiting_request_ids
+        self.waiting_request_ids = []
         return waiting_ids
 
     def add_connection(self, request: Request) -> None:
         """Add a connection or an attempt."""
-        self.conns[request.id] = request
-        self.groups[request.group] = self.groups.get(request.group, 0) + 1
+        self.connections[request.id] = request
+        self.group_counts[request.group_key] = self.group_counts.get(request.group_key, 0) + 1
         self.load += request.load
 
 
 class EndpointPool:
     """The ready endpoints of the home zone, or of all others, and figures of them as a whole."""
 
-    __slots__ = ("size", "servers", "mean", "tide", "looked_at", "cold")
+    __slots__ = ("capacity", "endpoints", "mean_load", "mean_utilization", "refreshed_at", "warming_up")
 
     def __init__(self) -> None:
-        self.servers: list[Endpoint] = []
-        self.looked_at = -1  # when the figures were computed; -1: they are to be computed anew
-        self.size = 0.0  # the weights, each by the share of its capacity that the endpoint has by now
-        self.mean = 0.0  # this node's load for a unit of capacity
-        self.tide = 0.0
-        self.cold: list[Endpoint] = []
+        self.endpoints: list[Endpoint] = []
+        self.refreshed_at = -1  # when the figures were computed; -1: they are to be computed anew
+        self.capacity = 0.0  # the weights, each by the share of its capacity that the endpoint has by now
+        self.mean_load = 0.0  # this node's load for a unit of capacity
+        self.mean_utilization = 0.0
+        self.warming_up: list[Endpoint] = []
 
     def replace(self, endpoints: list[Endpoint]) -> None:
         """Replace the endpoints; the figures are out of date then."""
-        self.servers = endpoints
-        self.looked_at = -1
+        self.endpoints = endpoints
+        self.refreshed_at = -1
 
 
 class EndpointTable:
@@ -167,7 +167,7 @@
     def counts(self, now: int) -> EndpointCounts:
         """Count the endpoints at a moment. Thread-safe without a lock: it reads a copy of the table."""
         listed = [e for e in list(self.by_id.values()) if e.state is not EndpointState.GONE]
-        ejected = sum(e.state is EndpointState.READY and e.mark.at > now for e in listed)
+        ejected = sum(e.state is EndpointState.READY and e.ejection.retry_at > now for e in listed)
         return EndpointCounts(len(listed), ejected)
 
 
@@ -200,43 +200,43 @@
     """A request that this node handles, or the connection that it became."""
 
     __slots__ = (
-        "sent",
+        "attempt_count",
         "backoff",
-        "sample",
-        "cls",
+        "candidates",
+        "class_index",
         "deadline",
-        "server",
-        "group",
+        "endpoint",
+        "group_key",
         "id",
         "key",
-        "failed",
+        "last_failed_endpoint",
         "load",
-        "ran_at",
-        "ran",
-        "asking",
-        "due",
+        "may_have_run_at",
+        "may_have_run_on",
+        "pending_check_count",
+        "retry_at",
         "state",
         "tenant",
     )
 
     def __init__(self, event: RequestReceived | ConnectionAdopted, deadline: int) -> None:
         self.id = event.request_id
-        self.cls = event.class_index
+        self.class_index = event.class_index
         self.tenant = event.tenant
         self.deadline = deadline
         self.key = event.key
-        self.group = event.group_key
+        self.group_key = event.group_key
         self.load = float(event.load_hint) if event.load_hint else 1.0
         self.state = RequestState.PENDING
-        self.sent = 0
-        self.server: Endpoint | None = None  # where its attempt is out, or its connection stands
+        self.attempt_count = 0
+        self.endpoint: Endpoint | None = None  # where its attempt is out, or its connection stands
         self.backoff: Backoff | None = None
-        self.due = 0  # when its next attempt is due
-        self.failed: Endpoint | None = None
-        self.ran: Endpoint | None = None  # of the first attempt that may have run
-        self.ran_at = 0
-        self.sample: list[Endpoint] = []  # endpoints looked at first
-        self.asking = 0  # health checks that it waits for
+        self.retry_at = 0  # when its next attempt is due
+        self.last_failed_endpoint: Endpoint | None = None
+        self.may_have_run_on: Endpoint | None = None  # of the first attempt that may have run
+        self.may_have_run_at = 0
+        self.candidates: list[Endpoint] = []  # endpoints looked at first
+        self.pending_check_count = 0  # health checks that it waits for
 
     @property
     def is_established(self) -> bool:
@@ -251,15 +251,15 @@
     def establish(self) -> None:
         """Note that the connection of its attempt is established."""
         self.state = STATE_WHEN_ESTABLISHED[self.state]
-        if self.server:
-            self.server.trying -= 1
+        if self.endpoint:
+            self.endpoint.pending_attempt_count -= 1
 
     def start_attempt(self, endpoint: Endpoint) -> None:
         """Note that an attempt is out at an endpoint."""
-        self.server = endpoint
-        self.sent += 1
+        self.endpoint = endpoint
+        self.attempt_count += 1
         endpoint.add_connection(self)
-        endpoint.trying += 1
+        endpoint.pending_attempt_count += 1
 
     def close(self) -> None:
         """Note that its client left, or was told to come again."""
@@ -271,17 +271,17 @@
         Returns:
             The endpoint that it was taken off; None where it had none.
         """
-        endpoint = self.server
+        endpoint = self.endpoint
         is_established = self.is_established
-        self.server = None
+        self.endpoint = None
         self.state = RequestState.PENDING
-        if endpoint is None or endpoint.conns.pop(self.id, None) is None:
+        if endpoint is None or endpoint.connections.pop(self.id, None) is None:
             return None
-        endpoint.groups[self.group] -= 1
-        if not endpoint.groups[self.group]:
-            del endpoint.groups[self.group]
+        endpoint.group_counts[self.group_key] -= 1
+        if not endpoint.group_counts[self.group_key]:
+            del endpoint.group_counts[self.group_key]
         if not is_established:
-            endpoint.trying -= 1
+            endpoint.pending_attempt_count -= 1
         return endpoint
 
 
@@ -305,8 +305,8 @@
         """Add a connection that was established before this node's start."""
         request = self.by_id[event.request_id] = Request(event, 0)
         request.state = RequestState.ESTABLISHED
-        request.sent = 1
-        request.server = endpoint
+        request.attempt_count = 1
+        request.endpoint = endpoint
         if endpoint:
             endpoint.add_connection(request)
         return request
@@ -316,5 +316,5 @@
         request = self.by_id.get(event.request_id)
         if request:
             request.close()
-            if request.server is None:
+            if request.endpoint is None:
                 del self.by_id[request.id]
--- a/tansyladder/policy/request_lifecycle.py
+++ b/tansyladder/policy/request_lifecycle.py
@@ -33,7 +33,7 @@
         )
         if previous:
             self._send_attempt(request, previous)
-        elif request.backoff and request.backoff.at > context.now:
+        elif request.backoff and request.backoff.retry_at > context.now:
             self.retries.retry_or_reject(request, request.backoff)
         else:
             self._start_attempt(request.id)
@@ -43,19 +43,19 @@
         if request is None:
             return  # its client left
         context = self.context
-        request.sample = []
-        request.asking = 0
+        request.candidates = []
+        request.pending_check_count = 0
         if context.can_check_load:
             pool = self.endpoints.home
-            request.sample = endpoint_selection.sample(context, pool, request, CANDIDATE_COUNT)
-            for endpoint in request.sample:
-                is_old = context.now - endpoint.strain_at > context.reaction_time_us // 2
+            request.candidates = endpoint_selection.sample(context, pool, request, CANDIDATE_COUNT)
+            for endpoint in request.candidates:
+                is_old = context.now - endpoint.utilization_at > context.reaction_time_us // 2
                 if is_old and capacity_share(context, endpoint) >= 1.0:
-                    request.asking += 1
-                    endpoint.waiting.append(request_id)
+                    request.pending_check_count += 1
+                    endpoint.waiting_request_ids.append(request_id)
                     context.check_health(endpoint)
-        if request.asking:
-            objective = context.settings.classes[request.cls].latency_objective_us
+        if request.pending_check_count:
+            objective = context.settings.classes[request.class_index].latency_objective_us
             wait = min(objective // 4, max(0, request.deadline - context.now) // 4)
             context.schedule(context.now + wait, self._assign_endpoint, request_id)
         else:
@@ -63,9 +63,9 @@
 
     def _assign_endpoint(self, request_id: int) -> None:
         request = self.requests.by_id.get(request_id)
-        if request is None or request.server or request.due > self.context.now:
+        if request is None or request.endpoint or request.retry_at > self.context.now:
             return  # its client left, or the wait for health checks outlived its attempt
-        request.asking = 0
+        request.pending_check_count = 0
         if request.deadline <= self.context.now:
             self.retries.reject(request, 0)
         elif endpoint := endpoint_selection.select_endpoint(self.context, self.endpoints, request):
@@ -77,12 +77,12 @@
         context = self.context
         timeout = request.deadline - context.now
         # With most set-ups failing, all endpoints wait for the same thing: asking again only adds to it.
-        is_last = request.sent + 1 >= context.settings.max_attempts
+        is_last = request.attempt_count + 1 >= context.settings.max_attempts
         if not is_last and context.setup_failure_rate < SHARED_FAILURE_RATE:
-            objective = context.settings.classes[request.cls].latency_objective_us
+            objective = context.settings.classes[request.class_index].latency_objective_us
             timeout = max(timeout // 2, min(objective, timeout))
         if capacity_share(context, endpoint) < 1.0:
-            endpoint.spent = available_permit(context, endpoint) or endpoint.spent
+            endpoint.last_permit = available_permit(context, endpoint) or endpoint.last_permit
         pool = self.endpoints.home if endpoint.zone == context.settings.zone else self.endpoints.away
         endpoint_load.record_assignment(context, request, endpoint, pool)
         request.start_attempt(endpoint)
@@ -92,16 +92,16 @@
         """Count the connection; if it lasts, clear the backoff of its key."""
         context = self.context
         request = self.requests.by_id.get(event.request_id)
-        if request is None or request.server is None:
+        if request is None or request.endpoint is None:
             return
         if not request.is_established:
             request.establish()
             context.setup_failure_rate -= context.setup_failure_rate / SETUP_FAILURE_MEMORY
             context.connections_by_tenant[request.tenant] += 1
-        if request.server.delay_at < context.now - context.reaction_time_us:
-            request.server.mark.n = 0
+        if request.endpoint.message_delay_at < context.now - context.reaction_time_us:
+            request.endpoint.ejection.attempt = 0
         if request.backoff:
-            deadline_us = context.settings.classes[request.cls].deadline_us
+            deadline_us = context.settings.classes[request.class_index].deadline_us
             context.schedule(context.now + deadline_us, self._clear_backoff, request.id)
 
     def _clear_backoff(self, request_id: int) -> None:
@@ -115,11 +115,11 @@
         endpoint = self.endpoints.by_id.get(event.endpoint_id)
         if request is None or endpoint is None or not 0.0 <= event.value < MAX_REPORTED_VALUE:
             return
-        if event.kind == events.ReportKind.LOAD and request.server is endpoint:
+        if event.kind == events.ReportKind.LOAD and request.endpoint is endpoint:
             endpoint.load = max(0.0, endpoint.load + event.value - request.load)
             request.load = event.value
         elif event.kind in (events.ReportKind.REPORTED_DELAY, events.ReportKind.MEASURED_DELAY):
-            endpoint.tells |= event.kind == events.ReportKind.REPORTED_DELAY
+            endpoint.reports_delay |= event.kind == events.ReportKind.REPORTED_DELAY
             outlier_detection.record_message_delay(self.context, endpoint, event.value * 1000)
 
     def handle_health_check_result(self, event: events.HealthCheckResult) -> None:
@@ -131,9 +131,9 @@
         outlier_detection.judge_health_check(self.context, endpoint, event)
         for request_id in waiting_ids:
             request = self.requests.by_id.get(request_id)
-            if request and request.asking:
-                request.asking -= 1
-                if not request.asking:
+            if request and request.pending_check_count:
+                request.pending_check_count -= 1
+                if not request.pending_check_count:
                     self._assign_endpoint(request_id)
 
     def handle_attempt_ended(self, event: events.AttemptEnded) -> None:
@@ -152,10 +152,10 @@
         if is_over:
             del self.requests.by_id[request.id]
             return
-        request.failed = endpoint
-        if not event.status.definitely_not_executed and request.ran is None:
-            request.ran = endpoint
-            request.ran_at = context.now - event.latency_us
+        request.last_failed_endpoint = endpoint
+        if not event.status.definitely_not_executed and request.may_have_run_on is None:
+            request.may_have_run_on = endpoint
+            request.may_have_run_at = context.now - event.latency_us
         if event.status in (events.AttemptStatus.TIMEOUT, events.AttemptStatus.ERROR):
             context.setup_failure_rate += (1 - context.setup_failure_rate) / SETUP_FAILURE_MEMORY
         if event.status is events.AttemptStatus.NOT_ATTEMPTED:
@@ -167,4 +167,4 @@
         if request.is_established:
             self.context.connections_by_tenant[request.tenant] -= 1
         if endpoint := request.detach():
-            endpoint.load = max(0.0, endpoint.load - request.load) if endpoint.conns else 0.0
+            endpoint.load = max(0.0, endpoint.load - request.load) if endpoint.connections else 0.0
--- a/tansyladder/policy/retries.py
+++ b/tansyladder/policy/retries.py
@@ -34,31 +34,31 @@
                     del backoffs[next(iter(backoffs))]
         # When set-ups fail everywhere the first intervals widen: many clients share each of them.
         widening = 1 + (SLOTS_PER_OBJECTIVE - 1) * self.context.setup_failure_rate
-        terms = self.context.settings.classes[request.cls]
+        terms = self.context.settings.classes[request.class_index]
         slot = max(1, int(terms.latency_objective_us // SLOTS_PER_OBJECTIVE * widening))
         max_attempt = (terms.deadline_us // slot).bit_length()
-        backoff.failed(self.context.now, slot, max_attempt, self.context.rng)
+        backoff.record_failure(self.context.now, slot, max_attempt, self.context.rng)
         self.retry_or_reject(request, backoff)
 
     def retry_or_reject(self, request: Request, backoff: Backoff) -> None:
         """Retry at the moment drawn; reject where that is too late, or no further attempt may be made."""
-        terms = self.context.settings.classes[request.cls]
-        is_too_late = backoff.at + terms.latency_objective_us // SLOTS_PER_OBJECTIVE > request.deadline
-        is_used_up = request.sent >= self.context.settings.max_attempts
-        is_unrepeatable = request.ran and terms.idempotency is Idempotency.NONE
+        terms = self.context.settings.classes[request.class_index]
+        is_too_late = backoff.retry_at + terms.latency_objective_us // SLOTS_PER_OBJECTIVE > request.deadline
+        is_used_up = request.attempt_count >= self.context.settings.max_attempts
+        is_unrepeatable = request.may_have_run_on and terms.idempotency is Idempotency.NONE
         if is_too_late or is_used_up or is_unrepeatable:
-            self.reject(request, backoff.end - self.context.now)
+            self.reject(request, backoff.interval_end - self.context.now)
         else:
-            request.due = backoff.at  # its own: the key's moves on with other requests
-            self.context.schedule(request.due, self.start_attempt, request.id)
+            request.retry_at = backoff.retry_at  # its own: the key's moves on with other requests
+            self.context.schedule(request.retry_at, self.start_attempt, request.id)
 
     def reject(self, request: Request, retry_after_us: int) -> None:
         """Give the final answer: a rejection where the client may safely repeat it, else a failure."""
         settings = self.context.settings
-        terms = settings.classes[request.cls]
+        terms = settings.classes[request.class_index]
         is_deduplicated = terms.deduplication_scope is DeduplicationScope.ALL
         is_keyed = terms.idempotency is Idempotency.WITH_KEY and is_deduplicated
-        if request.ran and not (is_keyed or terms.idempotency is Idempotency.IDEMPOTENT):
+        if request.may_have_run_on and not (is_keyed or terms.idempotency is Idempotency.IDEMPOTENT):
             self.context.actions.append(Fail(request.id))
         else:
             wait = max(0, min(retry_after_us, settings.max_retry_after_us))
--- a/tansyladder/policy/slow_start.py
+++ b/tansyladder/policy/slow_start.py
@@ -32,7 +32,7 @@
     settings = context.settings
     duration = settings.slow_start_duration_us
     span = settings.overload_duration_us
-    full = settings.overload_factor * CONNECTIONS_PER_WEIGHT * endpoint.whole / duration * span
+    full = settings.overload_factor * CONNECTIONS_PER_WEIGHT * endpoint.start_weight / duration * span
     first, last = (n + 2 * math.sqrt(n) + 1 for n in (full * settings.slow_start_initial_capacity, full))
     age = max(0, until - endpoint.ready_at)
     return (first * age + (last - first) * age * age / (2 * duration)) / (2 * span)
@@ -42,7 +42,7 @@
     """The oldest permit for an endpoint that this node has and may use now; 0: it has none."""
     settings = context.settings
     expired = int(permits_issued(context, endpoint, context.now - settings.overload_duration_us))
-    oldest = max(endpoint.spent, expired) + 1
+    oldest = max(endpoint.last_permit, expired) + 1
     node_count = min(settings.node_count, PERMIT_ROTATION_SIZE)
-    own = oldest + (endpoint.turn + settings.node_index - oldest) % node_count
+    own = oldest + (endpoint.stable_id + settings.node_index - oldest) % node_count
     return own if own <= permits_issued(context, endpoint, context.now) else 0
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -17,10 +17,10 @@
         delays = []
         for seed in range(400):
             b = Backoff()
-            b.n = n - 1
-            b.failed(START, 1000, 10, Random(seed))
-            assert (b.n, b.end) == (n, START + (1000 << n))
-            delays.append((b.at - START) / (1000 << n))
+            b.attempt = n - 1
+            b.record_failure(START, 1000, 10, Random(seed))
+            assert (b.attempt, b.interval_end) == (n, START + (1000 << n))
+            delays.append((b.retry_at - START) / (1000 << n))
         assert 0 <= min(delays) < 0.02
         assert 0.98 < max(delays) <= 1
         assert 0.45 < sum(delays) / len(delays) < 0.55
@@ -30,18 +30,18 @@
     for seed in range(200):
         rng, b, ends = Random(seed), Backoff(), START
         for n in range(1, 8):
-            failed_at = b.at if b.at else START
-            b.failed(failed_at, 1000, 10, rng)
-            assert ends <= b.at <= b.end
-            assert b.end == ends + (1000 << n)
-            ends = b.end
+            failed_at = b.retry_at if b.retry_at else START
+            b.record_failure(failed_at, 1000, 10, rng)
+            assert ends <= b.retry_at <= b.interval_end
+            assert b.interval_end == ends + (1000 << n)
+            ends = b.interval_end
 
 
 def test_the_count_is_capped() -> None:
     b = Backoff()
     for _ in range(40):
-        b.failed(b.end, 1000, 4, Random(1))
-    assert b.n == 4
+        b.record_failure(b.interval_end, 1000, 4, Random(1))
+    assert b.attempt == 4
 
 
 def test_retries_keep_to_their_intervals() -> None:
@@ -53,13 +53,13 @@
             acts = node.fail(send, attempt)
             b = node.node.requests.backoffs[7]
             if start is not None:
-                assert b.at >= start  # at or after the last interval's end
-            start = b.end
+                assert b.retry_at >= start  # at or after the last interval's end
+            start = b.interval_end
             acts = acts or node.step()
             if isinstance(acts[-1], Reject):
                 break
             send, attempt = only_send(acts), attempt + 1
-            assert node.now == b.at
+            assert node.now == b.retry_at
 
 
 def test_the_count_survives_a_drop_and_is_cleared_by_staying_up() -> None:
@@ -70,12 +70,12 @@
     node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
     node.now += 100 * MS
     node.give(AttemptEnded(rid, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MS, True))
-    assert node.node.requests.backoffs[7].n == 1
+    assert node.node.requests.backoffs[7].attempt == 1
     node.run(node.now + S)
     rid, acts = node.ask()
     send = only_send(acts)
     node.fail(send, 0)
-    assert node.node.requests.backoffs[7].n == 2
+    assert node.node.requests.backoffs[7].attempt == 2
     send = only_send(node.step())
     node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
     node.run(node.now + DEADLINE + 1)
@@ -86,7 +86,7 @@
     node = Node(FLEET)
     _, acts = node.ask()
     node.fail(only_send(acts), 0)
-    due = node.node.requests.backoffs[7].at
+    due = node.node.requests.backoffs[7].retry_at
     rid, acts = node.ask()
     assert acts == []
     sent = [a for a in node.run(due) if isinstance(a, StartAttempt)]
@@ -115,7 +115,7 @@
         seen = node.step()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Reject(rid, node.node.requests.backoffs[7].end - node.now)
+    assert seen[0] == Reject(rid, node.node.requests.backoffs[7].interval_end - node.now)
 
 
 def test_attempts_run_out() -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -86,9 +86,9 @@
         asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     asking.step(60 * S)
     asking.give(EndpointListUpdate(ListUpdateKind.DELTA, ()))
-    start = asking.now = max(asking.now, asking.node.endpoints.poll_backoff.end)
+    start = asking.now = max(asking.now, asking.node.endpoints.poll_backoff.interval_end)
     asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
-    assert asking.node.endpoints.poll_backoff.end - start == 2 * S
+    assert asking.node.endpoints.poll_backoff.interval_end - start == 2 * S
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 40])
@@ -173,7 +173,7 @@
         of_forty.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
         if key == 1:
             assert send.endpoint_id in (1, 2)  # home first
-    assert {int(s.id >= 10) for s in of_forty.node.endpoints.by_id.values() if s.conns} == zones
+    assert {int(s.id >= 10) for s in of_forty.node.endpoints.by_id.values() if s.connections} == zones
 
 
 def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -34,7 +34,7 @@
 
 def answer(node: Node, took: int, status: AttemptStatus = AttemptStatus.OK) -> list[object]:
     """Let the node ask member 1, which answers so slowly; what else the node does at once."""
-    while not node.node.endpoints.by_id[1].probing:
+    while not node.node.endpoints.by_id[1].is_check_in_flight:
         node.step()
     node.now += took
     return list(node.give(HealthCheckResult(1, status, took)))
@@ -80,7 +80,7 @@
     node = rig()
     assert answer(node, 40 * MS) == [CheckHealth(1)]  # once may be chance: it is asked again at once
     answer(node, 40 * MS)
-    assert node.node.endpoints.by_id[1].mark.n == 1
+    assert node.node.endpoints.by_id[1].ejection.attempt == 1
     moves = [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
     assert 5 < len(moves) < 40
     _, acts = node.ask()
@@ -95,14 +95,14 @@
     answer(node, MS)
     answer(node, MS)
     server = node.node.endpoints.by_id[1]
-    assert (server.mark.n, server.best) == (1, 5 * MS)
+    assert (server.ejection.attempt, server.best_latency_us) == (1, 5 * MS)
     assert [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
     for _ in range(3):
         answer(node, 5 * MS)
     assert not is_delayed(node.node.context, server)
     for _ in range(40):
         answer(node, MS)
-    assert server.best == MS  # it goes on: the best was measured in a bad time
+    assert server.best_latency_us == MS  # it goes on: the best was measured in a bad time
 
 
 def test_a_late_member_is_held_for_late_until_it_is_asked_again() -> None:
@@ -116,7 +116,7 @@
     }
     assert drawn == {2, 3, 4}
     answer(node, 5 * MS)
-    node.run(node.node.endpoints.by_id[1].mark.end)
+    node.run(node.node.endpoints.by_id[1].ejection.interval_end)
     drawn = {
         a.endpoint_id for key in range(16) for a in node.ask(key=key + 99)[1] if isinstance(a, StartAttempt)
     }
@@ -133,11 +133,14 @@
         for _ in range(sound):  # one in twenty is late by chance
             took = 5 * MS * rng.uniform(1, 1.5) * (8 if rng.random() < 0.05 else 1)
             answer(node, int(took))
-        marked += node.node.endpoints.by_id[1].mark.n
-        node.node.endpoints.by_id[1].mark.n = node.node.endpoints.by_id[1].mark.at = 0
+        marked += node.node.endpoints.by_id[1].ejection.attempt
+        node.node.endpoints.by_id[1].ejection.attempt = node.node.endpoints.by_id[1].ejection.retry_at = 0
         for _ in range(2):  # it has become slow: the second answer, asked for at once, decides
             answer(node, int(5 * MS * rng.uniform(3.2, 8.4)))
-        assert node.node.endpoints.by_id[1].mark.n == 1 or node.node.endpoints.by_id[1].best > 8 * MS
+        assert (
+            node.node.endpoints.by_id[1].ejection.attempt == 1
+            or node.node.endpoints.by_id[1].best_latency_us > 8 * MS
+        )
     assert marked <= 2
 
 
@@ -147,12 +150,12 @@
     answer(node, 5 * MS)
     answer(node, 7 * MS)
     answer(node, 7 * MS)
-    assert node.node.endpoints.by_id[1].mark.n == 0
+    assert node.node.endpoints.by_id[1].ejection.attempt == 0
     answer(node, 100 * MS, AttemptStatus.ERROR)
     answer(node, 100 * MS, AttemptStatus.ERROR)
-    assert node.node.endpoints.by_id[1].delay > 0
+    assert node.node.endpoints.by_id[1].message_delay_us > 0
     answer(node, 5 * MS)
-    assert node.node.endpoints.by_id[1].delay == 0
+    assert node.node.endpoints.by_id[1].message_delay_us == 0
     assert not [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
 
 
@@ -162,7 +165,7 @@
     node = Node([line(1), line(2)], can_check_health=True, discovery_call_interval_us=S, node_count=nodes)
     for key in range(1, 61):
         node.ask(key=key)
-    assert [node.node.endpoints.by_id[i].trying for i in (1, 2)] == [most, most]
+    assert [node.node.endpoints.by_id[i].pending_attempt_count for i in (1, 2)] == [most, most]
     answered = [a for _, a in node.log if isinstance(a, StartAttempt)][: min(4, 2 * most)]
     for send in answered:
         node.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
@@ -177,12 +180,12 @@
         *(ConnectionAdopted(100 + i, 0, 0, 1) for i in range(30)),
         *(ConnectionAdopted(200 + i, 0, 0, 2) for i in range(9)),
     )
-    node.node.endpoints.by_id[3].mark.at = node.now + 10 * S
-    node.node.endpoints.by_id[1].mark.at = node.now + 10 * S
+    node.node.endpoints.by_id[3].ejection.retry_at = node.now + 10 * S
+    node.node.endpoints.by_id[1].ejection.retry_at = node.now + 10 * S
     _, acts = node.ask(key=9)
     assert [a.endpoint_id for a in acts if isinstance(a, StartAttempt)] == [2]
-    node.node.endpoints.by_id[2].mark.at = node.now + 10 * S
-    node.node.endpoints.by_id[1].mark.at = 0
+    node.node.endpoints.by_id[2].ejection.retry_at = node.now + 10 * S
+    node.node.endpoints.by_id[1].ejection.retry_at = 0
     _, acts = node.ask(key=10)
     assert [a.endpoint_id for a in acts if isinstance(a, StartAttempt)] == [
         1
@@ -196,9 +199,9 @@
         _, acts = node.ask(key=group, group_key=group)
         [first] = [a for a in acts if isinstance(a, StartAttempt)]
         node.fail(first, 0)
-        node.node.endpoints.by_id[first.endpoint_id].mark.n = node.node.endpoints.by_id[
+        node.node.endpoints.by_id[first.endpoint_id].ejection.attempt = node.node.endpoints.by_id[
             first.endpoint_id
-        ].mark.at = 0
+        ].ejection.retry_at = 0
         again = [a for a in node.step() if isinstance(a, StartAttempt)] or [
             a for a in node.run(node.now + S) if isinstance(a, StartAttempt)
         ]
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -48,7 +48,7 @@
     _, acts = node.ask(key=1)
     bad = only_send(acts).endpoint_id
     node.fail(only_send(acts), 0)
-    assert node.node.endpoints.by_id[bad].mark.at > node.now
+    assert node.node.endpoints.by_id[bad].ejection.retry_at > node.now
     sent = [a.endpoint_id for k in range(2, 6) for a in node.ask(key=k)[1] if isinstance(a, StartAttempt)]
     assert sent
     assert bad not in sent
@@ -75,7 +75,7 @@
             [a for a in node.give(*(HealthCheckResult(s, AttemptStatus.OK, MS, (1.0, 0.1)) for s in asked))]
         )
         node.fail(send, 0)
-        due = node.node.requests.backoffs[7].at
+        due = node.node.requests.backoffs[7].retry_at
         early += due > START + 50 * MS
         node.run(due - 1)
         again = [t for t, a in node.log if isinstance(a, StartAttempt)][1:]
@@ -93,7 +93,7 @@
             ConnectionReport(rid, ReportKind.REPORTED_DELAY, 0, 1, value),
         )
     assert only_send(acts).endpoint_id == 1
-    assert (node.node.endpoints.by_id[1].load, node.node.endpoints.by_id[1].delay_at) == (500.0, -1)
+    assert (node.node.endpoints.by_id[1].load, node.node.endpoints.by_id[1].message_delay_at) == (500.0, -1)
 
 
 def test_a_restart_forgets_the_mark_and_is_cold() -> None:
@@ -102,14 +102,14 @@
     node.fail(only_send(acts), 0)
     node.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, ready_at=node.now),)))
     s = node.node.endpoints.by_id[1]
-    assert (s.mark.n, s.mark.at) == (0, 0)
+    assert (s.ejection.attempt, s.ejection.retry_at) == (0, 0)
     assert capacity_share(node.node.context, s) < 1.0
 
 
 def test_absurd_weights_count_as_one() -> None:
     bad = [math.nan, 0.0, -3.0, 1e30, math.inf]
     node = Node([line(i, weight=w) for i, w in enumerate(bad, 1)] + [line(9, weight=2.0)], has_weights=True)
-    assert [node.node.endpoints.by_id[i].size for i in (1, 2, 3, 4, 5, 9)] == [1, 1, 1, 1, 1, 2.0]
+    assert [node.node.endpoints.by_id[i].weight for i in (1, 2, 3, 4, 5, 9)] == [1, 1, 1, 1, 1, 2.0]
     assert only_send(node.ask()[1])
 
 
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -153,7 +153,7 @@
             HealthCheckResult(2, AttemptStatus.OK, MS, ()),
         )
         node.give(ConnectionReport(77, 2, 0, 1, value), ConnectionReport(1, 9, 0, 1, 5.0))
-    assert node.node.endpoints.by_id[1].strain_at == -1
+    assert node.node.endpoints.by_id[1].utilization_at == -1
     rid, acts = node.ask()
     acts = acts + node.run(node.now + S)
     assert [a for a in acts if isinstance(a, StartAttempt | Reject) and a.request_id == rid]
@@ -163,12 +163,12 @@
     node = Node([line(1)])
     _, acts = node.ask(key=1)
     node.fail(only_send(acts), 0)
-    node.run(node.node.endpoints.by_id[1].mark.end)
+    node.run(node.node.endpoints.by_id[1].ejection.interval_end)
     sent = [a for k in range(2, 9) for a in node.ask(key=k)[1] if isinstance(a, StartAttempt)]
-    out = [r for r in node.node.requests.by_id.values() if r.server]
+    out = [r for r in node.node.requests.by_id.values() if r.endpoint]
     assert len(out) == 1
     assert len(sent) <= 1
-    node.give(AttemptEstablished(out[0].id, out[0].sent - 1, 1, MS))
+    node.give(AttemptEstablished(out[0].id, out[0].attempt_count - 1, 1, MS))
     assert only_send(node.ask(key=20)[1]).endpoint_id == 1
 
 
@@ -179,7 +179,7 @@
     node.give(ConnectionReport(rid, ReportKind.LOAD, 0, 1, 900.0))
     assert node.node.endpoints.by_id[1].load == 900.0
     node.give(AttemptEnded(rid, 0, 1, AttemptStatus.CANCELLED, S, True))
-    assert (node.node.endpoints.by_id[1].load, node.node.endpoints.by_id[1].trying) == (0.0, 0)
+    assert (node.node.endpoints.by_id[1].load, node.node.endpoints.by_id[1].pending_attempt_count) == (0.0, 0)
     assert only_send(acts).endpoint_id == 1
 
 
@@ -210,7 +210,7 @@
     node = Node([line(i) for i in range(1, 30)])
     node.give(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(30)))
     failing(node, 1)
-    narrow = node.node.requests.backoffs[100].end - START - MS
+    narrow = node.node.requests.backoffs[100].interval_end - START - MS
     failing(node, 12)
     assert node.node.context.setup_failure_rate > 0.5
     now = node.now
@@ -218,8 +218,8 @@
     send = only_send([a for a in acts if isinstance(a, StartAttempt)])
     assert send.timeout_us == node.settings.classes[0].deadline_us
     node.fail(send, 0, AttemptStatus.TIMEOUT)
-    assert node.node.requests.backoffs[300].n == 1
-    assert node.node.requests.backoffs[300].end - now > 3 * narrow
+    assert node.node.requests.backoffs[300].attempt == 1
+    assert node.node.requests.backoffs[300].interval_end - now > 3 * narrow
     late(node, 600.0)
     assert not [a for a in node.run(node.now + S) if isinstance(a, Migrate)]
 
@@ -229,16 +229,16 @@
     for over in ({}, {"pass_through": True}):
         node = Node([line(i) for i in range(1, 401)], **over)
         rid, _ = node.ask()
-        looked = node.node.endpoints.home.looked_at
+        looked = node.node.endpoints.home.refreshed_at
         assert (
             len(sample(node.node.context, node.node.endpoints.home, node.node.requests.by_id[rid], 16)) == 16
         )
         node.now += MS
         node.ask()
-        assert node.node.endpoints.home.looked_at == looked
+        assert node.node.endpoints.home.refreshed_at == looked
         node.now += S
         node.ask()
-        assert node.node.endpoints.home.looked_at == node.now
+        assert node.node.endpoints.home.refreshed_at == node.now
 
 
 def test_a_burst_within_one_look_finds_room() -> None:
