--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -8,7 +8,7 @@
 
 import threading
 
-from tansyladder.cluster.document_publisher import CHECKS, DocumentPublisher
+from tansyladder.cluster.document_publisher import VALIDATORS, DocumentPublisher
 from tansyladder.cluster.document_replica import LeaseExpiryPolicy
 from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.config.platform import ConfigError
@@ -16,7 +16,7 @@
 from tansyladder.net.clock import now
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.sessions.resumption_handler import ResumptionHandler
-from tansyladder.sessions.session_store import open_keeping
+from tansyladder.sessions.session_store import open_session_store
 from tansyladder.store import StoreError
 
 
@@ -26,14 +26,14 @@
     OSError, ValueError, ConfigError: the settings don't fit. StoreError: the records can't be read. Where a
     process before this one runs, that is known only later, and written to the log.
     """
-    if core.takeover.gone.is_set():
+    if core.listener_handover.predecessor_gone.is_set():
         _join(core, resuming, folder)
     else:
         threading.Thread(target=_follow, args=(core, resuming, folder), name="join", daemon=True).start()
 
 
 def _follow(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
-    core.takeover.gone.wait()
+    core.listener_handover.predecessor_gone.wait()
     try:
         _join(core, resuming, folder)
     except (OSError, ValueError, ConfigError, StoreError) as err:
@@ -43,7 +43,7 @@
 def _join(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
     store, keeping = core.options.store, None
     if store.enabled:
-        keeping = core.keeping = open_keeping(store.directory, core.config.name)
+        keeping = core.endpoint_cache = open_session_store(store.directory, core.config.name)
         if keeping is not None:
             keeping.start()
     told = core.options.documents
@@ -51,15 +51,15 @@
         core.config.name,
         core.options.peers,
         keeping.store if keeping is not None else None,
-        resuming.replaced,
+        resuming.on_ownership_claimed,
         lambda: core.clock.micros(now()),
         folder,
-        CHECKS if told.enabled else None,
+        VALIDATORS if told.enabled else None,
         LeaseExpiryPolicy(told.cut_off),
         told.lease,
     )
-    resuming.agreeing = agreeing
-    if agreeing.holding is not None:
-        core.permits = DocumentPublisher(agreeing, agreeing.holding, told.stamps)
+    resuming.ownership_service = agreeing
+    if agreeing.document_replica is not None:
+        core.decision_permit = DocumentPublisher(agreeing, agreeing.document_replica, told.stamps)
     agreeing.start()
     log(LogEvent.CLUSTER_JOINED, store=keeping is not None)
--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -1,44 +1,39 @@
-"""A fleet: real nodes, hosts in a process of their own, a link for every way, a front and clients."""
+"""A cluster under test: real nodes, hosts in a process of their own, a link for every way, and clients."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import itertools
-import json
-import re
 import secrets
-import shutil
-import signal
-import sys
 import tempfile
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
 from datetime import timedelta
 from pathlib import Path
 
-from tansyladder.lab.chaos.history import Event, History, load, merged
-from tansyladder.lab.chaos.links import Front, Link
-from tansyladder.lab.chaos.schedule import Fault, Kind
+from tansyladder.lab.chaos.history import Event, EventKind, History, Party, merge
+from tansyladder.lab.chaos.host_process import HostProcess
+from tansyladder.lab.chaos.links import Link, LoadBalancer
+from tansyladder.lab.chaos.node import ChaosNode
+from tansyladder.lab.chaos.peer_network import PeerNetwork
+from tansyladder.lab.chaos.recording_client import RecordingClient
 from tansyladder.lab.clients import Client
-from tansyladder.lab.discovery_server import DiscoveryServer
-from tansyladder.lab.node import LabNode, spare_port
+from tansyladder.lab.connections import LOOPBACK
+from tansyladder.lab.discovery_server import DiscoveryServer, Phase
+from tansyladder.lab.node import LabNode
 from tansyladder.lab.report import Report, clock
-from tansyladder.lab.topology import AT_ONCE, TopologyError
-
-SILENCE = 2.0  # seconds without a line after which a client takes its connection for dead
-START = 30.0  # seconds in which all clients must stand
-ORPHANED = 3.0  # seconds after which a host has no connection that is for nobody, all being sound
-END = 5.0  # seconds in which the hosts' process must end
-FLAP = 0.1  # seconds
-OF_A_LIVE_ONE = (Kind.STOP, Kind.RESTART, Kind.UPGRADE, Kind.UPGRADE_KILL, Kind.FULL_DISK, Kind.OLD_DISK)
-LEADS = re.compile(rb"event=raft_state role=\w+ term=(\d+) leader=(\w+)")
+from tansyladder.lab.topology import TopologyError, connect_all
+
+START_TIMEOUT = 30.0  # seconds in which all clients are served, and nodes have a leader
+QUIET_TIMEOUT = 3.0  # seconds in which lines that are under way arrive
+ORPHAN_TIMEOUT = 3.0  # seconds in which hosts lose connections that are for no client, all being sound
+POLL_INTERVAL = 0.02  # seconds between two looks at a condition
+LEADER_POLL_INTERVAL = 0.05  # seconds between two looks into all logs
+HOST_POLL_INTERVAL = 0.1  # seconds between two questions to the hosts' process
+KEY_BYTES = 32
 SETTINGS = """(resume (enabled true) (expires "30 s") (parked 2000) (keys (1 "{key}")))
 (store (enabled true) (directory "FOLDER/store"))
 """
-PEERS = """(peers (enabled true) (fleet "lab") (key "{key}") (voters "{voters}") (listen "{listen}")
- (members {members}))
-"""
 
 
 @dataclass
@@ -47,377 +42,189 @@
 
     ident: str
     address: str
-    told: timedelta | None = None
-
-
-class RecordingClient(Client):
-    """A client that writes down what it does and meets, and is patient with a fleet in trouble."""
-
-    tries = 60
-
-    def __init__(self, history: History, report: Report, port: int, number: int, seed: int) -> None:
-        super().__init__(report, port, number, seed, True, silence=SILENCE)
-        self.history = history
-
-    def saw(self, what: str, **fields: object) -> None:
-        fields.pop("session", None)
-        self.history.add("client", what, client=self.number, life=self.sessions, **fields)
+    drain_announced_at: timedelta | None = None
 
 
 class ChaosCluster:
-    """All parties of one run, and the faults that are put between them."""
+    """All parties of one run. Owned by one event loop; not thread-safe."""
 
     def __init__(
-        self, folder: Path, nodes: int, hosts: int, seed: int, peers: bool = True, settings: str = ""
+        self,
+        folder: Path,
+        node_count: int,
+        host_count: int,
+        seed: int,
+        has_peers: bool = True,
+        operator_settings: str = "",
     ) -> None:
-        """`settings`: of each node, beside those that all fleets have."""
-        self._peers, self._settings = peers, settings
-        self.folder, self.seed, self.size, self.hosts = folder, seed, nodes, hosts
-        self.report, self.history = Report(), History()
-        self.nodes: list[LabNode] = []
+        """Make a cluster that is not started; `operator_settings` are added to those of every node."""
+        self.folder = folder
+        self.node_count = node_count
+        self.host_count = host_count
+        self.seed = seed
+        self.report = Report()
+        self.history = History()
+        self.full_history: list[Event] = []  # of all processes, once the cluster is closed
+        self.hosts = HostProcess(host_count, node_count, seed, folder / "hosts.jsonl")
+        self.peers = PeerNetwork(node_count)
+        self.nodes: list[ChaosNode] = []
         self.clients: list[Client] = []
-        self.to_hosts: list[list[Link]] = []  # by node, then host
-        self.to_nodes: list[Link] = []  # of clients
-        self.to_peers: dict[tuple[int, int], Link] = {}  # from the lower to the higher number
-        self._rosters: list[DiscoveryServer] = []
-        self._tasks: list[asyncio.Task[None]] = []
-        self._hosts: asyncio.subprocess.Process | None = None
-        self._down: set[int] = set()
-        self._stopped: set[int] = set()
-        self._turns = [asyncio.Lock() for _ in range(nodes)]  # one fault at a time kills or starts a node
+        self.host_links: list[list[Link]] = []  # by node, and then by host
+        self.client_links: list[Link] = []  # by node
+        self.load_balancer = LoadBalancer(self.history, [])
+        self._has_peers = has_peers
+        self._operator_settings = operator_settings
+        self._discovery_servers: list[DiscoveryServer] = []
+        self._client_tasks: list[asyncio.Task[None]] = []
 
     # --- start and end
 
     async def start(self) -> None:
-        """Hosts, links, lists, nodes and the front, until all nodes listen."""
-        words = ["-m", "tansyladder.lab.chaos.hosts", str(self.hosts), str(self.size), str(self.seed)]
-        self._hosts = await asyncio.create_subprocess_exec(
-            sys.executable,
-            *words,
-            str(self.folder / "hosts.jsonl"),
-            stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE,
-        )
-        assert self._hosts.stdout is not None
-        doors: list[list[str]] = json.loads(await asyncio.wait_for(self._hosts.stdout.readline(), START))
-        settings = SETTINGS.format(key=secrets.token_hex(32))
-        peers = await self._join_peers() if self._peers else [""] * self.size
-        for number in range(self.size):
-            links = [Link(doors[host][number]) for host in range(self.hosts)]
-            for link in links:
-                await link.start()
-            self.to_hosts.append(links)
-            roster = DiscoveryServer()
-            await roster.start()
-            await roster.tell("up", *(ClusterEndpoint(f"s{i}", link.address) for i, link in enumerate(links)))
-            self._rosters.append(roster)
-            folder = self.folder / f"n{number}"
-            folder.mkdir()
-            chosen = settings + peers[number] + self._settings
-            node = LabNode(folder, roster.address, roster.listed(), chosen, f"n{number}", self.size)
-            self.nodes.append(node)
-            link = Link(f"127.0.0.1:{node.port}")
+        """Start all parties but the clients, and wait until all nodes listen and know their leader."""
+        await self.hosts.start()
+        common_settings = SETTINGS.format(key=secrets.token_hex(KEY_BYTES)) + self._operator_settings
+        peer_settings = await self.peers.start() if self._has_peers else [""] * self.node_count
+        for number in range(self.node_count):
+            await self._add_node(number, common_settings + peer_settings[number])
+        await asyncio.gather(*(node.process.start() for node in self.nodes))
+        if self._has_peers:
+            await self._wait_for_leader()
+        self.load_balancer = LoadBalancer(self.history, [link.address for link in self.client_links])
+        await self.load_balancer.start()
+
+    async def _add_node(self, number: int, operator_settings: str) -> None:
+        """Set up a node, its discovery service, and its links to hosts and clients."""
+        host_links = [Link(addresses[number]) for addresses in self.hosts.addresses]
+        for link in host_links:
             await link.start()
-            self.to_nodes.append(link)
-        await asyncio.gather(*(node.start() for node in self.nodes))
-        if self._peers:
-            await self._agreed()
-        self.front = Front(self.history, [link.address for link in self.to_nodes])
-        await self.front.start()
+        self.host_links.append(host_links)
+        discovery = DiscoveryServer()
+        await discovery.start()
+        endpoints = [ClusterEndpoint(f"s{host}", link.address) for host, link in enumerate(host_links)]
+        await discovery.set_phase(Phase.UP, *endpoints)
+        self._discovery_servers.append(discovery)
+        name = f"n{number}"
+        folder = self.folder / name
+        folder.mkdir()
+        process = LabNode(
+            folder, discovery.address, discovery.listed(), operator_settings, name, self.node_count
+        )
+        self.nodes.append(ChaosNode(number, process, self.history))
+        client_link = Link(f"{LOOPBACK}:{process.port}")
+        await client_link.start()
+        self.client_links.append(client_link)
 
-    async def _agreed(self) -> None:
-        """Wait until every node knows who leads."""
-        until = clock() + timedelta(seconds=START)
-        while not all(b" leader=n" in node.log.read_bytes().replace(b"=none", b"") for node in self.nodes):
-            if clock() > until:
-                raise TopologyError("the nodes did not agree on a leader")
-            await asyncio.sleep(0.05)
+    async def _wait_for_leader(self) -> None:
+        """Wait until every node's log names a leader. Raises TopologyError."""
 
-    async def _join_peers(self) -> list[str]:
-        """A link for each pair of nodes, and each one's settings for its peers."""
-        reached = [f"127.0.0.1:{spare_port()}" for _ in range(self.size)]
-        for low, high in itertools.combinations(range(self.size), 2):
-            link = self.to_peers[low, high] = Link(reached[high])
-            await link.start()
-        key = secrets.token_hex(32)
-        voters = " ".join(f"n{i}" for i in range(min(5, self.size - 1 + self.size % 2)))
-        out = []
-        for me in range(self.size):
-            links = [self.to_peers[me, i].address if i > me else reached[i] for i in range(self.size)]
-            members = " ".join(f'(n{i} "{at}")' for i, at in enumerate(links))
-            out.append(PEERS.format(key=key, voters=voters, listen=reached[me], members=members))
-        return out
+        def knows_leader(node: ChaosNode) -> bool:
+            return b" leader=n" in node.process.log.read_bytes().replace(b"=none", b"")
 
-    async def close(self) -> list[Event]:
-        """End all that was started, each by its own id, and give the whole history."""
-        for number in self._stopped - self._down:
-            self.nodes[number].signal(signal.SIGCONT)
+        deadline = clock() + timedelta(seconds=START_TIMEOUT)
+        while not all(knows_leader(node) for node in self.nodes):
+            if clock() > deadline:
+                raise TopologyError("the nodes did not agree on a leader")
+            await asyncio.sleep(LEADER_POLL_INTERVAL)
+
+    async def close(self) -> None:
+        """End all parties, each process by its own id, and put `full_history` together."""
+        for node in self.nodes:
+            node.wake_up()
         for client in self.clients:
             await client.leave()
-        for task in self._tasks:
+        for task in self._client_tasks:
             task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
-        if hasattr(self, "front"):
-            await self.front.close()
-        await asyncio.gather(*(node.stop() for n, node in enumerate(self.nodes) if n not in self._down))
-        hosts = [link for links in self.to_hosts for link in links]
-        for link in (*self.to_nodes, *self.to_peers.values(), *hosts):
+        await asyncio.gather(*self._client_tasks, return_exceptions=True)
+        await self.load_balancer.close()
+        await asyncio.gather(*(node.close() for node in self.nodes))
+        for link in self.client_links:
             await link.close()
-        for roster in self._rosters:
-            await roster.close()
-        if self._hosts is not None:
-            assert self._hosts.stdin is not None
-            self._hosts.stdin.close()
-            with contextlib.suppress(asyncio.TimeoutError):
-                await asyncio.wait_for(self._hosts.wait(), END)
-            if self._hosts.returncode is None:
-                self._hosts.kill()
-                await self._hosts.wait()
-        written = self.folder / "hosts.jsonl"
-        return merged(self.history.events, load(written) if written.exists() else [])
+        await self.peers.close()
+        for links in self.host_links:
+            for link in links:
+                await link.close()
+        for discovery in self._discovery_servers:
+            await discovery.close()
+        await self.hosts.close()
+        self.full_history = merge(self.history.events, self.hosts.load_history())
+
+    # --- clients
 
-    async def join(self, count: int) -> None:
-        """So many clients more, each with a session that stands."""
-        gate = asyncio.Semaphore(AT_ONCE)
+    async def connect_clients(self, count: int) -> None:
+        """Add clients, each with a session that is served. Raises TopologyError."""
+        first = len(self.clients)
         new: list[Client] = [
-            RecordingClient(self.history, self.report, self.front.port, number, self.seed)
-            for number in range(len(self.clients), len(self.clients) + count)
+            RecordingClient(self.history, self.report, self.load_balancer.port, number, self.seed)
+            for number in range(first, first + count)
         ]
         self.clients += new
-
-        async def come(client: Client) -> None:
-            async with gate:
-                self._tasks.append(asyncio.ensure_future(client.run()))
-                await client.up.wait()
-
         try:
-            await asyncio.wait_for(asyncio.gather(*(come(c) for c in new)), START)
+            await asyncio.wait_for(connect_all(new, self._client_tasks), START_TIMEOUT)
         except TimeoutError as err:
             raise TopologyError("not all clients got in") from err
 
-    async def until_all_up(self, seconds: float) -> bool:
-        """Wait until all clients are served, but no longer than this."""
-        until = clock() + timedelta(seconds=seconds)
-        while clock() < until and not all(c.up.is_set() for c in self.clients):
-            await asyncio.sleep(0.02)
-        return all(c.up.is_set() for c in self.clients)
+    async def wait_until_all_connected(self, timeout: float) -> bool:
+        """Wait until all clients are served, but no longer than so many seconds; return whether they are."""
+        return await _wait_until(lambda: self._served_count() == len(self.clients), timeout)
 
-    async def settle(self) -> None:
-        """All clients fall silent, and their last lines are waited for; then those that stand are noted."""
+    async def quiesce(self) -> None:
+        """Let all clients send no more, wait for their last lines, and record what is connected then."""
         for client in self.clients:
-            client.quiet = True
-        until = clock() + timedelta(seconds=3)
-        while clock() < until and any(c.unheard() for c in self.clients):
-            await asyncio.sleep(0.02)
-        until = clock() + timedelta(seconds=ORPHANED)
-        while sum(held := await self._held()) > self._standing() and clock() < until:
-            await asyncio.sleep(0.1)
+            client.is_quiet = True
+        await _wait_until(
+            lambda: not any(client.unconfirmed_line_count() for client in self.clients), QUIET_TIMEOUT
+        )
+        connection_counts = await self._wait_for_orphans()
         for client in self.clients:
             if client.up.is_set():
-                self.history.add("rig", "standing", client=client.number, life=client.sessions)
-        for host, number in enumerate(held):
-            self.history.add("rig", "held", host=f"s{host}", number=number)
-
-    def _standing(self) -> int:
+                self.history.record(
+                    Party.CONTROLLER,
+                    EventKind.CLIENT_CONNECTED,
+                    client=client.number,
+                    session_count=client.session_count,
+                )
+        for host, count in enumerate(connection_counts):
+            self.history.record(
+                Party.CONTROLLER, EventKind.HOST_CONNECTION_COUNT, host=f"s{host}", number=count
+            )
+
+    async def _wait_for_orphans(self) -> list[int]:
+        """Wait until hosts have no more connections than clients are served; return their counts."""
+        deadline = clock() + timedelta(seconds=ORPHAN_TIMEOUT)
+        while True:
+            counts = await self.hosts.connection_counts()
+            if sum(counts) <= self._served_count() or clock() >= deadline:
+                return counts
+            await asyncio.sleep(HOST_POLL_INTERVAL)
+
+    def _served_count(self) -> int:
         return sum(client.up.is_set() for client in self.clients)
 
-    async def _held(self) -> list[int]:
-        """Connections at each host."""
-        self._order("held")
-        assert self._hosts is not None and self._hosts.stdout is not None
-        held: list[int] = json.loads(await asyncio.wait_for(self._hosts.stdout.readline(), START))
-        return held
-
-    def _order(self, line: str) -> None:
-        assert self._hosts is not None and self._hosts.stdin is not None
-        self._hosts.stdin.write(f"{line}\n".encode())
-
-    # --- faults
-
-    def clients_at(self, node: int) -> set[int]:
-        """The clients whose newest connection went to a node."""
-        went = {e.ident: e.node for e in self.history.events if e.what == "sent_to"}
-        last = {e.client: e.ident for e in self.history.events if e.what == "asked"}
-        return {client for client, ident in last.items() if went.get(ident) == node}
-
-    async def kill(self, node: int) -> None:
-        """SIGKILL."""
-        async with self._turns[node]:
-            if node not in self._down:
-                self.history.add("rig", "killed", node=node)
-                self._down.add(node)
-                await self.nodes[node].kill()
-
-    async def restart(self, node: int, skew: float = 0.0) -> None:
-        """Start a node that was killed, on its disk; `skew`: seconds by which its clock is off."""
-        async with self._turns[node]:
-            if node in self._down:  # else the end of another fault has started it
-                await self.nodes[node].start(skew)
-                self._down.discard(node)
-                self.history.add("rig", "sound", node=node)
-
-    def stop(self, node: int) -> None:
-        """SIGSTOP: it lives, and says nothing."""
-        self.history.add("rig", "stopped", node=node)
-        self._stopped.add(node)
-        self.nodes[node].signal(signal.SIGSTOP)
-
-    def go_on(self, node: int) -> None:
-        """SIGCONT, with all that has come meanwhile in its buffers."""
-        self._stopped.discard(node)
-        if node not in self._down:  # else another fault has killed it meanwhile
-            self.nodes[node].signal(signal.SIGCONT)
-            self.history.add("rig", "sound", node=node)
-
-    def leader(self) -> int:
-        """The node that was the last to say that it leads, of those that run; else any that runs."""
-        up = [number for number in range(self.size) if number not in self._down]
-        terms = {}
-        for number in up:
-            said = LEADS.findall(self.nodes[number].log.read_bytes())
-            terms[number] = int(said[-1][0]) if said and said[-1][1] == f"n{number}".encode() else -1
-        return max(up, key=lambda number: terms[number])
-
-    async def taker(self, seconds: float) -> list[int]:
-        """The node that is the next to be shown a token; none where that happens to none for so long."""
-        until = clock() + timedelta(seconds=seconds)
-        seen = len(self.history.events)
-        tokens: set[str] = set()
-        while clock() < until:
-            for event in self.history.events[seen:]:
-                if event.what == "asked" and event.token:
-                    tokens.add(event.ident)
-                elif event.what == "sent_to" and event.ident in tokens and event.node not in self._down:
-                    return [event.node]
-            seen = len(self.history.events)
-            await asyncio.sleep(0.001)
-        return []
-
-    async def play(self, fault: Fault) -> None:
-        """A fault from its beginning to its end."""
-        match fault.kind:
-            case Kind.KILL:
-                await self._killed([fault.node], fault.length)
-            case kind if kind in OF_A_LIVE_ONE and fault.node in self._down:
-                pass  # killed by another fault, as the leader or a taker
-            case Kind.RESTART:
-                async with self._turns[fault.node]:
-                    self.history.add("rig", "killed", node=fault.node)
-                    self._down.add(fault.node)
-                    await self.nodes[fault.node].stop()
-                await self.restart(fault.node)
-            case Kind.UPGRADE | Kind.UPGRADE_KILL:
-                self.history.add("rig", "upgraded", node=fault.node)
-                async with self._turns[fault.node]:
-                    old = await self.nodes[fault.node].succeed()
-                if fault.kind is Kind.UPGRADE_KILL:
-                    await asyncio.sleep(fault.length)
-                    with contextlib.suppress(ProcessLookupError):  # it has ended by itself
-                        old.kill()
-                await old.wait()
-            case Kind.KILL_ALL:
-                await self._killed(list(range(self.size)), fault.length)
-            case Kind.KILL_LEADER:
-                await self._killed([self.leader()], fault.length)
-            case Kind.KILL_TAKER:
-                await self._killed(await self.taker(fault.length), fault.length)
-            case Kind.KILL_WITH_HOST:
-                host = fault.node % self.hosts
-                self._order(f"die {host}")
-                await self._killed([fault.node], fault.length)
-                self._order(f"back {host}")
-            case Kind.LOSE_DISK | Kind.OLD_DISK | Kind.FULL_DISK:
-                await self._disk(fault)
-            case Kind.SKEW:
-                for skew in (fault.value, 0.0):
-                    await self.kill(fault.node)
-                    await self.restart(fault.node, skew)
-                    await asyncio.sleep(fault.length if skew else 0.0)
-            case Kind.STOP:
-                self.stop(fault.node)
-                await asyncio.sleep(fault.length)
-                self.go_on(fault.node)
-            case _:
-                await self._link(fault)
-
-    async def _killed(self, nodes: list[int], length: float) -> None:
-        await asyncio.gather(*(self.kill(node) for node in nodes))
-        await asyncio.sleep(length)
-        await asyncio.gather(*(self.restart(node) for node in nodes))
+    def clients_on(self, node: int) -> set[int]:
+        """Return the numbers of the clients whose newest connection was forwarded to a node."""
+        events = self.history.events
+        nodes = {event.connection_id: event.node for event in events if event.kind == EventKind.FORWARDED}
+        newest = {event.client: event.connection_id for event in events if event.kind == EventKind.OPEN_SENT}
+        return {client for client, connection_id in newest.items() if nodes.get(connection_id) == node}
 
-    async def _disk(self, fault: Fault) -> None:
-        node, store = fault.node, self.nodes[fault.node].folder / "store"
-        copy = store.with_name("copy")
-        match fault.kind:
-            case Kind.LOSE_DISK:
-                await self.kill(node)
-                shutil.rmtree(store)
-                await asyncio.sleep(fault.length)
-            case Kind.OLD_DISK:
-                shutil.copytree(store, copy)
-                await asyncio.sleep(fault.length / 2)
-                await self.kill(node)
-                shutil.rmtree(store)
-                copy.rename(store)
-                await asyncio.sleep(fault.length / 2)
-            case _:
-                self.history.add("rig", "full_disk", node=node)
-                self.nodes[node].fill_disk()
-                await asyncio.sleep(fault.length)
-                await self.kill(node)
-        await self.restart(node)
 
-    async def _link(self, fault: Fault) -> None:
-        node, links = fault.node, self.to_hosts[fault.node]
-        if fault.kind in (Kind.CUT_PEERS, Kind.DELAY_PEERS, Kind.FLAP_PEERS):
-            links = [link for pair, link in self.to_peers.items() if node in pair]
-        match fault.kind:
-            case Kind.RESET:
-                self.history.add("rig", "reset", node=node)
-                self.to_nodes[node].reset()
-            case Kind.CUT_CLIENTS:
-                self.history.add("rig", "cut", node=node)
-                links = [self.to_nodes[node]]
-                links[0].cut()
-            case Kind.CUT_PEERS | Kind.FLAP_PEERS:
-                self.history.add("rig", fault.kind.value, node=node)
-                for link in links:
-                    link.cut()
-            case Kind.DELAY | Kind.DELAY_PEERS:
-                self.history.add("rig", "delayed", node=node)
-                for link in links:
-                    link.delay = fault.value
-            case kind:
-                self.history.add("rig", "cut", node=node)
-                for link in links:
-                    link.cut(up=kind is not Kind.CUT_DOWN, down=kind is not Kind.CUT_UP)
-        if fault.kind is Kind.FLAP_PEERS:
-            until = clock() + timedelta(seconds=fault.length)
-            while clock() < until:
-                for link in links:
-                    link.mend()
-                await asyncio.sleep(FLAP)
-                for link in links:
-                    link.reset()
-                    link.cut()
-                await asyncio.sleep(FLAP)
-        else:
-            await asyncio.sleep(fault.length)
-        for link in links:
-            link.mend()
-        self.history.add("rig", "sound", node=node)
+async def _wait_until(condition: Callable[[], bool], timeout: float) -> bool:
+    """Wait until a condition holds, but no longer than so many seconds; return whether it does."""
+    deadline = clock() + timedelta(seconds=timeout)
+    while clock() < deadline and not condition():
+        await asyncio.sleep(POLL_INTERVAL)
+    return condition()
 
 
 @contextlib.asynccontextmanager
-async def fleet(
-    nodes: int, hosts: int, seed: int, peers: bool = True, settings: str = ""
-) -> AsyncIterator[tuple[ChaosCluster, list[Event]]]:
-    """A fleet that is up, and a list that has its whole history once the fleet is down."""
-    history: list[Event] = []
+async def running_cluster(
+    node_count: int, host_count: int, seed: int, has_peers: bool = True, operator_settings: str = ""
+) -> AsyncIterator[ChaosCluster]:
+    """Start a cluster, and close it at the end of the block; it has its `full_history` then."""
     with tempfile.TemporaryDirectory(prefix="tansyladder-chaos-") as folder:
-        whole = ChaosCluster(Path(folder), nodes, hosts, seed, peers, settings)
+        cluster = ChaosCluster(Path(folder), node_count, host_count, seed, has_peers, operator_settings)
         try:
-            await whole.start()
-            yield whole, history
+            await cluster.start()
+            yield cluster
         finally:
-            history += await whole.close()
+            await cluster.close()
--- a/tansyladder/raft/messages.py
+++ b/tansyladder/raft/messages.py
@@ -1,115 +1,147 @@
-"""What goes between the agreement of two nodes, and what it writes down. Indexes count entries from 1."""
+"""Messages between the nodes of a Raft cluster, and the entries of its log.
+
+Log indexes count from 1. The messages are encoded as arrays: the order of the fields and the tags are the
+format on the wire and in the log.
+"""
 
 from __future__ import annotations
 
 from enum import IntEnum
+from typing import NamedTuple
 
 import msgspec
 
-Place = tuple[int, int]  # an entry's term and index; of two logs, the one whose last place is higher wins
+
+class LogPosition(NamedTuple):
+    """The end of a log; of two logs the one with the higher position is more up to date."""
+
+    term: int
+    log_index: int
+
+
+START_OF_LOG = LogPosition(0, 0)
 
 
 class EntryKind(IntEnum):
-    """What an entry is for."""
+    """What a log entry is for."""
 
-    NOTHING = 0  # a new leader's first, which commits what came before it
-    DATA = 1  # for the state that the log decides
-    ADMIT = 2  # `request` names a voter, `data` the disk and the start with which it votes from now on
+    NO_OP = 0  # the first entry of a new leader, which commits the entries of earlier terms
+    COMMAND = 1  # a command for the state machine
+    ADMIT_DISK = 2  # `request_id` names a voter, `data` the disk and the incarnation with which it votes now
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; `request` is its proposer's name for it."""
+class LogEntry(msgspec.Struct, frozen=True, array_like=True):
+    """One entry of the log; `request_id` was chosen by the node that proposed it."""
 
     term: int
-    kind: EntryKind = EntryKind.NOTHING
-    request: str = ""
+    kind: EntryKind = EntryKind.NO_OP
+    request_id: str = ""
     data: bytes = b""
 
 
 class Handshake(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """Who a node is on this disk and at this start, and how far its log goes.
-
-    `founders`: which voters' disks it knows to have founded the fleet; none: none.
+    """Identifies a node, its disk and its incarnation, and tells how far its log goes.
+
+    Attributes:
+        disk_id: The name of the sender's disk.
+        incarnation: The sender's start, drawn anew at each one.
+        initial_disks: The disk with which each voter founded the cluster; empty if not known.
+        recipient_incarnation: The start of the recipient, as far as the sender knows it.
+        wants_reply: Whether the sender lacks a handshake that names its own incarnation.
+        term: The sender's term.
+        last_position: The end of the sender's log.
     """
 
-    ident: str
-    start: str  # drawn anew at each one
-    founders: dict[str, str]
-    to: str = ""  # the start of whom it is for, as far as the sender knows
-    wants: bool = False  # an answer that names the sender's start
+    disk_id: str
+    incarnation: str
+    initial_disks: dict[str, str]
+    recipient_incarnation: str = ""
+    wants_reply: bool = False
     term: int = 0
-    last: Place = (0, 0)
+    last_position: LogPosition = START_OF_LOG
 
 
 class CommitPosition(msgspec.Struct, frozen=True, array_like=True):
-    """How far its sender knows the log to be committed: whoever has that same entry knows it as well."""
+    """The last entry that the sender knows to be committed; who has the same entry knows it as well then."""
 
     index: int
     term: int
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """For a vote in this term; `trial`: whether it would be given, which binds nobody (pre-vote)."""
+    """Asks for a vote in `term`; with `pre_vote`, only whether it would be granted, which binds nobody."""
 
     term: int
-    last_index: int
-    last_term: int
-    trial: bool
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool
     committed: CommitPosition
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """The answer to it, under the disk that gives it."""
+    """The answer to `RequestVote`; the vote counts for the disk `disk_id`."""
 
     term: int
-    given: bool
-    trial: bool
-    ident: str
+    granted: bool
+    pre_vote: bool
+    disk_id: str
     committed: CommitPosition
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
-    """A leader's entries behind one that both should have, and how far the log is committed."""
+    """Entries of the leader's log that follow `prev_log_index`; without entries, a heartbeat."""
 
     term: int
-    before: int
-    before_term: int
-    entries: tuple[Entry, ...]
-    commit: int
+    prev_log_index: int
+    prev_log_term: int
+    entries: tuple[LogEntry, ...]
+    leader_commit: int
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """How far the log agrees with the leader's; where it doesn't (`fits` false), where to try again."""
+    """The answer to `AppendEntries` and `InstallSnapshot`.
+
+    Attributes:
+        term: The follower's term.
+        success: Whether the follower's log agrees with the leader's up to `index`.
+        index: Up to where the logs agree; without success, the index after which the leader is to try again.
+        disk_id: The name of the follower's disk.
+        incarnation: The follower's start.
+        is_disk_trusted: Whether the disk is known to hold all that the follower ever acknowledged.
+    """
 
     term: int
-    fits: bool
+    success: bool
     index: int
-    ident: str
-    start: str
-    counts: bool  # whether its disk is known to hold all that it ever acknowledged
+    disk_id: str
+    incarnation: str
+    is_disk_trusted: bool
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
-    """The state up to an entry that the leader has no more."""
+    """The state up to an entry that the leader's log holds no more."""
 
     term: int
-    index: int
-    index_term: int
-    voters: dict[str, str]
+    last_included_index: int
+    last_included_term: int
+    voter_disks: dict[str, str]
     state: bytes
 
 
-class Propose(msgspec.Struct, frozen=True, array_like=True, tag="propose"):
-    """For the leader: an entry of another node."""
+class ProposalRequest(msgspec.Struct, frozen=True, array_like=True, tag="propose"):
+    """A command that another node forwards to the leader."""
 
-    request: str
+    request_id: str
     data: bytes
 
 
 class ProposalResult(msgspec.Struct, frozen=True, array_like=True, tag="decided"):
-    """What became of a proposal; none: nothing that this node knows of, it may be asked for again."""
+    """The state machine's answer to a proposal.
+
+    `result` is None where the outcome is not known: the proposal may have been lost, or may be committed yet.
+    """
 
-    request: str
+    request_id: str
     result: bytes | None
 
 
@@ -120,50 +152,6 @@
     | AppendEntries
     | AppendEntriesResponse
     | InstallSnapshot
-    | Propose
+    | ProposalRequest
     | ProposalResult
 )
-
-
-class HardState(msgspec.Struct, frozen=True):
-    """What must never be forgotten: the term, the vote in it, the disk's name and those of the founders.
-
-    `sure`: the entry of the last admission that is known to be committed; a voter that was admitted, and
-    nobody knows of any more, could not be counted. `doubt`: the disk may be an older copy. `floor`: the
-    furthest log that the others told of when the doubt ended; a log that ends before gets no vote.
-    """
-
-    term: int = 0
-    vote: str = ""
-    ident: str = ""
-    founders: dict[str, str] = {}
-    sure: int = 0
-    doubt: bool = False
-    floor: Place = (0, 0)
-
-
-class Snapshot(msgspec.Struct, frozen=True):
-    """The state after an entry, in place of all entries up to it."""
-
-    index: int = 0
-    term: int = 0
-    voters: dict[str, str] = {}
-    state: bytes = b""
-
-
-class PersistentState(msgspec.Struct, frozen=True):
-    """All that a disk holds; `entries` begin behind the snapshot."""
-
-    hard: HardState = HardState()
-    snapshot: Snapshot = Snapshot()
-    entries: tuple[Entry, ...] = ()
-
-
-class LogSuffix(msgspec.Struct, frozen=True):
-    """Entries to write from an index on; whatever was there from it on is void."""
-
-    index: int
-    entries: tuple[Entry, ...]
-
-
-Write = HardState | Snapshot | LogSuffix
--- a/tansyladder/resumption/replay_buffer.py
+++ b/tansyladder/resumption/replay_buffer.py
@@ -1,4 +1,4 @@
-"""Counted lines of one direction that went out and are not acknowledged, within bounds on their bytes."""
+"""Lines of one direction that were sent and are not acknowledged yet, within bounds on their bytes."""
 
 from __future__ import annotations
 
@@ -7,103 +7,120 @@
 from collections.abc import Iterable
 
 from tansyladder.invariants import check_invariant
+from tansyladder.resumption.errors import PositionError, PositionMismatch
 
-LINE_COST = 64  # bytes that a kept line takes beside its text: its object's head and its place in the queue
-
-
-class PositionError(Exception):
-    """A position that this window can't serve: `ahead` of what there is, or `behind` what is kept."""
-
-    def __init__(self, why: str) -> None:
-        super().__init__(why)
-        self.why = why
+LINE_OVERHEAD_BYTES = 64  # of a buffered line beside its text: the object's header and its place in the queue
 
 
 class MemoryBudget:
-    """Bytes that all windows of a node may keep together; safe to share between threads."""
+    """Bytes that all replay buffers of a node may use together. Thread-safe."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self._used = 0
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self._used_bytes = 0
         self._lock = threading.Lock()
 
     @property
-    def used(self) -> int:
-        return self._used
+    def used_bytes(self) -> int:
+        """Bytes that are reserved now."""
+        return self._used_bytes
 
-    def take(self, size: int) -> bool:
-        """Reserve bytes; False, and nothing reserved, where they would go over the bound."""
+    def reserve(self, size_bytes: int) -> bool:
+        """Reserve bytes; False, and nothing is reserved, where that would exceed the limit."""
         with self._lock:
-            if self._used + size > self.most:
+            if self._used_bytes + size_bytes > self.limit_bytes:
                 return False
-            self._used += size
+            self._used_bytes += size_bytes
             return True
 
-    def give(self, size: int) -> None:
-        """Give reserved bytes back."""
+    def release(self, size_bytes: int) -> None:
+        """Return reserved bytes."""
         with self._lock:
-            self._used -= size
-            check_invariant(self._used >= 0, "resume_budget")
+            self._used_bytes -= size_bytes
+            check_invariant(self._used_bytes >= 0, "resume_budget")
 
 
 class ReplayBuffer:
-    """Lines `base + 1` to `end`; counting goes on when keeping had to end."""
-
-    __slots__ = ("_budget", "_lines", "_most", "_size", "base", "end", "kept")
-
-    def __init__(self, budget: MemoryBudget, most: int) -> None:
-        self._budget, self._most = budget, most
+    """The lines after `acknowledged_position` up to `end_position`, counted from 1.
+
+    Once a limit is exceeded no line is buffered any more, and positions are still counted. Owned by the
+    session's thread.
+    """
+
+    __slots__ = (
+        "_budget",
+        "_limit_bytes",
+        "_lines",
+        "_size_bytes",
+        "acknowledged_position",
+        "can_replay",
+        "end_position",
+    )
+
+    def __init__(self, budget: MemoryBudget, limit_bytes: int) -> None:
+        """`limit_bytes`: of this buffer; `budget`: shared with the other buffers of the node."""
+        self._budget = budget
+        self._limit_bytes = limit_bytes
         self._lines: deque[bytes] = deque()
-        self._size = 0
-        self.base = self.end = 0
-        self.kept = True  # whether all after `base` can still be said again
+        self._size_bytes = 0
+        self.acknowledged_position = 0
+        self.end_position = 0
+        self.can_replay = True  # whether all lines after `acknowledged_position` are buffered
 
     @property
-    def size(self) -> int:
-        """Bytes kept, with what each line costs beside its text."""
-        return self._size
-
-    def add(self, line: bytes) -> None:
-        """Count a whole line and keep it; where it doesn't fit, nothing is kept from now on."""
-        self.end += 1
-        if not self.kept:
+    def size_bytes(self) -> int:
+        """Bytes of the buffered lines, with LINE_OVERHEAD_BYTES for each."""
+        return self._size_bytes
+
+    def append(self, line: bytes) -> None:
+        """Count a complete line and buffer it; where it exceeds a limit, all buffered lines are discarded."""
+        self.end_position += 1
+        if not self.can_replay:
             return
-        cost = len(line) + LINE_COST
-        if self._size + cost > self._most or not self._budget.take(cost):
-            self.stop()
+        cost_bytes = len(line) + LINE_OVERHEAD_BYTES
+        if self._size_bytes + cost_bytes > self._limit_bytes or not self._budget.reserve(cost_bytes):
+            self.discard()
             return
-        self._size += cost
+        self._size_bytes += cost_bytes
         self._lines.append(line)
 
-    def ack(self, position: int) -> None:
-        """The other end has all up to a position; an older one says nothing new. PositionError: ahead."""
-        if position > self.end:
-            raise PositionError("ahead")
-        if not self.kept:
-            self.base = max(self.base, position)
+    def acknowledge(self, position: int) -> None:
+        """Drop the lines up to a position; one that was acknowledged before changes nothing.
+
+        PositionError: the position is ahead of the newest line.
+        """
+        if position > self.end_position:
+            raise PositionError(PositionMismatch.AHEAD)
+        if not self.can_replay:
+            self.acknowledged_position = max(self.acknowledged_position, position)
             return
-        given = 0
-        while self.base < position:
-            self.base += 1
-            given += len(self._lines.popleft()) + LINE_COST
-        if given:
-            self._size -= given
-            self._budget.give(given)
-
-    def since(self, position: int) -> Iterable[bytes]:
-        """The lines after a position, oldest first. PositionError where they are not all there."""
-        if position > self.end:
-            raise PositionError("ahead")
-        if position < self.base or not self.kept:
-            raise PositionError("behind")
+        released_bytes = 0
+        while self.acknowledged_position < position:
+            self.acknowledged_position += 1
+            released_bytes += len(self._lines.popleft()) + LINE_OVERHEAD_BYTES
+        if released_bytes:
+            self._size_bytes -= released_bytes
+            self._budget.release(released_bytes)
+
+    def lines_after(self, position: int) -> Iterable[bytes]:
+        """The lines after a position, oldest first. PositionError: not all of them are buffered."""
+        if position > self.end_position:
+            raise PositionError(PositionMismatch.AHEAD)
+        if position < self.acknowledged_position or not self.can_replay:
+            raise PositionError(PositionMismatch.BEHIND)
         lines = iter(self._lines)
-        for _ in range(position - self.base):
+        for _ in range(position - self.acknowledged_position):
             next(lines)
         return lines
 
-    def stop(self) -> None:
-        """Keep nothing more and give the bytes back; counting goes on."""
-        self.kept = False
+    def restart_at(self, position: int) -> None:
+        """Continue an empty buffer from a position that the other side told."""
+        self.acknowledged_position = position
+        self.end_position = position
+
+    def discard(self) -> None:
+        """Discard the buffered lines and buffer none from now on; positions are still counted."""
+        self.can_replay = False
         self._lines.clear()
-        self._budget.give(self._size)
-        self._size = 0
+        self._budget.release(self._size_bytes)
+        self._size_bytes = 0
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -18,30 +18,35 @@
 import numpy
 
 from tansyladder.invariants import check_invariant
-from tansyladder.raft.messages import Message, Propose
-from tansyladder.raft.node import RaftNode, Role
-from tansyladder.replication.documents import (
-    MS,
+from tansyladder.raft.messages import Message, ProposalRequest
+from tansyladder.raft.node import STANDARD_COMPONENTS, RaftComponents
+from tansyladder.raft.node_state import Role
+from tansyladder.replication.document_messages import (
+    ChangeOutcome,
     ChangeResult,
-    Documents,
-    DocumentsSnapshot,
-    Entry,
-    LeaseCoordinator,
-    LeaseHolder,
+    DocumentCommand,
     LeaseRenewal,
     Proposal,
-    S,
     ValidationVote,
 )
+from tansyladder.replication.documents import Documents, DocumentsSnapshot
+from tansyladder.replication.lease_coordinator import LeaseCoordinator
+from tansyladder.replication.lease_holder import LeaseHolder
+from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.simulation.raft_cluster import FaultRates, SimulatedCluster, SimulatedNode, SumStateMachine
 
 NAME = "rules"
-DECIDES = 15 * MS  # between two clients of a node
-AGAIN = 150 * MS  # after which what was proposed, and is not in the log, is proposed again
-HERE = 1 * S  # between two words of a node that it is there
-TICK = 20 * MS  # between two looks of a leader at the change that is under way
-FETCH = (5 * MS, 800 * MS)  # until a node has a document's content, and has checked it
-LIVE = 60 * S  # after the last fault by when a change must go through: a lease, and arming again in between
+DECIDES = 15 * MILLISECOND_US  # between two clients of a node
+AGAIN = 150 * MILLISECOND_US  # after which what was proposed, and is not in the log, is proposed again
+HERE = 1 * SECOND_US  # between two words of a node that it is there
+TICK = 20 * MILLISECOND_US  # between two looks of a leader at the change that is under way
+FETCH = (
+    5 * MILLISECOND_US,
+    800 * MILLISECOND_US,
+)  # until a node has a document's content, and has checked it
+LIVE = (
+    60 * SECOND_US
+)  # after the last fault by when a change must go through: a lease, and arming again in between
 
 
 class DocumentStateMachine(SumStateMachine):
@@ -54,17 +59,17 @@
     def apply(self, data: bytes) -> bytes:
         super().apply(data)
         try:
-            told = msgspec.msgpack.decode(data, type=Entry)
+            told = msgspec.msgpack.decode(data, type=DocumentCommand)
         except msgspec.MsgspecError:
             return b""  # the fleet's other load
         return msgspec.msgpack.encode(self.documents.apply(told))
 
-    def dump(self) -> bytes:
-        return msgspec.msgpack.encode((self.came, self.documents.dump()))
+    def snapshot(self) -> bytes:
+        return msgspec.msgpack.encode((self.came, self.documents.snapshot()))
 
-    def load(self, dumped: bytes) -> None:
+    def restore(self, dumped: bytes) -> None:
         self.came, kept = msgspec.msgpack.decode(dumped, type=tuple[list[bytes], DocumentsSnapshot])
-        self.documents.load(kept)
+        self.documents.restore(kept)
 
 
 @dataclass
@@ -98,13 +103,13 @@
         voters: int = 3,
         learners: int = 2,
         faults: FaultRates | None = None,
-        make: Callable[..., RaftNode] = RaftNode,
+        components: RaftComponents = STANDARD_COMPONENTS,
         documents: Callable[[Sequence[str]], Documents] = Documents,
         follower: Callable[[str, Documents], LeaseHolder] = LeaseHolder,
         steward: type[LeaseCoordinator] = LeaseCoordinator,
-        skew: int = 25 * MS,
+        skew: int = 25 * MILLISECOND_US,
         bad: float = 0.15,
-        stops_every: int = 4 * S,
+        stops_every: int = 4 * SECOND_US,
     ) -> None:
         """`skew`: of a clock, either way; `bad`: documents with a fault that some node finds."""
         self.seats: dict[str, DocumentNode] = {}
@@ -122,7 +127,7 @@
         )  # by node: numbers whose content is on its disk
         self.skews: dict[str, int] = {}
         self.skew = skew
-        super().__init__(seed, voters, learners, faults, make)
+        super().__init__(seed, voters, learners, faults, components)
         self.counts |= {"stops": 0, "decisions": 0}
         for name in self.names:
             self.at(int(self._load.integers(DECIDES)), partial(self._decide, name))
@@ -132,7 +137,7 @@
     def _clock(self, name: str) -> int:
         if name not in self.skews:
             self.skews[name] = int(self._net.integers(-self.skew, self.skew + 1))
-        return self.now + self.skews[name] + 100 * S
+        return self.now + self.skews[name] + 100 * SECOND_US
 
     def _new_state(self) -> SumStateMachine:
         return DocumentStateMachine(self.voters, self._documents)
@@ -162,12 +167,12 @@
             return
         if name not in self._stopped:
             for other in self.names:
-                self._send(name, other, LeaseRenewal(self.seats[name].follower.me))
+                self._send(name, other, LeaseRenewal(self.seats[name].follower.incarnation))
         self.at(self.now + HERE, partial(self._say_here, name, start))
 
     def _send(self, name: str, to: str, here: LeaseRenewal) -> None:
         if to == name:
-            self.seats[name].steward.hear(here.start, self._clock(name))
+            self.seats[name].steward.record_renewal(here.incarnation, self._clock(name))
         elif self._net.random() >= self.faults.loss:
             self.at(
                 self.now + int(self._net.integers(*self.faults.delay)), partial(self._heard, name, to, here)
@@ -175,7 +180,7 @@
 
     def _heard(self, sender: str, to: str, here: LeaseRenewal) -> None:
         if (sender, to) not in self._cuts and to not in self._stopped and self.nodes[to].core is not None:
-            self.seats[to].steward.hear(here.start, self._clock(to))
+            self.seats[to].steward.record_renewal(here.incarnation, self._clock(to))
 
     def _arrive(self, sender: str, to: str, message: Message) -> None:
         if to in self._stopped:
@@ -195,42 +200,48 @@
             self._stopped[node.name] += received
             return
         if node.core is not None and node.name in self.seats:
-            node.core.eager = self.seats[node.name].steward.urgent(self._clock(node.name))
+            node.core.announces_commits_at_once = self.seats[node.name].steward.is_urgent(
+                self._clock(node.name)
+            )
         super()._step(node, *received)
         if node.core is not None and node.name in self.seats:
             self._arm(node)
 
     def _arm(self, node: SimulatedNode) -> None:
         """At once after entries: a lease is cut before anything else is said."""
-        told = self.seats[node.name].follower.arm(self._clock(node.name))
+        told = self.seats[node.name].follower.prepare(self._clock(node.name))
         if told is not None:
             self._say(node, told, f"armed {told.number} {told.round}")
 
-    def _say(self, node: SimulatedNode, entry: Entry, key: str) -> None:
+    def _say(self, node: SimulatedNode, entry: DocumentCommand, key: str) -> None:
         """Propose an entry of the node's own; once more where it is not in the log after a while."""
         seat = self.seats[node.name]
         if self.now - seat.said.get(key, -AGAIN) >= AGAIN:
             seat.said[key] = self.now
-            request = f"{seat.follower.me}:{key}:{self.now}"
+            request = f"{seat.follower.incarnation}:{key}:{self.now}"
             data = msgspec.msgpack.encode(entry)
             self.at(self.now, partial(self._propose_entry, node, node.start, request, data))
 
     def _propose_entry(self, node: SimulatedNode, start: int, request: str, data: bytes) -> None:
         if node.start == start:
-            self._step(node, (node.name, Propose(request, data)))
+            self._step(node, (node.name, ProposalRequest(request, data)))
 
     def _look(self, node: SimulatedNode) -> None:
         core, seat, clock = node.core, self.seats[node.name], self._clock(node.name)
         assert core is not None
-        change = seat.follower.check()
+        change = seat.follower.change_to_validate()
         if change is not None:
-            self.found.setdefault(change.number, change.ask)
+            self.found.setdefault(change.number, change.idempotency_key)
             if change.number not in seat.fetched:
                 seat.fetched[change.number] = "?"
                 after = self.now + int(self._net.integers(*FETCH))
-                self.at(after, partial(self._fetched, node, node.start, change.number, change.ask))
+                self.at(
+                    after, partial(self._fetched, node, node.start, change.number, change.idempotency_key)
+                )
             elif seat.fetched[change.number] != "?":
-                verdict = ValidationVote(change.number, seat.follower.me, clock, seat.fetched[change.number])
+                verdict = ValidationVote(
+                    change.number, seat.follower.incarnation, clock, seat.fetched[change.number]
+                )
                 self._say(node, verdict, f"verdict {change.number}")
         for version in seat.documents.versions(NAME)[-1:]:  # one that it was not there for
             if version.number not in self._contents[node.name] and version.number not in seat.fetched:
@@ -238,14 +249,14 @@
                 after = self.now + int(self._net.integers(*FETCH))
                 self.at(after, partial(self._brought, node, node.start, version.number))
         self._arm(node)
-        for ask, ruled in seat.documents.ends.items():
+        for ask, ruled in seat.documents.results.items():
             first = self.ends.setdefault(ask, ruled)
             check_invariant(first == ruled, "two_ends_of_a_change")
         if core.role is Role.LEADER:
-            for entry in seat.steward.step(clock):
+            for entry in seat.steward.next_commands(clock):
                 self._say(node, entry, type(entry).__name__)
         else:
-            seat.steward.rest()
+            seat.steward.reset()
 
     def _fetched(self, node: SimulatedNode, start: int, number: int, ask: str) -> None:
         if node.start == start and node.core is not None:
@@ -268,8 +279,8 @@
     def _serve(self, name: str) -> None:
         seat, clock = self.seats[name], self._clock(name)
         self.counts["decisions"] += 1
-        version = seat.follower.version(NAME, clock)
-        if seat.follower.may_decide(clock) and (version is None or version.number in self._contents[name]):
+        version = seat.documents.version_at(NAME, clock)
+        if seat.follower.has_lease(clock) and (version is None or version.number in self._contents[name]):
             self.decided.append(Decision(self.now, name, version.number if version else 0, clock))
         else:
             self.turned_away.append((self.now, name))
@@ -289,7 +300,9 @@
             return
         node = self.nodes[name]
         if node.core is not None and name not in self._stopped:
-            offer = Proposal(NAME, ask.encode(), 100, ask, self.seats[name].follower.me, self._clock(name))
+            offer = Proposal(
+                NAME, ask.encode(), 100, ask, self.seats[name].follower.incarnation, self._clock(name)
+            )
             self._say(node, offer, f"offer {ask}")
         self.at(self.now + 2 * AGAIN, partial(self._ask, name, ask, until))
 
@@ -316,18 +329,20 @@
 
     def trouble(self, seconds: float) -> None:
         """Faults, changes and clients for so long."""
-        end = self.now + int(seconds * S)
+        end = self.now + int(seconds * SECOND_US)
 
         def one(draw: numpy.random.Generator) -> str:
             return self.names[draw.integers(len(self.names))]
 
         def length() -> int:
-            return int(self._fate.integers(S // 5, 12 * S))
+            return int(self._fate.integers(SECOND_US // 5, 12 * SECOND_US))
 
         if self._stops_every:
             self._plan(self._stops_every, end, lambda: self.stop(one(self._fate), length()))
-        self._plan(3 * S, end, lambda: self.offer(one(self._load), bool(self._load.random() >= self._bad)))
-        self.storm(seconds, 500 * MS)
+        self._plan(
+            3 * SECOND_US, end, lambda: self.offer(one(self._load), bool(self._load.random() >= self._bad))
+        )
+        self.storm(seconds, 500 * MILLISECOND_US)
 
     def settle(self) -> None:
         """Faults over, all up: a change goes through everywhere in time."""
@@ -336,15 +351,17 @@
         for name in self.names:
             if self.nodes[name].core is None:
                 self._up(name)
-        self.run(self.now + 13 * S)  # the last of the stops has ended
+        self.run(self.now + 13 * SECOND_US)  # the last of the stops has ended
         self.quiet_from = self.now
         until = self.now + 2 * LIVE
         last = ""
-        while self.now < until and not (last and self.ends.get(last, ChangeResult("")).word == "done"):
+        while self.now < until and not (
+            last and self.ends.get(last, ChangeResult(ChangeOutcome.UNKNOWN)).outcome == ChangeOutcome.DONE
+        ):
             if not last or last in self.ends:
                 last = self.offer(self.names[0])
-            self.run(self.now + S)
-        self.run(self.now + 3 * S)
+            self.run(self.now + SECOND_US)
+        self.run(self.now + 3 * SECOND_US)
         self.last = last
 
 
@@ -369,19 +386,19 @@
     asks = {number: fleet.ends.get(ask) for number, ask in fleet.found.items()}
     for number in sorted(used - {0}):
         ended = asks.get(number)
-        if ended is None or ended.word != "done":
+        if ended is None or ended.outcome != ChangeOutcome.DONE:
             out.append(f"number {number} is decided under and ended {ended}")
     out += [f"number {number} holds after a no" for number in sorted(used & fleet.no_to)]
-    if fleet.ends.get(fleet.last, ChangeResult("")).word != "done":
+    if fleet.ends.get(fleet.last, ChangeResult(ChangeOutcome.UNKNOWN)).outcome != ChangeOutcome.DONE:
         out.append(f"no change goes through: {fleet.last} {fleet.ends.get(fleet.last)}")
     else:
         now_under = {name: 0 for name in fleet.names}
         for decision in fleet.decided:
-            if decision.at > fleet.now - S:
+            if decision.at > fleet.now - SECOND_US:
                 now_under[decision.node] = decision.number
         if len(set(now_under.values())) > 1:
             out.append(f"at the end nodes follow {now_under}")
-        late = [at for at, _ in fleet.turned_away if at > fleet.now - 2 * S]
+        late = [at for at, _ in fleet.turned_away if at > fleet.now - 2 * SECOND_US]
         if late:
             out.append(f"{len(late)} clients turned away with nothing wrong")
     return out
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -5,6 +5,7 @@
 import contextlib
 import math
 import random
+import threading
 from collections import Counter
 from datetime import timedelta
 from itertools import pairwise
@@ -13,7 +14,7 @@
 
 import pytest
 
-from tansyladder.config.platform import call_pace
+from tansyladder.config.platform import discovery_call_interval
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.http import HttpClient
 from tansyladder.node import discovery_client
@@ -25,14 +26,17 @@
     ListUpdateKind,
 )
 from tansyladder.policy.slow_start import CONNECTIONS_PER_WEIGHT, PERMIT_ROTATION_SIZE
-from tests.node.harness import SETTINGS, node
+from tests.node.harness import SETTINGS, running_node
 from tests.policy.harness import MS, START, Node, S, line
 
 
 def watches(seed: int, nodes: int, span: int) -> list[int]:
     """The moments (us) at which one of so many nodes calls a discovery that fails each call."""
     asking = Node(
-        [line(1)], seed, polls_discovery=True, discovery_call_interval_us=call_pace(nodes) // MICROSECOND
+        [line(1)],
+        seed,
+        polls_discovery=True,
+        discovery_call_interval_us=discovery_call_interval(nodes) // MICROSECOND,
     )
     calls: list[int] = []
     while asking.now < START + span and (acts := asking.step(60 * S)):
@@ -54,7 +58,10 @@
     for at in each:  # a call that hangs, and the one after it, must both be over within the 6 s
         gaps = [later - earlier for earlier, later in pairwise(at)]
         assert (
-            max(gaps) + (discovery_client.AFTER_FAILURE + 2 * discovery_client.SILENT) // MICROSECOND <= 6 * S
+            max(gaps)
+            + (discovery_client.POLL_TIMEOUT_AFTER_FAILURE + 2 * discovery_client.ANSWER_MARGIN)
+            // MICROSECOND
+            <= 6 * S
         )
         assert sum(gaps) / len(gaps) > 1.7 * S
     for start in range(5, 50, 5):  # in step with nobody
@@ -70,7 +77,10 @@
         for seed in range(40)
         for asking in [
             Node(
-                [line(1)], seed, polls_discovery=True, discovery_call_interval_us=call_pace(40) // MICROSECOND
+                [line(1)],
+                seed,
+                polls_discovery=True,
+                discovery_call_interval_us=discovery_call_interval(40) // MICROSECOND,
             )
         ]
         if asking.step()
@@ -177,9 +187,9 @@
 
 
 def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
-    with node(tmp_path) as n:
-        n.core.watch()
-        discovery_client.DiscoveryClient(n.core)._rest(timedelta(hours=1))
+    with running_node(tmp_path) as n:
+        n.runner.request_discovery_poll()
+        discovery_client.DiscoveryClient(n.runner)._wait_for_request(timedelta(hours=1))
 
 
 @pytest.mark.parametrize("nodes", [3, 40, 10**9])
@@ -194,23 +204,27 @@
     paused: list[timedelta] = []
 
     def get(self: object, path: str, connect: timedelta, wait: timedelta) -> bytes:
+        if threading.current_thread() is not threading.main_thread():
+            raise OSError("a discovery thread of an earlier test's node")
         asked.append(path)
         return b'{"revision":8,"complete":false,"members":[%s]}' % (
             b'{"id":"s1","host_port":"127.0.0.1:9","phase":"up"}' if len(asked) == 1 else b""
         )
 
     monkeypatch.setattr(HttpClient, "get", get)
-    monkeypatch.setattr(discovery_client.DiscoveryClient, "_rest", lambda _, span: paused.append(span))
+    monkeypatch.setattr(
+        discovery_client.DiscoveryClient, "_wait_for_request", lambda _, span: paused.append(span)
+    )
     monkeypatch.setattr(random, "uniform", lambda low, high: high)
     told: dict[str, Any] = SETTINGS | {"balancers": nodes}
     known = {"revision": 7, "members": [{"id": "s0", "host_port": "127.0.0.1:9", "phase": "up"}]}
-    with node(tmp_path, settings=told, known=known) as n, contextlib.suppress(IndexError):
-        watch = discovery_client.DiscoveryClient(n.core)
-        assert watch._call()
-        assert watch._call()
+    with running_node(tmp_path, settings=told, known=known) as n, contextlib.suppress(IndexError):
+        watch = discovery_client.DiscoveryClient(n.runner)
+        assert watch._poll_once()
+        assert watch._poll_once()
     assert asked[0] == "/v1/servers?since=7&timeout_ms=4500"  # what changed since the list that it knows
     assert (
-        timedelta(seconds=5.5) > discovery_client.WAIT + discovery_client.SILENT
+        timedelta(seconds=5.5) > discovery_client.POLL_TIMEOUT + discovery_client.ANSWER_MARGIN
     )  # the rest is for the call in its place
-    assert paused == ([discovery_client.FOLLOW] if nodes > 6 else [])
-    assert timedelta(0) < discovery_client.FOLLOW < timedelta(milliseconds=200)
+    assert paused == ([discovery_client.POLL_AGAIN_SPREAD] if nodes > 6 else [])
+    assert timedelta(0) < discovery_client.POLL_AGAIN_SPREAD < timedelta(milliseconds=200)
