--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -8,6 +8,7 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net import sockets
 from tansyladder.net.action_queue import ResumingClient
+from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import Opening
 from tansyladder.node.metrics import Metrics, RequestOutcome
@@ -15,7 +16,6 @@
 from tansyladder.resumption.errors import PositionError
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd
-from tansyladder.sessions.buffered_socket import BufferedSocket
 from tansyladder.sessions.errors import SessionEndedError, SuspendReason
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -10,6 +10,7 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue
+from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.clock import now
 from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
 from tansyladder.node.policy_runner import PolicyRunner
@@ -17,7 +18,6 @@
 from tansyladder.resumption.errors import ControlMessageError, PositionError
 from tansyladder.resumption.stream import Stream, StreamOutput, StreamSignal
 from tansyladder.resumption.token_registry import SessionEnd
-from tansyladder.sessions.buffered_socket import BufferedSocket
 from tansyladder.sessions.client_connection import ClientConnection
 from tansyladder.sessions.errors import (
     SessionEndedError,
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -6,6 +6,7 @@
 from datetime import timedelta
 
 from tansyladder.log import LogEvent, log
+from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection
 from tansyladder.node.attempt_loop import AttemptLoop, build_request
@@ -13,7 +14,6 @@
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Reject
 from tansyladder.resumption.errors import PositionError
-from tansyladder.sessions.buffered_socket import BufferedSocket
 from tansyladder.sessions.session_registry import SessionRegistry
 
 MAX_LOGGED_LINE = 80  # characters of a stream host's UP line
