--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -168,6 +168,10 @@
     longest_deadline: timedelta
     written_values: Mapping[str, str]  # what the file says, by the paths of its keys
 
+    def tenant_number(self, name: str) -> int:
+        """The number of a tenant; 0 where the settings have none of that name."""
+        return self.tenants.index(name) if name in self.tenants else 0
+
 
 def absent_features(config: Config) -> list[str]:
     """What the settings don't give, and is off therefore."""
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -138,7 +138,7 @@
     return RequestReceived(
         request_id,
         class_number,
-        runner.tenant_number(opening),
+        runner.config.tenant_number(opening.field_values.get(protocol.TENANT_FIELD, "")),
         runner.clock.micros(deadline),
         opening.key,
         opening.group_key,
--- /dev/null
+++ b/tansyladder/node/endpoint_registry.py
@@ -0,0 +1,138 @@
+"""The endpoint list as discovery wrote it, and the numbers under which the policy knows its endpoints."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Iterable
+from datetime import timedelta
+from typing import NamedTuple
+
+from tansyladder.config.platform import (
+    Address,
+    Config,
+    ConfigError,
+    EndpointEntry,
+    EndpointList,
+    parse_address,
+)
+from tansyladder.log import LogEvent, log
+from tansyladder.net.action_queue import Endpoint
+from tansyladder.net.clock import EPOCH, Clock, now
+from tansyladder.node.extension_points import CachedEndpointList
+from tansyladder.policy.events import EndpointState, EndpointUpdate, ListUpdateKind
+
+ENDPOINT_STATES = {
+    "up": EndpointState.READY,
+    "draining": EndpointState.DRAINING,
+    "removed": EndpointState.GONE,
+}
+REMOVED = "removed"
+MAX_STARTED_AT_MS = 10**14  # Unix time in the year 5138: an endpoint's clock beyond it is out of range
+
+
+class ValidEntry(NamedTuple):
+    """An entry of the list with its address and state parsed."""
+
+    entry: EndpointEntry
+    address: Address
+    state: EndpointState
+
+
+def parse_entry(entry: EndpointEntry) -> ValidEntry:
+    """Check an entry; ConfigError names the JSON key that can't be used."""
+    address = parse_address(entry.address, "host_port")
+    state = ENDPOINT_STATES.get(entry.state)
+    if state is None:
+        raise ConfigError(f"phase: unknown: {entry.state[:40]}")
+    if not 0 <= entry.started_at_ms < MAX_STARTED_AT_MS:
+        raise ConfigError("up_since_ms: out of range")
+    return ValidEntry(entry, address, state)
+
+
+def valid_entries(entries: Iterable[EndpointEntry]) -> list[ValidEntry]:
+    """The entries that can be used; the others are logged and left out."""
+    valid = []
+    for entry in entries:
+        try:
+            valid.append(parse_entry(entry))
+        except ConfigError as err:
+            log(LogEvent.INVALID_ENDPOINT, id=entry.id, why=err)
+    return valid
+
+
+def newest_list(
+    configured: EndpointList,
+    cached: CachedEndpointList | None,
+    handed_over: EndpointList | None,
+    clock: Clock,
+) -> EndpointList:
+    """The newest of the lists that a start may know: configured, stored, or of the process before."""
+    newest = configured
+    if cached is not None and cached.endpoints.revision > newest.revision:
+        newest = cached.endpoints
+        age = timedelta(microseconds=clock.micros(now()) - cached.saved_at_us)
+        entry_count = len(newest.endpoints)
+        log(LogEvent.CACHED_ENDPOINTS_USED, revision=newest.revision, entries=entry_count, age=age)
+    if handed_over is not None and handed_over.revision >= newest.revision:
+        newest = handed_over
+    return newest
+
+
+class EndpointRegistry:
+    """Numbers endpoints, zones and kinds in the order in which this node hears of them.
+
+    Not thread-safe: the policy runner owns it and calls it under its own lock.
+    """
+
+    def __init__(self, config: Config, clock: Clock) -> None:
+        """`clock`: translates the wall-clock times of the list."""
+        self._clock = clock
+        self._numbers: dict[str, int] = {}
+        self._zone_numbers = {name: number for number, name in enumerate(config.zones)}
+        self._kind_numbers = {name: number for number, name in enumerate(config.kinds)}
+        self._entries: dict[str, EndpointEntry] = {}
+        self.by_number: dict[int, Endpoint] = {}
+        self.revision = config.known_endpoints.revision
+
+    def find(self, endpoint_id: str) -> Endpoint | None:
+        """The endpoint with an id that was on the list once; None: this node never heard of it."""
+        number = self._numbers.get(endpoint_id)
+        return self.by_number.get(number) if number is not None else None
+
+    def apply(
+        self, listed: EndpointList, valid: Iterable[ValidEntry], kind: ListUpdateKind
+    ) -> tuple[EndpointUpdate, ...]:
+        """Take a list, or changes of it, in; returns what the policy is told of its valid entries."""
+        updates = tuple(self._update(entry, address, state) for entry, address, state in valid)
+        self.revision = listed.revision
+        if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
+            self._entries.clear()
+        for entry in listed.endpoints:
+            if entry.state == REMOVED:
+                self._entries.pop(entry.id, None)
+            else:
+                self._entries[entry.id] = entry
+        return updates
+
+    def as_list(self) -> EndpointList:
+        """The complete list as it is known."""
+        return EndpointList(self.revision, True, list(self._entries.values()))
+
+    def _update(self, entry: EndpointEntry, address: Address, state: EndpointState) -> EndpointUpdate:
+        number = self._numbers.setdefault(entry.id, len(self._numbers) + 1)
+        self.by_number[number] = Endpoint(number, entry.id, address, state)
+        started_at_us = 0
+        if entry.started_at_ms:
+            started_at = EPOCH + timedelta(milliseconds=entry.started_at_ms)
+            started_at_us = self._clock.micros(self._clock.of_wall(started_at))
+        return EndpointUpdate(
+            number,
+            self._zone_numbers.setdefault(entry.zone, len(self._zone_numbers)),
+            entry.cell,
+            self._kind_numbers.setdefault(entry.kind, len(self._kind_numbers)),
+            entry.capacity,
+            state,
+            started_at_us,
+            # Nodes number endpoints differently, so what all of them agree on is taken from the id.
+            zlib.crc32(entry.id.encode()),
+        )
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -12,7 +12,7 @@
 from tansyladder.net.action_queue import ActionQueue, Endpoint
 from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.net.handover_messages import ConnectionState
-from tansyladder.net.protocol import Opening, format_reject
+from tansyladder.net.protocol import TENANT_FIELD, Opening, format_reject
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
 from tansyladder.node.attempt_loop import AttemptLoop, ClientDisconnectedEarly, ClientSentEarly, build_request
@@ -203,7 +203,7 @@
         """The module is told of a connection that it did not place."""
         opening = self._opening
         load_hint = None if opening.load_hint is None else int(opening.load_hint)
-        tenant = self._runner.tenant_number(opening)
+        tenant = self._runner.config.tenant_number(opening.field_values.get(TENANT_FIELD, ""))
         self._runner.handle_events(
             ConnectionAdopted(
                 self._request_id, self._class_number, tenant, endpoint.number, opening.key, load_hint
