--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -131,10 +131,10 @@
     def abandon(self) -> AbandonedSession:
         """Break the connection and connect no more."""
         self._is_leaving = True
-        self.drop()
+        self.reset_connection()
         return AbandonedSession(self.session.token, self._resume_parameters(self.session.token))
 
-    def drop(self) -> None:
+    def reset_connection(self) -> None:
         """Reset the connection, as when a network is gone."""
         if self._writer is not None:
             self._writer.transport.abort()
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -103,7 +103,7 @@
                 "unread": counts.unread,
                 "totals": counts.totals,
                 "seconds": counts.seconds,
-                "standing": counts.standing,
+                "standing": counts.connections,
             },
             True,
         )
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -70,7 +70,7 @@
         return now
     host.is_draining = True
     if style == AT_ONCE:
-        host.send_away()
+        host.migrate_all()
     await topology.discovery.set_phase(Phase.DRAINING, host)
     return now
 
--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
-COUNTS_MARK = "event=counts "
-JSON_COUNTS_MARK = '"event": "counts"'
-START_MARKS = ("event=started", '"event": "started"')
+COUNTS_EVENT = "event=counts "
+JSON_COUNTS_EVENT = '"event": "counts"'
+START_EVENTS = ("event=started", '"event": "started"')
 OTHER_FIELDS = frozenset({"event", "at", "members"})  # fields of a line that are no counts
 COLUMN_NAME_LENGTH = 10  # characters of a name that a table shows, from its end
 
@@ -30,14 +30,16 @@
     unread: int = 0  # lines that are cut off or make no sense
     totals: Counter[str] = field(default_factory=Counter)
     seconds: CountsBySecond = field(default_factory=_by_second)
-    standing: CountsBySecond = field(default_factory=_by_second)  # connections, by member
-    sent: CountsBySecond = field(default_factory=_by_second)  # attempts, by member
-    failed: CountsBySecond = field(default_factory=_by_second)  # failed attempts, by member
+    connections: CountsBySecond = field(default_factory=_by_second)  # connections, by member
+    attempts: CountsBySecond = field(default_factory=_by_second)  # attempts, by member
+    failures: CountsBySecond = field(default_factory=_by_second)  # failed attempts, by member
 
     @property
     def members(self) -> list[str]:
         """The members that any second names, sorted."""
-        return sorted({m for by in (self.standing, self.sent) for counts in by.values() for m in counts})
+        return sorted(
+            {m for by in (self.connections, self.attempts) for counts in by.values() for m in counts}
+        )
 
 
 class MemberCounts(NamedTuple):
@@ -51,10 +53,10 @@
 
 def parse(line: str) -> dict[str, str] | None:
     """Return the fields of a `counts` line, whatever stands before it; None where it is another line."""
-    _, mark, rest = line.partition(COUNTS_MARK)
+    _, mark, rest = line.partition(COUNTS_EVENT)
     if mark:
         return dict(part.partition("=")[::2] for part in rest.split())
-    if JSON_COUNTS_MARK in line:
+    if JSON_COUNTS_EVENT in line:
         try:
             return {key: str(value) for key, value in json.loads(line[line.index("{") :]).items()}
         except ValueError:
@@ -86,7 +88,7 @@
     for line in lines:
         fields = parse(line)
         if fields is None:
-            if any(mark in line for mark in START_MARKS):  # the connections of its earlier process are gone
+            if any(mark in line for mark in START_EVENTS):  # the connections of its earlier process are gone
                 connections[max(connections, default=-2) + 1] = Counter()
             continue
         try:
@@ -95,8 +97,8 @@
             connections_now: Counter[str] = Counter()
             for each in _member_counts(fields["members"]):
                 connections_now[each.member] = each.connections
-                fleet.sent[second][each.member] += each.attempts
-                fleet.failed[second][each.member] += each.failures
+                fleet.attempts[second][each.member] += each.attempts
+                fleet.failures[second][each.member] += each.failures
         except (KeyError, ValueError):
             fleet.unread += 1
             continue
@@ -112,14 +114,14 @@
         now: Counter[str] = Counter()
         for second in range(min(fleet.seconds), max(fleet.seconds) + 1):
             now = of_node.get(second, now)
-            fleet.standing[second].update(now)
+            fleet.connections[second].update(now)
 
 
 def _count_from_first_second(fleet: FleetCounts) -> None:
     """Number all seconds from the first one of any node."""
     first = min(fleet.seconds)
     last = max(fleet.seconds)
-    for name in ("seconds", "standing", "sent", "failed"):
+    for name in ("seconds", "connections", "attempts", "failures"):
         by_second = getattr(fleet, name)
         setattr(fleet, name, {second - first: by_second[second] for second in range(first, last + 1)})
 
@@ -135,7 +137,7 @@
     if by_member:
         names = fleet.members
         rows = {
-            str(second): [_member_cell(fleet, second, name) for name in names] for second in fleet.standing
+            str(second): [_member_cell(fleet, second, name) for name in names] for second in fleet.connections
         }
     else:
         names = sorted(fleet.totals)
@@ -158,5 +160,5 @@
 
 
 def _member_cell(fleet: FleetCounts, second: int, member: str) -> str:
-    by_metric = (fleet.standing[second], fleet.sent[second], fleet.failed[second])
+    by_metric = (fleet.connections[second], fleet.attempts[second], fleet.failures[second])
     return "/".join(str(counts[member]) for counts in by_metric)
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -183,7 +183,7 @@
             self.addresses.append(f"{LOOPBACK}:{server.sockets[0].getsockname()[1]}")
         self.address = self.addresses[0]
 
-    def send_away(self) -> None:
+    def migrate_all(self) -> None:
         """Send MOVE to all sessions and end them at once, as a draining host does in the end."""
         for stream in list(self.streams):
             stream.send("MOVE")
--- a/tansyladder/lab/reconnect.py
+++ b/tansyladder/lab/reconnect.py
@@ -24,7 +24,7 @@
             client.watch()
         for client in dropped:
             client.up.clear()
-            client.drop()
+            client.reset_connection()
         all_back = await topology.wait_until(
             lambda: all(client.up.is_set() for client in dropped), RECONNECT_TIMEOUT
         )
--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -68,14 +68,14 @@
     assert {k: fleet.totals[k] for k in want} == want
     assert (fleet.totals["refused"], fleet.totals["probes"], fleet.totals["moves"]) == (1, 2, 2)
     assert [fleet.seconds[at]["new"] for at in range(5)] == [1, 1, 0, 0, 0]
-    assert [fleet.standing[at]["s-4"] for at in range(5)] == [1, 1, 0, 0, 0]
-    assert [fleet.standing[at]["s-5"] for at in range(5)] == [1, 2, 2, 2, 2]  # quiet seconds too
-    assert fleet.failed[0]["s-4"] == 1
+    assert [fleet.connections[at]["s-4"] for at in range(5)] == [1, 1, 0, 0, 0]
+    assert [fleet.connections[at]["s-5"] for at in range(5)] == [1, 2, 2, 2, 2]  # quiet seconds too
+    assert fleet.failures[0]["s-4"] == 1
 
 
 def test_what_a_node_held_died_with_it() -> None:
     fleet = fleet_counts.read({"n0": lines_of(100, False) + lines_of(110, False)})
-    assert [fleet.standing[at]["s-5"] for at in (0, 3, 4, 9, 10)] == [1, 1, 0, 0, 1]
+    assert [fleet.connections[at]["s-5"] for at in (0, 3, 4, 9, 10)] == [1, 1, 0, 0, 1]
 
 
 def test_the_command_prints_both_tables(tmp_path: Path) -> None:
