--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -30,16 +30,15 @@
     unread: int = 0  # lines that are cut off or make no sense
     totals: Counter[str] = field(default_factory=Counter)
     seconds: CountsBySecond = field(default_factory=_by_second)
-    connections: CountsBySecond = field(default_factory=_by_second)  # connections, by member
-    attempts: CountsBySecond = field(default_factory=_by_second)  # attempts, by member
-    failures: CountsBySecond = field(default_factory=_by_second)  # failed attempts, by member
+    connections: CountsBySecond = field(default_factory=_by_second)  # by member
+    attempts: CountsBySecond = field(default_factory=_by_second)  # by member
+    failures: CountsBySecond = field(default_factory=_by_second)  # of attempts, by member
 
     @property
     def members(self) -> list[str]:
         """The members that any second names, sorted."""
-        return sorted(
-            {m for by in (self.connections, self.attempts) for counts in by.values() for m in counts}
-        )
+        by_second = (*self.connections.values(), *self.attempts.values())
+        return sorted({member for counts in by_second for member in counts})
 
 
 class MemberCounts(NamedTuple):
@@ -53,8 +52,8 @@
 
 def parse(line: str) -> dict[str, str] | None:
     """Return the fields of a `counts` line, whatever stands before it; None where it is another line."""
-    _, mark, rest = line.partition(COUNTS_EVENT)
-    if mark:
+    _, event, rest = line.partition(COUNTS_EVENT)
+    if event:
         return dict(part.partition("=")[::2] for part in rest.split())
     if JSON_COUNTS_EVENT in line:
         try:
@@ -88,7 +87,9 @@
     for line in lines:
         fields = parse(line)
         if fields is None:
-            if any(mark in line for mark in START_EVENTS):  # the connections of its earlier process are gone
+            if any(
+                event in line for event in START_EVENTS
+            ):  # the connections of its earlier process are gone
                 connections[max(connections, default=-2) + 1] = Counter()
             continue
         try:
--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -27,8 +27,9 @@
 def lines_of(at: int, refused: bool) -> list[str]:
     """What one node writes: it takes 9 up, places 1 late at its second attempt, and 9 ends; 2 is refused."""
     figures = Metrics(["chat"])
-    counts, lines = EventCounters(settings().classes, lambda n: f"s-{n}", figures), ["event=started name=n0"]
-    story: list[tuple[int, list[Event], list[Action]]] = [
+    counts = EventCounters(settings().classes, lambda n: f"s-{n}", figures)
+    lines = ["event=started name=n0"]
+    steps: list[tuple[int, list[Event], list[Action]]] = [
         (
             at * S,
             [ConnectionAdopted(9, 0, 0, 4), RequestReceived(1, 0, 0, at * S + 2 * S)],
@@ -45,7 +46,7 @@
         ((at + 4) * S, [], []),
         ((at + 5) * S, [], []),
     ]
-    for now, events, actions in story:
+    for now, events, actions in steps:
         if fields := counts.finish_second(now):
             lines.append("7.1 " + render_line(None, "msg", {"event": "counts", **fields}))
         for event in events:
@@ -73,7 +74,7 @@
     assert fleet.failures[0]["s-4"] == 1
 
 
-def test_what_a_node_held_died_with_it() -> None:
+def test_the_connections_of_a_node_end_with_its_process() -> None:
     fleet = fleet_counts.read({"n0": lines_of(100, False) + lines_of(110, False)})
     assert [fleet.connections[at]["s-5"] for at in (0, 3, 4, 9, 10)] == [1, 1, 0, 0, 1]
 
