--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -1,7 +1,7 @@
-"""How a process joins its node's peers: at once, or when the process before it has ended.
+"""Brings a process into its node's cluster: at once, or when the process before it has ended.
 
-Two processes of one node would be two voters under one name, and the store is the earlier one's as long as it
-runs. Until this one has joined, tokens are answered BUSY.
+Two processes of one node would be two voters under one name, and the store belongs to the earlier one as long
+as it runs. Until this process has joined, clients with tokens are asked to retry (BUSY).
 """
 
 from __future__ import annotations
@@ -10,56 +10,79 @@
 
 from tansyladder.cluster.document_publisher import VALIDATORS, DocumentPublisher
 from tansyladder.cluster.document_replica import LeaseExpiryPolicy
-from tansyladder.cluster.raft_runner import RaftRunner
+from tansyladder.cluster.raft_runner import DocumentSettings, NodeStorage, RaftRunner
+from tansyladder.config.operator_settings import DocumentsOptions
 from tansyladder.config.platform import ConfigError
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.sessions.resumption_handler import ResumptionHandler
 from tansyladder.sessions.session_store import open_session_store
-from tansyladder.store import StoreError
+from tansyladder.store import Store, StoreError
 
 
-def join(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
-    """Take part in what the peers agree on. `folder`: the node's own, that outlives its process.
+def join_cluster(
+    policy_runner: PolicyRunner, resumption_handler: ResumptionHandler, state_directory: str | None
+) -> None:
+    """Join the cluster now, or in a thread of its own once the process before this one has ended.
 
-    OSError, ValueError, ConfigError: the settings don't fit. StoreError: the records can't be read. Where a
-    process before this one runs, that is known only later, and written to the log.
+    `state_directory`: the node's own, which outlives its process.
+
+    OSError, ValueError, ConfigError: the settings don't fit. StoreError: the store can't be read. In the
+    thread they are logged.
     """
-    if core.listener_handover.predecessor_gone.is_set():
-        _join(core, resuming, folder)
+    if policy_runner.listener_handover.predecessor_gone.is_set():
+        _join(policy_runner, resumption_handler, state_directory)
     else:
-        threading.Thread(target=_follow, args=(core, resuming, folder), name="join", daemon=True).start()
+        arguments = (policy_runner, resumption_handler, state_directory)
+        threading.Thread(target=_join_after_predecessor, args=arguments, name="join", daemon=True).start()
 
 
-def _follow(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
-    core.listener_handover.predecessor_gone.wait()
+def _join_after_predecessor(
+    policy_runner: PolicyRunner, resumption_handler: ResumptionHandler, state_directory: str | None
+) -> None:
+    policy_runner.listener_handover.predecessor_gone.wait()
     try:
-        _join(core, resuming, folder)
+        _join(policy_runner, resumption_handler, state_directory)
     except (OSError, ValueError, ConfigError, StoreError) as err:
         log(LogEvent.CLUSTER_JOIN_FAILED, why=err)
 
 
-def _join(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
-    store, keeping = core.options.store, None
-    if store.enabled:
-        keeping = core.endpoint_cache = open_session_store(store.directory, core.config.name)
-        if keeping is not None:
-            keeping.start()
-    told = core.options.documents
-    agreeing = RaftRunner(
-        core.config.name,
-        core.options.peers,
-        keeping.store if keeping is not None else None,
-        resuming.on_ownership_claimed,
-        lambda: core.clock.micros(now()),
-        folder,
-        VALIDATORS if told.enabled else None,
-        LeaseExpiryPolicy(told.cut_off),
-        told.lease,
+def _join(
+    policy_runner: PolicyRunner, resumption_handler: ResumptionHandler, state_directory: str | None
+) -> None:
+    store = _open_store(policy_runner)
+    documents = policy_runner.options.documents
+    raft_runner = RaftRunner(
+        policy_runner.config.name,
+        policy_runner.options.peers,
+        NodeStorage(store, state_directory),
+        resumption_handler.on_ownership_claimed,
+        lambda: policy_runner.clock.micros(now()),
+        _document_settings(documents),
     )
-    resuming.ownership_service = agreeing
-    if agreeing.document_replica is not None:
-        core.decision_permit = DocumentPublisher(agreeing, agreeing.document_replica, told.stamps)
-    agreeing.start()
-    log(LogEvent.CLUSTER_JOINED, store=keeping is not None)
+    resumption_handler.ownership_service = raft_runner
+    replica = raft_runner.document_replica
+    if replica is not None:
+        policy_runner.decision_permit = DocumentPublisher(raft_runner, replica, documents.stamps)
+    raft_runner.start()
+    log(LogEvent.CLUSTER_JOINED, store=store is not None)
+
+
+def _open_store(policy_runner: PolicyRunner) -> Store | None:
+    """Open the node's store, if it has one that can be used, and let its owner run."""
+    options = policy_runner.options.store
+    if not options.enabled:
+        return None
+    session_store = open_session_store(options.directory, policy_runner.config.name)
+    policy_runner.endpoint_cache = session_store
+    if session_store is None:
+        return None
+    session_store.start()
+    return session_store.store
+
+
+def _document_settings(options: DocumentsOptions) -> DocumentSettings | None:
+    if not options.enabled:
+        return None
+    return DocumentSettings(VALIDATORS, LeaseExpiryPolicy(options.cut_off), options.lease)
--- /dev/null
+++ b/tansyladder/cluster/pending_results.py
@@ -0,0 +1,78 @@
+"""The proposals of this node whose results threads are waiting for."""
+
+from __future__ import annotations
+
+import itertools
+import threading
+from collections.abc import Iterator
+from contextlib import contextmanager
+from datetime import timedelta
+
+from tansyladder.raft.messages import ProposalResult
+
+MAX_WAITING_PROPOSALS = 1024  # of this node; more fail at once
+
+
+class PendingResult:
+    """A place for the result of one proposal. Thread-safe."""
+
+    __slots__ = ("_is_set", "_result")
+
+    def __init__(self) -> None:
+        """Begin without a result."""
+        self._is_set = threading.Event()
+        self._result: ProposalResult | None = None
+
+    def wait(self, timeout: timedelta) -> ProposalResult | None:
+        """Return the result, or None if none has come in time or by the call of `wake_up`."""
+        self._is_set.wait(timeout.total_seconds())
+        return self._result
+
+    def resolve(self, result: ProposalResult) -> None:
+        """Set the result and wake up the waiting thread."""
+        self._result = result
+        self._is_set.set()
+
+    def wake_up(self) -> None:
+        """Wake up the waiting thread without a result."""
+        self._is_set.set()
+
+
+class PendingResults:
+    """All proposals that are waited for, by request id. Thread-safe: each change is one dict operation."""
+
+    def __init__(self, incarnation: str) -> None:
+        """`incarnation`: the node and its start, which makes request ids unique in the cluster."""
+        self._incarnation = incarnation
+        self._numbers = itertools.count(1)
+        self._pending: dict[str, PendingResult] = {}
+
+    @property
+    def is_full(self) -> bool:
+        """Whether as many proposals are waited for as may be."""
+        return len(self._pending) >= MAX_WAITING_PROPOSALS
+
+    def new_request_id(self) -> str:
+        """Return an id that no other proposal has."""
+        return f"{self._incarnation}/{next(self._numbers)}"
+
+    @contextmanager
+    def expect(self, request_id: str) -> Iterator[PendingResult]:
+        """Take the result of a proposal while in the context."""
+        pending = PendingResult()
+        self._pending[request_id] = pending
+        try:
+            yield pending
+        finally:
+            self._pending.pop(request_id, None)
+
+    def resolve(self, result: ProposalResult) -> None:
+        """Hand a result to the thread that waits for it, if there is one."""
+        pending = self._pending.pop(result.request_id, None)
+        if pending is not None:
+            pending.resolve(result)
+
+    def wake_up_all(self) -> None:
+        """Wake up all waiting threads without results."""
+        for pending in list(self._pending.values()):
+            pending.wake_up()
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -1,15 +1,15 @@
-"""A node's part in the agreement: the thread that owns it, and who waits for answers."""
+"""Runs this node of the Raft cluster: the thread that owns it, and the calls of other threads."""
 
 from __future__ import annotations
 
-import itertools
 import os
-import queue
 import threading
 import time
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from datetime import timedelta
 from random import Random
+from typing import NamedTuple
 
 import msgspec
 
@@ -19,14 +19,16 @@
     LeaseExpiryPolicy,
     Validator,
 )
-from tansyladder.cluster.peer_transport import PeerTransport
+from tansyladder.cluster.inbox import Inbox, ReceivedMessage
+from tansyladder.cluster.peer_transport import PeerMessage, PeerTransport
+from tansyladder.cluster.pending_results import PendingResults
 from tansyladder.cluster.raft_storage import RaftStorage
 from tansyladder.cluster.rollback_detector import RollbackDetector
 from tansyladder.config.operator_settings import PeersOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
 from tansyladder.raft.effects import Effects
-from tansyladder.raft.messages import Message, ProposalRequest, ProposalResult
+from tansyladder.raft.messages import ProposalRequest
 from tansyladder.raft.node import RaftNode
 from tansyladder.raft.node_state import Membership, Role
 from tansyladder.replication.content_transfer import DocumentMessage
@@ -41,219 +43,254 @@
     ClaimConfirmation,
     ClaimResult,
     OwnershipClaim,
-    SessionOpened,
 )
 from tansyladder.store import Store
 
-INBOX = 4096  # messages that wait for the thread; more are dropped, as on a bad network
-TOGETHER = 256  # taken in at once: their writes share a sync
-WAITING = 1024  # proposals of this node without an answer; more are turned down at once
-AGAIN = timedelta(milliseconds=150)  # after which a proposal without an answer is sent once more
+PROPOSAL_RETRY_INTERVAL = timedelta(milliseconds=150)  # doubles with each attempt
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
-class _PendingProposal:
-    """A proposal of this node, and the event that its answer sets."""
+@dataclass(frozen=True, slots=True)
+class NodeStorage:
+    """Where the node keeps what must outlive its process."""
 
-    __slots__ = ("decided", "event")
+    store: Store | None  # without one, the state of Raft lasts as long as the process
+    state_directory: str | None  # for the file that shows that the store is no older copy
 
-    def __init__(self) -> None:
-        self.event = threading.Event()
-        self.decided: ProposalResult | None = None
+
+@dataclass(frozen=True, slots=True)
+class DocumentSettings:
+    """How this node takes part in agreed documents."""
+
+    validators: Mapping[str, Validator]  # by name of document
+    lease_expiry_policy: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP
+    lease_duration: timedelta = DEFAULT_LEASE_DURATION
+
+
+class RaftStatus(NamedTuple):
+    """What operators are told of a node whenever it changes."""
+
+    role: str
+    term: int
+    leader: str
+    is_voting: bool
+    stale_disk_suspected: bool
+
+    @classmethod
+    def of(cls, node: RaftNode) -> RaftStatus:
+        """Return the present status of a node."""
+        leader = node.leader or "none"
+        return cls(node.role.value, node.term, leader, node.is_voting, node.stale_disk_suspected)
+
+    def log(self) -> None:
+        """Log it under the field names that `docs/peers.md` gives."""
+        log(
+            LogEvent.RAFT_STATE,
+            role=self.role,
+            term=self.term,
+            leader=self.leader,
+            voting=self.is_voting,
+            doubt=self.stale_disk_suspected,
+        )
+
+
+def _monotonic_us() -> int:
+    return time.monotonic_ns() // 1000
+
+
+def _membership(name: str, options: PeersOptions) -> Membership:
+    voters = options.voters.split()
+    learners = [member for member in options.members if member not in voters]
+    return Membership(name, voters, learners)
+
+
+def _make_document_replica(
+    settings: DocumentSettings,
+    incarnation: str,
+    peers: list[str],
+    documents: Documents,
+    store: Store | None,
+    now_us: Callable[[], int],
+) -> DocumentReplica:
+    return DocumentReplica(
+        incarnation,
+        peers,
+        documents,
+        store,
+        settings.validators,
+        now_us,
+        settings.lease_expiry_policy,
+        settings.lease_duration,
+    )
 
 
 class RaftRunner:
-    """One node's agreement with its peers on who owns which session; safe to share between threads."""
+    """One node of the cluster that decides on session owners and documents.
+
+    Thread-safe, but for the methods whose names begin with an underscore: they are the Raft thread's own
+    unless they say otherwise.
+    """
 
     def __init__(
         self,
-        me: str,
+        name: str,
         options: PeersOptions,
-        store: Store | None,
-        taken: Callable[[int, int, str], None],
-        micros: Callable[[], int],
-        folder: str | None = None,
-        checks: Mapping[str, Validator] | None = None,
-        cut_off: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP,
-        lease: timedelta = DEFAULT_LEASE_DURATION,
+        storage: NodeStorage,
+        on_ownership_claimed: Callable[[int, int, str], None],
+        now_us: Callable[[], int],
+        documents: DocumentSettings | None = None,
     ) -> None:
-        """`taken`: told of each claim that holds: session, tenure, and whose; it must not wait.
+        """Read the state from the disk and listen for peers; `start` begins to take part.
 
-        `checks`: of agreed documents, by name; none: this fleet agrees on no documents.
+        `on_ownership_claimed`: gets the session, tenure and owner of each claim that holds, and must not
+        wait. `now_us`: Unix time in microseconds. `documents`: None where this cluster agrees on no
+        documents.
 
-        `micros`: Unix time in microseconds. `folder`: the node's own, that outlives its process, for what
-        shows that the disk is the newest.
-
-        StoreError, OSError: the records can't be read, or the peers' address can't be listened at.
+        StoreError, OSError: the state can't be read, or the peers' address can't be listened at.
         """
-        self._storage = RaftStorage(store, RollbackDetector(folder, me))
-        self.incarnation = f"{me}/{os.urandom(4).hex()}"  # the node and its start
-        self._name = me
-        self._inbox: queue.Queue[tuple[str, Message | DocumentMessage]] = queue.Queue(INBOX)
-        self._pending: dict[str, _PendingProposal] = {}
-        self._request_numbers = itertools.count(1)
-        self.is_stopped = False
-        voters = options.voters.split()
-        agreed = ReplicatedState(voters, taken)
-        others = [name for name in options.members if name not in voters]
-        kept, start = self._storage.persisted, self._monotonic_us()
-        self._node = RaftNode(Membership(me, voters, others), kept, agreed, Random(os.urandom(16)), start)
-        # After what the disk holds is loaded: content of documents that it names is looked for there.
-        peers = [name for name in options.members if name != me]
+        self._storage = RaftStorage(storage.store, RollbackDetector(storage.state_directory, name))
+        self.incarnation = f"{name}/{os.urandom(4).hex()}"  # the node and its start
+        self._name = name
+        self._inbox = Inbox()
+        self._pending_results = PendingResults(self.incarnation)
+        self._is_stopped = False
+        self._logged_status: RaftStatus | None = None
+        membership = _membership(name, options)
+        state_machine = ReplicatedState(membership.voters, on_ownership_claimed)
+        self._node = RaftNode(
+            membership, self._storage.persisted, state_machine, Random(os.urandom(16)), _monotonic_us()
+        )
         self.document_replica: DocumentReplica | None = None
-        if checks is not None:
-            self.document_replica = DocumentReplica(
-                self.incarnation, peers, agreed.documents, store, checks, micros, cut_off, lease
+        if documents is not None:
+            # After the node has loaded the state, which names the documents whose content the replica reads.
+            peers = [member for member in options.members if member != name]
+            self.document_replica = _make_document_replica(
+                documents, self.incarnation, peers, state_machine.documents, storage.store, now_us
             )
-        self.transport = PeerTransport(me, options, self._on_message, micros)
-
-    @staticmethod
-    def _monotonic_us() -> int:
-        return time.monotonic_ns() // 1000
+        self.transport = PeerTransport(name, options, self._enqueue, now_us)
 
     def start(self) -> None:
+        """Take part in the cluster."""
         self.transport.start()
         if self.document_replica is not None:
             self.document_replica.start()
-        threading.Thread(target=self._run, name="agreement", daemon=True).start()
+        threading.Thread(target=self._run, name="raft", daemon=True).start()
 
-    def _on_message(self, sender: str, message: Message | DocumentMessage) -> None:
-        try:
-            self._inbox.put_nowait((sender, message))
-        except queue.Full:
-            self.transport.counters.messages_dropped += 1
-
-    def _run(self) -> None:
-        told = ("", 0, "", False, False)
-        try:
-            while True:
-                received = self._next()
-                for_it = [
-                    (sender, told) for sender, told in received if not isinstance(told, DocumentMessage)
-                ]
-                if self.document_replica is not None:
-                    self._node.announces_commits_at_once = self.document_replica.is_urgent
-                out = self._node.handle(self._monotonic_us(), for_it)
-                self._storage.write(out.writes)  # before anything leaves
-                if self.document_replica is not None:
-                    self._hold(
-                        self.document_replica,
-                        [(s, told) for s, told in received if isinstance(told, DocumentMessage)],
-                    )
-                self._hand_out(out)
-                core = self._node
-                state = (
-                    core.role.value,
-                    core.term,
-                    core.leader or "none",
-                    core.is_voting,
-                    core.stale_disk_suspected,
-                )
-                if state != told:
-                    told = state
-                    names = ("role", "term", "leader", "voting", "doubt")
-                    log(LogEvent.RAFT_STATE, **dict(zip(names, state, strict=True)))
-        except Exception as err:  # what it has promised can't be known any more: it takes no further part
-            self.is_stopped = True
-            log(LogEvent.RAFT_STOPPED, why=repr(err))
-            for waiting in list(self._pending.values()):
-                waiting.event.set()
-
-    def _hold(self, holding: DocumentReplica, spoken: list[tuple[str, DocumentMessage]]) -> None:
-        """What documents ask for after a step; a lease is cut before anything of the step leaves."""
-        core = self._node
-        entries, messages = holding.step(core.leader, core.role is Role.LEADER)
-        for sender, told in spoken:
-            messages += holding.handle(sender, told)
-        for entry in entries:
-            step = change_step(entry)
-            if step is not None:
-                log(
-                    LogEvent.DOCUMENT_CHANGE_STEP,
-                    step=step.name,
-                    number=step.number,
-                    why=step.detail or "none",
-                )
-            self._propose_entry(entry)
-        for to, message in messages:
-            self.transport.send(to, message)
-
-    def _next(self) -> list[tuple[str, Message | DocumentMessage]]:
-        """What has come, a good part of it at once; nothing when it is time to look."""
-        left = (self._node.next_deadline - self._monotonic_us()) / 1e6
-        if self.document_replica is not None:
-            left = min(left, self.document_replica.next_step_in_us() / 1e6)
-        try:
-            received = [self._inbox.get(timeout=max(0.001, left))]
-        except queue.Empty:
-            return []
-        while len(received) < TOGETHER:
-            try:
-                received.append(self._inbox.get_nowait())
-            except queue.Empty:
-                break
-        return received
-
-    def _hand_out(self, out: Effects) -> None:
-        for to, message in out.messages:
-            self.transport.send(to, message)
-        for decided in out.results:
-            waiting = self._pending.pop(decided.request_id, None)
-            if waiting is not None:
-                waiting.decided = decided
-                waiting.event.set()
-
-    def propose(self, entry: SessionOpened) -> None:
-        """Propose an entry whose loss does no harm, and wait for nothing."""
-        self._propose_entry(entry)
-
-    def _propose_entry(self, entry: Command) -> None:
-        request = f"{self.incarnation}/{next(self._request_numbers)}"
-        self._on_message(self._name, ProposalRequest(request, msgspec.msgpack.encode(entry)))
+    def propose(self, command: Command) -> None:
+        """Propose a command whose loss does no harm, and wait for nothing."""
+        request_id = self._pending_results.new_request_id()
+        self._enqueue(self._name, ProposalRequest(request_id, msgspec.msgpack.encode(command)))
 
     def decide_ownership(
-        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+        self, command: OwnershipClaim | ClaimConfirmation, deadline: timedelta
     ) -> ClaimResult | None:
-        """What the fleet decides on an entry; none where that is not known by a moment, or nobody leads.
+        """Have the cluster decide on a session's owner.
 
-        None may have been a yes: what it was about must not be taken for granted either way.
+        None: the result was not known by the deadline, or nobody leads. It may have been a yes: what it was
+        about must not be taken for granted either way.
         """
-        result = self._decide(entry, until)
+        result = self._decide(command, deadline)
         return msgspec.msgpack.decode(result, type=ClaimResult) if result is not None else None
 
-    def publish_document(self, name: str, content: bytes, ask: str, until: timedelta) -> ChangeResult | None:
-        """Have a document changed in the whole fleet; what became of that, as far as it is known by a moment.
+    def publish_document(
+        self, name: str, content: bytes, idempotency_key: str, deadline: timedelta
+    ) -> ChangeResult | None:
+        """Change a document in the whole cluster, and return what became of that.
 
-        None may be a yes still: asked again with the same `ask` it is the same change. ValueError: this node
-        itself finds a fault in it, and has asked nobody.
+        None: it was not known by the deadline, and may be a yes still; with the same key it is the same
+        change. ValueError: this node itself finds a fault in the content, and has proposed nothing.
         """
         if self.document_replica is None:
             raise ValueError("documents: not enabled")
-        offer = self.document_replica.propose(name, content, ask)
-        result = self._decide(offer, until)
-        if result is None:
+        proposal = self.document_replica.propose(name, content, idempotency_key)
+        data = self._decide(proposal, deadline)
+        if data is None:
             return None
-        ruled = msgspec.msgpack.decode(result, type=ChangeResult)
-        return (
-            self.document_replica.wait_for_result(ask, until)
-            if ruled.outcome is ChangeOutcome.IN_PROGRESS
-            else ruled
-        )
+        result = msgspec.msgpack.decode(data, type=ChangeResult)
+        if result.outcome is ChangeOutcome.IN_PROGRESS:
+            return self.document_replica.wait_for_result(idempotency_key, deadline)
+        return result
 
-    def release_lease(self, until: timedelta) -> None:
-        """This node decides nothing any more: nobody has to wait for the end of its lease."""
+    def release_lease(self, deadline: timedelta) -> None:
+        """Decide nothing any more at this node, so that nobody has to wait for the end of its lease."""
         if self.document_replica is not None:
             self.document_replica.stop_deciding()
-            self._decide(LeaseRelease(self.incarnation, self.document_replica.now_us()), until)
-
-    def _decide(self, entry: Command, until: timedelta) -> bytes | None:
-        data, again = msgspec.msgpack.encode(entry), AGAIN
-        while not self.is_stopped and len(self._pending) < WAITING and now() < until:
-            request, waiting = f"{self.incarnation}/{next(self._request_numbers)}", _PendingProposal()
-            self._pending[request] = waiting
-            self._on_message(self._name, ProposalRequest(request, data))
-            waiting.event.wait(min(until - now(), again).total_seconds())
-            again *= 2  # a fleet that is slow must not get more of it
-            self._pending.pop(request, None)
-            if waiting.decided is not None:
-                return waiting.decided.result
+            self._decide(LeaseRelease(self.incarnation, self.document_replica.now_us()), deadline)
+
+    def _decide(self, command: Command, deadline: timedelta) -> bytes | None:
+        """Propose a command until its result is known; None: it is not known by the deadline.
+
+        Runs in the calling thread, and may propose the command more than once.
+        """
+        data = msgspec.msgpack.encode(command)
+        retry_interval = PROPOSAL_RETRY_INTERVAL
+        while not self._is_stopped and not self._pending_results.is_full and now() < deadline:
+            request_id = self._pending_results.new_request_id()
+            with self._pending_results.expect(request_id) as pending:
+                self._enqueue(self._name, ProposalRequest(request_id, data))
+                result = pending.wait(min(deadline - now(), retry_interval))
+            if result is not None:
+                return result.result
+            retry_interval *= 2  # a cluster that is slow must not get more load
         return None
+
+    def _enqueue(self, sender: str, message: PeerMessage) -> None:
+        """Hand a message to the Raft thread, from any thread."""
+        if not self._inbox.put(sender, message):
+            self.transport.counters.messages_dropped += 1
+
+    def _run(self) -> None:
+        try:
+            while True:
+                self._step(self._receive())
+        except Exception as err:  # noqa: BLE001 - what is on the disk is not known any more: it takes no more part
+            self._is_stopped = True
+            log(LogEvent.RAFT_STOPPED, why=repr(err))
+            self._pending_results.wake_up_all()
+
+    def _step(self, received: list[ReceivedMessage]) -> None:
+        raft_messages = [(sender, body) for sender, body in received if not isinstance(body, DocumentMessage)]
+        document_messages = [(sender, body) for sender, body in received if isinstance(body, DocumentMessage)]
+        replica = self.document_replica
+        if replica is not None:
+            self._node.announces_commits_at_once = replica.is_urgent
+        effects = self._node.handle(_monotonic_us(), raft_messages)
+        self._storage.write(effects.writes)  # before anything leaves
+        if replica is not None:
+            self._step_documents(replica, document_messages)
+        self._deliver(effects)
+        self._log_status()
+
+    def _receive(self) -> list[ReceivedMessage]:
+        """Wait for messages until the next step is due, and take those that have come together."""
+        wait_us = self._node.next_deadline - _monotonic_us()
+        if self.document_replica is not None:
+            wait_us = min(wait_us, self.document_replica.next_step_in_us())
+        return self._inbox.take(wait_us / MICROSECONDS_PER_SECOND)
+
+    def _step_documents(self, replica: DocumentReplica, received: list[tuple[str, DocumentMessage]]) -> None:
+        """Do what documents ask for after a step; a lease is cut before anything of the step leaves."""
+        commands, messages = replica.step(self._node.leader, self._node.role is Role.LEADER)
+        for sender, message in received:
+            messages += replica.handle(sender, message)
+        for command in commands:
+            step = change_step(command)
+            if step is not None:
+                why = step.detail or "none"
+                log(LogEvent.DOCUMENT_CHANGE_STEP, step=step.name, number=step.number, why=why)
+            self.propose(command)
+        for recipient, message in messages:
+            self.transport.send(recipient, message)
+
+    def _deliver(self, effects: Effects) -> None:
+        for recipient, message in effects.messages:
+            self.transport.send(recipient, message)
+        for result in effects.results:
+            self._pending_results.resolve(result)
+
+    def _log_status(self) -> None:
+        """Log what operators watch, whenever it changes."""
+        status = RaftStatus.of(self._node)
+        if status != self._logged_status:
+            self._logged_status = status
+            status.log()
--- a/tansyladder/cluster/rollback_detector.py
+++ b/tansyladder/cluster/rollback_detector.py
@@ -10,11 +10,11 @@
 
 from tansyladder.log import LogEvent, log
 
-WITNESS_FILE_BYTES = 128  # constant, as the file is overwritten in place
+RECORD_FILE_BYTES = 128  # constant, as the file is overwritten in place
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
-class WitnessRecord(msgspec.Struct, frozen=True, array_like=True):
+class WriteCountRecord(msgspec.Struct, frozen=True, array_like=True):
     """What the file says: the machine's boot, the disk's name, and how many writes the disk has taken."""
 
     boot_id: str
@@ -23,10 +23,10 @@
 
 
 class RollbackDetector:
-    """The witness file that a process leaves to the next one on the same machine.
+    """The record that a process leaves to the next one on the same machine.
 
     It is not synced: a loss of power that takes it is another boot, and that alone makes it worthless. So a
-    disk that was set back meets a witness that has seen more writes, or none. Owned by the thread of the
+    disk that was set back meets a record that has seen more writes, or finds none. Owned by the thread of the
     storage that it watches; the file stays open until the process ends.
     """
 
@@ -44,7 +44,7 @@
         if self._path is None or not self._boot_id:
             return False
         try:
-            seen = msgspec.msgpack.decode(self._path.read_bytes().rstrip(b" "), type=WitnessRecord)
+            seen = msgspec.msgpack.decode(self._path.read_bytes().rstrip(b" "), type=WriteCountRecord)
         except (OSError, msgspec.MsgspecError):
             return False
         is_same_disk = (seen.boot_id, seen.disk_id) == (self._boot_id, disk_id)
@@ -61,13 +61,13 @@
         """Record that a write is synced. Where the file can't be written, it is removed."""
         if self._path is None:
             return
-        data = msgspec.msgpack.encode(WitnessRecord(self._boot_id, disk_id, write_count))
+        data = msgspec.msgpack.encode(WriteCountRecord(self._boot_id, disk_id, write_count))
         try:
             if self._file_descriptor is None:
                 flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
                 self._file_descriptor = os.open(self._path, flags, 0o600)
             # In place and of one size: the system may flush a file that is truncated and written anew.
-            os.pwrite(self._file_descriptor, data.ljust(WITNESS_FILE_BYTES), 0)
+            os.pwrite(self._file_descriptor, data.ljust(RECORD_FILE_BYTES), 0)
         except OSError as err:
             log(LogEvent.DISK_WITNESS_FAILED, why=err)
             self.invalidate()
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -69,10 +69,10 @@
         print(f"event=bad_config why={name}: {err}", file=sys.stderr)
         return 2
     if chosen.peers.enabled and chosen.resume.enabled:
-        from tansyladder.cluster.bootstrap import join  # and all that only peers need
+        from tansyladder.cluster.bootstrap import join_cluster  # and all that only peers need
 
         try:
-            join(core, resuming, os.environ.get("TMPDIR"))
+            join_cluster(core, resuming, os.environ.get("TMPDIR"))
         except (OSError, ValueError, platform.ConfigError) as err:
             print(f"event=bad_settings why=peers: {err}", file=sys.stderr)
             return 2
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -52,11 +52,11 @@
 
     incarnation: str  # the node and its start
 
-    def propose(self, entry: SessionOpened) -> None:
+    def propose(self, command: SessionOpened) -> None:
         """Propose an entry whose loss does no harm, and wait for nothing."""
 
     def decide_ownership(
-        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+        self, command: OwnershipClaim | ClaimConfirmation, deadline: timedelta
     ) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment."""
 
