--- a/tansyladder/policy/settings.py
+++ b/tansyladder/policy/settings.py
@@ -115,8 +115,11 @@
     def __post_init__(self) -> None:
         if not self.classes:
             raise SettingsError("classes", "at least one is needed")
-        for i, one in enumerate(self.classes):
-            one.validate(f"classes.{i}")
+        for index, class_settings in enumerate(self.classes):
+            class_settings.validate(f"classes.{index}")
+        self._validate_ranges()
+
+    def _validate_ranges(self) -> None:
         if self.node_count < 1:
             raise SettingsError("node_count", "must be at least 1")
         for name in _NOT_NEGATIVE:
--- a/tansyladder/simulator/host.py
+++ b/tansyladder/simulator/host.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import sys
+from collections.abc import Iterable
 from typing import BinaryIO
 
 from tansyladder.policy.balancer import Balancer
@@ -10,49 +11,79 @@
 from tansyladder.simulator import wire
 
 
-def run_batch(hosts: dict[int, Balancer], now: int, count: int, body: bytes) -> bytes:
-    """Play one batch; each instance sees its own events only, in order."""
-    waiting: dict[int, list[Event]] = {}
-    parts: list[bytes] = []
-
-    def play(inst: int) -> None:
-        events = waiting.pop(inst, None)
-        if events:
-            if inst not in hosts:
-                raise wire.WireError(f"events for instance {inst}, which has not started")
-            parts.extend(wire.write_action(inst, a) for a in hosts[inst].handle(now, events))
-
-    for inst, event in wire.read_batch(count, body):
-        if isinstance(event, wire.Start):
-            play(inst)
-            hosts[inst] = Balancer(wire.read_settings(event.settings), event.seed, now)
-        elif isinstance(event, wire.Stop):
-            waiting.pop(inst, None)
-            hosts.pop(inst, None)
-        else:
-            waiting.setdefault(inst, []).append(event)
-    for inst in list(waiting):
-        play(inst)
-    return b"".join(parts)
+class InstanceHost:
+    """The instances that have started and were not killed. Owned by one thread."""
+
+    __slots__ = ("_instances",)
+
+    def __init__(self) -> None:
+        self._instances: dict[int, Balancer] = {}
+
+    def run_batch(self, now: int, records: Iterable[wire.InstanceRecord]) -> bytes:
+        """Hand each instance its events, in order, and encode what it decides.
+
+        Args:
+            now: The moment of the batch, in microseconds.
+            records: Events of any instances.
+
+        Returns:
+            The records of all actions, instance by instance.
+
+        Raises:
+            wire.WireError: An event is for an instance that has not started.
+            SettingsError: An instance starts with settings that can't be used.
+        """
+        events_by_instance: dict[int, list[Event]] = {}
+        reply: list[bytes] = []
+        for instance, event in records:
+            if isinstance(event, wire.Start):
+                # Events that came before it are for the process that ran under this number until now.
+                reply += self._decide(instance, now, events_by_instance.pop(instance, []))
+                self._instances[instance] = Balancer(wire.read_settings(event.settings), event.seed, now)
+            elif isinstance(event, wire.Stop):
+                events_by_instance.pop(instance, None)
+                self._instances.pop(instance, None)
+            else:
+                events_by_instance.setdefault(instance, []).append(event)
+        for instance, events in events_by_instance.items():
+            reply += self._decide(instance, now, events)
+        return b"".join(reply)
+
+    def _decide(self, instance: int, now: int, events: list[Event]) -> list[bytes]:
+        if not events:
+            return []
+        balancer = self._instances.get(instance)
+        if balancer is None:
+            raise wire.WireError(f"events for instance {instance}, which has not started")
+        return [wire.write_action(instance, action) for action in balancer.handle(now, events)]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    hosts: dict[int, Balancer] = {}
-    while head := source.read(wire.HEADER.size):
-        if len(head) < wire.HEADER.size:
+    """Answer batches until the input ends.
+
+    Raises:
+        wire.WireError: The input does not follow the wire.
+        SettingsError: An instance starts with settings that can't be used.
+    """
+    host = InstanceHost()
+    while header := source.read(wire.BATCH_HEADER.size):
+        if len(header) < wire.BATCH_HEADER.size:
             raise wire.WireError("the input ends within a header")
-        size, count, now = wire.HEADER.unpack(head)
+        size, count, now = wire.BATCH_HEADER.unpack(header)
         body = source.read(size)
         if len(body) < size:
             raise wire.WireError("the input ends within a batch")
-        reply = run_batch(hosts, now, count, body)
-        sink.write(wire.COUNT.pack(len(reply)) + reply)
+        reply = host.run_batch(now, wire.read_batch(count, body))
+        sink.write(wire.REPLY_HEADER.pack(len(reply)) + reply)
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input; say in one line what is wrong with it."""
+    """Serve standard input; print in one line what is wrong with it.
+
+    Returns:
+        The exit code: 0 when the input ended, 1 when it could not be used.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (wire.WireError, ValueError) as err:
--- a/tansyladder/simulator/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -1,10 +1,14 @@
-"""Codec for the simulator's wire: bytes to events, actions to bytes. No decision lives here."""
+"""Codec of the simulator's wire: bytes to events, actions to bytes. No decision is made here.
+
+A batch is a row of records. Each has a code and the length of its body, and the body begins with the number of
+the instance that it is for. All numbers are big-endian; moments and spans are in microseconds.
+"""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Callable
-from typing import NamedTuple
+from typing import Any, NamedTuple, Union
 
 from tansyladder.config.policy_settings import build_settings
 from tansyladder.policy.actions import (
@@ -48,198 +52,296 @@
     """An instance starts."""
 
     seed: int
-    settings: str
+    settings: str  # as `read_settings` takes them
 
 
 class Stop(NamedTuple):
     """An instance was killed."""
 
 
-HEADER = struct.Struct(">IIQ")
-RECORD = struct.Struct(">HI")
-LINE = struct.Struct(">QHIfBHB")
-COUNT = struct.Struct(">I")
-START = struct.Struct(">HQI")
-MEMBERS = struct.Struct(">HQBI")
-REQUEST = struct.Struct(">HQHHQBIQQ")
-OPENED = struct.Struct(">HQQQQIHHIB")
-FIRST = struct.Struct(">HQHII")
-NOTE = struct.Struct(">HQBHfI")
-OUTCOME = struct.Struct(">HQHIHIBB")
-GONE = struct.Struct(">HQ")
-TIMER = struct.Struct(">HI")
-PROBED = struct.Struct(">HHIIB")
-PEER = struct.Struct(">HIH")
+InstanceEvent = Union[Start, Stop, Event]
+
+
+class InstanceRecord(NamedTuple):
+    """An event and the instance that it is for."""
+
+    instance: int
+    event: InstanceEvent
+
+
+BATCH_HEADER = struct.Struct(">IIQ")  # length of the records, their number, the moment
+REPLY_HEADER = struct.Struct(">I")  # length of the records
+RECORD_HEADER = struct.Struct(">HI")  # code, length of the body
+RECORD_START = struct.Struct(">HIH")  # the header, and the instance that each body begins with
+
+# Bodies of events; the instance that they begin with is skipped, as `read_batch` has it already.
+START = struct.Struct(">2xQI")
+LIST_UPDATE = struct.Struct(">2xQBI")
+ENDPOINT = struct.Struct(">QHIfBHB")
+REQUEST = struct.Struct(">2xQHHQBIQQ")
+ADOPTED = struct.Struct(">2xQQQQIHHIB")
+ESTABLISHED = struct.Struct(">2xQHII")
+REPORT = struct.Struct(">2xQBHfI")
+ATTEMPT_ENDED = struct.Struct(">2xQHIHIBB")
+DISCONNECTED = struct.Struct(">2xQ")
+TIMER = struct.Struct(">2xI")
+HEALTH_CHECK = struct.Struct(">2xHIIB")
+PEER_MESSAGE = struct.Struct(">2xIH")
+STOP_LENGTH = 2
+UTILIZATION_BYTES = 4  # of each figure of a load report
+
+# Bits of the flags of requests and adopted connections.
+HAS_LOAD_HINT = 1
+IS_RETRY = 2
+IS_MIDSTREAM = 8
+IS_RECONNECT = 16
+
+LOG_CODE = 73
+PEER_MESSAGE_CODE = 72
 ALL_PEERS = 0xFFFFFFFF
-MAX_U32 = 0xFFFFFFFF
+MAX_UINT32 = 0xFFFFFFFF
+MAX_INT32 = 0x7FFFFFFF
+MAX_LOG_BYTES = 1000
 
 
-def _exact(form: struct.Struct, body: memoryview) -> tuple[int, ...]:
+def _unpack_exactly(form: struct.Struct, body: memoryview) -> tuple[Any, ...]:
     if len(body) != form.size:
         raise WireError(f"a record of {len(body)} bytes where {form.size} are due")
     return form.unpack(body)
 
 
-def _start(body: memoryview) -> tuple[int, Start]:
-    inst, seed, size = START.unpack_from(body)
+def _read_start(body: memoryview) -> Start:
+    seed, size = START.unpack_from(body)
     if len(body) != START.size + size:
         raise WireError("the settings' length does not fit the record")
-    return inst, Start(seed, bytes(body[START.size :]).decode())
+    return Start(seed, bytes(body[START.size :]).decode())
 
 
-def _members(body: memoryview) -> tuple[int, EndpointListUpdate]:
-    inst, version, kind, count = MEMBERS.unpack_from(body)
-    if len(body) != MEMBERS.size + count * LINE.size:
+def _read_list_update(body: memoryview) -> EndpointListUpdate:
+    version, kind, count = LIST_UPDATE.unpack_from(body)
+    if len(body) != LIST_UPDATE.size + count * ENDPOINT.size:
         raise WireError("the list's length does not fit the record")
-    lines = tuple(
-        EndpointUpdate(server, zone, cell, sort, weight, EndpointState(state), ready_at)
-        for ready_at, cell, server, weight, zone, sort, state in LINE.iter_unpack(body[MEMBERS.size :])
+    updates = tuple(
+        EndpointUpdate(endpoint_id, zone, cell, endpoint_kind, weight, EndpointState(state), ready_at)
+        for ready_at, cell, endpoint_id, weight, zone, endpoint_kind, state in ENDPOINT.iter_unpack(
+            body[LIST_UPDATE.size :]
+        )
     )
-    return inst, EndpointListUpdate(ListUpdateKind(kind), lines, version)
+    return EndpointListUpdate(ListUpdateKind(kind), updates, version)
 
 
-def _request(body: memoryview) -> tuple[int, RequestReceived]:
-    inst, rid, cls, tenant, deadline, flags, hint, key2, key = _exact(REQUEST, body)
-    return inst, RequestReceived(
-        rid,
-        cls,
+def _read_request(body: memoryview) -> RequestReceived:
+    request_id, class_index, tenant, deadline, flags, load_hint, group_key, key = _unpack_exactly(
+        REQUEST, body
+    )
+    return RequestReceived(
+        request_id,
+        class_index,
         tenant,
         deadline,
         key,
-        key2,
-        hint if flags & 1 else None,
-        bool(flags & 2),
-        bool(flags & 8),
-        bool(flags & 16),
+        group_key,
+        load_hint if flags & HAS_LOAD_HINT else None,
+        bool(flags & IS_RETRY),
+        bool(flags & IS_MIDSTREAM),
+        bool(flags & IS_RECONNECT),
     )
 
 
-def _opened(body: memoryview) -> tuple[int, ConnectionAdopted]:
-    inst, rid, key2, key, _deadline, server, cls, tenant, hint, flags = _exact(OPENED, body)
-    return inst, ConnectionAdopted(rid, cls, tenant, server, key, hint if flags & 1 else None, key2)
+def _read_connection_adopted(body: memoryview) -> ConnectionAdopted:
+    request_id, group_key, key, _deadline, endpoint_id, class_index, tenant, load_hint, flags = (
+        _unpack_exactly(ADOPTED, body)
+    )
+    hint = load_hint if flags & HAS_LOAD_HINT else None
+    return ConnectionAdopted(request_id, class_index, tenant, endpoint_id, key, hint, group_key)
 
 
-def _first(body: memoryview) -> tuple[int, AttemptEstablished]:
-    inst, rid, attempt, server, latency = _exact(FIRST, body)
-    return inst, AttemptEstablished(rid, attempt, server, latency)
+def _read_attempt_established(body: memoryview) -> AttemptEstablished:
+    return AttemptEstablished(*_unpack_exactly(ESTABLISHED, body))
 
 
-def _note(body: memoryview) -> tuple[int, ConnectionReport]:
-    inst, rid, kind, attempt, value, server = _exact(NOTE, body)
-    return inst, ConnectionReport(rid, kind, attempt, server, value)
+def _read_connection_report(body: memoryview) -> ConnectionReport:
+    request_id, kind, attempt, value, endpoint_id = _unpack_exactly(REPORT, body)
+    return ConnectionReport(request_id, kind, attempt, endpoint_id, value)
 
 
-def _report(body: memoryview, at: int, count: int) -> tuple[float, ...]:
-    if len(body) != at + 4 * count:
+def _read_load_report(body: memoryview, start: int, count: int) -> tuple[float, ...]:
+    if len(body) != start + UTILIZATION_BYTES * count:
         raise WireError("the report's length does not fit the record")
-    return struct.unpack_from(f">{count}f", body, at)
+    return struct.unpack_from(f">{count}f", body, start) if count else ()
 
 
-def _outcome(body: memoryview) -> tuple[int, AttemptEnded]:
-    inst, rid, attempt, server, status, latency, closed, n = OUTCOME.unpack_from(body)
-    load = _report(body, OUTCOME.size, n)
-    return inst, AttemptEnded(rid, attempt, server, AttemptStatus(status), latency, bool(closed), load)
+def _read_attempt_ended(body: memoryview) -> AttemptEnded:
+    request_id, attempt, endpoint_id, status, latency, is_closed, count = ATTEMPT_ENDED.unpack_from(body)
+    load = _read_load_report(body, ATTEMPT_ENDED.size, count)
+    return AttemptEnded(
+        request_id, attempt, endpoint_id, AttemptStatus(status), latency, bool(is_closed), load
+    )
 
 
-def _gone(body: memoryview) -> tuple[int, ClientDisconnected]:
-    inst, rid = _exact(GONE, body)
-    return inst, ClientDisconnected(rid)
+def _read_client_disconnected(body: memoryview) -> ClientDisconnected:
+    return ClientDisconnected(*_unpack_exactly(DISCONNECTED, body))
 
 
-def _timer(body: memoryview) -> tuple[int, TimerExpired]:
-    inst, token = _exact(TIMER, body)
-    return inst, TimerExpired(token)
+def _read_timer_expired(body: memoryview) -> TimerExpired:
+    return TimerExpired(*_unpack_exactly(TIMER, body))
 
 
-def _probed(body: memoryview) -> tuple[int, HealthCheckResult]:
-    inst, status, latency, server, n = PROBED.unpack_from(body)
-    return inst, HealthCheckResult(server, AttemptStatus(status), latency, _report(body, PROBED.size, n))
+def _read_health_check_result(body: memoryview) -> HealthCheckResult:
+    status, latency, endpoint_id, count = HEALTH_CHECK.unpack_from(body)
+    load = _read_load_report(body, HEALTH_CHECK.size, count)
+    return HealthCheckResult(endpoint_id, AttemptStatus(status), latency, load)
 
 
-def _peer(body: memoryview) -> tuple[int, PeerMessage]:
-    inst, sender, size = PEER.unpack_from(body)
-    if len(body) != PEER.size + size:
+def _read_peer_message(body: memoryview) -> PeerMessage:
+    sender, size = PEER_MESSAGE.unpack_from(body)
+    if len(body) != PEER_MESSAGE.size + size:
         raise WireError("the payload's length does not fit the record")
-    return inst, PeerMessage(sender, bytes(body[PEER.size :]))
+    return PeerMessage(sender, bytes(body[PEER_MESSAGE.size :]))
 
 
-def _stop(body: memoryview) -> tuple[int, Stop]:
-    if len(body) != 2:
+def _read_stop(body: memoryview) -> Stop:
+    if len(body) != STOP_LENGTH:
         raise WireError("a stop record of the wrong length")
-    return int.from_bytes(body, "big"), Stop()
-
-
-READERS: dict[int, Callable[[memoryview], tuple[int, Start | Stop | Event]]] = {
-    1: _start,
-    2: _members,
-    3: _request,
-    4: _first,
-    5: _outcome,
-    6: _gone,
-    7: _timer,
-    8: _probed,
-    9: _peer,
-    10: _stop,
-    11: _opened,
-    12: _note,
+    return Stop()
+
+
+READERS: dict[int, Callable[[memoryview], InstanceEvent]] = {  # by the code of the record
+    1: _read_start,
+    2: _read_list_update,
+    3: _read_request,
+    4: _read_attempt_established,
+    5: _read_attempt_ended,
+    6: _read_client_disconnected,
+    7: _read_timer_expired,
+    8: _read_health_check_result,
+    9: _read_peer_message,
+    10: _read_stop,
+    11: _read_connection_adopted,
+    12: _read_connection_report,
 }
 
 
-def read_batch(count: int, body: bytes) -> list[tuple[int, Start | Stop | Event]]:
-    """The records of one batch, each with its instance."""
-    out: list[tuple[int, Start | Stop | Event]] = []
-    view, at = memoryview(body), 0
+def read_batch(count: int, body: bytes) -> list[InstanceRecord]:
+    """Decode the records of one batch.
+
+    Raises:
+        WireError: The batch does not hold just so many well-formed records.
+    """
+    records: list[InstanceRecord] = []
+    view = memoryview(body)
+    position = 0
     try:
         for _ in range(count):
-            code, size = RECORD.unpack_from(view, at)
-            at += RECORD.size
-            if at + size > len(view):
+            code, size, instance = RECORD_START.unpack_from(view, position)
+            start = position + RECORD_HEADER.size
+            position = start + size
+            if position > len(view):
                 raise WireError("a record runs past the batch")
             reader = READERS.get(code)
             if reader is None:
                 raise WireError(f"unknown record code {code}")
-            out.append(reader(view[at : at + size]))
-            at += size
+            records.append(InstanceRecord(instance, reader(view[start:position])))
     except (struct.error, ValueError) as err:
         raise WireError(f"malformed record: {err}") from err
-    if at != len(view):
-        raise WireError(f"{len(view) - at} bytes are left over after the last record")
-    return out
-
-
-def _pack(code: int, form: str, *values: int) -> bytes:
-    body = struct.pack(form, *values)
-    return RECORD.pack(code, len(body)) + body
-
-
-def write_action(inst: int, action: Action) -> bytes:
-    """One action's record."""
-    match action:
-        case StartAttempt(rid, server, timeout):
-            return _pack(65, ">HQIi", inst, rid, server, max(-1, min(timeout, 0x7FFFFFFF)))
-        case Reject(rid, wait):
-            return _pack(66, ">HQI", inst, rid, max(0, min(wait, MAX_U32)))
-        case Fail(rid):
-            return _pack(67, ">HQ", inst, rid)
-        case CancelAttempt(rid, attempt):
-            return _pack(68, ">HQH", inst, rid, attempt)
-        case SetTimer(at, token):
-            return _pack(69, ">HQI", inst, at, token)
-        case CheckHealth(server):
-            return _pack(70, ">HI", inst, server)
-        case SendPeerMessage(peer, data):
-            head = struct.pack(">HIH", inst, ALL_PEERS if peer is None else peer, len(data))
-            return RECORD.pack(72, len(head) + len(data)) + head + data
-        case Log(text):
-            raw = text.encode()[:1000]
-            return RECORD.pack(73, 4 + len(raw)) + struct.pack(">HH", inst, len(raw)) + raw
-        case PollDiscovery(on):
-            return _pack(75, ">HB", inst, on)
-        case Migrate(rid):
-            return _pack(77, ">HQ", inst, rid)
-    raise WireError(f"no record for {action!r}")
+    if position != len(view):
+        raise WireError(f"{len(view) - position} bytes are left over after the last record")
+    return records
+
+
+class _ActionForm:
+    """The form of an action's record of fixed length."""
+
+    __slots__ = ("_code", "_length", "_struct")
+
+    def __init__(self, code: int, fields: str) -> None:
+        self._code = code
+        self._struct = struct.Struct(RECORD_START.format + fields)
+        self._length = self._struct.size - RECORD_HEADER.size
+
+    def pack(self, instance: int, *values: int) -> bytes:
+        """Encode the fields that come after the instance."""
+        return self._struct.pack(self._code, self._length, instance, *values)
+
+
+START_ATTEMPT = _ActionForm(65, "QIi")
+REJECT = _ActionForm(66, "QI")
+FAIL = _ActionForm(67, "Q")
+CANCEL_ATTEMPT = _ActionForm(68, "QH")
+SET_TIMER = _ActionForm(69, "QI")
+CHECK_HEALTH = _ActionForm(70, "I")
+POLL_DISCOVERY = _ActionForm(75, "B")
+MIGRATE = _ActionForm(77, "Q")
+
+
+def _write_start_attempt(instance: int, action: StartAttempt) -> bytes:
+    timeout = max(-1, min(action.timeout_us, MAX_INT32))
+    return START_ATTEMPT.pack(instance, action.request_id, action.endpoint_id, timeout)
+
+
+def _write_reject(instance: int, action: Reject) -> bytes:
+    return REJECT.pack(instance, action.request_id, max(0, min(action.retry_after_us, MAX_UINT32)))
+
+
+def _write_fail(instance: int, action: Fail) -> bytes:
+    return FAIL.pack(instance, action.request_id)
+
+
+def _write_cancel_attempt(instance: int, action: CancelAttempt) -> bytes:
+    return CANCEL_ATTEMPT.pack(instance, action.request_id, action.attempt)
+
+
+def _write_set_timer(instance: int, action: SetTimer) -> bytes:
+    return SET_TIMER.pack(instance, action.due_at_us, action.timer_id)
+
+
+def _write_check_health(instance: int, action: CheckHealth) -> bytes:
+    return CHECK_HEALTH.pack(instance, action.endpoint_id)
+
+
+def _write_poll_discovery(instance: int, action: PollDiscovery) -> bytes:
+    return POLL_DISCOVERY.pack(instance, action.is_enabled)
+
+
+def _write_migrate(instance: int, action: Migrate) -> bytes:
+    return MIGRATE.pack(instance, action.request_id)
+
+
+def _write_peer_message(instance: int, action: SendPeerMessage) -> bytes:
+    peer = ALL_PEERS if action.peer_index is None else action.peer_index
+    body = struct.pack(">HIH", instance, peer, len(action.data)) + action.data
+    return RECORD_HEADER.pack(PEER_MESSAGE_CODE, len(body)) + body
+
+
+def _write_log(instance: int, action: Log) -> bytes:
+    text = action.text.encode()[:MAX_LOG_BYTES]
+    body = struct.pack(">HH", instance, len(text)) + text
+    return RECORD_HEADER.pack(LOG_CODE, len(body)) + body
+
+
+WRITERS: dict[type, Callable[[int, Any], bytes]] = {
+    StartAttempt: _write_start_attempt,
+    Reject: _write_reject,
+    Fail: _write_fail,
+    CancelAttempt: _write_cancel_attempt,
+    SetTimer: _write_set_timer,
+    CheckHealth: _write_check_health,
+    SendPeerMessage: _write_peer_message,
+    Log: _write_log,
+    PollDiscovery: _write_poll_discovery,
+    Migrate: _write_migrate,
+}
+
+
+def write_action(instance: int, action: Action) -> bytes:
+    """Encode one action of an instance as a record."""
+    return WRITERS[type(action)](instance, action)
 
 
 def read_settings(text: str) -> Settings:
-    """Settings from path=value lines."""
+    """Build settings from lines of a path and a value, as in `classes.0.slo=300000`.
+
+    Raises:
+        SettingsError: A value is missing or can't be used.
+    """
     return build_settings(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
