--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -70,7 +70,7 @@
             if self._initial_lines:
                 self._monitor.lines_received(self._initial_lines)  # UP and BYE may come in one read
                 with contextlib.suppress(OSError):  # the first read shows a client that has left
-                    self._client.sock.sendall(b"".join(self._initial_lines))
+                    self._client.send(b"".join(self._initial_lines))
             return self._relay_until_end()
         except protocol.LineError as err:
             log(LogEvent.INVALID_LINE, where="relay", why=err)
@@ -86,9 +86,6 @@
         return self.run()
 
     def _relay_until_end(self) -> AttemptStatus:
-        # With a time-out Python waits before each call, whatever its flags say.
-        self._client.sock.settimeout(None)
-        self._upstream.sock.settimeout(None)
         while self._final_status is None and (self._client.is_open or self._upstream.is_open):
             if self._is_over():
                 break
@@ -135,8 +132,8 @@
         if self._connection.outcome is None:
             poll.register(self._handover, select.POLLIN)
         for source, destination in self._connection.directions:
-            events = select.POLLIN if source.is_open and not destination.pending else 0
-            events |= select.POLLOUT if source.pending else 0
+            events = select.POLLIN if source.is_open and not destination.unsent else 0
+            events |= select.POLLOUT if source.unsent else 0
             if events:
                 poll.register(source.descriptor, events)
         interval = OVERDUE_INTERVAL if self._response_timeout.is_waiting else IDLE_INTERVAL
@@ -145,12 +142,12 @@
     def _relay_direction(self, source: RelaySide, destination: RelaySide, ready: set[int]) -> bool:
         """Write what the source has not taken, then pass on what it sends; False: the round is over."""
         try:
-            if source.pending and source.descriptor in ready:
-                source.flush(destination.is_open)
+            if source.unsent and source.descriptor in ready:
+                source.send_from(destination)
         except OSError:
             self._end_with_reset(source)
             return False
-        if not source.is_open or destination.pending or source.descriptor not in ready:
+        if not source.is_open or destination.unsent or source.descriptor not in ready:
             return True
         try:
             data = source.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
@@ -171,11 +168,10 @@
         return self._final_status is None
 
     def _forward(self, source: RelaySide, destination: RelaySide, data: bytes) -> None:
-        lines = source.lines.feed(data)
+        lines = source.line_buffer.feed(data)
         if not lines:
             return
-        destination.set_pending(lines)
-        destination.flush(source.is_open)
+        destination.send_from(source, b"".join(lines))
         if source is self._client:
             self._response_timeout.line_sent()
         else:
@@ -185,8 +181,7 @@
         """Pass the end of a side on in kind: half a connection may go on for a moment."""
         source.is_open = False
         self._connection.record_end(source)
-        destination.pending += source.lines.partial_line
-        destination.flush(source.is_open)
+        destination.send_from(source, source.line_buffer.partial_line)
         if self._half_closed_deadline is None:
             self._half_closed_deadline = now() + HALF_CLOSED_TIMEOUT
 
@@ -200,7 +195,7 @@
         """Send the client MOVE, behind what it has not taken of a line, and close the endpoint's side."""
         self._upstream.sock.close()
         sockets.configure_stream(self._client.sock)
-        sockets.shutdown_and_drain(self._client.sock, self._client.pending + protocol.MOVE + b"\r\n")
+        sockets.shutdown_and_drain(self._client.sock, self._client.unsent + protocol.MOVE + b"\r\n")
         return status
 
     def _hand_over(self) -> bool:
--- a/tansyladder/net/relayed_connection.py
+++ b/tansyladder/net/relayed_connection.py
@@ -5,12 +5,11 @@
 
 from __future__ import annotations
 
-import contextlib
 import socket
 from collections.abc import Sequence
 
-from tansyladder.net import protocol, sockets
-from tansyladder.net.clock import now
+from tansyladder.net import protocol
+from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.delay_reports import DelayReports
 from tansyladder.net.handover_messages import BytesByDirection, ConnectionState
 from tansyladder.net.response_timeout import ResponseTimeout
@@ -20,36 +19,24 @@
 OUTCOME_BY_LAST_WORD = {protocol.BYE: AttemptStatus.OK, protocol.MOVE: AttemptStatus.CANCELLED}
 
 
-class RelaySide:
-    """One end of a relayed connection: what it sends, and what it has not taken yet."""
+class RelaySide(BufferedSocket):
+    """One end of a relayed connection: what it has sent a part of, and what it has not taken yet."""
 
-    __slots__ = ("descriptor", "is_open", "last_write_at", "lines", "pending", "sock")
+    __slots__ = ("descriptor", "is_open")
 
-    def __init__(self, sock: socket.socket, lines: protocol.LineBuffer) -> None:
-        self.sock = sock
+    def __init__(self, sock: socket.socket, line_buffer: protocol.LineBuffer) -> None:
+        super().__init__(sock, line_buffer)
         self.descriptor = sock.fileno()
-        self.lines = lines  # of which it has sent a part
         self.is_open = True  # it has not ended its half of the connection
-        self.pending = b""  # whole lines for it that it has not taken yet
-        self.last_write_at = now()  # when it last took any
 
-    def set_pending(self, lines: list[bytes]) -> None:
-        """Take lines of the other side that are to be written; there must be none that wait already."""
-        self.pending = b"".join(lines)
-        self.last_write_at = now()
-
-    def flush(self, is_other_open: bool) -> None:
-        """Write what the side takes now; once all is out, pass the end of a side that is not open on.
+    def send_from(self, other: RelaySide, data: bytes = b"") -> None:
+        """Send the other side's data as `send` does; once all is out, pass the other side's end on.
 
         Raises:
-            OSError: The side's connection broke.
+            OSError: This side's connection broke.
         """
-        if self.pending:
-            with contextlib.suppress(BlockingIOError):
-                sent = self.sock.send(self.pending, socket.MSG_DONTWAIT)
-                self.pending = self.pending[sent:]
-                self.last_write_at = now()
-        if not self.pending and not is_other_open:
+        self.send(data)
+        if not self.unsent and not other.is_open:
             self.sock.shutdown(socket.SHUT_WR)
 
 
@@ -101,12 +88,9 @@
 
     def find_stalled(self) -> RelaySide | None:
         """Return a side that has taken nothing of what waits for it within `SEND_TIMEOUT`."""
-        if not self.upstream.pending and not self.client.pending:
-            return None
-        oldest = now() - sockets.SEND_TIMEOUT
-        if not any(side.pending and side.last_write_at < oldest for side in (self.client, self.upstream)):
+        if not self.upstream.is_stalled and not self.client.is_stalled:
             return None
-        return self.upstream if self.upstream.pending else self.client
+        return self.upstream if self.upstream.unsent else self.client
 
     def export_state(self, opening: protocol.Opening, endpoint_id: str) -> ConnectionState:
         """Return what another process needs to go on with the connection."""
@@ -115,15 +99,15 @@
             endpoint_id,
             self.monitor.last_word.decode("utf-8", "replace"),
             self.monitor.response_timeout.waiting_since_us,
-            BytesByDirection(self.upstream.lines.partial_line, self.client.lines.partial_line),
-            BytesByDirection(self.client.pending, self.upstream.pending),
+            BytesByDirection(self.upstream.line_buffer.partial_line, self.client.line_buffer.partial_line),
+            BytesByDirection(self.client.unsent, self.upstream.unsent),
         )
 
     def import_state(self, state: ConnectionState) -> None:
         """Go on with what another process has passed until now."""
         self.monitor.last_word = state.last_upstream_word.encode()
-        self.upstream.lines.partial_line = state.partial_lines.to_client
-        self.client.lines.partial_line = state.partial_lines.to_upstream
-        self.client.pending = state.pending_lines.to_client
-        self.upstream.pending = state.pending_lines.to_upstream
+        self.upstream.line_buffer.partial_line = state.partial_lines.to_client
+        self.client.line_buffer.partial_line = state.partial_lines.to_upstream
+        self.client.unsent = state.pending_lines.to_client
+        self.upstream.unsent = state.pending_lines.to_upstream
         self.monitor.response_timeout.restore(state.waiting_since_us)
--- a/tansyladder/node/connection_acceptor.py
+++ b/tansyladder/node/connection_acceptor.py
@@ -11,8 +11,8 @@
 from datetime import timedelta
 
 from tansyladder.log import LogEvent, log
-from tansyladder.net import protocol
-from tansyladder.net.clock import now, seconds_left
+from tansyladder.net import protocol, sockets
+from tansyladder.net.clock import now
 from tansyladder.node.pending_connections import PendingConnection, PendingConnections, RequestAdmitter
 
 EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=20)  # between two checks of the deadlines
@@ -108,7 +108,7 @@
         with contextlib.suppress(OSError, KeyError):  # the listener was shut down
             self._poll.unregister(self._listener)
         while self._pending.count and now() < until:
-            for descriptor, _ in self._poll.poll(-(-seconds_left(until) * 1000 // 1)):
+            for descriptor in sockets.poll_until(self._poll, until):
                 if (closing := self._pending.get(descriptor)) is not None:
                     self._pending.handle_readable(closing)
         self._pending.close_all()
