--- a/tansyladder/simulator/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -1,7 +1,7 @@
 """Codec of the simulator's wire: bytes to events, actions to bytes. No decision is made here.
 
-A batch is a row of records. Each has a code and the length of its body, and the body begins with the number of
-the instance that it is for. All numbers are big-endian; moments and spans are in microseconds.
+A batch is a row of records. Each has a code and the length of its body; a body begins with the number of the
+instance that it is for. All numbers are big-endian; moments and spans are in microseconds.
 """
 
 from __future__ import annotations
