--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -38,6 +38,7 @@
     LeaseRelease,
     change_step,
 )
+from tansyladder.replication.documents import Documents
 from tansyladder.replication.replicated_state import Command, ReplicatedState
 from tansyladder.replication.session_ownership import (
     ClaimConfirmation,
