--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -21,29 +21,32 @@
     Event,
     RequestReceived,
 )
-from tests.policy.harness import MS, S, settings
+from tests.policy.harness import MILLISECOND, SECOND, make_settings
 
 
 def lines_of(at: int, refused: bool) -> list[str]:
     """What one node writes: it takes 9 up, places 1 late at its second attempt, and 9 ends; 2 is refused."""
     figures = Metrics(["chat"])
-    counts, lines = EventCounters(settings().classes, lambda n: f"s-{n}", figures), ["event=started name=n0"]
+    counts, lines = (
+        EventCounters(make_settings().classes, lambda n: f"s-{n}", figures),
+        ["event=started name=n0"],
+    )
     story: list[tuple[int, list[Event], list[Action]]] = [
         (
-            at * S,
-            [ConnectionAdopted(9, 0, 0, 4), RequestReceived(1, 0, 0, at * S + 2 * S)],
-            [StartAttempt(1, 4, S), CheckHealth(5)],
+            at * SECOND,
+            [ConnectionAdopted(9, 0, 0, 4), RequestReceived(1, 0, 0, at * SECOND + 2 * SECOND)],
+            [StartAttempt(1, 4, SECOND), CheckHealth(5)],
         ),
         (
-            at * S + 500 * MS,
-            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MS, False)],
-            [StartAttempt(1, 5, S)],
+            at * SECOND + 500 * MILLISECOND,
+            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MILLISECOND, False)],
+            [StartAttempt(1, 5, SECOND)],
         ),
-        (at * S + 600 * MS, [AttemptEstablished(1, 1, 5, 100 * MS)], [Migrate(9)]),
-        ((at + 1) * S, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, True)], []),
-        ((at + 3) * S, [RequestReceived(2, 0, 0, 0, is_reconnect=True)], [Reject(2)] if refused else []),
-        ((at + 4) * S, [], []),
-        ((at + 5) * S, [], []),
+        (at * SECOND + 600 * MILLISECOND, [AttemptEstablished(1, 1, 5, 100 * MILLISECOND)], [Migrate(9)]),
+        ((at + 1) * SECOND, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, True)], []),
+        ((at + 3) * SECOND, [RequestReceived(2, 0, 0, 0, is_reconnect=True)], [Reject(2)] if refused else []),
+        ((at + 4) * SECOND, [], []),
+        ((at + 5) * SECOND, [], []),
     ]
     for now, events, actions in story:
         if fields := counts.finish_second(now):
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -27,7 +27,7 @@
 )
 from tansyladder.policy.settings import ClassSettings, Settings
 from tests.node.harness import Node, Peer, ScriptedServer, answer_up, running_node
-from tests.policy.harness import MS, S, line, settings
+from tests.policy.harness import MILLISECOND, SECOND, endpoint, make_settings
 
 Edit = Callable[[dict[str, Any]], None]
 
@@ -174,20 +174,22 @@
     changes: list[tuple[int, int]], seed: int
 ) -> None:
     """However the settings change, a request's attempts end by its own deadline, and none exceeds the cap."""
-    first = settings(max_attempts=5)
+    first = make_settings(max_attempts=5)
     core = Balancer(first, seed, 0)
-    core.handle(0, [EndpointListUpdate(ListUpdateKind.CACHED, tuple(line(n) for n in range(4)))])
-    actions = core.handle(0, [RequestReceived(1, 0, 0, 2 * S, key=7)])
+    core.handle(0, [EndpointListUpdate(ListUpdateKind.CACHED, tuple(endpoint(n) for n in range(4)))])
+    actions = core.handle(0, [RequestReceived(1, 0, 0, 2 * SECOND, key=7)])
     classes, now, sent, cap = first.classes, 0, 0, 5
     timers: list[SetTimer] = []
     for deadline, cap in [(0, 5), *changes]:
         if deadline:
             new = ClassSettings(
-                latency_objective_us=50 * MS, deadline_us=deadline * MS, message_latency_objective_us=20 * MS
+                latency_objective_us=50 * MILLISECOND,
+                deadline_us=deadline * MILLISECOND,
+                message_latency_objective_us=20 * MILLISECOND,
             )
             classes = (*classes, new)
             retired = frozenset(range(len(classes) - 1))
-            told = settings(max_attempts=cap)
+            told = make_settings(max_attempts=cap)
             told = Settings(
                 **{
                     **{f: getattr(told, f) for f in told.__slots__},
@@ -196,7 +198,7 @@
                 }
             )
             actions = core.handle(now, [told])
-            assert core.context.reaction_time_us == deadline * MS  # paces go by the classes in force
+            assert core.context.reaction_time_us == deadline * MILLISECOND  # paces go by the classes in force
         while actions or timers:
             timers += [a for a in actions if isinstance(a, SetTimer)]
             for action in actions:
@@ -204,10 +206,12 @@
                     return
                 if isinstance(action, StartAttempt):
                     sent += 1
-                    assert sent <= cap and now + action.timeout_us <= 2 * S
+                    assert sent <= cap and now + action.timeout_us <= 2 * SECOND
             if any(isinstance(a, StartAttempt) for a in actions):
-                now += 1 * MS
-                actions = core.handle(now, [AttemptEnded(1, sent - 1, 0, AttemptStatus.FULL, MS, False)])
+                now += 1 * MILLISECOND
+                actions = core.handle(
+                    now, [AttemptEnded(1, sent - 1, 0, AttemptStatus.FULL, MILLISECOND, False)]
+                )
                 break
             timers.sort(key=lambda t: t.due_at_us)
             due = timers.pop(0)
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -7,9 +7,17 @@
 from tansyladder.policy.actions import Reject, StartAttempt
 from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.events import AttemptEnded, AttemptEstablished, AttemptStatus
-from tests.policy.harness import DEADLINE, MS, START, Node, S, line, only_send
+from tests.policy.harness import (
+    DEADLINE,
+    MILLISECOND,
+    SECOND,
+    START_TIME,
+    BalancerDriver,
+    endpoint,
+    only_attempt,
+)
 
-FLEET = [line(i) for i in range(1, 9)]
+FLEET = [endpoint(i) for i in range(1, 9)]
 
 
 def test_delays_span_the_whole_interval() -> None:
@@ -18,9 +26,9 @@
         for seed in range(400):
             b = Backoff()
             b.attempt = n - 1
-            b.record_failure(START, 1000, 10, Random(seed))
-            assert (b.attempt, b.interval_end) == (n, START + (1000 << n))
-            delays.append((b.retry_at - START) / (1000 << n))
+            b.record_failure(START_TIME, 1000, 10, Random(seed))
+            assert (b.attempt, b.interval_end) == (n, START_TIME + (1000 << n))
+            delays.append((b.retry_at - START_TIME) / (1000 << n))
         assert 0 <= min(delays) < 0.02
         assert 0.98 < max(delays) <= 1
         assert 0.45 < sum(delays) / len(delays) < 0.55
@@ -28,9 +36,9 @@
 
 def test_generations_never_overlap() -> None:
     for seed in range(200):
-        rng, b, ends = Random(seed), Backoff(), START
+        rng, b, ends = Random(seed), Backoff(), START_TIME
         for n in range(1, 8):
-            failed_at = b.retry_at if b.retry_at else START
+            failed_at = b.retry_at if b.retry_at else START_TIME
             b.record_failure(failed_at, 1000, 10, rng)
             assert ends <= b.retry_at <= b.interval_end
             assert b.interval_end == ends + (1000 << n)
@@ -46,97 +54,97 @@
 
 def test_retries_keep_to_their_intervals() -> None:
     for seed in range(60):
-        node = Node(FLEET, seed)
-        _, acts = node.ask()
-        send, attempt, start = only_send(acts), 0, None
+        node = BalancerDriver(FLEET, seed)
+        _, acts = node.send_request()
+        send, attempt, start = only_attempt(acts), 0, None
         while True:
-            acts = node.fail(send, attempt)
-            b = node.node.requests.backoffs[7]
+            acts = node.fail_attempt(send, attempt)
+            b = node.balancer.requests.backoffs[7]
             if start is not None:
                 assert b.retry_at >= start  # at or after the last interval's end
             start = b.interval_end
-            acts = acts or node.step()
+            acts = acts or node.run_to_next_action()
             if isinstance(acts[-1], Reject):
                 break
-            send, attempt = only_send(acts), attempt + 1
+            send, attempt = only_attempt(acts), attempt + 1
             assert node.now == b.retry_at
 
 
 def test_the_count_survives_a_drop_and_is_cleared_by_staying_up() -> None:
-    node = Node(FLEET)
-    rid, acts = node.ask()
-    node.fail(only_send(acts), 0)
-    send = only_send(node.step())
-    node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
-    node.now += 100 * MS
-    node.give(AttemptEnded(rid, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MS, True))
-    assert node.node.requests.backoffs[7].attempt == 1
-    node.run(node.now + S)
-    rid, acts = node.ask()
-    send = only_send(acts)
-    node.fail(send, 0)
-    assert node.node.requests.backoffs[7].attempt == 2
-    send = only_send(node.step())
-    node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
-    node.run(node.now + DEADLINE + 1)
-    assert 7 not in node.node.requests.backoffs
+    node = BalancerDriver(FLEET)
+    rid, acts = node.send_request()
+    node.fail_attempt(only_attempt(acts), 0)
+    send = only_attempt(node.run_to_next_action())
+    node.deliver(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MILLISECOND))
+    node.now += 100 * MILLISECOND
+    node.deliver(AttemptEnded(rid, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MILLISECOND, True))
+    assert node.balancer.requests.backoffs[7].attempt == 1
+    node.run_until(node.now + SECOND)
+    rid, acts = node.send_request()
+    send = only_attempt(acts)
+    node.fail_attempt(send, 0)
+    assert node.balancer.requests.backoffs[7].attempt == 2
+    send = only_attempt(node.run_to_next_action())
+    node.deliver(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MILLISECOND))
+    node.run_until(node.now + DEADLINE + 1)
+    assert 7 not in node.balancer.requests.backoffs
 
 
 def test_a_client_that_comes_again_within_its_interval_waits_for_its_retry() -> None:
-    node = Node(FLEET)
-    _, acts = node.ask()
-    node.fail(only_send(acts), 0)
-    due = node.node.requests.backoffs[7].retry_at
-    rid, acts = node.ask()
+    node = BalancerDriver(FLEET)
+    _, acts = node.send_request()
+    node.fail_attempt(only_attempt(acts), 0)
+    due = node.balancer.requests.backoffs[7].retry_at
+    rid, acts = node.send_request()
     assert acts == []
-    sent = [a for a in node.run(due) if isinstance(a, StartAttempt)]
+    sent = [a for a in node.run_until(due) if isinstance(a, StartAttempt)]
     assert rid in [a.request_id for a in sent]
 
 
 def test_two_requests_of_one_key_are_both_answered() -> None:
     """The key's interval moves on with the second; the first must still be tried at its own time."""
-    node = Node(FLEET)
-    first, acts = node.ask()
-    second, more = node.ask()
-    node.fail(only_send(acts), 0)
-    node.fail(only_send(more), 0)
-    node.run(node.now + DEADLINE)
-    answered = {a.request_id for _, a in node.log[2:] if isinstance(a, StartAttempt | Reject)}
+    node = BalancerDriver(FLEET)
+    first, acts = node.send_request()
+    second, more = node.send_request()
+    node.fail_attempt(only_attempt(acts), 0)
+    node.fail_attempt(only_attempt(more), 0)
+    node.run_until(node.now + DEADLINE)
+    answered = {a.request_id for _, a in node.action_log[2:] if isinstance(a, StartAttempt | Reject)}
     assert {first, second} <= answered
 
 
 def test_a_wait_that_outruns_the_time_is_refused_with_the_rest_of_the_interval() -> None:
-    node = Node(FLEET)
-    rid, acts = node.ask(left=30 * MS)
-    seen = node.fail(only_send(acts), 0)
+    node = BalancerDriver(FLEET)
+    rid, acts = node.send_request(left=30 * MILLISECOND)
+    seen = node.fail_attempt(only_attempt(acts), 0)
     for _ in range(4):
         if seen and isinstance(seen[0], Reject):
             break
-        seen = node.step()
+        seen = node.run_to_next_action()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Reject(rid, node.node.requests.backoffs[7].interval_end - node.now)
+    assert seen[0] == Reject(rid, node.balancer.requests.backoffs[7].interval_end - node.now)
 
 
 def test_attempts_run_out() -> None:
-    node = Node(FLEET, max_attempts=2)
-    rid, acts = node.ask()
-    node.fail(only_send(acts), 0)
-    acts = node.fail(only_send(node.step()), 1)
+    node = BalancerDriver(FLEET, max_attempts=2)
+    rid, acts = node.send_request()
+    node.fail_attempt(only_attempt(acts), 0)
+    acts = node.fail_attempt(only_attempt(node.run_to_next_action()), 1)
     assert isinstance(acts[0], Reject)
     assert acts[0].request_id == rid
 
 
 def test_without_a_key_the_count_is_the_requests_own() -> None:
-    node = Node(FLEET)
-    _, acts = node.ask(key=0)
-    node.fail(only_send(acts), 0)
-    assert only_send(node.step())
-    assert not node.node.requests.backoffs
+    node = BalancerDriver(FLEET)
+    _, acts = node.send_request(key=0)
+    node.fail_attempt(only_attempt(acts), 0)
+    assert only_attempt(node.run_to_next_action())
+    assert not node.balancer.requests.backoffs
 
 
 def test_keys_are_bounded() -> None:
-    node = Node([], max_attempts=1)
+    node = BalancerDriver([], max_attempts=1)
     for key in range(1, 5000):
-        node.ask(key=key)
-    assert len(node.node.requests.backoffs) <= 4096
+        node.send_request(key=key)
+    assert len(node.balancer.requests.backoffs) <= 4096
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -27,22 +27,22 @@
 )
 from tansyladder.policy.slow_start import CONNECTIONS_PER_WEIGHT, PERMIT_ROTATION_SIZE
 from tests.node.harness import SETTINGS, running_node
-from tests.policy.harness import MS, START, Node, S, line
+from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint
 
 
 def watches(seed: int, nodes: int, span: int) -> list[int]:
     """The moments (us) at which one of so many nodes calls a discovery that fails each call."""
-    asking = Node(
-        [line(1)],
+    asking = BalancerDriver(
+        [endpoint(1)],
         seed,
         polls_discovery=True,
         discovery_call_interval_us=discovery_call_interval(nodes) // MICROSECOND,
     )
     calls: list[int] = []
-    while asking.now < START + span and (acts := asking.step(60 * S)):
+    while asking.now < START_TIME + span and (acts := asking.run_to_next_action(60 * SECOND)):
         for _ in [a for a in acts if isinstance(a, PollDiscovery)]:
-            calls.append(asking.now - START)
-            asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
+            calls.append(asking.now - START_TIME)
+            asking.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     return calls
 
 
@@ -54,72 +54,74 @@
     the whole, and those of all are spread. At 1.5 s on the whole a fleet's calls kept each other failing.
     """
     played = min(nodes, 100)
-    each = [watches(seed, nodes, 60 * S) for seed in range(played)]
+    each = [watches(seed, nodes, 60 * SECOND) for seed in range(played)]
     for at in each:  # a call that hangs, and the one after it, must both be over within the 6 s
         gaps = [later - earlier for earlier, later in pairwise(at)]
         assert (
             max(gaps)
             + (discovery_client.POLL_TIMEOUT_AFTER_FAILURE + 2 * discovery_client.ANSWER_MARGIN)
             // MICROSECOND
-            <= 6 * S
+            <= 6 * SECOND
         )
-        assert sum(gaps) / len(gaps) > 1.7 * S
+        assert sum(gaps) / len(gaps) > 1.7 * SECOND
     for start in range(5, 50, 5):  # in step with nobody
-        some = [at for calls in each for at in calls if start * S <= at < (start + 5) * S]
-        busiest = Counter(at // (S // 4) for at in some)
+        some = [at for calls in each for at in calls if start * SECOND <= at < (start + 5) * SECOND]
+        busiest = Counter(at // (SECOND // 4) for at in some)
         assert max(busiest.values()) <= 3 + played // 2
 
 
 def test_a_node_that_comes_back_asks_soon() -> None:
     """Its first call came up to 6 s later, and it took members that had just started for warm: they fell."""
     firsts = [
-        next(now for now, act in asking.log if isinstance(act, PollDiscovery)) - START
+        next(now for now, act in asking.action_log if isinstance(act, PollDiscovery)) - START_TIME
         for seed in range(40)
         for asking in [
-            Node(
-                [line(1)],
+            BalancerDriver(
+                [endpoint(1)],
                 seed,
                 polls_discovery=True,
                 discovery_call_interval_us=discovery_call_interval(40) // MICROSECOND,
             )
         ]
-        if asking.step()
+        if asking.run_to_next_action()
     ]
-    assert len(firsts) == 40 and max(firsts) <= S
-    assert max(firsts) - min(firsts) > S // 2  # but not all in one moment
+    assert len(firsts) == 40 and max(firsts) <= SECOND
+    assert max(firsts) - min(firsts) > SECOND // 2  # but not all in one moment
 
 
 def test_a_node_that_was_answered_forgets_its_failures() -> None:
-    asking = Node([line(1)], 1, polls_discovery=True, discovery_call_interval_us=6 * S)
+    asking = BalancerDriver([endpoint(1)], 1, polls_discovery=True, discovery_call_interval_us=6 * SECOND)
     for _ in range(4):
-        asking.step(60 * S)
-        asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
-    asking.step(60 * S)
-    asking.give(EndpointListUpdate(ListUpdateKind.DELTA, ()))
-    start = asking.now = max(asking.now, asking.node.endpoints.poll_backoff.interval_end)
-    asking.give(EndpointListUpdate(ListUpdateKind.FAILED, ()))
-    assert asking.node.endpoints.poll_backoff.interval_end - start == 2 * S
+        asking.run_to_next_action(60 * SECOND)
+        asking.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
+    asking.run_to_next_action(60 * SECOND)
+    asking.deliver(EndpointListUpdate(ListUpdateKind.DELTA, ()))
+    start = asking.now = max(asking.now, asking.balancer.endpoints.poll_backoff.interval_end)
+    asking.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
+    assert asking.balancer.endpoints.poll_backoff.interval_end - start == 2 * SECOND
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 40])
 def test_a_cold_member_gets_as_much_from_many_nodes_as_from_few(nodes: int) -> None:
     """Each of forty nodes saved up credit that it had no client for, and new members stayed empty."""
-    known = [line(i, weight=8.0) for i in range(1, 6)]  # what a member takes is read from its size
+    known = [endpoint(i, weight=8.0) for i in range(1, 6)]  # what a member takes is read from its size
     fleet = [
-        Node(known, me, health_check_interval_us=S, node_count=nodes, node_index=me, has_weights=True)
+        BalancerDriver(
+            known, me, health_check_interval_us=SECOND, node_count=nodes, node_index=me, has_weights=True
+        )
         for me in range(nodes)
     ]
     for n in fleet:  # 40 connections on each of the four warm ones, over all nodes
-        n.give(*(ConnectionAdopted(100 * s + i, 0, 0, s) for s in range(1, 5) for i in range(40 // nodes)))
-        cold = line(5, weight=8.0, ready_at=START)
-        n.give(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (*known[:4], cold)))
+        n.deliver(*(ConnectionAdopted(100 * s + i, 0, 0, s) for s in range(1, 5) for i in range(40 // nodes)))
+        cold = endpoint(5, weight=8.0, ready_at=START_TIME)
+        n.deliver(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (*known[:4], cold)))
         n.next_id = 10_000
     rng, sent = random.Random(7), 0
     for tick in range(100):  # five seconds with 20 requests each, wherever the front sends them
         n = rng.choice(fleet)
-        acts = n.run(START + tick * 50 * MS) + n.ask(key=tick + 1)[1]
+        acts = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=tick + 1)[1]
         for send in (a for a in acts if isinstance(a, StartAttempt)):
-            n.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
+            n.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
             sent += send.endpoint_id == 5
     assert 6 <= sent <= 20
 
@@ -136,31 +138,39 @@
 def test_the_sum_of_all_nodes_keeps_a_cold_members_budget(nodes: int, traffic: str) -> None:
     """Each node kept credit that it had nobody for; when clients came to all at once, so did all of it."""
     fleet = [
-        Node([line(1), line(2)], me, node_count=nodes, node_index=me, overload_duration_us=S)
+        BalancerDriver(
+            [endpoint(1), endpoint(2)], me, node_count=nodes, node_index=me, overload_duration_us=SECOND
+        )
         for me in range(nodes)
     ]
     for n in fleet:
-        n.give(
+        n.deliver(
             *(ConnectionAdopted(1000 + i, 0, 0, 1) for i in range(1 + 400 // nodes))
         )  # the cold one has room
-        n.give(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (line(1), line(2, ready_at=START))))
+        n.deliver(
+            EndpointListUpdate(ListUpdateKind.SNAPSHOT, (endpoint(1), endpoint(2, ready_at=START_TIME)))
+        )
         n.next_id = 10_000
     rng, sent, key = random.Random(nodes), list[int](), 0
     for tick in range(200):  # ten seconds; "all": a client at each node, in one moment, once a second
         came = list(range(nodes)) * (tick % 20 == 0) if traffic == "all" else []
         for at in came or [crowd(traffic, nodes, rng) for _ in range(20) if traffic != "all"]:
             n, key = fleet[at], key + 1
-            acts = n.run(START + tick * 50 * MS) + n.ask(key=key)[1]
+            acts = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=key)[1]
             for send in [a for a in acts if isinstance(a, StartAttempt)]:
-                n.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
-                sent += [tick * 50 * MS] * (send.endpoint_id == 2)
+                n.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
+                sent += [tick * 50 * MILLISECOND] * (send.endpoint_id == 2)
     shared = -(
         -nodes // PERMIT_ROTATION_SIZE
     )  # by how many nodes a grant is, where there are more than turns
     for begin in sent:
-        share = 0.15 + 0.85 * min(1.0, (begin + S) / (20 * S))  # of its capacity, when the second is over
-        budget = 3.0 * CONNECTIONS_PER_WEIGHT / (20 * S) * share * S
-        assert sum(begin <= at < begin + S for at in sent) <= shared * (budget + 2 * math.sqrt(budget) + 2)
+        share = 0.15 + 0.85 * min(
+            1.0, (begin + SECOND) / (20 * SECOND)
+        )  # of its capacity, when the second is over
+        budget = 3.0 * CONNECTIONS_PER_WEIGHT / (20 * SECOND) * share * SECOND
+        assert sum(begin <= at < begin + SECOND for at in sent) <= shared * (
+            budget + 2 * math.sqrt(budget) + 2
+        )
     assert traffic != "even" or len(sent) >= 8  # and what it may have is used
 
 
@@ -169,21 +179,21 @@
     away: int, fills: float, zones: set[int]
 ) -> None:
     """After a lost zone the next one was filled until its members dropped their clients; others had room."""
-    known = [line(1), line(2), *(line(10 + i, zone=1) for i in range(2 * away))]
-    of_forty = Node(
+    known = [endpoint(1), endpoint(2), *(endpoint(10 + i, zone=1) for i in range(2 * away))]
+    of_forty = BalancerDriver(
         known,
         node_count=40,
         can_check_health=True,
-        health_check_interval_us=6 * S,
+        health_check_interval_us=6 * SECOND,
         connections_per_unit=fills,
     )
     for key in range(1, 9):  # its own eight stand for 160 of the zone's twenty nodes, on two members
-        _, acts = of_forty.ask(key=key)
+        _, acts = of_forty.send_request(key=key)
         [send] = [a for a in acts if isinstance(a, StartAttempt)]
-        of_forty.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
+        of_forty.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
         if key == 1:
             assert send.endpoint_id in (1, 2)  # home first
-    assert {int(s.id >= 10) for s in of_forty.node.endpoints.by_id.values() if s.connections} == zones
+    assert {int(s.id >= 10) for s in of_forty.balancer.endpoints.by_id.values() if s.connections} == zones
 
 
 def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -20,33 +20,33 @@
     ListUpdateKind,
     ReportKind,
 )
-from tests.policy.harness import MS, START, Node, S, line
+from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint
 
 
-def rig() -> Node:
+def rig() -> BalancerDriver:
     """A node of two members with forty connections on the first; the first answers a probe in 5 ms."""
-    node = Node([line(1), line(2)], can_check_health=True, health_check_interval_us=S)
+    node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     for rid in range(1, 41):
-        node.give(ConnectionAdopted(rid, 0, 0, 1))
-    answer(node, 5 * MS)
+        node.deliver(ConnectionAdopted(rid, 0, 0, 1))
+    answer(node, 5 * MILLISECOND)
     return node
 
 
-def answer(node: Node, took: int, status: AttemptStatus = AttemptStatus.OK) -> list[object]:
+def answer(node: BalancerDriver, took: int, status: AttemptStatus = AttemptStatus.OK) -> list[object]:
     """Let the node ask member 1, which answers so slowly; what else the node does at once."""
-    while not node.node.endpoints.by_id[1].is_check_in_flight:
-        node.step()
+    while not node.balancer.endpoints.by_id[1].is_check_in_flight:
+        node.run_to_next_action()
     node.now += took
-    return list(node.give(HealthCheckResult(1, status, took)))
+    return list(node.deliver(HealthCheckResult(1, status, took)))
 
 
 def test_each_member_is_asked_in_turn() -> None:
-    node = Node([line(1), line(2)], can_check_health=True, health_check_interval_us=S)
+    node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     asked = []
-    while node.now < START + 4 * S:
-        for probe in [a for a in node.step() if isinstance(a, CheckHealth)]:
+    while node.now < START_TIME + 4 * SECOND:
+        for probe in [a for a in node.run_to_next_action() if isinstance(a, CheckHealth)]:
             asked.append(probe.endpoint_id)
-            node.give(HealthCheckResult(probe.endpoint_id, AttemptStatus.OK, 5 * MS))
+            node.deliver(HealthCheckResult(probe.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND))
     assert 7 <= len(asked) <= 9
     assert {asked.count(1), asked.count(2)} <= {3, 4, 5}
 
@@ -59,15 +59,17 @@
     """Forty nodes that each asked once a second kept members so busy with it that they looked slow."""
     pace = health_check_interval(nodes).total_seconds()
     assert pace <= 60
-    node = Node(
-        [line(i) for i in range(members)], can_check_health=True, health_check_interval_us=int(pace * S)
+    node = BalancerDriver(
+        [endpoint(i) for i in range(members)],
+        can_check_health=True,
+        health_check_interval_us=int(pace * SECOND),
     )
-    end, asked = node.now + 30 * S, 0
-    while node.now < end and (acts := node.step()):
+    end, asked = node.now + 30 * SECOND, 0
+    while node.now < end and (acts := node.run_to_next_action()):
         asked += len(acts)
-        node.give(
+        node.deliver(
             *(
-                HealthCheckResult(a.endpoint_id, AttemptStatus.OK, 5 * MS)
+                HealthCheckResult(a.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND)
                 for a in acts
                 if isinstance(a, CheckHealth)
             )
@@ -78,12 +80,12 @@
 
 def test_answers_far_slower_than_the_best_move_connections_off() -> None:
     node = rig()
-    assert answer(node, 40 * MS) == [CheckHealth(1)]  # once may be chance: it is asked again at once
-    answer(node, 40 * MS)
-    assert node.node.endpoints.by_id[1].ejection.attempt == 1
-    moves = [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
+    assert answer(node, 40 * MILLISECOND) == [CheckHealth(1)]  # once may be chance: it is asked again at once
+    answer(node, 40 * MILLISECOND)
+    assert node.balancer.endpoints.by_id[1].ejection.attempt == 1
+    moves = [a for a in node.run_until(node.now + 3 * SECOND) if isinstance(a, Migrate)]
     assert 5 < len(moves) < 40
-    _, acts = node.ask()
+    _, acts = node.send_request()
     assert acts[0].endpoint_id == 2  # type: ignore[union-attr]
 
 
@@ -91,34 +93,42 @@
     """A hanging member answered at once; that became its best, and it counted as slow ever after."""
     node = rig()
     for _ in range(10):
-        answer(node, 5 * MS)
-    answer(node, MS)
-    answer(node, MS)
-    server = node.node.endpoints.by_id[1]
-    assert (server.ejection.attempt, server.best_latency_us) == (1, 5 * MS)
-    assert [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
+        answer(node, 5 * MILLISECOND)
+    answer(node, MILLISECOND)
+    answer(node, MILLISECOND)
+    server = node.balancer.endpoints.by_id[1]
+    assert (server.ejection.attempt, server.best_latency_us) == (1, 5 * MILLISECOND)
+    assert [a for a in node.run_until(node.now + 3 * SECOND) if isinstance(a, Migrate)]
     for _ in range(3):
-        answer(node, 5 * MS)
-    assert not is_delayed(node.node.context, server)
+        answer(node, 5 * MILLISECOND)
+    assert not is_delayed(node.balancer.context, server)
     for _ in range(40):
-        answer(node, MS)
-    assert server.best_latency_us == MS  # it goes on: the best was measured in a bad time
+        answer(node, MILLISECOND)
+    assert server.best_latency_us == MILLISECOND  # it goes on: the best was measured in a bad time
 
 
 def test_a_late_member_is_held_for_late_until_it_is_asked_again() -> None:
     """Asked every six seconds, after two it was taken for sound again, and filled again."""
-    node = Node([line(i) for i in range(1, 5)], can_check_health=True, health_check_interval_us=6 * S)
-    for took in (5 * MS, 90 * MS, 90 * MS):
+    node = BalancerDriver(
+        [endpoint(i) for i in range(1, 5)], can_check_health=True, health_check_interval_us=6 * SECOND
+    )
+    for took in (5 * MILLISECOND, 90 * MILLISECOND, 90 * MILLISECOND):
         answer(node, took)
-    node.run(node.now + 4 * S)
+    node.run_until(node.now + 4 * SECOND)
     drawn = {
-        a.endpoint_id for key in range(16) for a in node.ask(key=key + 1)[1] if isinstance(a, StartAttempt)
+        a.endpoint_id
+        for key in range(16)
+        for a in node.send_request(key=key + 1)[1]
+        if isinstance(a, StartAttempt)
     }
     assert drawn == {2, 3, 4}
-    answer(node, 5 * MS)
-    node.run(node.node.endpoints.by_id[1].ejection.interval_end)
+    answer(node, 5 * MILLISECOND)
+    node.run_until(node.balancer.endpoints.by_id[1].ejection.interval_end)
     drawn = {
-        a.endpoint_id for key in range(16) for a in node.ask(key=key + 99)[1] if isinstance(a, StartAttempt)
+        a.endpoint_id
+        for key in range(16)
+        for a in node.send_request(key=key + 99)[1]
+        if isinstance(a, StartAttempt)
     }
     assert 1 in drawn
 
@@ -128,65 +138,73 @@
     marked = 0
     for seed in range(100):
         rng = random.Random(seed)
-        node = Node([line(1), line(2)], seed, can_check_health=True, health_check_interval_us=6 * S)
+        node = BalancerDriver(
+            [endpoint(1), endpoint(2)], seed, can_check_health=True, health_check_interval_us=6 * SECOND
+        )
         sound = 1 + seed % 5
         for _ in range(sound):  # one in twenty is late by chance
-            took = 5 * MS * rng.uniform(1, 1.5) * (8 if rng.random() < 0.05 else 1)
+            took = 5 * MILLISECOND * rng.uniform(1, 1.5) * (8 if rng.random() < 0.05 else 1)
             answer(node, int(took))
-        marked += node.node.endpoints.by_id[1].ejection.attempt
-        node.node.endpoints.by_id[1].ejection.attempt = node.node.endpoints.by_id[1].ejection.retry_at = 0
+        marked += node.balancer.endpoints.by_id[1].ejection.attempt
+        node.balancer.endpoints.by_id[1].ejection.attempt = node.balancer.endpoints.by_id[
+            1
+        ].ejection.retry_at = 0
         for _ in range(2):  # it has become slow: the second answer, asked for at once, decides
-            answer(node, int(5 * MS * rng.uniform(3.2, 8.4)))
+            answer(node, int(5 * MILLISECOND * rng.uniform(3.2, 8.4)))
         assert (
-            node.node.endpoints.by_id[1].ejection.attempt == 1
-            or node.node.endpoints.by_id[1].best_latency_us > 8 * MS
+            node.balancer.endpoints.by_id[1].ejection.attempt == 1
+            or node.balancer.endpoints.by_id[1].best_latency_us > 8 * MILLISECOND
         )
     assert marked <= 2
 
 
 def test_a_hiccup_or_a_member_that_is_quick_again_moves_nothing() -> None:
     node = rig()
-    answer(node, 40 * MS)
-    answer(node, 5 * MS)
-    answer(node, 7 * MS)
-    answer(node, 7 * MS)
-    assert node.node.endpoints.by_id[1].ejection.attempt == 0
-    answer(node, 100 * MS, AttemptStatus.ERROR)
-    answer(node, 100 * MS, AttemptStatus.ERROR)
-    assert node.node.endpoints.by_id[1].message_delay_us > 0
-    answer(node, 5 * MS)
-    assert node.node.endpoints.by_id[1].message_delay_us == 0
-    assert not [a for a in node.run(node.now + 3 * S) if isinstance(a, Migrate)]
+    answer(node, 40 * MILLISECOND)
+    answer(node, 5 * MILLISECOND)
+    answer(node, 7 * MILLISECOND)
+    answer(node, 7 * MILLISECOND)
+    assert node.balancer.endpoints.by_id[1].ejection.attempt == 0
+    answer(node, 100 * MILLISECOND, AttemptStatus.ERROR)
+    answer(node, 100 * MILLISECOND, AttemptStatus.ERROR)
+    assert node.balancer.endpoints.by_id[1].message_delay_us > 0
+    answer(node, 5 * MILLISECOND)
+    assert node.balancer.endpoints.by_id[1].message_delay_us == 0
+    assert not [a for a in node.run_until(node.now + 3 * SECOND) if isinstance(a, Migrate)]
 
 
 @pytest.mark.parametrize(("nodes", "most"), [(3, 8), (10, 2), (40, 1), (100, 1)])
 def test_a_crowd_waits_at_the_node_and_not_at_a_member(nodes: int, most: int) -> None:
     """After a restart all clients come at once; what timed out in a member's queue had cost it its work."""
-    node = Node([line(1), line(2)], can_check_health=True, discovery_call_interval_us=S, node_count=nodes)
+    node = BalancerDriver(
+        [endpoint(1), endpoint(2)], can_check_health=True, discovery_call_interval_us=SECOND, node_count=nodes
+    )
     for key in range(1, 61):
-        node.ask(key=key)
-    assert [node.node.endpoints.by_id[i].pending_attempt_count for i in (1, 2)] == [most, most]
-    answered = [a for _, a in node.log if isinstance(a, StartAttempt)][: min(4, 2 * most)]
+        node.send_request(key=key)
+    assert [node.balancer.endpoints.by_id[i].pending_attempt_count for i in (1, 2)] == [most, most]
+    answered = [a for _, a in node.action_log if isinstance(a, StartAttempt)][: min(4, 2 * most)]
     for send in answered:
-        node.give(AttemptEstablished(send.request_id, 0, send.endpoint_id, MS))
-    come_in = [a for a in node.run(node.now + 100 * MS) if isinstance(a, StartAttempt)]
+        node.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
+    come_in = [a for a in node.run_until(node.now + 100 * MILLISECOND) if isinstance(a, StartAttempt)]
     assert len(come_in) == len(answered)  # those held
 
 
 def test_a_guess_at_the_load_turns_nobody_away() -> None:
     """With one member late and emptied the others looked overloaded beside the mean: all were refused."""
-    node = Node([line(1), line(2), line(3)], can_check_health=True, health_check_interval_us=S)
-    node.give(
+    node = BalancerDriver(
+        [endpoint(1), endpoint(2), endpoint(3)], can_check_health=True, health_check_interval_us=SECOND
+    )
+    node.deliver(
         *(ConnectionAdopted(100 + i, 0, 0, 1) for i in range(30)),
         *(ConnectionAdopted(200 + i, 0, 0, 2) for i in range(9)),
     )
-    node.node.endpoints.by_id[3].ejection.retry_at = node.now + 10 * S
-    node.node.endpoints.by_id[1].ejection.retry_at = node.now + 10 * S
-    _, acts = node.ask(key=9)
+    node.balancer.endpoints.by_id[3].ejection.retry_at = node.now + 10 * SECOND
+    node.balancer.endpoints.by_id[1].ejection.retry_at = node.now + 10 * SECOND
+    _, acts = node.send_request(key=9)
     assert [a.endpoint_id for a in acts if isinstance(a, StartAttempt)] == [2]
-    node.node.endpoints.by_id[2].ejection.retry_at = node.now + 10 * S
-    node.node.endpoints.by_id[1].ejection.retry_at = 0
-    _, acts = node.ask(key=10)
+    node.balancer.endpoints.by_id[2].ejection.retry_at = node.now + 10 * SECOND
+    node.balancer.endpoints.by_id[1].ejection.retry_at = 0
+    _, acts = node.send_request(key=10)
     assert [a.endpoint_id for a in acts if isinstance(a, StartAttempt)] == [
         1
     ]  # twice the mean, but nothing bad heard
@@ -194,27 +212,31 @@
 
 def test_a_retry_goes_to_another_member_of_the_zone() -> None:
     """A group's hash draws the same member again once its mark has ended: all tries went to one."""
-    node = Node([line(1), line(2), line(3, zone=1)], can_check_health=True, health_check_interval_us=S)
+    node = BalancerDriver(
+        [endpoint(1), endpoint(2), endpoint(3, zone=1)],
+        can_check_health=True,
+        health_check_interval_us=SECOND,
+    )
     for group in range(1, 21):
-        _, acts = node.ask(key=group, group_key=group)
+        _, acts = node.send_request(key=group, group_key=group)
         [first] = [a for a in acts if isinstance(a, StartAttempt)]
-        node.fail(first, 0)
-        node.node.endpoints.by_id[first.endpoint_id].ejection.attempt = node.node.endpoints.by_id[
+        node.fail_attempt(first, 0)
+        node.balancer.endpoints.by_id[first.endpoint_id].ejection.attempt = node.balancer.endpoints.by_id[
             first.endpoint_id
         ].ejection.retry_at = 0
-        again = [a for a in node.step() if isinstance(a, StartAttempt)] or [
-            a for a in node.run(node.now + S) if isinstance(a, StartAttempt)
+        again = [a for a in node.run_to_next_action() if isinstance(a, StartAttempt)] or [
+            a for a in node.run_until(node.now + SECOND) if isinstance(a, StartAttempt)
         ]
         assert again[0].endpoint_id == 3 - first.endpoint_id
-        node.give(AttemptEstablished(again[0].request_id, 1, again[0].endpoint_id, MS))
+        node.deliver(AttemptEstablished(again[0].request_id, 1, again[0].endpoint_id, MILLISECOND))
 
 
 def test_probes_rest_only_at_members_that_sent_a_delay_note() -> None:
     """A node that took the promise of notes for the notes was blind where hosts sent none."""
-    node = Node([line(1), line(2)], can_check_health=True, health_check_interval_us=S)
-    node.give(ConnectionAdopted(1, 0, 0, 1), ConnectionAdopted(2, 0, 0, 2))
+    node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
+    node.deliver(ConnectionAdopted(1, 0, 0, 1), ConnectionAdopted(2, 0, 0, 2))
     # A member's own word for one; for the other only what the node timed itself.
-    node.give(
+    node.deliver(
         ConnectionReport(1, ReportKind.REPORTED_DELAY, 0, 1, 20.0),
         ConnectionReport(2, ReportKind.MEASURED_DELAY, 0, 2, 20.0),
     )
@@ -222,14 +244,14 @@
     def asked(stretch: int) -> set[int]:
         met, end = set(), node.now + stretch
         while node.now < end:
-            for probe in [a for a in node.step() if isinstance(a, CheckHealth)]:
+            for probe in [a for a in node.run_to_next_action() if isinstance(a, CheckHealth)]:
                 met.add(probe.endpoint_id)
-                node.give(HealthCheckResult(probe.endpoint_id, AttemptStatus.OK, 5 * MS))
+                node.deliver(HealthCheckResult(probe.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND))
         return met
 
-    assert asked(5 * S) == {2}
-    node.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, ready_at=node.now),)))  # a new process
-    assert asked(5 * S) == {1, 2}
+    assert asked(5 * SECOND) == {2}
+    node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, ready_at=node.now),)))  # a new process
+    assert asked(5 * SECOND) == {1, 2}
 
 
 @pytest.mark.parametrize(
@@ -237,16 +259,20 @@
 )
 def test_a_told_delay_counts_as_over_when_no_note_repeats_it(kind: ReportKind, late: bool) -> None:
     """Probes of a large fleet come each half minute; who tells says it again each second while it holds."""
-    node = Node([line(1), line(2)], can_check_health=True, health_check_interval_us=30 * S)
-    node.give(ConnectionAdopted(1, 0, 0, 1), ConnectionReport(1, kind, 0, 1, 300.0))
-    node.run(node.now + 3 * S)
-    node.give()
-    assert is_delayed(node.node.context, node.node.endpoints.by_id[1]) is late
+    node = BalancerDriver(
+        [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=30 * SECOND
+    )
+    node.deliver(ConnectionAdopted(1, 0, 0, 1), ConnectionReport(1, kind, 0, 1, 300.0))
+    node.run_until(node.now + 3 * SECOND)
+    node.deliver()
+    assert is_delayed(node.balancer.context, node.balancer.endpoints.by_id[1]) is late
 
 
 @pytest.mark.parametrize("nodes", [67, 200, 10**14])
 def test_where_a_turn_comes_too_rarely_nobody_is_probed(nodes: int) -> None:
     """With 200 nodes what one had heard of a member was kept for 45 s, and kept sound members out."""
     pace = health_check_interval(nodes) // timedelta(microseconds=1)
-    node = Node([line(1), line(2)], can_check_health=True, health_check_interval_us=pace, node_count=nodes)
-    assert not [a for a in node.run(node.now + 60 * S) if isinstance(a, CheckHealth)]
+    node = BalancerDriver(
+        [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=pace, node_count=nodes
+    )
+    assert not [a for a in node.run_until(node.now + 60 * SECOND) if isinstance(a, CheckHealth)]
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -21,7 +21,7 @@
     RequestReceived,
 )
 from tansyladder.policy.settings import DeduplicationScope, Idempotency
-from tests.policy.harness import DEADLINE, MS, Node, S, line
+from tests.policy.harness import DEADLINE, MILLISECOND, SECOND, BalancerDriver, endpoint
 
 EFFECTS = [
     (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -50,8 +50,8 @@
         self.effect, self.group = effect, group
         self.place = {i: (i % 3, i % 6) for i in range(1, 13)}
         self.state = dict.fromkeys(self.place, EndpointState.READY)
-        self.node = Node(
-            [line(i, z, cell=c) for i, (z, c) in self.place.items()],
+        self.node = BalancerDriver(
+            [endpoint(i, z, cell=c) for i, (z, c) in self.place.items()],
             seed,
             idempotency=effect,
             deduplication_scope=group,
@@ -111,33 +111,35 @@
         elif not status.definitely_not_executed:
             self.ran.setdefault(rid, (server, at))
         self.up.discard(rid)
-        self.check(self.node.give(AttemptEnded(rid, attempt, server, status, latency, closed)))
+        self.check(self.node.deliver(AttemptEnded(rid, attempt, server, status, latency, closed)))
 
     def step(self, rid: int) -> None:
         rng, node = self.rng, self.node
-        self.advance(node.now + rng.choice([0, MS, 20 * MS, 300 * MS]))
+        self.advance(node.now + rng.choice([0, MILLISECOND, 20 * MILLISECOND, 300 * MILLISECOND]))
         self.act(rid)
 
     def advance(self, until: int) -> None:
         node = self.node
-        while node.timers and min(node.timers)[0] <= until:  # one time at a time, to check at its own clock
-            self.check(node.run(min(node.timers)[0]))
+        while (
+            node.pending_timers and min(node.pending_timers)[0] <= until
+        ):  # one time at a time, to check at its own clock
+            self.check(node.run_until(min(node.pending_timers)[0]))
             self.expire()
-        self.check(node.run(until))
+        self.check(node.run_until(until))
         self.expire()
 
     def act(self, rid: int) -> None:
         rng, node = self.rng, self.node
         match rng.randrange(9):
             case 0 | 1 | 2:
-                left = rng.choice([-MS, 5 * MS, 200 * MS, DEADLINE])
+                left = rng.choice([-MILLISECOND, 5 * MILLISECOND, 200 * MILLISECOND, DEADLINE])
                 self.open[rid] = node.now + max(0, left)
                 if rng.random() < 0.2:
                     self.midflow.add(rid)
                 asked = RequestReceived(
                     rid, 0, 0, node.now + left, rng.randrange(5), is_midstream=rid in self.midflow
                 )
-                self.check(node.give(asked))
+                self.check(node.deliver(asked))
             case 3 | 4 if self.out:
                 pick = rng.choice(sorted(self.out))
                 status = AttemptStatus.RESET if pick in self.up else rng.choice((*FAILURES, AttemptStatus.OK))
@@ -148,7 +150,7 @@
                     self.up.add(pick)
                     del self.open[pick]
                     attempt, server, at = self.out[pick]
-                    self.check(node.give(AttemptEstablished(pick, attempt, server, node.now - at)))
+                    self.check(node.deliver(AttemptEstablished(pick, attempt, server, node.now - at)))
             case 6:
                 server = rng.choice(sorted(self.place))
                 state = rng.choice(
@@ -158,27 +160,29 @@
                     self.state[server], self.told[server] = state, node.now
                 z, c = self.place[server]
                 started = node.now if rng.random() < 0.3 else 0
-                entry = line(server, z, self.state[server], started, cell=c)
-                self.check(node.give(EndpointListUpdate(ListUpdateKind.DELTA, (entry,))))
+                entry = endpoint(server, z, self.state[server], started, cell=c)
+                self.check(node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (entry,))))
             case 7 if self.open:
                 pick = rng.choice(sorted(self.open))
                 del self.open[pick]
-                self.check(node.give(ClientDisconnected(pick)))
+                self.check(node.deliver(ClientDisconnected(pick)))
             case 8:
                 for server in self.pinged:
                     value = rng.choice([0.2, 0.9, 3.0, -1.0, float("nan"), float("inf")])
                     status = rng.choice([AttemptStatus.OK, AttemptStatus.OK, AttemptStatus.TIMEOUT])
-                    self.check(node.give(HealthCheckResult(server, status, MS, (3.0, value))))
+                    self.check(node.deliver(HealthCheckResult(server, status, MILLISECOND, (3.0, value))))
                 self.pinged = []
                 for pick in sorted(self.up):
                     attempt, server, _ = self.out[pick]
                     value = rng.choice([20.0, 400.0, float("nan"), -3.0])
-                    self.check(node.give(ConnectionReport(pick, rng.choice([1, 2]), attempt, server, value)))
+                    self.check(
+                        node.deliver(ConnectionReport(pick, rng.choice([1, 2]), attempt, server, value))
+                    )
 
     def expire(self) -> None:
         """A client's time is up: an attempt that is out ends in a time-out at the deadline."""
         for rid in [r for r in sorted(self.out) if r in self.open and self.open[r] <= self.node.now]:
-            self.node.now = self.open[rid] if self.node.now - self.open[rid] < S else self.node.now
+            self.node.now = self.open[rid] if self.node.now - self.open[rid] < SECOND else self.node.now
             self.end(rid, AttemptStatus.TIMEOUT, self.node.now - self.out[rid][2])
 
 
@@ -196,5 +200,5 @@
     for rid in range(1, 150):
         judge.step(rid)
     for _ in range(200):
-        judge.advance(judge.node.now + 20 * MS)
+        judge.advance(judge.node.now + 20 * MILLISECOND)
     assert not judge.open, "no final answer"
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -17,50 +17,60 @@
     RequestReceived,
 )
 from tansyladder.policy.settings import DeduplicationScope, Idempotency, Settings
-from tests.policy.harness import DEADLINE, MS, START, Node, S, line, only_send
+from tests.policy.harness import (
+    DEADLINE,
+    MILLISECOND,
+    SECOND,
+    START_TIME,
+    BalancerDriver,
+    endpoint,
+    only_attempt,
+)
 
-FLEET = [line(i) for i in range(1, 9)]
+FLEET = [endpoint(i) for i in range(1, 9)]
 
 
 # --- rule 1: one final answer in time
 
 
 def test_no_server_known_is_refused_in_time() -> None:
-    node = Node([])
-    rid, acts = node.ask()
-    acts = acts or node.run(node.now + DEADLINE)
+    node = BalancerDriver([])
+    rid, acts = node.send_request()
+    acts = acts or node.run_until(node.now + DEADLINE)
     assert [a.request_id for a in acts if isinstance(a, Reject)] == [rid]
 
 
 def test_a_deadline_already_past_is_refused_at_once() -> None:
-    node = Node(FLEET)
-    rid, acts = node.ask(left=-5)
+    node = BalancerDriver(FLEET)
+    rid, acts = node.send_request(left=-5)
     assert acts == [Reject(rid, 0)]
 
 
 def test_nothing_is_sent_after_the_client_left() -> None:
-    node = Node(FLEET)
-    rid, acts = node.ask()
-    node.fail(only_send(acts), 0)
-    node.give(ClientDisconnected(rid))
-    assert not [a for a in node.run(node.now + 10 * S) if isinstance(a, StartAttempt | Reject | Fail)]
+    node = BalancerDriver(FLEET)
+    rid, acts = node.send_request()
+    node.fail_attempt(only_attempt(acts), 0)
+    node.deliver(ClientDisconnected(rid))
+    assert not [
+        a for a in node.run_until(node.now + 10 * SECOND) if isinstance(a, StartAttempt | Reject | Fail)
+    ]
 
 
 def test_a_late_outcome_after_the_client_left_is_no_failure() -> None:
-    node = Node(FLEET)
-    rid, acts = node.ask()
-    send = only_send(acts)
-    node.give(ClientDisconnected(rid))
-    assert node.give(AttemptEnded(rid, 0, send.endpoint_id, AttemptStatus.TIMEOUT, S, True)) == []
-    assert rid not in node.node.requests.by_id
+    node = BalancerDriver(FLEET)
+    rid, acts = node.send_request()
+    send = only_attempt(acts)
+    node.deliver(ClientDisconnected(rid))
+    assert node.deliver(AttemptEnded(rid, 0, send.endpoint_id, AttemptStatus.TIMEOUT, SECOND, True)) == []
+    assert rid not in node.balancer.requests.by_id
 
 
 def test_the_time_out_at_the_deadline_gets_the_final_answer() -> None:
-    node = Node(FLEET, max_attempts=1)
-    rid, acts = node.ask()
-    send = only_send(acts)
+    node = BalancerDriver(FLEET, max_attempts=1)
+    rid, acts = node.send_request()
+    send = only_attempt(acts)
     assert send.timeout_us == DEADLINE
-    acts = node.fail(send, 0, AttemptStatus.TIMEOUT, DEADLINE)
+    acts = node.fail_attempt(send, 0, AttemptStatus.TIMEOUT, DEADLINE)
     assert len(acts) == 1
     assert isinstance(acts[0], Reject)
     assert acts[0].request_id == rid
@@ -71,29 +81,29 @@
 
 def test_an_unsafe_request_that_may_have_run_fails() -> None:
     for status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED):
-        node = Node(FLEET, idempotency=Idempotency.NONE)
-        rid, acts = node.ask()
-        assert node.fail(only_send(acts), 0, status) == [Fail(rid)]
+        node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
+        rid, acts = node.send_request()
+        assert node.fail_attempt(only_attempt(acts), 0, status) == [Fail(rid)]
 
 
 def test_an_unsafe_request_that_did_not_run_is_tried_again() -> None:
     for status in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED):
-        node = Node(FLEET, idempotency=Idempotency.NONE)
-        _, acts = node.ask()
-        node.fail(only_send(acts), 0, status)
-        assert only_send(node.step())
+        node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
+        _, acts = node.send_request()
+        node.fail_attempt(only_attempt(acts), 0, status)
+        assert only_attempt(node.run_to_next_action())
 
 
 @pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
 def test_a_keyed_request_that_may_have_run_stays_in_its_group(group: DeduplicationScope) -> None:
-    fleet = [line(i, zone=i % 2, cell=i % 4) for i in range(1, 17)]
+    fleet = [endpoint(i, zone=i % 2, cell=i % 4) for i in range(1, 17)]
     where = {x.endpoint_id: (x.zone if group is DeduplicationScope.ZONE else x.cell) for x in fleet}
     retried = 0
     for seed in range(40):
-        node = Node(fleet, seed, idempotency=Idempotency.WITH_KEY, deduplication_scope=group)
-        _rid, acts = node.ask()
-        first = only_send(acts)
-        acts = node.fail(first, 0, AttemptStatus.RESET) or node.step()
+        node = BalancerDriver(fleet, seed, idempotency=Idempotency.WITH_KEY, deduplication_scope=group)
+        _rid, acts = node.send_request()
+        first = only_attempt(acts)
+        acts = node.fail_attempt(first, 0, AttemptStatus.RESET) or node.run_to_next_action()
         for a in acts:
             if isinstance(a, StartAttempt):
                 retried += 1
@@ -103,34 +113,34 @@
 
 
 def test_a_keyed_request_of_the_group_of_all_may_go_anywhere_and_be_refused() -> None:
-    node = Node(
+    node = BalancerDriver(
         FLEET, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ALL, max_attempts=2
     )
-    _rid, acts = node.ask()
-    node.fail(only_send(acts), 0, AttemptStatus.RESET)
-    acts = node.fail(only_send(node.step()), 1, AttemptStatus.RESET)
+    _rid, acts = node.send_request()
+    node.fail_attempt(only_attempt(acts), 0, AttemptStatus.RESET)
+    acts = node.fail_attempt(only_attempt(node.run_to_next_action()), 1, AttemptStatus.RESET)
     assert isinstance(acts[0], Reject)
 
 
 def test_a_keyed_request_is_not_repeated_after_its_window() -> None:
-    node = Node(
+    node = BalancerDriver(
         FLEET,
         idempotency=Idempotency.WITH_KEY,
         deduplication_scope=DeduplicationScope.ALL,
-        deduplication_window_us=10 * MS,
+        deduplication_window_us=10 * MILLISECOND,
     )
-    rid, acts = node.ask()
-    acts = node.fail(only_send(acts), 0, AttemptStatus.RESET, 20 * MS)
-    acts += node.run(node.now + DEADLINE)
+    rid, acts = node.send_request()
+    acts = node.fail_attempt(only_attempt(acts), 0, AttemptStatus.RESET, 20 * MILLISECOND)
+    acts += node.run_until(node.now + DEADLINE)
     assert not [a for a in acts if isinstance(a, StartAttempt)]
     assert [a.request_id for a in acts if isinstance(a, Reject)] == [rid]
 
 
 def test_never_two_attempts_out() -> None:
-    node = Node(FLEET)
-    _rid, acts = node.ask()
-    only_send(acts)
-    assert not [a for a in node.run(node.now + 10 * DEADLINE) if isinstance(a, StartAttempt)]
+    node = BalancerDriver(FLEET)
+    _rid, acts = node.send_request()
+    only_attempt(acts)
+    assert not [a for a in node.run_until(node.now + 10 * DEADLINE) if isinstance(a, StartAttempt)]
 
 
 # --- rule 3: drains are kept
@@ -138,42 +148,44 @@
 
 def test_nothing_new_to_a_draining_or_gone_server() -> None:
     for state in (EndpointState.DRAINING, EndpointState.GONE):
-        node = Node(FLEET)
-        node.give(EndpointListUpdate(ListUpdateKind.DELTA, tuple(line(i, state=state) for i in range(1, 8))))
-        assert {only_send(node.ask(key=k)[1]).endpoint_id for k in range(1, 60)} == {8}
+        node = BalancerDriver(FLEET)
+        node.deliver(
+            EndpointListUpdate(ListUpdateKind.DELTA, tuple(endpoint(i, state=state) for i in range(1, 8)))
+        )
+        assert {only_attempt(node.send_request(key=k)[1]).endpoint_id for k in range(1, 60)} == {8}
 
 
 def test_who_is_connected_is_told_to_move_before_the_server_leaves() -> None:
     """A server that drains was left to send its clients away itself; one that does not cuts them off."""
-    node = Node(FLEET)
+    node = BalancerDriver(FLEET)
     for rid in range(101, 121):
-        node.give(ConnectionAdopted(rid, 0, 0, 1))
-    node.give(ConnectionAdopted(121, 0, 0, 2))
-    node.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, state=EndpointState.DRAINING),)))
+        node.deliver(ConnectionAdopted(rid, 0, 0, 1))
+    node.deliver(ConnectionAdopted(121, 0, 0, 2))
+    node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, state=EndpointState.DRAINING),)))
     grace = node.settings.drain_grace_us
-    half = [a.request_id for a in node.run(node.now + grace // 2) if isinstance(a, Migrate)]
-    rest = [a.request_id for a in node.run(node.now + grace // 2 + 1) if isinstance(a, Migrate)]
+    half = [a.request_id for a in node.run_until(node.now + grace // 2) if isinstance(a, Migrate)]
+    rest = [a.request_id for a in node.run_until(node.now + grace // 2 + 1) if isinstance(a, Migrate)]
     assert 4 <= len(half) <= 16
     assert sorted(half + rest) == list(range(101, 121))
 
 
 def test_a_server_absent_from_a_complete_list_gets_nothing() -> None:
-    node = Node(FLEET)
-    node.give(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (line(3),)))
-    assert {only_send(node.ask(key=k)[1]).endpoint_id for k in range(1, 30)} == {3}
+    node = BalancerDriver(FLEET)
+    node.deliver(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (endpoint(3),)))
+    assert {only_attempt(node.send_request(key=k)[1]).endpoint_id for k in range(1, 30)} == {3}
 
 
 def test_a_retry_is_placed_by_the_list_of_its_own_time() -> None:
-    node = Node([line(1), line(2)])
-    _, acts = node.ask()
-    node.fail(only_send(acts), 0)
-    node.give(
+    node = BalancerDriver([endpoint(1), endpoint(2)])
+    _, acts = node.send_request()
+    node.fail_attempt(only_attempt(acts), 0)
+    node.deliver(
         EndpointListUpdate(
             ListUpdateKind.DELTA,
-            (line(1, state=EndpointState.GONE), line(2, state=EndpointState.GONE), line(9)),
+            (endpoint(1, state=EndpointState.GONE), endpoint(2, state=EndpointState.GONE), endpoint(9)),
         )
     )
-    assert only_send(node.step()).endpoint_id == 9
+    assert only_attempt(node.run_to_next_action()).endpoint_id == 9
 
 
 # --- rule 4: no cold server pushed over
@@ -183,26 +195,26 @@
 def test_all_nodes_together_fill_a_cold_server_slowly(nodes: int) -> None:
     """Every node has its share of the fleet's connections and gets a flood; one server in ten is cold."""
     each, fleet = 40, 10
-    warm = [line(i) for i in range(1, fleet)]
+    warm = [endpoint(i) for i in range(1, fleet)]
     total = 0
     for seed in range(nodes):
-        node = Node([*warm, line(99, ready_at=START)], seed, node_count=nodes)
+        node = BalancerDriver([*warm, endpoint(99, ready_at=START_TIME)], seed, node_count=nodes)
         standing = max(1, each * fleet // nodes)
-        node.give(*(ConnectionAdopted(10_000 + i, 0, 0, 1 + i % (fleet - 1), 0) for i in range(standing)))
+        node.deliver(*(ConnectionAdopted(10_000 + i, 0, 0, 1 + i % (fleet - 1), 0) for i in range(standing)))
         for k in range(1, 1 + max(2, 2 * standing)):
-            rid, acts = node.ask(key=k)
-            send = only_send(acts)
+            rid, acts = node.send_request(key=k)
+            send = only_attempt(acts)
             total += send.endpoint_id == 99
-            node.give(AttemptEstablished(rid, 0, send.endpoint_id, MS))
+            node.deliver(AttemptEstablished(rid, 0, send.endpoint_id, MILLISECOND))
     # At its start it may take the multiple of its cold part of the rate that fills it over its warm-up.
     assert total <= 3.0 * 0.15 * each / 20 * 1 + 8 + nodes * 0.05
 
 
 def test_only_cold_servers_left_is_paced_not_dumped() -> None:
-    node = Node([line(i, ready_at=START) for i in range(1, 5)], node_count=4)
+    node = BalancerDriver([endpoint(i, ready_at=START_TIME) for i in range(1, 5)], node_count=4)
     sent = 0
     for k in range(1, 200):
-        sent += sum(isinstance(a, StartAttempt) for a in node.ask(key=k)[1])
+        sent += sum(isinstance(a, StartAttempt) for a in node.send_request(key=k)[1])
     assert sent <= 4 * 2
 
 
@@ -220,15 +232,15 @@
     ],
 )
 def test_senseless_settings_name_their_field(field: str, value: float) -> None:
-    good = Node(FLEET).settings
+    good = BalancerDriver(FLEET).settings
     with pytest.raises(ValueError, match=field):
         Settings(**{**{f: getattr(good, f) for f in Settings.__slots__}, field: value})
 
 
 def test_a_request_ended_by_a_moot_attempt_is_answered() -> None:
-    node = Node(FLEET)
-    node.give(RequestReceived(5, 0, 0, node.now + 100 * MS, 3))
-    send = next(a for _, a in node.log if isinstance(a, StartAttempt))
-    assert node.give(AttemptEnded(5, 0, send.endpoint_id, AttemptStatus.NOT_ATTEMPTED, 0, False)) == [
+    node = BalancerDriver(FLEET)
+    node.deliver(RequestReceived(5, 0, 0, node.now + 100 * MILLISECOND, 3))
+    send = next(a for _, a in node.action_log if isinstance(a, StartAttempt))
+    assert node.deliver(AttemptEnded(5, 0, send.endpoint_id, AttemptStatus.NOT_ATTEMPTED, 0, False)) == [
         Reject(5, 0)
     ]
