--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -1,4 +1,4 @@
-"""Placing one request: the module's choice and server-side flows, one after another, until one stands."""
+"""The attempts of one request: the policy's choices, one after another, until a connection is established."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
+from enum import Enum
 
 from tansyladder.invariants import check_invariant
 from tansyladder.net import protocol, sockets
@@ -22,109 +23,130 @@
     RequestReceived,
 )
 
-ANSWER_GRACE = timedelta(milliseconds=25)  # past the deadline an answer still counts for a little
+ANSWER_GRACE = timedelta(milliseconds=25)  # past the deadline, for the policy's final answer to arrive
 
 
-class ClientDisconnectedEarly:
-    """The client went before it had an answer."""
+class ClientEnd(Enum):
+    """How a client ended its request before it had an answer."""
 
+    DISCONNECTED = "disconnected"
+    SENT_EARLY = "sent a line before UP, which the protocol does not allow"
 
-class ClientSentEarly:
-    """The client sent a line before UP, which the protocol does not allow."""
 
+AttemptLoopResult = UpstreamConnection | Reject | Fail | ClientEnd
 
-AttemptLoopResult = UpstreamConnection | Reject | Fail | ClientDisconnectedEarly | ClientSentEarly
+
+def client_end_of(result: ConnectResult) -> ClientEnd | None:
+    """What the client did while an attempt was made; None: it waits."""
+    if result.has_client_sent:
+        return ClientEnd.SENT_EARLY
+    return ClientEnd.DISCONNECTED if result.is_client_disconnected else None
 
 
 @dataclass(slots=True)
 class AttemptLoop:
-    """What the attempts of one request have in common."""
+    """What the attempts of one request have in common; owned by the request's thread."""
 
     runner: PolicyRunner
     action_queue: ActionQueue
     request_id: int
     class_name: str
     deadline: timedelta
-    first_line: Callable[[timedelta], bytes]
-    client: socket.socket | None = None  # whose leaving ends the placing; none: nobody is watched
-    answer_line_count: int = 1  # that make a member's answer
-    is_acceptable: Callable[[ConnectResult], bool] = lambda result: True  # whether what stands can be used
+    first_line: Callable[[timedelta], bytes]  # of the endpoint, by how long the node waits
+    client: socket.socket | None = None  # whose end ends the loop; None: no client is watched
+    answer_line_count: int = 1  # lines that make an endpoint's answer
+    is_acceptable: Callable[[ConnectResult], bool] = lambda _: True  # of an established connection
 
     def run(self, request: RequestReceived) -> AttemptLoopResult:
-        """Follow the module until a flow stands or the request is given up; never two attempts at once."""
-        runner, request_id, attempt = self.runner, self.request_id, 0
-        runner.handle_events(request)
+        """Follow the policy until a connection is established or the request ends; one attempt at a time."""
+        self.runner.handle_events(request)
+        attempt = 0
         while True:
-            match action := self._next_action():
-                case StartAttempt(_, endpoint_id, timeout):
-                    endpoint, started = runner.endpoint(endpoint_id), now()
-                    until = min(started + timeout * MICROSECOND, self.deadline)
-                    connect = runner.config.settings.connect_timeout_us * MICROSECOND
-                    connector = UpstreamConnector(
-                        endpoint,
-                        self.first_line,
-                        until,
-                        connect,
-                        self._record_attempt,
-                        self.answer_line_count,
-                    )
-                    result = connector.open(self.client, self.action_queue)
-                    duration_us = (now() - started) // MICROSECOND
-                    if result.sock is not None and result.buffer is not None:
-                        if self.is_acceptable(result):
-                            runner.handle_events(
-                                AttemptEstablished(request_id, attempt, endpoint_id, duration_us)
-                            )
-                            lines = (result.up_line, *result.following_lines)
-                            return UpstreamConnection(
-                                endpoint, result.sock, result.buffer, lines, attempt, duration_us
-                            )
-                        result.sock.close()
-                        result.status = AttemptStatus.CANCELLED
-                    if result.is_client_disconnected or result.has_client_sent:
-                        attempt_ended = AttemptEnded(
-                            request_id, attempt, endpoint_id, result.status, duration_us, True
-                        )
-                        runner.handle_events(ClientDisconnected(request_id), attempt_ended)
-                        return ClientSentEarly() if result.has_client_sent else ClientDisconnectedEarly()
-                    runner.handle_events(
-                        AttemptEnded(request_id, attempt, endpoint_id, result.status, duration_us, False)
-                    )
+            action = self._next_action()
+            match action:
+                case StartAttempt():
+                    outcome = self._make_attempt(action, attempt)
+                    if outcome is not None:
+                        return outcome
                     attempt += 1
-                case Reject():
-                    runner.handle_events(ClientDisconnected(request_id))
+                case Reject() | ClientEnd():
+                    self.runner.handle_events(ClientDisconnected(self.request_id))
                     return action
                 case Fail():
                     return action
                 case CancelAttempt() | Migrate():
-                    pass  # the attempt is over already, or nothing stands yet
-                case ClientDisconnectedEarly() | ClientSentEarly():
-                    runner.handle_events(ClientDisconnected(request_id))
-                    return action
+                    pass  # the attempt is over already, or nothing is established yet
+
+    def _make_attempt(self, action: StartAttempt, attempt: int) -> UpstreamConnection | ClientEnd | None:
+        """Make one attempt; None: it failed, and the policy decides what is next."""
+        runner = self.runner
+        endpoint = runner.endpoint(action.endpoint_id)
+        started = now()
+        connector = UpstreamConnector(
+            endpoint,
+            self.first_line,
+            min(started + action.timeout_us * MICROSECOND, self.deadline),
+            runner.config.settings.connect_timeout_us * MICROSECOND,
+            self._record_attempt,
+            self.answer_line_count,
+        )
+        result = connector.open(self.client, self.action_queue)
+        duration_us = (now() - started) // MICROSECOND
+        if result.sock is not None and result.buffer is not None:
+            if self.is_acceptable(result):
+                runner.handle_events(
+                    AttemptEstablished(self.request_id, attempt, endpoint.number, duration_us)
+                )
+                lines = (result.up_line, *result.following_lines)
+                return UpstreamConnection(endpoint, result.sock, result.buffer, lines, attempt, duration_us)
+            result.sock.close()
+            result.status = AttemptStatus.CANCELLED
+        client_end = client_end_of(result)
+        is_client_gone = client_end is not None
+        ended = AttemptEnded(
+            self.request_id, attempt, endpoint.number, result.status, duration_us, is_client_gone
+        )
+        if is_client_gone:
+            runner.handle_events(ClientDisconnected(self.request_id), ended)
+        else:
+            runner.handle_events(ended)
+        return client_end
 
     def _record_attempt(self) -> None:
         self.runner.metrics.record_attempt(self.class_name)
 
-    def _next_action(self) -> QueuedAction | ClientDisconnectedEarly | ClientSentEarly:
-        """What the module says next, or that the client is gone."""
+    def _next_action(self) -> QueuedAction | ClientEnd:
+        """Wait for the policy's next action, or for the client's end."""
         until = self.deadline + ANSWER_GRACE
-        fds = [self.action_queue.fileno()] + ([self.client.fileno()] if self.client else [])
+        descriptors = [self.action_queue.fileno()]
+        if self.client is not None:
+            descriptors.append(self.client.fileno())
         while True:
             action = self.action_queue.take()
             if action is not None and action.request_id == self.request_id:
                 return action
-            ready = sockets.wait_readable(until, *fds)
+            ready = sockets.wait_readable(until, *descriptors)
             if self.client and self.client.fileno() in ready and self.action_queue.peek() is None:
                 match sockets.peek(self.client):
                     case sockets.PeekResult.DATA:
-                        return ClientSentEarly()
+                        return ClientEnd.SENT_EARLY
                     case sockets.PeekResult.CLOSED:
-                        return ClientDisconnectedEarly()
+                        return ClientEnd.DISCONNECTED
             if not ready and now() >= until:
                 check_invariant(False, "answer_overdue")
                 return Reject(self.request_id, 0)
 
 
+def load_hint_of(opening: protocol.Opening) -> int | None:
+    """The client's hint of its load as the policy takes it; None: it gave none."""
+    return None if opening.load_hint is None else int(opening.load_hint)
+
+
+def tenant_of(runner: PolicyRunner, opening: protocol.Opening) -> int:
+    """The number of the tenant that a first line names; 0 where the settings have no such."""
+    return runner.config.tenant_number(opening.field_values.get(protocol.TENANT_FIELD, ""))
+
+
 def build_request(
     runner: PolicyRunner,
     request_id: int,
@@ -134,16 +156,15 @@
     is_reconnect: bool,
 ) -> RequestReceived:
     """The event that tells the policy of a request; `is_reconnect`: its connection broke or was migrated."""
-    load_hint = None if opening.load_hint is None else int(opening.load_hint)
     return RequestReceived(
         request_id,
         class_number,
-        runner.config.tenant_number(opening.field_values.get(protocol.TENANT_FIELD, "")),
+        tenant_of(runner, opening),
         runner.clock.micros(deadline),
         opening.key,
         opening.group_key,
-        load_hint,
+        load_hint_of(opening),
         opening.is_retry,
-        False,
-        is_reconnect,
+        is_midstream=False,
+        is_reconnect=is_reconnect,
     )
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -1,4 +1,4 @@
-"""The life of one transaction, from its first line to its end."""
+"""One client's request: from its first line through its attempts and its connection to its end."""
 
 from __future__ import annotations
 
@@ -12,19 +12,18 @@
 from tansyladder.net.action_queue import ActionQueue, Endpoint
 from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.net.handover_messages import ConnectionState
-from tansyladder.net.protocol import TENANT_FIELD, Opening, format_reject
+from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
-from tansyladder.node.attempt_loop import AttemptLoop, ClientDisconnectedEarly, ClientSentEarly, build_request
-from tansyladder.node.extension_points import ResumableRequest
+from tansyladder.node.attempt_loop import AttemptLoop, ClientEnd, build_request, load_hint_of, tenant_of
+from tansyladder.node.extension_points import ResumableRequest, SessionService
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Fail, Reject
 from tansyladder.policy.events import AttemptStatus, ConnectionAdopted
 
-RESTORE_RETRY_INTERVAL = timedelta(
-    milliseconds=100
-)  # between two tries to take up a connection from before the run
+# Between two attempts to restore a connection from before the run; also what a client is told to wait.
+RESTORE_RETRY_INTERVAL = timedelta(milliseconds=100)
 
 
 class AdoptedConnection(NamedTuple):
@@ -35,7 +34,7 @@
 
 
 class RequestHandler:
-    """One request of a client and its final answer; its thread alone uses its sockets."""
+    """Serves one request from its first line to the end of its connection; owned by its own thread."""
 
     def __init__(
         self,
@@ -45,17 +44,20 @@
         arrived: timedelta,
         adopted: AdoptedConnection | None = None,
     ) -> None:
-        """`handed`: of one that stood in the process before this one, what that gave with it."""
-        self._runner, self._client, self._opening, self._adopted = runner, client, opening, adopted
-        # Its class keeps its number and so its terms; that of what another process took in may be unknown.
+        """`adopted`: of a connection that was established in the process before this one."""
+        self._runner = runner
+        self._client = client
+        self._opening = opening
+        self._adopted = adopted
+        # The class keeps its number, and so its settings; an adopted connection's may not be known here.
         self._class_number = runner.class_numbers.get(opening.class_name, 0)
         self._deadline = arrived + opening.wait
         self._action_queue = ActionQueue()
         self._request_id = 0
-        self.is_answered = adopted is not None  # whether the client has its final answer, or left
+        self.is_answered = adopted is not None  # the client has its final answer, or has left
 
     def run(self) -> None:
-        """Serve the transaction; the client's socket is closed at the end."""
+        """Serve the request; the client's socket is closed at the end."""
         try:
             self._action_queue.open()
         except OSError as err:  # out of descriptors: trying again is harmless
@@ -65,7 +67,7 @@
         self._request_id = self._runner.register_request(self._action_queue)
         try:
             if self._adopted is not None:
-                self._adopt(*self._adopted)
+                self._adopt(self._adopted)
             elif self._opening.endpoint_id is None:
                 self._serve_request()
             else:
@@ -75,60 +77,69 @@
             self._action_queue.close()
             self._client.close()
 
+    # --- a new request
+
     def _serve_request(self) -> None:
-        """OPEN, the module's choice and server-side flows, UP or an answer, the relay, the end."""
-        runner, request_id, opening, session_service = (
-            self._runner,
-            self._request_id,
-            self._opening,
-            self._runner.session_service,
-        )
-        first_line: Callable[[timedelta], bytes] = opening.format_for_endpoint
-        stream = None
-        if session_service is not None and session_service.offers_resumption(opening):
-            stream = session_service.new_stream()
-            first_line = session_service.first_line_builder(opening, stream)
+        """Place the request with the policy, then relay its connection to the end."""
+        session_service = self._runner.session_service
+        if session_service is not None and session_service.offers_resumption(self._opening):
+            self._serve_resumable(session_service)
+            return
+        connection = self._place(self._opening.format_for_endpoint)
+        if connection is not None:
+            status = self._new_relay(connection).run()
+            self._report_end(connection, status)
+
+    def _serve_resumable(self, session_service: SessionService) -> None:
+        """Place a request whose session can be resumed, and leave it to the session service."""
+        stream = session_service.new_stream()
+        connection = self._place(session_service.first_line_builder(self._opening, stream))
+        if connection is not None:
+            request = ResumableRequest(self._action_queue, self._class_number, self._opening, stream)
+            session_service.serve(request, self._client, connection, self._request_id)
+
+    def _place(self, first_line: Callable[[timedelta], bytes]) -> UpstreamConnection | None:
+        """Follow the policy until a connection is established; else answer the client, and return None."""
+        runner = self._runner
+        opening = self._opening
         attempt_loop = AttemptLoop(
             runner,
             self._action_queue,
-            request_id,
+            self._request_id,
             opening.class_name,
             self._deadline,
             first_line,
             self._client,
         )
-        result = attempt_loop.run(
-            build_request(
-                runner, request_id, self._class_number, opening, self._deadline, opening.is_reconnect
-            )
+        request = build_request(
+            runner, self._request_id, self._class_number, opening, self._deadline, opening.is_reconnect
         )
-        if isinstance(result, UpstreamConnection):
-            self._answer(RequestOutcome.OK)  # its UP is the member's, and goes out with the first lines
+        result = attempt_loop.run(request)
         match result:
-            case UpstreamConnection() as connection if session_service is not None and stream is not None:
-                request = ResumableRequest(self._action_queue, self._class_number, opening, stream)
-                session_service.serve(request, self._client, connection, request_id)
-            case UpstreamConnection() as connection:
-                status = self._new_relay(connection).run()
-                runner.handle_events(connection.attempt_ended(request_id, status))
-            case Reject(_, wait):
-                self._answer(RequestOutcome.REJECTED, format_reject(wait * MICROSECOND))
+            case UpstreamConnection():
+                self._answer(RequestOutcome.OK)  # the endpoint's UP goes out with its first lines
+                return result
+            case Reject():
+                answer = format_reject(result.retry_after_us * MICROSECOND)
+                self._answer(RequestOutcome.REJECTED, answer)
             case Fail():
                 self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
-            case ClientSentEarly():
+            case ClientEnd.SENT_EARLY:
                 log(LogEvent.INVALID_LINE, where="client", why="a second line before UP")
                 self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
-            case ClientDisconnectedEarly():
+            case ClientEnd.DISCONNECTED:
                 self._answer(RequestOutcome.CLIENT_LEFT)
+        return None
 
     def _answer(self, outcome: RequestOutcome, line: bytes = b"") -> None:
-        """The final answer: counted here, and said where it is the node's own."""
+        """Count the final answer, and send it where it is the node's own."""
         self.is_answered = True
         self._runner.metrics.record_outcome(self._opening.class_name, outcome)
         if line:
             sockets.shutdown_and_drain(self._client, line)
 
     def _new_relay(self, connection: UpstreamConnection) -> Relay:
+        """The relay of an established connection, which the policy's actions wake from now on."""
         runner = self._runner
         delay_reports = runner.delay_reports(self._request_id, connection.attempt, connection.endpoint.number)
         relay = Relay(
@@ -142,27 +153,18 @@
         self._action_queue.use_callback(relay.wake)
         return relay
 
+    def _report_end(self, connection: UpstreamConnection, status: AttemptStatus) -> None:
+        """Tell the policy that the connection has ended."""
+        self._runner.handle_events(connection.attempt_ended(self._request_id, status))
+
+    # --- connections from before this process
+
     def _restore(self, endpoint_id: str) -> None:
-        """A connection that stood at a pool member before the run goes back there."""
-        runner, opening = self._runner, self._opening
-        endpoint = runner.endpoint_by_id(endpoint_id)
+        """Connect again to the endpoint at which the client's connection was before the run."""
+        endpoint = self._runner.endpoint_by_id(endpoint_id)
         result = ConnectResult(AttemptStatus.CONNECT_FAILED)
-        while endpoint is not None and result.sock is None and not result.is_client_disconnected:
-            connect = runner.config.settings.connect_timeout_us * MICROSECOND
-            connector = UpstreamConnector(
-                endpoint,
-                opening.format_for_endpoint,
-                self._deadline,
-                connect,
-                lambda: runner.metrics.record_attempt(opening.class_name),
-            )
-            result = connector.open(self._client, self._action_queue)
-            if result.sock is None and now() + RESTORE_RETRY_INTERVAL >= self._deadline:
-                break
-            if result.sock is None and not result.is_client_disconnected:
-                sockets.wait_readable(now() + RESTORE_RETRY_INTERVAL, self._action_queue.fileno())
-                if isinstance(self._action_queue.peek(), Reject):
-                    break
+        if endpoint is not None:
+            result = self._connect_again(endpoint)
         if endpoint is None or result.sock is None or result.buffer is None:
             log(LogEvent.CONNECTION_RESTORE_FAILED, member=endpoint_id, status=result.status.name)
             if result.is_client_disconnected:
@@ -172,31 +174,53 @@
             return
         self._answer(RequestOutcome.OK)
         self._report_adopted(endpoint)
-        initial_lines = (result.up_line, *result.following_lines)
-        connection = UpstreamConnection(endpoint, result.sock, result.buffer, initial_lines, 0, 0)
-        status = self._new_relay(connection).run()
-        runner.handle_events(connection.attempt_ended(self._request_id, status))
-
-    def _adopt(self, adopted: ConnectionState, sock: socket.socket) -> None:
-        """A connection that stood in the process before this one goes on where it was."""
-        runner, endpoint = self._runner, self._runner.endpoint_by_id(adopted.endpoint_id)
+        lines = (result.up_line, *result.following_lines)
+        connection = UpstreamConnection(endpoint, result.sock, result.buffer, lines, 0, 0)
+        self._report_end(connection, self._new_relay(connection).run())
+
+    def _connect_again(self, endpoint: Endpoint) -> ConnectResult:
+        """Attempt it until it is established, the deadline comes, or the client or the node ends it."""
+        runner = self._runner
+        opening = self._opening
+        while True:
+            connector = UpstreamConnector(
+                endpoint,
+                opening.format_for_endpoint,
+                self._deadline,
+                runner.config.settings.connect_timeout_us * MICROSECOND,
+                lambda: runner.metrics.record_attempt(opening.class_name),
+            )
+            result = connector.open(self._client, self._action_queue)
+            if result.sock is not None or result.is_client_disconnected:
+                return result
+            if now() + RESTORE_RETRY_INTERVAL >= self._deadline:
+                return result
+            sockets.wait_readable(now() + RESTORE_RETRY_INTERVAL, self._action_queue.fileno())
+            if isinstance(self._action_queue.peek(), Reject):
+                return result
+
+    def _adopt(self, adopted: AdoptedConnection) -> None:
+        """Go on with a connection that was established in the process before this one."""
+        state = adopted.state
+        endpoint = self._runner.endpoint_by_id(state.endpoint_id)
         if endpoint is None:
-            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=adopted.endpoint_id)
-            sock.close()
+            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=state.endpoint_id)
+            adopted.upstream.close()
             sockets.shutdown_and_drain(self._client, protocol.MOVE + b"\r\n")
             return
         self._report_adopted(endpoint)
-        connection = UpstreamConnection(endpoint, sock, protocol.LineBuffer(), (), 0, 0)
-        status = self._new_relay(connection).resume(adopted)
-        runner.handle_events(connection.attempt_ended(self._request_id, status))
+        connection = UpstreamConnection(endpoint, adopted.upstream, protocol.LineBuffer(), (), 0, 0)
+        self._report_end(connection, self._new_relay(connection).resume(state))
 
     def _report_adopted(self, endpoint: Endpoint) -> None:
-        """The module is told of a connection that it did not place."""
+        """Tell the policy of a connection that it did not place."""
         opening = self._opening
-        load_hint = None if opening.load_hint is None else int(opening.load_hint)
-        tenant = self._runner.config.tenant_number(opening.field_values.get(TENANT_FIELD, ""))
-        self._runner.handle_events(
-            ConnectionAdopted(
-                self._request_id, self._class_number, tenant, endpoint.number, opening.key, load_hint
-            )
+        adopted = ConnectionAdopted(
+            self._request_id,
+            self._class_number,
+            tenant_of(self._runner, opening),
+            endpoint.number,
+            opening.key,
+            load_hint_of(opening),
         )
+        self._runner.handle_events(adopted)
