--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery: the watch on the list of pool members, as the module asks for it, and its change of address."""
+"""Polls discovery for the endpoint list when the policy asks for it, and follows a change of its address."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 import random
 import threading
 from datetime import timedelta
+from enum import Enum
+from typing import NamedTuple
 
 import msgspec
 
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
-from tansyladder.net.clock import MICROSECOND, now, seconds_left
+from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.net.http import HttpClient, HttpError, HttpTimeoutError
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import ListUpdateKind
@@ -35,23 +37,53 @@
 AGENT_RETRY_INTERVAL = timedelta(milliseconds=50)  # between calls of an agent here, which cost nobody
 FIRST_LIST_TIMEOUT = timedelta(milliseconds=300)  # of a start: what it has by then counts as told
 PATH = "/v1/servers"
+MILLISECOND = timedelta(milliseconds=1)
+
+
+class PollState(Enum):
+    """What the last calls came to; it decides the next call's timeout and what a silence means."""
+
+    ANSWERING = "answering"
+    SILENT = "silent"  # the last call had no answer in time, or an agent's failed
+    REFUSED = "refused"  # refused since a silence: something answers there, but no list has come
+
+
+# The state after a call that had no answer in time, and after one that failed in another way. A list leads
+# to ANSWERING from every state.
+STATE_AFTER_TIMEOUT = dict.fromkeys(PollState, PollState.SILENT)
+STATE_AFTER_REFUSAL = {
+    PollState.ANSWERING: PollState.ANSWERING,
+    PollState.SILENT: PollState.REFUSED,
+    PollState.REFUSED: PollState.REFUSED,
+}
+
+
+class CallFailure(NamedTuple):
+    """Why a call to discovery brought no list."""
+
+    error: str
+    is_timeout: bool = False
+    is_stale: bool = False  # the list is older than what is known
 
 
 class DiscoveryClient:
-    """One thread: it waits for the module's word, then watches until a call fails."""
+    """Polls discovery on one thread, when the policy says so, until a call fails.
+
+    `_lock` guards the address, its client and what is known of it; nothing else is called under it. The
+    polling thread alone writes `_state`. `switch_address` is thread-safe.
+    """
 
     def __init__(self, runner: PolicyRunner) -> None:
+        config = runner.config
         self._runner = runner
         self._lock = threading.Lock()
-        self._http = HttpClient(runner.config.discovery)
-        self._address = runner.config.discovery
-        # Whether this address has yet to tell its whole list; at a start the changes since the known one do,
-        # unless it is an agent here.
-        self._needs_snapshot = self._is_agent or not runner.config.known_endpoints.endpoints
+        self._address = config.discovery
+        self._http = HttpClient(config.discovery)
+        # Whether this address has yet to send its complete list; at a start the changes since the known list
+        # will do, unless an agent answers here.
+        self._needs_snapshot = self._is_agent or not config.known_endpoints.endpoints
         self._retry_spread = self._first_call_spread
-        self._has_timed_out = self._has_failed = (
-            False  # whether the last call was silent, or failed in any way
-        )
+        self._state = PollState.ANSWERING
         self._first_answer = threading.Event()
         self._decoder = msgspec.json.Decoder(EndpointList)
 
@@ -66,29 +98,38 @@
 
     @property
     def _first_call_spread(self) -> timedelta:
-        """Over which first calls to a new address are spread: it counts as heard of after 4 s."""
-        return MAX_RETRY_SPREAD if self._call_interval > SIMULTANEOUS_CALL_INTERVAL else MIN_FIRST_CALL_SPREAD
+        """Over which first calls to a new address are spread: it counts as known after 4 s."""
+        is_large_cluster = self._call_interval > SIMULTANEOUS_CALL_INTERVAL
+        return MAX_RETRY_SPREAD if is_large_cluster else MIN_FIRST_CALL_SPREAD
 
     def start(self) -> None:
+        """Start the polling thread; where an agent answers, wait a little for its first list."""
         threading.Thread(target=self._run, name="discovery", daemon=True).start()
-        if self._is_agent:  # else the module says when
+        if self._is_agent:  # else the policy says when
             self._runner.request_discovery_poll()
             self._first_answer.wait(FIRST_LIST_TIMEOUT.total_seconds())
 
     def switch_address(self, address: Address) -> bool:
-        """Watch at another address from now on; False where it is the one that is watched already.
+        """Poll another address from now on; False where it is polled already.
 
-        What is known stays until the new address has told its list. The old one's call ends here.
+        The known list stays until the new address has sent its complete list. The old one's call ends here.
         """
         with self._lock:
             if address == self._address:
                 return False
-            old, self._http = self._http, HttpClient(address)
-            self._address, self._needs_snapshot, self._retry_spread = address, True, self._first_call_spread
+            old = self._http
+            self._http = HttpClient(address)
+            self._address = address
+            self._require_snapshot()
         old.abort()
         self._runner.request_discovery_poll()
         return True
 
+    def _require_snapshot(self) -> None:
+        """Ask for the complete list next; called with the lock held."""
+        self._needs_snapshot = True
+        self._retry_spread = self._first_call_spread
+
     def _run(self) -> None:
         while True:
             is_polling = self._runner.discovery_polls.get()
@@ -99,89 +140,102 @@
                         is_polling = self._runner.discovery_polls.get_nowait()
 
     def _poll_once(self) -> bool:
-        """One call; False where it failed, and the module decides when to ask again."""
+        """Make one call; False where it failed, and the policy decides when to poll again."""
         with self._lock:
-            http, needs_snapshot, retry_spread = self._http, self._needs_snapshot, self._retry_spread
+            http = self._http
+            needs_snapshot = self._needs_snapshot
+            retry_spread = self._retry_spread
         if needs_snapshot and not self._is_agent:
             # All nodes come at once to a service that takes calls one after another.
             _sleep(random.uniform(0, 1) * retry_spread)
-        wait = POLL_TIMEOUT_AFTER_FAILURE if self._has_failed else POLL_TIMEOUT
-        path = f"{PATH}?since={self._runner.revision}&timeout_ms={wait // (1000 * MICROSECOND)}"
-        started, endpoint_list, error, timed_out, is_stale = now(), None, "", False, False
-        try:
-            body = http.get(
-                PATH if needs_snapshot else path,
-                CONNECT_TIMEOUT,
-                IMMEDIATE_ANSWER_TIMEOUT if needs_snapshot else wait + ANSWER_MARGIN,
-            )
-            read = self._decoder.decode(body)
-            is_stale = not read.complete and read.revision < self._runner.revision
-            if is_stale:
-                raise HttpError(f"older than what is known: {read.revision}")
-            endpoint_list = read
-        except (OSError, HttpError, msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
+        started = now()
+        result = self._call(http, needs_snapshot)
+        if http is not self._http:  # the address was switched: what the old one says counts for nothing
             http.close()
-            error, timed_out = str(err), isinstance(err, HttpTimeoutError)
-        if http is not self._http:
-            pass  # its call was ended
-        elif endpoint_list is None:
-            log(LogEvent.DISCOVERY_FAILED, why=error, after=now() - started)
+            return True
+        if isinstance(result, CallFailure):
+            log(LogEvent.DISCOVERY_FAILED, why=result.error, after=now() - started)
             self._runner.record_discovery_call(failed=True)
-        elif endpoint_list.endpoints or endpoint_list.complete:
+            return self._handle_failure(http, result)
+        if result.endpoints or result.complete:
             log(
                 LogEvent.ENDPOINTS_UPDATED,
-                revision=endpoint_list.revision,
-                complete=endpoint_list.complete,
-                entries=len(endpoint_list.endpoints),
+                revision=result.revision,
+                complete=result.complete,
+                entries=len(result.endpoints),
             )
+        return self._handle_list(http, result)
+
+    def _call(self, http: HttpClient, needs_snapshot: bool) -> EndpointList | CallFailure:
+        """Ask for the complete list, or poll for the changes since the known one."""
+        known_revision = self._runner.revision
+        poll_timeout = POLL_TIMEOUT_AFTER_FAILURE if self._state is PollState.SILENT else POLL_TIMEOUT
+        path = f"{PATH}?since={known_revision}&timeout_ms={poll_timeout // MILLISECOND}"
+        answer_timeout = poll_timeout + ANSWER_MARGIN
+        if needs_snapshot:
+            path = PATH
+            answer_timeout = IMMEDIATE_ANSWER_TIMEOUT
+        try:
+            listed = self._decoder.decode(http.get(path, CONNECT_TIMEOUT, answer_timeout))
+        except (OSError, HttpError, msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
+            http.close()
+            return CallFailure(str(err), is_timeout=isinstance(err, HttpTimeoutError))
+        if not listed.complete and listed.revision < known_revision:
+            http.close()
+            return CallFailure(f"older than what is known: {listed.revision}", is_stale=True)
+        return listed
+
+    def _handle_list(self, http: HttpClient, listed: EndpointList) -> bool:
+        """Give a list to the policy; True: polling goes on."""
         with self._lock:
-            if http is not self._http:  # what the old address says after the switch is told to nobody
+            if http is not self._http:
                 http.close()
                 return True
-            if endpoint_list is not None:
-                self._runner.record_discovery_call(failed=False)
-                self._needs_snapshot = self._has_timed_out = self._has_failed = False
-                self._runner.update_endpoints(
-                    endpoint_list, ListUpdateKind.SNAPSHOT if endpoint_list.complete else ListUpdateKind.DELTA
-                )
-                self._first_answer.set()
-                if self._runner.endpoint_cache is not None:
-                    self._runner.endpoint_cache.save_endpoints(endpoint_list)
-            elif needs_snapshot:
-                self._retry_spread = min(2 * retry_spread, MAX_RETRY_SPREAD)
-            elif is_stale:  # late, or its numbers have begun anew: the whole list tells
-                self._needs_snapshot, self._retry_spread = True, self._first_call_spread
+            self._needs_snapshot = False
+            self._state = PollState.ANSWERING
+        self._runner.record_discovery_call(failed=False)
+        kind = ListUpdateKind.SNAPSHOT if listed.complete else ListUpdateKind.DELTA
+        self._runner.update_endpoints(listed, kind)
+        self._first_answer.set()
+        if self._runner.endpoint_cache is not None:
+            self._runner.endpoint_cache.save_endpoints(listed)
+        if not self._is_agent and listed.endpoints and self._call_interval > SIMULTANEOUS_CALL_INTERVAL:
+            # A change answers the polls of all nodes at once. What changes within 200 ms of an answer counts
+            # as told: a node that asked later sent to an endpoint that was gone, by a list it never saw.
+            self._wait_for_request(random.uniform(0, 1) * POLL_AGAIN_SPREAD)
+        return True
+
+    def _handle_failure(self, http: HttpClient, failure: CallFailure) -> bool:
+        """Note a failed call; True: polling goes on here, False: the policy decides when."""
+        with self._lock:
+            if http is not self._http:
                 return True
-            elif self._is_agent:
-                self._has_failed = True
-            elif timed_out and not self._has_timed_out:
-                # A watch that fell silent is no failed call: it is opened anew at once, but once.
-                self._has_timed_out = self._has_failed = True
+            if failure.is_stale and not self._needs_snapshot:
+                # It came late, or its numbers have begun anew: the complete list tells.
+                self._require_snapshot()
                 return True
+            if self._needs_snapshot:
+                self._retry_spread = min(2 * self._retry_spread, MAX_RETRY_SPREAD)
+                is_polling = True
             else:
-                self._has_failed = timed_out  # one that was turned away has somebody there
-                self._runner.update_endpoints(
-                    EndpointList(revision=self._runner.revision), ListUpdateKind.FAILED
-                )
+                # A poll that falls silent once is no failed call: it is opened anew at once.
+                is_first_silence = failure.is_timeout and self._state is PollState.ANSWERING
+                is_silence = failure.is_timeout or self._is_agent
+                transitions = STATE_AFTER_TIMEOUT if is_silence else STATE_AFTER_REFUSAL
+                self._state = transitions[self._state]
+                is_polling = self._is_agent or is_first_silence
         if self._is_agent:
-            if endpoint_list is None:
-                self._wait_for_request(AGENT_RETRY_INTERVAL)
-            return True
-        if (
-            endpoint_list is not None
-            and endpoint_list.endpoints
-            and self._call_interval > SIMULTANEOUS_CALL_INTERVAL
-        ):
-            # A change answers the watches of all nodes at once. What changes within 200 ms of an answer
-            # counts as told: who asked later sent to a member that was gone, by a list it never saw.
-            self._wait_for_request(random.uniform(0, 1) * POLL_AGAIN_SPREAD)
-        return endpoint_list is not None or needs_snapshot
+            self._wait_for_request(AGENT_RETRY_INTERVAL)
+        if not is_polling:
+            unchanged = EndpointList(revision=self._runner.revision)
+            self._runner.update_endpoints(unchanged, ListUpdateKind.FAILED)
+        return is_polling
 
     def _wait_for_request(self, duration: timedelta) -> None:
-        """Wait, unless a new address is named meanwhile: that is to be asked at once."""
+        """Wait, unless a new address is named meanwhile: that is to be polled at once."""
         with contextlib.suppress(queue.Empty):
             self._runner.discovery_polls.get(timeout=duration.total_seconds())
 
 
 def _sleep(duration: timedelta) -> None:
-    threading.Event().wait(seconds_left(now() + duration))
+    threading.Event().wait(max(0.0, duration.total_seconds()))
