--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from datetime import timedelta
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -360,29 +360,39 @@
     return out
 
 
-def reload(environ: Mapping[str, str], running: Config) -> tuple[Config, list[str], list[str]]:
-    """The file as it is now: what to put in force, the keys that changed, and those that wait for a restart.
+class ReloadedConfig(NamedTuple):
+    """A configuration that was read while another one is in force."""
 
-    ConfigError: nothing is taken of it. A key that was there before must be there still: a file that was cut
-    off, or written by half, must not put defaults in force. Here the file goes before GW_DISCOVERY, which
-    told the address of the start.
+    config: Config  # to put in force
+    changed_keys: list[str]
+    restart_only_keys: list[str]  # that changed too, and wait for the next start
+
+
+def reload(environ: Mapping[str, str], running: Config) -> ReloadedConfig:
+    """Read the file as it is now, against the configuration that is running.
+
+    ConfigError: nothing of it can be used. A key that was there before must be there still: a file that was
+    cut off, or half written, must not put defaults in force. Here the file goes before GW_DISCOVERY, which
+    gave the address of the start.
     """
-    told = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
-    lost = _missing(told.written_values, running.written_values)
-    if lost is not None:
-        raise ConfigError(f"{lost}: missing; the running configuration has it")
-    keys = sorted(running.written_values.keys() | told.written_values.keys())
-    changed = [key for key in keys if running.written_values.get(key) != told.written_values.get(key)]
-    fixed = [key for key in changed if any(f"{key}.".startswith(f"{part}.") for part in RESTART_ONLY_KEYS)]
-    kept = {name: getattr(running.settings, name) for name in FIXED_SETTINGS}
-    new = replace(
+    read = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
+    missing = _missing(read.written_values, running.written_values)
+    if missing is not None:
+        raise ConfigError(f"{missing}: missing; the running configuration has it")
+    keys = sorted(running.written_values.keys() | read.written_values.keys())
+    changed = [key for key in keys if running.written_values.get(key) != read.written_values.get(key)]
+    restart_only = [
+        key for key in changed if any(f"{key}.".startswith(f"{part}.") for part in RESTART_ONLY_KEYS)
+    ]
+    fixed = {name: getattr(running.settings, name) for name in FIXED_SETTINGS}
+    config = replace(
         running,
-        discovery=told.discovery,
-        settings=replace(told.settings, **kept),
-        class_names=told.class_names,
-        reports_delay=told.reports_delay,
-        reports_load=told.reports_load,
-        longest_deadline=told.longest_deadline,
-        written_values=told.written_values,
+        discovery=read.discovery,
+        settings=replace(read.settings, **fixed),
+        class_names=read.class_names,
+        reports_delay=read.reports_delay,
+        reports_load=read.reports_load,
+        longest_deadline=read.longest_deadline,
+        written_values=read.written_values,
     )
-    return new, [key for key in changed if key not in fixed], fixed
+    return ReloadedConfig(config, [key for key in changed if key not in restart_only], restart_only)
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -1,10 +1,11 @@
-"""Probes: one short connection each, `STATS` where members report their load and `PING` elsewhere."""
+"""Health checks: one short connection each, `STATS` where endpoints report their load, else `PING`."""
 
 from __future__ import annotations
 
 import socket
 import threading
 from datetime import timedelta
+from typing import NamedTuple
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol
@@ -13,67 +14,101 @@
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 
-CHECK_TIMEOUT = timedelta(milliseconds=150)  # a member answers ERR after 100 ms where it has no time
+CHECK_TIMEOUT = timedelta(milliseconds=150)  # an endpoint that has no time answers ERR after 100 ms
 WORKER_COUNT = 4
+MAX_LOGGED_BYTES = 80  # of an answer that can't be used
+
+
+class CheckResult(NamedTuple):
+    """What a health check came to; `load` is empty where the endpoint sent no report."""
+
+    status: AttemptStatus
+    load: tuple[float, ...] = ()
 
 
 class HealthChecker:
-    """A few threads that take probes off the core's queue."""
+    """A few threads that take health checks off the policy runner's queue, one connection for each check.
+
+    Its attributes do not change after the start, so its threads share it without a lock.
+    """
 
     def __init__(self, runner: PolicyRunner) -> None:
         self._runner = runner
         self._report_columns = runner.config.settings.report_columns
+        self._request = protocol.STATS if self._report_columns else protocol.PING
 
     def start(self) -> None:
+        """Start the threads, where the platform lets nodes check endpoints."""
         if self._runner.config.settings.can_check_health:
-            for worker_index in range(WORKER_COUNT):
-                threading.Thread(target=self._run, name=f"probe-{worker_index}", daemon=True).start()
+            for number in range(WORKER_COUNT):
+                threading.Thread(target=self._run, name=f"health-check-{number}", daemon=True).start()
 
     def _run(self) -> None:
         while True:
             endpoint = self._runner.health_checks.get()
             started = now()
-            status, load = self._check(endpoint)
+            result = self._check(endpoint)
             duration_us = (now() - started) // MICROSECOND
-            self._runner.handle_events(HealthCheckResult(endpoint.number, status, duration_us, load))
+            self._runner.handle_events(
+                HealthCheckResult(endpoint.number, result.status, duration_us, result.load)
+            )
 
-    def _check(self, endpoint: Endpoint) -> tuple[AttemptStatus, tuple[float, ...]]:
-        deadline, connect = (
-            now() + CHECK_TIMEOUT,
-            self._runner.config.settings.connect_timeout_us * MICROSECOND,
-        )
+    def _check(self, endpoint: Endpoint) -> CheckResult:
+        """Connect, ask, and read the answer; its lines are read to the end of a report."""
+        deadline = now() + CHECK_TIMEOUT
+        connect_timeout = min(self._runner.config.settings.connect_timeout_us * MICROSECOND, CHECK_TIMEOUT)
         try:
-            sock = socket.create_connection(endpoint.address, min(connect, CHECK_TIMEOUT).total_seconds())
+            sock = socket.create_connection(endpoint.address, connect_timeout.total_seconds())
         except OSError:
-            return AttemptStatus.CONNECT_FAILED, ()
+            return CheckResult(AttemptStatus.CONNECT_FAILED)
+        lines: list[bytes] = []
         with sock:
             try:
-                sock.sendall((protocol.STATS if self._report_columns else protocol.PING) + b"\r\n")
-                buffer, lines = protocol.LineBuffer(), list[bytes]()
-                while not lines or not self._is_complete(lines):
-                    if not (remaining_seconds := seconds_left(deadline)):
-                        raise TimeoutError  # however many bytes came now and then
-                    sock.settimeout(remaining_seconds)
-                    data = sock.recv(protocol.MAX_LINE_BYTES)
-                    if not data:
-                        return AttemptStatus.RESET, ()
-                    lines += buffer.feed(data)
-                    if protocol.first_word(lines[0] if lines else b"PONG") != protocol.PONG:
-                        return AttemptStatus.ERROR, ()
+                sock.sendall(self._request + b"\r\n")
+                is_answered = self._read_answer(sock, deadline, lines)
             except TimeoutError:
-                if lines:  # it answers, and has no report: it stays as it was known
-                    log(LogEvent.INVALID_LOAD_REPORT, member=endpoint.id, line=lines[0][:80])
-                return AttemptStatus.OK if lines else AttemptStatus.TIMEOUT, ()
+                if not lines:
+                    return CheckResult(AttemptStatus.TIMEOUT)
+                # It answers, and has no report: it stays as it was known.
+                self._log_invalid_report(endpoint, lines[0])
+                return CheckResult(AttemptStatus.OK)
             except OSError:
-                return AttemptStatus.RESET, ()
+                return CheckResult(AttemptStatus.RESET)
             except protocol.LineError as err:
                 log(LogEvent.INVALID_RESPONSE, member=endpoint.id, why=err)
-                return AttemptStatus.ERROR, ()
-        report = protocol.parse_load_report(lines[-1], self._report_columns) if self._report_columns else ()
-        if self._report_columns and not report:
-            log(LogEvent.INVALID_LOAD_REPORT, member=endpoint.id, line=lines[-1][:80])
-        return AttemptStatus.OK, report
+                return CheckResult(AttemptStatus.ERROR)
+        if not is_answered:
+            return CheckResult(AttemptStatus.ERROR)
+        return self._parse_report(endpoint, lines[-1])
+
+    def _read_answer(self, sock: socket.socket, deadline: timedelta, lines: list[bytes]) -> bool:
+        """Read an answer into `lines`; False where it does not begin with PONG. Raises OSError at its end."""
+        buffer = protocol.LineBuffer()
+        while not lines or not self._is_complete(lines):
+            remaining_seconds = seconds_left(deadline)
+            if not remaining_seconds:
+                raise TimeoutError  # however many bytes came now and then
+            sock.settimeout(remaining_seconds)
+            data = sock.recv(protocol.MAX_LINE_BYTES)
+            if not data:
+                raise ConnectionResetError("the connection ended within an answer")
+            lines += buffer.feed(data)
+            if lines and protocol.first_word(lines[0]) != protocol.PONG:
+                return False
+        return True
 
     def _is_complete(self, lines: list[bytes]) -> bool:
-        """Whether the answer is whole: a report stands behind PONG, or in a line of its own."""
+        """Whether the answer is complete: a report stands behind PONG, or in a line of its own."""
         return not self._report_columns or len(lines) > 1 or b"=" in lines[0]
+
+    def _parse_report(self, endpoint: Endpoint, line: bytes) -> CheckResult:
+        if not self._report_columns:
+            return CheckResult(AttemptStatus.OK)
+        load = protocol.parse_load_report(line, self._report_columns)
+        if not load:
+            self._log_invalid_report(endpoint, line)
+        return CheckResult(AttemptStatus.OK, load)
+
+    @staticmethod
+    def _log_invalid_report(endpoint: Endpoint, line: bytes) -> None:
+        log(LogEvent.INVALID_LOAD_REPORT, member=endpoint.id, line=line[:MAX_LOGGED_BYTES])
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -1,4 +1,4 @@
-"""The node's one state; whoever has to know asks here: PING, `status`, admission, drains and the reload."""
+"""The node's state, which PING, `status`, admission, drains and the reload depend on."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now, seconds_left
 
-# After the first no to PING the front's new connections come for 0.2 s, and it asks each 0.1 s.
+# After the first BUSY to a PING the front end's new connections come for 0.2 s, and it asks each 0.1 s.
 LATE_REQUEST_WINDOW = timedelta(seconds=1)
 
 
 class NodeState(Enum):
-    """What a node is doing, in the words that `status` says it in."""
+    """What a node is doing, in the words of the operators' call `status`."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -22,71 +22,85 @@
     DRAINING = "draining"  # for good: SIGTERM came
 
 
+# From which states each one may be reached; a transition from another state is ignored.
+ALLOWED_FROM = {
+    NodeState.STARTING: (),
+    NodeState.SERVING: (NodeState.STARTING, NodeState.STANDBY),
+    NodeState.STANDBY: (NodeState.STARTING, NodeState.SERVING),
+    NodeState.DRAINING: tuple(NodeState),
+}
+
+
 class Lifecycle:
-    """One state, changed and asked from any thread."""
+    """The one state of a node. Thread-safe: the condition guards it, and changes are logged outside it."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
-        self._state, self._state_since = NodeState.STARTING, now()
+        self._state = NodeState.STARTING
+        self._state_since = now()
 
     @property
     def state(self) -> NodeState:
+        """What the node is doing at the moment."""
         return self._state
 
     @property
     def state_since(self) -> timedelta:
-        """When it came to be so."""
+        """When the state began."""
         return self._state_since
 
     @property
     def is_draining(self) -> bool:
-        """Whether who has to leave a member leaves this node."""
+        """Whether a client that has to leave its endpoint has to leave this node."""
         return self._state in (NodeState.STANDBY, NodeState.DRAINING)
 
     @property
     def is_ready(self) -> bool:
-        """The answer to PING. SIGTERM leaves it at yes: the platform stops sending by itself."""
+        """Whether PING is answered PONG. SIGTERM leaves it so: the platform stops sending by itself."""
         return self._state is not NodeState.STANDBY
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether a first line is served: in standby only that of who was on the way."""
+        """Whether a request is served: in standby only one that was on its way."""
         return self._state is not NodeState.STANDBY or now() - self._state_since < LATE_REQUEST_WINDOW
 
     def mark_started(self) -> None:
-        """The node takes clients, unless standby was asked for meanwhile."""
-        self._transition(NodeState.SERVING, NodeState.STARTING)
+        """The node accepts clients, unless standby was asked for meanwhile."""
+        self._transition(NodeState.SERVING, only_from=NodeState.STARTING)
 
     def enter_standby(self) -> bool:
-        """Send clients away; False where the node ends anyway. Twice is no error, and begins nothing anew."""
-        self._transition(NodeState.STANDBY, NodeState.STARTING, NodeState.SERVING)
+        """Send clients away; False where the node ends anyway. A second call changes nothing."""
+        self._transition(NodeState.STANDBY)
         return self._state is NodeState.STANDBY
 
     def activate(self) -> bool:
-        """Back to work, also from the middle of a drain; False where the node ends."""
-        self._transition(NodeState.SERVING, NodeState.STANDBY)
+        """Serve again, also in the middle of a drain to standby; False where the node ends."""
+        self._transition(NodeState.SERVING, only_from=NodeState.STANDBY)
         return self._state in (NodeState.SERVING, NodeState.STARTING)
 
     def begin_drain(self) -> None:
-        """SIGTERM, in any state."""
-        self._transition(NodeState.DRAINING, *NodeState)
+        """SIGTERM came, in whatever state."""
+        self._transition(NodeState.DRAINING)
 
     def wait_for_change(self, since: timedelta, until: timedelta | None = None) -> bool:
-        """Wait until a moment; True as soon as what began then is over."""
+        """Wait until a moment; True as soon as the state that began at `since` is over."""
         with self._changed:
-            left = None if until is None else seconds_left(until)
-            return self._changed.wait_for(lambda: self._state_since != since, left)
+            timeout = None if until is None else seconds_left(until)
+            return self._changed.wait_for(lambda: self._state_since != since, timeout)
 
     def wait_for_state(self, state: NodeState) -> timedelta:
-        """Wait for as long as it takes; when it began."""
+        """Wait for as long as it takes; returns when the state began."""
         with self._changed:
             self._changed.wait_for(lambda: self._state is state)
             return self._state_since
 
-    def _transition(self, state: NodeState, *before: NodeState) -> None:
+    def _transition(self, state: NodeState, only_from: NodeState | None = None) -> None:
+        """Change to a state where the table allows it, and `only_from` a given one where one is given."""
         with self._changed:
-            if self._state not in before:
+            previous = self._state
+            if previous not in ALLOWED_FROM[state] or only_from not in (None, previous):
                 return
-            previous, self._state, self._state_since = self._state, state, now()
+            self._state = state
+            self._state_since = now()
             self._changed.notify_all()
         log(LogEvent.STATE_CHANGED, now=state.value, was=previous.value)
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -1,4 +1,4 @@
-"""A new configuration while the node runs: read whole in a thread of its own, then put in force."""
+"""Reloads the configuration while the node runs: read completely, then put in force or refused."""
 
 from __future__ import annotations
 
@@ -6,35 +6,41 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from tansyladder.config.operator_settings import OptionsError, load, restart_required_changes
-from tansyladder.config.platform import ConfigError, reload
+from tansyladder.config.operator_settings import Options, OptionsError, load, restart_required_changes
+from tansyladder.config.platform import ConfigError, ReloadedConfig, reload
 from tansyladder.log import LogEvent, log
 from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.policy_runner import PolicyRunner
 
-MAX_LOGGED_KEYS_LENGTH = 300  # characters of the keys that changed, in the log
+MAX_LOGGED_KEYS_LENGTH = 300  # characters of the keys that changed
 
 
 class Reloader:
-    """Reads the file anew when asked; what is asked while it reads makes it read once more."""
+    """Reads the configuration when asked, on its own thread, which owns all but the request."""
 
     def __init__(
         self,
         environ: Mapping[str, str],
         runner: PolicyRunner,
         discovery: DiscoveryClient,
-        settings: str | Path | None = None,
+        options_path: str | Path | None = None,
     ) -> None:
-        """`settings`: the operator's file, where one was named at the start."""
-        self._environ, self._runner, self._discovery, self._settings = environ, runner, discovery, settings
-        self._running_config, self._running_options = runner.config, runner.options
+        """`options_path`: of the operator's settings file, where one was named at the start."""
+        self._environ = environ
+        self._runner = runner
+        self._discovery = discovery
+        self._options_path = options_path
+        self._running_config = runner.config
+        self._running_options = runner.options
         self._requested = threading.Event()
 
     def start(self) -> None:
+        """Start the thread that waits for requests."""
         threading.Thread(target=self._run, name="reload", daemon=True).start()
 
     def request_reload(self) -> None:
+        """Ask for a reload; one that comes while the file is read makes it be read again. Thread-safe."""
         self._requested.set()
 
     def _run(self) -> None:
@@ -46,27 +52,32 @@
             self.reload_now()
 
     def reload_now(self) -> None:
-        """Read the file now, and put it in force, or leave all as it was."""
-        runner = self._runner
+        """Read the files now, and put them in force, or leave all as it was."""
         try:
-            config, changed_keys, ignored_keys = reload(self._environ, self._running_config)
-            options = load(self._settings)
+            reloaded = reload(self._environ, self._running_config)
+            options = load(self._options_path)
         except (ConfigError, OptionsError) as err:
             log(LogEvent.RELOAD_FAILED, why=err)
-            runner.metrics.record_reload(applied=False)
-            return
-        except Exception as err:  # whatever a file may hold, the next one must still be read
+            self._runner.metrics.record_reload(applied=False)
+        except Exception as err:
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
-            runner.metrics.record_reload(applied=False)
-            return
-        ignored_keys += restart_required_changes(self._running_options, options)
+            self._runner.metrics.record_reload(applied=False)
+        else:
+            self._apply(reloaded, options)
+
+    def _apply(self, reloaded: ReloadedConfig, options: Options) -> None:
+        """Put a configuration in force that has been read and checked."""
+        runner = self._runner
+        config = reloaded.config
+        ignored_keys = reloaded.restart_only_keys + restart_required_changes(self._running_options, options)
         if ignored_keys:
             log(LogEvent.RELOAD_IGNORED, keys=",".join(ignored_keys))
         self._running_config = config
         runner.reconfigure(config)
         if runner.session_service is not None:
             runner.session_service.rotate_keys(options.resume)
-        switched = self._discovery.switch_address(config.discovery)
+        is_switched = self._discovery.switch_address(config.discovery)
         runner.metrics.record_reload(applied=True)
-        shown = ",".join(changed_keys)[:MAX_LOGGED_KEYS_LENGTH]
-        log(LogEvent.RELOADED, discovery="{}:{}".format(*config.discovery), switched=switched, keys=shown)
+        keys = ",".join(reloaded.changed_keys)[:MAX_LOGGED_KEYS_LENGTH]
+        address = "{}:{}".format(*config.discovery)
+        log(LogEvent.RELOADED, discovery=address, switched=is_switched, keys=keys)
