--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -187,7 +187,7 @@
         for _ in range(CHANGES_BEFORE_FAULTS):
             await self.publish(int(self._rng.integers(node_count)))
         faults = [
-            (FaultKind.STOP, 2 * LEASE_DURATION),
+            (FaultKind.PAUSE, 2 * LEASE_DURATION),
             (FaultKind.CUT_PEERS, 2 * LEASE_DURATION),
             (FaultKind.KILL, 1.0),
             (FaultKind.KILL_LEADER, 1.0),
--- a/tansyladder/lab/chaos/faults.py
+++ b/tansyladder/lab/chaos/faults.py
@@ -21,18 +21,18 @@
 LEADER_LOG_LINE = re.compile(rb"event=raft_state role=\w+ term=(\d+) leader=(\w+)")
 NEEDS_RUNNING_NODE = frozenset(  # these do nothing to a node that another fault has killed
     {
-        FaultKind.STOP,
+        FaultKind.PAUSE,
         FaultKind.RESTART,
         FaultKind.UPGRADE,
         FaultKind.UPGRADE_KILL,
-        FaultKind.FULL_DISK,
-        FaultKind.OLD_DISK,
+        FaultKind.FILL_DISK,
+        FaultKind.ROLL_BACK_DISK,
     }
 )
 CUT_DIRECTIONS = {
     FaultKind.CUT_HOSTS: tuple(Direction),
-    FaultKind.CUT_UP: (Direction.TO_TARGET,),
-    FaultKind.CUT_DOWN: (Direction.FROM_TARGET,),
+    FaultKind.CUT_TO_HOSTS: (Direction.TO_TARGET,),
+    FaultKind.CUT_FROM_HOSTS: (Direction.FROM_TARGET,),
 }
 
 
@@ -45,23 +45,23 @@
             FaultKind.KILL: self._kill,
             FaultKind.KILL_ALL: self._kill_all,
             FaultKind.KILL_LEADER: self._kill_leader,
-            FaultKind.KILL_TAKER: self._kill_token_recipient,
+            FaultKind.KILL_TOKEN_RECIPIENT: self._kill_token_recipient,
             FaultKind.KILL_WITH_HOST: self._kill_with_host,
-            FaultKind.STOP: self._pause,
+            FaultKind.PAUSE: self._pause,
             FaultKind.RESTART: self._restart,
             FaultKind.UPGRADE: self._upgrade,
             FaultKind.UPGRADE_KILL: self._upgrade,
-            FaultKind.SKEW: self._skew_clock,
+            FaultKind.SKEW_CLOCK: self._skew_clock,
             FaultKind.LOSE_DISK: self._lose_disk,
-            FaultKind.OLD_DISK: self._roll_back_disk,
-            FaultKind.FULL_DISK: self._fill_disk,
+            FaultKind.ROLL_BACK_DISK: self._roll_back_disk,
+            FaultKind.FILL_DISK: self._fill_disk,
             FaultKind.CUT_HOSTS: self._cut_hosts,
-            FaultKind.CUT_UP: self._cut_hosts,
-            FaultKind.CUT_DOWN: self._cut_hosts,
+            FaultKind.CUT_TO_HOSTS: self._cut_hosts,
+            FaultKind.CUT_FROM_HOSTS: self._cut_hosts,
             FaultKind.CUT_CLIENTS: self._cut_clients,
             FaultKind.CUT_PEERS: self._cut_peers,
-            FaultKind.RESET: self._reset_clients,
-            FaultKind.DELAY: self._delay_hosts,
+            FaultKind.RESET_CLIENTS: self._reset_clients,
+            FaultKind.DELAY_HOSTS: self._delay_hosts,
             FaultKind.DELAY_PEERS: self._delay_peers,
             FaultKind.FLAP_PEERS: self._flap_peers,
         }
--- a/tansyladder/lab/chaos/scenarios.py
+++ b/tansyladder/lab/chaos/scenarios.py
@@ -9,7 +9,7 @@
     "killed": (Fault(0.3, FaultKind.KILL, 0, 4.0),),
     "200 of one node at once": (Fault(0.3, FaultKind.KILL, 0, 4.0),),
     "taker killed in the middle": (
-        Fault(0.2, FaultKind.KILL_TAKER, 0, 4.0),
+        Fault(0.2, FaultKind.KILL_TOKEN_RECIPIENT, 0, 4.0),
         Fault(0.3, FaultKind.KILL, 0, 5.0),
     ),
     "leader killed at that moment": (
@@ -37,12 +37,15 @@
         Fault(0.3, FaultKind.UPGRADE_KILL, 0, 0.3),
         Fault(8.0, FaultKind.UPGRADE_KILL, 1, 0.1),
     ),
-    "stopped": (Fault(0.3, FaultKind.STOP, 0, 5.0),),
-    "two stopped": (Fault(0.3, FaultKind.STOP, 0, 5.0), Fault(0.5, FaultKind.STOP, 1, 4.0)),
-    "cut off from its peers": (Fault(0.3, FaultKind.CUT_PEERS, 0, 5.0), Fault(1.0, FaultKind.RESET, 0, 0.1)),
+    "stopped": (Fault(0.3, FaultKind.PAUSE, 0, 5.0),),
+    "two stopped": (Fault(0.3, FaultKind.PAUSE, 0, 5.0), Fault(0.5, FaultKind.PAUSE, 1, 4.0)),
+    "cut off from its peers": (
+        Fault(0.3, FaultKind.CUT_PEERS, 0, 5.0),
+        Fault(1.0, FaultKind.RESET_CLIENTS, 0, 0.1),
+    ),
     "cut off from hosts": (Fault(0.3, FaultKind.CUT_HOSTS, 0, 5.0),),
-    "hosts do not hear it": (Fault(0.3, FaultKind.CUT_UP, 0, 5.0),),
-    "it does not hear hosts": (Fault(0.3, FaultKind.CUT_DOWN, 0, 5.0),),
+    "hosts do not hear it": (Fault(0.3, FaultKind.CUT_TO_HOSTS, 0, 5.0),),
+    "it does not hear hosts": (Fault(0.3, FaultKind.CUT_FROM_HOSTS, 0, 5.0),),
     "links that delay by 2 s": (
         Fault(0.3, FaultKind.DELAY_PEERS, 1, 6.0, 2.0),
         Fault(0.6, FaultKind.KILL, 0, 4.0),
@@ -50,17 +53,17 @@
     "links that flap": (Fault(0.3, FaultKind.FLAP_PEERS, 1, 5.0), Fault(0.6, FaultKind.KILL, 0, 4.0)),
     "no majority": (
         *(Fault(0.3, FaultKind.CUT_PEERS, node, 10.0) for node in (0, 1, 2)),
-        *(Fault(1.5, FaultKind.RESET, node, 0.1) for node in (3, 4)),
+        *(Fault(1.5, FaultKind.RESET_CLIENTS, node, 0.1) for node in (3, 4)),
     ),
     "disk lost": (Fault(0.3, FaultKind.LOSE_DISK, 0, 3.0), Fault(6.0, FaultKind.KILL, 1, 3.0)),
     "older disk": (
         Fault(0.3, FaultKind.KILL, 1, 2.0),
-        Fault(0.4, FaultKind.OLD_DISK, 0, 4.0),
+        Fault(0.4, FaultKind.ROLL_BACK_DISK, 0, 4.0),
         Fault(9.0, FaultKind.KILL, 2, 3.0),
     ),
-    "full disk": (Fault(0.3, FaultKind.FULL_DISK, 0, 5.0), Fault(0.6, FaultKind.KILL, 1, 3.0)),
-    "clock back": (Fault(0.3, FaultKind.SKEW, 0, 3.0, -1.8), Fault(1.5, FaultKind.KILL, 1, 3.0)),
-    "clock off": (Fault(0.3, FaultKind.SKEW, 0, 3.0, 0.2), Fault(1.5, FaultKind.KILL, 1, 3.0)),
+    "full disk": (Fault(0.3, FaultKind.FILL_DISK, 0, 5.0), Fault(0.6, FaultKind.KILL, 1, 3.0)),
+    "clock back": (Fault(0.3, FaultKind.SKEW_CLOCK, 0, 3.0, -1.8), Fault(1.5, FaultKind.KILL, 1, 3.0)),
+    "clock off": (Fault(0.3, FaultKind.SKEW_CLOCK, 0, 3.0, 0.2), Fault(1.5, FaultKind.KILL, 1, 3.0)),
     "set-ups in hand": (Fault(0.02, FaultKind.KILL, 0, 3.0), Fault(0.05, FaultKind.KILL, 1, 3.0)),
 }
 MINIMUM_SESSIONS = {"200 of one node at once": 1000}  # by scenario; fewer are too few for it
--- a/tansyladder/lab/chaos/schedule.py
+++ b/tansyladder/lab/chaos/schedule.py
@@ -22,34 +22,36 @@
     """What happens to a node, or to the links of one."""
 
     KILL = "kill"  # SIGKILL; it is started again when the fault ends
-    STOP = "stop"  # SIGSTOP, and SIGCONT when it ends
+    PAUSE = "stop"  # SIGSTOP, and SIGCONT when it ends
     CUT_HOSTS = "cut_hosts"  # nothing passes between the node and the hosts
-    CUT_UP = "cut_up"  # nothing passes from the node to the hosts
-    CUT_DOWN = "cut_down"  # nothing passes from the hosts to the node
+    CUT_TO_HOSTS = "cut_up"  # nothing passes from the node to the hosts
+    CUT_FROM_HOSTS = "cut_down"  # nothing passes from the hosts to the node
     CUT_CLIENTS = "cut_clients"  # nothing passes between clients and the node
-    RESET = "reset"  # all connections of the node's clients break
+    RESET_CLIENTS = "reset"  # all connections of the node's clients break
     CUT_PEERS = "cut_peers"  # nothing passes between the node and its peers
     DELAY_PEERS = "delay_peers"  # each way between the node and its peers takes longer
-    DELAY = "delay"  # each way between the node and the hosts takes longer
-    FLAP_PEERS = "flap_peers"  # the links to its peers fail and mend each 100 ms
+    DELAY_HOSTS = "delay"  # each way between the node and the hosts takes longer
+    FLAP_PEERS = "flap_peers"  # the links to its peers fail and recover each 100 ms
     KILL_WITH_HOST = "kill_with_host"  # the host of the same number dies as well, and comes back at the end
     KILL_LEADER = "kill_leader"  # whichever node leads; started again at the end
-    KILL_TAKER = "kill_taker"  # whichever node is the next to get a token, at that moment
+    KILL_TOKEN_RECIPIENT = "kill_taker"  # whichever node is the next to get a token, at that moment
     RESTART = "restart"  # SIGTERM, and started again once it has ended
     UPGRADE = "upgrade"  # a new process takes its place while it runs; SIGTERM to the old one then
     UPGRADE_KILL = "upgrade_kill"  # the same, and the old one is killed in the middle of its drain
     KILL_ALL = "kill_all"  # every node, all back on their disks
     LOSE_DISK = "lose_disk"  # killed, and back with an empty store
-    OLD_DISK = "old_disk"  # killed after half of the time, and back with a copy of its store from the start
-    FULL_DISK = "full_disk"  # nothing more can be written; killed at the end, and back with room
-    SKEW = "skew"  # started again with a clock that is off by `value`, and once more with a true one
+    ROLL_BACK_DISK = "old_disk"  # killed halfway, and back with a copy of its store from the start
+    FILL_DISK = "full_disk"  # nothing more can be written; killed at the end, and back with room
+    SKEW_CLOCK = "skew"  # started again with a clock that is off by `value`, and once more with a true one
 
 
 NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
 NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
 
-DISK_FAULTS = frozenset({FaultKind.LOSE_DISK, FaultKind.OLD_DISK, FaultKind.FULL_DISK, FaultKind.KILL_ALL})
+DISK_FAULTS = frozenset(
+    {FaultKind.LOSE_DISK, FaultKind.ROLL_BACK_DISK, FaultKind.FILL_DISK, FaultKind.KILL_ALL}
+)
 
 
 class Fault(msgspec.Struct, frozen=True):
@@ -96,9 +98,9 @@
 
 def _generate_value(kind: FaultKind, rng: numpy.random.Generator) -> float:
     """Generate a fault's delay or clock offset, in seconds."""
-    if kind in (FaultKind.DELAY, FaultKind.DELAY_PEERS):
+    if kind in (FaultKind.DELAY_HOSTS, FaultKind.DELAY_PEERS):
         return round(float(rng.uniform(*LINK_DELAY)), 3)
-    if kind is FaultKind.SKEW:
+    if kind is FaultKind.SKEW_CLOCK:
         return CLOCK_OFFSETS[rng.integers(len(CLOCK_OFFSETS))]
     return 0.0
 
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -56,7 +56,7 @@
 
 
 def test_a_stopped_node_that_wakes_up_says_nothing_in_sessions_that_left_it(tmp_path: Path) -> None:
-    events = play_faults(tmp_path, (0.3, KINDS.STOP, 1, 4.5))
+    events = play_faults(tmp_path, (0.3, KINDS.PAUSE, 1, 4.5))
     assert lives(events) == 1
     assert 6 <= moved(events) <= 12
 
@@ -64,7 +64,10 @@
 def test_without_a_majority_tokens_are_answered_busy_and_stay_good(tmp_path: Path) -> None:
     """The first node loses its peers, and its clients' connections break: each comes back with its token."""
     events = play_faults(
-        tmp_path, (0.3, KINDS.CUT_PEERS, 0, 3.0), (0.3, KINDS.CUT_PEERS, 1, 3.0), (0.8, KINDS.RESET, 2, 0.1)
+        tmp_path,
+        (0.3, KINDS.CUT_PEERS, 0, 3.0),
+        (0.3, KINDS.CUT_PEERS, 1, 3.0),
+        (0.8, KINDS.RESET_CLIENTS, 2, 0.1),
     )
     assert lives(events) == 1
     tokens = {event.connection_id for event in events if event.kind == "asked" and event.token}
