--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -6,7 +6,7 @@
 import contextlib
 import secrets
 import tempfile
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncIterator
 from dataclasses import dataclass
 from datetime import timedelta
 from pathlib import Path
@@ -20,14 +20,15 @@
 from tansyladder.lab.clients import Client
 from tansyladder.lab.connections import LOOPBACK
 from tansyladder.lab.discovery_server import DiscoveryServer, Phase
+from tansyladder.lab.errors import LabTimeoutError
 from tansyladder.lab.node import LabNode
 from tansyladder.lab.report import Report, clock
-from tansyladder.lab.topology import TopologyError, connect_all
+from tansyladder.lab.topology import connect_all
+from tansyladder.lab.waiting import wait_until
 
 START_TIMEOUT = 30.0  # seconds in which all clients are served, and nodes have a leader
 QUIET_TIMEOUT = 3.0  # seconds in which lines that are under way arrive
 ORPHAN_TIMEOUT = 3.0  # seconds in which hosts lose connections that are for no client, all being sound
-POLL_INTERVAL = 0.02  # seconds between two looks at a condition
 LEADER_POLL_INTERVAL = 0.05  # seconds between two looks into all logs
 HOST_POLL_INTERVAL = 0.1  # seconds between two questions to the hosts' process
 KEY_BYTES = 32
@@ -115,16 +116,15 @@
         self.client_links.append(client_link)
 
     async def _wait_for_leader(self) -> None:
-        """Wait until every node's log names a leader. Raises TopologyError."""
+        """Wait until every node's log names a leader. Raises LabTimeoutError."""
 
         def knows_leader(node: ChaosNode) -> bool:
             return b" leader=n" in node.process.log.read_bytes().replace(b"=none", b"")
 
-        deadline = clock() + timedelta(seconds=START_TIMEOUT)
-        while not all(knows_leader(node) for node in self.nodes):
-            if clock() > deadline:
-                raise TopologyError("the nodes did not agree on a leader")
-            await asyncio.sleep(LEADER_POLL_INTERVAL)
+        if not await wait_until(
+            lambda: all(knows_leader(node) for node in self.nodes), START_TIMEOUT, LEADER_POLL_INTERVAL
+        ):
+            raise LabTimeoutError("the nodes did not agree on a leader")
 
     async def close(self) -> None:
         """End all parties, each process by its own id, and put `full_history` together."""
@@ -151,7 +151,7 @@
     # --- clients
 
     async def connect_clients(self, count: int) -> None:
-        """Add clients, each with a session that is served. Raises TopologyError."""
+        """Add clients, each with a session that is served. Raises LabTimeoutError."""
         first = len(self.clients)
         new: list[Client] = [
             RecordingClient(self.history, self.report, self.load_balancer.port, number, self.seed)
@@ -161,17 +161,17 @@
         try:
             await asyncio.wait_for(connect_all(new, self._client_tasks), START_TIMEOUT)
         except TimeoutError as err:
-            raise TopologyError("not all clients got in") from err
+            raise LabTimeoutError("not all clients got in") from err
 
     async def wait_until_all_connected(self, timeout: float) -> bool:
         """Wait until all clients are served, but no longer than so many seconds; return whether they are."""
-        return await _wait_until(lambda: self._served_count() == len(self.clients), timeout)
+        return await wait_until(lambda: self._served_count() == len(self.clients), timeout)
 
     async def quiesce(self) -> None:
         """Let all clients send no more, wait for their last lines, and record what is connected then."""
         for client in self.clients:
             client.is_quiet = True
-        await _wait_until(
+        await wait_until(
             lambda: not any(client.unconfirmed_line_count() for client in self.clients), QUIET_TIMEOUT
         )
         connection_counts = await self._wait_for_orphans()
@@ -208,14 +208,6 @@
         return {client for client, connection_id in newest.items() if nodes.get(connection_id) == node}
 
 
-async def _wait_until(condition: Callable[[], bool], timeout: float) -> bool:
-    """Wait until a condition holds, but no longer than so many seconds; return whether it does."""
-    deadline = clock() + timedelta(seconds=timeout)
-    while clock() < deadline and not condition():
-        await asyncio.sleep(POLL_INTERVAL)
-    return condition()
-
-
 @contextlib.asynccontextmanager
 async def running_cluster(
     node_count: int, host_count: int, seed: int, has_peers: bool = True, operator_settings: str = ""
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -21,8 +21,8 @@
 from tansyladder.lab.chaos.history import Event, EventKind, Party
 from tansyladder.lab.chaos.schedule import Fault, FaultKind
 from tansyladder.lab.connections import LOOPBACK, connection
+from tansyladder.lab.errors import LabTimeoutError
 from tansyladder.lab.report import Report, clock
-from tansyladder.lab.topology import TopologyError
 
 DOCUMENT = "note"
 LEASE_DURATION = 3.0  # seconds
@@ -112,7 +112,7 @@
     async def publish(self, node: int, text: str = "") -> None:
         """Request a change at a node, and at others where that falls silent, until it is known how it ended.
 
-        `text` is the document; a valid one is made where it is empty. Raises TopologyError.
+        `text` is the document; a valid one is made where it is empty. Raises LabTimeoutError.
         """
         self._change_count += 1
         change = f"ask{self._change_count}"
@@ -127,7 +127,7 @@
                 self._record_result(change, result, clock() - started_at)
                 return
             node = (node + 1) % self.cluster.node_count
-        raise TopologyError(f"{change}: not known what became of it")
+        raise LabTimeoutError(f"{change}: not known what became of it")
 
     async def _poll_change(self, node: int, change: str) -> str:
         """Return how a change ended; empty where the node does not answer, or for too long does not know."""
@@ -162,13 +162,13 @@
         return bool((await self._documents(node)).get("lease_ms", 0))
 
     async def wait_for_leases(self) -> None:
-        """Wait until every node has a lease. Raises TopologyError."""
+        """Wait until every node has a lease. Raises LabTimeoutError."""
         deadline = clock() + timedelta(seconds=LEASE_TIMEOUT)
         while clock() < deadline:
             if all([await self._has_lease(node) for node in range(self.cluster.node_count)]):
                 return
             await asyncio.sleep(LEASE_POLL_INTERVAL)
-        raise TopologyError("not all nodes hold a lease")
+        raise LabTimeoutError("not all nodes hold a lease")
 
     async def record_versions(self) -> None:
         """Record which version of the document each node has in force."""
--- a/tansyladder/lab/chaos/host_process.py
+++ b/tansyladder/lab/chaos/host_process.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from tansyladder.lab.chaos.history import Event, load
-from tansyladder.lab.topology import TopologyError
+from tansyladder.lab.errors import NotStartedError
 
 ANSWER_TIMEOUT = 30.0  # seconds in which it must answer
 END_TIMEOUT = 5.0  # seconds in which it must end
@@ -68,10 +68,10 @@
 
     def _send(self, command: str) -> None:
         if self._process is None or self._process.stdin is None:
-            raise TopologyError("the hosts' process was not started")
+            raise NotStartedError("the hosts' process")
         self._process.stdin.write(f"{command}\n".encode())
 
     async def _read_json(self) -> Any:
         if self._process is None or self._process.stdout is None:
-            raise TopologyError("the hosts' process was not started")
+            raise NotStartedError("the hosts' process")
         return json.loads(await asyncio.wait_for(self._process.stdout.readline(), ANSWER_TIMEOUT))
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -11,6 +11,7 @@
 from tansyladder.lab.hosts import StreamHost
 from tansyladder.lab.report import MILLISECOND, clock
 from tansyladder.lab.topology import Topology, TopologySettings, running_topology
+from tansyladder.lab.waiting import wait_until
 
 LATENCY_OBJECTIVE = timedelta(milliseconds=300)  # of a viewport's setup
 RULES = ("final_answers_wrong", "lines_lost", "lines_doubled", "second_attempts", "late_sends_after_drain")
@@ -36,7 +37,7 @@
         for client in topology.clients:
             client.watch()
         drained_at = await _drain(topology, drained_host, style)
-        await topology.wait_until(lambda: not drained_host.streams, SETTLE_TIME)
+        await wait_until(lambda: not drained_host.streams, SETTLE_TIME)
         empty_after = clock() - drained_at
         await asyncio.sleep(max(0.0, SETTLE_TIME - empty_after.total_seconds()))
         await topology.quiesce()
--- /dev/null
+++ b/tansyladder/lab/errors.py
@@ -0,0 +1,40 @@
+"""What can go wrong with a run itself, apart from the invariants that it checks."""
+
+from __future__ import annotations
+
+
+class LabError(Exception):
+    """A run could not be set up, or could not go on."""
+
+
+class NoFreePortError(LabError):
+    """No port of the lab's range is free."""
+
+    def __init__(self) -> None:
+        super().__init__("no port is free")
+
+
+class NotStartedError(LabError):
+    """A process was used before it was started; `process` names it."""
+
+    def __init__(self, process: str) -> None:
+        super().__init__(f"{process} was not started")
+        self.process = process
+
+
+class NodeError(LabError):
+    """A node did not start or take over in time; `log_tail` has the last lines of its log."""
+
+    def __init__(self, problem: str, log_tail: str) -> None:
+        super().__init__(f"{problem}:\n{log_tail}")
+        self.problem = problem
+        self.log_tail = log_tail
+
+
+class LabTimeoutError(LabError):
+    """What a run waited for did not come in time; `problem` says what, `state` what was there instead."""
+
+    def __init__(self, problem: str, state: str = "") -> None:
+        super().__init__(f"{problem}:\n{state}" if state else problem)
+        self.problem = problem
+        self.state = state
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import random
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -16,6 +15,7 @@
 
 from tansyladder.lab.connections import LOOPBACK
 from tansyladder.lab.report import Report, clock
+from tansyladder.lab.waiting import wait_until
 
 ACK_LINES = 8  # client lines between two acknowledgements
 ACK_INTERVAL = 2.0  # seconds between two acknowledgements where fewer lines come
@@ -201,12 +201,7 @@
             self._servers.pop().close()
         for stream in list(self.streams):
             stream.writer.transport.abort()
-        with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(self._wait_until_empty(), CLOSE_TIMEOUT)
-
-    async def _wait_until_empty(self) -> None:
-        while self.streams:
-            await asyncio.sleep(0.01)
+        await wait_until(lambda: not self.streams, CLOSE_TIMEOUT)
 
     def _scaled(self, seconds: float) -> float:
         """Return how long something takes at this host."""
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from tansyladder.lab.connections import LOOPBACK
-from tansyladder.lab.report import clock
+from tansyladder.lab.errors import NodeError, NoFreePortError, NotStartedError
+from tansyladder.lab.waiting import wait_until
 
 START_TIMEOUT = 20.0  # seconds in which a node must have started
 STOP_TIMEOUT = 10.0  # seconds from SIGTERM to its end
-POLL_INTERVAL = 0.02  # seconds between two looks into a node's log
 LOG_TAIL_LINES = 15
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # of the CPU times in /proc
 FOLDER_PLACEHOLDER = "FOLDER"  # in an operator's settings: stands for the node's folder
@@ -59,14 +59,10 @@
     next(_next_ports)
 
 
-class NodeError(Exception):
-    """The node did not start or end as it should; the message has the last lines of its log."""
-
-
 def spare_port() -> int:
     """Return a port that nobody listens at, and that no outgoing connection takes until it is used.
 
-    Raises NodeError where none is free.
+    Raises NoFreePortError.
     """
     for port in itertools.islice(_next_ports, len(PORTS)):
         try:
@@ -74,7 +70,7 @@
                 return port
         except OSError:
             continue
-    raise NodeError("no port is free")
+    raise NoFreePortError
 
 
 class LabNode:
@@ -130,12 +126,14 @@
             self._process = await asyncio.create_subprocess_exec(
                 *self._command(clock_offset), env=self._environment(), stderr=out, stdout=out
             )
-        deadline = clock() + timedelta(seconds=START_TIMEOUT)
-        while clock() < deadline and self._process.returncode is None:
-            if b"event=started" in self.log.read_bytes()[log_size:]:
-                return
-            await asyncio.sleep(POLL_INTERVAL)
-        raise NodeError(f"the node did not start:\n{self.log_tail()}")
+        process = self._process
+
+        def has_started() -> bool:
+            return b"event=started" in self.log.read_bytes()[log_size:]
+
+        await wait_until(lambda: has_started() or process.returncode is not None, START_TIMEOUT)
+        if process.returncode is not None or not has_started():
+            raise NodeError("the node did not start", self.log_tail())
 
     def _command(self, clock_offset: float) -> list[str]:
         command = [sys.executable, "-O", "-m"]
@@ -180,11 +178,8 @@
 
     async def _wait_for_handover(self, log_size: int) -> None:
         """Wait until the log says, beyond so many bytes, that the old process has a successor."""
-        deadline = clock() + timedelta(seconds=START_TIMEOUT)
-        while b"step=succeeded" not in self.log.read_bytes()[log_size:]:
-            if clock() > deadline:
-                raise NodeError(f"the old process goes on:\n{self.log_tail()}")
-            await asyncio.sleep(POLL_INTERVAL)
+        if not await wait_until(lambda: b"step=succeeded" in self.log.read_bytes()[log_size:], START_TIMEOUT):
+            raise NodeError("the old process goes on", self.log_tail())
 
     async def kill(self) -> None:
         """End the process with SIGKILL, as a crash would."""
@@ -241,5 +236,5 @@
 
     def _running_process(self) -> asyncio.subprocess.Process:
         if self._process is None:
-            raise NodeError("the node was not started")
+            raise NotStartedError("the node")
         return self._process
--- a/tansyladder/lab/reconnect.py
+++ b/tansyladder/lab/reconnect.py
@@ -9,6 +9,7 @@
 from tansyladder.lab.clients import RECONNECT_DELAY
 from tansyladder.lab.drain import RULES
 from tansyladder.lab.topology import TopologySettings, running_topology
+from tansyladder.lab.waiting import wait_until
 
 RECONNECT_TIMEOUT = RECONNECT_DELAY[1] + 8  # seconds in which all clients must be served again
 SETTLE_TIME = 0.5  # seconds that all sessions are served before and after the break
@@ -25,9 +26,7 @@
         for client in dropped:
             client.up.clear()
             client.reset_connection()
-        all_back = await topology.wait_until(
-            lambda: all(client.up.is_set() for client in dropped), RECONNECT_TIMEOUT
-        )
+        all_back = await wait_until(lambda: all(client.up.is_set() for client in dropped), RECONNECT_TIMEOUT)
         await asyncio.sleep(SETTLE_TIME)
         await topology.quiesce()
         report = topology.report
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -9,6 +9,7 @@
 from tansyladder.lab.drain import RULES
 from tansyladder.lab.report import MILLISECOND, clock
 from tansyladder.lab.topology import RESUME_SETTINGS, Topology, TopologySettings, running_topology
+from tansyladder.lab.waiting import wait_until
 
 STORE_SETTINGS = '(store (enabled true) (directory "FOLDER/store"))\n'
 RECONNECT_TIMEOUT = 20.0  # seconds in which all clients must be served again
@@ -67,7 +68,7 @@
     await topology.node.kill()
     killed_at = clock()
     await topology.node.start()
-    all_back = await topology.wait_until(
+    all_back = await wait_until(
         lambda: all(client.up.is_set() for client in topology.clients), RECONNECT_TIMEOUT
     )
     first_served_at = min(client.served_at for client in topology.clients if client.served_at > killed_at)
--- a/tansyladder/lab/topology.py
+++ b/tansyladder/lab/topology.py
@@ -11,21 +11,18 @@
 
 from tansyladder.lab.clients import LINE_INTERVAL, Client, ClientSettings
 from tansyladder.lab.discovery_server import DiscoveryServer, Phase
+from tansyladder.lab.errors import LabTimeoutError
 from tansyladder.lab.hosts import HostBehaviour, StreamHost, StreamHostCluster
 from tansyladder.lab.node import LabNode
 from tansyladder.lab.report import Report
+from tansyladder.lab.waiting import wait_until
 
 RESUME_SETTINGS = '(resume (enabled true) (expires "30 s") (parked 2000))\n'
 CONCURRENT_CONNECTS = 24  # clients that open at the same time, so that a start is no burst of connections
 CONNECT_TIMEOUT = 30.0  # seconds in which a client must have a session
-POLL_INTERVAL = 0.02  # seconds between two looks at a condition
 QUIET_TIMEOUT = 3.0  # seconds in which lines that are under way arrive, and connections end
 
 
-class TopologyError(Exception):
-    """What a run waited for did not come."""
-
-
 @dataclass(frozen=True, slots=True)
 class TopologySettings:
     """What a run sets up."""
@@ -88,7 +85,7 @@
         self.node = LabNode(folder, self.discovery.address, self.discovery.listed(), operator_settings)
 
     async def connect_clients(self, count: int) -> None:
-        """Add clients, each with a session that is served. Raises TopologyError."""
+        """Add clients, each with a session that is served. Raises LabTimeoutError."""
         client_settings = ClientSettings(
             self.settings.seed, self.settings.resumes, line_interval=self.settings.line_interval
         )
@@ -102,21 +99,13 @@
             await connect_all(new, self._tasks, CONNECT_TIMEOUT)
         except TimeoutError as err:
             state = f"{self.node.log_tail()}\n{self.report.as_text()}"
-            raise TopologyError(f"not all clients got in:\n{state}") from err
-
-    async def wait_until(self, condition: Callable[[], bool], timeout: float) -> bool:
-        """Wait until a condition holds, but no longer than so many seconds; return whether it does."""
-        for _ in range(int(timeout / POLL_INTERVAL)):
-            if condition():
-                return True
-            await asyncio.sleep(POLL_INTERVAL)
-        return condition()
+            raise LabTimeoutError("not all clients got in", state) from err
 
     async def quiesce(self) -> None:
         """Let all clients send no more; lines that no host has confirmed a moment later are lost."""
         for client in self.clients:
             client.is_quiet = True
-        if await self.wait_until(
+        if await wait_until(
             lambda: not any(client.unconfirmed_line_count() for client in self.clients), QUIET_TIMEOUT
         ):
             return
@@ -128,7 +117,7 @@
         """End all clients, and count connections that hosts still have then."""
         for client in self.clients:
             await client.leave()
-        await self.wait_until(lambda: not any(host.streams for host in self.hosts), QUIET_TIMEOUT)
+        await wait_until(lambda: not any(host.streams for host in self.hosts), QUIET_TIMEOUT)
         for host in self.hosts:
             if host.streams:
                 self.report.record_violation("orphans", f"{host.ident}: {len(host.streams)}")
--- /dev/null
+++ b/tansyladder/lab/waiting.py
@@ -0,0 +1,21 @@
+"""Waiting for a condition that other parties of a run bring about."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from datetime import timedelta
+
+from tansyladder.lab.report import clock
+
+POLL_INTERVAL = 0.02  # seconds between two looks at a condition
+
+
+async def wait_until(condition: Callable[[], bool], timeout: float, interval: float = POLL_INTERVAL) -> bool:
+    """Wait until a condition holds, but no longer than `timeout` seconds; return whether it does."""
+    deadline = clock() + timedelta(seconds=timeout)
+    while not condition():
+        if clock() >= deadline:
+            return condition()
+        await asyncio.sleep(interval)
+    return True
