--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -8,9 +8,11 @@
 
 import threading
 
+from tansyladder.cluster.document_lease import LeaseExpiryPolicy
 from tansyladder.cluster.document_publisher import VALIDATORS, DocumentPublisher
-from tansyladder.cluster.document_replica import LeaseExpiryPolicy
+from tansyladder.cluster.document_replica import DocumentReplicaSettings
 from tansyladder.cluster.raft_runner import RaftRunner
+from tansyladder.config.operator_settings import DocumentsOptions
 from tansyladder.config.platform import ConfigError
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
@@ -54,12 +56,17 @@
         resuming.on_ownership_claimed,
         lambda: core.clock.micros(now()),
         folder,
-        VALIDATORS if told.enabled else None,
-        LeaseExpiryPolicy(told.cut_off),
-        told.lease,
+        _document_settings(told),
     )
     resuming.ownership_service = agreeing
     if agreeing.document_replica is not None:
         core.decision_permit = DocumentPublisher(agreeing, agreeing.document_replica, told.stamps)
     agreeing.start()
     log(LogEvent.CLUSTER_JOINED, store=keeping is not None)
+
+
+def _document_settings(options: DocumentsOptions) -> DocumentReplicaSettings | None:
+    """Return what the operators' settings say about documents; None where they are disabled."""
+    if not options.enabled:
+        return None
+    return DocumentReplicaSettings(VALIDATORS, LeaseExpiryPolicy(options.cut_off), options.lease)
--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -10,7 +10,8 @@
 
 import msgspec
 
-from tansyladder.cluster.document_replica import DocumentReplica, Validator
+from tansyladder.cluster.content_worker import Validator
+from tansyladder.cluster.document_replica import DocumentReplica
 from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
@@ -83,7 +84,7 @@
     def describe(self) -> str:
         """What holds here, as JSON."""
         at, permit = self._replica.now_us(), self._replica.lease
-        out: dict[str, object] = {"lease_ms": max(0, permit.end_us - at) // 1000, **self._replica.counts}
+        out: dict[str, object] = {"lease_ms": max(0, permit.end_us - at) // 1000, **self._replica.counters}
         for name in permit.versions:
             version = permit.version_at(name, at)
             if version is not None:
--- a/tansyladder/cluster/errors.py
+++ b/tansyladder/cluster/errors.py
@@ -1,4 +1,4 @@
-"""Errors of connections between the nodes of a cluster."""
+"""Errors of connections between the nodes of a cluster, and of documents."""
 
 from __future__ import annotations
 
@@ -26,3 +26,12 @@
 
 class PeerRejectedError(PeerError):
     """The other end is of another cluster or version, has another key, or its clock is off."""
+
+
+class DocumentRejectedError(ClusterError, ValueError):
+    """A content can't become a version of a document."""
+
+    def __init__(self, reason: str) -> None:
+        """`reason`: the path of the fault, and what it is."""
+        super().__init__(reason)
+        self.reason = reason
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -7,18 +7,13 @@
 import queue
 import threading
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from datetime import timedelta
 from random import Random
 
 import msgspec
 
-from tansyladder.cluster.document_replica import (
-    DEFAULT_LEASE_DURATION,
-    DocumentReplica,
-    LeaseExpiryPolicy,
-    Validator,
-)
+from tansyladder.cluster.document_replica import DocumentReplica, DocumentReplicaSettings
 from tansyladder.cluster.peer_transport import PeerTransport
 from tansyladder.cluster.raft_storage import RaftStorage
 from tansyladder.cluster.rollback_detector import RollbackDetector
@@ -72,13 +67,11 @@
         taken: Callable[[int, int, str], None],
         micros: Callable[[], int],
         folder: str | None = None,
-        checks: Mapping[str, Validator] | None = None,
-        cut_off: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP,
-        lease: timedelta = DEFAULT_LEASE_DURATION,
+        documents: DocumentReplicaSettings | None = None,
     ) -> None:
         """`taken`: told of each claim that holds: session, tenure, and whose; it must not wait.
 
-        `checks`: of agreed documents, by name; none: this fleet agrees on no documents.
+        `documents`: of agreed documents; none: this fleet agrees on no documents.
 
         `micros`: Unix time in microseconds. `folder`: the node's own, that outlives its process, for what
         shows that the disk is the newest.
@@ -100,9 +93,9 @@
         # After what the disk holds is loaded: content of documents that it names is looked for there.
         peers = [name for name in options.members if name != me]
         self.document_replica: DocumentReplica | None = None
-        if checks is not None:
+        if documents is not None:
             self.document_replica = DocumentReplica(
-                self.incarnation, peers, agreed.documents, store, checks, micros, cut_off, lease
+                self.incarnation, peers, agreed.documents, store, documents, micros
             )
         self.transport = PeerTransport(me, options, self._on_message, micros)
 
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tansyladder.cluster import raft_storage, rollback_detector
-from tansyladder.cluster.document_replica import DocumentReplica
+from tansyladder.cluster.document_replica import DocumentReplica, DocumentReplicaSettings
 from tansyladder.cluster.peer_channel import PeerChannel
 from tansyladder.cluster.peer_transport import PeerTransport
 from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
@@ -141,7 +141,9 @@
     def open_documents(self, store: Store, time: int) -> DocumentStore:
         """A node's part in the documents, with the content that its store holds."""
         checks: dict[str, Callable[[bytes], str]] = {"note": lambda _: ""}
-        return DocumentReplica("n1/aa", ["n2"], self._state.documents, store, checks, lambda: time)
+        return DocumentReplica(
+            "n1/aa", ["n2"], self._state.documents, store, DocumentReplicaSettings(checks), lambda: time
+        )
 
     def contents(self, opened: DocumentStore, name: str) -> list[bytes | None]:
         """The content of each known version."""
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tansyladder.cluster.document_replica import DocumentReplica
+from tansyladder.cluster.document_replica import DocumentReplica, DocumentReplicaSettings
 from tansyladder.lab.chaos import checkers, documents, history
 from tansyladder.replication.content_transfer import CHUNK_BYTES, Chunk, ChunkRequest, ContentStore
 from tansyladder.replication.document_messages import (
@@ -31,7 +31,7 @@
     ValidationVote,
     change_step,
 )
-from tansyladder.replication.documents import MAX_CONTENT_BYTES, MAX_PREVIOUS_VERSIONS, Documents
+from tansyladder.replication.documents import MAX_CONTENT_BYTES, MAX_PREVIOUS_VERSIONS, Documents, Version
 from tansyladder.replication.replicated_state import ReplicatedState
 from tansyladder.replication.session_ownership import ClaimResult, OwnershipClaim, SessionOwnership
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
@@ -309,15 +309,17 @@
     store, now = open_store(RealFiles(tmp_path), "n0", lambda: 0), 1000 * SECOND_US
 
     def holding(start: str) -> DocumentReplica:
-        return DocumentReplica(start, [], Documents(["a"]), store, {"note": lambda content: ""}, lambda: now)
+        settings = DocumentReplicaSettings({"note": lambda _: ""})
+        return DocumentReplica(start, [], Documents(["a"]), store, settings, lambda: now)
 
     one = holding("a/1")
     digest = one.propose("note", b"x" * (3 * CHUNK_BYTES), "ask").digest
+    version = Version(1, digest, 3 * CHUNK_BYTES, 0)
     one.step("", False)
-    assert len(store.items(b"documents/")) == 3 and one._contents.get(digest)
+    assert len(store.items(b"documents/")) == 3 and one.content(version)
     now += 100 * SECOND_US
     one.step("", False)
-    assert one._contents.get(digest) is None and one._validation_queue.qsize() == 1
+    assert one.content(version) is None and one.validator.worker.waiting_count == 1
     holding("a/2").start()  # it begins with a look at its disk
     assert not store.items(b"documents/")
     store.close()
