--- /dev/null
+++ b/tests/store/test_compaction.py
@@ -0,0 +1,44 @@
+"""Compaction keeps what an older segment may contradict, and what has expired stays expired."""
+
+from __future__ import annotations
+
+from tansyladder.lab import crash_consistency
+from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
+from tansyladder.store import (
+    open_store,
+)
+from tests.store.harness import fresh
+
+
+def test_an_end_stays_while_an_older_segment_may_hold_its_key() -> None:
+    files, store = fresh(size=1200)
+    first = store.active_segment_id
+    for n in range(8):
+        store.put(b"old%d" % n, b"x" * 40)
+    while store.active_segment_id == first:
+        store.put(b"fill", b"x" * 40)
+    store.delete(b"old3")
+    second = store.active_segment_id
+    while store.active_segment_id == second:
+        store.put(b"often", b"y" * 60)
+    store.compact_all()
+    assert first in store.stats_by_segment and second not in store.stats_by_segment
+    store.close()
+    _, store = fresh(files)
+    assert store.get(b"old3") is None and store.get(b"old4") == b"x" * 40
+
+
+def test_what_was_expired_stays_so_when_the_clock_steps_back() -> None:
+    files, clock = FaultInjectingFiles(), crash_consistency.ManualClock()
+    store = open_store(files, "n1", clock, 400)
+    store.put(b"k", b"old")
+    store.put(b"k", b"new", expiry_us=clock.now + 10)
+    clock.now += 20
+    store.put(b"other", b"x")
+    clock.now -= 20
+    assert store.get(b"k") is None
+    store.close()
+    store = open_store(files, "n1", clock, 400)
+    assert store.get(b"k") is None
+    store.compact_all()
+    assert store.get(b"k") is None and dict(store.items()) == {b"other": b"x"}
