--- a/tests/store/test_against_dictionary.py
+++ b/tests/store/test_against_dictionary.py
@@ -10,17 +10,12 @@
 
 from tansyladder.lab import crash_consistency
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
-from tansyladder.store import (
-    Durability,
-    Store,
-    WriteOperation,
-    open_store,
-)
+from tansyladder.store import Durability, Store, WriteOperation, open_store
 
 KEYS = [b"k%d" % n for n in range(6)]
 
 
-class Dict(RuleBasedStateMachine):
+class StoreMachine(RuleBasedStateMachine):
     """One store on the stand-in: reopening, power losses, upkeep, snapshots, a clock that steps back."""
 
     def __init__(self) -> None:
@@ -57,12 +52,12 @@
         self.clock.now += step
 
     @rule(steps=st.integers(1, 8), budget=st.integers(1, 600))
-    def upkeep(self, steps: int, budget: int) -> None:
+    def maintain(self, steps: int, budget: int) -> None:
         for _ in range(steps):
             self.store.maintain(budget)
 
     @rule()
-    def all_upkeep(self) -> None:
+    def maintain_until_done(self) -> None:
         self.store.compact_all()
 
     @rule()
@@ -71,13 +66,13 @@
         self.store = self._open()
 
     @rule(keep=st.floats(0, 1))
-    def power_goes_after_a_sync(self, keep: float) -> None:
+    def power_is_lost_after_a_sync(self, keep: float) -> None:
         self.store.maintain(1)
         self.files = self.files.after_power_loss(self.rng, keep)
         self.store = self._open()
 
     @rule()
-    def keep_a_snapshot(self) -> None:
+    def take_a_snapshot(self) -> None:
         snapshot = self.store.snapshot()
         there = {k: v for k in KEYS if (v := self.store.get(k)) is not None}
         self.kept.append((snapshot, there))
@@ -91,7 +86,7 @@
         snapshot.close()  # type: ignore[attr-defined]
 
     @invariant()
-    def it_is_the_dict(self) -> None:
+    def it_holds_what_the_dictionary_does(self) -> None:
         moment = max(self.clock.now, self.store.latest_time_us)
         alive = {k: v for k, (v, expiry) in self.model.items() if not expiry or expiry > moment}
         self.expired |= {(k, *told) for k, told in self.model.items() if k not in alive}
@@ -103,10 +98,10 @@
         assert 0 <= stats.live <= stats.bytes
 
 
-TestDict = Dict.TestCase
+TestStoreAgainstDictionary = StoreMachine.TestCase
 
 
-TestDict.settings = settings(
+TestStoreAgainstDictionary.settings = settings(
     max_examples=100,
     stateful_step_count=40,
     deadline=None,
--- a/tests/store/test_compaction.py
+++ b/tests/store/test_compaction.py
@@ -4,14 +4,12 @@
 
 from tansyladder.lab import crash_consistency
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
-from tansyladder.store import (
-    open_store,
-)
-from tests.store.harness import fresh
+from tansyladder.store import open_store
+from tests.store.harness import open_in_memory
 
 
-def test_an_end_stays_while_an_older_segment_may_hold_its_key() -> None:
-    files, store = fresh(size=1200)
+def test_a_deletion_stays_while_an_older_segment_may_hold_its_key() -> None:
+    files, store = open_in_memory(size=1200)
     first = store.active_segment_id
     for n in range(8):
         store.put(b"old%d" % n, b"x" * 40)
@@ -24,11 +22,11 @@
     store.compact_all()
     assert first in store.stats_by_segment and second not in store.stats_by_segment
     store.close()
-    _, store = fresh(files)
+    _, store = open_in_memory(files)
     assert store.get(b"old3") is None and store.get(b"old4") == b"x" * 40
 
 
-def test_what_was_expired_stays_so_when_the_clock_steps_back() -> None:
+def test_what_has_expired_stays_expired_when_the_clock_steps_back() -> None:
     files, clock = FaultInjectingFiles(), crash_consistency.ManualClock()
     store = open_store(files, "n1", clock, 400)
     store.put(b"k", b"old")
--- a/tests/store/test_repair.py
+++ b/tests/store/test_repair.py
@@ -11,19 +11,14 @@
 
 from tansyladder.lab import crash_consistency
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
-from tansyladder.store import (
-    StoreError,
-    errors,
-    frames,
-    open_store,
-)
+from tansyladder.store import StoreError, errors, frames, open_store
 from tansyladder.store.files import RealFiles
 from tansyladder.store.repair import examine, repair
-from tests.store.harness import fresh, full
+from tests.store.harness import closed_store_files, open_in_memory
 
 
 def test_repair_saves_what_can_be_read_and_changes_nothing() -> None:
-    files = full()
+    files = closed_store_files()
     whole = {name: bytes(inode.visible) for name, inode in files.visible.items()}
     assert not examine(FaultInjectingFiles(whole)).faults
     victim = sorted(name for name in whole if name.endswith(".log"))[1]
@@ -31,18 +26,18 @@
     hurt[frames.SEGMENT_HEADER_BYTES + frames.FRAME_HEADER_BYTES + 30] ^= 1
     broken = {**whole, victim: bytes(hurt)}
     with pytest.raises(errors.StoreCorruptError, match=victim):
-        fresh(FaultInjectingFiles(broken))
+        open_in_memory(FaultInjectingFiles(broken))
     source, target = FaultInjectingFiles(broken), FaultInjectingFiles()
     done = repair(source, target, crash_consistency.ManualClock())
     assert {n: bytes(i.visible) for n, i in source.visible.items()} == broken
     assert done.saved_keys == 39 and done.lost_sequences == 1 and victim in done.faults[0]
-    _, store = fresh(target)
+    _, store = open_in_memory(target)
     assert len(store) == 39
     with pytest.raises(StoreError, match="not empty"):
         repair(source, target, crash_consistency.ManualClock())
 
 
-def test_the_tool_tells_what_is_there(tmp_path: Path) -> None:
+def test_the_store_commands_show_verify_compact_dump_and_repair(tmp_path: Path) -> None:
     folder = tmp_path / "store"
     store = open_store(RealFiles(folder), "n1", crash_consistency.ManualClock(), 400)
     for n in range(60):
--- a/tests/store/test_writing.py
+++ b/tests/store/test_writing.py
@@ -10,18 +10,13 @@
 
 import pytest
 
-from tansyladder.store import (
-    Durability,
-    StoreError,
-    WriteOperation,
-    errors,
-)
+from tansyladder.store import Durability, StoreError, WriteOperation, errors
 from tansyladder.store.frames import MAX_KEY_BYTES, MAX_VALUE_BYTES
-from tests.store.harness import fresh
+from tests.store.harness import open_in_memory
 
 
 def test_bounds_of_keys_values_and_batches() -> None:
-    files, store = fresh(size=4 << 20)
+    files, store = open_in_memory(size=4 << 20)
     store.write([WriteOperation(b"k" * MAX_KEY_BYTES, b"v" * MAX_VALUE_BYTES), WriteOperation(b"k", b"")])
     for ops in (
         [WriteOperation(b"", b"v")],
@@ -34,7 +29,7 @@
         with pytest.raises(errors.RecordTooLargeError):
             store.write(ops)
     store.close()
-    _, store = fresh(files)
+    _, store = open_in_memory(files)
     assert (
         store.get(b"k" * MAX_KEY_BYTES) == b"v" * MAX_VALUE_BYTES
         and store.get(b"k") == b""
@@ -42,9 +37,9 @@
     )
 
 
-def test_many_writers_share_a_sync_and_each_has_its_own_word(tmp_path: Path) -> None:
+def test_many_writers_share_a_sync_and_each_gets_its_own_result(tmp_path: Path) -> None:
     """Also where the disk fails in the middle: who was told of success finds its record after a loss."""
-    files, store = fresh(size=1 << 20)
+    files, store = open_in_memory(size=1 << 20)
     said: dict[bytes, bytes] = {}
 
     def work(which: int) -> None:
@@ -74,13 +69,13 @@
     assert len(said) > 4 * syncs
     with pytest.raises(errors.StoreBrokenError):
         store.put(b"k", b"v")
-    _, again = fresh(files.after_power_loss(random.Random(1), 0.5), 1 << 20)
+    _, again = open_in_memory(files.after_power_loss(random.Random(1), 0.5), 1 << 20)
     assert said.items() <= dict(again.items()).items()
 
 
 def test_a_write_that_waits_while_maintenance_breaks_the_store_is_refused() -> None:
     """The failed sync dropped what stands before it in the log: a recovery would not reach this write."""
-    files, store = fresh(size=1 << 16)
+    files, store = open_in_memory(size=1 << 16)
     store.put(b"before", b"x", durability=Durability.BUFFERED)
     refused = list[StoreError]()
 
@@ -105,13 +100,13 @@
         store.maintain()
     writer.join(20)
     assert [type(error) for error in refused] == [errors.StoreBrokenError]
-    _, again = fresh(files.after_power_loss(random.Random(1), 0), 1 << 16)
+    _, again = open_in_memory(files.after_power_loss(random.Random(1), 0), 1 << 16)
     assert dict(again.items()) == {}
 
 
-def test_a_manifest_in_doubt_ends_the_writing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_uncertain_manifest_breaks_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its rename may be on disk and seal the segment: what was appended behind that size would be lost."""
-    files, store = fresh()
+    files, store = open_in_memory()
     real, calls = files.sync_directory, list[int]()
 
     def no_room() -> None:
