--- a/tests/store/harness.py
+++ b/tests/store/harness.py
@@ -2,24 +2,45 @@
 
 from __future__ import annotations
 
-from tansyladder.lab import crash_consistency
+from typing import NamedTuple
+
+from tansyladder.lab.crash_consistency import ManualClock
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
 from tansyladder.store import Store, open_store
 
+NODE = "n1"
+SMALL_SEGMENT_BYTES = 400  # a few records fill one
+KEY_COUNT = 40  # of `closed_store_files`
+
+
+class OpenedStore(NamedTuple):
+    """A store with the files that it is on."""
+
+    files: FaultInjectingFiles
+    store: Store
+
 
 def open_in_memory(
-    files: FaultInjectingFiles | None = None, size: int = 400
-) -> tuple[FaultInjectingFiles, Store]:
+    files: FaultInjectingFiles | None = None,
+    max_segment_bytes: int = SMALL_SEGMENT_BYTES,
+    clock: ManualClock | None = None,
+) -> OpenedStore:
+    """A store on these files, or on new ones."""
     files = files or FaultInjectingFiles()
-    return files, open_store(files, "n1", crash_consistency.ManualClock(), size)
+    return OpenedStore(files, open_store(files, NODE, clock or ManualClock(), max_segment_bytes))
 
 
 def closed_store_files(compact: bool = False) -> FaultInjectingFiles:
-    """A closed store of forty keys in several sealed segments, or with upkeep in few of them, with hints."""
+    """A closed store of forty keys in several sealed segments; compacted, in few of them, with hints."""
     files, store = open_in_memory()
-    for n in range(40):
-        store.put(b"key%d" % n, b"value%d" % n * 3)
+    for number in range(KEY_COUNT):
+        store.put(b"key%d" % number, b"value%d" % number * 3)
     if compact:
         store.compact_all()
     store.close()
     return files
+
+
+def contents_of(files: FaultInjectingFiles) -> dict[str, bytes]:
+    """The bytes of each file by name."""
+    return {name: bytes(inode.visible) for name, inode in files.visible.items()}
--- a/tests/store/test_against_dictionary.py
+++ b/tests/store/test_against_dictionary.py
@@ -3,58 +3,81 @@
 from __future__ import annotations
 
 import random
+from typing import NamedTuple
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tansyladder.lab import crash_consistency
+from tansyladder.lab.crash_consistency import ManualClock
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
-from tansyladder.store import Durability, Store, WriteOperation, open_store
+from tansyladder.store import Durability, Store, WriteOperation
+from tansyladder.store.snapshot import Snapshot
+from tests.store.harness import open_in_memory
+
+KEYS = [b"k%d" % number for number in range(6)]
+DRAWN_OPERATIONS = st.lists(
+    st.tuples(st.sampled_from(KEYS), st.none() | st.binary(max_size=90), st.sampled_from((0, 5, 40))),
+    min_size=1,
+    max_size=4,
+)
+
+
+class ModelEntry(NamedTuple):
+    """A value with its expiry in microseconds, 0 for never."""
+
+    value: bytes
+    expiry_us: int
+
 
-KEYS = [b"k%d" % n for n in range(6)]
+class TakenSnapshot(NamedTuple):
+    """A snapshot, with what the store held when it was taken."""
+
+    snapshot: Snapshot
+    expected: dict[bytes, bytes]
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """One store on the stand-in: reopening, power losses, upkeep, snapshots, a clock that steps back."""
+    """A store on fault-injecting files: restarts, losses of power, maintenance, a clock that steps back."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.files, self.clock = FaultInjectingFiles(), crash_consistency.ManualClock()
+        self.files = FaultInjectingFiles()
+        self.clock = ManualClock()
         self.rng = random.Random(5)
-        self.model: dict[bytes, tuple[bytes, int]] = {}
+        self.model: dict[bytes, ModelEntry] = {}
+        self.expired: set[tuple[bytes, ModelEntry]] = set()
+        self.snapshots: list[TakenSnapshot] = []
         self.store = self._open()
-        self.expired: set[tuple[bytes, bytes, int]] = set()
-        self.kept: list[tuple[object, dict[bytes, bytes]]] = []
 
     def _open(self) -> Store:
-        return open_store(self.files, "n1", self.clock, 400)
-
-    @rule(
-        ops=st.lists(
-            st.tuples(st.sampled_from(KEYS), st.none() | st.binary(max_size=90), st.sampled_from((0, 5, 40))),
-            min_size=1,
-            max_size=4,
-        ),
-        durability=st.sampled_from(Durability),
-    )
-    def write(self, ops: list[tuple[bytes, bytes | None, int]], durability: Durability) -> None:
-        made = [WriteOperation(key, value, life and self.clock.now + life) for key, value, life in ops]
-        self.store.write(made, durability)
-        for key, value, expiry in made:
+        return open_in_memory(self.files, clock=self.clock).store
+
+    def _contents(self) -> dict[bytes, bytes]:
+        values = {key: self.store.get(key) for key in KEYS}
+        return {key: value for key, value in values.items() if value is not None}
+
+    @rule(drawn=DRAWN_OPERATIONS, durability=st.sampled_from(Durability))
+    def write(self, drawn: list[tuple[bytes, bytes | None, int]], durability: Durability) -> None:
+        operations = [
+            WriteOperation(key, value, lifetime_us and self.clock.now + lifetime_us)
+            for key, value, lifetime_us in drawn
+        ]
+        self.store.write(operations, durability)
+        for key, value, expiry_us in operations:
             if value is None:
                 self.model.pop(key, None)
             else:
-                self.model[key] = (value, expiry)
+                self.model[key] = ModelEntry(value, expiry_us)
 
-    @rule(step=st.integers(-30, 60))
-    def time_steps(self, step: int) -> None:
-        self.clock.now += step
+    @rule(step_us=st.integers(-30, 60))
+    def step_the_clock(self, step_us: int) -> None:
+        self.clock.now += step_us
 
-    @rule(steps=st.integers(1, 8), budget=st.integers(1, 600))
-    def maintain(self, steps: int, budget: int) -> None:
+    @rule(steps=st.integers(1, 8), budget_bytes=st.integers(1, 600))
+    def maintain(self, steps: int, budget_bytes: int) -> None:
         for _ in range(steps):
-            self.store.maintain(budget)
+            self.store.maintain(budget_bytes)
 
     @rule()
     def maintain_until_done(self) -> None:
@@ -65,42 +88,46 @@
         self.store.close()
         self.store = self._open()
 
-    @rule(keep=st.floats(0, 1))
-    def power_is_lost_after_a_sync(self, keep: float) -> None:
+    @rule(keep_share=st.floats(0, 1))
+    def lose_power_after_a_sync(self, keep_share: float) -> None:
         self.store.maintain(1)
-        self.files = self.files.after_power_loss(self.rng, keep)
+        self.files = self.files.after_power_loss(self.rng, keep_share)
         self.store = self._open()
 
     @rule()
     def take_a_snapshot(self) -> None:
-        snapshot = self.store.snapshot()
-        there = {k: v for k in KEYS if (v := self.store.get(k)) is not None}
-        self.kept.append((snapshot, there))
+        self.snapshots.append(TakenSnapshot(self.store.snapshot(), self._contents()))
 
-    @precondition(lambda self: self.kept)
+    @precondition(lambda self: self.snapshots)
     @rule()
     def read_a_snapshot(self) -> None:
-        snapshot, then = self.kept.pop()
-        found = {k: v for k, v, _ in snapshot.items()}  # type: ignore[attr-defined]
-        assert then.items() <= found.items()
-        snapshot.close()  # type: ignore[attr-defined]
+        snapshot, expected = self.snapshots.pop()
+        with snapshot:
+            found = {key: value for key, value, _ in snapshot.items()}
+        assert expected.items() <= found.items()
 
     @invariant()
     def it_holds_what_the_dictionary_does(self) -> None:
-        moment = max(self.clock.now, self.store.latest_time_us)
-        alive = {k: v for k, (v, expiry) in self.model.items() if not expiry or expiry > moment}
-        self.expired |= {(k, *told) for k, told in self.model.items() if k not in alive}
-        found = {k: v for k in KEYS if (v := self.store.get(k)) is not None}
+        now_us = max(self.clock.now, self.store.latest_time_us)
+        alive = {
+            key: entry.value
+            for key, entry in self.model.items()
+            if not entry.expiry_us or entry.expiry_us > now_us
+        }
+        self.expired |= {(key, entry) for key, entry in self.model.items() if key not in alive}
+        found = self._contents()
         assert found.items() <= alive.items()
-        # Upkeep may have dropped what had expired before a clock that is behind: it does not come back.
-        assert {k for k in alive.keys() - found.keys() if (k, *self.model[k]) not in self.expired} == set()
+        # Maintenance may have dropped what had expired before a clock that is behind: it does not come back.
+        missing = alive.keys() - found.keys()
+        assert {key for key in missing if (key, self.model[key]) not in self.expired} == set()
+
+    @invariant()
+    def its_live_bytes_are_some_of_its_bytes(self) -> None:
         stats = self.store.stats
         assert 0 <= stats.live <= stats.bytes
 
 
 TestStoreAgainstDictionary = StoreMachine.TestCase
-
-
 TestStoreAgainstDictionary.settings = settings(
     max_examples=100,
     stateful_step_count=40,
--- a/tests/store/test_crash_consistency.py
+++ b/tests/store/test_crash_consistency.py
@@ -9,14 +9,14 @@
 
 def test_no_fault_of_the_files_loses_an_acknowledged_write() -> None:
     """Power losses at steps of a life and of its recovery, calls that fail, and files cut and flipped."""
-    found = crash_consistency.run(1, False)
-    assert not found.cases, found
-    assert (found.lost, found.half_batches, found.resurrected) == (0, 0, 0)
-    assert found.recoveries > 2000
-    assert found.named > 100
+    report = crash_consistency.run(seed=1, full=False)
+    assert not report.cases, report
+    assert (report.lost, report.half_batches, report.resurrected) == (0, 0, 0)
+    assert report.recoveries > 2000
+    assert report.named > 100
 
 
 def test_a_killed_writer_loses_no_acknowledged_batch(tmp_path: Path) -> None:
-    found = store_kill.run(tmp_path, seed=3, rounds=6)
-    assert (found.lost, found.wrong) == (0, 0)
-    assert found.acknowledged > 0
+    report = store_kill.run(tmp_path, seed=3, rounds=6)
+    assert (report.lost, report.wrong) == (0, 0)
+    assert report.acknowledged > 0
--- a/tests/store/test_repair.py
+++ b/tests/store/test_repair.py
@@ -9,60 +9,67 @@
 
 import pytest
 
-from tansyladder.lab import crash_consistency
+from tansyladder.lab.crash_consistency import ManualClock
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
 from tansyladder.store import StoreError, errors, frames, open_store
 from tansyladder.store.files import RealFiles
 from tansyladder.store.repair import examine, repair
-from tests.store.harness import closed_store_files, open_in_memory
+from tests.store.harness import KEY_COUNT, closed_store_files, contents_of, open_in_memory
 
 
 def test_repair_saves_what_can_be_read_and_changes_nothing() -> None:
-    files = closed_store_files()
-    whole = {name: bytes(inode.visible) for name, inode in files.visible.items()}
-    assert not examine(FaultInjectingFiles(whole)).faults
-    victim = sorted(name for name in whole if name.endswith(".log"))[1]
-    hurt = bytearray(whole[victim])
-    hurt[frames.SEGMENT_HEADER_BYTES + frames.FRAME_HEADER_BYTES + 30] ^= 1
-    broken = {**whole, victim: bytes(hurt)}
+    intact = contents_of(closed_store_files())
+    assert not examine(FaultInjectingFiles(intact)).faults
+    victim = sorted(name for name in intact if name.endswith(".log"))[1]
+    changed = bytearray(intact[victim])
+    changed[frames.SEGMENT_HEADER_BYTES + frames.FRAME_HEADER_BYTES + 30] ^= 1
+    damaged = {**intact, victim: bytes(changed)}
     with pytest.raises(errors.StoreCorruptError, match=victim):
-        open_in_memory(FaultInjectingFiles(broken))
-    source, target = FaultInjectingFiles(broken), FaultInjectingFiles()
-    done = repair(source, target, crash_consistency.ManualClock())
-    assert {n: bytes(i.visible) for n, i in source.visible.items()} == broken
-    assert done.saved_keys == 39 and done.lost_sequences == 1 and victim in done.faults[0]
+        open_in_memory(FaultInjectingFiles(damaged))
+    source = FaultInjectingFiles(damaged)
+    target = FaultInjectingFiles()
+    result = repair(source, target, ManualClock())
+    assert contents_of(source) == damaged
+    assert result.saved_keys == KEY_COUNT - 1
+    assert result.lost_sequences == 1
+    assert victim in result.faults[0]
     _, store = open_in_memory(target)
-    assert len(store) == 39
+    assert len(store) == KEY_COUNT - 1
     with pytest.raises(StoreError, match="not empty"):
-        repair(source, target, crash_consistency.ManualClock())
+        repair(source, target, ManualClock())
+
+
+def run_store_command(*words: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "tansyladder", "store", *words]
+    return subprocess.run(command, capture_output=True, text=True, timeout=30)
 
 
 def test_the_store_commands_show_verify_compact_dump_and_repair(tmp_path: Path) -> None:
     folder = tmp_path / "store"
-    store = open_store(RealFiles(folder), "n1", crash_consistency.ManualClock(), 400)
-    for n in range(60):
-        store.put(b"k%d" % (n % 5), b"value" * 4)
+    store = open_store(RealFiles(folder), "n1", ManualClock(), 400)
+    for number in range(60):
+        store.put(b"k%d" % (number % 5), b"value" * 4)
     store.close()
+    assert "sealed" in run_store_command("inspect", str(folder)).stdout
+    assert run_store_command("verify", str(folder)).returncode == 0
+    assert "5 keys" in run_store_command("compact", str(folder)).stdout
+    dumped = run_store_command("dump", str(folder)).stdout.splitlines()
+    keys = {bytes.fromhex(json.loads(line)["key"]) for line in dumped}
+    assert keys == {b"k%d" % number for number in range(5)}
 
-    def run(*words: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run(
-            [sys.executable, "-m", "tansyladder", "store", *words], capture_output=True, text=True, timeout=30
-        )
-
-    assert "sealed" in run("inspect", str(folder)).stdout
-    assert run("verify", str(folder)).returncode == 0
-    assert "5 keys" in run("compact", str(folder)).stdout
-    lines = [json.loads(line) for line in run("dump", str(folder)).stdout.splitlines()]
-    assert {bytes.fromhex(line["key"]) for line in lines} == {b"k%d" % n for n in range(5)}
     log = next(folder.glob("*.log"))
     data = bytearray(log.read_bytes())
     data[60] ^= 1
     log.write_bytes(data)
     for hint in folder.glob("*.hint"):
         hint.unlink()
-    done = run("verify", str(folder))
-    assert done.returncode == 1 and "broken" in done.stderr
-    done = run("dump", str(folder))
-    assert done.returncode == 3 and done.stderr.startswith("damaged:") and "Traceback" not in done.stderr
-    assert run("repair", str(folder), str(tmp_path / "new")).returncode == 0
-    assert run("verify", str(tmp_path / "new")).returncode == 0
+    verified = run_store_command("verify", str(folder))
+    assert verified.returncode == 1
+    assert "broken" in verified.stderr
+    refused = run_store_command("dump", str(folder))
+    assert refused.returncode == 3
+    assert refused.stderr.startswith("damaged:")
+    assert "Traceback" not in refused.stderr
+    target = tmp_path / "new"
+    assert run_store_command("repair", str(folder), str(target)).returncode == 0
+    assert run_store_command("verify", str(target)).returncode == 0
--- a/tests/store/test_writing.py
+++ b/tests/store/test_writing.py
@@ -6,76 +6,84 @@
 import random
 import threading
 import time
-from pathlib import Path
+from collections.abc import Callable
 
 import pytest
 
-from tansyladder.store import Durability, StoreError, WriteOperation, errors
-from tansyladder.store.frames import MAX_KEY_BYTES, MAX_VALUE_BYTES
+from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
+from tansyladder.store import Durability, Store, StoreError, WriteOperation, errors
+from tansyladder.store.frames import MAX_KEY_BYTES, MAX_RECORDS_PER_FRAME, MAX_VALUE_BYTES
 from tests.store.harness import open_in_memory
 
+MAX_WAIT_S = 20.0
+
+
+def wait_until(holds: Callable[[], bool], seconds: float = MAX_WAIT_S) -> None:
+    deadline = time.monotonic() + seconds
+    while not holds() and time.monotonic() < deadline:
+        time.sleep(0.0005)
+
 
 def test_bounds_of_keys_values_and_batches() -> None:
-    files, store = open_in_memory(size=4 << 20)
-    store.write([WriteOperation(b"k" * MAX_KEY_BYTES, b"v" * MAX_VALUE_BYTES), WriteOperation(b"k", b"")])
-    for ops in (
+    files, store = open_in_memory(max_segment_bytes=4 << 20)
+    largest_key = b"k" * MAX_KEY_BYTES
+    largest_value = b"v" * MAX_VALUE_BYTES
+    store.write([WriteOperation(largest_key, largest_value), WriteOperation(b"k", b"")])
+    for operations in (
         [WriteOperation(b"", b"v")],
-        [WriteOperation(b"k" * (MAX_KEY_BYTES + 1), b"v")],
-        [WriteOperation(b"k", b"v" * (MAX_VALUE_BYTES + 1))],
+        [WriteOperation(largest_key + b"k", b"v")],
+        [WriteOperation(b"k", largest_value + b"v")],
         [WriteOperation(b"k", b"v", -1)],
-        [WriteOperation(b"k", b"v")] * 65_536,
-        [WriteOperation(b"k%d" % n, b"v" * MAX_VALUE_BYTES) for n in range(17)],
+        [WriteOperation(b"k", b"v", 1 << 63)],
+        [WriteOperation(b"k", b"v")] * (MAX_RECORDS_PER_FRAME + 1),
+        [WriteOperation(b"k%d" % number, largest_value) for number in range(17)],
     ):
         with pytest.raises(errors.RecordTooLargeError):
-            store.write(ops)
+            store.write(operations)
     store.close()
     _, store = open_in_memory(files)
-    assert (
-        store.get(b"k" * MAX_KEY_BYTES) == b"v" * MAX_VALUE_BYTES
-        and store.get(b"k") == b""
-        and len(store) == 2
-    )
+    assert store.get(largest_key) == largest_value
+    assert store.get(b"k") == b""
+    assert len(store) == 2
 
 
-def test_many_writers_share_a_sync_and_each_gets_its_own_result(tmp_path: Path) -> None:
+def put_until_refused(store: Store, writer: int, acknowledged: dict[bytes, bytes]) -> None:
+    """Put sixty keys of one writer, and note each that the store acknowledged."""
+    for number in range(60):
+        key = b"%d-%d" % (writer, number)
+        value = b"%d" % number
+        try:
+            store.put(key, value)
+        except StoreError:
+            return
+        acknowledged[key] = value
+
+
+def test_many_writers_share_a_sync_and_each_gets_its_own_result() -> None:
     """Also where the disk fails in the middle: who was told of success finds its record after a loss."""
-    files, store = open_in_memory(size=1 << 20)
-    said: dict[bytes, bytes] = {}
-
-    def work(which: int) -> None:
-        for n in range(60):
-            key, value = b"%d-%d" % (which, n), b"%d" % n
-            try:
-                store.put(key, value)
-            except StoreError:
-                return
-            said[key] = value
-
-    def others_come() -> None:
-        for _ in range(200):
-            if store.waiting_write_count >= 8:
-                return
-            time.sleep(0.0005)
-
-    files.before_sync = others_come
-    files.failing_steps[files.step_count + 60] = 5
-    threads = [threading.Thread(target=work, args=(n,)) for n in range(16)]
-    for thread in threads:
+    files, store = open_in_memory(max_segment_bytes=1 << 20)
+    acknowledged: dict[bytes, bytes] = {}
+    files.before_sync = lambda: wait_until(lambda: store.waiting_write_count >= 8, seconds=0.1)
+    files.failing_steps[files.step_count + 60] = errno.EIO
+    writers = [
+        threading.Thread(target=put_until_refused, args=(store, writer, acknowledged)) for writer in range(16)
+    ]
+    for thread in writers:
         thread.start()
-    for thread in threads:
-        thread.join(20)
-    assert not any(thread.is_alive() for thread in threads)
-    syncs = files.step_kinds.count("sync")
-    assert len(said) > 4 * syncs
+    for thread in writers:
+        thread.join(MAX_WAIT_S)
+    assert not any(thread.is_alive() for thread in writers)
+    sync_count = files.step_kinds.count("sync")
+    assert len(acknowledged) > 4 * sync_count
     with pytest.raises(errors.StoreBrokenError):
         store.put(b"k", b"v")
-    _, again = open_in_memory(files.after_power_loss(random.Random(1), 0.5), 1 << 20)
-    assert said.items() <= dict(again.items()).items()
+    _, recovered = open_in_memory(files.after_power_loss(random.Random(1), 0.5), 1 << 20)
+    assert acknowledged.items() <= dict(recovered.items()).items()
 
 
 def test_a_write_that_waits_while_maintenance_breaks_the_store_is_refused() -> None:
     """The failed sync dropped what stands before it in the log: a recovery would not reach this write."""
-    files, store = open_in_memory(size=1 << 16)
+    files, store = open_in_memory(max_segment_bytes=1 << 16)
     store.put(b"before", b"x", durability=Durability.BUFFERED)
     refused = list[StoreError]()
 
@@ -90,32 +98,44 @@
     def fail_once_the_writer_waits() -> None:
         files.before_sync = lambda: None
         writer.start()
-        deadline = time.monotonic() + 20
-        while not store.waiting_write_count and time.monotonic() < deadline:
-            time.sleep(0.0005)
+        wait_until(lambda: store.waiting_write_count > 0)
         files.failing_steps[files.step_count] = errno.EIO
 
     files.before_sync = fail_once_the_writer_waits
     with pytest.raises(errors.StoreBrokenError):
         store.maintain()
-    writer.join(20)
+    writer.join(MAX_WAIT_S)
     assert [type(error) for error in refused] == [errors.StoreBrokenError]
-    _, again = open_in_memory(files.after_power_loss(random.Random(1), 0), 1 << 16)
-    assert dict(again.items()) == {}
+    _, recovered = open_in_memory(files.after_power_loss(random.Random(1), 0), 1 << 16)
+    assert dict(recovered.items()) == {}
 
 
-def test_an_uncertain_manifest_breaks_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its rename may be on disk and seal the segment: what was appended behind that size would be lost."""
-    files, store = open_in_memory()
-    real, calls = files.sync_directory, list[int]()
+class UncertainManifestFiles(FaultInjectingFiles):
+    """Files whose second sync of the directory fails for want of room: the first is for a segment's name."""
 
-    def no_room() -> None:
-        calls.append(1)
-        if len(calls) == 2:  # the first is for the new segment's name
-            raise OSError(28, "no room")
-        real()
+    def __init__(self) -> None:
+        super().__init__()
+        self.is_failing = False
+        self.sync_count = 0
 
-    monkeypatch.setattr(files, "sync_directory", no_room)
+    def sync_directory(self) -> None:
+        """All changes of names are on disk, but not the second time."""
+        if self.is_failing:
+            self.sync_count += 1
+            if self.sync_count == 2:
+                raise OSError(errno.ENOSPC, "no room")
+        super().sync_directory()
+
+
+def put_until_segment_is_full(store: Store) -> None:
+    for number in range(40):
+        store.put(b"k%d" % number, b"v" * 40)
+
+
+def test_an_uncertain_manifest_breaks_the_store() -> None:
+    """Its rename may be on disk and seal the segment: what was appended behind that size would be lost."""
+    files = UncertainManifestFiles()
+    _, store = open_in_memory(files)
+    files.is_failing = True
     with pytest.raises(errors.StoreBrokenError):
-        for n in range(40):
-            store.put(b"k%d" % n, b"v" * 40)
+        put_until_segment_is_full(store)
