--- a/tests/store/test_compaction.py
+++ b/tests/store/test_compaction.py
@@ -2,8 +2,12 @@
 
 from __future__ import annotations
 
+from pathlib import Path
+
 from tansyladder.lab.crash_consistency import ManualClock
-from tests.store.harness import open_in_memory
+from tansyladder.store import open_store
+from tansyladder.store.files import RealFiles
+from tests.store.harness import NODE, SMALL_SEGMENT_BYTES, open_in_memory
 
 
 def test_a_deletion_stays_while_an_older_segment_may_hold_its_key() -> None:
@@ -41,3 +45,20 @@
     store.compact_all()
     assert store.get(b"k") is None
     assert dict(store.items()) == {b"other": b"x"}
+
+
+def test_a_snapshot_keeps_the_files_of_compacted_segments_open(tmp_path: Path) -> None:
+    """On a real directory, where a closed file can't be read; the store goes on after the snapshot."""
+    store = open_store(RealFiles(tmp_path), NODE, ManualClock(), SMALL_SEGMENT_BYTES)
+    for number in range(40):
+        store.put(b"k%d" % (number % 4), b"old%d" % number)
+    old_segments = set(store.stats_by_segment)
+    expected = dict(store.items())
+    with store.snapshot() as snapshot:
+        for number in range(40):
+            store.put(b"k%d" % (number % 4), b"new%d" % number)
+        store.compact_all()
+        assert not old_segments <= set(store.stats_by_segment)
+        assert {key: value for key, value, _ in snapshot.items()} == expected
+    assert dict(store.items()) == {b"k%d" % (number % 4): b"new%d" % number for number in range(36, 40)}
+    store.close()
