--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -23,7 +23,7 @@
     signal.signal(signal.SIGHUP, lambda *_: None)  # an ignored one might not even wait
 
     from tansyladder.config import operator_settings, platform
-    from tansyladder.log import LogEvent, log, write_json
+    from tansyladder.log import LogEvent, log, use_json_format
     from tansyladder.net.listener_handover import ListenerHandover
     from tansyladder.node.client_listener import ClientListener
     from tansyladder.node.discovery_client import DiscoveryClient
@@ -41,7 +41,7 @@
     except operator_settings.OptionsError as err:
         print(f"event=bad_settings why={err}", file=sys.stderr)
         return 2
-    write_json(chosen.log.json)
+    use_json_format(chosen.log.json)
     threading.stack_size(STACK)
     sys.setswitchinterval(SWITCH)
     threading.excepthook = lambda args: log(LogEvent.INTERNAL_ERROR, why=repr(args.exc_value))
@@ -69,10 +69,10 @@
         print(f"event=bad_config why={name}: {err}", file=sys.stderr)
         return 2
     if chosen.peers.enabled and chosen.resume.enabled:
-        from tansyladder.cluster.bootstrap import join  # and all that only peers need
+        from tansyladder.cluster.bootstrap import join_cluster  # and all that only peers need
 
         try:
-            join(core, resuming, os.environ.get("TMPDIR"))
+            join_cluster(core, resuming, os.environ.get("TMPDIR"))
         except (OSError, ValueError, platform.ConfigError) as err:
             print(f"event=bad_settings why=peers: {err}", file=sys.stderr)
             return 2
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -12,8 +12,6 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Protocol
 
-import msgspec
-
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
@@ -52,11 +50,11 @@
 
     incarnation: str  # the node and its start
 
-    def propose(self, entry: SessionOpened) -> None:
+    def propose(self, command: SessionOpened) -> None:
         """Propose an entry whose loss does no harm, and wait for nothing."""
 
     def decide_ownership(
-        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+        self, command: OwnershipClaim | ClaimConfirmation, deadline: timedelta
     ) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment."""
 
@@ -176,11 +174,7 @@
             late = now() > visitor.deadline or sockets.is_disconnected(visitor.sock)
             if ruling is None or (ruling.epoch and late):
                 good = self.token_registry.generation_floor(session)  # as it was
-                self._release_token(
-                    msgspec.structs.replace(
-                        entry, generation_floor=good, sequence=next(self.confirmation_numbers)
-                    )
-                )
+                self._release_token(entry.releasing(good, next(self.confirmation_numbers)))
                 return RETRY_SOON
             if not ruling.epoch:  # who has claimed it since may fail: its token may be good still
                 return (
