--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -211,6 +211,9 @@
     def drain(self) -> None:
         """After SIGTERM: serve what still arrives, migrate what is established, reject the rest in time."""
         lifecycle = self._runner.lifecycle
+        # Before the state changes, as clients that come once it is seen are the successor's; and again after
+        # it, as a successor's end in between is passed over by `set_accepting`.
+        self._acceptor.yield_queue(self._handover.has_successor)
         lifecycle.begin_drain()
         self._acceptor.yield_queue(self._handover.has_successor)
         self._handover.begin_migration()
