--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -21,31 +21,32 @@
     Event,
     RequestReceived,
 )
-from tests.policy.harness import MS, S, settings
+from tests.policy.harness import MILLISECOND, SECOND, make_settings
 
 
 def lines_of(at: int, refused: bool) -> list[str]:
     """What one node writes: it takes 9 up, places 1 late at its second attempt, and 9 ends; 2 is refused."""
     figures = Metrics(["chat"])
-    counts, lines = EventCounters(settings().classes, lambda n: f"s-{n}", figures), ["event=started name=n0"]
-    story: list[tuple[int, list[Event], list[Action]]] = [
+    counts = EventCounters(make_settings().classes, lambda n: f"s-{n}", figures)
+    lines = ["event=started name=n0"]
+    steps: list[tuple[int, list[Event], list[Action]]] = [
         (
-            at * S,
-            [ConnectionAdopted(9, 0, 0, 4), RequestReceived(1, 0, 0, at * S + 2 * S)],
-            [StartAttempt(1, 4, S), CheckHealth(5)],
+            at * SECOND,
+            [ConnectionAdopted(9, 0, 0, 4), RequestReceived(1, 0, 0, at * SECOND + 2 * SECOND)],
+            [StartAttempt(1, 4, SECOND), CheckHealth(5)],
         ),
         (
-            at * S + 500 * MS,
-            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MS, False)],
-            [StartAttempt(1, 5, S)],
+            at * SECOND + 500 * MILLISECOND,
+            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MILLISECOND, False)],
+            [StartAttempt(1, 5, SECOND)],
         ),
-        (at * S + 600 * MS, [AttemptEstablished(1, 1, 5, 100 * MS)], [Migrate(9)]),
-        ((at + 1) * S, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, True)], []),
-        ((at + 3) * S, [RequestReceived(2, 0, 0, 0, is_reconnect=True)], [Reject(2)] if refused else []),
-        ((at + 4) * S, [], []),
-        ((at + 5) * S, [], []),
+        (at * SECOND + 600 * MILLISECOND, [AttemptEstablished(1, 1, 5, 100 * MILLISECOND)], [Migrate(9)]),
+        ((at + 1) * SECOND, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, True)], []),
+        ((at + 3) * SECOND, [RequestReceived(2, 0, 0, 0, is_reconnect=True)], [Reject(2)] if refused else []),
+        ((at + 4) * SECOND, [], []),
+        ((at + 5) * SECOND, [], []),
     ]
-    for now, events, actions in story:
+    for now, events, actions in steps:
         if fields := counts.finish_second(now):
             lines.append("7.1 " + render_line(None, "msg", {"event": "counts", **fields}))
         for event in events:
@@ -68,14 +69,14 @@
     assert {k: fleet.totals[k] for k in want} == want
     assert (fleet.totals["refused"], fleet.totals["probes"], fleet.totals["moves"]) == (1, 2, 2)
     assert [fleet.seconds[at]["new"] for at in range(5)] == [1, 1, 0, 0, 0]
-    assert [fleet.standing[at]["s-4"] for at in range(5)] == [1, 1, 0, 0, 0]
-    assert [fleet.standing[at]["s-5"] for at in range(5)] == [1, 2, 2, 2, 2]  # quiet seconds too
-    assert fleet.failed[0]["s-4"] == 1
+    assert [fleet.connections[at]["s-4"] for at in range(5)] == [1, 1, 0, 0, 0]
+    assert [fleet.connections[at]["s-5"] for at in range(5)] == [1, 2, 2, 2, 2]  # quiet seconds too
+    assert fleet.failures[0]["s-4"] == 1
 
 
-def test_what_a_node_held_died_with_it() -> None:
+def test_the_connections_of_a_node_end_with_its_process() -> None:
     fleet = fleet_counts.read({"n0": lines_of(100, False) + lines_of(110, False)})
-    assert [fleet.standing[at]["s-5"] for at in (0, 3, 4, 9, 10)] == [1, 1, 0, 0, 1]
+    assert [fleet.connections[at]["s-5"] for at in (0, 3, 4, 9, 10)] == [1, 1, 0, 0, 1]
 
 
 def test_the_command_prints_both_tables(tmp_path: Path) -> None:
