--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -70,7 +70,7 @@
         return now
     host.is_draining = True
     if style == AT_ONCE:
-        host.send_away()
+        host.migrate_all()
     await topology.discovery.set_phase(Phase.DRAINING, host)
     return now
 
@@ -79,7 +79,7 @@
     """Report how much later than due each client's latest frame came; return that of the resumed sessions."""
     resumed = []
     for client in topology.clients:
-        gap = max(timedelta(0), client.gap - timedelta(seconds=topology.settings.frame_interval))
+        gap = max(timedelta(0), client.gaps.longest - timedelta(seconds=topology.settings.frame_interval))
         topology.report.record_delay("gap", gap)
         if client.connections == client.connections_at_watch and client.up.is_set():
             resumed.append(gap)
--- /dev/null
+++ b/tests/store/test_repair.py
@@ -0,0 +1,75 @@
+"""Repair, and the commands `tansyladder store ...`."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from tansyladder.lab.crash_consistency import ManualClock
+from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
+from tansyladder.store import StoreError, errors, frames, open_store
+from tansyladder.store.files import RealFiles
+from tansyladder.store.repair import examine, repair
+from tests.store.harness import KEY_COUNT, closed_store_files, contents_of, open_in_memory
+
+
+def test_repair_saves_what_can_be_read_and_changes_nothing() -> None:
+    intact = contents_of(closed_store_files())
+    assert not examine(FaultInjectingFiles(intact)).faults
+    victim = sorted(name for name in intact if name.endswith(".log"))[1]
+    changed = bytearray(intact[victim])
+    changed[frames.SEGMENT_HEADER_BYTES + frames.FRAME_HEADER_BYTES + 30] ^= 1
+    damaged = {**intact, victim: bytes(changed)}
+    with pytest.raises(errors.StoreCorruptError, match=victim):
+        open_in_memory(FaultInjectingFiles(damaged))
+    source = FaultInjectingFiles(damaged)
+    target = FaultInjectingFiles()
+    result = repair(source, target, ManualClock())
+    assert contents_of(source) == damaged
+    assert result.saved_keys == KEY_COUNT - 1
+    assert result.lost_sequences == 1
+    assert victim in result.faults[0]
+    _, store = open_in_memory(target)
+    assert len(store) == KEY_COUNT - 1
+    with pytest.raises(StoreError, match="not empty"):
+        repair(source, target, ManualClock())
+
+
+def run_store_command(*words: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "tansyladder", "store", *words]
+    return subprocess.run(command, capture_output=True, text=True, timeout=30)
+
+
+def test_the_store_commands_show_verify_compact_dump_and_repair(tmp_path: Path) -> None:
+    folder = tmp_path / "store"
+    store = open_store(RealFiles(folder), "n1", ManualClock(), 400)
+    for number in range(60):
+        store.put(b"k%d" % (number % 5), b"value" * 4)
+    store.close()
+    assert "sealed" in run_store_command("inspect", str(folder)).stdout
+    assert run_store_command("verify", str(folder)).returncode == 0
+    assert "5 keys" in run_store_command("compact", str(folder)).stdout
+    dumped = run_store_command("dump", str(folder)).stdout.splitlines()
+    keys = {bytes.fromhex(json.loads(line)["key"]) for line in dumped}
+    assert keys == {b"k%d" % number for number in range(5)}
+
+    log = next(folder.glob("*.log"))
+    data = bytearray(log.read_bytes())
+    data[60] ^= 1
+    log.write_bytes(data)
+    for hint in folder.glob("*.hint"):
+        hint.unlink()
+    verified = run_store_command("verify", str(folder))
+    assert verified.returncode == 1
+    assert "broken" in verified.stderr
+    refused = run_store_command("dump", str(folder))
+    assert refused.returncode == 3
+    assert refused.stderr.startswith("damaged:")
+    assert "Traceback" not in refused.stderr
+    target = tmp_path / "new"
+    assert run_store_command("repair", str(folder), str(target)).returncode == 0
+    assert run_store_command("verify", str(target)).returncode == 0
