--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -1,4 +1,4 @@
-"""A new process takes the place of a running one, at each step with a client in the queue."""
+"""A new process takes the place of a running one, at each step with a client in the listener's queue."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from datetime import timedelta
 from pathlib import Path
 
+import msgspec
 import pytest
 
 from tansyladder.net import handover_messages, listener_handover
@@ -30,34 +31,52 @@
 STAYS = answer_up(lambda peer: void(*iter(peer.read_line, "")))
 
 
-def echoes(peer: Peer) -> None:
+def echo_lines(peer: Peer) -> None:
+    """Answer each line in two parts, which the relay joins."""
     for line in iter(peer.read_line, ""):
         peer.sock.sendall(line[:2].encode())
         peer.send_lines(line[2:])
 
 
-def candidate(tmp_path: Path, port: int) -> ListenerHandover:
-    """What a new process does first, in this one."""
+def handover(tmp_path: Path, port: int) -> ListenerHandover:
+    """The handover of a new process, in this one."""
     return ListenerHandover(("127.0.0.1", port), str(tmp_path))
 
 
-def asked(new: ListenerHandover) -> socket.socket:
+def request_listener(new: ListenerHandover) -> socket.socket:
+    """The listener of the running process, which must give it."""
     listener = new.request_listener()
     assert listener is not None
     return listener
 
 
-def goes(new: ListenerHandover) -> None:
-    """The process that asked dies: nothing of it is left."""
-    assert new._predecessor is not None
-    new._predecessor.close()
+class ScriptedSuccessor:
+    """A new process, message by message: it has the listener, and may say that it serves or die."""
 
+    def __init__(self, tmp_path: Path, port: int) -> None:
+        self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        self._sock.settimeout(10)
+        self._sock.connect(str(tmp_path / f"tansyladder-127.0.0.1-{port}.sock"))
+        self._sock.sendall(handover_messages.REQUEST_LISTENER)
+        message, descriptors, _, _ = socket.recv_fds(self._sock, listener_handover.MAX_MESSAGE_BYTES, 1)
+        msgspec.json.decode(message, type=handover_messages.DescriptorTransfer)
+        assert len(descriptors) == 1
+        self._listener = socket.socket(fileno=descriptors[0])
 
-def test_a_new_process_serves_and_what_stands_goes_along(
+    def announce_serving(self) -> None:
+        self._sock.sendall(handover_messages.SERVING)
+
+    def die(self) -> None:
+        """Leave nothing behind, as a process that is killed."""
+        self._listener.close()
+        self._sock.close()
+
+
+def test_a_new_process_serves_and_gets_established_connections(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with program(tmp_path, ScriptedServer(answer_up(echoes))) as (old, port):
+    with program(tmp_path, ScriptedServer(answer_up(echo_lines))) as (old, port):
         before = client_of(port)
         assert before.read_line() == "UP r1"
         env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_LISTEN": f"127.0.0.1:{port}"}
@@ -76,13 +95,15 @@
                 assert select.select([queued.sock], [], [], 0)[0] == []
                 new.send_signal(signal.SIGCONT)
                 assert queued.read_line() == "UP r1"
-                before.send_lines("1", "M 2")  # it stands, and neither its client nor its member has noticed
+                before.send_lines(
+                    "1", "M 2"
+                )  # it goes on, and neither its client nor its endpoint has noticed
                 assert [before.read_line(), before.read_line()] == ["M 1", "M 2"]
                 before.close()
                 new.send_signal(signal.SIGHUP)
                 until_line(new, b"event=reloaded")
                 # The name leads to the new one: a third start finds it.
-                listener = asked(candidate(tmp_path, port))
+                listener = request_listener(handover(tmp_path, port))
                 assert listener.getsockname() == ("127.0.0.1", port)
                 listener.close()
                 queued.close()
@@ -90,74 +111,71 @@
                 new.kill()
 
 
-def test_a_new_process_that_dies_unready_costs_nothing(
+def test_a_successor_that_dies_before_it_serves_costs_no_client(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with program(tmp_path, ScriptedServer(STAYS)) as (old, port):
-        new = candidate(tmp_path, port)
-        listener = asked(new)
+        successor = ScriptedSuccessor(tmp_path, port)
         first = client_of(port)
         assert first.read_line() == "UP r1"  # the old one takes clients until it is told to end
-        listener.close()
-        goes(new)
+        successor.die()
         second = client_of(port)
         assert second.read_line() == "UP r1"
         old.send_signal(signal.SIGTERM)
         assert [first.read_line(), second.read_line()] == ["MOVE", "MOVE"]
         first.close()
         second.close()
-        assert old.wait(10) == 0 and list(tmp_path.glob("*.sock")) == []
+        assert old.wait(10) == 0
+        assert list(tmp_path.glob("*.sock")) == []
 
 
-def test_an_old_process_that_ends_before_the_new_one_is_ready_leaves_it_the_queue(
+def test_an_old_process_that_ends_before_the_new_one_serves_leaves_it_the_queue(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     host = ScriptedServer(STAYS)
     with program(tmp_path, host) as (old, port):
-        new = candidate(tmp_path, port)
-        listener = asked(new)
+        new = handover(tmp_path, port)
+        listener = request_listener(new)
         old.send_signal(signal.SIGTERM)
         assert old.wait(10) == 0
         queued = client_of(port)
-        read = load_test_config(tmp_path, endpoint_entry("s0", host.address), listen=f"127.0.0.1:{port}")
+        config = load_test_config(tmp_path, endpoint_entry("s0", host.address), listen=f"127.0.0.1:{port}")
         monkeypatch.setattr(new, "request_listener", lambda: listener)
-        core = RecordingPolicyRunner(read)
-        front = ClientListener(core, new)
-        core.start()
-        front.start()
+        runner = RecordingPolicyRunner(config)
+        client_listener = ClientListener(runner, new)
+        runner.start()
+        client_listener.start()
         assert queued.read_line() == "UP r1"
         queued.close()
-        front.stop_listening()
+        client_listener.stop_listening()
 
 
-def test_a_new_process_killed_in_the_drain_hands_the_queue_back(
+def test_a_successor_killed_in_the_drain_gives_the_queue_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    came, free = threading.Event(), threading.Event()
+    connected = threading.Event()
+    may_answer = threading.Event()
 
-    def holds(peer: Peer) -> None:
-        came.set()
-        free.wait(10)
+    def answer_late(peer: Peer) -> None:
+        connected.set()
+        may_answer.wait(10)
         STAYS(peer)
 
-    with program(tmp_path, ScriptedServer(holds, STAYS)) as (old, port):
+    with program(tmp_path, ScriptedServer(answer_late, STAYS)) as (old, port):
         waiting = client_of(port)  # for as long as it has no answer the old one's drain lasts
-        assert came.wait(10)
-        new = candidate(tmp_path, port)
-        listener = asked(new)
-        assert new._predecessor is not None
-        new._predecessor.sendall(handover_messages.SERVING)
+        assert connected.wait(10)
+        successor = ScriptedSuccessor(tmp_path, port)
+        successor.announce_serving()
         until_line(old, b"event=listener_handover step=succeeded")
         old.send_signal(signal.SIGTERM)
         until_line(old, b"event=state_changed now=draining")
         queued = client_of(port, "81")
-        listener.close()
-        goes(new)
+        successor.die()
         assert queued.read_line() == "UP r1"
-        free.set()
+        may_answer.set()
         assert waiting.read_line() == "UP r1"
         assert [waiting.read_line(), queued.read_line()] == ["MOVE", "MOVE"]
         waiting.close()
@@ -165,7 +183,7 @@
         assert old.wait(10) == 0
 
 
-def test_who_does_not_answer_is_passed_by_and_the_port_is_shared(
+def test_a_process_that_does_not_answer_is_skipped_and_the_port_is_shared(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A stale file, a process that hangs, no folder at all: a plain start, beside whoever listens."""
@@ -175,47 +193,54 @@
     name = tmp_path / f"tansyladder-127.0.0.1-{port}.sock"
     hangs = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     hangs.bind(str(name))
-    assert candidate(tmp_path, port).request_listener() is None  # nobody listens there
+    assert handover(tmp_path, port).request_listener() is None  # nobody listens there
     hangs.listen(1)
-    assert candidate(tmp_path, port).request_listener() is None
+    assert handover(tmp_path, port).request_listener() is None
     assert ListenerHandover(("127.0.0.1", port), None).request_listener() is None
     assert ListenerHandover(("127.0.0.1", port), str(tmp_path / "none")).request_listener() is None
     beside = ClientListener(
         RecordingPolicyRunner(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")),
-        candidate(tmp_path, port),
+        handover(tmp_path, port),
     )
     assert beside.address == first.address
     beside.start()
     hangs.close()
-    listener = asked(candidate(tmp_path, port))  # the stale name is replaced, and leads to it
+    listener = request_listener(handover(tmp_path, port))  # the stale name is replaced, and leads to it
     listener.close()
     beside.stop_listening()
     first.stop_listening()
 
 
-def test_both_together_have_the_nodes_descriptors(tmp_path: Path) -> None:
-    """The old one keeps what it uses and half of what is free; a client that stands counts once."""
+def test_both_processes_share_the_nodes_descriptors(tmp_path: Path) -> None:
+    """The old one keeps what it uses and half of what is free; a client that waits counts thrice."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
-    core = RecordingPolicyRunner(load_test_config(tmp_path, limits=limits))
-    old = ClientListener(core, ListenerHandover(("127.0.0.1", 1), str(tmp_path)))
-    kept, left = old.split_descriptors()
-    assert 0 < left < kept < 200 - left  # what a full table of newcomers may take stays with neither
+    runner = RecordingPolicyRunner(load_test_config(tmp_path, limits=limits))
+    old = ClientListener(runner, ListenerHandover(("127.0.0.1", 1), str(tmp_path)))
+    idle = old.split_descriptors()
+    # What a full table of pending connections may take stays with neither.
+    assert 0 < idle.released_count < idle.retained_count < 200 - idle.released_count
     for number in range(30):
-        old._admission.add(str(number))
-    fuller, less = old.split_descriptors()
-    assert fuller - kept == 90 - (left - less) and less < left
+        old._admission.add(str(number))  # noqa: SLF001 - in place of 30 clients that wait for their answers
+    busy = old.split_descriptors()
+    released_less = idle.released_count - busy.released_count
+    assert busy.retained_count - idle.retained_count == 90 - released_less
+    assert released_less > 0
     old.stop_listening()
 
 
-def test_strangers_at_the_socket_get_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    front = ClientListener(RecordingPolicyRunner(load_test_config(tmp_path)), candidate(tmp_path, 1))
-    gone = threading.Event()
-    monkeypatch.setattr(front, "set_accepting", lambda _: gone.set())
-    front._handover.serve(front._listener, front)
+def test_a_stranger_at_the_handover_socket_gets_no_listener(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    own_handover = handover(tmp_path, 1)
+    listener = ClientListener(RecordingPolicyRunner(load_test_config(tmp_path)), own_handover)
+    changed = threading.Event()
+    monkeypatch.setattr(listener, "set_accepting", lambda _: changed.set())
+    listener.start()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.settimeout(5)
         sock.connect(str(tmp_path / "tansyladder-127.0.0.1-1.sock"))
         sock.sendall(b"GET / HTTP/1.1\r\n")
         assert Peer(sock).read_line() == ""
-    assert not front._handover.is_listener_shared and not gone.is_set()
-    front.stop_listening()
+    assert not own_handover.is_listener_shared
+    assert not changed.is_set()
+    listener.stop_listening()
