--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -1,8 +1,9 @@
-"""A small harness: settings, lists and a node driven event by event."""
+"""Builders of settings, endpoints and reports, and a driver that plays events to a `Balancer`."""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Iterable
+from typing import Any, NamedTuple, TypeVar
 
 from tansyladder.policy.actions import Action, SetTimer, StartAttempt
 from tansyladder.policy.balancer import Balancer
@@ -19,104 +20,151 @@
 )
 from tansyladder.policy.settings import ClassSettings, Settings
 
-MILLISECOND, SECOND = 1000, 1_000_000
+MILLISECOND = 1000  # us, as all spans and moments here
+SECOND = 1_000_000
 START_TIME = 1000 * SECOND
-LATENCY_OBJECTIVE, DEADLINE = 400 * MILLISECOND, 2000 * MILLISECOND
-
-
-def make_settings(**over: Any) -> Settings:
-    names = (
-        "idempotency",
-        "deduplication_scope",
-        "deduplication_window_us",
-        "priority_weight",
-        "latency_objective_us",
-        "deadline_us",
-    )
-    cls: dict[str, Any] = {k: over.pop(k) for k in names if k in over}
-    one_class: dict[str, Any] = {
-        "latency_objective_us": LATENCY_OBJECTIVE,
-        "deadline_us": DEADLINE,
-        "deduplication_window_us": 5 * SECOND,
-        "message_latency_objective_us": 150 * MILLISECOND,
-    }
-    one = ClassSettings(**{**one_class, **cls})
-    base: dict[str, Any] = {
-        "classes": (one,),
-        "slow_start_duration_us": 20 * SECOND,
-        "slow_start_initial_capacity": 0.15,
-        "overload_factor": 3.0,
-        "max_attempts": 5,
-        "drain_grace_us": 1000 * MILLISECOND,
-        "can_send_retry_after": True,
-        "max_retry_after_us": 10 * SECOND,
-    }
-    return Settings(**{**base, **over})
+LATENCY_OBJECTIVE = 400 * MILLISECOND
+DEADLINE = 2000 * MILLISECOND
+
+CLASS_DEFAULTS: dict[str, Any] = {
+    "latency_objective_us": LATENCY_OBJECTIVE,
+    "deadline_us": DEADLINE,
+    "deduplication_window_us": 5 * SECOND,
+    "message_latency_objective_us": 150 * MILLISECOND,
+}
+CLASS_FIELDS = (  # what `make_settings` takes for the one class; the rest is of all classes
+    "idempotency",
+    "deduplication_scope",
+    "deduplication_window_us",
+    "priority_weight",
+    "latency_objective_us",
+    "deadline_us",
+)
+SETTINGS_DEFAULTS: dict[str, Any] = {
+    "slow_start_duration_us": 20 * SECOND,
+    "slow_start_initial_capacity": 0.15,
+    "overload_factor": 3.0,
+    "max_attempts": 5,
+    "drain_grace_us": 1000 * MILLISECOND,
+    "can_send_retry_after": True,
+    "max_retry_after_us": 10 * SECOND,
+}
+LOAD_REPORTS: dict[str, Any] = {"can_check_health": True, "report_columns": ("active", "x0")}
+
+ActionType = TypeVar("ActionType", bound=Action)
+
+
+def make_settings(**changes: Any) -> Settings:
+    """Settings with one class; fields of the class are told from those of all by their names."""
+    class_changes = {name: changes.pop(name) for name in CLASS_FIELDS if name in changes}
+    only_class = ClassSettings(**{**CLASS_DEFAULTS, **class_changes})
+    return Settings(**{"classes": (only_class,), **SETTINGS_DEFAULTS, **changes})
 
 
 def endpoint(
-    server: int, zone: int = 0, state: EndpointState = EndpointState.READY, ready_at: int = 0, **over: Any
+    endpoint_id: int,
+    zone: int = 0,
+    state: EndpointState = EndpointState.READY,
+    ready_at: int = 0,
+    **changes: Any,
 ) -> EndpointUpdate:
-    return EndpointUpdate(server, zone, over.get("cell", zone), 0, over.get("weight", 1.0), state, ready_at)
+    """An endpoint as discovery lists it; its cell is the zone's number and its weight 1 unless told."""
+    cell = changes.get("cell", zone)
+    weight = changes.get("weight", 1.0)
+    return EndpointUpdate(endpoint_id, zone, cell, 0, weight, state, ready_at)
+
+
+class SentRequest(NamedTuple):
+    """A request that was sent, and what the balancer did at once."""
+
+    request_id: int
+    actions: list[Action]
+
+
+class LoggedAction(NamedTuple):
+    """An action and its moment."""
+
+    at: int
+    action: Action
+
+
+class PendingTimer(NamedTuple):
+    """A timer that the balancer has set."""
+
+    due_at: int
+    timer_id: int
 
 
 class BalancerDriver:
     """A Balancer with a clock that plays due timers in order."""
 
-    def __init__(self, lines: list[EndpointUpdate], seed: int = 1, **over: Any) -> None:
-        self.settings = make_settings(**over)
+    def __init__(self, endpoints: list[EndpointUpdate], seed: int = 1, **changes: Any) -> None:
+        self.settings = make_settings(**changes)
         self.now = START_TIME
         self.balancer = Balancer(self.settings, seed, self.now)
-        self.pending_timers: list[tuple[int, int]] = []
-        self.action_log: list[tuple[int, Action]] = []
+        self.pending_timers: list[PendingTimer] = []
+        self.action_log: list[LoggedAction] = []
         self.next_id = 1
-        self.deliver(EndpointListUpdate(ListUpdateKind.CACHED, tuple(lines)))
+        self.deliver(EndpointListUpdate(ListUpdateKind.CACHED, tuple(endpoints)))
 
     def deliver(self, *events: Event) -> list[Action]:
-        actions = self.balancer.handle(self.now, list(events))
-        for a in actions:
-            if isinstance(a, SetTimer):
-                self.pending_timers.append((a.due_at_us, a.timer_id))
+        """Hand events over now; the actions that follow, timers aside."""
+        actions: list[Action] = []
+        for action in self.balancer.handle(self.now, list(events)):
+            if isinstance(action, SetTimer):
+                self.pending_timers.append(PendingTimer(action.due_at_us, action.timer_id))
             else:
-                self.action_log.append((self.now, a))
-        return [a for a in actions if not isinstance(a, SetTimer)]
+                self.action_log.append(LoggedAction(self.now, action))
+                actions.append(action)
+        return actions
 
     def run_until(self, until: int) -> list[Action]:
         """Play timers up to a time; all actions of that stretch."""
-        mark = len(self.action_log)
-        while self.pending_timers and min(self.pending_timers)[0] <= until:
-            due = min(self.pending_timers)
-            self.pending_timers.remove(due)
-            self.now = max(self.now, due[0])
-            self.deliver(TimerExpired(due[1]))
+        logged_before = len(self.action_log)
+        while self.pending_timers and min(self.pending_timers).due_at <= until:
+            timer = min(self.pending_timers)
+            self.pending_timers.remove(timer)
+            self.now = max(self.now, timer.due_at)
+            self.deliver(TimerExpired(timer.timer_id))
         self.now = max(self.now, until)
-        return [a for _, a in self.action_log[mark:]]
+        return [logged.action for logged in self.action_log[logged_before:]]
 
     def run_to_next_action(self, limit: int = 10 * SECOND) -> list[Action]:
         """Play timers until one of them does something."""
         end = self.now + limit
-        while self.pending_timers and min(self.pending_timers)[0] <= end:
-            acts = self.run_until(min(self.pending_timers)[0])
-            if acts:
-                return acts
+        while self.pending_timers and min(self.pending_timers).due_at <= end:
+            actions = self.run_until(min(self.pending_timers).due_at)
+            if actions:
+                return actions
         return []
 
-    def send_request(self, key: int = 7, left: int = DEADLINE, **over: Any) -> tuple[int, list[Action]]:
-        rid, self.next_id = self.next_id, self.next_id + 1
-        return rid, self.deliver(RequestReceived(rid, 0, over.pop("tenant", 0), self.now + left, key, **over))
+    def send_request(self, key: int = 7, left: int = DEADLINE, **changes: Any) -> SentRequest:
+        """Send a request with so much time left."""
+        request_id = self.next_id
+        self.next_id += 1
+        tenant = changes.pop("tenant", 0)
+        request = RequestReceived(request_id, 0, tenant, self.now + left, key, **changes)
+        return SentRequest(request_id, self.deliver(request))
 
     def fail_attempt(
         self,
-        send: StartAttempt,
+        start: StartAttempt,
         attempt: int,
         status: AttemptStatus = AttemptStatus.CONNECT_FAILED,
-        wait: int = MILLISECOND,
+        after: int = MILLISECOND,
     ) -> list[Action]:
-        self.now += wait
-        return self.deliver(AttemptEnded(send.request_id, attempt, send.endpoint_id, status, wait, False))
+        """Let an attempt fail some time after now."""
+        self.now += after
+        return self.deliver(AttemptEnded(start.request_id, attempt, start.endpoint_id, status, after, False))
+
+
+def of_type(actions: Iterable[Action], action_type: type[ActionType]) -> list[ActionType]:
+    """The actions of a type, in order."""
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 def only_attempt(actions: list[Action]) -> StartAttempt:
-    sends = [a for a in actions if isinstance(a, StartAttempt)]
-    assert len(sends) == 1, actions
-    return sends[0]
+    """The one attempt that is started among actions."""
+    starts = of_type(actions, StartAttempt)
+    assert len(starts) == 1, actions
+    return starts[0]
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -14,6 +14,7 @@
     START_TIME,
     BalancerDriver,
     endpoint,
+    of_type,
     only_attempt,
 )
 
@@ -55,58 +56,58 @@
 def test_retries_keep_to_their_intervals() -> None:
     for seed in range(60):
         node = BalancerDriver(FLEET, seed)
-        _, acts = node.send_request()
-        send, attempt, start = only_attempt(acts), 0, None
+        _, actions = node.send_request()
+        send, attempt, start = only_attempt(actions), 0, None
         while True:
-            acts = node.fail_attempt(send, attempt)
+            actions = node.fail_attempt(send, attempt)
             b = node.balancer.requests.backoffs[7]
             if start is not None:
                 assert b.retry_at >= start  # at or after the last interval's end
             start = b.interval_end
-            acts = acts or node.run_to_next_action()
-            if isinstance(acts[-1], Reject):
+            actions = actions or node.run_to_next_action()
+            if isinstance(actions[-1], Reject):
                 break
-            send, attempt = only_attempt(acts), attempt + 1
+            send, attempt = only_attempt(actions), attempt + 1
             assert node.now == b.retry_at
 
 
 def test_the_count_survives_a_drop_and_is_cleared_by_staying_up() -> None:
     node = BalancerDriver(FLEET)
-    rid, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
+    request_id, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
     send = only_attempt(node.run_to_next_action())
-    node.deliver(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MILLISECOND))
+    node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
     node.now += 100 * MILLISECOND
-    node.deliver(AttemptEnded(rid, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MILLISECOND, True))
+    node.deliver(AttemptEnded(request_id, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MILLISECOND, True))
     assert node.balancer.requests.backoffs[7].attempt == 1
     node.run_until(node.now + SECOND)
-    rid, acts = node.send_request()
-    send = only_attempt(acts)
+    request_id, actions = node.send_request()
+    send = only_attempt(actions)
     node.fail_attempt(send, 0)
     assert node.balancer.requests.backoffs[7].attempt == 2
     send = only_attempt(node.run_to_next_action())
-    node.deliver(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MILLISECOND))
+    node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
     node.run_until(node.now + DEADLINE + 1)
     assert 7 not in node.balancer.requests.backoffs
 
 
 def test_a_client_that_comes_again_within_its_interval_waits_for_its_retry() -> None:
     node = BalancerDriver(FLEET)
-    _, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
+    _, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
     due = node.balancer.requests.backoffs[7].retry_at
-    rid, acts = node.send_request()
-    assert acts == []
-    sent = [a for a in node.run_until(due) if isinstance(a, StartAttempt)]
-    assert rid in [a.request_id for a in sent]
+    request_id, actions = node.send_request()
+    assert actions == []
+    sent = of_type(node.run_until(due), StartAttempt)
+    assert request_id in [a.request_id for a in sent]
 
 
 def test_two_requests_of_one_key_are_both_answered() -> None:
     """The key's interval moves on with the second; the first must still be tried at its own time."""
     node = BalancerDriver(FLEET)
-    first, acts = node.send_request()
+    first, actions = node.send_request()
     second, more = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
+    node.fail_attempt(only_attempt(actions), 0)
     node.fail_attempt(only_attempt(more), 0)
     node.run_until(node.now + DEADLINE)
     answered = {a.request_id for _, a in node.action_log[2:] if isinstance(a, StartAttempt | Reject)}
@@ -115,30 +116,30 @@
 
 def test_a_wait_that_outruns_the_time_is_refused_with_the_rest_of_the_interval() -> None:
     node = BalancerDriver(FLEET)
-    rid, acts = node.send_request(left=30 * MILLISECOND)
-    seen = node.fail_attempt(only_attempt(acts), 0)
+    request_id, actions = node.send_request(left=30 * MILLISECOND)
+    seen = node.fail_attempt(only_attempt(actions), 0)
     for _ in range(4):
         if seen and isinstance(seen[0], Reject):
             break
         seen = node.run_to_next_action()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Reject(rid, node.balancer.requests.backoffs[7].interval_end - node.now)
+    assert seen[0] == Reject(request_id, node.balancer.requests.backoffs[7].interval_end - node.now)
 
 
 def test_attempts_run_out() -> None:
     node = BalancerDriver(FLEET, max_attempts=2)
-    rid, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
-    acts = node.fail_attempt(only_attempt(node.run_to_next_action()), 1)
-    assert isinstance(acts[0], Reject)
-    assert acts[0].request_id == rid
+    request_id, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
+    actions = node.fail_attempt(only_attempt(node.run_to_next_action()), 1)
+    assert isinstance(actions[0], Reject)
+    assert actions[0].request_id == request_id
 
 
 def test_without_a_key_the_count_is_the_requests_own() -> None:
     node = BalancerDriver(FLEET)
-    _, acts = node.send_request(key=0)
-    node.fail_attempt(only_attempt(acts), 0)
+    _, actions = node.send_request(key=0)
+    node.fail_attempt(only_attempt(actions), 0)
     assert only_attempt(node.run_to_next_action())
     assert not node.balancer.requests.backoffs
 
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -27,7 +27,7 @@
 )
 from tansyladder.policy.slow_start import CONNECTIONS_PER_WEIGHT, PERMIT_ROTATION_SIZE
 from tests.node.harness import SETTINGS, running_node
-from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint
+from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint, of_type
 
 
 def watches(seed: int, nodes: int, span: int) -> list[int]:
@@ -39,8 +39,8 @@
         discovery_call_interval_us=discovery_call_interval(nodes) // MICROSECOND,
     )
     calls: list[int] = []
-    while asking.now < START_TIME + span and (acts := asking.run_to_next_action(60 * SECOND)):
-        for _ in [a for a in acts if isinstance(a, PollDiscovery)]:
+    while asking.now < START_TIME + span and (actions := asking.run_to_next_action(60 * SECOND)):
+        for _ in of_type(actions, PollDiscovery):
             calls.append(asking.now - START_TIME)
             asking.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     return calls
@@ -119,8 +119,8 @@
     rng, sent = random.Random(7), 0
     for tick in range(100):  # five seconds with 20 requests each, wherever the front sends them
         n = rng.choice(fleet)
-        acts = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=tick + 1)[1]
-        for send in (a for a in acts if isinstance(a, StartAttempt)):
+        actions = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=tick + 1)[1]
+        for send in (a for a in actions if isinstance(a, StartAttempt)):
             n.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
             sent += send.endpoint_id == 5
     assert 6 <= sent <= 20
@@ -156,8 +156,8 @@
         came = list(range(nodes)) * (tick % 20 == 0) if traffic == "all" else []
         for at in came or [crowd(traffic, nodes, rng) for _ in range(20) if traffic != "all"]:
             n, key = fleet[at], key + 1
-            acts = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=key)[1]
-            for send in [a for a in acts if isinstance(a, StartAttempt)]:
+            actions = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=key)[1]
+            for send in of_type(actions, StartAttempt):
                 n.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
                 sent += [tick * 50 * MILLISECOND] * (send.endpoint_id == 2)
     shared = -(
@@ -188,8 +188,8 @@
         connections_per_unit=fills,
     )
     for key in range(1, 9):  # its own eight stand for 160 of the zone's twenty nodes, on two members
-        _, acts = of_forty.send_request(key=key)
-        [send] = [a for a in acts if isinstance(a, StartAttempt)]
+        _, actions = of_forty.send_request(key=key)
+        [send] = of_type(actions, StartAttempt)
         of_forty.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
         if key == 1:
             assert send.endpoint_id in (1, 2)  # home first
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -20,14 +20,14 @@
     ListUpdateKind,
     ReportKind,
 )
-from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint
+from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint, of_type
 
 
 def rig() -> BalancerDriver:
     """A node of two members with forty connections on the first; the first answers a probe in 5 ms."""
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
-    for rid in range(1, 41):
-        node.deliver(ConnectionAdopted(rid, 0, 0, 1))
+    for request_id in range(1, 41):
+        node.deliver(ConnectionAdopted(request_id, 0, 0, 1))
     answer(node, 5 * MILLISECOND)
     return node
 
@@ -44,7 +44,7 @@
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     asked = []
     while node.now < START_TIME + 4 * SECOND:
-        for probe in [a for a in node.run_to_next_action() if isinstance(a, CheckHealth)]:
+        for probe in of_type(node.run_to_next_action(), CheckHealth):
             asked.append(probe.endpoint_id)
             node.deliver(HealthCheckResult(probe.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND))
     assert 7 <= len(asked) <= 9
@@ -65,12 +65,12 @@
         health_check_interval_us=int(pace * SECOND),
     )
     end, asked = node.now + 30 * SECOND, 0
-    while node.now < end and (acts := node.run_to_next_action()):
-        asked += len(acts)
+    while node.now < end and (actions := node.run_to_next_action()):
+        asked += len(actions)
         node.deliver(
             *(
                 HealthCheckResult(a.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND)
-                for a in acts
+                for a in actions
                 if isinstance(a, CheckHealth)
             )
         )
@@ -83,10 +83,10 @@
     assert answer(node, 40 * MILLISECOND) == [CheckHealth(1)]  # once may be chance: it is asked again at once
     answer(node, 40 * MILLISECOND)
     assert node.balancer.endpoints.by_id[1].ejection.attempt == 1
-    moves = [a for a in node.run_until(node.now + 3 * SECOND) if isinstance(a, Migrate)]
+    moves = of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     assert 5 < len(moves) < 40
-    _, acts = node.send_request()
-    assert acts[0].endpoint_id == 2  # type: ignore[union-attr]
+    _, actions = node.send_request()
+    assert actions[0].endpoint_id == 2  # type: ignore[union-attr]
 
 
 def test_a_member_that_answers_far_too_soon_hangs_and_keeps_its_best() -> None:
@@ -98,7 +98,7 @@
     answer(node, MILLISECOND)
     server = node.balancer.endpoints.by_id[1]
     assert (server.ejection.attempt, server.best_latency_us) == (1, 5 * MILLISECOND)
-    assert [a for a in node.run_until(node.now + 3 * SECOND) if isinstance(a, Migrate)]
+    assert of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     for _ in range(3):
         answer(node, 5 * MILLISECOND)
     assert not is_delayed(node.balancer.context, server)
@@ -170,7 +170,7 @@
     assert node.balancer.endpoints.by_id[1].message_delay_us > 0
     answer(node, 5 * MILLISECOND)
     assert node.balancer.endpoints.by_id[1].message_delay_us == 0
-    assert not [a for a in node.run_until(node.now + 3 * SECOND) if isinstance(a, Migrate)]
+    assert not of_type(node.run_until(node.now + 3 * SECOND), Migrate)
 
 
 @pytest.mark.parametrize(("nodes", "most"), [(3, 8), (10, 2), (40, 1), (100, 1)])
@@ -185,7 +185,7 @@
     answered = [a for _, a in node.action_log if isinstance(a, StartAttempt)][: min(4, 2 * most)]
     for send in answered:
         node.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
-    come_in = [a for a in node.run_until(node.now + 100 * MILLISECOND) if isinstance(a, StartAttempt)]
+    come_in = of_type(node.run_until(node.now + 100 * MILLISECOND), StartAttempt)
     assert len(come_in) == len(answered)  # those held
 
 
@@ -200,12 +200,12 @@
     )
     node.balancer.endpoints.by_id[3].ejection.retry_at = node.now + 10 * SECOND
     node.balancer.endpoints.by_id[1].ejection.retry_at = node.now + 10 * SECOND
-    _, acts = node.send_request(key=9)
-    assert [a.endpoint_id for a in acts if isinstance(a, StartAttempt)] == [2]
+    _, actions = node.send_request(key=9)
+    assert [a.endpoint_id for a in actions if isinstance(a, StartAttempt)] == [2]
     node.balancer.endpoints.by_id[2].ejection.retry_at = node.now + 10 * SECOND
     node.balancer.endpoints.by_id[1].ejection.retry_at = 0
-    _, acts = node.send_request(key=10)
-    assert [a.endpoint_id for a in acts if isinstance(a, StartAttempt)] == [
+    _, actions = node.send_request(key=10)
+    assert [a.endpoint_id for a in actions if isinstance(a, StartAttempt)] == [
         1
     ]  # twice the mean, but nothing bad heard
 
@@ -218,15 +218,15 @@
         health_check_interval_us=SECOND,
     )
     for group in range(1, 21):
-        _, acts = node.send_request(key=group, group_key=group)
-        [first] = [a for a in acts if isinstance(a, StartAttempt)]
+        _, actions = node.send_request(key=group, group_key=group)
+        [first] = of_type(actions, StartAttempt)
         node.fail_attempt(first, 0)
         node.balancer.endpoints.by_id[first.endpoint_id].ejection.attempt = node.balancer.endpoints.by_id[
             first.endpoint_id
         ].ejection.retry_at = 0
-        again = [a for a in node.run_to_next_action() if isinstance(a, StartAttempt)] or [
-            a for a in node.run_until(node.now + SECOND) if isinstance(a, StartAttempt)
-        ]
+        again = of_type(node.run_to_next_action(), StartAttempt) or of_type(
+            node.run_until(node.now + SECOND), StartAttempt
+        )
         assert again[0].endpoint_id == 3 - first.endpoint_id
         node.deliver(AttemptEstablished(again[0].request_id, 1, again[0].endpoint_id, MILLISECOND))
 
@@ -244,7 +244,7 @@
     def asked(stretch: int) -> set[int]:
         met, end = set(), node.now + stretch
         while node.now < end:
-            for probe in [a for a in node.run_to_next_action() if isinstance(a, CheckHealth)]:
+            for probe in of_type(node.run_to_next_action(), CheckHealth):
                 met.add(probe.endpoint_id)
                 node.deliver(HealthCheckResult(probe.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND))
         return met
@@ -275,4 +275,4 @@
     node = BalancerDriver(
         [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=pace, node_count=nodes
     )
-    assert not [a for a in node.run_until(node.now + 60 * SECOND) if isinstance(a, CheckHealth)]
+    assert not of_type(node.run_until(node.now + 60 * SECOND), CheckHealth)
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -4,7 +4,6 @@
 
 import math
 from itertools import pairwise
-from typing import Any
 
 from tansyladder.policy.actions import CheckHealth, Migrate, PollDiscovery, StartAttempt
 from tansyladder.policy.events import (
@@ -21,15 +20,22 @@
     ReportKind,
 )
 from tansyladder.policy.slow_start import capacity_share
-from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint, only_attempt
-
-REPORTS: dict[str, Any] = {"can_check_health": True, "report_columns": ("active", "x0")}
+from tests.policy.harness import (
+    LOAD_REPORTS,
+    MILLISECOND,
+    SECOND,
+    START_TIME,
+    BalancerDriver,
+    endpoint,
+    of_type,
+    only_attempt,
+)
 
 
 def test_a_server_that_drains_while_it_is_asked_gets_nothing() -> None:
-    node = BalancerDriver([endpoint(1), endpoint(2)], **REPORTS)
-    _, acts = node.send_request()
-    asked = [a.endpoint_id for a in acts if isinstance(a, CheckHealth)]
+    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
+    _, actions = node.send_request()
+    asked = [a.endpoint_id for a in actions if isinstance(a, CheckHealth)]
     assert asked
     node.deliver(
         EndpointListUpdate(
@@ -37,17 +43,17 @@
             (endpoint(1, state=EndpointState.DRAINING), endpoint(2, state=EndpointState.DRAINING)),
         )
     )
-    acts = node.deliver(
+    actions = node.deliver(
         *(HealthCheckResult(s, AttemptStatus.OK, MILLISECOND, (1.0, 0.1)) for s in asked)
     ) + node.run_until(node.now + 5 * SECOND)
-    assert not [a for a in acts if isinstance(a, StartAttempt)]
+    assert not of_type(actions, StartAttempt)
 
 
 def test_a_marked_server_is_left_out_until_its_time() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
-    _, acts = node.send_request(key=1)
-    bad = only_attempt(acts).endpoint_id
-    node.fail_attempt(only_attempt(acts), 0)
+    _, actions = node.send_request(key=1)
+    bad = only_attempt(actions).endpoint_id
+    node.fail_attempt(only_attempt(actions), 0)
     assert node.balancer.endpoints.by_id[bad].ejection.retry_at > node.now
     sent = [
         a.endpoint_id for k in range(2, 6) for a in node.send_request(key=k)[1] if isinstance(a, StartAttempt)
@@ -70,9 +76,9 @@
 def test_an_old_wait_for_probes_does_not_send_a_retry_early() -> None:
     early = 0
     for seed in range(60):
-        node = BalancerDriver([endpoint(i) for i in range(1, 9)], seed, **REPORTS)
-        _, acts = node.send_request(left=200 * MILLISECOND)
-        asked = [a.endpoint_id for a in acts if isinstance(a, CheckHealth)]
+        node = BalancerDriver([endpoint(i) for i in range(1, 9)], seed, **LOAD_REPORTS)
+        _, actions = node.send_request(left=200 * MILLISECOND)
+        asked = [a.endpoint_id for a in actions if isinstance(a, CheckHealth)]
         send = only_attempt(
             [
                 a
@@ -92,14 +98,14 @@
 
 def test_absurd_notes_of_a_standing_connection_are_ignored() -> None:
     node = BalancerDriver([endpoint(1)])
-    rid, acts = node.send_request(load_hint=500)
-    node.deliver(AttemptEstablished(rid, 0, 1, MILLISECOND))
+    request_id, actions = node.send_request(load_hint=500)
+    node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND))
     for value in (math.nan, math.inf, -7.0):
         node.deliver(
-            ConnectionReport(rid, ReportKind.LOAD, 0, 1, value),
-            ConnectionReport(rid, ReportKind.REPORTED_DELAY, 0, 1, value),
+            ConnectionReport(request_id, ReportKind.LOAD, 0, 1, value),
+            ConnectionReport(request_id, ReportKind.REPORTED_DELAY, 0, 1, value),
         )
-    assert only_attempt(acts).endpoint_id == 1
+    assert only_attempt(actions).endpoint_id == 1
     assert (node.balancer.endpoints.by_id[1].load, node.balancer.endpoints.by_id[1].message_delay_at) == (
         500.0,
         -1,
@@ -108,8 +114,8 @@
 
 def test_a_restart_forgets_the_mark_and_is_cold() -> None:
     node = BalancerDriver([endpoint(1)])
-    _, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
+    _, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
     node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, ready_at=node.now),)))
     s = node.balancer.endpoints.by_id[1]
     assert (s.ejection.attempt, s.ejection.retry_at) == (0, 0)
@@ -148,9 +154,9 @@
 def test_what_was_placed_turns_the_next_away() -> None:
     same = 0
     for seed in range(40):
-        node = BalancerDriver([endpoint(1), endpoint(2)], seed, **REPORTS)
-        _, acts = node.send_request(key=1)
-        probes = [a.endpoint_id for a in acts if isinstance(a, CheckHealth)]
+        node = BalancerDriver([endpoint(1), endpoint(2)], seed, **LOAD_REPORTS)
+        _, actions = node.send_request(key=1)
+        probes = [a.endpoint_id for a in actions if isinstance(a, CheckHealth)]
         first = only_attempt(
             node.deliver(*(HealthCheckResult(s, AttemptStatus.OK, MILLISECOND, (1.0, 0.4)) for s in probes))
         )
@@ -160,12 +166,14 @@
 
 def test_an_outcome_after_the_client_left_is_not_tried_again() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
-    rid, acts = node.send_request()
-    node.deliver(ClientDisconnected(rid))
+    request_id, actions = node.send_request()
+    node.deliver(ClientDisconnected(request_id))
     node.deliver(
-        AttemptEnded(rid, 0, only_attempt(acts).endpoint_id, AttemptStatus.CONNECT_FAILED, MILLISECOND, False)
+        AttemptEnded(
+            request_id, 0, only_attempt(actions).endpoint_id, AttemptStatus.CONNECT_FAILED, MILLISECOND, False
+        )
     )
-    assert not [a for a in node.run_until(node.now + 5 * SECOND) if isinstance(a, StartAttempt)]
+    assert not of_type(node.run_until(node.now + 5 * SECOND), StartAttempt)
 
 
 def test_the_next_move_waits_its_time() -> None:
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -103,20 +103,20 @@
             elif isinstance(a, Migrate):
                 assert a.request_id in self.up
 
-    def end(self, rid: int, status: AttemptStatus, latency: int) -> None:
-        attempt, server, at = self.out.pop(rid)
-        closed = rid not in self.open or rid in self.up or status is AttemptStatus.OK
+    def end(self, request_id: int, status: AttemptStatus, latency: int) -> None:
+        attempt, server, at = self.out.pop(request_id)
+        closed = request_id not in self.open or request_id in self.up or status is AttemptStatus.OK
         if closed:
-            self.open.pop(rid, None)
+            self.open.pop(request_id, None)
         elif not status.definitely_not_executed:
-            self.ran.setdefault(rid, (server, at))
-        self.up.discard(rid)
-        self.check(self.node.deliver(AttemptEnded(rid, attempt, server, status, latency, closed)))
+            self.ran.setdefault(request_id, (server, at))
+        self.up.discard(request_id)
+        self.check(self.node.deliver(AttemptEnded(request_id, attempt, server, status, latency, closed)))
 
-    def step(self, rid: int) -> None:
+    def step(self, request_id: int) -> None:
         rng, node = self.rng, self.node
         self.advance(node.now + rng.choice([0, MILLISECOND, 20 * MILLISECOND, 300 * MILLISECOND]))
-        self.act(rid)
+        self.act(request_id)
 
     def advance(self, until: int) -> None:
         node = self.node
@@ -128,16 +128,21 @@
         self.check(node.run_until(until))
         self.expire()
 
-    def act(self, rid: int) -> None:
+    def act(self, request_id: int) -> None:
         rng, node = self.rng, self.node
         match rng.randrange(9):
             case 0 | 1 | 2:
                 left = rng.choice([-MILLISECOND, 5 * MILLISECOND, 200 * MILLISECOND, DEADLINE])
-                self.open[rid] = node.now + max(0, left)
+                self.open[request_id] = node.now + max(0, left)
                 if rng.random() < 0.2:
-                    self.midflow.add(rid)
+                    self.midflow.add(request_id)
                 asked = RequestReceived(
-                    rid, 0, 0, node.now + left, rng.randrange(5), is_midstream=rid in self.midflow
+                    request_id,
+                    0,
+                    0,
+                    node.now + left,
+                    rng.randrange(5),
+                    is_midstream=request_id in self.midflow,
                 )
                 self.check(node.deliver(asked))
             case 3 | 4 if self.out:
@@ -181,9 +186,11 @@
 
     def expire(self) -> None:
         """A client's time is up: an attempt that is out ends in a time-out at the deadline."""
-        for rid in [r for r in sorted(self.out) if r in self.open and self.open[r] <= self.node.now]:
-            self.node.now = self.open[rid] if self.node.now - self.open[rid] < SECOND else self.node.now
-            self.end(rid, AttemptStatus.TIMEOUT, self.node.now - self.out[rid][2])
+        for request_id in [r for r in sorted(self.out) if r in self.open and self.open[r] <= self.node.now]:
+            self.node.now = (
+                self.open[request_id] if self.node.now - self.open[request_id] < SECOND else self.node.now
+            )
+            self.end(request_id, AttemptStatus.TIMEOUT, self.node.now - self.out[request_id][2])
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -197,8 +204,8 @@
     seed: int, effect: tuple[Idempotency, DeduplicationScope], pass_mode: bool, probes: bool
 ) -> None:
     judge = Judge(seed, *effect, pass_mode, probes)
-    for rid in range(1, 150):
-        judge.step(rid)
+    for request_id in range(1, 150):
+        judge.step(request_id)
     for _ in range(200):
         judge.advance(judge.node.now + 20 * MILLISECOND)
     assert not judge.open, "no final answer"
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -24,6 +24,7 @@
     START_TIME,
     BalancerDriver,
     endpoint,
+    of_type,
     only_attempt,
 )
 
@@ -35,22 +36,22 @@
 
 def test_no_server_known_is_refused_in_time() -> None:
     node = BalancerDriver([])
-    rid, acts = node.send_request()
-    acts = acts or node.run_until(node.now + DEADLINE)
-    assert [a.request_id for a in acts if isinstance(a, Reject)] == [rid]
+    request_id, actions = node.send_request()
+    actions = actions or node.run_until(node.now + DEADLINE)
+    assert [a.request_id for a in actions if isinstance(a, Reject)] == [request_id]
 
 
 def test_a_deadline_already_past_is_refused_at_once() -> None:
     node = BalancerDriver(FLEET)
-    rid, acts = node.send_request(left=-5)
-    assert acts == [Reject(rid, 0)]
+    request_id, actions = node.send_request(left=-5)
+    assert actions == [Reject(request_id, 0)]
 
 
 def test_nothing_is_sent_after_the_client_left() -> None:
     node = BalancerDriver(FLEET)
-    rid, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
-    node.deliver(ClientDisconnected(rid))
+    request_id, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
+    node.deliver(ClientDisconnected(request_id))
     assert not [
         a for a in node.run_until(node.now + 10 * SECOND) if isinstance(a, StartAttempt | Reject | Fail)
     ]
@@ -58,22 +59,24 @@
 
 def test_a_late_outcome_after_the_client_left_is_no_failure() -> None:
     node = BalancerDriver(FLEET)
-    rid, acts = node.send_request()
-    send = only_attempt(acts)
-    node.deliver(ClientDisconnected(rid))
-    assert node.deliver(AttemptEnded(rid, 0, send.endpoint_id, AttemptStatus.TIMEOUT, SECOND, True)) == []
-    assert rid not in node.balancer.requests.by_id
+    request_id, actions = node.send_request()
+    send = only_attempt(actions)
+    node.deliver(ClientDisconnected(request_id))
+    assert (
+        node.deliver(AttemptEnded(request_id, 0, send.endpoint_id, AttemptStatus.TIMEOUT, SECOND, True)) == []
+    )
+    assert request_id not in node.balancer.requests.by_id
 
 
 def test_the_time_out_at_the_deadline_gets_the_final_answer() -> None:
     node = BalancerDriver(FLEET, max_attempts=1)
-    rid, acts = node.send_request()
-    send = only_attempt(acts)
+    request_id, actions = node.send_request()
+    send = only_attempt(actions)
     assert send.timeout_us == DEADLINE
-    acts = node.fail_attempt(send, 0, AttemptStatus.TIMEOUT, DEADLINE)
-    assert len(acts) == 1
-    assert isinstance(acts[0], Reject)
-    assert acts[0].request_id == rid
+    actions = node.fail_attempt(send, 0, AttemptStatus.TIMEOUT, DEADLINE)
+    assert len(actions) == 1
+    assert isinstance(actions[0], Reject)
+    assert actions[0].request_id == request_id
 
 
 # --- rule 2: no effect twice
@@ -82,15 +85,15 @@
 def test_an_unsafe_request_that_may_have_run_fails() -> None:
     for status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED):
         node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
-        rid, acts = node.send_request()
-        assert node.fail_attempt(only_attempt(acts), 0, status) == [Fail(rid)]
+        request_id, actions = node.send_request()
+        assert node.fail_attempt(only_attempt(actions), 0, status) == [Fail(request_id)]
 
 
 def test_an_unsafe_request_that_did_not_run_is_tried_again() -> None:
     for status in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED):
         node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
-        _, acts = node.send_request()
-        node.fail_attempt(only_attempt(acts), 0, status)
+        _, actions = node.send_request()
+        node.fail_attempt(only_attempt(actions), 0, status)
         assert only_attempt(node.run_to_next_action())
 
 
@@ -101,10 +104,10 @@
     retried = 0
     for seed in range(40):
         node = BalancerDriver(fleet, seed, idempotency=Idempotency.WITH_KEY, deduplication_scope=group)
-        _rid, acts = node.send_request()
-        first = only_attempt(acts)
-        acts = node.fail_attempt(first, 0, AttemptStatus.RESET) or node.run_to_next_action()
-        for a in acts:
+        _rid, actions = node.send_request()
+        first = only_attempt(actions)
+        actions = node.fail_attempt(first, 0, AttemptStatus.RESET) or node.run_to_next_action()
+        for a in actions:
             if isinstance(a, StartAttempt):
                 retried += 1
                 assert where[a.endpoint_id] == where[first.endpoint_id]
@@ -116,10 +119,10 @@
     node = BalancerDriver(
         FLEET, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ALL, max_attempts=2
     )
-    _rid, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0, AttemptStatus.RESET)
-    acts = node.fail_attempt(only_attempt(node.run_to_next_action()), 1, AttemptStatus.RESET)
-    assert isinstance(acts[0], Reject)
+    _rid, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0, AttemptStatus.RESET)
+    actions = node.fail_attempt(only_attempt(node.run_to_next_action()), 1, AttemptStatus.RESET)
+    assert isinstance(actions[0], Reject)
 
 
 def test_a_keyed_request_is_not_repeated_after_its_window() -> None:
@@ -129,18 +132,18 @@
         deduplication_scope=DeduplicationScope.ALL,
         deduplication_window_us=10 * MILLISECOND,
     )
-    rid, acts = node.send_request()
-    acts = node.fail_attempt(only_attempt(acts), 0, AttemptStatus.RESET, 20 * MILLISECOND)
-    acts += node.run_until(node.now + DEADLINE)
-    assert not [a for a in acts if isinstance(a, StartAttempt)]
-    assert [a.request_id for a in acts if isinstance(a, Reject)] == [rid]
+    request_id, actions = node.send_request()
+    actions = node.fail_attempt(only_attempt(actions), 0, AttemptStatus.RESET, 20 * MILLISECOND)
+    actions += node.run_until(node.now + DEADLINE)
+    assert not of_type(actions, StartAttempt)
+    assert [a.request_id for a in actions if isinstance(a, Reject)] == [request_id]
 
 
 def test_never_two_attempts_out() -> None:
     node = BalancerDriver(FLEET)
-    _rid, acts = node.send_request()
-    only_attempt(acts)
-    assert not [a for a in node.run_until(node.now + 10 * DEADLINE) if isinstance(a, StartAttempt)]
+    _rid, actions = node.send_request()
+    only_attempt(actions)
+    assert not of_type(node.run_until(node.now + 10 * DEADLINE), StartAttempt)
 
 
 # --- rule 3: drains are kept
@@ -158,8 +161,8 @@
 def test_who_is_connected_is_told_to_move_before_the_server_leaves() -> None:
     """A server that drains was left to send its clients away itself; one that does not cuts them off."""
     node = BalancerDriver(FLEET)
-    for rid in range(101, 121):
-        node.deliver(ConnectionAdopted(rid, 0, 0, 1))
+    for request_id in range(101, 121):
+        node.deliver(ConnectionAdopted(request_id, 0, 0, 1))
     node.deliver(ConnectionAdopted(121, 0, 0, 2))
     node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, state=EndpointState.DRAINING),)))
     grace = node.settings.drain_grace_us
@@ -177,8 +180,8 @@
 
 def test_a_retry_is_placed_by_the_list_of_its_own_time() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
-    _, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
+    _, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
     node.deliver(
         EndpointListUpdate(
             ListUpdateKind.DELTA,
@@ -202,10 +205,10 @@
         standing = max(1, each * fleet // nodes)
         node.deliver(*(ConnectionAdopted(10_000 + i, 0, 0, 1 + i % (fleet - 1), 0) for i in range(standing)))
         for k in range(1, 1 + max(2, 2 * standing)):
-            rid, acts = node.send_request(key=k)
-            send = only_attempt(acts)
+            request_id, actions = node.send_request(key=k)
+            send = only_attempt(actions)
             total += send.endpoint_id == 99
-            node.deliver(AttemptEstablished(rid, 0, send.endpoint_id, MILLISECOND))
+            node.deliver(AttemptEstablished(request_id, 0, send.endpoint_id, MILLISECOND))
     # At its start it may take the multiple of its cold part of the rate that fills it over its warm-up.
     assert total <= 3.0 * 0.15 * each / 20 * 1 + 8 + nodes * 0.05
 
