--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from random import Random
+from typing import NamedTuple
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -23,7 +24,7 @@
 from tansyladder.policy.settings import DeduplicationScope, Idempotency
 from tests.policy.harness import DEADLINE, MILLISECOND, SECOND, BalancerDriver, endpoint
 
-EFFECTS = [
+IDEMPOTENCIES = [
     (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
     (Idempotency.WITH_KEY, DeduplicationScope.ALL),
     (Idempotency.WITH_KEY, DeduplicationScope.ZONE),
@@ -40,172 +41,231 @@
 )
 
 
-class Judge:
-    """A world that answers at random and checks each action as it comes."""
+class PendingAttempt(NamedTuple):
+    """An attempt that is out, or the connection that it became."""
+
+    attempt: int
+    endpoint_id: int
+    started_at: int
+
+
+class PossibleExecution(NamedTuple):
+    """Where and when a request may have run first."""
+
+    endpoint_id: int
+    at: int
+
+
+class RuleChecker:
+    """Endpoints and clients that act at random; each action of the balancer is checked as it comes."""
 
     def __init__(
-        self, seed: int, effect: Idempotency, group: DeduplicationScope, pass_mode: bool, probes: bool
+        self, seed: int, idempotency: Idempotency, scope: DeduplicationScope, pass_through: bool, checks: bool
     ) -> None:
         self.rng = Random(seed)
-        self.effect, self.group = effect, group
-        self.place = {i: (i % 3, i % 6) for i in range(1, 13)}
-        self.state = dict.fromkeys(self.place, EndpointState.READY)
+        self.idempotency = idempotency
+        self.scope = scope
+        self.zone_and_cell = {number: (number % 3, number % 6) for number in range(1, 13)}
+        self.state = dict.fromkeys(self.zone_and_cell, EndpointState.READY)
         self.node = BalancerDriver(
-            [endpoint(i, z, cell=c) for i, (z, c) in self.place.items()],
+            [endpoint(number, zone, cell=cell) for number, (zone, cell) in self.zone_and_cell.items()],
             seed,
-            idempotency=effect,
-            deduplication_scope=group,
-            pass_through=pass_mode,
-            can_check_health=probes,
-            report_columns=("active", "x0") if probes else (),
+            idempotency=idempotency,
+            deduplication_scope=scope,
+            pass_through=pass_through,
+            can_check_health=checks,
+            report_columns=("active", "x0") if checks else (),
         )
-        self.open: dict[int, int] = {}  # request -> its deadline, while an answer is owed
-        self.out: dict[int, tuple[int, int, int]] = {}  # request -> attempt, server, sent at
-        self.tries: dict[int, int] = {}
-        self.ran: dict[int, tuple[int, int]] = {}  # request -> server and time of what may have run
-        self.up: set[int] = set()
-        self.pinged: list[int] = []
-        self.midflow: set[int] = set()
-        self.told: dict[int, int] = {}  # when a server's present state was told
+        self.deadlines: dict[int, int] = {}  # by request, while an answer is owed
+        self.pending: dict[int, PendingAttempt] = {}  # by request
+        self.attempt_numbers: dict[int, int] = {}  # of the last attempt of each request
+        self.executions: dict[int, PossibleExecution] = {}  # by request
+        self.established: set[int] = set()
+        self.health_checks: list[int] = []  # endpoints whose answer is still owed
+        self.midstream: set[int] = set()
+        self.state_changed_at: dict[int, int] = {}  # by endpoint
 
     def check(self, actions: list[Action]) -> None:
+        """Check that actions follow the rules, and let them take effect."""
+        for action in actions:
+            if isinstance(action, StartAttempt):
+                self._check_start(action)
+            elif isinstance(action, Reject | Fail):
+                self._check_answer(action)
+            elif isinstance(action, CheckHealth):
+                self.health_checks.append(action.endpoint_id)
+            elif isinstance(action, Migrate):
+                assert action.request_id in self.established
+
+    def _check_start(self, start: StartAttempt) -> None:
         now = self.node.now
-        for a in actions:
-            if isinstance(a, StartAttempt):
-                assert a.request_id in self.open, "sent after the end"
-                assert a.request_id not in self.out, "two attempts out"
-                if self.state[a.endpoint_id] is not EndpointState.READY:
-                    assert (
-                        self.state[a.endpoint_id] is EndpointState.DRAINING and a.request_id in self.midflow
-                    ), "sent to a drain"
-                    assert now - self.told[a.endpoint_id] <= self.node.settings.drain_grace_us
-                assert now < self.open[a.request_id]
-                self.tries[a.request_id] = self.tries.get(a.request_id, -1) + 1
-                assert self.tries[a.request_id] < self.node.settings.max_attempts
-                if a.request_id in self.ran and self.effect is not Idempotency.IDEMPOTENT:
-                    assert self.effect is Idempotency.WITH_KEY, "an unsafe effect twice"
-                    server, at = self.ran[a.request_id]
-                    mine, its = self.place[a.endpoint_id], self.place[server]
-                    part = self.group is DeduplicationScope.CELL
-                    assert self.group is DeduplicationScope.ALL or mine[part] == its[part]
-                    assert now - at < self.node.settings.classes[0].deduplication_window_us
-                self.out[a.request_id] = (self.tries[a.request_id], a.endpoint_id, now)
-            elif isinstance(a, Reject | Fail):
-                assert a.request_id in self.open, "answered twice"
-                assert now <= self.open[a.request_id] + self.node.settings.answer_grace_us
-                if isinstance(a, Reject) and a.request_id in self.ran:
-                    assert self.effect is Idempotency.IDEMPOTENT or (
-                        self.effect is Idempotency.WITH_KEY and self.group is DeduplicationScope.ALL
-                    ), "refused what may have run"
-                del self.open[a.request_id]
-            elif isinstance(a, CheckHealth):
-                self.pinged.append(a.endpoint_id)
-            elif isinstance(a, Migrate):
-                assert a.request_id in self.up
-
-    def end(self, request_id: int, status: AttemptStatus, latency: int) -> None:
-        attempt, server, at = self.out.pop(request_id)
-        closed = request_id not in self.open or request_id in self.up or status is AttemptStatus.OK
-        if closed:
-            self.open.pop(request_id, None)
+        request_id = start.request_id
+        assert request_id in self.deadlines, "sent after the end"
+        assert request_id not in self.pending, "two attempts pending"
+        state = self.state[start.endpoint_id]
+        if state is not EndpointState.READY:
+            assert state is EndpointState.DRAINING, "sent to an endpoint that is gone"
+            assert request_id in self.midstream, "sent to an endpoint that drains"
+            changed_at = self.state_changed_at[start.endpoint_id]
+            assert now - changed_at <= self.node.settings.drain_grace_us
+        assert now < self.deadlines[request_id]
+        self.attempt_numbers[request_id] = self.attempt_numbers.get(request_id, -1) + 1
+        assert self.attempt_numbers[request_id] < self.node.settings.max_attempts
+        if request_id in self.executions and self.idempotency is not Idempotency.IDEMPOTENT:
+            self._check_repetition(start)
+        self.pending[request_id] = PendingAttempt(self.attempt_numbers[request_id], start.endpoint_id, now)
+
+    def _check_repetition(self, start: StartAttempt) -> None:
+        assert self.idempotency is Idempotency.WITH_KEY, "a request without idempotency ran twice"
+        first = self.executions[start.request_id]
+        here = self.zone_and_cell[start.endpoint_id]
+        there = self.zone_and_cell[first.endpoint_id]
+        part = self.scope is DeduplicationScope.CELL
+        assert self.scope is DeduplicationScope.ALL or here[part] == there[part]
+        window = self.node.settings.classes[0].deduplication_window_us
+        assert self.node.now - first.at < window
+
+    def _check_answer(self, answer: Reject | Fail) -> None:
+        request_id = answer.request_id
+        assert request_id in self.deadlines, "answered twice"
+        assert self.node.now <= self.deadlines[request_id] + self.node.settings.answer_grace_us
+        if isinstance(answer, Reject) and request_id in self.executions:
+            is_deduplicated = self.scope is DeduplicationScope.ALL
+            assert self.idempotency is Idempotency.IDEMPOTENT or (
+                self.idempotency is Idempotency.WITH_KEY and is_deduplicated
+            ), "rejected what may have run"
+        del self.deadlines[request_id]
+
+    def end_attempt(self, request_id: int, status: AttemptStatus, latency: int) -> None:
+        """End a pending attempt or an established connection."""
+        pending = self.pending.pop(request_id)
+        is_answered = request_id not in self.deadlines or request_id in self.established
+        is_closed = is_answered or status is AttemptStatus.OK
+        if is_closed:
+            self.deadlines.pop(request_id, None)
         elif not status.definitely_not_executed:
-            self.ran.setdefault(request_id, (server, at))
-        self.up.discard(request_id)
-        self.check(self.node.deliver(AttemptEnded(request_id, attempt, server, status, latency, closed)))
+            self.executions.setdefault(request_id, PossibleExecution(pending.endpoint_id, pending.started_at))
+        self.established.discard(request_id)
+        ended = AttemptEnded(request_id, pending.attempt, pending.endpoint_id, status, latency, is_closed)
+        self.check(self.node.deliver(ended))
 
     def step(self, request_id: int) -> None:
-        rng, node = self.rng, self.node
-        self.advance(node.now + rng.choice([0, MILLISECOND, 20 * MILLISECOND, 300 * MILLISECOND]))
-        self.act(request_id)
+        """Let some time pass, then something happen; a request that comes then has this number."""
+        pause = self.rng.choice([0, MILLISECOND, 20 * MILLISECOND, 300 * MILLISECOND])
+        self.advance(self.node.now + pause)
+        match self.rng.randrange(9):
+            case 0 | 1 | 2:
+                self.send_request(request_id)
+            case 3 | 4 if self.pending:
+                self.end_some_attempt()
+            case 5 if set(self.pending) - self.established:
+                self.establish_some_attempt()
+            case 6:
+                self.update_some_endpoint()
+            case 7 if self.deadlines:
+                request_id = self.rng.choice(sorted(self.deadlines))
+                del self.deadlines[request_id]
+                self.check(self.node.deliver(ClientDisconnected(request_id)))
+            case 8:
+                self.answer_health_checks()
+                self.report_connections()
 
     def advance(self, until: int) -> None:
+        """Play timers up to a time, one moment after another, to check each at its own."""
         node = self.node
-        while (
-            node.pending_timers and min(node.pending_timers)[0] <= until
-        ):  # one time at a time, to check at its own clock
-            self.check(node.run_until(min(node.pending_timers)[0]))
+        while node.pending_timers and min(node.pending_timers).due_at <= until:
+            self.check(node.run_until(min(node.pending_timers).due_at))
             self.expire()
         self.check(node.run_until(until))
         self.expire()
 
-    def act(self, request_id: int) -> None:
-        rng, node = self.rng, self.node
-        match rng.randrange(9):
-            case 0 | 1 | 2:
-                left = rng.choice([-MILLISECOND, 5 * MILLISECOND, 200 * MILLISECOND, DEADLINE])
-                self.open[request_id] = node.now + max(0, left)
-                if rng.random() < 0.2:
-                    self.midflow.add(request_id)
-                asked = RequestReceived(
-                    request_id,
-                    0,
-                    0,
-                    node.now + left,
-                    rng.randrange(5),
-                    is_midstream=request_id in self.midflow,
-                )
-                self.check(node.deliver(asked))
-            case 3 | 4 if self.out:
-                pick = rng.choice(sorted(self.out))
-                status = AttemptStatus.RESET if pick in self.up else rng.choice((*FAILURES, AttemptStatus.OK))
-                self.end(pick, status, node.now - self.out[pick][2])
-            case 5 if set(self.out) - self.up:
-                pick = rng.choice(sorted(set(self.out) - self.up))
-                if pick in self.open:
-                    self.up.add(pick)
-                    del self.open[pick]
-                    attempt, server, at = self.out[pick]
-                    self.check(node.deliver(AttemptEstablished(pick, attempt, server, node.now - at)))
-            case 6:
-                server = rng.choice(sorted(self.place))
-                state = rng.choice(
-                    [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE]
-                )
-                if state is not self.state[server]:
-                    self.state[server], self.told[server] = state, node.now
-                z, c = self.place[server]
-                started = node.now if rng.random() < 0.3 else 0
-                entry = endpoint(server, z, self.state[server], started, cell=c)
-                self.check(node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (entry,))))
-            case 7 if self.open:
-                pick = rng.choice(sorted(self.open))
-                del self.open[pick]
-                self.check(node.deliver(ClientDisconnected(pick)))
-            case 8:
-                for server in self.pinged:
-                    value = rng.choice([0.2, 0.9, 3.0, -1.0, float("nan"), float("inf")])
-                    status = rng.choice([AttemptStatus.OK, AttemptStatus.OK, AttemptStatus.TIMEOUT])
-                    self.check(node.deliver(HealthCheckResult(server, status, MILLISECOND, (3.0, value))))
-                self.pinged = []
-                for pick in sorted(self.up):
-                    attempt, server, _ = self.out[pick]
-                    value = rng.choice([20.0, 400.0, float("nan"), -3.0])
-                    self.check(
-                        node.deliver(ConnectionReport(pick, rng.choice([1, 2]), attempt, server, value))
-                    )
+    def send_request(self, request_id: int) -> None:
+        """Send a request, perhaps midstream, perhaps after its deadline."""
+        left = self.rng.choice([-MILLISECOND, 5 * MILLISECOND, 200 * MILLISECOND, DEADLINE])
+        self.deadlines[request_id] = self.node.now + max(0, left)
+        if self.rng.random() < 0.2:
+            self.midstream.add(request_id)
+        is_midstream = request_id in self.midstream
+        deadline = self.node.now + left
+        key = self.rng.randrange(5)
+        self.check(
+            self.node.deliver(RequestReceived(request_id, 0, 0, deadline, key, is_midstream=is_midstream))
+        )
+
+    def end_some_attempt(self) -> None:
+        """End one of the pending attempts; a connection that is established breaks."""
+        request_id = self.rng.choice(sorted(self.pending))
+        is_established = request_id in self.established
+        status = AttemptStatus.RESET if is_established else self.rng.choice((*FAILURES, AttemptStatus.OK))
+        self.end_attempt(request_id, status, self.node.now - self.pending[request_id].started_at)
+
+    def establish_some_attempt(self) -> None:
+        """Establish the connection of a pending attempt whose client still waits."""
+        request_id = self.rng.choice(sorted(set(self.pending) - self.established))
+        if request_id in self.deadlines:
+            self.established.add(request_id)
+            del self.deadlines[request_id]
+            pending = self.pending[request_id]
+            latency = self.node.now - pending.started_at
+            event = AttemptEstablished(request_id, pending.attempt, pending.endpoint_id, latency)
+            self.check(self.node.deliver(event))
+
+    def update_some_endpoint(self) -> None:
+        """Change the state of an endpoint, or restart it."""
+        endpoint_id = self.rng.choice(sorted(self.zone_and_cell))
+        state = self.rng.choice(
+            [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE]
+        )
+        if state is not self.state[endpoint_id]:
+            self.state[endpoint_id] = state
+            self.state_changed_at[endpoint_id] = self.node.now
+        zone, cell = self.zone_and_cell[endpoint_id]
+        ready_at = self.node.now if self.rng.random() < 0.3 else 0
+        update = endpoint(endpoint_id, zone, state, ready_at, cell=cell)
+        self.check(self.node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (update,))))
+
+    def answer_health_checks(self) -> None:
+        """Answer all health checks in flight, some with nonsense."""
+        for endpoint_id in self.health_checks:
+            utilization = self.rng.choice([0.2, 0.9, 3.0, -1.0, float("nan"), float("inf")])
+            status = self.rng.choice([AttemptStatus.OK, AttemptStatus.OK, AttemptStatus.TIMEOUT])
+            result = HealthCheckResult(endpoint_id, status, MILLISECOND, (3.0, utilization))
+            self.check(self.node.deliver(result))
+        self.health_checks = []
+
+    def report_connections(self) -> None:
+        """Report the load or the delay of all established connections, some with nonsense."""
+        for request_id in sorted(self.established):
+            pending = self.pending[request_id]
+            value = self.rng.choice([20.0, 400.0, float("nan"), -3.0])
+            kind = self.rng.choice([1, 2])
+            report = ConnectionReport(request_id, kind, pending.attempt, pending.endpoint_id, value)
+            self.check(self.node.deliver(report))
 
     def expire(self) -> None:
-        """A client's time is up: an attempt that is out ends in a time-out at the deadline."""
-        for request_id in [r for r in sorted(self.out) if r in self.open and self.open[r] <= self.node.now]:
-            self.node.now = (
-                self.open[request_id] if self.node.now - self.open[request_id] < SECOND else self.node.now
-            )
-            self.end(request_id, AttemptStatus.TIMEOUT, self.node.now - self.out[request_id][2])
+        """Let attempts time out at the deadlines of their requests."""
+        node = self.node
+        expired = [r for r in sorted(self.pending) if r in self.deadlines and self.deadlines[r] <= node.now]
+        for request_id in expired:
+            deadline = self.deadlines[request_id]
+            node.now = deadline if node.now - deadline < SECOND else node.now
+            latency = node.now - self.pending[request_id].started_at
+            self.end_attempt(request_id, AttemptStatus.TIMEOUT, latency)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(
     seed=st.integers(0, 2**32),
-    effect=st.sampled_from(EFFECTS),
-    pass_mode=st.booleans(),
-    probes=st.booleans(),
+    idempotency=st.sampled_from(IDEMPOTENCIES),
+    pass_through=st.booleans(),
+    checks=st.booleans(),
 )
 def test_the_rules_hold(
-    seed: int, effect: tuple[Idempotency, DeduplicationScope], pass_mode: bool, probes: bool
+    seed: int, idempotency: tuple[Idempotency, DeduplicationScope], pass_through: bool, checks: bool
 ) -> None:
-    judge = Judge(seed, *effect, pass_mode, probes)
+    checker = RuleChecker(seed, *idempotency, pass_through, checks)
     for request_id in range(1, 150):
-        judge.step(request_id)
+        checker.step(request_id)
     for _ in range(200):
-        judge.advance(judge.node.now + 20 * MILLISECOND)
-    assert not judge.open, "no final answer"
+        checker.advance(checker.node.now + 20 * MILLISECOND)
+    assert not checker.deadlines, "no final answer"
