--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -35,7 +35,7 @@
         assert 0.45 < sum(delays) / len(delays) < 0.55
 
 
-def test_generations_never_overlap() -> None:
+def test_retries_of_successive_failures_never_overlap() -> None:
     for seed in range(200):
         rng, b, ends = Random(seed), Backoff(), START_TIME
         for n in range(1, 8):
@@ -46,7 +46,7 @@
             ends = b.interval_end
 
 
-def test_the_count_is_capped() -> None:
+def test_the_attempt_number_is_capped() -> None:
     b = Backoff()
     for _ in range(40):
         b.record_failure(b.interval_end, 1000, 4, Random(1))
@@ -71,7 +71,7 @@
             assert node.now == b.retry_at
 
 
-def test_the_count_survives_a_drop_and_is_cleared_by_staying_up() -> None:
+def test_the_backoff_survives_a_drop_and_is_cleared_by_a_lasting_connection() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
@@ -114,7 +114,7 @@
     assert {first, second} <= answered
 
 
-def test_a_wait_that_outruns_the_time_is_refused_with_the_rest_of_the_interval() -> None:
+def test_a_retry_after_the_deadline_is_rejected_with_the_rest_of_the_interval() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request(left=30 * MILLISECOND)
     seen = node.fail_attempt(only_attempt(actions), 0)
@@ -136,7 +136,7 @@
     assert actions[0].request_id == request_id
 
 
-def test_without_a_key_the_count_is_the_requests_own() -> None:
+def test_without_a_key_the_backoff_is_the_requests_own() -> None:
     node = BalancerDriver(FLEET)
     _, actions = node.send_request(key=0)
     node.fail_attempt(only_attempt(actions), 0)
@@ -144,7 +144,7 @@
     assert not node.balancer.requests.backoffs
 
 
-def test_keys_are_bounded() -> None:
+def test_the_number_of_backoffs_is_bounded() -> None:
     node = BalancerDriver([], max_attempts=1)
     for key in range(1, 5000):
         node.send_request(key=key)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -30,7 +30,7 @@
 from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint, of_type
 
 
-def watches(seed: int, nodes: int, span: int) -> list[int]:
+def poll_times(seed: int, nodes: int, span: int) -> list[int]:
     """The moments (us) at which one of so many nodes calls a discovery that fails each call."""
     asking = BalancerDriver(
         [endpoint(1)],
@@ -47,14 +47,14 @@
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 40, 100, 10**14])
-def test_calls_that_fail_leave_no_node_older_than_what_counts_as_told(nodes: int) -> None:
+def test_failed_polls_leave_no_list_older_than_its_age_limit(nodes: int) -> None:
     """They came up to 40 s apart; what discovery can tell counts as told 6 s later, whatever failed before.
 
     It replaces a bound on the fleet's calls alone. They have one still: those of one node are 2 s apart on
     the whole, and those of all are spread. At 1.5 s on the whole a fleet's calls kept each other failing.
     """
     played = min(nodes, 100)
-    each = [watches(seed, nodes, 60 * SECOND) for seed in range(played)]
+    each = [poll_times(seed, nodes, 60 * SECOND) for seed in range(played)]
     for at in each:  # a call that hangs, and the one after it, must both be over within the 6 s
         gaps = [later - earlier for earlier, later in pairwise(at)]
         assert (
@@ -70,7 +70,7 @@
         assert max(busiest.values()) <= 3 + played // 2
 
 
-def test_a_node_that_comes_back_asks_soon() -> None:
+def test_a_restarted_node_polls_soon() -> None:
     """Its first call came up to 6 s later, and it took members that had just started for warm: they fell."""
     firsts = [
         next(now for now, act in asking.action_log if isinstance(act, PollDiscovery)) - START_TIME
@@ -89,7 +89,7 @@
     assert max(firsts) - min(firsts) > SECOND // 2  # but not all in one moment
 
 
-def test_a_node_that_was_answered_forgets_its_failures() -> None:
+def test_a_poll_that_was_answered_resets_the_backoff() -> None:
     asking = BalancerDriver([endpoint(1)], 1, polls_discovery=True, discovery_call_interval_us=6 * SECOND)
     for _ in range(4):
         asking.run_to_next_action(60 * SECOND)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 40])
-def test_a_cold_member_gets_as_much_from_many_nodes_as_from_few(nodes: int) -> None:
+def test_an_endpoint_in_slow_start_gets_as_much_from_many_nodes_as_from_few(nodes: int) -> None:
     """Each of forty nodes saved up credit that it had no client for, and new members stayed empty."""
     known = [endpoint(i, weight=8.0) for i in range(1, 6)]  # what a member takes is read from its size
     fleet = [
@@ -126,7 +126,7 @@
     assert 6 <= sent <= 20
 
 
-def crowd(traffic: str, nodes: int, rng: random.Random) -> int:
+def receiving_node(traffic: str, nodes: int, rng: random.Random) -> int:
     """Which node the next request of such traffic comes to."""
     if traffic == "one":
         return 0
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("traffic", ["even", "uneven", "one", "all"])
 @pytest.mark.parametrize("nodes", [1, 3, 20, 30, 200])
-def test_the_sum_of_all_nodes_keeps_a_cold_members_budget(nodes: int, traffic: str) -> None:
+def test_all_nodes_together_keep_to_the_budget_of_slow_start(nodes: int, traffic: str) -> None:
     """Each node kept credit that it had nobody for; when clients came to all at once, so did all of it."""
     fleet = [
         BalancerDriver(
@@ -154,7 +154,7 @@
     rng, sent, key = random.Random(nodes), list[int](), 0
     for tick in range(200):  # ten seconds; "all": a client at each node, in one moment, once a second
         came = list(range(nodes)) * (tick % 20 == 0) if traffic == "all" else []
-        for at in came or [crowd(traffic, nodes, rng) for _ in range(20) if traffic != "all"]:
+        for at in came or [receiving_node(traffic, nodes, rng) for _ in range(20) if traffic != "all"]:
             n, key = fleet[at], key + 1
             actions = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=key)[1]
             for send in of_type(actions, StartAttempt):
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize(("away", "fills", "zones"), [(1, 0.0, {0}), (1, 8.0, {0, 1}), (0, 8.0, {0})])
-def test_a_crowded_home_zone_lets_other_zones_take_more_and_turns_nobody_away(
+def test_a_full_home_zone_sends_requests_to_other_zones_and_rejects_none(
     away: int, fills: float, zones: set[int]
 ) -> None:
     """After a lost zone the next one was filled until its members dropped their clients; others had room."""
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -23,16 +23,16 @@
 from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint, of_type
 
 
-def rig() -> BalancerDriver:
+def checked_node() -> BalancerDriver:
     """A node of two members with forty connections on the first; the first answers a probe in 5 ms."""
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     for request_id in range(1, 41):
         node.deliver(ConnectionAdopted(request_id, 0, 0, 1))
-    answer(node, 5 * MILLISECOND)
+    answer_check(node, 5 * MILLISECOND)
     return node
 
 
-def answer(node: BalancerDriver, took: int, status: AttemptStatus = AttemptStatus.OK) -> list[object]:
+def answer_check(node: BalancerDriver, took: int, status: AttemptStatus = AttemptStatus.OK) -> list[object]:
     """Let the node ask member 1, which answers so slowly; what else the node does at once."""
     while not node.balancer.endpoints.by_id[1].is_check_in_flight:
         node.run_to_next_action()
@@ -40,7 +40,7 @@
     return list(node.deliver(HealthCheckResult(1, status, took)))
 
 
-def test_each_member_is_asked_in_turn() -> None:
+def test_each_endpoint_is_checked_in_turn() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     asked = []
     while node.now < START_TIME + 4 * SECOND:
@@ -55,7 +55,7 @@
     ("nodes", "members", "most"),
     [(3, 12, 3.3), (10, 12, 7.4), (40, 60, 7.4), (66, 60, 7.4), (40, 2000, 7.4)],
 )
-def test_what_a_member_hears_from_all_nodes_stays_in_bounds(nodes: int, members: int, most: float) -> None:
+def test_health_checks_of_all_nodes_at_an_endpoint_are_bounded(nodes: int, members: int, most: float) -> None:
     """Forty nodes that each asked once a second kept members so busy with it that they looked slow."""
     pace = health_check_interval(nodes).total_seconds()
     assert pace <= 60
@@ -78,10 +78,12 @@
     assert asked / 30 / members * nodes <= most
 
 
-def test_answers_far_slower_than_the_best_move_connections_off() -> None:
-    node = rig()
-    assert answer(node, 40 * MILLISECOND) == [CheckHealth(1)]  # once may be chance: it is asked again at once
-    answer(node, 40 * MILLISECOND)
+def test_answers_far_slower_than_the_best_migrate_connections() -> None:
+    node = checked_node()
+    assert answer_check(node, 40 * MILLISECOND) == [
+        CheckHealth(1)
+    ]  # once may be chance: it is asked again at once
+    answer_check(node, 40 * MILLISECOND)
     assert node.balancer.endpoints.by_id[1].ejection.attempt == 1
     moves = of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     assert 5 < len(moves) < 40
@@ -89,31 +91,31 @@
     assert actions[0].endpoint_id == 2  # type: ignore[union-attr]
 
 
-def test_a_member_that_answers_far_too_soon_hangs_and_keeps_its_best() -> None:
+def test_an_endpoint_that_answers_far_too_soon_hangs_and_keeps_its_best_latency() -> None:
     """A hanging member answered at once; that became its best, and it counted as slow ever after."""
-    node = rig()
+    node = checked_node()
     for _ in range(10):
-        answer(node, 5 * MILLISECOND)
-    answer(node, MILLISECOND)
-    answer(node, MILLISECOND)
+        answer_check(node, 5 * MILLISECOND)
+    answer_check(node, MILLISECOND)
+    answer_check(node, MILLISECOND)
     server = node.balancer.endpoints.by_id[1]
     assert (server.ejection.attempt, server.best_latency_us) == (1, 5 * MILLISECOND)
     assert of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     for _ in range(3):
-        answer(node, 5 * MILLISECOND)
+        answer_check(node, 5 * MILLISECOND)
     assert not is_delayed(node.balancer.context, server)
     for _ in range(40):
-        answer(node, MILLISECOND)
+        answer_check(node, MILLISECOND)
     assert server.best_latency_us == MILLISECOND  # it goes on: the best was measured in a bad time
 
 
-def test_a_late_member_is_held_for_late_until_it_is_asked_again() -> None:
+def test_a_delay_counts_until_the_next_health_check() -> None:
     """Asked every six seconds, after two it was taken for sound again, and filled again."""
     node = BalancerDriver(
         [endpoint(i) for i in range(1, 5)], can_check_health=True, health_check_interval_us=6 * SECOND
     )
     for took in (5 * MILLISECOND, 90 * MILLISECOND, 90 * MILLISECOND):
-        answer(node, took)
+        answer_check(node, took)
     node.run_until(node.now + 4 * SECOND)
     drawn = {
         a.endpoint_id
@@ -122,7 +124,7 @@
         if isinstance(a, StartAttempt)
     }
     assert drawn == {2, 3, 4}
-    answer(node, 5 * MILLISECOND)
+    answer_check(node, 5 * MILLISECOND)
     node.run_until(node.balancer.endpoints.by_id[1].ejection.interval_end)
     drawn = {
         a.endpoint_id
@@ -133,7 +135,7 @@
     assert 1 in drawn
 
 
-def test_few_samples_tell_a_bad_member_from_a_sound_one() -> None:
+def test_few_samples_tell_an_outlier_from_a_sound_endpoint() -> None:
     """Of many nodes each asks a member once in six seconds: it has a handful of answers to go by."""
     marked = 0
     for seed in range(100):
@@ -144,13 +146,13 @@
         sound = 1 + seed % 5
         for _ in range(sound):  # one in twenty is late by chance
             took = 5 * MILLISECOND * rng.uniform(1, 1.5) * (8 if rng.random() < 0.05 else 1)
-            answer(node, int(took))
+            answer_check(node, int(took))
         marked += node.balancer.endpoints.by_id[1].ejection.attempt
         node.balancer.endpoints.by_id[1].ejection.attempt = node.balancer.endpoints.by_id[
             1
         ].ejection.retry_at = 0
         for _ in range(2):  # it has become slow: the second answer, asked for at once, decides
-            answer(node, int(5 * MILLISECOND * rng.uniform(3.2, 8.4)))
+            answer_check(node, int(5 * MILLISECOND * rng.uniform(3.2, 8.4)))
         assert (
             node.balancer.endpoints.by_id[1].ejection.attempt == 1
             or node.balancer.endpoints.by_id[1].best_latency_us > 8 * MILLISECOND
@@ -158,23 +160,23 @@
     assert marked <= 2
 
 
-def test_a_hiccup_or_a_member_that_is_quick_again_moves_nothing() -> None:
-    node = rig()
-    answer(node, 40 * MILLISECOND)
-    answer(node, 5 * MILLISECOND)
-    answer(node, 7 * MILLISECOND)
-    answer(node, 7 * MILLISECOND)
+def test_one_slow_answer_or_a_recovery_migrates_nothing() -> None:
+    node = checked_node()
+    answer_check(node, 40 * MILLISECOND)
+    answer_check(node, 5 * MILLISECOND)
+    answer_check(node, 7 * MILLISECOND)
+    answer_check(node, 7 * MILLISECOND)
     assert node.balancer.endpoints.by_id[1].ejection.attempt == 0
-    answer(node, 100 * MILLISECOND, AttemptStatus.ERROR)
-    answer(node, 100 * MILLISECOND, AttemptStatus.ERROR)
+    answer_check(node, 100 * MILLISECOND, AttemptStatus.ERROR)
+    answer_check(node, 100 * MILLISECOND, AttemptStatus.ERROR)
     assert node.balancer.endpoints.by_id[1].message_delay_us > 0
-    answer(node, 5 * MILLISECOND)
+    answer_check(node, 5 * MILLISECOND)
     assert node.balancer.endpoints.by_id[1].message_delay_us == 0
     assert not of_type(node.run_until(node.now + 3 * SECOND), Migrate)
 
 
 @pytest.mark.parametrize(("nodes", "most"), [(3, 8), (10, 2), (40, 1), (100, 1)])
-def test_a_crowd_waits_at_the_node_and_not_at_a_member(nodes: int, most: int) -> None:
+def test_a_burst_waits_at_the_node_and_not_at_an_endpoint(nodes: int, most: int) -> None:
     """After a restart all clients come at once; what timed out in a member's queue had cost it its work."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2)], can_check_health=True, discovery_call_interval_us=SECOND, node_count=nodes
@@ -189,7 +191,7 @@
     assert len(come_in) == len(answered)  # those held
 
 
-def test_a_guess_at_the_load_turns_nobody_away() -> None:
+def test_a_guess_at_the_load_rejects_nobody() -> None:
     """With one member late and emptied the others looked overloaded beside the mean: all were refused."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2), endpoint(3)], can_check_health=True, health_check_interval_us=SECOND
@@ -210,7 +212,7 @@
     ]  # twice the mean, but nothing bad heard
 
 
-def test_a_retry_goes_to_another_member_of_the_zone() -> None:
+def test_a_retry_goes_to_another_endpoint_of_the_zone() -> None:
     """A group's hash draws the same member again once its mark has ended: all tries went to one."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2), endpoint(3, zone=1)],
@@ -231,7 +233,7 @@
         node.deliver(AttemptEstablished(again[0].request_id, 1, again[0].endpoint_id, MILLISECOND))
 
 
-def test_probes_rest_only_at_members_that_sent_a_delay_note() -> None:
+def test_periodic_checks_leave_out_only_endpoints_that_reported_a_delay() -> None:
     """A node that took the promise of notes for the notes was blind where hosts sent none."""
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     node.deliver(ConnectionAdopted(1, 0, 0, 1), ConnectionAdopted(2, 0, 0, 2))
@@ -257,7 +259,7 @@
 @pytest.mark.parametrize(
     ("kind", "late"), [(ReportKind.REPORTED_DELAY, False), (ReportKind.MEASURED_DELAY, True)]
 )
-def test_a_told_delay_counts_as_over_when_no_note_repeats_it(kind: ReportKind, late: bool) -> None:
+def test_a_reported_delay_ends_when_no_report_repeats_it(kind: ReportKind, late: bool) -> None:
     """Probes of a large fleet come each half minute; who tells says it again each second while it holds."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=30 * SECOND
@@ -269,7 +271,7 @@
 
 
 @pytest.mark.parametrize("nodes", [67, 200, 10**14])
-def test_where_a_turn_comes_too_rarely_nobody_is_probed(nodes: int) -> None:
+def test_where_a_turn_comes_too_rarely_no_endpoint_is_checked(nodes: int) -> None:
     """With 200 nodes what one had heard of a member was kept for 45 s, and kept sound members out."""
     pace = health_check_interval(nodes) // timedelta(microseconds=1)
     node = BalancerDriver(
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -32,7 +32,7 @@
 )
 
 
-def test_a_server_that_drains_while_it_is_asked_gets_nothing() -> None:
+def test_an_endpoint_that_drains_during_a_health_check_gets_nothing() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
     _, actions = node.send_request()
     asked = [a.endpoint_id for a in actions if isinstance(a, CheckHealth)]
@@ -49,7 +49,7 @@
     assert not of_type(actions, StartAttempt)
 
 
-def test_a_marked_server_is_left_out_until_its_time() -> None:
+def test_an_ejected_endpoint_is_left_out_until_its_time() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
     _, actions = node.send_request(key=1)
     bad = only_attempt(actions).endpoint_id
@@ -62,7 +62,7 @@
     assert bad not in sent
 
 
-def test_a_flood_at_one_instant_spends_a_cold_servers_credit() -> None:
+def test_a_burst_uses_up_the_permits_of_slow_start() -> None:
     node = BalancerDriver([endpoint(i, ready_at=START_TIME) for i in range(1, 4)], node_count=1)
     for k in range(1, 40):  # credit accrues as it is looked at
         node.send_request(key=k)
@@ -73,7 +73,7 @@
     assert sum(isinstance(a, StartAttempt) for _, a in node.action_log) - before <= 2 * 3
 
 
-def test_an_old_wait_for_probes_does_not_send_a_retry_early() -> None:
+def test_an_old_wait_for_health_checks_does_not_start_a_retry_early() -> None:
     early = 0
     for seed in range(60):
         node = BalancerDriver([endpoint(i) for i in range(1, 9)], seed, **LOAD_REPORTS)
@@ -96,7 +96,7 @@
     assert early > 5  # the case was met
 
 
-def test_absurd_notes_of_a_standing_connection_are_ignored() -> None:
+def test_absurd_reports_of_an_established_connection_are_ignored() -> None:
     node = BalancerDriver([endpoint(1)])
     request_id, actions = node.send_request(load_hint=500)
     node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND))
@@ -112,7 +112,7 @@
     )
 
 
-def test_a_restart_forgets_the_mark_and_is_cold() -> None:
+def test_a_restart_ends_the_ejection_and_begins_slow_start() -> None:
     node = BalancerDriver([endpoint(1)])
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
@@ -131,27 +131,27 @@
     assert only_attempt(node.send_request()[1])
 
 
-def watches(node: BalancerDriver) -> list[int]:
+def poll_times(node: BalancerDriver) -> list[int]:
     return [t - START_TIME for t, a in node.action_log if isinstance(a, PollDiscovery)]
 
 
-def test_first_watches_are_spread_and_failed_calls_back_off() -> None:
+def test_first_polls_are_spread_and_failed_ones_back_off() -> None:
     firsts = []
     for seed in range(40):
         node = BalancerDriver([endpoint(1)], seed, polls_discovery=True, poll_interval_us=10 * SECOND)
         node.run_until(START_TIME + 10 * SECOND)
-        firsts += watches(node)
+        firsts += poll_times(node)
         for _ in range(3):  # a call may be told to have failed more than once
             node.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
         node.run_until(node.now + 3 * SECOND)
-        assert len(watches(node)) == 2
+        assert len(poll_times(node)) == 2
     first_of = sorted(firsts)
     assert len(first_of) == 40
     assert first_of[0] < 2 * SECOND
     assert 5 * SECOND < first_of[-1] < 10 * SECOND
 
 
-def test_what_was_placed_turns_the_next_away() -> None:
+def test_a_request_just_assigned_sends_the_next_elsewhere() -> None:
     same = 0
     for seed in range(40):
         node = BalancerDriver([endpoint(1), endpoint(2)], seed, **LOAD_REPORTS)
@@ -164,7 +164,7 @@
     assert same == 0
 
 
-def test_an_outcome_after_the_client_left_is_not_tried_again() -> None:
+def test_an_attempt_that_ends_after_the_client_left_is_not_retried() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
     request_id, actions = node.send_request()
     node.deliver(ClientDisconnected(request_id))
@@ -176,7 +176,7 @@
     assert not of_type(node.run_until(node.now + 5 * SECOND), StartAttempt)
 
 
-def test_the_next_move_waits_its_time() -> None:
+def test_the_next_migration_waits_its_time() -> None:
     node = BalancerDriver([endpoint(i) for i in range(1, 9)])
     node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(60)))
     times = []
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -28,7 +28,7 @@
 )
 
 
-def asked(node: BalancerDriver, loads: dict[int, float], key: int) -> list[Action]:
+def request_with_checks_answered(node: BalancerDriver, loads: dict[int, float], key: int) -> list[Action]:
     """A request with its probes answered."""
     _, actions = node.send_request(key=key)
     replies = [
@@ -39,29 +39,31 @@
     return actions + node.deliver(*replies) if replies else actions
 
 
-def test_a_loaded_server_is_thinned_out_and_a_full_one_gets_nothing() -> None:
+def test_a_loaded_endpoint_gets_less_and_a_full_one_nothing() -> None:
     met: Counter[int] = Counter()
     for seed in range(200):
         node = BalancerDriver([endpoint(1), endpoint(2), endpoint(3)], seed, **LOAD_REPORTS)
         met[
             next(
-                a for a in asked(node, {1: 0.2, 2: 0.5, 3: 1.2}, 5) if isinstance(a, StartAttempt)
+                a
+                for a in request_with_checks_answered(node, {1: 0.2, 2: 0.5, 3: 1.2}, 5)
+                if isinstance(a, StartAttempt)
             ).endpoint_id
         ] += 1
     assert met[3] == 0
     assert met[1] > 2 * met[2] > 0
 
 
-def test_a_pool_over_the_limit_takes_nothing_though_one_has_room() -> None:
+def test_a_pool_over_the_limit_takes_nothing_though_one_endpoint_has_capacity() -> None:
     """A fleet short of capacity is otherwise filled up to where every message is late."""
     node = BalancerDriver([endpoint(i) for i in range(1, 4)], **LOAD_REPORTS)
     loads = {1: 0.95, 2: 1.3, 3: 0.6}
-    assert not of_type(asked(node, loads, 5), StartAttempt)
+    assert not of_type(request_with_checks_answered(node, loads, 5), StartAttempt)
     node = BalancerDriver([endpoint(i) for i in range(1, 4)], **LOAD_REPORTS)
-    assert of_type(asked(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5), StartAttempt)
+    assert of_type(request_with_checks_answered(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5), StartAttempt)
 
 
-def test_a_probe_that_is_not_answered_does_not_hold_the_request() -> None:
+def test_an_unanswered_health_check_does_not_delay_the_request() -> None:
     node = BalancerDriver([endpoint(i) for i in range(1, 4)], **LOAD_REPORTS)
     request_id, actions = node.send_request()
     assert not of_type(actions, StartAttempt)
@@ -71,91 +73,106 @@
     )
 
 
-def test_home_first_and_other_zones_when_home_has_no_room() -> None:
+def test_other_zones_get_requests_when_the_home_zone_has_no_capacity() -> None:
     fleet = [endpoint(1), endpoint(2), endpoint(11, zone=1), endpoint(12, zone=1)]
     node = BalancerDriver(fleet, **LOAD_REPORTS)
     assert {
-        next(a for a in asked(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, StartAttempt)).endpoint_id < 10
+        next(
+            a for a in request_with_checks_answered(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, StartAttempt)
+        ).endpoint_id
+        < 10
         for k in range(1, 3)
     } == {True}
     node = BalancerDriver(fleet, **LOAD_REPORTS)
-    assert next(a for a in asked(node, {1: 1.1, 2: 0.9}, 5) if isinstance(a, StartAttempt)).endpoint_id > 10
+    assert (
+        next(
+            a for a in request_with_checks_answered(node, {1: 1.1, 2: 0.9}, 5) if isinstance(a, StartAttempt)
+        ).endpoint_id
+        > 10
+    )
 
 
-def test_what_was_placed_counts_until_reports_can_show_it() -> None:
+def test_an_assignment_counts_until_reports_can_show_it() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
-    first = next(a for a in asked(node, {1: 0.4, 2: 0.4}, 5) if isinstance(a, StartAttempt))
-    again = [next(a for a in asked(node, {1: 0.4, 2: 0.4}, k) if isinstance(a, StartAttempt)) for k in (6,)]
+    first = next(
+        a for a in request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 5) if isinstance(a, StartAttempt)
+    )
+    again = [
+        next(
+            a for a in request_with_checks_answered(node, {1: 0.4, 2: 0.4}, k) if isinstance(a, StartAttempt)
+        )
+        for k in (6,)
+    ]
     assert again[0].endpoint_id != first.endpoint_id
 
 
-def crowd(n: int, load: int, **over: Any) -> BalancerDriver:
+def node_with_connections(n: int, load: int, **over: Any) -> BalancerDriver:
     node = BalancerDriver([endpoint(i) for i in range(1, 9)], **over)
     node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, load * (1 + i % 3)) for i in range(n)))
     return node
 
 
-def late(node: BalancerDriver, ms: float, request_id: int = 1000) -> None:
+def report_delay(node: BalancerDriver, ms: float, request_id: int = 1000) -> None:
     node.deliver(ConnectionReport(request_id, ReportKind.REPORTED_DELAY, 0, 1, ms))
 
 
-def test_late_messages_move_a_part_of_the_load() -> None:
-    node = crowd(30, 1000)
-    late(node, 300.0)
+def test_late_messages_migrate_a_part_of_the_load() -> None:
+    node = node_with_connections(30, 1000)
+    report_delay(node, 300.0)
     moved = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
     share = sum(1 + (i - 1000) % 3 for i in moved) / 60
     assert 0.3 < share <= 0.6
 
 
-def test_moves_wait_until_the_last_one_can_show() -> None:
-    node = crowd(30, 1000)
-    late(node, 300.0)
+def test_migrations_wait_until_the_last_one_can_show() -> None:
+    node = node_with_connections(30, 1000)
+    report_delay(node, 300.0)
     node.run_until(node.now + SECOND)
     before = sum(isinstance(a, Migrate) for _, a in node.action_log)
-    late(node, 300.0, 1001)
+    report_delay(node, 300.0, 1001)
     assert sum(isinstance(a, Migrate) for _, a in node.action_log) == before
     end = node.now + SECOND
     while node.now < end:
         node.run_until(node.now + 100 * MILLISECOND)
-        late(node, 300.0, 1001)
+        report_delay(node, 300.0, 1001)
     assert sum(isinstance(a, Migrate) for _, a in node.action_log) == before
 
 
-def test_a_delay_that_is_over_moves_nothing() -> None:
-    node = crowd(30, 1000)
-    late(node, 300.0)
-    late(node, 20.0)
+def test_a_delay_that_has_ended_migrates_nothing() -> None:
+    node = node_with_connections(30, 1000)
+    report_delay(node, 300.0)
+    report_delay(node, 20.0)
     assert not of_type(node.run_until(node.now + 5 * SECOND), Migrate)
 
 
-def test_a_report_under_the_target_stops_the_move() -> None:
+def test_a_report_under_the_target_stops_the_migration() -> None:
     """The messages are still late because work is piled up, not because there is too much."""
-    node = crowd(30, 1000, **LOAD_REPORTS)
-    late(node, 300.0)
+    node = node_with_connections(30, 1000, **LOAD_REPORTS)
+    report_delay(node, 300.0)
     node.deliver(HealthCheckResult(1, AttemptStatus.OK, MILLISECOND, (30.0, 0.5)))
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
 
 
-def test_what_is_worth_least_for_its_load_moves_first() -> None:
-    node = crowd(30, 1000)
-    late(node, 100.0)
+def test_the_lowest_priority_for_its_load_migrates_first() -> None:
+    node = node_with_connections(30, 1000)
+    report_delay(node, 100.0)
     moved = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
     assert moved
     assert all((i - 1000) % 3 == 2 for i in moved)
 
 
-def test_over_its_share_a_tenant_gives_way_first() -> None:
+def test_a_tenant_above_its_quota_migrates_first() -> None:
     node = BalancerDriver(
         [endpoint(i) for i in range(1, 9)], tenant_quotas=(5.0, 50.0), over_quota_weight=0.1
     )
     node.deliver(*(ConnectionAdopted(1000 + i, 0, i % 2, 1, 0, 1000) for i in range(30)))
-    late(node, 120.0)
+    report_delay(node, 120.0)
     moved = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
     assert moved
     assert all(i % 2 == 0 for i in moved)
 
 
-def test_absurd_reports_and_notes_are_ignored() -> None:
+def test_absurd_load_and_connection_reports_are_ignored() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
     for value in (-1.0, float("nan"), float("inf"), 1e30):
         node.deliver(
@@ -169,7 +186,7 @@
     assert [a for a in actions if isinstance(a, StartAttempt | Reject) and a.request_id == request_id]
 
 
-def test_one_trial_at_a_time_when_a_mark_ends() -> None:
+def test_one_attempt_at_a_time_after_an_ejection() -> None:
     node = BalancerDriver([endpoint(1)])
     _, actions = node.send_request(key=1)
     node.fail_attempt(only_attempt(actions), 0)
@@ -209,7 +226,7 @@
     assert node.balancer.context.connections_by_tenant == {2: 0}
 
 
-def failing(node: BalancerDriver, times: int) -> None:
+def time_out_requests(node: BalancerDriver, times: int) -> None:
     for k in range(times):
         _, actions = node.send_request(key=100 + k)
         for a in actions:
@@ -218,13 +235,13 @@
         node.run_until(node.now + 10 * MILLISECOND)
 
 
-def test_set_ups_that_fail_everywhere_widen_the_window_and_stop_moves() -> None:
+def test_set_ups_that_fail_everywhere_widen_the_backoff_and_stop_migrations() -> None:
     """A slow shared store: more attempts and more moves would only add to it."""
     node = BalancerDriver([endpoint(i) for i in range(1, 30)])
     node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(30)))
-    failing(node, 1)
+    time_out_requests(node, 1)
     narrow = node.balancer.requests.backoffs[100].interval_end - START_TIME - MILLISECOND
-    failing(node, 12)
+    time_out_requests(node, 12)
     assert node.balancer.context.setup_failure_rate > 0.5
     now = node.now
     _, actions = node.send_request(key=300)
@@ -233,7 +250,7 @@
     node.fail_attempt(send, 0, AttemptStatus.TIMEOUT)
     assert node.balancer.requests.backoffs[300].attempt == 1
     assert node.balancer.requests.backoffs[300].interval_end - now > 3 * narrow
-    late(node, 600.0)
+    report_delay(node, 600.0)
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
 
 
@@ -262,12 +279,12 @@
         assert node.balancer.endpoints.home.refreshed_at == node.now
 
 
-def test_a_burst_within_one_look_finds_room() -> None:
+def test_a_burst_between_two_refreshes_finds_capacity() -> None:
     node = BalancerDriver([endpoint(i) for i in range(1, 9)])
     assert all(only_attempt(node.send_request(key=k)[1]) for k in range(1, 100))
 
 
-def test_pass_mode_samples_the_keys_own_order_at_every_node() -> None:
+def test_pass_through_samples_the_keys_own_order_at_every_node() -> None:
     fleet = [endpoint(i) for i in range(1, 41)]
     for key in range(1, 20):
         firsts = []
@@ -280,7 +297,7 @@
         assert only_attempt(actions).endpoint_id == firsts[0][0]
 
 
-def test_where_nobody_reports_late_servers_fill_the_pool() -> None:
+def test_where_nobody_reports_delayed_endpoints_fill_the_pool() -> None:
     """Waves over the capacity: with most servers late, what comes is turned away until they recover."""
     node = BalancerDriver([endpoint(i) for i in range(1, 5)])
     node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(40)))
@@ -291,7 +308,7 @@
     assert [a for a in node.send_request(key=2)[1] if isinstance(a, StartAttempt)]
 
 
-def test_a_full_pool_still_fills_its_cold_servers() -> None:
+def test_a_full_pool_still_fills_endpoints_in_slow_start() -> None:
     node = BalancerDriver(
         [*(endpoint(i) for i in range(1, 5)), endpoint(9, ready_at=START_TIME - 10 * SECOND)]
     )
@@ -306,7 +323,7 @@
     assert sent == {9}
 
 
-def test_a_groups_connections_share_servers_at_every_node() -> None:
+def test_a_groups_connections_share_endpoints_at_every_node() -> None:
     """Each server that holds any of a group does its work: at random, every one did that of every group."""
     fleet = [endpoint(i) for i in range(1, 9)] + [endpoint(i, zone=1) for i in range(11, 19)]
     used = set()
@@ -322,7 +339,7 @@
     assert len(used) > 4  # groups differ in their servers
 
 
-def test_a_group_comes_back_to_a_server_that_does_its_work() -> None:
+def test_a_group_returns_to_an_endpoint_that_has_its_connections() -> None:
     """Drawn by its hash alone, a group that stood elsewhere cost the fleet its work once more."""
     node = BalancerDriver([endpoint(i) for i in range(1, 9)])
     node.deliver(*(ConnectionAdopted(1000 + g, 0, 0, 1 + g % 8, 0, None, g) for g in range(1, 33)))
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -34,20 +34,20 @@
 # --- rule 1: one final answer in time
 
 
-def test_no_server_known_is_refused_in_time() -> None:
+def test_without_endpoints_a_request_is_rejected_in_time() -> None:
     node = BalancerDriver([])
     request_id, actions = node.send_request()
     actions = actions or node.run_until(node.now + DEADLINE)
     assert [a.request_id for a in actions if isinstance(a, Reject)] == [request_id]
 
 
-def test_a_deadline_already_past_is_refused_at_once() -> None:
+def test_a_deadline_already_past_is_rejected_at_once() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request(left=-5)
     assert actions == [Reject(request_id, 0)]
 
 
-def test_nothing_is_sent_after_the_client_left() -> None:
+def test_no_attempt_starts_after_the_client_left() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
@@ -57,7 +57,7 @@
     ]
 
 
-def test_a_late_outcome_after_the_client_left_is_no_failure() -> None:
+def test_an_attempt_that_ends_after_the_client_left_is_no_failure() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request()
     send = only_attempt(actions)
@@ -82,14 +82,14 @@
 # --- rule 2: no effect twice
 
 
-def test_an_unsafe_request_that_may_have_run_fails() -> None:
+def test_a_request_without_idempotency_that_may_have_run_fails() -> None:
     for status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED):
         node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
         request_id, actions = node.send_request()
         assert node.fail_attempt(only_attempt(actions), 0, status) == [Fail(request_id)]
 
 
-def test_an_unsafe_request_that_did_not_run_is_tried_again() -> None:
+def test_a_request_without_idempotency_that_did_not_run_is_retried() -> None:
     for status in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED):
         node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
         _, actions = node.send_request()
@@ -98,7 +98,9 @@
 
 
 @pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
-def test_a_keyed_request_that_may_have_run_stays_in_its_group(group: DeduplicationScope) -> None:
+def test_a_keyed_request_that_may_have_run_stays_in_its_deduplication_scope(
+    group: DeduplicationScope,
+) -> None:
     fleet = [endpoint(i, zone=i % 2, cell=i % 4) for i in range(1, 17)]
     where = {x.endpoint_id: (x.zone if group is DeduplicationScope.ZONE else x.cell) for x in fleet}
     retried = 0
@@ -115,7 +117,7 @@
     assert retried > 20
 
 
-def test_a_keyed_request_of_the_group_of_all_may_go_anywhere_and_be_refused() -> None:
+def test_a_keyed_request_deduplicated_everywhere_may_go_anywhere_and_be_rejected() -> None:
     node = BalancerDriver(
         FLEET, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ALL, max_attempts=2
     )
@@ -125,7 +127,7 @@
     assert isinstance(actions[0], Reject)
 
 
-def test_a_keyed_request_is_not_repeated_after_its_window() -> None:
+def test_a_keyed_request_is_not_repeated_after_the_deduplication_window() -> None:
     node = BalancerDriver(
         FLEET,
         idempotency=Idempotency.WITH_KEY,
@@ -139,7 +141,7 @@
     assert [a.request_id for a in actions if isinstance(a, Reject)] == [request_id]
 
 
-def test_never_two_attempts_out() -> None:
+def test_never_two_attempts_pending() -> None:
     node = BalancerDriver(FLEET)
     _rid, actions = node.send_request()
     only_attempt(actions)
@@ -149,7 +151,7 @@
 # --- rule 3: drains are kept
 
 
-def test_nothing_new_to_a_draining_or_gone_server() -> None:
+def test_nothing_new_to_a_draining_or_removed_endpoint() -> None:
     for state in (EndpointState.DRAINING, EndpointState.GONE):
         node = BalancerDriver(FLEET)
         node.deliver(
@@ -158,7 +160,7 @@
         assert {only_attempt(node.send_request(key=k)[1]).endpoint_id for k in range(1, 60)} == {8}
 
 
-def test_who_is_connected_is_told_to_move_before_the_server_leaves() -> None:
+def test_connections_migrate_before_their_endpoint_leaves() -> None:
     """A server that drains was left to send its clients away itself; one that does not cuts them off."""
     node = BalancerDriver(FLEET)
     for request_id in range(101, 121):
@@ -172,13 +174,13 @@
     assert sorted(half + rest) == list(range(101, 121))
 
 
-def test_a_server_absent_from_a_complete_list_gets_nothing() -> None:
+def test_an_endpoint_absent_from_a_complete_list_gets_nothing() -> None:
     node = BalancerDriver(FLEET)
     node.deliver(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (endpoint(3),)))
     assert {only_attempt(node.send_request(key=k)[1]).endpoint_id for k in range(1, 30)} == {3}
 
 
-def test_a_retry_is_placed_by_the_list_of_its_own_time() -> None:
+def test_a_retry_is_assigned_by_the_list_of_its_own_time() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
@@ -195,7 +197,7 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 12, 190])
-def test_all_nodes_together_fill_a_cold_server_slowly(nodes: int) -> None:
+def test_all_nodes_together_fill_an_endpoint_in_slow_start_slowly(nodes: int) -> None:
     """Every node has its share of the fleet's connections and gets a flood; one server in ten is cold."""
     each, fleet = 40, 10
     warm = [endpoint(i) for i in range(1, fleet)]
@@ -213,7 +215,7 @@
     assert total <= 3.0 * 0.15 * each / 20 * 1 + 8 + nodes * 0.05
 
 
-def test_only_cold_servers_left_is_paced_not_dumped() -> None:
+def test_slow_start_paces_requests_where_no_other_endpoint_is_left() -> None:
     node = BalancerDriver([endpoint(i, ready_at=START_TIME) for i in range(1, 5)], node_count=4)
     sent = 0
     for k in range(1, 200):
@@ -240,7 +242,7 @@
         Settings(**{**{f: getattr(good, f) for f in Settings.__slots__}, field: value})
 
 
-def test_a_request_ended_by_a_moot_attempt_is_answered() -> None:
+def test_a_request_whose_attempt_was_not_made_is_answered() -> None:
     node = BalancerDriver(FLEET)
     node.deliver(RequestReceived(5, 0, 0, node.now + 100 * MILLISECOND, 3))
     send = next(a for _, a in node.action_log if isinstance(a, StartAttempt))
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -74,7 +74,7 @@
     ]
 
 
-def test_the_members_example() -> None:
+def test_the_endpoint_list_example() -> None:
     body = hexes(
         """0002 0000003b 0003 0000000000000029 04 00000002
         0000000000000000 0000 03124a07 3f800000 00 0000 03
@@ -92,7 +92,7 @@
     )
 
 
-def test_the_outcome_example() -> None:
+def test_the_attempt_ended_example() -> None:
     body = hexes("0005 00000018 0003 0009f71f5d3a91c4 0000 03124a07 0000 00004844 01 00")
     assert wire.read_batch(1, body) == [
         (3, AttemptEnded(0x9F71F5D3A91C4, 0, 0x03124A07, AttemptStatus.OK, 0x4844, True, ()))
