--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -33,7 +33,12 @@
 from tansyladder.replication.lease_coordinator import LeaseCoordinator
 from tansyladder.replication.lease_holder import LeaseHolder
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
-from tansyladder.simulation.raft_cluster import FaultRates, SimulatedCluster, SimulatedNode, SumStateMachine
+from tansyladder.simulation.raft_cluster import (
+    FaultRates,
+    RecordingStateMachine,
+    SimulatedCluster,
+    SimulatedNode,
+)
 
 NAME = "rules"
 DECIDES = 15 * MILLISECOND_US  # between two clients of a node
@@ -49,7 +54,7 @@
 )  # after the last fault by when a change must go through: a lease, and arming again in between
 
 
-class DocumentStateMachine(SumStateMachine):
+class DocumentStateMachine(RecordingStateMachine):
     """The documents, and what shows any difference of order."""
 
     def __init__(self, voters: Sequence[str], make: Callable[[Sequence[str]], Documents]) -> None:
@@ -65,10 +70,10 @@
         return msgspec.msgpack.encode(self.documents.apply(told))
 
     def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode((self.came, self.documents.snapshot()))
+        return msgspec.msgpack.encode((self.commands, self.documents.snapshot()))
 
     def restore(self, dumped: bytes) -> None:
-        self.came, kept = msgspec.msgpack.decode(dumped, type=tuple[list[bytes], DocumentsSnapshot])
+        self.commands, kept = msgspec.msgpack.decode(dumped, type=tuple[list[bytes], DocumentsSnapshot])
         self.documents.restore(kept)
 
 
@@ -130,81 +135,86 @@
         super().__init__(seed, voters, learners, faults, components)
         self.counts |= {"stops": 0, "decisions": 0}
         for name in self.names:
-            self.at(int(self._load.integers(DECIDES)), partial(self._decide, name))
+            self.call_at(int(self._load_rng.integers(DECIDES)), partial(self._decide, name))
 
     # --- one node
 
     def _clock(self, name: str) -> int:
         if name not in self.skews:
-            self.skews[name] = int(self._net.integers(-self.skew, self.skew + 1))
+            self.skews[name] = int(self._network_rng.integers(-self.skew, self.skew + 1))
         return self.now + self.skews[name] + 100 * SECOND_US
 
-    def _new_state(self) -> SumStateMachine:
+    def _make_state_machine(self) -> RecordingStateMachine:
         return DocumentStateMachine(self.voters, self._documents)
 
-    def _begin(self, node: SimulatedNode) -> None:
-        start = f"{node.name}/{node.start}"
-        assert isinstance(node.sums, DocumentStateMachine)
-        documents = node.sums.documents
+    def _on_node_started(self, node: SimulatedNode) -> None:
+        start = f"{node.name}/{node.incarnation}"
+        assert isinstance(node.state_machine, DocumentStateMachine)
+        documents = node.state_machine.documents
         seat = DocumentNode(
             self._follower(start, documents), self._steward(start, documents), documents, self.now
         )
         self.seats[node.name] = seat
-        self._tick(node.name, node.start)
-        self._say_here(node.name, node.start)
+        self._tick(node.name, node.incarnation)
+        self._say_here(node.name, node.incarnation)
 
     def _tick(self, name: str, start: int) -> None:
         node = self.nodes[name]
-        if node.start != start or node.core is None:
+        if node.incarnation != start or node.raft is None:
             return
         if name not in self._stopped:
             self._look(node)
-        self.at(self.now + TICK, partial(self._tick, name, start))
+        self.call_at(self.now + TICK, partial(self._tick, name, start))
 
     def _say_here(self, name: str, start: int) -> None:
         node = self.nodes[name]
-        if node.start != start or node.core is None:
+        if node.incarnation != start or node.raft is None:
             return
         if name not in self._stopped:
             for other in self.names:
                 self._send(name, other, LeaseRenewal(self.seats[name].follower.incarnation))
-        self.at(self.now + HERE, partial(self._say_here, name, start))
+        self.call_at(self.now + HERE, partial(self._say_here, name, start))
 
     def _send(self, name: str, to: str, here: LeaseRenewal) -> None:
         if to == name:
             self.seats[name].steward.record_renewal(here.incarnation, self._clock(name))
-        elif self._net.random() >= self.faults.loss:
-            self.at(
-                self.now + int(self._net.integers(*self.faults.delay)), partial(self._heard, name, to, here)
+        elif self._network_rng.random() >= self.faults.loss_rate:
+            self.call_at(
+                self.now + int(self._network_rng.integers(*self.faults.delay_range_us)),
+                partial(self._heard, name, to, here),
             )
 
     def _heard(self, sender: str, to: str, here: LeaseRenewal) -> None:
-        if (sender, to) not in self._cuts and to not in self._stopped and self.nodes[to].core is not None:
+        if (
+            (sender, to) not in self._cut_links
+            and to not in self._stopped
+            and self.nodes[to].raft is not None
+        ):
             self.seats[to].steward.record_renewal(here.incarnation, self._clock(to))
 
-    def _arrive(self, sender: str, to: str, message: Message) -> None:
+    def _on_message(self, sender: str, to: str, message: Message) -> None:
         if to in self._stopped:
-            if (sender, to) not in self._cuts:
+            if (sender, to) not in self._cut_links:
                 self._stopped[to].append((sender, message))
         else:
-            super()._arrive(sender, to, message)
+            super()._on_message(sender, to, message)
 
-    def _wake(self, node: SimulatedNode, wait: int, start: int) -> None:
+    def _on_timer(self, node: SimulatedNode, wait: int, start: int) -> None:
         if node.name in self._stopped:
-            self.at(self.now + TICK, partial(self._wake, node, wait, start))
+            self.call_at(self.now + TICK, partial(self._on_timer, node, wait, start))
         else:
-            super()._wake(node, wait, start)
+            super()._on_timer(node, wait, start)
 
-    def _step(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
+    def _step_node(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
         if node.name in self._stopped:  # the rig's own proposals to it
             self._stopped[node.name] += received
             return
-        if node.core is not None and node.name in self.seats:
-            node.core.announces_commits_at_once = self.seats[node.name].steward.is_urgent(
+        if node.raft is not None and node.name in self.seats:
+            node.raft.announces_commits_at_once = self.seats[node.name].steward.is_urgent(
                 self._clock(node.name)
             )
-        super()._step(node, *received)
-        if node.core is not None and node.name in self.seats:
+        super()._step_node(node, *received)
+        if node.raft is not None and node.name in self.seats:
             self._arm(node)
 
     def _arm(self, node: SimulatedNode) -> None:
@@ -220,23 +230,24 @@
             seat.said[key] = self.now
             request = f"{seat.follower.incarnation}:{key}:{self.now}"
             data = msgspec.msgpack.encode(entry)
-            self.at(self.now, partial(self._propose_entry, node, node.start, request, data))
+            self.call_at(self.now, partial(self._propose_entry, node, node.incarnation, request, data))
 
     def _propose_entry(self, node: SimulatedNode, start: int, request: str, data: bytes) -> None:
-        if node.start == start:
-            self._step(node, (node.name, ProposalRequest(request, data)))
+        if node.incarnation == start:
+            self._step_node(node, (node.name, ProposalRequest(request, data)))
 
     def _look(self, node: SimulatedNode) -> None:
-        core, seat, clock = node.core, self.seats[node.name], self._clock(node.name)
+        core, seat, clock = node.raft, self.seats[node.name], self._clock(node.name)
         assert core is not None
         change = seat.follower.change_to_validate()
         if change is not None:
             self.found.setdefault(change.number, change.idempotency_key)
             if change.number not in seat.fetched:
                 seat.fetched[change.number] = "?"
-                after = self.now + int(self._net.integers(*FETCH))
-                self.at(
-                    after, partial(self._fetched, node, node.start, change.number, change.idempotency_key)
+                after = self.now + int(self._network_rng.integers(*FETCH))
+                self.call_at(
+                    after,
+                    partial(self._fetched, node, node.incarnation, change.number, change.idempotency_key),
                 )
             elif seat.fetched[change.number] != "?":
                 verdict = ValidationVote(
@@ -246,8 +257,8 @@
         for version in seat.documents.versions(NAME)[-1:]:  # one that it was not there for
             if version.number not in self._contents[node.name] and version.number not in seat.fetched:
                 seat.fetched[version.number] = "?"
-                after = self.now + int(self._net.integers(*FETCH))
-                self.at(after, partial(self._brought, node, node.start, version.number))
+                after = self.now + int(self._network_rng.integers(*FETCH))
+                self.call_at(after, partial(self._brought, node, node.incarnation, version.number))
         self._arm(node)
         for ask, ruled in seat.documents.results.items():
             first = self.ends.setdefault(ask, ruled)
@@ -259,7 +270,7 @@
             seat.steward.reset()
 
     def _fetched(self, node: SimulatedNode, start: int, number: int, ask: str) -> None:
-        if node.start == start and node.core is not None:
+        if node.incarnation == start and node.raft is not None:
             sound = self.offered[ask] or node.name != self.names[hash_of(ask) % len(self.names)]
             self.seats[node.name].fetched[number] = "" if sound else "rules.zones: no such zone"
             self._contents[node.name].add(number)
@@ -267,14 +278,14 @@
                 self.no_to.add(number)
 
     def _brought(self, node: SimulatedNode, start: int, number: int) -> None:
-        if node.start == start:
+        if node.incarnation == start:
             self._contents[node.name].add(number)
 
     def _decide(self, name: str) -> None:
         node = self.nodes[name]
-        if node.core is not None and name not in self._stopped:
+        if node.raft is not None and name not in self._stopped:
             self._serve(name)
-        self.at(self.now + DECIDES, partial(self._decide, name))
+        self.call_at(self.now + DECIDES, partial(self._decide, name))
 
     def _serve(self, name: str) -> None:
         seat, clock = self.seats[name], self._clock(name)
@@ -299,27 +310,27 @@
         if ask in self.ends or self.now > until:
             return
         node = self.nodes[name]
-        if node.core is not None and name not in self._stopped:
+        if node.raft is not None and name not in self._stopped:
             offer = Proposal(
                 NAME, ask.encode(), 100, ask, self.seats[name].follower.incarnation, self._clock(name)
             )
             self._say(node, offer, f"offer {ask}")
-        self.at(self.now + 2 * AGAIN, partial(self._ask, name, ask, until))
+        self.call_at(self.now + 2 * AGAIN, partial(self._ask, name, ask, until))
 
     def stop(self, name: str, length: int) -> None:
         """It stands still, and then goes on with all that has come in its buffers: clients first."""
-        if name not in self._stopped and self.nodes[name].core is not None:
+        if name not in self._stopped and self.nodes[name].raft is not None:
             self.counts["stops"] += 1
             self._stopped[name] = []
-            self.at(self.now + length, partial(self._go_on, name, self.nodes[name].start))
+            self.call_at(self.now + length, partial(self._go_on, name, self.nodes[name].incarnation))
 
     def _go_on(self, name: str, start: int) -> None:
         came, node = self._stopped.pop(name, []), self.nodes[name]
-        if node.core is None or node.start != start:
+        if node.raft is None or node.incarnation != start:
             return
         self._serve(name)
         for one in came:
-            self._step(node, one)
+            self._step_node(node, one)
 
     def crash(self, name: str, wipe: bool) -> None:
         self._stopped.pop(name, None)
@@ -335,23 +346,25 @@
             return self.names[draw.integers(len(self.names))]
 
         def length() -> int:
-            return int(self._fate.integers(SECOND_US // 5, 12 * SECOND_US))
+            return int(self._fault_rng.integers(SECOND_US // 5, 12 * SECOND_US))
 
         if self._stops_every:
-            self._plan(self._stops_every, end, lambda: self.stop(one(self._fate), length()))
-        self._plan(
-            3 * SECOND_US, end, lambda: self.offer(one(self._load), bool(self._load.random() >= self._bad))
+            self._schedule_randomly(self._stops_every, end, lambda: self.stop(one(self._fault_rng), length()))
+        self._schedule_randomly(
+            3 * SECOND_US,
+            end,
+            lambda: self.offer(one(self._load_rng), bool(self._load_rng.random() >= self._bad)),
         )
-        self.storm(seconds, 500 * MILLISECOND_US)
+        self.inject_faults(seconds, 500 * MILLISECOND_US)
 
     def settle(self) -> None:
         """Faults over, all up: a change goes through everywhere in time."""
-        self._cuts.clear()
-        self.faults = FaultRates(0.0, 0.0, crash_every=0, cut_every=0)
+        self._cut_links.clear()
+        self.faults = FaultRates(0.0, 0.0, mean_crash_interval_us=0, mean_cut_interval_us=0)
         for name in self.names:
-            if self.nodes[name].core is None:
-                self._up(name)
-        self.run(self.now + 13 * SECOND_US)  # the last of the stops has ended
+            if self.nodes[name].raft is None:
+                self.start_node(name)
+        self.run_until(self.now + 13 * SECOND_US)  # the last of the stops has ended
         self.quiet_from = self.now
         until = self.now + 2 * LIVE
         last = ""
@@ -360,8 +373,8 @@
         ):
             if not last or last in self.ends:
                 last = self.offer(self.names[0])
-            self.run(self.now + SECOND_US)
-        self.run(self.now + 3 * SECOND_US)
+            self.run_until(self.now + SECOND_US)
+        self.run_until(self.now + 3 * SECOND_US)
         self.last = last
 
 
--- a/tests/raft/test_raft.py
+++ b/tests/raft/test_raft.py
@@ -20,32 +20,39 @@
     SessionOwnership,
 )
 from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS
-from tansyladder.simulation.raft_cluster import MS, FaultRates, InvariantViolation, S, SimulatedCluster, play
+from tansyladder.simulation.raft_cluster import (
+    MS,
+    FaultRates,
+    InvariantViolationError,
+    S,
+    SimulatedCluster,
+    simulate,
+)
 from tests.simulation.without_guards import GUARDS
 
 HARD = FaultRates(
-    loss=0.1,
-    delay=(1 * MS, 300 * MS),
-    crash_every=800 * MS,
-    down=(100 * MS, 1500 * MS),
-    wiped=0.3,
-    cut_every=700 * MS,
-    cut=(200 * MS, 2 * S),
+    loss_rate=0.1,
+    delay_range_us=(1 * MS, 300 * MS),
+    mean_crash_interval_us=800 * MS,
+    downtime_range_us=(100 * MS, 1500 * MS),
+    disk_loss_rate=0.3,
+    mean_cut_interval_us=700 * MS,
+    cut_duration_range_us=(200 * MS, 2 * S),
 )
 
 
 @pytest.mark.parametrize("voters", [1, 3, 5])
 def test_what_is_agreed_holds_through_crashes_lost_disks_and_cuts(voters: int) -> None:
-    worlds = [play(seed, voters, 1, 15.0, HARD) for seed in range(12)]
+    worlds = [simulate(seed, voters, 1, 15.0, HARD) for seed in range(12)]
     assert sum(w.counts["crashes"] for w in worlds) > 100
     assert sum(w.counts["wiped"] for w in worlds) > 5 or voters == 1
-    assert sum(len(w.answered) for w in worlds) > 300
+    assert sum(len(w.results) for w in worlds) > 300
 
 
 def test_the_same_seed_gives_the_same_history() -> None:
-    one, same, other = (play(seed, 3, 1, 8.0, HARD) for seed in (5, 5, 6))
-    assert (one.committed, one.counts) == (same.committed, same.counts)
-    assert one.committed != other.committed
+    one, same, other = (simulate(seed, 3, 1, 8.0, HARD) for seed in (5, 5, 6))
+    assert (one.committed_entries, one.counts) == (same.committed_entries, same.counts)
+    assert one.committed_entries != other.committed_entries
 
 
 @pytest.mark.parametrize(
@@ -60,79 +67,79 @@
     ],
 )
 def test_a_guard_taken_out_is_found(guard: str, seed: int, found: str) -> None:
-    play(seed, 3, 1, 15.0, HARD)
-    with pytest.raises(InvariantViolation, match=found):
+    simulate(seed, 3, 1, 15.0, HARD)
+    with pytest.raises(InvariantViolationError, match=found):
         if guard:
-            play(seed, 3, 1, 15.0, HARD, components=GUARDS[guard])
+            simulate(seed, 3, 1, 15.0, HARD, components=GUARDS[guard])
         else:
-            play(seed, 3, 1, 15.0, HARD, synced=False)
+            simulate(seed, 3, 1, 15.0, HARD, synced=False)
 
 
-OLD = replace(HARD, wiped=0.15, older=0.3, doubted=0.1)
+OLD = replace(HARD, disk_loss_rate=0.15, disk_rollback_rate=0.3, disk_suspicion_rate=0.1)
 
 
 def test_what_is_agreed_holds_though_disks_come_back_older() -> None:
-    worlds = [play(seed, voters, 1, 15.0, OLD) for voters in (3, 5) for seed in range(12)]
+    worlds = [simulate(seed, voters, 1, 15.0, OLD) for voters in (3, 5) for seed in range(12)]
     assert sum(w.counts["older"] for w in worlds) > 15
-    assert sum(len(w.answered) for w in worlds) > 500
+    assert sum(len(w.results) for w in worlds) > 500
 
 
 @pytest.mark.parametrize(
     ("guard", "seed"), [("TrustsAnyDisk", 26), ("TrustsAtOnce", 29), ("VotesForShorterLogs", 29)]
 )
 def test_a_guard_against_older_disks_taken_out_is_found(guard: str, seed: int) -> None:
-    play(seed, 3, 1, 15.0, OLD)
-    with pytest.raises(InvariantViolation, match="commits"):
-        play(seed, 3, 1, 15.0, OLD, components=GUARDS[guard])
+    simulate(seed, 3, 1, 15.0, OLD)
+    with pytest.raises(InvariantViolationError, match="commits"):
+        simulate(seed, 3, 1, 15.0, OLD, components=GUARDS[guard])
 
 
 def test_a_fleet_of_which_nobody_knows_its_disk_agrees_again_once_all_voters_are_back() -> None:
     world = SimulatedCluster(1, faults=FaultRates(0.0, 0.0))
-    world.run(5 * S)
+    world.run_until(5 * S)
     for name in world.names:
         world.crash(name, False)
-        world._doubt(world.nodes[name])
+        world.suspect_disk(world.nodes[name])
     for name in world.names[:2]:
-        world._up(name)
-    world.run(10 * S)
-    cores = [world.nodes[name].core for name in world.voters[:2]]
+        world.start_node(name)
+    world.run_until(10 * S)
+    cores = [world.nodes[name].raft for name in world.voters[:2]]
     assert not any(core is None or core.is_voting for core in cores)  # the third may know of more
-    world._up("n2")
-    world.run(20 * S)
+    world.start_node("n2")
+    world.run_until(20 * S)
     assert all(core is not None and core.is_electable for core in cores)
     request = world.propose("n0")
-    world.run(21 * S)
-    assert request in world.answered
+    world.run_until(21 * S)
+    assert request in world.results
 
 
 def test_without_a_majority_a_proposal_is_answered_at_once() -> None:
     world = SimulatedCluster(1)
-    world.run(5 * S)
+    world.run_until(5 * S)
     for name in world.voters[1:]:
         world.crash(name, False)
-    world.run(8 * S)  # the one that is left has stepped down or found no leader
+    world.run_until(8 * S)  # the one that is left has stepped down or found no leader
     before = world.counts["unknown"]
     request = world.propose("n0")
-    assert (world.counts["unknown"], request in world.answered) == (before + 1, False)
+    assert (world.counts["unknown"], request in world.results) == (before + 1, False)
 
 
 def test_a_voter_whose_disk_is_gone_votes_again_only_once_the_log_admits_it() -> None:
     world = SimulatedCluster(1, faults=FaultRates(0.0, 0.0))
-    world.run(5 * S)
+    world.run_until(5 * S)
     world.crash("n2", True)
     world.crash("n1", False)
-    world._up("n2")
-    world.run(9 * S)
-    lost = world.nodes["n2"].core
+    world.start_node("n2")
+    world.run_until(9 * S)
+    lost = world.nodes["n2"].raft
     assert lost is not None and not lost.is_voting  # n0 alone is no majority, and it doesn't count
-    world._up("n1")
-    world.run(15 * S)
+    world.start_node("n1")
+    world.run_until(15 * S)
     assert lost.is_voting
     world.crash("n1", False)
-    world.run(20 * S)
+    world.run_until(20 * S)
     request = world.propose("n0")
-    world.run(21 * S)
-    assert request in world.answered
+    world.run_until(21 * S)
+    assert request in world.results
 
 
 def say(claims: SessionOwnership, entry: OwnershipClaim | ClaimConfirmation | SessionOpened) -> ClaimResult:
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -42,16 +42,20 @@
 from tests.simulation.without_guards import DOCUMENT_GUARDS
 
 HARD = FaultRates(
-    loss=0.1,
-    delay=(1 * MILLISECOND_US, 300 * MILLISECOND_US),
-    crash_every=4 * SECOND_US,
-    down=(100 * MILLISECOND_US, 6 * SECOND_US),
-    wiped=0.2,
-    cut_every=3 * SECOND_US,
-    cut=(200 * MILLISECOND_US, 20 * SECOND_US),
+    loss_rate=0.1,
+    delay_range_us=(1 * MILLISECOND_US, 300 * MILLISECOND_US),
+    mean_crash_interval_us=4 * SECOND_US,
+    downtime_range_us=(100 * MILLISECOND_US, 6 * SECOND_US),
+    disk_loss_rate=0.2,
+    mean_cut_interval_us=3 * SECOND_US,
+    cut_duration_range_us=(200 * MILLISECOND_US, 20 * SECOND_US),
 )
 CALM = FaultRates(
-    loss=0.0, doubled=0.0, delay=(1 * MILLISECOND_US, 5 * MILLISECOND_US), crash_every=0, cut_every=0
+    loss_rate=0.0,
+    duplication_rate=0.0,
+    delay_range_us=(1 * MILLISECOND_US, 5 * MILLISECOND_US),
+    mean_crash_interval_us=0,
+    mean_cut_interval_us=0,
 )
 
 
@@ -76,7 +80,7 @@
 
 def test_the_same_seed_gives_the_same_history() -> None:
     one, same, other = (play(seed, 8.0, faults=HARD) for seed in (4, 4, 5))
-    assert (one.decided, one.ends, one.committed) == (same.decided, same.ends, same.committed)
+    assert (one.decided, one.ends, one.committed_entries) == (same.decided, same.ends, same.committed_entries)
     assert one.decided != other.decided
 
 
