--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        core: PolicyRunner,
+        runner: PolicyRunner,
         queue: ActionQueue,
         stream: Stream,
         client: ClientConnection,
@@ -51,7 +51,7 @@
         self._client = client
         self._upstream = upstream
         self._host = upstream.socket
-        self._reports = core.delay_reports(
+        self._reports = runner.delay_reports(
             upstream.request_id, connection.attempt, connection.endpoint.number
         )
         self._response_timeout = ResponseTimeout(self._reports.record_delay)
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -35,84 +35,91 @@
 class ResumptionHandler(SessionRegistry):
     """One node's resumable sessions; safe to share between threads."""
 
-    def __init__(self, core: PolicyRunner, keeping: SessionStore | None = None) -> None:
-        super().__init__(core, keeping)
+    def __init__(self, runner: PolicyRunner, session_store: SessionStore | None = None) -> None:
+        super().__init__(runner, session_store)
         self._claiming: set[int] = set()  # sessions that are being claimed
 
     def serve(
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
         """Serve a session from its first UP to its end; the client's socket is closed then."""
-        Session(self._core, self, request, client).run(upstream, request_id)
+        Session(self._runner, self, request, client).run(upstream, request_id)
 
-    def _restore_stored(self, claim: TokenPayload) -> None:
+    def _restore_stored(self, payload: TokenPayload) -> None:
         """Where a session of an earlier start is still kept, begin it anew, without a client or a host."""
-        kept = self.session_store.load_session(claim.session_id) if self.session_store else None
-        if kept is None:
+        stored = self.session_store.load_session(payload.session_id) if self.session_store else None
+        if stored is None:
             return
-        if claim.generation < kept.generation_floor:
+        if payload.generation < stored.generation_floor:
             raise TokenError(ResumeRejection.SPENT)
-        opening = protocol.parse_opening(kept.first_line.encode() + b"\r\n")
-        self._restore(claim, opening, kept.generation_floor, kept.expires_at_us, 0)
+        opening = protocol.parse_opening(stored.first_line.encode() + b"\r\n")
+        self._restore(payload, opening, stored.generation_floor, stored.expires_at_us, 0)
 
-    def _restore(self, claim: TokenPayload, opening: Opening, floor: int, expiry: int, tenure: int) -> None:
+    def _restore(
+        self,
+        payload: TokenPayload,
+        opening: Opening,
+        generation_floor: int,
+        expires_at_us: int,
+        ownership_epoch: int,
+    ) -> None:
         """Begin a session of an earlier start or of another node, without a client or a host.
 
         TokenError: there is no room for it.
         """
-        start = tenure or self.start_number
-        box = ActionQueue()
+        node_start = ownership_epoch or self.node_start
+        queue = ActionQueue()
         try:
-            box.open()
-            stream = Stream.restored(claim.session_id, self.memory_budget, self.options.buffer, start)
-            class_number = self._core.class_numbers[opening.class_name]
-            session = Session(self._core, self, ResumableRequest(box, class_number, opening, stream))
-            session.set_expiry(self._core.clock.moment(expiry))
-            self.token_registry.add(claim.session_id, box, floor, tenure)
+            queue.open()
+            stream = Stream.restored(payload.session_id, self.memory_budget, self.options.buffer, node_start)
+            class_number = self._runner.class_numbers[opening.class_name]
+            session = Session(self._runner, self, ResumableRequest(queue, class_number, opening, stream))
+            session.set_expiry(self._runner.clock.moment(expires_at_us))
+            self.token_registry.add(payload.session_id, queue, generation_floor, ownership_epoch)
             threading.Thread(target=session.run, daemon=True).start()
-        except (OSError, RuntimeError) as err:
-            self.token_registry.end(claim.session_id, SessionEnd.NO_CAPACITY)
-            box.close()
-            raise TokenError(ResumeRejection.NO_CAPACITY) from err
-        log(LogEvent.SESSION_RESTORED, left=self._core.clock.moment(expiry) - now())
+        except (OSError, RuntimeError) as error:
+            self.token_registry.end(payload.session_id, SessionEnd.NO_CAPACITY)
+            queue.close()
+            raise TokenError(ResumeRejection.NO_CAPACITY) from error
+        log(LogEvent.SESSION_RESTORED, left=self._runner.clock.moment(expires_at_us) - now())
 
     # --- taking over
 
-    def on_ownership_claimed(self, session: int, tenure: int, by: str) -> None:
+    def on_ownership_claimed(self, session_id: int, ownership_epoch: int, owner: str) -> None:
         """The log says that another node owns a session: what there is of it here ends."""
-        if self.ownership_service is not None and by != self.ownership_service.incarnation:
-            box = self.token_registry.handle_before_epoch(session, tenure)
-            if box is not None:
-                box.is_superseded = True
-                box.wake()
+        if self.ownership_service is not None and owner != self.ownership_service.incarnation:
+            queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
+            if queue is not None:
+                queue.is_superseded = True
+                queue.wake()
 
-    def _start_claim(
+    def _start_takeover(
         self,
         sock: socket.socket,
         opening: Opening,
-        claim: TokenPayload,
+        payload: TokenPayload,
         arrived: timedelta,
-        take: Callable[[], None],
+        detach: Callable[[], None],
     ) -> bytes:
         """Claim another node's session in a thread of its own; else the answer that turns its client away."""
         with self._lock:
             # Two claims of this node for one session would leave it with the earlier one's tenure.
-            if len(self._claiming) >= MAX_CONCURRENT_CLAIMS or claim.session_id in self._claiming:
+            if len(self._claiming) >= MAX_CONCURRENT_CLAIMS or payload.session_id in self._claiming:
                 return RETRY_SOON
-            self._claiming.add(claim.session_id)
+            self._claiming.add(payload.session_id)
         try:
-            take()
-            told = (sock, opening, claim, arrived)
-            threading.Thread(target=self._claim_ownership, args=told, name="take-over", daemon=True).start()
-        except RuntimeError as err:
-            log(LogEvent.SESSION_TAKEOVER_FAILED, why=err)
+            detach()
+            arguments = (sock, opening, payload, arrived)
+            threading.Thread(target=self._take_over, args=arguments, name="take-over", daemon=True).start()
+        except RuntimeError as error:
+            log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
             with self._lock:
-                self._claiming.discard(claim.session_id)
+                self._claiming.discard(payload.session_id)
             self._answer(sock, opening, RETRY_SOON)
         return b""
 
-    def _claim_ownership(
-        self, sock: socket.socket, opening: Opening, claim: TokenPayload, arrived: timedelta
+    def _take_over(
+        self, sock: socket.socket, opening: Opening, payload: TokenPayload, arrived: timedelta
     ) -> None:
         from tansyladder.replication.session_ownership import OwnershipClaim
 
@@ -120,60 +127,70 @@
         deadline = arrived + opening.wait
         try:
             if self.token_registry.is_known(
-                claim.session_id
+                payload.session_id
             ):  # an earlier claim of this node has just gone through
                 return self._answer(sock, opening, RETRY_SOON)
             if sockets.is_disconnected(sock):  # nobody is there to go on with it
                 return self._answer(sock, opening, RETRY_SOON)
-            at, keep = self.retention_period()
-            by, ask = self.ownership_service.incarnation, next(self.confirmation_numbers)
-            entry = OwnershipClaim(claim.session_id, claim.generation, claim.expires_at_us, by, at, keep, ask)
-            ruling = self.ownership_service.decide_ownership(
-                entry, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT)
+            timestamp_us, retain_until_us = self.retention_period()
+            node, idempotency_key = self.ownership_service.incarnation, next(self.confirmation_numbers)
+            claim = OwnershipClaim(
+                payload.session_id,
+                payload.generation,
+                payload.expires_at_us,
+                node,
+                timestamp_us,
+                retain_until_us,
+                idempotency_key,
+            )
+            result = self.ownership_service.decide_ownership(
+                claim, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT)
             )
-            if ruling is None:
+            if result is None:
                 return self._answer(sock, opening, RETRY_SOON)
-            if not ruling.epoch:
-                again = ruling.reason in ("claimed", "full")
+            if not result.epoch:
+                may_succeed_later = result.reason in ("claimed", "full")
                 return self._answer(
-                    sock, opening, RETRY_SOON if again else control_messages.format_rejection(ruling.reason)
+                    sock,
+                    opening,
+                    RETRY_SOON if may_succeed_later else control_messages.format_rejection(result.reason),
                 )
-            visitor = ResumingClient(
-                sock, int(opening.field_values[RESUME_POSITION_FIELD]), deadline, claim.expires_at_us
+            client = ResumingClient(
+                sock, int(opening.field_values[RESUME_POSITION_FIELD]), deadline, payload.expires_at_us
             )
-            self._restore(claim, opening, claim.generation, claim.expires_at_us, ruling.epoch)
+            self._restore(payload, opening, payload.generation, payload.expires_at_us, result.epoch)
             self.token_registry.begin_resume(
-                claim, self._core.clock.micros(arrived), lambda box: box.add_client(visitor)
+                payload, self._runner.clock.micros(arrived), lambda box: box.add_client(client)
             )
-            log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.epoch, took=now() - arrived)
-        except TokenError as err:  # no room, or two clients with one token here at the same moment
+            log(LogEvent.SESSION_TAKEN_OVER, tenure=result.epoch, took=now() - arrived)
+        except TokenError as error:  # no room, or two clients with one token here at the same moment
             self._answer(
                 sock,
                 opening,
                 RETRY_SOON
-                if err.reason in ("room", "claimed")
-                else control_messages.format_rejection(err.reason),
+                if error.reason in ("room", "claimed")
+                else control_messages.format_rejection(error.reason),
             )
         finally:
             with self._lock:
-                self._claiming.discard(claim.session_id)
+                self._claiming.discard(payload.session_id)
 
     def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
-        self._core.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
+        self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(sock)
         sockets.shutdown_and_drain(sock, answer)
 
     # --- coming back
 
     def resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, take: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived: timedelta, detach: Callable[[], None]
     ) -> bytes:
         """Hand a client with a token to its session's thread, `take` first; else the answer that refuses it.
 
         Nothing waits here. A refusal changes nothing for the session that stands.
         """
         try:
-            if self._core.lifecycle.is_draining:
+            if self._runner.lifecycle.is_draining:
                 if self.resumes_on_any_node:
                     return RETRY_SOON  # another node takes it over
                 raise TokenError(ResumeRejection.DRAINING)
@@ -182,28 +199,28 @@
             position = opening.field_values.get(RESUME_POSITION_FIELD, "")
             if not _POSITION.match(position):
                 raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
-            claim = self.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
+            payload = self.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
             if (
                 self.ownership_service is not None
             ):  # a node that was stopped has clients of long ago in its buffers
                 arrived = min(arrived, now() - sockets.time_since_last_data(sock))
-            if not self.token_registry.is_known(claim.session_id):
+            if not self.token_registry.is_known(payload.session_id):
                 if self.ownership_service is not None:
-                    return self._start_claim(sock, opening, claim, arrived, take)
+                    return self._start_takeover(sock, opening, payload, arrived, detach)
                 if self.session_store is not None:
-                    self._restore_stored(claim)
-            visitor = ResumingClient(sock, int(position), arrived + opening.wait, claim.expires_at_us)
+                    self._restore_stored(payload)
+            client = ResumingClient(sock, int(position), arrived + opening.wait, payload.expires_at_us)
 
-            def deliver(box: ActionQueue) -> None:
-                take()
-                box.add_client(visitor)
+            def deliver(queue: ActionQueue) -> None:
+                detach()
+                queue.add_client(client)
 
-            self.token_registry.begin_resume(claim, self._core.clock.micros(arrived), deliver)
-        except TokenError as err:
-            log(LogEvent.RESUME_REJECTED, why=err.reason)
+            self.token_registry.begin_resume(payload, self._runner.clock.micros(arrived), deliver)
+        except TokenError as error:
+            log(LogEvent.RESUME_REJECTED, why=error.reason)
             # Its client may have given up on an answer that is still on its way, and shows the token again.
-            again = self.ownership_service is not None and err.reason == "claimed"
-            return RETRY_SOON if again else control_messages.format_rejection(err.reason)
+            may_succeed_later = self.ownership_service is not None and error.reason == "claimed"
+            return RETRY_SOON if may_succeed_later else control_messages.format_rejection(error.reason)
         return b""
 
     def rotate_keys(self, options: ResumeOptions) -> None:
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -41,23 +41,23 @@
 
     def __init__(
         self,
-        core: PolicyRunner,
+        runner: PolicyRunner,
         registry: SessionRegistry,
         request: ResumableRequest,
         client: socket.socket | None = None,
     ) -> None:
         """`client`: connected; without one the session is restored and awaits its client."""
-        self._core = core
+        self._runner = runner
         self._registry = registry
         self._queue = request.action_queue
         self._stream = request.stream
         self._lifecycle = SessionLifecycle()
         self._client = ClientConnection(
-            registry, core.metrics, self._lifecycle, request.opening, request.stream
+            registry, runner.metrics, self._lifecycle, request.opening, request.stream
         )
         if client is not None:
             self._client.connect(client)
-        self._placer = UpstreamPlacer(core, registry, request)
+        self._placer = UpstreamPlacer(runner, registry, request)
         self._upstream: PlacedUpstream | None = None
         self._migrations_without_progress = 0
 
@@ -100,7 +100,7 @@
 
     def _forward(self, upstream: PlacedUpstream) -> PlacedUpstream:
         """Forward until the stream host is lost; the next one."""
-        forwarder = Forwarder(self._core, self._queue, self._stream, self._client, upstream)
+        forwarder = Forwarder(self._runner, self._queue, self._stream, self._client, upstream)
         try:
             forwarder.run()
         except UpstreamLostError as lost:
@@ -125,8 +125,8 @@
         self._upstream = None
         self._lifecycle.apply(SessionEvent.UPSTREAM_LOST)
         self._queue.mark_lost()
-        self._core.handle_events(upstream.connection.attempt_ended(upstream.request_id, status))
-        self._core.unregister_request(upstream.request_id)
+        self._runner.handle_events(upstream.connection.attempt_ended(upstream.request_id, status))
+        self._runner.unregister_request(upstream.request_id)
 
     def _next_upstream(self, lost: UpstreamLostError) -> PlacedUpstream:
         """Place the session anew, once there is a client to place it for.
@@ -152,7 +152,7 @@
         self._migrations_without_progress += 1
         if self._migrations_without_progress > MAX_MIGRATIONS_WITHOUT_PROGRESS:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE)
-        if self._core.lifecycle.is_draining:
+        if self._runner.lifecycle.is_draining:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
 
     def _migrate(self, lost: UpstreamLostError) -> PlacedUpstream:
@@ -189,7 +189,7 @@
                 continue
             if self._queue.is_superseded:
                 raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
-            if self._core.lifecycle.is_draining:
+            if self._runner.lifecycle.is_draining:
                 raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED)
             expires_at = self._client.expires_at
             if now() >= expires_at:
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -64,32 +64,32 @@
 class SessionRegistry:
     """One node's resumable sessions; safe to share between threads."""
 
-    def __init__(self, core: PolicyRunner, keeping: SessionStore | None = None) -> None:
+    def __init__(self, runner: PolicyRunner, session_store: SessionStore | None = None) -> None:
         """`keeping`: where sessions outlive the node, unless its peers see to that."""
-        self._core = core
-        self.options: ResumeOptions = core.options.resume
-        peers = core.options.peers
+        self._runner = runner
+        self.options: ResumeOptions = runner.options.resume
+        peers = runner.options.peers
         self.ownership_service: OwnershipService | None = (
             None  # where sessions are taken over, once this process has joined
         )
         self.resumes_on_any_node = peers.enabled
         # With peers a token opens anywhere in the fleet, and who owns a session stands in the log of all.
-        named = peers.fleet if peers.enabled else core.config.name
-        name = named.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
-        self.session_store = None if peers.enabled else keeping
-        kept = self.session_store.identity if self.session_store else None
+        issuer = peers.fleet if peers.enabled else runner.config.name
+        issuer_name = issuer.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
+        self.session_store = None if peers.enabled else session_store
+        identity = self.session_store.identity if self.session_store else None
         # Bound to the name as well: a folder that was copied to another node makes no tokens of this one.
-        drawn = b"" if peers.enabled else kept.issuer_id if kept else os.urandom(32)
-        life = hashlib.blake2b(drawn, digest_size=ISSUER_ID_BYTES, key=name).digest()
+        issuer_seed = b"" if peers.enabled else identity.issuer_id if identity else os.urandom(32)
+        issuer_id = hashlib.blake2b(issuer_seed, digest_size=ISSUER_ID_BYTES, key=issuer_name).digest()
         keys = [SealingKey(key.id, key.secret) for key in self.options.keys]
-        self.keyring = Keyring(life, keys, os.urandom, kept.token_key if kept else None)
-        self.start_number = 1 if peers.enabled else kept.start_count if kept else 0
-        self._durable = peers.enabled or self.session_store is not None
+        self.keyring = Keyring(issuer_id, keys, os.urandom, identity.token_key if identity else None)
+        self.node_start = 1 if peers.enabled else identity.start_count if identity else 0
+        self._is_durable = peers.enabled or self.session_store is not None
         self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(
-            self.options.remembered, self.start_number
+            self.options.remembered, self.node_start
         )
         self.memory_budget = MemoryBudget(
-            int(core.config.limits.memory_mb * (1 << 20) * self.options.memory_share)
+            int(runner.config.limits.memory_mb * (1 << 20) * self.options.memory_share)
         )
         self._suspended_count = self._releasing_count = 0
         self.confirmation_numbers = itertools.count(1)
@@ -114,8 +114,8 @@
 
     def new_stream(self) -> Stream:
         """A new session's positions; its number is the secret that stream hosts know it by."""
-        number = int.from_bytes(os.urandom(8), "big")
-        return Stream(number, self.memory_budget, self.options.buffer, self.start_number, self._durable)
+        session_id = int.from_bytes(os.urandom(8), "big")
+        return Stream(session_id, self.memory_budget, self.options.buffer, self.node_start, self._is_durable)
 
     @staticmethod
     def first_line_builder(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
@@ -124,13 +124,13 @@
             wait, CLIENT_ONLY_PARAMETERS, stream.begin_placement()
         )
 
-    def issue_token_line(self, session: int, opening: Opening) -> bytes:
+    def issue_token_line(self, session_id: int, opening: Opening) -> bytes:
         """The line that lets a client come back from now on."""
-        expiry = self._core.clock.micros(now() + self.options.expires)
-        text = self.keyring.seal(self.token_registry.issue(session, expiry), token_claims(opening))
+        expires_at_us = self._runner.clock.micros(now() + self.options.expires)
+        text = self.keyring.seal(self.token_registry.issue(session_id, expires_at_us), token_claims(opening))
         if self.session_store is not None:
             self.session_store.save_session(
-                session, opening.line, self.token_registry.generation_floor(session), expiry
+                session_id, opening.line, self.token_registry.generation_floor(session_id), expires_at_us
             )
         return control_messages.format_token(text, self.options.expires // timedelta(milliseconds=1))
 
@@ -139,91 +139,99 @@
         """Sessions without a client."""
         return self._suspended_count
 
-    def redeem(self, session: int, opening: Opening, visitor: ResumingClient) -> bytes:
+    def redeem(self, session_id: int, opening: Opening, client: ResumingClient) -> bytes:
         """A resume goes through; else the answer that refuses it, and nothing has changed here.
 
         With peers the log has to say that this node owns the session still. What is not known in time is no
         yes, and may not have been a no: the client hears BUSY, and if it was none its token is good still.
         """
         if self.session_store is not None:
-            expiry = self._core.clock.micros(now() + self.options.expires)
-            floor = self.token_registry.next_generation_floor(session)
-            if not self.session_store.redeem_session(session, opening.line, floor, expiry):
+            expires_at_us = self._runner.clock.micros(now() + self.options.expires)
+            generation_floor = self.token_registry.next_generation_floor(session_id)
+            if not self.session_store.redeem_session(
+                session_id, opening.line, generation_floor, expires_at_us
+            ):
                 return control_messages.format_rejection("store")
         if self.ownership_service is not None:
             from tansyladder.replication.session_ownership import ClaimConfirmation, SessionOpened
 
             if sockets.is_disconnected(
-                visitor.sock
+                client.sock
             ):  # this node was slow: its client shows the token elsewhere by now
                 return RETRY_SOON
-            floor = self.token_registry.next_generation_floor(session)
-            at, keep = self.retention_period()
-            tenure = floor >> GENERATION_COUNTER_BITS
-            entry = ClaimConfirmation(
-                session,
-                tenure,
-                floor,
-                visitor.token_expiry_us,
+            generation_floor = self.token_registry.next_generation_floor(session_id)
+            timestamp_us, retain_until_us = self.retention_period()
+            ownership_epoch = generation_floor >> GENERATION_COUNTER_BITS
+            confirmation = ClaimConfirmation(
+                session_id,
+                ownership_epoch,
+                generation_floor,
+                client.token_expiry_us,
                 self.ownership_service.incarnation,
-                at,
-                keep,
+                timestamp_us,
+                retain_until_us,
                 next(self.confirmation_numbers),
             )
-            ruling = self.ownership_service.decide_ownership(
-                entry, min(visitor.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
+            result = self.ownership_service.decide_ownership(
+                confirmation, min(client.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
             )
-            late = now() > visitor.deadline or sockets.is_disconnected(visitor.sock)
-            if ruling is None or (ruling.epoch and late):
-                good = self.token_registry.generation_floor(session)  # as it was
+            is_late = now() > client.deadline or sockets.is_disconnected(client.sock)
+            if result is None or (result.epoch and is_late):
+                previous_floor = self.token_registry.generation_floor(session_id)  # as it was
                 self._release_token(
                     msgspec.structs.replace(
-                        entry, generation_floor=good, sequence=next(self.confirmation_numbers)
+                        confirmation,
+                        generation_floor=previous_floor,
+                        sequence=next(self.confirmation_numbers),
                     )
                 )
                 return RETRY_SOON
-            if not ruling.epoch:  # who has claimed it since may fail: its token may be good still
+            if not result.epoch:  # who has claimed it since may fail: its token may be good still
                 return (
                     RETRY_SOON
-                    if ruling.reason == "claimed"
-                    else control_messages.format_rejection(ruling.reason)
+                    if result.reason == "claimed"
+                    else control_messages.format_rejection(result.reason)
                 )
-            self._unconfirmed_openings[session] = SessionOpened(
-                session, tenure, self.ownership_service.incarnation, at, entry.sequence
+            self._unconfirmed_openings[session_id] = SessionOpened(
+                session_id,
+                ownership_epoch,
+                self.ownership_service.incarnation,
+                timestamp_us,
+                confirmation.sequence,
             )
-        self.token_registry.redeem(session)
+        self.token_registry.redeem(session_id)
         return b""
 
-    def confirm_opened(self, session: int) -> None:
+    def confirm_opened(self, session_id: int) -> None:
         """UP has gone out to who came back: where there are peers they hear that the token is spent."""
-        told = self._unconfirmed_openings.pop(session, None)
-        if told is not None and self.ownership_service is not None:
-            self.ownership_service.propose(told)
+        opened = self._unconfirmed_openings.pop(session_id, None)
+        if opened is not None and self.ownership_service is not None:
+            self.ownership_service.propose(opened)
 
-    def end(self, session: int, why: SessionEnd) -> None:
+    def end(self, session_id: int, session_end: SessionEnd) -> None:
         """Nobody comes back to it any more."""
-        self.token_registry.end(session, why)
-        self._unconfirmed_openings.pop(session, None)
+        self.token_registry.end(session_id, session_end)
+        self._unconfirmed_openings.pop(session_id, None)
         if self.session_store is not None:
-            self.session_store.delete_session(session)
+            self.session_store.delete_session(session_id)
 
     def retention_period(self) -> tuple[int, int]:
         """Now, and until when tokens that have been issued by now may be out; microseconds of Unix time."""
-        at = now()
-        return self._core.clock.micros(at), self._core.clock.micros(
-            at + self.options.expires + MAX_CLOCK_SKEW
+        moment = now()
+        return self._runner.clock.micros(moment), self._runner.clock.micros(
+            moment + self.options.expires + MAX_CLOCK_SKEW
         )
 
-    def _release_token(self, entry: ClaimConfirmation) -> None:
+    def _release_token(self, confirmation: ClaimConfirmation) -> None:
         """Say until it is heard, or the token has expired, that a token did not open its session."""
 
         def run() -> None:
             assert self.ownership_service is not None
-            until = self._core.clock.moment(entry.token_expiry_us)
+            deadline = self._runner.clock.moment(confirmation.token_expiry_us)
             while (
-                now() < until
+                now() < deadline
                 and self.ownership_service.decide_ownership(
-                    entry, min(until, now() + RELEASE_ATTEMPT_TIMEOUT)
+                    confirmation, min(deadline, now() + RELEASE_ATTEMPT_TIMEOUT)
                 )
                 is None
             ):
@@ -237,8 +245,8 @@
             self._releasing_count += 1
         try:
             threading.Thread(target=run, name="give-back", daemon=True).start()
-        except RuntimeError as err:
-            log(LogEvent.SESSION_TAKEOVER_FAILED, why=err)
+        except RuntimeError as error:
+            log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
             with self._lock:
                 self._releasing_count -= 1
 
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -52,23 +52,23 @@
     endpoints: EndpointList = msgspec.field(name="members")
 
 
-def _session_key(session: int) -> bytes:
-    return SESSION_KEY_PREFIX + session.to_bytes(8, "big")
+def _session_key(session_id: int) -> bytes:
+    return SESSION_KEY_PREFIX + session_id.to_bytes(8, "big")
 
 
 class SessionStore:
     """The node's records in an open store; safe to share between threads."""
 
-    def __init__(self, store: Store, clock: Callable[[], int]) -> None:
+    def __init__(self, store: Store, now_us: Callable[[], int]) -> None:
         self._store = self.store = store
-        self._clock = clock
-        self._failed = False
+        self._now_us = now_us
+        self._has_failed = False
         self._endpoints: dict[str, EndpointEntry] = {}
         self._stop = threading.Event()
-        kept = store.get(IDENTITY_KEY)
-        drawn = NodeIdentity(os.urandom(ISSUER_ID_BYTES), os.urandom(KEY_BYTES), 0)
-        before = msgspec.msgpack.decode(kept, type=NodeIdentity) if kept else drawn
-        self.identity = NodeIdentity(before.issuer_id, before.token_key, before.start_count + 1)
+        record = store.get(IDENTITY_KEY)
+        new_identity = NodeIdentity(os.urandom(ISSUER_ID_BYTES), os.urandom(KEY_BYTES), 0)
+        previous = msgspec.msgpack.decode(record, type=NodeIdentity) if record else new_identity
+        self.identity = NodeIdentity(previous.issuer_id, previous.token_key, previous.start_count + 1)
         store.put(
             IDENTITY_KEY, msgspec.msgpack.encode(self.identity)
         )  # before anything is sealed under this start
@@ -82,103 +82,109 @@
         self._stop.set()
         try:
             self._store.close()
-        except StoreError as err:
-            self._report_failure(err)
+        except StoreError as error:
+            self._report_failure(error)
 
     def _maintain(self) -> None:
-        while not self._failed and not self._stop.wait(MAINTENANCE_INTERVAL.total_seconds()):
+        while not self._has_failed and not self._stop.wait(MAINTENANCE_INTERVAL.total_seconds()):
             try:
                 while not self._stop.is_set() and self._store.maintain():
                     pass
-            except StoreError as err:
-                self._report_failure(err)
+            except StoreError as error:
+                self._report_failure(error)
 
-    def _report_failure(self, err: StoreError) -> None:
-        if not self._failed and not self._stop.is_set():
-            self._failed = err.code != "full"
-            log(LogEvent.STORE_FAILED, word=err.code, why=err)
+    def _report_failure(self, error: StoreError) -> None:
+        if not self._has_failed and not self._stop.is_set():
+            self._has_failed = error.code != "full"
+            log(LogEvent.STORE_FAILED, word=error.code, why=error)
 
-    def _write(self, op: WriteOperation, durability: Durability = Durability.BUFFERED) -> bool:
+    def _write(self, operation: WriteOperation, durability: Durability = Durability.BUFFERED) -> bool:
         try:
-            self._store.write((op,), durability)
-        except StoreError as err:
-            self._report_failure(err)
+            self._store.write((operation,), durability)
+        except StoreError as error:
+            self._report_failure(error)
             return False
         return True
 
     # --- members
 
-    def save_endpoints(self, listed: EndpointList) -> None:
+    def save_endpoints(self, update: EndpointList) -> None:
         """Keep the list as it is after these changes."""
-        if listed.complete:
+        if update.complete:
             self._endpoints = {}
-        for entry in listed.endpoints:
+        for entry in update.endpoints:
             if entry.state == "removed":
                 self._endpoints.pop(entry.id, None)
             else:
                 self._endpoints[entry.id] = entry
-        whole = EndpointList(listed.revision, True, list(self._endpoints.values()))
+        endpoints = EndpointList(update.revision, True, list(self._endpoints.values()))
         self._write(
-            WriteOperation(ENDPOINTS_KEY, msgspec.msgpack.encode(StoredEndpointList(self._clock(), whole)))
+            WriteOperation(
+                ENDPOINTS_KEY, msgspec.msgpack.encode(StoredEndpointList(self._now_us(), endpoints))
+            )
         )
 
     def cached_endpoints(self) -> StoredEndpointList | None:
         """The list of the last start, where one was kept."""
         try:
-            kept = self._store.get(ENDPOINTS_KEY)
-        except StoreError as err:
-            self._report_failure(err)
+            record = self._store.get(ENDPOINTS_KEY)
+        except StoreError as error:
+            self._report_failure(error)
             return None
-        found = msgspec.msgpack.decode(kept, type=StoredEndpointList) if kept else None
-        if found is not None:
-            self._endpoints = {entry.id: entry for entry in found.endpoints.endpoints}
-        return found
+        cached = msgspec.msgpack.decode(record, type=StoredEndpointList) if record else None
+        if cached is not None:
+            self._endpoints = {entry.id: entry for entry in cached.endpoints.endpoints}
+        return cached
 
     # --- sessions
 
-    def save_session(self, session: int, line: str, floor: int, expiry: int) -> None:
+    def save_session(
+        self, session_id: int, first_line: str, generation_floor: int, expires_at_us: int
+    ) -> None:
         """Note a session, or that it lives on until another moment; it is on disk soon."""
-        kept = msgspec.msgpack.encode(StoredSession(line, floor, expiry))
-        self._write(WriteOperation(_session_key(session), kept, expiry))
+        record = msgspec.msgpack.encode(StoredSession(first_line, generation_floor, expires_at_us))
+        self._write(WriteOperation(_session_key(session_id), record, expires_at_us))
 
-    def redeem_session(self, session: int, line: str, floor: int, expiry: int) -> bool:
+    def redeem_session(
+        self, session_id: int, first_line: str, generation_floor: int, expires_at_us: int
+    ) -> bool:
         """Note that older tokens are spent; on disk when this returns, or False: it can't be noted."""
-        kept = msgspec.msgpack.encode(StoredSession(line, floor, expiry))
-        return self._write(WriteOperation(_session_key(session), kept, expiry), Durability.SYNCED)
+        record = msgspec.msgpack.encode(StoredSession(first_line, generation_floor, expires_at_us))
+        return self._write(WriteOperation(_session_key(session_id), record, expires_at_us), Durability.SYNCED)
 
-    def delete_session(self, session: int) -> None:
+    def delete_session(self, session_id: int) -> None:
         """Nobody comes back to it any more."""
-        self._write(WriteOperation(_session_key(session), None))
+        self._write(WriteOperation(_session_key(session_id), None))
 
-    def load_session(self, session: int) -> StoredSession | None:
+    def load_session(self, session_id: int) -> StoredSession | None:
         """What was kept of a session of an earlier start."""
         try:
-            kept = self._store.get(_session_key(session))
-        except StoreError as err:
-            self._report_failure(err)
+            record = self._store.get(_session_key(session_id))
+        except StoreError as error:
+            self._report_failure(error)
             return None
-        return msgspec.msgpack.decode(kept, type=StoredSession) if kept else None
+        return msgspec.msgpack.decode(record, type=StoredSession) if record else None
 
 
-def open_session_store(directory: str, node: str) -> SessionStore | None:
+def open_session_store(directory: str, node_name: str) -> SessionStore | None:
     """The node's records; None, and a line in the log, where the store can't be used."""
     clock = Clock()
 
-    def micros() -> int:
+    def now_us() -> int:
         return clock.micros(now())
 
     try:
-        store = open_store(RealFiles(Path(directory)), node, micros)
-    except StoreError as err:
-        log(LogEvent.STORE_UNUSABLE, word=err.code, why=err)
+        store = open_store(RealFiles(Path(directory)), node_name, now_us)
+    except StoreError as error:
+        log(LogEvent.STORE_UNUSABLE, word=error.code, why=error)
         return None
-    except OSError as err:
-        log(LogEvent.STORE_UNUSABLE, word="unusable", why=err)
+    except OSError as error:
+        log(LogEvent.STORE_UNUSABLE, word="unusable", why=error)
         return None
     figures = store.stats._asdict()
     log(LogEvent.STORE_OPEN, dropped=store.dropped_bytes, rebuilt=store.rebuilt_hint_count, **figures)
     try:
-        return SessionStore(store, micros)
-    except StoreError as err:
-        log(LogEvent.STORE_UNUSABLE, word=err.code, why=err)
+        return SessionStore(store, now_us)
+    except StoreError as error:
+        log(LogEvent.STORE_UNUSABLE, word=error.code, why=error)
         return None
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -45,21 +45,21 @@
 class UpstreamPlacer:
     """Places one session. Owned by the session's thread."""
 
-    def __init__(self, core: PolicyRunner, registry: SessionRegistry, request: ResumableRequest) -> None:
-        self._core = core
+    def __init__(self, runner: PolicyRunner, registry: SessionRegistry, request: ResumableRequest) -> None:
+        self._runner = runner
         self._request = request
         self._first_line = registry.first_line_builder(request.opening, request.stream)
         self._replay = b""
 
     def place(self, deadline: timedelta) -> PlacedUpstream | PlacementRejected:
         """Follow the policy until a stream host continues the session, or the request is given up."""
-        core = self._core
+        runner = self._runner
         request = self._request
         queue = request.action_queue
         opening = request.opening
-        request_id = core.register_request(queue)
+        request_id = runner.register_request(queue)
         loop = AttemptLoop(
-            core,
+            runner,
             queue,
             request_id,
             opening.class_name,
@@ -69,12 +69,12 @@
             LINES_OF_ANSWER,
             self._accept,
         )
-        answer = loop.run(build_request(core, request_id, request.class_number, opening, deadline, True))
+        answer = loop.run(build_request(runner, request_id, request.class_number, opening, deadline, True))
         if isinstance(answer, UpstreamConnection):
             up_line, _position, *following_lines = answer.initial_lines
             connection = replace(answer, initial_lines=(up_line, *following_lines))
             return PlacedUpstream.of(connection, request_id, self._replay)
-        core.unregister_request(request_id)
+        runner.unregister_request(request_id)
         if isinstance(answer, Reject):
             return PlacementRejected(answer.retry_after_us * MICROSECOND)
         return PlacementRejected(timedelta(0))
