--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -58,7 +58,7 @@
         LeaseExpiryPolicy(told.cut_off),
         told.lease,
     )
-    resuming.ownership_service = agreeing
+    resuming.join_peers(agreeing)
     if agreeing.document_replica is not None:
         core.decision_permit = DocumentPublisher(agreeing, agreeing.document_replica, told.stamps)
     agreeing.start()
--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -16,7 +16,7 @@
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd
 from tansyladder.sessions.buffered_socket import BufferedSocket
-from tansyladder.sessions.errors import SessionEndedError, SuspendReason
+from tansyladder.sessions.errors import ResumeRejectedError, SessionEndedError, SuspendReason
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
 
@@ -125,11 +125,12 @@
         """
         try:
             position_line, *lines = self._stream.resume_client(client.received_line_count)
+            self._registry.redeem(self._stream.session_id, self._opening, client)
         except PositionError as error:
             self.cancel_resume(client, control_messages.format_rejection(error.reason))
             return
-        if rejection := self._registry.redeem(self._stream.session_id, self._opening, client):
-            self.cancel_resume(client, rejection)
+        except ResumeRejectedError as error:
+            self.cancel_resume(client, error.answer)
             return
         if self.socket is not None:
             sockets.reset(self.socket.sock)
--- a/tansyladder/sessions/errors.py
+++ b/tansyladder/sessions/errors.py
@@ -2,11 +2,15 @@
 
 from __future__ import annotations
 
+from datetime import timedelta
 from enum import StrEnum
 
+from tansyladder.net import protocol
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption.token_registry import SessionEnd
 
+RETRY_SOON = protocol.format_reject(timedelta(milliseconds=200))  # to a token that may be valid in a moment
+
 
 class UpstreamLossReason(StrEnum):
     """Why a session left its stream host; the value is `why` of `session_moved` and `session_rejected`."""
@@ -63,3 +67,11 @@
         self.session_end = session_end
         self.status = status
         self.last_line = last_line
+
+
+class ResumeRejectedError(SessionError):
+    """A resume that changed nothing of the session; `answer` is the line that its client gets."""
+
+    def __init__(self, answer: bytes) -> None:
+        super().__init__(answer.decode().strip())
+        self.answer = answer
--- /dev/null
+++ b/tansyladder/sessions/ownership_client.py
@@ -0,0 +1,183 @@
+"""Agreement with the cluster on which node owns a session, and on which of its tokens are spent.
+
+A node that is shown another node's token claims the session before it restores it, and every resume is
+confirmed before the client is answered. This module is loaded only where the node has peers.
+"""
+
+from __future__ import annotations
+
+import itertools
+import random
+import threading
+import time
+from datetime import timedelta
+from typing import NamedTuple, Protocol
+
+import msgspec
+
+from tansyladder.log import LogEvent, log
+from tansyladder.net import sockets
+from tansyladder.net.action_queue import ResumingClient
+from tansyladder.net.clock import Clock, now
+from tansyladder.replication.session_ownership import (
+    ClaimConfirmation,
+    ClaimResult,
+    OwnershipClaim,
+    SessionOpened,
+)
+from tansyladder.resumption import control_messages
+from tansyladder.resumption.errors import ResumeRejection
+from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS
+from tansyladder.resumption.tokens import TokenPayload
+from tansyladder.sessions.errors import RETRY_SOON, ResumeRejectedError
+
+MAX_CONCURRENT_RELEASES = 256  # each is a thread
+CLAIM_TIMEOUT = timedelta(milliseconds=500)  # for the cluster to decide on a claim
+CONFIRMATION_TIMEOUT = timedelta(milliseconds=700)  # for the cluster to decide on a confirmation
+RELEASE_ATTEMPT_TIMEOUT = timedelta(seconds=2)
+RELEASE_PAUSE_S = (0.05, 0.25)  # between two attempts, drawn evenly
+ANSWER_MARGIN = timedelta(milliseconds=100)  # of a client's wait that is left for its answer
+MAX_CLOCK_SKEW = timedelta(seconds=5)  # between nodes; longer than an entry takes to be agreed on
+# Reasons of the cluster for which the same token may still resume the session later.
+TEMPORARY_REASONS = ("claimed", "full")
+
+
+class OwnershipService(Protocol):
+    """Where the cluster decides who owns a session. Thread-safe."""
+
+    incarnation: str  # the node and its start
+
+    def propose(self, entry: SessionOpened) -> None:
+        """Propose an entry whose loss does no harm, without waiting for the decision."""
+
+    def decide_ownership(
+        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+    ) -> ClaimResult | None:
+        """What the cluster decides on an entry; None where that is not known in time."""
+
+
+class RetentionPeriod(NamedTuple):
+    """Microseconds of Unix time."""
+
+    now_us: int
+    until_us: int  # until when tokens that were issued by now may be valid
+
+
+class OwnershipClient:
+    """This node's claims and confirmations. Thread-safe; waits for the cluster in the caller's thread."""
+
+    def __init__(self, service: OwnershipService, clock: Clock, token_lifetime: timedelta) -> None:
+        self._service = service
+        self._clock = clock
+        self._token_lifetime = token_lifetime
+        self._request_numbers = itertools.count(1)  # of claims and confirmations; `next` is atomic
+        self._unreported: dict[int, SessionOpened] = {}  # by session: confirmed, and UP is not sent yet
+        self._releasing_count = 0
+        self._lock = threading.Lock()  # of `_releasing_count`
+
+    @property
+    def node(self) -> str:
+        """The name of this node and its start."""
+        return self._service.incarnation
+
+    def claim(self, payload: TokenPayload, deadline: timedelta) -> int:
+        """Claim the session of a token for this node; its ownership epoch.
+
+        ResumeRejectedError: the cluster has decided otherwise, or its decision is not known in time.
+        """
+        period = self._retention_period()
+        claim = OwnershipClaim(
+            payload.session_id,
+            payload.generation,
+            payload.expires_at_us,
+            self.node,
+            period.now_us,
+            period.until_us,
+            next(self._request_numbers),
+        )
+        result = self._service.decide_ownership(claim, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT))
+        if result is None or (not result.epoch and result.reason in TEMPORARY_REASONS):
+            raise ResumeRejectedError(RETRY_SOON)
+        if not result.epoch:
+            raise ResumeRejectedError(control_messages.format_rejection(result.reason))
+        return result.epoch
+
+    def confirm(self, session_id: int, current_floor: int, next_floor: int, client: ResumingClient) -> None:
+        """Have the cluster confirm that this node owns a session and tokens below `next_floor` are spent.
+
+        ResumeRejectedError: it does not, or its decision is not known in time. That is no rejection by the
+        cluster, so the client is told to try again, and the cluster that the token was not redeemed.
+        """
+        if sockets.is_disconnected(client.sock):  # this node was slow: the client shows its token elsewhere
+            raise ResumeRejectedError(RETRY_SOON)
+        period = self._retention_period()
+        epoch = next_floor >> GENERATION_COUNTER_BITS
+        confirmation = ClaimConfirmation(
+            session_id,
+            epoch,
+            next_floor,
+            client.token_expiry_us,
+            self.node,
+            period.now_us,
+            period.until_us,
+            next(self._request_numbers),
+        )
+        until = min(client.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
+        result = self._service.decide_ownership(confirmation, until)
+        is_late = now() > client.deadline or sockets.is_disconnected(client.sock)
+        if result is None or (result.epoch and is_late):
+            sequence = next(self._request_numbers)
+            self._release(
+                msgspec.structs.replace(confirmation, generation_floor=current_floor, sequence=sequence)
+            )
+            raise ResumeRejectedError(RETRY_SOON)
+        if not result.epoch:
+            # A node that has claimed the session since may fail to resume it: the token may be valid still.
+            is_claimed = result.reason == ResumeRejection.CLAIMED
+            rejection = control_messages.format_rejection(result.reason)
+            raise ResumeRejectedError(RETRY_SOON if is_claimed else rejection)
+        opened = SessionOpened(session_id, epoch, self.node, period.now_us, confirmation.sequence)
+        self._unreported[session_id] = opened
+
+    def report_opened(self, session_id: int) -> None:
+        """Tell the cluster that a confirmed client was answered: its token is spent beyond doubt."""
+        opened = self._unreported.pop(session_id, None)
+        if opened is not None:
+            self._service.propose(opened)
+
+    def forget(self, session_id: int) -> None:
+        """Drop what is known of a session that has ended."""
+        self._unreported.pop(session_id, None)
+
+    def _retention_period(self) -> RetentionPeriod:
+        moment = now()
+        until = moment + self._token_lifetime + MAX_CLOCK_SKEW
+        return RetentionPeriod(self._clock.micros(moment), self._clock.micros(until))
+
+    def _release(self, confirmation: ClaimConfirmation) -> None:
+        """Tell the cluster in a thread that a token was not redeemed; beyond the limit it is not told."""
+        with self._lock:
+            if self._releasing_count >= MAX_CONCURRENT_RELEASES:
+                return
+            self._releasing_count += 1
+        try:
+            threading.Thread(
+                target=self._release_until_decided, args=(confirmation,), name="give-back", daemon=True
+            ).start()
+        except RuntimeError as error:
+            log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
+            self._release_finished()
+
+    def _release_until_decided(self, confirmation: ClaimConfirmation) -> None:
+        """Repeat a confirmation until the cluster has decided on it or the token has expired."""
+        deadline = self._clock.moment(confirmation.token_expiry_us)
+        while now() < deadline:
+            until = min(deadline, now() + RELEASE_ATTEMPT_TIMEOUT)
+            if self._service.decide_ownership(confirmation, until) is not None:
+                break
+            time.sleep(random.uniform(*RELEASE_PAUSE_S))
+        self._release_finished()
+
+    def _release_finished(self) -> None:
+        with self._lock:
+            self._releasing_count -= 1
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -1,4 +1,4 @@
-"""How a client comes back to its session: the one that lives here, a kept one, or another node's."""
+"""How a client resumes its session: one that lives here, a stored one, or one of another node."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import threading
 from collections.abc import Callable
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import LogEvent, log
@@ -22,22 +23,37 @@
 from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd
-from tansyladder.resumption.tokens import SealingKey, TokenPayload
+from tansyladder.resumption.tokens import TokenPayload
+from tansyladder.sessions.errors import RETRY_SOON, ResumeRejectedError
 from tansyladder.sessions.session import Session
-from tansyladder.sessions.session_registry import ANSWER_MARGIN, RETRY_SOON, SessionRegistry, token_claims
+from tansyladder.sessions.session_registry import SessionRegistry, sealing_keys, token_claims
 from tansyladder.sessions.session_store import SessionStore
 
-MAX_CONCURRENT_CLAIMS = 256  # sessions of other nodes that are being claimed at once
-CLAIM_TIMEOUT = timedelta(milliseconds=500)  # for the peers to rule on a claim
+if TYPE_CHECKING:  # a node without peers does not load what they need
+    from tansyladder.sessions.ownership_client import OwnershipClient, OwnershipService
+
+MAX_CONCURRENT_CLAIMS = 256  # of sessions of other nodes; each is a thread
 _POSITION = re.compile(r"[0-9]{1,15}\Z", re.A)
+# Rejections of a claimed session for which the same token may still resume it later.
+_TEMPORARY_REJECTIONS = (ResumeRejection.NO_CAPACITY, ResumeRejection.CLAIMED)
 
 
 class ResumptionHandler(SessionRegistry):
-    """One node's resumable sessions; safe to share between threads."""
+    """The sessions of one node, and the clients that come back to them. Thread-safe.
+
+    Each session runs in a thread: that of its first request, or one of its own where it is restored.
+    """
 
     def __init__(self, runner: PolicyRunner, session_store: SessionStore | None = None) -> None:
+        """As SessionRegistry."""
         super().__init__(runner, session_store)
-        self._claiming: set[int] = set()  # sessions that are being claimed
+        self._claiming: set[int] = set()  # ids of sessions that are being claimed; guarded by `_lock`
+
+    def join_peers(self, service: OwnershipService) -> None:
+        """From now on claim and confirm sessions with the cluster."""
+        from tansyladder.sessions.ownership_client import OwnershipClient
+
+        self.ownership = OwnershipClient(service, self._runner.clock, self.options.expires)
 
     def serve(
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
@@ -45,49 +61,111 @@
         """Serve a session from its first UP to its end; the client's socket is closed then."""
         Session(self._runner, self, request, client).run(upstream, request_id)
 
-    def _restore_stored(self, payload: TokenPayload) -> None:
-        """Where a session of an earlier start is still kept, begin it anew, without a client or a host."""
-        stored = self.session_store.load_session(payload.session_id) if self.session_store else None
+    def rotate_keys(self, options: ResumeOptions) -> None:
+        """Put the keys of new settings in force."""
+        self.keyring.rotate(sealing_keys(options))
+
+    # --- clients that come back
+
+    def resume(
+        self, sock: socket.socket, opening: Opening, arrived: timedelta, detach: Callable[[], None]
+    ) -> bytes:
+        """Hand a client with a token over to its session's thread; empty, or the answer that rejects it.
+
+        `detach` is called first where the client is handed over; its socket is not the caller's any more.
+        Nothing waits here, and a rejection changes nothing for the session. LineError: no position is told.
+        """
+        try:
+            self._check_is_available()
+            return self._resume(sock, opening, arrived, detach)
+        except ResumeRejectedError as error:
+            return error.answer
+        except TokenError as error:
+            log(LogEvent.RESUME_REJECTED, why=error.reason)
+            # The client may have given up on an answer that is on its way, and show the token again.
+            if self.ownership is not None and error.reason is ResumeRejection.CLAIMED:
+                return RETRY_SOON
+            return control_messages.format_rejection(error.reason)
+
+    def _check_is_available(self) -> None:
+        """ResumeRejectedError, TokenError: this node resumes no session now."""
+        if self._runner.lifecycle.is_draining:
+            if self.resumes_on_any_node:
+                raise ResumeRejectedError(RETRY_SOON)  # another node claims the session
+            raise TokenError(ResumeRejection.DRAINING)
+        if self.resumes_on_any_node and self.ownership is None:
+            raise ResumeRejectedError(RETRY_SOON)
+
+    def _resume(
+        self, sock: socket.socket, opening: Opening, arrived: timedelta, detach: Callable[[], None]
+    ) -> bytes:
+        position = opening.field_values.get(RESUME_POSITION_FIELD, "")
+        if not _POSITION.match(position):
+            raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
+        payload = self.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
+        if self.ownership is not None:  # a process that was stopped has clients of long ago in its buffers
+            arrived = min(arrived, now() - sockets.time_since_last_data(sock))
+        client = ResumingClient(sock, int(position), arrived + opening.wait, payload.expires_at_us)
+        if not self.token_registry.is_known(payload.session_id):
+            if self.ownership is not None:
+                self._start_takeover(client, opening, payload, arrived, detach)
+                return b""
+            if self.session_store is not None:
+                self._restore_stored(self.session_store, payload)
+
+        def deliver(queue: ActionQueue) -> None:
+            detach()
+            queue.add_client(client)
+
+        self.token_registry.begin_resume(payload, self._runner.clock.micros(arrived), deliver)
+        return b""
+
+    # --- sessions that are restored
+
+    def _restore_stored(self, session_store: SessionStore, payload: TokenPayload) -> None:
+        """Restore a session of an earlier start, where it is stored. TokenError: spent, or no capacity."""
+        stored = session_store.load_session(payload.session_id)
         if stored is None:
             return
         if payload.generation < stored.generation_floor:
             raise TokenError(ResumeRejection.SPENT)
         opening = protocol.parse_opening(stored.first_line.encode() + b"\r\n")
-        self._restore(payload, opening, stored.generation_floor, stored.expires_at_us, 0)
+        self._restore(payload.session_id, opening, stored.generation_floor, stored.expires_at_us)
 
     def _restore(
         self,
-        payload: TokenPayload,
+        session_id: int,
         opening: Opening,
         generation_floor: int,
         expires_at_us: int,
-        ownership_epoch: int,
+        ownership_epoch: int = 0,
     ) -> None:
-        """Begin a session of an earlier start or of another node, without a client or a host.
+        """Start a session of an earlier start or of another node, without a client or a stream host.
 
-        TokenError: there is no room for it.
+        TokenError: there is no capacity for it.
         """
-        node_start = ownership_epoch or self.node_start
         queue = ActionQueue()
+        expires_at = self._runner.clock.moment(expires_at_us)
         try:
             queue.open()
-            stream = Stream.restored(payload.session_id, self.memory_budget, self.options.buffer, node_start)
+            node_start = ownership_epoch or self.node_start
+            stream = Stream.restored(session_id, self.memory_budget, self.options.buffer, node_start)
             class_number = self._runner.class_numbers[opening.class_name]
             session = Session(self._runner, self, ResumableRequest(queue, class_number, opening, stream))
-            session.set_expiry(self._runner.clock.moment(expires_at_us))
-            self.token_registry.add(payload.session_id, queue, generation_floor, ownership_epoch)
+            session.set_expiry(expires_at)
+            self.token_registry.add(session_id, queue, generation_floor, ownership_epoch)
             threading.Thread(target=session.run, daemon=True).start()
         except (OSError, RuntimeError) as error:
-            self.token_registry.end(payload.session_id, SessionEnd.NO_CAPACITY)
+            self.token_registry.end(session_id, SessionEnd.NO_CAPACITY)
             queue.close()
             raise TokenError(ResumeRejection.NO_CAPACITY) from error
-        log(LogEvent.SESSION_RESTORED, left=self._runner.clock.moment(expires_at_us) - now())
+        log(LogEvent.SESSION_RESTORED, left=expires_at - now())
 
-    # --- taking over
+    # --- sessions of other nodes
 
     def on_ownership_claimed(self, session_id: int, ownership_epoch: int, owner: str) -> None:
-        """The log says that another node owns a session: what there is of it here ends."""
-        if self.ownership_service is not None and owner != self.ownership_service.incarnation:
+        """The cluster has decided that a node owns a session: if it is another one, the session ends here."""
+        if self.ownership is not None and owner != self.ownership.node:
             queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
             if queue is not None:
                 queue.is_superseded = True
@@ -95,134 +173,72 @@
 
     def _start_takeover(
         self,
-        sock: socket.socket,
+        client: ResumingClient,
         opening: Opening,
         payload: TokenPayload,
         arrived: timedelta,
         detach: Callable[[], None],
-    ) -> bytes:
-        """Claim another node's session in a thread of its own; else the answer that turns its client away."""
+    ) -> None:
+        """Take over another node's session in a thread of its own.
+
+        ResumeRejectedError: too many are being claimed, or this one is. Two claims of one node for one
+        session would leave it with the epoch of the earlier one.
+        """
         with self._lock:
-            # Two claims of this node for one session would leave it with the earlier one's tenure.
-            if len(self._claiming) >= MAX_CONCURRENT_CLAIMS or payload.session_id in self._claiming:
-                return RETRY_SOON
+            is_full = len(self._claiming) >= MAX_CONCURRENT_CLAIMS
+            if is_full or payload.session_id in self._claiming:
+                raise ResumeRejectedError(RETRY_SOON)
             self._claiming.add(payload.session_id)
         try:
             detach()
-            arguments = (sock, opening, payload, arrived)
-            threading.Thread(target=self._take_over, args=arguments, name="take-over", daemon=True).start()
+            arguments = (client, opening, payload, arrived)
+            threading.Thread(target=self._run_takeover, args=arguments, name="take-over", daemon=True).start()
         except RuntimeError as error:
             log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
-            with self._lock:
-                self._claiming.discard(payload.session_id)
-            self._answer(sock, opening, RETRY_SOON)
-        return b""
+            self._takeover_finished(payload.session_id)
+            self._answer(client, opening, RETRY_SOON)
 
-    def _take_over(
-        self, sock: socket.socket, opening: Opening, payload: TokenPayload, arrived: timedelta
+    def _run_takeover(
+        self, client: ResumingClient, opening: Opening, payload: TokenPayload, arrived: timedelta
     ) -> None:
-        from tansyladder.replication.session_ownership import OwnershipClaim
-
-        assert self.ownership_service is not None
-        deadline = arrived + opening.wait
+        """Take over a session; a client for which that fails is answered here."""
         try:
-            if self.token_registry.is_known(
-                payload.session_id
-            ):  # an earlier claim of this node has just gone through
-                return self._answer(sock, opening, RETRY_SOON)
-            if sockets.is_disconnected(sock):  # nobody is there to go on with it
-                return self._answer(sock, opening, RETRY_SOON)
-            timestamp_us, retain_until_us = self.retention_period()
-            node, idempotency_key = self.ownership_service.incarnation, next(self.confirmation_numbers)
-            claim = OwnershipClaim(
-                payload.session_id,
-                payload.generation,
-                payload.expires_at_us,
-                node,
-                timestamp_us,
-                retain_until_us,
-                idempotency_key,
-            )
-            result = self.ownership_service.decide_ownership(
-                claim, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT)
-            )
-            if result is None:
-                return self._answer(sock, opening, RETRY_SOON)
-            if not result.epoch:
-                may_succeed_later = result.reason in ("claimed", "full")
-                return self._answer(
-                    sock,
-                    opening,
-                    RETRY_SOON if may_succeed_later else control_messages.format_rejection(result.reason),
-                )
-            client = ResumingClient(
-                sock, int(opening.field_values[RESUME_POSITION_FIELD]), deadline, payload.expires_at_us
-            )
-            self._restore(payload, opening, payload.generation, payload.expires_at_us, result.epoch)
-            self.token_registry.begin_resume(
-                payload, self._runner.clock.micros(arrived), lambda box: box.add_client(client)
-            )
-            log(LogEvent.SESSION_TAKEN_OVER, tenure=result.epoch, took=now() - arrived)
-        except TokenError as error:  # no room, or two clients with one token here at the same moment
-            self._answer(
-                sock,
-                opening,
-                RETRY_SOON
-                if error.reason in ("room", "claimed")
-                else control_messages.format_rejection(error.reason),
-            )
+            self._take_over(client, opening, payload, arrived)
+        except ResumeRejectedError as error:
+            self._answer(client, opening, error.answer)
+        except TokenError as error:  # no capacity, or two clients with one token here at the same moment
+            rejection = control_messages.format_rejection(error.reason)
+            answer = RETRY_SOON if error.reason in _TEMPORARY_REJECTIONS else rejection
+            self._answer(client, opening, answer)
         finally:
-            with self._lock:
-                self._claiming.discard(payload.session_id)
-
-    def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
-        self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
-        sockets.configure_stream(sock)
-        sockets.shutdown_and_drain(sock, answer)
-
-    # --- coming back
-
-    def resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, detach: Callable[[], None]
-    ) -> bytes:
-        """Hand a client with a token to its session's thread, `take` first; else the answer that refuses it.
+            self._takeover_finished(payload.session_id)
 
-        Nothing waits here. A refusal changes nothing for the session that stands.
-        """
-        try:
-            if self._runner.lifecycle.is_draining:
-                if self.resumes_on_any_node:
-                    return RETRY_SOON  # another node takes it over
-                raise TokenError(ResumeRejection.DRAINING)
-            if self.resumes_on_any_node and self.ownership_service is None:
-                return RETRY_SOON
-            position = opening.field_values.get(RESUME_POSITION_FIELD, "")
-            if not _POSITION.match(position):
-                raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
-            payload = self.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
-            if (
-                self.ownership_service is not None
-            ):  # a node that was stopped has clients of long ago in its buffers
-                arrived = min(arrived, now() - sockets.time_since_last_data(sock))
-            if not self.token_registry.is_known(payload.session_id):
-                if self.ownership_service is not None:
-                    return self._start_takeover(sock, opening, payload, arrived, detach)
-                if self.session_store is not None:
-                    self._restore_stored(payload)
-            client = ResumingClient(sock, int(position), arrived + opening.wait, payload.expires_at_us)
-
-            def deliver(queue: ActionQueue) -> None:
-                detach()
-                queue.add_client(client)
-
-            self.token_registry.begin_resume(payload, self._runner.clock.micros(arrived), deliver)
-        except TokenError as error:
-            log(LogEvent.RESUME_REJECTED, why=error.reason)
-            # Its client may have given up on an answer that is still on its way, and shows the token again.
-            may_succeed_later = self.ownership_service is not None and error.reason == "claimed"
-            return RETRY_SOON if may_succeed_later else control_messages.format_rejection(error.reason)
-        return b""
+    def _take_over(
+        self, client: ResumingClient, opening: Opening, payload: TokenPayload, arrived: timedelta
+    ) -> None:
+        """Claim a session, restore it and hand its client over. ResumeRejectedError, TokenError."""
+        ownership = self._joined_ownership()
+        if self.token_registry.is_known(payload.session_id):  # an earlier claim has just been decided
+            raise ResumeRejectedError(RETRY_SOON)
+        if sockets.is_disconnected(client.sock):
+            raise ResumeRejectedError(RETRY_SOON)
+        epoch = ownership.claim(payload, client.deadline)
+        self._restore(payload.session_id, opening, payload.generation, payload.expires_at_us, epoch)
+        arrived_us = self._runner.clock.micros(arrived)
+        self.token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
+        log(LogEvent.SESSION_TAKEN_OVER, tenure=epoch, took=now() - arrived)
+
+    def _joined_ownership(self) -> OwnershipClient:
+        """The cluster's client. ResumeRejectedError: this process has not joined its peers."""
+        if self.ownership is None:
+            raise ResumeRejectedError(RETRY_SOON)
+        return self.ownership
+
+    def _takeover_finished(self, session_id: int) -> None:
+        with self._lock:
+            self._claiming.discard(session_id)
 
-    def rotate_keys(self, options: ResumeOptions) -> None:
-        """Put the keys of new settings in force."""
-        self.keyring.rotate([SealingKey(key.id, key.secret) for key in options.keys])
+    def _answer(self, client: ResumingClient, opening: Opening, answer: bytes) -> None:
+        self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
+        sockets.configure_stream(client.sock)
+        sockets.shutdown_and_drain(client.sock, answer)
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -21,7 +21,7 @@
 from tansyladder.resumption.errors import PositionError
 from tansyladder.resumption.token_registry import SessionEnd
 from tansyladder.sessions.client_connection import ClientConnection
-from tansyladder.sessions.errors import SessionEndedError, UpstreamLossReason, UpstreamLostError
+from tansyladder.sessions.errors import RETRY_SOON, SessionEndedError, UpstreamLossReason, UpstreamLostError
 from tansyladder.sessions.forwarder import MOVE_LINE, Forwarder
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
@@ -235,5 +235,5 @@
 
     def _late_answer(self, session_end: SessionEnd) -> bytes:
         if session_end is SessionEnd.CLAIMED_BY_OTHER_NODE:  # this node may claim it back in a moment
-            return self._registry.retry_soon_answer
+            return RETRY_SOON
         return control_messages.format_rejection(session_end.value)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -1,254 +1,130 @@
-"""What a node's sessions share: keys, the ledger, the budget of buffers, and what a resume asks first."""
+"""What the resumable sessions of a node share: keys, tokens, memory, and the slots of suspended ones."""
 
 from __future__ import annotations
 
 import hashlib
-import itertools
 import os
-import random
 import threading
-import time
 from collections.abc import Callable
 from datetime import timedelta
-from typing import TYPE_CHECKING, Protocol
-
-import msgspec
+from typing import TYPE_CHECKING
 
 from tansyladder.config.operator_settings import ResumeOptions
-from tansyladder.log import LogEvent, log
-from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, ResumingClient
-from tansyladder.net.clock import now
-from tansyladder.net.protocol import RESUME_OFFER_FIELD, RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
+from tansyladder.net.clock import MILLISECOND, now
+from tansyladder.net.protocol import (
+    RESUME_OFFER_FIELD,
+    RESUME_POSITION_FIELD,
+    RESUME_TOKEN_FIELD,
+    Opening,
+)
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
+from tansyladder.resumption.errors import ResumeRejection
 from tansyladder.resumption.replay_buffer import MemoryBudget
 from tansyladder.resumption.stream import Stream
-from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS, SessionEnd, TokenRegistry
+from tansyladder.resumption.token_registry import SessionEnd, TokenRegistry
 from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenClaims
-from tansyladder.sessions.session_store import SessionStore
-
-if TYPE_CHECKING:
-    from tansyladder.replication.session_ownership import (
-        ClaimConfirmation,
-        ClaimResult,
-        OwnershipClaim,
-        SessionOpened,
-    )
-
-MAX_CONCURRENT_RELEASES = 256  # tokens that are being given back at once
-CONFIRMATION_TIMEOUT = timedelta(milliseconds=700)  # for the peers to rule on a confirmation
-RELEASE_ATTEMPT_TIMEOUT = timedelta(seconds=2)  # of one try
-ANSWER_MARGIN = timedelta(milliseconds=100)  # of a client's patience that is left for its answer
-MAX_CLOCK_SKEW = timedelta(seconds=5)  # of the nodes' clocks, and longer than an entry is under way
-RETRY_SOON = protocol.format_reject(timedelta(milliseconds=200))
-CLIENT_ONLY_PARAMETERS = frozenset(
-    {RESUME_OFFER_FIELD, RESUME_TOKEN_FIELD, RESUME_POSITION_FIELD}
-)  # that no stream host sees
-
+from tansyladder.sessions.errors import ResumeRejectedError
+from tansyladder.sessions.session_store import NodeIdentity, SessionStore
 
-class OwnershipService(Protocol):
-    """Where the fleet decides who owns a session."""
+if TYPE_CHECKING:  # a node without peers does not load what they need
+    from tansyladder.sessions.ownership_client import OwnershipClient
 
-    incarnation: str  # the node and its start
-
-    def propose(self, entry: SessionOpened) -> None:
-        """Propose an entry whose loss does no harm, and wait for nothing."""
-
-    def decide_ownership(
-        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
-    ) -> ClaimResult | None:
-        """What the fleet decides on an entry; none where that is not known by a moment."""
+# Fields of a client's first line that a stream host does not get.
+CLIENT_ONLY_FIELDS = frozenset({RESUME_OFFER_FIELD, RESUME_TOKEN_FIELD, RESUME_POSITION_FIELD})
+SESSION_ID_BYTES = 8
+MEBIBYTE = 1 << 20
 
 
 class SessionRegistry:
-    """One node's resumable sessions; safe to share between threads."""
+    """The resumable sessions of one node. Thread-safe."""
 
     def __init__(self, runner: PolicyRunner, session_store: SessionStore | None = None) -> None:
-        """`keeping`: where sessions outlive the node, unless its peers see to that."""
+        """`session_store`: where sessions outlive the process; unused with peers, which see to that."""
+        options = runner.options.resume
+        has_peers = runner.options.peers.enabled
         self._runner = runner
-        self.options: ResumeOptions = runner.options.resume
-        peers = runner.options.peers
-        self.ownership_service: OwnershipService | None = (
-            None  # where sessions are taken over, once this process has joined
-        )
-        self.resumes_on_any_node = peers.enabled
-        # With peers a token opens anywhere in the fleet, and who owns a session stands in the log of all.
-        issuer = peers.fleet if peers.enabled else runner.config.name
-        issuer_name = issuer.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
-        self.session_store = None if peers.enabled else session_store
+        self.options: ResumeOptions = options
+        self.resumes_on_any_node = has_peers
+        self.ownership: OwnershipClient | None = None  # set once this process has joined its peers
+        self.session_store = None if has_peers else session_store
         identity = self.session_store.identity if self.session_store else None
-        # Bound to the name as well: a folder that was copied to another node makes no tokens of this one.
-        issuer_seed = b"" if peers.enabled else identity.issuer_id if identity else os.urandom(32)
-        issuer_id = hashlib.blake2b(issuer_seed, digest_size=ISSUER_ID_BYTES, key=issuer_name).digest()
-        keys = [SealingKey(key.id, key.secret) for key in self.options.keys]
-        self.keyring = Keyring(issuer_id, keys, os.urandom, identity.token_key if identity else None)
-        self.node_start = 1 if peers.enabled else identity.start_count if identity else 0
-        self._is_durable = peers.enabled or self.session_store is not None
-        self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(
-            self.options.remembered, self.node_start
-        )
-        self.memory_budget = MemoryBudget(
-            int(runner.config.limits.memory_mb * (1 << 20) * self.options.memory_share)
-        )
-        self._suspended_count = self._releasing_count = 0
-        self.confirmation_numbers = itertools.count(1)
-        self._unconfirmed_openings: dict[
-            int, SessionOpened
-        ] = {}  # by session: confirmed, and UP is on its way
-        self._lock = threading.Lock()
-
-    # --- sessions
+        self.keyring = _new_keyring(runner, identity)
+        self.node_start = 1 if has_peers else identity.start_count if identity else 0
+        self._is_durable = has_peers or self.session_store is not None
+        self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(options.remembered, self.node_start)
+        memory_limit = runner.config.limits.memory_mb * MEBIBYTE
+        self.memory_budget = MemoryBudget(int(memory_limit * options.memory_share))
+        self._suspended_count = 0
+        self._lock = threading.Lock()  # of `_suspended_count`
 
-    @property
-    def retry_soon_answer(self) -> bytes:
-        """The answer to a token that may be good in a moment."""
-        return RETRY_SOON
+    # --- new sessions
 
     def offers_resumption(self, opening: Opening) -> bool:
-        """Whether a client's first line asks for a session that can be resumed."""
-        return (
-            opening.field_values.get(RESUME_OFFER_FIELD) == "1"
-            and RESUME_TOKEN_FIELD not in opening.field_values
-        )
+        """Whether a client's first line asks for a new session that can be resumed."""
+        fields = opening.field_values
+        return fields.get(RESUME_OFFER_FIELD) == "1" and RESUME_TOKEN_FIELD not in fields
 
     def new_stream(self) -> Stream:
-        """A new session's positions; its number is the secret that stream hosts know it by."""
-        session_id = int.from_bytes(os.urandom(8), "big")
+        """The stream of a new session; its random id is the secret by which stream hosts know it."""
+        session_id = int.from_bytes(os.urandom(SESSION_ID_BYTES), "big")
         return Stream(session_id, self.memory_budget, self.options.buffer, self.node_start, self._is_durable)
 
     @staticmethod
     def first_line_builder(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """What a stream host gets, by how long the node waits; each call counts as a placement."""
-        return lambda wait: opening.format_for_endpoint(
-            wait, CLIENT_ONLY_PARAMETERS, stream.begin_placement()
-        )
-
-    def issue_token_line(self, session_id: int, opening: Opening) -> bytes:
-        """The line that lets a client come back from now on."""
-        expires_at_us = self._runner.clock.micros(now() + self.options.expires)
-        text = self.keyring.seal(self.token_registry.issue(session_id, expires_at_us), token_claims(opening))
-        if self.session_store is not None:
-            self.session_store.save_session(
-                session_id, opening.line, self.token_registry.generation_floor(session_id), expires_at_us
-            )
-        return control_messages.format_token(text, self.options.expires // timedelta(milliseconds=1))
+        """What formats the first line to a stream host, by how long the node waits.
 
-    @property
-    def suspended_count(self) -> int:
-        """Sessions without a client."""
-        return self._suspended_count
+        Each call begins another placement of the stream.
+        """
+        return lambda wait: opening.format_for_endpoint(wait, CLIENT_ONLY_FIELDS, stream.begin_placement())
 
-    def redeem(self, session_id: int, opening: Opening, client: ResumingClient) -> bytes:
-        """A resume goes through; else the answer that refuses it, and nothing has changed here.
+    # --- tokens
 
-        With peers the log has to say that this node owns the session still. What is not known in time is no
-        yes, and may not have been a no: the client hears BUSY, and if it was none its token is good still.
-        """
+    def issue_token_line(self, session_id: int, opening: Opening) -> bytes:
+        """The control line with a new token for the session's client."""
+        expires_at_us = self._token_expiry_us()
+        payload = self.token_registry.issue(session_id, expires_at_us)
+        text = self.keyring.seal(payload, token_claims(opening))
         if self.session_store is not None:
-            expires_at_us = self._runner.clock.micros(now() + self.options.expires)
-            generation_floor = self.token_registry.next_generation_floor(session_id)
-            if not self.session_store.redeem_session(
-                session_id, opening.line, generation_floor, expires_at_us
-            ):
-                return control_messages.format_rejection("store")
-        if self.ownership_service is not None:
-            from tansyladder.replication.session_ownership import ClaimConfirmation, SessionOpened
-
-            if sockets.is_disconnected(
-                client.sock
-            ):  # this node was slow: its client shows the token elsewhere by now
-                return RETRY_SOON
-            generation_floor = self.token_registry.next_generation_floor(session_id)
-            timestamp_us, retain_until_us = self.retention_period()
-            ownership_epoch = generation_floor >> GENERATION_COUNTER_BITS
-            confirmation = ClaimConfirmation(
-                session_id,
-                ownership_epoch,
-                generation_floor,
-                client.token_expiry_us,
-                self.ownership_service.incarnation,
-                timestamp_us,
-                retain_until_us,
-                next(self.confirmation_numbers),
-            )
-            result = self.ownership_service.decide_ownership(
-                confirmation, min(client.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
-            )
-            is_late = now() > client.deadline or sockets.is_disconnected(client.sock)
-            if result is None or (result.epoch and is_late):
-                previous_floor = self.token_registry.generation_floor(session_id)  # as it was
-                self._release_token(
-                    msgspec.structs.replace(
-                        confirmation,
-                        generation_floor=previous_floor,
-                        sequence=next(self.confirmation_numbers),
-                    )
-                )
-                return RETRY_SOON
-            if not result.epoch:  # who has claimed it since may fail: its token may be good still
-                return (
-                    RETRY_SOON
-                    if result.reason == "claimed"
-                    else control_messages.format_rejection(result.reason)
-                )
-            self._unconfirmed_openings[session_id] = SessionOpened(
-                session_id,
-                ownership_epoch,
-                self.ownership_service.incarnation,
-                timestamp_us,
-                confirmation.sequence,
-            )
+            generation_floor = self.token_registry.generation_floor(session_id)
+            self.session_store.save_session(session_id, opening.line, generation_floor, expires_at_us)
+        return control_messages.format_token(text, self.options.expires // MILLISECOND)
+
+    def redeem(self, session_id: int, opening: Opening, client: ResumingClient) -> None:
+        """Redeem the token of a client that resumes. ResumeRejectedError: nothing has changed here."""
+        next_floor = self.token_registry.next_generation_floor(session_id)
+        if self.session_store is not None and not self.session_store.redeem_session(
+            session_id, opening.line, next_floor, self._token_expiry_us()
+        ):
+            raise ResumeRejectedError(control_messages.format_rejection(ResumeRejection.STORE))
+        if self.ownership is not None:
+            current_floor = self.token_registry.generation_floor(session_id)
+            self.ownership.confirm(session_id, current_floor, next_floor, client)
         self.token_registry.redeem(session_id)
-        return b""
 
     def confirm_opened(self, session_id: int) -> None:
-        """UP has gone out to who came back: where there are peers they hear that the token is spent."""
-        opened = self._unconfirmed_openings.pop(session_id, None)
-        if opened is not None and self.ownership_service is not None:
-            self.ownership_service.propose(opened)
+        """A client that resumed was answered: peers are told that its token is spent."""
+        if self.ownership is not None:
+            self.ownership.report_opened(session_id)
 
     def end(self, session_id: int, session_end: SessionEnd) -> None:
-        """Nobody comes back to it any more."""
+        """Remove a session: it can't be resumed any more."""
         self.token_registry.end(session_id, session_end)
-        self._unconfirmed_openings.pop(session_id, None)
+        if self.ownership is not None:
+            self.ownership.forget(session_id)
         if self.session_store is not None:
             self.session_store.delete_session(session_id)
 
-    def retention_period(self) -> tuple[int, int]:
-        """Now, and until when tokens that have been issued by now may be out; microseconds of Unix time."""
-        moment = now()
-        return self._runner.clock.micros(moment), self._runner.clock.micros(
-            moment + self.options.expires + MAX_CLOCK_SKEW
-        )
+    def _token_expiry_us(self) -> int:
+        return self._runner.clock.micros(now() + self.options.expires)
 
-    def _release_token(self, confirmation: ClaimConfirmation) -> None:
-        """Say until it is heard, or the token has expired, that a token did not open its session."""
+    # --- suspended sessions
 
-        def run() -> None:
-            assert self.ownership_service is not None
-            deadline = self._runner.clock.moment(confirmation.token_expiry_us)
-            while (
-                now() < deadline
-                and self.ownership_service.decide_ownership(
-                    confirmation, min(deadline, now() + RELEASE_ATTEMPT_TIMEOUT)
-                )
-                is None
-            ):
-                time.sleep(random.uniform(0.05, 0.25))
-            with self._lock:
-                self._releasing_count -= 1
-
-        with self._lock:
-            if self._releasing_count >= MAX_CONCURRENT_RELEASES:
-                return
-            self._releasing_count += 1
-        try:
-            threading.Thread(target=run, name="give-back", daemon=True).start()
-        except RuntimeError as error:
-            log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
-            with self._lock:
-                self._releasing_count -= 1
+    @property
+    def suspended_count(self) -> int:
+        """Sessions that wait for their clients."""
+        return self._suspended_count
 
     def reserve_suspended(self) -> bool:
         """Count a session that has lost its client; False where too many wait already."""
@@ -259,10 +135,32 @@
             return True
 
     def release_suspended(self) -> None:
+        """Count a suspended session no more."""
         with self._lock:
             self._suspended_count -= 1
 
 
+def _new_keyring(runner: PolicyRunner, identity: NodeIdentity | None) -> Keyring:
+    """The keys of this node's tokens, or of its fleet's, whose tokens are valid at all of its nodes.
+
+    The issuer is bound to the name as well: a folder that was copied to another node does not make that node
+    an issuer of this one's tokens.
+    """
+    peers = runner.options.peers
+    issuer_name = peers.fleet if peers.enabled else runner.config.name
+    node_seed = identity.issuer_id if identity else os.urandom(32)
+    issuer_seed = b"" if peers.enabled else node_seed
+    name_key = issuer_name.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
+    issuer_id = hashlib.blake2b(issuer_seed, digest_size=ISSUER_ID_BYTES, key=name_key).digest()
+    keys = sealing_keys(runner.options.resume)
+    return Keyring(issuer_id, keys, os.urandom, identity.token_key if identity else None)
+
+
+def sealing_keys(options: ResumeOptions) -> list[SealingKey]:
+    """The keys of the operator's settings, the sealing one first."""
+    return [SealingKey(key.id, key.secret) for key in options.keys]
+
+
 def token_claims(opening: Opening) -> TokenClaims:
-    """What a client must name again when it comes back."""
+    """What a client must name again when it resumes."""
     return TokenClaims(opening.class_name, opening.group_key, opening.key)
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -1,6 +1,7 @@
-"""What a node keeps over its own end: its life, its sessions, the last list of members. All of it may fail.
+"""What a node keeps beyond its process: its identity, its sessions and the last list of endpoints.
 
-Whatever goes wrong with the store, the node goes on without it, says so once, and refuses only what needs it.
+When the store fails the node goes on without it: the failure is logged once, and only what needs the store is
+rejected.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAINTENANCE_INTERVAL = timedelta(
-    milliseconds=100
-)  # between two looks for upkeep, which syncs what is to last soon
-IDENTITY_KEY, ENDPOINTS_KEY, SESSION_KEY_PREFIX = b"life", b"members", b"session/"
+MAINTENANCE_INTERVAL = timedelta(milliseconds=100)  # buffered writes are synced within it
+IDENTITY_KEY = b"life"
+ENDPOINTS_KEY = b"members"
+SESSION_KEY_PREFIX = b"session/"
 
 
 class NodeIdentity(msgspec.Struct, frozen=True):
-    """What makes tokens of an earlier start open: they are sealed for the life, not for the process."""
+    """What makes tokens of an earlier start valid: their issuer is the folder, not the process."""
 
     issuer_id: bytes = msgspec.field(name="ident")
     token_key: bytes = msgspec.field(name="key")
@@ -38,15 +39,15 @@
 
 
 class StoredSession(msgspec.Struct, frozen=True):
-    """What is left of a session where its node died."""
+    """What a node that restarts needs to restore a session."""
 
     first_line: str = msgspec.field(name="line")  # of the client
-    generation_floor: int = msgspec.field(name="floor")  # tokens of older generations are spent
+    generation_floor: int = msgspec.field(name="floor")  # tokens of lower generations are spent
     expires_at_us: int = msgspec.field(name="expiry")  # Unix time
 
 
 class StoredEndpointList(msgspec.Struct, frozen=True):
-    """The last list, with its age."""
+    """The last list of endpoints, and when it was saved."""
 
     saved_at_us: int = msgspec.field(name="at")  # Unix time
     endpoints: EndpointList = msgspec.field(name="members")
@@ -57,28 +58,34 @@
 
 
 class SessionStore:
-    """The node's records in an open store; safe to share between threads."""
+    """The node's records in an open store, with the store's maintenance thread. Thread-safe.
+
+    No method but the constructor raises an error of the store.
+    """
 
     def __init__(self, store: Store, now_us: Callable[[], int]) -> None:
-        self._store = self.store = store
+        """Count this start. `now_us`: Unix time in microseconds. StoreError."""
+        self.store = store
+        self._store = store
         self._now_us = now_us
         self._has_failed = False
         self._endpoints: dict[str, EndpointEntry] = {}
         self._stop = threading.Event()
         record = store.get(IDENTITY_KEY)
-        new_identity = NodeIdentity(os.urandom(ISSUER_ID_BYTES), os.urandom(KEY_BYTES), 0)
-        previous = msgspec.msgpack.decode(record, type=NodeIdentity) if record else new_identity
+        if record:
+            previous = msgspec.msgpack.decode(record, type=NodeIdentity)
+        else:
+            previous = NodeIdentity(os.urandom(ISSUER_ID_BYTES), os.urandom(KEY_BYTES), 0)
         self.identity = NodeIdentity(previous.issuer_id, previous.token_key, previous.start_count + 1)
-        store.put(
-            IDENTITY_KEY, msgspec.msgpack.encode(self.identity)
-        )  # before anything is sealed under this start
+        # On disk before any token is sealed under this start.
+        store.put(IDENTITY_KEY, msgspec.msgpack.encode(self.identity))
 
     def start(self) -> None:
-        """Begin the upkeep, in a thread of its own."""
+        """Start the maintenance thread."""
         threading.Thread(target=self._maintain, name="store", daemon=True).start()
 
     def close(self) -> None:
-        """At an orderly end: what was to be on disk soon is."""
+        """Sync what is buffered and close the store."""
         self._stop.set()
         try:
             self._store.close()
@@ -94,10 +101,18 @@
                 self._report_failure(error)
 
     def _report_failure(self, error: StoreError) -> None:
+        """Log a failure unless one was logged; a store that is merely full may work again."""
         if not self._has_failed and not self._stop.is_set():
             self._has_failed = error.code != "full"
             log(LogEvent.STORE_FAILED, word=error.code, why=error)
 
+    def _read(self, key: bytes) -> bytes | None:
+        try:
+            return self._store.get(key)
+        except StoreError as error:
+            self._report_failure(error)
+            return None
+
     def _write(self, operation: WriteOperation, durability: Durability = Durability.BUFFERED) -> bool:
         try:
             self._store.write((operation,), durability)
@@ -106,10 +121,10 @@
             return False
         return True
 
-    # --- members
+    # --- endpoints
 
     def save_endpoints(self, update: EndpointList) -> None:
-        """Keep the list as it is after these changes."""
+        """Save the list as it is after an update."""
         if update.complete:
             self._endpoints = {}
         for entry in update.endpoints:
@@ -118,22 +133,16 @@
             else:
                 self._endpoints[entry.id] = entry
         endpoints = EndpointList(update.revision, True, list(self._endpoints.values()))
-        self._write(
-            WriteOperation(
-                ENDPOINTS_KEY, msgspec.msgpack.encode(StoredEndpointList(self._now_us(), endpoints))
-            )
-        )
+        record = msgspec.msgpack.encode(StoredEndpointList(self._now_us(), endpoints))
+        self._write(WriteOperation(ENDPOINTS_KEY, record))
 
     def cached_endpoints(self) -> StoredEndpointList | None:
-        """The list of the last start, where one was kept."""
-        try:
-            record = self._store.get(ENDPOINTS_KEY)
-        except StoreError as error:
-            self._report_failure(error)
+        """The last list of an earlier start, where one was saved."""
+        record = self._read(ENDPOINTS_KEY)
+        if not record:
             return None
-        cached = msgspec.msgpack.decode(record, type=StoredEndpointList) if record else None
-        if cached is not None:
-            self._endpoints = {entry.id: entry for entry in cached.endpoints.endpoints}
+        cached = msgspec.msgpack.decode(record, type=StoredEndpointList)
+        self._endpoints = {entry.id: entry for entry in cached.endpoints.endpoints}
         return cached
 
     # --- sessions
@@ -141,33 +150,30 @@
     def save_session(
         self, session_id: int, first_line: str, generation_floor: int, expires_at_us: int
     ) -> None:
-        """Note a session, or that it lives on until another moment; it is on disk soon."""
+        """Save a session, or that it expires later; on disk within MAINTENANCE_INTERVAL."""
         record = msgspec.msgpack.encode(StoredSession(first_line, generation_floor, expires_at_us))
         self._write(WriteOperation(_session_key(session_id), record, expires_at_us))
 
     def redeem_session(
         self, session_id: int, first_line: str, generation_floor: int, expires_at_us: int
     ) -> bool:
-        """Note that older tokens are spent; on disk when this returns, or False: it can't be noted."""
+        """Save that tokens below a generation are spent; on disk when this returns True."""
         record = msgspec.msgpack.encode(StoredSession(first_line, generation_floor, expires_at_us))
-        return self._write(WriteOperation(_session_key(session_id), record, expires_at_us), Durability.SYNCED)
+        operation = WriteOperation(_session_key(session_id), record, expires_at_us)
+        return self._write(operation, Durability.SYNCED)
 
     def delete_session(self, session_id: int) -> None:
-        """Nobody comes back to it any more."""
+        """Delete a session that has ended."""
         self._write(WriteOperation(_session_key(session_id), None))
 
     def load_session(self, session_id: int) -> StoredSession | None:
-        """What was kept of a session of an earlier start."""
-        try:
-            record = self._store.get(_session_key(session_id))
-        except StoreError as error:
-            self._report_failure(error)
-            return None
+        """A session of an earlier start, where one was saved."""
+        record = self._read(_session_key(session_id))
         return msgspec.msgpack.decode(record, type=StoredSession) if record else None
 
 
 def open_session_store(directory: str, node_name: str) -> SessionStore | None:
-    """The node's records; None, and a line in the log, where the store can't be used."""
+    """Open the node's records; None, and a log line, where the store can't be used."""
     clock = Clock()
 
     def now_us() -> int:
@@ -175,16 +181,11 @@
 
     try:
         store = open_store(RealFiles(Path(directory)), node_name, now_us)
+        figures = store.stats._asdict()
+        log(LogEvent.STORE_OPEN, dropped=store.dropped_bytes, rebuilt=store.rebuilt_hint_count, **figures)
+        return SessionStore(store, now_us)
     except StoreError as error:
         log(LogEvent.STORE_UNUSABLE, word=error.code, why=error)
-        return None
     except OSError as error:
         log(LogEvent.STORE_UNUSABLE, word="unusable", why=error)
-        return None
-    figures = store.stats._asdict()
-    log(LogEvent.STORE_OPEN, dropped=store.dropped_bytes, rebuilt=store.rebuilt_hint_count, **figures)
-    try:
-        return SessionStore(store, now_us)
-    except StoreError as error:
-        log(LogEvent.STORE_UNUSABLE, word=error.code, why=error)
-        return None
+    return None
