--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -45,15 +45,14 @@
         client: ClientConnection,
         upstream: PlacedUpstream,
     ) -> None:
-        connection = upstream.connection
+        attempt = upstream.connection.attempt
+        self._endpoint = upstream.connection.endpoint
         self._queue = queue
         self._stream = stream
         self._client = client
         self._upstream = upstream
         self._host = upstream.socket
-        self._reports = runner.delay_reports(
-            upstream.request_id, connection.attempt, connection.endpoint.number
-        )
+        self._reports = runner.delay_reports(upstream.request_id, attempt, self._endpoint.number)
         self._response_timeout = ResponseTimeout(self._reports.record_delay)
         self.has_host_sent = False  # whether the host sent a line to the client
 
@@ -116,9 +115,8 @@
         host = self._host
         poll = select.poll()
         poll.register(self._queue, select.POLLIN)
-        client_unsent = False
+        client_unsent = connected is not None and bool(connected.unsent)
         if connected is not None:
-            client_unsent = bool(connected.unsent)
             events = 0 if host.unsent or client.closing_deadline is not None else select.POLLIN
             if client_unsent:
                 events |= select.POLLOUT
@@ -151,7 +149,7 @@
             self._client.suspend(SuspendReason.BROKEN)
             return
         counted_position = self._stream.from_client.end_position
-        output = self._receive_client_lines(connected, data)
+        output = _receive_client_lines(self._stream, connected, data)
         if self._stream.from_client.end_position > counted_position:  # nobody answers an acknowledgement
             self._response_timeout.line_sent()
             self._client.lines_forwarded()
@@ -163,22 +161,6 @@
                 with contextlib.suppress(OSError):
                     self._host.sock.shutdown(socket.SHUT_WR)
 
-    def _receive_client_lines(self, connected: BufferedSocket, data: bytes) -> StreamOutput:
-        """What the lines in a client's data mean. SessionEndedError: one of them is invalid."""
-        output = StreamOutput()
-        try:
-            for line in connected.line_buffer.feed(data):
-                line_output = self._stream.receive_from_client(line)
-                output.to_host += line_output.to_host
-                output.to_client += line_output.to_client
-                if line_output.signal is not StreamSignal.NONE:
-                    output.signal = line_output.signal
-                    break
-        except (protocol.LineError, ControlMessageError, PositionError) as error:
-            log(LogEvent.INVALID_LINE, where="session", why=error)
-            raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE) from error
-        return output
-
     # --- from the stream host
 
     def _read_host(self) -> None:
@@ -199,7 +181,7 @@
         try:
             lines = host.line_buffer.feed(data)
         except protocol.LineError as error:
-            self._log_invalid_response(error)
+            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=error)
             raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_LINE) from error
         self._forward_host_lines(tuple(lines))
 
@@ -211,7 +193,7 @@
             try:
                 output = self._stream.receive_from_host(line)
             except (ControlMessageError, PositionError) as error:
-                self._log_invalid_response(error)
+                log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=error)
                 raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_MESSAGE) from error
             if output.to_client:
                 to_client += output.to_client
@@ -248,5 +230,19 @@
             return SessionEndedError(SessionEnd.ENDED)
         return UpstreamLostError(AttemptStatus.RESET, reason)
 
-    def _log_invalid_response(self, error: Exception) -> None:
-        log(LogEvent.INVALID_RESPONSE, member=self._upstream.connection.endpoint.id, why=error)
+
+def _receive_client_lines(stream: Stream, connected: BufferedSocket, data: bytes) -> StreamOutput:
+    """What the lines in a client's data mean. SessionEndedError: one of them is invalid."""
+    output = StreamOutput()
+    try:
+        for line in connected.line_buffer.feed(data):
+            line_output = stream.receive_from_client(line)
+            output.to_host += line_output.to_host
+            output.to_client += line_output.to_client
+            if line_output.signal is not StreamSignal.NONE:
+                output.signal = line_output.signal
+                break
+    except (protocol.LineError, ControlMessageError, PositionError) as error:
+        log(LogEvent.INVALID_LINE, where="session", why=error)
+        raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE) from error
+    return output
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -6,6 +6,7 @@
 import socket
 import threading
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
@@ -38,6 +39,17 @@
 _TEMPORARY_REJECTIONS = (ResumeRejection.NO_CAPACITY, ResumeRejection.CLAIMED)
 
 
+@dataclass(frozen=True, slots=True)
+class _Takeover:
+    """A client that came back with the token of a session that another node owns."""
+
+    ownership: OwnershipClient
+    client: ResumingClient
+    opening: Opening
+    payload: TokenPayload
+    arrived: timedelta
+
+
 class ResumptionHandler(SessionRegistry):
     """The sessions of one node, and the clients that come back to them. Thread-safe.
 
@@ -108,7 +120,8 @@
         client = ResumingClient(sock, int(position), arrived + opening.wait, payload.expires_at_us)
         if not self.token_registry.is_known(payload.session_id):
             if self.ownership is not None:
-                self._start_takeover(client, opening, payload, arrived, detach)
+                takeover = _Takeover(self.ownership, client, opening, payload, arrived)
+                self._start_takeover(takeover, detach)
                 return b""
             if self.session_store is not None:
                 self._restore_stored(self.session_store, payload)
@@ -171,74 +184,59 @@
                 queue.is_superseded = True
                 queue.wake()
 
-    def _start_takeover(
-        self,
-        client: ResumingClient,
-        opening: Opening,
-        payload: TokenPayload,
-        arrived: timedelta,
-        detach: Callable[[], None],
-    ) -> None:
+    def _start_takeover(self, takeover: _Takeover, detach: Callable[[], None]) -> None:
         """Take over another node's session in a thread of its own.
 
         ResumeRejectedError: too many are being claimed, or this one is. Two claims of one node for one
         session would leave it with the epoch of the earlier one.
         """
+        session_id = takeover.payload.session_id
         with self._lock:
-            is_full = len(self._claiming) >= MAX_CONCURRENT_CLAIMS
-            if is_full or payload.session_id in self._claiming:
+            if len(self._claiming) >= MAX_CONCURRENT_CLAIMS or session_id in self._claiming:
                 raise ResumeRejectedError(RETRY_SOON)
-            self._claiming.add(payload.session_id)
+            self._claiming.add(session_id)
         try:
             detach()
-            arguments = (client, opening, payload, arrived)
-            threading.Thread(target=self._run_takeover, args=arguments, name="take-over", daemon=True).start()
+            threading.Thread(
+                target=self._run_takeover, args=(takeover,), name="take-over", daemon=True
+            ).start()
         except RuntimeError as error:
             log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
-            self._takeover_finished(payload.session_id)
-            self._answer(client, opening, RETRY_SOON)
+            self._takeover_finished(session_id)
+            self._answer(takeover, RETRY_SOON)
 
-    def _run_takeover(
-        self, client: ResumingClient, opening: Opening, payload: TokenPayload, arrived: timedelta
-    ) -> None:
+    def _run_takeover(self, takeover: _Takeover) -> None:
         """Take over a session; a client for which that fails is answered here."""
         try:
-            self._take_over(client, opening, payload, arrived)
+            self._take_over(takeover)
         except ResumeRejectedError as error:
-            self._answer(client, opening, error.answer)
+            self._answer(takeover, error.answer)
         except TokenError as error:  # no capacity, or two clients with one token here at the same moment
             rejection = control_messages.format_rejection(error.reason)
-            answer = RETRY_SOON if error.reason in _TEMPORARY_REJECTIONS else rejection
-            self._answer(client, opening, answer)
+            self._answer(takeover, RETRY_SOON if error.reason in _TEMPORARY_REJECTIONS else rejection)
         finally:
-            self._takeover_finished(payload.session_id)
+            self._takeover_finished(takeover.payload.session_id)
 
-    def _take_over(
-        self, client: ResumingClient, opening: Opening, payload: TokenPayload, arrived: timedelta
-    ) -> None:
+    def _take_over(self, takeover: _Takeover) -> None:
         """Claim a session, restore it and hand its client over. ResumeRejectedError, TokenError."""
-        ownership = self._joined_ownership()
+        client = takeover.client
+        payload = takeover.payload
         if self.token_registry.is_known(payload.session_id):  # an earlier claim has just been decided
             raise ResumeRejectedError(RETRY_SOON)
         if sockets.is_disconnected(client.sock):
             raise ResumeRejectedError(RETRY_SOON)
-        epoch = ownership.claim(payload, client.deadline)
-        self._restore(payload.session_id, opening, payload.generation, payload.expires_at_us, epoch)
-        arrived_us = self._runner.clock.micros(arrived)
+        epoch = takeover.ownership.claim(payload, client.deadline)
+        self._restore(payload.session_id, takeover.opening, payload.generation, payload.expires_at_us, epoch)
+        arrived_us = self._runner.clock.micros(takeover.arrived)
         self.token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
-        log(LogEvent.SESSION_TAKEN_OVER, tenure=epoch, took=now() - arrived)
-
-    def _joined_ownership(self) -> OwnershipClient:
-        """The cluster's client. ResumeRejectedError: this process has not joined its peers."""
-        if self.ownership is None:
-            raise ResumeRejectedError(RETRY_SOON)
-        return self.ownership
+        log(LogEvent.SESSION_TAKEN_OVER, tenure=epoch, took=now() - takeover.arrived)
 
     def _takeover_finished(self, session_id: int) -> None:
         with self._lock:
             self._claiming.discard(session_id)
 
-    def _answer(self, client: ResumingClient, opening: Opening, answer: bytes) -> None:
-        self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
-        sockets.configure_stream(client.sock)
-        sockets.shutdown_and_drain(client.sock, answer)
+    def _answer(self, takeover: _Takeover, answer: bytes) -> None:
+        sock = takeover.client.sock
+        self._runner.metrics.record_outcome(takeover.opening.class_name, RequestOutcome.of_answer(answer))
+        sockets.configure_stream(sock)
+        sockets.shutdown_and_drain(sock, answer)
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -225,7 +225,7 @@
         # First: once the registry has the session ended no further client is handed over.
         self._registry.end(self._stream.session_id, end.session_end)
         while client := self._queue.take_client():
-            self._client.reject(client, self._late_answer(end.session_end))
+            self._client.reject(client, _late_answer(end.session_end))
         self._queue.close()
         self._stream.close()
         if self._lifecycle.state.awaits_client:
@@ -233,7 +233,9 @@
         self._lifecycle.apply(SessionEvent.ENDED)
         self._client.close(end.last_line)
 
-    def _late_answer(self, session_end: SessionEnd) -> bytes:
-        if session_end is SessionEnd.CLAIMED_BY_OTHER_NODE:  # this node may claim it back in a moment
-            return RETRY_SOON
-        return control_messages.format_rejection(session_end.value)
+
+def _late_answer(session_end: SessionEnd) -> bytes:
+    """The answer to a client that comes back to a session which has just ended."""
+    if session_end is SessionEnd.CLAIMED_BY_OTHER_NODE:  # this node may claim it back in a moment
+        return RETRY_SOON
+    return control_messages.format_rejection(session_end.value)
