--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -13,20 +13,18 @@
 from datetime import timedelta
 from typing import NamedTuple, Protocol
 
-import msgspec
-
 from tansyladder.log import LogEvent, log
 from tansyladder.net import sockets
 from tansyladder.net.action_queue import ResumingClient
 from tansyladder.net.clock import Clock, now
 from tansyladder.replication.session_ownership import (
     ClaimConfirmation,
+    ClaimRejection,
     ClaimResult,
     OwnershipClaim,
     SessionOpened,
 )
 from tansyladder.resumption import control_messages
-from tansyladder.resumption.errors import ResumeRejection
 from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS
 from tansyladder.resumption.tokens import TokenPayload
 from tansyladder.sessions.errors import RETRY_SOON, ResumeRejectedError
@@ -39,7 +37,7 @@
 ANSWER_MARGIN = timedelta(milliseconds=100)  # of a client's wait that is left for its answer
 MAX_CLOCK_SKEW = timedelta(seconds=5)  # between nodes; longer than an entry takes to be agreed on
 # Reasons of the cluster for which the same token may still resume the session later.
-TEMPORARY_REASONS = ("claimed", "full")
+TEMPORARY_REASONS = (ClaimRejection.CLAIMED, ClaimRejection.FULL)
 
 
 class OwnershipService(Protocol):
@@ -126,14 +124,11 @@
         result = self._service.decide_ownership(confirmation, until)
         is_late = now() > client.deadline or sockets.is_disconnected(client.sock)
         if result is None or (result.epoch and is_late):
-            sequence = next(self._request_numbers)
-            self._release(
-                msgspec.structs.replace(confirmation, generation_floor=current_floor, sequence=sequence)
-            )
+            self._release(confirmation.releasing(current_floor, next(self._request_numbers)))
             raise ResumeRejectedError(RETRY_SOON)
         if not result.epoch:
             # A node that has claimed the session since may fail to resume it: the token may be valid still.
-            is_claimed = result.reason == ResumeRejection.CLAIMED
+            is_claimed = result.reason is ClaimRejection.CLAIMED
             rejection = control_messages.format_rejection(result.reason)
             raise ResumeRejectedError(RETRY_SOON if is_claimed else rejection)
         opened = SessionOpened(session_id, epoch, self.node, period.now_us, confirmation.sequence)
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -13,11 +13,13 @@
 import msgspec
 import pytest
 
-from tansyladder.cluster import raft_storage as records_of
-from tansyladder.cluster.peer_transport import MOST_GREETING, VERSION, Greeting, PeerTransport
-from tansyladder.cluster.raft_storage import RaftStorage, RollbackDetector
+from tansyladder.cluster.peer_handshake import MAX_GREETING_BYTES, PROTOCOL_VERSION, Greeting
+from tansyladder.cluster.peer_transport import PeerTransport
+from tansyladder.cluster.raft_storage import HARD_STATE_KEY, RaftStorage, log_entry_key
+from tansyladder.cluster.rollback_detector import RollbackDetector
 from tansyladder.config import operator_settings
 from tansyladder.lab.chaos import cluster, experiments, history, schedule
+from tansyladder.lab.chaos.faults import FaultInjector
 from tansyladder.lab.node import LabNode
 from tansyladder.raft.messages import EntryKind, Handshake, LogEntry, Message
 from tansyladder.raft.persistent_state import HardState, LogSuffix, Snapshot
@@ -77,14 +79,14 @@
 
 def test_a_new_version_joins_the_peers_with_the_store_once_the_old_one_has_ended(tmp_path: Path) -> None:
     async def story() -> tuple[int, bytes]:
-        async with cluster.running_cluster(3, 2, 1) as (whole, _):
-            await whole.connect_clients(12)
-            await whole.inject(schedule.Fault(0, KINDS.UPGRADE, 1, 0.0))
-            log = whole.nodes[1].log
+        async with cluster.running_cluster(3, 2, 1) as running:
+            await running.connect_clients(12)
+            await FaultInjector(running).inject(schedule.Fault(0, KINDS.UPGRADE, 1, 0.0))
+            log = running.nodes[1].process.log
             while log.read_bytes().count(b"event=cluster_joined") < 2:
                 await asyncio.sleep(0.02)
-            await whole.wait_until_all_connected(15)
-            return sum(client.session_count for client in whole.clients), log.read_bytes()
+            await running.wait_until_all_connected(15)
+            return sum(client.session_count for client in running.clients), log.read_bytes()
 
     sessions, log = asyncio.run(asyncio.wait_for(story(), 60))
     assert sessions == 12
@@ -108,24 +110,25 @@
 
 def test_a_token_in_the_buffers_of_a_stopped_node_is_good_still_when_its_client_has_left() -> None:
     async def story() -> list[str]:
-        async with cluster.running_cluster(3, 2, 1) as (whole, _):
-            await whole.connect_clients(6)
+        async with cluster.running_cluster(3, 2, 1) as running:
+            await running.connect_clients(6)
             answers = []
-            for client in whole.clients[:4]:
-                _, rest = client.abandon()
+            for client in running.clients[:4]:
+                rest = client.abandon().open_parameters
                 stopped, other = (1, 2) if client.number % 2 else (2, 0)
-                whole.pause(stopped)
-                _, writer = await asyncio.open_connection("127.0.0.1", whole.nodes[stopped].port)
+                running.nodes[stopped].pause()
+                port = running.nodes[stopped].process.port
+                _, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(f"OPEN {client.number:x}0 {rest}\r\n".encode())
                 await writer.drain()
                 writer.close()
                 await writer.wait_closed()
-                whole.resume(stopped)
-                reader, writer = await asyncio.open_connection("127.0.0.1", whole.nodes[stopped].port)
+                running.nodes[stopped].resume()
+                reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"PING\r\n")  # it has come to the token by then
                 assert await reader.readline() == b"PONG\r\n"
                 writer.close()
-                answers.append(await show(whole.nodes[other], rest, client.number * 256 + 1))
+                answers.append(await show(running.nodes[other].process, rest, client.number * 256 + 1))
             return answers
 
     assert asyncio.run(asyncio.wait_for(story(), 60)) == ["UP"] * 4
@@ -205,7 +208,7 @@
 @pytest.mark.parametrize(
     "said",
     [
-        struct.pack(">I", MOST_GREETING + 1),
+        struct.pack(">I", MAX_GREETING_BYTES + 1),
         struct.pack(">I", 3) + b"abc",
         b"OPEN 1 2 c=chat,d=1\r\n",
     ],
@@ -228,18 +231,21 @@
 
     def greet(proof: bytes) -> tuple[Greeting, bytes]:
         with socket.create_connection((host, int(port)), 5) as sock:
-            data = msgspec.msgpack.encode(Greeting(VERSION, "f", "a", "b", b"n" * 16, 60_000_000))
+            data = msgspec.msgpack.encode(Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000))
             sock.sendall(struct.pack(">I", len(data)) + data)
             (size,) = struct.unpack(">I", sock.recv(4, socket.MSG_WAITALL))
             theirs = msgspec.msgpack.decode(sock.recv(size, socket.MSG_WAITALL), type=Greeting)
-            again = msgspec.msgpack.encode(Greeting(VERSION, "f", "a", "b", b"n" * 16, 60_000_000, proof))
+            again = msgspec.msgpack.encode(
+                Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000, proof)
+            )
             sock.sendall(struct.pack(">I", len(again)) + again)
             return theirs, sock.recv(1)
 
-    asked = Greeting(VERSION, "f", "a", "b", b"n" * 16, 60_000_000)
+    asked = Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000)
     first, ended = greet(b"?" * 32)
     assert ended == b""
-    proof = ends.nodes[1]._proof(b"dialler", asked, first)  # what a true dialler had said to that nonce
+    # The proof with which a true dialler had answered that nonce.
+    proof = ends.nodes[1].handshake.proof(b"dialler", asked, first)
     second, ended = greet(proof)
     assert (ended, first.nonce == second.nonce) == (b"", False)
 
@@ -293,20 +299,18 @@
     assert opened().persisted.hard_state.stale_disk_suspected  # until the agreement ends it
     write(
         WriteOperation(
-            records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
+            HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
         )
     )
     assert not opened().persisted.hard_state.stale_disk_suspected
-    write(
-        WriteOperation(RaftStorage._key(2), msgspec.msgpack.encode(LogEntry(1)))
-    )  # the first one is missing
+    write(WriteOperation(log_entry_key(2), msgspec.msgpack.encode(LogEntry(1))))  # the first one is missing
     assert opened().persisted.hard_state.stale_disk_suspected
     write(
         WriteOperation(
-            records_of.HARD, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
+            HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
         )
     )
-    write(WriteOperation(RaftStorage._key(2), None))
+    write(WriteOperation(log_entry_key(2), None))
     assert opened("elsewhere").persisted.hard_state.stale_disk_suspected  # as after a start of the machine
 
 
