--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -45,13 +45,13 @@
 
     incarnation: str  # the node and its start
 
-    def propose(self, entry: SessionOpened) -> None:
-        """Propose an entry whose loss does no harm, without waiting for the decision."""
+    def propose(self, command: SessionOpened) -> None:
+        """Propose a command whose loss does no harm, without waiting for the decision."""
 
     def decide_ownership(
-        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+        self, command: OwnershipClaim | ClaimConfirmation, deadline: timedelta
     ) -> ClaimResult | None:
-        """What the cluster decides on an entry; None where that is not known in time."""
+        """What the cluster decides on a command; None where that is not known in time."""
 
 
 class RetentionPeriod(NamedTuple):
