--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -61,7 +61,7 @@
         lambda: policy_runner.clock.micros(now()),
         _document_settings(documents),
     )
-    resumption_handler.ownership_service = raft_runner
+    resumption_handler.join_peers(raft_runner)
     replica = raft_runner.document_replica
     if replica is not None:
         policy_runner.decision_permit = DocumentPublisher(raft_runner, replica, documents.stamps)
--- /dev/null
+++ b/tests/store/test_compaction.py
@@ -0,0 +1,64 @@
+"""Compaction keeps what an older segment may contradict, and what has expired stays expired."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from tansyladder.lab.crash_consistency import ManualClock
+from tansyladder.store import open_store
+from tansyladder.store.files import RealFiles
+from tests.store.harness import NODE, SMALL_SEGMENT_BYTES, open_in_memory
+
+
+def test_a_deletion_stays_while_an_older_segment_may_hold_its_key() -> None:
+    files, store = open_in_memory(max_segment_bytes=1200)
+    first = store.active_segment_id
+    for number in range(8):
+        store.put(b"old%d" % number, b"x" * 40)
+    while store.active_segment_id == first:
+        store.put(b"fill", b"x" * 40)
+    store.delete(b"old3")
+    second = store.active_segment_id
+    while store.active_segment_id == second:
+        store.put(b"often", b"y" * 60)
+    store.compact_all()
+    assert first in store.stats_by_segment
+    assert second not in store.stats_by_segment
+    store.close()
+    _, store = open_in_memory(files)
+    assert store.get(b"old3") is None
+    assert store.get(b"old4") == b"x" * 40
+
+
+def test_what_has_expired_stays_expired_when_the_clock_steps_back() -> None:
+    clock = ManualClock()
+    files, store = open_in_memory(clock=clock)
+    store.put(b"k", b"old")
+    store.put(b"k", b"new", expiry_us=clock.now + 10)
+    clock.now += 20
+    store.put(b"other", b"x")
+    clock.now -= 20
+    assert store.get(b"k") is None
+    store.close()
+    _, store = open_in_memory(files, clock=clock)
+    assert store.get(b"k") is None
+    store.compact_all()
+    assert store.get(b"k") is None
+    assert dict(store.items()) == {b"other": b"x"}
+
+
+def test_a_snapshot_keeps_the_files_of_compacted_segments_open(tmp_path: Path) -> None:
+    """On a real directory, where a closed file can't be read; the store goes on after the snapshot."""
+    store = open_store(RealFiles(tmp_path), NODE, ManualClock(), SMALL_SEGMENT_BYTES)
+    for number in range(40):
+        store.put(b"k%d" % (number % 4), b"old%d" % number)
+    old_segments = set(store.stats_by_segment)
+    expected = dict(store.items())
+    with store.snapshot() as snapshot:
+        for number in range(40):
+            store.put(b"k%d" % (number % 4), b"new%d" % number)
+        store.compact_all()
+        assert not old_segments <= set(store.stats_by_segment)
+        assert {key: value for key, value, _ in snapshot.items()} == expected
+    assert dict(store.items()) == {b"k%d" % (number % 4): b"new%d" % number for number in range(36, 40)}
+    store.close()
