--- /dev/null
+++ b/tests/lab/chaos/test_faults.py
@@ -0,0 +1,254 @@
+"""Each kind of fault does what its name says to its node's processes and links, and undoes it at its end."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from pathlib import Path
+
+import pytest
+
+from tansyladder.lab.chaos.cluster import ChaosCluster
+from tansyladder.lab.chaos.faults import NEEDS_RUNNING_NODE, FaultInjector, find_leader
+from tansyladder.lab.chaos.history import EventKind, Party
+from tansyladder.lab.chaos.host_process import HostProcess
+from tansyladder.lab.chaos.links import Direction, Link
+from tansyladder.lab.chaos.node import ChaosNode
+from tansyladder.lab.chaos.peer_network import PeerNetwork
+from tansyladder.lab.chaos.schedule import Fault, FaultKind
+from tansyladder.lab.node import LabNode
+
+NODE = 1  # that the faults are of; node 0 leads
+DURATION = 0.15  # seconds
+DELAY = 0.2  # seconds, of links and clocks
+
+
+class FakeProcess(LabNode):
+    """A node that has no process, and writes down what is done to it."""
+
+    def __init__(self, folder: Path, name: str, calls: list[str]) -> None:
+        folder.mkdir()
+        super().__init__(folder, "127.0.0.1:1", {}, name=name)
+        self.log.write_bytes(b"event=raft_state role=leader term=3 leader=n0\n")
+        self.store_file = folder / "store" / "log"
+        self.store_file.parent.mkdir()
+        self.store_file.write_text("old")
+        self.name = name
+        self.calls = calls
+        self.old_process: asyncio.subprocess.Process | None = None
+
+    def note(self, call: str) -> None:
+        self.calls.append(f"{self.name} {call}")
+
+    async def start(self, clock_offset: float = 0.0) -> None:
+        content = self.store_file.read_text() if self.store_file.exists() else "nothing"
+        self.note(f"start {clock_offset} on {content}")
+
+    async def stop(self) -> int:
+        self.note("stop")
+        return 0
+
+    async def kill(self) -> None:
+        self.note("kill")
+
+    def signal(self, number: int) -> None:
+        self.note(signal.Signals(number).name)
+
+    def limit_file_size(self) -> None:
+        self.note("full")
+
+    async def upgrade(self) -> asyncio.subprocess.Process:
+        self.note("upgrade")
+        self.old_process = await asyncio.create_subprocess_exec("sleep", str(2 * DURATION))
+        return self.old_process
+
+
+class FakeLink(Link):
+    """A link without connections that writes down its faults."""
+
+    def __init__(self, name: str, calls: list[str]) -> None:
+        self.name = name
+        self.calls = calls
+        super().__init__("127.0.0.1:1")
+        calls.clear()  # a link recovers when it is made
+
+    def cut(self, *directions: Direction) -> None:
+        shown = "".join(f" {direction.name}" for direction in directions or Direction)
+        self.calls.append(f"{self.name} cut{shown}")
+
+    def recover(self) -> None:
+        delay = getattr(self, "delay", 0.0)
+        self.calls.append(f"{self.name} recover" + (f" from {delay}" if delay else ""))
+
+    def reset(self) -> None:
+        self.calls.append(f"{self.name} reset")
+
+
+class FakeHosts(HostProcess):
+    """Hosts that write down when they die and come back."""
+
+    def __init__(self, calls: list[str]) -> None:
+        super().__init__(2, 2, 1, Path())
+        self.calls = calls
+
+    def kill_host(self, host: int) -> None:
+        self.calls.append(f"s{host} die")
+
+    def restart_host(self, host: int) -> None:
+        self.calls.append(f"s{host} back")
+
+
+class FakePeers(PeerNetwork):
+    """Two nodes with one link between them."""
+
+    def __init__(self, link: FakeLink) -> None:
+        super().__init__(2)
+        self.link = link
+
+    def links_of(self, node: int) -> list[Link]:
+        assert node == NODE
+        return [self.link]
+
+
+def fake_cluster(folder: Path, calls: list[str]) -> ChaosCluster:
+    """Two nodes, two hosts and the links between them; nothing of them runs."""
+    cluster = ChaosCluster(folder, 2, 2, seed=1)
+    cluster.hosts = FakeHosts(calls)
+    for number in range(2):
+        cluster.host_links.append([FakeLink(f"n{number}-s{host}", calls) for host in range(2)])
+        cluster.client_links.append(FakeLink(f"clients-n{number}", calls))
+        process = FakeProcess(folder / f"n{number}", f"n{number}", calls)
+        cluster.nodes.append(ChaosNode(number, process, cluster.history))
+    cluster.peers = FakePeers(FakeLink("n0-n1", calls))
+    return cluster
+
+
+BOTH = "TO_TARGET FROM_TARGET"
+RESTARTED = "n1 start 0.0 on new"  # with what was written while the fault went on
+EXPECTED: dict[FaultKind, list[str]] = {
+    FaultKind.KILL: ["n1 kill", RESTARTED],
+    FaultKind.KILL_ALL: ["n0 kill", "n1 kill", "n0 start 0.0 on old", RESTARTED],
+    FaultKind.KILL_LEADER: ["n0 kill", "n0 start 0.0 on old"],
+    FaultKind.KILL_TOKEN_RECIPIENT: [],  # no client shows a token
+    FaultKind.KILL_WITH_HOST: ["s1 die", "n1 kill", RESTARTED, "s1 back"],
+    FaultKind.PAUSE: ["n1 SIGSTOP", "n1 SIGCONT"],
+    FaultKind.RESTART: ["n1 stop", "n1 start 0.0 on old"],
+    FaultKind.UPGRADE: ["n1 upgrade"],
+    FaultKind.UPGRADE_KILL: ["n1 upgrade"],
+    FaultKind.SKEW_CLOCK: ["n1 kill", f"n1 start {DELAY} on old", "n1 kill", RESTARTED],
+    FaultKind.LOSE_DISK: ["n1 kill", "n1 start 0.0 on nothing"],
+    FaultKind.ROLL_BACK_DISK: ["n1 kill", "n1 start 0.0 on old"],
+    FaultKind.FILL_DISK: ["n1 full", "n1 kill", RESTARTED],
+    FaultKind.CUT_HOSTS: [f"n1-s0 cut {BOTH}", f"n1-s1 cut {BOTH}", "n1-s0 recover", "n1-s1 recover"],
+    FaultKind.CUT_TO_HOSTS: ["n1-s0 cut TO_TARGET", "n1-s1 cut TO_TARGET", "n1-s0 recover", "n1-s1 recover"],
+    FaultKind.CUT_FROM_HOSTS: [
+        "n1-s0 cut FROM_TARGET",
+        "n1-s1 cut FROM_TARGET",
+        "n1-s0 recover",
+        "n1-s1 recover",
+    ],
+    FaultKind.CUT_CLIENTS: [f"clients-n1 cut {BOTH}", "clients-n1 recover"],
+    FaultKind.CUT_PEERS: [f"n0-n1 cut {BOTH}", "n0-n1 recover"],
+    FaultKind.RESET_CLIENTS: ["clients-n1 reset"],
+    FaultKind.DELAY_HOSTS: [f"n1-s0 recover from {DELAY}", f"n1-s1 recover from {DELAY}"],
+    FaultKind.DELAY_PEERS: [f"n0-n1 recover from {DELAY}"],
+    FaultKind.FLAP_PEERS: [
+        f"n0-n1 cut {BOTH}",
+        "n0-n1 recover",
+        "n0-n1 reset",
+        f"n0-n1 cut {BOTH}",
+        "n0-n1 recover",
+    ],
+}
+RECORDED: dict[FaultKind, list[EventKind]] = {
+    FaultKind.KILL_ALL: [EventKind.KILLED, EventKind.KILLED, EventKind.RECOVERED, EventKind.RECOVERED],
+    FaultKind.KILL_TOKEN_RECIPIENT: [],
+    FaultKind.PAUSE: [EventKind.PAUSED, EventKind.RECOVERED],
+    FaultKind.UPGRADE: [EventKind.UPGRADED],
+    FaultKind.UPGRADE_KILL: [EventKind.UPGRADED],
+    FaultKind.SKEW_CLOCK: [EventKind.KILLED, EventKind.RECOVERED, EventKind.KILLED, EventKind.RECOVERED],
+    FaultKind.FILL_DISK: [EventKind.DISK_FULL, EventKind.KILLED, EventKind.RECOVERED],
+    FaultKind.CUT_HOSTS: [EventKind.LINK_CUT, EventKind.RECOVERED],
+    FaultKind.CUT_TO_HOSTS: [EventKind.LINK_CUT, EventKind.RECOVERED],
+    FaultKind.CUT_FROM_HOSTS: [EventKind.LINK_CUT, EventKind.RECOVERED],
+    FaultKind.CUT_CLIENTS: [EventKind.LINK_CUT, EventKind.RECOVERED],
+    FaultKind.CUT_PEERS: [EventKind.PEER_LINKS_CUT, EventKind.RECOVERED],
+    FaultKind.RESET_CLIENTS: [EventKind.CONNECTIONS_RESET, EventKind.RECOVERED],
+    FaultKind.DELAY_HOSTS: [EventKind.LINK_DELAYED, EventKind.RECOVERED],
+    FaultKind.DELAY_PEERS: [EventKind.LINK_DELAYED, EventKind.RECOVERED],
+    FaultKind.FLAP_PEERS: [EventKind.PEER_LINKS_FLAPPING, EventKind.RECOVERED],
+}
+KILLED_AND_BACK = [EventKind.KILLED, EventKind.RECOVERED]  # of all others
+
+
+async def inject(cluster: ChaosCluster, kind: FaultKind) -> None:
+    """Inject a fault, and write into its node's store shortly after it has begun."""
+    injection = asyncio.ensure_future(FaultInjector(cluster).inject(Fault(0.0, kind, NODE, DURATION, DELAY)))
+    await asyncio.sleep(DURATION / 3)
+    store_file = cluster.nodes[NODE].process.folder / "store" / "log"
+    if store_file.exists():
+        store_file.write_text("new")
+    await injection
+
+
+@pytest.mark.parametrize("kind", FaultKind)
+def test_a_fault_does_and_records_what_its_name_says(kind: FaultKind, tmp_path: Path) -> None:
+    calls: list[str] = []
+    cluster = fake_cluster(tmp_path, calls)
+    asyncio.run(inject(cluster, kind))
+    assert calls == EXPECTED[kind]
+    assert [event.kind for event in cluster.history.events] == RECORDED.get(kind, KILLED_AND_BACK)
+
+
+@pytest.mark.parametrize(
+    ("kind", "exit_code"), [(FaultKind.UPGRADE, 0), (FaultKind.UPGRADE_KILL, -signal.SIGKILL)]
+)
+def test_the_old_process_of_an_upgrade_ends_by_itself_or_is_killed(
+    kind: FaultKind, exit_code: int, tmp_path: Path
+) -> None:
+    cluster = fake_cluster(tmp_path, [])
+    asyncio.run(inject(cluster, kind))
+    process = cluster.nodes[NODE].process
+    assert isinstance(process, FakeProcess)
+    assert process.old_process is not None
+    assert process.old_process.returncode == exit_code
+
+
+@pytest.mark.parametrize("kind", [kind for kind in FaultKind if kind in NEEDS_RUNNING_NODE])
+def test_a_fault_that_needs_a_running_node_leaves_one_that_is_down_alone(
+    kind: FaultKind, tmp_path: Path
+) -> None:
+    async def run() -> None:
+        await cluster.nodes[NODE].kill()
+        calls.clear()
+        await inject(cluster, kind)
+
+    calls: list[str] = []
+    cluster = fake_cluster(tmp_path, calls)
+    asyncio.run(run())
+    assert calls == []
+
+
+def test_the_next_node_that_a_token_is_forwarded_to_is_killed(tmp_path: Path) -> None:
+    async def run() -> None:
+        fault = Fault(0.0, FaultKind.KILL_TOKEN_RECIPIENT, NODE, DURATION)
+        injection = asyncio.ensure_future(FaultInjector(cluster).inject(fault))
+        await asyncio.sleep(DURATION / 3)
+        cluster.history.record(Party.CLIENT, EventKind.OPEN_SENT, connection_id="a", token="T")
+        cluster.history.record(Party.LOAD_BALANCER, EventKind.FORWARDED, connection_id="a", node=0)
+        await injection
+
+    calls: list[str] = []
+    cluster = fake_cluster(tmp_path, calls)
+    asyncio.run(run())
+    assert calls == ["n0 kill", "n0 start 0.0 on old"]
+
+
+def test_the_leader_is_the_running_node_whose_log_names_itself_in_the_newest_term(tmp_path: Path) -> None:
+    async def run() -> None:
+        assert find_leader(cluster).number == 0
+        await cluster.nodes[0].kill()
+        assert find_leader(cluster).number == 1  # any that runs
+
+    cluster = fake_cluster(tmp_path, [])
+    asyncio.run(run())
