--- /dev/null
+++ b/tests/sessions/harness.py
@@ -0,0 +1,109 @@
+"""Scripted stream hosts that know positions, and clients that offer to resume."""
+
+from __future__ import annotations
+
+import socket
+import struct
+import threading
+import time
+from collections.abc import Callable
+from datetime import timedelta
+
+from tansyladder.config.operator_settings import ResumeOptions
+from tansyladder.sessions.resumption_handler import ResumptionHandler
+from tests.node.harness import SETTINGS, Node, Peer, Script, ScriptedServer
+
+ON = ResumeOptions(enabled=True, expires=timedelta(seconds=60))
+LONG = SETTINGS | {"classes": [{"name": "chat", "slo": 300_000, "hard_limit": 5_000_000, "worth": 5.0}]}
+Play = Callable[[Peer, dict[str, str]], None]
+OFFER = "c=chat,d=5000,g=5c"
+
+
+def drop(peer: Peer) -> None:
+    """The connection breaks: a reset and no word."""
+    peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    peer.close()
+
+
+class Host:
+    """A scripted stream host that knows positions; each connection's script gets the names it was told."""
+
+    def __init__(self, *scripts: Play) -> None:
+        self.opened: list[dict[str, str]] = []
+        self.lines: list[str] = []
+        self.ended = threading.Semaphore(0)
+        self.listener = ScriptedServer(*map(self._script, scripts))
+
+    def _script(self, then: Play) -> Script:
+        def script(peer: Peer) -> None:
+            self.lines.append(peer.read_line())
+            names = dict(v.split("=") for v in self.lines[-1].split()[3].split(","))
+            self.opened.append(names)
+            try:
+                then(peer, names)
+            finally:
+                self.ended.release()
+
+        return script
+
+
+def at_start(peer: Peer, *more: str) -> None:
+    peer.send_lines("UP r1", "RS AT 0 0", *more)
+
+
+def echo(peer: Peer, names: dict[str, str]) -> None:
+    """Go on where the last one ended, hold what is said at once, and answer each line with the next frame."""
+    said, heard = int(names.get("ro", 0)), int(names.get("ra", 0))
+    peer.send_lines(f"UP r{names.get('re', 0)}", f"RS AT {heard} {said}")
+    while line := peer.read_line():
+        if line.startswith("M "):
+            heard, said = heard + 1, said + 1
+            peer.send_lines(f"F {said} {line}", f"RS ACK {heard}")
+
+
+class Viewer:
+    """A client that offers to resume."""
+
+    def __init__(self, n: Node, names: str = OFFER + ",rs=1", key: str = "7f") -> None:
+        self.node, self.key, self.token, self.frames = n, key, "", 0
+        self.peer = n.open(names, key)
+
+    def hear(self) -> str:
+        """The next line that is no token and no acknowledgment."""
+        while (line := self.peer.read_line()).startswith(("RS TOKEN", "RS ACK")):
+            if line.startswith("RS TOKEN"):
+                self.token = line.split()[2]
+        self.frames += line.startswith("F ")
+        return line
+
+    def begin(self) -> None:
+        assert self.hear().startswith("UP ")
+        self.say("M 1")
+        assert self.hear() == "F 1 M 1"
+        assert self.token
+
+    def say(self, *lines: str) -> None:
+        self.peer.send_lines(*lines)
+
+    def lose(self) -> None:
+        """Its connection breaks, and the node has noticed."""
+        resuming = self.node.runner.session_service
+        assert isinstance(resuming, ResumptionHandler)
+        before, until = resuming.suspended_count, time.monotonic() + 10
+        drop(self.peer)
+        while resuming.suspended_count == before and time.monotonic() < until:
+            time.sleep(0.002)
+
+    def back(self, over: str = "", key: str = "", token: str = "") -> Peer:
+        """A new connection with the token."""
+        names = over or f"{OFFER},rp={self.frames}"
+        return self.node.open(f"{names},rt={token or self.token},again=1", key or self.key)
+
+
+def two(leaving: Play, goes_on: Play) -> Host:
+    """One host as two: who holds no lines yet meets `leaving`, whoever comes with positions `goes_on`."""
+
+    def either(peer: Peer, names: dict[str, str]) -> None:
+        (leaving if names["re"] == "1" else goes_on)(peer, names)
+
+    return Host(either)
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -11,7 +11,7 @@
 from tansyladder.policy.events import EndpointListUpdate, ListUpdateKind
 from tansyladder.sessions.session_store import SessionStore, open_session_store
 from tests.node.harness import Peer, running_node
-from tests.sessions.test_sessions import LONG, ON, Host, Viewer, at_start, echo
+from tests.sessions.harness import LONG, ON, Host, Viewer, at_start, echo
 
 
 def remembers(peer: Peer, names: dict[str, str]) -> None:
