--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -13,28 +13,30 @@
 from tansyladder.sessions.resumption_handler import ResumptionHandler
 from tests.node.harness import SETTINGS, Node, Peer, Script, ScriptedServer
 
-ON = ResumeOptions(enabled=True, expires=timedelta(seconds=60))
-LONG = SETTINGS | {"classes": [{"name": "chat", "slo": 300_000, "hard_limit": 5_000_000, "worth": 5.0}]}
-Play = Callable[[Peer, dict[str, str]], None]
-OFFER = "c=chat,d=5000,g=5c"
+RESUMPTION_OPTIONS = ResumeOptions(enabled=True, expires=timedelta(seconds=60))
+LONG_WAIT_SETTINGS = SETTINGS | {
+    "classes": [{"name": "chat", "slo": 300_000, "hard_limit": 5_000_000, "worth": 5.0}]
+}
+HostScript = Callable[[Peer, dict[str, str]], None]
+OFFER_FIELDS = "c=chat,d=5000,g=5c"
 
 
-def drop(peer: Peer) -> None:
+def break_connection(peer: Peer) -> None:
     """The connection breaks: a reset and no word."""
     peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     peer.close()
 
 
-class Host:
+class ScriptedHost:
     """A scripted stream host that knows positions; each connection's script gets the names it was told."""
 
-    def __init__(self, *scripts: Play) -> None:
+    def __init__(self, *scripts: HostScript) -> None:
         self.opened: list[dict[str, str]] = []
         self.lines: list[str] = []
         self.ended = threading.Semaphore(0)
         self.listener = ScriptedServer(*map(self._script, scripts))
 
-    def _script(self, then: Play) -> Script:
+    def _script(self, then: HostScript) -> Script:
         def script(peer: Peer) -> None:
             self.lines.append(peer.read_line())
             names = dict(v.split("=") for v in self.lines[-1].split()[3].split(","))
@@ -47,11 +49,11 @@
         return script
 
 
-def at_start(peer: Peer, *more: str) -> None:
+def start_session(peer: Peer, *more: str) -> None:
     peer.send_lines("UP r1", "RS AT 0 0", *more)
 
 
-def echo(peer: Peer, names: dict[str, str]) -> None:
+def echo_lines(peer: Peer, names: dict[str, str]) -> None:
     """Go on where the last one ended, hold what is said at once, and answer each line with the next frame."""
     said, heard = int(names.get("ro", 0)), int(names.get("ra", 0))
     peer.send_lines(f"UP r{names.get('re', 0)}", f"RS AT {heard} {said}")
@@ -61,14 +63,14 @@
             peer.send_lines(f"F {said} {line}", f"RS ACK {heard}")
 
 
-class Viewer:
+class SessionClient:
     """A client that offers to resume."""
 
-    def __init__(self, n: Node, names: str = OFFER + ",rs=1", key: str = "7f") -> None:
+    def __init__(self, n: Node, names: str = OFFER_FIELDS + ",rs=1", key: str = "7f") -> None:
         self.node, self.key, self.token, self.frames = n, key, "", 0
         self.peer = n.open(names, key)
 
-    def hear(self) -> str:
+    def read_line(self) -> str:
         """The next line that is no token and no acknowledgment."""
         while (line := self.peer.read_line()).startswith(("RS TOKEN", "RS ACK")):
             if line.startswith("RS TOKEN"):
@@ -76,34 +78,34 @@
         self.frames += line.startswith("F ")
         return line
 
-    def begin(self) -> None:
-        assert self.hear().startswith("UP ")
-        self.say("M 1")
-        assert self.hear() == "F 1 M 1"
+    def open_session(self) -> None:
+        assert self.read_line().startswith("UP ")
+        self.send_lines("M 1")
+        assert self.read_line() == "F 1 M 1"
         assert self.token
 
-    def say(self, *lines: str) -> None:
+    def send_lines(self, *lines: str) -> None:
         self.peer.send_lines(*lines)
 
-    def lose(self) -> None:
+    def lose_connection(self) -> None:
         """Its connection breaks, and the node has noticed."""
         resuming = self.node.runner.session_service
         assert isinstance(resuming, ResumptionHandler)
         before, until = resuming.suspended_count, time.monotonic() + 10
-        drop(self.peer)
+        break_connection(self.peer)
         while resuming.suspended_count == before and time.monotonic() < until:
             time.sleep(0.002)
 
-    def back(self, over: str = "", key: str = "", token: str = "") -> Peer:
+    def reconnect(self, over: str = "", key: str = "", token: str = "") -> Peer:
         """A new connection with the token."""
-        names = over or f"{OFFER},rp={self.frames}"
+        names = over or f"{OFFER_FIELDS},rp={self.frames}"
         return self.node.open(f"{names},rt={token or self.token},again=1", key or self.key)
 
 
-def two(leaving: Play, goes_on: Play) -> Host:
-    """One host as two: who holds no lines yet meets `leaving`, whoever comes with positions `goes_on`."""
+def host_with_two_scripts(leaving: HostScript, goes_on: HostScript) -> ScriptedHost:
+    """A host that runs `leaving` for the first placement of a session, and `goes_on` for later ones."""
 
     def either(peer: Peer, names: dict[str, str]) -> None:
         (leaving if names["re"] == "1" else goes_on)(peer, names)
 
-    return Host(either)
+    return ScriptedHost(either)
--- a/tests/sessions/test_compatibility.py
+++ b/tests/sessions/test_compatibility.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 from tests.node.harness import Peer, ScriptedServer, running_node
-from tests.sessions.harness import LONG, OFFER, ON, Viewer
+from tests.sessions.harness import LONG_WAIT_SETTINGS, OFFER_FIELDS, RESUMPTION_OPTIONS, SessionClient
 
 
-def test_old_hosts_and_old_clients_see_what_they_always_saw(tmp_path: Path) -> None:
+def test_hosts_and_clients_without_resumption_see_unchanged_lines(tmp_path: Path) -> None:
     seen: list[str] = []
 
     def old(peer: Peer) -> None:
@@ -18,20 +18,22 @@
         peer.send_lines(peer.read_line())
         peer.send_lines("MOVE")
 
-    with running_node(tmp_path, ScriptedServer(old), resume=ON, settings=LONG) as n:
-        plain = n.open(OFFER + ",x=1")
+    with running_node(
+        tmp_path, ScriptedServer(old), resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
+    ) as n:
+        plain = n.open(OFFER_FIELDS + ",x=1")
         assert [plain.read_line(), plain.read_line()] == ["UP r1", "RS AT 0 1"]
         plain.send_lines("RS END")
         assert [plain.read_line(), plain.read_line(), plain.read_line()] == ["RS END", "MOVE", ""]
         assert re.fullmatch(r"OPEN [0-9a-f]+ 7f c=chat,d=\d+,g=5c,x=1", seen[0])
-        viewer = Viewer(n, key="80")
-        assert [viewer.hear(), viewer.hear()] == ["UP r1", "RS AT 0 1"]
-        viewer.say("M 1")
-        assert [viewer.hear(), viewer.hear(), viewer.hear()] == ["M 1", "MOVE", ""]
+        client = SessionClient(n, key="80")
+        assert [client.read_line(), client.read_line()] == ["UP r1", "RS AT 0 1"]
+        client.send_lines("M 1")
+        assert [client.read_line(), client.read_line(), client.read_line()] == ["M 1", "MOVE", ""]
         assert ",rs=1" not in seen[1] and ",rsn=" in seen[1]
 
 
-def test_where_nothing_resumes_the_names_are_only_names(tmp_path: Path) -> None:
+def test_without_resumption_its_fields_pass_unchanged(tmp_path: Path) -> None:
     seen: list[str] = []
 
     def host(peer: Peer) -> None:
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -11,13 +11,20 @@
 from tansyladder.policy.events import EndpointListUpdate, ListUpdateKind
 from tansyladder.sessions.session_store import SessionStore, open_session_store
 from tests.node.harness import Peer, running_node
-from tests.sessions.harness import LONG, ON, Host, Viewer, at_start, echo
+from tests.sessions.harness import (
+    LONG_WAIT_SETTINGS,
+    RESUMPTION_OPTIONS,
+    ScriptedHost,
+    SessionClient,
+    echo_lines,
+    start_session,
+)
 
 
 def remembers(peer: Peer, names: dict[str, str]) -> None:
     """A host whose store holds one line of the client, whoever asks."""
     if int(names["re"]) < 1 << 21:  # the first start of the life
-        return echo(peer, names)
+        return echo_lines(peer, names)
     assert (names["ra"], names["ro"]) == ("0", "1")
     peer.send_lines("UP r2", "RS AT 1 1", "F 2")
     while line := peer.read_line():
@@ -26,66 +33,82 @@
     return None
 
 
-def test_a_session_outlives_its_node_and_a_spent_token_stays_spent(tmp_path: Path) -> None:
+def test_a_session_and_its_spent_tokens_outlive_the_node(tmp_path: Path) -> None:
     """The folder is copied while the node runs, as a SIGKILL leaves it; the next node starts on the copy."""
-    host = Host(remembers)
-    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "a") as first:
-        viewer = Viewer(first)
-        viewer.begin()
-        spent = viewer.token
-        viewer.peer = viewer.back()
-        assert [viewer.hear()[:4], viewer.hear()] == ["UP r", "RS AT 1"]
-        while viewer.token == spent:
-            viewer.token = viewer.peer.read_line().split()[2]
-        unspent = viewer.token
+    host = ScriptedHost(remembers)
+    with running_node(
+        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "a"
+    ) as first:
+        client = SessionClient(first)
+        client.open_session()
+        spent = client.token
+        client.peer = client.reconnect()
+        assert [client.read_line()[:4], client.read_line()] == ["UP r", "RS AT 1"]
+        while client.token == spent:
+            client.token = client.peer.read_line().split()[2]
+        unspent = client.token
         shutil.copytree(tmp_path / "a", tmp_path / "b")
-    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "b") as second:
-        viewer.node = second
-        assert viewer.back(token=spent).read_line() == "ERR resume spent"
-        viewer.peer = viewer.back(token=unspent)
-        assert [viewer.hear() for _ in range(3)] == ["UP r2", "RS AT 1", "F 2"]
-        viewer.say("M 2")
-        assert viewer.hear() == "F 3 M 2"
-        assert viewer.back(token=unspent).read_line() == "ERR resume spent"
+    with running_node(
+        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "b"
+    ) as second:
+        client.node = second
+        assert client.reconnect(token=spent).read_line() == "ERR resume spent"
+        client.peer = client.reconnect(token=unspent)
+        assert [client.read_line() for _ in range(3)] == ["UP r2", "RS AT 1", "F 2"]
+        client.send_lines("M 2")
+        assert client.read_line() == "F 3 M 2"
+        assert client.reconnect(token=unspent).read_line() == "ERR resume spent"
         shutil.copytree(tmp_path / "b", tmp_path / "c")
-        last = viewer.token
-    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "c") as third:
-        viewer.node = third
-        assert viewer.back(token=unspent).read_line() == "ERR resume spent"
+        last = client.token
+    with running_node(
+        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "c"
+    ) as third:
+        client.node = third
+        assert client.reconnect(token=unspent).read_line() == "ERR resume spent"
         assert (
-            viewer.back(f"c=chat,d=5000,g=5d,rp={viewer.frames}", token=last).read_line()
+            client.reconnect(f"c=chat,d=5000,g=5d,rp={client.frames}", token=last).read_line()
             == "ERR resume forged"
         )
-    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "new") as other:
-        viewer.node = other
-        assert viewer.back(token=last).read_line() == "ERR resume elsewhere"
+    with running_node(
+        tmp_path,
+        host.listener,
+        resume=RESUMPTION_OPTIONS,
+        settings=LONG_WAIT_SETTINGS,
+        store=tmp_path / "new",
+    ) as other:
+        client.node = other
+        assert client.reconnect(token=last).read_line() == "ERR resume elsewhere"
 
 
-def test_a_session_that_nobody_holds_any_more_is_refused_in_time(tmp_path: Path) -> None:
+def test_a_restored_session_without_a_host_is_rejected_in_time(tmp_path: Path) -> None:
     def forgets(peer: Peer, names: dict[str, str]) -> None:
         if int(names["re"]) < 1 << 21:
-            at_start(peer, "F 1")
+            start_session(peer, "F 1")
             peer.read_line()
         else:
             peer.send_lines("BUSY")
 
-    host = Host(forgets)
-    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "a") as first:
-        viewer = Viewer(first)
-        assert [viewer.hear(), viewer.hear()] == ["UP r1", "F 1"]
-        viewer.say("RS ACK 1")
+    host = ScriptedHost(forgets)
+    with running_node(
+        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "a"
+    ) as first:
+        client = SessionClient(first)
+        assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
+        client.send_lines("RS ACK 1")
         shutil.copytree(tmp_path / "a", tmp_path / "b")
-    with running_node(tmp_path, host.listener, resume=ON, settings=LONG, store=tmp_path / "b") as second:
-        viewer.node = second
-        refused = viewer.back("c=chat,d=600,g=5c,rp=1")
+    with running_node(
+        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "b"
+    ) as second:
+        client.node = second
+        refused = client.reconnect("c=chat,d=600,g=5c,rp=1")
         assert refused.read_line().startswith("BUSY") and refused.read_line() == ""
 
 
-def test_a_client_hears_only_of_lines_that_its_host_holds(tmp_path: Path) -> None:
+def test_only_lines_that_the_host_has_are_acknowledged_to_the_client(tmp_path: Path) -> None:
     """What the node alone has would be lost with it: the client says it again, and nobody hears it twice."""
 
     def holds_one(peer: Peer, names: dict[str, str]) -> None:
-        at_start(peer)
+        start_session(peer)
         assert [peer.read_line(), peer.read_line()] == ["M 1", "M 2"]
         peer.send_lines("RS ACK 1", "F 1")
         assert peer.read_line() == "M 3"
@@ -93,20 +116,24 @@
         peer.read_line()
 
     with running_node(
-        tmp_path, Host(holds_one).listener, resume=ON, settings=LONG, store=tmp_path / "a"
+        tmp_path,
+        ScriptedHost(holds_one).listener,
+        resume=RESUMPTION_OPTIONS,
+        settings=LONG_WAIT_SETTINGS,
+        store=tmp_path / "a",
     ) as n:
-        viewer = Viewer(n)
-        assert viewer.hear() == "UP r1"
-        viewer.say("M 1", "M 2")
-        assert viewer.hear() == "F 1"
-        viewer.peer = viewer.back()
-        assert [viewer.hear()[:4], viewer.hear()] == ["UP r", "RS AT 1"]
-        viewer.say("M 2", "M 3")
-        assert viewer.hear() == "F 2"
-
-
-def test_the_newest_list_is_known_at_the_next_start(tmp_path: Path) -> None:
-    old, new = Host(echo), Host(echo)
+        client = SessionClient(n)
+        assert client.read_line() == "UP r1"
+        client.send_lines("M 1", "M 2")
+        assert client.read_line() == "F 1"
+        client.peer = client.reconnect()
+        assert [client.read_line()[:4], client.read_line()] == ["UP r", "RS AT 1"]
+        client.send_lines("M 2", "M 3")
+        assert client.read_line() == "F 2"
+
+
+def test_the_last_endpoint_list_is_known_at_the_next_start(tmp_path: Path) -> None:
+    old, new = ScriptedHost(echo_lines), ScriptedHost(echo_lines)
     entry = EndpointEntry("s9", new.listener.address, "up", zone="a", kind="m")
     with running_node(tmp_path, old.listener, store=tmp_path / "a") as first:
         assert first.runner.endpoint_cache is not None
@@ -120,7 +147,7 @@
 
 
 @pytest.mark.parametrize("fault", ["locked", "damaged", "foreign", "unusable"])
-def test_a_node_whose_store_fails_serves_without_it(
+def test_a_node_serves_without_a_store_that_fails(
     tmp_path: Path, fault: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     folder = tmp_path / "store"
@@ -133,24 +160,36 @@
     if fault == "unusable":
         shutil.rmtree(folder)
         folder.write_text("")
-    with running_node(tmp_path, Host(echo).listener, resume=ON, settings=LONG, store=folder) as n:
+    with running_node(
+        tmp_path,
+        ScriptedHost(echo_lines).listener,
+        resume=RESUMPTION_OPTIONS,
+        settings=LONG_WAIT_SETTINGS,
+        store=folder,
+    ) as n:
         assert n.runner.endpoint_cache is None
-        viewer = Viewer(n)
-        viewer.begin()
-        viewer.peer = viewer.back()
-        assert [viewer.hear()[:4], viewer.hear()] == ["UP r", "RS AT 1"]
+        client = SessionClient(n)
+        client.open_session()
+        client.peer = client.reconnect()
+        assert [client.read_line()[:4], client.read_line()] == ["UP r", "RS AT 1"]
     assert f"event=store_unusable word={fault}" in capsys.readouterr().err
     held.close()
 
 
-def test_a_token_that_cant_be_noted_as_spent_opens_nothing(tmp_path: Path) -> None:
+def test_a_token_is_rejected_where_its_redemption_cant_be_stored(tmp_path: Path) -> None:
     """Else it would open the session once more after a restart; whoever stands is served on."""
-    with running_node(tmp_path, Host(echo).listener, resume=ON, settings=LONG, store=tmp_path / "a") as n:
-        viewer = Viewer(n)
-        viewer.begin()
+    with running_node(
+        tmp_path,
+        ScriptedHost(echo_lines).listener,
+        resume=RESUMPTION_OPTIONS,
+        settings=LONG_WAIT_SETTINGS,
+        store=tmp_path / "a",
+    ) as n:
+        client = SessionClient(n)
+        client.open_session()
         assert isinstance(n.runner.endpoint_cache, SessionStore)
         n.runner.endpoint_cache._store._lifecycle.mark_broken("made to fail")
-        refused = viewer.back()
+        refused = client.reconnect()
         assert [refused.read_line(), refused.read_line()] == ["ERR resume store", ""]
-        viewer.say("M 2")
-        assert viewer.hear() == "F 2 M 2"
+        client.send_lines("M 2")
+        assert client.read_line() == "F 2 M 2"
