--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -239,8 +239,8 @@
     return document_messages.Prepare(number=number, node=node, timestamp_us=time, short_lease_us=short_lease)
 
 
-def prepared(*, number: int, round: int, node: str, time: int) -> LogCommand:
-    return document_messages.Prepared(number=number, round=round, node=node, timestamp_us=time)
+def prepared(*, number: int, round_number: int, node: str, time: int) -> LogCommand:
+    return document_messages.Prepared(number=number, round=round_number, node=node, timestamp_us=time)
 
 
 def commit(*, number: int, node: str, time: int) -> LogCommand:
@@ -278,7 +278,7 @@
 
 def endpoint(
     *,
-    id: str,
+    endpoint_id: str,
     address: str,
     phase: str,
     locality: str,
@@ -288,7 +288,7 @@
     up_since_ms: int,
 ) -> EndpointEntry:
     return EndpointEntry(
-        id=id,
+        id=endpoint_id,
         address=address,
         state=phase,
         zone=locality,
@@ -393,5 +393,5 @@
 # --- what a first line was decided under
 
 
-def decision_stamp(*, time: int, id: str, numbers: dict[str, int]) -> object:
-    return DecisionStamp(at=time, ident=id, numbers=numbers)
+def decision_stamp(*, time: int, connection_id: str, numbers: dict[str, int]) -> object:
+    return DecisionStamp(at=time, ident=connection_id, numbers=numbers)
--- a/tests/formats/test_handover_formats.py
+++ b/tests/formats/test_handover_formats.py
@@ -21,7 +21,7 @@
     complete=True,
     endpoints=[
         adapter.endpoint(
-            id="s1",
+            endpoint_id="s1",
             address="10.0.0.1:7000",
             phase="up",
             locality="a",
@@ -31,7 +31,7 @@
             up_since_ms=1_789_999_000_123,
         ),
         adapter.endpoint(
-            id="s2",
+            endpoint_id="s2",
             address="10.0.0.2:7000",
             phase="draining",
             locality="",
@@ -59,7 +59,7 @@
     partial_lines=(b"", b""),
     waiting_lines=(b"", b""),
 )
-STAMP = adapter.decision_stamp(time=1_790_000_000_000_000, id="9b1f", numbers={"note": 3})
+STAMP = adapter.decision_stamp(time=1_790_000_000_000_000, connection_id="9b1f", numbers={"note": 3})
 FILES = {"listener": LISTENER, "connection": CONNECTION, "connection_idle": IDLE_CONNECTION, "stamp": STAMP}
 
 
--- a/tests/formats/test_message_formats.py
+++ b/tests/formats/test_message_formats.py
@@ -86,7 +86,7 @@
         number=12, node="n1/aa", time=TIME + 13, fault="note: not UTF-8"
     ),
     "prepare": adapter.prepare(number=14, node="n1/aa", time=TIME + 15, short_lease=300_000),
-    "prepared": adapter.prepared(number=16, round=2, node="n1/aa", time=TIME + 17),
+    "prepared": adapter.prepared(number=16, round_number=2, node="n1/aa", time=TIME + 17),
     "commit": adapter.commit(number=18, node="n1/aa", time=TIME + 19),
     "abort": adapter.abort(number=20, node="n1/aa", time=TIME + 21, why="no answer of n3"),
     "abort_round": adapter.abort(number=20, node="n1/aa", time=TIME + 21, why=""),
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -179,7 +179,7 @@
     complete=True,
     endpoints=[
         adapter.endpoint(
-            id="s1",
+            endpoint_id="s1",
             address="10.0.0.1:7000",
             phase="up",
             locality="a",
@@ -189,7 +189,7 @@
             up_since_ms=1_789_999_000_123,
         ),
         adapter.endpoint(
-            id="s3",
+            endpoint_id="s3",
             address="10.0.0.3:7001",
             phase="draining",
             locality="b",
--- a/tests/formats/writers.py
+++ b/tests/formats/writers.py
@@ -120,7 +120,7 @@
     complete=True,
     endpoints=[
         adapter.endpoint(
-            id="s1",
+            endpoint_id="s1",
             address="10.0.0.1:7000",
             phase="up",
             locality="a",
@@ -130,7 +130,7 @@
             up_since_ms=1_789_999_000_123,
         ),
         adapter.endpoint(
-            id="s2",
+            endpoint_id="s2",
             address="10.0.0.2:7000",
             phase="up",
             locality="b",
@@ -146,7 +146,7 @@
     complete=False,
     endpoints=[
         adapter.endpoint(
-            id="s2",
+            endpoint_id="s2",
             address="10.0.0.2:7000",
             phase="removed",
             locality="",
@@ -156,7 +156,7 @@
             up_since_ms=0,
         ),
         adapter.endpoint(
-            id="s3",
+            endpoint_id="s3",
             address="10.0.0.3:7001",
             phase="draining",
             locality="b",
@@ -180,7 +180,7 @@
     ),
     adapter.validation_vote(number=1, node="n1/aa", time=NOW + 2, fault=""),
     adapter.prepare(number=1, node="n1/aa", time=NOW + 3, short_lease=300_000),
-    adapter.prepared(number=1, round=1, node="n1/aa", time=NOW + 4),
+    adapter.prepared(number=1, round_number=1, node="n1/aa", time=NOW + 4),
     adapter.commit(number=1, node="n1/aa", time=NOW + 5),
 ]
 AGREED_COMMANDS: list[LogCommand] = [
