--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -5,7 +5,7 @@
 import os
 import threading
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
 from random import Random
@@ -13,12 +13,7 @@
 
 import msgspec
 
-from tansyladder.cluster.document_replica import (
-    DEFAULT_LEASE_DURATION,
-    DocumentReplica,
-    LeaseExpiryPolicy,
-    Validator,
-)
+from tansyladder.cluster.document_replica import DocumentReplica, DocumentReplicaSettings
 from tansyladder.cluster.inbox import Inbox, ReceivedMessage
 from tansyladder.cluster.peer_transport import PeerMessage, PeerTransport
 from tansyladder.cluster.pending_results import PendingResults
@@ -38,7 +33,6 @@
     LeaseRelease,
     change_step,
 )
-from tansyladder.replication.documents import Documents
 from tansyladder.replication.replicated_state import Command, ReplicatedState
 from tansyladder.replication.session_ownership import (
     ClaimConfirmation,
@@ -59,15 +53,6 @@
     state_directory: str | None  # for the file that shows that the store is no older copy
 
 
-@dataclass(frozen=True, slots=True)
-class DocumentSettings:
-    """How this node takes part in agreed documents."""
-
-    validators: Mapping[str, Validator]  # by name of document
-    lease_expiry_policy: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP
-    lease_duration: timedelta = DEFAULT_LEASE_DURATION
-
-
 class RaftStatus(NamedTuple):
     """What operators are told of a node whenever it changes."""
 
@@ -105,26 +90,6 @@
     return Membership(name, voters, learners)
 
 
-def _make_document_replica(
-    settings: DocumentSettings,
-    incarnation: str,
-    peers: list[str],
-    documents: Documents,
-    store: Store | None,
-    now_us: Callable[[], int],
-) -> DocumentReplica:
-    return DocumentReplica(
-        incarnation,
-        peers,
-        documents,
-        store,
-        settings.validators,
-        now_us,
-        settings.lease_expiry_policy,
-        settings.lease_duration,
-    )
-
-
 class RaftRunner:
     """One node of the cluster that decides on session owners and documents.
 
@@ -139,7 +104,7 @@
         storage: NodeStorage,
         on_ownership_claimed: Callable[[int, int, str], None],
         now_us: Callable[[], int],
-        documents: DocumentSettings | None = None,
+        documents: DocumentReplicaSettings | None = None,
     ) -> None:
         """Read the state from the disk and listen for peers; `start` begins to take part.
 
@@ -165,8 +130,8 @@
         if documents is not None:
             # After the node has loaded the state, which names the documents whose content the replica reads.
             peers = [member for member in options.members if member != name]
-            self.document_replica = _make_document_replica(
-                documents, self.incarnation, peers, state_machine.documents, storage.store, now_us
+            self.document_replica = DocumentReplica(
+                self.incarnation, peers, state_machine.documents, storage.store, documents, now_us
             )
         self.transport = PeerTransport(name, options, self._enqueue, now_us)
 
