--- /dev/null
+++ b/tests/net/test_relay.py
@@ -0,0 +1,183 @@
+"""The relay between two pairs of sockets: whole lines both ways, ends in kind, and the policy's MOVE."""
+
+from __future__ import annotations
+
+import socket
+import struct
+import threading
+import time
+from collections.abc import Iterator
+
+import pytest
+
+from tansyladder.net import protocol
+from tansyladder.net.action_queue import ActionQueue, Endpoint
+from tansyladder.net.delay_reports import DelayReports
+from tansyladder.net.handover_messages import BytesByDirection, ConnectionState
+from tansyladder.net.listener_handover import ListenerHandover
+from tansyladder.net.relay import Relay
+from tansyladder.net.upstream import UpstreamConnection
+from tansyladder.policy.actions import Migrate
+from tansyladder.policy.events import AttemptStatus, EndpointState, ReportKind
+
+OPENING = protocol.parse_opening(b"OPEN 9b1f 7f c=chat,d=1200\r\n")
+ENDPOINT = Endpoint(1, "s1", ("127.0.0.1", 1), EndpointState.READY)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+
+
+def socket_pair() -> tuple[socket.socket, socket.socket]:
+    """Both ends of a TCP connection; every read of the first one ends."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        one = socket.create_connection(listener.getsockname(), 10)
+        other, _ = listener.accept()
+    return one, other
+
+
+class RunningRelay:
+    """A relay in a thread of its own, and the far ends of its two connections."""
+
+    def __init__(self, initial_lines: tuple[bytes, ...] = (), state: ConnectionState | None = None) -> None:
+        self.client, client = socket_pair()
+        self.upstream, upstream = socket_pair()
+        self.reports: list[tuple[ReportKind, float]] = []
+        self.actions = ActionQueue()
+        self.status: AttemptStatus | None = None
+        connection = UpstreamConnection(ENDPOINT, upstream, protocol.LineBuffer(), initial_lines, 0, 0)
+        reports = DelayReports(1, lambda: None, lambda *report: self.reports.append(report), lambda: True)
+        handover = ListenerHandover(("127.0.0.1", 1), None)
+        relay = Relay(client, connection, OPENING, self.actions, reports, handover)
+        self.actions.use_callback(relay.wake)
+        self._thread = threading.Thread(target=self._run, args=(relay, state), daemon=True)
+        self._thread.start()
+
+    def _run(self, relay: Relay, state: ConnectionState | None) -> None:
+        self.status = relay.run() if state is None else relay.resume(state)
+
+    def end(self) -> AttemptStatus | None:
+        """What became of the connection."""
+        self._thread.join(10)
+        return self.status
+
+    def close(self) -> None:
+        """End what is left of the connection."""
+        self.client.close()
+        self.upstream.close()
+        self._thread.join(10)
+
+
+@pytest.fixture
+def relay() -> Iterator[RunningRelay]:
+    running = RunningRelay(initial_lines=(b"UP r1\r\n",))
+    assert running.client.recv(64) == b"UP r1\r\n"
+    yield running
+    running.close()
+
+
+def read_to_end(sock: socket.socket) -> bytes:
+    parts = []
+    while part := sock.recv(4096):
+        parts.append(part)
+    return b"".join(parts)
+
+
+def test_only_whole_lines_pass_in_both_directions(relay: RunningRelay) -> None:
+    for source, destination in ((relay.client, relay.upstream), (relay.upstream, relay.client)):
+        source.sendall(b"M ")
+        time.sleep(0.05)
+        source.sendall(b"1\r\nM 2\r\nhalf")
+        assert destination.recv(64) == b"M 1\r\nM 2\r\n"
+
+
+@pytest.mark.parametrize(
+    ("last_lines", "status"),
+    [
+        (b"BYE\r\n", AttemptStatus.OK),
+        (b"MOVE\r\n", AttemptStatus.CANCELLED),
+        (b"M 1\r\n", AttemptStatus.RESET),
+        (b"BYE\r\nM 1\r\n", AttemptStatus.RESET),
+    ],
+)
+def test_the_endpoints_last_line_says_what_its_end_means(
+    relay: RunningRelay, last_lines: bytes, status: AttemptStatus
+) -> None:
+    relay.upstream.sendall(last_lines)
+    relay.upstream.shutdown(socket.SHUT_WR)
+    assert read_to_end(relay.client) == last_lines
+    relay.client.close()
+    assert relay.end() is status
+
+
+def test_a_clients_end_is_passed_on_and_the_endpoints_last_lines_still_come(relay: RunningRelay) -> None:
+    relay.client.sendall(b"M 1\r\nrest")
+    relay.client.shutdown(socket.SHUT_WR)
+    assert read_to_end(relay.upstream) == b"M 1\r\nrest"
+    relay.upstream.sendall(b"BYE\r\n")
+    relay.upstream.close()
+    assert read_to_end(relay.client) == b"BYE\r\n"
+    assert relay.end() is AttemptStatus.CANCELLED
+
+
+def test_a_reset_of_the_endpoint_resets_the_client(relay: RunningRelay) -> None:
+    relay.upstream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+    relay.upstream.close()
+    with pytest.raises(ConnectionResetError):
+        relay.client.recv(64)
+    assert relay.end() is AttemptStatus.RESET
+
+
+def test_an_action_of_the_policys_ends_the_connection_with_move(relay: RunningRelay) -> None:
+    relay.actions.post(Migrate(1))
+    relay.actions.wake()
+    assert read_to_end(relay.client) == b"MOVE\r\n"
+    assert read_to_end(relay.upstream) == b""
+    assert relay.end() is AttemptStatus.CANCELLED
+
+
+def test_a_line_that_is_too_long_ends_the_connection_with_move(relay: RunningRelay) -> None:
+    relay.upstream.sendall(b"x" * protocol.MAX_LINE_BYTES)
+    assert read_to_end(relay.client) == b"MOVE\r\n"
+    assert relay.end() is AttemptStatus.CANCELLED
+
+
+def test_a_load_line_is_reported_and_passed_on(relay: RunningRelay) -> None:
+    relay.upstream.sendall(b"LOAD 250\r\n")
+    assert relay.client.recv(64) == b"LOAD 250\r\n"
+    relay.upstream.sendall(b"BYE\r\n")
+    assert relay.client.recv(64) == b"BYE\r\n"
+    assert relay.reports == [(ReportKind.LOAD, 250.0)]
+
+
+def test_a_slow_client_holds_the_endpoint_up_and_gets_all(relay: RunningRelay) -> None:
+    line = b"M " + b"x" * 1000 + b"\r\n"
+    count = 20_000  # far over what the sockets' buffers hold
+    relay.upstream.settimeout(60)
+    sender = threading.Thread(target=relay.upstream.sendall, args=(line * count,), daemon=True)
+    sender.start()
+    time.sleep(0.2)
+    assert sender.is_alive()
+    received = 0
+    while received < len(line) * count:
+        received += len(relay.client.recv(1 << 16))
+    sender.join(60)
+    assert not sender.is_alive()
+
+
+def test_a_connection_goes_on_where_another_process_left_it() -> None:
+    state = ConnectionState(
+        OPENING.line,
+        "s1",
+        "BYE",
+        None,
+        BytesByDirection(b"M ", b"PI"),
+        BytesByDirection(b"M 0\r\n", b"M 9\r\n"),
+    )
+    relay = RunningRelay(state=state)
+    assert relay.client.recv(64) == b"M 0\r\n"
+    assert relay.upstream.recv(64) == b"M 9\r\n"
+    relay.client.sendall(b"NG\r\n")
+    assert relay.upstream.recv(64) == b"PING\r\n"
+    relay.upstream.close()  # after BYE, as the other process had read it
+    assert read_to_end(relay.client) == b"M "
+    relay.client.close()
+    assert relay.end() is AttemptStatus.OK
+    relay.close()
