--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -6,18 +6,23 @@
 from typing import Any, NamedTuple, TypeVar
 
 from tansyladder.policy.actions import Action, SetTimer, StartAttempt
+from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.balancer import Balancer
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
+    ConnectionAdopted,
+    ConnectionReport,
     EndpointListUpdate,
     EndpointState,
     EndpointUpdate,
     Event,
     ListUpdateKind,
+    ReportKind,
     RequestReceived,
     TimerExpired,
 )
+from tansyladder.policy.records import Endpoint
 from tansyladder.policy.settings import ClassSettings, Settings
 
 MILLISECOND = 1000  # us, as all spans and moments here
@@ -74,6 +79,23 @@
     return EndpointUpdate(endpoint_id, zone, cell, 0, weight, state, ready_at)
 
 
+def endpoints(first: int, last: int, **changes: Any) -> list[EndpointUpdate]:
+    """Endpoints with the numbers from the first to the last."""
+    return [endpoint(number, **changes) for number in range(first, last + 1)]
+
+
+def adopted(
+    request_id: int, endpoint_id: int, load_hint: int | None = None, tenant: int = 0, group_key: int = 0
+) -> ConnectionAdopted:
+    """A connection that was established before the balancer's start."""
+    return ConnectionAdopted(request_id, 0, tenant, endpoint_id, 0, load_hint, group_key)
+
+
+def delay_report(request_id: int, endpoint_id: int, delay_ms: float) -> ConnectionReport:
+    """An endpoint's own report of how long messages of a connection take."""
+    return ConnectionReport(request_id, ReportKind.REPORTED_DELAY, 0, endpoint_id, delay_ms)
+
+
 class SentRequest(NamedTuple):
     """A request that was sent, and what the balancer did at once."""
 
@@ -107,6 +129,14 @@
         self.next_id = 1
         self.deliver(EndpointListUpdate(ListUpdateKind.CACHED, tuple(endpoints)))
 
+    def endpoint(self, endpoint_id: int) -> Endpoint:
+        """The balancer's record of an endpoint."""
+        return self.balancer.endpoints.by_id[endpoint_id]
+
+    def backoff(self, key: int) -> Backoff:
+        """The backoff of a key; KeyError where it has none."""
+        return self.balancer.requests.backoffs[key]
+
     def deliver(self, *events: Event) -> list[Action]:
         """Hand events over now; the actions that follow, timers aside."""
         actions: list[Action] = []
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -13,23 +13,25 @@
     SECOND,
     START_TIME,
     BalancerDriver,
-    endpoint,
+    endpoints,
     of_type,
     only_attempt,
 )
 
-FLEET = [endpoint(i) for i in range(1, 9)]
+FLEET = endpoints(1, 8)
 
 
 def test_delays_span_the_whole_interval() -> None:
-    for n in range(1, 6):
+    for attempt in range(1, 6):
+        width = 1000 << attempt
         delays = []
         for seed in range(400):
-            b = Backoff()
-            b.attempt = n - 1
-            b.record_failure(START_TIME, 1000, 10, Random(seed))
-            assert (b.attempt, b.interval_end) == (n, START_TIME + (1000 << n))
-            delays.append((b.retry_at - START_TIME) / (1000 << n))
+            backoff = Backoff()
+            backoff.attempt = attempt - 1
+            backoff.record_failure(START_TIME, 1000, 10, Random(seed))
+            assert backoff.attempt == attempt
+            assert backoff.interval_end == START_TIME + width
+            delays.append((backoff.retry_at - START_TIME) / width)
         assert 0 <= min(delays) < 0.02
         assert 0.98 < max(delays) <= 1
         assert 0.45 < sum(delays) / len(delays) < 0.55
@@ -37,20 +39,22 @@
 
 def test_retries_of_successive_failures_never_overlap() -> None:
     for seed in range(200):
-        rng, b, ends = Random(seed), Backoff(), START_TIME
-        for n in range(1, 8):
-            failed_at = b.retry_at if b.retry_at else START_TIME
-            b.record_failure(failed_at, 1000, 10, rng)
-            assert ends <= b.retry_at <= b.interval_end
-            assert b.interval_end == ends + (1000 << n)
-            ends = b.interval_end
+        rng = Random(seed)
+        backoff = Backoff()
+        last_end = START_TIME
+        for attempt in range(1, 8):
+            failed_at = backoff.retry_at or START_TIME
+            backoff.record_failure(failed_at, 1000, 10, rng)
+            assert last_end <= backoff.retry_at <= backoff.interval_end
+            assert backoff.interval_end == last_end + (1000 << attempt)
+            last_end = backoff.interval_end
 
 
 def test_the_attempt_number_is_capped() -> None:
-    b = Backoff()
+    backoff = Backoff()
     for _ in range(40):
-        b.record_failure(b.interval_end, 1000, 4, Random(1))
-    assert b.attempt == 4
+        backoff.record_failure(backoff.interval_end, 1000, 4, Random(1))
+    assert backoff.attempt == 4
 
 
 def test_retries_keep_to_their_intervals() -> None:
@@ -60,7 +64,7 @@
         send, attempt, start = only_attempt(actions), 0, None
         while True:
             actions = node.fail_attempt(send, attempt)
-            b = node.balancer.requests.backoffs[7]
+            b = node.backoff(7)
             if start is not None:
                 assert b.retry_at >= start  # at or after the last interval's end
             start = b.interval_end
@@ -79,12 +83,12 @@
     node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
     node.now += 100 * MILLISECOND
     node.deliver(AttemptEnded(request_id, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MILLISECOND, True))
-    assert node.balancer.requests.backoffs[7].attempt == 1
+    assert node.backoff(7).attempt == 1
     node.run_until(node.now + SECOND)
     request_id, actions = node.send_request()
     send = only_attempt(actions)
     node.fail_attempt(send, 0)
-    assert node.balancer.requests.backoffs[7].attempt == 2
+    assert node.backoff(7).attempt == 2
     send = only_attempt(node.run_to_next_action())
     node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
     node.run_until(node.now + DEADLINE + 1)
@@ -95,7 +99,7 @@
     node = BalancerDriver(FLEET)
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
-    due = node.balancer.requests.backoffs[7].retry_at
+    due = node.backoff(7).retry_at
     request_id, actions = node.send_request()
     assert actions == []
     sent = of_type(node.run_until(due), StartAttempt)
@@ -124,7 +128,7 @@
         seen = node.run_to_next_action()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Reject(request_id, node.balancer.requests.backoffs[7].interval_end - node.now)
+    assert seen[0] == Reject(request_id, node.backoff(7).interval_end - node.now)
 
 
 def test_attempts_run_out() -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -2,67 +2,56 @@
 
 from __future__ import annotations
 
-import contextlib
 import math
 import random
-import threading
 from collections import Counter
-from datetime import timedelta
 from itertools import pairwise
-from pathlib import Path
-from typing import Any
 
 import pytest
 
 from tansyladder.config.platform import discovery_call_interval
 from tansyladder.net.clock import MICROSECOND
-from tansyladder.net.http import HttpClient
 from tansyladder.node import discovery_client
 from tansyladder.policy.actions import PollDiscovery, StartAttempt
 from tansyladder.policy.events import (
     AttemptEstablished,
-    ConnectionAdopted,
     EndpointListUpdate,
     ListUpdateKind,
 )
 from tansyladder.policy.slow_start import CONNECTIONS_PER_WEIGHT, PERMIT_ROTATION_SIZE
-from tests.node.harness import SETTINGS, running_node
-from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint, of_type
+from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, adopted, endpoint, of_type
+
+
+def polling_node(seed: int, nodes: int) -> BalancerDriver:
+    """One of so many nodes, which polls discovery at their pace."""
+    interval = discovery_call_interval(nodes) // MICROSECOND
+    return BalancerDriver([endpoint(1)], seed, polls_discovery=True, discovery_call_interval_us=interval)
 
 
 def poll_times(seed: int, nodes: int, span: int) -> list[int]:
-    """The moments (us) at which one of so many nodes calls a discovery that fails each call."""
-    asking = BalancerDriver(
-        [endpoint(1)],
-        seed,
-        polls_discovery=True,
-        discovery_call_interval_us=discovery_call_interval(nodes) // MICROSECOND,
-    )
+    """The moments (us) at which one of so many nodes polls a discovery that fails each call."""
+    node = polling_node(seed, nodes)
     calls: list[int] = []
-    while asking.now < START_TIME + span and (actions := asking.run_to_next_action(60 * SECOND)):
+    while node.now < START_TIME + span and (actions := node.run_to_next_action(60 * SECOND)):
         for _ in of_type(actions, PollDiscovery):
-            calls.append(asking.now - START_TIME)
-            asking.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
+            calls.append(node.now - START_TIME)
+            node.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     return calls
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 40, 100, 10**14])
 def test_failed_polls_leave_no_list_older_than_its_age_limit(nodes: int) -> None:
-    """They came up to 40 s apart; what discovery can tell counts as told 6 s later, whatever failed before.
+    """A change of the list counts as told 6 s later, whatever calls failed before.
 
-    It replaces a bound on the fleet's calls alone. They have one still: those of one node are 2 s apart on
-    the whole, and those of all are spread. At 1.5 s on the whole a fleet's calls kept each other failing.
+    The fleet's calls have a bound as well: those of one node are 2 s apart on the whole, and those of all are
+    spread. At 1.5 s on the whole a fleet's calls kept each other failing.
     """
     played = min(nodes, 100)
     each = [poll_times(seed, nodes, 60 * SECOND) for seed in range(played)]
     for at in each:  # a call that hangs, and the one after it, must both be over within the 6 s
         gaps = [later - earlier for earlier, later in pairwise(at)]
-        assert (
-            max(gaps)
-            + (discovery_client.POLL_TIMEOUT_AFTER_FAILURE + 2 * discovery_client.ANSWER_MARGIN)
-            // MICROSECOND
-            <= 6 * SECOND
-        )
+        longest_call = discovery_client.POLL_TIMEOUT_AFTER_FAILURE + 2 * discovery_client.ANSWER_MARGIN
+        assert max(gaps) + longest_call // MICROSECOND <= 6 * SECOND
         assert sum(gaps) / len(gaps) > 1.7 * SECOND
     for start in range(5, 50, 5):  # in step with nobody
         some = [at for calls in each for at in calls if start * SECOND <= at < (start + 5) * SECOND]
@@ -71,57 +60,59 @@
 
 
 def test_a_restarted_node_polls_soon() -> None:
-    """Its first call came up to 6 s later, and it took members that had just started for warm: they fell."""
+    """Until its first poll a node takes endpoints that have just started for warm, and overloads them."""
     firsts = [
-        next(now for now, act in asking.action_log if isinstance(act, PollDiscovery)) - START_TIME
+        next(logged.at for logged in node.action_log if isinstance(logged.action, PollDiscovery)) - START_TIME
         for seed in range(40)
-        for asking in [
-            BalancerDriver(
-                [endpoint(1)],
-                seed,
-                polls_discovery=True,
-                discovery_call_interval_us=discovery_call_interval(40) // MICROSECOND,
-            )
-        ]
-        if asking.run_to_next_action()
+        for node in [polling_node(seed, 40)]
+        if node.run_to_next_action()
     ]
-    assert len(firsts) == 40 and max(firsts) <= SECOND
+    assert len(firsts) == 40
+    assert max(firsts) <= SECOND
     assert max(firsts) - min(firsts) > SECOND // 2  # but not all in one moment
 
 
 def test_a_poll_that_was_answered_resets_the_backoff() -> None:
-    asking = BalancerDriver([endpoint(1)], 1, polls_discovery=True, discovery_call_interval_us=6 * SECOND)
+    node = BalancerDriver([endpoint(1)], 1, polls_discovery=True, discovery_call_interval_us=6 * SECOND)
     for _ in range(4):
-        asking.run_to_next_action(60 * SECOND)
-        asking.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
-    asking.run_to_next_action(60 * SECOND)
-    asking.deliver(EndpointListUpdate(ListUpdateKind.DELTA, ()))
-    start = asking.now = max(asking.now, asking.balancer.endpoints.poll_backoff.interval_end)
-    asking.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
-    assert asking.balancer.endpoints.poll_backoff.interval_end - start == 2 * SECOND
+        node.run_to_next_action(60 * SECOND)
+        node.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
+    node.run_to_next_action(60 * SECOND)
+    node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, ()))
+    start = node.now = max(node.now, node.balancer.endpoints.poll_backoff.interval_end)
+    node.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
+    assert node.balancer.endpoints.poll_backoff.interval_end - start == 2 * SECOND
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 40])
 def test_an_endpoint_in_slow_start_gets_as_much_from_many_nodes_as_from_few(nodes: int) -> None:
-    """Each of forty nodes saved up credit that it had no client for, and new members stayed empty."""
-    known = [endpoint(i, weight=8.0) for i in range(1, 6)]  # what a member takes is read from its size
+    """Permits that a node has no client for must not leave a new endpoint empty."""
+    known = [endpoint(i, weight=8.0) for i in range(1, 6)]  # what an endpoint takes is read from its weight
     fleet = [
         BalancerDriver(
-            known, me, health_check_interval_us=SECOND, node_count=nodes, node_index=me, has_weights=True
+            known,
+            index,
+            health_check_interval_us=SECOND,
+            node_count=nodes,
+            node_index=index,
+            has_weights=True,
         )
-        for me in range(nodes)
+        for index in range(nodes)
     ]
-    for n in fleet:  # 40 connections on each of the four warm ones, over all nodes
-        n.deliver(*(ConnectionAdopted(100 * s + i, 0, 0, s) for s in range(1, 5) for i in range(40 // nodes)))
+    for node in fleet:  # 40 connections on each of the four warm ones, over all nodes
+        node.deliver(*(adopted(100 * s + i, s) for s in range(1, 5) for i in range(40 // nodes)))
         cold = endpoint(5, weight=8.0, ready_at=START_TIME)
-        n.deliver(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (*known[:4], cold)))
-        n.next_id = 10_000
-    rng, sent = random.Random(7), 0
+        node.deliver(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (*known[:4], cold)))
+        node.next_id = 10_000
+    rng = random.Random(7)
+    sent = 0
     for tick in range(100):  # five seconds with 20 requests each, wherever the front sends them
-        n = rng.choice(fleet)
-        actions = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=tick + 1)[1]
+        node = rng.choice(fleet)
+        actions = (
+            node.run_until(START_TIME + tick * 50 * MILLISECOND) + node.send_request(key=tick + 1).actions
+        )
         for send in (a for a in actions if isinstance(a, StartAttempt)):
-            n.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
+            node.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
             sent += send.endpoint_id == 5
     assert 6 <= sent <= 20
 
@@ -136,105 +127,63 @@
 @pytest.mark.parametrize("traffic", ["even", "uneven", "one", "all"])
 @pytest.mark.parametrize("nodes", [1, 3, 20, 30, 200])
 def test_all_nodes_together_keep_to_the_budget_of_slow_start(nodes: int, traffic: str) -> None:
-    """Each node kept credit that it had nobody for; when clients came to all at once, so did all of it."""
+    """Unused permits expire: they must not add up until clients come to all nodes at once."""
     fleet = [
         BalancerDriver(
-            [endpoint(1), endpoint(2)], me, node_count=nodes, node_index=me, overload_duration_us=SECOND
+            [endpoint(1), endpoint(2)], index, node_count=nodes, node_index=index, overload_duration_us=SECOND
         )
-        for me in range(nodes)
+        for index in range(nodes)
     ]
-    for n in fleet:
-        n.deliver(
-            *(ConnectionAdopted(1000 + i, 0, 0, 1) for i in range(1 + 400 // nodes))
-        )  # the cold one has room
-        n.deliver(
+    for node in fleet:
+        node.deliver(
+            *(adopted(1000 + i, 1) for i in range(1 + 400 // nodes))
+        )  # the one in slow start has capacity
+        node.deliver(
             EndpointListUpdate(ListUpdateKind.SNAPSHOT, (endpoint(1), endpoint(2, ready_at=START_TIME)))
         )
-        n.next_id = 10_000
-    rng, sent, key = random.Random(nodes), list[int](), 0
+        node.next_id = 10_000
+    rng = random.Random(nodes)
+    sent: list[int] = []
+    key = 0
     for tick in range(200):  # ten seconds; "all": a client at each node, in one moment, once a second
         came = list(range(nodes)) * (tick % 20 == 0) if traffic == "all" else []
         for at in came or [receiving_node(traffic, nodes, rng) for _ in range(20) if traffic != "all"]:
-            n, key = fleet[at], key + 1
-            actions = n.run_until(START_TIME + tick * 50 * MILLISECOND) + n.send_request(key=key)[1]
+            node = fleet[at]
+            key += 1
+            actions = (
+                node.run_until(START_TIME + tick * 50 * MILLISECOND) + node.send_request(key=key).actions
+            )
             for send in of_type(actions, StartAttempt):
-                n.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
+                node.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
                 sent += [tick * 50 * MILLISECOND] * (send.endpoint_id == 2)
-    shared = -(
-        -nodes // PERMIT_ROTATION_SIZE
-    )  # by how many nodes a grant is, where there are more than turns
+    nodes_per_permit = -(-nodes // PERMIT_ROTATION_SIZE)
     for begin in sent:
-        share = 0.15 + 0.85 * min(
-            1.0, (begin + SECOND) / (20 * SECOND)
-        )  # of its capacity, when the second is over
-        budget = 3.0 * CONNECTIONS_PER_WEIGHT / (20 * SECOND) * share * SECOND
-        assert sum(begin <= at < begin + SECOND for at in sent) <= shared * (
-            budget + 2 * math.sqrt(budget) + 2
-        )
-    assert traffic != "even" or len(sent) >= 8  # and what it may have is used
+        capacity_share = 0.15 + 0.85 * min(1.0, (begin + SECOND) / (20 * SECOND))  # when the second is over
+        budget = 3.0 * CONNECTIONS_PER_WEIGHT / (20 * SECOND) * capacity_share * SECOND
+        bound = nodes_per_permit * (budget + 2 * math.sqrt(budget) + 2)
+        assert sum(begin <= at < begin + SECOND for at in sent) <= bound
+    assert traffic != "even" or len(sent) >= 8  # permits are used
 
 
-@pytest.mark.parametrize(("away", "fills", "zones"), [(1, 0.0, {0}), (1, 8.0, {0, 1}), (0, 8.0, {0})])
+@pytest.mark.parametrize(
+    ("away_count", "connections_per_unit", "zones"), [(1, 0.0, {0}), (1, 8.0, {0, 1}), (0, 8.0, {0})]
+)
 def test_a_full_home_zone_sends_requests_to_other_zones_and_rejects_none(
-    away: int, fills: float, zones: set[int]
+    away_count: int, connections_per_unit: float, zones: set[int]
 ) -> None:
-    """After a lost zone the next one was filled until its members dropped their clients; others had room."""
-    known = [endpoint(1), endpoint(2), *(endpoint(10 + i, zone=1) for i in range(2 * away))]
-    of_forty = BalancerDriver(
+    """After the loss of a zone the next one must not be filled while others have capacity."""
+    known = [endpoint(1), endpoint(2), *(endpoint(10 + i, zone=1) for i in range(2 * away_count))]
+    node = BalancerDriver(
         known,
         node_count=40,
         can_check_health=True,
         health_check_interval_us=6 * SECOND,
-        connections_per_unit=fills,
+        connections_per_unit=connections_per_unit,
     )
     for key in range(1, 9):  # its own eight stand for 160 of the zone's twenty nodes, on two members
-        _, actions = of_forty.send_request(key=key)
+        _, actions = node.send_request(key=key)
         [send] = of_type(actions, StartAttempt)
-        of_forty.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
+        node.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
         if key == 1:
             assert send.endpoint_id in (1, 2)  # home first
-    assert {int(s.id >= 10) for s in of_forty.balancer.endpoints.by_id.values() if s.connections} == zones
-
-
-def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
-    with running_node(tmp_path) as n:
-        n.runner.request_discovery_poll()
-        discovery_client.DiscoveryClient(n.runner)._wait_for_request(timedelta(hours=1))
-
-
-@pytest.mark.parametrize("nodes", [3, 40, 10**9])
-def test_after_a_change_the_watch_goes_on_in_time_but_not_at_once(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, nodes: int
-) -> None:
-    """A change answers all watches together; what comes within 200 ms of an answer counts as told.
-
-    Watches of large fleets waited up to 45 s: one that fell silent left its node older than 6 s.
-    """
-    asked: list[str] = []
-    paused: list[timedelta] = []
-
-    def get(self: object, path: str, connect: timedelta, wait: timedelta) -> bytes:
-        if threading.current_thread() is not threading.main_thread():
-            raise OSError("a discovery thread of an earlier test's node")
-        asked.append(path)
-        return b'{"revision":8,"complete":false,"members":[%s]}' % (
-            b'{"id":"s1","host_port":"127.0.0.1:9","phase":"up"}' if len(asked) == 1 else b""
-        )
-
-    monkeypatch.setattr(HttpClient, "get", get)
-    monkeypatch.setattr(
-        discovery_client.DiscoveryClient, "_wait_for_request", lambda _, span: paused.append(span)
-    )
-    monkeypatch.setattr(random, "uniform", lambda low, high: high)
-    told: dict[str, Any] = SETTINGS | {"balancers": nodes}
-    known = {"revision": 7, "members": [{"id": "s0", "host_port": "127.0.0.1:9", "phase": "up"}]}
-    with running_node(tmp_path, settings=told, known=known) as n, contextlib.suppress(IndexError):
-        watch = discovery_client.DiscoveryClient(n.runner)
-        assert watch._poll_once()
-        assert watch._poll_once()
-    assert asked[0] == "/v1/servers?since=7&timeout_ms=4500"  # what changed since the list that it knows
-    assert (
-        timedelta(seconds=5.5) > discovery_client.POLL_TIMEOUT + discovery_client.ANSWER_MARGIN
-    )  # the rest is for the call in its place
-    assert paused == ([discovery_client.POLL_AGAIN_SPREAD] if nodes > 6 else [])
-    assert timedelta(0) < discovery_client.POLL_AGAIN_SPREAD < timedelta(milliseconds=200)
+    assert {int(s.id >= 10) for s in node.balancer.endpoints.by_id.values() if s.connections} == zones
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -13,28 +13,37 @@
 from tansyladder.policy.events import (
     AttemptEstablished,
     AttemptStatus,
-    ConnectionAdopted,
     ConnectionReport,
     EndpointListUpdate,
     HealthCheckResult,
     ListUpdateKind,
     ReportKind,
 )
-from tests.policy.harness import MILLISECOND, SECOND, START_TIME, BalancerDriver, endpoint, of_type
+from tests.policy.harness import (
+    MILLISECOND,
+    SECOND,
+    START_TIME,
+    BalancerDriver,
+    adopted,
+    delay_report,
+    endpoint,
+    endpoints,
+    of_type,
+)
 
 
 def checked_node() -> BalancerDriver:
     """A node of two members with forty connections on the first; the first answers a probe in 5 ms."""
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     for request_id in range(1, 41):
-        node.deliver(ConnectionAdopted(request_id, 0, 0, 1))
+        node.deliver(adopted(request_id, 1))
     answer_check(node, 5 * MILLISECOND)
     return node
 
 
 def answer_check(node: BalancerDriver, took: int, status: AttemptStatus = AttemptStatus.OK) -> list[object]:
     """Let the node ask member 1, which answers so slowly; what else the node does at once."""
-    while not node.balancer.endpoints.by_id[1].is_check_in_flight:
+    while not node.endpoint(1).is_check_in_flight:
         node.run_to_next_action()
     node.now += took
     return list(node.deliver(HealthCheckResult(1, status, took)))
@@ -84,7 +93,7 @@
         CheckHealth(1)
     ]  # once may be chance: it is asked again at once
     answer_check(node, 40 * MILLISECOND)
-    assert node.balancer.endpoints.by_id[1].ejection.attempt == 1
+    assert node.endpoint(1).ejection.attempt == 1
     moves = of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     assert 5 < len(moves) < 40
     _, actions = node.send_request()
@@ -98,7 +107,7 @@
         answer_check(node, 5 * MILLISECOND)
     answer_check(node, MILLISECOND)
     answer_check(node, MILLISECOND)
-    server = node.balancer.endpoints.by_id[1]
+    server = node.endpoint(1)
     assert (server.ejection.attempt, server.best_latency_us) == (1, 5 * MILLISECOND)
     assert of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     for _ in range(3):
@@ -111,25 +120,23 @@
 
 def test_a_delay_counts_until_the_next_health_check() -> None:
     """Asked every six seconds, after two it was taken for sound again, and filled again."""
-    node = BalancerDriver(
-        [endpoint(i) for i in range(1, 5)], can_check_health=True, health_check_interval_us=6 * SECOND
-    )
+    node = BalancerDriver(endpoints(1, 4), can_check_health=True, health_check_interval_us=6 * SECOND)
     for took in (5 * MILLISECOND, 90 * MILLISECOND, 90 * MILLISECOND):
         answer_check(node, took)
     node.run_until(node.now + 4 * SECOND)
     drawn = {
         a.endpoint_id
         for key in range(16)
-        for a in node.send_request(key=key + 1)[1]
+        for a in node.send_request(key=key + 1).actions
         if isinstance(a, StartAttempt)
     }
     assert drawn == {2, 3, 4}
     answer_check(node, 5 * MILLISECOND)
-    node.run_until(node.balancer.endpoints.by_id[1].ejection.interval_end)
+    node.run_until(node.endpoint(1).ejection.interval_end)
     drawn = {
         a.endpoint_id
         for key in range(16)
-        for a in node.send_request(key=key + 99)[1]
+        for a in node.send_request(key=key + 99).actions
         if isinstance(a, StartAttempt)
     }
     assert 1 in drawn
@@ -147,16 +154,11 @@
         for _ in range(sound):  # one in twenty is late by chance
             took = 5 * MILLISECOND * rng.uniform(1, 1.5) * (8 if rng.random() < 0.05 else 1)
             answer_check(node, int(took))
-        marked += node.balancer.endpoints.by_id[1].ejection.attempt
-        node.balancer.endpoints.by_id[1].ejection.attempt = node.balancer.endpoints.by_id[
-            1
-        ].ejection.retry_at = 0
+        marked += node.endpoint(1).ejection.attempt
+        node.endpoint(1).ejection.attempt = node.endpoint(1).ejection.retry_at = 0
         for _ in range(2):  # it has become slow: the second answer, asked for at once, decides
             answer_check(node, int(5 * MILLISECOND * rng.uniform(3.2, 8.4)))
-        assert (
-            node.balancer.endpoints.by_id[1].ejection.attempt == 1
-            or node.balancer.endpoints.by_id[1].best_latency_us > 8 * MILLISECOND
-        )
+        assert node.endpoint(1).ejection.attempt == 1 or node.endpoint(1).best_latency_us > 8 * MILLISECOND
     assert marked <= 2
 
 
@@ -166,12 +168,12 @@
     answer_check(node, 5 * MILLISECOND)
     answer_check(node, 7 * MILLISECOND)
     answer_check(node, 7 * MILLISECOND)
-    assert node.balancer.endpoints.by_id[1].ejection.attempt == 0
+    assert node.endpoint(1).ejection.attempt == 0
     answer_check(node, 100 * MILLISECOND, AttemptStatus.ERROR)
     answer_check(node, 100 * MILLISECOND, AttemptStatus.ERROR)
-    assert node.balancer.endpoints.by_id[1].message_delay_us > 0
+    assert node.endpoint(1).message_delay_us > 0
     answer_check(node, 5 * MILLISECOND)
-    assert node.balancer.endpoints.by_id[1].message_delay_us == 0
+    assert node.endpoint(1).message_delay_us == 0
     assert not of_type(node.run_until(node.now + 3 * SECOND), Migrate)
 
 
@@ -183,7 +185,7 @@
     )
     for key in range(1, 61):
         node.send_request(key=key)
-    assert [node.balancer.endpoints.by_id[i].pending_attempt_count for i in (1, 2)] == [most, most]
+    assert [node.endpoint(i).pending_attempt_count for i in (1, 2)] == [most, most]
     answered = [a for _, a in node.action_log if isinstance(a, StartAttempt)][: min(4, 2 * most)]
     for send in answered:
         node.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
@@ -197,15 +199,15 @@
         [endpoint(1), endpoint(2), endpoint(3)], can_check_health=True, health_check_interval_us=SECOND
     )
     node.deliver(
-        *(ConnectionAdopted(100 + i, 0, 0, 1) for i in range(30)),
-        *(ConnectionAdopted(200 + i, 0, 0, 2) for i in range(9)),
+        *(adopted(100 + i, 1) for i in range(30)),
+        *(adopted(200 + i, 2) for i in range(9)),
     )
-    node.balancer.endpoints.by_id[3].ejection.retry_at = node.now + 10 * SECOND
-    node.balancer.endpoints.by_id[1].ejection.retry_at = node.now + 10 * SECOND
+    node.endpoint(3).ejection.retry_at = node.now + 10 * SECOND
+    node.endpoint(1).ejection.retry_at = node.now + 10 * SECOND
     _, actions = node.send_request(key=9)
     assert [a.endpoint_id for a in actions if isinstance(a, StartAttempt)] == [2]
-    node.balancer.endpoints.by_id[2].ejection.retry_at = node.now + 10 * SECOND
-    node.balancer.endpoints.by_id[1].ejection.retry_at = 0
+    node.endpoint(2).ejection.retry_at = node.now + 10 * SECOND
+    node.endpoint(1).ejection.retry_at = 0
     _, actions = node.send_request(key=10)
     assert [a.endpoint_id for a in actions if isinstance(a, StartAttempt)] == [
         1
@@ -223,9 +225,9 @@
         _, actions = node.send_request(key=group, group_key=group)
         [first] = of_type(actions, StartAttempt)
         node.fail_attempt(first, 0)
-        node.balancer.endpoints.by_id[first.endpoint_id].ejection.attempt = node.balancer.endpoints.by_id[
+        node.endpoint(first.endpoint_id).ejection.attempt = node.endpoint(
             first.endpoint_id
-        ].ejection.retry_at = 0
+        ).ejection.retry_at = 0
         again = of_type(node.run_to_next_action(), StartAttempt) or of_type(
             node.run_until(node.now + SECOND), StartAttempt
         )
@@ -236,10 +238,10 @@
 def test_periodic_checks_leave_out_only_endpoints_that_reported_a_delay() -> None:
     """A node that took the promise of notes for the notes was blind where hosts sent none."""
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
-    node.deliver(ConnectionAdopted(1, 0, 0, 1), ConnectionAdopted(2, 0, 0, 2))
+    node.deliver(adopted(1, 1), adopted(2, 2))
     # A member's own word for one; for the other only what the node timed itself.
     node.deliver(
-        ConnectionReport(1, ReportKind.REPORTED_DELAY, 0, 1, 20.0),
+        delay_report(1, 1, 20.0),
         ConnectionReport(2, ReportKind.MEASURED_DELAY, 0, 2, 20.0),
     )
 
@@ -264,10 +266,10 @@
     node = BalancerDriver(
         [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=30 * SECOND
     )
-    node.deliver(ConnectionAdopted(1, 0, 0, 1), ConnectionReport(1, kind, 0, 1, 300.0))
+    node.deliver(adopted(1, 1), ConnectionReport(1, kind, 0, 1, 300.0))
     node.run_until(node.now + 3 * SECOND)
     node.deliver()
-    assert is_delayed(node.balancer.context, node.balancer.endpoints.by_id[1]) is late
+    assert is_delayed(node.balancer.context, node.endpoint(1)) is late
 
 
 @pytest.mark.parametrize("nodes", [67, 200, 10**14])
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -11,7 +11,6 @@
     AttemptEstablished,
     AttemptStatus,
     ClientDisconnected,
-    ConnectionAdopted,
     ConnectionReport,
     EndpointListUpdate,
     EndpointState,
@@ -26,7 +25,10 @@
     SECOND,
     START_TIME,
     BalancerDriver,
+    adopted,
+    delay_report,
     endpoint,
+    endpoints,
     of_type,
     only_attempt,
 )
@@ -54,9 +56,12 @@
     _, actions = node.send_request(key=1)
     bad = only_attempt(actions).endpoint_id
     node.fail_attempt(only_attempt(actions), 0)
-    assert node.balancer.endpoints.by_id[bad].ejection.retry_at > node.now
+    assert node.endpoint(bad).ejection.retry_at > node.now
     sent = [
-        a.endpoint_id for k in range(2, 6) for a in node.send_request(key=k)[1] if isinstance(a, StartAttempt)
+        a.endpoint_id
+        for k in range(2, 6)
+        for a in node.send_request(key=k).actions
+        if isinstance(a, StartAttempt)
     ]
     assert sent
     assert bad not in sent
@@ -76,7 +81,7 @@
 def test_an_old_wait_for_health_checks_does_not_start_a_retry_early() -> None:
     early = 0
     for seed in range(60):
-        node = BalancerDriver([endpoint(i) for i in range(1, 9)], seed, **LOAD_REPORTS)
+        node = BalancerDriver(endpoints(1, 8), seed, **LOAD_REPORTS)
         _, actions = node.send_request(left=200 * MILLISECOND)
         asked = [a.endpoint_id for a in actions if isinstance(a, CheckHealth)]
         send = only_attempt(
@@ -88,7 +93,7 @@
             ]
         )
         node.fail_attempt(send, 0)
-        due = node.balancer.requests.backoffs[7].retry_at
+        due = node.backoff(7).retry_at
         early += due > START_TIME + 50 * MILLISECOND
         node.run_until(due - 1)
         again = [t for t, a in node.action_log if isinstance(a, StartAttempt)][1:]
@@ -103,10 +108,10 @@
     for value in (math.nan, math.inf, -7.0):
         node.deliver(
             ConnectionReport(request_id, ReportKind.LOAD, 0, 1, value),
-            ConnectionReport(request_id, ReportKind.REPORTED_DELAY, 0, 1, value),
+            delay_report(request_id, 1, value),
         )
     assert only_attempt(actions).endpoint_id == 1
-    assert (node.balancer.endpoints.by_id[1].load, node.balancer.endpoints.by_id[1].message_delay_at) == (
+    assert (node.endpoint(1).load, node.endpoint(1).message_delay_at) == (
         500.0,
         -1,
     )
@@ -117,7 +122,7 @@
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
     node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, ready_at=node.now),)))
-    s = node.balancer.endpoints.by_id[1]
+    s = node.endpoint(1)
     assert (s.ejection.attempt, s.ejection.retry_at) == (0, 0)
     assert capacity_share(node.balancer.context, s) < 1.0
 
@@ -127,8 +132,8 @@
     node = BalancerDriver(
         [endpoint(i, weight=w) for i, w in enumerate(bad, 1)] + [endpoint(9, weight=2.0)], has_weights=True
     )
-    assert [node.balancer.endpoints.by_id[i].weight for i in (1, 2, 3, 4, 5, 9)] == [1, 1, 1, 1, 1, 2.0]
-    assert only_attempt(node.send_request()[1])
+    assert [node.endpoint(i).weight for i in (1, 2, 3, 4, 5, 9)] == [1, 1, 1, 1, 1, 2.0]
+    assert only_attempt(node.send_request().actions)
 
 
 def poll_times(node: BalancerDriver) -> list[int]:
@@ -160,7 +165,7 @@
         first = only_attempt(
             node.deliver(*(HealthCheckResult(s, AttemptStatus.OK, MILLISECOND, (1.0, 0.4)) for s in probes))
         )
-        same += only_attempt(node.send_request(key=2)[1]).endpoint_id == first.endpoint_id
+        same += only_attempt(node.send_request(key=2).actions).endpoint_id == first.endpoint_id
     assert same == 0
 
 
@@ -177,11 +182,11 @@
 
 
 def test_the_next_migration_waits_its_time() -> None:
-    node = BalancerDriver([endpoint(i) for i in range(1, 9)])
-    node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(60)))
+    node = BalancerDriver(endpoints(1, 8))
+    node.deliver(*(adopted(1000 + i, 1, 1000) for i in range(60)))
     times = []
     for k in range(60):
-        node.deliver(ConnectionReport(1050 + k % 5, ReportKind.REPORTED_DELAY, 0, 1, 300.0))
+        node.deliver(delay_report(1050 + k % 5, 1, 300.0))
         node.run_until(node.now + 100 * MILLISECOND)
         times = sorted({t for t, a in node.action_log if isinstance(a, Migrate)})
     assert len(times) >= 2
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -1,4 +1,4 @@
-"""Load as thinning: reports, late messages, a pool short of capacity, moves."""
+"""Load: reports, late messages, a pool short of capacity, migrations."""
 
 from __future__ import annotations
 
@@ -11,7 +11,6 @@
     AttemptEnded,
     AttemptEstablished,
     AttemptStatus,
-    ConnectionAdopted,
     ConnectionReport,
     HealthCheckResult,
     ReportKind,
@@ -22,17 +21,22 @@
     SECOND,
     START_TIME,
     BalancerDriver,
+    adopted,
+    delay_report,
     endpoint,
+    endpoints,
     of_type,
     only_attempt,
 )
 
 
-def request_with_checks_answered(node: BalancerDriver, loads: dict[int, float], key: int) -> list[Action]:
-    """A request with its probes answered."""
+def request_with_checks_answered(
+    node: BalancerDriver, utilizations: dict[int, float], key: int
+) -> list[Action]:
+    """Send a request and answer its health checks with the utilizations told; all actions."""
     _, actions = node.send_request(key=key)
     replies = [
-        HealthCheckResult(a.endpoint_id, AttemptStatus.OK, MILLISECOND, (9.0, loads[a.endpoint_id]))
+        HealthCheckResult(a.endpoint_id, AttemptStatus.OK, MILLISECOND, (9.0, utilizations[a.endpoint_id]))
         for a in actions
         if isinstance(a, CheckHealth)
     ]
@@ -41,86 +45,66 @@
 
 def test_a_loaded_endpoint_gets_less_and_a_full_one_nothing() -> None:
     met: Counter[int] = Counter()
+    utilizations = {1: 0.2, 2: 0.5, 3: 1.2}
     for seed in range(200):
         node = BalancerDriver([endpoint(1), endpoint(2), endpoint(3)], seed, **LOAD_REPORTS)
-        met[
-            next(
-                a
-                for a in request_with_checks_answered(node, {1: 0.2, 2: 0.5, 3: 1.2}, 5)
-                if isinstance(a, StartAttempt)
-            ).endpoint_id
-        ] += 1
+        actions = request_with_checks_answered(node, utilizations, 5)
+        met[of_type(actions, StartAttempt)[0].endpoint_id] += 1
     assert met[3] == 0
     assert met[1] > 2 * met[2] > 0
 
 
 def test_a_pool_over_the_limit_takes_nothing_though_one_endpoint_has_capacity() -> None:
     """A fleet short of capacity is otherwise filled up to where every message is late."""
-    node = BalancerDriver([endpoint(i) for i in range(1, 4)], **LOAD_REPORTS)
+    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORTS)
     loads = {1: 0.95, 2: 1.3, 3: 0.6}
     assert not of_type(request_with_checks_answered(node, loads, 5), StartAttempt)
-    node = BalancerDriver([endpoint(i) for i in range(1, 4)], **LOAD_REPORTS)
+    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORTS)
     assert of_type(request_with_checks_answered(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5), StartAttempt)
 
 
 def test_an_unanswered_health_check_does_not_delay_the_request() -> None:
-    node = BalancerDriver([endpoint(i) for i in range(1, 4)], **LOAD_REPORTS)
+    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORTS)
     request_id, actions = node.send_request()
     assert not of_type(actions, StartAttempt)
-    assert (
-        only_attempt(of_type(node.run_until(node.now + 100 * MILLISECOND), StartAttempt)).request_id
-        == request_id
-    )
+    assert only_attempt(node.run_until(node.now + 100 * MILLISECOND)).request_id == request_id
 
 
 def test_other_zones_get_requests_when_the_home_zone_has_no_capacity() -> None:
     fleet = [endpoint(1), endpoint(2), endpoint(11, zone=1), endpoint(12, zone=1)]
     node = BalancerDriver(fleet, **LOAD_REPORTS)
     assert {
-        next(
-            a for a in request_with_checks_answered(node, {1: 0.1, 2: 0.2}, k) if isinstance(a, StartAttempt)
-        ).endpoint_id
-        < 10
+        of_type(request_with_checks_answered(node, {1: 0.1, 2: 0.2}, k), StartAttempt)[0].endpoint_id < 10
         for k in range(1, 3)
     } == {True}
     node = BalancerDriver(fleet, **LOAD_REPORTS)
-    assert (
-        next(
-            a for a in request_with_checks_answered(node, {1: 1.1, 2: 0.9}, 5) if isinstance(a, StartAttempt)
-        ).endpoint_id
-        > 10
-    )
+    assert of_type(request_with_checks_answered(node, {1: 1.1, 2: 0.9}, 5), StartAttempt)[0].endpoint_id > 10
 
 
 def test_an_assignment_counts_until_reports_can_show_it() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
-    first = next(
-        a for a in request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 5) if isinstance(a, StartAttempt)
-    )
-    again = [
-        next(
-            a for a in request_with_checks_answered(node, {1: 0.4, 2: 0.4}, k) if isinstance(a, StartAttempt)
-        )
-        for k in (6,)
-    ]
-    assert again[0].endpoint_id != first.endpoint_id
+    first = of_type(request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 5), StartAttempt)[0]
+    second = of_type(request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 6), StartAttempt)[0]
+    assert second.endpoint_id != first.endpoint_id
 
 
-def node_with_connections(n: int, load: int, **over: Any) -> BalancerDriver:
-    node = BalancerDriver([endpoint(i) for i in range(1, 9)], **over)
-    node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, load * (1 + i % 3)) for i in range(n)))
+def node_with_connections(count: int, load: int, **changes: Any) -> BalancerDriver:
+    """A node of eight endpoints with connections on the first, of one, two and three times the load."""
+    node = BalancerDriver(endpoints(1, 8), **changes)
+    node.deliver(*(adopted(1000 + i, 1, load * (1 + i % 3)) for i in range(count)))
     return node
 
 
-def report_delay(node: BalancerDriver, ms: float, request_id: int = 1000) -> None:
-    node.deliver(ConnectionReport(request_id, ReportKind.REPORTED_DELAY, 0, 1, ms))
+def report_delay(node: BalancerDriver, delay_ms: float, request_id: int = 1000) -> None:
+    """Let the first endpoint report that the messages of a connection are late."""
+    node.deliver(delay_report(request_id, 1, delay_ms))
 
 
 def test_late_messages_migrate_a_part_of_the_load() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 300.0)
-    moved = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
-    share = sum(1 + (i - 1000) % 3 for i in moved) / 60
+    migrated = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
+    share = sum(1 + (i - 1000) % 3 for i in migrated) / 60
     assert 0.3 < share <= 0.6
 
 
@@ -156,20 +140,18 @@
 def test_the_lowest_priority_for_its_load_migrates_first() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 100.0)
-    moved = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
-    assert moved
-    assert all((i - 1000) % 3 == 2 for i in moved)
+    migrated = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
+    assert migrated
+    assert all((i - 1000) % 3 == 2 for i in migrated)
 
 
 def test_a_tenant_above_its_quota_migrates_first() -> None:
-    node = BalancerDriver(
-        [endpoint(i) for i in range(1, 9)], tenant_quotas=(5.0, 50.0), over_quota_weight=0.1
-    )
-    node.deliver(*(ConnectionAdopted(1000 + i, 0, i % 2, 1, 0, 1000) for i in range(30)))
+    node = BalancerDriver(endpoints(1, 8), tenant_quotas=(5.0, 50.0), over_quota_weight=0.1)
+    node.deliver(*(adopted(1000 + i, 1, 1000, tenant=i % 2) for i in range(30)))
     report_delay(node, 120.0)
-    moved = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
-    assert moved
-    assert all(i % 2 == 0 for i in moved)
+    migrated = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
+    assert migrated
+    assert all(i % 2 == 0 for i in migrated)
 
 
 def test_absurd_load_and_connection_reports_are_ignored() -> None:
@@ -180,7 +162,7 @@
             HealthCheckResult(2, AttemptStatus.OK, MILLISECOND, ()),
         )
         node.deliver(ConnectionReport(77, 2, 0, 1, value), ConnectionReport(1, 9, 0, 1, 5.0))
-    assert node.balancer.endpoints.by_id[1].utilization_at == -1
+    assert node.endpoint(1).utilization_at == -1
     request_id, actions = node.send_request()
     actions = actions + node.run_until(node.now + SECOND)
     assert [a for a in actions if isinstance(a, StartAttempt | Reject) and a.request_id == request_id]
@@ -190,13 +172,13 @@
     node = BalancerDriver([endpoint(1)])
     _, actions = node.send_request(key=1)
     node.fail_attempt(only_attempt(actions), 0)
-    node.run_until(node.balancer.endpoints.by_id[1].ejection.interval_end)
-    sent = [a for k in range(2, 9) for a in node.send_request(key=k)[1] if isinstance(a, StartAttempt)]
+    node.run_until(node.endpoint(1).ejection.interval_end)
+    sent = [a for k in range(2, 9) for a in node.send_request(key=k).actions if isinstance(a, StartAttempt)]
     out = [r for r in node.balancer.requests.by_id.values() if r.endpoint]
     assert len(out) == 1
     assert len(sent) <= 1
     node.deliver(AttemptEstablished(out[0].id, out[0].attempt_count - 1, 1, MILLISECOND))
-    assert only_attempt(node.send_request(key=20)[1]).endpoint_id == 1
+    assert only_attempt(node.send_request(key=20).actions).endpoint_id == 1
 
 
 def test_a_drop_leaves_no_load_behind() -> None:
@@ -204,12 +186,10 @@
     request_id, actions = node.send_request(load_hint=500)
     node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND))
     node.deliver(ConnectionReport(request_id, ReportKind.LOAD, 0, 1, 900.0))
-    assert node.balancer.endpoints.by_id[1].load == 900.0
+    assert node.endpoint(1).load == 900.0
     node.deliver(AttemptEnded(request_id, 0, 1, AttemptStatus.CANCELLED, SECOND, True))
-    assert (
-        node.balancer.endpoints.by_id[1].load,
-        node.balancer.endpoints.by_id[1].pending_attempt_count,
-    ) == (0.0, 0)
+    assert node.endpoint(1).load == 0.0
+    assert node.endpoint(1).pending_attempt_count == 0
     assert only_attempt(actions).endpoint_id == 1
 
 
@@ -217,7 +197,7 @@
     """Counting anew for each connection cost a minute of CPU on a fleet of a few thousand connections."""
     node = BalancerDriver([endpoint(1)])
     request_id, _ = node.send_request(tenant=2)
-    node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND), ConnectionAdopted(900, 0, 2, 1))
+    node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND), adopted(900, 1, tenant=2))
     assert node.balancer.context.connections_by_tenant == {2: 2}
     node.deliver(
         AttemptEnded(request_id, 0, 1, AttemptStatus.OK, SECOND, True),
@@ -227,65 +207,57 @@
 
 
 def time_out_requests(node: BalancerDriver, times: int) -> None:
-    for k in range(times):
-        _, actions = node.send_request(key=100 + k)
-        for a in actions:
-            if isinstance(a, StartAttempt):
-                node.fail_attempt(a, 0, AttemptStatus.TIMEOUT)
+    """Send requests whose attempts all time out."""
+    for number in range(times):
+        _, actions = node.send_request(key=100 + number)
+        for start in of_type(actions, StartAttempt):
+            node.fail_attempt(start, 0, AttemptStatus.TIMEOUT)
         node.run_until(node.now + 10 * MILLISECOND)
 
 
 def test_set_ups_that_fail_everywhere_widen_the_backoff_and_stop_migrations() -> None:
-    """A slow shared store: more attempts and more moves would only add to it."""
-    node = BalancerDriver([endpoint(i) for i in range(1, 30)])
-    node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1, 0, 1000) for i in range(30)))
+    """A slow shared store: more attempts and more migrations would only add to it."""
+    node = BalancerDriver(endpoints(1, 29))
+    node.deliver(*(adopted(1000 + i, 1, 1000) for i in range(30)))
     time_out_requests(node, 1)
-    narrow = node.balancer.requests.backoffs[100].interval_end - START_TIME - MILLISECOND
+    narrow = node.backoff(100).interval_end - START_TIME - MILLISECOND
     time_out_requests(node, 12)
     assert node.balancer.context.setup_failure_rate > 0.5
     now = node.now
     _, actions = node.send_request(key=300)
-    send = only_attempt(of_type(actions, StartAttempt))
+    send = only_attempt(actions)
     assert send.timeout_us == node.settings.classes[0].deadline_us
     node.fail_attempt(send, 0, AttemptStatus.TIMEOUT)
-    assert node.balancer.requests.backoffs[300].attempt == 1
-    assert node.balancer.requests.backoffs[300].interval_end - now > 3 * narrow
+    assert node.backoff(300).attempt == 1
+    assert node.backoff(300).interval_end - now > 3 * narrow
     report_delay(node, 600.0)
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
 
 
 def test_a_large_fleet_is_not_counted_for_each_request() -> None:
-    """At over 200 servers a storm of retries spent a minute of CPU on counting them anew."""
-    for over in ({}, {"pass_through": True}):
-        node = BalancerDriver([endpoint(i) for i in range(1, 401)], **over)
+    """At over 200 endpoints a storm of retries spent a minute of CPU on counting them anew."""
+    for changes in ({}, {"pass_through": True}):
+        node = BalancerDriver(endpoints(1, 400), **changes)
         request_id, _ = node.send_request()
-        looked = node.balancer.endpoints.home.refreshed_at
-        assert (
-            len(
-                sample(
-                    node.balancer.context,
-                    node.balancer.endpoints.home,
-                    node.balancer.requests.by_id[request_id],
-                    16,
-                )
-            )
-            == 16
-        )
+        home = node.balancer.endpoints.home
+        refreshed_at = home.refreshed_at
+        request = node.balancer.requests.by_id[request_id]
+        assert len(sample(node.balancer.context, home, request, 16)) == 16
         node.now += MILLISECOND
         node.send_request()
-        assert node.balancer.endpoints.home.refreshed_at == looked
+        assert home.refreshed_at == refreshed_at
         node.now += SECOND
         node.send_request()
-        assert node.balancer.endpoints.home.refreshed_at == node.now
+        assert home.refreshed_at == node.now
 
 
 def test_a_burst_between_two_refreshes_finds_capacity() -> None:
-    node = BalancerDriver([endpoint(i) for i in range(1, 9)])
-    assert all(only_attempt(node.send_request(key=k)[1]) for k in range(1, 100))
+    node = BalancerDriver(endpoints(1, 8))
+    assert all(only_attempt(node.send_request(key=k).actions) for k in range(1, 100))
 
 
 def test_pass_through_samples_the_keys_own_order_at_every_node() -> None:
-    fleet = [endpoint(i) for i in range(1, 41)]
+    fleet = endpoints(1, 40)
     for key in range(1, 20):
         firsts = []
         for seed in (1, 2, 3):
@@ -298,52 +270,53 @@
 
 
 def test_where_nobody_reports_delayed_endpoints_fill_the_pool() -> None:
-    """Waves over the capacity: with most servers late, what comes is turned away until they recover."""
-    node = BalancerDriver([endpoint(i) for i in range(1, 5)])
-    node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(40)))
-    node.deliver(*(ConnectionReport(1000 + i, ReportKind.REPORTED_DELAY, 0, 1 + i, 600.0) for i in range(3)))
+    """Waves over the capacity: with most endpoints late, requests are rejected until they recover."""
+    node = BalancerDriver(endpoints(1, 4))
+    node.deliver(*(adopted(1000 + i, 1 + i % 4, 1000) for i in range(40)))
+    node.deliver(*(delay_report(1000 + i, 1 + i, 600.0) for i in range(3)))
     node.now += 100 * MILLISECOND
-    assert not [a for a in node.send_request(key=1)[1] if isinstance(a, StartAttempt)]
+    assert not of_type(node.send_request(key=1).actions, StartAttempt)
     node.run_until(node.now + 5 * SECOND)
-    assert [a for a in node.send_request(key=2)[1] if isinstance(a, StartAttempt)]
+    assert of_type(node.send_request(key=2).actions, StartAttempt)
 
 
 def test_a_full_pool_still_fills_endpoints_in_slow_start() -> None:
     node = BalancerDriver(
         [*(endpoint(i) for i in range(1, 5)), endpoint(9, ready_at=START_TIME - 10 * SECOND)]
     )
-    node.deliver(*(ConnectionAdopted(1000 + i, 0, 0, 1 + i % 4, 0, 1000) for i in range(400)))
+    node.deliver(*(adopted(1000 + i, 1 + i % 4, 1000) for i in range(400)))
     sent = set()
-    for k in range(1, 30):
-        node.deliver(
-            *(ConnectionReport(1000 + i, ReportKind.REPORTED_DELAY, 0, 1 + i, 600.0) for i in range(4))
-        )
-        actions = node.run_until(node.now + 200 * MILLISECOND) + node.send_request(key=k)[1]
+    for key in range(1, 30):
+        node.deliver(*(delay_report(1000 + i, 1 + i, 600.0) for i in range(4)))
+        actions = node.run_until(node.now + 200 * MILLISECOND) + node.send_request(key=key).actions
         sent |= {a.endpoint_id for a in actions if isinstance(a, StartAttempt)}
     assert sent == {9}
 
 
 def test_a_groups_connections_share_endpoints_at_every_node() -> None:
-    """Each server that holds any of a group does its work: at random, every one did that of every group."""
-    fleet = [endpoint(i) for i in range(1, 9)] + [endpoint(i, zone=1) for i in range(11, 19)]
+    """Each endpoint with connections of a group does its work: at random, all do that of all groups."""
+    fleet = endpoints(1, 8) + [endpoint(i, zone=1) for i in range(11, 19)]
     used = set()
     for group in range(1, 11):
         chosen = set()
         for seed in (1, 2, 3):
             node = BalancerDriver(fleet, seed)
             chosen |= {
-                only_attempt(node.send_request(key=k, group_key=group)[1]).endpoint_id for k in range(1, 4)
+                only_attempt(node.send_request(key=k, group_key=group).actions).endpoint_id
+                for k in range(1, 4)
             }
-        assert len(chosen) <= 3 and max(chosen) < 10  # at random five to seven; the home zone first
+        assert len(chosen) <= 3  # at random five to seven
+        assert max(chosen) < 10  # the home zone first
         used |= chosen
-    assert len(used) > 4  # groups differ in their servers
+    assert len(used) > 4  # groups differ in their endpoints
 
 
 def test_a_group_returns_to_an_endpoint_that_has_its_connections() -> None:
-    """Drawn by its hash alone, a group that stood elsewhere cost the fleet its work once more."""
-    node = BalancerDriver([endpoint(i) for i in range(1, 9)])
-    node.deliver(*(ConnectionAdopted(1000 + g, 0, 0, 1 + g % 8, 0, None, g) for g in range(1, 33)))
+    """Drawn by its hash alone, a group with connections elsewhere costs the fleet its work once more."""
+    node = BalancerDriver(endpoints(1, 8))
+    node.deliver(*(adopted(1000 + g, 1 + g % 8, group_key=g) for g in range(1, 33)))
     same = sum(
-        only_attempt(node.send_request(key=g, group_key=g)[1]).endpoint_id == 1 + g % 8 for g in range(1, 33)
+        only_attempt(node.send_request(key=g, group_key=g).actions).endpoint_id == 1 + g % 8
+        for g in range(1, 33)
     )
     assert same > 12  # by the hash alone one in eight, some four of them
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -10,7 +10,6 @@
     AttemptEstablished,
     AttemptStatus,
     ClientDisconnected,
-    ConnectionAdopted,
     EndpointListUpdate,
     EndpointState,
     ListUpdateKind,
@@ -23,12 +22,14 @@
     SECOND,
     START_TIME,
     BalancerDriver,
+    adopted,
     endpoint,
+    endpoints,
     of_type,
     only_attempt,
 )
 
-FLEET = [endpoint(i) for i in range(1, 9)]
+FLEET = endpoints(1, 8)
 
 
 # --- rule 1: one final answer in time
@@ -157,15 +158,15 @@
         node.deliver(
             EndpointListUpdate(ListUpdateKind.DELTA, tuple(endpoint(i, state=state) for i in range(1, 8)))
         )
-        assert {only_attempt(node.send_request(key=k)[1]).endpoint_id for k in range(1, 60)} == {8}
+        assert {only_attempt(node.send_request(key=k).actions).endpoint_id for k in range(1, 60)} == {8}
 
 
 def test_connections_migrate_before_their_endpoint_leaves() -> None:
     """A server that drains was left to send its clients away itself; one that does not cuts them off."""
     node = BalancerDriver(FLEET)
     for request_id in range(101, 121):
-        node.deliver(ConnectionAdopted(request_id, 0, 0, 1))
-    node.deliver(ConnectionAdopted(121, 0, 0, 2))
+        node.deliver(adopted(request_id, 1))
+    node.deliver(adopted(121, 2))
     node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, state=EndpointState.DRAINING),)))
     grace = node.settings.drain_grace_us
     half = [a.request_id for a in node.run_until(node.now + grace // 2) if isinstance(a, Migrate)]
@@ -177,7 +178,7 @@
 def test_an_endpoint_absent_from_a_complete_list_gets_nothing() -> None:
     node = BalancerDriver(FLEET)
     node.deliver(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (endpoint(3),)))
-    assert {only_attempt(node.send_request(key=k)[1]).endpoint_id for k in range(1, 30)} == {3}
+    assert {only_attempt(node.send_request(key=k).actions).endpoint_id for k in range(1, 30)} == {3}
 
 
 def test_a_retry_is_assigned_by_the_list_of_its_own_time() -> None:
@@ -205,7 +206,7 @@
     for seed in range(nodes):
         node = BalancerDriver([*warm, endpoint(99, ready_at=START_TIME)], seed, node_count=nodes)
         standing = max(1, each * fleet // nodes)
-        node.deliver(*(ConnectionAdopted(10_000 + i, 0, 0, 1 + i % (fleet - 1), 0) for i in range(standing)))
+        node.deliver(*(adopted(10_000 + i, 1 + i % (fleet - 1)) for i in range(standing)))
         for k in range(1, 1 + max(2, 2 * standing)):
             request_id, actions = node.send_request(key=k)
             send = only_attempt(actions)
@@ -219,7 +220,7 @@
     node = BalancerDriver([endpoint(i, ready_at=START_TIME) for i in range(1, 5)], node_count=4)
     sent = 0
     for k in range(1, 200):
-        sent += sum(isinstance(a, StartAttempt) for a in node.send_request(key=k)[1])
+        sent += sum(isinstance(a, StartAttempt) for a in node.send_request(key=k).actions)
     assert sent <= 4 * 2
 
 
