--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -9,8 +9,9 @@
 import threading
 
 from tansyladder.cluster.document_lease import LeaseExpiryPolicy
-from tansyladder.cluster.document_publisher import VALIDATORS, DocumentPublisher
+from tansyladder.cluster.document_publisher import DocumentPublisher
 from tansyladder.cluster.document_replica import DocumentReplicaSettings
+from tansyladder.cluster.document_validators import VALIDATORS
 from tansyladder.cluster.raft_runner import NodeStorage, RaftRunner
 from tansyladder.config.operator_settings import DocumentsOptions
 from tansyladder.config.platform import ConfigError
--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -1,159 +1,169 @@
-"""Agreed documents as the node's front and its operators ask for them."""
+"""Agreed documents as the client listener and the operators' calls use them."""
 
 from __future__ import annotations
 
 import hashlib
-import os
 import threading
 from datetime import timedelta
 from pathlib import Path
 
 import msgspec
 
-from tansyladder.cluster.content_worker import Validator
+from tansyladder.cluster.decision_log import DecisionLog, DecisionStamp
 from tansyladder.cluster.document_replica import DocumentReplica
+from tansyladder.cluster.errors import DocumentChangeError
 from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
 from tansyladder.replication.document_messages import ChangeOutcome, ChangeResult
-from tansyladder.replication.documents import MAX_CONTENT_BYTES
+from tansyladder.replication.documents import MAX_CONTENT_BYTES, Version
 
-PUBLISH_TIMEOUT = timedelta(
-    seconds=60
-)  # for a change, asked for again until then: a lease may have to end first
+PUBLISH_TIMEOUT = timedelta(seconds=60)  # of a change with its attempts: a lease may have to end first
 ATTEMPT_TIMEOUT = timedelta(seconds=5)
+ATTEMPT_PAUSE_S = 0.2
 LEASE_RELEASE_TIMEOUT = timedelta(milliseconds=200)
-MAX_PENDING_CHANGES = 4  # changes that this node has been asked for at once
-MAX_KNOWN_CHANGES = 64  # of those, whose end is known here
-MAX_NOTE_BYTES = 64 << 10  # bytes
+MAX_PENDING_CHANGES = 4  # that this node publishes at once
+MAX_KNOWN_CHANGES = 64  # published here, whose result is known here
 
 
-def validate_note(content: bytes) -> str:
-    """A note to the staff of all nodes, which changes nothing: (note "text")."""
-    import sexpdata
-
-    if len(content) > MAX_NOTE_BYTES:
-        return f"note: {len(content)} bytes, {MAX_NOTE_BYTES} at most"
-    try:
-        read = sexpdata.loads(content.decode())
-    except UnicodeDecodeError:
-        return "note: not UTF-8"
-    except Exception as err:  # the library ends on broken text with errors of many kinds
-        return f"note: not an S-expression: {str(err)[:80]}"
-    sound = isinstance(read, list) and len(read) == 2 and read[0] == sexpdata.Symbol("note")
-    return "" if sound and isinstance(read[1], str) else 'note: (note "text") expected'
-
-
-VALIDATORS: dict[str, Validator] = {"note": validate_note}
+class DocumentStatus(msgspec.Struct, frozen=True):
+    """The version of a document in force at this node, as the call `documents` shows it."""
 
-
-class DecisionStamp(msgspec.Struct, frozen=True):
-    """What a first line was decided under."""
-
-    at: int  # microseconds of Unix time
-    ident: str
-    numbers: dict[str, int]
+    number: int
+    digest: str  # in hexadecimal digits
+    size: int  # bytes
+    effective_at_us: int = msgspec.field(name="since")  # Unix time
+    is_content_here: bool = msgspec.field(name="here")
 
 
 class DocumentPublisher:
-    """Safe to share between threads."""
+    """Publishes changes of documents, and says what this node may decide under. Thread-safe."""
+
+    def __init__(self, raft_runner: RaftRunner, replica: DocumentReplica, decision_log_path: str) -> None:
+        """`decision_log_path`: empty for none. OSError: it can't be written."""
+        self._raft_runner = raft_runner
+        self._replica = replica
+        self._decision_log = DecisionLog(decision_log_path) if decision_log_path else None
+        self._lock = threading.Lock()  # guards the results
+        self._results: dict[str, ChangeResult | None] = {}  # by idempotency key; None: pending
+
+    def may_decide(self, connection_id: str = "") -> bool:
+        """Whether the node may make a decision now; `connection_id`: of the first line that it is about."""
+        now_us = self._replica.now_us()
+        lease = self._replica.lease
+        is_allowed = self._replica.may_decide(lease, now_us)
+        if connection_id and is_allowed and self._decision_log is not None:
+            in_force = {name: lease.version_at(name, now_us) for name in lease.versions}
+            numbers = {name: version.number for name, version in in_force.items() if version is not None}
+            self._decision_log.append(DecisionStamp(now_us, connection_id, numbers))
+        return is_allowed
+
+    def describe(self) -> str:
+        """Return what is in force at this node, as JSON."""
+        now_us = self._replica.now_us()
+        lease = self._replica.lease
+        remaining_ms = max(0, lease.end_us - now_us) // 1000
+        described: dict[str, int | DocumentStatus] = {"lease_ms": remaining_ms, **self._replica.counters}
+        for name in lease.versions:
+            version = lease.version_at(name, now_us)
+            if version is not None:
+                described[name] = self._status(version)
+        return msgspec.json.encode(described).decode()
 
-    def __init__(self, agreeing: RaftRunner, holding: DocumentReplica, stamps: str) -> None:
-        """`stamps`: a file that is told of each first line what it is decided under; none: none is.
+    def publish(self, document: str, idempotency_key: str, path: str) -> str:
+        """Begin to change a document to a file's content, in a thread of its own; the outcome so far.
 
-        OSError: it can't be written.
+        DocumentChangeError: nothing has been proposed.
         """
-        self._raft_runner, self._replica = agreeing, holding
-        self._stamp_descriptor = (
-            os.open(stamps, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600) if stamps else -1
+        content = _read_content(path)
+        with self._lock:
+            if idempotency_key in self._results:
+                return ChangeOutcome.IN_PROGRESS.value
+            self._make_room()
+            self._results[idempotency_key] = None
+        log(
+            LogEvent.DOCUMENT_CHANGE_REQUESTED,
+            name=document,
+            ask=idempotency_key,
+            digest=hashlib.sha256(content).hexdigest(),
         )
-        self._results: dict[str, ChangeResult | None] = {}
-        self._lock = threading.Lock()
-
-    def may_decide(self, ident: str = "") -> bool:
-        """Whether anything may be decided now."""
-        at, permit = self._replica.now_us(), self._replica.lease
-        allowed = self._replica.may_decide(permit, at)
-        if ident and allowed and self._stamp_descriptor >= 0:
-            held = [(name, permit.version_at(name, at)) for name in permit.versions]
-            numbers = {name: version.number for name, version in held if version is not None}
-            # In one call, so that a process that is killed leaves whole lines.
-            os.write(self._stamp_descriptor, msgspec.json.encode(DecisionStamp(at, ident, numbers)) + b"\n")
-        return allowed
+        threading.Thread(
+            target=self._publish, args=(document, content, idempotency_key), name="publish", daemon=True
+        ).start()
+        return ChangeOutcome.IN_PROGRESS.value
 
-    def describe(self) -> str:
-        """What holds here, as JSON."""
-        at, permit = self._replica.now_us(), self._replica.lease
-        out: dict[str, object] = {"lease_ms": max(0, permit.end_us - at) // 1000, **self._replica.counters}
-        for name in permit.versions:
-            version = permit.version_at(name, at)
-            if version is not None:
-                here = self._replica.content(version) is not None
-                out[name] = {
-                    "number": version.number,
-                    "digest": version.digest.hex(),
-                    "size": version.size,
-                    "since": version.effective_at_us,
-                    "here": here,
-                }
-        return msgspec.json.encode(out).decode()
-
-    def publish(self, name: str, ask: str, path: str) -> str:
-        """Begin to change a document to what a file holds. ValueError: nobody has been asked."""
-        try:
-            with Path(path).open("rb") as file:
-                content = file.read(MAX_CONTENT_BYTES + 1)
-        except OSError as err:
-            raise ValueError(f"file: {err.strerror or err}") from err
+    def change_result(self, idempotency_key: str) -> str:
+        """Return `done` and the version's number for a change that has been committed.
+
+        DocumentChangeError: it is pending, was rejected or aborted, or isn't known here.
+        """
         with self._lock:
-            if ask in self._results:
-                return "under way"
-            if sum(ruled is None for ruled in self._results.values()) >= MAX_PENDING_CHANGES:
-                raise ValueError(f"busy: {MAX_PENDING_CHANGES} changes are under way here")
-            while len(self._results) >= MAX_KNOWN_CHANGES:
-                del self._results[next(a for a, ruled in self._results.items() if ruled is not None)]
-            self._results[ask] = None
-        log(
-            LogEvent.DOCUMENT_CHANGE_REQUESTED, name=name, ask=ask, digest=hashlib.sha256(content).hexdigest()
+            is_known = idempotency_key in self._results
+            published = self._results.get(idempotency_key)
+        result = self._replica.result(idempotency_key) or published
+        if result is None:
+            outcome = ChangeOutcome.IN_PROGRESS if is_known else ChangeOutcome.UNKNOWN
+            raise DocumentChangeError(outcome.value)
+        if result.outcome is not ChangeOutcome.DONE:
+            raise DocumentChangeError(f"{result.outcome.value}: {result.reason or 'nothing is known of it'}")
+        return f"{result.outcome.value} {result.number}"
+
+    def leave(self) -> None:
+        """Make no decisions any more, and give the lease back so that nobody waits for its end."""
+        self._raft_runner.release_lease(now() + LEASE_RELEASE_TIMEOUT)
+
+    def _status(self, version: Version) -> DocumentStatus:
+        return DocumentStatus(
+            number=version.number,
+            digest=version.digest.hex(),
+            size=version.size,
+            effective_at_us=version.effective_at_us,
+            is_content_here=self._replica.content(version) is not None,
         )
-        threading.Thread(target=self._publish, args=(name, content, ask), name="publish", daemon=True).start()
-        return "under way"
 
-    def _publish(self, name: str, content: bytes, ask: str) -> None:
-        until, ruled = now() + PUBLISH_TIMEOUT, None
+    def _make_room(self) -> None:
+        """Forget the oldest known result if there are many. Called with the lock held."""
+        pending_count = sum(result is None for result in self._results.values())
+        if pending_count >= MAX_PENDING_CHANGES:
+            raise DocumentChangeError(f"busy: {MAX_PENDING_CHANGES} changes are under way here")
+        while len(self._results) >= MAX_KNOWN_CHANGES:
+            oldest = next(key for key, result in self._results.items() if result is not None)
+            del self._results[oldest]
+
+    def _publish(self, document: str, content: bytes, idempotency_key: str) -> None:
+        """Publish a change and keep its result; the thread's function."""
         try:
-            while now() < until and (ruled is None or ruled.outcome is ChangeOutcome.BUSY):
-                ruled = self._raft_runner.publish_document(
-                    name, content, ask, min(until, now() + ATTEMPT_TIMEOUT)
-                )
-                if ruled is None or ruled.outcome is ChangeOutcome.BUSY:
-                    threading.Event().wait(0.2)
-        except ValueError as err:
-            ruled = ChangeResult(ChangeOutcome.REJECTED, 0, str(err))
-        ruled = ruled or ChangeResult(ChangeOutcome.UNKNOWN)  # it may take hold still
+            result = self._attempt(document, content, idempotency_key)
+        except ValueError as err:  # this node itself rejects it
+            result = ChangeResult(ChangeOutcome.REJECTED, 0, str(err))
         log(
             LogEvent.DOCUMENT_CHANGE_ENDED,
-            name=name,
-            ask=ask,
-            word=ruled.outcome.value,
-            number=ruled.number,
-            why=ruled.reason or "none",
+            name=document,
+            ask=idempotency_key,
+            word=result.outcome.value,
+            number=result.number,
+            why=result.reason or "none",
         )
         with self._lock:
-            self._results[ask] = ruled
-
-    def change_result(self, ask: str) -> str:
-        """What became of a change. ValueError: it has not taken hold, or that is not known."""
-        with self._lock:
-            known = ask in self._results
-            ruled = self._results.get(ask)
-        ruled = self._replica.result(ask) or ruled
-        if ruled is None:
-            raise ValueError("under way" if known else "not known")
-        if ruled.outcome is not ChangeOutcome.DONE:
-            raise ValueError(f"{ruled.outcome}: {ruled.reason or 'nothing is known of it'}")
-        return f"done {ruled.number}"
-
-    def leave(self) -> None:
-        """This node decides nothing any more: nobody has to wait for the end of its lease."""
-        self._raft_runner.release_lease(now() + LEASE_RELEASE_TIMEOUT)
+            self._results[idempotency_key] = result
+
+    def _attempt(self, document: str, content: bytes, idempotency_key: str) -> ChangeResult:
+        """Propose a change until its result is known and no other one is in its way."""
+        deadline = now() + PUBLISH_TIMEOUT
+        result: ChangeResult | None = None
+        while now() < deadline:
+            attempt_deadline = min(deadline, now() + ATTEMPT_TIMEOUT)
+            result = self._raft_runner.publish_document(document, content, idempotency_key, attempt_deadline)
+            if result is not None and result.outcome is not ChangeOutcome.BUSY:
+                return result
+            threading.Event().wait(ATTEMPT_PAUSE_S)
+        return result or ChangeResult(ChangeOutcome.UNKNOWN)  # it may be committed later
+
+
+def _read_content(path: str) -> bytes:
+    """Read a file, up to one byte more than a content may have."""
+    try:
+        with Path(path).open("rb") as file:
+            return file.read(MAX_CONTENT_BYTES + 1)
+    except OSError as err:
+        raise DocumentChangeError(f"file: {err.strerror or err}") from err
--- a/tansyladder/cluster/errors.py
+++ b/tansyladder/cluster/errors.py
@@ -35,3 +35,12 @@
         """`reason`: the path of the fault, and what it is."""
         super().__init__(reason)
         self.reason = reason
+
+
+class DocumentChangeError(ClusterError, ValueError):
+    """A change of a document can't begin, or has not been committed as far as this node knows."""
+
+    def __init__(self, reason: str) -> None:
+        """`reason`: the operators' answer."""
+        super().__init__(reason)
+        self.reason = reason
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -13,7 +13,7 @@
 import msgspec
 import numpy
 
-from tansyladder.cluster.document_publisher import DecisionStamp
+from tansyladder.cluster.decision_log import DecisionStamp
 from tansyladder.lab.chaos import checkers
 from tansyladder.lab.chaos import history as histories
 from tansyladder.lab.chaos.cluster import ChaosCluster, running_cluster
@@ -264,11 +264,11 @@
             0,
             Party.NODE,
             EventKind.REQUEST_DECIDED,
-            connection_id=stamp.ident,
+            connection_id=stamp.connection_id,
             node=node,
             label=name,
             number=version,
-            decided_at_us=stamp.at,
+            decided_at_us=stamp.timestamp_us,
         )
         for stamp in stamps
         for name, version in (stamp.numbers or {DOCUMENT: 0}).items()
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from tansyladder.cluster.document_publisher import DecisionStamp
+from tansyladder.cluster.decision_log import DecisionStamp
 from tansyladder.cluster.peer_handshake import Greeting
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.net.handover_messages import (
@@ -394,4 +394,4 @@
 
 
 def decision_stamp(*, time: int, id: str, numbers: dict[str, int]) -> object:
-    return DecisionStamp(at=time, ident=id, numbers=numbers)
+    return DecisionStamp(timestamp_us=time, connection_id=id, numbers=numbers)
