--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' address: one call a connection, answered by a thread of its own that waits on nobody."""
+"""The operators' address: one call a connection, answered on a thread of its own."""
 
 from __future__ import annotations
 
@@ -19,66 +19,82 @@
 from tansyladder.node.admission_control import ADMIN_DESCRIPTORS
 from tansyladder.node.client_listener import ClientListener
 from tansyladder.node.extension_points import DecisionPermit
-from tansyladder.node.lifecycle import Lifecycle, NodeState
+from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.policy_runner import PolicyRunner
 
-MAX_CALLERS = ADMIN_DESCRIPTORS - 2  # beside the listener, and one that is taken in before another goes
-CALLER_TIMEOUT = timedelta(seconds=10)  # for a whole line, and for reading the answer
-MAX_LINE_BYTES = 512  # bytes of a call: a path is the longest of it
-ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)
-EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=250)  # between two looks for whose time is up
+MAX_CALLERS = ADMIN_DESCRIPTORS - 2  # beside the listener, and one accepted before another is closed
+CALLER_TIMEOUT = timedelta(seconds=10)  # for a complete line, and for reading the answer
+MAX_LINE_BYTES = 512  # of a call, whose longest part is a path
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)  # after an accept that failed for want of descriptors
+EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=250)  # between two checks of the callers' deadlines
+EXPIRY_CHECK_INTERVAL_MS = EXPIRY_CHECK_INTERVAL / timedelta(milliseconds=1)
+LISTEN_BACKLOG = 128
+MAX_SHOWN_CHARACTERS = 40  # of an unknown call, in its answer
+EXPECTED_CALLS = "status, stats, standby or active expected"
 
 
 class CallError(Exception):
-    """A call that can't be done; the message is what the caller is told."""
+    """A call that can't be done; the message is the answer."""
 
 
 class Caller:
-    """A connection on the operators' address."""
+    """A connection on the operators' address; owned by the server's thread."""
 
-    __slots__ = ("accepted_at", "received", "unsent", "sock")
+    __slots__ = ("accepted_at", "received", "sock", "unsent")
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.accepted_at, self.received = sock, now(), b""
+        self.sock = sock
+        self.accepted_at = now()
+        self.received = b""
         self.unsent: bytes | None = None  # what is left of the answer, once there is one
 
+    @property
+    def is_finished(self) -> bool:
+        """Whether the answer is out, and only the caller's own end is waited for."""
+        return self.unsent == b""
+
 
 class AdminServer:
-    """The listener and its callers; each call asks the owners of what it is about."""
+    """Answers operators' calls, each on a connection of its own, on one thread that blocks on no caller.
+
+    The calls ask the owners of what they are about, all of which are thread-safe.
+    """
 
     def __init__(self, runner: PolicyRunner, client_listener: ClientListener, address: Address) -> None:
-        self._runner, self._client_listener = runner, client_listener
+        self._runner = runner
+        self._client_listener = client_listener
         self._commands: dict[str, Callable[..., list[str]]] = {
             "status": self._status,
             "stats": self._stats,
-            "standby": self._standby,
-            "active": self._active,
+            "standby": lambda: self._change_state(runner.lifecycle.enter_standby),
+            "active": lambda: self._change_state(runner.lifecycle.activate),
         }
-        # Where the fleet agrees on documents: by name and how many words come behind it.
+        # Where documents are replicated: by name, and how many arguments follow it.
         self._document_commands: dict[tuple[str, int], Callable[..., list[str]]] = {
             ("documents", 0): lambda: [self._decision_permit.describe(), "."],
-            ("publish", 3): lambda name, ask, path: [self._decision_permit.publish(name, ask, path)],
-            ("change", 1): lambda ask: [self._decision_permit.change_result(ask)],
+            ("publish", 3): lambda *arguments: [self._decision_permit.publish(*arguments)],
+            ("change", 1): lambda key: [self._decision_permit.change_result(key)],
         }
-        self._listener = socket.create_server(address, backlog=128)
+        self._listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
         self._listener.setblocking(False)
-        self._callers: dict[int, Caller] = {}
+        self._callers: dict[int, Caller] = {}  # by descriptor, in the order in which they came
         self._poll = select.poll()
         self._poll.register(self._listener, select.POLLIN)
 
     @property
-    def address(self) -> tuple[str, int]:
+    def address(self) -> Address:
+        """Host and port that operators connect to."""
         host, port = self._listener.getsockname()[:2]
         return host, port
 
     def start(self) -> None:
+        """Start the threads of the calls and of the drains that `standby` asks for."""
         threading.Thread(target=self._run, name="operator", daemon=True).start()
-        threading.Thread(
-            target=self._client_listener.drainer.run_standby_drains, name="standby", daemon=True
-        ).start()
+        drain = self._client_listener.drainer.run_standby_drains
+        threading.Thread(target=drain, name="standby", daemon=True).start()
 
     def stop(self) -> None:
-        """Nobody is listened to any more."""
+        """Stop listening, which ends the thread of the calls. Thread-safe."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
 
@@ -91,10 +107,10 @@
         return self._runner.decision_permit
 
     def _status(self) -> list[str]:
-        phase = self._runner.lifecycle.state
-        if phase is not NodeState.SERVING:
-            raise CallError(phase.value)
-        return [phase.value]
+        state = self._runner.lifecycle.state
+        if state is not NodeState.SERVING:
+            raise CallError(state.value)
+        return [state.value]
 
     def _stats(self) -> list[str]:
         metrics = {
@@ -105,52 +121,51 @@
         }
         return [msgspec.json.encode(metrics).decode(), "."]
 
-    def _standby(self) -> list[str]:
-        return self._change(self._runner.lifecycle.enter_standby)
-
-    def _active(self) -> list[str]:
-        return self._change(self._runner.lifecycle.activate)
-
-    def _change(self, change: Callable[[], bool]) -> list[str]:
-        lifecycle: Lifecycle = self._runner.lifecycle
-        if not change():
-            raise CallError(lifecycle.state.value)
-        return [lifecycle.state.value]  # the log has the change itself
+    def _change_state(self, change: Callable[[], bool]) -> list[str]:
+        is_changed = change()
+        state = self._runner.lifecycle.state
+        if not is_changed:
+            raise CallError(state.value)
+        return [state.value]  # the log has the change itself
 
     def _answer(self, line: bytes) -> bytes:
         """What a call's line is answered with."""
         try:
-            try:
-                name = line.decode("ascii").strip()
-            except UnicodeDecodeError as err:
-                raise CallError("unreadable: plain words expected") from err
-            if not name:
-                raise CallError("empty: status, stats, standby or active expected")
-            call, arguments = self._commands.get(name), list[str]()
-            if call is None and self._runner.options.documents.enabled:
-                name, *arguments = name.split()
-                call = self._document_commands.get((name, len(arguments)))
-            if call is None:
-                shown = name if name.isprintable() else repr(name)
-                raise CallError(f"unknown: {shown[:40]}: status, stats, standby or active expected")
-            first, *more = call(*arguments)
+            first, *more = self._call(line)
             lines = [first if more else f"+OK {first}", *more]
         except (CallError, ValueError) as err:
             lines = [f"-ERR {err}"]
         return "".join(f"{line}\r\n" for line in lines).encode()
 
+    def _call(self, line: bytes) -> list[str]:
+        """Make a call; CallError or ValueError where it can't be done."""
+        try:
+            text = line.decode("ascii").strip()
+        except UnicodeDecodeError as err:
+            raise CallError("unreadable: plain words expected") from err
+        if not text:
+            raise CallError(f"empty: {EXPECTED_CALLS}")
+        if (command := self._commands.get(text)) is not None:
+            return command()
+        name = text
+        if self._runner.options.documents.enabled:
+            name, *arguments = text.split()
+            command = self._document_commands.get((name, len(arguments)))
+            if command is not None:
+                return command(*arguments)
+        shown = name if name.isprintable() else repr(name)
+        raise CallError(f"unknown: {shown[:MAX_SHOWN_CHARACTERS]}: {EXPECTED_CALLS}")
+
     # --- their connections
 
     def _run(self) -> None:
         last_check = now()
         while True:
-            for fd, events in self._poll.poll(
-                EXPIRY_CHECK_INTERVAL / timedelta(milliseconds=1) if self._callers else None
-            ):
-                caller = self._callers.get(fd)
+            for descriptor, events in self._poll.poll(EXPIRY_CHECK_INTERVAL_MS if self._callers else None):
+                caller = self._callers.get(descriptor)
                 if caller is not None:
                     self._handle_ready(caller)
-                elif fd == self._listener.fileno():
+                elif descriptor == self._listener.fileno():
                     if events & (select.POLLHUP | select.POLLERR | select.POLLNVAL):
                         return
                     self._accept()
@@ -165,57 +180,73 @@
             sock, _ = self._listener.accept()
         except OSError as err:
             if err.errno in (errno.EMFILE, errno.ENFILE):
-                if self._callers:
-                    self._close(next(iter(self._callers.values())))
-                else:  # the machine has less than it said: the next try must not spin
-                    threading.Event().wait(ACCEPT_RETRY_DELAY.total_seconds())
+                self._free_descriptor()
             return
         if len(self._callers) >= MAX_CALLERS:
-            self._close(next(iter(self._callers.values())))  # in the order in which they came
+            self._close_oldest()
         sock.setblocking(False)
         caller = self._callers[sock.fileno()] = Caller(sock)
         self._poll.register(sock, select.POLLIN)
         self._handle_ready(caller)  # most lines are there already
 
+    def _free_descriptor(self) -> None:
+        """Close a caller; without one, wait a little, as the next accept must not spin."""
+        if self._callers:
+            self._close_oldest()
+        else:  # the machine has less than it said
+            threading.Event().wait(ACCEPT_RETRY_DELAY.total_seconds())
+
+    def _close_oldest(self) -> None:
+        self._close(next(iter(self._callers.values())))
+
     def _handle_ready(self, caller: Caller) -> None:
-        """Whatever a caller does costs nobody else anything."""
+        """Serve a caller; whatever it does affects no other one."""
         try:
-            self._serve(caller)
+            if caller.unsent is None:
+                self._read(caller)
+            elif caller.is_finished:
+                self._discard(caller)
+            else:
+                self._send(caller)
         except BlockingIOError:
             pass
         except OSError:
             self._close(caller)
-        except Exception as err:
+        except Exception as err:  # noqa: BLE001 - a fault in one call must not end the server
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             self._close(caller)
 
-    def _serve(self, caller: Caller) -> None:
-        if caller.unsent is None:
-            data = caller.sock.recv(MAX_LINE_BYTES + 1)
-            caller.received += data
-            line, end, _ = caller.received.partition(b"\n")
-            if not data and not caller.received:
-                return self._close(caller)
-            if len(line) > MAX_LINE_BYTES:
-                caller.unsent = b"-ERR too long: a call is one word\r\n"
-            elif end or not data:  # a caller may end its side in place of the line
-                caller.unsent = self._answer(line)
-            else:
-                return
-            self._poll.modify(caller.sock, select.POLLOUT)  # what else it sends must not keep us busy
-        elif not caller.unsent:
-            # Read away until the caller ends its side: a close with unread bytes would be a reset.
-            if (
-                not caller.sock.recv(protocol.MAX_LINE_BYTES)
-                or now() - caller.accepted_at > sockets.DRAIN_TIMEOUT
-            ):
-                self._close(caller)
+    def _read(self, caller: Caller) -> None:
+        """Read a caller's line; once it is complete, answer it."""
+        data = caller.sock.recv(MAX_LINE_BYTES + 1)
+        caller.received += data
+        line, line_end, _ = caller.received.partition(b"\n")
+        if not data and not caller.received:
+            self._close(caller)
             return
-        caller.unsent = caller.unsent[caller.sock.send(caller.unsent) :]
-        if not caller.unsent:
+        if len(line) > MAX_LINE_BYTES:
+            caller.unsent = b"-ERR too long: a call is one word\r\n"
+        elif line_end or not data:  # a caller may end its side in place of the line
+            caller.unsent = self._answer(line)
+        else:
+            return
+        self._poll.modify(caller.sock, select.POLLOUT)  # what else it sends must not keep us busy
+        self._send(caller)
+
+    def _send(self, caller: Caller) -> None:
+        """Send what fits of the answer, and end our side behind it."""
+        unsent = caller.unsent or b""
+        caller.unsent = unsent[caller.sock.send(unsent) :]
+        if caller.is_finished:
             caller.sock.shutdown(socket.SHUT_WR)
             self._poll.modify(caller.sock, select.POLLIN)
 
+    def _discard(self, caller: Caller) -> None:
+        """Read away until the caller ends its side: a close with unread bytes would be a reset."""
+        data = caller.sock.recv(protocol.MAX_LINE_BYTES)
+        if not data or now() - caller.accepted_at > sockets.DRAIN_TIMEOUT:
+            self._close(caller)
+
     def _close(self, caller: Caller) -> None:
         if self._callers.get(caller.sock.fileno()) is caller:
             del self._callers[caller.sock.fileno()]
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from tansyladder.config.platform import EndpointList
+from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
@@ -21,7 +21,7 @@
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
-from tansyladder.node.request_handler import AdoptedConnection, RequestHandler
+from tansyladder.node.request_handler import AdoptedConnection, serve_connection
 
 LISTEN_BACKLOG = 1024
 CLOSE_TIMEOUT = timedelta(milliseconds=300)  # at the end, for a notified client to end its side
@@ -51,7 +51,7 @@
         self.drainer = ConnectionDrainer(runner, lambda: self.active_count)
 
     @property
-    def address(self) -> tuple[str, int]:
+    def address(self) -> Address:
         """Host and port that clients connect to."""
         host, port = self._listener.getsockname()[:2]
         return host, port
@@ -156,22 +156,9 @@
         adopted: AdoptedConnection | None = None,
     ) -> None:
         """Serve a connection to its end; `adopted`: what the process before handed over with it."""
-        handler = RequestHandler(self._runner, sock, opening, arrived, adopted)
         try:
-            sockets.configure_stream(sock)
-            handler.run()
-        except OSError as err:
-            log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
-            if not handler.is_answered:
-                self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.CLIENT_LEFT)
-        except Exception as err:
-            log(LogEvent.INTERNAL_ERROR, why=repr(err))
-            if not handler.is_answered:
-                self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.FAILED)
-            with contextlib.suppress(OSError):
-                sock.sendall(protocol.ERR + b"\r\n")
+            serve_connection(self._runner, sock, opening, arrived, adopted)
         finally:
-            sock.close()
             self._admission.release(opening.connection_id)
 
     # --- the handover between processes, as a ConnectionOwner
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -18,7 +18,7 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.action_queue import Endpoint
 from tansyladder.net.clock import EPOCH, Clock, now
-from tansyladder.node.extension_points import CachedEndpointList
+from tansyladder.node.extension_points import EndpointListCache
 from tansyladder.policy.events import EndpointState, EndpointUpdate, ListUpdateKind
 
 ENDPOINT_STATES = {
@@ -62,12 +62,13 @@
 
 def newest_list(
     configured: EndpointList,
-    cached: CachedEndpointList | None,
+    cache: EndpointListCache | None,
     handed_over: EndpointList | None,
     clock: Clock,
 ) -> EndpointList:
     """The newest of the lists that a start may know: configured, stored, or of the process before."""
     newest = configured
+    cached = cache.cached_endpoints() if cache is not None else None
     if cached is not None and cached.endpoints.revision > newest.revision:
         newest = cached.endpoints
         age = timedelta(microseconds=clock.micros(now()) - cached.saved_at_us)
--- a/tansyladder/node/event_counters.py
+++ b/tansyladder/node/event_counters.py
@@ -1,7 +1,7 @@
-"""What a node did in each second, for its log: a fleet's lines add up to what all its nodes do at once.
+"""What a node did in each second, for its log: the lines of a cluster add up to what all its nodes did.
 
 No I/O and no clock. One line a second at most, and none for a second in which nothing was done; it names only
-members that hold or were sent something, so its length is bounded by the list.
+endpoints that have connections or had attempts, so its length is bounded by the list.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 )
 from tansyladder.policy.settings import ClassSettings
 
-MICROSECONDS_PER_SECOND = 1_000_000  # microseconds
+MICROSECONDS_PER_SECOND = 1_000_000
 OUTCOME_FIELDS = {
     RequestOutcome.OK: "up",
     RequestOutcome.REJECTED: "refused",
@@ -34,24 +34,34 @@
 
 
 class EventCounters:
-    """Told of each event and each action that goes through; final answers come out of the node's metrics."""
+    """Counts the policy's events and actions; final answers come from the node's metrics.
+
+    Not thread-safe: the policy runner calls it under its own lock.
+    """
 
     def __init__(
-        self, classes: Sequence[ClassSettings], name_of: Callable[[int], str], metrics: Metrics
+        self,
+        class_settings: Sequence[ClassSettings],
+        endpoint_name: Callable[[int], str],
+        metrics: Metrics,
     ) -> None:
-        self.class_settings, self._endpoint_name, self._metrics = classes, name_of, metrics
-        self._reported_totals = metrics.total_counts()  # what earlier lines have told of them
+        """`class_settings`: by class number; `endpoint_name`: the id of an endpoint's number."""
+        self.class_settings = class_settings
+        self._endpoint_name = endpoint_name
+        self._metrics = metrics
+        self._reported_totals = metrics.total_counts()  # of the metrics, in the lines so far
         self._second = 0
         self._counts: Counter[str] = Counter()
-        self._connections: Counter[int] = Counter()  # connections, by member
-        self._attempts: Counter[int] = Counter()  # attempts of this second, by member
-        self._failures: Counter[int] = Counter()  # those that ended without standing
-        self._objective_deadlines: dict[int, int] = {}  # by when each request in hand should stand
-        self._endpoint_of_request: dict[int, int] = {}  # the member of each connection that stands
+        self._connections: Counter[int] = Counter()  # established ones, by endpoint
+        self._attempts: Counter[int] = Counter()  # of this second, by endpoint
+        self._failures: Counter[int] = Counter()  # attempts of this second that were not established
+        self._objective_deadlines: dict[int, int] = {}  # in microseconds, by request
+        self._endpoint_of_request: dict[int, int] = {}  # of each established connection
 
-    def finish_second(self, now: int) -> dict[str, object]:
-        """The fields of the line on a second that is over; empty where there is none to write."""
-        second, self._second = self._second, now // MICROSECONDS_PER_SECOND
+    def finish_second(self, now_us: int) -> dict[str, object]:
+        """The fields of the log line on a second that is over; empty where there is none to write."""
+        second = self._second
+        self._second = now_us // MICROSECONDS_PER_SECOND
         if second == self._second:
             return {}
         totals = self._metrics.total_counts()
@@ -60,7 +70,8 @@
         self._reported_totals = totals
         if not any(self._counts.values()):
             return {}
-        fields: dict[str, object] = {"at": second, **{k: v for k, v in sorted(self._counts.items()) if v}}
+        counts = {name: count for name, count in sorted(self._counts.items()) if count}
+        fields: dict[str, object] = {"at": second, **counts}
         endpoint_ids = sorted({*+self._connections, *self._attempts, *self._failures})
         fields["members"] = ",".join(
             f"{self._endpoint_name(endpoint_id)}:"
@@ -71,8 +82,8 @@
             counted.clear()
         return fields
 
-    def count_event(self, event: Event, now: int) -> None:
-        """The module is told this."""
+    def count_event(self, event: Event, now_us: int) -> None:
+        """Count an event that the policy is told."""
         match event:
             case RequestReceived(request_id, class_number, _, deadline):
                 self._counts["back" if event.is_reconnect else "new"] += 1
@@ -86,7 +97,7 @@
                 self._add_connection(request_id, endpoint_id)
             case AttemptEstablished(request_id, attempt, endpoint_id):
                 self._counts["retries"] += attempt > 0
-                self._counts["late"] += now > self._objective_deadlines.pop(request_id, now)
+                self._counts["late"] += now_us > self._objective_deadlines.pop(request_id, now_us)
                 self._add_connection(request_id, endpoint_id)
             case AttemptEnded(request_id, attempt, endpoint_id, status):
                 if self._endpoint_of_request.pop(request_id, None) is not None:
@@ -106,7 +117,7 @@
                 pass
 
     def count_action(self, action: Action) -> None:
-        """The module says this."""
+        """Count an action of the policy."""
         match action:
             case StartAttempt(_, endpoint_id):
                 self._counts["sends"] += 1
@@ -121,7 +132,7 @@
                 pass
 
     def count_discovery_call(self, failed: bool) -> None:
-        """A call to discovery is over."""
+        """Count a call to discovery that is over."""
         self._counts["calls_failed" if failed else "calls"] += 1
 
     def _add_connection(self, request_id: int, endpoint_id: int) -> None:
--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -1,4 +1,7 @@
-"""What the node asks of the layers above it, where an operator's settings put something there."""
+"""Interfaces of the layers above the node, which the operator's settings switch on.
+
+Every method is thread-safe.
+"""
 
 from __future__ import annotations
 
@@ -19,45 +22,47 @@
 
 
 class CachedEndpointList(Protocol):
-    """The last list of members, and when it was kept: microseconds of Unix time."""
+    """The endpoint list as an earlier process stored it."""
 
     @property
-    def saved_at_us(self) -> int: ...
+    def saved_at_us(self) -> int:
+        """When it was stored, in microseconds of Unix time."""
 
     @property
-    def endpoints(self) -> EndpointList: ...
+    def endpoints(self) -> EndpointList:
+        """The list."""
 
 
 class EndpointListCache(Protocol):
-    """Where records outlive the node; none of it raises."""
+    """Stores the endpoint list beyond the process; no method raises."""
 
     def cached_endpoints(self) -> CachedEndpointList | None:
-        """The list of the last start, where one was kept."""
+        """The list that an earlier process stored; None: there is none."""
 
     def save_endpoints(self, listed: EndpointList) -> None:
-        """Keep the list as it is after these changes."""
+        """Store the list as it is after these changes."""
 
     def close(self) -> None:
-        """At an orderly end: what was to be on disk soon is."""
+        """Write what is buffered to the disk, at an orderly end."""
 
 
 class DecisionPermit(Protocol):
-    """What the fleet has agreed on, and whether this node may act on what it knows of that."""
+    """The cluster's documents, and whether this node holds a lease to decide under them."""
 
     def may_decide(self, connection_id: str = "") -> bool:
-        """Whether anything may be decided now; `connection_id`: of the first line that it is asked for."""
+        """Whether the node may decide now; `connection_id`: of the request that it is asked for."""
 
     def describe(self) -> str:
-        """What holds here, as JSON."""
+        """The versions in force here, as JSON."""
 
     def publish(self, document: str, idempotency_key: str, path: str) -> str:
-        """Begin to change a document, in a thread of its own; the word of it, or ValueError."""
+        """Begin to publish a file as a document, on a thread of its own; ValueError says why not."""
 
     def change_result(self, idempotency_key: str) -> str:
-        """What became of a change; ValueError: it has not taken hold, or that is not known."""
+        """How a change ended; ValueError: it is not in force, or that is not known."""
 
     def leave(self) -> None:
-        """This node decides nothing any more."""
+        """Release the lease: this node decides nothing any more."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,30 +76,30 @@
 
 
 class SessionService(Protocol):
-    """Sessions that can be resumed."""
+    """Serves sessions that can be resumed."""
 
     @property
     def token_registry(self) -> Sized:
-        """Those that live here."""
+        """The tokens of the sessions that this node owns."""
 
     def offers_resumption(self, opening: Opening) -> bool:
-        """Whether a client's first line asks for one."""
+        """Whether a client's first line offers to resume its session later."""
 
     def new_stream(self) -> Stream:
-        """A new one's positions."""
+        """The positions and the buffer of a new session."""
 
     def first_line_builder(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """What a stream host gets, by how long the node waits."""
+        """What formats the first line for an endpoint, by how long the node waits."""
 
     def serve(
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
-        """Serve one from its first UP to its end; the client's socket is closed then."""
+        """Serve a session from its first UP to its end; the client's socket is closed then."""
 
     def resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, take: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Hand a client with a token to its session, `take` first; else the answer that refuses it."""
+        """Hand a client with a token to its session, after a call of `release`; else the rejecting answer."""
 
     def rotate_keys(self, options: ResumeOptions) -> None:
-        """Put the keys of new settings in force."""
+        """Put the token keys of new settings in force."""
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -61,23 +61,25 @@
             sock = socket.create_connection(endpoint.address, connect_timeout.total_seconds())
         except OSError:
             return CheckResult(AttemptStatus.CONNECT_FAILED)
-        lines: list[bytes] = []
         with sock:
-            try:
-                sock.sendall(self._request + b"\r\n")
-                is_answered = self._read_answer(sock, deadline, lines)
-            except TimeoutError:
-                if not lines:
-                    return CheckResult(AttemptStatus.TIMEOUT)
-                # It answers, and has no report: it stays as it was known.
-                self._log_invalid_report(endpoint, lines[0])
-                return CheckResult(AttemptStatus.OK)
-            except OSError:
-                return CheckResult(AttemptStatus.RESET)
-            except protocol.LineError as err:
-                log(LogEvent.INVALID_RESPONSE, member=endpoint.id, why=err)
+            return self._ask(endpoint, sock, deadline)
+
+    def _ask(self, endpoint: Endpoint, sock: socket.socket, deadline: timedelta) -> CheckResult:
+        lines: list[bytes] = []
+        try:
+            sock.sendall(self._request + b"\r\n")
+            if not self._read_answer(sock, deadline, lines):
                 return CheckResult(AttemptStatus.ERROR)
-        if not is_answered:
+        except TimeoutError:
+            if not lines:
+                return CheckResult(AttemptStatus.TIMEOUT)
+            # It answers, and has no report: it stays as it was known.
+            self._log_invalid_report(endpoint, lines[0])
+            return CheckResult(AttemptStatus.OK)
+        except OSError:
+            return CheckResult(AttemptStatus.RESET)
+        except protocol.LineError as err:
+            log(LogEvent.INVALID_RESPONSE, member=endpoint.id, why=err)
             return CheckResult(AttemptStatus.ERROR)
         return self._parse_report(endpoint, lines[-1])
 
--- a/tansyladder/node/pending_connections.py
+++ b/tansyladder/node/pending_connections.py
@@ -151,7 +151,7 @@
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
         except OSError:
             self.close(connection)
-        except Exception as err:
+        except Exception as err:  # noqa: BLE001 - a fault in one client's request must not end the acceptor
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -31,6 +31,7 @@
 from tansyladder.node.metrics import Metrics
 from tansyladder.node.policy_timers import PolicyTimers
 from tansyladder.policy.actions import (
+    Action,
     CancelAttempt,
     CheckHealth,
     Fail,
@@ -80,9 +81,8 @@
 class PolicyRunner:
     """Runs one node's policy: passes events in, hands actions out, keeps its timers.
 
-    Thread-safe. `_lock` guards the policy, the timers, the action queues and the registries; sockets, files
-    and other locks but an action queue's are used outside it. The attributes of the other layers
-    (`session_service` to `listener_handover`) are set before the threads start.
+    Thread-safe. `_lock` guards the policy, timers, action queues and registries; sockets and files are used
+    outside it. `session_service` to `listener_handover` are set before the threads start.
     """
 
     def __init__(self, config: Config, options: Options | None = None) -> None:
@@ -91,8 +91,7 @@
         self.options = options or Options()
         self.session_service: SessionService | None = None  # where sessions can be resumed
         self.endpoint_cache: EndpointListCache | None = None  # where the list outlives the process
-        # Where documents are replicated, once this process has joined its cluster.
-        self.decision_permit: DecisionPermit | None = None
+        self.decision_permit: DecisionPermit | None = None  # where documents are replicated, once joined
         self.listener_handover = ListenerHandover(config.listen, None)  # the listener's, once there is one
         self.lifecycle = Lifecycle()
         self.metrics = Metrics(config.class_names)
@@ -142,10 +141,9 @@
 
     def start(self) -> None:
         """Give the policy the newest list that is known from before, and start the timers."""
-        cached = self.endpoint_cache.cached_endpoints() if self.endpoint_cache else None
-        initial = newest_list(
-            self.config.known_endpoints, cached, self.listener_handover.endpoints, self.clock
-        )
+        configured = self.config.known_endpoints
+        handed_over = self.listener_handover.endpoints
+        initial = newest_list(configured, self.endpoint_cache, handed_over, self.clock)
         self.update_endpoints(initial, ListUpdateKind.CACHED)
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
@@ -185,16 +183,22 @@
                     if action_queue and not isinstance(action, ignored):
                         action_queue.post(action)
                         woken_queues.append(action_queue)
-                case CheckHealth(endpoint_number):
-                    _enqueue(self.health_checks, self._endpoints[endpoint_number])
-                case PollDiscovery(is_polling):
-                    _enqueue(self.discovery_polls, is_polling)
-                case Log(text):
-                    log(LogEvent.POLICY, text=text)
-                case SendPeerMessage():
-                    check_invariant(False, "tell_without_peers")
+                case _:
+                    self._perform(action)
         return woken_queues
 
+    def _perform(self, action: Action) -> None:
+        """Perform an action that concerns no request."""
+        match action:
+            case CheckHealth(endpoint_number):
+                _enqueue(self.health_checks, self._endpoints[endpoint_number])
+            case PollDiscovery(is_polling):
+                _enqueue(self.discovery_polls, is_polling)
+            case Log(text):
+                log(LogEvent.POLICY, text=text)
+            case SendPeerMessage():
+                check_invariant(False, "tell_without_peers")
+
     def _run_timers(self) -> None:
         """The timer thread: pass each timer to the policy when it is due."""
         while True:
@@ -246,18 +250,6 @@
                 if action_queue.is_established == established
             ]
 
-    def delay_reports(self, request_id: int, attempt: int, endpoint_number: int) -> DelayReports:
-        """What measures an established connection's message delays, and reports them to the policy."""
-
-        def report(kind: ReportKind, value: float) -> None:
-            self.handle_events(ConnectionReport(request_id, kind, attempt, endpoint_number, value))
-
-        return DelayReports(
-            endpoint_number, lambda: self.delay_meter, report, lambda: self.config.reports_load
-        )
-
-    # --- endpoints
-
     def endpoint(self, number: int) -> Endpoint:
         """The endpoint that the policy knows by a number."""
         with self._lock:
@@ -285,3 +277,16 @@
         """The complete list as it is known, for the next process."""
         with self._lock:
             return self._registry.as_list()
+
+
+def build_delay_reports(
+    runner: PolicyRunner, request_id: int, attempt: int, endpoint_number: int
+) -> DelayReports:
+    """What measures an established connection's message delays, and reports them to the policy."""
+
+    def report(kind: ReportKind, value: float) -> None:
+        runner.handle_events(ConnectionReport(request_id, kind, attempt, endpoint_number, value))
+
+    return DelayReports(
+        endpoint_number, lambda: runner.delay_meter, report, lambda: runner.config.reports_load
+    )
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -59,7 +59,7 @@
         except (ConfigError, OptionsError) as err:
             log(LogEvent.RELOAD_FAILED, why=err)
             self._runner.metrics.record_reload(applied=False)
-        except Exception as err:
+        except Exception as err:  # noqa: BLE001 - whatever a file may hold, the next one must still be read
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             self._runner.metrics.record_reload(applied=False)
         else:
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import socket
 from collections.abc import Callable
 from datetime import timedelta
@@ -18,7 +19,7 @@
 from tansyladder.node.attempt_loop import AttemptLoop, ClientEnd, build_request, load_hint_of, tenant_of
 from tansyladder.node.extension_points import ResumableRequest, SessionService
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
 from tansyladder.policy.actions import Fail, Reject
 from tansyladder.policy.events import AttemptStatus, ConnectionAdopted
 
@@ -141,7 +142,9 @@
     def _new_relay(self, connection: UpstreamConnection) -> Relay:
         """The relay of an established connection, which the policy's actions wake from now on."""
         runner = self._runner
-        delay_reports = runner.delay_reports(self._request_id, connection.attempt, connection.endpoint.number)
+        delay_reports = build_delay_reports(
+            runner, self._request_id, connection.attempt, connection.endpoint.number
+        )
         relay = Relay(
             self._client,
             connection,
@@ -224,3 +227,29 @@
             load_hint_of(opening),
         )
         self._runner.handle_events(adopted)
+
+
+def serve_connection(
+    runner: PolicyRunner,
+    client: socket.socket,
+    opening: Opening,
+    arrived: timedelta,
+    adopted: AdoptedConnection | None = None,
+) -> None:
+    """Serve a client's connection to its end, on its own thread; raises nothing, closes the socket."""
+    handler = RequestHandler(runner, client, opening, arrived, adopted)
+    try:
+        sockets.configure_stream(client)
+        handler.run()
+    except OSError as err:
+        log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
+        if not handler.is_answered:
+            runner.metrics.record_outcome(opening.class_name, RequestOutcome.CLIENT_LEFT)
+    except Exception as err:  # noqa: BLE001 - the thread's top: one connection's fault ends only that one
+        log(LogEvent.INTERNAL_ERROR, why=repr(err))
+        if not handler.is_answered:
+            runner.metrics.record_outcome(opening.class_name, RequestOutcome.FAILED)
+        with contextlib.suppress(OSError):
+            client.sendall(protocol.ERR + b"\r\n")
+    finally:
+        client.close()
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -13,7 +13,7 @@
 from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.clock import now
 from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption.errors import ControlMessageError, PositionError
 from tansyladder.resumption.stream import Stream, StreamOutput, StreamSignal
@@ -51,8 +51,8 @@
         self._client = client
         self._upstream = upstream
         self._host = upstream.socket
-        self._reports = core.delay_reports(
-            upstream.request_id, connection.attempt, connection.endpoint.number
+        self._reports = build_delay_reports(
+            core, upstream.request_id, connection.attempt, connection.endpoint.number
         )
         self._response_timeout = ResponseTimeout(self._reports.record_delay)
         self.has_host_sent = False  # whether the host sent a line to the client
