--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -8,9 +8,10 @@
 
 import threading
 
+from tansyladder.cluster.document_lease import LeaseExpiryPolicy
 from tansyladder.cluster.document_publisher import VALIDATORS, DocumentPublisher
-from tansyladder.cluster.document_replica import LeaseExpiryPolicy
-from tansyladder.cluster.raft_runner import DocumentSettings, NodeStorage, RaftRunner
+from tansyladder.cluster.document_replica import DocumentReplicaSettings
+from tansyladder.cluster.raft_runner import NodeStorage, RaftRunner
 from tansyladder.config.operator_settings import DocumentsOptions
 from tansyladder.config.platform import ConfigError
 from tansyladder.log import LogEvent, log
@@ -61,7 +62,7 @@
         lambda: policy_runner.clock.micros(now()),
         _document_settings(documents),
     )
-    resumption_handler.ownership_service = raft_runner
+    resumption_handler.join_peers(raft_runner)
     replica = raft_runner.document_replica
     if replica is not None:
         policy_runner.decision_permit = DocumentPublisher(raft_runner, replica, documents.stamps)
@@ -82,7 +83,7 @@
     return session_store.store
 
 
-def _document_settings(options: DocumentsOptions) -> DocumentSettings | None:
+def _document_settings(options: DocumentsOptions) -> DocumentReplicaSettings | None:
     if not options.enabled:
         return None
-    return DocumentSettings(VALIDATORS, LeaseExpiryPolicy(options.cut_off), options.lease)
+    return DocumentReplicaSettings(VALIDATORS, LeaseExpiryPolicy(options.cut_off), options.lease)
