--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -189,7 +189,7 @@
         client.open_session()
         assert isinstance(n.runner.endpoint_cache, SessionStore)
         n.runner.endpoint_cache._store._lifecycle.fail("made to fail")
-        refused = viewer.back()
+        refused = client.reconnect()
         assert [refused.read_line(), refused.read_line()] == ["ERR resume store", ""]
         client.send_lines("M 2")
         assert client.read_line() == "F 2 M 2"
