--- a/tansyladder/policy/slow_start.py
+++ b/tansyladder/policy/slow_start.py
@@ -12,19 +12,17 @@
 from tansyladder.policy.records import Endpoint
 
 CONNECTIONS_PER_WEIGHT = 8.0  # that fill a unit of an endpoint's weight at least
-PERMIT_ROTATION_SIZE = (
-    30  # nodes that take turns; of more, some share a permit, and the bound rests on chance
-)
+PERMIT_ROTATION_SIZE = 30  # nodes that take turns; of more, some share a permit, and chance keeps the sum
 
 
 def capacity_share(context: Context, endpoint: Endpoint) -> float:
     """The share of its capacity that an endpoint surely has by now; 1 when it is warm."""
     age = context.now - endpoint.ready_at
-    settings = context.settings
-    if not endpoint.ready_at or age >= settings.slow_start_duration_us:
+    duration = context.settings.slow_start_duration_us
+    if not endpoint.ready_at or not duration or age >= duration:
         return 1.0
-    initial = settings.slow_start_initial_capacity
-    return initial + (1 - initial) * max(0, age) / settings.slow_start_duration_us
+    initial = context.settings.slow_start_initial_capacity
+    return initial + (1 - initial) * max(0, age) / duration
 
 
 def permits_issued(context: Context, endpoint: Endpoint, until: int) -> float:
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -127,6 +127,13 @@
     assert capacity_share(node.balancer.context, restarted) < 1.0
 
 
+def test_without_slow_start_an_endpoint_that_is_ready_later_is_warm() -> None:
+    """Clocks differ: discovery may name a moment that is still to come here."""
+    node = BalancerDriver([endpoint(1, ready_at=START_TIME + SECOND)], slow_start_duration_us=0)
+    assert capacity_share(node.balancer.context, node.endpoint(1)) == 1.0
+    assert only_attempt(node.send_request().actions).endpoint_id == 1
+
+
 def test_absurd_weights_count_as_one() -> None:
     bad = [math.nan, 0.0, -3.0, 1e30, math.inf]
     node = BalancerDriver(
