--- a/tansyladder/invariants.py
+++ b/tansyladder/invariants.py
@@ -6,7 +6,7 @@
 
 from tansyladder.log import LogEvent, log
 
-violations: Counter[str] = Counter()
+violations: Counter[str] = Counter()  # by the names of invariants, since the start of the process
 
 
 def check_invariant(condition: bool, name: str) -> None:
--- a/tansyladder/net/__init__.py
+++ b/tansyladder/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, lines, flows and the relay between two of them; nothing of the node's decisions."""
+"""Sockets, lines, upstream connections and the relay; no decision of the node is made here."""
--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
+from enum import Enum
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
@@ -27,7 +28,17 @@
 MAX_LOGGED_BYTES = 80  # of an answer that makes no sense
 
 
-@dataclass(slots=True)
+class ClientEnd(Enum):
+    """How a client ended its request before it had an answer."""
+
+    DISCONNECTED = "disconnected"
+    SENT_EARLY = "sent a line before UP, which the protocol does not allow"
+
+
+CLIENT_END_BY_PEEK = {PeekResult.CLOSED: ClientEnd.DISCONNECTED, PeekResult.DATA: ClientEnd.SENT_EARLY}
+
+
+@dataclass(frozen=True, slots=True)
 class ConnectResult:
     """How an attempt went; the socket is there only where the connection is established."""
 
@@ -36,8 +47,7 @@
     sock: socket.socket | None = None
     buffer: protocol.LineBuffer | None = None
     following_lines: tuple[bytes, ...] = ()  # that came right behind UP
-    is_client_disconnected: bool = False
-    has_client_sent: bool = False  # a line before UP, which the protocol does not allow
+    client_end: ClientEnd | None = None  # what the client did meanwhile; None: it waits
 
 
 @dataclass(frozen=True, slots=True)
@@ -222,11 +232,5 @@
 
     A client that ends its side, or whose connection broke, has left.
     """
-    if client is None:
-        return None
-    match sockets.peek(client):
-        case PeekResult.CLOSED:
-            return ConnectResult(AttemptStatus.CANCELLED, is_client_disconnected=True)
-        case PeekResult.DATA:
-            return ConnectResult(AttemptStatus.CANCELLED, has_client_sent=True)
-    return None
+    client_end = None if client is None else CLIENT_END_BY_PEEK.get(sockets.peek(client))
+    return None if client_end is None else ConnectResult(AttemptStatus.CANCELLED, client_end=client_end)
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -4,15 +4,14 @@
 
 import socket
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from datetime import timedelta
-from enum import Enum
 
 from tansyladder.invariants import check_invariant
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, QueuedAction
 from tansyladder.net.clock import MICROSECOND, now
-from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
+from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
 from tansyladder.policy.events import (
@@ -26,23 +25,9 @@
 ANSWER_GRACE = timedelta(milliseconds=25)  # past the deadline, for the policy's final answer to arrive
 
 
-class ClientEnd(Enum):
-    """How a client ended its request before it had an answer."""
-
-    DISCONNECTED = "disconnected"
-    SENT_EARLY = "sent a line before UP, which the protocol does not allow"
-
-
 AttemptLoopResult = UpstreamConnection | Reject | Fail | ClientEnd
 
 
-def client_end_of(result: ConnectResult) -> ClientEnd | None:
-    """What the client did while an attempt was made; None: it waits."""
-    if result.has_client_sent:
-        return ClientEnd.SENT_EARLY
-    return ClientEnd.DISCONNECTED if result.is_client_disconnected else None
-
-
 @dataclass(slots=True)
 class AttemptLoop:
     """What the attempts of one request have in common; owned by the request's thread."""
@@ -100,8 +85,8 @@
                 lines = (result.up_line, *result.following_lines)
                 return UpstreamConnection(endpoint, result.sock, result.buffer, lines, attempt, duration_us)
             result.sock.close()
-            result.status = AttemptStatus.CANCELLED
-        client_end = client_end_of(result)
+            result = replace(result, status=AttemptStatus.CANCELLED)
+        client_end = result.client_end
         is_client_gone = client_end is not None
         ended = AttemptEnded(
             self.request_id, attempt, endpoint.number, result.status, duration_us, is_client_gone
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -15,8 +15,8 @@
 from tansyladder.net.handover_messages import ConnectionState
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
-from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
-from tansyladder.node.attempt_loop import AttemptLoop, ClientEnd, build_request, load_hint_of, tenant_of
+from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
+from tansyladder.node.attempt_loop import AttemptLoop, build_request, load_hint_of, tenant_of
 from tansyladder.node.extension_points import ResumableRequest, SessionService
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
@@ -170,7 +170,7 @@
             result = self._connect_again(endpoint)
         if endpoint is None or result.sock is None or result.buffer is None:
             log(LogEvent.CONNECTION_RESTORE_FAILED, member=endpoint_id, status=result.status.name)
-            if result.is_client_disconnected:
+            if result.client_end is ClientEnd.DISCONNECTED:
                 self._answer(RequestOutcome.CLIENT_LEFT)
             else:
                 self._answer(RequestOutcome.REJECTED, format_reject(RESTORE_RETRY_INTERVAL))
@@ -194,7 +194,7 @@
                 lambda: runner.metrics.record_attempt(opening.class_name),
             )
             result = connector.open(self._client, self._action_queue)
-            if result.sock is not None or result.is_client_disconnected:
+            if result.sock is not None or result.client_end is ClientEnd.DISCONNECTED:
                 return result
             if now() + RESTORE_RETRY_INTERVAL >= self._deadline:
                 return result
