--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -6,12 +6,14 @@
 import struct
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from datetime import timedelta
+from pathlib import Path
 
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.sessions.resumption_handler import ResumptionHandler
-from tests.node.harness import SETTINGS, Node, Peer, Script, ScriptedServer
+from tests.node.harness import SETTINGS, Node, Peer, Script, ScriptedServer, running_node
 
 RESUMPTION_OPTIONS = ResumeOptions(enabled=True, expires=timedelta(seconds=60))
 LONG_WAIT_SETTINGS = SETTINGS | {
@@ -109,3 +111,22 @@
         (leaving if names["re"] == "1" else goes_on)(peer, names)
 
     return ScriptedHost(either)
+
+
+@contextmanager
+def resuming_node(
+    tmp_path: Path,
+    *hosts: ScriptedHost,
+    resume: ResumeOptions = RESUMPTION_OPTIONS,
+    store: Path | None = None,
+) -> Iterator[Node]:
+    """A node that knows these hosts and whose sessions can be resumed, with time for slow machines."""
+    servers = (host.listener for host in hosts)
+    with running_node(tmp_path, *servers, resume=resume, store=store, settings=LONG_WAIT_SETTINGS) as n:
+        yield n
+
+
+def read_to_end(peer: Peer) -> None:
+    """Read until the connection ends."""
+    while peer.read_line():
+        pass
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -12,15 +12,16 @@
 
 from tansyladder.config.operator_settings import KeyEntry
 from tansyladder.policy.events import AttemptEnded, AttemptStatus, RequestReceived
-from tests.node.harness import Peer, running_node, unique_id
+from tests.node.harness import Peer, unique_id
 from tests.sessions.harness import (
-    LONG_WAIT_SETTINGS,
     OFFER_FIELDS,
     RESUMPTION_OPTIONS,
     ScriptedHost,
     SessionClient,
     break_connection,
     echo_lines,
+    read_to_end,
+    resuming_node,
     start_session,
 )
 
@@ -38,9 +39,7 @@
         peer.send_lines("F 4")
         peer.read_line()
 
-    with running_node(
-        tmp_path, ScriptedHost(host).listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(host)) as n:
         client = SessionClient(n)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("M 1")
@@ -61,18 +60,8 @@
 def test_invalid_tokens_are_rejected_at_once(tmp_path: Path) -> None:
     """Each with its word, and the session that stands goes on."""
     with (
-        running_node(
-            tmp_path,
-            ScriptedHost(echo_lines).listener,
-            resume=RESUMPTION_OPTIONS,
-            settings=LONG_WAIT_SETTINGS,
-        ) as n,
-        running_node(
-            tmp_path,
-            ScriptedHost(echo_lines).listener,
-            resume=RESUMPTION_OPTIONS,
-            settings=LONG_WAIT_SETTINGS,
-        ) as elsewhere,
+        resuming_node(tmp_path, ScriptedHost(echo_lines)) as n,
+        resuming_node(tmp_path, ScriptedHost(echo_lines)) as elsewhere,
     ):
         client, other = SessionClient(n), SessionClient(elsewhere)
         client.open_session()
@@ -103,25 +92,20 @@
 
 
 def test_a_half_open_connection_is_reset_before_the_new_one_gets_a_line(tmp_path: Path) -> None:
-    with running_node(
-        tmp_path, ScriptedHost(echo_lines).listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as n:
         client = SessionClient(n)
         client.open_session()
         old = client.peer
         client.peer = client.reconnect()
         assert [client.read_line(), client.read_line()] == ["UP r1", "RS AT 1"]
         with pytest.raises(ConnectionResetError):
-            while old.read_line():
-                pass
+            read_to_end(old)
         client.send_lines("M 2")
         assert client.read_line() == "F 2 M 2"
 
 
 def test_of_concurrent_resumes_with_one_token_one_succeeds(tmp_path: Path) -> None:
-    with running_node(
-        tmp_path, ScriptedHost(echo_lines).listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as n:
         client = SessionClient(n)
         client.open_session()
         gate, answers = threading.Barrier(4), list[tuple[str, Peer]]()
@@ -168,9 +152,7 @@
         peer.read_line()
 
     hosts = [ScriptedHost(host), ScriptedHost(host)]
-    with running_node(
-        tmp_path, *(h.listener for h in hosts), resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, *hosts) as n:
         client = SessionClient(n)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("M 1")
@@ -191,9 +173,7 @@
 def test_keys_rotate_while_sessions_are_connected(tmp_path: Path) -> None:
     old, new = KeyEntry(1, "ab" * 32), KeyEntry(2, "cd" * 32)
     resume = msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(old,))
-    with running_node(
-        tmp_path, ScriptedHost(echo_lines).listener, resume=resume, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines), resume=resume) as n:
         assert n.runner.session_service is not None
         client = SessionClient(n)
         client.open_session()
@@ -214,7 +194,7 @@
     short = msgspec.structs.replace(RESUMPTION_OPTIONS)
     msgspec.structs.force_setattr(short, "expires", timedelta(milliseconds=200))
     host = ScriptedHost(echo_lines)
-    with running_node(tmp_path, host.listener, resume=short, settings=LONG_WAIT_SETTINGS) as n:
+    with resuming_node(tmp_path, host, resume=short) as n:
         client = SessionClient(n)
         client.open_session()
         first = client.token
@@ -228,7 +208,7 @@
 def test_suspended_sessions_beyond_the_limit_end(tmp_path: Path) -> None:
     host = ScriptedHost(echo_lines)
     few = msgspec.structs.replace(RESUMPTION_OPTIONS, parked=1)
-    with running_node(tmp_path, host.listener, resume=few, settings=LONG_WAIT_SETTINGS) as n:
+    with resuming_node(tmp_path, host, resume=few) as n:
         first, second = SessionClient(n), SessionClient(n, key="80")
         for client in (first, second):
             client.open_session()
--- a/tests/sessions/test_migration.py
+++ b/tests/sessions/test_migration.py
@@ -16,6 +16,7 @@
     break_connection,
     echo_lines,
     host_with_two_scripts,
+    resuming_node,
     start_session,
 )
 
@@ -39,9 +40,7 @@
         peer.send_lines("F 5", "BYE")
 
     hosts = [host_with_two_scripts(leaves, goes_on) for _ in range(2)]
-    with running_node(
-        tmp_path, *(h.listener for h in hosts), resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, *hosts) as n:
         client = SessionClient(n)
         assert client.read_line() == "UP r1"
         client.send_lines("M 1", "M 2", "M 3")
@@ -71,9 +70,7 @@
             peer.read_line()
 
     hosts = [ScriptedHost(host) for _ in range(4)]
-    with running_node(
-        tmp_path, *(h.listener for h in hosts), resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, *hosts) as n:
         client = SessionClient(n)
         heard = [client.read_line() for _ in range(3)]
         assert heard[:2] == ["UP r1", "F 1"] and heard[2] in ("F 2", "MOVE")
@@ -93,9 +90,7 @@
         peer.read_line()
 
     hosts = [host_with_two_scripts(leaves, goes_on) for _ in range(2)]
-    with running_node(
-        tmp_path, *(h.listener for h in hosts), resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, *hosts) as n:
         client = SessionClient(n)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         n.runner.wait_for(RequestReceived, 2)
--- a/tests/sessions/test_session_limits.py
+++ b/tests/sessions/test_session_limits.py
@@ -8,13 +8,13 @@
 
 from tansyladder.policy.events import AttemptEnded
 from tansyladder.sessions.resumption_handler import ResumptionHandler
-from tests.node.harness import Peer, running_node
+from tests.node.harness import Peer
 from tests.sessions.harness import (
-    LONG_WAIT_SETTINGS,
     RESUMPTION_OPTIONS,
     ScriptedHost,
     SessionClient,
     echo_lines,
+    resuming_node,
     start_session,
 )
 
@@ -31,9 +31,7 @@
         assert peer.read_line() == "M 1"
         peer.send_lines("BYE")
 
-    with running_node(
-        tmp_path, ScriptedHost(flood).listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(flood)) as n:
         assert n.runner.session_service is not None
         client = SessionClient(n)
         assert client.read_line() == "UP r1"
@@ -51,9 +49,7 @@
 
 @pytest.mark.parametrize("line", ["RS", "RS NO 1", "RS ACK 7", "RS ACK -1", "RS AT 1 1"])
 def test_an_invalid_control_line_redirects_only_its_client(tmp_path: Path, line: str) -> None:
-    with running_node(
-        tmp_path, ScriptedHost(echo_lines).listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as n:
         client, other = SessionClient(n), SessionClient(n, key="80")
         for one in (client, other):
             one.open_session()
@@ -77,7 +73,7 @@
         peer.send_lines("F 2")
 
     one = ScriptedHost(host)
-    with running_node(tmp_path, one.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS) as n:
+    with resuming_node(tmp_path, one) as n:
         client = SessionClient(n)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("RS END")
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -12,11 +12,10 @@
 from tansyladder.sessions.session_store import SessionStore, open_session_store
 from tests.node.harness import Peer, running_node
 from tests.sessions.harness import (
-    LONG_WAIT_SETTINGS,
-    RESUMPTION_OPTIONS,
     ScriptedHost,
     SessionClient,
     echo_lines,
+    resuming_node,
     start_session,
 )
 
@@ -36,9 +35,7 @@
 def test_a_session_and_its_spent_tokens_outlive_the_node(tmp_path: Path) -> None:
     """The folder is copied while the node runs, as a SIGKILL leaves it; the next node starts on the copy."""
     host = ScriptedHost(remembers)
-    with running_node(
-        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "a"
-    ) as first:
+    with resuming_node(tmp_path, host, store=tmp_path / "a") as first:
         client = SessionClient(first)
         client.open_session()
         spent = client.token
@@ -48,9 +45,7 @@
             client.token = client.peer.read_line().split()[2]
         unspent = client.token
         shutil.copytree(tmp_path / "a", tmp_path / "b")
-    with running_node(
-        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "b"
-    ) as second:
+    with resuming_node(tmp_path, host, store=tmp_path / "b") as second:
         client.node = second
         assert client.reconnect(token=spent).read_line() == "ERR resume spent"
         client.peer = client.reconnect(token=unspent)
@@ -60,22 +55,14 @@
         assert client.reconnect(token=unspent).read_line() == "ERR resume spent"
         shutil.copytree(tmp_path / "b", tmp_path / "c")
         last = client.token
-    with running_node(
-        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "c"
-    ) as third:
+    with resuming_node(tmp_path, host, store=tmp_path / "c") as third:
         client.node = third
         assert client.reconnect(token=unspent).read_line() == "ERR resume spent"
         assert (
             client.reconnect(f"c=chat,d=5000,g=5d,rp={client.frames}", token=last).read_line()
             == "ERR resume forged"
         )
-    with running_node(
-        tmp_path,
-        host.listener,
-        resume=RESUMPTION_OPTIONS,
-        settings=LONG_WAIT_SETTINGS,
-        store=tmp_path / "new",
-    ) as other:
+    with resuming_node(tmp_path, host, store=tmp_path / "new") as other:
         client.node = other
         assert client.reconnect(token=last).read_line() == "ERR resume elsewhere"
 
@@ -89,16 +76,12 @@
             peer.send_lines("BUSY")
 
     host = ScriptedHost(forgets)
-    with running_node(
-        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "a"
-    ) as first:
+    with resuming_node(tmp_path, host, store=tmp_path / "a") as first:
         client = SessionClient(first)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("RS ACK 1")
         shutil.copytree(tmp_path / "a", tmp_path / "b")
-    with running_node(
-        tmp_path, host.listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS, store=tmp_path / "b"
-    ) as second:
+    with resuming_node(tmp_path, host, store=tmp_path / "b") as second:
         client.node = second
         refused = client.reconnect("c=chat,d=600,g=5c,rp=1")
         assert refused.read_line().startswith("BUSY") and refused.read_line() == ""
@@ -115,13 +98,7 @@
         peer.send_lines("F 2")
         peer.read_line()
 
-    with running_node(
-        tmp_path,
-        ScriptedHost(holds_one).listener,
-        resume=RESUMPTION_OPTIONS,
-        settings=LONG_WAIT_SETTINGS,
-        store=tmp_path / "a",
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(holds_one), store=tmp_path / "a") as n:
         client = SessionClient(n)
         assert client.read_line() == "UP r1"
         client.send_lines("M 1", "M 2")
@@ -160,13 +137,7 @@
     if fault == "unusable":
         shutil.rmtree(folder)
         folder.write_text("")
-    with running_node(
-        tmp_path,
-        ScriptedHost(echo_lines).listener,
-        resume=RESUMPTION_OPTIONS,
-        settings=LONG_WAIT_SETTINGS,
-        store=folder,
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines), store=folder) as n:
         assert n.runner.endpoint_cache is None
         client = SessionClient(n)
         client.open_session()
@@ -178,13 +149,7 @@
 
 def test_a_token_is_rejected_where_its_redemption_cant_be_stored(tmp_path: Path) -> None:
     """Else it would open the session once more after a restart; whoever stands is served on."""
-    with running_node(
-        tmp_path,
-        ScriptedHost(echo_lines).listener,
-        resume=RESUMPTION_OPTIONS,
-        settings=LONG_WAIT_SETTINGS,
-        store=tmp_path / "a",
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines), store=tmp_path / "a") as n:
         client = SessionClient(n)
         client.open_session()
         assert isinstance(n.runner.endpoint_cache, SessionStore)
