--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -33,8 +33,8 @@
 from tansyladder.replication.lease_coordinator import LeaseCoordinator
 from tansyladder.replication.lease_holder import LeaseHolder
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
+from tansyladder.simulation.fault_rates import FaultRates
 from tansyladder.simulation.raft_cluster import (
-    FaultRates,
     RecordingStateMachine,
     SimulatedCluster,
     SimulatedNode,
@@ -349,8 +349,8 @@
             return int(self._fault_rng.integers(SECOND_US // 5, 12 * SECOND_US))
 
         if self._stops_every:
-            self._schedule_randomly(self._stops_every, end, lambda: self.stop(one(self._fault_rng), length()))
-        self._schedule_randomly(
+            self._call_randomly(self._stops_every, end, lambda: self.stop(one(self._fault_rng), length()))
+        self._call_randomly(
             3 * SECOND_US,
             end,
             lambda: self.offer(one(self._load_rng), bool(self._load_rng.random() >= self._bad)),
--- a/tansyladder/simulation/raft_cluster.py
+++ b/tansyladder/simulation/raft_cluster.py
@@ -1,110 +1,104 @@
-"""Agreements over a network that delays, drops, doubles, reorders and cuts, with crashes and lost disks.
+"""Raft nodes over a network that delays, drops, duplicates, reorders and cuts, with crashes and lost disks.
 
-One event loop on a virtual clock; the same seed gives the same history to the byte. Checked at each step:
-one leader in a term, committed entries that never change, the same state from the same entries. At the end,
-faults over: every proposal that was answered is in every log, and a new one goes through in time.
+One event loop on a virtual clock; the same seed gives the same history to the byte. `ConsensusChecker` checks
+each step: one leader in a term, committed entries that never change, the same state from the same entries. At
+the end, when faults are over, every proposal that was answered is in every log, and a new one goes through in
+time.
 """
 
 from __future__ import annotations
 
-import heapq
 import itertools
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
 from random import Random
 
-import msgspec
 import numpy
 
 from tansyladder.raft.effects import Effects
-from tansyladder.raft.messages import EntryKind, LogEntry, Message, ProposalRequest
+from tansyladder.raft.messages import Message, ProposalRequest
 from tansyladder.raft.node import STANDARD_COMPONENTS, RaftComponents, RaftNode
-from tansyladder.raft.node_state import Membership, Role
-from tansyladder.raft.persistent_state import HardState, LogSuffix, PersistentState, Snapshot, Write
-
-MS, S = 1000, 1_000_000
-LIVE = 10 * S  # after the last fault by when a proposal must go through
-COPY = 500 * MS  # between two copies that are taken of a disk
-
-
-class InvariantViolationError(Exception):
-    """A promise was broken; the message says which, with the moment."""
-
-
-class SimulatedDisk:
-    """What is synced, and what was written since; a crash takes the latter back."""
-
-    def __init__(self, ident: str) -> None:
-        self.persisted = PersistentState(HardState(disk_id=ident))
-
-    def write(self, writes: list[Write]) -> None:
-        """Synced when it returns."""
-        for write in writes:
-            kept = self.persisted
-            match write:
-                case HardState():
-                    self.persisted = PersistentState(write, kept.snapshot, kept.entries)
-                case Snapshot():
-                    rest = kept.entries[max(0, write.index - kept.snapshot.index) :]
-                    self.persisted = PersistentState(kept.hard_state, write, rest)
-                case LogSuffix():
-                    before = kept.entries[: write.index - kept.snapshot.index - 1]
-                    self.persisted = PersistentState(
-                        kept.hard_state, kept.snapshot, (*before, *write.entries)
-                    )
+from tansyladder.raft.node_state import Membership
+from tansyladder.raft.persistent_state import PersistentState
+from tansyladder.replication.units import MILLISECOND_US, SECOND_US
+from tansyladder.simulation.consensus_checker import (
+    ConsensusChecker,
+    InvariantViolationError,
+    LogBeforeStep,
+)
+from tansyladder.simulation.event_loop import EventLoop
+from tansyladder.simulation.fault_rates import (
+    NO_FAULTS,
+    FaultRates,
+    draw_delays,
+    draw_disk_faults,
+    draw_links,
+)
+from tansyladder.simulation.simulated_disk import SimulatedDisk
+
+CONVERGENCE_TIMEOUT_US = 10 * SECOND_US  # after the last fault by when a proposal must go through
+DISK_BACKUP_INTERVAL_US = 500 * MILLISECOND_US  # mean, between two copies that are taken of disks
+PROPOSAL_INTERVAL_US = 50 * MILLISECOND_US  # mean
+NODE_SEED_RANGE = 1 << 60
+COUNTED = ("crashes", "wiped", "older", "doubted", "cuts", "asked", "unknown", "messages")
 
 
 class RecordingStateMachine:
-    """A state that shows any difference of order: the list of what came."""
+    """A state that shows any difference of order: the list of all commands."""
 
     def __init__(self) -> None:
+        """Begin without commands."""
         self.commands: list[bytes] = []
 
     def apply(self, data: bytes) -> bytes:
+        """Record a command, and answer how many there are."""
         self.commands.append(data)
         return str(len(self.commands)).encode()
 
     def snapshot(self) -> bytes:
+        """Encode all commands."""
         return b",".join(self.commands)
 
     def restore(self, dumped: bytes) -> None:
+        """Take the commands of a snapshot."""
         self.commands = dumped.split(b",") if dumped else []
 
 
-@dataclass
-class FaultRates:
-    """How bad the network and the nodes are."""
-
-    loss_rate: float = 0.05
-    duplication_rate: float = 0.05
-    delay_range_us: tuple[int, int] = (1 * MS, 40 * MS)
-    mean_crash_interval_us: int = 3 * S  # on the mean, of all nodes together; 0: never
-    downtime_range_us: tuple[int, int] = (200 * MS, 3 * S)
-    disk_loss_rate: float = 0.2  # of the crashes that take the disk with them
-    disk_rollback_rate: float = 0.0  # of the crashes after which an older copy of the disk is there
-    disk_suspicion_rate: float = (
-        0.0  # of the other starts, those at which nothing shows that the disk is the newest
-    )
-    mean_cut_interval_us: int = 3 * S
-    cut_duration_range_us: tuple[int, int] = (300 * MS, 4 * S)
-
-
 @dataclass
 class SimulatedNode:
-    """One simulated node."""
+    """One node of the cluster."""
 
     name: str
     disk: SimulatedDisk
-    backup: PersistentState  # of the disk, taken some time ago
-    raft: RaftNode | None = None  # none while it is down
+    raft: RaftNode | None = None  # None while the node is down
     state_machine: RecordingStateMachine = field(default_factory=RecordingStateMachine)
-    incarnation: int = 0  # counts starts, so that messages to an earlier one are lost
-    timer_number: int = 0  # counts wake-ups, so that only the newest is one
+    incarnation: int = 0  # counts starts
+    timer_number: int = 0  # counts timers, of which only the newest is good
+    _backup: PersistentState = field(init=False)  # a copy of the disk, taken some time ago
+
+    def __post_init__(self) -> None:
+        """Take the first copy."""
+        self.back_up_disk()
+
+    def back_up_disk(self) -> None:
+        """Take a copy of the disk."""
+        self._backup = self.disk.persisted
+
+    def roll_back_disk(self) -> bool:
+        """Put the copy in place of the disk; False: they are the same."""
+        is_older = self.disk.persisted != self._backup
+        self.disk.persisted = self._backup
+        return is_older
+
+    def replace_disk(self, disk: SimulatedDisk) -> None:
+        """Lose the disk and its copy."""
+        self.disk = disk
+        self.back_up_disk()
 
 
 class SimulatedCluster:
-    """A fleet, its network and its checkers."""
+    """A cluster, its network, its faults and its checker."""
 
     def __init__(
         self,
@@ -113,58 +107,48 @@
         learners: int = 1,
         faults: FaultRates | None = None,
         components: RaftComponents = STANDARD_COMPONENTS,
-        synced: bool = True,
+        is_synced: bool = True,
     ) -> None:
-        """`components`: of the nodes; `synced`: whether writes outlive crashes."""
-        parts = numpy.random.SeedSequence(seed).spawn(4)
-        self._network_rng, self._fault_rng, self._load_rng, seeds = (
-            numpy.random.default_rng(part) for part in parts
-        )
-        self.now, self.faults, self._synced = 0, faults or FaultRates(), synced
+        """Start all nodes. `voters`, `learners`: how many; `is_synced`: of disks."""
+        generators = [numpy.random.default_rng(part) for part in numpy.random.SeedSequence(seed).spawn(4)]
+        self._network_rng, self._fault_rng, self._load_rng, self._node_seed_rng = generators
+        self._loop = EventLoop()
+        self._checker = ConsensusChecker()
+        self.committed_entries = self._checker.committed_entries
         self._components = components
-        self.names = [f"n{i}" for i in range(voters + learners)]
-        self.voters, self.learners = self.names[:voters], self.names[voters:]
-        self._node_seed_rng = seeds
-        self._disks = itertools.count(1)
-        self.nodes = {name: self._new_node(name) for name in self.names}
-        self._queue: list[tuple[int, int, Callable[[], object]]] = []
-        self._order = itertools.count()
-        self._cut_links: set[tuple[str, str]] = set()  # ways on which nothing arrives
-        self.leaders_by_term: dict[int, str] = {}  # by term
-        self.committed_entries: list[LogEntry] = []  # as first seen
-        self.results: dict[str, bytes] = {}  # requests that were answered with a result
-        self._open: dict[str, str] = {}
-        self._asked = itertools.count(1)
-        counted = ("crashes", "wiped", "older", "doubted", "cuts", "asked", "unknown", "messages")
-        self.counts = dict.fromkeys(counted, 0)
+        self._is_synced = is_synced
+        self._disk_numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
+        self._cut_links: set[tuple[str, str]] = set()  # sender and recipient between which nothing arrives
+        self.faults = faults or FaultRates()
+        self.names = [f"n{number}" for number in range(voters + learners)]
+        self.voters = self.names[:voters]
+        self.learners = self.names[voters:]
+        self.results: dict[str, bytes] = {}  # of the requests that were answered with one
+        self.counts = dict.fromkeys(COUNTED, 0)
+        self.nodes = {name: SimulatedNode(name, self._make_disk()) for name in self.names}
         for name in self.names:
             self.start_node(name)
 
-    def _new_node(self, name: str) -> SimulatedNode:
-        disk = self._new_disk()
-        return SimulatedNode(name, disk, disk.persisted)
-
-    def _new_disk(self) -> SimulatedDisk:
-        return SimulatedDisk(f"d{next(self._disks)}")
+    @property
+    def now(self) -> int:
+        """The virtual time, in microseconds."""
+        return self._loop.now
 
-    # --- time
+    def call_at(self, time_us: int, call: Callable[[], object]) -> None:
+        """Schedule a call."""
+        self._loop.call_at(time_us, call)
 
-    def call_at(self, moment: int, call: Callable[[], object]) -> None:
-        heapq.heappush(self._queue, (max(moment, self.now), next(self._order), call))
-
-    def run_until(self, until: int) -> None:
-        """Play all that is due by a moment. Broken: a promise did not hold."""
-        while self._queue and self._queue[0][0] <= until:
-            self.now, _, call = heapq.heappop(self._queue)
-            call()
-        self.now = until
-
-    # --- nodes
+    def run_until(self, time_us: int) -> None:
+        """Play all that is due by a time. InvariantViolationError: a promise is broken."""
+        self._loop.run_until(time_us)
 
     def start_node(self, name: str) -> None:
+        """Start a node that is down."""
         node = self.nodes[name]
-        node.incarnation, node.state_machine = node.incarnation + 1, self._make_state_machine()
-        rng = Random(int(self._node_seed_rng.integers(1 << 60)))
+        node.incarnation += 1
+        node.state_machine = self._make_state_machine()
+        rng = Random(int(self._node_seed_rng.integers(NODE_SEED_RANGE)))
         membership = Membership(name, self.voters, self.learners)
         node.raft = RaftNode(
             membership, node.disk.persisted, node.state_machine, rng, self.now, self._components
@@ -172,212 +156,153 @@
         self._on_node_started(node)
         self._step_node(node)
 
-    def _make_state_machine(self) -> RecordingStateMachine:
-        """What the log of a node decides, at a start."""
-        return RecordingStateMachine()
-
-    def _on_node_started(self, node: SimulatedNode) -> None:
-        """A node has started, and nothing has come yet."""
-
     def crash(self, name: str, wipe: bool) -> None:
-        """It is gone, with its disk or without."""
+        """Stop a node; with `wipe` its disk is lost."""
         node = self.nodes[name]
         node.raft = None
         self.counts["crashes"] += 1
         if wipe:
             self.counts["wiped"] += 1
-            node.disk = self._new_disk()
-            node.backup = node.disk.persisted
+            node.replace_disk(self._make_disk())
 
     def roll_back_disk(self, name: str) -> None:
-        """A node that is down finds an older copy of its disk."""
+        """Put the older copy in place of the disk of a node that is down."""
         node = self.nodes[name]
-        if node.disk.persisted != node.backup:
+        if node.roll_back_disk():
             self.counts["older"] += 1
-            node.disk.persisted = node.backup
             self.suspect_disk(node)
 
     def suspect_disk(self, node: SimulatedNode) -> None:
-        """As at a start that finds no witness for its disk."""
+        """Do what a start does that finds nothing to show that its disk is the newest."""
         self.counts["doubted"] += 1
-        node.disk.write([msgspec.structs.replace(node.disk.persisted.hard_state, stale_disk_suspected=True)])
+        node.disk.suspect()
+
+    def propose(self, name: str) -> str:
+        """Make a proposal at a node, and return its request id."""
+        request_id = f"r{next(self._request_numbers)}"
+        self.counts["asked"] += 1
+        self._step_node(self.nodes[name], (name, ProposalRequest(request_id, request_id.encode())))
+        return request_id
+
+    def inject_faults(self, seconds: float, mean_proposal_interval_us: int = PROPOSAL_INTERVAL_US) -> None:
+        """Play faults and proposals for a time; a majority of voters keeps its disks between two losses."""
+        end = self.now + int(seconds * SECOND_US)
+        self._call_randomly(self.faults.mean_crash_interval_us, end, self._crash_random_node)
+        self._call_randomly(self.faults.mean_cut_interval_us, end, self._cut_random_links)
+        if self.faults.disk_rollback_rate:
+            self._call_randomly(DISK_BACKUP_INTERVAL_US, end, self._back_up_random_disk)
+        self._call_randomly(mean_proposal_interval_us, end, self._propose_at_random_node)
+        self.run_until(end)
+
+    def converge(self) -> None:
+        """End all faults and check that the cluster works again.
+
+        InvariantViolationError: an answered proposal is lost, or none goes through in time.
+        """
+        self._cut_links.clear()
+        self.faults = NO_FAULTS
+        for name in self.names:
+            self._restart(name)
+        end = self.now + CONVERGENCE_TIMEOUT_US
+        while self.now < end:
+            proposed = [self.propose(name) for name in self.names]
+            self.run_until(self.now + SECOND_US)
+            if all(request_id in self.results for request_id in proposed):
+                break
+        else:
+            raise InvariantViolationError(self.now, "no proposal goes through at all nodes")
+        self.run_until(self.now + 2 * SECOND_US)
+        running = [node.raft for node in self.nodes.values() if node.raft is not None]
+        self._checker.check_converged(running, self.results, self.now)
+
+    def _make_disk(self) -> SimulatedDisk:
+        return SimulatedDisk(f"d{next(self._disk_numbers)}", self._is_synced)
+
+    def _make_state_machine(self) -> RecordingStateMachine:
+        """Make the state machine of a node that starts; for subclasses."""
+        return RecordingStateMachine()
+
+    def _on_node_started(self, node: SimulatedNode) -> None:
+        """Do more for a node that has started; for subclasses."""
 
     def _step_node(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
-        core = node.raft
-        if core is None:
+        raft = node.raft
+        if raft is None:
             return
-        before, log, base = core.commit_index, list(core.log.entries), core.log.snapshot.index
-        out = core.handle(self.now, received)
-        log += [entry for write in out.writes if isinstance(write, LogSuffix) for entry in write.entries]
-        if self._synced:
-            node.disk.write(out.writes)
-        else:  # terms and votes are on their way still: what a crash takes where syncs are not waited for
-            founders = node.disk.persisted.hard_state.initial_disks
-            node.disk.write(
-                [w for w in out.writes if not isinstance(w, HardState) or w.initial_disks != founders]
-            )
-        self._check_step(node, before, log, base)
-        self._deliver_effects(node, out)
+        before = LogBeforeStep.of(raft)
+        effects = raft.handle(self.now, received)
+        node.disk.write(effects.writes)
+        self._checker.check_step(raft, node.state_machine.commands, before, effects.writes, self.now)
+        self._deliver(node, effects)
         node.timer_number += 1
-        self.call_at(core.next_deadline, partial(self._on_timer, node, node.timer_number, node.incarnation))
+        on_timer = partial(self._on_timer, node, node.timer_number, node.incarnation)
+        self.call_at(raft.next_deadline, on_timer)
 
-    def _on_timer(self, node: SimulatedNode, wait: int, start: int) -> None:
-        if (node.timer_number, node.incarnation) == (wait, start):
+    def _on_timer(self, node: SimulatedNode, timer_number: int, incarnation: int) -> None:
+        if (node.timer_number, node.incarnation) == (timer_number, incarnation):
             self._step_node(node)
 
-    def _deliver_effects(self, node: SimulatedNode, out: Effects) -> None:
-        for to, message in out.messages:
+    def _deliver(self, node: SimulatedNode, effects: Effects) -> None:
+        """Send messages over the network, and record results."""
+        for recipient, message in effects.messages:
             self.counts["messages"] += 1
-            copies = 1 + (self._network_rng.random() < self.faults.duplication_rate)
-            for _ in range(copies):
-                if self._network_rng.random() >= self.faults.loss_rate:
-                    delay = int(self._network_rng.integers(*self.faults.delay_range_us))
-                    self.call_at(self.now + delay, partial(self._on_message, node.name, to, message))
-        for answer in out.results:
-            self._open.pop(answer.request_id, None)
-            if answer.result is None:
+            for delay in draw_delays(self._network_rng, self.faults):
+                self.call_at(self.now + delay, partial(self._on_message, node.name, recipient, message))
+        for result in effects.results:
+            if result.result is None:
                 self.counts["unknown"] += 1
             else:
-                self.results[answer.request_id] = answer.result
+                self.results[result.request_id] = result.result
 
     def _on_message(self, sender: str, to: str, message: Message) -> None:
         if (sender, to) not in self._cut_links:
             self._step_node(self.nodes[to], (sender, message))
 
-    def propose(self, name: str) -> str:
-        """One more proposal at a node."""
-        request = f"r{next(self._asked)}"
-        self.counts["asked"] += 1
-        self._open[request] = name
-        self._step_node(self.nodes[name], (name, ProposalRequest(request, request.encode())))
-        return request
-
-    # --- checkers
-
-    def _check_step(self, node: SimulatedNode, before: int, log: list[LogEntry], base: int) -> None:
-        """`log`: what there was of it behind `base`, and was added: a snapshot may have taken its place."""
-        core = node.raft
-        assert core is not None
-        if core.role is Role.LEADER and self.leaders_by_term.setdefault(core.term, node.name) != node.name:
-            raise InvariantViolationError(f"{self.now}: two leaders in term {core.term}")
-        for index in range(before + 1, core.commit_index + 1):
-            if index <= len(self.committed_entries):
-                try:
-                    entry = core.log.entry(index) if index > core.log.snapshot.index else None
-                except IndexError:
-                    entry = None
-                if entry is not None and entry != self.committed_entries[index - 1]:
-                    first = self.committed_entries[index - 1]
-                    raise InvariantViolationError(
-                        f"{self.now}: {node.name} commits {entry} at {index}, not {first}"
-                    )
-            else:
-                gone = index <= core.log.snapshot.index
-                self.committed_entries.append(log[index - base - 1] if gone else core.log.entry(index))
-        came = [e.data for e in self.committed_entries[: core.last_applied] if e.kind is EntryKind.COMMAND]
-        if node.state_machine.commands != came:
-            raise InvariantViolationError(f"{self.now}: {node.name} has another state at {core.last_applied}")
+    def _call_randomly(self, mean_interval_us: int, end: int, call: Callable[[], object]) -> None:
+        self._loop.call_randomly(self._fault_rng, mean_interval_us, end, call)
 
-    def converge(self) -> None:
-        """Faults over, all up. Broken: an answered proposal is gone, or none goes through in time."""
-        self._cut_links.clear()
-        self.faults = FaultRates(0.0, 0.0, mean_crash_interval_us=0, mean_cut_interval_us=0)
-        for name in self.names:
-            if self.nodes[name].raft is None:
-                self.start_node(name)
-        end = self.now + LIVE
-        while self.now < end:
-            asked = [self.propose(name) for name in self.names]
-            self.run_until(self.now + S)
-            if all(request in self.results for request in asked):
-                break
-        else:
-            raise InvariantViolationError(f"{self.now}: no proposal goes through at all nodes")
-        self.run_until(self.now + 2 * S)
-        logged = {e.request_id for e in self.committed_entries}
-        for request in self.results:
-            if request not in logged:
-                raise InvariantViolationError(f"{self.now}: {request} was answered and is in no log")
-        for node in self.nodes.values():
-            if node.raft is not None and node.raft.commit_index != len(self.committed_entries):
-                raise InvariantViolationError(
-                    f"{self.now}: {node.name} is at {node.raft.commit_index} of {len(self.committed_entries)}"
-                )
-
-    # --- fate
-
-    def inject_faults(self, seconds: float, load: int = 50 * MS) -> None:
-        """Faults and proposals for so long. A majority of the voters keeps its disks between two wipes."""
-        end = self.now + int(seconds * S)
-        self._schedule_randomly(self.faults.mean_crash_interval_us, end, self._crash_random_node)
-        self._schedule_randomly(self.faults.mean_cut_interval_us, end, self._cut_random_links)
-        if self.faults.disk_rollback_rate:
-            self._schedule_randomly(COPY, end, self._back_up_disk)
-        self._schedule_randomly(
-            load, end, lambda: self.propose(self.names[self._load_rng.integers(len(self.names))])
-        )
-        self.run_until(end)
+    def _random_name(self, rng: numpy.random.Generator) -> str:
+        return self.names[rng.integers(len(self.names))]
 
-    def _schedule_randomly(self, every: int, end: int, call: Callable[[], object]) -> None:
-        if not every:
-            return
-        moment = self.now
-        while (moment := moment + int(self._fault_rng.exponential(every)) + 1) < end:
-            self.call_at(moment, call)
+    def _propose_at_random_node(self) -> None:
+        self.propose(self._random_name(self._load_rng))
 
     def _crash_random_node(self) -> None:
-        name = self.names[self._fault_rng.integers(len(self.names))]
+        name = self._random_name(self._fault_rng)
         if self.nodes[name].raft is None:
             return
-        # A disk may go while all other voters are up on disks that count; more at once is a majority lost.
-        others = [self.nodes[v].raft for v in self.voters if v != name]
-        spared = bool(others) and all(core is not None and core.is_electable for core in others)
-        fate = self._fault_rng.random()
-        self.crash(name, bool(spared and fate < self.faults.disk_loss_rate))
-        if spared and 0 <= fate - self.faults.disk_loss_rate < self.faults.disk_rollback_rate:
+        # A disk may be lost while all other voters count; with two losses at once a majority could be lost.
+        others = [self.nodes[voter].raft for voter in self.voters if voter != name]
+        may_lose_disk = bool(others) and all(raft is not None and raft.is_electable for raft in others)
+        disk_faults = draw_disk_faults(self._fault_rng, self.faults, may_lose_disk)
+        self.crash(name, wipe=disk_faults.is_lost)
+        if disk_faults.is_rolled_back:
             self.roll_back_disk(name)
-        elif self.faults.disk_suspicion_rate and self._fault_rng.random() < self.faults.disk_suspicion_rate:
+        elif disk_faults.is_suspected:
             self.suspect_disk(self.nodes[name])
-        self.call_at(
-            self.now + int(self._fault_rng.integers(*self.faults.downtime_range_us)),
-            lambda: self._restart(name),
-        )
-
-    def _back_up_disk(self) -> None:
-        node = self.nodes[self.names[self._fault_rng.integers(len(self.names))]]
-        node.backup = node.disk.persisted
+        downtime_us = int(self._fault_rng.integers(*self.faults.downtime_range_us))
+        self.call_at(self.now + downtime_us, partial(self._restart, name))
 
     def _restart(self, name: str) -> None:
         if self.nodes[name].raft is None:
             self.start_node(name)
 
+    def _back_up_random_disk(self) -> None:
+        self.nodes[self._random_name(self._fault_rng)].back_up_disk()
+
     def _cut_random_links(self) -> None:
-        """A node from all others, one pair, or one way of a pair."""
         self.counts["cuts"] += 1
-        one, other = self._fault_rng.choice(self.names, 2, replace=False)
-        kind = self._fault_rng.integers(3)
-        ways = {(one, other)}
-        if kind == 1:
-            ways |= {(other, one)}
-        elif kind == 2:
-            ways = {way for name in self.names if name != one for way in ((one, name), (name, one))}
-        ways = {(str(a), str(b)) for a, b in ways}
-        self._cut_links |= ways
-        end = self.now + int(self._fault_rng.integers(*self.faults.cut_duration_range_us))
-        self.call_at(end, lambda: self._cut_links.difference_update(ways))
-
-
-def simulate(
-    seed: int,
-    voters: int = 3,
-    learners: int = 1,
-    seconds: float = 20.0,
-    faults: FaultRates | None = None,
-    components: RaftComponents = STANDARD_COMPONENTS,
-    synced: bool = True,
-) -> SimulatedCluster:
-    """One history, checked to its end. Broken: a promise did not hold."""
-    world = SimulatedCluster(seed, voters, learners, faults, components, synced)
-    world.inject_faults(seconds)
-    world.converge()
-    return world
+        links = draw_links(self._fault_rng, self.names)
+        self._cut_links |= links
+        duration_us = int(self._fault_rng.integers(*self.faults.cut_duration_range_us))
+        self.call_at(self.now + duration_us, partial(self._cut_links.difference_update, links))
+
+
+def simulate(cluster: SimulatedCluster, seconds: float = 20.0) -> SimulatedCluster:
+    """Play faults for a time, and check the cluster to its end.
+
+    InvariantViolationError: a promise is broken.
+    """
+    cluster.inject_faults(seconds)
+    cluster.converge()
+    return cluster
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -36,7 +36,7 @@
 from tansyladder.replication.session_ownership import ClaimResult, OwnershipClaim, SessionOwnership
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.simulation.document_cluster import found, play
-from tansyladder.simulation.raft_cluster import FaultRates
+from tansyladder.simulation.fault_rates import FaultRates
 from tansyladder.store import open_store
 from tansyladder.store.files import RealFiles
 from tests.simulation.without_guards import DOCUMENT_GUARDS
