--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from tansyladder.cluster.document_publisher import DecisionStamp
+from tansyladder.cluster.decision_log import DecisionStamp
 from tansyladder.cluster.peer_handshake import Greeting
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.net.handover_messages import (
@@ -239,8 +239,8 @@
     return document_messages.Prepare(number=number, node=node, timestamp_us=time, short_lease_us=short_lease)
 
 
-def prepared(*, number: int, round: int, node: str, time: int) -> LogCommand:
-    return document_messages.Prepared(number=number, round=round, node=node, timestamp_us=time)
+def prepared(*, number: int, round_number: int, node: str, time: int) -> LogCommand:
+    return document_messages.Prepared(number=number, round=round_number, node=node, timestamp_us=time)
 
 
 def commit(*, number: int, node: str, time: int) -> LogCommand:
@@ -278,7 +278,7 @@
 
 def endpoint(
     *,
-    id: str,
+    endpoint_id: str,
     address: str,
     phase: str,
     locality: str,
@@ -288,7 +288,7 @@
     up_since_ms: int,
 ) -> EndpointEntry:
     return EndpointEntry(
-        id=id,
+        id=endpoint_id,
         address=address,
         state=phase,
         zone=locality,
@@ -366,7 +366,8 @@
     def __init__(
         self, port: int, folder: Path, listener: socket.socket, kept: int, endpoints: EndpointList
     ) -> None:
-        self._kept, self._endpoints = kept, endpoints
+        self._kept = kept
+        self._endpoints = endpoints
         self.has_successor = threading.Event()
         self.is_alone_again = threading.Event()
         self._takeover = ListenerHandover(("127.0.0.1", port), str(folder))
@@ -387,11 +388,11 @@
     def adopt_connection(
         self, state: ConnectionState, client: socket.socket, upstream: socket.socket
     ) -> None:
-        raise AssertionError("nothing runs before this process")
+        raise AssertionError(f"nothing runs before this process: {state}, {client}, {upstream}")
 
 
 # --- what a first line was decided under
 
 
-def decision_stamp(*, time: int, id: str, numbers: dict[str, int]) -> object:
-    return DecisionStamp(at=time, ident=id, numbers=numbers)
+def decision_stamp(*, time: int, connection_id: str, numbers: dict[str, int]) -> object:
+    return DecisionStamp(timestamp_us=time, connection_id=connection_id, numbers=numbers)
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -13,137 +13,144 @@
     SECOND,
     START_TIME,
     BalancerDriver,
-    endpoint,
+    endpoints,
+    of_type,
     only_attempt,
 )
 
-FLEET = [endpoint(i) for i in range(1, 9)]
+FLEET = endpoints(1, 8)
 
 
 def test_delays_span_the_whole_interval() -> None:
-    for n in range(1, 6):
+    for attempt in range(1, 6):
+        width = 1000 << attempt
         delays = []
         for seed in range(400):
-            b = Backoff()
-            b.attempt = n - 1
-            b.record_failure(START_TIME, 1000, 10, Random(seed))
-            assert (b.attempt, b.interval_end) == (n, START_TIME + (1000 << n))
-            delays.append((b.retry_at - START_TIME) / (1000 << n))
+            backoff = Backoff()
+            backoff.attempt = attempt - 1
+            backoff.record_failure(START_TIME, 1000, 10, Random(seed))
+            assert backoff.attempt == attempt
+            assert backoff.interval_end == START_TIME + width
+            delays.append((backoff.retry_at - START_TIME) / width)
         assert 0 <= min(delays) < 0.02
         assert 0.98 < max(delays) <= 1
         assert 0.45 < sum(delays) / len(delays) < 0.55
 
 
-def test_generations_never_overlap() -> None:
+def test_retries_of_successive_failures_never_overlap() -> None:
     for seed in range(200):
-        rng, b, ends = Random(seed), Backoff(), START_TIME
-        for n in range(1, 8):
-            failed_at = b.retry_at if b.retry_at else START_TIME
-            b.record_failure(failed_at, 1000, 10, rng)
-            assert ends <= b.retry_at <= b.interval_end
-            assert b.interval_end == ends + (1000 << n)
-            ends = b.interval_end
-
-
-def test_the_count_is_capped() -> None:
-    b = Backoff()
+        rng = Random(seed)
+        backoff = Backoff()
+        last_end = START_TIME
+        for attempt in range(1, 8):
+            failed_at = backoff.retry_at or START_TIME
+            backoff.record_failure(failed_at, 1000, 10, rng)
+            assert last_end <= backoff.retry_at <= backoff.interval_end
+            assert backoff.interval_end == last_end + (1000 << attempt)
+            last_end = backoff.interval_end
+
+
+def test_the_attempt_number_is_capped() -> None:
+    backoff = Backoff()
     for _ in range(40):
-        b.record_failure(b.interval_end, 1000, 4, Random(1))
-    assert b.attempt == 4
+        backoff.record_failure(backoff.interval_end, 1000, 4, Random(1))
+    assert backoff.attempt == 4
 
 
 def test_retries_keep_to_their_intervals() -> None:
     for seed in range(60):
         node = BalancerDriver(FLEET, seed)
-        _, acts = node.send_request()
-        send, attempt, start = only_attempt(acts), 0, None
+        _, actions = node.send_request()
+        start = only_attempt(actions)
+        attempt = 0
+        last_end = 0
         while True:
-            acts = node.fail_attempt(send, attempt)
-            b = node.balancer.requests.backoffs[7]
-            if start is not None:
-                assert b.retry_at >= start  # at or after the last interval's end
-            start = b.interval_end
-            acts = acts or node.run_to_next_action()
-            if isinstance(acts[-1], Reject):
+            actions = node.fail_attempt(start, attempt)
+            backoff = node.backoff(7)
+            assert backoff.retry_at >= last_end
+            last_end = backoff.interval_end
+            actions = actions or node.run_to_next_action()
+            if isinstance(actions[-1], Reject):
                 break
-            send, attempt = only_attempt(acts), attempt + 1
-            assert node.now == b.retry_at
+            start = only_attempt(actions)
+            attempt += 1
+            assert node.now == backoff.retry_at
 
 
-def test_the_count_survives_a_drop_and_is_cleared_by_staying_up() -> None:
+def test_the_backoff_survives_a_drop_and_is_cleared_by_a_lasting_connection() -> None:
     node = BalancerDriver(FLEET)
-    rid, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
+    request_id, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
     send = only_attempt(node.run_to_next_action())
-    node.deliver(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MILLISECOND))
+    node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
     node.now += 100 * MILLISECOND
-    node.deliver(AttemptEnded(rid, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MILLISECOND, True))
-    assert node.balancer.requests.backoffs[7].attempt == 1
+    node.deliver(AttemptEnded(request_id, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MILLISECOND, True))
+    assert node.backoff(7).attempt == 1
     node.run_until(node.now + SECOND)
-    rid, acts = node.send_request()
-    send = only_attempt(acts)
+    request_id, actions = node.send_request()
+    send = only_attempt(actions)
     node.fail_attempt(send, 0)
-    assert node.balancer.requests.backoffs[7].attempt == 2
+    assert node.backoff(7).attempt == 2
     send = only_attempt(node.run_to_next_action())
-    node.deliver(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MILLISECOND))
+    node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
     node.run_until(node.now + DEADLINE + 1)
     assert 7 not in node.balancer.requests.backoffs
 
 
 def test_a_client_that_comes_again_within_its_interval_waits_for_its_retry() -> None:
     node = BalancerDriver(FLEET)
-    _, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
-    due = node.balancer.requests.backoffs[7].retry_at
-    rid, acts = node.send_request()
-    assert acts == []
-    sent = [a for a in node.run_until(due) if isinstance(a, StartAttempt)]
-    assert rid in [a.request_id for a in sent]
+    _, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
+    due = node.backoff(7).retry_at
+    request_id, actions = node.send_request()
+    assert actions == []
+    sent = of_type(node.run_until(due), StartAttempt)
+    assert request_id in [a.request_id for a in sent]
 
 
 def test_two_requests_of_one_key_are_both_answered() -> None:
     """The key's interval moves on with the second; the first must still be tried at its own time."""
     node = BalancerDriver(FLEET)
-    first, acts = node.send_request()
+    first, actions = node.send_request()
     second, more = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
+    node.fail_attempt(only_attempt(actions), 0)
     node.fail_attempt(only_attempt(more), 0)
     node.run_until(node.now + DEADLINE)
     answered = {a.request_id for _, a in node.action_log[2:] if isinstance(a, StartAttempt | Reject)}
     assert {first, second} <= answered
 
 
-def test_a_wait_that_outruns_the_time_is_refused_with_the_rest_of_the_interval() -> None:
+def test_a_retry_after_the_deadline_is_rejected_with_the_rest_of_the_interval() -> None:
     node = BalancerDriver(FLEET)
-    rid, acts = node.send_request(left=30 * MILLISECOND)
-    seen = node.fail_attempt(only_attempt(acts), 0)
+    request_id, actions = node.send_request(left=30 * MILLISECOND)
+    seen = node.fail_attempt(only_attempt(actions), 0)
     for _ in range(4):
         if seen and isinstance(seen[0], Reject):
             break
         seen = node.run_to_next_action()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Reject(rid, node.balancer.requests.backoffs[7].interval_end - node.now)
+    assert seen[0] == Reject(request_id, node.backoff(7).interval_end - node.now)
 
 
 def test_attempts_run_out() -> None:
     node = BalancerDriver(FLEET, max_attempts=2)
-    rid, acts = node.send_request()
-    node.fail_attempt(only_attempt(acts), 0)
-    acts = node.fail_attempt(only_attempt(node.run_to_next_action()), 1)
-    assert isinstance(acts[0], Reject)
-    assert acts[0].request_id == rid
+    request_id, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
+    actions = node.fail_attempt(only_attempt(node.run_to_next_action()), 1)
+    assert isinstance(actions[0], Reject)
+    assert actions[0].request_id == request_id
 
 
-def test_without_a_key_the_count_is_the_requests_own() -> None:
+def test_without_a_key_the_backoff_is_the_requests_own() -> None:
     node = BalancerDriver(FLEET)
-    _, acts = node.send_request(key=0)
-    node.fail_attempt(only_attempt(acts), 0)
+    _, actions = node.send_request(key=0)
+    node.fail_attempt(only_attempt(actions), 0)
     assert only_attempt(node.run_to_next_action())
     assert not node.balancer.requests.backoffs
 
 
-def test_keys_are_bounded() -> None:
+def test_the_number_of_backoffs_is_bounded() -> None:
     node = BalancerDriver([], max_attempts=1)
     for key in range(1, 5000):
         node.send_request(key=key)
