--- a/tansyladder/policy/actions.py
+++ b/tansyladder/policy/actions.py
@@ -9,7 +9,7 @@
 
 
 class StartAttempt(NamedTuple):
-    """Start an attempt; `timeout` is relative."""
+    """Start an attempt, which times out so long from now."""
 
     request_id: int
     endpoint_id: int
@@ -17,14 +17,14 @@
 
 
 class Reject(NamedTuple):
-    """Final answer: not served, trying again is harmless."""
+    """Give the final answer: not served, and a repetition does no harm."""
 
     request_id: int
     retry_after_us: int = 0
 
 
 class Fail(NamedTuple):
-    """Final answer that promises nothing."""
+    """Give the final answer that the request failed; it may have run."""
 
     request_id: int
 
@@ -37,20 +37,20 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for a Timer event at a clock time."""
+    """Deliver `TimerExpired` at a moment."""
 
     due_at_us: int
     timer_id: int
 
 
 class CheckHealth(NamedTuple):
-    """Ask a server how it does."""
+    """Check the health of an endpoint; `HealthCheckResult` follows."""
 
     endpoint_id: int
 
 
 class Migrate(NamedTuple):
-    """End a standing connection politely; its client comes again."""
+    """End an established connection gracefully; its client reconnects."""
 
     request_id: int
 
@@ -63,13 +63,13 @@
 
 
 class Log(NamedTuple):
-    """A line for the operators."""
+    """Log a line for the operators."""
 
     text: str
 
 
 class PollDiscovery(NamedTuple):
-    """Ask discovery for changes from now on, or stop."""
+    """Poll discovery for changes from now on, or stop."""
 
     is_enabled: bool
 
--- a/tansyladder/policy/events.py
+++ b/tansyladder/policy/events.py
@@ -12,7 +12,7 @@
 
 
 class EndpointState(IntEnum):
-    """What discovery says of a server."""
+    """The state of an endpoint, as discovery lists it."""
 
     GONE = 1
     DRAINING = 2
@@ -29,7 +29,7 @@
 
 
 class AttemptStatus(IntEnum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     OK = 0
     ERROR = 1
@@ -47,7 +47,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """One server in discovery's list."""
+    """One endpoint in discovery's list."""
 
     endpoint_id: int
     zone: int
@@ -83,7 +83,7 @@
 
 
 class ConnectionAdopted(NamedTuple):
-    """A connection that stood before this node's start; its attempt 0 is made."""
+    """A connection that was established before this node's start, by attempt 0."""
 
     request_id: int
     class_index: int
@@ -95,7 +95,7 @@
 
 
 class AttemptEstablished(NamedTuple):
-    """The connection stands."""
+    """The connection of an attempt is established."""
 
     request_id: int
     attempt: int
@@ -104,15 +104,15 @@
 
 
 class ReportKind(IntEnum):
-    """What a note is about."""
+    """What a connection report is about."""
 
     LOAD = 1
-    REPORTED_DELAY = 2  # a server's own word
-    MEASURED_DELAY = 3  # a delay that the node timed itself: it says nothing of whether servers tell
+    REPORTED_DELAY = 2  # by the endpoint itself
+    MEASURED_DELAY = 3  # by the node: it does not show that the endpoint reports delays
 
 
 class ConnectionReport(NamedTuple):
-    """News of a standing connection: its load (us a second) or its server's message time (ms)."""
+    """The load of an established connection (us a second), or the delay of its messages (ms)."""
 
     request_id: int
     kind: int
@@ -140,13 +140,13 @@
 
 
 class TimerExpired(NamedTuple):
-    """A timer came due."""
+    """A timer that was set has expired."""
 
     timer_id: int
 
 
 class HealthCheckResult(NamedTuple):
-    """How a probe ended."""
+    """How a health check ended."""
 
     endpoint_id: int
     status: AttemptStatus
