--- a/tansyladder/policy/discovery.py
+++ b/tansyladder/policy/discovery.py
@@ -24,8 +24,8 @@
     for update in event.endpoints:
         _apply_update(context, table, update)
     ready = sorted((e for e in table.by_id.values() if e.state is EndpointState.READY), key=lambda e: e.id)
-    table.home.replace([e for e in ready if e.zone == context.settings.zone])
-    table.away.replace([e for e in ready if e.zone != context.settings.zone])
+    table.home_zone.replace([e for e in ready if e.zone == context.settings.zone])
+    table.other_zones.replace([e for e in ready if e.zone != context.settings.zone])
     if event.kind is ListUpdateKind.CACHED:
         outlier_detection.start_periodic_checks(context, table)
         _start_polling(context, table)
--- a/tansyladder/policy/endpoint_selection.py
+++ b/tansyladder/policy/endpoint_selection.py
@@ -16,20 +16,20 @@
 def select_endpoint(context: Context, table: EndpointTable, request: Request) -> Endpoint | None:
     """Select the endpoint for a request; None: no endpoint has room."""
     is_home_full = context.settings.connections_per_unit > 0 and _is_home_zone_full(context, table)
-    for pool in (table.home, table.away):
+    for pool in (table.home_zone, table.other_zones):
         # Room of one in a pool over the limit is what the others' excess needs, or the pool is filled up
         # to where every message is late. Endpoints that warm up are the relief on its way, paced by permits.
         is_full = refresh_pool(context, pool).mean_utilization >= UTILIZATION_LIMIT
         found = _draw(context, pool.warming_up, pool, request)  # a permit is used: few requests meet one
-        if not found and not is_full and not (is_home_full and pool is table.home):
-            found = _draw(context, request.candidates, pool, request) if pool is table.home else None
+        if not found and not is_full and not (is_home_full and pool is table.home_zone):
+            found = _draw(context, request.candidates, pool, request) if pool is table.home_zone else None
             found = found or _draw(context, sample(context, pool, request), pool, request)
         if found:
             return found
     # That the home zone is full is a guess: it sends requests elsewhere, but rejects none.
-    if not is_home_full or table.home.mean_utilization >= UTILIZATION_LIMIT:
+    if not is_home_full or table.home_zone.mean_utilization >= UTILIZATION_LIMIT:
         return None
-    return _draw(context, sample(context, table.home, request), table.home, request)
+    return _draw(context, sample(context, table.home_zone, request), table.home_zone, request)
 
 
 def _draw(context: Context, among: list[Endpoint], pool: EndpointPool, request: Request) -> Endpoint | None:
@@ -95,8 +95,8 @@
 def _is_home_zone_full(context: Context, table: EndpointTable) -> bool:
     """Whether the connections of the home zone's nodes fill it, if all nodes have as many as this one."""
     zone_count = len({endpoint.zone for endpoint in table.by_id.values()})
-    connection_count = sum(len(endpoint.connections) for endpoint in table.home.endpoints)
-    limit = UTILIZATION_LIMIT * context.settings.connections_per_unit * table.home.capacity
+    connection_count = sum(len(endpoint.connections) for endpoint in table.home_zone.endpoints)
+    limit = UTILIZATION_LIMIT * context.settings.connections_per_unit * table.home_zone.capacity
     return 0 < limit < connection_count * context.settings.node_count / zone_count
 
 
--- a/tansyladder/policy/outlier_detection.py
+++ b/tansyladder/policy/outlier_detection.py
@@ -29,7 +29,7 @@
 
 
 def _check_next(context: Context, table: EndpointTable, turn: int) -> None:
-    ready = table.home.endpoints + table.away.endpoints
+    ready = table.home_zone.endpoints + table.other_zones.endpoints
     if ready and not ready[turn % len(ready)].reports_delay:
         context.check_health(ready[turn % len(ready)])
     gap = max(MIN_CHECK_GAP_US, context.settings.health_check_interval_us // max(1, len(ready)))
--- a/tansyladder/policy/records.py
+++ b/tansyladder/policy/records.py
@@ -155,14 +155,14 @@
 class EndpointTable:
     """All endpoints that were ever listed, and the pools of those that are ready."""
 
-    __slots__ = ("away", "by_id", "home", "is_poll_scheduled", "poll_backoff")
+    __slots__ = ("other_zones", "by_id", "home_zone", "is_poll_scheduled", "poll_backoff")
 
     def __init__(self) -> None:
         self.poll_backoff = Backoff()  # of polls of discovery that failed
         self.is_poll_scheduled = False
         self.by_id: dict[int, Endpoint] = {}
-        self.home = EndpointPool()  # in the node's own zone
-        self.away = EndpointPool()
+        self.home_zone = EndpointPool()  # in the node's own zone
+        self.other_zones = EndpointPool()
 
     def counts(self, now: int) -> EndpointCounts:
         """Count the endpoints at a moment. Thread-safe without a lock: it reads a copy of the table."""
--- a/tansyladder/policy/request_lifecycle.py
+++ b/tansyladder/policy/request_lifecycle.py
@@ -46,7 +46,7 @@
         request.candidates = []
         request.pending_check_count = 0
         if context.can_check_load:
-            pool = self.endpoints.home
+            pool = self.endpoints.home_zone
             request.candidates = endpoint_selection.sample(context, pool, request, CANDIDATE_COUNT)
             for endpoint in request.candidates:
                 is_old = context.now - endpoint.utilization_at > context.reaction_time_us // 2
@@ -83,7 +83,9 @@
             timeout = max(timeout // 2, min(objective, timeout))
         if capacity_share(context, endpoint) < 1.0:
             endpoint.last_permit = available_permit(context, endpoint) or endpoint.last_permit
-        pool = self.endpoints.home if endpoint.zone == context.settings.zone else self.endpoints.away
+        pool = (
+            self.endpoints.home_zone if endpoint.zone == context.settings.zone else self.endpoints.other_zones
+        )
         endpoint_load.record_assignment(context, request, endpoint, pool)
         request.start_attempt(endpoint)
         context.actions.append(StartAttempt(request.id, endpoint.id, max(1, timeout)))
@@ -147,9 +149,9 @@
             endpoint_load.record_load_report(context, endpoint, event.load_report)
         if request is None:
             return
-        is_over = event.is_closed or request.is_closed
+        is_finished = event.is_closed or request.is_closed
         self._detach(request)
-        if is_over:
+        if is_finished:
             del self.requests.by_id[request.id]
             return
         request.last_failed_endpoint = endpoint
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -239,7 +239,7 @@
     for changes in ({}, {"pass_through": True}):
         node = BalancerDriver(endpoints(1, 400), **changes)
         request_id, _ = node.send_request()
-        home = node.balancer.endpoints.home
+        home = node.balancer.endpoints.home_zone
         refreshed_at = home.refreshed_at
         request = node.balancer.requests.by_id[request_id]
         assert len(sample(node.balancer.context, home, request, 16)) == 16
