--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -306,26 +306,26 @@
 # --- an upgrade
 
 
-def listener_handover(*, kept_descriptors: int, endpoints: EndpointList) -> object:
-    return DescriptorTransfer(retained_descriptor_count=kept_descriptors, endpoints=endpoints)
+def listener_handover(*, retained_descriptor_count: int, endpoints: EndpointList) -> object:
+    return DescriptorTransfer(retained_descriptor_count=retained_descriptor_count, endpoints=endpoints)
 
 
 def connection_handover(
     *,
     first_line: str,
-    host: str,
-    last_word: str,
-    asked: int | None,
+    endpoint_id: str,
+    last_upstream_word: str,
+    waiting_since_us: int | None,
     partial_lines: tuple[bytes, bytes],
-    waiting_lines: tuple[bytes, bytes],
+    pending_lines: tuple[bytes, bytes],
 ) -> ConnectionState:
     return ConnectionState(
         opening=first_line,
-        endpoint_id=host,
-        last_upstream_word=last_word,
-        waiting_since_us=asked,
+        endpoint_id=endpoint_id,
+        last_upstream_word=last_upstream_word,
+        waiting_since_us=waiting_since_us,
         partial_lines=BytesByDirection(*partial_lines),
-        pending_lines=BytesByDirection(*waiting_lines),
+        pending_lines=BytesByDirection(*pending_lines),
     )
 
 
@@ -344,46 +344,46 @@
     """A new process that asks the one that runs for the clients' listener."""
 
     def __init__(self, port: int, folder: Path) -> None:
-        self._takeover = ListenerHandover(("127.0.0.1", port), str(folder))
+        self._handover = ListenerHandover(("127.0.0.1", port), str(folder))
 
-    def ask(self) -> socket.socket | None:
+    def request_listener(self) -> socket.socket | None:
         """The listener, where the running process gave it."""
-        return self._takeover.request_listener()
+        return self._handover.request_listener()
 
     @property
-    def kept_descriptors(self) -> int:
+    def retained_descriptor_count(self) -> int:
         """Descriptors that the running process keeps."""
-        return self._takeover.remote_descriptor_count
+        return self._handover.remote_descriptor_count
 
     @property
     def endpoints(self) -> EndpointList | None:
-        return self._takeover.endpoints
+        return self._handover.endpoints
 
 
 class RunningProcess:
     """A process that gives its listener away, and its connections once the successor serves."""
 
     def __init__(
-        self, port: int, folder: Path, listener: socket.socket, kept: int, endpoints: EndpointList
+        self, port: int, folder: Path, listener: socket.socket, retained: int, endpoints: EndpointList
     ) -> None:
-        self._kept = kept
+        self._retained_count = retained
         self._endpoints = endpoints
         self.has_successor = threading.Event()
-        self.is_alone_again = threading.Event()
-        self._takeover = ListenerHandover(("127.0.0.1", port), str(folder))
-        self._takeover.serve(listener, self)
+        self.is_accepting_again = threading.Event()
+        self._handover = ListenerHandover(("127.0.0.1", port), str(folder))
+        self._handover.serve(listener, self)
 
     def hand_over(self, connection: ConnectionState, client: socket.socket, host: socket.socket) -> bool:
-        return self._takeover.hand_over(connection, client, host)
+        return self._handover.hand_over(connection, client, host)
 
     def split_descriptors(self) -> DescriptorSplit:
-        return DescriptorSplit(self._kept, 0)
+        return DescriptorSplit(self._retained_count, 0)
 
     def known_endpoints(self) -> EndpointList:
         return self._endpoints
 
     def set_accepting(self, accepting: bool) -> None:
-        (self.is_alone_again if accepting else self.has_successor).set()
+        (self.is_accepting_again if accepting else self.has_successor).set()
 
     def adopt_connection(
         self, state: ConnectionState, client: socket.socket, upstream: socket.socket
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -319,7 +319,7 @@
 
 
 def close_transport(transport: PeerTransport) -> None:
-    transport._listener.close()
+    transport._listener.close()  # noqa: SLF001 - a transport ends with its process, and has no call for it
 
 
 def dial(transport: PeerTransport, sock: socket.socket, name: str) -> PeerChannel:
--- a/tests/formats/test_handover_formats.py
+++ b/tests/formats/test_handover_formats.py
@@ -14,7 +14,7 @@
 DATA = Path(__file__).parent / "data" / "handover"
 PORT = 4711
 SOCKET_NAME = "tansyladder-127.0.0.1-4711.sock"
-MOST = 1 << 16
+MAX_MESSAGE_BYTES = 1 << 16
 
 ENDPOINTS = adapter.endpoint_list(
     revision=12,
@@ -42,22 +42,22 @@
         ),
     ],
 )
-LISTENER = adapter.listener_handover(kept_descriptors=150, endpoints=ENDPOINTS)
+LISTENER = adapter.listener_handover(retained_descriptor_count=150, endpoints=ENDPOINTS)
 CONNECTION = adapter.connection_handover(
     first_line="OPEN 9b1f 7f c=chat,d=1200,g=5c",
-    host="s1",
-    last_word="M 1",
-    asked=81_000_123,
+    endpoint_id="s1",
+    last_upstream_word="M 1",
+    waiting_since_us=81_000_123,
     partial_lines=(b"half of the ho\xff", b"half of the client"),
-    waiting_lines=(b"M 1\r\nM 2\r\n", b"\x00\r\n"),
+    pending_lines=(b"M 1\r\nM 2\r\n", b"\x00\r\n"),
 )
 IDLE_CONNECTION = adapter.connection_handover(
     first_line="OPEN 9b20 80 c=chat",
-    host="s2",
-    last_word="",
-    asked=None,
+    endpoint_id="s2",
+    last_upstream_word="",
+    waiting_since_us=None,
     partial_lines=(b"", b""),
-    waiting_lines=(b"", b""),
+    pending_lines=(b"", b""),
 )
 STAMP = adapter.decision_stamp(time=1_790_000_000_000_000, connection_id="9b1f", numbers={"note": 3})
 FILES = {"listener": LISTENER, "connection": CONNECTION, "connection_idle": IDLE_CONNECTION, "stamp": STAMP}
@@ -90,21 +90,21 @@
         running.bind(str(tmp_path / SOCKET_NAME))
         running.listen(1)
         running.settimeout(5)
-        asked, answer = [], written("listener")
+        requests: list[bytes] = []
 
         def answer_once() -> None:
             connection, _ = running.accept()
-            asked.append(connection.recv(MOST))
-            socket.send_fds(connection, [answer], [listener.fileno()])
+            requests.append(connection.recv(MAX_MESSAGE_BYTES))
+            socket.send_fds(connection, [written("listener")], [listener.fileno()])
             connection.close()
 
         with adapter.background(answer_once):
-            given = successor.ask()
-        assert asked == [b"TAKE 1"]
+            given = successor.request_listener()
+        assert requests == [b"TAKE 1"]
         assert given is not None
         assert given.getsockname() == listener.getsockname()
         given.close()
-    assert successor.kept_descriptors == 150
+    assert successor.retained_descriptor_count == 150
     assert successor.endpoints == ENDPOINTS
 
 
@@ -117,16 +117,16 @@
             successor.settimeout(5)
             successor.connect(str(tmp_path / SOCKET_NAME))
             successor.sendall(b"TAKE 1")
-            said, descriptors, _, _ = socket.recv_fds(successor, MOST, 4)
-            assert (said, len(descriptors)) == (written("listener"), 1)
+            received, descriptors, _, _ = socket.recv_fds(successor, MAX_MESSAGE_BYTES, 4)
+            assert (received, len(descriptors)) == (written("listener"), 1)
             with socket.socket(fileno=descriptors[0]) as given:
                 assert given.getsockname() == listener.getsockname()
             successor.sendall(b"SERVING")
             assert running.has_successor.wait(5)
             assert running.hand_over(CONNECTION, client, host)
-            said, descriptors, _, _ = socket.recv_fds(successor, MOST, 4)
-            assert (said, len(descriptors)) == (written("connection"), 2)
+            received, descriptors, _, _ = socket.recv_fds(successor, MAX_MESSAGE_BYTES, 4)
+            assert (received, len(descriptors)) == (written("connection"), 2)
             with socket.socket(fileno=descriptors[0]) as first, socket.socket(fileno=descriptors[1]):
                 first.sendall(b"from the client's end")
                 assert host.recv(64) == b"from the client's end"
-        assert running.is_alone_again.wait(5)
+        assert running.is_accepting_again.wait(5)
--- a/tests/formats/test_transport_formats.py
+++ b/tests/formats/test_transport_formats.py
@@ -18,11 +18,11 @@
 from tests.formats.writers import NOW, fixed_random
 
 DATA = Path(__file__).parent / "data" / "transport"
-DIALLER_SAYS: list[PeerMessage] = [
+DIALLER_MESSAGES: list[PeerMessage] = [
     adapter.hello(disk="d1", start="s1", founders={}, to="", wants_answer=True, term=0, last=(0, 0)),
     adapter.propose(request="n1/aa/1", data=b"\x00" * 300),
 ]
-LISTENER_SAYS: list[PeerMessage] = [
+LISTENER_MESSAGES: list[PeerMessage] = [
     adapter.hello(
         disk="d2", start="s2", founders={"n1": "d1"}, to="s1", wants_answer=False, term=2, last=(2, 5)
     ),
@@ -55,7 +55,7 @@
 def test_one_side_of_a_connection_with_a_peer_of_the_build_before(side: str) -> None:
     dials = side == "dialler"
     ours_file, theirs_file = ("dialler", "listener") if dials else ("listener", "dialler")
-    say, hear = (DIALLER_SAYS, LISTENER_SAYS) if dials else (LISTENER_SAYS, DIALLER_SAYS)
+    sent, expected = (DIALLER_MESSAGES, LISTENER_MESSAGES) if dials else (LISTENER_MESSAGES, DIALLER_MESSAGES)
     transport = storage_adapter.peer_transport("n1" if dials else "n2", NOW)
     try:
         with ends() as (ours, theirs), fixed_random(side):
@@ -65,9 +65,9 @@
                 if dials
                 else storage_adapter.welcome(transport, ours)
             )
-            for message in say:
+            for message in sent:
                 channel.send(adapter.encode(message))
-            assert [adapter.decode_peer_message(channel.receive()) for _ in hear] == hear
+            assert [adapter.decode_peer_message(channel.receive()) for _ in expected] == expected
             ours.shutdown(socket.SHUT_WR)
             assert received(theirs) == (DATA / f"{ours_file}.bin").read_bytes()
     finally:
