--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -6,61 +6,24 @@
 from __future__ import annotations
 
 import ipaddress
-import re
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from datetime import timedelta
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
+from tansyladder.config.json_paths import flatten
 from tansyladder.config.policy_settings import build_settings
+from tansyladder.config.rates import (
+    CONNECTIONS_PER_UNIT,
+    SMALL_CLUSTER_NODE_COUNT,
+    discovery_call_interval,
+    health_check_interval,
+)
 from tansyladder.policy.settings import Settings
 
-# Members may tell in lines `LOAD X` how late their messages are; some never do, though the settings promise
-# it, and echo at once even while they are far behind, so timing the lines shows nothing. Probes show it, but
-# each takes work at its member, which hears them from all nodes: forty nodes that each asked once a second
-# kept members so busy that they looked slow, were marked and lost their connections. So the pace is the
-# fleet's, and the module asks only who has sent no note.
-HEALTH_CHECK_INTERVAL = timedelta(seconds=1)  # of a node for each member, where there are few nodes
-ENDPOINT_HEALTH_CHECK_INTERVAL = timedelta(
-    milliseconds=150
-)  # between two probes of a member, from whichever node
-# Lateness comes and goes within seconds. Where a node's turn at a member comes more rarely than this, what it
-# heard is of long ago: kept until the next turn it keeps sound members out. So it does not ask, and goes by
-# its guesses, which refuse then.
-LONGEST_HEALTH_CHECK_INTERVAL = timedelta(seconds=10)
-
-
-def health_check_interval(node_count: int) -> timedelta:
-    """Between two probes of one member from one of so many nodes; zero: of more than can learn from them."""
-    if node_count > LONGEST_HEALTH_CHECK_INTERVAL // ENDPOINT_HEALTH_CHECK_INTERVAL:
-        return timedelta(0)
-    return max(HEALTH_CHECK_INTERVAL, node_count * ENDPOINT_HEALTH_CHECK_INTERVAL)
-
-
-# Discovery is one service that takes the calls of all nodes one after another, up to 0.2 s each on busy days.
-# Calls that wait too long there fail, but have cost it their time: forty nodes that each tried again within a
-# second kept it from answering anybody, for as long as the day went on.
-DISCOVERY_SERVICE_CALL_INTERVAL = timedelta(milliseconds=150)  # between two calls to it, from whichever node
-LONGEST_DISCOVERY_CALL_INTERVAL = timedelta(
-    seconds=15
-)  # however many nodes there are said to be: changes have to be heard
-
-# Of many nodes none sees enough of a member to find it late in time, so the home zone's own clients tell when
-# others should take more. A unit of size is about a core, which 18 to 37 connections fill, say the operators.
-# Tried on the fleet's days were 27, 18, 12 and 8; the fewest did best: other zones' clients and the work of
-# groups come on top and are not seen here.
-CONNECTIONS_PER_UNIT = 8.0
-SMALL_CLUSTER_NODE_COUNT = 10  # up to so many, probes are frequent enough to tell
-
-
-def discovery_call_interval(node_count: int) -> timedelta:
-    """The interval that all of so many nodes need for one call each."""
-    most = LONGEST_DISCOVERY_CALL_INTERVAL // DISCOVERY_SERVICE_CALL_INTERVAL
-    return min(node_count, most) * DISCOVERY_SERVICE_CALL_INTERVAL
-
 
 class ConfigError(Exception):
     """A configuration that can't be used; the message names the key."""
@@ -107,43 +70,6 @@
 
 
 Address = tuple[str, int]
-_OF_CLASS = re.compile(r"settings\.classes\.([0-9]+)\.(.+)\Z")
-
-# What holds until the next start, whatever a later file says: who the node is, what the machine grants, and
-# what the numbers that the module knows zones, kinds and columns by were given for.
-RESTART_ONLY_KEYS = (
-    "name",
-    "listen",
-    "operator",
-    "seed",
-    "limits",
-    "known",
-    "settings.family",
-    "settings.localities",
-    "settings.locality",
-    "settings.kinds",
-    "settings.me",
-    "settings.tick",
-    "settings.report",
-    "settings.weights",
-    "settings.tenants",
-    "settings.extra.tenant_quota_connections",
-    "settings.discovery",
-    "settings.extra.mode",
-    "settings.ceilings.probes",
-)
-FIXED_SETTINGS = (
-    "node_index",
-    "zone",
-    "tick_us",
-    "is_connection_oriented",
-    "pass_through",
-    "polls_discovery",
-    "can_check_health",
-    "report_columns",
-    "has_weights",
-    "tenant_quotas",
-)
 POSITIVE_CLASS_KEYS = ("slo", "hard_limit")  # of each class
 
 
@@ -200,27 +126,6 @@
     return host, int(port)
 
 
-def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON as the simulator's path=value pairs."""
-    if isinstance(value, dict):
-        pairs = ((f"{path}.{k}" if path else str(k), v) for k, v in value.items())
-        return {k: v for at, inner in pairs for k, v in flatten(inner, at).items()}
-    if isinstance(value, list):
-        if any(isinstance(v, dict) for v in value):
-            out = {f"{path}.count": str(len(value))}
-            for i, inner in enumerate(value):
-                out.update(flatten(inner, f"{path}.{i}"))
-            return out
-        return {path: ",".join(_plain(v) for v in value)}
-    return {path: _plain(value)}
-
-
-def _plain(value: object) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    return "" if value is None else str(value)
-
-
 def _names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
     value = settings.get(key, [])
     if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
@@ -342,57 +247,3 @@
     if "known" in whole:
         whole["known"] = msgspec.json.encode(known).decode()
     return flatten(whole)
-
-
-def _missing(written: Mapping[str, str], running: Mapping[str, str]) -> str | None:
-    """A key that the running configuration has and this one lacks; classes may go, their keys may not."""
-    had = set.intersection(*_by_class(running).values())
-    for at, has in _by_class(written).items():
-        if not had <= has:
-            return f"settings.classes.{at}.{min(had - has)}"
-    return min((key for key in running if not _OF_CLASS.match(key) and key not in written), default=None)
-
-
-def _by_class(written: Mapping[str, str]) -> dict[str, set[str]]:
-    out: dict[str, set[str]] = {}
-    for found in filter(None, map(_OF_CLASS.match, written)):
-        out.setdefault(found[1], set()).add(found[2])
-    return out
-
-
-class ReloadedConfig(NamedTuple):
-    """A configuration that was read while another one is in force."""
-
-    config: Config  # to put in force
-    changed_keys: list[str]
-    restart_only_keys: list[str]  # that changed too, and wait for the next start
-
-
-def reload(environ: Mapping[str, str], running: Config) -> ReloadedConfig:
-    """Read the file as it is now, against the configuration that is running.
-
-    ConfigError: nothing of it can be used. A key that was there before must be there still: a file that was
-    cut off, or half written, must not put defaults in force. Here the file goes before GW_DISCOVERY, which
-    gave the address of the start.
-    """
-    read = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
-    missing = _missing(read.written_values, running.written_values)
-    if missing is not None:
-        raise ConfigError(f"{missing}: missing; the running configuration has it")
-    keys = sorted(running.written_values.keys() | read.written_values.keys())
-    changed = [key for key in keys if running.written_values.get(key) != read.written_values.get(key)]
-    restart_only = [
-        key for key in changed if any(f"{key}.".startswith(f"{part}.") for part in RESTART_ONLY_KEYS)
-    ]
-    fixed = {name: getattr(running.settings, name) for name in FIXED_SETTINGS}
-    config = replace(
-        running,
-        discovery=read.discovery,
-        settings=replace(read.settings, **fixed),
-        class_names=read.class_names,
-        reports_delay=read.reports_delay,
-        reports_load=read.reports_load,
-        longest_deadline=read.longest_deadline,
-        written_values=read.written_values,
-    )
-    return ReloadedConfig(config, [key for key in changed if key not in restart_only], restart_only)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tansyladder.config.platform import discovery_call_interval
+from tansyladder.config.rates import discovery_call_interval
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.http import HttpClient
 from tansyladder.node import discovery_client
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tansyladder.config.platform import health_check_interval
+from tansyladder.config.rates import health_check_interval
 from tansyladder.policy.actions import CheckHealth, Migrate, StartAttempt
 from tansyladder.policy.endpoint_load import is_delayed
 from tansyladder.policy.events import (
