--- a/tansyladder/cli.py
+++ b/tansyladder/cli.py
@@ -29,17 +29,17 @@
 def check(file: Path) -> None:
     """Read a configuration (.json) or an operator's settings (else); exit code 2 names the fault."""
     from tansyladder.config import operator_settings, platform
+    from tansyladder.config.errors import ConfigurationError
 
     try:
         if file.suffix == ".json":
-            told = platform.load({"GW_CONFIG": str(file)})
-            click.echo(
-                f"{file}: sound: node {told.name}, {len(told.known_endpoints.endpoints)} members known"
-            )
+            config = platform.load({"GW_CONFIG": str(file)})
+            known_count = len(config.known_endpoints.endpoints)
+            click.echo(f"{file}: sound: node {config.name}, {known_count} members known")
         else:
             operator_settings.load(file)
             click.echo(f"{file}: sound")
-    except (platform.ConfigError, operator_settings.OptionsError) as err:
+    except ConfigurationError as err:
         click.echo(f"{file}: {err}", err=True)
         sys.exit(2)
 
--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -12,8 +12,8 @@
 from tansyladder.cluster.document_publisher import VALIDATORS, DocumentPublisher
 from tansyladder.cluster.document_replica import DocumentReplicaSettings
 from tansyladder.cluster.raft_runner import NodeStorage, RaftRunner
+from tansyladder.config.errors import ConfigError
 from tansyladder.config.operator_settings import DocumentsOptions
-from tansyladder.config.platform import ConfigError
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
 from tansyladder.node.policy_runner import PolicyRunner
--- a/tansyladder/config/json_paths.py
+++ b/tansyladder/config/json_paths.py
@@ -4,21 +4,31 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON as the simulator's path=value pairs."""
+    """Flatten decoded JSON; a list of objects has its length at `path.count`, other lists are one value."""
     if isinstance(value, dict):
-        pairs = ((f"{path}.{k}" if path else str(k), v) for k, v in value.items())
-        return {k: v for at, inner in pairs for k, v in flatten(inner, at).items()}
+        return _flatten_object(value, path)
     if isinstance(value, list):
-        if any(isinstance(v, dict) for v in value):
-            out = {f"{path}.count": str(len(value))}
-            for i, inner in enumerate(value):
-                out.update(flatten(inner, f"{path}.{i}"))
-            return out
-        return {path: ",".join(_plain(v) for v in value)}
-    return {path: _plain(value)}
+        if any(isinstance(item, dict) for item in value):
+            return _flatten_list(value, path)
+        return {path: ",".join(_format(item) for item in value)}
+    return {path: _format(value)}
 
 
-def _plain(value: object) -> str:
+def _flatten_object(value: dict[str, object], path: str) -> dict[str, str]:
+    flat: dict[str, str] = {}
+    for name, inner in value.items():
+        flat.update(flatten(inner, f"{path}.{name}" if path else str(name)))
+    return flat
+
+
+def _flatten_list(items: list[object], path: str) -> dict[str, str]:
+    flat = {f"{path}.count": str(len(items))}
+    for index, item in enumerate(items):
+        flat.update(flatten(item, f"{path}.{index}"))
+    return flat
+
+
+def _format(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return "" if value is None else str(value)
--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -13,6 +13,8 @@
 
 import msgspec
 
+from tansyladder.config.errors import OptionsError
+
 SPANS = {
     "us": timedelta(microseconds=1),
     "ms": timedelta(milliseconds=1),
@@ -22,13 +24,12 @@
 }
 SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
 MAX_DEPTH = 16  # of brackets: deeper is no settings file, and must not exhaust the reader's stack
+MAX_SHOWN_VALUE = 40  # characters of a value that can't be used, in the message
+MAX_SHOWN_CHARACTERS = 80  # of the library's own message
+TOKEN_KEYS = "keys"  # the one name with a list behind it, and the one that a reload may change
 _QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) ?(us|ms|s|min|h|B|KiB|MiB)\Z", re.A)
 
 
-class OptionsError(Exception):
-    """Settings that can't be used; the message begins with the path in the file."""
-
-
 class KeyEntry(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """A key of tokens: its id (0 to 255) and 32 bytes in hexadecimal digits."""
 
@@ -41,6 +42,7 @@
 
     @property
     def secret(self) -> bytes:
+        """The 32 bytes."""
         return bytes.fromhex(self.digits)
 
 
@@ -134,95 +136,101 @@
             raise ValueError("documents.enabled: needs peers.enabled")
 
 
-def _scalar(value: object, path: str) -> object:
+def parse(text: str) -> Options:
+    """Read settings from the text of a file; OptionsError names the path of the first fault."""
     import sexpdata
 
-    if isinstance(value, sexpdata.Symbol):
-        text = value.value()
-        if text not in ("true", "false"):
-            raise OptionsError(f"{path}: true, false, a number or a string expected, not {text[:40]}")
-        return text == "true"
-    if isinstance(value, str) and (found := _QUANTITY.match(value)):
-        number, unit = found.groups()
-        return float(number) * SPANS[unit] if unit in SPANS else int(float(number) * SIZES[unit])
-    if isinstance(value, bool | int | float | str):
-        return value
-    raise OptionsError(f"{path}: a plain value expected")
-
+    try:
+        entries = sexpdata.parse(text)
+    except (sexpdata.ExpectClosingBracket, sexpdata.ExpectNothing, sexpdata.ExpectSExp) as err:
+        raise OptionsError("file", f"brackets that don't match: {err}") from err
+    except Exception as err:
+        raise OptionsError("file", f"not S-expressions: {str(err)[:MAX_SHOWN_CHARACTERS]}") from err
+    try:
+        return msgspec.convert(_parse_entries(entries, ""), Options)
+    except msgspec.ValidationError as err:  # "why - at `$.resume.expires`"
+        problem, _, at = str(err).partition(" - at `$")
+        raise OptionsError(at.rstrip("`").lstrip("."), problem) from err
 
-def _named(value: object) -> bool:
-    import sexpdata
 
-    return isinstance(value, list) and bool(value) and isinstance(value[0], sexpdata.Symbol)
+def load(path: str | Path | None) -> Options:
+    """Read settings from a file; all are off where none is named."""
+    if path is None:
+        return Options()
+    try:
+        return parse(Path(path).read_text(encoding="utf-8"))
+    except OSError as err:
+        raise OptionsError("file", f"{err.strerror or err}: {path}") from err
+    except UnicodeDecodeError as err:
+        raise OptionsError("file", f"not UTF-8: {path}") from err
 
 
-def _value(values: list[Any], path: str) -> object:
-    """What stands behind a name: entries with names of their own, or one plain value."""
-    if all(map(_named, values)):
-        return _entries(values, path)
-    if len(values) != 1:
-        raise OptionsError(f"{path}: one value expected, not {len(values)}")
-    return _scalar(values[0], path)
+def restart_required_changes(running: Options, reloaded: Options) -> list[str]:
+    """The paths of what differs and waits for a restart: everything but the keys of tokens."""
+    changed = []
+    for section, before in msgspec.structs.asdict(running).items():
+        old = msgspec.structs.asdict(before)
+        new = msgspec.structs.asdict(getattr(reloaded, section))
+        changed += [f"{section}.{name}" for name in old if old[name] != new[name] and name != TOKEN_KEYS]
+    return changed
 
 
-def _entries(entries: list[Any], path: str) -> dict[str, object]:
+def _parse_entries(entries: list[Any], path: str) -> dict[str, object]:
     """`((a 1) (b (c 2)))` as nested dictionaries; `keys` is the one name with a list behind it."""
     if path.count(".") > MAX_DEPTH:
-        raise OptionsError(f"{path[:40]}: brackets deeper than {MAX_DEPTH}")
-    out: dict[str, object] = {}
+        raise OptionsError(path[:MAX_SHOWN_VALUE], f"brackets deeper than {MAX_DEPTH}")
+    parsed: dict[str, object] = {}
     for entry in entries:
-        if not _named(entry):
-            raise OptionsError(f"{path or 'file'}: (name value) expected, not {str(entry)[:40]}")
-        name, values = entry[0].value(), entry[1:]
-        at = f"{path}.{name}" if path else name
-        if name in out:
-            raise OptionsError(f"{at}: stands twice")
+        if not _is_named(entry):
+            raise OptionsError(path or "file", f"(name value) expected, not {str(entry)[:MAX_SHOWN_VALUE]}")
+        symbol, *values = entry
+        name = symbol.value()
+        entry_path = f"{path}.{name}" if path else name
+        if name in parsed:
+            raise OptionsError(entry_path, "stands twice")
         if not values and path:
-            raise OptionsError(f"{at}: a value is missing")
-        if name == "keys":
-            out[name] = [
-                [_scalar(v, at) for v in key] if isinstance(key, list) else _scalar(key, at) for key in values
-            ]
+            raise OptionsError(entry_path, "a value is missing")
+        if name == TOKEN_KEYS:
+            parsed[name] = [_parse_key(key, entry_path) for key in values]
         else:
-            out[name] = _value(values, at)
-    return out
+            parsed[name] = _parse_value(values, entry_path)
+    return parsed
 
 
-def parse(text: str) -> Options:
-    """Settings from the text of a file; OptionsError names the path of the first fault."""
-    import sexpdata
+def _parse_value(values: list[Any], path: str) -> object:
+    """What stands behind a name: entries with names of their own, or one plain value."""
+    if all(map(_is_named, values)):
+        return _parse_entries(values, path)
+    if len(values) != 1:
+        raise OptionsError(path, f"one value expected, not {len(values)}")
+    return _parse_scalar(values[0], path)
 
-    try:
-        read = sexpdata.parse(text)
-    except (sexpdata.ExpectClosingBracket, sexpdata.ExpectNothing, sexpdata.ExpectSExp) as err:
-        raise OptionsError(f"file: brackets that don't match: {err}") from err
-    except Exception as err:  # the library ends on broken text with errors of many kinds
-        raise OptionsError(f"file: not S-expressions: {str(err)[:80]}") from err
-    try:
-        return msgspec.convert(_entries(read, ""), Options)
-    except msgspec.ValidationError as err:  # "why - at `$.resume.expires`"
-        why, _, at = str(err).partition(" - at `$")
-        path = at.rstrip("`").lstrip(".")
-        raise OptionsError(f"{path}: {why}" if path else why) from err
 
+def _parse_key(key: object, path: str) -> object:
+    """A key of tokens, `(3 "ab..")`, as a list; its form is checked later."""
+    if isinstance(key, list):
+        return [_parse_scalar(value, path) for value in key]
+    return _parse_scalar(key, path)
 
-def load(path: str | Path | None) -> Options:
-    """Settings from a file; all are off where none is named."""
-    if path is None:
-        return Options()
-    try:
-        return parse(Path(path).read_text(encoding="utf-8"))
-    except OSError as err:
-        raise OptionsError(f"file: {err.strerror or err}: {path}") from err
-    except UnicodeDecodeError as err:
-        raise OptionsError(f"file: not UTF-8: {path}") from err
 
+def _parse_scalar(value: object, path: str) -> object:
+    import sexpdata
 
-def restart_required_changes(running: Options, told: Options) -> list[str]:
-    """The paths of what differs and can't be put in force while the node runs: all but the keys of tokens."""
-    before, after = msgspec.structs.asdict(running), msgspec.structs.asdict(told)
-    out = []
-    for section in before:
-        old, new = msgspec.structs.asdict(before[section]), msgspec.structs.asdict(after[section])
-        out += [f"{section}.{name}" for name in old if old[name] != new[name] and name != "keys"]
-    return out
+    if isinstance(value, sexpdata.Symbol):
+        text = value.value()
+        if text not in ("true", "false"):
+            shown = text[:MAX_SHOWN_VALUE]
+            raise OptionsError(path, f"true, false, a number or a string expected, not {shown}")
+        return text == "true"
+    if isinstance(value, str) and (quantity := _QUANTITY.match(value)):
+        number, unit = quantity.groups()
+        return float(number) * SPANS[unit] if unit in SPANS else int(float(number) * SIZES[unit])
+    if isinstance(value, bool | int | float | str):
+        return value
+    raise OptionsError(path, "a plain value expected")
+
+
+def _is_named(value: object) -> bool:
+    import sexpdata
+
+    return isinstance(value, list) and bool(value) and isinstance(value[0], sexpdata.Symbol)
--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads the platform's configuration, checks it and gives it defaults.
 
 `GW_CONFIG` names a JSON file; `GW_NAME`, `GW_LISTEN`, `GW_OPERATOR` and `GW_DISCOVERY` go before it.
 """
@@ -14,23 +14,24 @@
 
 import msgspec
 
+from tansyladder.config.errors import ConfigError
 from tansyladder.config.json_paths import flatten
 from tansyladder.config.policy_settings import build_settings
-from tansyladder.config.rates import (
-    CONNECTIONS_PER_UNIT,
-    SMALL_CLUSTER_NODE_COUNT,
-    discovery_call_interval,
-    health_check_interval,
-)
+from tansyladder.config.rates import connections_per_unit, discovery_call_interval, health_check_interval
 from tansyladder.policy.settings import Settings
 
-
-class ConfigError(Exception):
-    """A configuration that can't be used; the message names the key."""
+Address = tuple[str, int]  # host and port, as sockets take them
+MAX_PORT = 65535
+MAX_PORT_DIGITS = 5
+MAX_SHOWN_CHARACTERS = 80  # of a value that can't be used, in the message
+MICROSECOND = timedelta(microseconds=1)
+POSITIVE_CLASS_KEYS = ("slo", "hard_limit")
+# The policy's names of settings, in the messages of its errors, and the file's.
+FILE_KEYS = {".deadline:": ".hard_limit:", ".aim:": ".slo:"}
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=False):
-    """What the machine grants."""
+    """What the machine grants the node."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -38,7 +39,7 @@
 
 
 class EndpointEntry(msgspec.Struct):
-    """One stream host as discovery writes it."""
+    """One endpoint as discovery writes it."""
 
     id: str
     address: str = msgspec.field(name="host_port")
@@ -51,7 +52,7 @@
 
 
 class EndpointList(msgspec.Struct):
-    """Discovery's list, or changes to it."""
+    """Discovery's endpoint list, or changes to it."""
 
     revision: int = 0
     complete: bool = True
@@ -59,6 +60,8 @@
 
 
 class _File(msgspec.Struct):
+    """The JSON file; keys that are not named here are ignored."""
+
     name: str = ""
     listen: str = ""
     operator: str = ""
@@ -69,17 +72,13 @@
     settings: dict[str, Any] = {}
 
 
-Address = tuple[str, int]
-POSITIVE_CLASS_KEYS = ("slo", "hard_limit")  # of each class
-
-
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the node is told at its start."""
+    """The platform's configuration; immutable, so it is shared between threads."""
 
     name: str
     listen: Address
-    operator: Address | None  # where the node's operators call; none: no such listener
+    operator: Address | None  # where operators call; None: there is no such listener
     discovery: Address
     seed: int
     limits: Limits
@@ -100,8 +99,8 @@
 
 
 def absent_features(config: Config) -> list[str]:
-    """What the settings don't give, and is off therefore."""
-    has = {
+    """The features that the settings do not give, and that are off therefore."""
+    is_given = {
         "delays": config.reports_delay,
         "loads": config.reports_load,
         "probes": config.settings.can_check_health,
@@ -110,140 +109,176 @@
         "tenants": bool(config.tenants),
         "weights": config.settings.has_weights,
     }
-    return [name for name, given in has.items() if not given]
+    return [name for name, given in is_given.items() if not given]
 
 
 def parse_address(text: str, key: str) -> Address:
-    """HOST:PORT as a pair; the platform has no DNS, and looking a name up would block without an end."""
+    """Parse HOST:PORT; the platform has no DNS, and looking a name up would block without an end."""
     host, _, port = text.rpartition(":")
     try:
         if host != "localhost":
             ipaddress.IPv4Address(host)
-        if not (port.isascii() and port.isdigit()) or len(port) > 5 or int(port) > 65535:
-            raise ValueError(port)
+        return host, _parse_port(port)
     except ValueError as err:
-        raise ConfigError(f"{key}: HOST:PORT expected, not {text[:80]!r}") from err
-    return host, int(port)
+        raise ConfigError(key, f"HOST:PORT expected, not {text[:MAX_SHOWN_CHARACTERS]!r}") from err
+
+
+def _parse_port(text: str) -> int:
+    if not (text.isascii() and text.isdigit()) or len(text) > MAX_PORT_DIGITS or int(text) > MAX_PORT:
+        raise ValueError(text)
+    return int(text)
+
+
+def load(environ: Mapping[str, str]) -> Config:
+    """Read the configuration from the environment and the file that it names, or raise ConfigError."""
+    text = _read_file(environ)
+    file = _decode(text)
+    seed = _parse_seed(file.seed)
+    _check_limits(file.limits)
+    class_names = _class_names(file.settings)
+    if isinstance(ceilings := file.settings.get("ceilings"), dict):
+        _check_positive(ceilings, "attempts_cap", "settings.ceilings.")
+    flat = flatten(file.settings)
+    try:
+        settings = build_settings(flat)
+        longest_deadline = _longest_deadline(settings)
+    except (ValueError, OverflowError) as err:  # of numbers of thousands of digits too
+        raise _settings_error(err) from err
+    has_operator = bool(environ.get("GW_OPERATOR") or file.operator)
+    return Config(
+        name=environ.get("GW_NAME") or file.name or "node",
+        listen=_address(environ, "GW_LISTEN", file.listen),
+        operator=_address(environ, "GW_OPERATOR", file.operator) if has_operator else None,
+        discovery=_address(environ, "GW_DISCOVERY", file.discovery),
+        seed=seed,
+        limits=file.limits,
+        known_endpoints=file.known_endpoints,
+        settings=_with_rates(settings),
+        class_names=class_names,
+        zones=_names(file.settings, "localities"),
+        kinds=_names(file.settings, "kinds"),
+        tenants=_tenant_names(file.settings),
+        reports_delay=flat.get("extra.tells_delay") == "true",
+        reports_load=flat.get("extra.tells_load") == "true",
+        longest_deadline=longest_deadline,
+        written_values=_written_values(text, file.known_endpoints),
+    )
+
+
+def _read_file(environ: Mapping[str, str]) -> bytes:
+    path = environ.get("GW_CONFIG")
+    if not path:
+        raise ConfigError("GW_CONFIG", "not set; it names the JSON file with the settings")
+    try:
+        return Path(path).read_bytes()
+    except OSError as err:
+        raise ConfigError("GW_CONFIG", f"{err.strerror or err}: {path}") from err
+
+
+def _decode(text: bytes) -> _File:
+    try:
+        return msgspec.json.decode(text, type=_File)
+    except msgspec.ValidationError as err:  # its message ends in the key: "... - at `$.limits.sockets`"
+        raise ConfigError("GW_CONFIG", str(err)) from err
+    except (msgspec.DecodeError, UnicodeDecodeError) as err:
+        raise ConfigError("GW_CONFIG", f"not JSON: {err}") from err
+
+
+def _parse_seed(text: str) -> int:
+    try:
+        return int(text, 16)
+    except ValueError as err:
+        raise ConfigError("seed", f"hexadecimal digits expected, not {text!r}") from err
+
+
+def _check_limits(limits: Limits) -> None:
+    for key, value in (("memory_mb", limits.memory_mb), ("sockets", limits.sockets)):
+        if value < 1:
+            raise ConfigError(f"limits.{key}", "must be above 0")
+    if not limits.cores > 0:
+        raise ConfigError("limits.cores", "must be above 0")
+
+
+def _settings_error(err: Exception) -> ConfigError:
+    """The error of a value that the policy's settings refuse, with the keys as the file names them."""
+    problem = str(err)
+    for policy_name, key in FILE_KEYS.items():
+        problem = problem.replace(policy_name, key)
+    return ConfigError("", f"settings.{problem}")
+
+
+def _longest_deadline(settings: Settings) -> timedelta:
+    return max(class_settings.deadline_us for class_settings in settings.classes) * MICROSECOND
+
+
+def _with_rates(settings: Settings) -> Settings:
+    """Settings with the rates of a cluster of this size."""
+    node_count = settings.node_count
+    return replace(
+        settings,
+        health_check_interval_us=health_check_interval(node_count) // MICROSECOND,
+        discovery_call_interval_us=discovery_call_interval(node_count) // MICROSECOND,
+        connections_per_unit=connections_per_unit(node_count),
+    )
 
 
 def _names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    value = settings.get(key, [])
-    if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
-        raise ConfigError(f"settings.{key}: a list of names expected")
-    return tuple(value)
+    names = settings.get(key, [])
+    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+        raise ConfigError(f"settings.{key}", "a list of names expected")
+    return tuple(names)
 
 
 def _class_names(settings: Mapping[str, Any]) -> tuple[str, ...]:
     classes = settings.get("classes", [])
     if not isinstance(classes, list) or not classes:
-        raise ConfigError("settings.classes: a list with at least one class expected")
-    for i, one in enumerate(classes):
-        if not isinstance(one, dict) or not isinstance(one.get("name"), str):
-            raise ConfigError(f"settings.classes.{i}.name: a name expected")
+        raise ConfigError("settings.classes", "a list with at least one class expected")
+    for index, entry in enumerate(classes):
+        path = f"settings.classes.{index}"
+        _check_name(entry, path)
         for key in POSITIVE_CLASS_KEYS:
-            _positive(one, key, f"settings.classes.{i}.")
-    names = tuple(one["name"] for one in classes)
-    if len(set(names)) != len(names):
-        raise ConfigError("settings.classes: a name stands twice")
-    return names
+            _check_positive(entry, key, f"{path}.")
+    return _unique_names(classes, "settings.classes")
 
 
 def _tenant_names(settings: Mapping[str, Any]) -> tuple[str, ...]:
     tenants = settings.get("tenants", [])
     if not isinstance(tenants, list):
-        raise ConfigError("settings.tenants: a list expected")
-    for i, one in enumerate(tenants):
-        if not isinstance(one, dict) or not isinstance(one.get("name"), str):
-            raise ConfigError(f"settings.tenants.{i}.name: a name expected")
-    names = tuple(one["name"] for one in tenants)
+        raise ConfigError("settings.tenants", "a list expected")
+    for index, entry in enumerate(tenants):
+        _check_name(entry, f"settings.tenants.{index}")
+    return _unique_names(tenants, "settings.tenants")
+
+
+def _check_name(entry: object, path: str) -> None:
+    if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
+        raise ConfigError(f"{path}.name", "a name expected")
+
+
+def _unique_names(entries: list[dict[str, Any]], path: str) -> tuple[str, ...]:
+    names = tuple(entry["name"] for entry in entries)
     if len(set(names)) != len(names):
-        raise ConfigError("settings.tenants: a name stands twice")
+        raise ConfigError(path, "a name stands twice")
     return names
 
 
-def _positive(holder: Mapping[str, Any], key: str, path: str) -> None:
-    """What is there must be a number, not words that look like one, and above 0."""
-    value = holder.get(key, 1)
+def _check_positive(values: Mapping[str, Any], key: str, path: str) -> None:
+    """A value that is given must be a number, not a string that looks like one, and above 0."""
+    value = values.get(key, 1)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        raise ConfigError(f"{path}{key}: a number above 0 expected, not {str(value)[:40]!r}")
-
-
-def load(environ: Mapping[str, str]) -> Config:
-    """The configuration from the environment and the file that it names."""
-    path = environ.get("GW_CONFIG")
-    if not path:
-        raise ConfigError("GW_CONFIG: not set; it names the JSON file with the settings")
-    try:
-        text = Path(path).read_bytes()
-    except OSError as err:
-        raise ConfigError(f"GW_CONFIG: {err.strerror or err}: {path}") from err
-    try:
-        read = msgspec.json.decode(text, type=_File)
-    except msgspec.ValidationError as err:  # its message ends in the key: "... - at `$.limits.sockets`"
-        raise ConfigError(f"GW_CONFIG: {err}") from err
-    except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        raise ConfigError(f"GW_CONFIG: not JSON: {err}") from err
-    try:
-        seed = int(read.seed, 16)
-    except ValueError as err:
-        raise ConfigError(f"seed: hexadecimal digits expected, not {read.seed!r}") from err
-    for key, value in (("memory_mb", read.limits.memory_mb), ("sockets", read.limits.sockets)):
-        if value < 1:
-            raise ConfigError(f"limits.{key}: must be above 0")
-    if not read.limits.cores > 0:
-        raise ConfigError("limits.cores: must be above 0")
-    names = _class_names(read.settings)
-    if isinstance(ceilings := read.settings.get("ceilings"), dict):
-        _positive(ceilings, "attempts_cap", "settings.ceilings.")
-    try:
-        flat = flatten(read.settings)
-        settings = build_settings(flat)
-        tells_delay = flat.get("extra.tells_delay") == "true"
-        longest = timedelta(microseconds=max(c.deadline_us for c in settings.classes))
-    except (ValueError, OverflowError) as err:  # numbers of thousands of digits too
-        # The keys as the file names them.
-        why = str(err).replace(".deadline:", ".hard_limit:").replace(".aim:", ".slo:")
-        raise ConfigError(f"settings.{why}") from err
-    return Config(
-        name=environ.get("GW_NAME") or read.name or "node",
-        listen=_address(environ, "GW_LISTEN", read.listen),
-        operator=_address(environ, "GW_OPERATOR", read.operator)
-        if environ.get("GW_OPERATOR") or read.operator
-        else None,
-        discovery=_address(environ, "GW_DISCOVERY", read.discovery),
-        seed=seed,
-        limits=read.limits,
-        known_endpoints=read.known_endpoints,
-        settings=replace(
-            settings,
-            health_check_interval_us=health_check_interval(settings.node_count) // timedelta(microseconds=1),
-            discovery_call_interval_us=discovery_call_interval(settings.node_count)
-            // timedelta(microseconds=1),
-            connections_per_unit=CONNECTIONS_PER_UNIT
-            if settings.node_count > SMALL_CLUSTER_NODE_COUNT
-            else 0.0,
-        ),
-        class_names=names,
-        zones=_names(read.settings, "localities"),
-        kinds=_names(read.settings, "kinds"),
-        tenants=_tenant_names(read.settings),
-        reports_delay=tells_delay,
-        reports_load=flat.get("extra.tells_load") == "true",
-        longest_deadline=longest,
-        written_values=_written(text, read.known_endpoints),
-    )
+        raise ConfigError(f"{path}{key}", f"a number above 0 expected, not {str(value)[:40]!r}")
 
 
 def _address(environ: Mapping[str, str], variable: str, in_file: str) -> Address:
-    """What the environment says, else the file; the message names the one that was read."""
+    """The environment's address, else the file's; an error names the one that was read."""
     if environ.get(variable):
         return parse_address(environ[variable], variable)
     return parse_address(in_file, variable.removeprefix("GW_").lower())
 
 
-def _written(text: bytes, known: EndpointList) -> dict[str, str]:
-    """The file's keys and values; the list it knows is one value, as it only serves a start."""
-    whole = msgspec.json.decode(text)
-    if "known" in whole:
-        whole["known"] = msgspec.json.encode(known).decode()
-    return flatten(whole)
+def _written_values(text: bytes, known_endpoints: EndpointList) -> dict[str, str]:
+    """The file's values by path; the list it knows is one value, as it only serves a start."""
+    document = msgspec.json.decode(text)
+    if "known" in document:
+        document["known"] = msgspec.json.encode(known_endpoints).decode()
+    return flatten(document)
--- a/tansyladder/config/reload.py
+++ b/tansyladder/config/reload.py
@@ -7,12 +7,13 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from tansyladder.config.platform import Config, ConfigError, load
+from tansyladder.config.errors import ConfigError
+from tansyladder.config.platform import Config, load
 
 _OF_CLASS = re.compile(r"settings\.classes\.([0-9]+)\.(.+)\Z")
 
-# What holds until the next start, whatever a later file says: who the node is, what the machine grants, and
-# what the numbers that the module knows zones, kinds and columns by were given for.
+# What a reload does not change: who the node is, what the machine grants, and what the policy's numbers of
+# zones, kinds and columns were given for.
 RESTART_ONLY_KEYS = (
     "name",
     "listen",
@@ -34,6 +35,7 @@
     "settings.extra.mode",
     "settings.ceilings.probes",
 )
+# The policy's settings that come from those keys.
 FIXED_SETTINGS = (
     "node_index",
     "zone",
@@ -48,22 +50,6 @@
 )
 
 
-def _missing(written: Mapping[str, str], running: Mapping[str, str]) -> str | None:
-    """A key that the running configuration has and this one lacks; classes may go, their keys may not."""
-    had = set.intersection(*_by_class(running).values())
-    for at, has in _by_class(written).items():
-        if not had <= has:
-            return f"settings.classes.{at}.{min(had - has)}"
-    return min((key for key in running if not _OF_CLASS.match(key) and key not in written), default=None)
-
-
-def _by_class(written: Mapping[str, str]) -> dict[str, set[str]]:
-    out: dict[str, set[str]] = {}
-    for found in filter(None, map(_OF_CLASS.match, written)):
-        out.setdefault(found[1], set()).add(found[2])
-    return out
-
-
 class ReloadedConfig(NamedTuple):
     """A configuration that was read while another one is in force."""
 
@@ -80,9 +66,9 @@
     gave the address of the start.
     """
     read = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
-    missing = _missing(read.written_values, running.written_values)
+    missing = _missing_key(read.written_values, running.written_values)
     if missing is not None:
-        raise ConfigError(f"{missing}: missing; the running configuration has it")
+        raise ConfigError(missing, "missing; the running configuration has it")
     keys = sorted(running.written_values.keys() | read.written_values.keys())
     changed = [key for key in keys if running.written_values.get(key) != read.written_values.get(key)]
     restart_only = [
@@ -100,3 +86,19 @@
         written_values=read.written_values,
     )
     return ReloadedConfig(config, [key for key in changed if key not in restart_only], restart_only)
+
+
+def _missing_key(written: Mapping[str, str], running: Mapping[str, str]) -> str | None:
+    """A key that the running configuration has and this one lacks; classes may go, their keys may not."""
+    required = set.intersection(*_keys_by_class(running).values())
+    for index, keys in _keys_by_class(written).items():
+        if not required <= keys:
+            return f"settings.classes.{index}.{min(required - keys)}"
+    return min((key for key in running if not _OF_CLASS.match(key) and key not in written), default=None)
+
+
+def _keys_by_class(written: Mapping[str, str]) -> dict[str, set[str]]:
+    keys: dict[str, set[str]] = {}
+    for found in filter(None, map(_OF_CLASS.match, written)):
+        keys.setdefault(found[1], set()).add(found[2])
+    return keys
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -7,14 +7,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from tansyladder.config.platform import (
-    Address,
-    Config,
-    ConfigError,
-    EndpointEntry,
-    EndpointList,
-    parse_address,
-)
+from tansyladder.config.errors import ConfigError
+from tansyladder.config.platform import Address, Config, EndpointEntry, EndpointList, parse_address
 from tansyladder.log import LogEvent, log
 from tansyladder.net.action_queue import Endpoint
 from tansyladder.net.clock import EPOCH, Clock, now
@@ -43,9 +37,9 @@
     address = parse_address(entry.address, "host_port")
     state = ENDPOINT_STATES.get(entry.state)
     if state is None:
-        raise ConfigError(f"phase: unknown: {entry.state[:40]}")
+        raise ConfigError("phase", f"unknown: {entry.state[:40]}")
     if not 0 <= entry.started_at_ms < MAX_STARTED_AT_MS:
-        raise ConfigError("up_since_ms: out of range")
+        raise ConfigError("up_since_ms", "out of range")
     return ValidEntry(entry, address, state)
 
 
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from tansyladder.config.operator_settings import Options, OptionsError, load, restart_required_changes
-from tansyladder.config.platform import ConfigError
+from tansyladder.config.errors import ConfigError, OptionsError
+from tansyladder.config.operator_settings import Options, load, restart_required_changes
 from tansyladder.config.reload import ReloadedConfig, reload
 from tansyladder.log import LogEvent, log
 from tansyladder.node.discovery_client import DiscoveryClient
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -1,4 +1,4 @@
-"""The real node: start, signals, exit code. It imports nothing that only tools need."""
+"""Runs a node: start, signals, exit code. It imports nothing that only tools need."""
 
 from __future__ import annotations
 
@@ -7,95 +7,164 @@
 import sys
 import threading
 from pathlib import Path
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from tansyladder.config.operator_settings import Options
+    from tansyladder.config.platform import Config
+    from tansyladder.node.client_listener import ClientListener
+    from tansyladder.node.policy_runner import PolicyRunner
+    from tansyladder.node.reload import Reloader
 
 # Bytes of each thread's stack. Little of it is touched: on days of 37 and of 330 descriptors the node took
-# 9 and 13 MB, so a standing connection with its thread costs some 27 KB.
-STACK = 256 * 1024
-SWITCH = 0.001  # seconds a busy thread may hold the interpreter while another one waits
+# 9 and 13 MB, so an established connection with its thread costs some 27 KB.
+THREAD_STACK_BYTES = 256 * 1024
+SWITCH_INTERVAL_SECONDS = 0.001  # that a busy thread may hold the interpreter while another one waits
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+EXIT_BAD_CONFIGURATION = 2
+
+
+class StartError(Exception):
+    """The node can't start with what it was given."""
+
+
+class BadConfigError(StartError):
+    """The fault is in the platform's configuration."""
 
 
-def serve(settings: str | Path | None = None) -> int:
-    """Run until a signal ends it, then drain; `settings`: the operator's own file, where there is one."""
+class BadSettingsError(StartError):
+    """The fault is in the operator's settings."""
+
+
+def serve(options_path: str | Path | None = None) -> int:
+    """Run until a signal ends it, then drain; `options_path`: of the operator's settings, where there are."""
     # Every thread inherits it; this one waits for them. It comes before the imports, which take a while: the
     # default action of a SIGHUP is to end the program. Until here the shell's trap of `run` ignores it.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     signal.signal(signal.SIGHUP, lambda *_: None)  # an ignored one might not even wait
 
-    from tansyladder.config import operator_settings, platform
-    from tansyladder.log import LogEvent, log, use_json_format
-    from tansyladder.net.listener_handover import ListenerHandover
-    from tansyladder.node.client_listener import ClientListener
-    from tansyladder.node.discovery_client import DiscoveryClient
-    from tansyladder.node.health_checker import HealthChecker
-    from tansyladder.node.policy_runner import PolicyRunner
-    from tansyladder.node.reload import Reloader
+    from tansyladder.log import LogEvent, log
 
     try:
-        told = platform.load(os.environ)
-    except platform.ConfigError as err:
+        config, options = _load(options_path)
+        _prepare_process(options)
+        runner, listener = _build_node(config, options)
+    except BadConfigError as err:
         print(f"event=bad_config why={err}", file=sys.stderr)
-        return 2
-    try:
-        chosen = operator_settings.load(settings)
-    except operator_settings.OptionsError as err:
+        return EXIT_BAD_CONFIGURATION
+    except BadSettingsError as err:
         print(f"event=bad_settings why={err}", file=sys.stderr)
-        return 2
-    use_json_format(chosen.log.json)
-    threading.stack_size(STACK)
-    sys.setswitchinterval(SWITCH)
+        return EXIT_BAD_CONFIGURATION
+    reloader = _start(runner, listener, options_path)
+    _log_started(config)
+    while (received := signal.sigwait(SIGNALS)) == signal.SIGHUP:
+        reloader.request_reload()  # read elsewhere: a SIGTERM meanwhile must not wait for a slow disk
+    log(LogEvent.STOPPING, signal=signal.Signals(received).name)
+    _stop(runner, listener)
+    return 0
+
+
+def _load(options_path: str | Path | None) -> tuple[Config, Options]:
+    """Both configurations."""
+    from tansyladder.config import operator_settings, platform
+    from tansyladder.config.errors import ConfigError, OptionsError
+
+    try:
+        return platform.load(os.environ), operator_settings.load(options_path)
+    except ConfigError as err:
+        raise BadConfigError(str(err)) from err
+    except OptionsError as err:
+        raise BadSettingsError(str(err)) from err
+
+
+def _prepare_process(options: Options) -> None:
+    """Set what holds for all threads, before the first one starts."""
+    from tansyladder.log import LogEvent, log, use_json_format
+
+    use_json_format(options.log.json)
+    threading.stack_size(THREAD_STACK_BYTES)
+    sys.setswitchinterval(SWITCH_INTERVAL_SECONDS)
     threading.excepthook = lambda args: log(LogEvent.INTERNAL_ERROR, why=repr(args.exc_value))
-    core, name, keeping = PolicyRunner(told, chosen), "GW_LISTEN", None
-    if chosen.store.enabled and not chosen.peers.enabled:
+
+
+def _build_node(config: Config, options: Options) -> tuple[PolicyRunner, ClientListener]:
+    """The node's parts, with the layers that the operator's settings switch on; no client is accepted yet."""
+    from tansyladder.node.policy_runner import PolicyRunner
+
+    runner = PolicyRunner(config, options)
+    resumption_handler = None
+    store = None
+    if options.store.enabled and not options.peers.enabled:
         from tansyladder.sessions.session_store import open_session_store
 
-        keeping = core.endpoint_cache = open_session_store(chosen.store.directory, told.name)
-        if keeping is not None:
-            keeping.start()
-    if chosen.resume.enabled:
-        from tansyladder.sessions.resumption_handler import (
-            ResumptionHandler,  # and the library of its cryptography
-        )
+        store = runner.endpoint_cache = open_session_store(options.store.directory, config.name)
+        if store is not None:
+            store.start()
+    if options.resume.enabled:
+        # Only now, as it loads the library of its cryptography.
+        from tansyladder.sessions.resumption_handler import ResumptionHandler
 
-        resuming = core.session_service = ResumptionHandler(core, keeping)
-    try:
-        front = ClientListener(core, ListenerHandover(told.listen, os.environ.get("TMPDIR")))
-        name = "GW_OPERATOR"
-        if told.operator is not None:
-            from tansyladder.node.admin_server import AdminServer
+        resumption_handler = runner.session_service = ResumptionHandler(runner, store)
+    listener = _open_listeners(config, runner)
+    if options.peers.enabled and resumption_handler is not None:
+        from tansyladder.cluster.bootstrap import join_cluster  # and all that only peers need
+        from tansyladder.config.errors import ConfigError
 
-            AdminServer(core, front, told.operator).start()
+        try:
+            join_cluster(runner, resumption_handler, os.environ.get("TMPDIR"))
+        except (OSError, ValueError, ConfigError) as err:
+            raise BadSettingsError(f"peers: {err}") from err
+    return runner, listener
+
+
+def _open_listeners(config: Config, runner: PolicyRunner) -> ClientListener:
+    """The clients' listener, and the operators' where the configuration names one, which answers from now."""
+    from tansyladder.net.listener_handover import ListenerHandover
+    from tansyladder.node.client_listener import ClientListener
+
+    try:
+        listener = ClientListener(runner, ListenerHandover(config.listen, os.environ.get("TMPDIR")))
     except OSError as err:
-        print(f"event=bad_config why={name}: {err}", file=sys.stderr)
-        return 2
-    if chosen.peers.enabled and chosen.resume.enabled:
-        from tansyladder.cluster.bootstrap import join_cluster  # and all that only peers need
+        raise BadConfigError(f"GW_LISTEN: {err}") from err
+    if config.operator is not None:
+        from tansyladder.node.admin_server import AdminServer
 
         try:
-            join_cluster(core, resuming, os.environ.get("TMPDIR"))
-        except (OSError, ValueError, platform.ConfigError) as err:
-            print(f"event=bad_settings why=peers: {err}", file=sys.stderr)
-            return 2
-    core.start()
-    discovery = DiscoveryClient(core)
+            AdminServer(runner, listener, config.operator).start()
+        except OSError as err:
+            raise BadConfigError(f"GW_OPERATOR: {err}") from err
+    return listener
+
+
+def _start(runner: PolicyRunner, listener: ClientListener, options_path: str | Path | None) -> Reloader:
+    """Start the threads, clients last; returns what reloads the configuration."""
+    from tansyladder.node.discovery_client import DiscoveryClient
+    from tansyladder.node.health_checker import HealthChecker
+    from tansyladder.node.reload import Reloader
+
+    runner.start()
+    discovery = DiscoveryClient(runner)
     discovery.start()
-    HealthChecker(core).start()
-    front.start()
-    reloader = Reloader(os.environ, core, discovery, settings)
+    HealthChecker(runner).start()
+    listener.start()
+    reloader = Reloader(os.environ, runner, discovery, options_path)
     reloader.start()
-    log(
-        LogEvent.STARTED,
-        name=told.name,
-        members=len(told.known_endpoints.endpoints),
-        sockets=told.limits.sockets,
-    )
-    log(LogEvent.SETTINGS_ABSENT, what=",".join(platform.absent_features(told)))
-    while (got := signal.sigwait(SIGNALS)) == signal.SIGHUP:
-        reloader.request_reload()  # read elsewhere: a SIGTERM meanwhile must not wait for a slow disk
-    log(LogEvent.STOPPING, signal=signal.Signals(got).name)
-    front.drain()
-    if core.decision_permit is not None:
-        core.decision_permit.leave()
-    if core.endpoint_cache is not None:
-        core.endpoint_cache.close()
-    return 0
+    return reloader
+
+
+def _log_started(config: Config) -> None:
+    from tansyladder.config.platform import absent_features
+    from tansyladder.log import LogEvent, log
+
+    known_count = len(config.known_endpoints.endpoints)
+    log(LogEvent.STARTED, name=config.name, members=known_count, sockets=config.limits.sockets)
+    log(LogEvent.SETTINGS_ABSENT, what=",".join(absent_features(config)))
+
+
+def _stop(runner: PolicyRunner, listener: ClientListener) -> None:
+    """Drain, then leave the cluster and close the store."""
+    listener.drain()
+    if runner.decision_permit is not None:
+        runner.decision_permit.leave()
+    if runner.endpoint_cache is not None:
+        runner.endpoint_cache.close()
--- a/tests/answers/test_operator_settings.py
+++ b/tests/answers/test_operator_settings.py
@@ -15,6 +15,7 @@
 import sexpdata
 
 from tansyladder.config import operator_settings
+from tansyladder.config.errors import OptionsError
 from tests.answers.program import ROOT
 
 EXAMPLE = ROOT / "deploy" / "settings.example.sexp"
@@ -106,7 +107,7 @@
 
 @pytest.mark.parametrize("section", sorted(DEFAULTS))
 def test_an_unknown_key_is_refused_with_its_section_and_name(section: str) -> None:
-    with pytest.raises(operator_settings.OptionsError) as refused:
+    with pytest.raises(OptionsError) as refused:
         operator_settings.parse(f"({section} (colour 1))")
     assert str(refused.value) == f"{section}: Object contains unknown field `colour`"
 
@@ -114,6 +115,6 @@
 @pytest.mark.parametrize("path", sorted(ACCEPTED.keys() - {"peers.members"}))
 def test_a_value_of_the_wrong_type_is_refused_with_its_path(path: str) -> None:
     section, key = path.split(".")
-    with pytest.raises(operator_settings.OptionsError) as refused:
+    with pytest.raises(OptionsError) as refused:
         operator_settings.parse(f"({section} ({key} (colour 1)))")
     assert str(refused.value).startswith(f"{path}")
--- a/tests/answers/test_platform_configuration.py
+++ b/tests/answers/test_platform_configuration.py
@@ -19,7 +19,8 @@
 
 import pytest
 
-from tansyladder.config.platform import Config, ConfigError, load
+from tansyladder.config.errors import ConfigError
+from tansyladder.config.platform import Config, load
 from tests.answers.program import platform_config
 
 MEMBER = "known.members.0"
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -18,6 +18,7 @@
 from tansyladder.cluster.raft_storage import HARD_STATE_KEY, RaftStorage, log_entry_key
 from tansyladder.cluster.rollback_detector import RollbackDetector
 from tansyladder.config import operator_settings
+from tansyladder.config.errors import OptionsError
 from tansyladder.lab.chaos import cluster, experiments, history, schedule
 from tansyladder.lab.chaos.faults import FaultInjector
 from tansyladder.lab.node import LabNode
@@ -333,5 +334,5 @@
 )
 def test_a_fault_in_the_settings_of_peers_is_named(text: str, path: str) -> None:
     assert operator_settings.parse(RESUME + SOUND).peers.members == {"a": "1.2.3.4:5"}
-    with pytest.raises(operator_settings.OptionsError, match=path):
+    with pytest.raises(OptionsError, match=path):
         operator_settings.parse(text)
--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -17,14 +17,8 @@
 from structlog import DropEvent
 
 from tansyladder import log as logging
-from tansyladder.config.operator_settings import (
-    KeyEntry,
-    Options,
-    OptionsError,
-    load,
-    parse,
-    restart_required_changes,
-)
+from tansyladder.config.errors import OptionsError
+from tansyladder.config.operator_settings import KeyEntry, Options, load, parse, restart_required_changes
 from tests.node.harness import ScriptedServer, answer_up, endpoint_entry, load_test_config
 from tests.node.test_node import client_of, program, until_line
 
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -13,7 +13,8 @@
 import pytest
 
 from tansyladder import invariants
-from tansyladder.config.platform import ConfigError, load
+from tansyladder.config.errors import ConfigError
+from tansyladder.config.platform import load
 from tests.node.harness import SETTINGS, endpoint_entry, load_test_config
 
 
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -12,7 +12,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tansyladder.config.platform import ConfigError, load
+from tansyladder.config.errors import ConfigError
+from tansyladder.config.platform import load
 from tansyladder.config.reload import reload
 from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.node.reload import Reloader
--- a/tests/node/test_second_deployment.py
+++ b/tests/node/test_second_deployment.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from tansyladder.config.platform import ConfigError, absent_features
+from tansyladder.config.errors import ConfigError
+from tansyladder.config.platform import absent_features
 from tansyladder.net.protocol import parse_load_report
 from tansyladder.node.health_checker import HealthChecker
 from tansyladder.policy.events import (
