--- a/tansyladder/policy/__init__.py
+++ b/tansyladder/policy/__init__.py
@@ -13,5 +13,5 @@
 - `retries`: whether and when a request is retried, and why a client is rejected
 - `request_lifecycle`: attempts, established connections, and their ends
 
-`records` holds endpoints, pools and requests; `events`, `actions` and `settings` are what callers hand in and get.
+`records` holds endpoints, pools and requests; callers use `events`, `actions` and `settings`.
 """
