--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tansyladder.config.platform import discovery_call_interval
+from tansyladder.config.rates import discovery_call_interval
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.node import discovery_client
 from tansyladder.policy.actions import PollDiscovery, StartAttempt
