--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -7,18 +7,12 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from tansyladder.config.platform import (
-    Address,
-    Config,
-    ConfigError,
-    EndpointEntry,
-    EndpointList,
-    parse_address,
-)
+from tansyladder.config.errors import ConfigError
+from tansyladder.config.platform import Address, Config, EndpointEntry, EndpointList, parse_address
 from tansyladder.log import LogEvent, log
 from tansyladder.net.action_queue import Endpoint
 from tansyladder.net.clock import EPOCH, Clock, now
-from tansyladder.node.extension_points import CachedEndpointList
+from tansyladder.node.extension_points import EndpointListCache
 from tansyladder.policy.events import EndpointState, EndpointUpdate, ListUpdateKind
 
 ENDPOINT_STATES = {
@@ -43,9 +37,9 @@
     address = parse_address(entry.address, "host_port")
     state = ENDPOINT_STATES.get(entry.state)
     if state is None:
-        raise ConfigError(f"phase: unknown: {entry.state[:40]}")
+        raise ConfigError("phase", f"unknown: {entry.state[:40]}")
     if not 0 <= entry.started_at_ms < MAX_STARTED_AT_MS:
-        raise ConfigError("up_since_ms: out of range")
+        raise ConfigError("up_since_ms", "out of range")
     return ValidEntry(entry, address, state)
 
 
@@ -62,12 +56,13 @@
 
 def newest_list(
     configured: EndpointList,
-    cached: CachedEndpointList | None,
+    cache: EndpointListCache | None,
     handed_over: EndpointList | None,
     clock: Clock,
 ) -> EndpointList:
     """The newest of the lists that a start may know: configured, stored, or of the process before."""
     newest = configured
+    cached = cache.cached_endpoints() if cache is not None else None
     if cached is not None and cached.endpoints.revision > newest.revision:
         newest = cached.endpoints
         age = timedelta(microseconds=clock.micros(now()) - cached.saved_at_us)
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -6,8 +6,9 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from tansyladder.config.operator_settings import Options, OptionsError, load, restart_required_changes
-from tansyladder.config.platform import ConfigError, ReloadedConfig, reload
+from tansyladder.config.errors import ConfigError, OptionsError
+from tansyladder.config.operator_settings import Options, load, restart_required_changes
+from tansyladder.config.reload import ReloadedConfig, reload
 from tansyladder.log import LogEvent, log
 from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.node.lifecycle import NodeState
@@ -59,7 +60,7 @@
         except (ConfigError, OptionsError) as err:
             log(LogEvent.RELOAD_FAILED, why=err)
             self._runner.metrics.record_reload(applied=False)
-        except Exception as err:
+        except Exception as err:  # noqa: BLE001 - whatever a file may hold, the next one must still be read
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             self._runner.metrics.record_reload(applied=False)
         else:
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import socket
 from collections.abc import Callable
 from datetime import timedelta
@@ -14,11 +15,11 @@
 from tansyladder.net.handover_messages import ConnectionState
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
-from tansyladder.net.upstream import ConnectResult, UpstreamConnection, UpstreamConnector
-from tansyladder.node.attempt_loop import AttemptLoop, ClientEnd, build_request, load_hint_of, tenant_of
+from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
+from tansyladder.node.attempt_loop import AttemptLoop, build_request, load_hint_of, tenant_of
 from tansyladder.node.extension_points import ResumableRequest, SessionService
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
 from tansyladder.policy.actions import Fail, Reject
 from tansyladder.policy.events import AttemptStatus, ConnectionAdopted
 
@@ -141,7 +142,9 @@
     def _new_relay(self, connection: UpstreamConnection) -> Relay:
         """The relay of an established connection, which the policy's actions wake from now on."""
         runner = self._runner
-        delay_reports = runner.delay_reports(self._request_id, connection.attempt, connection.endpoint.number)
+        delay_reports = build_delay_reports(
+            runner, self._request_id, connection.attempt, connection.endpoint.number
+        )
         relay = Relay(
             self._client,
             connection,
@@ -167,7 +170,7 @@
             result = self._connect_again(endpoint)
         if endpoint is None or result.sock is None or result.buffer is None:
             log(LogEvent.CONNECTION_RESTORE_FAILED, member=endpoint_id, status=result.status.name)
-            if result.is_client_disconnected:
+            if result.client_end is ClientEnd.DISCONNECTED:
                 self._answer(RequestOutcome.CLIENT_LEFT)
             else:
                 self._answer(RequestOutcome.REJECTED, format_reject(RESTORE_RETRY_INTERVAL))
@@ -191,7 +194,7 @@
                 lambda: runner.metrics.record_attempt(opening.class_name),
             )
             result = connector.open(self._client, self._action_queue)
-            if result.sock is not None or result.is_client_disconnected:
+            if result.sock is not None or result.client_end is ClientEnd.DISCONNECTED:
                 return result
             if now() + RESTORE_RETRY_INTERVAL >= self._deadline:
                 return result
@@ -224,3 +227,29 @@
             load_hint_of(opening),
         )
         self._runner.handle_events(adopted)
+
+
+def serve_connection(
+    runner: PolicyRunner,
+    client: socket.socket,
+    opening: Opening,
+    arrived: timedelta,
+    adopted: AdoptedConnection | None = None,
+) -> None:
+    """Serve a client's connection to its end, on its own thread; raises nothing, closes the socket."""
+    handler = RequestHandler(runner, client, opening, arrived, adopted)
+    try:
+        sockets.configure_stream(client)
+        handler.run()
+    except OSError as err:
+        log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
+        if not handler.is_answered:
+            runner.metrics.record_outcome(opening.class_name, RequestOutcome.CLIENT_LEFT)
+    except Exception as err:  # noqa: BLE001 - the thread's top: one connection's fault ends only that one
+        log(LogEvent.INTERNAL_ERROR, why=repr(err))
+        if not handler.is_answered:
+            runner.metrics.record_outcome(opening.class_name, RequestOutcome.FAILED)
+        with contextlib.suppress(OSError):
+            client.sendall(protocol.ERR + b"\r\n")
+    finally:
+        client.close()
