--- a/tansyladder/policy/endpoint_selection.py
+++ b/tansyladder/policy/endpoint_selection.py
@@ -65,8 +65,7 @@
     if context.settings.pass_through and request.key:
         available = [e for e in pool.endpoints if is_available(context, e)]
         return sorted(available, key=lambda e: (_draw_score(context, e, request, e.weight), e.id))[:size]
-    # More are drawn than wanted, as some are not available.
-    drawn = context.rng.sample(pool.endpoints, min(4 * size, len(pool.endpoints)))
+    drawn = context.rng.sample(pool.endpoints, min(4 * size, len(pool.endpoints)))  # some are not available
     return [e for e in drawn if is_available(context, e)][:size]
 
 
--- a/tansyladder/policy/request_lifecycle.py
+++ b/tansyladder/policy/request_lifecycle.py
@@ -1,8 +1,9 @@
 """The life of a request: its attempts, the connection that it becomes, and its end."""
 
-from tansyladder.policy import endpoint_load, endpoint_selection, events, outlier_detection
+from tansyladder.policy import endpoint_load, events, outlier_detection
 from tansyladder.policy.actions import StartAttempt
 from tansyladder.policy.context import SHARED_FAILURE_RATE, Context
+from tansyladder.policy.endpoint_selection import previous_endpoint, sample, select_endpoint
 from tansyladder.policy.records import Endpoint, EndpointTable, Request, RequestTable
 from tansyladder.policy.retries import RetryScheduler
 from tansyladder.policy.slow_start import available_permit, capacity_share
@@ -28,9 +29,7 @@
         context = self.context
         request = self.requests.add(event)
         is_moved = event.is_midstream and context.settings.pass_through and event.deadline_us > context.now
-        previous = (
-            endpoint_selection.previous_endpoint(context, self.endpoints, request) if is_moved else None
-        )
+        previous = previous_endpoint(context, self.endpoints, request) if is_moved else None
         if previous:
             self._send_attempt(request, previous)
         elif request.backoff and request.backoff.retry_at > context.now:
@@ -39,6 +38,7 @@
             self._start_attempt(request.id)
 
     def _start_attempt(self, request_id: int) -> None:
+        """Check the load of a few endpoints where it is not known, then assign one."""
         request = self.requests.by_id.get(request_id)
         if request is None:
             return  # its client left
@@ -46,8 +46,7 @@
         request.candidates = []
         request.pending_check_count = 0
         if context.can_check_load:
-            pool = self.endpoints.home_zone
-            request.candidates = endpoint_selection.sample(context, pool, request, CANDIDATE_COUNT)
+            request.candidates = sample(context, self.endpoints.home_zone, request, CANDIDATE_COUNT)
             for endpoint in request.candidates:
                 is_old = context.now - endpoint.utilization_at > context.reaction_time_us // 2
                 if is_old and capacity_share(context, endpoint) >= 1.0:
@@ -62,18 +61,20 @@
             self._assign_endpoint(request_id)
 
     def _assign_endpoint(self, request_id: int) -> None:
+        """Select an endpoint and send the attempt; where none has room, the attempt has failed."""
         request = self.requests.by_id.get(request_id)
         if request is None or request.endpoint or request.retry_at > self.context.now:
             return  # its client left, or the wait for health checks outlived its attempt
         request.pending_check_count = 0
         if request.deadline <= self.context.now:
             self.retries.reject(request, 0)
-        elif endpoint := endpoint_selection.select_endpoint(self.context, self.endpoints, request):
+        elif endpoint := select_endpoint(self.context, self.endpoints, request):
             self._send_attempt(request, endpoint)
         else:
             self.retries.handle_setup_failure(request)
 
     def _send_attempt(self, request: Request, endpoint: Endpoint) -> None:
+        """Start the attempt, with a timeout that leaves time for another one if there may be one."""
         context = self.context
         timeout = request.deadline - context.now
         # With most set-ups failing, all endpoints wait for the same thing: asking again only adds to it.
