--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -14,6 +14,7 @@
 
 from tansyladder.lab import cost, drain, reconnect, restart
 from tansyladder.lab.chaos import commands as chaos_commands
+from tansyladder.lab.drain import DrainStyle
 from tansyladder.lab.interactive import serve_cluster, serve_node
 from tansyladder.lab.output import show
 
@@ -32,11 +33,13 @@
 @click.option("--hosts", default=4, show_default=True, type=click.IntRange(2, 50))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--resume", default="on", show_default=True, type=SWITCH)
-@click.option("--style", default="told", show_default=True, type=click.Choice(drain.STYLES))
+@click.option(
+    "--style", default="told", show_default=True, type=click.Choice([style.value for style in DrainStyle])
+)
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
 def drain_command(sessions: int, hosts: int, seed: int, resume: str, style: str, as_json: bool) -> None:
     """Put all sessions on one host, drain it, and see where they go on and what they miss."""
-    _run_and_exit(drain.run(sessions, hosts, seed, resume == "on", style), as_json)
+    _run_and_exit(drain.run(sessions, hosts, seed, resume == "on", DrainStyle(style)), as_json)
 
 
 @click.command("reconnect")
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -5,6 +5,7 @@
 import asyncio
 import time
 from datetime import timedelta
+from enum import Enum
 from typing import Any
 
 from tansyladder.lab.discovery_server import Phase
@@ -15,18 +16,21 @@
 
 LATENCY_OBJECTIVE = timedelta(milliseconds=300)  # of a viewport's setup
 RULES = ("final_answers_wrong", "lines_lost", "lines_doubled", "second_attempts", "late_sends_after_drain")
-STYLES = ("told", "at-once", "dies")  # as the command line has them
-ANNOUNCED, AT_ONCE, DIES = STYLES
 SETTLE_TIME = 5.0  # seconds for the drain's grace and what comes after it
 LISTING_TIME = 1.5  # seconds until the node knows the other hosts and has checked their health
 DISCOVERY_DELAY = 1.0  # seconds until discovery learns that a host has died
 
 
-async def run(sessions: int, hosts: int, seed: int, resumes: bool, style: str) -> dict[str, Any]:
-    """Drain the host that has all sessions, and report what became of them.
+class DrainStyle(Enum):
+    """How a host drains; the values are the command line's."""
 
-    `style` is ANNOUNCED (the host waits for its sessions to leave), AT_ONCE (it sends all away) or DIES.
-    """
+    ANNOUNCED = "told"  # it waits for its sessions to migrate
+    AT_ONCE = "at-once"  # it migrates all of them at once
+    DIES = "dies"  # it does not drain: its process ends, and discovery learns of it later
+
+
+async def run(sessions: int, hosts: int, seed: int, resumes: bool, style: DrainStyle) -> dict[str, Any]:
+    """Drain the host that has all sessions, and report what became of them."""
     started = time.monotonic()
     async with running_topology(TopologySettings(seed, hosts, resumes, listed_count=1)) as topology:
         drained_host = topology.hosts[0]
@@ -55,22 +59,22 @@
             "fenced": topology.host_cluster.store.fenced_count,
             "moved": report.counts["moved"],
             "resume": resumes,
-            "style": style,
+            "style": style.value,
             "took_s": round(time.monotonic() - started, 1),
             "cases": report.cases,
         }
 
 
-async def _drain(topology: Topology, host: StreamHost, style: str) -> timedelta:
+async def _drain(topology: Topology, host: StreamHost, style: DrainStyle) -> timedelta:
     """Begin the drain, or let the host die; return when that was."""
     now = clock()
-    if style == DIES:
+    if style is DrainStyle.DIES:
         await host.die()
         await asyncio.sleep(DISCOVERY_DELAY)
         await topology.discovery.set_phase(Phase.REMOVED, host)
         return now
     host.is_draining = True
-    if style == AT_ONCE:
+    if style is DrainStyle.AT_ONCE:
         host.migrate_all()
     await topology.discovery.set_phase(Phase.DRAINING, host)
     return now
--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -122,9 +122,14 @@
     """Number all seconds from the first one of any node."""
     first = min(fleet.seconds)
     last = max(fleet.seconds)
-    for name in ("seconds", "connections", "attempts", "failures"):
-        by_second = getattr(fleet, name)
-        setattr(fleet, name, {second - first: by_second[second] for second in range(first, last + 1)})
+
+    def shifted(by_second: CountsBySecond) -> CountsBySecond:
+        return {second - first: by_second[second] for second in range(first, last + 1)}
+
+    fleet.seconds = shifted(fleet.seconds)
+    fleet.connections = shifted(fleet.connections)
+    fleet.attempts = shifted(fleet.attempts)
+    fleet.failures = shifted(fleet.failures)
 
 
 def read_folder(folder: Path) -> FleetCounts:
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -37,7 +37,7 @@
         await topology.connect_clients(sessions)
         await asyncio.sleep(SETTLE_TIME)
         first_placement, all_back = await _restart_node(topology)
-        kept_count = sum(client.session_count == 1 for client in clients)
+        resumed_count = sum(client.session_count == 1 for client in clients)
         await asyncio.sleep(SETTLE_TIME)
         replay_answers = [await client.replay() for client in clients if client.used_token]
         await asyncio.sleep(REPLAY_TIME)
@@ -47,8 +47,8 @@
         return {
             "sessions": sessions,
             "all_back": all_back,
-            "kept": kept_count,
-            "share_kept": round(kept_count / sessions, 4),
+            "kept": resumed_count,
+            "share_kept": round(resumed_count / sessions, 4),
             "first_placement_ms": round(first_placement / MILLISECOND),
             "replayed": len(replay_answers),
             "replays_refused": replay_answers.count("ERR"),
