--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -20,7 +20,7 @@
 from tansyladder.config.errors import OptionsError
 from tansyladder.config.operator_settings import KeyEntry, Options, load, parse, restart_required_changes
 from tests.node.harness import ScriptedServer, answer_up, endpoint_entry, load_test_config
-from tests.node.test_node import client_of, program, until_line
+from tests.node.program import client_of, program, until_line
 
 KEY = "ab" * 32
 
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -24,11 +24,12 @@
     ScriptedServer,
     answer_up,
     endpoint_entry,
+    ignore,
     load_test_config,
 )
-from tests.node.test_node import client_of, program, until_line, void
+from tests.node.program import client_of, program, until_line
 
-STAYS = answer_up(lambda peer: void(*iter(peer.read_line, "")))
+STAYS = answer_up(lambda peer: ignore(*iter(peer.read_line, "")))
 
 
 def echo_lines(peer: Peer) -> None:
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -66,6 +66,10 @@
         self.sock.close()
 
 
+def ignore(*_: object) -> None:
+    """For scripts that only read."""
+
+
 def answer_up(then: Script | None = None) -> Script:
     """A stream host's script that brings the connection up."""
 
@@ -165,6 +169,32 @@
     return platform.load({"GW_CONFIG": str(file)})
 
 
+class ScriptedDiscovery:
+    """A scripted discovery that tells one list and keeps what it was asked."""
+
+    def __init__(self, revision: int, *members: dict[str, object]) -> None:
+        self.calls: list[str] = []
+        self.ended = threading.Event()
+        self.body = json.dumps({"revision": revision, "complete": True, "members": members})
+        self.listener = ScriptedServer(self._serve)
+        self.address = self.listener.address
+
+    def _serve(self, peer: Peer) -> None:
+        first = True
+        while call := peer.read_line():
+            self.calls.append(call)
+            while peer.read_line():
+                pass
+            if "since" in call and not first:
+                break  # a watch that nothing ends but the node
+            first = False
+            peer.sock.sendall(
+                f"HTTP/1.1 200 OK\r\nContent-Length: {len(self.body)}\r\n\r\n{self.body}".encode()
+            )
+        peer.read_line()
+        self.ended.set()
+
+
 @contextmanager
 def running_node(
     tmp_path: Path,
--- /dev/null
+++ b/tests/node/test_endpoint_reports.py
@@ -0,0 +1,88 @@
+"""What endpoints tell of their delays and load, and what health checks find."""
+
+from __future__ import annotations
+
+import time
+from pathlib import Path
+
+import pytest
+
+from tansyladder.node.health_checker import HealthChecker
+from tansyladder.policy.events import (
+    AttemptEnded,
+    AttemptStatus,
+    ConnectionReport,
+    HealthCheckResult,
+    ReportKind,
+)
+from tests.node.harness import (
+    SETTINGS,
+    Peer,
+    ScriptedServer,
+    answer_up,
+    running_node,
+)
+
+
+def test_delays_over_a_third_of_the_objective_are_reported(tmp_path: Path) -> None:
+    def late(peer: Peer) -> None:
+        for wait in (0.11, 0.0):
+            line = peer.read_line()
+            time.sleep(wait)
+            peer.send_lines(line)
+        peer.read_line()
+
+    extra = {"message_aim": [300_000], "tells_delay": True}
+    with running_node(tmp_path, ScriptedServer(answer_up(late)), settings=SETTINGS | {"extra": extra}) as n:
+        client = n.open()
+        assert client.read_line() == "UP r1"
+        client.send_lines("M 1")
+        assert client.read_line() == "M 1"
+        note = n.runner.wait_for(ConnectionReport)
+        assert (note.kind, note.endpoint_id) == (ReportKind.MEASURED_DELAY, 1) and 110 <= note.value < 300
+        time.sleep(1.05)  # what is heard within a second is taken together
+        client.send_lines("M 2")
+        assert n.runner.wait_for(ConnectionReport, 2).value < 100
+
+
+@pytest.mark.parametrize("tells", [True, False])
+def test_a_load_line_is_a_delay_report_where_delays_are_reported(tmp_path: Path, tells: bool) -> None:
+    """Bad values are dropped, the client gets every line."""
+    bad = ["LOAD", "LOAD x", "LOAD 1 2", "LOAD -3", "LOAD nan", "LOAD 1e300", "LOADS 7"]
+    lines = ["LOAD 40.5", *bad, "LOAD 3"]
+    extra = {"message_aim": [50_000], "tells_delay": tells}
+    with running_node(
+        tmp_path,
+        ScriptedServer(answer_up(lambda p: p.send_lines(*lines))),
+        settings=SETTINGS | {"extra": extra},
+    ) as n:
+        client = n.open()
+        assert [client.read_line() for _ in range(10)] == ["UP r1", *lines]
+        n.runner.wait_for(AttemptEnded)
+        notes = [(e.kind, e.endpoint_id, e.value) for e in n.runner.events if isinstance(e, ConnectionReport)]
+        assert notes == (
+            [(ReportKind.REPORTED_DELAY, 1, 40.5), (ReportKind.REPORTED_DELAY, 1, 3.0)] if tells else []
+        )
+        assert (
+            n.runner.config.settings.health_check_interval_us > 0
+        )  # a promise of notes alone stops no probes
+        client.close()
+
+
+def test_a_health_check_is_timed(tmp_path: Path) -> None:
+    def pong(peer: Peer) -> None:
+        assert peer.read_line() == "PING"
+        time.sleep(0.02)
+        peer.send_lines("PONG")
+
+    def err(peer: Peer) -> None:
+        peer.read_line()
+        peer.send_lines("ERR")
+
+    ceilings = SETTINGS["ceilings"] | {"probes": True}
+    settings = SETTINGS | {"ceilings": ceilings, "extra": {"message_aim": [50_000]}}  # delays are not told
+    with running_node(tmp_path, ScriptedServer(pong, err), settings=settings) as n:
+        HealthChecker(n.runner).start()
+        first, second = n.runner.wait_for(HealthCheckResult), n.runner.wait_for(HealthCheckResult, 2)
+        assert first.status is AttemptStatus.OK and 20_000 <= first.latency_us < 140_000
+        assert second.status is AttemptStatus.ERROR
