--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -127,7 +127,7 @@
         peer.send_lines(said)
 
 
-def test_classes_come_and_go_and_who_stands_stays(tmp_path: Path) -> None:
+def test_classes_come_and_go_and_established_connections_stay(tmp_path: Path) -> None:
     with Office(tmp_path, ScriptedServer(answer_up(echoes))) as n:
         core = n.node.runner
         old = n.node.open()
