--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -8,7 +8,7 @@
 
 import threading
 
-from tansyladder.cluster.document_publisher import CHECKS, DocumentPublisher
+from tansyladder.cluster.document_publisher import VALIDATORS, DocumentPublisher
 from tansyladder.cluster.document_replica import LeaseExpiryPolicy
 from tansyladder.cluster.raft_runner import RaftRunner
 from tansyladder.config.platform import ConfigError
@@ -26,14 +26,14 @@
     OSError, ValueError, ConfigError: the settings don't fit. StoreError: the records can't be read. Where a
     process before this one runs, that is known only later, and written to the log.
     """
-    if core.listener_handover.gone.is_set():
+    if core.listener_handover.predecessor_gone.is_set():
         _join(core, resuming, folder)
     else:
         threading.Thread(target=_follow, args=(core, resuming, folder), name="join", daemon=True).start()
 
 
 def _follow(core: PolicyRunner, resuming: ResumptionHandler, folder: str | None) -> None:
-    core.listener_handover.gone.wait()
+    core.listener_handover.predecessor_gone.wait()
     try:
         _join(core, resuming, folder)
     except (OSError, ValueError, ConfigError, StoreError) as err:
@@ -54,12 +54,12 @@
         resuming.on_ownership_claimed,
         lambda: core.clock.micros(now()),
         folder,
-        CHECKS if told.enabled else None,
+        VALIDATORS if told.enabled else None,
         LeaseExpiryPolicy(told.cut_off),
         told.lease,
     )
     resuming.ownership_service = agreeing
-    if agreeing.holding is not None:
-        core.decision_permit = DocumentPublisher(agreeing, agreeing.holding, told.stamps)
+    if agreeing.document_replica is not None:
+        core.decision_permit = DocumentPublisher(agreeing, agreeing.document_replica, told.stamps)
     agreeing.start()
     log(LogEvent.CLUSTER_JOINED, store=keeping is not None)
--- a/tansyladder/net/delay_reports.py
+++ b/tansyladder/net/delay_reports.py
@@ -1,8 +1,8 @@
-"""Delay notes: how long messages take at each pool member, told to the module as the simulator does.
+"""Delay reports: how long messages take at each endpoint, told to the policy as the simulator does.
 
-Where the settings say that delays are told, and loads are not, a member's line `LOAD X` is such a note, in
-milliseconds. Where loads are told it is the connection's load, in microseconds of work a second. Beside it
-lines that wait unanswered are timed: a member that says nothing sends no note either.
+Where the settings say that endpoints report delays, and not loads, an endpoint's line `LOAD X` is such a
+report, in milliseconds. Where they report loads it is the connection's load, in microseconds of work a
+second. Besides, lines that wait unanswered are timed: an endpoint that says nothing reports no delay either.
 """
 
 from __future__ import annotations
@@ -16,80 +16,94 @@
 from tansyladder.net.clock import now
 from tansyladder.policy.events import ReportKind
 
-EVERY = timedelta(seconds=1)  # a note a member at most, while its messages take long
-WINDOW = timedelta(seconds=1)  # what is heard within it is taken together
-KEPT = 64
-MOST_LOAD = 1e9  # microseconds of work a second: a thousand cores
-MOST_MS = 600_000  # of a message: nobody waits for one any longer
+REPORT_INTERVAL = timedelta(seconds=1)  # between two reports of an endpoint while its messages take long
+SAMPLE_WINDOW = timedelta(seconds=1)  # delays within it are taken together
+MAX_SAMPLES = 64  # of an endpoint; bounds the sorting done under the lock
+MAX_LOAD = 1e9  # microseconds of work a second: a thousand cores
+MAX_DELAY_MS = 600_000  # of a message: nobody waits for one any longer
 
 
-class _Heard:
-    __slots__ = ("noted_at", "over", "samples")
+class _EndpointDelays:
+    """The latest delays at one endpoint, and what has been reported of them. Guarded by the meter's lock."""
+
+    __slots__ = ("is_above_threshold", "last_report_at", "samples")
 
     def __init__(self) -> None:
-        self.samples: deque[tuple[timedelta, timedelta]] = deque(maxlen=KEPT)
-        self.noted_at = timedelta(0)
-        self.over = False
+        # Time and delay; a bare tuple, as one is made for each line that passes.
+        self.samples: deque[tuple[timedelta, timedelta]] = deque(maxlen=MAX_SAMPLES)
+        self.last_report_at = timedelta(0)
+        self.is_above_threshold = False  # as last reported
 
 
 class DelayMeter:
-    """Collects the delays of all connections to a member and says when a note is due."""
+    """Collects the delays of all connections to each endpoint and says when a report is due. Thread-safe."""
 
-    def __init__(self, bound: timedelta) -> None:
-        self._bound = bound
-        self._members: dict[int, _Heard] = {}
+    def __init__(self, threshold: timedelta) -> None:
+        self._threshold = threshold  # for the median delay of the window
+        self._endpoints: dict[int, _EndpointDelays] = {}
         self._lock = threading.Lock()
 
-    def heard(self, member: int, delay: timedelta) -> timedelta | None:
-        """Take in a message's delay; the value of a note where one is due."""
-        moment = now()
+    def record(self, endpoint_number: int, delay: timedelta) -> timedelta | None:
+        """Take in a message's delay; return the median delay where a report is due.
+
+        One is due once in an interval while the median is over the threshold, and when it comes back.
+        """
+        time = now()
         with self._lock:
-            at = self._members.setdefault(member, _Heard())
-            at.samples.append((moment, delay))
-            while at.samples[0][0] < moment - WINDOW:
-                at.samples.popleft()
-            value = sorted(d for _, d in at.samples)[len(at.samples) // 2]
-            if value > self._bound:
-                if at.over and moment - at.noted_at < EVERY:
+            endpoint = self._endpoints.setdefault(endpoint_number, _EndpointDelays())
+            endpoint.samples.append((time, delay))
+            while endpoint.samples[0][0] < time - SAMPLE_WINDOW:
+                endpoint.samples.popleft()
+            median = sorted(delay for _, delay in endpoint.samples)[len(endpoint.samples) // 2]
+            if median > self._threshold:
+                if endpoint.is_above_threshold and time - endpoint.last_report_at < REPORT_INTERVAL:
                     return None
-                at.over, at.noted_at = True, moment
-                return value
-            if at.over:
-                at.over = False
-                return value
+                endpoint.is_above_threshold = True
+                endpoint.last_report_at = time
+                return median
+            if endpoint.is_above_threshold:
+                endpoint.is_above_threshold = False
+                return median
             return None
 
 
 class DelayReports:
-    """One standing connection's part in it."""
+    """The delay and load reports of one connection. Owned by the connection's thread."""
 
-    __slots__ = ("_loads", "_member", "_meter", "_tell")
+    __slots__ = ("_current_meter", "_endpoint_number", "_reports_load", "_send_report")
 
     def __init__(
         self,
-        member: int,
-        meter: Callable[[], DelayMeter | None],
-        tell: Callable[[ReportKind, float], None],
-        loads: Callable[[], bool] = lambda: False,
+        endpoint_number: int,
+        current_meter: Callable[[], DelayMeter | None],
+        send_report: Callable[[ReportKind, float], None],
+        reports_load: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`meter`: of the settings in force; none where no delays are told. `loads`: whether loads are.
+        """Make the reports of a connection to the endpoint with this number of the policy's.
 
-        `tell` takes milliseconds of a delay, microseconds a second of a load.
+        Args:
+            endpoint_number: The policy's number for the endpoint.
+            current_meter: Returns the meter of the settings in force; None where delays are not reported.
+            send_report: Takes milliseconds of a delay, microseconds a second of a load.
+            reports_load: Returns whether endpoints report loads by the settings in force.
         """
-        self._member, self._meter, self._tell, self._loads = member, meter, tell, loads
-
-    def timed(self, delay: timedelta) -> None:
-        """A line was answered, or has waited, for so long."""
-        meter = self._meter()
-        value = meter.heard(self._member, delay) if meter is not None else None
-        if value is not None:
-            self._tell(ReportKind.MEASURED_DELAY, value.total_seconds() * 1000)
-
-    def told(self, line: bytes) -> None:
-        """The member's own word; what makes no sense is passed by."""
-        values = protocol.parse_load(line)
-        if self._loads():
-            if len(values) == 1 and 0 <= values[0] < MOST_LOAD:
-                self._tell(ReportKind.LOAD, values[0])
-        elif self._meter() is not None and len(values) == 1 and 0 <= values[0] < MOST_MS:
-            self._tell(ReportKind.REPORTED_DELAY, values[0])
+        self._endpoint_number = endpoint_number
+        self._current_meter = current_meter
+        self._send_report = send_report
+        self._reports_load = reports_load
+
+    def record_delay(self, delay: timedelta) -> None:
+        """Take in how long a line waited for its answer, or has waited until now."""
+        meter = self._current_meter()
+        median = meter.record(self._endpoint_number, delay) if meter is not None else None
+        if median is not None:
+            self._send_report(ReportKind.MEASURED_DELAY, median.total_seconds() * 1000)
+
+    def record_load_line(self, line: bytes) -> None:
+        """Take in the endpoint's own report, a LOAD line; one that makes no sense is ignored."""
+        values = protocol.parse_load_line(line)
+        if self._reports_load():
+            if len(values) == 1 and 0 <= values[0] < MAX_LOAD:
+                self._send_report(ReportKind.LOAD, values[0])
+        elif self._current_meter() is not None and len(values) == 1 and 0 <= values[0] < MAX_DELAY_MS:
+            self._send_report(ReportKind.REPORTED_DELAY, values[0])
--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -1,222 +1,216 @@
-"""The relay: whole lines both ways between a client and its pool member, until one of them ends."""
+"""The relay: whole lines both ways between a client and its endpoint, until one of them ends."""
 
 from __future__ import annotations
 
 import contextlib
 import select
 import socket
-from collections.abc import Sequence
 from datetime import timedelta
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue
-from tansyladder.net.clock import now, seconds_left
+from tansyladder.net.clock import now
 from tansyladder.net.delay_reports import DelayReports
-from tansyladder.net.listener_handover import ConnectionState, ListenerHandover
-from tansyladder.net.response_timeout import OVERDUE, ResponseTimeout
+from tansyladder.net.handover_messages import ConnectionState
+from tansyladder.net.listener_handover import ListenerHandover
+from tansyladder.net.relayed_connection import RelayedConnection, RelaySide, UpstreamMonitor
+from tansyladder.net.response_timeout import OVERDUE_INTERVAL
+from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.policy.events import AttemptStatus
 
-IDLE = timedelta(seconds=30)
-AFTER_END = timedelta(milliseconds=800)  # what one side ended, the other has ended within a second
+IDLE_INTERVAL = timedelta(seconds=30)  # of a wait with no line unanswered; whatever happens ends it sooner
+HALF_CLOSED_TIMEOUT = timedelta(milliseconds=800)  # what one side ended, the other has ended within a second
 
 
 class Relay:
-    """Passes the lines of one standing connection; its thread is the only one to read or write."""
+    """Passes the lines of one established connection.
+
+    Owned by the connection's thread, the only one to read or write its sockets; `wake` is thread-safe.
+    """
 
     def __init__(
         self,
         client: socket.socket,
-        member: socket.socket,
-        box: ActionQueue,
+        upstream: UpstreamConnection,
         opening: protocol.Opening,
-        name: str,
-        buffer: protocol.LineBuffer,
-        notes: DelayReports,
-        takeover: ListenerHandover,
+        actions: ActionQueue,
+        delay_reports: DelayReports,
+        handover: ListenerHandover,
     ) -> None:
-        self._client, self._member, self._box = client, member, box
-        self._opening, self._name, self._takeover = opening, name, takeover
-        self._to_client, self._to_member = buffer, protocol.LineBuffer()
-        self._open = {client, member}  # the sides that have not ended
-        self._waiting = {client: b"", member: b""}  # whole lines that a side has not taken yet
-        self._took = {client: now(), member: now()}  # when it last took any
-        self._question, self._notes = ResponseTimeout(notes.timed), notes
-        self._last_word = b""
-        self._ended: AttemptStatus | None = None  # what the first end of a side makes of the connection
-
-    def nudge(self) -> None:
+        """Make the relay of a connection; `run` or `resume` passes its lines.
+
+        The relay closes both sockets. `opening`, the client's first line, is for a process that takes the
+        connection over by `handover`; any of the `actions` ends the connection with MOVE.
+        """
+        self._client = RelaySide(client, protocol.LineBuffer())
+        self._upstream = RelaySide(upstream.sock, upstream.buffer)
+        self._monitor = UpstreamMonitor(delay_reports)
+        self._connection = RelayedConnection(self._client, self._upstream, self._monitor)
+        self._initial_lines = upstream.initial_lines
+        self._endpoint_id = upstream.endpoint.id
+        self._opening = opening
+        self._actions = actions
+        self._handover = handover
+        self._response_timeout = self._monitor.response_timeout
+        self._half_closed_deadline: timedelta | None = None  # set with the first end of a side
+        self._final_status: AttemptStatus | None = None  # set once nothing more is to be passed
+
+    def wake(self) -> None:
         """Wake the relay from another thread; a close would not, a shutdown does."""
         with contextlib.suppress(OSError):
-            self._member.shutdown(socket.SHUT_RD)
+            self._upstream.sock.shutdown(socket.SHUT_RD)
 
-    def run(self, first: tuple[bytes, ...] = ()) -> AttemptStatus:
-        """Pass on lines until the connection is over; both sockets are closed then.
+    def run(self) -> AttemptStatus:
+        """Pass lines until the connection is over; return what became of it, with both sockets closed.
 
-        `first`: what the member said with its UP; none where the connection stood before.
+        The lines that the endpoint sent with its UP go to the client first.
         """
         try:
-            if first:
-                self._hear(first)  # UP and BYE may come in one read
-                with contextlib.suppress(OSError):  # a client that left is met again in the first read
-                    self._client.sendall(b"".join(first))
-            return self._pass()
+            if self._initial_lines:
+                self._monitor.lines_received(self._initial_lines)  # UP and BYE may come in one read
+                with contextlib.suppress(OSError):  # the first read shows a client that has left
+                    self._client.sock.sendall(b"".join(self._initial_lines))
+            return self._relay_until_end()
         except protocol.LineError as err:
             log(LogEvent.INVALID_LINE, where="relay", why=err)
-            return self._move(AttemptStatus.CANCELLED)
+            return self._end_with_move(AttemptStatus.CANCELLED)
         finally:
-            self._box.close()  # no nudge after the descriptor may be another's
-            self._member.close()
-            self._client.close()
-
-    def go_on(self, handed: ConnectionState) -> AttemptStatus:
-        """What another process passed on until now; both sockets are closed at the end."""
-        self._last_word = handed.last_word.encode()
-        self._to_client.rest, self._to_member.rest = handed.rests
-        self._waiting[self._client], self._waiting[self._member] = handed.waiting
-        self._question.go_on(handed.asked)
-        return self.run()
+            self._actions.close()  # no wake once the descriptor may be another connection's
+            self._upstream.sock.close()
+            self._client.sock.close()
 
-    def _hand(self) -> bool:
-        """Give the connection to the process that takes our place; False where it stays here."""
-        self._box.stand(lambda: None)  # a nudge would end it for the other process too
-        if self._box.first() is not None:
-            return False
-        handed = ConnectionState(
-            self._opening.line,
-            self._name,
-            self._last_word.decode("utf-8", "replace"),
-            self._question.since,
-            (self._to_client.rest, self._to_member.rest),
-            (self._waiting[self._client], self._waiting[self._member]),
-        )
-        if self._takeover.hand(handed, self._client, self._member):
-            return True
-        self._box.stand(self.nudge)
-        return False
+    def resume(self, state: ConnectionState) -> AttemptStatus:
+        """Go on with what another process has passed until now; otherwise as `run`."""
+        self._connection.import_state(state)
+        return self.run()
 
-    def _pass(self) -> AttemptStatus:
-        for side in (self._client, self._member):
-            side.settimeout(None)  # with a time-out Python waits before each call, whatever its flags say
-        until_end: timedelta | None = None
-        while self._open:
-            order = self._box.take()
-            if order is not None and self._ended is None:
-                return self._move(AttemptStatus.CANCELLED)
-            if until_end is not None and now() >= until_end:
+    def _relay_until_end(self) -> AttemptStatus:
+        # With a time-out Python waits before each call, whatever its flags say.
+        self._client.sock.settimeout(None)
+        self._upstream.sock.settimeout(None)
+        while self._final_status is None and (self._client.is_open or self._upstream.is_open):
+            if self._is_over():
                 break
-            if self._question.silent() and self._ended is None:
-                log(LogEvent.ENDPOINT_SILENT, member=self._name)
-                return self._move(AttemptStatus.TIMEOUT)
-            if self._stuck():
-                return self._reset_both()
-            ready = self._wait(until_end or now() + (OVERDUE if self._question.open else IDLE))
-            if self._takeover.fileno() in ready and self._ended is None and self._hand():
+            ready = self._wait()
+            if self._handover.fileno() in ready and self._connection.outcome is None and self._hand_over():
                 return AttemptStatus.CANCELLED
-            for side in (self._member, self._client):
-                other = self._client if side is self._member else self._member
-                try:
-                    if self._waiting[side] and side.fileno() in ready:
-                        self._flush(side)
-                except OSError:
-                    return self._reset(side, other)
-                # What its other side has not taken yet holds a sender up, and nobody else.
-                if side not in self._open or self._waiting[other] or side.fileno() not in ready:
-                    continue
-                try:
-                    data = side.recv(sockets.CHUNK, socket.MSG_DONTWAIT)
-                except BlockingIOError:
-                    continue
-                except OSError:
-                    return self._reset(side, other)
-                if side is self._member and not data and self._box.first() is not None:
-                    break  # it is the nudge, not the member's end
-                try:
-                    if data:
-                        self._forward(side, other, data)
-                        continue
-                    # Half a connection may go on for a moment: the end is passed on in kind.
-                    self._open.discard(side)
-                    self._end(side)
-                    buffer = self._to_client if side is self._member else self._to_member
-                    self._waiting[other] += buffer.rest
-                    self._flush(other)
-                except OSError:
-                    return self._reset(other, side)
-                until_end = until_end or now() + AFTER_END
-        # Never `or`: the status of success is 0, and a sound member would be blamed with a reset.
-        return AttemptStatus.CANCELLED if self._ended is None else self._ended
-
-    def _wait(self, until: timedelta) -> set[int]:
-        """Which sides can go on: to be read where the other takes what they say, to be written to else."""
+            for source, destination in self._connection.directions:
+                if not self._relay_direction(source, destination, ready):
+                    break
+        # Never `or`: the status of success is 0, and an endpoint without fault would be blamed with a reset.
+        if self._final_status is not None:
+            return self._final_status
+        outcome = self._connection.outcome
+        return AttemptStatus.CANCELLED if outcome is None else outcome
+
+    def _is_over(self) -> bool:
+        """End the connection for an action of the policy's, a silent endpoint or a side that takes nothing.
+
+        Without any of them it is over some time after a side's end.
+        """
+        action = self._actions.take()
+        if action is not None and self._connection.outcome is None:
+            self._final_status = self._end_with_move(AttemptStatus.CANCELLED)
+            return True
+        if self._half_closed_deadline is not None and now() >= self._half_closed_deadline:
+            return True
+        if self._response_timeout.check_silent() and self._connection.outcome is None:
+            log(LogEvent.ENDPOINT_SILENT, member=self._endpoint_id)
+            self._final_status = self._end_with_move(AttemptStatus.TIMEOUT)
+            return True
+        stalled = self._connection.find_stalled()
+        if stalled is None:
+            return False
+        log(LogEvent.ENDPOINT_STALLED, member=self._endpoint_id)
+        self._end_with_reset(stalled)
+        return True
+
+    def _wait(self) -> set[int]:
+        """Wait until a side can go on; return the descriptors that are ready.
+
+        A side is read only where the other has taken all that it sent, which holds a fast sender up.
+        """
         poll = select.poll()
-        if self._ended is None:
-            poll.register(self._takeover, select.POLLIN)
-        for side in (self._member, self._client):
-            other = self._client if side is self._member else self._member
-            events = select.POLLIN if side in self._open and not self._waiting[other] else 0
-            events |= select.POLLOUT if self._waiting[side] else 0
+        if self._connection.outcome is None:
+            poll.register(self._handover, select.POLLIN)
+        for source, destination in self._connection.directions:
+            events = select.POLLIN if source.is_open and not destination.pending else 0
+            events |= select.POLLOUT if source.pending else 0
             if events:
-                poll.register(side, events)
-        return {fd for fd, _ in poll.poll(-(-seconds_left(until) * 1000 // 1))}
-
-    def _flush(self, side: socket.socket) -> None:
-        """Write what a side takes now; once all is out, pass the other side's end on."""
-        if self._waiting[side]:
-            with contextlib.suppress(BlockingIOError):
-                sent = side.send(self._waiting[side], socket.MSG_DONTWAIT)
-                self._waiting[side] = self._waiting[side][sent:]
-                self._took[side] = now()
-        other = self._client if side is self._member else self._member
-        if not self._waiting[side] and other not in self._open:
-            side.shutdown(socket.SHUT_WR)
-
-    def _stuck(self) -> bool:
-        """Whether a side has taken nothing for long."""
-        late = now() - sockets.SEND_WAIT
-        return any(waiting and self._took[side] < late for side, waiting in self._waiting.items())
-
-    def _reset_both(self) -> AttemptStatus:
-        log(LogEvent.ENDPOINT_STALLED, member=self._name)
-        stuck = self._member if self._waiting[self._member] else self._client
-        return self._reset(stuck, self._client if stuck is self._member else self._member)
-
-    def _forward(self, side: socket.socket, other: socket.socket, data: bytes) -> None:
-        lines = (self._to_client if side is self._member else self._to_member).feed(data)
+                poll.register(source.descriptor, events)
+        interval = OVERDUE_INTERVAL if self._response_timeout.is_waiting else IDLE_INTERVAL
+        return sockets.poll_until(poll, self._half_closed_deadline or now() + interval)
+
+    def _relay_direction(self, source: RelaySide, destination: RelaySide, ready: set[int]) -> bool:
+        """Write what the source has not taken, then pass on what it sends; False: the round is over."""
+        try:
+            if source.pending and source.descriptor in ready:
+                source.flush(destination.is_open)
+        except OSError:
+            self._end_with_reset(source)
+            return False
+        if not source.is_open or destination.pending or source.descriptor not in ready:
+            return True
+        try:
+            data = source.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
+        except BlockingIOError:
+            return True
+        except OSError:
+            self._end_with_reset(source)
+            return False
+        if not data and source is self._upstream and self._actions.peek() is not None:
+            return False  # it is a wake, not the endpoint's end
+        try:
+            if data:
+                self._forward(source, destination, data)
+            else:
+                self._forward_end(source, destination)
+        except OSError:
+            self._end_with_reset(destination)
+            return False
+        return True
+
+    def _forward(self, source: RelaySide, destination: RelaySide, data: bytes) -> None:
+        lines = source.lines.feed(data)
         if not lines:
             return
-        self._waiting[other], self._took[other] = b"".join(lines), now()
-        self._flush(other)
-        if side is self._client:
-            self._question.asked()
-            return
-        self._hear(lines)
-
-    def _hear(self, lines: Sequence[bytes]) -> None:
-        """What the member's lines tell the node itself."""
-        for line in lines:
-            self._last_word = protocol.word_of(line)
-            self._question.answered(self._last_word)
-            if self._last_word == protocol.LOAD:
-                self._notes.told(line)
-
-    def _end(self, side: socket.socket) -> None:
-        """The first side to end decides what became of the connection."""
-        if self._ended is None:
-            if side is self._client:
-                self._ended = AttemptStatus.CANCELLED
-            else:
-                ends = {protocol.BYE: AttemptStatus.OK, protocol.MOVE: AttemptStatus.CANCELLED}
-                self._ended = ends.get(self._last_word, AttemptStatus.RESET)
-
-    def _reset(self, side: socket.socket, other: socket.socket) -> AttemptStatus:
-        self._end(side)
-        sockets.reset(other)
-        return AttemptStatus.RESET if self._ended is None else self._ended
-
-    def _move(self, status: AttemptStatus) -> AttemptStatus:
-        """MOVE stands between two lines: what the client has not taken of one goes out before it."""
-        self._member.close()
-        sockets.prepare(self._client)
-        sockets.finish(self._client, self._waiting[self._client] + protocol.MOVE + b"\r\n")
+        destination.set_pending(lines)
+        destination.flush(source.is_open)
+        if source is self._client:
+            self._response_timeout.line_sent()
+        else:
+            self._monitor.lines_received(lines)
+
+    def _forward_end(self, source: RelaySide, destination: RelaySide) -> None:
+        """Pass the end of a side on in kind: half a connection may go on for a moment."""
+        source.is_open = False
+        self._connection.record_end(source)
+        destination.pending += source.lines.partial_line
+        destination.flush(source.is_open)
+        if self._half_closed_deadline is None:
+            self._half_closed_deadline = now() + HALF_CLOSED_TIMEOUT
+
+    def _end_with_reset(self, broken: RelaySide) -> None:
+        """End the connection after a side broke, or stalled: the other one is reset."""
+        self._connection.record_end(broken)
+        sockets.reset(self._connection.other(broken).sock)
+        self._final_status = self._connection.outcome
+
+    def _end_with_move(self, status: AttemptStatus) -> AttemptStatus:
+        """Send the client MOVE, behind what it has not taken of a line, and close the endpoint's side."""
+        self._upstream.sock.close()
+        sockets.configure_stream(self._client.sock)
+        sockets.shutdown_and_drain(self._client.sock, self._client.pending + protocol.MOVE + b"\r\n")
         return status
+
+    def _hand_over(self) -> bool:
+        """Give the connection to the process that takes our place; False: it stays here."""
+        self._actions.use_callback(lambda: None)  # a wake would end it for the other process too
+        if self._actions.peek() is not None:
+            return False
+        state = self._connection.export_state(self._opening, self._endpoint_id)
+        if self._handover.hand_over(state, self._client.sock, self._upstream.sock):
+            return True
+        self._actions.use_callback(self.wake)
+        return False
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -19,13 +19,13 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, ResumingClient
 from tansyladder.net.clock import now
-from tansyladder.net.protocol import OFFER, POSITION, TICKET, Opening
+from tansyladder.net.protocol import RESUME_OFFER_FIELD, RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.replay_buffer import MemoryBudget
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS, SessionEnd, TokenRegistry
-from tansyladder.resumption.tokens import NODE_LIFE_BYTES, Keyring, TokenClaims
+from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenClaims
 from tansyladder.sessions.session_store import SessionStore
 
 if TYPE_CHECKING:
@@ -42,18 +42,22 @@
 ANSWER_MARGIN = timedelta(milliseconds=100)  # of a client's patience that is left for its answer
 MAX_CLOCK_SKEW = timedelta(seconds=5)  # of the nodes' clocks, and longer than an entry is under way
 RETRY_SOON = protocol.format_reject(timedelta(milliseconds=200))
-CLIENT_ONLY_PARAMETERS = frozenset({OFFER, TICKET, POSITION})  # that no stream host sees
+CLIENT_ONLY_PARAMETERS = frozenset(
+    {RESUME_OFFER_FIELD, RESUME_TOKEN_FIELD, RESUME_POSITION_FIELD}
+)  # that no stream host sees
 
 
 class OwnershipService(Protocol):
     """Where the fleet decides who owns a session."""
 
-    by: str  # the node and its start
+    incarnation: str  # the node and its start
 
-    def tell(self, entry: SessionOpened) -> None:
+    def propose(self, entry: SessionOpened) -> None:
         """Propose an entry whose loss does no harm, and wait for nothing."""
 
-    def rule(self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta) -> ClaimResult | None:
+    def decide_ownership(
+        self, entry: OwnershipClaim | ClaimConfirmation, until: timedelta
+    ) -> ClaimResult | None:
         """What the fleet decides on an entry; none where that is not known by a moment."""
 
 
@@ -75,9 +79,9 @@
         self.session_store = None if peers.enabled else keeping
         kept = self.session_store.identity if self.session_store else None
         # Bound to the name as well: a folder that was copied to another node makes no tokens of this one.
-        drawn = b"" if peers.enabled else kept.node_life if kept else os.urandom(32)
-        life = hashlib.blake2b(drawn, digest_size=NODE_LIFE_BYTES, key=name).digest()
-        keys = [(k.id, k.secret) for k in self.options.keys]
+        drawn = b"" if peers.enabled else kept.issuer_id if kept else os.urandom(32)
+        life = hashlib.blake2b(drawn, digest_size=ISSUER_ID_BYTES, key=name).digest()
+        keys = [SealingKey(key.id, key.secret) for key in self.options.keys]
         self.keyring = Keyring(life, keys, os.urandom, kept.token_key if kept else None)
         self.start_number = 1 if peers.enabled else kept.start_count if kept else 0
         self._durable = peers.enabled or self.session_store is not None
@@ -103,7 +107,10 @@
 
     def offers_resumption(self, opening: Opening) -> bool:
         """Whether a client's first line asks for a session that can be resumed."""
-        return opening.told.get(OFFER) == "1" and TICKET not in opening.told
+        return (
+            opening.field_values.get(RESUME_OFFER_FIELD) == "1"
+            and RESUME_TOKEN_FIELD not in opening.field_values
+        )
 
     def new_stream(self) -> Stream:
         """A new session's positions; its number is the secret that stream hosts know it by."""
@@ -113,7 +120,9 @@
     @staticmethod
     def first_line_builder(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
         """What a stream host gets, by how long the node waits; each call counts as a placement."""
-        return lambda wait: opening.for_member(wait, CLIENT_ONLY_PARAMETERS, stream.begin_placement())
+        return lambda wait: opening.format_for_endpoint(
+            wait, CLIENT_ONLY_PARAMETERS, stream.begin_placement()
+        )
 
     def issue_token_line(self, session: int, opening: Opening) -> bytes:
         """The line that lets a client come back from now on."""
@@ -144,7 +153,9 @@
         if self.ownership_service is not None:
             from tansyladder.replication.session_ownership import ClaimConfirmation, SessionOpened
 
-            if sockets.left(visitor.sock):  # this node was slow: its client shows the token elsewhere by now
+            if sockets.is_disconnected(
+                visitor.sock
+            ):  # this node was slow: its client shows the token elsewhere by now
                 return RETRY_SOON
             floor = self.token_registry.next_generation_floor(session)
             at, keep = self.retention_period()
@@ -153,28 +164,32 @@
                 session,
                 tenure,
                 floor,
-                visitor.expiry,
-                self.ownership_service.by,
+                visitor.token_expiry_us,
+                self.ownership_service.incarnation,
                 at,
                 keep,
                 next(self.confirmation_numbers),
             )
-            ruling = self.ownership_service.rule(
+            ruling = self.ownership_service.decide_ownership(
                 entry, min(visitor.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
             )
-            late = now() > visitor.deadline or sockets.left(visitor.sock)
-            if ruling is None or (ruling.tenure and late):
+            late = now() > visitor.deadline or sockets.is_disconnected(visitor.sock)
+            if ruling is None or (ruling.epoch and late):
                 good = self.token_registry.generation_floor(session)  # as it was
                 self._release_token(
-                    msgspec.structs.replace(entry, floor=good, turn=next(self.confirmation_numbers))
+                    msgspec.structs.replace(
+                        entry, generation_floor=good, sequence=next(self.confirmation_numbers)
+                    )
                 )
                 return RETRY_SOON
-            if not ruling.tenure:  # who has claimed it since may fail: its token may be good still
+            if not ruling.epoch:  # who has claimed it since may fail: its token may be good still
                 return (
-                    RETRY_SOON if ruling.why == "claimed" else control_messages.format_rejection(ruling.why)
+                    RETRY_SOON
+                    if ruling.reason == "claimed"
+                    else control_messages.format_rejection(ruling.reason)
                 )
             self._unconfirmed_openings[session] = SessionOpened(
-                session, tenure, self.ownership_service.by, at, entry.turn
+                session, tenure, self.ownership_service.incarnation, at, entry.sequence
             )
         self.token_registry.redeem(session)
         return b""
@@ -183,7 +198,7 @@
         """UP has gone out to who came back: where there are peers they hear that the token is spent."""
         told = self._unconfirmed_openings.pop(session, None)
         if told is not None and self.ownership_service is not None:
-            self.ownership_service.tell(told)
+            self.ownership_service.propose(told)
 
     def end(self, session: int, why: SessionEnd) -> None:
         """Nobody comes back to it any more."""
@@ -204,10 +219,13 @@
 
         def run() -> None:
             assert self.ownership_service is not None
-            until = self._core.clock.moment(entry.expiry)
+            until = self._core.clock.moment(entry.token_expiry_us)
             while (
                 now() < until
-                and self.ownership_service.rule(entry, min(until, now() + RELEASE_ATTEMPT_TIMEOUT)) is None
+                and self.ownership_service.decide_ownership(
+                    entry, min(until, now() + RELEASE_ATTEMPT_TIMEOUT)
+                )
+                is None
             ):
                 time.sleep(random.uniform(0.05, 0.25))
             with self._lock:
@@ -239,4 +257,4 @@
 
 def token_claims(opening: Opening) -> TokenClaims:
     """What a client must name again when it comes back."""
-    return TokenClaims(opening.cls, opening.group, opening.key)
+    return TokenClaims(opening.class_name, opening.group_key, opening.key)
