--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -1,425 +1,328 @@
-"""Fleets that agree on documents, on the simulated network: who decides under which number, and when.
+"""A simulated cluster that agrees on a document: which node decides under which version, and when.
 
 Each node has a clock of its own that is off by a little, decides now and then for a client, and may be
-stopped and go on with all that has come meanwhile in its buffers: it decides first, and hears then. The
-history says who decided under what, who found what sound, and what became of each change; the promises are
-read from it.
+paused: when it goes on it decides first, and reads what has arrived meanwhile after that. The history
+records the decisions, the validations and the results of changes; `document_invariants` checks it. The same
+seed gives the same history.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
-from operator import attrgetter
 
 import msgspec
 import numpy
 
 from tansyladder.invariants import check_invariant
 from tansyladder.raft.messages import Message, ProposalRequest
-from tansyladder.raft.node import STANDARD_COMPONENTS, RaftComponents
 from tansyladder.raft.node_state import Role
 from tansyladder.replication.document_messages import (
     ChangeOutcome,
-    ChangeResult,
     DocumentCommand,
     LeaseRenewal,
     Proposal,
     ValidationVote,
 )
-from tansyladder.replication.documents import Documents, DocumentsSnapshot
-from tansyladder.replication.lease_coordinator import LeaseCoordinator
-from tansyladder.replication.lease_holder import LeaseHolder
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
-from tansyladder.simulation.raft_cluster import (
-    FaultRates,
-    RecordingStateMachine,
-    SimulatedCluster,
-    SimulatedNode,
+from tansyladder.simulation.document_node import (
+    REPROPOSE_INTERVAL_US,
+    STANDARD_DOCUMENT_COMPONENTS,
+    Decision,
+    DocumentComponents,
+    DocumentHistory,
+    DocumentNode,
+    DocumentStateMachine,
 )
+from tansyladder.simulation.pausable_cluster import PausableCluster
+from tansyladder.simulation.raft_cluster import FaultRates, RecordingStateMachine, SimulatedNode
+
+DOCUMENT = "rules"
+CONTENT_SIZE = 100  # bytes, stated only: the simulation has no contents
+FAULT = "rules.zones: no such zone"
+DECISION_INTERVAL_US = 15 * MILLISECOND_US  # between two clients of a node
+RENEWAL_INTERVAL_US = 1 * SECOND_US
+STEP_INTERVAL_US = 20 * MILLISECOND_US  # between two looks of a node at the pending change
+FETCH_DURATION_RANGE_US = (5 * MILLISECOND_US, 800 * MILLISECOND_US)  # to fetch and to validate a content
+PROPOSAL_INTERVAL_US = 3 * SECOND_US  # between two changes, on the mean
+PAUSE_RANGE_US = (SECOND_US // 5, 12 * SECOND_US)
+LOAD_INTERVAL_US = 500 * MILLISECOND_US  # between two commands that aren't about documents, on the mean
+LIVENESS_TIMEOUT_US = 60 * SECOND_US  # of a change: leases have to end, and rounds may be aborted
+CLOCK_EPOCH_US = 100 * SECOND_US  # what a clock shows at the beginning, but for its error
 
-NAME = "rules"
-DECIDES = 15 * MILLISECOND_US  # between two clients of a node
-AGAIN = 150 * MILLISECOND_US  # after which what was proposed, and is not in the log, is proposed again
-HERE = 1 * SECOND_US  # between two words of a node that it is there
-TICK = 20 * MILLISECOND_US  # between two looks of a leader at the change that is under way
-FETCH = (
-    5 * MILLISECOND_US,
-    800 * MILLISECOND_US,
-)  # until a node has a document's content, and has checked it
-LIVE = (
-    60 * SECOND_US
-)  # after the last fault by when a change must go through: a lease, and arming again in between
 
+@dataclass(frozen=True)
+class DocumentClusterOptions:
+    """The size of a cluster, and its faults."""
+
+    voters: int = 3
+    learners: int = 2
+    faults: FaultRates | None = None
+    components: DocumentComponents = STANDARD_DOCUMENT_COMPONENTS
+    max_clock_error_us: int = 25 * MILLISECOND_US  # either way
+    invalid_rate: float = 0.15  # of the proposals that some node finds a fault in
+    mean_pause_interval_us: int = 4 * SECOND_US  # of all nodes together; 0: never
+
+
+class SimulatedDocumentCluster(PausableCluster):
+    """Nodes that decide for clients under the version in force."""
+
+    def __init__(self, seed: int, options: DocumentClusterOptions) -> None:
+        """Start all nodes and their clients."""
+        self.options = options
+        self.history = DocumentHistory()
+        self.document_nodes: dict[str, DocumentNode] = {}
+        self._stored_numbers: dict[str, set[int]] = defaultdict(set)  # by node: contents on its disk
+        self._clock_errors_us: dict[str, int] = {}
+        super().__init__(seed, options.voters, options.learners, options.faults)
+        self.counts["decisions"] = 0
+        for name in self.names:
+            first_us = int(self._load_rng.integers(DECISION_INTERVAL_US))
+            self.call_at(first_us, partial(self._decide_regularly, name))
 
-class DocumentStateMachine(RecordingStateMachine):
-    """The documents, and what shows any difference of order."""
+    # --- faults and load
 
-    def __init__(self, voters: Sequence[str], make: Callable[[Sequence[str]], Documents]) -> None:
-        super().__init__()
-        self.documents = make(voters)
+    def inject_document_faults(self, seconds: float) -> None:
+        """Inject faults, change the document and serve clients for so long."""
+        end = self.now + int(seconds * SECOND_US)
+        self._schedule_randomly(self.options.mean_pause_interval_us, end, self._pause_random_node)
+        self._schedule_randomly(PROPOSAL_INTERVAL_US, end, self._propose_random_change)
+        self.inject_faults(seconds, LOAD_INTERVAL_US)
 
-    def apply(self, data: bytes) -> bytes:
-        super().apply(data)
-        try:
-            told = msgspec.msgpack.decode(data, type=DocumentCommand)
-        except msgspec.MsgspecError:
-            return b""  # the fleet's other load
-        return msgspec.msgpack.encode(self.documents.apply(told))
+    def converge(self) -> None:
+        """End all faults, start all nodes, and change the document until one change is committed."""
+        self._cut_links.clear()
+        self.faults = FaultRates(0.0, 0.0, mean_crash_interval_us=0, mean_cut_interval_us=0)
+        for name in self.names:
+            if self.nodes[name].raft is None:
+                self.start_node(name)
+        self.run_until(self.now + PAUSE_RANGE_US[1] + SECOND_US)  # the last pause has ended
+        deadline = self.now + 2 * LIVENESS_TIMEOUT_US
+        key = ""
+        while self.now < deadline and not (key and self.is_committed(key)):
+            if not key or key in self.history.results:
+                key = self.propose_change(self.names[0])
+            self.run_until(self.now + SECOND_US)
+        self.run_until(self.now + 3 * SECOND_US)
+        self.history.last_key = key
 
-    def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode((self.commands, self.documents.snapshot()))
+    def is_committed(self, key: str) -> bool:
+        """Whether a change is known to be committed; `key`: its idempotency key."""
+        result = self.history.results.get(key)
+        return result is not None and result.outcome is ChangeOutcome.DONE
 
-    def restore(self, dumped: bytes) -> None:
-        self.commands, kept = msgspec.msgpack.decode(dumped, type=tuple[list[bytes], DocumentsSnapshot])
-        self.documents.restore(kept)
+    def propose_change(self, name: str, is_valid: bool = True) -> str:
+        """Ask a node to change the document; return the idempotency key."""
+        key = f"ask{len(self.history.is_valid)}"
+        self.history.is_valid[key] = is_valid
+        self._propose_change_until(name, key, self.now + LIVENESS_TIMEOUT_US)
+        return key
 
+    def crash(self, name: str, wipe: bool) -> None:
+        """Crash a node; `wipe`: its disk is lost, with the contents on it."""
+        if wipe:
+            self._stored_numbers[name].clear()
+        super().crash(name, wipe)
 
-@dataclass
-class DocumentNode:
-    """What a node has beside its agreement, of this start."""
+    def _pause_random_node(self) -> None:
+        name = self._random_name(self._fault_rng)
+        self.pause(name, int(self._fault_rng.integers(*PAUSE_RANGE_US)))
 
-    follower: LeaseHolder
-    steward: LeaseCoordinator
-    documents: Documents
-    began: int
-    fetched: dict[int, str] = field(default_factory=dict)  # by number: the fault, or none
-    said: dict[str, int] = field(default_factory=dict)  # what was proposed, and when
+    def _propose_random_change(self) -> None:
+        name = self._random_name(self._load_rng)
+        self.propose_change(name, bool(self._load_rng.random() >= self.options.invalid_rate))
 
+    def _random_name(self, rng: numpy.random.Generator) -> str:
+        return self.names[rng.integers(len(self.names))]
 
-@dataclass(frozen=True)
-class Decision:
-    """A client of a node was served; `number`: under which, 0: under none that was ever agreed."""
-
-    at: int
-    node: str
-    number: int
-    stamp: int  # by the node's own clock
-
-
-class SimulatedDocumentCluster(SimulatedCluster):
-    """Nodes that decide for clients under the number that holds."""
-
-    def __init__(
-        self,
-        seed: int,
-        voters: int = 3,
-        learners: int = 2,
-        faults: FaultRates | None = None,
-        components: RaftComponents = STANDARD_COMPONENTS,
-        documents: Callable[[Sequence[str]], Documents] = Documents,
-        follower: Callable[[str, Documents], LeaseHolder] = LeaseHolder,
-        steward: type[LeaseCoordinator] = LeaseCoordinator,
-        skew: int = 25 * MILLISECOND_US,
-        bad: float = 0.15,
-        stops_every: int = 4 * SECOND_US,
-    ) -> None:
-        """`skew`: of a clock, either way; `bad`: documents with a fault that some node finds."""
-        self.seats: dict[str, DocumentNode] = {}
-        self.decided: list[Decision] = []
-        self.turned_away: list[tuple[int, str]] = []
-        self.offered: dict[str, bool] = {}  # by ask: whether every node finds it sound
-        self.found: dict[int, str] = {}  # by number: the ask, as it was first seen
-        self.ends: dict[str, ChangeResult] = {}
-        self.no_to: set[int] = set()  # numbers that some node found a fault in
-        self._documents, self._follower, self._steward = documents, follower, steward
-        self._bad, self._stops_every = bad, stops_every
-        self._stopped: dict[str, list[tuple[str, Message]]] = {}
-        self._contents: dict[str, set[int]] = defaultdict(
-            set
-        )  # by node: numbers whose content is on its disk
-        self.skews: dict[str, int] = {}
-        self.skew = skew
-        super().__init__(seed, voters, learners, faults, components)
-        self.counts |= {"stops": 0, "decisions": 0}
-        for name in self.names:
-            self.call_at(int(self._load_rng.integers(DECIDES)), partial(self._decide, name))
-
-    # --- one node
-
-    def _clock(self, name: str) -> int:
-        if name not in self.skews:
-            self.skews[name] = int(self._network_rng.integers(-self.skew, self.skew + 1))
-        return self.now + self.skews[name] + 100 * SECOND_US
+    def _propose_change_until(self, name: str, key: str, deadline: int) -> None:
+        """Propose a change until its result is known, as the answer to an earlier proposal may be lost."""
+        if key in self.history.results or self.now > deadline:
+            return
+        node = self.nodes[name]
+        if node.raft is not None and not self.is_paused(name):
+            incarnation = self.document_nodes[name].incarnation
+            clock_us = self._clock_us(name)
+            proposal = Proposal(DOCUMENT, key.encode(), CONTENT_SIZE, key, incarnation, clock_us)
+            self._propose_once(node, proposal, f"offer {key}")
+        again = partial(self._propose_change_until, name, key, deadline)
+        self.call_at(self.now + 2 * REPROPOSE_INTERVAL_US, again)
+
+    # --- clocks, starts and steps of nodes
+
+    def _clock_us(self, name: str) -> int:
+        """Return what a node's clock shows."""
+        if name not in self._clock_errors_us:
+            most = self.options.max_clock_error_us
+            self._clock_errors_us[name] = int(self._network_rng.integers(-most, most + 1))
+        return self.now + self._clock_errors_us[name] + CLOCK_EPOCH_US
 
     def _make_state_machine(self) -> RecordingStateMachine:
-        return DocumentStateMachine(self.voters, self._documents)
+        return DocumentStateMachine(self.options.components.documents(self.voters))
 
     def _on_node_started(self, node: SimulatedNode) -> None:
-        start = f"{node.name}/{node.incarnation}"
         assert isinstance(node.state_machine, DocumentStateMachine)
+        incarnation = f"{node.name}/{node.incarnation}"
         documents = node.state_machine.documents
-        seat = DocumentNode(
-            self._follower(start, documents), self._steward(start, documents), documents, self.now
+        components = self.options.components
+        self.document_nodes[node.name] = DocumentNode(
+            components.lease_holder(incarnation, documents),
+            components.coordinator(incarnation, documents),
+            documents,
         )
-        self.seats[node.name] = seat
-        self._tick(node.name, node.incarnation)
-        self._say_here(node.name, node.incarnation)
-
-    def _tick(self, name: str, start: int) -> None:
-        node = self.nodes[name]
-        if node.incarnation != start or node.raft is None:
-            return
-        if name not in self._stopped:
-            self._look(node)
-        self.call_at(self.now + TICK, partial(self._tick, name, start))
+        self._step_regularly(node, node.incarnation)
+        self._renew_regularly(node, node.incarnation)
 
-    def _say_here(self, name: str, start: int) -> None:
-        node = self.nodes[name]
-        if node.incarnation != start or node.raft is None:
-            return
-        if name not in self._stopped:
-            for other in self.names:
-                self._send(name, other, LeaseRenewal(self.seats[name].follower.incarnation))
-        self.call_at(self.now + HERE, partial(self._say_here, name, start))
-
-    def _send(self, name: str, to: str, here: LeaseRenewal) -> None:
-        if to == name:
-            self.seats[name].steward.record_renewal(here.incarnation, self._clock(name))
-        elif self._network_rng.random() >= self.faults.loss_rate:
-            self.call_at(
-                self.now + int(self._network_rng.integers(*self.faults.delay_range_us)),
-                partial(self._heard, name, to, here),
-            )
-
-    def _heard(self, sender: str, to: str, here: LeaseRenewal) -> None:
-        if (
-            (sender, to) not in self._cut_links
-            and to not in self._stopped
-            and self.nodes[to].raft is not None
-        ):
-            self.seats[to].steward.record_renewal(here.incarnation, self._clock(to))
-
-    def _on_message(self, sender: str, to: str, message: Message) -> None:
-        if to in self._stopped:
-            if (sender, to) not in self._cut_links:
-                self._stopped[to].append((sender, message))
-        else:
-            super()._on_message(sender, to, message)
-
-    def _on_timer(self, node: SimulatedNode, wait: int, start: int) -> None:
-        if node.name in self._stopped:
-            self.call_at(self.now + TICK, partial(self._on_timer, node, wait, start))
-        else:
-            super()._on_timer(node, wait, start)
+    def _on_resumed(self, node: SimulatedNode) -> None:
+        self._decide(node.name)
 
     def _step_node(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
-        if node.name in self._stopped:  # the rig's own proposals to it
-            self._stopped[node.name] += received
+        document_node = self.document_nodes.get(node.name)
+        if node.raft is None or document_node is None or self.is_paused(node.name):
+            super()._step_node(node, *received)
             return
-        if node.raft is not None and node.name in self.seats:
-            node.raft.announces_commits_at_once = self.seats[node.name].steward.is_urgent(
-                self._clock(node.name)
-            )
+        is_urgent = document_node.coordinator.is_urgent(self._clock_us(node.name))
+        node.raft.announces_commits_at_once = is_urgent
         super()._step_node(node, *received)
-        if node.raft is not None and node.name in self.seats:
-            self._arm(node)
-
-    def _arm(self, node: SimulatedNode) -> None:
-        """At once after entries: a lease is cut before anything else is said."""
-        told = self.seats[node.name].follower.prepare(self._clock(node.name))
-        if told is not None:
-            self._say(node, told, f"armed {told.number} {told.round}")
-
-    def _say(self, node: SimulatedNode, entry: DocumentCommand, key: str) -> None:
-        """Propose an entry of the node's own; once more where it is not in the log after a while."""
-        seat = self.seats[node.name]
-        if self.now - seat.said.get(key, -AGAIN) >= AGAIN:
-            seat.said[key] = self.now
-            request = f"{seat.follower.incarnation}:{key}:{self.now}"
-            data = msgspec.msgpack.encode(entry)
-            self.call_at(self.now, partial(self._propose_entry, node, node.incarnation, request, data))
-
-    def _propose_entry(self, node: SimulatedNode, start: int, request: str, data: bytes) -> None:
-        if node.incarnation == start:
-            self._step_node(node, (node.name, ProposalRequest(request, data)))
-
-    def _look(self, node: SimulatedNode) -> None:
-        core, seat, clock = node.raft, self.seats[node.name], self._clock(node.name)
-        assert core is not None
-        change = seat.follower.change_to_validate()
-        if change is not None:
-            self.found.setdefault(change.number, change.idempotency_key)
-            if change.number not in seat.fetched:
-                seat.fetched[change.number] = "?"
-                after = self.now + int(self._network_rng.integers(*FETCH))
-                self.call_at(
-                    after,
-                    partial(self._fetched, node, node.incarnation, change.number, change.idempotency_key),
-                )
-            elif seat.fetched[change.number] != "?":
-                verdict = ValidationVote(
-                    change.number, seat.follower.incarnation, clock, seat.fetched[change.number]
-                )
-                self._say(node, verdict, f"verdict {change.number}")
-        for version in seat.documents.versions(NAME)[-1:]:  # one that it was not there for
-            if version.number not in self._contents[node.name] and version.number not in seat.fetched:
-                seat.fetched[version.number] = "?"
-                after = self.now + int(self._network_rng.integers(*FETCH))
-                self.call_at(after, partial(self._brought, node, node.incarnation, version.number))
-        self._arm(node)
-        for ask, ruled in seat.documents.results.items():
-            first = self.ends.setdefault(ask, ruled)
-            check_invariant(first == ruled, "two_ends_of_a_change")
-        if core.role is Role.LEADER:
-            for entry in seat.steward.next_commands(clock):
-                self._say(node, entry, type(entry).__name__)
-        else:
-            seat.steward.reset()
+        self._prepare(node)
 
-    def _fetched(self, node: SimulatedNode, start: int, number: int, ask: str) -> None:
-        if node.incarnation == start and node.raft is not None:
-            sound = self.offered[ask] or node.name != self.names[hash_of(ask) % len(self.names)]
-            self.seats[node.name].fetched[number] = "" if sound else "rules.zones: no such zone"
-            self._contents[node.name].add(number)
-            if not sound:
-                self.no_to.add(number)
-
-    def _brought(self, node: SimulatedNode, start: int, number: int) -> None:
-        if node.incarnation == start:
-            self._contents[node.name].add(number)
-
-    def _decide(self, name: str) -> None:
-        node = self.nodes[name]
-        if node.raft is not None and name not in self._stopped:
-            self._serve(name)
-        self.call_at(self.now + DECIDES, partial(self._decide, name))
-
-    def _serve(self, name: str) -> None:
-        seat, clock = self.seats[name], self._clock(name)
-        self.counts["decisions"] += 1
-        version = seat.documents.version_at(NAME, clock)
-        if seat.follower.has_lease(clock) and (version is None or version.number in self._contents[name]):
-            self.decided.append(Decision(self.now, name, version.number if version else 0, clock))
+    def _step_regularly(self, node: SimulatedNode, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.raft is None:
+            return
+        if not self.is_paused(node.name):
+            self._follow_log(node)
+        self.call_at(self.now + STEP_INTERVAL_US, partial(self._step_regularly, node, incarnation))
+
+    def _follow_log(self, node: SimulatedNode) -> None:
+        """Do what `DocumentReplica.step` does at a real node."""
+        assert node.raft is not None
+        document_node = self.document_nodes[node.name]
+        clock_us = self._clock_us(node.name)
+        self._validate_change(node, clock_us)
+        self._fetch_newest(node)
+        self._prepare(node)
+        for key, result in document_node.documents.results.items():
+            first = self.history.results.setdefault(key, result)
+            check_invariant(first == result, "two_ends_of_a_change")
+        if node.raft.role is Role.LEADER:
+            for command in document_node.coordinator.next_commands(clock_us):
+                self._propose_once(node, command, type(command).__name__)
         else:
-            self.turned_away.append((self.now, name))
+            document_node.coordinator.reset()
+
+    def _prepare(self, node: SimulatedNode) -> None:
+        """Shorten the lease where the log asks for it, at once after each step."""
+        prepared = self.document_nodes[node.name].lease_holder.prepare(self._clock_us(node.name))
+        if prepared is not None:
+            self._propose_once(node, prepared, f"armed {prepared.number} {prepared.round}")
+
+    def _propose_once(self, node: SimulatedNode, command: DocumentCommand, key: str) -> None:
+        """Propose a command of a node, unless it did so a moment ago."""
+        document_node = self.document_nodes[node.name]
+        if document_node.may_propose(key, self.now):
+            request_id = f"{document_node.incarnation}:{key}:{self.now}"
+            request = ProposalRequest(request_id, msgspec.msgpack.encode(command))
+            self.call_at(self.now, partial(self._propose_request, node, node.incarnation, request))
+
+    def _propose_request(self, node: SimulatedNode, incarnation: int, request: ProposalRequest) -> None:
+        if node.incarnation == incarnation:
+            self._step_node(node, (node.name, request))
+
+    # --- lease renewals
+
+    def _renew_regularly(self, node: SimulatedNode, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.raft is None:
+            return
+        if not self.is_paused(node.name):
+            renewal = LeaseRenewal(self.document_nodes[node.name].incarnation)
+            for name in self.names:
+                self._send_renewal(node.name, name, renewal)
+        self.call_at(self.now + RENEWAL_INTERVAL_US, partial(self._renew_regularly, node, incarnation))
+
+    def _send_renewal(self, sender: str, to: str, renewal: LeaseRenewal) -> None:
+        if to == sender:
+            self.document_nodes[to].coordinator.record_renewal(renewal.incarnation, self._clock_us(to))
+        elif self._network_rng.random() >= self.faults.loss_rate:
+            delay_us = int(self._network_rng.integers(*self.faults.delay_range_us))
+            self.call_at(self.now + delay_us, partial(self._receive_renewal, sender, to, renewal))
 
-    # --- what happens to them
+    def _receive_renewal(self, sender: str, to: str, renewal: LeaseRenewal) -> None:
+        is_up = self.nodes[to].raft is not None and not self.is_paused(to)
+        if is_up and (sender, to) not in self._cut_links:
+            self.document_nodes[to].coordinator.record_renewal(renewal.incarnation, self._clock_us(to))
 
-    def offer(self, name: str, sound: bool = True) -> str:
-        """Somebody asks a node for a change; the ask, to look for in `ends`."""
-        ask = f"ask{len(self.offered)}"
-        self.offered[ask] = sound
-        self._ask(name, ask, self.now + LIVE)
-        return ask
+    # --- contents and decisions
 
-    def _ask(self, name: str, ask: str, until: int) -> None:
-        """Again until it is heard that it is over: an answer that was lost may have been a yes."""
-        if ask in self.ends or self.now > until:
+    def _validate_change(self, node: SimulatedNode, clock_us: int) -> None:
+        """Fetch and validate the pending change's content, then vote."""
+        document_node = self.document_nodes[node.name]
+        change = document_node.lease_holder.change_to_validate()
+        if change is None:
             return
-        node = self.nodes[name]
-        if node.raft is not None and name not in self._stopped:
-            offer = Proposal(
-                NAME, ask.encode(), 100, ask, self.seats[name].follower.incarnation, self._clock(name)
-            )
-            self._say(node, offer, f"offer {ask}")
-        self.call_at(self.now + 2 * AGAIN, partial(self._ask, name, ask, until))
-
-    def stop(self, name: str, length: int) -> None:
-        """It stands still, and then goes on with all that has come in its buffers: clients first."""
-        if name not in self._stopped and self.nodes[name].raft is not None:
-            self.counts["stops"] += 1
-            self._stopped[name] = []
-            self.call_at(self.now + length, partial(self._go_on, name, self.nodes[name].incarnation))
-
-    def _go_on(self, name: str, start: int) -> None:
-        came, node = self._stopped.pop(name, []), self.nodes[name]
-        if node.raft is None or node.incarnation != start:
+        self.history.key_by_number.setdefault(change.number, change.idempotency_key)
+        if change.number not in document_node.faults_by_number:
+            self._fetch(node, change.number, change.idempotency_key)
             return
-        self._serve(name)
-        for one in came:
-            self._step_node(node, one)
-
-    def crash(self, name: str, wipe: bool) -> None:
-        self._stopped.pop(name, None)
-        if wipe:
-            self._contents[name].clear()
-        super().crash(name, wipe)
-
-    def trouble(self, seconds: float) -> None:
-        """Faults, changes and clients for so long."""
-        end = self.now + int(seconds * SECOND_US)
-
-        def one(draw: numpy.random.Generator) -> str:
-            return self.names[draw.integers(len(self.names))]
+        fault = document_node.faults_by_number[change.number]
+        if fault is not None:
+            vote = ValidationVote(change.number, document_node.incarnation, clock_us, fault)
+            self._propose_once(node, vote, f"verdict {change.number}")
+
+    def _fetch_newest(self, node: SimulatedNode) -> None:
+        """Fetch the newest version's content where the node had no part in its change."""
+        document_node = self.document_nodes[node.name]
+        for version in document_node.documents.versions(DOCUMENT)[-1:]:
+            is_stored = version.number in self._stored_numbers[node.name]
+            if not is_stored and version.number not in document_node.faults_by_number:
+                self._fetch(node, version.number, None)
+
+    def _fetch(self, node: SimulatedNode, number: int, key: str | None) -> None:
+        """Have a content come in a while; `key`: of the change, if it is to be validated."""
+        self.document_nodes[node.name].faults_by_number[number] = None
+        arrival = self.now + int(self._network_rng.integers(*FETCH_DURATION_RANGE_US))
+        self.call_at(arrival, partial(self._on_fetched, node, node.incarnation, number, key))
+
+    def _on_fetched(self, node: SimulatedNode, incarnation: int, number: int, key: str | None) -> None:
+        if node.incarnation != incarnation:
+            return
+        if key is not None:
+            if node.raft is None:
+                return
+            is_valid = self.history.is_valid[key] or node.name != self._rejecting_node(key)
+            self.document_nodes[node.name].faults_by_number[number] = "" if is_valid else FAULT
+            if not is_valid:
+                self.history.rejected_numbers.add(number)
+        self._stored_numbers[node.name].add(number)
+
+    def _rejecting_node(self, key: str) -> str:
+        """Return the one node that finds a fault in an invalid content; the same at each run."""
+        return self.names[sum(key.encode()) % len(self.names)]
+
+    def _decide_regularly(self, name: str) -> None:
+        if self.nodes[name].raft is not None and not self.is_paused(name):
+            self._decide(name)
+        self.call_at(self.now + DECISION_INTERVAL_US, partial(self._decide_regularly, name))
 
-        def length() -> int:
-            return int(self._fault_rng.integers(SECOND_US // 5, 12 * SECOND_US))
+    def _decide(self, name: str) -> None:
+        """Serve a client, or reject it where the node may make no decisions."""
+        document_node = self.document_nodes[name]
+        clock_us = self._clock_us(name)
+        self.counts["decisions"] += 1
+        version = document_node.documents.version_at(DOCUMENT, clock_us)
+        has_content = version is None or version.number in self._stored_numbers[name]
+        if document_node.lease_holder.has_lease(clock_us) and has_content:
+            number = version.number if version else 0
+            self.history.decisions.append(Decision(self.now, name, number, clock_us))
+        else:
+            self.history.rejected_clients.append((self.now, name))
 
-        if self._stops_every:
-            self._schedule_randomly(self._stops_every, end, lambda: self.stop(one(self._fault_rng), length()))
-        self._schedule_randomly(
-            3 * SECOND_US,
-            end,
-            lambda: self.offer(one(self._load_rng), bool(self._load_rng.random() >= self._bad)),
-        )
-        self.inject_faults(seconds, 500 * MILLISECOND_US)
 
-    def settle(self) -> None:
-        """Faults over, all up: a change goes through everywhere in time."""
-        self._cut_links.clear()
-        self.faults = FaultRates(0.0, 0.0, mean_crash_interval_us=0, mean_cut_interval_us=0)
-        for name in self.names:
-            if self.nodes[name].raft is None:
-                self.start_node(name)
-        self.run_until(self.now + 13 * SECOND_US)  # the last of the stops has ended
-        self.quiet_from = self.now
-        until = self.now + 2 * LIVE
-        last = ""
-        while self.now < until and not (
-            last and self.ends.get(last, ChangeResult(ChangeOutcome.UNKNOWN)).outcome == ChangeOutcome.DONE
-        ):
-            if not last or last in self.ends:
-                last = self.offer(self.names[0])
-            self.run_until(self.now + SECOND_US)
-        self.run_until(self.now + 3 * SECOND_US)
-        self.last = last
-
-
-def hash_of(text: str) -> int:
-    """The same at each run."""
-    return sum(text.encode())
-
-
-def found(fleet: SimulatedDocumentCluster) -> list[str]:
-    """The promises, each read from the history of a fleet that has settled."""
-    out: list[str] = []
-    for order in ("stamp", "at"):  # by their own clocks; and in truth, but for what these differ by
-        newest, first = 0, 0
-        room = 2 * fleet.skew if order == "at" else 0
-        for decision in sorted(fleet.decided, key=attrgetter(order)):
-            if decision.number > newest:
-                newest, first = decision.number, getattr(decision, order)
-            elif decision.number < newest and getattr(decision, order) > first + room:
-                out.append(f"{decision.at}: {decision.node} decides under {decision.number} after {newest}")
-                break
-    used = {decision.number for decision in fleet.decided}
-    asks = {number: fleet.ends.get(ask) for number, ask in fleet.found.items()}
-    for number in sorted(used - {0}):
-        ended = asks.get(number)
-        if ended is None or ended.outcome != ChangeOutcome.DONE:
-            out.append(f"number {number} is decided under and ended {ended}")
-    out += [f"number {number} holds after a no" for number in sorted(used & fleet.no_to)]
-    if fleet.ends.get(fleet.last, ChangeResult(ChangeOutcome.UNKNOWN)).outcome != ChangeOutcome.DONE:
-        out.append(f"no change goes through: {fleet.last} {fleet.ends.get(fleet.last)}")
-    else:
-        now_under = {name: 0 for name in fleet.names}
-        for decision in fleet.decided:
-            if decision.at > fleet.now - SECOND_US:
-                now_under[decision.node] = decision.number
-        if len(set(now_under.values())) > 1:
-            out.append(f"at the end nodes follow {now_under}")
-        late = [at for at, _ in fleet.turned_away if at > fleet.now - 2 * SECOND_US]
-        if late:
-            out.append(f"{len(late)} clients turned away with nothing wrong")
-    return out
-
-
-def play(seed: int, seconds: float = 40.0, **how: object) -> SimulatedDocumentCluster:
-    """One history to its end."""
-    fleet = SimulatedDocumentCluster(seed, **how)  # type: ignore[arg-type]
-    fleet.trouble(seconds)
-    fleet.settle()
-    return fleet
+def simulate_documents(
+    seed: int, seconds: float = 40.0, options: DocumentClusterOptions | None = None
+) -> SimulatedDocumentCluster:
+    """Play one history to its end, with faults for so long."""
+    cluster = SimulatedDocumentCluster(seed, options or DocumentClusterOptions())
+    cluster.inject_document_faults(seconds)
+    cluster.converge()
+    return cluster
--- /dev/null
+++ b/tansyladder/simulation/document_invariants.py
@@ -0,0 +1,78 @@
+"""The invariants of agreed documents, checked on the history of a simulated cluster that has converged."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from tansyladder.replication.document_messages import ChangeOutcome
+from tansyladder.replication.units import SECOND_US
+from tansyladder.simulation.document_cluster import SimulatedDocumentCluster
+from tansyladder.simulation.document_node import Decision
+
+
+def document_violations(cluster: SimulatedDocumentCluster) -> list[str]:
+    """Return what the history shows of broken invariants; each text names the moment or the number."""
+    clock_error_us = 2 * cluster.options.max_clock_error_us
+    return [
+        *_order_violations(cluster.history.decisions, lambda decision: decision.stamp_us, 0),
+        *_order_violations(cluster.history.decisions, lambda decision: decision.at_us, clock_error_us),
+        *_uncommitted_numbers(cluster),
+        *_rejected_numbers(cluster),
+        *_liveness_violations(cluster),
+    ]
+
+
+def _order_violations(
+    decisions: list[Decision], time_of: Callable[[Decision], int], tolerance_us: int
+) -> list[str]:
+    """No decision is made under a version after one under a later version: the first that is."""
+    newest = 0
+    first_at_us = 0  # of the newest version's decisions
+    for decision in sorted(decisions, key=time_of):
+        if decision.number > newest:
+            newest = decision.number
+            first_at_us = time_of(decision)
+        elif decision.number < newest and time_of(decision) > first_at_us + tolerance_us:
+            text = f"{decision.at_us}: {decision.node} decides under {decision.number} after {newest}"
+            return [text]
+    return []
+
+
+def _used_numbers(cluster: SimulatedDocumentCluster) -> set[int]:
+    return {decision.number for decision in cluster.history.decisions} - {0}
+
+
+def _uncommitted_numbers(cluster: SimulatedDocumentCluster) -> list[str]:
+    """Decisions are made only under versions whose change was committed."""
+    history = cluster.history
+    violations: list[str] = []
+    for number in sorted(_used_numbers(cluster)):
+        key = history.key_by_number.get(number)
+        result = history.results.get(key) if key is not None else None
+        if result is None or result.outcome is not ChangeOutcome.DONE:
+            violations.append(f"number {number} is decided under and ended {result}")
+    return violations
+
+
+def _rejected_numbers(cluster: SimulatedDocumentCluster) -> list[str]:
+    """A change that one node has rejected is never in force."""
+    used = _used_numbers(cluster) & cluster.history.rejected_numbers
+    return [f"number {number} is in force after a rejection" for number in sorted(used)]
+
+
+def _liveness_violations(cluster: SimulatedDocumentCluster) -> list[str]:
+    """Without faults a change is committed, all nodes follow it, and no client is rejected."""
+    history = cluster.history
+    if not cluster.is_committed(history.last_key):
+        return [f"no change is committed: {history.last_key} {history.results.get(history.last_key)}"]
+    violations: list[str] = []
+    followed = dict.fromkeys(cluster.names, 0)
+    for decision in history.decisions:
+        if decision.at_us > cluster.now - SECOND_US:
+            followed[decision.node] = decision.number
+    if len(set(followed.values())) > 1:
+        violations.append(f"at the end nodes follow {followed}")
+    late = [at_us for at_us, _ in history.rejected_clients if at_us > cluster.now - 2 * SECOND_US]
+    if late:
+        violations.append(f"{len(late)} clients are rejected without a fault")
+    return violations
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -5,7 +5,6 @@
 import asyncio
 import hashlib
 from collections.abc import Sequence
-from functools import cache
 from pathlib import Path
 from random import Random
 
@@ -35,66 +34,8 @@
 from tansyladder.replication.replicated_state import ReplicatedState
 from tansyladder.replication.session_ownership import ClaimResult, OwnershipClaim, SessionOwnership
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
-from tansyladder.simulation.document_cluster import found, play
-from tansyladder.simulation.raft_cluster import FaultRates
 from tansyladder.store import open_store
 from tansyladder.store.files import RealFiles
-from tests.simulation.without_guards import DOCUMENT_GUARDS
-
-HARD = FaultRates(
-    loss_rate=0.1,
-    delay_range_us=(1 * MILLISECOND_US, 300 * MILLISECOND_US),
-    mean_crash_interval_us=4 * SECOND_US,
-    downtime_range_us=(100 * MILLISECOND_US, 6 * SECOND_US),
-    disk_loss_rate=0.2,
-    mean_cut_interval_us=3 * SECOND_US,
-    cut_duration_range_us=(200 * MILLISECOND_US, 20 * SECOND_US),
-)
-CALM = FaultRates(
-    loss_rate=0.0,
-    duplication_rate=0.0,
-    delay_range_us=(1 * MILLISECOND_US, 5 * MILLISECOND_US),
-    mean_crash_interval_us=0,
-    mean_cut_interval_us=0,
-)
-
-
-@pytest.mark.parametrize(("voters", "learners"), [(1, 1), (3, 2), (5, 0)])
-def test_a_document_holds_everywhere_or_nowhere_through_crashes_stops_and_cuts(
-    voters: int, learners: int
-) -> None:
-    fleets = [play(seed, 20.0, voters=voters, learners=learners, faults=HARD) for seed in range(2)]
-    assert [found(fleet) for fleet in fleets] == [[]] * 2
-    words = [ruled.outcome for fleet in fleets for ruled in fleet.ends.values()]
-    assert (
-        words.count(ChangeOutcome.DONE) >= 4
-        and sum(f.counts["crashes"] + f.counts["stops"] for f in fleets) > 5
-    )
-
-
-def test_where_nothing_fails_nobody_is_turned_away_for_a_change() -> None:
-    fleet = play(1, 20.0, voters=5, learners=0, faults=CALM, bad=0.3, stops_every=0)
-    assert not found(fleet) and ChangeOutcome.REJECTED in {ruled.outcome for ruled in fleet.ends.values()}
-    assert [at for at, _ in fleet.turned_away if at > 4 * SECOND_US] == []
-
-
-def test_the_same_seed_gives_the_same_history() -> None:
-    one, same, other = (play(seed, 8.0, faults=HARD) for seed in (4, 4, 5))
-    assert (one.decided, one.ends, one.committed_entries) == (same.decided, same.ends, same.committed_entries)
-    assert one.decided != other.decided
-
-
-@cache
-def sound(seed: int) -> bool:
-    return not found(play(seed, 25.0, faults=HARD))
-
-
-@pytest.mark.parametrize("guard", [name for name, (_, seed, _) in sorted(DOCUMENT_GUARDS.items()) if seed])
-def test_a_guard_taken_out_is_found(guard: str) -> None:
-    how, seed, kind = DOCUMENT_GUARDS[guard]
-    assert sound(seed)
-    assert any(kind in case for case in found(play(seed, 25.0, faults=HARD, **how)))
-
 
 # --- the state, command by command
 
