--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -13,7 +13,6 @@
 from functools import partial
 
 import msgspec
-import numpy
 
 from tansyladder.invariants import check_invariant
 from tansyladder.raft.messages import Message, ProposalRequest
@@ -35,8 +34,9 @@
     DocumentNode,
     DocumentStateMachine,
 )
+from tansyladder.simulation.fault_rates import NO_FAULTS, FaultRates
 from tansyladder.simulation.pausable_cluster import PausableCluster
-from tansyladder.simulation.raft_cluster import FaultRates, RecordingStateMachine, SimulatedNode
+from tansyladder.simulation.raft_cluster import RecordingStateMachine, SimulatedNode
 
 DOCUMENT = "rules"
 CONTENT_SIZE = 100  # bytes, stated only: the simulation has no contents
@@ -86,14 +86,14 @@
     def inject_document_faults(self, seconds: float) -> None:
         """Inject faults, change the document and serve clients for so long."""
         end = self.now + int(seconds * SECOND_US)
-        self._schedule_randomly(self.options.mean_pause_interval_us, end, self._pause_random_node)
-        self._schedule_randomly(PROPOSAL_INTERVAL_US, end, self._propose_random_change)
+        self._call_randomly(self.options.mean_pause_interval_us, end, self._pause_random_node)
+        self._call_randomly(PROPOSAL_INTERVAL_US, end, self._propose_random_change)
         self.inject_faults(seconds, LOAD_INTERVAL_US)
 
     def converge(self) -> None:
         """End all faults, start all nodes, and change the document until one change is committed."""
         self._cut_links.clear()
-        self.faults = FaultRates(0.0, 0.0, mean_crash_interval_us=0, mean_cut_interval_us=0)
+        self.faults = NO_FAULTS
         for name in self.names:
             if self.nodes[name].raft is None:
                 self.start_node(name)
@@ -133,9 +133,6 @@
         name = self._random_name(self._load_rng)
         self.propose_change(name, bool(self._load_rng.random() >= self.options.invalid_rate))
 
-    def _random_name(self, rng: numpy.random.Generator) -> str:
-        return self.names[rng.integers(len(self.names))]
-
     def _propose_change_until(self, name: str, key: str, deadline: int) -> None:
         """Propose a change until its result is known, as the answer to an earlier proposal may be lost."""
         if key in self.history.results or self.now > deadline:
--- a/tansyladder/simulation/pausable_cluster.py
+++ b/tansyladder/simulation/pausable_cluster.py
@@ -5,7 +5,8 @@
 from functools import partial
 
 from tansyladder.raft.messages import Message
-from tansyladder.simulation.raft_cluster import FaultRates, SimulatedCluster, SimulatedNode
+from tansyladder.simulation.fault_rates import FaultRates
+from tansyladder.simulation.raft_cluster import SimulatedCluster, SimulatedNode
 
 PAUSED_TIMER_INTERVAL_US = 20_000  # between two looks whether a node that a timer woke still pauses
 
