--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -12,15 +12,16 @@
 
 from tansyladder.config.operator_settings import KeyEntry
 from tansyladder.policy.events import AttemptEnded, AttemptStatus, RequestReceived
-from tests.node.harness import Peer, running_node, unique_id
+from tests.node.harness import Peer, unique_id
 from tests.sessions.harness import (
-    LONG_WAIT_SETTINGS,
     OFFER_FIELDS,
     RESUMPTION_OPTIONS,
     ScriptedHost,
     SessionClient,
     break_connection,
     echo_lines,
+    read_to_end,
+    resuming_node,
     start_session,
 )
 
@@ -29,7 +30,7 @@
     """Frames that it had not got, and lines of its own, come once each; its old token is spent."""
     sent = threading.Event()
 
-    def host(peer: Peer, names: dict[str, str]) -> None:
+    def host(peer: Peer, _names: dict[str, str]) -> None:
         start_session(peer, "F 1")
         assert peer.read_line() == "M 1"
         peer.send_lines("F 2", "F 3")
@@ -38,9 +39,7 @@
         peer.send_lines("F 4")
         peer.read_line()
 
-    with running_node(
-        tmp_path, ScriptedHost(host).listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(host)) as n:
         client = SessionClient(n)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("M 1")
@@ -61,18 +60,8 @@
 def test_invalid_tokens_are_rejected_at_once(tmp_path: Path) -> None:
     """Each with its word, and the session that stands goes on."""
     with (
-        running_node(
-            tmp_path,
-            ScriptedHost(echo_lines).listener,
-            resume=RESUMPTION_OPTIONS,
-            settings=LONG_WAIT_SETTINGS,
-        ) as n,
-        running_node(
-            tmp_path,
-            ScriptedHost(echo_lines).listener,
-            resume=RESUMPTION_OPTIONS,
-            settings=LONG_WAIT_SETTINGS,
-        ) as elsewhere,
+        resuming_node(tmp_path, ScriptedHost(echo_lines)) as n,
+        resuming_node(tmp_path, ScriptedHost(echo_lines)) as elsewhere,
     ):
         client, other = SessionClient(n), SessionClient(elsewhere)
         client.open_session()
@@ -103,25 +92,20 @@
 
 
 def test_a_half_open_connection_is_reset_before_the_new_one_gets_a_line(tmp_path: Path) -> None:
-    with running_node(
-        tmp_path, ScriptedHost(echo_lines).listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as n:
         client = SessionClient(n)
         client.open_session()
         old = client.peer
         client.peer = client.reconnect()
         assert [client.read_line(), client.read_line()] == ["UP r1", "RS AT 1"]
         with pytest.raises(ConnectionResetError):
-            while old.read_line():
-                pass
+            read_to_end(old)
         client.send_lines("M 2")
         assert client.read_line() == "F 2 M 2"
 
 
 def test_of_concurrent_resumes_with_one_token_one_succeeds(tmp_path: Path) -> None:
-    with running_node(
-        tmp_path, ScriptedHost(echo_lines).listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as n:
         client = SessionClient(n)
         client.open_session()
         gate, answers = threading.Barrier(4), list[tuple[str, Peer]]()
@@ -141,7 +125,8 @@
             for thread in threads:
                 thread.join(10)
             words = sorted(word for word, _ in answers)
-            assert words[-1] == "UP r1" and set(words[:-1]) <= {"ERR resume claimed", "ERR resume spent"}
+            assert words[-1] == "UP r1"
+            assert set(words[:-1]) <= {"ERR resume claimed", "ERR resume spent"}
             client.peer = next(peer for word, peer in answers if word == "UP r1")
             assert client.read_line() == "RS AT 1"
             while client.token == token:
@@ -168,9 +153,7 @@
         peer.read_line()
 
     hosts = [ScriptedHost(host), ScriptedHost(host)]
-    with running_node(
-        tmp_path, *(h.listener for h in hosts), resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, *hosts) as n:
         client = SessionClient(n)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("M 1")
@@ -179,7 +162,8 @@
         dead.set()
         n.runner.wait_for(AttemptEnded)
         full = client.reconnect("c=chat,d=700,g=5c,rp=2")
-        assert re.fullmatch("BUSY [0-9]+", full.read_line()) and full.read_line() == ""
+        assert re.fullmatch("BUSY [0-9]+", full.read_line())
+        assert full.read_line() == ""
         room.set()
         for _ in range(30):  # the hosts are marked for a while
             client.peer = client.reconnect()
@@ -191,9 +175,7 @@
 def test_keys_rotate_while_sessions_are_connected(tmp_path: Path) -> None:
     old, new = KeyEntry(1, "ab" * 32), KeyEntry(2, "cd" * 32)
     resume = msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(old,))
-    with running_node(
-        tmp_path, ScriptedHost(echo_lines).listener, resume=resume, settings=LONG_WAIT_SETTINGS
-    ) as n:
+    with resuming_node(tmp_path, ScriptedHost(echo_lines), resume=resume) as n:
         assert n.runner.session_service is not None
         client = SessionClient(n)
         client.open_session()
@@ -214,11 +196,12 @@
     short = msgspec.structs.replace(RESUMPTION_OPTIONS)
     msgspec.structs.force_setattr(short, "expires", timedelta(milliseconds=200))
     host = ScriptedHost(echo_lines)
-    with running_node(tmp_path, host.listener, resume=short, settings=LONG_WAIT_SETTINGS) as n:
+    with resuming_node(tmp_path, host, resume=short) as n:
         client = SessionClient(n)
         client.open_session()
         first = client.token
-        assert client.peer.read_line().startswith("RS TOKEN") and client.peer.read_line().split()[2] != first
+        assert client.peer.read_line().startswith("RS TOKEN")
+        assert client.peer.read_line().split()[2] != first
         break_connection(client.peer)
         assert host.ended.acquire(timeout=5)
         assert client.reconnect().read_line() == "ERR resume expired"
@@ -228,7 +211,7 @@
 def test_suspended_sessions_beyond_the_limit_end(tmp_path: Path) -> None:
     host = ScriptedHost(echo_lines)
     few = msgspec.structs.replace(RESUMPTION_OPTIONS, parked=1)
-    with running_node(tmp_path, host.listener, resume=few, settings=LONG_WAIT_SETTINGS) as n:
+    with resuming_node(tmp_path, host, resume=few) as n:
         first, second = SessionClient(n), SessionClient(n, key="80")
         for client in (first, second):
             client.open_session()
