--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -99,7 +99,7 @@
 @store.command()
 @FOLDER
 def compact(folder: Path) -> None:
-    """Do all the upkeep that is due; the node must not run."""
+    """Do all the maintenance that is due; the node must not run."""
     with _reporting_errors(), _open_folder(folder) as current:
         bytes_before = current.stats.bytes
         while current.maintain(COMPACTION_BUDGET_BYTES):
--- a/tansyladder/store/commit_queue.py
+++ b/tansyladder/store/commit_queue.py
@@ -47,7 +47,12 @@
         return len(self._waiting)
 
     def submit(self, batch: PendingBatch) -> None:
-        """Return once the batch is written, by this thread or by another. StoreError: it is not."""
+        """Return once the batch is written, by this thread or by another.
+
+        Raises:
+            StoreError: it is not written, or that isn't known.
+            Exception: any other error of the commit, where this thread is the leader; the store is broken.
+        """
         with self._lock:
             self._lifecycle.check_open()
             self._waiting.append(batch)
@@ -83,6 +88,10 @@
             self._commit(group)
         except StoreError as err:
             error = err
+        except BaseException as err:
+            # It isn't known how far the commit came: nobody may write behind it, or wait for it.
+            self._finish(group, self._lifecycle.fail(f"commit: {err!r}"))
+            raise
         self._finish(group, error)
 
     def _take_group(self) -> list[PendingBatch]:
--- a/tests/store/test_writing.py
+++ b/tests/store/test_writing.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
+from tansyladder.lab.fault_injecting_files import FaultInjectingFile, FaultInjectingFiles, Inode
 from tansyladder.store import Durability, Store, StoreError, WriteOperation, errors
 from tansyladder.store.frames import MAX_KEY_BYTES, MAX_RECORDS_PER_FRAME, MAX_VALUE_BYTES
 from tests.store.harness import open_in_memory
@@ -110,6 +110,57 @@
     assert dict(recovered.items()) == {}
 
 
+class UnreadableOnceFiles(FaultInjectingFiles):
+    """Files whose next read fails once `is_unreadable` is set."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.is_unreadable = False
+
+    def create(self, name: str) -> UnreadableOnceFile:
+        """A new, empty file. OSError."""
+        super().create(name)
+        return UnreadableOnceFile(self, self.visible[name])
+
+
+class UnreadableOnceFile(FaultInjectingFile):
+    """An open file of `UnreadableOnceFiles`."""
+
+    def __init__(self, files: UnreadableOnceFiles, inode: Inode) -> None:
+        super().__init__(files, inode)
+        self._unreadable_files = files
+
+    def read_at(self, offset: int, size: int) -> bytes:
+        """As of any file, or OSError where it is to fail."""
+        if self._unreadable_files.is_unreadable:
+            self._unreadable_files.is_unreadable = False
+            raise OSError(errno.EIO, "made to fail: read")
+        return super().read_at(offset, size)
+
+
+def test_a_commit_that_fails_unexpectedly_breaks_the_store_and_no_writer_waits_for_it() -> None:
+    """The leader compares the keys of one hash, and can't read the older one."""
+    files = UnreadableOnceFiles()
+    _, store = open_in_memory(files)
+    store.put(b"k", b"old")
+    files.is_unreadable = True
+    with pytest.raises(OSError, match="made to fail: read"):
+        store.put(b"k", b"new")
+    refused = list[StoreError]()
+
+    def write_later() -> None:
+        try:
+            store.put(b"other", b"x")
+        except StoreError as err:
+            refused.append(err)
+
+    writer = threading.Thread(target=write_later, daemon=True)
+    writer.start()
+    writer.join(MAX_WAIT_S)
+    assert [type(error) for error in refused] == [errors.StoreBrokenError]
+    assert store.get(b"k") == b"old"
+
+
 class UncertainManifestFiles(FaultInjectingFiles):
     """Files whose second sync of the directory fails for want of room: the first is for a segment's name."""
 
