--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads the platform's configuration, checks it and gives it defaults.
 
 `GW_CONFIG` names a JSON file; `GW_NAME`, `GW_LISTEN`, `GW_OPERATOR` and `GW_DISCOVERY` go before it.
 """
@@ -6,68 +6,32 @@
 from __future__ import annotations
 
 import ipaddress
-import re
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from datetime import timedelta
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
+from tansyladder.config.errors import ConfigError
+from tansyladder.config.json_paths import flatten
 from tansyladder.config.policy_settings import build_settings
+from tansyladder.config.rates import connections_per_unit, discovery_call_interval, health_check_interval
 from tansyladder.policy.settings import Settings
 
-# Members may tell in lines `LOAD X` how late their messages are; some never do, though the settings promise
-# it, and echo at once even while they are far behind, so timing the lines shows nothing. Probes show it, but
-# each takes work at its member, which hears them from all nodes: forty nodes that each asked once a second
-# kept members so busy that they looked slow, were marked and lost their connections. So the pace is the
-# fleet's, and the module asks only who has sent no note.
-HEALTH_CHECK_INTERVAL = timedelta(seconds=1)  # of a node for each member, where there are few nodes
-ENDPOINT_HEALTH_CHECK_INTERVAL = timedelta(
-    milliseconds=150
-)  # between two probes of a member, from whichever node
-# Lateness comes and goes within seconds. Where a node's turn at a member comes more rarely than this, what it
-# heard is of long ago: kept until the next turn it keeps sound members out. So it does not ask, and goes by
-# its guesses, which refuse then.
-LONGEST_HEALTH_CHECK_INTERVAL = timedelta(seconds=10)
-
-
-def health_check_interval(node_count: int) -> timedelta:
-    """Between two probes of one member from one of so many nodes; zero: of more than can learn from them."""
-    if node_count > LONGEST_HEALTH_CHECK_INTERVAL // ENDPOINT_HEALTH_CHECK_INTERVAL:
-        return timedelta(0)
-    return max(HEALTH_CHECK_INTERVAL, node_count * ENDPOINT_HEALTH_CHECK_INTERVAL)
-
-
-# Discovery is one service that takes the calls of all nodes one after another, up to 0.2 s each on busy days.
-# Calls that wait too long there fail, but have cost it their time: forty nodes that each tried again within a
-# second kept it from answering anybody, for as long as the day went on.
-DISCOVERY_SERVICE_CALL_INTERVAL = timedelta(milliseconds=150)  # between two calls to it, from whichever node
-LONGEST_DISCOVERY_CALL_INTERVAL = timedelta(
-    seconds=15
-)  # however many nodes there are said to be: changes have to be heard
-
-# Of many nodes none sees enough of a member to find it late in time, so the home zone's own clients tell when
-# others should take more. A unit of size is about a core, which 18 to 37 connections fill, say the operators.
-# Tried on the fleet's days were 27, 18, 12 and 8; the fewest did best: other zones' clients and the work of
-# groups come on top and are not seen here.
-CONNECTIONS_PER_UNIT = 8.0
-SMALL_CLUSTER_NODE_COUNT = 10  # up to so many, probes are frequent enough to tell
-
-
-def discovery_call_interval(node_count: int) -> timedelta:
-    """The interval that all of so many nodes need for one call each."""
-    most = LONGEST_DISCOVERY_CALL_INTERVAL // DISCOVERY_SERVICE_CALL_INTERVAL
-    return min(node_count, most) * DISCOVERY_SERVICE_CALL_INTERVAL
-
-
-class ConfigError(Exception):
-    """A configuration that can't be used; the message names the key."""
+Address = tuple[str, int]  # host and port, as sockets take them
+MAX_PORT = 65535
+MAX_PORT_DIGITS = 5
+MAX_SHOWN_CHARACTERS = 80  # of a value that can't be used, in the message
+MICROSECOND = timedelta(microseconds=1)
+POSITIVE_CLASS_KEYS = ("slo", "hard_limit")
+# The policy's names of settings, in the messages of its errors, and the file's.
+FILE_KEYS = {".deadline:": ".hard_limit:", ".aim:": ".slo:"}
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=False):
-    """What the machine grants."""
+    """What the machine grants the node."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -75,7 +39,7 @@
 
 
 class EndpointEntry(msgspec.Struct):
-    """One stream host as discovery writes it."""
+    """One endpoint as discovery writes it."""
 
     id: str
     address: str = msgspec.field(name="host_port")
@@ -88,7 +52,7 @@
 
 
 class EndpointList(msgspec.Struct):
-    """Discovery's list, or changes to it."""
+    """Discovery's endpoint list, or changes to it."""
 
     revision: int = 0
     complete: bool = True
@@ -96,6 +60,8 @@
 
 
 class _File(msgspec.Struct):
+    """The JSON file; keys that are not named here are ignored."""
+
     name: str = ""
     listen: str = ""
     operator: str = ""
@@ -106,54 +72,13 @@
     settings: dict[str, Any] = {}
 
 
-Address = tuple[str, int]
-_OF_CLASS = re.compile(r"settings\.classes\.([0-9]+)\.(.+)\Z")
-
-# What holds until the next start, whatever a later file says: who the node is, what the machine grants, and
-# what the numbers that the module knows zones, kinds and columns by were given for.
-RESTART_ONLY_KEYS = (
-    "name",
-    "listen",
-    "operator",
-    "seed",
-    "limits",
-    "known",
-    "settings.family",
-    "settings.localities",
-    "settings.locality",
-    "settings.kinds",
-    "settings.me",
-    "settings.tick",
-    "settings.report",
-    "settings.weights",
-    "settings.tenants",
-    "settings.extra.tenant_quota_connections",
-    "settings.discovery",
-    "settings.extra.mode",
-    "settings.ceilings.probes",
-)
-FIXED_SETTINGS = (
-    "node_index",
-    "zone",
-    "tick_us",
-    "is_connection_oriented",
-    "pass_through",
-    "polls_discovery",
-    "can_check_health",
-    "report_columns",
-    "has_weights",
-    "tenant_quotas",
-)
-POSITIVE_CLASS_KEYS = ("slo", "hard_limit")  # of each class
-
-
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the node is told at its start."""
+    """The platform's configuration; immutable, so it is shared between threads."""
 
     name: str
     listen: Address
-    operator: Address | None  # where the node's operators call; none: no such listener
+    operator: Address | None  # where operators call; None: there is no such listener
     discovery: Address
     seed: int
     limits: Limits
@@ -174,8 +99,8 @@
 
 
 def absent_features(config: Config) -> list[str]:
-    """What the settings don't give, and is off therefore."""
-    has = {
+    """The features that the settings do not give, and that are off therefore."""
+    is_given = {
         "delays": config.reports_delay,
         "loads": config.reports_load,
         "probes": config.settings.can_check_health,
@@ -184,215 +109,176 @@
         "tenants": bool(config.tenants),
         "weights": config.settings.has_weights,
     }
-    return [name for name, given in has.items() if not given]
+    return [name for name, given in is_given.items() if not given]
 
 
 def parse_address(text: str, key: str) -> Address:
-    """HOST:PORT as a pair; the platform has no DNS, and looking a name up would block without an end."""
+    """Parse HOST:PORT; the platform has no DNS, and looking a name up would block without an end."""
     host, _, port = text.rpartition(":")
     try:
         if host != "localhost":
             ipaddress.IPv4Address(host)
-        if not (port.isascii() and port.isdigit()) or len(port) > 5 or int(port) > 65535:
-            raise ValueError(port)
+        return host, _parse_port(port)
+    except ValueError as err:
+        raise ConfigError(key, f"HOST:PORT expected, not {text[:MAX_SHOWN_CHARACTERS]!r}") from err
+
+
+def _parse_port(text: str) -> int:
+    if not (text.isascii() and text.isdigit()) or len(text) > MAX_PORT_DIGITS or int(text) > MAX_PORT:
+        raise ValueError(text)
+    return int(text)
+
+
+def load(environ: Mapping[str, str]) -> Config:
+    """Read the configuration from the environment and the file that it names, or raise ConfigError."""
+    text = _read_file(environ)
+    file = _decode(text)
+    seed = _parse_seed(file.seed)
+    _check_limits(file.limits)
+    class_names = _class_names(file.settings)
+    if isinstance(ceilings := file.settings.get("ceilings"), dict):
+        _check_positive(ceilings, "attempts_cap", "settings.ceilings.")
+    flat = flatten(file.settings)
+    try:
+        settings = build_settings(flat)
+        longest_deadline = _longest_deadline(settings)
+    except (ValueError, OverflowError) as err:  # of numbers of thousands of digits too
+        raise _settings_error(err) from err
+    has_operator = bool(environ.get("GW_OPERATOR") or file.operator)
+    return Config(
+        name=environ.get("GW_NAME") or file.name or "node",
+        listen=_address(environ, "GW_LISTEN", file.listen),
+        operator=_address(environ, "GW_OPERATOR", file.operator) if has_operator else None,
+        discovery=_address(environ, "GW_DISCOVERY", file.discovery),
+        seed=seed,
+        limits=file.limits,
+        known_endpoints=file.known_endpoints,
+        settings=_with_rates(settings),
+        class_names=class_names,
+        zones=_names(file.settings, "localities"),
+        kinds=_names(file.settings, "kinds"),
+        tenants=_tenant_names(file.settings),
+        reports_delay=flat.get("extra.tells_delay") == "true",
+        reports_load=flat.get("extra.tells_load") == "true",
+        longest_deadline=longest_deadline,
+        written_values=_written_values(text, file.known_endpoints),
+    )
+
+
+def _read_file(environ: Mapping[str, str]) -> bytes:
+    path = environ.get("GW_CONFIG")
+    if not path:
+        raise ConfigError("GW_CONFIG", "not set; it names the JSON file with the settings")
+    try:
+        return Path(path).read_bytes()
+    except OSError as err:
+        raise ConfigError("GW_CONFIG", f"{err.strerror or err}: {path}") from err
+
+
+def _decode(text: bytes) -> _File:
+    try:
+        return msgspec.json.decode(text, type=_File)
+    except msgspec.ValidationError as err:  # its message ends in the key: "... - at `$.limits.sockets`"
+        raise ConfigError("GW_CONFIG", str(err)) from err
+    except (msgspec.DecodeError, UnicodeDecodeError) as err:
+        raise ConfigError("GW_CONFIG", f"not JSON: {err}") from err
+
+
+def _parse_seed(text: str) -> int:
+    try:
+        return int(text, 16)
     except ValueError as err:
-        raise ConfigError(f"{key}: HOST:PORT expected, not {text[:80]!r}") from err
-    return host, int(port)
+        raise ConfigError("seed", f"hexadecimal digits expected, not {text!r}") from err
 
 
-def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON as the simulator's path=value pairs."""
-    if isinstance(value, dict):
-        pairs = ((f"{path}.{k}" if path else str(k), v) for k, v in value.items())
-        return {k: v for at, inner in pairs for k, v in flatten(inner, at).items()}
-    if isinstance(value, list):
-        if any(isinstance(v, dict) for v in value):
-            out = {f"{path}.count": str(len(value))}
-            for i, inner in enumerate(value):
-                out.update(flatten(inner, f"{path}.{i}"))
-            return out
-        return {path: ",".join(_plain(v) for v in value)}
-    return {path: _plain(value)}
+def _check_limits(limits: Limits) -> None:
+    for key, value in (("memory_mb", limits.memory_mb), ("sockets", limits.sockets)):
+        if value < 1:
+            raise ConfigError(f"limits.{key}", "must be above 0")
+    if not limits.cores > 0:
+        raise ConfigError("limits.cores", "must be above 0")
+
 
+def _settings_error(err: Exception) -> ConfigError:
+    """The error of a value that the policy's settings refuse, with the keys as the file names them."""
+    problem = str(err)
+    for policy_name, key in FILE_KEYS.items():
+        problem = problem.replace(policy_name, key)
+    return ConfigError("", f"settings.{problem}")
 
-def _plain(value: object) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    return "" if value is None else str(value)
+
+def _longest_deadline(settings: Settings) -> timedelta:
+    return max(class_settings.deadline_us for class_settings in settings.classes) * MICROSECOND
+
+
+def _with_rates(settings: Settings) -> Settings:
+    """Settings with the rates of a cluster of this size."""
+    node_count = settings.node_count
+    return replace(
+        settings,
+        health_check_interval_us=health_check_interval(node_count) // MICROSECOND,
+        discovery_call_interval_us=discovery_call_interval(node_count) // MICROSECOND,
+        connections_per_unit=connections_per_unit(node_count),
+    )
 
 
 def _names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    value = settings.get(key, [])
-    if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
-        raise ConfigError(f"settings.{key}: a list of names expected")
-    return tuple(value)
+    names = settings.get(key, [])
+    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+        raise ConfigError(f"settings.{key}", "a list of names expected")
+    return tuple(names)
 
 
 def _class_names(settings: Mapping[str, Any]) -> tuple[str, ...]:
     classes = settings.get("classes", [])
     if not isinstance(classes, list) or not classes:
-        raise ConfigError("settings.classes: a list with at least one class expected")
-    for i, one in enumerate(classes):
-        if not isinstance(one, dict) or not isinstance(one.get("name"), str):
-            raise ConfigError(f"settings.classes.{i}.name: a name expected")
+        raise ConfigError("settings.classes", "a list with at least one class expected")
+    for index, entry in enumerate(classes):
+        path = f"settings.classes.{index}"
+        _check_name(entry, path)
         for key in POSITIVE_CLASS_KEYS:
-            _positive(one, key, f"settings.classes.{i}.")
-    names = tuple(one["name"] for one in classes)
-    if len(set(names)) != len(names):
-        raise ConfigError("settings.classes: a name stands twice")
-    return names
+            _check_positive(entry, key, f"{path}.")
+    return _unique_names(classes, "settings.classes")
 
 
 def _tenant_names(settings: Mapping[str, Any]) -> tuple[str, ...]:
     tenants = settings.get("tenants", [])
     if not isinstance(tenants, list):
-        raise ConfigError("settings.tenants: a list expected")
-    for i, one in enumerate(tenants):
-        if not isinstance(one, dict) or not isinstance(one.get("name"), str):
-            raise ConfigError(f"settings.tenants.{i}.name: a name expected")
-    names = tuple(one["name"] for one in tenants)
+        raise ConfigError("settings.tenants", "a list expected")
+    for index, entry in enumerate(tenants):
+        _check_name(entry, f"settings.tenants.{index}")
+    return _unique_names(tenants, "settings.tenants")
+
+
+def _check_name(entry: object, path: str) -> None:
+    if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
+        raise ConfigError(f"{path}.name", "a name expected")
+
+
+def _unique_names(entries: list[dict[str, Any]], path: str) -> tuple[str, ...]:
+    names = tuple(entry["name"] for entry in entries)
     if len(set(names)) != len(names):
-        raise ConfigError("settings.tenants: a name stands twice")
+        raise ConfigError(path, "a name stands twice")
     return names
 
 
-def _positive(holder: Mapping[str, Any], key: str, path: str) -> None:
-    """What is there must be a number, not words that look like one, and above 0."""
-    value = holder.get(key, 1)
+def _check_positive(values: Mapping[str, Any], key: str, path: str) -> None:
+    """A value that is given must be a number, not a string that looks like one, and above 0."""
+    value = values.get(key, 1)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        raise ConfigError(f"{path}{key}: a number above 0 expected, not {str(value)[:40]!r}")
-
-
-def load(environ: Mapping[str, str]) -> Config:
-    """The configuration from the environment and the file that it names."""
-    path = environ.get("GW_CONFIG")
-    if not path:
-        raise ConfigError("GW_CONFIG: not set; it names the JSON file with the settings")
-    try:
-        text = Path(path).read_bytes()
-    except OSError as err:
-        raise ConfigError(f"GW_CONFIG: {err.strerror or err}: {path}") from err
-    try:
-        read = msgspec.json.decode(text, type=_File)
-    except msgspec.ValidationError as err:  # its message ends in the key: "... - at `$.limits.sockets`"
-        raise ConfigError(f"GW_CONFIG: {err}") from err
-    except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        raise ConfigError(f"GW_CONFIG: not JSON: {err}") from err
-    try:
-        seed = int(read.seed, 16)
-    except ValueError as err:
-        raise ConfigError(f"seed: hexadecimal digits expected, not {read.seed!r}") from err
-    for key, value in (("memory_mb", read.limits.memory_mb), ("sockets", read.limits.sockets)):
-        if value < 1:
-            raise ConfigError(f"limits.{key}: must be above 0")
-    if not read.limits.cores > 0:
-        raise ConfigError("limits.cores: must be above 0")
-    names = _class_names(read.settings)
-    if isinstance(ceilings := read.settings.get("ceilings"), dict):
-        _positive(ceilings, "attempts_cap", "settings.ceilings.")
-    try:
-        flat = flatten(read.settings)
-        settings = build_settings(flat)
-        tells_delay = flat.get("extra.tells_delay") == "true"
-        longest = timedelta(microseconds=max(c.deadline_us for c in settings.classes))
-    except (ValueError, OverflowError) as err:  # numbers of thousands of digits too
-        # The keys as the file names them.
-        why = str(err).replace(".deadline:", ".hard_limit:").replace(".aim:", ".slo:")
-        raise ConfigError(f"settings.{why}") from err
-    return Config(
-        name=environ.get("GW_NAME") or read.name or "node",
-        listen=_address(environ, "GW_LISTEN", read.listen),
-        operator=_address(environ, "GW_OPERATOR", read.operator)
-        if environ.get("GW_OPERATOR") or read.operator
-        else None,
-        discovery=_address(environ, "GW_DISCOVERY", read.discovery),
-        seed=seed,
-        limits=read.limits,
-        known_endpoints=read.known_endpoints,
-        settings=replace(
-            settings,
-            health_check_interval_us=health_check_interval(settings.node_count) // timedelta(microseconds=1),
-            discovery_call_interval_us=discovery_call_interval(settings.node_count)
-            // timedelta(microseconds=1),
-            connections_per_unit=CONNECTIONS_PER_UNIT
-            if settings.node_count > SMALL_CLUSTER_NODE_COUNT
-            else 0.0,
-        ),
-        class_names=names,
-        zones=_names(read.settings, "localities"),
-        kinds=_names(read.settings, "kinds"),
-        tenants=_tenant_names(read.settings),
-        reports_delay=tells_delay,
-        reports_load=flat.get("extra.tells_load") == "true",
-        longest_deadline=longest,
-        written_values=_written(text, read.known_endpoints),
-    )
+        raise ConfigError(f"{path}{key}", f"a number above 0 expected, not {str(value)[:40]!r}")
 
 
 def _address(environ: Mapping[str, str], variable: str, in_file: str) -> Address:
-    """What the environment says, else the file; the message names the one that was read."""
+    """The environment's address, else the file's; an error names the one that was read."""
     if environ.get(variable):
         return parse_address(environ[variable], variable)
     return parse_address(in_file, variable.removeprefix("GW_").lower())
 
 
-def _written(text: bytes, known: EndpointList) -> dict[str, str]:
-    """The file's keys and values; the list it knows is one value, as it only serves a start."""
-    whole = msgspec.json.decode(text)
-    if "known" in whole:
-        whole["known"] = msgspec.json.encode(known).decode()
-    return flatten(whole)
-
-
-def _missing(written: Mapping[str, str], running: Mapping[str, str]) -> str | None:
-    """A key that the running configuration has and this one lacks; classes may go, their keys may not."""
-    had = set.intersection(*_by_class(running).values())
-    for at, has in _by_class(written).items():
-        if not had <= has:
-            return f"settings.classes.{at}.{min(had - has)}"
-    return min((key for key in running if not _OF_CLASS.match(key) and key not in written), default=None)
-
-
-def _by_class(written: Mapping[str, str]) -> dict[str, set[str]]:
-    out: dict[str, set[str]] = {}
-    for found in filter(None, map(_OF_CLASS.match, written)):
-        out.setdefault(found[1], set()).add(found[2])
-    return out
-
-
-class ReloadedConfig(NamedTuple):
-    """A configuration that was read while another one is in force."""
-
-    config: Config  # to put in force
-    changed_keys: list[str]
-    restart_only_keys: list[str]  # that changed too, and wait for the next start
-
-
-def reload(environ: Mapping[str, str], running: Config) -> ReloadedConfig:
-    """Read the file as it is now, against the configuration that is running.
-
-    ConfigError: nothing of it can be used. A key that was there before must be there still: a file that was
-    cut off, or half written, must not put defaults in force. Here the file goes before GW_DISCOVERY, which
-    gave the address of the start.
-    """
-    read = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
-    missing = _missing(read.written_values, running.written_values)
-    if missing is not None:
-        raise ConfigError(f"{missing}: missing; the running configuration has it")
-    keys = sorted(running.written_values.keys() | read.written_values.keys())
-    changed = [key for key in keys if running.written_values.get(key) != read.written_values.get(key)]
-    restart_only = [
-        key for key in changed if any(f"{key}.".startswith(f"{part}.") for part in RESTART_ONLY_KEYS)
-    ]
-    fixed = {name: getattr(running.settings, name) for name in FIXED_SETTINGS}
-    config = replace(
-        running,
-        discovery=read.discovery,
-        settings=replace(read.settings, **fixed),
-        class_names=read.class_names,
-        reports_delay=read.reports_delay,
-        reports_load=read.reports_load,
-        longest_deadline=read.longest_deadline,
-        written_values=read.written_values,
-    )
-    return ReloadedConfig(config, [key for key in changed if key not in restart_only], restart_only)
+def _written_values(text: bytes, known_endpoints: EndpointList) -> dict[str, str]:
+    """The file's values by path; the list it knows is one value, as it only serves a start."""
+    document = msgspec.json.decode(text)
+    if "known" in document:
+        document["known"] = msgspec.json.encode(known_endpoints).decode()
+    return flatten(document)
