--- a/tansyladder/net/http.py
+++ b/tansyladder/net/http.py
@@ -10,7 +10,8 @@
 from typing import NamedTuple
 
 from tansyladder.config.platform import Address
-from tansyladder.net.clock import now, seconds_left
+from tansyladder.net import sockets
+from tansyladder.net.clock import now
 from tansyladder.net.errors import NetworkError
 
 MAX_HEAD_BYTES = 16 * 1024  # far over what the platform's front end sends
@@ -118,12 +119,8 @@
     def _receive(self, deadline: timedelta) -> None:
         """Append what comes next to what was received."""
         assert self._sock is not None
-        left = seconds_left(deadline)
-        if not left:
-            raise HttpTimeoutError("no answer in time")
-        self._sock.settimeout(left)
         try:
-            data = self._sock.recv(READ_SIZE_BYTES)
+            data = sockets.receive_by(self._sock, READ_SIZE_BYTES, deadline)
         except TimeoutError as err:
             raise HttpTimeoutError("no answer in time") from err
         if not data:
--- a/tansyladder/net/sockets.py
+++ b/tansyladder/net/sockets.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from tansyladder.net.clock import milliseconds_left, now
+from tansyladder.net.clock import milliseconds_left, now, seconds_left
 
 SEND_TIMEOUT = timedelta(seconds=5)  # a peer that takes nothing for this long is given up
 DRAIN_TIMEOUT = timedelta(
@@ -61,6 +61,22 @@
     return poll_until(poll, deadline)
 
 
+def receive_by(sock: socket.socket, max_bytes: int, deadline: timedelta) -> bytes:
+    """Return what comes next, or nothing where the other side has ended, by a deadline.
+
+    However often some bytes come, a caller that reads on under one deadline ends by it.
+
+    Raises:
+        TimeoutError: Nothing came, or the deadline has passed already.
+        OSError: The connection broke.
+    """
+    remaining_seconds = seconds_left(deadline)
+    if not remaining_seconds:
+        raise TimeoutError("timed out")
+    sock.settimeout(remaining_seconds)
+    return sock.recv(max_bytes)
+
+
 class PeekResult(Enum):
     """What has come from the other side and is not read yet."""
 
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -8,9 +8,9 @@
 from typing import NamedTuple
 
 from tansyladder.log import LogEvent, log
-from tansyladder.net import protocol
+from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import Endpoint
-from tansyladder.net.clock import MICROSECOND, now, seconds_left
+from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 
@@ -87,11 +87,7 @@
         """Read an answer into `lines`; False where it does not begin with PONG. Raises OSError at its end."""
         buffer = protocol.LineBuffer()
         while not lines or not self._is_complete(lines):
-            remaining_seconds = seconds_left(deadline)
-            if not remaining_seconds:
-                raise TimeoutError  # however many bytes came now and then
-            sock.settimeout(remaining_seconds)
-            data = sock.recv(protocol.MAX_LINE_BYTES)
+            data = sockets.receive_by(sock, protocol.MAX_LINE_BYTES, deadline)
             if not data:
                 raise ConnectionResetError("the connection ended within an answer")
             lines += buffer.feed(data)
