--- a/tansyladder/policy/runtime.py
+++ b/tansyladder/policy/runtime.py
@@ -5,10 +5,12 @@
 from collections import Counter
 from collections.abc import Callable
 from random import Random
+from typing import TypeVarTuple
 
 from tansyladder.policy.actions import Action, SetTimer
 from tansyladder.policy.events import TimerExpired
 
+Arguments = TypeVarTuple("Arguments")
 TIMER_ID_MASK = 0xFFFFFFFF  # timer ids have 32 bits on the wire
 
 
@@ -34,10 +36,11 @@
         self.actions: list[Action] = []
         self.setup_failure_rate = 0.0  # of the last set-ups of connections, 0 to 1
         self.connections_by_tenant: Counter[int] = Counter()  # the established ones
+        # By timer id: the callback and its arguments; a plain pair, as there is one for each retry.
         self._timers: dict[int, tuple[Callable[..., None], tuple[object, ...]]] = {}
         self._last_timer_id = 0
 
-    def schedule(self, due_at: int, callback: Callable[..., None], *arguments: object) -> None:
+    def schedule(self, due_at: int, callback: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
         """Call back with the arguments at a moment, which is not before `now`."""
         self._last_timer_id = (self._last_timer_id + 1) & TIMER_ID_MASK
         self._timers[self._last_timer_id] = (callback, arguments)
