--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -8,74 +8,35 @@
 
 from __future__ import annotations
 
-from collections import defaultdict
-from dataclasses import dataclass
 from functools import partial
 
-import msgspec
-
-from tansyladder.invariants import check_invariant
-from tansyladder.raft.messages import Message, ProposalRequest
-from tansyladder.raft.node_state import Role
 from tansyladder.replication.document_messages import (
     ChangeOutcome,
-    DocumentCommand,
-    LeaseRenewal,
     Proposal,
-    ValidationVote,
 )
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.simulation.document_node import (
     REPROPOSE_INTERVAL_US,
-    STANDARD_DOCUMENT_COMPONENTS,
     Decision,
-    DocumentComponents,
-    DocumentHistory,
-    DocumentNode,
-    DocumentStateMachine,
 )
-from tansyladder.simulation.fault_rates import NO_FAULTS, FaultRates
-from tansyladder.simulation.pausable_cluster import PausableCluster
-from tansyladder.simulation.raft_cluster import RecordingStateMachine, SimulatedNode
+from tansyladder.simulation.document_nodes import DOCUMENT, DocumentClusterOptions, SimulatedDocumentNodes
+from tansyladder.simulation.fault_rates import NO_FAULTS
+from tansyladder.simulation.raft_cluster import SimulatedNode
 
-DOCUMENT = "rules"
 CONTENT_SIZE = 100  # bytes, stated only: the simulation has no contents
-FAULT = "rules.zones: no such zone"
 DECISION_INTERVAL_US = 15 * MILLISECOND_US  # between two clients of a node
-RENEWAL_INTERVAL_US = 1 * SECOND_US
-STEP_INTERVAL_US = 20 * MILLISECOND_US  # between two looks of a node at the pending change
-FETCH_DURATION_RANGE_US = (5 * MILLISECOND_US, 800 * MILLISECOND_US)  # to fetch and to validate a content
 PROPOSAL_INTERVAL_US = 3 * SECOND_US  # between two changes, on the mean
 PAUSE_RANGE_US = (SECOND_US // 5, 12 * SECOND_US)
 LOAD_INTERVAL_US = 500 * MILLISECOND_US  # between two commands that aren't about documents, on the mean
 LIVENESS_TIMEOUT_US = 60 * SECOND_US  # of a change: leases have to end, and rounds may be aborted
-CLOCK_EPOCH_US = 100 * SECOND_US  # what a clock shows at the beginning, but for its error
-
-
-@dataclass(frozen=True)
-class DocumentClusterOptions:
-    """The size of a cluster, and its faults."""
-
-    voters: int = 3
-    learners: int = 2
-    faults: FaultRates | None = None
-    components: DocumentComponents = STANDARD_DOCUMENT_COMPONENTS
-    max_clock_error_us: int = 25 * MILLISECOND_US  # either way
-    invalid_rate: float = 0.15  # of the proposals that some node finds a fault in
-    mean_pause_interval_us: int = 4 * SECOND_US  # of all nodes together; 0: never
 
 
-class SimulatedDocumentCluster(PausableCluster):
-    """Nodes that decide for clients under the version in force."""
+class SimulatedDocumentCluster(SimulatedDocumentNodes):
+    """Nodes that decide for clients under the version in force, while the document is changed."""
 
     def __init__(self, seed: int, options: DocumentClusterOptions) -> None:
         """Start all nodes and their clients."""
-        self.options = options
-        self.history = DocumentHistory()
-        self.document_nodes: dict[str, DocumentNode] = {}
-        self._stored_numbers: dict[str, set[int]] = defaultdict(set)  # by node: contents on its disk
-        self._clock_errors_us: dict[str, int] = {}
-        super().__init__(seed, options.voters, options.learners, options.faults)
+        super().__init__(seed, options)
         self.counts["decisions"] = 0
         for name in self.names:
             first_us = int(self._load_rng.integers(DECISION_INTERVAL_US))
@@ -119,12 +80,6 @@
         self._propose_change_until(name, key, self.now + LIVENESS_TIMEOUT_US)
         return key
 
-    def crash(self, name: str, wipe: bool) -> None:
-        """Crash a node; `wipe`: its disk is lost, with the contents on it."""
-        if wipe:
-            self._stored_numbers[name].clear()
-        super().crash(name, wipe)
-
     def _pause_random_node(self) -> None:
         name = self._random_name(self._fault_rng)
         self.pause(name, int(self._fault_rng.integers(*PAUSE_RANGE_US)))
@@ -146,156 +101,11 @@
         again = partial(self._propose_change_until, name, key, deadline)
         self.call_at(self.now + 2 * REPROPOSE_INTERVAL_US, again)
 
-    # --- clocks, starts and steps of nodes
-
-    def _clock_us(self, name: str) -> int:
-        """Return what a node's clock shows."""
-        if name not in self._clock_errors_us:
-            most = self.options.max_clock_error_us
-            self._clock_errors_us[name] = int(self._network_rng.integers(-most, most + 1))
-        return self.now + self._clock_errors_us[name] + CLOCK_EPOCH_US
-
-    def _make_state_machine(self) -> RecordingStateMachine:
-        return DocumentStateMachine(self.options.components.documents(self.voters))
-
-    def _on_node_started(self, node: SimulatedNode) -> None:
-        assert isinstance(node.state_machine, DocumentStateMachine)
-        incarnation = f"{node.name}/{node.incarnation}"
-        documents = node.state_machine.documents
-        components = self.options.components
-        self.document_nodes[node.name] = DocumentNode(
-            components.lease_holder(incarnation, documents),
-            components.coordinator(incarnation, documents),
-            documents,
-        )
-        self._step_regularly(node, node.incarnation)
-        self._renew_regularly(node, node.incarnation)
+    # --- decisions
 
     def _on_resumed(self, node: SimulatedNode) -> None:
         self._decide(node.name)
 
-    def _step_node(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
-        document_node = self.document_nodes.get(node.name)
-        if node.raft is None or document_node is None or self.is_paused(node.name):
-            super()._step_node(node, *received)
-            return
-        is_urgent = document_node.coordinator.is_urgent(self._clock_us(node.name))
-        node.raft.announces_commits_at_once = is_urgent
-        super()._step_node(node, *received)
-        self._prepare(node)
-
-    def _step_regularly(self, node: SimulatedNode, incarnation: int) -> None:
-        if node.incarnation != incarnation or node.raft is None:
-            return
-        if not self.is_paused(node.name):
-            self._follow_log(node)
-        self.call_at(self.now + STEP_INTERVAL_US, partial(self._step_regularly, node, incarnation))
-
-    def _follow_log(self, node: SimulatedNode) -> None:
-        """Do what `DocumentReplica.step` does at a real node."""
-        assert node.raft is not None
-        document_node = self.document_nodes[node.name]
-        clock_us = self._clock_us(node.name)
-        self._validate_change(node, clock_us)
-        self._fetch_newest(node)
-        self._prepare(node)
-        for key, result in document_node.documents.results.items():
-            first = self.history.results.setdefault(key, result)
-            check_invariant(first == result, "two_ends_of_a_change")
-        if node.raft.role is Role.LEADER:
-            for command in document_node.coordinator.next_commands(clock_us):
-                self._propose_once(node, command, type(command).__name__)
-        else:
-            document_node.coordinator.reset()
-
-    def _prepare(self, node: SimulatedNode) -> None:
-        """Shorten the lease where the log asks for it, at once after each step."""
-        prepared = self.document_nodes[node.name].lease_holder.prepare(self._clock_us(node.name))
-        if prepared is not None:
-            self._propose_once(node, prepared, f"armed {prepared.number} {prepared.round}")
-
-    def _propose_once(self, node: SimulatedNode, command: DocumentCommand, key: str) -> None:
-        """Propose a command of a node, unless it did so a moment ago."""
-        document_node = self.document_nodes[node.name]
-        if document_node.may_propose(key, self.now):
-            request_id = f"{document_node.incarnation}:{key}:{self.now}"
-            request = ProposalRequest(request_id, msgspec.msgpack.encode(command))
-            self.call_at(self.now, partial(self._propose_request, node, node.incarnation, request))
-
-    def _propose_request(self, node: SimulatedNode, incarnation: int, request: ProposalRequest) -> None:
-        if node.incarnation == incarnation:
-            self._step_node(node, (node.name, request))
-
-    # --- lease renewals
-
-    def _renew_regularly(self, node: SimulatedNode, incarnation: int) -> None:
-        if node.incarnation != incarnation or node.raft is None:
-            return
-        if not self.is_paused(node.name):
-            renewal = LeaseRenewal(self.document_nodes[node.name].incarnation)
-            for name in self.names:
-                self._send_renewal(node.name, name, renewal)
-        self.call_at(self.now + RENEWAL_INTERVAL_US, partial(self._renew_regularly, node, incarnation))
-
-    def _send_renewal(self, sender: str, to: str, renewal: LeaseRenewal) -> None:
-        if to == sender:
-            self.document_nodes[to].coordinator.record_renewal(renewal.incarnation, self._clock_us(to))
-        elif self._network_rng.random() >= self.faults.loss_rate:
-            delay_us = int(self._network_rng.integers(*self.faults.delay_range_us))
-            self.call_at(self.now + delay_us, partial(self._receive_renewal, sender, to, renewal))
-
-    def _receive_renewal(self, sender: str, to: str, renewal: LeaseRenewal) -> None:
-        is_up = self.nodes[to].raft is not None and not self.is_paused(to)
-        if is_up and (sender, to) not in self._cut_links:
-            self.document_nodes[to].coordinator.record_renewal(renewal.incarnation, self._clock_us(to))
-
-    # --- contents and decisions
-
-    def _validate_change(self, node: SimulatedNode, clock_us: int) -> None:
-        """Fetch and validate the pending change's content, then vote."""
-        document_node = self.document_nodes[node.name]
-        change = document_node.lease_holder.change_to_validate()
-        if change is None:
-            return
-        self.history.key_by_number.setdefault(change.number, change.idempotency_key)
-        if change.number not in document_node.faults_by_number:
-            self._fetch(node, change.number, change.idempotency_key)
-            return
-        fault = document_node.faults_by_number[change.number]
-        if fault is not None:
-            vote = ValidationVote(change.number, document_node.incarnation, clock_us, fault)
-            self._propose_once(node, vote, f"verdict {change.number}")
-
-    def _fetch_newest(self, node: SimulatedNode) -> None:
-        """Fetch the newest version's content where the node had no part in its change."""
-        document_node = self.document_nodes[node.name]
-        for version in document_node.documents.versions(DOCUMENT)[-1:]:
-            is_stored = version.number in self._stored_numbers[node.name]
-            if not is_stored and version.number not in document_node.faults_by_number:
-                self._fetch(node, version.number, None)
-
-    def _fetch(self, node: SimulatedNode, number: int, key: str | None) -> None:
-        """Have a content come in a while; `key`: of the change, if it is to be validated."""
-        self.document_nodes[node.name].faults_by_number[number] = None
-        arrival = self.now + int(self._network_rng.integers(*FETCH_DURATION_RANGE_US))
-        self.call_at(arrival, partial(self._on_fetched, node, node.incarnation, number, key))
-
-    def _on_fetched(self, node: SimulatedNode, incarnation: int, number: int, key: str | None) -> None:
-        if node.incarnation != incarnation:
-            return
-        if key is not None:
-            if node.raft is None:
-                return
-            is_valid = self.history.is_valid[key] or node.name != self._rejecting_node(key)
-            self.document_nodes[node.name].faults_by_number[number] = "" if is_valid else FAULT
-            if not is_valid:
-                self.history.rejected_numbers.add(number)
-        self._stored_numbers[node.name].add(number)
-
-    def _rejecting_node(self, key: str) -> str:
-        """Return the one node that finds a fault in an invalid content; the same at each run."""
-        return self.names[sum(key.encode()) % len(self.names)]
-
     def _decide_regularly(self, name: str) -> None:
         if self.nodes[name].raft is not None and not self.is_paused(name):
             self._decide(name)
--- a/tests/replication/test_simulated_documents.py
+++ b/tests/replication/test_simulated_documents.py
@@ -8,9 +8,10 @@
 
 from tansyladder.replication.document_messages import ChangeOutcome
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
-from tansyladder.simulation.document_cluster import DocumentClusterOptions, simulate_documents
+from tansyladder.simulation.document_cluster import simulate_documents
 from tansyladder.simulation.document_invariants import document_violations
 from tansyladder.simulation.document_node import STANDARD_DOCUMENT_COMPONENTS, DocumentComponents
+from tansyladder.simulation.document_nodes import DocumentClusterOptions
 from tansyladder.simulation.fault_rates import FaultRates
 from tests.simulation.documents_without_guards import DOCUMENT_GUARDS
 
