--- a/tests/cluster/test_peer_transport.py
+++ b/tests/cluster/test_peer_transport.py
@@ -6,127 +6,160 @@
 import queue
 import socket
 import struct
+from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 import pytest
 
 from tansyladder.cluster.peer_handshake import MAX_GREETING_BYTES, PROTOCOL_VERSION, Greeting
-from tansyladder.cluster.peer_transport import PeerTransport
-from tansyladder.config import operator_settings
-from tansyladder.raft.messages import EntryKind, Handshake, LogEntry, Message
-from tansyladder.raft.persistent_state import LogSuffix
+from tansyladder.cluster.peer_transport import PeerMessage, PeerTransport
+from tansyladder.config.operator_settings import PeersOptions
+from tansyladder.raft.messages import AppendEntries, EntryKind, Handshake, LogEntry
 
 KEY = "ab" * 32
+OTHER_KEY = "cd" * 32
+NOW_US = 60_000_000
+TOO_MUCH_SKEW_US = 3_000_000
 
 
-class Ends:
-    """Two nodes' channels, and what each has heard."""
-
-    def __init__(self, off: int = 0, **over: str) -> None:
-        """`off`: microseconds between their clocks."""
-        ports = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-        self.reached = ["{}:{}".format(*port.getsockname()) for port in ports]
-        for port in ports:
-            port.close()
-        members = {"a": self.reached[0], "b": self.reached[1]}
-        common = {"enabled": True, "fleet": "f", "key": KEY, "members": members, "voters": "a"}
-        self.heard: list[queue.Queue[tuple[str, Message]]] = [queue.Queue(), queue.Queue()]
-        self.nodes = [
-            PeerTransport(
-                name,
-                operator_settings.PeersOptions(**(common | (over if name == "b" else {}))),  # type: ignore[arg-type]
-                lambda sender, message, i=i: self.heard[i].put((sender, message)),  # type: ignore[misc]
-                lambda i=i: 60_000_000 + i * off,  # type: ignore[misc]
-            )
-            for i, name in enumerate("ab")
+@dataclass(frozen=True)
+class Peer:
+    """What the second node differs in from the first."""
+
+    cluster: str = "f"
+    key: str = KEY
+    clock_skew_us: int = 0
+
+
+class TwoNodes:
+    """The transports of the nodes `a` and `b`, and what each has received."""
+
+    def __init__(self, peer: Peer = Peer()) -> None:
+        """`peer`: the node `b`."""
+        listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
+        self.addresses: list[tuple[str, int]] = [listener.getsockname() for listener in listeners]
+        for listener in listeners:
+            listener.close()
+        self.received: list[queue.Queue[tuple[str, PeerMessage]]] = [queue.Queue(), queue.Queue()]
+        self.transports = [
+            self._make_transport(number, name, settings)
+            for number, (name, settings) in enumerate((("a", Peer()), ("b", peer)))
         ]
 
+    def _make_transport(self, number: int, name: str, settings: Peer) -> PeerTransport:
+        members = {name: f"{host}:{port}" for name, (host, port) in zip("ab", self.addresses, strict=True)}
+        options = PeersOptions(
+            enabled=True, fleet=settings.cluster, key=settings.key, members=members, voters="a"
+        )
+
+        def on_message(sender: str, message: PeerMessage) -> None:
+            self.received[number].put((sender, message))
+
+        def clock() -> int:
+            return NOW_US + settings.clock_skew_us
+
+        return PeerTransport(name, options, on_message, clock)
+
     def start(self) -> None:
-        for node in self.nodes:
-            node.start()
+        """Let both connect."""
+        for transport in self.transports:
+            transport.start()
 
+    def send_until_received(self) -> tuple[str, PeerMessage]:
+        """Send from `a` until `b` has received something."""
+        for number in range(200):
+            self.transports[0].send("b", Handshake(f"d{number}", "s", {}))
+            with contextlib.suppress(queue.Empty):
+                return self.received[1].get(timeout=0.05)
+        raise AssertionError("nothing was received")
 
-def send_until_heard(ends: Ends) -> tuple[str, Message]:
-    for number in range(200):
-        ends.nodes[0].send("b", Handshake(f"d{number}", "s", {}))
-        try:
-            return ends.heard[1].get(timeout=0.05)
-        except queue.Empty:
-            continue
-    raise AssertionError("nothing was heard")
 
+class GreetingResult(NamedTuple):
+    """What a listener answered to a greeting, and what it sent after the second one."""
 
-def test_two_peers_hear_each_other_and_a_large_message() -> None:
-    ends = Ends()
-    ends.start()
-    sender, message = send_until_heard(ends)
-    assert (sender, type(message)) == ("a", Handshake)
-    large = LogSuffix(1, (LogEntry(1, EntryKind.COMMAND, "r", b"x" * (2 << 20)),)).entries[0]
-    from tansyladder.raft.messages import AppendEntries
+    greeting: Greeting
+    after: bytes
 
-    ends.nodes[1].send("a", AppendEntries(1, 0, 0, (large,), 0))
-    assert ends.heard[0].get(timeout=10) == ("b", AppendEntries(1, 0, 0, (large,), 0))
+
+def test_two_nodes_exchange_messages_also_large_ones() -> None:
+    nodes = TwoNodes()
+    nodes.start()
+    sender, message = nodes.send_until_received()
+    assert sender == "a"
+    assert type(message) is Handshake
+    large = AppendEntries(1, 0, 0, (LogEntry(1, EntryKind.COMMAND, "r", b"x" * (2 << 20)),), 0)
+    nodes.transports[1].send("a", large)
+    assert nodes.received[0].get(timeout=10) == ("b", large)
 
 
 @pytest.mark.parametrize(
-    ("off", "over"), [(0, {"key": "cd" * 32}), (0, {"fleet": "other"}), (-3_000_000, {}), (3_000_000, {})]
+    "peer",
+    [
+        Peer(key=OTHER_KEY),
+        Peer(cluster="other"),
+        Peer(clock_skew_us=-TOO_MUCH_SKEW_US),
+        Peer(clock_skew_us=TOO_MUCH_SKEW_US),
+    ],
+    ids=["key", "cluster", "clock behind", "clock ahead"],
 )
-def test_a_wrong_key_a_foreign_fleet_or_a_clock_that_is_off_is_refused(
-    off: int, over: dict[str, str], capfd: pytest.CaptureFixture[str]
+def test_a_peer_with_another_key_cluster_or_clock_is_rejected(
+    peer: Peer, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    ends = Ends(off, **over)
-    ends.start()
+    nodes = TwoNodes(peer)
+    nodes.start()
     for _ in range(400):
-        ends.nodes[0].send("b", Handshake("d", "s", {}))
+        nodes.transports[0].send("b", Handshake("d", "s", {}))
         if "peer_rejected" in capfd.readouterr().err:
             break
         with pytest.raises(queue.Empty):
-            ends.heard[1].get(timeout=0.05)
+            nodes.received[1].get(timeout=0.05)
     else:
-        raise AssertionError("nobody was refused")
-    assert ends.heard[1].empty()
+        raise AssertionError("nobody was rejected")
+    assert nodes.received[1].empty()
 
 
 @pytest.mark.parametrize(
-    "said",
+    "first_bytes",
     [
         struct.pack(">I", MAX_GREETING_BYTES + 1),
         struct.pack(">I", 3) + b"abc",
         b"OPEN 1 2 c=chat,d=1\r\n",
     ],
 )
-def test_who_says_no_greeting_is_closed(said: bytes) -> None:
-    ends = Ends()
-    ends.nodes[1].start()
-    host, _, port = ends.reached[1].partition(":")
-    with socket.create_connection((host, int(port)), 5) as sock:
-        sock.sendall(said)
-        with contextlib.suppress(ConnectionResetError):  # a close with bytes that nobody read
+def test_a_connection_that_begins_without_a_greeting_is_closed(first_bytes: bytes) -> None:
+    nodes = TwoNodes()
+    nodes.transports[1].start()
+    with socket.create_connection(nodes.addresses[1], 5) as sock:
+        sock.sendall(first_bytes)
+        with contextlib.suppress(ConnectionResetError):  # a close with bytes that nobody has read
             assert sock.recv(1) == b""
 
 
-def test_a_greeting_that_was_recorded_opens_no_second_connection() -> None:
+def send_greeting(sock: socket.socket, greeting: Greeting) -> None:
+    data = msgspec.msgpack.encode(greeting)
+    sock.sendall(struct.pack(">I", len(data)) + data)
+
+
+def greet(address: tuple[str, int], greeting: Greeting, proof: bytes) -> GreetingResult:
+    """Dial with a greeting, and confirm with a proof."""
+    with socket.create_connection(address, 5) as sock:
+        send_greeting(sock, greeting)
+        (size,) = struct.unpack(">I", sock.recv(4, socket.MSG_WAITALL))
+        answer = msgspec.msgpack.decode(sock.recv(size, socket.MSG_WAITALL), type=Greeting)
+        send_greeting(sock, msgspec.structs.replace(greeting, proof=proof))
+        return GreetingResult(answer, sock.recv(1))
+
+
+def test_a_recorded_proof_opens_no_second_connection() -> None:
     """The listener's nonce is new each time, so the proof of another time proves nothing."""
-    ends = Ends()
-    ends.nodes[1].start()
-    host, _, port = ends.reached[1].partition(":")
-
-    def greet(proof: bytes) -> tuple[Greeting, bytes]:
-        with socket.create_connection((host, int(port)), 5) as sock:
-            data = msgspec.msgpack.encode(Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000))
-            sock.sendall(struct.pack(">I", len(data)) + data)
-            (size,) = struct.unpack(">I", sock.recv(4, socket.MSG_WAITALL))
-            theirs = msgspec.msgpack.decode(sock.recv(size, socket.MSG_WAITALL), type=Greeting)
-            again = msgspec.msgpack.encode(
-                Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000, proof)
-            )
-            sock.sendall(struct.pack(">I", len(again)) + again)
-            return theirs, sock.recv(1)
-
-    asked = Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, 60_000_000)
-    first, ended = greet(b"?" * 32)
-    assert ended == b""
+    nodes = TwoNodes()
+    nodes.transports[1].start()
+    greeting = Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, NOW_US)
+    first = greet(nodes.addresses[1], greeting, b"?" * 32)
+    assert first.after == b""
     # The proof with which a true dialler had answered that nonce.
-    proof = ends.nodes[1].handshake.proof(b"dialler", asked, first)
-    second, ended = greet(proof)
-    assert (ended, first.nonce == second.nonce) == (b"", False)
+    proof = nodes.transports[1].handshake.proof(b"dialler", greeting, first.greeting)
+    second = greet(nodes.addresses[1], greeting, proof)
+    assert second.after == b""
+    assert first.greeting.nonce != second.greeting.nonce
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import shutil
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 
 import msgspec
@@ -15,62 +17,66 @@
 from tansyladder.store.files import RealFiles
 
 
-def test_records_are_the_same_after_a_restart(tmp_path: Path) -> None:
-    def opened() -> tuple[RaftStorage, object]:
-        store = open_store(RealFiles(tmp_path / "store"), "n", lambda: 1)
-        return RaftStorage(store, RollbackDetector(str(tmp_path), "n")), store
-
-    records, store = opened()
-    ident = records.persisted.hard_state.disk_id
-    entries = tuple(LogEntry(1, EntryKind.COMMAND, f"r{i}", b"x") for i in range(6))
-    records.write(
-        [HardState(3, "n1", ident, {"n1": "d"}, 2), LogSuffix(1, entries), LogSuffix(5, entries[:1])]
-    )
-    records.write([Snapshot(2, 1, {"n1": "e"}, b"s" * 200_000)])
-    store.close()  # type: ignore[attr-defined]
-    again, store = opened()
-    assert again.persisted.hard_state == HardState(3, "n1", ident, {"n1": "d"}, 2)
-    assert again.persisted.snapshot == Snapshot(2, 1, {"n1": "e"}, b"s" * 200_000)
-    assert again.persisted.entries == (*entries[2:4], entries[0])
-    again.write([Snapshot(5, 1, {}, b"small")])
-    store.close()  # type: ignore[attr-defined]
-    last, store = opened()
-    assert (last.persisted.snapshot.state, last.persisted.entries) == (b"small", ())
-    store.close()  # type: ignore[attr-defined]
-
-
-def test_a_disk_that_is_not_shown_to_be_the_newest_is_doubted(tmp_path: Path) -> None:
-    def opened(witness: str = "here") -> RaftStorage:
-        (tmp_path / witness).mkdir(exist_ok=True)
-        store = open_store(RealFiles(tmp_path / "store"), "n", lambda: 1)
-        records = RaftStorage(store, RollbackDetector(str(tmp_path / witness), "n"))
+@contextmanager
+def opened_storage(folder: Path, detector_folder: str = "here") -> Iterator[RaftStorage]:
+    """The storage of one start; its store is closed at the end."""
+    (folder / detector_folder).mkdir(exist_ok=True)
+    store = open_store(RealFiles(folder / "store"), "n", lambda: 1)
+    try:
+        yield RaftStorage(store, RollbackDetector(str(folder / detector_folder), "n"))
+    finally:
         store.close()
-        return records
 
-    def write(*ops: WriteOperation) -> None:
-        store = open_store(RealFiles(tmp_path / "store"), "n", lambda: 1)
-        store.write(ops, Durability.SYNCED)
-        store.close()
 
-    assert not opened().persisted.hard_state.stale_disk_suspected  # a new disk has forgotten nothing
+def start(folder: Path, detector_folder: str = "here") -> HardState:
+    """The hard state that a start finds; the start itself is one more write."""
+    with opened_storage(folder, detector_folder) as storage:
+        return storage.persisted.hard_state
+
+
+def overwrite(folder: Path, key: bytes, value: bytes | None) -> None:
+    """Change a record without the storage."""
+    store = open_store(RealFiles(folder / "store"), "n", lambda: 1)
+    store.write([WriteOperation(key, value)], Durability.SYNCED)
+    store.close()
+
+
+def end_suspicion(folder: Path) -> None:
+    """Write the hard state that a node writes once it is admitted."""
+    disk_id = start(folder).disk_id
+    overwrite(folder, HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=disk_id)))
+
+
+def test_records_are_the_same_after_a_restart(tmp_path: Path) -> None:
+    entries = tuple(LogEntry(1, EntryKind.COMMAND, f"r{number}", b"x") for number in range(6))
+    snapshot = Snapshot(2, 1, {"n1": "e"}, b"s" * 200_000)
+    with opened_storage(tmp_path) as storage:
+        disk_id = storage.persisted.hard_state.disk_id
+        hard_state = HardState(3, "n1", disk_id, {"n1": "d"}, 2)
+        storage.write([hard_state, LogSuffix(1, entries), LogSuffix(5, entries[:1])])
+        storage.write([snapshot])
+    with opened_storage(tmp_path) as storage:
+        assert storage.persisted.hard_state == hard_state
+        assert storage.persisted.snapshot == snapshot
+        assert storage.persisted.entries == (*entries[2:4], entries[0])
+        storage.write([Snapshot(5, 1, {}, b"small")])
+    with opened_storage(tmp_path) as storage:
+        assert storage.persisted.snapshot.state == b"small"
+        assert storage.persisted.entries == ()
+
+
+def test_a_disk_that_is_not_shown_to_be_the_newest_is_suspected(tmp_path: Path) -> None:
+    assert not start(tmp_path).stale_disk_suspected  # a new disk has lost nothing
     shutil.copytree(tmp_path / "store", tmp_path / "copy")
-    assert not opened().persisted.hard_state.stale_disk_suspected
+    assert not start(tmp_path).stale_disk_suspected
     shutil.rmtree(tmp_path / "store")
     (tmp_path / "copy").rename(tmp_path / "store")
-    assert opened().persisted.hard_state.stale_disk_suspected
-    assert opened().persisted.hard_state.stale_disk_suspected  # until the agreement ends it
-    write(
-        WriteOperation(
-            HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
-        )
-    )
-    assert not opened().persisted.hard_state.stale_disk_suspected
-    write(WriteOperation(log_entry_key(2), msgspec.msgpack.encode(LogEntry(1))))  # the first one is missing
-    assert opened().persisted.hard_state.stale_disk_suspected
-    write(
-        WriteOperation(
-            HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=opened().persisted.hard_state.disk_id))
-        )
-    )
-    write(WriteOperation(log_entry_key(2), None))
-    assert opened("elsewhere").persisted.hard_state.stale_disk_suspected  # as after a start of the machine
+    assert start(tmp_path).stale_disk_suspected
+    assert start(tmp_path).stale_disk_suspected  # until Raft ends it
+    end_suspicion(tmp_path)
+    assert not start(tmp_path).stale_disk_suspected
+    overwrite(tmp_path, log_entry_key(2), msgspec.msgpack.encode(LogEntry(1)))  # entry 1 is missing
+    assert start(tmp_path).stale_disk_suspected
+    end_suspicion(tmp_path)
+    overwrite(tmp_path, log_entry_key(2), None)
+    assert start(tmp_path, "elsewhere").stale_disk_suspected  # as after a start of the machine
