--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -80,16 +80,16 @@
     # --- clients that come back
 
     def resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, detach: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
         """Hand a client with a token over to its session's thread; empty, or the answer that rejects it.
 
-        `detach` is called first where the client is handed over; its socket is not the caller's any more.
+        `release` is called first where the client is handed over; its socket is not the caller's any more.
         Nothing waits here, and a rejection changes nothing for the session. LineError: no position is told.
         """
         try:
             self._check_is_available()
-            return self._resume(sock, opening, arrived, detach)
+            return self._resume(sock, opening, arrived, release)
         except ResumeRejectedError as error:
             return error.answer
         except TokenError as error:
@@ -109,7 +109,7 @@
             raise ResumeRejectedError(RETRY_SOON)
 
     def _resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, detach: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
         position = opening.field_values.get(RESUME_POSITION_FIELD, "")
         if not _POSITION.match(position):
@@ -121,13 +121,13 @@
         if not self.token_registry.is_known(payload.session_id):
             if self.ownership is not None:
                 takeover = _Takeover(self.ownership, client, opening, payload, arrived)
-                self._start_takeover(takeover, detach)
+                self._start_takeover(takeover, release)
                 return b""
             if self.session_store is not None:
                 self._restore_stored(self.session_store, payload)
 
         def deliver(queue: ActionQueue) -> None:
-            detach()
+            release()
             queue.add_client(client)
 
         self.token_registry.begin_resume(payload, self._runner.clock.micros(arrived), deliver)
@@ -184,7 +184,7 @@
                 queue.is_superseded = True
                 queue.wake()
 
-    def _start_takeover(self, takeover: _Takeover, detach: Callable[[], None]) -> None:
+    def _start_takeover(self, takeover: _Takeover, release: Callable[[], None]) -> None:
         """Take over another node's session in a thread of its own.
 
         ResumeRejectedError: too many are being claimed, or this one is. Two claims of one node for one
@@ -196,7 +196,7 @@
                 raise ResumeRejectedError(RETRY_SOON)
             self._claiming.add(session_id)
         try:
-            detach()
+            release()
             threading.Thread(
                 target=self._run_takeover, args=(takeover,), name="take-over", daemon=True
             ).start()
--- a/tansyladder/sessions/session_state.py
+++ b/tansyladder/sessions/session_state.py
@@ -13,7 +13,7 @@
     NEW = "new"
     CONNECTED = "connected"  # to its client and a stream host
     SUSPENDED = "suspended"  # to a stream host; the client may resume
-    PLACING = "placing"  # to its client; the next stream host is being chosen
+    MIGRATING = "migrating"  # to its client; the next stream host is being chosen
     DETACHED = "detached"  # to nobody; the client may resume, and a stream host is chosen then
     ENDED = "ended"
 
@@ -43,7 +43,7 @@
     SessionState.CONNECTED: {
         SessionEvent.CLIENT_CONNECTED: SessionState.CONNECTED,  # in place of a half-open connection
         SessionEvent.CLIENT_LOST: SessionState.SUSPENDED,
-        SessionEvent.UPSTREAM_LOST: SessionState.PLACING,
+        SessionEvent.UPSTREAM_LOST: SessionState.MIGRATING,
         SessionEvent.ENDED: SessionState.ENDED,
     },
     SessionState.SUSPENDED: {
@@ -51,13 +51,13 @@
         SessionEvent.UPSTREAM_LOST: SessionState.DETACHED,
         SessionEvent.ENDED: SessionState.ENDED,
     },
-    SessionState.PLACING: {
+    SessionState.MIGRATING: {
         SessionEvent.UPSTREAM_CONNECTED: SessionState.CONNECTED,
         SessionEvent.CLIENT_LOST: SessionState.DETACHED,
         SessionEvent.ENDED: SessionState.ENDED,
     },
     SessionState.DETACHED: {
-        SessionEvent.CLIENT_CONNECTED: SessionState.PLACING,
+        SessionEvent.CLIENT_CONNECTED: SessionState.MIGRATING,
         SessionEvent.UPSTREAM_CONNECTED: SessionState.SUSPENDED,
         SessionEvent.ENDED: SessionState.ENDED,
     },
