--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -4,6 +4,7 @@
 
 import re
 import threading
+import time
 from datetime import timedelta
 from pathlib import Path
 
@@ -20,6 +21,7 @@
     SessionClient,
     break_connection,
     echo_lines,
+    host_with_two_scripts,
     read_to_end,
     resuming_node,
     start_session,
@@ -220,3 +222,38 @@
         assert host.ended.acquire(timeout=5)  # one of the host_with_two_scripts
         answers = [first.reconnect().read_line(), second.reconnect().read_line()]
         assert sorted(answers) == ["ERR resume room", "UP r1"]
+
+
+def test_a_host_is_left_when_the_returning_client_breaks_and_may_not_be_awaited(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The policy is told of the end of the attempt, and no connection is left open."""
+    lost, broken = threading.Event(), threading.Event()
+
+    def leaves(peer: Peer, _names: dict[str, str]) -> None:
+        start_session(peer, "F 1")
+        assert lost.wait(5)
+
+    def goes_on(peer: Peer, _names: dict[str, str]) -> None:
+        assert broken.wait(5)
+        peer.send_lines("UP r2", "RS AT 0 1")
+        assert peer.read_line() == ""
+
+    hosts = [host_with_two_scripts(leaves, goes_on) for _ in range(2)]
+    with resuming_node(tmp_path, *hosts) as n:
+        client = SessionClient(n)
+        assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
+        client.lose_connection()
+        lost.set()
+        n.runner.wait_for(AttemptEnded)
+        monkeypatch.setattr(n.runner.session_service, "reserve_suspended", lambda: False)
+        returning = client.reconnect()
+        n.runner.wait_for(RequestReceived, 2)
+        break_connection(returning)
+        broken.set()
+        assert n.runner.wait_for(AttemptEnded, 2).status is AttemptStatus.CANCELLED
+        assert n.runner.session_service is not None
+        deadline = time.monotonic() + 5
+        while len(n.runner.session_service.token_registry) and time.monotonic() < deadline:
+            time.sleep(0.002)
+        assert client.reconnect().read_line() == "ERR resume room"
