--- a/tansyladder/net/response_timeout.py
+++ b/tansyladder/net/response_timeout.py
@@ -9,9 +9,8 @@
 from tansyladder.net.clock import MICROSECOND, now
 
 SILENCE_TIMEOUT = timedelta(seconds=4.5)  # of a line unanswered; with 2 s between lines, under 7 s in all
-OVERDUE_INTERVAL = timedelta(
-    milliseconds=250
-)  # a line that waits counts as a delay, and again after each such
+# A line that waits for so long counts as a delay, and again after each such interval.
+OVERDUE_INTERVAL = timedelta(milliseconds=250)
 UNSOLICITED_WORDS = (protocol.LOAD, protocol.BYE, protocol.MOVE)  # first words of lines that answer nothing
 
 
--- a/tansyladder/net/sockets.py
+++ b/tansyladder/net/sockets.py
@@ -15,9 +15,7 @@
 from tansyladder.net.clock import milliseconds_left, now, seconds_left
 
 SEND_TIMEOUT = timedelta(seconds=5)  # a peer that takes nothing for this long is given up
-DRAIN_TIMEOUT = timedelta(
-    milliseconds=500
-)  # after our end of a connection its peer has this long for its own
+DRAIN_TIMEOUT = timedelta(milliseconds=500)  # that a peer has for its own end after ours
 READ_SIZE_BYTES = 8192  # of one read; a connection's lines are short, and a read seldom holds two
 MAX_DRAIN_BYTES = 1 << 20  # read and dropped after our end; a close with unread input would be a reset
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # `struct linger`: on, 0 s
--- /dev/null
+++ b/tests/net/test_action_queue.py
@@ -0,0 +1,76 @@
+"""The queue of a request's actions: pollable at first, woken by a callback once it is established."""
+
+from __future__ import annotations
+
+import socket
+from datetime import timedelta
+
+import pytest
+
+from tansyladder.net import sockets
+from tansyladder.net.action_queue import ActionQueue, ResumingClient
+from tansyladder.policy.actions import CancelAttempt, Fail
+
+
+def is_readable(queue: ActionQueue) -> bool:
+    return bool(sockets.wait_readable(timedelta(0), queue.fileno()))
+
+
+def test_an_open_queue_is_readable_while_actions_wait() -> None:
+    queue = ActionQueue()
+    queue.open()
+    assert not is_readable(queue)
+    queue.post(CancelAttempt(1, 0))
+    queue.post(Fail(1))
+    queue.wake()
+    assert is_readable(queue)
+    assert queue.peek() == CancelAttempt(1, 0)
+    assert queue.take() == CancelAttempt(1, 0)
+    assert is_readable(queue)
+    assert queue.take() == Fail(1)
+    assert not is_readable(queue)
+    assert queue.take() is None
+    queue.close()
+
+
+def test_a_wake_without_an_action_is_read_away() -> None:
+    queue = ActionQueue()
+    queue.open()
+    queue.wake()
+    assert queue.take() is None
+    assert not is_readable(queue)
+    queue.close()
+
+
+def test_an_established_connection_is_woken_by_its_callback_and_holds_no_descriptor() -> None:
+    queue = ActionQueue()
+    queue.open()
+    calls: list[int] = []
+    queue.use_callback(lambda: calls.append(1))
+    assert queue.is_established
+    assert queue.fileno() == -1
+    assert calls == []
+    queue.post(Fail(1))
+    queue.wake()
+    assert calls == [1]
+    queue.use_callback(lambda: calls.append(2))  # at once, as an action waits
+    assert calls == [1, 2]
+    queue.close()
+    queue.wake()
+    assert calls == [1, 2]
+    assert not queue.is_established
+
+
+@pytest.mark.parametrize("is_open", [True, False])
+def test_a_client_that_comes_back_wakes_the_session(is_open: bool) -> None:
+    queue = ActionQueue()
+    if is_open:
+        queue.open()
+    one, other = socket.socketpair()
+    with one, other:
+        client = ResumingClient(one, 3, timedelta(seconds=1))
+        queue.add_client(client)
+        assert not is_open or is_readable(queue)
+        assert queue.take_client() is client
+        assert queue.take_client() is None
+    queue.close()
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -95,9 +95,8 @@
                 assert select.select([queued.sock], [], [], 0)[0] == []
                 new.send_signal(signal.SIGCONT)
                 assert queued.read_line() == "UP r1"
-                before.send_lines(
-                    "1", "M 2"
-                )  # it goes on, and neither its client nor its endpoint has noticed
+                # It goes on, and neither its client nor its endpoint has noticed.
+                before.send_lines("1", "M 2")
                 assert [before.read_line(), before.read_line()] == ["M 1", "M 2"]
                 before.close()
                 new.send_signal(signal.SIGHUP)
--- /dev/null
+++ b/tests/net/test_protocol.py
@@ -0,0 +1,100 @@
+"""The line protocol: lines out of chunks, a client's first line, and load reports."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+import pytest
+
+from tansyladder.net import protocol
+from tansyladder.net.clock import MILLISECOND
+from tansyladder.net.protocol import LineBuffer, LineError
+
+
+def test_lines_are_cut_out_of_chunks() -> None:
+    buffer = LineBuffer()
+    assert buffer.feed(b"M 1\r\nM") == [b"M 1\r\n"]
+    assert buffer.feed(b" 2") == []
+    assert buffer.partial_line == b"M 2"
+    assert buffer.feed(b"\r\n\r\nM 3\r\n") == [b"M 2\r\n", b"\r\n", b"M 3\r\n"]
+    assert buffer.partial_line == b""
+
+
+@pytest.mark.parametrize("end", [b"", b"\n", b"\nM 1\r\n"])
+def test_a_line_over_4_kib_is_an_error(end: bytes) -> None:
+    longest = b"x" * (protocol.MAX_LINE_BYTES - 1)
+    assert b"".join(LineBuffer().feed(longest + b"\n")) == longest + b"\n"
+    with pytest.raises(LineError, match="a line longer than 4096 bytes"):
+        LineBuffer().feed(longest + b"x" + end)
+
+
+def test_a_first_line_is_parsed_and_passed_on_with_the_nodes_wait() -> None:
+    opening = protocol.parse_opening(b"OPEN 9B1F 7f c=chat,d=1200.5,g=5C,r=1,h=2.5,t=acme,rs=1\r\n")
+    assert opening.connection_id == "9b1f"
+    assert opening.key == 0x7F
+    assert opening.class_name == "chat"
+    assert opening.wait == 1200.5 * MILLISECOND
+    assert opening.group_key == 0x5C
+    assert opening.is_retry
+    assert not opening.is_reconnect
+    assert opening.endpoint_id is None
+    assert opening.load_hint == 2.5
+    assert opening.field_values[protocol.TENANT_FIELD] == "acme"
+    assert opening.line == "OPEN 9B1F 7f c=chat,d=1200.5,g=5C,r=1,h=2.5,t=acme,rs=1"
+    passed_on = opening.format_for_endpoint(timedelta(milliseconds=900.9), {"rs"}, (("rn", "4"),))
+    assert passed_on == b"OPEN 9B1F 7f c=chat,d=900,g=5C,r=1,h=2.5,t=acme,rn=4\r\n"
+    assert b"d=1," in opening.format_for_endpoint(timedelta(0))
+
+
+@pytest.mark.parametrize(
+    ("line", "message"),
+    [
+        (b"OPEN 1 2 c=a,d=1\n", "a line that does not end in CRLF"),
+        (b"OPEN 1 2 c=\xff,d=1\r\n", "a line that is not UTF-8"),
+        (b"OPEN 1 c=a,d=1\r\n", "not OPEN ID KEY VALUES"),
+        (b"PING 1 2 c=a,d=1\r\n", "not OPEN ID KEY VALUES"),
+        (b"OPEN x 2 c=a,d=1\r\n", "id: up to 16 hexadecimal digits expected"),
+        (b"OPEN 1 12345678901234567 c=a,d=1\r\n", "key: up to 16 hexadecimal digits expected"),
+        (b"OPEN 1 2 c=a,d\r\n", "NAME=VALUE expected"),
+        (b"OPEN 1 2 c=a,c=b,d=1\r\n", "a name stands twice"),
+        (b"OPEN 1 2 d=1\r\n", "c: missing"),
+        (b"OPEN 1 2 c=a\r\n", "d: a number expected"),
+        (b"OPEN 1 2 c=a,d=1e3\r\n", "d: a number expected"),
+        (b"OPEN 1 2 c=a,d=0\r\n", "d: out of range: 0"),
+        (b"OPEN 1 2 c=a,d=60001\r\n", "d: out of range: 60001"),
+        (b"OPEN 1 2 c=a,d=7200001,at=s1\r\n", "d: out of range: 7200001"),
+        (b"OPEN 1 2 c=a,d=1,g=x\r\n", "g: up to 16 hexadecimal digits expected"),
+        (b"OPEN 1 2 c=a,d=1,h=4000000000\r\n", "h: out of range"),
+        (b"OPEN 1 2 c=a,d=1,r=2\r\n", "r: 0 or 1 expected"),
+        (b"OPEN 1 2 c=a,d=1,again=yes\r\n", "again: 0 or 1 expected"),
+    ],
+)
+def test_a_first_line_that_breaks_the_protocol_is_an_error_that_says_how(line: bytes, message: str) -> None:
+    with pytest.raises(LineError) as caught:
+        protocol.parse_opening(line)
+    assert str(caught.value) == message
+
+
+def test_a_connection_from_before_the_run_may_have_a_long_wait() -> None:
+    assert protocol.parse_opening(b"OPEN 1 2 c=a,d=7200000,at=s1\r\n").wait == timedelta(hours=2)
+
+
+def test_a_rejection_says_when_to_come_again_in_whole_milliseconds() -> None:
+    assert protocol.format_reject(timedelta(0)) == b"BUSY\r\n"
+    assert protocol.format_reject(timedelta(microseconds=1)) == b"BUSY 1\r\n"
+    assert protocol.format_reject(timedelta(milliseconds=20)) == b"BUSY 20\r\n"
+
+
+@pytest.mark.parametrize(
+    ("line", "values"),
+    [
+        (b"PONG x0=0.4,qps=12\r\n", (12.0, 0.4)),
+        (b"x0=0.4,other=1,qps=12\r\n", (12.0, 0.4)),
+        (b"PONG x0=0.4\r\n", ()),
+        (b"PONG x0=0.4,qps=nan\r\n", ()),
+        (b"PONG x0=0.4,qps=\xff\r\n", ()),
+        (b"PONG\r\n", ()),
+    ],
+)
+def test_a_load_report_is_whole_or_empty(line: bytes, values: tuple[float, ...]) -> None:
+    assert protocol.parse_load_report(line, ("qps", "x0")) == values
