--- a/tests/answers/test_lab_reports.py
+++ b/tests/answers/test_lab_reports.py
@@ -4,8 +4,8 @@
 seconds are looked for in the source text: somewhere in the package a dictionary is written with just these
 keys, or a class with just these fields, in this order. Held elsewhere, by whole runs that read some of the
 fields: `documents` (`tests/replication/test_document_processes.py`), `chaos`
-(`tests/lab/chaos/test_experiments.py`), `store-faults` and `store-kill` (`tests/store/test_crash_consistency.py`); the tables of `fleet`
-(`tests/lab/test_fleet_counts.py`).
+(`tests/lab/chaos/test_experiments.py`), `store-faults` and `store-kill`
+(`tests/store/test_crash_consistency.py`); the tables of `fleet` (`tests/lab/test_fleet_counts.py`).
 """
 
 from __future__ import annotations
