--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -137,6 +137,24 @@
     assert hanging.best_latency_us == MILLISECOND  # it goes on: the best was measured in a bad time
 
 
+def test_a_short_latency_may_vary_by_some_milliseconds() -> None:
+    """Three times a best of 1 ms is still within what chance adds."""
+    node = checked_node()
+    for latency in (MILLISECOND, 3 * MILLISECOND, 3 * MILLISECOND):
+        answer_check(node, latency)
+    assert node.endpoint(1).ejection.attempt == 0
+    for _ in range(2):
+        answer_check(node, 5 * MILLISECOND)
+    assert node.endpoint(1).ejection.attempt == 1
+
+
+def test_an_endpoint_with_a_short_latency_that_hangs_is_ejected() -> None:
+    node = checked_node()
+    for latency in (*[2 * MILLISECOND] * 8, MILLISECOND // 2, MILLISECOND // 2):
+        answer_check(node, latency)
+    assert node.endpoint(1).ejection.attempt == 1
+
+
 def test_a_delay_counts_until_the_next_health_check() -> None:
     """Checked every six seconds, an endpoint must not count as sound after two, and be filled again."""
     node = BalancerDriver(endpoints(1, 4), can_check_health=True, health_check_interval_us=6 * SECOND)
