--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -76,6 +76,15 @@
     assert failed not in sent
 
 
+def test_failures_during_an_ejection_do_not_lengthen_it() -> None:
+    """Attempts that were out together fail together; that is one failure of their endpoint."""
+    node = BalancerDriver([endpoint(1)])
+    starts = [only_attempt(node.send_request(key=key).actions) for key in range(1, 9)]
+    for start in starts:
+        node.fail_attempt(start, 0, after=0)
+    assert node.endpoint(1).ejection.attempt == 1
+
+
 def test_a_burst_uses_up_the_permits_of_slow_start() -> None:
     node = BalancerDriver([endpoint(i, ready_at=START_TIME) for i in range(1, 4)], node_count=1)
     for key in range(1, 40):
