--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -165,6 +165,28 @@
     assert traffic != "even" or len(sent) >= 8  # permits are used
 
 
+def test_permits_that_nobody_used_expire() -> None:
+    """After eight quiet seconds a burst at all nodes gets no more than the budget of a second."""
+    nodes = 30
+    fleet = [
+        BalancerDriver(
+            [endpoint(1), endpoint(2)], index, node_count=nodes, node_index=index, overload_duration_us=SECOND
+        )
+        for index in range(nodes)
+    ]
+    sent = 0
+    for node in fleet:
+        node.deliver(*(adopted(1000 + i, 1) for i in range(14)))
+        started = (endpoint(1), endpoint(2, ready_at=START_TIME))
+        node.deliver(EndpointListUpdate(ListUpdateKind.SNAPSHOT, started))
+        node.next_id = 10_000
+        node.run_until(START_TIME + 8 * SECOND)
+        actions = [action for key in range(1, 9) for action in node.send_request(key=key).actions]
+        sent += sum(start.endpoint_id == 2 for start in of_type(actions, StartAttempt))
+    budget = 3.0 * CONNECTIONS_PER_WEIGHT / 20 * (0.15 + 0.85 * 8 / 20)
+    assert 1 <= sent <= budget + 2 * math.sqrt(budget) + 2
+
+
 @pytest.mark.parametrize(
     ("away_count", "connections_per_unit", "zones"), [(1, 0.0, {0}), (1, 8.0, {0, 1}), (0, 8.0, {0})]
 )
