--- a/tansyladder/policy/discovery.py
+++ b/tansyladder/policy/discovery.py
@@ -15,7 +15,6 @@
     if event.kind is ListUpdateKind.FAILED:
         _poll_later(context, table)
         return
-    table.poll_backoff.attempt = 0
     if event.kind is not ListUpdateKind.DELTA:
         listed = {update.endpoint_id for update in event.endpoints}
         for endpoint in table.by_id.values():
