--- a/tansyladder/cluster/change_validator.py
+++ b/tansyladder/cluster/change_validator.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import NamedTuple
 
 from tansyladder.cluster.content_worker import (
     ContentWorker,
@@ -17,41 +16,11 @@
 from tansyladder.replication.content_transfer import digest_of
 from tansyladder.replication.document_messages import ValidationVote
 from tansyladder.replication.documents import Documents, PendingChange
+from tansyladder.replication.proposal_throttle import ProposalThrottle
 from tansyladder.replication.replicated_state import Command
-from tansyladder.replication.units import MILLISECOND_US, SECOND_US
+from tansyladder.replication.units import MILLISECOND_US
 
-REPROPOSE_INTERVAL_US = 150 * MILLISECOND_US  # after which a command that the log lacks is proposed again
-MAX_REMEMBERED_PROPOSALS = 64  # then those older than a second are forgotten
-
-
-class ProposalKey(NamedTuple):
-    """Names a command of this node, to propose it again only after a while."""
-
-    kind: type[Command]
-    number: int
-    round: int = 0
-
-
-class ProposalThrottle:
-    """Proposes a command again only where the log still lacks it after a while. Not thread-safe."""
-
-    def __init__(self) -> None:
-        self._proposed_at_us: dict[ProposalKey, int] = {}
-
-    def once(self, command: Command, key: ProposalKey, now_us: int) -> list[Command]:
-        """Return the command, unless it was proposed a moment ago."""
-        last_proposed_us = self._proposed_at_us.get(key, -REPROPOSE_INTERVAL_US)
-        if now_us - last_proposed_us < REPROPOSE_INTERVAL_US:
-            return []
-        if len(self._proposed_at_us) > MAX_REMEMBERED_PROPOSALS:
-            self._forget_old(now_us)
-        self._proposed_at_us[key] = now_us
-        return [command]
-
-    def _forget_old(self, now_us: int) -> None:
-        self._proposed_at_us = {
-            key: at_us for key, at_us in self._proposed_at_us.items() if now_us - at_us < SECOND_US
-        }
+REPROPOSE_INTERVAL_US = 150 * MILLISECOND_US  # of a vote that the log lacks
 
 
 class ChangeValidator:
@@ -69,7 +38,7 @@
         self._documents = documents
         self._contents = contents
         self.worker = ContentWorker(contents, validators)
-        self._throttle = ProposalThrottle()
+        self._throttle = ProposalThrottle(REPROPOSE_INTERVAL_US)
         self._faults_by_number: dict[int, str] = {}  # of changes that were validated; empty: it is valid
         self._validating_number = 0  # the change that was last submitted to the worker
 
@@ -89,7 +58,7 @@
         if change.number in self._faults_by_number:
             fault = self._faults_by_number[change.number]
             vote = ValidationVote(change.number, self._incarnation, now_us, fault)
-            return self._throttle.once(vote, ProposalKey(ValidationVote, change.number), now_us)
+            return [vote] if self._throttle.allows(change.number, now_us) else []
         content_here = self._contents.get_or_fetch(change.digest, change.size, now_us)
         if content_here is not None and self._validating_number != change.number:
             self._submit(change, content_here)
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import NamedTuple
 
-from tansyladder.cluster.change_validator import ChangeValidator, ProposalKey, ProposalThrottle
+from tansyladder.cluster.change_validator import REPROPOSE_INTERVAL_US, ChangeValidator
 from tansyladder.cluster.content_storage import ContentStorage
 from tansyladder.cluster.content_worker import STORAGE_FAULT, Validator
 from tansyladder.cluster.document_lease import DocumentLease, LeaseExpiryPolicy
@@ -34,6 +34,7 @@
 )
 from tansyladder.replication.lease_coordinator import LeaseCoordinator
 from tansyladder.replication.lease_holder import LeaseHolder
+from tansyladder.replication.proposal_throttle import ProposalThrottle
 from tansyladder.replication.replicated_state import Command
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.store import Store
@@ -93,7 +94,7 @@
         self._coordinator = LeaseCoordinator(incarnation, documents, self._lease_duration_us)
         self._lease = DocumentLease()  # replaced as a whole, so it is read without the lock
         self._is_stopped = False
-        self._throttle = ProposalThrottle()
+        self._throttle = ProposalThrottle(REPROPOSE_INTERVAL_US)
         self._next_renewal_at_us = 0
         self._contents = NodeContents(peers, ContentStorage(store), Random(incarnation))
         self._contents.load(documents.referenced_digests())
@@ -185,9 +186,8 @@
         now_us = self.now_us()
         commands: list[Command] = []
         prepared = self._lease_holder.prepare(now_us)
-        if prepared is not None:
-            key = ProposalKey(type(prepared), prepared.number, prepared.round)
-            commands += self._throttle.once(prepared, key, now_us)
+        if prepared is not None and self._throttle.allows((prepared.number, prepared.round), now_us):
+            commands.append(prepared)
         commands += self.validator.step(self._lease_holder.change_to_validate(), now_us)
         self._publish_lease(now_us)
         if is_leader:
--- a/tansyladder/replication/lease_coordinator.py
+++ b/tansyladder/replication/lease_coordinator.py
@@ -4,6 +4,7 @@
 
 from tansyladder.replication.document_messages import Abort, Commit, DocumentCommand, LeaseGrant, Prepare
 from tansyladder.replication.documents import MAX_LEASES, ChangePhase, Documents, PendingChange, node_name
+from tansyladder.replication.proposal_throttle import ProposalThrottle
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 
 MAX_BACKOFF_DOUBLINGS = 5  # of the pause between two rounds of preparing: 6.4 s at most
@@ -33,7 +34,7 @@
         self._lease_duration_us = lease_duration_us
         self._renewal_window_us = lease_duration_us // 4  # a node silent for longer counts as down
         self._last_renewal_us: dict[str, int] = {}  # by incarnation
-        self._proposed_at_us: dict[type, int] = {}
+        self._throttle = ProposalThrottle(self.REPROPOSE_INTERVAL_US)
         self._prepare_not_before_us = 0
         self._aborted_round_count = 0  # of the pending change
         self._last_aborted_round = 0
@@ -46,7 +47,7 @@
     def reset(self) -> None:
         """Forget all renewals: this node doesn't lead, and they will be old when it does."""
         self._last_renewal_us.clear()
-        self._proposed_at_us.clear()
+        self._throttle.reset()
 
     def is_urgent(self, now_us: int) -> bool:
         """Whether nodes wait for commits: a change is pending, or a renewed lease is short or has ended."""
@@ -140,8 +141,4 @@
 
     def _propose_once(self, command: DocumentCommand, now_us: int) -> list[DocumentCommand]:
         """Return the command, unless one of its type was proposed a moment ago."""
-        last_proposed_us = self._proposed_at_us.get(type(command), -self.REPROPOSE_INTERVAL_US)
-        if now_us - last_proposed_us < self.REPROPOSE_INTERVAL_US:
-            return []
-        self._proposed_at_us[type(command)] = now_us
-        return [command]
+        return [command] if self._throttle.allows(type(command), now_us) else []
--- a/tansyladder/simulation/document_node.py
+++ b/tansyladder/simulation/document_node.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
+from functools import partial
 
 import msgspec
 
@@ -11,6 +12,7 @@
 from tansyladder.replication.documents import Documents, DocumentsSnapshot
 from tansyladder.replication.lease_coordinator import LeaseCoordinator
 from tansyladder.replication.lease_holder import LeaseHolder
+from tansyladder.replication.proposal_throttle import ProposalThrottle
 from tansyladder.replication.units import MILLISECOND_US
 from tansyladder.simulation.raft_cluster import RecordingStateMachine
 
@@ -64,20 +66,13 @@
     coordinator: LeaseCoordinator
     documents: Documents
     faults_by_number: dict[int, str | None] = field(default_factory=dict)  # None: it is being fetched
-    proposed_at_us: dict[str, int] = field(default_factory=dict)  # by what was proposed
+    throttle: ProposalThrottle = field(default_factory=partial(ProposalThrottle, REPROPOSE_INTERVAL_US))
 
     @property
     def incarnation(self) -> str:
         """The node's name and the number of its start."""
         return self.lease_holder.incarnation
 
-    def may_propose(self, key: str, now_us: int) -> bool:
-        """Whether a command was not proposed a moment ago; if so, note that it is now."""
-        if now_us - self.proposed_at_us.get(key, -REPROPOSE_INTERVAL_US) < REPROPOSE_INTERVAL_US:
-            return False
-        self.proposed_at_us[key] = now_us
-        return True
-
 
 @dataclass(frozen=True)
 class Decision:
--- a/tansyladder/simulation/document_nodes.py
+++ b/tansyladder/simulation/document_nodes.py
@@ -133,7 +133,7 @@
     def _propose_once(self, node: SimulatedNode, command: DocumentCommand, key: str) -> None:
         """Propose a command of a node, unless it did so a moment ago."""
         document_node = self.document_nodes[node.name]
-        if document_node.may_propose(key, self.now):
+        if document_node.throttle.allows(key, self.now):
             request_id = f"{document_node.incarnation}:{key}:{self.now}"
             request = ProposalRequest(request_id, msgspec.msgpack.encode(command))
             self.call_at(self.now, partial(self._propose_request, node, node.incarnation, request))
