--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -19,7 +19,11 @@
     REPROPOSE_INTERVAL_US,
     Decision,
 )
-from tansyladder.simulation.document_nodes import DOCUMENT, DocumentClusterOptions, SimulatedDocumentNodes
+from tansyladder.simulation.document_replication import (
+    DOCUMENT,
+    DocumentClusterOptions,
+    DocumentReplicationCluster,
+)
 from tansyladder.simulation.fault_rates import NO_FAULTS
 from tansyladder.simulation.raft_cluster import SimulatedNode
 
@@ -31,7 +35,7 @@
 LIVENESS_TIMEOUT_US = 60 * SECOND_US  # of a change: leases have to end, and rounds may be aborted
 
 
-class SimulatedDocumentCluster(SimulatedDocumentNodes):
+class SimulatedDocumentCluster(DocumentReplicationCluster):
     """Nodes that decide for clients under the version in force, while the document is changed."""
 
     def __init__(self, seed: int, options: DocumentClusterOptions) -> None:
--- a/tansyladder/simulation/document_nodes.py
+++ b/tansyladder/simulation/document_replication.py
@@ -49,7 +49,7 @@
     mean_pause_interval_us: int = 4 * SECOND_US  # of all nodes together; 0: never
 
 
-class SimulatedDocumentNodes(PausableCluster):
+class DocumentReplicationCluster(PausableCluster):
     """Nodes that take part in agreed documents, each with a clock of its own that is off by a little."""
 
     def __init__(self, seed: int, options: DocumentClusterOptions) -> None:
--- a/tests/replication/test_simulated_documents.py
+++ b/tests/replication/test_simulated_documents.py
@@ -11,7 +11,7 @@
 from tansyladder.simulation.document_cluster import simulate_documents
 from tansyladder.simulation.document_invariants import document_violations
 from tansyladder.simulation.document_node import STANDARD_DOCUMENT_COMPONENTS, DocumentComponents
-from tansyladder.simulation.document_nodes import DocumentClusterOptions
+from tansyladder.simulation.document_replication import DocumentClusterOptions
 from tansyladder.simulation.fault_rates import FaultRates
 from tests.simulation.documents_without_guards import DOCUMENT_GUARDS
 
