--- a/tansyladder/cluster/__init__.py
+++ b/tansyladder/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What speaks to the other nodes: connections, the agreement's thread and its records."""
+"""What connects the node to the other nodes: peer connections, the Raft thread and its storage, documents."""
--- a/tansyladder/simulation/__init__.py
+++ b/tansyladder/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated fleets on a virtual clock: the cores of `peers` without threads, sockets or disks."""
+"""Simulated clusters on a virtual clock: Raft and documents without threads, sockets or disks."""
