--- a/tests/resumption/test_tokens.py
+++ b/tests/resumption/test_tokens.py
@@ -32,7 +32,8 @@
 )
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_an_altered_token_is_rejected(at: int, letter: str, cut: int) -> None:
-    keys, claim = ring(), TokenPayload(5, 1, 1000)
+    keys = ring()
+    claim = TokenPayload(5, 1, 1000)
     text = keys.seal(claim, CLAIMS)
     assert keys.open(text, CLAIMS) == claim
     assert len(text) == TOKEN_LENGTH
--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -33,7 +33,7 @@
     """A scripted stream host that knows positions; each connection's script gets the names it was told."""
 
     def __init__(self, *scripts: HostScript) -> None:
-        self.opened: list[dict[str, str]] = []
+        self.opened_fields: list[dict[str, str]] = []
         self.lines: list[str] = []
         self.ended = threading.Semaphore(0)
         self.listener = ScriptedServer(*map(self._script, scripts))
@@ -42,7 +42,7 @@
         def script(peer: Peer) -> None:
             self.lines.append(peer.read_line())
             names = dict(v.split("=") for v in self.lines[-1].split()[3].split(","))
-            self.opened.append(names)
+            self.opened_fields.append(names)
             try:
                 then(peer, names)
             finally:
@@ -56,21 +56,26 @@
 
 
 def echo_lines(peer: Peer, names: dict[str, str]) -> None:
-    """Go on where the last one ended, hold what is said at once, and answer each line with the next frame."""
-    said, heard = int(names.get("ro", 0)), int(names.get("ra", 0))
-    peer.send_lines(f"UP r{names.get('re', 0)}", f"RS AT {heard} {said}")
+    """Go on where the last one ended, hold what is sent at once, and answer each line with the next frame."""
+    sent = int(names.get("ro", 0))
+    received = int(names.get("ra", 0))
+    peer.send_lines(f"UP r{names.get('re', 0)}", f"RS AT {received} {sent}")
     while line := peer.read_line():
         if line.startswith("M "):
-            heard, said = heard + 1, said + 1
-            peer.send_lines(f"F {said} {line}", f"RS ACK {heard}")
+            received = received + 1
+            sent = sent + 1
+            peer.send_lines(f"F {sent} {line}", f"RS ACK {received}")
 
 
 class SessionClient:
     """A client that offers to resume."""
 
-    def __init__(self, n: Node, names: str = OFFER_FIELDS + ",rs=1", key: str = "7f") -> None:
-        self.node, self.key, self.token, self.frames = n, key, "", 0
-        self.peer = n.open(names, key)
+    def __init__(self, node: Node, names: str = OFFER_FIELDS + ",rs=1", key: str = "7f") -> None:
+        self.node = node
+        self.key = key
+        self.token = ""
+        self.frames = 0
+        self.peer = node.open(names, key)
 
     def read_line(self) -> str:
         """The next line that is no token and no acknowledgment."""
@@ -91,16 +96,17 @@
 
     def lose_connection(self) -> None:
         """Its connection breaks, and the node has noticed."""
-        resuming = self.node.runner.session_service
-        assert isinstance(resuming, ResumptionHandler)
-        before, until = resuming.suspended_count, time.monotonic() + 10
+        service = self.node.runner.session_service
+        assert isinstance(service, ResumptionHandler)
+        before = service.suspended_count
+        until = time.monotonic() + 10
         break_connection(self.peer)
-        while resuming.suspended_count == before and time.monotonic() < until:
+        while service.suspended_count == before and time.monotonic() < until:
             time.sleep(0.002)
 
-    def reconnect(self, over: str = "", key: str = "", token: str = "") -> Peer:
+    def reconnect(self, fields: str = "", key: str = "", token: str = "") -> Peer:
         """A new connection with the token."""
-        names = over or f"{OFFER_FIELDS},rp={self.frames}"
+        names = fields or f"{OFFER_FIELDS},rp={self.frames}"
         return self.node.open(f"{names},rt={token or self.token},again=1", key or self.key)
 
 
@@ -122,8 +128,8 @@
 ) -> Iterator[Node]:
     """A node that knows these hosts and whose sessions can be resumed, with time for slow machines."""
     servers = (host.listener for host in hosts)
-    with running_node(tmp_path, *servers, resume=resume, store=store, settings=LONG_WAIT_SETTINGS) as n:
-        yield n
+    with running_node(tmp_path, *servers, resume=resume, store=store, settings=LONG_WAIT_SETTINGS) as node:
+        yield node
 
 
 def read_to_end(peer: Peer) -> None:
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -41,8 +41,8 @@
         peer.send_lines("F 4")
         peer.read_line()
 
-    with resuming_node(tmp_path, ScriptedHost(host)) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, ScriptedHost(host)) as node:
+        client = SessionClient(node)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("M 1")
         assert sent.wait(5)
@@ -55,17 +55,18 @@
         assert [again.read_line(), again.read_line()] == ["ERR resume spent", ""]
         client.send_lines("M 2")
         assert client.read_line() == "F 4"  # and the second use hurt nobody
-        counted = n.runner.metrics.total_counts()
+        counted = node.runner.metrics.total_counts()
         assert (counted["ok"], counted["errors"], counted["shed"], counted["tries"]) == (2, 1, 0, 1)
 
 
 def test_invalid_tokens_are_rejected_at_once(tmp_path: Path) -> None:
     """Each with its word, and the session that stands goes on."""
     with (
-        resuming_node(tmp_path, ScriptedHost(echo_lines)) as n,
+        resuming_node(tmp_path, ScriptedHost(echo_lines)) as node,
         resuming_node(tmp_path, ScriptedHost(echo_lines)) as elsewhere,
     ):
-        client, other = SessionClient(n), SessionClient(elsewhere)
+        client = SessionClient(node)
+        other = SessionClient(elsewhere)
         client.open_session()
         other.open_session()
         good = client.token
@@ -90,12 +91,12 @@
         assert behind.read_line() == "ERR resume behind"
         client.peer = client.reconnect()
         assert [client.read_line(), client.read_line()] == ["UP r1", "RS AT 2"]
-        assert len([e for e in n.runner.events if isinstance(e, RequestReceived)]) == 1
+        assert len([e for e in node.runner.events if isinstance(e, RequestReceived)]) == 1
 
 
 def test_a_half_open_connection_is_reset_before_the_new_one_gets_a_line(tmp_path: Path) -> None:
-    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as node:
+        client = SessionClient(node)
         client.open_session()
         old = client.peer
         client.peer = client.reconnect()
@@ -107,13 +108,14 @@
 
 
 def test_of_concurrent_resumes_with_one_token_one_succeeds(tmp_path: Path) -> None:
-    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as node:
+        client = SessionClient(node)
         client.open_session()
-        gate, answers = threading.Barrier(4), list[tuple[str, Peer]]()
+        gate = threading.Barrier(4)
+        answers = list[tuple[str, Peer]]()
 
         def come(token: str) -> None:
-            peer = n.connect()
+            peer = node.connect()
             gate.wait(5)
             peer.send_lines(f"OPEN {unique_id()} 7f {OFFER_FIELDS},rp={client.frames},rt={token}")
             answers.append((peer.read_line(), peer))
@@ -155,14 +157,14 @@
         peer.read_line()
 
     hosts = [ScriptedHost(host), ScriptedHost(host)]
-    with resuming_node(tmp_path, *hosts) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, *hosts) as node:
+        client = SessionClient(node)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("M 1")
         assert client.read_line() == "F 2"
         client.lose_connection()
         dead.set()
-        n.runner.wait_for(AttemptEnded)
+        node.runner.wait_for(AttemptEnded)
         full = client.reconnect("c=chat,d=700,g=5c,rp=2")
         assert re.fullmatch("BUSY [0-9]+", full.read_line())
         assert full.read_line() == ""
@@ -175,18 +177,19 @@
 
 
 def test_keys_rotate_while_sessions_are_connected(tmp_path: Path) -> None:
-    old, new = KeyEntry(1, "ab" * 32), KeyEntry(2, "cd" * 32)
+    old = KeyEntry(1, "ab" * 32)
+    new = KeyEntry(2, "cd" * 32)
     resume = msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(old,))
-    with resuming_node(tmp_path, ScriptedHost(echo_lines), resume=resume) as n:
-        assert n.runner.session_service is not None
-        client = SessionClient(n)
+    with resuming_node(tmp_path, ScriptedHost(echo_lines), resume=resume) as node:
+        assert node.runner.session_service is not None
+        client = SessionClient(node)
         client.open_session()
-        n.runner.session_service.rotate_keys(msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(new, old)))
+        node.runner.session_service.rotate_keys(msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(new, old)))
         client.peer = client.reconnect()
         assert [client.read_line(), client.read_line()] == ["UP r1", "RS AT 1"]
         client.send_lines("M 2")
         assert client.read_line() == "F 2 M 2"
-        n.runner.session_service.rotate_keys(msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(old,)))
+        node.runner.session_service.rotate_keys(msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(old,)))
         gone = client.reconnect()
         assert gone.read_line() == "ERR resume forged"
         client.send_lines("M 3")
@@ -198,8 +201,8 @@
     short = msgspec.structs.replace(RESUMPTION_OPTIONS)
     msgspec.structs.force_setattr(short, "expires", timedelta(milliseconds=200))
     host = ScriptedHost(echo_lines)
-    with resuming_node(tmp_path, host, resume=short) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, host, resume=short) as node:
+        client = SessionClient(node)
         client.open_session()
         first = client.token
         assert client.peer.read_line().startswith("RS TOKEN")
@@ -207,14 +210,15 @@
         break_connection(client.peer)
         assert host.ended.acquire(timeout=5)
         assert client.reconnect().read_line() == "ERR resume expired"
-        assert n.runner.wait_for(AttemptEnded).status is AttemptStatus.CANCELLED
+        assert node.runner.wait_for(AttemptEnded).status is AttemptStatus.CANCELLED
 
 
 def test_suspended_sessions_beyond_the_limit_end(tmp_path: Path) -> None:
     host = ScriptedHost(echo_lines)
     few = msgspec.structs.replace(RESUMPTION_OPTIONS, parked=1)
-    with resuming_node(tmp_path, host, resume=few) as n:
-        first, second = SessionClient(n), SessionClient(n, key="80")
+    with resuming_node(tmp_path, host, resume=few) as node:
+        first = SessionClient(node)
+        second = SessionClient(node, key="80")
         for client in (first, second):
             client.open_session()
         break_connection(first.peer)
@@ -228,7 +232,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The policy is told of the end of the attempt, and no connection is left open."""
-    lost, broken = threading.Event(), threading.Event()
+    lost = threading.Event()
+    broken = threading.Event()
 
     def leaves(peer: Peer, _names: dict[str, str]) -> None:
         start_session(peer, "F 1")
@@ -240,20 +245,20 @@
         assert peer.read_line() == ""
 
     hosts = [host_with_two_scripts(leaves, goes_on) for _ in range(2)]
-    with resuming_node(tmp_path, *hosts) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, *hosts) as node:
+        client = SessionClient(node)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.lose_connection()
         lost.set()
-        n.runner.wait_for(AttemptEnded)
-        monkeypatch.setattr(n.runner.session_service, "reserve_suspended", lambda: False)
+        node.runner.wait_for(AttemptEnded)
+        monkeypatch.setattr(node.runner.session_service, "reserve_suspended", lambda: False)
         returning = client.reconnect()
-        n.runner.wait_for(RequestReceived, 2)
+        node.runner.wait_for(RequestReceived, 2)
         break_connection(returning)
         broken.set()
-        assert n.runner.wait_for(AttemptEnded, 2).status is AttemptStatus.CANCELLED
-        assert n.runner.session_service is not None
+        assert node.runner.wait_for(AttemptEnded, 2).status is AttemptStatus.CANCELLED
+        assert node.runner.session_service is not None
         deadline = time.monotonic() + 5
-        while len(n.runner.session_service.token_registry) and time.monotonic() < deadline:
+        while len(node.runner.session_service.token_registry) and time.monotonic() < deadline:
             time.sleep(0.002)
         assert client.reconnect().read_line() == "ERR resume room"
--- a/tests/sessions/test_compatibility.py
+++ b/tests/sessions/test_compatibility.py
@@ -20,13 +20,13 @@
 
     with running_node(
         tmp_path, ScriptedServer(old), resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS
-    ) as n:
-        plain = n.open(OFFER_FIELDS + ",x=1")
+    ) as node:
+        plain = node.open(OFFER_FIELDS + ",x=1")
         assert [plain.read_line(), plain.read_line()] == ["UP r1", "RS AT 0 1"]
         plain.send_lines("RS END")
         assert [plain.read_line(), plain.read_line(), plain.read_line()] == ["RS END", "MOVE", ""]
         assert re.fullmatch(r"OPEN [0-9a-f]+ 7f c=chat,d=\d+,g=5c,x=1", seen[0])
-        client = SessionClient(n, key="80")
+        client = SessionClient(node, key="80")
         assert [client.read_line(), client.read_line()] == ["UP r1", "RS AT 0 1"]
         client.send_lines("M 1")
         assert [client.read_line(), client.read_line(), client.read_line()] == ["M 1", "MOVE", ""]
@@ -41,7 +41,7 @@
         seen.append(peer.read_line())
         peer.send_lines("UP r1", "RS AT 0 0", "BYE")
 
-    with running_node(tmp_path, ScriptedServer(host)) as n:
-        client = n.open("c=chat,d=1200,rs=1,rt=abc,rp=5")
+    with running_node(tmp_path, ScriptedServer(host)) as node:
+        client = node.open("c=chat,d=1200,rs=1,rt=abc,rp=5")
         assert [client.read_line() for _ in range(4)] == ["UP r1", "RS AT 0 0", "BYE", ""]
         assert seen[0].endswith(",rs=1,rt=abc,rp=5")
--- a/tests/sessions/test_migration.py
+++ b/tests/sessions/test_migration.py
@@ -40,20 +40,23 @@
         peer.send_lines("F 5", "BYE")
 
     hosts = [host_with_two_scripts(leaves, goes_on) for _ in range(2)]
-    with resuming_node(tmp_path, *hosts) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, *hosts) as node:
+        client = SessionClient(node)
         assert client.read_line() == "UP r1"
         client.send_lines("M 1", "M 2", "M 3")
         assert [client.read_line() for _ in range(4)] == ["F 1", "F 2", "F 3", "F 4"]
         client.send_lines("M 4")
         assert [client.read_line(), client.read_line(), client.read_line()] == ["F 5", "BYE", ""]
-        ends = [e.status for e in (n.runner.wait_for(AttemptEnded, 1), n.runner.wait_for(AttemptEnded, 2))]
+        ends = [
+            e.status for e in (node.runner.wait_for(AttemptEnded, 1), node.runner.wait_for(AttemptEnded, 2))
+        ]
         assert ends == [AttemptStatus.CANCELLED, AttemptStatus.OK]
 
 
 def test_a_failing_next_host_is_skipped_for_another_one(tmp_path: Path) -> None:
     """Also one that stands without a word of positions is left again before the next is asked."""
-    lock, epochs = threading.Lock(), list[int]()
+    lock = threading.Lock()
+    epochs = list[int]()
 
     def host(peer: Peer, names: dict[str, str]) -> None:
         with lock:
@@ -70,11 +73,11 @@
             peer.read_line()
 
     hosts = [ScriptedHost(host) for _ in range(4)]
-    with resuming_node(tmp_path, *hosts) as n:
-        client = SessionClient(n)
-        heard = [client.read_line() for _ in range(3)]
-        assert heard[:2] == ["UP r1", "F 1"]
-        assert heard[2] in ("F 2", "MOVE")
+    with resuming_node(tmp_path, *hosts) as node:
+        client = SessionClient(node)
+        received = [client.read_line() for _ in range(3)]
+        assert received[:2] == ["UP r1", "F 1"]
+        assert received[2] in ("F 2", "MOVE")
         assert epochs == list(range(1, len(epochs) + 1))
         assert len(epochs) >= 3
 
@@ -92,10 +95,10 @@
         peer.read_line()
 
     hosts = [host_with_two_scripts(leaves, goes_on) for _ in range(2)]
-    with resuming_node(tmp_path, *hosts) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, *hosts) as node:
+        client = SessionClient(node)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
-        n.runner.wait_for(RequestReceived, 2)
+        node.runner.wait_for(RequestReceived, 2)
         break_connection(client.peer)
         gone.set()
         client.peer = client.reconnect()
@@ -112,12 +115,12 @@
 
     with running_node(
         tmp_path, ScriptedHost(host).listener, ScriptedHost(host).listener, resume=RESUMPTION_OPTIONS
-    ) as n:
-        client = SessionClient(n)
+    ) as node:
+        client = SessionClient(node)
         assert [client.read_line() for _ in range(4)] == ["UP r1", "F 1", "MOVE", ""]
         late = client.reconnect()
         assert late.read_line() == "ERR resume moved"
-        assert len(n.runner.session_service.token_registry) == 0 if n.runner.session_service else False
+        assert len(node.runner.session_service.token_registry) == 0 if node.runner.session_service else False
 
 
 def test_a_draining_host_migrates_connected_and_later_suspended_sessions(tmp_path: Path) -> None:
@@ -129,19 +132,20 @@
     rules = LONG_WAIT_SETTINGS["rules"] | {"stop_sending_within": 1000}
     with running_node(
         tmp_path, hosts[0].listener, resume=RESUMPTION_OPTIONS, settings=LONG_WAIT_SETTINGS | {"rules": rules}
-    ) as n:
-        connected, suspended = SessionClient(n), SessionClient(n, key="80")
+    ) as node:
+        connected = SessionClient(node)
+        suspended = SessionClient(node, key="80")
         for client in (connected, suspended):
             client.open_session()
         suspended.lose_connection()
-        n.runner.update_endpoints(EndpointList(2, True, entries), ListUpdateKind.SNAPSHOT)
+        node.runner.update_endpoints(EndpointList(2, True, entries), ListUpdateKind.SNAPSHOT)
         entries[0].state = "draining"
-        n.runner.update_endpoints(EndpointList(3, True, entries), ListUpdateKind.SNAPSHOT)
+        node.runner.update_endpoints(EndpointList(3, True, entries), ListUpdateKind.SNAPSHOT)
         for _ in range(2):
             assert hosts[0].ended.acquire(timeout=5)
         connected.send_lines("M 2")
         assert connected.read_line() == "F 2 M 2"
-        assert [o["re"] for o in hosts[1].opened] == ["2"]
+        assert [o["re"] for o in hosts[1].opened_fields] == ["2"]
         suspended.peer = suspended.reconnect()
         assert [suspended.read_line(), suspended.read_line()] == ["UP r2", "RS AT 1"]
         suspended.send_lines("M 2")
@@ -150,14 +154,15 @@
 
 def test_a_draining_node_redirects_clients_and_ends_suspended_sessions(tmp_path: Path) -> None:
     host = ScriptedHost(echo_lines)
-    with running_node(tmp_path, host.listener, resume=RESUMPTION_OPTIONS) as n:
-        connected, suspended = SessionClient(n), SessionClient(n, key="80")
+    with running_node(tmp_path, host.listener, resume=RESUMPTION_OPTIONS) as node:
+        connected = SessionClient(node)
+        suspended = SessionClient(node, key="80")
         for client in (connected, suspended):
             client.open_session()
         suspended.lose_connection()
-        draining = threading.Thread(target=n.listener.drain)
+        draining = threading.Thread(target=node.listener.drain)
         draining.start()
-        while not n.runner.lifecycle.is_draining:
+        while not node.runner.lifecycle.is_draining:
             pass
         late = suspended.reconnect()
         assert late.read_line() in ("ERR resume draining", "")
@@ -165,6 +170,6 @@
         connected.peer.close()
         draining.join(10)
         assert not draining.is_alive()
-        assert n.runner.request_ids(True) == []
-        assert n.runner.session_service is not None
-        assert len(n.runner.session_service.token_registry) == 0
+        assert node.runner.request_ids(True) == []
+        assert node.runner.session_service is not None
+        assert len(node.runner.session_service.token_registry) == 0
--- a/tests/sessions/test_session_limits.py
+++ b/tests/sessions/test_session_limits.py
@@ -25,7 +25,8 @@
 @pytest.mark.parametrize("slow", ["reads late", "acknowledges nothing"])
 def test_a_buffer_overflow_ends_resumption_but_not_the_session(tmp_path: Path, slow: str) -> None:
     """Lines of 4 KiB, the longest there are: what is kept stays under its bound, and none is lost."""
-    count, whole = 400, "F" * 4094
+    count = 400
+    whole = "F" * 4094
 
     def flood(peer: Peer, _names: dict[str, str]) -> None:
         start_session(peer)
@@ -34,20 +35,20 @@
         assert peer.read_line() == "M 1"
         peer.send_lines("BYE")
 
-    with resuming_node(tmp_path, ScriptedHost(flood)) as n:
-        assert n.runner.session_service is not None
-        client = SessionClient(n)
+    with resuming_node(tmp_path, ScriptedHost(flood)) as node:
+        assert node.runner.session_service is not None
+        client = SessionClient(node)
         assert client.read_line() == "UP r1"
         if slow == "reads late":
             time.sleep(READS_LATE_S)
-        heard: list[str] = []
-        while len(heard) < count + 1:
+        received: list[str] = []
+        while len(received) < count + 1:
             line = client.read_line()
-            heard.append(line)
-            assert isinstance(n.runner.session_service, ResumptionHandler)
-            assert n.runner.session_service.memory_budget.used_bytes <= 2 * RESUMPTION_OPTIONS.buffer
-        assert heard.count("RS OFF buffer") == 1
-        assert heard.count(whole) == count
+            received.append(line)
+            assert isinstance(node.runner.session_service, ResumptionHandler)
+            assert node.runner.session_service.memory_budget.used_bytes <= 2 * RESUMPTION_OPTIONS.buffer
+        assert received.count("RS OFF buffer") == 1
+        assert received.count(whole) == count
         client.send_lines("M 1")
         assert [client.read_line(), client.read_line()] == ["BYE", ""]
         assert client.reconnect().read_line().startswith("ERR resume")
@@ -55,8 +56,9 @@
 
 @pytest.mark.parametrize("line", ["RS", "RS NO 1", "RS ACK 7", "RS ACK -1", "RS AT 1 1"])
 def test_an_invalid_control_line_redirects_only_its_client(tmp_path: Path, line: str) -> None:
-    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as n:
-        client, other = SessionClient(n), SessionClient(n, key="80")
+    with resuming_node(tmp_path, ScriptedHost(echo_lines)) as node:
+        client = SessionClient(node)
+        other = SessionClient(node, key="80")
         for one in (client, other):
             one.open_session()
         client.send_lines(line)
@@ -79,14 +81,14 @@
         peer.send_lines("F 2")
 
     one = ScriptedHost(host)
-    with resuming_node(tmp_path, one) as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, one) as node:
+        client = SessionClient(node)
         assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
         client.send_lines("RS END")
         assert [client.read_line(), client.read_line()] == ["F 2", ""]
         assert last == ["RS END"]
         assert one.ended.acquire(timeout=5)
-        n.runner.wait_for(AttemptEnded)
+        node.runner.wait_for(AttemptEnded)
         assert client.reconnect().read_line() == "ERR resume ended"
-        assert isinstance(n.runner.session_service, ResumptionHandler)
-        assert n.runner.session_service.memory_budget.used_bytes == 0
+        assert isinstance(node.runner.session_service, ResumptionHandler)
+        assert node.runner.session_service.memory_budget.used_bytes == 0
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -99,8 +99,8 @@
         peer.send_lines("F 2")
         peer.read_line()
 
-    with resuming_node(tmp_path, ScriptedHost(holds_one), store=tmp_path / "a") as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, ScriptedHost(holds_one), store=tmp_path / "a") as node:
+        client = SessionClient(node)
         assert client.read_line() == "UP r1"
         client.send_lines("M 1", "M 2")
         assert client.read_line() == "F 1"
@@ -111,7 +111,8 @@
 
 
 def test_the_last_endpoint_list_is_known_at_the_next_start(tmp_path: Path) -> None:
-    old, new = ScriptedHost(echo_lines), ScriptedHost(echo_lines)
+    old = ScriptedHost(echo_lines)
+    new = ScriptedHost(echo_lines)
     entry = EndpointEntry("s9", new.listener.address, "up", zone="a", kind="m")
     with running_node(tmp_path, old.listener, store=tmp_path / "a") as first:
         assert first.runner.endpoint_cache is not None
@@ -139,9 +140,9 @@
     if fault == "unusable":
         shutil.rmtree(folder)
         folder.write_text("")
-    with resuming_node(tmp_path, ScriptedHost(echo_lines), store=folder) as n:
-        assert n.runner.endpoint_cache is None
-        client = SessionClient(n)
+    with resuming_node(tmp_path, ScriptedHost(echo_lines), store=folder) as node:
+        assert node.runner.endpoint_cache is None
+        client = SessionClient(node)
         client.open_session()
         client.peer = client.reconnect()
         assert [client.read_line()[:4], client.read_line()] == ["UP r", "RS AT 1"]
@@ -151,11 +152,11 @@
 
 def test_a_token_is_rejected_where_its_redemption_cant_be_stored(tmp_path: Path) -> None:
     """Else it would open the session once more after a restart; whoever stands is served on."""
-    with resuming_node(tmp_path, ScriptedHost(echo_lines), store=tmp_path / "a") as n:
-        client = SessionClient(n)
+    with resuming_node(tmp_path, ScriptedHost(echo_lines), store=tmp_path / "a") as node:
+        client = SessionClient(node)
         client.open_session()
-        assert isinstance(n.runner.endpoint_cache, SessionStore)
-        n.runner.endpoint_cache._store._lifecycle.fail("made to fail")
+        assert isinstance(node.runner.endpoint_cache, SessionStore)
+        node.runner.endpoint_cache._store._lifecycle.fail("made to fail")
         refused = client.reconnect()
         assert [refused.read_line(), refused.read_line()] == ["ERR resume store", ""]
         client.send_lines("M 2")
