--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -167,7 +167,7 @@
             session = Session(self._runner, self, ResumableRequest(queue, class_number, opening, stream))
             session.set_expiry(expires_at)
             self.token_registry.add(session_id, queue, generation_floor, ownership_epoch)
-            threading.Thread(target=session.run, daemon=True).start()
+            threading.Thread(target=session.run, name="restored-session", daemon=True).start()
         except (OSError, RuntimeError) as error:
             self.token_registry.end(session_id, SessionEnd.NO_CAPACITY)
             queue.close()
