--- a/tansyladder/simulation/document_nodes.py
+++ b/tansyladder/simulation/document_replication.py
@@ -49,7 +49,7 @@
     mean_pause_interval_us: int = 4 * SECOND_US  # of all nodes together; 0: never
 
 
-class SimulatedDocumentNodes(PausableCluster):
+class DocumentReplicationCluster(PausableCluster):
     """Nodes that take part in agreed documents, each with a clock of its own that is off by a little."""
 
     def __init__(self, seed: int, options: DocumentClusterOptions) -> None:
@@ -133,7 +133,7 @@
     def _propose_once(self, node: SimulatedNode, command: DocumentCommand, key: str) -> None:
         """Propose a command of a node, unless it did so a moment ago."""
         document_node = self.document_nodes[node.name]
-        if document_node.may_propose(key, self.now):
+        if document_node.throttle.allows(key, self.now):
             request_id = f"{document_node.incarnation}:{key}:{self.now}"
             request = ProposalRequest(request_id, msgspec.msgpack.encode(command))
             self.call_at(self.now, partial(self._propose_request, node, node.incarnation, request))
