--- a/tansyladder/config/policy_settings.py
+++ b/tansyladder/config/policy_settings.py
@@ -1,4 +1,4 @@
-"""Builds the decision module's settings from the platform's keys, for the simulator and for the node.
+"""Builds the policy's settings from the platform's keys, for the simulator and for the node.
 
 This module is the border between the platform's words and the fields of `policy.settings`.
 """
--- a/tansyladder/node/admission_control.py
+++ b/tansyladder/node/admission_control.py
@@ -90,5 +90,5 @@
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
         used = SERVED_DESCRIPTORS * len(self._open_ids) - len(self._runner.request_ids(True))
         free = max(0, self._available - used)
-        kept = self._reserved + pending_count + used + free // 2
-        return DescriptorSplit(kept, free - free // 2)
+        retained = self._reserved + pending_count + used + free // 2
+        return DescriptorSplit(retained, free - free // 2)
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -87,11 +87,11 @@
             result.sock.close()
             result = replace(result, status=AttemptStatus.CANCELLED)
         client_end = result.client_end
-        is_client_gone = client_end is not None
+        is_client_finished = client_end is not None
         ended = AttemptEnded(
-            self.request_id, attempt, endpoint.number, result.status, duration_us, is_client_gone
+            self.request_id, attempt, endpoint.number, result.status, duration_us, is_client_finished
         )
-        if is_client_gone:
+        if is_client_finished:
             runner.handle_events(ClientDisconnected(self.request_id), ended)
         else:
             runner.handle_events(ended)
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -57,7 +57,7 @@
 def newest_list(
     configured: EndpointList,
     cache: EndpointListCache | None,
-    handed_over: EndpointList | None,
+    predecessor_list: EndpointList | None,
     clock: Clock,
 ) -> EndpointList:
     """The newest of the lists that a start may know: configured, stored, or of the process before."""
@@ -68,8 +68,8 @@
         age = timedelta(microseconds=clock.micros(now()) - cached.saved_at_us)
         entry_count = len(newest.endpoints)
         log(LogEvent.CACHED_ENDPOINTS_USED, revision=newest.revision, entries=entry_count, age=age)
-    if handed_over is not None and handed_over.revision >= newest.revision:
-        newest = handed_over
+    if predecessor_list is not None and predecessor_list.revision >= newest.revision:
+        newest = predecessor_list
     return newest
 
 
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -62,9 +62,9 @@
         except OSError:
             return CheckResult(AttemptStatus.CONNECT_FAILED)
         with sock:
-            return self._ask(endpoint, sock, deadline)
+            return self._exchange(endpoint, sock, deadline)
 
-    def _ask(self, endpoint: Endpoint, sock: socket.socket, deadline: timedelta) -> CheckResult:
+    def _exchange(self, endpoint: Endpoint, sock: socket.socket, deadline: timedelta) -> CheckResult:
         lines: list[bytes] = []
         try:
             sock.sendall(self._request + b"\r\n")
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -142,8 +142,8 @@
     def start(self) -> None:
         """Give the policy the newest list that is known from before, and start the timers."""
         configured = self.config.known_endpoints
-        handed_over = self.listener_handover.endpoints
-        initial = newest_list(configured, self.endpoint_cache, handed_over, self.clock)
+        predecessor_list = self.listener_handover.endpoints
+        initial = newest_list(configured, self.endpoint_cache, predecessor_list, self.clock)
         self.update_endpoints(initial, ListUpdateKind.CACHED)
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -46,9 +46,12 @@
     from tansyladder.log import LogEvent, log
 
     try:
-        config, options = _load(options_path)
+        config = _load_config()
+        options = _load_options(options_path)
         _prepare_process(options)
-        runner, listener = _build_node(config, options)
+        runner = _build_runner(config, options)
+        listener = _open_listeners(config, runner)
+        _join_cluster(runner)
     except BadConfigError as err:
         print(f"event=bad_config why={err}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
@@ -64,15 +67,22 @@
     return 0
 
 
-def _load(options_path: str | Path | None) -> tuple[Config, Options]:
-    """Both configurations."""
-    from tansyladder.config import operator_settings, platform
-    from tansyladder.config.errors import ConfigError, OptionsError
+def _load_config() -> Config:
+    from tansyladder.config import platform
+    from tansyladder.config.errors import ConfigError
 
     try:
-        return platform.load(os.environ), operator_settings.load(options_path)
+        return platform.load(os.environ)
     except ConfigError as err:
         raise BadConfigError(str(err)) from err
+
+
+def _load_options(path: str | Path | None) -> Options:
+    from tansyladder.config import operator_settings
+    from tansyladder.config.errors import OptionsError
+
+    try:
+        return operator_settings.load(path)
     except OptionsError as err:
         raise BadSettingsError(str(err)) from err
 
@@ -87,12 +97,11 @@
     threading.excepthook = lambda args: log(LogEvent.INTERNAL_ERROR, why=repr(args.exc_value))
 
 
-def _build_node(config: Config, options: Options) -> tuple[PolicyRunner, ClientListener]:
-    """The node's parts, with the layers that the operator's settings switch on; no client is accepted yet."""
+def _build_runner(config: Config, options: Options) -> PolicyRunner:
+    """The policy's runner, with the layers that the operator's settings switch on."""
     from tansyladder.node.policy_runner import PolicyRunner
 
     runner = PolicyRunner(config, options)
-    resumption_handler = None
     store = None
     if options.store.enabled and not options.peers.enabled:
         from tansyladder.sessions.session_store import open_session_store
@@ -104,17 +113,8 @@
         # Only now, as it loads the library of its cryptography.
         from tansyladder.sessions.resumption_handler import ResumptionHandler
 
-        resumption_handler = runner.session_service = ResumptionHandler(runner, store)
-    listener = _open_listeners(config, runner)
-    if options.peers.enabled and resumption_handler is not None:
-        from tansyladder.cluster.bootstrap import join_cluster  # and all that only peers need
-        from tansyladder.config.errors import ConfigError
-
-        try:
-            join_cluster(runner, resumption_handler, os.environ.get("TMPDIR"))
-        except (OSError, ValueError, ConfigError) as err:
-            raise BadSettingsError(f"peers: {err}") from err
-    return runner, listener
+        runner.session_service = ResumptionHandler(runner, store)
+    return runner
 
 
 def _open_listeners(config: Config, runner: PolicyRunner) -> ClientListener:
@@ -136,6 +136,22 @@
     return listener
 
 
+def _join_cluster(runner: PolicyRunner) -> None:
+    """Join the nodes that take over each other's sessions, where the operator's settings name them."""
+    if not runner.options.peers.enabled:
+        return
+    from tansyladder.cluster.bootstrap import join_cluster  # and all that only peers need
+    from tansyladder.config.errors import ConfigError
+    from tansyladder.sessions.resumption_handler import ResumptionHandler
+
+    if not isinstance(runner.session_service, ResumptionHandler):
+        return  # the settings' check has made sure that peers have resumption
+    try:
+        join_cluster(runner, runner.session_service, os.environ.get("TMPDIR"))
+    except (OSError, ValueError, ConfigError) as err:
+        raise BadSettingsError(f"peers: {err}") from err
+
+
 def _start(runner: PolicyRunner, listener: ClientListener, options_path: str | Path | None) -> Reloader:
     """Start the threads, clients last; returns what reloads the configuration."""
     from tansyladder.node.discovery_client import DiscoveryClient
