--- a/tests/simulation/documents_without_guards.py
+++ b/tests/simulation/documents_without_guards.py
@@ -24,7 +24,7 @@
 class CommitsWithoutAll(Documents):
     """Without the wait for a participant that isn't prepared, until its lease has ended."""
 
-    def unprepared_holders(self, change: PendingChange, at_us: int) -> set[str]:
+    def unprepared_holders(self, change: PendingChange, at_us: int) -> set[str]:  # noqa: ARG002 - no wait
         return set()
 
 
@@ -49,7 +49,7 @@
 class PreparesBeforeAllAccept(Documents):
     """Without the wait for all acceptances."""
 
-    def missing_acceptances(self, change: PendingChange, holders: set[str]) -> set[str]:
+    def missing_acceptances(self, change: PendingChange, holders: set[str]) -> set[str]:  # noqa: ARG002
         return set()
 
 
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -104,7 +104,7 @@
 class CommitsOldTerms(LeaderReplication):
     """Without the rule that only entries of the leader's own term are counted."""
 
-    def _is_of_own_term(self, index: int) -> bool:
+    def _is_of_own_term(self, index: int) -> bool:  # noqa: ARG002 - any entry will do
         return True
 
 
