--- a/tansyladder/net/listener_handover.py
+++ b/tansyladder/net/listener_handover.py
@@ -1,11 +1,11 @@
-"""A new process takes the place of a running one: it gets the clients' listener, and later what stands.
+"""A new process takes the place of a running one: it gets the clients' listener, and later the connections.
 
-The running process listens on a Unix socket in $TMPDIR. Who comes there and asks gets the descriptor of the
-clients' listener, and stays connected; once it serves it says so. From then on a SIGTERM of the old process
-leaves the queue to the new one, and gives it each connection that stands: both its sockets, and what has not
-been passed on. Should the new one die first, the old one has never stopped, or goes on.
+The running process listens on a Unix socket in $TMPDIR. A process that connects there and asks gets the
+descriptor of the clients' listener, and stays connected; once it serves it says so. From then on a SIGTERM of
+the old process leaves the listener's queue to the new one, and hands each established connection over: both
+its sockets, and what has not been passed on. Should the new process die first, the old one goes on.
 
-Both together have the node's descriptors: the old one says how many it keeps, the new one has the others.
+Both processes share the node's descriptors: the old one says how many it keeps, the new one has the others.
 """
 
 from __future__ import annotations
@@ -14,267 +14,218 @@
 import os
 import select
 import socket
-import struct
 import threading
-from collections.abc import Iterator
-from datetime import timedelta
-from pathlib import Path
-from typing import Protocol
 
 import msgspec
 
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
+from tansyladder.net.errors import NetworkError
+from tansyladder.net.handover_messages import (
+    REQUEST_LISTENER,
+    SERVING,
+    ConnectionOwner,
+    ConnectionState,
+    DescriptorTransfer,
+)
+from tansyladder.net.handover_sockets import MESSAGE_TIMEOUT, HandoverAddress, SuccessorConnections
 
-ASK, SERVING = b"TAKE 1", b"SERVING"
-MESSAGE = 1 << 18  # bytes of one at most, far over what a list of members or a connection's rest takes
-PATIENCE = timedelta(seconds=1)  # for a process that hangs: the new one listens beside it
-MOST = 4  # that ask at once: descriptors are few
-_CREDENTIALS = struct.Struct("iII")
+MAX_MESSAGE_BYTES = 1 << 18  # far over what an endpoint list or a connection's unsent bytes take
+MAX_REQUEST_BYTES = 64  # of a message from a new process
+DESCRIPTORS_PER_CONNECTION = 2
 
 
-class DescriptorTransfer(msgspec.Struct, frozen=True):
-    """What goes with the listener."""
-
-    kept: int  # descriptors that the old process keeps for itself
-    members: EndpointList
-
-
-class ConnectionState(msgspec.Struct, frozen=True):
-    """What goes with the sockets of a connection that stands."""
-
-    opening: str  # the client's first line
-    member: str
-    last_word: str  # that the member said
-    asked: int | None  # when the oldest line that it has not answered went out, us on the machine's clock
-    rests: tuple[bytes, bytes]  # lines that are not whole yet: the member's, the client's
-    waiting: tuple[bytes, bytes]  # whole ones that are not out: to the client, to the member
+class HandoverError(NetworkError):
+    """A process of this node answered, but not with what was asked for."""
 
 
 class ListenerHandover:
-    """Both ends of it: what this process got from the one before, and what it gives to the next one."""
+    """Both ends of the handover: what this process got from the one before, and what it gives to the next.
+
+    Thread-safe after `serve`, which starts the thread that talks to the other processes.
+    """
 
     def __init__(self, listen: Address, folder: str | None) -> None:
-        """`folder`: private to the node and shared by its processes; none: there is no taking over."""
-        self._folder, self._name = folder, "tansyladder-{}-{}.sock".format(*listen)
-        self._before: socket.socket | None = None
-        self._next: socket.socket | None = None  # where the next process comes
-        self._successors: dict[int, socket.socket] = {}
-        self._serving: set[int] = set()  # of them
-        self._given = False
-        self._leaving = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)  # readable: who stands shall go along
-        self._lock = threading.Lock()  # of what is written to a successor
-        self.members: EndpointList | None = None  # the list of the process before
-        self.gone = threading.Event()  # set once no process before this one runs
-        self.gone.set()
-        self.elsewhere = 0  # descriptors of the node that another process has
+        """`folder`: private to the node and shared by its processes; None: there is no handover."""
+        self._address = None if folder is None else HandoverAddress(listen, folder)
+        self._predecessor: socket.socket | None = None
+        self._successors = SuccessorConnections()
+        self._is_listener_shared = False
+        # An eventfd, readable while established connections are to be handed over.
+        self._migration_event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self.endpoints: EndpointList | None = None  # the list of the process before
+        self.predecessor_gone = threading.Event()  # set while no process before this one runs
+        self.predecessor_gone.set()
+        self.remote_descriptor_count = 0  # of the node's, that another process has
 
     # --- from the process before
 
-    def ask(self) -> socket.socket | None:
-        """The clients' listener of the process that runs; none where there is none, or it does not answer."""
-        if self._folder is None:
+    def request_listener(self) -> socket.socket | None:
+        """Return the clients' listener of the running process; None: there is none, or it does not answer."""
+        if self._address is None:
             return None
-        before = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)  # keeps messages apart
-        before.settimeout(PATIENCE.total_seconds())
+        predecessor = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)  # keeps messages apart
+        predecessor.settimeout(MESSAGE_TIMEOUT.total_seconds())
         try:
-            with _short(self._folder) as folder:
-                before.connect(f"{folder}/{self._name}")
-            before.sendall(ASK)
-            said, fds, _, _ = socket.recv_fds(before, MESSAGE, 1)
-            given = msgspec.json.decode(said, type=DescriptorTransfer)
-            if not fds:
-                raise OSError("no descriptor came")
-        except (OSError, msgspec.MsgspecError) as err:  # nobody, stale, hangs, or of another kind
-            before.close()
+            self._address.connect(predecessor)
+            predecessor.sendall(REQUEST_LISTENER)
+            message, descriptors, _, _ = socket.recv_fds(predecessor, MAX_MESSAGE_BYTES, 1)
+            transfer = msgspec.json.decode(message, type=DescriptorTransfer)
+            if not descriptors:
+                raise HandoverError("no descriptor came")
+        except (
+            OSError,
+            HandoverError,
+            msgspec.MsgspecError,
+        ) as err:  # no process, or it hangs, or another kind
+            predecessor.close()
             if not isinstance(err, FileNotFoundError):
                 log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
             return None
-        self._before, self.elsewhere, self.members = before, given.kept, given.members
-        self.gone.clear()
+        self._predecessor = predecessor
+        self.remote_descriptor_count = transfer.retained_descriptor_count
+        self.endpoints = transfer.endpoints
+        self.predecessor_gone.clear()
         log(LogEvent.LISTENER_HANDOVER, step="got_listener")
-        return socket.socket(fileno=fds[0])
+        return socket.socket(fileno=descriptors[0])
 
     # --- to the next process
 
     def serve(self, listener: socket.socket, owner: ConnectionOwner) -> None:
-        """This process takes clients: tell the one before, and wait for the next one."""
-        self._listener, self._owner = listener, owner
-        if self._before is not None:
+        """This process takes clients: tell the one before, and wait for the next one in a thread."""
+        self._listener = listener
+        self._owner = owner
+        if self._predecessor is not None:
             with contextlib.suppress(OSError):  # it is gone already
-                self._before.sendall(SERVING)
-        if self._folder is None:
+                self._predecessor.sendall(SERVING)
+        if self._address is None:
             return
         try:
-            self._publish()
-            threading.Thread(target=self._run, name="takeover", daemon=True).start()
-        except (OSError, RuntimeError) as err:
+            self._address.publish()
+            threading.Thread(target=self._run, name="listener-handover", daemon=True).start()
+        except (OSError, RuntimeError) as err:  # no folder, or no thread: a successor listens beside us
             log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
 
     @property
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether another process takes the clients."""
-        return bool(self._serving)
+        return self._successors.has_serving
 
-    def leave(self) -> None:
-        """Who stands shall go along to the successor, where there is one."""
-        if self._serving:
-            os.eventfd_write(self._leaving, 1)
+    @property
+    def is_listener_shared(self) -> bool:
+        """Whether another process may have the listener too: it must not be shut down then."""
+        return self._is_listener_shared
+
+    def begin_migration(self) -> None:
+        """Make the relays hand their connections to the successor, where there is one."""
+        if self._successors.has_serving:
+            os.eventfd_write(self._migration_event, 1)
 
     def fileno(self) -> int:
-        """What is readable once connections shall go along, for who waits on sockets."""
-        return self._leaving
+        """Return a descriptor that is readable while connections are to be handed over."""
+        return self._migration_event
 
-    def hand(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> bool:
-        """Give a connection to the successor; False where that can't be, and it is the caller's still.
+    def hand_over(self, state: ConnectionState, client: socket.socket, upstream: socket.socket) -> bool:
+        """Give a connection to the successor; False: that is impossible, and it stays the caller's.
 
-        Its sockets are to be closed then, not shut down.
+        Once it is given the caller closes its sockets and does not shut them down.
         """
-        with self._lock:
-            for fd in self._serving:
-                try:
-                    fds = [client.fileno(), member.fileno()]
-                    socket.send_fds(self._successors[fd], [msgspec.json.encode(handed)], fds)
-                    return True
-                except OSError as err:
-                    log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
-            with contextlib.suppress(BlockingIOError):
-                os.eventfd_read(self._leaving)  # nobody is to be woken by it again
+        if self._successors.send_connection(msgspec.json.encode(state), [client.fileno(), upstream.fileno()]):
+            return True
+        with contextlib.suppress(BlockingIOError):
+            os.eventfd_read(self._migration_event)  # no relay is to be woken by it again
         return False
 
-    @property
-    def given(self) -> bool:
-        """Whether the listener may be another process's too: it must not be shut down then."""
-        return self._given
-
-    def end(self) -> None:
-        """Nobody shall come here any more; the name may be the next one's by now."""
-        if self._next is not None and self._folder is not None and not self.succeeded:
-            with contextlib.suppress(OSError):
-                (Path(self._folder) / self._name).unlink()
+    def unpublish(self) -> None:
+        """Remove our name at the end of the process, unless it is the successor's by now."""
+        if self._address is not None and not self.has_successor:
+            self._address.unpublish()
 
-    def _publish(self) -> None:
-        """Put our socket under the name, in one step: there is no moment at which nobody can be reached."""
-        assert self._folder is not None
-        fresh = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        fresh.setblocking(False)
-        with _short(self._folder) as folder:
-            own = f"{folder}/{self._name}.{os.getpid()}"
-            with contextlib.suppress(FileNotFoundError):
-                os.unlink(own)
-            fresh.bind(own)
-            os.chmod(own, 0o600)
-            fresh.listen(MOST)
-            os.replace(own, f"{folder}/{self._name}")
-        was, self._next = self._next, fresh
-        if was is not None:
-            was.close()
+    # --- the handover's thread
 
     def _run(self) -> None:
+        assert self._address is not None
         while True:
+            listener = self._address.listener
+            assert listener is not None
             poll = select.poll()
-            assert self._next is not None
-            for sock in (self._next, self._before, *self._successors.values()):
+            for sock in (listener, self._predecessor, *self._successors.sockets()):
                 if sock is not None:
                     poll.register(sock, select.POLLIN)
-            for fd, _ in poll.poll():
+            for descriptor, _ in poll.poll():
                 try:
-                    if fd == self._next.fileno():
-                        self._take_in()
-                    elif self._before is not None and fd == self._before.fileno():
-                        self._take_on(self._before)
-                    elif fd in self._successors:  # else it was closed a moment ago
-                        self._hear(self._successors[fd])
+                    self._handle_readable(descriptor)
                 except BlockingIOError:
                     pass
                 except OSError as err:
                     log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
-                except Exception as err:  # whatever came there, the next version must still get through
+                # Whatever came there, the process goes on, and its next version must still get through.
+                except Exception as err:
                     log(LogEvent.INTERNAL_ERROR, why=repr(err))
 
-    def _take_in(self) -> None:
-        assert self._next is not None
-        sock, _ = self._next.accept()
-        size = _CREDENTIALS.size
-        _, user, _ = _CREDENTIALS.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size))
-        if user != os.geteuid() or len(self._successors) >= MOST:
-            sock.close()
-            return
-        sock.settimeout(PATIENCE.total_seconds())
-        self._successors[sock.fileno()] = sock
-
-    def _take_on(self, before: socket.socket) -> None:
-        """What the process before says now: a connection that stands, or its end."""
+    def _handle_readable(self, descriptor: int) -> None:
+        assert self._address is not None
+        listener = self._address.listener
+        assert listener is not None
+        if descriptor == listener.fileno():
+            self._successors.accept(listener)
+        elif self._predecessor is not None and descriptor == self._predecessor.fileno():
+            self._receive_from_predecessor(self._predecessor)
+        elif (successor := self._successors.find(descriptor)) is not None:  # else it was closed a moment ago
+            self._receive_from_successor(successor)
+
+    def _receive_from_predecessor(self, predecessor: socket.socket) -> None:
+        """Take an established connection, or note that the process before this one has ended."""
         try:
-            said, fds, _, _ = socket.recv_fds(before, MESSAGE, 2)
+            message, descriptors, _, _ = socket.recv_fds(
+                predecessor, MAX_MESSAGE_BYTES, DESCRIPTORS_PER_CONNECTION
+            )
         except TimeoutError:
             return
         except OSError:
-            said, fds = b"", []
-        if not said:
-            before.close()
-            self._before, self.elsewhere = None, 0
-            self.gone.set()
+            message = b""
+            descriptors = []
+        if not message:
+            predecessor.close()
+            self._predecessor = None
+            self.remote_descriptor_count = 0
+            self.predecessor_gone.set()
             log(LogEvent.LISTENER_HANDOVER, step="alone")
             return
-        client, member = (socket.socket(fileno=fd) for fd in fds)
-        self.elsewhere = max(0, self.elsewhere - 2)
-        self._owner.adopt(msgspec.json.decode(said, type=ConnectionState), client, member)
+        client, upstream = (socket.socket(fileno=descriptor) for descriptor in descriptors)
+        self.remote_descriptor_count = max(0, self.remote_descriptor_count - DESCRIPTORS_PER_CONNECTION)
+        self._owner.adopt_connection(msgspec.json.decode(message, type=ConnectionState), client, upstream)
 
-    def _hear(self, sock: socket.socket) -> None:
-        fd = sock.fileno()
+    def _receive_from_successor(self, successor: socket.socket) -> None:
         try:
-            said = sock.recv(64)
+            message = successor.recv(MAX_REQUEST_BYTES)
         except TimeoutError:
             return
         except OSError:
-            said = b""
-        if said == ASK:
-            kept, left = self._owner.share()
-            self._given, self.elsewhere = True, left
-            given = msgspec.json.encode(DescriptorTransfer(kept, self._owner.members()))
-            socket.send_fds(sock, [given], [self._listener.fileno()])
-            log(LogEvent.LISTENER_HANDOVER, step="gave_listener")
-        elif said == SERVING:
-            self._serving.add(fd)
+            message = b""
+        if message == REQUEST_LISTENER:
+            self._share_listener(successor)
+        elif message == SERVING:
+            self._successors.mark_serving(successor)
             log(LogEvent.LISTENER_HANDOVER, step="succeeded")
-            self._owner.alone(False)
+            self._owner.set_accepting(False)
         else:  # its end, or no process of ours
-            served = fd in self._serving
-            with self._lock:
-                self._serving.discard(fd)
-                del self._successors[fd]
-                sock.close()
-            if served:
-                log(LogEvent.LISTENER_HANDOVER, step="successor_gone")
-                if not self._serving:
-                    self._publish()  # the name was its
-                    self._owner.alone(True)
-            if not self._successors:
-                self.elsewhere = 0
-
-
-class ConnectionOwner(Protocol):
-    """Who has the listener and the connections."""
-
-    def share(self) -> tuple[int, int]:
-        """Descriptors that this process keeps where another one comes, and what that leaves to it."""
-
-    def members(self) -> EndpointList:
-        """The list as it is known."""
-
-    def alone(self, alone: bool) -> None:
-        """Another process takes the clients, or it is gone again."""
-
-    def adopt(self, handed: ConnectionState, client: socket.socket, member: socket.socket) -> None:
-        """Go on with a connection of the process before."""
-
-
-@contextlib.contextmanager
-def _short(folder: str) -> Iterator[str]:
-    """A way to a folder that fits a socket's address, however long its own name is."""
-    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
-    try:
-        yield f"/proc/self/fd/{fd}"
-    finally:
-        os.close(fd)
+            self._drop_successor(successor)
+
+    def _share_listener(self, successor: socket.socket) -> None:
+        split = self._owner.split_descriptors()
+        self._is_listener_shared = True
+        self.remote_descriptor_count = split.released_count
+        transfer = DescriptorTransfer(split.retained_count, self._owner.known_endpoints())
+        socket.send_fds(successor, [msgspec.json.encode(transfer)], [self._listener.fileno()])
+        log(LogEvent.LISTENER_HANDOVER, step="gave_listener")
+
+    def _drop_successor(self, successor: socket.socket) -> None:
+        if self._successors.remove(successor):
+            log(LogEvent.LISTENER_HANDOVER, step="successor_gone")
+            if not self.has_successor:
+                assert self._address is not None
+                self._address.publish()  # the name was the successor's
+                self._owner.set_accepting(True)
+        if not self._successors.sockets():
+            self.remote_descriptor_count = 0
--- /dev/null
+++ b/tansyladder/replication/lease_holder.py
@@ -0,0 +1,59 @@
+"""The lease of one incarnation of a node, as far as the node has applied the log."""
+
+from __future__ import annotations
+
+from tansyladder.replication.document_messages import Prepared
+from tansyladder.replication.documents import ChangePhase, Documents, PendingChange, PrepareRound
+
+
+class LeaseHolder:
+    """Says how long a node may decide, and what it owes to the pending change.
+
+    Owned by the Raft thread. Times are microseconds of Unix time by the node's own clock.
+    """
+
+    def __init__(self, incarnation: str, documents: Documents) -> None:
+        """`documents`: the state as this node has applied it."""
+        self.incarnation = incarnation
+        self._documents = documents
+        self._prepared_round = PrepareRound(0, 0)  # for which it has shortened its lease
+        self._short_lease_end_us = 0  # in that round
+
+    def lease_end_us(self) -> int:
+        """Return when the lease ends; 0 without a lease.
+
+        From the moment it is shortened the short end counts, though the log may not have it yet.
+        """
+        end_us = self._documents.leases.get(self.incarnation, 0)
+        change = self._documents.change
+        if change is None or self.incarnation in change.prepared_by:
+            return end_us
+        if change.prepare_round != self._prepared_round:
+            return end_us
+        return min(end_us, self._short_lease_end_us)
+
+    def has_lease(self, now_us: int) -> bool:
+        """Whether this incarnation may decide now."""
+        return now_us < self.lease_end_us()
+
+    def change_to_validate(self) -> PendingChange | None:
+        """Return the pending change if this incarnation hasn't accepted it yet."""
+        change = self._documents.change
+        return change if change is not None and self.incarnation not in change.accepted_by else None
+
+    def prepare(self, now_us: int) -> Prepared | None:
+        """Shorten the lease if the pending change asks for it, and return what to propose about that.
+
+        Call it after each application of commands, before anything else leaves the node. Called again it
+        returns the same message until the log has it.
+        """
+        change = self._documents.change
+        if change is None or change.phase is not ChangePhase.PREPARED:
+            return None
+        if self.incarnation in change.prepared_by or self.incarnation not in change.participants:
+            return None
+        if self._prepared_round != change.prepare_round:
+            self._prepared_round = change.prepare_round
+            self._short_lease_end_us = now_us + change.short_lease_us
+        shortened_at_us = self._short_lease_end_us - change.short_lease_us
+        return Prepared(change.number, change.round, self.incarnation, shortened_at_us)
