--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -8,6 +8,7 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net import sockets
 from tansyladder.net.action_queue import ResumingClient
+from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import Opening
 from tansyladder.node.metrics import Metrics, RequestOutcome
@@ -15,8 +16,7 @@
 from tansyladder.resumption.errors import PositionError
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd
-from tansyladder.sessions.buffered_socket import BufferedSocket
-from tansyladder.sessions.errors import SessionEndedError, SuspendReason
+from tansyladder.sessions.errors import ResumeRejectedError, SessionEndedError, SuspendReason
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
 
@@ -125,11 +125,12 @@
         """
         try:
             position_line, *lines = self._stream.resume_client(client.received_line_count)
+            self._registry.redeem(self._stream.session_id, self._opening, client)
         except PositionError as error:
             self.cancel_resume(client, control_messages.format_rejection(error.reason))
             return
-        if rejection := self._registry.redeem(self._stream.session_id, self._opening, client):
-            self.cancel_resume(client, rejection)
+        except ResumeRejectedError as error:
+            self.cancel_resume(client, error.answer)
             return
         if self.socket is not None:
             sockets.reset(self.socket.sock)
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -1,4 +1,4 @@
-"""How a client comes back to its session: the one that lives here, a kept one, or another node's."""
+"""How a client resumes its session: one that lives here, a stored one, or one of another node."""
 
 from __future__ import annotations
 
@@ -6,7 +6,9 @@
 import socket
 import threading
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import LogEvent, log
@@ -22,190 +24,219 @@
 from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd
-from tansyladder.resumption.tokens import SealingKey, TokenPayload
+from tansyladder.resumption.tokens import TokenPayload
+from tansyladder.sessions.errors import RETRY_SOON, ResumeRejectedError
 from tansyladder.sessions.session import Session
-from tansyladder.sessions.session_registry import ANSWER_MARGIN, RETRY_SOON, SessionRegistry, token_claims
+from tansyladder.sessions.session_registry import SessionRegistry, sealing_keys, token_claims
 from tansyladder.sessions.session_store import SessionStore
 
-MAX_CONCURRENT_CLAIMS = 256  # sessions of other nodes that are being claimed at once
-CLAIM_TIMEOUT = timedelta(milliseconds=500)  # for the peers to rule on a claim
+if TYPE_CHECKING:  # a node without peers does not load what they need
+    from tansyladder.sessions.ownership_client import OwnershipClient, OwnershipService
+
+MAX_CONCURRENT_CLAIMS = 256  # of sessions of other nodes; each is a thread
 _POSITION = re.compile(r"[0-9]{1,15}\Z", re.A)
+# Rejections of a claimed session for which the same token may still resume it later.
+_TEMPORARY_REJECTIONS = (ResumeRejection.NO_CAPACITY, ResumeRejection.CLAIMED)
+
+
+@dataclass(frozen=True, slots=True)
+class _Takeover:
+    """A client that came back with the token of a session that another node owns."""
+
+    ownership: OwnershipClient
+    client: ResumingClient
+    opening: Opening
+    payload: TokenPayload
+    arrived: timedelta
 
 
 class ResumptionHandler(SessionRegistry):
-    """One node's resumable sessions; safe to share between threads."""
+    """The sessions of one node, and the clients that come back to them. Thread-safe.
+
+    Each session runs in a thread: that of its first request, or one of its own where it is restored.
+    """
+
+    def __init__(self, runner: PolicyRunner, session_store: SessionStore | None = None) -> None:
+        """As SessionRegistry."""
+        super().__init__(runner, session_store)
+        self._claiming: set[int] = set()  # ids of sessions that are being claimed; guarded by `_lock`
 
-    def __init__(self, core: PolicyRunner, keeping: SessionStore | None = None) -> None:
-        super().__init__(core, keeping)
-        self._claiming: set[int] = set()  # sessions that are being claimed
+    def join_peers(self, service: OwnershipService) -> None:
+        """From now on claim and confirm sessions with the cluster."""
+        from tansyladder.sessions.ownership_client import OwnershipClient
+
+        self.ownership = OwnershipClient(service, self._runner.clock, self.options.expires)
 
     def serve(
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
         """Serve a session from its first UP to its end; the client's socket is closed then."""
-        Session(self._core, self, request, client).run(upstream, request_id)
+        Session(self._runner, self, request, client).run(upstream, request_id)
 
-    def _restore_stored(self, claim: TokenPayload) -> None:
-        """Where a session of an earlier start is still kept, begin it anew, without a client or a host."""
-        kept = self.session_store.load_session(claim.session_id) if self.session_store else None
-        if kept is None:
-            return
-        if claim.generation < kept.generation_floor:
-            raise TokenError(ResumeRejection.SPENT)
-        opening = protocol.parse_opening(kept.first_line.encode() + b"\r\n")
-        self._restore(claim, opening, kept.generation_floor, kept.expires_at_us, 0)
+    def rotate_keys(self, options: ResumeOptions) -> None:
+        """Put the keys of new settings in force."""
+        self.keyring.rotate(sealing_keys(options))
 
-    def _restore(self, claim: TokenPayload, opening: Opening, floor: int, expiry: int, tenure: int) -> None:
-        """Begin a session of an earlier start or of another node, without a client or a host.
+    # --- clients that come back
 
-        TokenError: there is no room for it.
+    def resume(
+        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
+    ) -> bytes:
+        """Hand a client with a token over to its session's thread; empty, or the answer that rejects it.
+
+        `release` is called first where the client is handed over; its socket is not the caller's any more.
+        Nothing waits here, and a rejection changes nothing for the session. LineError: no position is told.
         """
-        start = tenure or self.start_number
-        box = ActionQueue()
         try:
-            box.open()
-            stream = Stream.restored(claim.session_id, self.memory_budget, self.options.buffer, start)
-            class_number = self._core.class_numbers[opening.class_name]
-            session = Session(self._core, self, ResumableRequest(box, class_number, opening, stream))
-            session.set_expiry(self._core.clock.moment(expiry))
-            self.token_registry.add(claim.session_id, box, floor, tenure)
-            threading.Thread(target=session.run, daemon=True).start()
-        except (OSError, RuntimeError) as err:
-            self.token_registry.end(claim.session_id, SessionEnd.NO_CAPACITY)
-            box.close()
-            raise TokenError(ResumeRejection.NO_CAPACITY) from err
-        log(LogEvent.SESSION_RESTORED, left=self._core.clock.moment(expiry) - now())
-
-    # --- taking over
-
-    def on_ownership_claimed(self, session: int, tenure: int, by: str) -> None:
-        """The log says that another node owns a session: what there is of it here ends."""
-        if self.ownership_service is not None and by != self.ownership_service.incarnation:
-            box = self.token_registry.handle_before_epoch(session, tenure)
-            if box is not None:
-                box.is_superseded = True
-                box.wake()
-
-    def _start_claim(
-        self,
-        sock: socket.socket,
-        opening: Opening,
-        claim: TokenPayload,
-        arrived: timedelta,
-        take: Callable[[], None],
-    ) -> bytes:
-        """Claim another node's session in a thread of its own; else the answer that turns its client away."""
-        with self._lock:
-            # Two claims of this node for one session would leave it with the earlier one's tenure.
-            if len(self._claiming) >= MAX_CONCURRENT_CLAIMS or claim.session_id in self._claiming:
+            self._check_is_available()
+            return self._resume(sock, opening, arrived, release)
+        except ResumeRejectedError as error:
+            return error.answer
+        except TokenError as error:
+            log(LogEvent.RESUME_REJECTED, why=error.reason)
+            # The client may have given up on an answer that is on its way, and show the token again.
+            if self.ownership is not None and error.reason is ResumeRejection.CLAIMED:
                 return RETRY_SOON
-            self._claiming.add(claim.session_id)
-        try:
-            take()
-            told = (sock, opening, claim, arrived)
-            threading.Thread(target=self._claim_ownership, args=told, name="take-over", daemon=True).start()
-        except RuntimeError as err:
-            log(LogEvent.SESSION_TAKEOVER_FAILED, why=err)
-            with self._lock:
-                self._claiming.discard(claim.session_id)
-            self._answer(sock, opening, RETRY_SOON)
+            return control_messages.format_rejection(error.reason)
+
+    def _check_is_available(self) -> None:
+        """ResumeRejectedError, TokenError: this node resumes no session now."""
+        if self._runner.lifecycle.is_draining:
+            if self.resumes_on_any_node:
+                raise ResumeRejectedError(RETRY_SOON)  # another node claims the session
+            raise TokenError(ResumeRejection.DRAINING)
+        if self.resumes_on_any_node and self.ownership is None:
+            raise ResumeRejectedError(RETRY_SOON)
+
+    def _resume(
+        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
+    ) -> bytes:
+        position = opening.field_values.get(RESUME_POSITION_FIELD, "")
+        if not _POSITION.match(position):
+            raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
+        payload = self.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
+        if self.ownership is not None:  # a process that was stopped has clients of long ago in its buffers
+            arrived = min(arrived, now() - sockets.time_since_last_data(sock))
+        client = ResumingClient(sock, int(position), arrived + opening.wait, payload.expires_at_us)
+        if not self.token_registry.is_known(payload.session_id):
+            if self.ownership is not None:
+                takeover = _Takeover(self.ownership, client, opening, payload, arrived)
+                self._start_takeover(takeover, release)
+                return b""
+            if self.session_store is not None:
+                self._restore_stored(self.session_store, payload)
+
+        def deliver(queue: ActionQueue) -> None:
+            release()
+            queue.add_client(client)
+
+        self.token_registry.begin_resume(payload, self._runner.clock.micros(arrived), deliver)
         return b""
 
-    def _claim_ownership(
-        self, sock: socket.socket, opening: Opening, claim: TokenPayload, arrived: timedelta
+    # --- sessions that are restored
+
+    def _restore_stored(self, session_store: SessionStore, payload: TokenPayload) -> None:
+        """Restore a session of an earlier start, where it is stored. TokenError: spent, or no capacity."""
+        stored = session_store.load_session(payload.session_id)
+        if stored is None:
+            return
+        if payload.generation < stored.generation_floor:
+            raise TokenError(ResumeRejection.SPENT)
+        opening = protocol.parse_opening(stored.first_line.encode() + b"\r\n")
+        self._restore(payload.session_id, opening, stored.generation_floor, stored.expires_at_us)
+
+    def _restore(
+        self,
+        session_id: int,
+        opening: Opening,
+        generation_floor: int,
+        expires_at_us: int,
+        ownership_epoch: int = 0,
     ) -> None:
-        from tansyladder.replication.session_ownership import OwnershipClaim
+        """Start a session of an earlier start or of another node, without a client or a stream host.
 
-        assert self.ownership_service is not None
-        deadline = arrived + opening.wait
+        TokenError: there is no capacity for it.
+        """
+        queue = ActionQueue()
+        expires_at = self._runner.clock.moment(expires_at_us)
+        try:
+            queue.open()
+            node_start = ownership_epoch or self.node_start
+            stream = Stream.restored(session_id, self.memory_budget, self.options.buffer, node_start)
+            class_number = self._runner.class_numbers[opening.class_name]
+            session = Session(self._runner, self, ResumableRequest(queue, class_number, opening, stream))
+            session.set_expiry(expires_at)
+            self.token_registry.add(session_id, queue, generation_floor, ownership_epoch)
+            threading.Thread(target=session.run, daemon=True).start()
+        except (OSError, RuntimeError) as error:
+            self.token_registry.end(session_id, SessionEnd.NO_CAPACITY)
+            queue.close()
+            raise TokenError(ResumeRejection.NO_CAPACITY) from error
+        log(LogEvent.SESSION_RESTORED, left=expires_at - now())
+
+    # --- sessions of other nodes
+
+    def on_ownership_claimed(self, session_id: int, ownership_epoch: int, owner: str) -> None:
+        """The cluster has decided that a node owns a session: if it is another one, the session ends here."""
+        if self.ownership is not None and owner != self.ownership.node:
+            queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
+            if queue is not None:
+                queue.is_superseded = True
+                queue.wake()
+
+    def _start_takeover(self, takeover: _Takeover, release: Callable[[], None]) -> None:
+        """Take over another node's session in a thread of its own.
+
+        ResumeRejectedError: too many are being claimed, or this one is. Two claims of one node for one
+        session would leave it with the epoch of the earlier one.
+        """
+        session_id = takeover.payload.session_id
+        with self._lock:
+            if len(self._claiming) >= MAX_CONCURRENT_CLAIMS or session_id in self._claiming:
+                raise ResumeRejectedError(RETRY_SOON)
+            self._claiming.add(session_id)
         try:
-            if self.token_registry.is_known(
-                claim.session_id
-            ):  # an earlier claim of this node has just gone through
-                return self._answer(sock, opening, RETRY_SOON)
-            if sockets.is_disconnected(sock):  # nobody is there to go on with it
-                return self._answer(sock, opening, RETRY_SOON)
-            at, keep = self.retention_period()
-            by, ask = self.ownership_service.incarnation, next(self.confirmation_numbers)
-            entry = OwnershipClaim(claim.session_id, claim.generation, claim.expires_at_us, by, at, keep, ask)
-            ruling = self.ownership_service.decide_ownership(
-                entry, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT)
-            )
-            if ruling is None:
-                return self._answer(sock, opening, RETRY_SOON)
-            if not ruling.epoch:
-                again = ruling.reason in ("claimed", "full")
-                return self._answer(
-                    sock, opening, RETRY_SOON if again else control_messages.format_rejection(ruling.reason)
-                )
-            visitor = ResumingClient(
-                sock, int(opening.field_values[RESUME_POSITION_FIELD]), deadline, claim.expires_at_us
-            )
-            self._restore(claim, opening, claim.generation, claim.expires_at_us, ruling.epoch)
-            self.token_registry.begin_resume(
-                claim, self._core.clock.micros(arrived), lambda box: box.add_client(visitor)
-            )
-            log(LogEvent.SESSION_TAKEN_OVER, tenure=ruling.epoch, took=now() - arrived)
-        except TokenError as err:  # no room, or two clients with one token here at the same moment
-            self._answer(
-                sock,
-                opening,
-                RETRY_SOON
-                if err.reason in ("room", "claimed")
-                else control_messages.format_rejection(err.reason),
-            )
+            release()
+            threading.Thread(
+                target=self._run_takeover, args=(takeover,), name="take-over", daemon=True
+            ).start()
+        except RuntimeError as error:
+            log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
+            self._takeover_finished(session_id)
+            self._answer(takeover, RETRY_SOON)
+
+    def _run_takeover(self, takeover: _Takeover) -> None:
+        """Take over a session; a client for which that fails is answered here."""
+        try:
+            self._take_over(takeover)
+        except ResumeRejectedError as error:
+            self._answer(takeover, error.answer)
+        except TokenError as error:  # no capacity, or two clients with one token here at the same moment
+            rejection = control_messages.format_rejection(error.reason)
+            self._answer(takeover, RETRY_SOON if error.reason in _TEMPORARY_REJECTIONS else rejection)
         finally:
-            with self._lock:
-                self._claiming.discard(claim.session_id)
+            self._takeover_finished(takeover.payload.session_id)
+
+    def _take_over(self, takeover: _Takeover) -> None:
+        """Claim a session, restore it and hand its client over. ResumeRejectedError, TokenError."""
+        client = takeover.client
+        payload = takeover.payload
+        if self.token_registry.is_known(payload.session_id):  # an earlier claim has just been decided
+            raise ResumeRejectedError(RETRY_SOON)
+        if sockets.is_disconnected(client.sock):
+            raise ResumeRejectedError(RETRY_SOON)
+        epoch = takeover.ownership.claim(payload, client.deadline)
+        self._restore(payload.session_id, takeover.opening, payload.generation, payload.expires_at_us, epoch)
+        arrived_us = self._runner.clock.micros(takeover.arrived)
+        self.token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
+        log(LogEvent.SESSION_TAKEN_OVER, tenure=epoch, took=now() - takeover.arrived)
+
+    def _takeover_finished(self, session_id: int) -> None:
+        with self._lock:
+            self._claiming.discard(session_id)
 
-    def _answer(self, sock: socket.socket, opening: Opening, answer: bytes) -> None:
-        self._core.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
+    def _answer(self, takeover: _Takeover, answer: bytes) -> None:
+        sock = takeover.client.sock
+        self._runner.metrics.record_outcome(takeover.opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(sock)
         sockets.shutdown_and_drain(sock, answer)
-
-    # --- coming back
-
-    def resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, take: Callable[[], None]
-    ) -> bytes:
-        """Hand a client with a token to its session's thread, `take` first; else the answer that refuses it.
-
-        Nothing waits here. A refusal changes nothing for the session that stands.
-        """
-        try:
-            if self._core.lifecycle.is_draining:
-                if self.resumes_on_any_node:
-                    return RETRY_SOON  # another node takes it over
-                raise TokenError(ResumeRejection.DRAINING)
-            if self.resumes_on_any_node and self.ownership_service is None:
-                return RETRY_SOON
-            position = opening.field_values.get(RESUME_POSITION_FIELD, "")
-            if not _POSITION.match(position):
-                raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
-            claim = self.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
-            if (
-                self.ownership_service is not None
-            ):  # a node that was stopped has clients of long ago in its buffers
-                arrived = min(arrived, now() - sockets.time_since_last_data(sock))
-            if not self.token_registry.is_known(claim.session_id):
-                if self.ownership_service is not None:
-                    return self._start_claim(sock, opening, claim, arrived, take)
-                if self.session_store is not None:
-                    self._restore_stored(claim)
-            visitor = ResumingClient(sock, int(position), arrived + opening.wait, claim.expires_at_us)
-
-            def deliver(box: ActionQueue) -> None:
-                take()
-                box.add_client(visitor)
-
-            self.token_registry.begin_resume(claim, self._core.clock.micros(arrived), deliver)
-        except TokenError as err:
-            log(LogEvent.RESUME_REJECTED, why=err.reason)
-            # Its client may have given up on an answer that is still on its way, and shows the token again.
-            again = self.ownership_service is not None and err.reason == "claimed"
-            return RETRY_SOON if again else control_messages.format_rejection(err.reason)
-        return b""
-
-    def rotate_keys(self, options: ResumeOptions) -> None:
-        """Put the keys of new settings in force."""
-        self.keyring.rotate([SealingKey(key.id, key.secret) for key in options.keys])
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -7,136 +7,151 @@
 from tansyladder.policy.actions import Reject, StartAttempt
 from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.events import AttemptEnded, AttemptEstablished, AttemptStatus
-from tests.policy.harness import DEADLINE, MS, START, Node, S, line, only_send
+from tests.policy.harness import (
+    DEADLINE,
+    MILLISECOND,
+    SECOND,
+    START_TIME,
+    BalancerDriver,
+    endpoints,
+    of_type,
+    only_attempt,
+)
 
-FLEET = [line(i) for i in range(1, 9)]
+FLEET = endpoints(1, 8)
 
 
 def test_delays_span_the_whole_interval() -> None:
-    for n in range(1, 6):
+    for attempt in range(1, 6):
+        width = 1000 << attempt
         delays = []
         for seed in range(400):
-            b = Backoff()
-            b.n = n - 1
-            b.failed(START, 1000, 10, Random(seed))
-            assert (b.n, b.end) == (n, START + (1000 << n))
-            delays.append((b.at - START) / (1000 << n))
+            backoff = Backoff()
+            backoff.attempt = attempt - 1
+            backoff.record_failure(START_TIME, 1000, 10, Random(seed))
+            assert backoff.attempt == attempt
+            assert backoff.interval_end == START_TIME + width
+            delays.append((backoff.retry_at - START_TIME) / width)
         assert 0 <= min(delays) < 0.02
         assert 0.98 < max(delays) <= 1
         assert 0.45 < sum(delays) / len(delays) < 0.55
 
 
-def test_generations_never_overlap() -> None:
+def test_retries_of_successive_failures_never_overlap() -> None:
     for seed in range(200):
-        rng, b, ends = Random(seed), Backoff(), START
-        for n in range(1, 8):
-            failed_at = b.at if b.at else START
-            b.failed(failed_at, 1000, 10, rng)
-            assert ends <= b.at <= b.end
-            assert b.end == ends + (1000 << n)
-            ends = b.end
-
-
-def test_the_count_is_capped() -> None:
-    b = Backoff()
+        rng = Random(seed)
+        backoff = Backoff()
+        last_end = START_TIME
+        for attempt in range(1, 8):
+            failed_at = backoff.retry_at or START_TIME
+            backoff.record_failure(failed_at, 1000, 10, rng)
+            assert last_end <= backoff.retry_at <= backoff.interval_end
+            assert backoff.interval_end == last_end + (1000 << attempt)
+            last_end = backoff.interval_end
+
+
+def test_the_attempt_number_is_capped() -> None:
+    backoff = Backoff()
     for _ in range(40):
-        b.failed(b.end, 1000, 4, Random(1))
-    assert b.n == 4
+        backoff.record_failure(backoff.interval_end, 1000, 4, Random(1))
+    assert backoff.attempt == 4
 
 
 def test_retries_keep_to_their_intervals() -> None:
     for seed in range(60):
-        node = Node(FLEET, seed)
-        _, acts = node.ask()
-        send, attempt, start = only_send(acts), 0, None
+        node = BalancerDriver(FLEET, seed)
+        _, actions = node.send_request()
+        start = only_attempt(actions)
+        attempt = 0
+        last_end = 0
         while True:
-            acts = node.fail(send, attempt)
-            b = node.node.keys[7]
-            if start is not None:
-                assert b.at >= start  # at or after the last interval's end
-            start = b.end
-            acts = acts or node.step()
-            if isinstance(acts[-1], Reject):
+            actions = node.fail_attempt(start, attempt)
+            backoff = node.backoff(7)
+            assert backoff.retry_at >= last_end
+            last_end = backoff.interval_end
+            actions = actions or node.run_to_next_action()
+            if isinstance(actions[-1], Reject):
                 break
-            send, attempt = only_send(acts), attempt + 1
-            assert node.now == b.at
-
-
-def test_the_count_survives_a_drop_and_is_cleared_by_staying_up() -> None:
-    node = Node(FLEET)
-    rid, acts = node.ask()
-    node.fail(only_send(acts), 0)
-    send = only_send(node.step())
-    node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
-    node.now += 100 * MS
-    node.give(AttemptEnded(rid, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MS, True))
-    assert node.node.keys[7].n == 1
-    node.run(node.now + S)
-    rid, acts = node.ask()
-    send = only_send(acts)
-    node.fail(send, 0)
-    assert node.node.keys[7].n == 2
-    send = only_send(node.step())
-    node.give(AttemptEstablished(rid, 1, send.endpoint_id, 5 * MS))
-    node.run(node.now + DEADLINE + 1)
-    assert 7 not in node.node.keys
+            start = only_attempt(actions)
+            attempt += 1
+            assert node.now == backoff.retry_at
+
+
+def test_the_backoff_survives_a_drop_and_is_cleared_by_a_lasting_connection() -> None:
+    node = BalancerDriver(FLEET)
+    request_id, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
+    send = only_attempt(node.run_to_next_action())
+    node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
+    node.now += 100 * MILLISECOND
+    node.deliver(AttemptEnded(request_id, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MILLISECOND, True))
+    assert node.backoff(7).attempt == 1
+    node.run_until(node.now + SECOND)
+    request_id, actions = node.send_request()
+    send = only_attempt(actions)
+    node.fail_attempt(send, 0)
+    assert node.backoff(7).attempt == 2
+    send = only_attempt(node.run_to_next_action())
+    node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
+    node.run_until(node.now + DEADLINE + 1)
+    assert 7 not in node.balancer.requests.backoffs
 
 
 def test_a_client_that_comes_again_within_its_interval_waits_for_its_retry() -> None:
-    node = Node(FLEET)
-    _, acts = node.ask()
-    node.fail(only_send(acts), 0)
-    due = node.node.keys[7].at
-    rid, acts = node.ask()
-    assert acts == []
-    sent = [a for a in node.run(due) if isinstance(a, StartAttempt)]
-    assert rid in [a.request_id for a in sent]
+    node = BalancerDriver(FLEET)
+    _, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
+    due = node.backoff(7).retry_at
+    request_id, actions = node.send_request()
+    assert actions == []
+    sent = of_type(node.run_until(due), StartAttempt)
+    assert request_id in [a.request_id for a in sent]
 
 
 def test_two_requests_of_one_key_are_both_answered() -> None:
     """The key's interval moves on with the second; the first must still be tried at its own time."""
-    node = Node(FLEET)
-    first, acts = node.ask()
-    second, more = node.ask()
-    node.fail(only_send(acts), 0)
-    node.fail(only_send(more), 0)
-    node.run(node.now + DEADLINE)
-    answered = {a.request_id for _, a in node.log[2:] if isinstance(a, StartAttempt | Reject)}
+    node = BalancerDriver(FLEET)
+    first, actions = node.send_request()
+    second, more = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
+    node.fail_attempt(only_attempt(more), 0)
+    node.run_until(node.now + DEADLINE)
+    answered = {a.request_id for _, a in node.action_log[2:] if isinstance(a, StartAttempt | Reject)}
     assert {first, second} <= answered
 
 
-def test_a_wait_that_outruns_the_time_is_refused_with_the_rest_of_the_interval() -> None:
-    node = Node(FLEET)
-    rid, acts = node.ask(left=30 * MS)
-    seen = node.fail(only_send(acts), 0)
+def test_a_retry_after_the_deadline_is_rejected_with_the_rest_of_the_interval() -> None:
+    node = BalancerDriver(FLEET)
+    request_id, actions = node.send_request(left=30 * MILLISECOND)
+    seen = node.fail_attempt(only_attempt(actions), 0)
     for _ in range(4):
         if seen and isinstance(seen[0], Reject):
             break
-        seen = node.step()
+        seen = node.run_to_next_action()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Reject(rid, node.node.keys[7].end - node.now)
+    assert seen[0] == Reject(request_id, node.backoff(7).interval_end - node.now)
 
 
 def test_attempts_run_out() -> None:
-    node = Node(FLEET, max_attempts=2)
-    rid, acts = node.ask()
-    node.fail(only_send(acts), 0)
-    acts = node.fail(only_send(node.step()), 1)
-    assert isinstance(acts[0], Reject)
-    assert acts[0].request_id == rid
+    node = BalancerDriver(FLEET, max_attempts=2)
+    request_id, actions = node.send_request()
+    node.fail_attempt(only_attempt(actions), 0)
+    actions = node.fail_attempt(only_attempt(node.run_to_next_action()), 1)
+    assert isinstance(actions[0], Reject)
+    assert actions[0].request_id == request_id
 
 
-def test_without_a_key_the_count_is_the_requests_own() -> None:
-    node = Node(FLEET)
-    _, acts = node.ask(key=0)
-    node.fail(only_send(acts), 0)
-    assert only_send(node.step())
-    assert not node.node.keys
+def test_without_a_key_the_backoff_is_the_requests_own() -> None:
+    node = BalancerDriver(FLEET)
+    _, actions = node.send_request(key=0)
+    node.fail_attempt(only_attempt(actions), 0)
+    assert only_attempt(node.run_to_next_action())
+    assert not node.balancer.requests.backoffs
 
 
-def test_keys_are_bounded() -> None:
-    node = Node([], max_attempts=1)
+def test_the_number_of_backoffs_is_bounded() -> None:
+    node = BalancerDriver([], max_attempts=1)
     for key in range(1, 5000):
-        node.ask(key=key)
-    assert len(node.node.keys) <= 4096
+        node.send_request(key=key)
+    assert len(node.balancer.requests.backoffs) <= 4096
