--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -181,6 +181,17 @@
     assert only_attempt(node.send_request(key=20).actions).endpoint_id == 1
 
 
+def test_an_established_connection_makes_an_endpoint_fully_available_again() -> None:
+    node = BalancerDriver([endpoint(1)])
+    request_id, actions = node.send_request(key=1)
+    node.fail_attempt(only_attempt(actions), 0)
+    assert node.endpoint(1).ejection.attempt == 1
+    retry = only_attempt(node.run_to_next_action())
+    node.deliver(AttemptEstablished(request_id, 1, retry.endpoint_id, MILLISECOND))
+    assert node.endpoint(1).ejection.attempt == 0
+    assert all(only_attempt(node.send_request(key=key).actions) for key in range(2, 6))
+
+
 def test_a_drop_leaves_no_load_behind() -> None:
     node = BalancerDriver([endpoint(1)])
     request_id, actions = node.send_request(load_hint=500)
