--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -52,13 +52,13 @@
         ("(a " * 30 + "1" + ")" * 30, "brackets deeper"),
     ],
 )
-def test_a_fault_in_settings_names_its_path(text: str, path: str) -> None:
+def test_an_error_in_settings_names_its_path(text: str, path: str) -> None:
     with pytest.raises(OptionsError) as err:
         parse(text)
     assert path in str(err.value)
 
 
-def test_settings_are_read_with_their_units_and_nothing_is_on_by_itself(tmp_path: Path) -> None:
+def test_settings_are_parsed_with_their_units_and_all_is_off_by_default(tmp_path: Path) -> None:
     assert load(None) == parse("; nothing\n") == Options()
     assert not Options().resume.enabled
     read = parse(f'(resume (enabled true) (expires "1.5 min") (buffer "8 KiB") (keys (3 "{KEY}")))')
@@ -74,7 +74,7 @@
 
 @given(st.text(alphabet="()\"';#. \\\n09azresumenabled", max_size=60))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_any_text_is_settings_or_a_fault(text: str) -> None:
+def test_any_text_is_settings_or_an_error(text: str) -> None:
     with contextlib.suppress(OptionsError):
         parse(text)
 
@@ -89,7 +89,7 @@
     )
 
 
-def test_check_names_the_fault_and_ends_with_2(tmp_path: Path) -> None:
+def test_check_names_the_error_and_exits_with_2(tmp_path: Path) -> None:
     load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"))
     assert run("check", str(tmp_path / "config.json")).returncode == 0
     (tmp_path / "bad.json").write_text('{"limits": {"sockets": "many"}}')
@@ -106,7 +106,7 @@
     assert "resume.expires" in done.stderr
 
 
-def test_the_platforms_line_loads_no_tool(tmp_path: Path) -> None:
+def test_the_platforms_command_loads_no_tool(tmp_path: Path) -> None:
     """Started without words the node must not pay for what only tools and other installations need."""
     load_test_config(tmp_path)
     code = (
@@ -162,7 +162,7 @@
     assert json.loads(second) == {"event": "drained", "why": 'a "b"', "count": 3}
 
 
-def test_of_one_event_so_many_lines_are_written() -> None:
+def test_lines_of_one_event_are_rate_limited() -> None:
     limit = logging.RateLimiter()
     dropped = 0
     for _ in range(logging.MAX_LINES_PER_WINDOW + 5):
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -36,13 +36,13 @@
         ({"settings": SETTINGS | {"balancers": 1e300}}, "settings.balancers"),
     ],
 )
-def test_a_fault_names_its_key(tmp_path: Path, over: dict[str, Any], named: str) -> None:
+def test_an_error_names_its_key(tmp_path: Path, over: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError) as err:
         load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), **over)
     assert named in str(err.value)
 
 
-def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
+def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
     load_test_config(tmp_path)
     read = load({"GW_CONFIG": str(tmp_path / "config.json"), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.2:80"})
     assert (read.name, read.listen, read.discovery) == ("n7", ("127.0.0.2", 80), ("127.0.0.1", 1))
@@ -50,7 +50,7 @@
     assert read.longest_deadline == timedelta(seconds=1.2)
 
 
-def test_the_program_ends_with_2_and_one_line(tmp_path: Path) -> None:
+def test_the_program_exits_with_2_and_one_line(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps({"settings": 5}))
     env = {**os.environ, "GW_CONFIG": str(file)}
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -94,7 +94,7 @@
         assert ping(node) == "PONG"
 
 
-def test_callers_that_finish_no_call_hold_nobody_up(tmp_path: Path) -> None:
+def test_callers_that_finish_no_call_delay_no_other(tmp_path: Path) -> None:
     with administered_node(tmp_path, ScriptedServer(answer_up(read_until_closed))) as node:
         idle = [node.connect_operator() for _ in range(2 * MAX_CALLERS)]
         for caller in idle[MAX_CALLERS:]:
@@ -108,7 +108,7 @@
             caller.close()
 
 
-def test_every_ending_is_counted_once(tmp_path: Path) -> None:
+def test_every_outcome_is_counted_once(tmp_path: Path) -> None:
     """Brought up, turned away by the module and at the limit, failed, left: as the clients saw it."""
 
     received_lines: list[str] = []
@@ -155,7 +155,7 @@
             client.close()
 
 
-def test_who_left_and_who_the_drain_ended_are_counted(
+def test_clients_that_left_and_that_a_drain_rejected_are_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name, span in (("LATE_ARRIVAL_WINDOW", 0.01), ("STANDBY_DRAIN_DURATION", 0.05)):
@@ -196,9 +196,7 @@
         (["begin_drain", "mark_started"], "draining", [None, None]),
     ],
 )
-def test_one_state_and_what_each_step_does_to_it(
-    steps: list[str], phase: str, answers: list[bool | None]
-) -> None:
+def test_each_transition_of_the_lifecycle(steps: list[str], phase: str, answers: list[bool | None]) -> None:
     lifecycle = Lifecycle()
     assert [getattr(lifecycle, step)() for step in steps] == answers
     assert (lifecycle.state.value, lifecycle.is_ready) == (phase, phase != "standby")
@@ -219,7 +217,7 @@
         assert node.call(b"active\r\n") == ["-ERR draining"]
 
 
-def test_standby_moves_everybody_says_no_and_comes_back(
+def test_standby_migrates_all_answers_busy_and_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name, span in (
@@ -256,7 +254,7 @@
             client.close()
 
 
-def test_active_in_the_middle_of_a_drain_leaves_the_others(
+def test_active_in_the_middle_of_a_drain_keeps_the_other_connections(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("end", ["close", "reset", "half"])
-def test_no_attempt_begins_for_a_client_that_left_while_the_connection_came_up(
+def test_no_attempt_starts_for_a_client_that_disconnected_while_connecting(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str
 ) -> None:
     """A connection that came up late got the first line of a client that had gone long before."""
@@ -112,7 +112,7 @@
         accept_empty_connections()
 
 
-def test_no_line_goes_out_for_a_client_that_left_as_the_connection_was_up(
+def test_no_line_is_sent_for_a_client_that_disconnected_as_the_connection_was_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Between a connection that is up and its first line nobody looked at the client again."""
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("word", ["BUSY", "ERR", "UP r1"])
-def test_an_answer_that_crosses_the_clients_end_begins_no_further_attempt(tmp_path: Path, word: str) -> None:
+def test_an_answer_that_crosses_the_clients_end_starts_no_further_attempt(tmp_path: Path, word: str) -> None:
     lines: list[str] = []
     asked, left = threading.Event(), threading.Event()
 
@@ -191,7 +191,7 @@
         assert len(lines) == 1
 
 
-def test_an_answer_that_never_ends_is_left_at_the_deadline(tmp_path: Path) -> None:
+def test_an_answer_that_never_ends_times_out_at_the_deadline(tmp_path: Path) -> None:
     """Each byte begins a wait anew, but not the attempt's time."""
     sent: list[bytes] = []
     answered = threading.Event()
--- a/tests/node/test_discovery_polls.py
+++ b/tests/node/test_discovery_polls.py
@@ -16,14 +16,14 @@
 from tests.node.harness import SETTINGS, running_node
 
 
-def test_a_new_address_ends_the_rest_after_a_change(tmp_path: Path) -> None:
+def test_a_new_address_ends_the_wait_after_a_change(tmp_path: Path) -> None:
     with running_node(tmp_path) as node:
         node.runner.request_discovery_poll()
         discovery_client.DiscoveryClient(node.runner)._wait_for_request(timedelta(hours=1))
 
 
 @pytest.mark.parametrize("nodes", [3, 40, 10**9])
-def test_after_a_change_the_watch_goes_on_in_time_but_not_at_once(
+def test_after_a_change_polling_goes_on_in_time_but_not_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, nodes: int
 ) -> None:
     """A change answers all watches together; what comes within 200 ms of an answer counts as told.
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("text", ["", " ", "{", "[]", "null", "\xff", '{"settings": {"classes": [NaN]}}'])
-def test_a_file_that_is_none_changes_nothing(tmp_path: Path, text: str) -> None:
+def test_a_file_that_is_no_configuration_changes_nothing(tmp_path: Path, text: str) -> None:
     with Office(tmp_path) as node:
         node.file.write_bytes(text.encode("latin-1"))
         assert node.refused()
@@ -159,7 +159,7 @@
             client.close()
 
 
-def test_what_waits_for_a_restart_is_named(tmp_path: Path) -> None:
+def test_keys_that_wait_for_a_restart_are_named(tmp_path: Path) -> None:
     with Office(tmp_path) as node:
         node.edit(setting("limits.sockets", 99), setting("settings.localities", ["b", "a"]))
         node.edit(setting("settings.rules.ask_within", 5_000_000))
@@ -172,7 +172,7 @@
     st.lists(st.tuples(st.integers(50, 900), st.integers(1, 5)), min_size=1, max_size=4),
     st.integers(0, 2**16),
 )
-def test_under_way_it_keeps_its_deadline_and_attempts_only_shrink(
+def test_a_request_under_way_keeps_its_deadline_and_attempts_only_shrink(
     changes: list[tuple[int, int]], seed: int
 ) -> None:
     """However the settings change, a request's attempts end by its own deadline, and none exceeds the cap."""
--- a/tests/node/test_second_deployment.py
+++ b/tests/node/test_second_deployment.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("tenant", ["t=south,", "t=west,", ""])
-def test_a_tenant_is_told_by_its_number_and_an_unknown_one_gets_its_answer(
+def test_a_tenant_is_passed_by_its_number_and_an_unknown_one_is_answered_with_an_error(
     tmp_path: Path, shape: dict[str, Any], tenant: str
 ) -> None:
     with running_node(tmp_path, ScriptedServer(answer_up()), settings=shape) as node:
@@ -94,7 +94,7 @@
         (["PONG"], ()),
     ],
 )
-def test_a_report_is_read_by_its_names_and_a_bad_one_leaves_the_member_as_it_was(
+def test_a_load_report_is_parsed_by_its_names_and_a_bad_one_changes_nothing(
     tmp_path: Path, answer: list[str], load: tuple[float, ...]
 ) -> None:
     """Each probe waited for a line that never came, timed out, and marked a sound member."""
@@ -110,7 +110,7 @@
         assert (probed.status, probed.load_report) == (AttemptStatus.OK, load)
 
 
-def test_what_the_settings_do_not_give_is_named(tmp_path: Path, shape: dict[str, Any]) -> None:
+def test_absent_features_are_named(tmp_path: Path, shape: dict[str, Any]) -> None:
     off = absent_features(load_test_config(tmp_path, settings=shape))
     more = ["loads", "probes", "pushed_lists", "reports", "tenants", "weights"]
     assert off == ([] if shape is PUSHED else more)
@@ -138,7 +138,7 @@
         load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), settings=shape | over)
 
 
-def test_no_name_of_these_settings_stands_in_the_program() -> None:
+def test_no_name_of_these_settings_is_in_the_program() -> None:
     """Classes, tenants and places come from the settings alone."""
     root = Path(__file__).parent.parent.parent
     files = [*(root / "tansyladder").rglob("*.py"), root / "deploy" / "balancer.toml"]
