--- a/tansyladder/simulator/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -8,6 +8,7 @@
 
 import struct
 from collections.abc import Callable
+from functools import partial
 from typing import Any, NamedTuple, Union
 
 from tansyladder.config.policy_settings import build_settings
@@ -249,62 +250,53 @@
     return records
 
 
-class _ActionForm:
-    """The form of an action's record of fixed length."""
+def _action_packer(code: int, fields: str) -> Callable[..., bytes]:
+    """A function that encodes an action of fixed length from its instance and its fields."""
+    form = struct.Struct(RECORD_START.format + fields)
+    return partial(form.pack, code, form.size - RECORD_HEADER.size)
 
-    __slots__ = ("_code", "_length", "_struct")
 
-    def __init__(self, code: int, fields: str) -> None:
-        self._code = code
-        self._struct = struct.Struct(RECORD_START.format + fields)
-        self._length = self._struct.size - RECORD_HEADER.size
-
-    def pack(self, instance: int, *values: int) -> bytes:
-        """Encode the fields that come after the instance."""
-        return self._struct.pack(self._code, self._length, instance, *values)
-
-
-START_ATTEMPT = _ActionForm(65, "QIi")
-REJECT = _ActionForm(66, "QI")
-FAIL = _ActionForm(67, "Q")
-CANCEL_ATTEMPT = _ActionForm(68, "QH")
-SET_TIMER = _ActionForm(69, "QI")
-CHECK_HEALTH = _ActionForm(70, "I")
-POLL_DISCOVERY = _ActionForm(75, "B")
-MIGRATE = _ActionForm(77, "Q")
+_pack_start_attempt = _action_packer(65, "QIi")
+_pack_reject = _action_packer(66, "QI")
+_pack_fail = _action_packer(67, "Q")
+_pack_cancel_attempt = _action_packer(68, "QH")
+_pack_set_timer = _action_packer(69, "QI")
+_pack_check_health = _action_packer(70, "I")
+_pack_poll_discovery = _action_packer(75, "B")
+_pack_migrate = _action_packer(77, "Q")
 
 
 def _write_start_attempt(instance: int, action: StartAttempt) -> bytes:
     timeout = max(-1, min(action.timeout_us, MAX_INT32))
-    return START_ATTEMPT.pack(instance, action.request_id, action.endpoint_id, timeout)
+    return _pack_start_attempt(instance, action.request_id, action.endpoint_id, timeout)
 
 
 def _write_reject(instance: int, action: Reject) -> bytes:
-    return REJECT.pack(instance, action.request_id, max(0, min(action.retry_after_us, MAX_UINT32)))
+    return _pack_reject(instance, action.request_id, max(0, min(action.retry_after_us, MAX_UINT32)))
 
 
 def _write_fail(instance: int, action: Fail) -> bytes:
-    return FAIL.pack(instance, action.request_id)
+    return _pack_fail(instance, action.request_id)
 
 
 def _write_cancel_attempt(instance: int, action: CancelAttempt) -> bytes:
-    return CANCEL_ATTEMPT.pack(instance, action.request_id, action.attempt)
+    return _pack_cancel_attempt(instance, action.request_id, action.attempt)
 
 
 def _write_set_timer(instance: int, action: SetTimer) -> bytes:
-    return SET_TIMER.pack(instance, action.due_at_us, action.timer_id)
+    return _pack_set_timer(instance, action.due_at_us, action.timer_id)
 
 
 def _write_check_health(instance: int, action: CheckHealth) -> bytes:
-    return CHECK_HEALTH.pack(instance, action.endpoint_id)
+    return _pack_check_health(instance, action.endpoint_id)
 
 
 def _write_poll_discovery(instance: int, action: PollDiscovery) -> bytes:
-    return POLL_DISCOVERY.pack(instance, action.is_enabled)
+    return _pack_poll_discovery(instance, action.is_enabled)
 
 
 def _write_migrate(instance: int, action: Migrate) -> bytes:
-    return MIGRATE.pack(instance, action.request_id)
+    return _pack_migrate(instance, action.request_id)
 
 
 def _write_peer_message(instance: int, action: SendPeerMessage) -> bytes:
