--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -70,6 +70,12 @@
     assert only_attempt(node.run_until(node.now + 100 * MILLISECOND)).request_id == request_id
 
 
+def test_an_endpoint_has_one_health_check_in_flight() -> None:
+    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORTS)
+    actions = [action for key in (1, 2) for action in node.send_request(key=key).actions]
+    assert sorted(check.endpoint_id for check in of_type(actions, CheckHealth)) == [1, 2, 3]
+
+
 def test_other_zones_get_requests_when_the_home_zone_has_no_capacity() -> None:
     fleet = [endpoint(1), endpoint(2), endpoint(11, zone=1), endpoint(12, zone=1)]
     node = BalancerDriver(fleet, **LOAD_REPORTS)
@@ -181,6 +187,17 @@
     assert only_attempt(node.send_request(key=20).actions).endpoint_id == 1
 
 
+def test_an_established_connection_makes_an_endpoint_fully_available_again() -> None:
+    node = BalancerDriver([endpoint(1)])
+    request_id, actions = node.send_request(key=1)
+    node.fail_attempt(only_attempt(actions), 0)
+    assert node.endpoint(1).ejection.attempt == 1
+    retry = only_attempt(node.run_to_next_action())
+    node.deliver(AttemptEstablished(request_id, 1, retry.endpoint_id, MILLISECOND))
+    assert node.endpoint(1).ejection.attempt == 0
+    assert all(only_attempt(node.send_request(key=key).actions) for key in range(2, 6))
+
+
 def test_a_drop_leaves_no_load_behind() -> None:
     node = BalancerDriver([endpoint(1)])
     request_id, actions = node.send_request(load_hint=500)
