--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -70,6 +70,7 @@
 @click.option("--kit", type=click.Path(path_type=Path, file_okay=False, exists=True), required=True)
 @click.option("--to", type=click.Path(path_type=Path, file_okay=False), default=LAID)
 def main(overrides: Path, kit: Path, to: Path) -> None:
+    """Lay a site out of a kit's site and a file of overrides, and print its path."""
     try:
         click.echo(lay(overrides, kit, to))
     except UnknownKeyError as err:
