--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -87,7 +87,7 @@
 
     def _relay_until_end(self) -> AttemptStatus:
         while self._final_status is None and (self._client.is_open or self._upstream.is_open):
-            if self._is_over():
+            if self._end_if_due():
                 break
             ready = self._wait()
             if self._handover.fileno() in ready and self._connection.outcome is None and self._hand_over():
@@ -95,16 +95,16 @@
             for source, destination in self._connection.directions:
                 if not self._relay_direction(source, destination, ready):
                     break
-        # Never `or`: the status of success is 0, and an endpoint without fault would be blamed with a reset.
+        # No `or` here: the status OK is 0, and `or` would discard it.
         if self._final_status is not None:
             return self._final_status
         outcome = self._connection.outcome
         return AttemptStatus.CANCELLED if outcome is None else outcome
 
-    def _is_over(self) -> bool:
-        """End the connection for an action of the policy's, a silent endpoint or a side that takes nothing.
+    def _end_if_due(self) -> bool:
+        """End the connection if the policy asks for it, the endpoint is silent, or a side reads nothing.
 
-        Without any of them it is over some time after a side's end.
+        Also some time after one side has closed. Returns whether the relay is over.
         """
         action = self._actions.take()
         if action is not None and self._connection.outcome is None:
@@ -140,7 +140,7 @@
         return sockets.poll_until(poll, self._half_closed_deadline or now() + interval)
 
     def _relay_direction(self, source: RelaySide, destination: RelaySide, ready: set[int]) -> bool:
-        """Write what the source has not taken, then pass on what it sends; False: the round is over."""
+        """Flush what is pending towards `source`, then forward what it sent; False: the round is over."""
         try:
             if source.unsent and source.descriptor in ready:
                 source.send_from(destination)
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -108,6 +108,7 @@
     def _try_admit(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
+        """Check the first line, the node's state and its limits in this order; the answer of a rejection."""
         runner = self._runner
         self._admission.check_fields(opening)
         if self._is_rejecting_all or not runner.may_decide(opening.connection_id):
--- a/tansyladder/node/connection_acceptor.py
+++ b/tansyladder/node/connection_acceptor.py
@@ -31,7 +31,7 @@
     nothing, or that are told of their errors, take nothing from the clients that are served.
 
     `run` owns everything on its own thread. Other threads may call `yield_queue`, `stop` and the properties:
-    two independent requests, each one flag that only they write, and a wake-up.
+    each sets one boolean that nothing else writes, and wakes the poll.
     """
 
     def __init__(self, listener: socket.socket, max_pending: int, admitter: RequestAdmitter) -> None:
@@ -81,7 +81,7 @@
                 last_check = now()
                 for connection in self._pending.all():
                     self._pending.check_deadlines(connection, last_check)
-                self._set_paused(self._is_yielded)
+                self._set_paused(self._is_yielded)  # ends a pause that the limit of pending ones caused
         self._finish()
 
     def _handle_ready(self, descriptor: int) -> None:
--- a/tansyladder/policy/endpoint_load.py
+++ b/tansyladder/policy/endpoint_load.py
@@ -7,7 +7,7 @@
 ASSUMED_MEAN_UTILIZATION = 0.6  # of an endpoint that carries the mean load, where nobody reports
 UTILIZATION_LIMIT = 0.75  # from which an endpoint takes nothing new: its messages are late already
 MAX_GUESSED_UTILIZATION = 0.7  # of an endpoint that only health checks tell of, and nothing bad
-POOL_REFRESHES_PER_DEADLINE = 32  # a storm of requests must not count a large fleet for each of them
+POOL_REFRESHES_PER_DEADLINE = 32  # figures are cached, or each request of a burst computes them
 
 
 def is_delayed(context: Context, endpoint: Endpoint) -> bool:
@@ -47,7 +47,7 @@
     return pool
 
 
-def free_capacity(context: Context, endpoint: Endpoint, pool: EndpointPool) -> float:
+def selection_weight(context: Context, endpoint: Endpoint, pool: EndpointPool) -> float:
     """The weight of an endpoint in a random draw: its capacity thinned by its utilization; 0: it is full."""
     share = capacity_share(context, endpoint)
     if share < 1.0 and not available_permit(context, endpoint):
@@ -65,7 +65,7 @@
 
 
 def record_assignment(context: Context, request: Request, endpoint: Endpoint, pool: EndpointPool) -> None:
-    """Count a request until reports show it, or all go to the endpoint that was last reported idle."""
+    """Count a request until reports show it, so that a burst isn't all sent to the one last reported idle."""
     # Other nodes are taken to do as this one does, so its own mean load stands for the fleet's.
     mean_load = refresh_pool(context, pool).mean_load * endpoint.weight
     if pool.capacity:
--- a/tansyladder/policy/endpoint_selection.py
+++ b/tansyladder/policy/endpoint_selection.py
@@ -3,7 +3,7 @@
 import math
 
 from tansyladder.policy.context import Context
-from tansyladder.policy.endpoint_load import UTILIZATION_LIMIT, free_capacity, refresh_pool
+from tansyladder.policy.endpoint_load import UTILIZATION_LIMIT, refresh_pool, selection_weight
 from tansyladder.policy.events import EndpointState
 from tansyladder.policy.records import HASH_MASK, Endpoint, EndpointPool, EndpointTable, Request, hash64
 from tansyladder.policy.settings import DeduplicationScope, Idempotency
@@ -39,7 +39,7 @@
     for endpoint in among:
         if is_available(context, endpoint) and _may_execute_on(context, endpoint, request):
             has_group = request.group_key and request.group_key in endpoint.group_counts
-            weight = free_capacity(context, endpoint, pool) * (GROUP_AFFINITY if has_group else 1.0)
+            weight = selection_weight(context, endpoint, pool) * (GROUP_AFFINITY if has_group else 1.0)
             score = _draw_score(context, endpoint, request, weight) if weight > 0 else math.inf
             if endpoint is request.last_failed_endpoint and weight > 0:
                 fallback = endpoint
--- a/tansyladder/policy/slow_start.py
+++ b/tansyladder/policy/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: what an endpoint gets while it warms up.
+"""Slow start: in a span D = overload_duration all nodes together start at most B attempts at an endpoint.
 
-It takes N = overload_factor x its capacity x overload_duration requests in any span of overload_duration. All
-nodes compute the same permits: (B - 1) / (2 overload_duration) in a unit of time, where B = N + 2 sqrt(N) + 2
-allows for chance, each for one node and one use within overload_duration. So a span sees (B - 1) + 1 uses at
-most, whichever nodes have requests. (B grows as the endpoint warms up, and a chord lies under a root.)
+It withstands N = overload_factor x its capacity x D; B = N + 2 sqrt(N) + 2 allows for chance. All nodes compute
+the same series of permits, issued at the rate (B - 1) / (2 D), each for one node and one use within D. What is
+used in a span was issued in the 2 D before its end: (B - 1) + 1 permits at most. N grows linearly with the
+capacity; the rate is interpolated linearly too, which gives less, as a root is concave.
 """
 
 import math
@@ -31,8 +31,9 @@
     duration = settings.slow_start_duration_us
     span = settings.overload_duration_us
     full = settings.overload_factor * CONNECTIONS_PER_WEIGHT * endpoint.start_weight / duration * span
-    first, last = (n + 2 * math.sqrt(n) + 1 for n in (full * settings.slow_start_initial_capacity, full))
-    age = max(0, until - endpoint.ready_at)
+    initial = full * settings.slow_start_initial_capacity
+    first, last = (requests + 2 * math.sqrt(requests) + 1 for requests in (initial, full))
+    age = max(0, until - endpoint.ready_at)  # the integral of a rate that grows linearly follows
     return (first * age + (last - first) * age * age / (2 * duration)) / (2 * span)
 
 
@@ -42,5 +43,5 @@
     expired = int(permits_issued(context, endpoint, context.now - settings.overload_duration_us))
     oldest = max(endpoint.last_permit, expired) + 1
     node_count = min(settings.node_count, PERMIT_ROTATION_SIZE)
-    own = oldest + (endpoint.stable_id + settings.node_index - oldest) % node_count
+    own = oldest + (endpoint.stable_id + settings.node_index - oldest) % node_count  # its next turn
     return own if own <= permits_issued(context, endpoint, context.now) else 0
