--- a/tansyladder/policy/slow_start.py
+++ b/tansyladder/policy/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: in a span D = overload_duration all nodes together start at most B attempts at an endpoint.
 
-It withstands N = overload_factor x its capacity x D; B = N + 2 sqrt(N) + 2 allows for chance. All nodes compute
-the same series of permits, issued at the rate (B - 1) / (2 D), each for one node and one use within D. What is
-used in a span was issued in the 2 D before its end: (B - 1) + 1 permits at most. N grows linearly with the
-capacity; the rate is interpolated linearly too, which gives less, as a root is concave.
+It withstands N = overload_factor x its capacity x D; B = N + 2 sqrt(N) + 2 allows for chance. All nodes
+compute the same series of permits, issued at the rate (B - 1) / (2 D), each for one node and one use within
+D. What is used in a span was issued in the 2 D before its end: (B - 1) + 1 permits at most. N grows linearly
+with the capacity; the rate is interpolated linearly too, which gives less, as a root is concave.
 """
 
 import math
