--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -9,6 +9,7 @@
 import threading
 from collections.abc import Callable
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -18,10 +19,12 @@
 from tansyladder.net.clock import now
 from tansyladder.node.admission_control import ADMIN_DESCRIPTORS
 from tansyladder.node.client_listener import ClientListener
-from tansyladder.node.extension_points import DecisionPermit
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.policy_runner import PolicyRunner
 
+if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+    from tansyladder.node.extension_points import DecisionPermit
+
 MAX_CALLERS = ADMIN_DESCRIPTORS - 2  # beside the listener, and one accepted before another is closed
 CALLER_TIMEOUT = timedelta(seconds=10)  # for a complete line, and for reading the answer
 MAX_LINE_BYTES = 512  # of a call, whose longest part is a path
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -5,16 +5,18 @@
 import zlib
 from collections.abc import Iterable
 from datetime import timedelta
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from tansyladder.config.errors import ConfigError
 from tansyladder.config.platform import Address, Config, EndpointEntry, EndpointList, parse_address
 from tansyladder.log import LogEvent, log
 from tansyladder.net.action_queue import Endpoint
 from tansyladder.net.clock import EPOCH, Clock, now
-from tansyladder.node.extension_points import EndpointListCache
 from tansyladder.policy.events import EndpointState, EndpointUpdate, ListUpdateKind
 
+if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+    from tansyladder.node.extension_points import EndpointListCache
+
 ENDPOINT_STATES = {
     "up": EndpointState.READY,
     "draining": EndpointState.DRAINING,
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -13,7 +13,7 @@
 from collections import deque
 from collections.abc import Sequence
 from dataclasses import replace
-from typing import TypeVar
+from typing import TYPE_CHECKING, TypeVar
 
 from tansyladder.config.operator_settings import Options
 from tansyladder.config.platform import Config, EndpointList
@@ -26,7 +26,6 @@
 from tansyladder.node.class_numbers import ClassNumbers
 from tansyladder.node.endpoint_registry import EndpointRegistry, newest_list, valid_entries
 from tansyladder.node.event_counters import EventCounters
-from tansyladder.node.extension_points import DecisionPermit, EndpointListCache, SessionService
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.node.metrics import Metrics
 from tansyladder.node.policy_timers import PolicyTimers
@@ -52,6 +51,9 @@
     ReportKind,
 )
 
+if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+    from tansyladder.node.extension_points import DecisionPermit, EndpointListCache, SessionService
+
 ItemT = TypeVar("ItemT")
 # Health checks and polls that may wait for their threads: more than there are endpoints.
 QUEUE_CAPACITY = 256
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 from datetime import timedelta
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
@@ -17,12 +17,14 @@
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
 from tansyladder.node.attempt_loop import AttemptLoop, build_request, load_hint_of, tenant_of
-from tansyladder.node.extension_points import ResumableRequest, SessionService
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
 from tansyladder.policy.actions import Fail, Reject
 from tansyladder.policy.events import AttemptStatus, ConnectionAdopted
 
+if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+    from tansyladder.node.extension_points import SessionService
+
 # Between two attempts to restore a connection from before the run; also what a client is told to wait.
 RESTORE_RETRY_INTERVAL = timedelta(milliseconds=100)
 
@@ -93,6 +95,8 @@
 
     def _serve_resumable(self, session_service: SessionService) -> None:
         """Place a request whose session can be resumed, and leave it to the session service."""
+        from tansyladder.node.extension_points import ResumableRequest  # loaded already, with sessions
+
         stream = session_service.new_stream()
         connection = self._place(session_service.first_line_builder(self._opening, stream))
         if connection is not None:
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -156,13 +156,14 @@
     """Start the threads, clients last; returns what reloads the configuration."""
     from tansyladder.node.discovery_client import DiscoveryClient
     from tansyladder.node.health_checker import HealthChecker
-    from tansyladder.node.reload import Reloader
 
     runner.start()
     discovery = DiscoveryClient(runner)
     discovery.start()
     HealthChecker(runner).start()
     listener.start()
+    from tansyladder.node.reload import Reloader  # only now: clients are accepted meanwhile
+
     reloader = Reloader(os.environ, runner, discovery, options_path)
     reloader.start()
     return reloader
