--- a/tansyladder/cluster/content_worker.py
+++ b/tansyladder/cluster/content_worker.py
@@ -105,7 +105,7 @@
             return f"{task.name}: no such document"
         try:
             fault = self._validators[task.name](task.content)
-        except Exception as err:  # noqa: BLE001 - a validator may be an extension: what it raises is a rejection
+        except Exception as err:  # noqa: BLE001 - a validator may raise anything: a rejection
             return f"{task.name}: {err!r}"
         if fault:
             return fault
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -209,7 +209,7 @@
         try:
             while True:
                 self._step(self._receive())
-        except Exception as err:  # noqa: BLE001 - what is on the disk is not known any more: it takes no more part
+        except Exception as err:  # noqa: BLE001 - the state of the disk is unknown from here on
             self._is_stopped = True
             log(LogEvent.RAFT_STOPPED, why=repr(err))
             self._pending_results.wake_up_all()
