--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -1,4 +1,4 @@
-"""What all nodes did, by second and by pool member, from the `counts` lines in their logs."""
+"""What all nodes did, by second and by endpoint, from the `counts` lines in their logs."""
 
 from __future__ import annotations
 
