--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -37,14 +37,13 @@
 
     def __init__(self, runner: PolicyRunner, handover: ListenerHandover | None = None) -> None:
         """`handover`: to the process before this one and to the next; None: there is none."""
-        config = runner.config
         self._runner = runner
-        self._handover = runner.listener_handover = handover or ListenerHandover(config.listen, None)
+        self._handover = runner.listener_handover = handover or ListenerHandover(runner.config.listen, None)
         self._admission = AdmissionControl(runner, self._handover)
         self._is_rejecting_all = False  # what is read from now on comes too late to be served
         # The port can be shared, for a new process that the old one does not answer.
         self._listener = self._handover.request_listener() or socket.create_server(
-            config.listen, backlog=LISTEN_BACKLOG, reuse_port=True
+            runner.config.listen, backlog=LISTEN_BACKLOG, reuse_port=True
         )
         self._acceptor = ConnectionAcceptor(self._listener, self._admission.max_pending, self)
         self._acceptor_thread = threading.Thread(target=self._acceptor.run, name="admission", daemon=True)
