--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -299,6 +299,19 @@
     )
 
 
+# Of several files, with all its fields.
+READY_ENDPOINT = endpoint(
+    endpoint_id="s1",
+    address="10.0.0.1:7000",
+    phase="up",
+    locality="a",
+    flavor="m",
+    cell=2,
+    size=1.5,
+    up_since_ms=1_789_999_000_123,
+)
+
+
 def endpoint_list(*, revision: int, complete: bool, endpoints: list[EndpointEntry]) -> EndpointList:
     return EndpointList(revision=revision, complete=complete, endpoints=endpoints)
 
--- a/tests/formats/writers.py
+++ b/tests/formats/writers.py
@@ -119,16 +119,7 @@
     revision=7,
     complete=True,
     endpoints=[
-        adapter.endpoint(
-            endpoint_id="s1",
-            address="10.0.0.1:7000",
-            phase="up",
-            locality="a",
-            flavor="m",
-            cell=2,
-            size=1.5,
-            up_since_ms=1_789_999_000_123,
-        ),
+        adapter.READY_ENDPOINT,
         adapter.endpoint(
             endpoint_id="s2",
             address="10.0.0.2:7000",
