--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from datetime import timedelta
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -20,7 +20,6 @@
 from tansyladder.config.rates import connections_per_unit, discovery_call_interval, health_check_interval
 from tansyladder.policy.settings import Settings
 
-Address = tuple[str, int]  # host and port, as sockets take them
 MAX_PORT = 65535
 MAX_PORT_DIGITS = 5
 MAX_SHOWN_CHARACTERS = 80  # of a value that can't be used, in the message
@@ -30,6 +29,13 @@
 FILE_KEYS = {".deadline:": ".hard_limit:", ".aim:": ".slo:"}
 
 
+class Address(NamedTuple):
+    """A TCP address, in the form that sockets take."""
+
+    host: str
+    port: int
+
+
 class Limits(msgspec.Struct, forbid_unknown_fields=False):
     """What the machine grants the node."""
 
@@ -118,7 +124,7 @@
     try:
         if host != "localhost":
             ipaddress.IPv4Address(host)
-        return host, _parse_port(port)
+        return Address(host, _parse_port(port))
     except ValueError as err:
         raise ConfigError(key, f"HOST:PORT expected, not {text[:MAX_SHOWN_CHARACTERS]!r}") from err
 
--- a/tansyladder/net/action_queue.py
+++ b/tansyladder/net/action_queue.py
@@ -19,11 +19,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Endpoint:
-    """An endpoint's network address, as this node reaches it.
-
-    The policy's `Endpoint` is a different type: that one is the state that decisions are made by.
-    """
+class EndpointAddress:
+    """How this node reaches an endpoint; what the policy knows of it is `policy.endpoints.Endpoint`."""
 
     number: int  # the policy's number for it
     id: str
--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -12,7 +12,7 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import ActionQueue, Endpoint
+from tansyladder.net.action_queue import ActionQueue, EndpointAddress
 from tansyladder.net.clock import now
 from tansyladder.net.sockets import PeekResult
 from tansyladder.policy.actions import CancelAttempt, Reject
@@ -54,7 +54,7 @@
 class UpstreamConnection:
     """An established connection to an endpoint, of which the policy has had `AttemptEstablished`."""
 
-    endpoint: Endpoint
+    endpoint: EndpointAddress
     sock: socket.socket
     buffer: protocol.LineBuffer
     initial_lines: tuple[bytes, ...]  # UP, and what came right behind it
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        endpoint: Endpoint,
+        endpoint: EndpointAddress,
         format_first_line: Callable[[timedelta], bytes],
         deadline: timedelta,
         connect_timeout: timedelta,
--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -87,8 +87,7 @@
     @property
     def address(self) -> Address:
         """Host and port that operators connect to."""
-        host, port = self._listener.getsockname()[:2]
-        return host, port
+        return Address(*self._listener.getsockname()[:2])
 
     def start(self) -> None:
         """Start the threads of the calls and of the drains that `standby` asks for."""
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -52,8 +52,7 @@
     @property
     def address(self) -> Address:
         """Host and port that clients connect to."""
-        host, port = self._listener.getsockname()[:2]
-        return host, port
+        return Address(*self._listener.getsockname()[:2])
 
     @property
     def retry_after(self) -> timedelta:
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -10,7 +10,7 @@
 from tansyladder.config.errors import ConfigError
 from tansyladder.config.platform import Address, Config, EndpointEntry, EndpointList, parse_address
 from tansyladder.log import LogEvent, log
-from tansyladder.net.action_queue import Endpoint
+from tansyladder.net.action_queue import EndpointAddress
 from tansyladder.net.clock import EPOCH, Clock, now
 from tansyladder.policy.events import EndpointState, EndpointUpdate, ListUpdateKind
 
@@ -88,10 +88,10 @@
         self._zone_numbers = {name: number for number, name in enumerate(config.zones)}
         self._kind_numbers = {name: number for number, name in enumerate(config.kinds)}
         self._entries: dict[str, EndpointEntry] = {}
-        self.by_number: dict[int, Endpoint] = {}
+        self.by_number: dict[int, EndpointAddress] = {}
         self.revision = config.known_endpoints.revision
 
-    def find(self, endpoint_id: str) -> Endpoint | None:
+    def find(self, endpoint_id: str) -> EndpointAddress | None:
         """The endpoint with an id that was on the list once; None: this node never heard of it."""
         number = self._numbers.get(endpoint_id)
         return self.by_number.get(number) if number is not None else None
@@ -117,7 +117,7 @@
 
     def _update(self, entry: EndpointEntry, address: Address, state: EndpointState) -> EndpointUpdate:
         number = self._numbers.setdefault(entry.id, len(self._numbers) + 1)
-        self.by_number[number] = Endpoint(number, entry.id, address, state)
+        self.by_number[number] = EndpointAddress(number, entry.id, address, state)
         started_at_us = 0
         if entry.started_at_ms:
             started_at = EPOCH + timedelta(milliseconds=entry.started_at_ms)
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -9,7 +9,7 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import Endpoint
+from tansyladder.net.action_queue import EndpointAddress
 from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
@@ -53,7 +53,7 @@
                 HealthCheckResult(endpoint.number, result.status, duration_us, result.load)
             )
 
-    def _check(self, endpoint: Endpoint) -> CheckResult:
+    def _check(self, endpoint: EndpointAddress) -> CheckResult:
         """Connect, ask, and read the answer; its lines are read to the end of a report."""
         deadline = now() + CHECK_TIMEOUT
         connect_timeout = min(self._runner.config.settings.connect_timeout_us * MICROSECOND, CHECK_TIMEOUT)
@@ -64,7 +64,7 @@
         with sock:
             return self._exchange(endpoint, sock, deadline)
 
-    def _exchange(self, endpoint: Endpoint, sock: socket.socket, deadline: timedelta) -> CheckResult:
+    def _exchange(self, endpoint: EndpointAddress, sock: socket.socket, deadline: timedelta) -> CheckResult:
         lines: list[bytes] = []
         try:
             sock.sendall(self._request + b"\r\n")
@@ -99,7 +99,7 @@
         """Whether the answer is complete: a report stands behind PONG, or in a line of its own."""
         return not self._report_columns or len(lines) > 1 or b"=" in lines[0]
 
-    def _parse_report(self, endpoint: Endpoint, line: bytes) -> CheckResult:
+    def _parse_report(self, endpoint: EndpointAddress, line: bytes) -> CheckResult:
         if not self._report_columns:
             return CheckResult(AttemptStatus.OK)
         load = protocol.parse_load_report(line, self._report_columns)
@@ -108,5 +108,5 @@
         return CheckResult(AttemptStatus.OK, load)
 
     @staticmethod
-    def _log_invalid_report(endpoint: Endpoint, line: bytes) -> None:
+    def _log_invalid_report(endpoint: EndpointAddress, line: bytes) -> None:
         log(LogEvent.INVALID_LOAD_REPORT, member=endpoint.id, line=line[:MAX_LOGGED_BYTES])
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -19,7 +19,7 @@
 from tansyladder.config.platform import Config, EndpointList
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
-from tansyladder.net.action_queue import ActionQueue, Endpoint, QueuedAction
+from tansyladder.net.action_queue import ActionQueue, EndpointAddress, QueuedAction
 from tansyladder.net.clock import MICROSECOND, Clock, now
 from tansyladder.net.delay_reports import DelayMeter, DelayReports
 from tansyladder.net.listener_handover import ListenerHandover
@@ -99,7 +99,7 @@
         self.metrics = Metrics(config.class_names)
         self.clock = Clock()
         self.delay_meter = _build_delay_meter(config)
-        self.health_checks: queue.Queue[Endpoint] = queue.Queue(QUEUE_CAPACITY)
+        self.health_checks: queue.Queue[EndpointAddress] = queue.Queue(QUEUE_CAPACITY)
         self.discovery_polls: queue.Queue[bool] = queue.Queue(QUEUE_CAPACITY)
         self._lock = threading.Lock()
         self._timers = PolicyTimers(self._lock)
@@ -252,12 +252,12 @@
                 if action_queue.is_established == established
             ]
 
-    def endpoint(self, number: int) -> Endpoint:
+    def endpoint(self, number: int) -> EndpointAddress:
         """The endpoint that the policy knows by a number."""
         with self._lock:
             return self._endpoints[number]
 
-    def endpoint_by_id(self, endpoint_id: str) -> Endpoint | None:
+    def endpoint_by_id(self, endpoint_id: str) -> EndpointAddress | None:
         """The endpoint with an id of the list; None: this node never heard of it."""
         with self._lock:
             return self._registry.find(endpoint_id)
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -10,7 +10,7 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import ActionQueue, Endpoint
+from tansyladder.net.action_queue import ActionQueue, EndpointAddress
 from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.net.handover_messages import ConnectionState
 from tansyladder.net.protocol import Opening, format_reject
@@ -185,7 +185,7 @@
         connection = UpstreamConnection(endpoint, result.sock, result.buffer, lines, 0, 0)
         self._report_end(connection, self._new_relay(connection).run())
 
-    def _connect_again(self, endpoint: Endpoint) -> ConnectResult:
+    def _connect_again(self, endpoint: EndpointAddress) -> ConnectResult:
         """Attempt it until it is established, the deadline comes, or the client or the node ends it."""
         runner = self._runner
         opening = self._opening
@@ -219,7 +219,7 @@
         connection = UpstreamConnection(endpoint, adopted.upstream, protocol.LineBuffer(), (), 0, 0)
         self._report_end(connection, self._new_relay(connection).resume(state))
 
-    def _report_adopted(self, endpoint: Endpoint) -> None:
+    def _report_adopted(self, endpoint: EndpointAddress) -> None:
         """Tell the policy of a connection that it did not place."""
         opening = self._opening
         adopted = ConnectionAdopted(
--- a/tests/formats/adapter.py
+++ b/tests/formats/adapter.py
@@ -19,7 +19,7 @@
 
 from tansyladder.cluster.decision_log import DecisionStamp
 from tansyladder.cluster.peer_handshake import Greeting
-from tansyladder.config.platform import EndpointEntry, EndpointList
+from tansyladder.config.platform import Address, EndpointEntry, EndpointList
 from tansyladder.net.handover_messages import (
     BytesByDirection,
     ConnectionState,
@@ -357,7 +357,7 @@
     """A new process that asks the one that runs for the clients' listener."""
 
     def __init__(self, port: int, folder: Path) -> None:
-        self._handover = ListenerHandover(("127.0.0.1", port), str(folder))
+        self._handover = ListenerHandover(Address("127.0.0.1", port), str(folder))
 
     def request_listener(self) -> socket.socket | None:
         """The listener, where the running process gave it."""
@@ -383,7 +383,7 @@
         self._endpoints = endpoints
         self.has_successor = threading.Event()
         self.is_accepting_again = threading.Event()
-        self._handover = ListenerHandover(("127.0.0.1", port), str(folder))
+        self._handover = ListenerHandover(Address("127.0.0.1", port), str(folder))
         self._handover.serve(listener, self)
 
     def hand_over(self, connection: ConnectionState, client: socket.socket, host: socket.socket) -> bool:
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -15,6 +15,7 @@
 import msgspec
 import pytest
 
+from tansyladder.config.platform import Address
 from tansyladder.net import handover_messages, listener_handover
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.node.client_listener import ClientListener
@@ -41,7 +42,7 @@
 
 def handover(tmp_path: Path, port: int) -> ListenerHandover:
     """The handover of a new process, in this one."""
-    return ListenerHandover(("127.0.0.1", port), str(tmp_path))
+    return ListenerHandover(Address("127.0.0.1", port), str(tmp_path))
 
 
 def request_listener(new: ListenerHandover) -> socket.socket:
@@ -196,8 +197,8 @@
     assert handover(tmp_path, port).request_listener() is None  # nobody listens there
     hangs.listen(1)
     assert handover(tmp_path, port).request_listener() is None
-    assert ListenerHandover(("127.0.0.1", port), None).request_listener() is None
-    assert ListenerHandover(("127.0.0.1", port), str(tmp_path / "none")).request_listener() is None
+    assert ListenerHandover(Address("127.0.0.1", port), None).request_listener() is None
+    assert ListenerHandover(Address("127.0.0.1", port), str(tmp_path / "none")).request_listener() is None
     beside = ClientListener(
         RecordingPolicyRunner(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")),
         handover(tmp_path, port),
@@ -215,7 +216,7 @@
     """The old one keeps what it uses and half of what is free; a client that waits counts thrice."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
     runner = RecordingPolicyRunner(load_test_config(tmp_path, limits=limits))
-    old = ClientListener(runner, ListenerHandover(("127.0.0.1", 1), str(tmp_path)))
+    old = ClientListener(runner, ListenerHandover(Address("127.0.0.1", 1), str(tmp_path)))
     idle = old.split_descriptors()
     # What a full table of pending connections may take stays with neither.
     assert 0 < idle.released_count < idle.retained_count < 200 - idle.released_count
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -10,8 +10,9 @@
 
 import pytest
 
+from tansyladder.config.platform import Address
 from tansyladder.net import protocol
-from tansyladder.net.action_queue import ActionQueue, Endpoint
+from tansyladder.net.action_queue import ActionQueue, EndpointAddress
 from tansyladder.net.delay_reports import DelayReports
 from tansyladder.net.handover_messages import BytesByDirection, ConnectionState
 from tansyladder.net.listener_handover import ListenerHandover
@@ -21,13 +22,13 @@
 from tansyladder.policy.events import AttemptStatus, EndpointState, ReportKind
 
 OPENING = protocol.parse_opening(b"OPEN 9b1f 7f c=chat,d=1200\r\n")
-ENDPOINT = Endpoint(1, "s1", ("127.0.0.1", 1), EndpointState.READY)
+ENDPOINT = EndpointAddress(1, "s1", Address("127.0.0.1", 1), EndpointState.READY)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def socket_pair() -> tuple[socket.socket, socket.socket]:
     """Both ends of a TCP connection; every read of the first one ends."""
-    with socket.create_server(("127.0.0.1", 0)) as listener:
+    with socket.create_server(Address("127.0.0.1", 0)) as listener:
         one = socket.create_connection(listener.getsockname(), 10)
         other, _ = listener.accept()
     return one, other
@@ -44,7 +45,7 @@
         self.status: AttemptStatus | None = None
         connection = UpstreamConnection(ENDPOINT, upstream, protocol.LineBuffer(), initial_lines, 0, 0)
         reports = DelayReports(1, lambda: None, lambda *report: self.reports.append(report), lambda: True)
-        handover = ListenerHandover(("127.0.0.1", 1), None)
+        handover = ListenerHandover(Address("127.0.0.1", 1), None)
         relay = Relay(client, connection, OPENING, self.actions, reports, handover)
         self.actions.use_callback(relay.wake)
         self._thread = threading.Thread(target=self._run, args=(relay, state), daemon=True)
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from tansyladder.config.platform import Address
 from tansyladder.node import connection_drainer
 from tansyladder.node.admin_server import MAX_CALLERS, MAX_LINE_BYTES, AdminServer
 from tansyladder.node.lifecycle import Lifecycle
@@ -60,7 +61,7 @@
 def administered_node(tmp_path: Path, *members: ScriptedServer, **over: Any) -> Iterator[AdministeredNode]:
     with running_node(tmp_path, *members, **over) as node:
         administered = AdministeredNode(node.runner, node.listener)
-        administered.admin_server = AdminServer(node.runner, node.listener, ("127.0.0.1", 0))
+        administered.admin_server = AdminServer(node.runner, node.listener, Address("127.0.0.1", 0))
         administered.admin_server.start()
         yield administered
         administered.admin_server.stop()
--- a/tests/node/test_discovery_client.py
+++ b/tests/node/test_discovery_client.py
@@ -10,6 +10,7 @@
 
 import pytest
 
+from tansyladder.config.platform import Address
 from tansyladder.node import discovery_client as discovery_of
 from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.policy.events import (
@@ -81,8 +82,8 @@
         client = node.open()
         assert client.read_line() == "UP r1"
         host_, port = new.address.split(":")
-        assert discovery.switch_address((host_, int(port)))
-        assert not discovery.switch_address((host_, int(port)))
+        assert discovery.switch_address(Address(host_, int(port)))
+        assert not discovery.switch_address(Address(host_, int(port)))
         assert old.ended.wait(5)
         told_new = node.runner.wait_for(EndpointListUpdate, 3)
         assert (told_new.kind, told_new.version) == (ListUpdateKind.SNAPSHOT, 2)
@@ -164,7 +165,7 @@
         discovery = DiscoveryClient(node.runner)
         discovery.start()
         host, port = flaky.address.split(":")
-        discovery.switch_address((host, int(port)))
+        discovery.switch_address(Address(host, int(port)))
         until = time.monotonic() + 10
         while node.runner.endpoint_by_id("s1") is None and time.monotonic() < until:
             time.sleep(0.01)
