--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -218,9 +218,8 @@
         raft_messages = [(sender, body) for sender, body in received if not isinstance(body, DocumentMessage)]
         document_messages = [(sender, body) for sender, body in received if isinstance(body, DocumentMessage)]
         replica = self.document_replica
-        if replica is not None:
-            self._node.announces_commits_at_once = replica.is_urgent
-        effects = self._node.handle(_monotonic_us(), raft_messages)
+        is_urgent = replica is not None and replica.is_urgent
+        effects = self._node.handle(_monotonic_us(), raft_messages, announces_commits_at_once=is_urgent)
         self._storage.write(effects.writes)  # before anything leaves
         if replica is not None:
             self._step_documents(replica, document_messages)
--- a/tansyladder/raft/commits.py
+++ b/tansyladder/raft/commits.py
@@ -1,4 +1,4 @@
-"""How far the log is committed, and the state machine that applies it."""
+"""The commit index of the log, and the application of committed entries to the state machine."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     def __init__(
         self, state: NodeState, admission: DiskAdmission, snapshots: Snapshots, state_machine: StateMachine
     ) -> None:
-        """Begin at the snapshot, and apply what is known to be committed after it."""
+        """Load the snapshot, and apply the entries after it that are known to be committed."""
         self._state = state
         self._admission = admission
         self._snapshots = snapshots
@@ -33,15 +33,16 @@
     def learn(self, position: CommitPosition) -> None:
         """Commit up to an entry that another node knows to be committed, if this log has the same one.
 
-        A voter that was admitted knows it, but others may have the entry and not know that it is committed.
+        An admitted voter knows that its admission is committed; another voter may have that entry and not
+        know it yet.
         """
         log = self._state.log
-        is_news = self.commit_index < position.index <= log.last_index
-        if is_news and log.term_at(position.index) == position.term:
+        is_new = self.commit_index < position.index <= log.last_index
+        if is_new and log.term_at(position.index) == position.term:
             self.commit_to(position.index)
 
     def commit_to(self, index: int) -> None:
-        """Commit and apply all entries up to an index; nothing if they are committed already."""
+        """Commit and apply all entries up to an index; without effect if they are committed already."""
         while self.commit_index < index:
             self.commit_index += 1
             result = self._apply(self._state.log.entry(self.commit_index))
@@ -50,14 +51,14 @@
         self._snapshots.compact_if_due(self.last_applied)
 
     def install_snapshot(self, message: InstallSnapshot) -> None:
-        """Take a leader's snapshot, unless more than it holds is committed here already."""
+        """Install a leader's snapshot, unless this node has committed all entries that it includes."""
         if message.last_included_index > self.commit_index:
             self._snapshots.install(message)
             self.commit_index = message.last_included_index
             self.last_applied = message.last_included_index
 
     def _apply(self, entry: LogEntry) -> bytes:
-        """Return what the proposer is to be answered."""
+        """Apply a committed entry, and return the result for its proposer."""
         if entry.kind is EntryKind.ADMIT_DISK:
             self._admission.apply(self.commit_index, entry)
         return self._state_machine.apply(entry.data) if entry.kind is EntryKind.COMMAND else b""
--- a/tansyladder/raft/disk_admission.py
+++ b/tansyladder/raft/disk_admission.py
@@ -1,18 +1,19 @@
 """Handshakes, and the admission of disks that may have lost votes or entries.
 
-A disk has a name, drawn when it is made. A voter votes and counts under the disk that the cluster knows it
-by: at first the initial ones, which the first voter settles once it has heard from all others. A voter with
-another disk has lost its record of votes. It gets the log as a learner does, and once it has caught up an
-entry of the log admits its new disk. That entry needs a majority without it, and it counts only once it is
-committed: any leader that a forgotten vote may have elected, and any entry that it may have committed, is
-known to a voter of that majority.
-
-A disk may also be an older copy under its old name. Where the caller can't show that it is the newest, it is
-suspected to be stale (`HardState.stale_disk_suspected`): the node grants no vote and nothing that it holds
-counts, until an entry of the log admits it as above, or until all other voters have told, in answer to this
-start, how far they are. Then no vote that it may have granted is in a term above theirs, and nothing that it
-may have acknowledged is beyond the furthest of their logs: it votes in later terms only, and for no shorter
-log. Messages that it sent before may still arrive and count: they are within what the others told.
+Each disk has a name, drawn when its store is created. A voter votes and counts only on its admitted disk. The
+initial disks are admitted when the cluster is founded: the first voter records them once all other voters
+have replied to it. A voter on another disk has lost its record of votes. The leader replicates the log to it
+as to a learner, and once it has caught up, an entry of the log admits its new disk. Committing that entry
+takes a majority without this voter, and the voter counts only once the entry is committed. A voter of that
+majority knows any leader that a forgotten vote may have elected, and any entry that it may have committed.
+
+A disk may also be an older copy under its old name. If the caller can't show that it is the newest, it is
+suspected to be stale (`HardState.stale_disk_suspected`): the node grants no vote, and no entry that it holds
+counts. The suspicion ends in one of two ways. An entry of the log admits the disk, as above; or all other
+voters have reported, in reply to this start, their terms and the ends of their logs. In the second case no
+vote that the node may have granted is in a term above theirs, and no entry that it may have acknowledged is
+beyond the longest of their logs. So the node then votes only in later terms, and for no shorter log. Messages
+that it sent before its start may still arrive and count: they are covered by what the others reported.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 
 
 class AdmittedDisk(NamedTuple):
-    """What an entry of the kind `ADMIT_DISK` says."""
+    """The content of an entry of the kind `ADMIT_DISK`."""
 
     voter: str
     disk_id: str
-    incarnation: str  # the voter's start at which it asked; a later start may have another suspicion
+    incarnation: str  # the voter's start that is admitted; a later start may suspect its disk again
 
     def to_entry(self, term: int) -> LogEntry:
-        """Encode it as an entry of a term."""
+        """Encode the admission as an entry of a term."""
         return LogEntry(term, EntryKind.ADMIT_DISK, self.voter, f"{self.disk_id} {self.incarnation}".encode())
 
     @classmethod
@@ -47,16 +48,16 @@
     """Exchanges handshakes and decides when this node's own disk counts again. Owned by the node's thread."""
 
     def __init__(self, state: NodeState, disks: VoterDisks, incarnation: str) -> None:
-        """`incarnation`: this start of the node, unlike that of any other start."""
+        """Begin without replies; `incarnation` identifies this start among all starts of all nodes."""
         self.incarnation = incarnation
         self.next_handshake_at = 0
         self._state = state
         self._disks = disks
         self._peer_incarnations: dict[str, str] = {}
-        self._replies: dict[str, Handshake] = {}  # the first answer of each node to this start
+        self._replies: dict[str, Handshake] = {}  # the first reply of each node to this start
 
     def tick(self) -> None:
-        """Send handshakes that are due, and end the suspicion once all other voters have answered."""
+        """Send handshakes that are due, and end the suspicion once all other voters have replied."""
         state = self._state
         if state.now >= self.next_handshake_at:
             is_founded = bool(state.hard_state.initial_disks)
@@ -68,22 +69,22 @@
             self._end_suspicion()
 
     def on_handshake(self, sender: str, handshake: Handshake) -> None:
-        """Note the sender's disk and start; answer where the sender lacks something."""
+        """Record the sender's disk and incarnation, and reply if the sender lacks this node's."""
         state = self._state
         self._disks.observe(sender, handshake.disk_id)
         self._peer_incarnations[sender] = handshake.incarnation
         if not state.hard_state.initial_disks and handshake.initial_disks:
             state.persist(state.hard_state.with_initial_disks(handshake.initial_disks))
-        answers_this_start = handshake.recipient_incarnation == self.incarnation
-        if answers_this_start:
+        is_reply = handshake.recipient_incarnation == self.incarnation
+        if is_reply:
             self._replies.setdefault(sender, handshake)
         self._found_cluster()
         lacks_initial_disks = bool(state.hard_state.initial_disks) and not handshake.initial_disks
-        if handshake.wants_reply or not answers_this_start or lacks_initial_disks:
+        if handshake.wants_reply or not is_reply or lacks_initial_disks:
             self._send_handshake(sender)
 
     def apply(self, index: int, entry: LogEntry) -> None:
-        """Take in a committed entry of the kind `ADMIT_DISK`."""
+        """Apply a committed entry of the kind `ADMIT_DISK`."""
         state = self._state
         admitted = AdmittedDisk.from_entry(entry)
         self._disks.admit(admitted.voter, admitted.disk_id)
@@ -93,13 +94,14 @@
             state.persist(state.hard_state.with_trusted_disk())
 
     def _has_all_replies(self) -> bool:
+        """Whether all other voters have replied to this start."""
         return self._replies.keys() >= set(self._state.other_voters)
 
     def _found_cluster(self) -> None:
-        """As the first voter, settle the initial disks once all other voters have answered this start.
+        """As the first voter, record the initial disks once all other voters have replied to this start.
 
-        A voter that answers this very start, and knows of no initial disks, has not voted: nobody has founded
-        the cluster with another disk.
+        A voter that replies to this start and knows no initial disks has never voted, so no cluster has been
+        founded with another disk.
         """
         state = self._state
         if state.name != state.voters[0] or state.hard_state.initial_disks or not self._has_all_replies():
@@ -108,6 +110,7 @@
         state.persist(state.hard_state.with_initial_disks(disks))
 
     def _send_handshake(self, peer: str) -> None:
+        """Send this node's handshake, which asks for a reply until the peer has replied to this start."""
         hard_state = self._state.hard_state
         handshake = Handshake(
             disk_id=hard_state.disk_id,
@@ -121,7 +124,7 @@
         self._state.outbox.send(peer, handshake)
 
     def _end_suspicion(self) -> None:
-        """Trust the disk again: what it may have lost is not beyond what all other voters have told."""
+        """Trust the disk again: what it may have lost is covered by the replies of all other voters."""
         state = self._state
         replies = [self._replies[name] for name in state.other_voters]
         term = max((state.term, *(reply.term for reply in replies)))
--- a/tansyladder/raft/elections.py
+++ b/tansyladder/raft/elections.py
@@ -11,38 +11,38 @@
 
 
 class Elections:
-    """Grants votes, and stands for election when no leader is heard. Owned by the node's thread."""
+    """Grants votes, and starts an election once no leader has made contact. Owned by the node's thread."""
 
     def __init__(
         self, state: NodeState, disks: VoterDisks, commits: CommittedLog, leader: LeaderReplication
     ) -> None:
-        """`leader`: begins a term once this node is elected."""
+        """Begin without an election; `leader` begins a term once this node is elected."""
         self._state = state
         self._disks = disks
         self._commits = commits
         self._leader = leader
-        self._votes: set[str] = set()  # who has granted a vote in the election that is under way
+        self._votes: set[str] = set()  # the nodes that have granted a vote in the present election
 
     @property
     def is_electable(self) -> bool:
-        """Whether this node votes, and its log holds again all that its disk may have lost."""
+        """Whether this node votes, and its log has recovered all entries that its disk may have lost."""
         state = self._state
         return self._disks.is_voting and state.log.last_position >= state.hard_state.vote_floor
 
     def tick(self) -> None:
-        """Ask for pre-votes once the election timeout has passed; not to be called at a leader."""
+        """Request pre-votes once the election timeout has passed; a leader must not call this."""
         state = self._state
         if state.now >= state.election_at:
             state.reset_election_timer()
-            state.leader = ""
+            state.forget_leader()
             if self.is_electable:
                 self._start_pre_vote()
 
     def on_request_vote(self, sender: str, request: RequestVote) -> None:
-        """Grant a vote or refuse it."""
+        """Grant or deny a vote."""
         state = self._state
-        if request.term > state.term and self._hears_leader():
-            # A node that was cut off must not unseat a leader that all others hear.
+        if request.term > state.term and self._has_leader_contact():
+            # A node that was partitioned must not depose a leader that the others are in contact with.
             self._respond(sender, request, granted=False)
             return
         self._commits.learn(request.committed)
@@ -52,10 +52,10 @@
         if granted and not request.pre_vote:
             state.persist(state.hard_state.with_vote(sender))
             state.reset_election_timer()
-        self._respond(sender, request, granted)
+        self._respond(sender, request, granted=granted)
 
     def on_vote_response(self, sender: str, response: VoteResponse) -> None:
-        """Count a vote, or a pre-vote, of the election that is under way."""
+        """Count a vote, or a pre-vote, in the present election."""
         state = self._state
         self._disks.observe(sender, response.disk_id)
         self._commits.learn(response.committed)
@@ -69,12 +69,13 @@
             self._votes.add(sender)
             self._count_votes()
 
-    def _hears_leader(self) -> bool:
+    def _has_leader_contact(self) -> bool:
+        """Whether this node leads, or has had a message of a leader within the election timeout."""
         state = self._state
         return state.role is Role.LEADER or state.now - state.leader_contact_at < ELECTION_TIMEOUT
 
     def _may_grant(self, sender: str, request: RequestVote) -> bool:
-        """Whether the vote is free, and the candidate's log holds all that may be committed."""
+        """Whether the vote is not given yet, and the candidate's log holds all that may be committed."""
         state = self._state
         if not self._disks.is_voting or request.term < state.term:
             return False
@@ -87,7 +88,8 @@
             state.log.last_position, state.hard_state.vote_floor
         )
 
-    def _respond(self, candidate: str, request: RequestVote, granted: bool) -> None:
+    def _respond(self, candidate: str, request: RequestVote, *, granted: bool) -> None:
+        """Answer a vote request; a granted vote is in the request's term, a denial in this node's term."""
         state = self._state
         response = VoteResponse(
             term=request.term if granted else state.term,
@@ -100,17 +102,16 @@
 
     def _start_pre_vote(self) -> None:
         """Ask whether votes in the next term would be granted, without beginning that term (9.6)."""
-        self._state.role = Role.PRE_CANDIDATE
+        self._state.become_pre_candidate()
         self._request_votes(self._state.term + 1)
 
     def _start_election(self) -> None:
-        """Begin a new term with a vote for this node."""
-        state = self._state
-        state.role = Role.CANDIDATE
-        state.persist(state.hard_state.with_term(state.term + 1).with_vote(state.name))
-        self._request_votes(state.term)
+        """Begin a new term and request votes in it."""
+        self._state.become_candidate()
+        self._request_votes(self._state.term)
 
     def _request_votes(self, term: int) -> None:
+        """Request a vote, or a pre-vote, of each other voter, and count this node's own."""
         state = self._state
         self._votes = {state.name}
         request = RequestVote(
@@ -125,6 +126,7 @@
         self._count_votes()
 
     def _count_votes(self) -> None:
+        """Begin the next stage of the election once a majority of voters has granted its votes."""
         if not self._disks.has_majority(self._votes):
             return
         if self._state.role is Role.PRE_CANDIDATE:
--- a/tansyladder/raft/follower.py
+++ b/tansyladder/raft/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: takes entries and snapshots of the leader."""
+"""The follower's side of replication: accepts entries and snapshots of the leader."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class FollowerReplication:
-    """Follows whoever leads the term. Owned by the node's thread."""
+    """Replicates the log of the term's leader. Owned by the node's thread."""
 
     def __init__(self, state: NodeState, commits: CommittedLog, incarnation: str) -> None:
-        """`incarnation`: this start of the node, which its answers name."""
+        """Begin without a leader; `incarnation` identifies this start of the node in its responses."""
         self._state = state
         self._commits = commits
         self._incarnation = incarnation
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
-        """Take entries that fit this log, and answer up to where the logs agree."""
+        """Append entries that match this log, and report the index up to which the logs agree."""
         if not self._accept_leader(sender, message.term):
             return
         log = self._state.log
         compacted_count = max(0, log.snapshot.index - message.prev_log_index)
-        prev_index = message.prev_log_index + compacted_count  # the entries between are in the snapshot
+        prev_index = message.prev_log_index + compacted_count  # the snapshot includes the entries between
         differs = not compacted_count and (
             prev_index <= log.last_index and log.term_at(prev_index) != message.prev_log_term
         )
@@ -37,13 +37,13 @@
         self._respond(sender, success=True, index=match_index)
 
     def on_install_snapshot(self, sender: str, message: InstallSnapshot) -> None:
-        """Take a snapshot in place of entries that the leader holds no more."""
+        """Install a snapshot in place of entries that the leader has compacted."""
         if self._accept_leader(sender, message.term):
             self._commits.install_snapshot(message)
             self._respond(sender, success=True, index=message.last_included_index)
 
     def _accept_leader(self, sender: str, term: int) -> bool:
-        """Follow the sender, unless its term is over: then tell it so."""
+        """Follow the sender; False if its term is over, which the response tells it."""
         state = self._state
         if term < state.term:
             self._respond(sender, success=False, index=0)
@@ -53,7 +53,7 @@
         return True
 
     def _append(self, first_index: int, entries: tuple[LogEntry, ...]) -> None:
-        """Write the entries from the first one on that this log lacks or has of another term."""
+        """Write the entries from the first one that this log lacks or holds from another term."""
         log = self._state.log
         for index, entry in enumerate(entries, first_index):
             if index > log.last_index or log.term_at(index) != entry.term:
@@ -61,7 +61,8 @@
                 self._state.outbox.write(log.replace_from(index, entries[index - first_index :]))
                 return
 
-    def _respond(self, leader: str, success: bool, index: int) -> None:
+    def _respond(self, leader: str, *, success: bool, index: int) -> None:
+        """Answer a message of the leader; `index` as in `AppendEntriesResponse`."""
         hard_state = self._state.hard_state
         response = AppendEntriesResponse(
             term=hard_state.term,
--- a/tansyladder/raft/leader.py
+++ b/tansyladder/raft/leader.py
@@ -20,13 +20,13 @@
     """What a leader knows of another node's log."""
 
     next_index: int  # the entry to send next
-    last_contact_at: int  # when it last answered, or when the term began
-    match_index: int = 0  # up to here its log is known to be the leader's
-    trusted_match_index: int = 0  # the same, of what was acknowledged on a disk that is not suspected
-    disk_id: str = ""  # the disk that holds it
+    last_contact_at: int  # when its last response arrived, or when the term began
+    match_index: int = 0  # up to this index its log is known to agree with the leader's
+    trusted_match_index: int = 0  # the same, but only as acknowledged by a disk that is not suspected
+    disk_id: str = ""  # the disk that holds the log
 
     def observe(self, response: AppendEntriesResponse, now: int) -> None:
-        """Note an answer; what another disk held is void."""
+        """Record the contact; a response from another disk invalidates what the earlier disk held."""
         if self.disk_id != response.disk_id:
             self.match_index = 0
             self.trusted_match_index = 0
@@ -34,12 +34,20 @@
         self.disk_id = response.disk_id
 
     def acknowledge(self, response: AppendEntriesResponse) -> None:
-        """Note how far the node's log agrees with the leader's."""
+        """Record the index up to which the node's log agrees with the leader's."""
         self.match_index = max(self.match_index, response.index)
         if response.is_disk_trusted:
             self.trusted_match_index = max(self.trusted_match_index, response.index)
         self.next_index = max(self.next_index, self.match_index + 1)
 
+    def retry_after(self, index: int) -> None:
+        """Send the entries after an index next, as the node's log doesn't agree with what was sent."""
+        self.next_index = index + 1
+
+    def record_sent(self, last_index: int) -> None:
+        """Record that all entries up to an index have been sent, as entries or in a snapshot."""
+        self.next_index = last_index + 1
+
 
 class LeaderReplication:
     """Replicates the log while this node leads. Owned by the node's thread."""
@@ -47,21 +55,20 @@
     def __init__(
         self, state: NodeState, disks: VoterDisks, commits: CommittedLog, snapshots: Snapshots
     ) -> None:
-        """The part rests until `begin_term`."""
+        """Begin idle; `begin_term` starts the replication."""
         self.heartbeat_at = 0
         self._state = state
         self._disks = disks
         self._commits = commits
         self._snapshots = snapshots
         self._progress: dict[str, PeerProgress] = {}
-        self._proposed_admissions: dict[str, str] = {}  # by voter: the incarnation whose entry is in the log
-        self._has_new_entries = False  # appended in this step; they go out together at its end
+        self._proposed_admissions: dict[str, str] = {}  # by voter: the incarnation that an entry admits
+        self._has_new_entries = False  # appended in this step, at whose end they are sent together
 
     def begin_term(self) -> None:
         """Lead the term that this node has been elected for."""
         state = self._state
-        state.role = Role.LEADER
-        state.leader = state.name
+        state.become_leader()
         next_index = state.log.last_index + 1
         self._progress = {name: PeerProgress(next_index, state.now) for name in state.peers}
         self._proposed_admissions.clear()
@@ -69,10 +76,10 @@
         self.append(LogEntry(state.term))
 
     def tick(self) -> None:
-        """Step down without a majority in contact (6.2 of the paper); send heartbeats that are due."""
+        """Step down if no majority is in contact (6.2 of the paper); send heartbeats that are due."""
         state = self._state
         if not self.has_quorum_contact():
-            # Perhaps nobody hears this node any more: clients are to learn at once that it can't commit.
+            # Clients have to learn at once that this node can't commit: it may be partitioned.
             state.become_follower(state.term, "")
         elif state.now >= self.heartbeat_at:
             self.heartbeat_at = state.now + HEARTBEAT_INTERVAL
@@ -80,13 +87,13 @@
                 self._send_entries(peer, even_if_empty=True)
 
     def has_quorum_contact(self) -> bool:
-        """Whether a majority has answered within the election timeout."""
+        """Whether a majority has responded within the election timeout."""
         oldest = self._state.now - ELECTION_TIMEOUT
         in_contact = {name for name, peer in self._progress.items() if peer.last_contact_at > oldest}
         return self._disks.has_majority(in_contact)
 
-    def end_step(self, announces_commit: bool) -> None:
-        """Send what the step has appended; with `announces_commit` also how far the log is committed."""
+    def end_step(self, *, announces_commit: bool) -> None:
+        """Send the entries of the step; with `announces_commit`, send the commit index even without any."""
         if not self._has_new_entries and not announces_commit:
             return
         self._has_new_entries = False
@@ -95,13 +102,13 @@
                 self._send_entries(peer, even_if_empty=announces_commit)
 
     def append(self, entry: LogEntry) -> None:
-        """Add an entry of the leader's own term."""
+        """Append an entry of the leader's own term."""
         self._state.outbox.write(self._state.log.append((entry,)))
         self._has_new_entries = True
         self._advance_commit()
 
     def on_append_entries_response(self, sender: str, response: AppendEntriesResponse) -> None:
-        """Note how far a follower's log agrees; send it more, or earlier entries where it doesn't."""
+        """Record how far a follower's log agrees; send more entries, or earlier ones where it doesn't."""
         state = self._state
         if response.term > state.term:
             state.become_follower(response.term, "")
@@ -112,7 +119,7 @@
         peer.observe(response, state.now)
         self._disks.observe(sender, response.disk_id)
         if not response.success:
-            peer.next_index = min(response.index, state.log.last_index) + 1
+            peer.retry_after(min(response.index, state.log.last_index))
             self._send_entries(sender, even_if_empty=False)
             return
         peer.acknowledge(response)
@@ -122,7 +129,7 @@
             self._send_entries(sender, even_if_empty=False)
 
     def _propose_admission(self, sender: str, peer: PeerProgress, response: AppendEntriesResponse) -> None:
-        """Let the log admit a voter's disk that doesn't count, once it holds all that is committed."""
+        """Propose to admit a voter's disk that doesn't count, once it holds all committed entries."""
         if sender not in self._state.voters or peer.match_index < self._commits.commit_index:
             return
         if self._disks.is_admitted(sender, response.disk_id) and response.is_disk_trusted:
@@ -133,7 +140,7 @@
             self.append(admitted.to_entry(self._state.term))
 
     def _advance_commit(self) -> None:
-        """Commit what a majority holds; entries of earlier terms only along with one of this term (5.4.2)."""
+        """Commit what a majority holds; entries of earlier terms only with one of this term (5.4.2)."""
         match_indexes = [self._trusted_match_index(name) for name in self._disks.counted_voters()]
         majority = len(self._state.voters) // 2 + 1
         if len(match_indexes) < majority:
@@ -143,20 +150,25 @@
             self._commits.commit_to(index)
 
     def _trusted_match_index(self, voter: str) -> int:
+        """Return the index up to which a voter, which may be this node, durably holds the log."""
         if voter == self._state.name:
             return self._state.log.last_index
         return self._progress[voter].trusted_match_index
 
     def _is_of_own_term(self, index: int) -> bool:
+        """Whether the entry at an index is of the term that this node leads."""
         return self._state.log.entry(index).term == self._state.term
 
-    def _send_entries(self, recipient: str, even_if_empty: bool) -> None:
-        """Send what the recipient lacks: the snapshot if it lacks compacted entries, and the next entries."""
+    def _send_entries(self, recipient: str, *, even_if_empty: bool) -> None:
+        """Send the snapshot if the recipient lacks compacted entries, and the entries that it lacks next.
+
+        `even_if_empty`: send a heartbeat where it lacks no entry.
+        """
         state = self._state
         peer = self._progress[recipient]
         if peer.next_index <= state.log.snapshot.index:
             state.outbox.send(recipient, self._snapshots.message())
-            peer.next_index = state.log.snapshot.index + 1
+            peer.record_sent(state.log.snapshot.index)
         entries = state.log.entries_from(peer.next_index, MAX_ENTRIES_PER_MESSAGE)
         if not entries and not even_if_empty:
             return
@@ -169,4 +181,4 @@
             leader_commit=self._commits.commit_index,
         )
         state.outbox.send(recipient, message)
-        peer.next_index += len(entries)
+        peer.record_sent(prev_log_index + len(entries))
--- a/tansyladder/raft/log.py
+++ b/tansyladder/raft/log.py
@@ -15,13 +15,13 @@
     """
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[LogEntry]) -> None:
-        """`entries`: those that follow the snapshot."""
+        """Hold a snapshot and the entries that follow it."""
         self._snapshot = snapshot
         self._entries = list(entries)
 
     @property
     def snapshot(self) -> Snapshot:
-        """What stands in place of all entries up to its index."""
+        """The snapshot that replaces all entries up to its index."""
         return self._snapshot
 
     @property
@@ -41,11 +41,11 @@
 
     @property
     def last_position(self) -> LogPosition:
-        """Where the log ends; what the election restriction compares."""
+        """The end of the log, which the election restriction compares."""
         return LogPosition(self.last_term, self.last_index)
 
     def entry(self, index: int) -> LogEntry:
-        """Return an entry. IndexError: it is beyond the end. The index must be after the snapshot's."""
+        """Return the entry at an index after the snapshot's. IndexError: the log ends before it."""
         return self._entries[index - self._snapshot.index - 1]
 
     def term_at(self, index: int) -> int:
@@ -53,7 +53,7 @@
         return self._snapshot.term if index == self._snapshot.index else self.entry(index).term
 
     def entries_from(self, index: int, max_count: int) -> tuple[LogEntry, ...]:
-        """Return entries from an index on; the index must be after the snapshot's."""
+        """Return at most `max_count` entries from an index on, which must be after the snapshot's."""
         start = index - self._snapshot.index - 1
         return tuple(self._entries[start : start + max_count])
 
@@ -64,19 +64,19 @@
         return suffix
 
     def replace_from(self, index: int, entries: Sequence[LogEntry]) -> LogSuffix:
-        """Put entries in place of all entries from an index on; the index must be after the snapshot's."""
+        """Replace all entries from an index on, which must be after the snapshot's."""
         del self._entries[index - self._snapshot.index - 1 :]
         return self.append(entries)
 
     def compact(self, index: int, voter_disks: dict[str, str], state: bytes) -> Snapshot:
-        """Put a snapshot of the state after an entry in place of all entries up to it."""
+        """Replace all entries up to an index by a snapshot of the state after them."""
         snapshot = Snapshot(index, self.term_at(index), voter_disks, state)
         del self._entries[: index - self._snapshot.index]
         self._snapshot = snapshot
         return snapshot
 
     def install(self, snapshot: Snapshot) -> LogSuffix:
-        """Take a leader's snapshot; entries after it stay where the log agrees with it."""
+        """Install a leader's snapshot; keep the entries after it if the log agrees with it."""
         agrees = snapshot.index < self.last_index and self.term_at(snapshot.index) == snapshot.term
         remaining = self._entries[snapshot.index - self._snapshot.index :] if agrees else []
         self._snapshot = snapshot
--- a/tansyladder/raft/messages.py
+++ b/tansyladder/raft/messages.py
@@ -1,6 +1,6 @@
 """Messages between the nodes of a Raft cluster, and the entries of its log.
 
-Log indexes count from 1. The messages are encoded as arrays: the order of the fields and the tags are the
+Log indexes count from 1. The messages are encoded as arrays: the order of their fields and their tags are the
 format on the wire and in the log.
 """
 
@@ -23,15 +23,15 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry is for."""
+    """The purpose of a log entry."""
 
     NO_OP = 0  # the first entry of a new leader, which commits the entries of earlier terms
     COMMAND = 1  # a command for the state machine
-    ADMIT_DISK = 2  # `request_id` names a voter, `data` the disk and the incarnation with which it votes now
+    ADMIT_DISK = 2  # `request_id` names a voter, `data` the disk and the incarnation with which it votes
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; `request_id` was chosen by the node that proposed it."""
+    """One entry of the log; the node that proposed it has chosen `request_id`."""
 
     term: int
     kind: EntryKind = EntryKind.NO_OP
@@ -40,13 +40,13 @@
 
 
 class Handshake(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """Identifies a node, its disk and its incarnation, and tells how far its log goes.
+    """Identifies a node, its disk and its incarnation, and reports the end of its log.
 
     Attributes:
         disk_id: The name of the sender's disk.
-        incarnation: The sender's start, drawn anew at each one.
+        incarnation: The sender's start; each start draws another one.
         initial_disks: The disk with which each voter founded the cluster; empty if not known.
-        recipient_incarnation: The start of the recipient, as far as the sender knows it.
+        recipient_incarnation: The recipient's start, as far as the sender knows it.
         wants_reply: Whether the sender lacks a handshake that names its own incarnation.
         term: The sender's term.
         last_position: The end of the sender's log.
@@ -62,14 +62,17 @@
 
 
 class CommitPosition(msgspec.Struct, frozen=True, array_like=True):
-    """The last entry that the sender knows to be committed; who has the same entry knows it as well then."""
+    """The last entry that the sender knows to be committed.
+
+    A recipient that has the same entry then knows it to be committed as well.
+    """
 
     index: int
     term: int
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """Asks for a vote in `term`; with `pre_vote`, only whether it would be granted, which binds nobody."""
+    """Requests a vote in `term`; with `pre_vote`, asks whether it would be granted, which binds nobody."""
 
     term: int
     last_log_index: int
@@ -104,10 +107,10 @@
     Attributes:
         term: The follower's term.
         success: Whether the follower's log agrees with the leader's up to `index`.
-        index: Up to where the logs agree; without success, the index after which the leader is to try again.
+        index: The index up to which the logs agree; without success, the index to retry after.
         disk_id: The name of the follower's disk.
         incarnation: The follower's start.
-        is_disk_trusted: Whether the disk is known to hold all that the follower ever acknowledged.
+        is_disk_trusted: Whether the disk is known to hold all entries that the follower acknowledged.
     """
 
     term: int
@@ -119,7 +122,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
-    """The state up to an entry that the leader's log holds no more."""
+    """The state up to an entry that the leader has compacted."""
 
     term: int
     last_included_index: int
@@ -136,9 +139,9 @@
 
 
 class ProposalResult(msgspec.Struct, frozen=True, array_like=True, tag="decided"):
-    """The state machine's answer to a proposal.
+    """The state machine's result of a proposal.
 
-    `result` is None where the outcome is not known: the proposal may have been lost, or may be committed yet.
+    `result` is None where the outcome is not known: the proposal may be lost, or may be committed later.
     """
 
     request_id: str
@@ -155,3 +158,7 @@
     | ProposalRequest
     | ProposalResult
 )
+
+# Bare pairs, as `RaftNode.handle` reads and makes them for each message.
+ReceivedMessage = tuple[str, Message]  # the sender, and what it sent
+SentMessage = tuple[str, Message]  # the recipient, and what to send
--- a/tansyladder/raft/node.py
+++ b/tansyladder/raft/node.py
@@ -1,12 +1,13 @@
 """One node of a Raft cluster (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014).
 
-Taken from there: the election restriction, pre-vote (9.6), votes withheld while a leader is heard (4.2.3),
-check-quorum (6.2), snapshots (5), learners (4.2.1). No I/O and no clock: the caller tells the time, in
-integer microseconds, and carries out the effects of each step (`Effects` says in which order).
+It implements the election restriction, pre-vote (9.6), votes withheld while a leader is in contact (4.2.3),
+check-quorum (6.2), snapshots (5) and learners (4.2.1) of that thesis. It has no I/O and no clock: the caller
+passes the time, in integer microseconds, and carries out the effects of each step in the order that `Effects`
+requires.
 
 Each concern has a module: `elections`, `leader` and `follower` (replication), `commits`, `snapshots`,
-`proposals`, and `disk_admission`, which is an addition to Raft: it lets a voter back in whose disk is new, or
-may be an older copy.
+`proposals`, and `disk_admission`. The last one is an addition to Raft: it readmits a voter whose disk is new,
+or may be an older copy.
 """
 
 from __future__ import annotations
@@ -30,6 +31,7 @@
     Message,
     ProposalRequest,
     ProposalResult,
+    ReceivedMessage,
     RequestVote,
     VoteResponse,
 )
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftComponents:
-    """The classes that a node is made of; a test replaces one of them to take out a guard."""
+    """The classes that a node is composed of; a test replaces one of them to remove a guard."""
 
     disks: type[VoterDisks] = VoterDisks
     admission: type[DiskAdmission] = DiskAdmission
@@ -58,7 +60,7 @@
 
 
 class RaftNode:
-    """Dispatches messages and time to the parts of a node. Not thread-safe: one thread owns it."""
+    """Dispatches messages and the time to a node's components. Not thread-safe: one thread owns it."""
 
     def __init__(
         self,
@@ -69,11 +71,22 @@
         now: int,
         components: RaftComponents = STANDARD_COMPONENTS,
     ) -> None:
-        """`persisted`: from the disk, whose name has been synced before. ValueError: the disk has no name."""
+        """Begin as a follower in the state that the disk holds.
+
+        Args:
+            membership: The nodes of the cluster, as this node sees it.
+            persisted: The state on the disk, whose name must have been synced before.
+            state_machine: The replicated state, without any command applied.
+            rng: Draws election timeouts and the incarnation.
+            now: The current time in microseconds.
+            components: The classes to compose the node of.
+
+        Raises:
+            ValueError: The disk has no name.
+        """
         if not persisted.hard_state.disk_id:
             raise ValueError("disk_id: the disk has no name")
         incarnation = f"{rng.getrandbits(64):016x}"
-        self.announces_commits_at_once = False  # else commits are told with the next entries or heartbeat
         self._state = NodeState(membership, persisted, rng, now)
         self._disks = components.disks(self._state)
         self._admission = components.admission(self._state, self._disks, incarnation)
@@ -92,7 +105,7 @@
 
     @property
     def role(self) -> Role:
-        """What this node is in its term."""
+        """The role of this node in its term."""
         return self._state.role
 
     @property
@@ -107,7 +120,7 @@
 
     @property
     def log(self) -> RaftLog:
-        """The log, to be read only."""
+        """The log; callers may only read it."""
         return self._state.log
 
     @property
@@ -127,7 +140,7 @@
 
     @property
     def is_electable(self) -> bool:
-        """Whether this node votes, and its log holds again all that its disk may have lost."""
+        """Whether this node votes, and its log has recovered all entries that its disk may have lost."""
         return self._elections.is_electable
 
     @property
@@ -137,14 +150,27 @@
 
     @property
     def next_deadline(self) -> int:
-        """When `handle` is to be called even if no message has come, in microseconds."""
+        """The time by which `handle` has to be called even without a message, in microseconds."""
         timer = self._leader.heartbeat_at if self.role is Role.LEADER else self._state.election_at
         return min(timer, self._admission.next_handshake_at)
 
-    def handle(self, now: int, received: Sequence[tuple[str, Message]] = ()) -> Effects:
-        """Take in the time and messages with their senders; proposals of this node come from itself."""
+    def handle(
+        self,
+        now: int,
+        received: Sequence[ReceivedMessage] = (),
+        *,
+        announces_commits_at_once: bool = False,
+    ) -> Effects:
+        """Process messages and expired timers, and return the effects of this step.
+
+        Args:
+            now: The current time in microseconds.
+            received: Messages with their senders; the sender of this node's own proposals is itself.
+            announces_commits_at_once: As a leader, send a new commit index at the end of the step, not with
+                the next entries or heartbeat.
+        """
         state = self._state
-        state.now = max(state.now, now)
+        state.advance_clock(now)
         effects = state.outbox.begin_step()
         commit_index_before = self.commit_index
         for sender, message in received:
@@ -155,10 +181,11 @@
         else:
             self._elections.tick()
         has_committed = self.commit_index > commit_index_before
-        self._leader.end_step(announces_commit=self.announces_commits_at_once and has_committed)
+        self._leader.end_step(announces_commit=announces_commits_at_once and has_committed)
         return effects
 
     def _dispatch(self, sender: str, message: Message) -> None:
+        """Hand a message to the component for its type; there is one case for each type."""
         match message:
             case Handshake():
                 self._admission.on_handshake(sender, message)
--- a/tansyladder/raft/node_state.py
+++ b/tansyladder/raft/node_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
 from random import Random
@@ -15,7 +15,7 @@
 
 
 class Role(Enum):
-    """What a node is in its term. The values stand in log lines."""
+    """The role of a node in its term. The values are written to log lines."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "trying"  # asks whether votes would be granted
@@ -23,6 +23,19 @@
     LEADER = "leader"
 
 
+# A pre-vote or an election that times out begins with another pre-vote; any role ends in a higher term.
+ROLE_TRANSITIONS: Mapping[Role, frozenset[Role]] = {
+    Role.FOLLOWER: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE}),
+    Role.PRE_CANDIDATE: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE}),
+    Role.CANDIDATE: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.LEADER}),
+    Role.LEADER: frozenset({Role.FOLLOWER}),
+}
+
+
+class RoleTransitionError(RuntimeError):
+    """The node tried to enter a role that can't follow its present one; the caller must stop the node."""
+
+
 @dataclass(frozen=True, slots=True)
 class Membership:
     """The nodes of a cluster, as one of them sees it; voters and learners are the same at every node."""
@@ -49,7 +62,14 @@
     """
 
     def __init__(self, membership: Membership, persisted: PersistentState, rng: Random, now: int) -> None:
-        """`rng`: for election timeouts. The timer runs once `reset_election_timer` is called."""
+        """Begin as a follower of no leader; call `reset_election_timer` before the first step.
+
+        Args:
+            membership: The nodes of the cluster, as this node sees it.
+            persisted: The state that was on the disk.
+            rng: Draws the election timeouts.
+            now: The current time.
+        """
         self.name = membership.name
         self.voters = tuple(membership.voters)
         self.other_voters = membership.other_voters
@@ -59,8 +79,8 @@
         self.role = Role.FOLLOWER
         self.leader = ""  # the leader of the term; empty if none is known
         self.now = now
-        self.leader_contact_at = now - 2 * ELECTION_TIMEOUT  # the last message of a leader
-        self.election_at = 0  # when to start an election unless a leader is heard by then
+        self.leader_contact_at = now - 2 * ELECTION_TIMEOUT  # when the last message of a leader arrived
+        self.election_at = 0  # when to start an election if no leader has made contact by then
         self.outbox = Outbox(self.name)
         self.pending_proposals = PendingProposals(self.outbox)
         self._rng = rng
@@ -70,6 +90,10 @@
         """The latest term that the node has seen."""
         return self.hard_state.term
 
+    def advance_clock(self, now: int) -> None:
+        """Set the current time; a time before the known one is ignored."""
+        self.now = max(self.now, now)
+
     def persist(self, hard_state: HardState) -> None:
         """Change the hard state, in memory and on disk."""
         self.hard_state = hard_state
@@ -84,13 +108,37 @@
         self.pending_proposals.abandon_all()
         if term > self.term:
             self.persist(self.hard_state.with_term(term))
-        self.role = Role.FOLLOWER
+        self._enter(Role.FOLLOWER)
         self.leader = leader
         self.reset_election_timer()
 
+    def become_pre_candidate(self) -> None:
+        """Begin a pre-vote for the next term; the present term and vote stay."""
+        self._enter(Role.PRE_CANDIDATE)
+
+    def become_candidate(self) -> None:
+        """Begin a new term with a vote for this node."""
+        self._enter(Role.CANDIDATE)
+        self.persist(self.hard_state.with_term(self.term + 1).with_vote(self.name))
+
+    def become_leader(self) -> None:
+        """Lead the present term, for which a majority has elected this node."""
+        self._enter(Role.LEADER)
+        self.leader = self.name
+
+    def forget_leader(self) -> None:
+        """Record that no leader is known: the election timeout has passed without contact."""
+        self.leader = ""
+
     def accept_leader(self, leader: str, term: int) -> None:
         """Follow the sender of a leader's message, whose term is not below the node's own."""
         if term > self.term or self.role is not Role.FOLLOWER or self.leader != leader:
             self.become_follower(term, leader)
         self.leader_contact_at = self.now
         self.reset_election_timer()
+
+    def _enter(self, role: Role) -> None:
+        """Change the role. RoleTransitionError: `ROLE_TRANSITIONS` doesn't allow it."""
+        if role not in ROLE_TRANSITIONS[self.role]:
+            raise RoleTransitionError(f"{self.role.name} to {role.name} in term {self.term}")
+        self.role = role
--- a/tansyladder/raft/pending_proposals.py
+++ b/tansyladder/raft/pending_proposals.py
@@ -1,4 +1,4 @@
-"""Which node waits for the result of which entry."""
+"""The proposals whose entries are not committed yet, and the nodes that wait for their results."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class PendingProposal:
     """A proposal whose entry is not committed yet."""
 
-    proposer: str  # the node that made it
+    proposer: str  # the node that made the proposal
     request_id: str
 
 
@@ -25,21 +25,21 @@
         self._by_index: dict[int, PendingProposal] = {}
 
     def add(self, index: int, proposal: PendingProposal) -> None:
-        """Wait for the entry at an index."""
+        """Register a proposal whose entry is at an index."""
         self._by_index[index] = proposal
 
     def remove(self, index: int) -> PendingProposal | None:
-        """Forget the proposal at an index, if there is one, and return it."""
+        """Remove the proposal at an index, if there is one, and return it."""
         return self._by_index.pop(index, None)
 
     def resolve(self, index: int, result: bytes) -> None:
-        """Answer the proposal at an index, if there is one."""
+        """Send the result of the proposal at an index, if there is one."""
         proposal = self.remove(index)
         if proposal is not None:
             self._outbox.answer(proposal.proposer, ProposalResult(proposal.request_id, result))
 
     def abandon_all(self) -> None:
-        """Answer all proposals that their outcome is not known: another leader decides on their entries."""
+        """Report an unknown outcome for all proposals: another leader decides on their entries."""
         for proposal in self._by_index.values():
             self._outbox.answer(proposal.proposer, ProposalResult(proposal.request_id, None))
         self._by_index.clear()
--- a/tansyladder/raft/persistent_state.py
+++ b/tansyladder/raft/persistent_state.py
@@ -1,6 +1,6 @@
-"""What a node keeps on disk, and the writes that change it.
+"""The state of a node on its disk, and the writes that change it.
 
-The structs are stored as maps; `rename` gives the keys under which their fields are stored.
+The structs are stored as maps; `rename` maps fields to the keys of the stored form.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from tansyladder.raft.messages import START_OF_LOG, LogEntry, LogPosition
 
-UNKNOWN_CANDIDATE = "-"  # stands for a vote of which the disk holds no record, but which may have been given
+UNKNOWN_CANDIDATE = "-"  # the candidate of a vote that may have been granted, and that the disk has lost
 
 
 class HardState(
@@ -25,18 +25,19 @@
         "vote_floor": "floor",
     },
 ):
-    """State that must be on disk before a message that rests on it leaves. Immutable.
+    """Raft's current term and vote, and the identity of the disk itself. Immutable.
 
-    Raft's current term and vote, and the identity of the disk itself.
+    It must be synced before a message that depends on it is sent.
 
     Attributes:
         term: The latest term that the node has seen.
         voted_for: The candidate that got this node's vote in `term`; empty if none did.
-        disk_id: The name of this disk, drawn when it was made.
+        disk_id: The name of this disk, drawn when its store was created.
         initial_disks: The disk with which each voter founded the cluster, by voter; empty until known.
         committed_admission_index: The newest disk admission in the log that is known to be committed. Without
             it a voter whose admission nobody remembers as committed could not be counted.
-        stale_disk_suspected: Whether the disk may be an older copy of itself.
+        stale_disk_suspected: Whether the disk may be an older copy of itself. Independent of the role: a
+            suspected node may follow a leader, but it neither votes nor counts.
         vote_floor: The furthest log position that other voters reported when the suspicion ended; a candidate
             whose log ends before it gets no vote.
     """
@@ -50,7 +51,7 @@
     vote_floor: LogPosition = START_OF_LOG
 
     def with_term(self, term: int) -> HardState:
-        """Return the state in a new term, in which no vote is given yet."""
+        """Return the state in a new term, in which the node has granted no vote yet."""
         return replace(self, term=term, voted_for="")
 
     def with_vote(self, candidate: str) -> HardState:
@@ -58,32 +59,32 @@
         return replace(self, voted_for=candidate)
 
     def with_initial_disks(self, disks: dict[str, str]) -> HardState:
-        """Return the state that knows the disks with which the cluster was founded, by voter."""
+        """Return the state with the disks that founded the cluster, by voter."""
         return replace(self, initial_disks=disks)
 
     def with_committed_admission(self, index: int) -> HardState:
-        """Return the state that knows the admission at an index to be committed."""
+        """Return the state with the index of the newest committed disk admission."""
         return replace(self, committed_admission_index=index)
 
     def with_trusted_disk(self) -> HardState:
         """Return the state of a disk that is no longer suspected to be stale.
 
-        The node may have voted in the current term without a record of it, so it gives no vote in this term.
+        The node may have voted in the current term without a record of it, so it grants no vote in this term.
         """
         return replace(self, stale_disk_suspected=False, voted_for=self.voted_for or UNKNOWN_CANDIDATE)
 
     def with_vote_floor(self, floor: LogPosition) -> HardState:
-        """Return the state that grants no vote to a log that ends before a position."""
+        """Return the state whose vote no log gets that ends before a position."""
         return replace(self, vote_floor=floor)
 
 
 class Snapshot(msgspec.Struct, frozen=True, rename={"voter_disks": "voters"}):
-    """The state after the entry at `index`, in place of all entries up to it. Immutable.
+    """The state after the entry at `index`, which replaces all entries up to it. Immutable.
 
     Attributes:
-        index: The last entry that the snapshot includes; 0: none.
+        index: The last entry that the snapshot includes; 0 for an empty snapshot.
         term: The term of that entry.
-        voter_disks: The disks that the log has admitted by then, by voter.
+        voter_disks: The disks that the log has admitted up to `index`, by voter.
         state: The state machine's own snapshot.
     """
 
@@ -94,7 +95,7 @@
 
 
 class PersistentState(msgspec.Struct, frozen=True, rename={"hard_state": "hard"}):
-    """All that a disk holds; `entries` begin after the snapshot. Immutable."""
+    """The whole state on a disk; `entries` begin after the snapshot. Immutable."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot = Snapshot()
@@ -102,7 +103,7 @@
 
 
 class LogSuffix(msgspec.Struct, frozen=True):
-    """Entries to write from `index` on; they replace all entries from there on. Immutable."""
+    """Entries that replace all entries from `index` on. Immutable."""
 
     index: int
     entries: tuple[LogEntry, ...]
--- a/tansyladder/raft/proposals.py
+++ b/tansyladder/raft/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals: appended by the leader, forwarded to it by other nodes."""
+"""Proposals, which the leader appends to the log and other nodes forward to it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ProposalHandler:
-    """Brings proposals into the log. Owned by the node's thread."""
+    """Appends, forwards or rejects proposals. Owned by the node's thread."""
 
     def __init__(self, state: NodeState, commits: CommittedLog, leader: LeaderReplication) -> None:
-        """`leader`: appends entries while this node leads."""
+        """Begin without proposals; `leader` appends entries while this node leads."""
         self._state = state
         self._commits = commits
         self._leader = leader
@@ -33,6 +33,7 @@
         state.outbox.answer(sender, ProposalResult(request.request_id, None))
 
     def _append(self, sender: str, request: ProposalRequest) -> None:
+        """Append a proposal to the log, and register its proposer for the result."""
         state = self._state
         proposal = PendingProposal(sender, request.request_id)
         state.pending_proposals.add(state.log.last_index + 1, proposal)
--- a/tansyladder/raft/snapshots.py
+++ b/tansyladder/raft/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: taken in place of applied entries, and installed at followers that are far behind."""
+"""Snapshots, which replace applied entries and are installed at followers that are far behind."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from tansyladder.raft.state_machine import StateMachine
 from tansyladder.raft.voter_disks import VoterDisks
 
-SNAPSHOT_THRESHOLD = 1024  # applied entries in the log from which on a snapshot takes their place
+SNAPSHOT_THRESHOLD = 1024  # applied entries in the log that a snapshot then replaces
 
 
 class Snapshots:
-    """Moves the state between the state machine, the log and messages. Owned by the node's thread."""
+    """Makes, sends and installs snapshots of the state machine. Owned by the node's thread."""
 
     def __init__(self, state: NodeState, disks: VoterDisks, state_machine: StateMachine) -> None:
-        """`load` brings the state machine to the snapshot that was on the disk."""
+        """Begin with the log's snapshot; `load` restores the state machine from it."""
         self._state = state
         self._disks = disks
         self._state_machine = state_machine
 
     def load(self) -> None:
-        """Bring the state machine to the log's own snapshot, if there is one."""
+        """Restore the state machine from the log's snapshot, if there is one."""
         snapshot = self._state.log.snapshot
         if snapshot.index:
             self._state_machine.restore(snapshot.state)
 
     def compact_if_due(self, last_applied: int) -> None:
-        """Put a snapshot in place of the applied entries once there are enough of them."""
+        """Replace the applied entries by a snapshot once there are enough of them."""
         log = self._state.log
         if last_applied - log.snapshot.index >= SNAPSHOT_THRESHOLD:
             snapshot = log.compact(last_applied, self._disks.admitted, self._state_machine.snapshot())
             self._state.outbox.write(snapshot)
 
     def install(self, message: InstallSnapshot) -> None:
-        """Take a leader's snapshot in place of the state and of the entries up to it."""
+        """Replace the state and the entries that a leader's snapshot includes by that snapshot."""
         snapshot = Snapshot(
             message.last_included_index, message.last_included_term, message.voter_disks, message.state
         )
--- a/tansyladder/raft/state_machine.py
+++ b/tansyladder/raft/state_machine.py
@@ -12,10 +12,10 @@
     """
 
     def apply(self, data: bytes) -> bytes:
-        """Apply a command, and return the answer to its proposer."""
+        """Apply a command, and return the result for its proposer."""
 
     def snapshot(self) -> bytes:
         """Encode the whole state."""
 
     def restore(self, dumped: bytes) -> None:
-        """Take the state of a snapshot in place of the present one."""
+        """Replace the state by that of a snapshot."""
--- a/tansyladder/raft/timing.py
+++ b/tansyladder/raft/timing.py
@@ -1,4 +1,4 @@
 """Time spans of the protocol, in integer microseconds."""
 
-HEARTBEAT_INTERVAL = 250_000  # between two messages of a leader; at five nodes under 2 KB/s leave the leader
-ELECTION_TIMEOUT = 4 * HEARTBEAT_INTERVAL  # without a leader until an election; drawn up to twice that
+HEARTBEAT_INTERVAL = 250_000  # between a leader's messages: it sends under 2 KB/s to four other nodes
+ELECTION_TIMEOUT = 4 * HEARTBEAT_INTERVAL  # without contact to a leader; drawn up to twice that
--- a/tansyladder/raft/voter_disks.py
+++ b/tansyladder/raft/voter_disks.py
@@ -1,4 +1,4 @@
-"""Which disk of each voter counts, and what is a majority of them."""
+"""The disk on which each voter counts, and the majority of voters on such disks."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 class VoterDisks:
     """The disks of the cluster's nodes. Owned by the node's thread.
 
-    A voter votes and counts only on the disk by which the cluster knows it: at first the one with which it
-    founded the cluster, later the one that the log admitted last.
+    A voter votes and counts only on its admitted disk: at first the disk with which it founded the cluster,
+    later the disk that the log admitted last.
     """
 
     def __init__(self, state: NodeState) -> None:
-        """Begin with the disks that the snapshot names."""
+        """Begin with the admitted disks of the snapshot."""
         self._state = state
         self._admitted = dict(state.log.snapshot.voter_disks)
-        self._current = {state.name: state.hard_state.disk_id}  # of the nodes heard from since the start
+        self._current = {state.name: state.hard_state.disk_id}  # by node in contact since the start
 
     @property
     def admitted(self) -> dict[str, str]:
@@ -26,23 +26,23 @@
         return dict(self._admitted)
 
     def admit(self, voter: str, disk_id: str) -> None:
-        """Let a voter count on a disk from now on."""
+        """Admit a disk in place of the one on which a voter has counted."""
         self._admitted[voter] = disk_id
 
     def restore(self, admitted: dict[str, str]) -> None:
-        """Take the admitted disks of a snapshot in place of those known so far."""
+        """Replace the admitted disks by those of a snapshot."""
         self._admitted = dict(admitted)
 
     def observe(self, node: str, disk_id: str) -> None:
-        """Note the disk that a node has now."""
+        """Record the disk that a node uses now."""
         self._current[node] = disk_id
 
     def current(self, node: str) -> str:
-        """Return the disk that a node has now. KeyError: nothing has come from it since the start."""
+        """Return the disk that a node uses now. KeyError: no message of it has arrived since the start."""
         return self._current[node]
 
     def is_admitted(self, voter: str, disk_id: str) -> bool:
-        """Whether a voter counts on a disk, as far as this node knows the log to be committed."""
+        """Whether a voter counts on a disk, as of the entries that this node knows to be committed."""
         known = self._admitted.get(voter) or self._state.hard_state.initial_disks.get(voter)
         return known == disk_id
 
@@ -55,7 +55,7 @@
         return is_admitted and not hard_state.stale_disk_suspected
 
     def counted_voters(self) -> list[str]:
-        """Return the voters that have been heard from on admitted disks."""
+        """Return the voters whose messages have come from admitted disks."""
         return [
             name
             for name in self._state.voters
--- a/tansyladder/simulation/document_replication.py
+++ b/tansyladder/simulation/document_replication.py
@@ -95,11 +95,13 @@
         if node.raft is None or document_node is None or self.is_paused(node.name):
             super()._step_node(node, *received)
             return
-        is_urgent = document_node.coordinator.is_urgent(self._clock_us(node.name))
-        node.raft.announces_commits_at_once = is_urgent
         super()._step_node(node, *received)
         self._prepare(node)
 
+    def _announces_commits_at_once(self, node: SimulatedNode) -> bool:
+        """Do what `DocumentReplica.is_urgent` tells a real node to do."""
+        return self.document_nodes[node.name].coordinator.is_urgent(self._clock_us(node.name))
+
     def _step_regularly(self, node: SimulatedNode, incarnation: int) -> None:
         if node.incarnation != incarnation or node.raft is None:
             return
--- a/tansyladder/simulation/raft_cluster.py
+++ b/tansyladder/simulation/raft_cluster.py
@@ -225,12 +225,17 @@
     def _on_node_started(self, node: SimulatedNode) -> None:
         """Do more for a node that has started; for subclasses."""
 
+    def _announces_commits_at_once(self, node: SimulatedNode) -> bool:  # noqa: ARG002 - for subclasses
+        """Whether a node that leads sends a new commit index at once; a subclass decides it by node."""
+        return False
+
     def _step_node(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
         raft = node.raft
         if raft is None:
             return
         before = LogBeforeStep.of(raft)
-        effects = raft.handle(self.now, received)
+        announces_at_once = self._announces_commits_at_once(node)
+        effects = raft.handle(self.now, received, announces_commits_at_once=announces_at_once)
         node.disk.write(effects.writes)
         self._checker.check_step(raft, node.state_machine.commands, before, effects.writes, self.now)
         self._deliver(node, effects)
