--- a/tansyladder/replication/__init__.py
+++ b/tansyladder/replication/__init__.py
@@ -1,1 +1,1 @@
-"""State that nodes agree on through the replicated log: session ownership and documents; no I/O, no clock."""
+"""Replicated state machines on the log: session ownership and documents; no I/O, no clock."""
--- a/tansyladder/replication/content_transfer.py
+++ b/tansyladder/replication/content_transfer.py
@@ -1,8 +1,8 @@
-"""How the content of documents gets to every node: in chunks, from any peer that has it; no I/O, no clock.
+"""Transfer of the contents of documents between nodes, in chunks; no I/O, no clock.
 
-Content is named by its digest. A node that lacks a content asks one peer after another for its chunks, a few
-at a time. A complete content whose digest matches is handed out to be written to the disk, and counts as
-stored once that has been synced. Times are microseconds of any one clock.
+A content is identified by its digest. A node that lacks a content requests its chunks from one peer after
+another, a few at a time. The caller writes a complete content whose digest matches to the disk; the content
+counts as stored once that write is synced. Times are microseconds of any one clock.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 
 CHUNK_BYTES = 48 << 10  # fits into one frame between peers
-MAX_CHUNKS_IN_FLIGHT = 4  # requested at once, of one content
-CHUNK_TIMEOUT_US = 400 * MILLISECOND_US  # then the next peer is asked
-MAX_CONCURRENT_FETCHES = 4  # contents; further ones are fetched when asked for again
-MIN_RETRY_BACKOFF_US = 200 * MILLISECOND_US  # after a round in which no peer had the content; doubles
+MAX_CHUNKS_IN_FLIGHT = 4  # of one content
+CHUNK_TIMEOUT_US = 400 * MILLISECOND_US  # after which the next peer gets the request
+MAX_CONCURRENT_FETCHES = 4  # contents; the caller fetches further ones at a later step
+MIN_RETRY_BACKOFF_US = 200 * MILLISECOND_US  # after the first round in which no peer had the content; doubles
 MAX_RETRY_BACKOFF_US = 2 * SECOND_US
 MAX_BACKOFF_DOUBLINGS = 8
 
 
 class ChunkRequest(msgspec.Struct, frozen=True, array_like=True, tag="want"):
-    """Send a content's bytes from an offset on, as many as a chunk holds."""
+    """Requests the chunk of a content that begins at an offset."""
 
     digest: bytes
     offset: int
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
-    """A content's bytes from an offset on; no bytes and size 0 where the sender lacks the content."""
+    """A content's bytes from an offset on; without bytes and of size 0 if the sender lacks the content."""
 
     digest: bytes
     offset: int
@@ -51,14 +51,14 @@
 
 
 class AddressedMessage(NamedTuple):
-    """A message and the name of the node that it goes to."""
+    """A message and the name of its recipient."""
 
     peer: str
     message: DocumentMessage
 
 
 def digest_of(content: bytes) -> bytes:
-    """Return the digest that names a content: SHA-256, 32 bytes."""
+    """Return the digest that identifies a content: SHA-256, 32 bytes."""
     return hashlib.sha256(content).digest()
 
 
@@ -67,7 +67,7 @@
     """A content that is being fetched."""
 
     size: int  # bytes
-    peers: list[str]  # still to ask in this round, the current one last; none: waiting for the next round
+    peers: list[str]  # that are left in this round, the current one last; empty: backing off
     requested_at_us: dict[int, int] = field(default_factory=dict)  # by offset, of chunks in flight
     chunks: dict[int, bytes] = field(default_factory=dict)  # by offset
     retry_at_us: int = 0  # when the next round begins
@@ -75,11 +75,11 @@
 
     @property
     def current_peer(self) -> str | None:
-        """The peer that is being asked."""
+        """The peer that gets the requests now; None during the backoff."""
         return self.peers[-1] if self.peers else None
 
     def is_complete(self) -> bool:
-        """Whether all chunks are here."""
+        """Whether all chunks have arrived."""
         return sum(map(len, self.chunks.values())) >= self.size
 
     def assembled(self) -> bytes:
@@ -87,13 +87,13 @@
         return b"".join(data for _, data in sorted(self.chunks.items()))
 
     def is_overdue(self, now_us: int) -> bool:
-        """Whether a chunk in flight has not come in time."""
+        """Whether a chunk in flight has not arrived in time."""
         if not self.requested_at_us:
             return False
         return now_us - min(self.requested_at_us.values()) >= CHUNK_TIMEOUT_US
 
     def next_offsets(self) -> list[int]:
-        """Return the offsets of chunks to request now."""
+        """Return the offsets of the chunks to request now."""
         free = MAX_CHUNKS_IN_FLIGHT - len(self.requested_at_us)
         missing = [
             offset
@@ -102,12 +102,28 @@
         ]
         return missing[:free]
 
+    def begin_round(self, peers: list[str]) -> None:
+        """Begin a round of requests to peers, the last of the list first."""
+        self.peers = peers
+
+    def drop_current_peer(self) -> None:
+        """Continue with the next peer, without the requests in flight to the current one."""
+        if self.peers:
+            self.peers.pop()
+        self.requested_at_us.clear()
+
+    def back_off(self, now_us: int, rng: Random) -> None:
+        """Schedule the next round after a failed one, with exponential backoff and jitter."""
+        backoff_us = min(MIN_RETRY_BACKOFF_US << self.failed_rounds, MAX_RETRY_BACKOFF_US)
+        self.failed_rounds = min(self.failed_rounds + 1, MAX_BACKOFF_DOUBLINGS)
+        self.retry_at_us = now_us + rng.randint(backoff_us // 2, backoff_us)
+
 
 class ContentStore:
-    """The contents that a node has in memory, serves to peers and fetches. Not thread-safe."""
+    """The contents that a node holds in memory, serves to peers and fetches. Not thread-safe."""
 
     def __init__(self, peers: Sequence[str], rng: Random) -> None:
-        """`rng`: draws the order of peers and the backoff."""
+        """Begin without contents; `rng` draws the order of peers and the backoff."""
         self._peers = tuple(peers)
         self._rng = rng
         self._contents: dict[bytes, bytes] = {}  # by digest
@@ -116,14 +132,14 @@
         self._completed: list[bytes] = []
 
     def add(self, content: bytes) -> bytes:
-        """Keep a content that is on this node's disk, serve it from now on, and return its digest."""
+        """Serve a content that is on this node's disk from now on, and return its digest."""
         digest = digest_of(content)
         self._contents[digest] = content
         self._fetches.pop(digest, None)
         return digest
 
     def get(self, digest: bytes) -> bytes | None:
-        """Return a content that is here."""
+        """Return a content, or None if this node lacks it."""
         return self._contents.get(digest)
 
     def retain_only(self, digests: Iterable[bytes]) -> list[bytes]:
@@ -137,48 +153,54 @@
         return dropped
 
     def fetch(self, digest: bytes, size: int, now_us: int) -> None:
-        """Fetch a content of a size in bytes; without effect if it is here, being fetched or too large."""
+        """Begin to fetch a content of a size in bytes.
+
+        Without effect if this node has the content or is fetching it, if it is too large, or if
+        `MAX_CONCURRENT_FETCHES` are in progress.
+        """
         is_known = digest in self._contents or digest in self._fetches
         if not is_known and 0 < size <= MAX_CONTENT_BYTES and len(self._fetches) < MAX_CONCURRENT_FETCHES:
             self._fetches[digest] = _Fetch(size, self._shuffled_peers())
             self._request_chunks(digest, self._fetches[digest], now_us)
 
     def handle(self, sender: str, message: ChunkRequest | Chunk, now_us: int) -> None:
-        """Take in a peer's message."""
+        """Process a peer's message."""
         if isinstance(message, ChunkRequest):
             self._serve(sender, message)
         else:
             self._receive(sender, message, now_us)
 
     def retry_overdue(self, now_us: int) -> None:
-        """Ask the next peer where one has not answered in time, and begin rounds whose backoff is over."""
+        """Continue overdue fetches with the next peer, and begin rounds whose backoff has ended."""
         for digest, fetch in list(self._fetches.items()):
             if fetch.current_peer is None:
                 if now_us >= fetch.retry_at_us:
-                    fetch.peers = self._shuffled_peers()
+                    fetch.begin_round(self._shuffled_peers())
                     self._request_chunks(digest, fetch, now_us)
             elif fetch.is_overdue(now_us):
                 self._next_peer(digest, fetch, now_us)
 
     def take_outgoing(self) -> list[AddressedMessage]:
-        """Return the messages to send since the last call."""
+        """Return the messages to send, and remove them."""
         outgoing = self._outgoing
         self._outgoing = []
         return outgoing
 
     def take_completed(self) -> list[bytes]:
-        """Return the contents completed since the last call; write each to the disk, then `add` it."""
+        """Return the contents completed since the last call; the caller writes each and then `add`s it."""
         completed = self._completed
         self._completed = []
         return completed
 
     def _serve(self, peer: str, request: ChunkRequest) -> None:
+        """Send the requested chunk, or one without bytes if this node lacks the content."""
         content = self._contents.get(request.digest, b"")
         is_inside = 0 <= request.offset < len(content)
         data = content[request.offset : request.offset + CHUNK_BYTES] if is_inside else b""
         self._send(peer, Chunk(request.digest, request.offset, len(content), data))
 
     def _receive(self, sender: str, chunk: Chunk, now_us: int) -> None:
+        """Add a chunk to its fetch; continue with the next peer if the chunk or the content is corrupt."""
         fetch = self._fetches.get(chunk.digest)
         if fetch is None or sender != fetch.current_peer or chunk.offset not in fetch.requested_at_us:
             return  # of an earlier round, or not requested
@@ -191,30 +213,32 @@
         if not fetch.is_complete():
             self._request_chunks(chunk.digest, fetch, now_us)
             return
+        self._complete(chunk.digest, fetch, now_us)
+
+    def _complete(self, digest: bytes, fetch: _Fetch, now_us: int) -> None:
+        """End a fetch whose chunks have all arrived, or fetch the content again if its digest differs."""
         content = fetch.assembled()
-        if digest_of(content) == chunk.digest:
-            del self._fetches[chunk.digest]
+        if digest_of(content) == digest:
+            del self._fetches[digest]
             self._completed.append(content)
-        else:  # corrupted on the way, or on that peer's disk
+        else:  # corrupted in transit, or on that peer's disk
             fetch.chunks.clear()
-            self._next_peer(chunk.digest, fetch, now_us)
+            self._next_peer(digest, fetch, now_us)
 
     def _shuffled_peers(self) -> list[str]:
+        """Return all peers in a random order."""
         return self._rng.sample(self._peers, len(self._peers))
 
     def _next_peer(self, digest: bytes, fetch: _Fetch, now_us: int) -> None:
-        """Ask the next peer for the missing chunks; after the last one wait for the backoff."""
-        if fetch.peers:
-            fetch.peers.pop()
-        fetch.requested_at_us.clear()
+        """Request the missing chunks from the next peer; after the last one, back off."""
+        fetch.drop_current_peer()
         if fetch.peers:
             self._request_chunks(digest, fetch, now_us)
-            return
-        backoff_us = min(MIN_RETRY_BACKOFF_US << fetch.failed_rounds, MAX_RETRY_BACKOFF_US)
-        fetch.failed_rounds = min(fetch.failed_rounds + 1, MAX_BACKOFF_DOUBLINGS)
-        fetch.retry_at_us = now_us + self._rng.randint(backoff_us // 2, backoff_us)
+        else:
+            fetch.back_off(now_us, self._rng)
 
     def _request_chunks(self, digest: bytes, fetch: _Fetch, now_us: int) -> None:
+        """Request as many missing chunks from the current peer as may be in flight."""
         if fetch.current_peer is None:
             return
         for offset in fetch.next_offsets():
@@ -222,4 +246,5 @@
             self._send(fetch.current_peer, ChunkRequest(digest, offset))
 
     def _send(self, peer: str, body: ChunkRequest | Chunk) -> None:
+        """Queue a message for the caller, who takes it by `take_outgoing`."""
         self._outgoing.append(AddressedMessage(peer, DocumentMessage(body)))
--- a/tansyladder/replication/document_messages.py
+++ b/tansyladder/replication/document_messages.py
@@ -1,8 +1,9 @@
 """Commands about documents and leases that the replicated log holds, and their results.
 
-Arrays, their order and the tags are the encoded form: a class or a field may be renamed, its place and its
-tag stay. In every message `node` names the incarnation (NAME/START) that proposed it, and `timestamp_us` is
-the Unix time in microseconds at which it did so, by its own clock.
+The messages are encoded as arrays: the order of their fields and their tags are the encoded form, so a class
+or a field may be renamed while its position and its tag stay. In every message `node` is the incarnation
+(NAME/START) that proposed it, and `timestamp_us` is the Unix time of the proposal by that node's clock, in
+microseconds.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
-    """Change a document to new content, which is named by its digest.
+    """Proposes to change a document to a new content, which its digest identifies.
 
-    Proposals with the same `idempotency_key` are one change: the second one gets the result of the first.
+    Proposals with the same `idempotency_key` are one change: a repeated one gets the result of the first.
     """
 
     name: str
@@ -28,7 +29,7 @@
 
 
 class ValidationVote(msgspec.Struct, frozen=True, array_like=True, tag="verdict"):
-    """A node has the content of a change on its disk and accepts it, or rejects it with the fault's path."""
+    """A node's vote on a change: it has stored and accepts the content, or it rejects it with a fault."""
 
     number: int
     node: str
@@ -37,7 +38,7 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="arm"):
-    """All nodes have accepted the change: begin a round in which they shorten their leases."""
+    """Begins a round in which all participants shorten their leases, as all have accepted the change."""
 
     number: int
     node: str
@@ -46,7 +47,7 @@
 
 
 class Prepared(msgspec.Struct, frozen=True, array_like=True, tag="armed"):
-    """A node has shortened its lease in that round; the short lease counts from `timestamp_us`."""
+    """Reports that a node has shortened its lease in a round; the short lease counts from `timestamp_us`."""
 
     number: int
     round: int
@@ -55,7 +56,7 @@
 
 
 class Commit(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
-    """All participants are prepared or have no lease any more: put the new version in force."""
+    """Puts the new version in force, as no participant holds a long lease any more."""
 
     number: int
     node: str
@@ -63,7 +64,7 @@
 
 
 class Abort(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """End the change for a reason; without a reason, only its round: leases may be long again."""
+    """Ends the change for a reason; without one ends only its round, so that leases may be long again."""
 
     number: int
     node: str
@@ -72,7 +73,7 @@
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
-    """The leader has heard from these incarnations a moment ago and gives each a lease."""
+    """Grants a lease to each of the incarnations that have sent the leader a renewal in time."""
 
     incarnations: tuple[str, ...]
     duration_us: int
@@ -81,7 +82,7 @@
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
-    """A node makes no decisions any more and gives its lease back."""
+    """Releases a node's lease, as the node makes no decisions any more."""
 
     node: str
     timestamp_us: int
@@ -92,27 +93,27 @@
 
 
 class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True, tag="here"):
-    """A node tells the leader, beside the log, that it is up and wants its lease renewed."""
+    """Asks the leader, outside the log, to renew a node's lease."""
 
     incarnation: str
 
 
 class ChangeOutcome(StrEnum):
-    """What became of a command. The values are the encoded form, and the words of the operators' answers."""
+    """The outcome of a command. The values are the encoded form, and the words of the operators' answers."""
 
     DONE = "done"
     IN_PROGRESS = "under way"
     BUSY = "busy"  # another change is pending
-    REJECTED = "refused"  # by a node's validation, or as it exceeds a limit
+    REJECTED = "refused"  # by a node's validation, or because it exceeds a limit
     ABORTED = "dropped"  # by the leader
     STALE = "over"  # about a change or a round that has ended
-    TOO_EARLY = "early"  # a condition for this step is not met yet
-    LEASES_FROZEN = "armed"  # no leases are granted while the change is prepared
-    UNKNOWN = "not known"  # not decided as far as this node knows; never a result of the log
+    TOO_EARLY = "early"  # a condition of this step is not met yet
+    LEASES_FROZEN = "armed"  # no leases are granted while a change is prepared
+    UNKNOWN = "not known"  # this node knows of no decision; never a result of the log
 
 
 class ChangeResult(msgspec.Struct, frozen=True, array_like=True):
-    """The result of a command, and the number of the change that it is about; 0: of none."""
+    """The result of a command, and the number of the change that it concerns; 0 if it concerns none."""
 
     outcome: ChangeOutcome
     number: int = 0
@@ -120,17 +121,17 @@
 
 
 class ChangeStep(NamedTuple):
-    """A step of a change as the log line `document_change_step` names it."""
+    """A step of a change, as the log line `document_change_step` names it."""
 
     name: str
     number: int
-    detail: str  # the fault or the reason; empty where there is none
+    detail: str  # the fault or the reason; empty if there is none
 
 
 def change_step(command: object) -> ChangeStep | None:
-    """Describe a step that a node or the leader takes in a change; None for commands that aren't logged.
+    """Return the step that a command takes in a change, or None if the command isn't logged.
 
-    A node's `Prepared` isn't logged, as every participant sends one in each round.
+    `Prepared` isn't logged, as every participant proposes one in each round.
     """
     match command:
         case ValidationVote():
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -1,25 +1,25 @@
-"""The state machine of agreed documents: content with a name, and versions with numbers that only grow.
+"""The replicated state machine of documents: named contents, and versions with increasing numbers.
 
-A version is in force at all nodes or at none. This module is the state that the log's commands lead to; it
-has no I/O and no clock. Times are microseconds of Unix time, stated by the node that proposed the command.
-The log holds digests only; content goes between nodes outside the log (`content_transfer`).
+A version is in force at all nodes or at none. This module applies the commands of the log; it has no I/O and
+no clock. Times are microseconds of Unix time by the clock of the node that proposed the command. The log
+holds digests only; nodes transfer contents outside the log (`content_transfer`).
 
 A node makes decisions under a document only while it holds a lease, which the log grants to one incarnation
-of the node. A node that is down, partitioned or paused can't act on what it knows for longer than its
-lease, and a node that restarts has no lease, whatever its disk holds, until a grant made after its start
-has reached it.
+of the node. So a node that is down, partitioned or paused can't act on an old version for longer than its
+lease, and a node that restarts has no lease, whatever its disk holds, until it has applied a grant that was
+made after its start.
 
 A change is a two-phase commit over the lease holders:
 
-1. Proposed: every lease holder fetches the content, stores it, validates it and votes. One rejection ends
+1. Proposed: every lease holder fetches the content, stores it, validates it and votes. One rejection aborts
    the change.
-2. Prepared: once all lease holders have accepted, each of them shortens its own lease and says so.
-3. Committed: once all of them have, the commit states when the new version takes effect: at the end of the
-   last lease held under the previous one. A node that has applied the commit by then switches at that
+2. Prepared: once all lease holders have accepted, each of them shortens its own lease and reports that.
+3. Committed: once all of them have, the commit determines when the new version takes effect: at the end of
+   the last lease held under the previous version. A node that has applied the commit by then switches at that
    moment; any other node has no lease any more, and can't get one without having applied the commit.
 
-A node that doesn't answer delays a change until its lease has ended. Decisions are ordered by the clocks of
-the nodes that make them; the difference between two clocks is the error of that.
+A node that doesn't respond delays a change until its lease has ended. Decisions are ordered by the clocks of
+the nodes that make them, so that order is as exact as those clocks are synchronized.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 MAX_CONTENT_BYTES = 1 << 20
 MAX_DOCUMENTS = 64
 MAX_LEASES = 1024  # running leases, and those that ended less than one lease duration ago
-MAX_RESULTS = 128  # finished changes whose result a repeated proposal still gets
+MAX_RESULTS = 128  # finished changes whose results repeated proposals can still get
 MAX_PREVIOUS_VERSIONS = 8  # of one document, besides the newest
 
 
@@ -62,7 +62,7 @@
     ABORTED = 4
 
 
-# A change may be aborted at any time; an aborted round makes it proposed again.
+# A change may be aborted at any time; an aborted round brings it back to the first phase.
 _TRANSITIONS: Mapping[ChangePhase, frozenset[ChangePhase]] = {
     ChangePhase.PROPOSED: frozenset({ChangePhase.PROPOSED, ChangePhase.PREPARED, ChangePhase.ABORTED}),
     ChangePhase.PREPARED: frozenset({ChangePhase.PROPOSED, ChangePhase.COMMITTED, ChangePhase.ABORTED}),
@@ -115,9 +115,13 @@
         return PrepareRound(self.number, self.round)
 
     def can_enter(self, phase: ChangePhase) -> bool:
-        """Whether the change may go from its phase to that one."""
+        """Whether a phase may follow the present one."""
         return phase in _TRANSITIONS[self.phase]
 
+    def enter(self, phase: ChangePhase) -> None:
+        """Enter a phase, of which the caller knows that `can_enter` holds."""
+        self.phase = phase
+
     def begin_round(self, participants: set[str], prepare: Prepare) -> None:
         """Enter the prepared phase with a new round."""
         self.round += 1
@@ -125,11 +129,11 @@
         self.prepared_by = set()
         self.prepare_started_at_us = prepare.timestamp_us
         self.short_lease_us = prepare.short_lease_us
-        self.phase = ChangePhase.PREPARED
+        self.enter(ChangePhase.PREPARED)
 
 
 class DocumentsSnapshot(msgspec.Struct, array_like=True):
-    """The whole state, in the order of its encoded form."""
+    """The whole state; the order of the fields is the encoded form."""
 
     change_count: int = 0
     versions: dict[str, list[Version]] = {}  # by document, the newest last
@@ -140,7 +144,7 @@
 
 
 def node_name(incarnation: str) -> str:
-    """Return the node's name from the name of one of its incarnations."""
+    """Return the name of the node that an incarnation belongs to."""
     return incarnation.partition("/")[0]
 
 
@@ -152,7 +156,7 @@
     """
 
     def __init__(self, voters: Sequence[str]) -> None:
-        """`voters`: names of the log's voters; a majority of them must store a content before its commit."""
+        """Begin without documents; a majority of `voters` must store a content before its commit."""
         self._voters = frozenset(voters)
         self._change_count = 0
         self._versions: dict[str, list[Version]] = {}
@@ -187,7 +191,7 @@
         return {incarnation for incarnation, end_us in self.leases.items() if end_us > at_us}
 
     def missing_acceptances(self, change: PendingChange, holders: set[str]) -> set[str]:
-        """Return who has yet to accept a change: lease holders, and voters until a majority of them has."""
+        """Return who has yet to accept a change: lease holders, and voters until a majority has accepted."""
         voters = {node_name(incarnation) for incarnation in change.accepted_by} & self._voters
         has_majority = len(voters) * 2 > len(self._voters)
         missing_voters = set() if has_majority else self._voters - voters
@@ -214,6 +218,7 @@
         return self._apply_to_change(command)
 
     def _apply_to_change(self, command: ChangeCommand) -> ChangeResult:
+        """Apply a command about the pending change; `STALE` if it is about another one."""
         change = self.change
         if change is None or change.number != command.number:
             return ChangeResult(ChangeOutcome.STALE, command.number)
@@ -235,10 +240,9 @@
             if self.change.idempotency_key == proposal.idempotency_key:
                 return ChangeResult(ChangeOutcome.IN_PROGRESS, self.change.number)
             return ChangeResult(ChangeOutcome.BUSY, self.change.number, self.change.name)
-        if not 0 < proposal.size <= MAX_CONTENT_BYTES:
-            return ChangeResult(ChangeOutcome.REJECTED, 0, f"size: from 1 to {MAX_CONTENT_BYTES} bytes")
-        if proposal.name not in self._versions and len(self._versions) >= MAX_DOCUMENTS:
-            return ChangeResult(ChangeOutcome.REJECTED, 0, f"name: there are {MAX_DOCUMENTS} documents")
+        fault = self._exceeded_limit(proposal)
+        if fault:
+            return ChangeResult(ChangeOutcome.REJECTED, 0, fault)
         self._change_count += 1
         self.change = PendingChange(
             name=proposal.name,
@@ -250,10 +254,19 @@
         )
         return ChangeResult(ChangeOutcome.IN_PROGRESS, self._change_count)
 
+    def _exceeded_limit(self, proposal: Proposal) -> str:
+        """Return the limit that a proposal exceeds; empty if it exceeds none."""
+        if not 0 < proposal.size <= MAX_CONTENT_BYTES:
+            return f"size: from 1 to {MAX_CONTENT_BYTES} bytes"
+        if proposal.name not in self._versions and len(self._versions) >= MAX_DOCUMENTS:
+            return f"name: there are {MAX_DOCUMENTS} documents"
+        return ""
+
     def _apply_lease_grant(self, grant: LeaseGrant) -> ChangeResult:
+        """Extend leases, and forget those that ended long ago; `LEASES_FROZEN` in the prepared phase."""
         if self.change is not None and self.change.phase is ChangePhase.PREPARED:
-            return ChangeResult(ChangeOutcome.LEASES_FROZEN)  # the commit counts on the present ends
-        leases = dict(self.leases)  # a copy: other threads read the present one
+            return ChangeResult(ChangeOutcome.LEASES_FROZEN)  # the commit relies on the present ends
+        leases = dict(self.leases)  # a copy, as other threads read the present one
         for incarnation in grant.incarnations:
             if incarnation in leases or len(leases) < MAX_LEASES:
                 end_us = grant.timestamp_us + grant.duration_us
@@ -266,6 +279,7 @@
         return ChangeResult(ChangeOutcome.DONE)
 
     def _apply_validation_vote(self, change: PendingChange, vote: ValidationVote) -> ChangeResult:
+        """Record an acceptance, or abort the change at the first rejection."""
         if vote.fault:
             reason = f"{node_name(vote.node)}: {vote.fault}"
             result = ChangeResult(ChangeOutcome.REJECTED, change.number, reason)
@@ -274,6 +288,7 @@
         return ChangeResult(ChangeOutcome.DONE, change.number)
 
     def _apply_prepare(self, change: PendingChange, prepare: Prepare) -> ChangeResult:
+        """Begin a round with all lease holders; `TOO_EARLY` until all of them have accepted the change."""
         holders = self.lease_holders(prepare.timestamp_us)
         if not change.can_enter(ChangePhase.PREPARED) or self.missing_acceptances(change, holders):
             return ChangeResult(ChangeOutcome.TOO_EARLY, change.number)
@@ -281,16 +296,18 @@
         return ChangeResult(ChangeOutcome.DONE, change.number)
 
     def _apply_prepared(self, change: PendingChange, prepared: Prepared) -> ChangeResult:
+        """Shorten a participant's lease; `STALE` for another round or a node that is no participant."""
         is_current = change.phase is ChangePhase.PREPARED and change.round == prepared.round
         if not is_current or prepared.node not in change.participants:
             return ChangeResult(ChangeOutcome.STALE, change.number)
-        # The node itself says when its lease ends; what an earlier grant gave it is void from that moment.
+        # The node has shortened its lease itself; the end of an earlier grant is void from that moment.
         short_end_us = prepared.timestamp_us + change.short_lease_us
         self.leases[prepared.node] = min(self.leases.get(prepared.node, 0), short_end_us)
         change.prepared_by.add(prepared.node)
         return ChangeResult(ChangeOutcome.DONE, change.number)
 
     def _apply_commit(self, change: PendingChange, commit: Commit) -> ChangeResult:
+        """Add the new version, in force once the last lease ends; `TOO_EARLY` before all are prepared."""
         if not change.can_enter(ChangePhase.COMMITTED) or self.unprepared_holders(
             change, commit.timestamp_us
         ):
@@ -303,14 +320,16 @@
         return self._finish_change(change, ChangePhase.COMMITTED, result)
 
     def _apply_abort(self, change: PendingChange, abort: Abort) -> ChangeResult:
+        """Abort the change for a reason; without one, only its round."""
         if abort.reason:
             result = ChangeResult(ChangeOutcome.ABORTED, change.number, abort.reason)
             return self._finish_change(change, ChangePhase.ABORTED, result)
-        change.phase = ChangePhase.PROPOSED
+        change.enter(ChangePhase.PROPOSED)
         return ChangeResult(ChangeOutcome.DONE, change.number)
 
     def _finish_change(self, change: PendingChange, phase: ChangePhase, result: ChangeResult) -> ChangeResult:
-        change.phase = phase
+        """End the pending change, and remember its result for repeated proposals."""
+        change.enter(phase)
         self.change = None
         self.results[change.idempotency_key] = result
         while len(self.results) > MAX_RESULTS:
@@ -320,7 +339,7 @@
     # --- snapshots
 
     def snapshot(self) -> DocumentsSnapshot:
-        """Return the whole state. It shares its parts with this object: encode it before the next command."""
+        """Return the whole state, which shares its parts with this object: encode it before `apply`."""
         return DocumentsSnapshot(
             change_count=self._change_count,
             versions=self._versions,
@@ -331,7 +350,7 @@
         )
 
     def restore(self, snapshot: DocumentsSnapshot) -> None:
-        """Replace the whole state by a snapshot's."""
+        """Replace the whole state by that of a snapshot."""
         self._change_count = snapshot.change_count
         self._versions = dict(snapshot.versions)
         self.change = snapshot.change
--- a/tansyladder/replication/lease_coordinator.py
+++ b/tansyladder/replication/lease_coordinator.py
@@ -1,4 +1,4 @@
-"""What the leader proposes: lease grants, and the next step of the pending change."""
+"""The proposals of the leader: lease grants, and the next step of the pending change."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from tansyladder.replication.proposal_throttle import ProposalThrottle
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 
-MAX_BACKOFF_DOUBLINGS = 5  # of the pause between two rounds of preparing: 6.4 s at most
+MAX_BACKOFF_DOUBLINGS = 5  # of the backoff between two rounds of preparing: 6.4 s at most
 ABORTED_ROUND = ""  # the reason of an abort that ends only the round
 
 
 class LeaseCoordinator:
-    """The leader's part in leases and in the pending change; it decides from the replicated state alone.
+    """Proposes lease grants and the steps of the pending change, from the replicated state and renewals.
 
-    Safety doesn't depend on it: the state machine turns down what a coordinator proposes too early or as a
+    Safety doesn't depend on it: the state machine rejects what a coordinator proposes too early or as a
     former leader. Owned by the Raft thread. Times are microseconds of Unix time by the leader's clock.
     """
 
@@ -22,17 +22,17 @@
     SHORT_LEASE_US = 300 * MILLISECOND_US  # while a change is prepared
     VALIDATION_TIMEOUT_US = 10 * SECOND_US  # for the vote of a node that is up
     REPROPOSE_INTERVAL_US = 100 * MILLISECOND_US  # between two commands of one type
-    PREPARE_TIMEOUT_US = 180 * MILLISECOND_US  # of a round; the rest of a short lease is left to renew it
+    PREPARE_TIMEOUT_US = 180 * MILLISECOND_US  # of a round; shorter than a short lease, which needs renewal
     PREPARE_BACKOFF_US = 200 * MILLISECOND_US  # after an aborted round; doubles with each
 
     def __init__(
         self, incarnation: str, documents: Documents, lease_duration_us: int = LEASE_DURATION_US
     ) -> None:
-        """`incarnation`: of the node that this coordinator runs at."""
+        """Begin without renewals; `incarnation` is that of the coordinator's own node."""
         self._incarnation = incarnation
         self._documents = documents
         self._lease_duration_us = lease_duration_us
-        self._renewal_window_us = lease_duration_us // 4  # a node silent for longer counts as down
+        self._renewal_window_us = lease_duration_us // 4  # a node without a renewal for longer counts as down
         self._last_renewal_us: dict[str, int] = {}  # by incarnation
         self._throttle = ProposalThrottle(self.REPROPOSE_INTERVAL_US)
         self._prepare_not_before_us = 0
@@ -40,24 +40,24 @@
         self._last_aborted_round = 0
 
     def record_renewal(self, incarnation: str, now_us: int) -> None:
-        """Note that a node is up and wants its lease renewed."""
+        """Record that a node has asked for the renewal of its lease."""
         if incarnation in self._last_renewal_us or len(self._last_renewal_us) < MAX_LEASES:
             self._last_renewal_us[incarnation] = now_us
 
     def reset(self) -> None:
-        """Forget all renewals: this node doesn't lead, and they will be old when it does."""
+        """Forget all renewals, as this node doesn't lead, and they will be old when it does."""
         self._last_renewal_us.clear()
         self._throttle.reset()
 
     def is_urgent(self, now_us: int) -> bool:
-        """Whether nodes wait for commits: a change is pending, or a renewed lease is short or has ended."""
+        """Whether nodes wait for commits: a change is pending, or a lease to renew ends within a second."""
         leases = self._documents.leases
         return self._documents.change is not None or any(
             leases.get(incarnation, 0) < now_us + SECOND_US for incarnation in self._last_renewal_us
         )
 
     def next_commands(self, now_us: int) -> list[DocumentCommand]:
-        """Return what to propose now."""
+        """Return the commands to propose now."""
         self._last_renewal_us = {
             incarnation: renewed_at_us
             for incarnation, renewed_at_us in self._last_renewal_us.items()
@@ -74,12 +74,12 @@
         return self._renew_leases(now_us) + self._advance_proposed(change, now_us)
 
     def _advance_prepared(self, change: PendingChange, now_us: int) -> list[DocumentCommand]:
-        """Commit a change that all participants are prepared for; abort a round that takes too long."""
+        """Commit a change for which all participants are prepared; abort a round that takes too long."""
         if not self._documents.unprepared_holders(change, now_us):
             return self._propose_once(Commit(change.number, self._incarnation, now_us), now_us)
         if now_us - change.prepare_started_at_us <= self.PREPARE_TIMEOUT_US:
             return []
-        # Prepared nodes get a long lease again before their short one ends; the others may be down.
+        # Prepared nodes get a long lease again before their short one ends; the other nodes may be down.
         if self._last_aborted_round != change.round:
             self._last_aborted_round = change.round
             doublings = min(self._aborted_round_count, MAX_BACKOFF_DOUBLINGS)
@@ -88,7 +88,7 @@
         return self._propose_once(Abort(change.number, self._incarnation, now_us, ABORTED_ROUND), now_us)
 
     def _advance_proposed(self, change: PendingChange, now_us: int) -> list[DocumentCommand]:
-        """Prepare a change that all have accepted; abort one that a node doesn't vote on in time."""
+        """Prepare a change that all have accepted; abort it if a node doesn't vote in time."""
         holders = self._documents.lease_holders(now_us)
         missing = self._documents.missing_acceptances(change, holders)
         if not missing:
@@ -106,7 +106,7 @@
         return []
 
     def _prepare(self, change: PendingChange, holders: set[str], now_us: int) -> list[DocumentCommand]:
-        """Begin a round, unless a lease holder is silent: it won't prepare, so its lease is to end first."""
+        """Begin a round, unless a lease holder seems to be down: its lease has to end first."""
         if now_us < self._prepare_not_before_us:
             return []
         if any(self._silence_us(holder, now_us) > self._renewal_window_us for holder in holders):
@@ -117,12 +117,12 @@
     def _abort_unanswered(
         self, change: PendingChange, incarnations: set[str], now_us: int
     ) -> list[DocumentCommand]:
-        """Abort a change as nodes haven't voted; the reason names the first of them."""
+        """Abort a change on which nodes haven't voted; the reason names the first of them."""
         reason = f"no answer of {min(map(node_name, incarnations))}"
         return self._propose_once(Abort(change.number, self._incarnation, now_us, reason), now_us)
 
     def _renew_leases(self, now_us: int) -> list[DocumentCommand]:
-        """Grant a lease to each node that was heard from and has used up a third of its present one."""
+        """Grant a lease to each node that has asked in time and has used a third of its present one."""
         leases = self._documents.leases
         renewed = [
             incarnation
@@ -136,9 +136,9 @@
         return self._propose_once(grant, now_us)
 
     def _silence_us(self, incarnation: str, now_us: int) -> int:
-        """Return for how long a node hasn't asked for a renewal; since 1970 where it never has."""
+        """Return the time since a node's last renewal; since 1970 if it has sent none."""
         return now_us - self._last_renewal_us.get(incarnation, 0)
 
     def _propose_once(self, command: DocumentCommand, now_us: int) -> list[DocumentCommand]:
-        """Return the command, unless one of its type was proposed a moment ago."""
+        """Return the command, unless one of its type was proposed within `REPROPOSE_INTERVAL_US`."""
         return [command] if self._throttle.allows(type(command), now_us) else []
--- a/tansyladder/replication/lease_holder.py
+++ b/tansyladder/replication/lease_holder.py
@@ -1,4 +1,4 @@
-"""The lease of one incarnation of a node, as far as the node has applied the log."""
+"""The lease of one incarnation of a node, as of the entries that the node has applied."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class LeaseHolder:
-    """Says how long a node may decide, and what it owes to the pending change.
+    """Determines how long a node may decide, and shortens its lease for the pending change.
 
     Owned by the Raft thread. Times are microseconds of Unix time by the node's own clock.
     """
 
     def __init__(self, incarnation: str, documents: Documents) -> None:
-        """`documents`: the state as this node has applied it."""
+        """Begin with a lease that isn't shortened; `documents` is the state that this node has applied."""
         self.incarnation = incarnation
         self._documents = documents
-        self._prepared_round = PrepareRound(0, 0)  # for which it has shortened its lease
+        self._prepared_round = PrepareRound(0, 0)  # the last round in which the lease was shortened
         self._short_lease_end_us = 0  # in that round
 
     def lease_end_us(self) -> int:
         """Return when the lease ends; 0 without a lease.
 
-        From the moment it is shortened the short end counts, though the log may not have it yet.
+        The short end counts from the moment at which the lease is shortened, before the log has it.
         """
         end_us = self._documents.leases.get(self.incarnation, 0)
         change = self._documents.change
@@ -42,10 +42,10 @@
         return change if change is not None and self.incarnation not in change.accepted_by else None
 
     def prepare(self, now_us: int) -> Prepared | None:
-        """Shorten the lease if the pending change asks for it, and return what to propose about that.
+        """Shorten the lease if the pending change requires it, and return the command to propose.
 
-        Call it after each application of commands, before anything else leaves the node. Called again it
-        returns the same message until the log has it.
+        Call this after each application of commands, before the node sends anything. Repeated calls return
+        the same command until the log has it.
         """
         change = self._documents.change
         if change is None or change.phase is not ChangePhase.PREPARED:
--- a/tansyladder/replication/proposal_throttle.py
+++ b/tansyladder/replication/proposal_throttle.py
@@ -1,22 +1,22 @@
-"""Keeps a node from proposing the same command again before the log can have it."""
+"""A limit on how often a node proposes the same command, which takes a while to be committed."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
-MAX_REMEMBERED = 64  # then those that don't matter any more are forgotten
+MAX_REMEMBERED = 64  # proposals; beyond it those whose interval has passed are forgotten
 
 
 class ProposalThrottle:
     """Allows a proposal once in an interval. Not thread-safe; times are microseconds of any one clock."""
 
     def __init__(self, interval_us: int) -> None:
-        """`interval_us`: after which a command that the log still lacks is proposed again."""
+        """Begin without proposals; `interval_us` must pass between two proposals of a command."""
         self._interval_us = interval_us
         self._proposed_at_us: dict[Hashable, int] = {}
 
     def allows(self, key: Hashable, now_us: int) -> bool:
-        """Whether the proposal that a key names may be made now; if so, note that it is."""
+        """Whether the proposal with a key may be made now; if so, record that it is made."""
         proposed_at_us = self._proposed_at_us.get(key)
         if proposed_at_us is not None and now_us - proposed_at_us < self._interval_us:
             return False
@@ -30,6 +30,7 @@
         self._proposed_at_us.clear()
 
     def _forget_old(self, now_us: int) -> None:
+        """Forget the proposals whose interval has passed."""
         self._proposed_at_us = {
             key: proposed_at_us
             for key, proposed_at_us in self._proposed_at_us.items()
--- a/tansyladder/replication/replicated_state.py
+++ b/tansyladder/replication/replicated_state.py
@@ -1,7 +1,7 @@
-"""All that the nodes of a cluster agree on through one log: session ownership and documents.
+"""The state that the nodes of a cluster replicate through one log: session ownership and documents.
 
-A command says by its tag which state machine it is for. A command that this version doesn't know ends the
-node's part in the log, as its state would differ from the others' from there on.
+The tag of a command determines its state machine. A command that this version doesn't know stops the node's
+Raft thread, as the node's state would differ from that of the others from there on.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class StateSnapshot(msgspec.Struct, array_like=True, tag="agreed 2"):
-    """A snapshot of both state machines; the version before encoded session ownership alone."""
+    """A snapshot of both state machines; the previous version encoded session ownership alone."""
 
     session_ownership: bytes
     documents: DocumentsSnapshot
@@ -35,7 +35,12 @@
     """The log's state machine. Owned by the Raft thread."""
 
     def __init__(self, voters: Sequence[str], on_owner_change: OwnerChangeCallback | None = None) -> None:
-        """`voters`: names of the log's voters; `on_owner_change`: called with each accepted claim."""
+        """Begin with an empty state.
+
+        Args:
+            voters: The names of the log's voters.
+            on_owner_change: Called with each accepted claim, on the Raft thread; it must not block.
+        """
         self.session_ownership = SessionOwnership(on_owner_change)
         self.documents = Documents(voters)
         self._decoder = msgspec.msgpack.Decoder(Command)
@@ -56,13 +61,13 @@
         return msgspec.msgpack.encode(StateSnapshot(ownership, self.documents.snapshot()))
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state by a snapshot's, of this version or the one before.
+        """Replace the whole state by that of a snapshot of this version or the previous one.
 
-        msgspec.ValidationError: it is of no known version.
+        msgspec.ValidationError: the snapshot is of no known version.
         """
         try:
             state = msgspec.msgpack.decode(snapshot, type=StateSnapshot)
-        except msgspec.ValidationError:  # of the version before
+        except msgspec.ValidationError:  # of the previous version
             state = StateSnapshot(snapshot, DocumentsSnapshot())
         self.session_ownership.restore(state.session_ownership)
         self.documents.restore(state.documents)
