--- /dev/null
+++ b/tansyladder/assembly.py
@@ -0,0 +1,178 @@
+"""Puts a node together: the one place that makes its parts and gives each of them what it uses.
+
+What only an operator's settings switch on is imported where it is switched on, and what is not needed before
+clients can connect is imported after that: both keep the start short.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from tansyladder.config.operator_settings import Options
+from tansyladder.config.platform import Address, Config
+from tansyladder.net.clock import Clock
+from tansyladder.net.listener_handover import ListenerHandover
+from tansyladder.node.active_configuration import ActiveConfiguration
+from tansyladder.node.attachable_endpoint_cache import AttachableEndpointCache
+from tansyladder.node.client_listener import ClientListener
+from tansyladder.node.context import NodeContext
+from tansyladder.node.decision_gate import DecisionGate
+from tansyladder.node.endpoint_registry import newest_list
+from tansyladder.node.lifecycle import Lifecycle
+from tansyladder.node.metrics import Metrics
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.work_queues import WorkQueues
+from tansyladder.start_errors import BadConfigError, BadSettingsError
+
+if TYPE_CHECKING:  # a node without these layers does not load them
+    from tansyladder.node.reload import Reloader
+    from tansyladder.sessions.resumption_handler import ResumptionHandler
+
+
+@dataclass(frozen=True, slots=True)
+class Node:
+    """A complete node. Owned by the main thread: `start`, then `stop`."""
+
+    context: NodeContext
+    work_queues: WorkQueues
+    handover: ListenerHandover
+    endpoint_cache: AttachableEndpointCache
+    decision_gate: DecisionGate
+    session_service: ResumptionHandler | None  # where sessions can be resumed
+    listener: ClientListener
+
+    def start(self, environ: Mapping[str, str], options_path: str | Path | None) -> Reloader:
+        """Start the threads, clients last.
+
+        Args:
+            environ: Names the platform's file, for reloads.
+            options_path: Of the operator's settings file, where one was named.
+
+        Returns:
+            What reloads the configuration.
+        """
+        # The listener is open: clients that connect meanwhile wait in its queue.
+        from tansyladder.node.discovery_client import DiscoveryClient
+        from tansyladder.node.health_checker import HealthChecker
+
+        context = self.context
+        configured = context.configuration.config.known_endpoints
+        initial = newest_list(configured, self.endpoint_cache, self.handover.endpoints, context.clock)
+        context.policy.start(initial)
+        discovery = DiscoveryClient(context, self.work_queues, self.endpoint_cache)
+        discovery.start()
+        HealthChecker(context, self.work_queues).start()
+        self.listener.start()
+        # Only now, as clients are accepted meanwhile.
+        from tansyladder.node.reload import Reloader
+
+        reloader = Reloader(environ, context, discovery, self.session_service, options_path)
+        reloader.start()
+        return reloader
+
+    def stop(self) -> None:
+        """Drain, then leave the cluster and close the store."""
+        self.listener.drain()
+        self.decision_gate.leave()
+        self.endpoint_cache.close()
+
+
+def build_context(config: Config, options: Options, work_queues: WorkQueues) -> NodeContext:
+    """Build what the parts of a node share."""
+    configuration = ActiveConfiguration(config)
+    clock = Clock()
+    metrics = Metrics(config.class_names)
+    policy = PolicyRunner(configuration, clock, metrics, work_queues)
+    return NodeContext(configuration, options, clock, metrics, Lifecycle(), policy)
+
+
+def build_node(config: Config, options: Options, state_directory: str | None) -> Node:
+    """Build a node whose listeners are open, and which takes part in its cluster where it has one.
+
+    `state_directory`: the node's own, which outlives its process; None: there is none.
+
+    Raises:
+        BadConfigError: An address can't be listened on.
+        BadSettingsError: The operator's settings of peers can't be used.
+    """
+    work_queues = WorkQueues()
+    context = build_context(config, options, work_queues)
+    handover = ListenerHandover(config.listen, state_directory)
+    endpoint_cache = AttachableEndpointCache()
+    decision_gate = DecisionGate(requires_lease=options.documents.enabled)
+    session_service = _build_session_service(context, endpoint_cache)
+    listener = _open_listener(context, handover, session_service, decision_gate)
+    node = Node(context, work_queues, handover, endpoint_cache, decision_gate, session_service, listener)
+    if config.operator is not None:
+        _start_admin_server(node, config.operator)
+    if options.peers.enabled:
+        _join_cluster(node, state_directory)
+    return node
+
+
+def _build_session_service(
+    context: NodeContext, endpoint_cache: AttachableEndpointCache
+) -> ResumptionHandler | None:
+    """Build what resumes sessions, and open the store that keeps them, where the settings ask for these."""
+    options = context.options
+    store = None
+    if options.store.enabled and not options.peers.enabled:
+        from tansyladder.sessions.session_store import open_session_store
+
+        store = open_session_store(options.store.directory, context.configuration.config.name)
+        if store is not None:
+            endpoint_cache.attach(store)
+            store.start()
+    if not options.resume.enabled:
+        return None
+    # Only now, as it loads the library of its cryptography.
+    from tansyladder.sessions.resumption_handler import ResumptionHandler
+
+    return ResumptionHandler(context, store)
+
+
+def _open_listener(
+    context: NodeContext,
+    handover: ListenerHandover,
+    session_service: ResumptionHandler | None,
+    decision_gate: DecisionGate,
+) -> ClientListener:
+    """Open the clients' listener, or take over that of the process before."""
+    try:
+        return ClientListener(context, handover, session_service, decision_gate)
+    except OSError as err:
+        raise BadConfigError(f"GW_LISTEN: {err}") from err
+
+
+def _start_admin_server(node: Node, address: Address) -> None:
+    """Open the operators' address, which is answered from now on."""
+    from tansyladder.node.admin_server import AdminServer
+
+    try:
+        AdminServer(node.context, node.decision_gate, node.listener, address).start()
+    except OSError as err:
+        raise BadConfigError(f"GW_OPERATOR: {err}") from err
+
+
+def _join_cluster(node: Node, state_directory: str | None) -> None:
+    """Join the nodes that take over each other's sessions."""
+    from tansyladder.cluster.bootstrap import ClusterMember, join_cluster
+    from tansyladder.config.errors import ConfigError
+
+    if node.session_service is None:
+        return  # the settings' check has made sure that peers have resumption
+    member = ClusterMember(
+        node.context,
+        node.session_service,
+        node.endpoint_cache,
+        node.decision_gate,
+        node.handover.predecessor_gone,
+        state_directory,
+    )
+    try:
+        join_cluster(member)
+    except (OSError, ValueError, ConfigError) as err:
+        raise BadSettingsError(f"peers: {err}") from err
--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import threading
+from dataclasses import dataclass
 
 from tansyladder.cluster.document_lease import LeaseExpiryPolicy
 from tansyladder.cluster.document_publisher import DocumentPublisher
@@ -17,69 +18,80 @@
 from tansyladder.config.operator_settings import DocumentsOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.attachable_endpoint_cache import AttachableEndpointCache
+from tansyladder.node.context import NodeContext
+from tansyladder.node.decision_gate import DecisionGate
 from tansyladder.sessions.resumption_handler import ResumptionHandler
 from tansyladder.sessions.session_store import open_session_store
 from tansyladder.store import Store, StoreError
 
 
-def join_cluster(
-    policy_runner: PolicyRunner, resumption_handler: ResumptionHandler, state_directory: str | None
-) -> None:
+@dataclass(frozen=True, slots=True)
+class ClusterMember:
+    """What a process of a node needs to join its cluster."""
+
+    context: NodeContext
+    resumption_handler: ResumptionHandler
+    endpoint_cache: AttachableEndpointCache
+    decision_gate: DecisionGate
+    predecessor_gone: threading.Event
+    state_directory: str | None  # the node's own, which outlives its process
+
+
+def join_cluster(member: ClusterMember) -> None:
     """Join the cluster now, or in a thread of its own once the process before this one has ended.
 
-    `state_directory`: the node's own, which outlives its process.
+    In the thread errors are logged.
 
-    OSError, ValueError, ConfigError: the settings don't fit. StoreError: the store can't be read. In the
-    thread they are logged.
+    Raises:
+        OSError, ValueError, ConfigError: The settings can't be used.
+        StoreError: The store can't be read.
     """
-    if policy_runner.listener_handover.predecessor_gone.is_set():
-        _join(policy_runner, resumption_handler, state_directory)
+    if member.predecessor_gone.is_set():
+        _join(member)
     else:
-        arguments = (policy_runner, resumption_handler, state_directory)
-        threading.Thread(target=_join_after_predecessor, args=arguments, name="join", daemon=True).start()
+        threading.Thread(target=_join_after_predecessor, args=(member,), name="join", daemon=True).start()
 
 
-def _join_after_predecessor(
-    policy_runner: PolicyRunner, resumption_handler: ResumptionHandler, state_directory: str | None
-) -> None:
-    policy_runner.listener_handover.predecessor_gone.wait()
+def _join_after_predecessor(member: ClusterMember) -> None:
+    """Wait for the end of the process before, then join."""
+    member.predecessor_gone.wait()
     try:
-        _join(policy_runner, resumption_handler, state_directory)
+        _join(member)
     except (OSError, ValueError, ConfigError, StoreError) as err:
         log(LogEvent.CLUSTER_JOIN_FAILED, why=err)
 
 
-def _join(
-    policy_runner: PolicyRunner, resumption_handler: ResumptionHandler, state_directory: str | None
-) -> None:
-    store = _open_store(policy_runner)
-    documents = policy_runner.options.documents
+def _join(member: ClusterMember) -> None:
+    """Open the store, then start Raft on it."""
+    context = member.context
+    documents = context.options.documents
+    store = _open_store(member)
     raft_runner = RaftRunner(
-        policy_runner.config.name,
-        policy_runner.options.peers,
-        NodeStorage(store, state_directory),
-        resumption_handler.on_ownership_claimed,
-        lambda: policy_runner.clock.micros(now()),
+        context.configuration.config.name,
+        context.options.peers,
+        NodeStorage(store, member.state_directory),
+        member.resumption_handler.on_ownership_claimed,
+        lambda: context.clock.micros(now()),
         _document_settings(documents),
     )
-    resumption_handler.join_peers(raft_runner)
+    member.resumption_handler.join_peers(raft_runner)
     replica = raft_runner.document_replica
     if replica is not None:
-        policy_runner.decision_permit = DocumentPublisher(raft_runner, replica, documents.stamps)
+        member.decision_gate.join(DocumentPublisher(raft_runner, replica, documents.stamps))
     raft_runner.start()
     log(LogEvent.CLUSTER_JOINED, store=store is not None)
 
 
-def _open_store(policy_runner: PolicyRunner) -> Store | None:
-    """Open the node's store, if it has one that can be used, and let its owner run."""
-    options = policy_runner.options.store
+def _open_store(member: ClusterMember) -> Store | None:
+    """Open the node's store, if it has one that can be used, and start its maintenance."""
+    options = member.context.options.store
     if not options.enabled:
         return None
-    session_store = open_session_store(options.directory, policy_runner.config.name)
-    policy_runner.endpoint_cache = session_store
+    session_store = open_session_store(options.directory, member.context.configuration.config.name)
     if session_store is None:
         return None
+    member.endpoint_cache.attach(session_store)
     session_store.start()
     return session_store.store
 
--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -19,8 +19,9 @@
 from tansyladder.net.clock import now
 from tansyladder.node.admission_control import ADMIN_DESCRIPTORS
 from tansyladder.node.client_listener import ClientListener
+from tansyladder.node.context import NodeContext
+from tansyladder.node.decision_gate import DecisionGate
 from tansyladder.node.lifecycle import NodeState
-from tansyladder.node.policy_runner import PolicyRunner
 
 if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
     from tansyladder.node.extension_points import DecisionPermit
@@ -63,14 +64,23 @@
     The calls ask the owners of what they are about, all of which are thread-safe.
     """
 
-    def __init__(self, runner: PolicyRunner, client_listener: ClientListener, address: Address) -> None:
-        self._runner = runner
+    def __init__(
+        self,
+        context: NodeContext,
+        decision_gate: DecisionGate,
+        client_listener: ClientListener,
+        address: Address,
+    ) -> None:
+        self._lifecycle = context.lifecycle
+        self._metrics = context.metrics
+        self._policy = context.policy
+        self._decision_gate = decision_gate
         self._client_listener = client_listener
         self._commands: dict[str, Callable[..., list[str]]] = {
             "status": self._status,
             "stats": self._stats,
-            "standby": lambda: self._change_state(runner.lifecycle.enter_standby),
-            "active": lambda: self._change_state(runner.lifecycle.activate),
+            "standby": lambda: self._change_state(self._lifecycle.enter_standby),
+            "active": lambda: self._change_state(self._lifecycle.activate),
         }
         # Where documents are replicated: by name, and how many arguments follow it.
         self._document_commands: dict[tuple[str, int], Callable[..., list[str]]] = {
@@ -104,28 +114,29 @@
 
     @property
     def _decision_permit(self) -> DecisionPermit:
-        if self._runner.decision_permit is None:
+        permit = self._decision_gate.permit
+        if permit is None:
             raise CallError("not joined: this process has no part in the fleet yet")
-        return self._runner.decision_permit
+        return permit
 
     def _status(self) -> list[str]:
-        state = self._runner.lifecycle.state
+        state = self._lifecycle.state
         if state is not NodeState.SERVING:
             raise CallError(state.value)
         return [state.value]
 
     def _stats(self) -> list[str]:
         metrics = {
-            **self._runner.metrics.totals(),
+            **self._metrics.totals(),
             "active": self._client_listener.active_count,
-            **self._runner.pool_metrics(),
-            "phase": self._runner.lifecycle.state.value,
+            **self._policy.pool_metrics(),
+            "phase": self._lifecycle.state.value,
         }
         return [msgspec.json.encode(metrics).decode(), "."]
 
     def _change_state(self, change: Callable[[], bool]) -> list[str]:
         is_changed = change()
-        state = self._runner.lifecycle.state
+        state = self._lifecycle.state
         if not is_changed:
             raise CallError(state.value)
         return [state.value]  # the log has the change itself
@@ -150,7 +161,7 @@
         if (command := self._commands.get(text)) is not None:
             return command()
         name = text
-        if self._runner.options.documents.enabled:
+        if self._decision_gate.requires_lease:
             name, *arguments = text.split()
             command = self._document_commands.get((name, len(arguments)))
             if command is not None:
--- a/tansyladder/node/admission_control.py
+++ b/tansyladder/node/admission_control.py
@@ -4,13 +4,17 @@
 
 import threading
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from tansyladder.net import protocol
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.handover_messages import DescriptorSplit
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.protocol import TENANT_FIELD, Opening
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.context import NodeContext
+
+if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+    from tansyladder.node.extension_points import SessionService
 
 # Of the descriptors that the machine grants, a pending connection needs one; a served one needs two, and a
 # third for its action queue until it is established.
@@ -29,15 +33,26 @@
     Thread-safe: `_lock` guards `_open_ids`, and nothing else is called under it.
     """
 
-    def __init__(self, runner: PolicyRunner, handover: ListenerHandover) -> None:
-        """`handover`: to another process, which has a part of the descriptors while it runs."""
-        self._runner = runner
+    def __init__(
+        self, context: NodeContext, handover: ListenerHandover, session_service: SessionService | None
+    ) -> None:
+        """Grant the descriptors that the configuration names.
+
+        Args:
+            context: Of the node.
+            handover: To another process, which has a part of the descriptors while it runs.
+            session_service: Where sessions can be resumed.
+        """
+        self._configuration = context.configuration
+        self._policy = context.policy
         self._handover = handover
+        self._session_service = session_service
         self._lock = threading.Lock()
         self._open_ids: set[str] = set()  # of the connections that are served
-        limits = runner.config.limits
+        config = context.configuration.config
+        limits = config.limits
         self.max_pending = max(MIN_PENDING, min(MAX_PENDING, limits.sockets // PENDING_SHARE))
-        self._reserved = RESERVED_DESCRIPTORS + (ADMIN_DESCRIPTORS if runner.config.operator else 0)
+        self._reserved = RESERVED_DESCRIPTORS + (ADMIN_DESCRIPTORS if config.operator else 0)
         self._available = limits.sockets - self._reserved - self.max_pending
 
     @property
@@ -48,25 +63,25 @@
     @property
     def retry_after(self) -> timedelta:
         """When a client rejected here may come again; zero where the platform sends no such time."""
-        settings = self._runner.config.settings
+        settings = self._configuration.settings
         if not settings.can_send_retry_after:
             return timedelta(0)
         return min(REJECTION_RETRY_AFTER, settings.max_retry_after_us * MICROSECOND)
 
     def check_fields(self, opening: Opening) -> None:
         """Raise LineError where the settings know no such class or tenant."""
-        if opening.class_name not in self._runner.class_numbers:
+        if opening.class_name not in self._configuration.class_numbers:
             raise protocol.LineError(f"c: unknown class {opening.class_name[:40]}")
-        tenants = self._runner.config.tenants
+        tenants = self._configuration.config.tenants
         if tenants and opening.field_values.get(TENANT_FIELD) not in tenants:
             raise protocol.LineError(f"t: unknown tenant {opening.field_values.get(TENANT_FIELD, '')[:40]}")
 
     def reserve(self, connection_id: str) -> bool:
         """Count a connection as served; False at the limit, LineError where its id is open already."""
         # An established connection has given its action queue's descriptor back; a resumable one keeps it.
-        released = len(self._runner.request_ids(True))
-        if self._runner.session_service is not None:
-            released -= len(self._runner.session_service.token_registry)
+        released = len(self._policy.established_request_ids())
+        if self._session_service is not None:
+            released -= len(self._session_service.token_registry)
         available = self._available - self._handover.remote_descriptor_count
         with self._lock:
             if connection_id in self._open_ids:
@@ -88,7 +103,7 @@
 
     def split_descriptors(self, pending_count: int) -> DescriptorSplit:
         """Descriptors that this process keeps where another one comes, and what that leaves to it."""
-        used = SERVED_DESCRIPTORS * len(self._open_ids) - len(self._runner.request_ids(True))
+        used = SERVED_DESCRIPTORS * len(self._open_ids) - len(self._policy.established_request_ids())
         free = max(0, self._available - used)
         retained = self._reserved + pending_count + used + free // 2
         return DescriptorSplit(retained, free - free // 2)
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -12,7 +12,7 @@
 from tansyladder.net.action_queue import ActionQueue, QueuedAction
 from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.context import NodeContext
 from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
 from tansyladder.policy.events import (
     AttemptEnded,
@@ -32,7 +32,7 @@
 class AttemptLoop:
     """What the attempts of one request have in common; owned by the request's thread."""
 
-    runner: PolicyRunner
+    context: NodeContext
     action_queue: ActionQueue
     request_id: int
     class_name: str
@@ -44,7 +44,7 @@
 
     def run(self, request: RequestReceived) -> AttemptLoopResult:
         """Follow the policy until a connection is established or the request ends; one attempt at a time."""
-        self.runner.handle_events(request)
+        self.context.policy.handle_events(request)
         attempt = 0
         while True:
             action = self._next_action()
@@ -55,7 +55,7 @@
                         return outcome
                     attempt += 1
                 case Reject() | ClientEnd():
-                    self.runner.handle_events(ClientDisconnected(self.request_id))
+                    self.context.policy.handle_events(ClientDisconnected(self.request_id))
                     return action
                 case Fail():
                     return action
@@ -64,14 +64,14 @@
 
     def _make_attempt(self, action: StartAttempt, attempt: int) -> UpstreamConnection | ClientEnd | None:
         """Make one attempt; None: it failed, and the policy decides what is next."""
-        runner = self.runner
-        endpoint = runner.endpoint(action.endpoint_id)
+        policy = self.context.policy
+        endpoint = policy.endpoint(action.endpoint_id)
         started = now()
         connector = UpstreamConnector(
             endpoint,
             self.first_line,
             min(started + action.timeout_us * MICROSECOND, self.deadline),
-            runner.config.settings.connect_timeout_us * MICROSECOND,
+            self.context.configuration.settings.connect_timeout_us * MICROSECOND,
             self._record_attempt,
             self.answer_line_count,
         )
@@ -79,7 +79,7 @@
         duration_us = (now() - started) // MICROSECOND
         if result.sock is not None and result.buffer is not None:
             if self.is_acceptable(result):
-                runner.handle_events(
+                policy.handle_events(
                     AttemptEstablished(self.request_id, attempt, endpoint.number, duration_us)
                 )
                 lines = (result.up_line, *result.following_lines)
@@ -92,13 +92,13 @@
             self.request_id, attempt, endpoint.number, result.status, duration_us, is_client_finished
         )
         if is_client_finished:
-            runner.handle_events(ClientDisconnected(self.request_id), ended)
+            policy.handle_events(ClientDisconnected(self.request_id), ended)
         else:
-            runner.handle_events(ended)
+            policy.handle_events(ended)
         return client_end
 
     def _record_attempt(self) -> None:
-        self.runner.metrics.record_attempt(self.class_name)
+        self.context.metrics.record_attempt(self.class_name)
 
     def _next_action(self) -> QueuedAction | ClientEnd:
         """Wait for the policy's next action, or for the client's end."""
@@ -127,13 +127,13 @@
     return None if opening.load_hint is None else int(opening.load_hint)
 
 
-def tenant_of(runner: PolicyRunner, opening: protocol.Opening) -> int:
+def tenant_of(context: NodeContext, opening: protocol.Opening) -> int:
     """The number of the tenant that a first line names; 0 where the settings have no such."""
-    return runner.config.tenant_number(opening.field_values.get(protocol.TENANT_FIELD, ""))
+    return context.configuration.config.tenant_number(opening.field_values.get(protocol.TENANT_FIELD, ""))
 
 
 def build_request(
-    runner: PolicyRunner,
+    context: NodeContext,
     request_id: int,
     class_number: int,
     opening: protocol.Opening,
@@ -144,8 +144,8 @@
     return RequestReceived(
         request_id,
         class_number,
-        tenant_of(runner, opening),
-        runner.clock.micros(deadline),
+        tenant_of(context, opening),
+        context.clock.micros(deadline),
         opening.key,
         opening.group_key,
         load_hint_of(opening),
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -7,6 +7,7 @@
 import threading
 from collections.abc import Callable
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
@@ -18,11 +19,15 @@
 from tansyladder.node.admission_control import AdmissionControl
 from tansyladder.node.connection_acceptor import PENDING_CLOSE_TIMEOUT, ConnectionAcceptor
 from tansyladder.node.connection_drainer import ConnectionDrainer
+from tansyladder.node.context import ConnectionServices, NodeContext
+from tansyladder.node.decision_gate import DecisionGate
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.node.request_handler import AdoptedConnection, serve_connection
 
+if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+    from tansyladder.node.extension_points import SessionService
+
 LISTEN_BACKLOG = 1024
 CLOSE_TIMEOUT = timedelta(milliseconds=300)  # at the end, for a notified client to end its side
 
@@ -35,19 +40,40 @@
     handover's thread; `admit` and the `record_` methods to the acceptor's.
     """
 
-    def __init__(self, runner: PolicyRunner, handover: ListenerHandover | None = None) -> None:
-        """`handover`: to the process before this one and to the next; None: there is none."""
-        self._runner = runner
-        self._handover = runner.listener_handover = handover or ListenerHandover(runner.config.listen, None)
-        self._admission = AdmissionControl(runner, self._handover)
+    def __init__(
+        self,
+        context: NodeContext,
+        handover: ListenerHandover,
+        session_service: SessionService | None,
+        decision_gate: DecisionGate,
+    ) -> None:
+        """Take over the listener of the process before, or open one.
+
+        Args:
+            context: Of the node.
+            handover: Between the process before, this one and the next.
+            session_service: Where sessions can be resumed.
+            decision_gate: Whether requests may be decided here.
+
+        Raises:
+            OSError: The address can't be listened on.
+        """
+        self._services = ConnectionServices(context, handover, session_service)
+        self._policy = context.policy
+        self._lifecycle = context.lifecycle
+        self._metrics = context.metrics
+        self._handover = handover
+        self._session_service = session_service
+        self._decision_gate = decision_gate
+        self._admission = AdmissionControl(context, handover, session_service)
         self._is_rejecting_all = False  # what is read from now on comes too late to be served
         # The port can be shared, for a new process that the old one does not answer.
         self._listener = self._handover.request_listener() or socket.create_server(
-            runner.config.listen, backlog=LISTEN_BACKLOG, reuse_port=True
+            context.configuration.config.listen, backlog=LISTEN_BACKLOG, reuse_port=True
         )
         self._acceptor = ConnectionAcceptor(self._listener, self._admission.max_pending, self)
         self._acceptor_thread = threading.Thread(target=self._acceptor.run, name="admission", daemon=True)
-        self.drainer = ConnectionDrainer(runner, lambda: self.active_count)
+        self.drainer = ConnectionDrainer(context, lambda: self.active_count)
 
     @property
     def address(self) -> Address:
@@ -62,7 +88,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether a front end's PING is answered PONG."""
-        return self._runner.lifecycle.is_ready and self._runner.may_decide()
+        return self._lifecycle.is_ready and self._decision_gate.may_decide()
 
     @property
     def active_count(self) -> int:
@@ -72,23 +98,23 @@
     def start(self) -> None:
         """Accept clients, and take over from the process before where there is one."""
         self._acceptor_thread.start()
-        self._runner.lifecycle.mark_started()
+        self._lifecycle.mark_started()
         self._handover.serve(self._listener, self)
 
     # --- admission, on the acceptor's thread
 
     def record_invalid_line(self) -> None:
         """Count a first line that could not be parsed."""
-        self._runner.metrics.record_invalid_line()
+        self._metrics.record_invalid_line()
 
     def record_rejection(self, line: bytes) -> None:
         """Count a request that found no descriptor."""
         try:
             class_name = protocol.parse_opening(line).class_name
         except protocol.LineError:
-            self._runner.metrics.record_invalid_line()
+            self._metrics.record_invalid_line()
         else:
-            self._runner.metrics.record_outcome(class_name, RequestOutcome.REJECTED)
+            self._metrics.record_outcome(class_name, RequestOutcome.REJECTED)
 
     def admit(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
@@ -100,20 +126,19 @@
             log(LogEvent.INVALID_LINE, where="client", why=err)
             answer = protocol.ERR + b"\r\n"
         if answer:
-            self._runner.metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
+            self._metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
         return answer
 
     def _try_admit(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
         """Check the first line, the node's state and its limits in this order; the answer of a rejection."""
-        runner = self._runner
         self._admission.check_fields(opening)
-        if self._is_rejecting_all or not runner.may_decide(opening.connection_id):
+        if self._is_rejecting_all or not self._decision_gate.may_decide(opening.connection_id):
             return protocol.format_reject(self.retry_after)
-        if runner.session_service is not None and RESUME_TOKEN_FIELD in opening.field_values:
-            return runner.session_service.resume(sock, opening, arrived, release)
-        if not runner.lifecycle.accepts_requests:
+        if self._session_service is not None and RESUME_TOKEN_FIELD in opening.field_values:
+            return self._session_service.resume(sock, opening, arrived, release)
+        if not self._lifecycle.accepts_requests:
             return protocol.format_reject(self.retry_after)
         if not self._admission.reserve(opening.connection_id):
             log(LogEvent.CLIENT_REJECTED, why="limit")
@@ -156,7 +181,7 @@
     ) -> None:
         """Serve a connection to its end; `adopted`: what the process before handed over with it."""
         try:
-            serve_connection(self._runner, sock, opening, arrived, adopted)
+            serve_connection(self._services, sock, opening, arrived, adopted)
         finally:
             self._admission.release(opening.connection_id)
 
@@ -168,7 +193,7 @@
 
     def known_endpoints(self) -> EndpointList:
         """The endpoint list as this process knows it."""
-        return self._runner.endpoint_list()
+        return self._policy.endpoint_list()
 
     def adopt_connection(
         self, state: ConnectionState, client: socket.socket, upstream: socket.socket
@@ -189,22 +214,21 @@
 
     def set_accepting(self, accepting: bool) -> None:
         """The next process accepts the clients, or is gone again; it matters only to a draining process."""
-        if self._runner.lifecycle.state is NodeState.DRAINING:
+        if self._lifecycle.state is NodeState.DRAINING:
             self._acceptor.yield_queue(not accepting)
 
     # --- the end
 
     def drain(self) -> None:
         """After SIGTERM: serve what still arrives, migrate what is established, reject the rest in time."""
-        lifecycle = self._runner.lifecycle
         # Before the state changes, as clients that come once it is seen are the successor's; and again after
         # it, as a successor's end in between is passed over by `set_accepting`.
         self._acceptor.yield_queue(self._handover.has_successor)
-        lifecycle.begin_drain()
+        self._lifecycle.begin_drain()
         self._acceptor.yield_queue(self._handover.has_successor)
         self._handover.begin_migration()
         end = self.drainer.shutdown_deadline()
-        notified = self.drainer.migrate_gradually(lifecycle.state_since, end, self._is_idle)
+        notified = self.drainer.migrate_gradually(self._lifecycle.state_since, end, self._is_idle)
         self._is_rejecting_all = True
         self._acceptor.stop()
         self.drainer.evict_remaining(notified, end + CLOSE_TIMEOUT)
--- a/tansyladder/node/connection_drainer.py
+++ b/tansyladder/node/connection_drainer.py
@@ -9,8 +9,8 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
+from tansyladder.node.context import NodeContext
 from tansyladder.node.lifecycle import NodeState
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Migrate, Reject
 
 LATE_ARRIVAL_WINDOW = timedelta(milliseconds=450)  # after SIGTERM new connections come for up to 0.4 s
@@ -33,27 +33,28 @@
 class ConnectionDrainer:
     """Tells connections to leave; thread-safe, as it has no state of its own that changes."""
 
-    def __init__(self, runner: PolicyRunner, active_count: Callable[[], int]) -> None:
+    def __init__(self, context: NodeContext, active_count: Callable[[], int]) -> None:
         """`active_count`: how many connections are served at the moment."""
-        self._runner = runner
+        self._configuration = context.configuration
+        self._lifecycle = context.lifecycle
+        self._policy = context.policy
         self._active_count = active_count
 
     def shutdown_deadline(self) -> timedelta:
         """Until when a shutdown may spread its migrations, from the moment it began."""
-        longest_wait = min(self._runner.config.longest_deadline, LONGEST_REQUEST_WAIT)
-        return self._runner.lifecycle.state_since + longest_wait + KILL_MARGIN - EXIT_MARGIN
+        longest_wait = min(self._configuration.config.longest_deadline, LONGEST_REQUEST_WAIT)
+        return self._lifecycle.state_since + longest_wait + KILL_MARGIN - EXIT_MARGIN
 
     def run_standby_drains(self) -> None:
         """Drain whenever the node goes to standby; never returns, for a thread of its own."""
-        lifecycle = self._runner.lifecycle
         while True:
-            since = lifecycle.wait_for_state(NodeState.STANDBY)
+            since = self._lifecycle.wait_for_state(NodeState.STANDBY)
             notified = self.migrate_gradually(since, since + STANDBY_DRAIN_DURATION)
-            if not lifecycle.wait_for_change(since, now()):
+            if not self._lifecycle.wait_for_change(since, now()):
                 self.evict_remaining(notified, now())
                 left = self.remaining()
                 log(LogEvent.STANDBY_ENTERED, standing=left.established, in_hand=left.waiting)
-            lifecycle.wait_for_change(since)
+            self._lifecycle.wait_for_change(since)
 
     def migrate_gradually(
         self, since: timedelta, end: timedelta, is_finished: Callable[[], bool] = lambda: False
@@ -63,19 +64,20 @@
         All clients coming at once to the other nodes would fail together. It ends early once the lifecycle's
         state, which began at `since`, changes, or `is_finished` says so.
         """
-        runner = self._runner
         notified = set[int]()
         while True:
             step_end = max(since + LATE_ARRIVAL_WINDOW, now() + DRAIN_STEP_INTERVAL)
-            if runner.lifecycle.wait_for_change(since, step_end) or now() >= end:
+            if self._lifecycle.wait_for_change(since, step_end) or now() >= end:
                 return notified
-            established = [number for number in runner.request_ids(True) if number not in notified]
+            established = [
+                number for number in self._policy.established_request_ids() if number not in notified
+            ]
             if is_finished():
                 return notified
             steps_left = max(1, (end - LAST_MIGRATION_MARGIN - now()) // DRAIN_STEP_INTERVAL)
             share = established[: -(-len(established) // steps_left)]
             notified.update(share)
-            runner.dispatch([Migrate(number) for number in share])
+            self._policy.dispatch([Migrate(number) for number in share])
 
     def evict_remaining(self, notified: set[int], until: timedelta) -> None:
         """Reject waiting requests and migrate established ones until all have left or a moment has come.
@@ -83,20 +85,21 @@
         Each is told once: a rejection that finds its connection established by then becomes a migration. A
         request that was admitted a moment ago may not be registered yet, so this looks again and again.
         """
-        runner = self._runner
         while True:
-            waiting = [number for number in runner.request_ids(False) if number not in notified]
+            waiting = [number for number in self._policy.waiting_request_ids() if number not in notified]
             notified.update(waiting)
-            established = [number for number in runner.request_ids(True) if number not in notified]
+            established = [
+                number for number in self._policy.established_request_ids() if number not in notified
+            ]
             notified.update(established)
             rejections = [Reject(number) for number in waiting]
             migrations = [Migrate(number) for number in established]
-            runner.dispatch([*rejections, *migrations])
+            self._policy.dispatch([*rejections, *migrations])
             if not self._active_count() or now() >= until:
                 return
             threading.Event().wait(DRAIN_STEP_INTERVAL.total_seconds())
 
     def remaining(self) -> RemainingRequests:
         """How many requests this node still has."""
-        established_count = len(self._runner.request_ids(True))
-        return RemainingRequests(established_count, len(self._runner.request_ids(False)))
+        established_count = len(self._policy.established_request_ids())
+        return RemainingRequests(established_count, len(self._policy.waiting_request_ids()))
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -8,7 +8,7 @@
 import threading
 from datetime import timedelta
 from enum import Enum
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import msgspec
 
@@ -16,9 +16,13 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.net.http import HttpClient, HttpError, HttpTimeoutError
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.context import NodeContext
+from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.events import ListUpdateKind
 
+if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+    from tansyladder.node.extension_points import EndpointListCache
+
 # A change counts as told 6 s after discovery had it and could be reached, whatever became of a node's calls.
 # A poll that falls silent is given up after POLL_TIMEOUT + ANSWER_MARGIN, and the call in its place has the
 # rest. One that follows a failure may hang as well, where discovery is still down, and the policy's backoff
@@ -73,9 +77,21 @@
     polling thread alone writes `_state`. `switch_address` is thread-safe.
     """
 
-    def __init__(self, runner: PolicyRunner) -> None:
-        config = runner.config
-        self._runner = runner
+    def __init__(
+        self, context: NodeContext, work_queues: WorkQueues, endpoint_cache: EndpointListCache
+    ) -> None:
+        """Poll the address that the configuration names.
+
+        Args:
+            context: Of the node.
+            work_queues: The policy's requests to poll.
+            endpoint_cache: Where the list is stored beyond the process.
+        """
+        config = context.configuration.config
+        self._configuration = context.configuration
+        self._policy = context.policy
+        self._work_queues = work_queues
+        self._endpoint_cache = endpoint_cache
         self._lock = threading.Lock()
         self._address = config.discovery
         self._http = HttpClient(config.discovery)
@@ -89,12 +105,12 @@
 
     @property
     def _call_interval(self) -> timedelta:
-        return self._runner.config.settings.discovery_call_interval_us * MICROSECOND
+        return self._configuration.settings.discovery_call_interval_us * MICROSECOND
 
     @property
     def _is_agent(self) -> bool:
         """Whether an agent on this machine is sent the lists, and answers at once with what it has."""
-        return not self._runner.config.settings.polls_discovery
+        return not self._configuration.settings.polls_discovery
 
     @property
     def _first_call_spread(self) -> timedelta:
@@ -106,7 +122,7 @@
         """Start the polling thread; where an agent answers, wait a little for its first list."""
         threading.Thread(target=self._run, name="discovery", daemon=True).start()
         if self._is_agent:  # else the policy says when
-            self._runner.request_discovery_poll()
+            self._work_queues.request_discovery_poll()
             self._first_answer.wait(FIRST_LIST_TIMEOUT.total_seconds())
 
     def switch_address(self, address: Address) -> bool:
@@ -122,7 +138,7 @@
             self._address = address
             self._require_snapshot()
         old.abort()
-        self._runner.request_discovery_poll()
+        self._work_queues.request_discovery_poll()
         return True
 
     def _require_snapshot(self) -> None:
@@ -132,12 +148,12 @@
 
     def _run(self) -> None:
         while True:
-            is_polling = self._runner.discovery_polls.get()
+            is_polling = self._work_queues.discovery_polls.get()
             while is_polling:
                 is_polling = self._poll_once()
                 if is_polling:
                     with contextlib.suppress(queue.Empty):
-                        is_polling = self._runner.discovery_polls.get_nowait()
+                        is_polling = self._work_queues.discovery_polls.get_nowait()
 
     def _poll_once(self) -> bool:
         """Make one call; False where it failed, and the policy decides when to poll again."""
@@ -155,7 +171,7 @@
             return True
         if isinstance(result, CallFailure):
             log(LogEvent.DISCOVERY_FAILED, why=result.error, after=now() - started)
-            self._runner.record_discovery_call(failed=True)
+            self._policy.record_discovery_call(failed=True)
             return self._handle_failure(http, result)
         if result.endpoints or result.complete:
             log(
@@ -168,7 +184,7 @@
 
     def _call(self, http: HttpClient, needs_snapshot: bool) -> EndpointList | CallFailure:
         """Ask for the complete list, or poll for the changes since the known one."""
-        known_revision = self._runner.revision
+        known_revision = self._policy.revision
         poll_timeout = POLL_TIMEOUT_AFTER_FAILURE if self._state is PollState.SILENT else POLL_TIMEOUT
         path = f"{PATH}?since={known_revision}&timeout_ms={poll_timeout // MILLISECOND}"
         answer_timeout = poll_timeout + ANSWER_MARGIN
@@ -193,12 +209,11 @@
                 return True
             self._needs_snapshot = False
             self._state = PollState.ANSWERING
-        self._runner.record_discovery_call(failed=False)
+        self._policy.record_discovery_call(failed=False)
         kind = ListUpdateKind.SNAPSHOT if listed.complete else ListUpdateKind.DELTA
-        self._runner.update_endpoints(listed, kind)
+        self._policy.update_endpoints(listed, kind)
         self._first_answer.set()
-        if self._runner.endpoint_cache is not None:
-            self._runner.endpoint_cache.save_endpoints(listed)
+        self._endpoint_cache.save_endpoints(listed)
         if not self._is_agent and listed.endpoints and self._call_interval > SIMULTANEOUS_CALL_INTERVAL:
             # A change answers the polls of all nodes at once. What changes within 200 ms of an answer counts
             # as told: a node that asked later sent to an endpoint that was gone, by a list it never saw.
@@ -227,14 +242,14 @@
         if self._is_agent:
             self._wait_for_request(AGENT_RETRY_INTERVAL)
         if not is_polling:
-            unchanged = EndpointList(revision=self._runner.revision)
-            self._runner.update_endpoints(unchanged, ListUpdateKind.FAILED)
+            unchanged = EndpointList(revision=self._policy.revision)
+            self._policy.update_endpoints(unchanged, ListUpdateKind.FAILED)
         return is_polling
 
     def _wait_for_request(self, duration: timedelta) -> None:
         """Wait, unless a new address is named meanwhile: that is to be polled at once."""
         with contextlib.suppress(queue.Empty):
-            self._runner.discovery_polls.get(timeout=duration.total_seconds())
+            self._work_queues.discovery_polls.get(timeout=duration.total_seconds())
 
 
 def _sleep(duration: timedelta) -> None:
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -11,7 +11,8 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import EndpointAddress
 from tansyladder.net.clock import MICROSECOND, now
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.context import NodeContext
+from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 
 CHECK_TIMEOUT = timedelta(milliseconds=150)  # an endpoint that has no time answers ERR after 100 ms
@@ -27,36 +28,38 @@
 
 
 class HealthChecker:
-    """A few threads that take health checks off the policy runner's queue, one connection for each check.
+    """A few threads that take health checks off their queue, one connection for each check.
 
     Its attributes do not change after the start, so its threads share it without a lock.
     """
 
-    def __init__(self, runner: PolicyRunner) -> None:
-        self._runner = runner
-        self._report_columns = runner.config.settings.report_columns
+    def __init__(self, context: NodeContext, work_queues: WorkQueues) -> None:
+        self._configuration = context.configuration
+        self._policy = context.policy
+        self._work_queues = work_queues
+        self._report_columns = context.configuration.settings.report_columns
         self._request = protocol.STATS if self._report_columns else protocol.PING
 
     def start(self) -> None:
         """Start the threads, where the platform lets nodes check endpoints."""
-        if self._runner.config.settings.can_check_health:
+        if self._configuration.settings.can_check_health:
             for number in range(WORKER_COUNT):
                 threading.Thread(target=self._run, name=f"health-check-{number}", daemon=True).start()
 
     def _run(self) -> None:
         while True:
-            endpoint = self._runner.health_checks.get()
+            endpoint = self._work_queues.health_checks.get()
             started = now()
             result = self._check(endpoint)
             duration_us = (now() - started) // MICROSECOND
-            self._runner.handle_events(
+            self._policy.handle_events(
                 HealthCheckResult(endpoint.number, result.status, duration_us, result.load)
             )
 
     def _check(self, endpoint: EndpointAddress) -> CheckResult:
         """Connect, ask, and read the answer; its lines are read to the end of a report."""
         deadline = now() + CHECK_TIMEOUT
-        connect_timeout = min(self._runner.config.settings.connect_timeout_us * MICROSECOND, CHECK_TIMEOUT)
+        connect_timeout = min(self._configuration.settings.connect_timeout_us * MICROSECOND, CHECK_TIMEOUT)
         try:
             sock = socket.create_connection(endpoint.address, connect_timeout.total_seconds())
         except OSError:
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -8,27 +8,21 @@
 
 import contextlib
 import itertools
-import queue
 import threading
 from collections import deque
 from collections.abc import Sequence
-from dataclasses import replace
-from typing import TYPE_CHECKING, TypeVar
 
-from tansyladder.config.operator_settings import Options
 from tansyladder.config.platform import Config, EndpointList
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
 from tansyladder.net.action_queue import ActionQueue, EndpointAddress, QueuedAction
-from tansyladder.net.clock import MICROSECOND, Clock, now
-from tansyladder.net.delay_reports import DelayMeter, DelayReports
-from tansyladder.net.listener_handover import ListenerHandover
-from tansyladder.node.class_numbers import ClassNumbers
-from tansyladder.node.endpoint_registry import EndpointRegistry, newest_list, valid_entries
+from tansyladder.net.clock import Clock, now
+from tansyladder.node.active_configuration import ActiveConfiguration
+from tansyladder.node.endpoint_registry import EndpointRegistry, valid_entries
 from tansyladder.node.event_counters import EventCounters
-from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.node.metrics import Metrics
 from tansyladder.node.policy_timers import PolicyTimers
+from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.actions import (
     Action,
     CancelAttempt,
@@ -44,108 +38,55 @@
 )
 from tansyladder.policy.balancer import Balancer
 from tansyladder.policy.events import (
-    ConnectionReport,
     EndpointListUpdate,
     Event,
     ListUpdateKind,
-    ReportKind,
 )
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
-    from tansyladder.node.extension_points import DecisionPermit, EndpointListCache, SessionService
-
-ItemT = TypeVar("ItemT")
-# Health checks and polls that may wait for their threads: more than there are endpoints.
-QUEUE_CAPACITY = 256
-# A message counts as slow from this part of the shortest latency objective for messages.
-DELAY_THRESHOLD_DIVISOR = 3
-
-
-def _build_delay_meter(config: Config) -> DelayMeter | None:
-    """The meter of message delays; None where the platform reports none."""
-    objectives = [
-        settings.message_latency_objective_us
-        for settings in config.settings.classes
-        if settings.message_latency_objective_us
-    ]
-    if not config.reports_delay or not objectives:
-        return None
-    return DelayMeter(min(objectives) * MICROSECOND / DELAY_THRESHOLD_DIVISOR)
-
-
-def _enqueue(target: queue.Queue[ItemT], item: ItemT) -> None:
-    try:
-        target.put_nowait(item)
-    except queue.Full:
-        check_invariant(False, "backlog_full")
-
 
 class PolicyRunner:
     """Runs one node's policy: passes events in, hands actions out, keeps its timers.
 
     Thread-safe. `_lock` guards the policy, timers, action queues and registries; sockets and files are used
-    outside it. `session_service` to `listener_handover` are set before the threads start.
+    outside it.
     """
 
-    def __init__(self, config: Config, options: Options | None = None) -> None:
-        """`options`: the operator's; None: all features beyond the platform's protocol are off."""
-        self.config = config
-        self.options = options or Options()
-        self.session_service: SessionService | None = None  # where sessions can be resumed
-        self.endpoint_cache: EndpointListCache | None = None  # where the list outlives the process
-        self.decision_permit: DecisionPermit | None = None  # where documents are replicated, once joined
-        self.listener_handover = ListenerHandover(config.listen, None)  # the listener's, once there is one
-        self.lifecycle = Lifecycle()
-        self.metrics = Metrics(config.class_names)
-        self.clock = Clock()
-        self.delay_meter = _build_delay_meter(config)
-        self.health_checks: queue.Queue[EndpointAddress] = queue.Queue(QUEUE_CAPACITY)
-        self.discovery_polls: queue.Queue[bool] = queue.Queue(QUEUE_CAPACITY)
+    def __init__(
+        self, configuration: ActiveConfiguration, clock: Clock, metrics: Metrics, work_queues: WorkQueues
+    ) -> None:
+        config = configuration.config
+        self._configuration = configuration
+        self._clock = clock
+        self._metrics = metrics
+        self._work_queues = work_queues
         self._lock = threading.Lock()
         self._timers = PolicyTimers(self._lock)
         self._request_ids = itertools.count(1)
         self._action_queues: dict[int, ActionQueue] = {}  # by request
-        self._registry = EndpointRegistry(config, self.clock)
+        self._registry = EndpointRegistry(config, clock)
         self._endpoints = self._registry.by_number
-        self._classes = ClassNumbers(config)
-        self.class_numbers = self._classes.in_force
         self._event_counters = EventCounters(
-            config.settings.classes, lambda number: self._endpoints[number].id, self.metrics
+            config.settings.classes, lambda number: self._endpoints[number].id, metrics
         )
         self._pending_counts: deque[dict[str, object]] = deque()  # log lines to be written outside the lock
-        self._balancer = Balancer(config.settings, config.seed, self.clock.micros(now()))
+        self._balancer = Balancer(config.settings, config.seed, clock.micros(now()))
 
     @property
     def revision(self) -> int:
         """Of the endpoint list that the policy knows."""
         return self._registry.revision
 
-    def may_decide(self, connection_id: str = "") -> bool:
-        """Whether this node may decide now: where documents are replicated, only under a lease."""
-        if not self.options.documents.enabled:
-            return True
-        return self.decision_permit is not None and self.decision_permit.may_decide(connection_id)
-
     def reconfigure(self, config: Config) -> None:
-        """Put new settings in force, in one step.
-
-        A class whose settings changed gets a new number; requests under way keep their number and settings.
-        """
+        """Put a new configuration in force, in one step for the policy and for all readers."""
         with self._lock:
-            settings = self._classes.apply(config)
-            self.class_numbers = self._classes.in_force
-            self.config = replace(config, settings=settings)
+            settings = self._configuration.apply(config).settings
             self._event_counters.class_settings = settings.classes
-            self.delay_meter = _build_delay_meter(config)
             woken_queues = self._decide([settings])
-        self.metrics.add_classes(self.class_numbers)
+        self._metrics.add_classes(self._configuration.class_numbers)
         self._wake_and_log(woken_queues)
 
-    def start(self) -> None:
+    def start(self, initial: EndpointList) -> None:
         """Give the policy the newest list that is known from before, and start the timers."""
-        configured = self.config.known_endpoints
-        predecessor_list = self.listener_handover.endpoints
-        initial = newest_list(configured, self.endpoint_cache, predecessor_list, self.clock)
         self.update_endpoints(initial, ListUpdateKind.CACHED)
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
@@ -168,7 +109,7 @@
     def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
         """Call the policy, under the lock; returns the queues to wake once it is released."""
         woken_queues: list[ActionQueue] = []
-        now_us = self.clock.micros(now())
+        now_us = self._clock.micros(now())
         if fields := self._event_counters.finish_second(now_us):
             self._pending_counts.append(fields)
         for event in events:
@@ -177,7 +118,7 @@
             self._event_counters.count_action(action)
             match action:
                 case SetTimer(at_us, token):
-                    self._timers.set(self.clock.moment(at_us), token)
+                    self._timers.set(self._clock.moment(at_us), token)
                 case StartAttempt() | Reject() | Fail() | CancelAttempt() | Migrate():
                     action_queue = self._action_queues.get(action.request_id)
                     # A cancel comes too late for an established connection, a migration too early for others.
@@ -193,9 +134,9 @@
         """Perform an action that concerns no request."""
         match action:
             case CheckHealth(endpoint_number):
-                _enqueue(self.health_checks, self._endpoints[endpoint_number])
+                self._work_queues.request_health_check(self._endpoints[endpoint_number])
             case PollDiscovery(is_polling):
-                _enqueue(self.discovery_polls, is_polling)
+                self._work_queues.request_discovery_poll(is_polling=is_polling)
             case Log(text):
                 log(LogEvent.POLICY, text=text)
             case SendPeerMessage():
@@ -213,10 +154,6 @@
         with self._lock:
             self._event_counters.count_discovery_call(failed)
 
-    def request_discovery_poll(self) -> None:
-        """Poll discovery without the policy's word: its address has changed."""
-        _enqueue(self.discovery_polls, True)
-
     # --- requests
 
     def register_request(self, action_queue: ActionQueue) -> int:
@@ -243,14 +180,15 @@
         for action_queue in woken_queues:
             action_queue.wake()
 
-    def request_ids(self, established: bool) -> list[int]:
-        """The requests whose connections are established, or those that wait for one."""
+    def established_request_ids(self) -> list[int]:
+        """Return the requests whose connections are established."""
+        with self._lock:
+            return [number for number, queue in self._action_queues.items() if queue.is_established]
+
+    def waiting_request_ids(self) -> list[int]:
+        """Return the requests that wait for a connection."""
         with self._lock:
-            return [
-                request_id
-                for request_id, action_queue in self._action_queues.items()
-                if action_queue.is_established == established
-            ]
+            return [number for number, queue in self._action_queues.items() if not queue.is_established]
 
     def endpoint(self, number: int) -> EndpointAddress:
         """The endpoint that the policy knows by a number."""
@@ -279,16 +217,3 @@
         """The complete list as it is known, for the next process."""
         with self._lock:
             return self._registry.as_list()
-
-
-def build_delay_reports(
-    runner: PolicyRunner, request_id: int, attempt: int, endpoint_number: int
-) -> DelayReports:
-    """What measures an established connection's message delays, and reports them to the policy."""
-
-    def report(kind: ReportKind, value: float) -> None:
-        runner.handle_events(ConnectionReport(request_id, kind, attempt, endpoint_number, value))
-
-    return DelayReports(
-        endpoint_number, lambda: runner.delay_meter, report, lambda: runner.config.reports_load
-    )
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -5,14 +5,18 @@
 import threading
 from collections.abc import Mapping
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 from tansyladder.config.errors import ConfigError, OptionsError
 from tansyladder.config.operator_settings import Options, load, restart_required_changes
 from tansyladder.config.reload import ReloadedConfig, reload
 from tansyladder.log import LogEvent, log
+from tansyladder.node.context import NodeContext
 from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.node.lifecycle import NodeState
-from tansyladder.node.policy_runner import PolicyRunner
+
+if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+    from tansyladder.node.extension_points import SessionService
 
 MAX_LOGGED_KEYS_LENGTH = 300  # characters of the keys that changed
 
@@ -23,17 +27,29 @@
     def __init__(
         self,
         environ: Mapping[str, str],
-        runner: PolicyRunner,
+        context: NodeContext,
         discovery: DiscoveryClient,
+        session_service: SessionService | None,
         options_path: str | Path | None = None,
     ) -> None:
-        """`options_path`: of the operator's settings file, where one was named at the start."""
+        """Reload what a start has read.
+
+        Args:
+            environ: Names the platform's file.
+            context: Of the node.
+            discovery: Follows a change of discovery's address.
+            session_service: Gets the token keys, where sessions can be resumed.
+            options_path: Of the operator's settings file, where one was named at the start.
+        """
         self._environ = environ
-        self._runner = runner
+        self._lifecycle = context.lifecycle
+        self._metrics = context.metrics
+        self._policy = context.policy
         self._discovery = discovery
+        self._session_service = session_service
         self._options_path = options_path
-        self._running_config = runner.config
-        self._running_options = runner.options
+        self._running_config = context.configuration.config
+        self._running_options = context.options
         self._requested = threading.Event()
 
     def start(self) -> None:
@@ -48,7 +64,7 @@
         while True:
             self._requested.wait()
             self._requested.clear()  # before the file is read: a later signal may mean a newer one
-            if self._runner.lifecycle.state is NodeState.DRAINING:
+            if self._lifecycle.state is NodeState.DRAINING:
                 return  # nothing changes any more
             self.reload_now()
 
@@ -59,26 +75,25 @@
             options = load(self._options_path)
         except (ConfigError, OptionsError) as err:
             log(LogEvent.RELOAD_FAILED, why=err)
-            self._runner.metrics.record_reload(applied=False)
+            self._metrics.record_reload(applied=False)
         except Exception as err:  # noqa: BLE001 - whatever a file may hold, the next one must still be read
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
-            self._runner.metrics.record_reload(applied=False)
+            self._metrics.record_reload(applied=False)
         else:
             self._apply(reloaded, options)
 
     def _apply(self, reloaded: ReloadedConfig, options: Options) -> None:
         """Put a configuration in force that has been read and checked."""
-        runner = self._runner
         config = reloaded.config
         ignored_keys = reloaded.restart_only_keys + restart_required_changes(self._running_options, options)
         if ignored_keys:
             log(LogEvent.RELOAD_IGNORED, keys=",".join(ignored_keys))
         self._running_config = config
-        runner.reconfigure(config)
-        if runner.session_service is not None:
-            runner.session_service.rotate_keys(options.resume)
+        self._policy.reconfigure(config)
+        if self._session_service is not None:
+            self._session_service.rotate_keys(options.resume)
         is_switched = self._discovery.switch_address(config.discovery)
-        runner.metrics.record_reload(applied=True)
+        self._metrics.record_reload(applied=True)
         keys = ",".join(reloaded.changed_keys)[:MAX_LOGGED_KEYS_LENGTH]
         address = "{}:{}".format(*config.discovery)
         log(LogEvent.RELOADED, discovery=address, switched=is_switched, keys=keys)
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -17,8 +17,9 @@
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
 from tansyladder.node.attempt_loop import AttemptLoop, build_request, load_hint_of, tenant_of
+from tansyladder.node.context import ConnectionServices
+from tansyladder.node.delay_reporting import build_delay_reports
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
 from tansyladder.policy.actions import Fail, Reject
 from tansyladder.policy.events import AttemptStatus, ConnectionAdopted
 
@@ -41,19 +42,21 @@
 
     def __init__(
         self,
-        runner: PolicyRunner,
+        services: ConnectionServices,
         client: socket.socket,
         opening: Opening,
         arrived: timedelta,
         adopted: AdoptedConnection | None = None,
     ) -> None:
         """`adopted`: of a connection that was established in the process before this one."""
-        self._runner = runner
+        context = services.context
+        self._services = services
+        self._context = context
         self._client = client
         self._opening = opening
         self._adopted = adopted
         # The class keeps its number, and so its settings; an adopted connection's may not be known here.
-        self._class_number = runner.class_numbers.get(opening.class_name, 0)
+        self._class_number = context.configuration.class_numbers.get(opening.class_name, 0)
         self._deadline = arrived + opening.wait
         self._action_queue = ActionQueue()
         self._request_id = 0
@@ -67,7 +70,7 @@
             log(LogEvent.CLIENT_REJECTED, why=err)
             self._answer(RequestOutcome.REJECTED, format_reject(RESTORE_RETRY_INTERVAL))
             return
-        self._request_id = self._runner.register_request(self._action_queue)
+        self._request_id = self._context.policy.register_request(self._action_queue)
         try:
             if self._adopted is not None:
                 self._adopt(self._adopted)
@@ -76,7 +79,7 @@
             else:
                 self._restore(self._opening.endpoint_id)
         finally:
-            self._runner.unregister_request(self._request_id)
+            self._context.policy.unregister_request(self._request_id)
             self._action_queue.close()
             self._client.close()
 
@@ -84,7 +87,7 @@
 
     def _serve_request(self) -> None:
         """Place the request with the policy, then relay its connection to the end."""
-        session_service = self._runner.session_service
+        session_service = self._services.session_service
         if session_service is not None and session_service.offers_resumption(self._opening):
             self._serve_resumable(session_service)
             return
@@ -105,10 +108,10 @@
 
     def _place(self, first_line: Callable[[timedelta], bytes]) -> UpstreamConnection | None:
         """Follow the policy until a connection is established; else answer the client, and return None."""
-        runner = self._runner
+        context = self._context
         opening = self._opening
         attempt_loop = AttemptLoop(
-            runner,
+            context,
             self._action_queue,
             self._request_id,
             opening.class_name,
@@ -117,7 +120,7 @@
             self._client,
         )
         request = build_request(
-            runner, self._request_id, self._class_number, opening, self._deadline, opening.is_reconnect
+            context, self._request_id, self._class_number, opening, self._deadline, opening.is_reconnect
         )
         result = attempt_loop.run(request)
         match result:
@@ -139,15 +142,15 @@
     def _answer(self, outcome: RequestOutcome, line: bytes = b"") -> None:
         """Count the final answer, and send it where it is the node's own."""
         self.is_answered = True
-        self._runner.metrics.record_outcome(self._opening.class_name, outcome)
+        self._context.metrics.record_outcome(self._opening.class_name, outcome)
         if line:
             sockets.shutdown_and_drain(self._client, line)
 
     def _new_relay(self, connection: UpstreamConnection) -> Relay:
         """The relay of an established connection, which the policy's actions wake from now on."""
-        runner = self._runner
+        context = self._context
         delay_reports = build_delay_reports(
-            runner, self._request_id, connection.attempt, connection.endpoint.number
+            context, self._request_id, connection.attempt, connection.endpoint.number
         )
         relay = Relay(
             self._client,
@@ -155,20 +158,20 @@
             self._opening,
             self._action_queue,
             delay_reports,
-            runner.listener_handover,
+            self._services.handover,
         )
         self._action_queue.use_callback(relay.wake)
         return relay
 
     def _report_end(self, connection: UpstreamConnection, status: AttemptStatus) -> None:
         """Tell the policy that the connection has ended."""
-        self._runner.handle_events(connection.attempt_ended(self._request_id, status))
+        self._context.policy.handle_events(connection.attempt_ended(self._request_id, status))
 
     # --- connections from before this process
 
     def _restore(self, endpoint_id: str) -> None:
         """Connect again to the endpoint at which the client's connection was before the run."""
-        endpoint = self._runner.endpoint_by_id(endpoint_id)
+        endpoint = self._context.policy.endpoint_by_id(endpoint_id)
         result = ConnectResult(AttemptStatus.CONNECT_FAILED)
         if endpoint is not None:
             result = self._connect_again(endpoint)
@@ -187,15 +190,15 @@
 
     def _connect_again(self, endpoint: EndpointAddress) -> ConnectResult:
         """Attempt it until it is established, the deadline comes, or the client or the node ends it."""
-        runner = self._runner
+        context = self._context
         opening = self._opening
         while True:
             connector = UpstreamConnector(
                 endpoint,
                 opening.format_for_endpoint,
                 self._deadline,
-                runner.config.settings.connect_timeout_us * MICROSECOND,
-                lambda: runner.metrics.record_attempt(opening.class_name),
+                context.configuration.settings.connect_timeout_us * MICROSECOND,
+                lambda: context.metrics.record_attempt(opening.class_name),
             )
             result = connector.open(self._client, self._action_queue)
             if result.sock is not None or result.client_end is ClientEnd.DISCONNECTED:
@@ -209,7 +212,7 @@
     def _adopt(self, adopted: AdoptedConnection) -> None:
         """Go on with a connection that was established in the process before this one."""
         state = adopted.state
-        endpoint = self._runner.endpoint_by_id(state.endpoint_id)
+        endpoint = self._context.policy.endpoint_by_id(state.endpoint_id)
         if endpoint is None:
             log(LogEvent.CONNECTION_ADOPTION_FAILED, member=state.endpoint_id)
             adopted.upstream.close()
@@ -225,34 +228,35 @@
         adopted = ConnectionAdopted(
             self._request_id,
             self._class_number,
-            tenant_of(self._runner, opening),
+            tenant_of(self._context, opening),
             endpoint.number,
             opening.key,
             load_hint_of(opening),
         )
-        self._runner.handle_events(adopted)
+        self._context.policy.handle_events(adopted)
 
 
 def serve_connection(
-    runner: PolicyRunner,
+    services: ConnectionServices,
     client: socket.socket,
     opening: Opening,
     arrived: timedelta,
     adopted: AdoptedConnection | None = None,
 ) -> None:
     """Serve a client's connection to its end, on its own thread; raises nothing, closes the socket."""
-    handler = RequestHandler(runner, client, opening, arrived, adopted)
+    metrics = services.context.metrics
+    handler = RequestHandler(services, client, opening, arrived, adopted)
     try:
         sockets.configure_stream(client)
         handler.run()
     except OSError as err:
         log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
         if not handler.is_answered:
-            runner.metrics.record_outcome(opening.class_name, RequestOutcome.CLIENT_LEFT)
+            metrics.record_outcome(opening.class_name, RequestOutcome.CLIENT_LEFT)
     except Exception as err:  # noqa: BLE001 - the thread's top: one connection's fault ends only that one
         log(LogEvent.INTERNAL_ERROR, why=repr(err))
         if not handler.is_answered:
-            runner.metrics.record_outcome(opening.class_name, RequestOutcome.FAILED)
+            metrics.record_outcome(opening.class_name, RequestOutcome.FAILED)
         with contextlib.suppress(OSError):
             client.sendall(protocol.ERR + b"\r\n")
     finally:
--- /dev/null
+++ b/tansyladder/node/work_queues.py
@@ -0,0 +1,42 @@
+"""Bounded queues of the work that the policy gives to other threads of the node."""
+
+from __future__ import annotations
+
+import queue
+from dataclasses import dataclass, field
+from typing import TypeVar
+
+from tansyladder.invariants import check_invariant
+from tansyladder.net.action_queue import EndpointAddress
+
+ItemT = TypeVar("ItemT")
+# Health checks and polls that may wait for their threads: more than there are endpoints.
+QUEUE_CAPACITY = 256
+
+
+def _new_queue() -> queue.Queue[ItemT]:
+    return queue.Queue(QUEUE_CAPACITY)
+
+
+@dataclass(frozen=True, slots=True)
+class WorkQueues:
+    """Work for the threads of health checks and of discovery. Thread-safe."""
+
+    health_checks: queue.Queue[EndpointAddress] = field(default_factory=_new_queue)
+    discovery_polls: queue.Queue[bool] = field(default_factory=_new_queue)  # False: no poll for now
+
+    def request_health_check(self, endpoint: EndpointAddress) -> None:
+        """Have an endpoint checked by the next free thread."""
+        _enqueue(self.health_checks, endpoint)
+
+    def request_discovery_poll(self, *, is_polling: bool = True) -> None:
+        """Have discovery polled, or not polled any more until the next request."""
+        _enqueue(self.discovery_polls, is_polling)
+
+
+def _enqueue(target: queue.Queue[ItemT], item: ItemT) -> None:
+    """Append an item; where the queue is full an invariant is violated, and the item is dropped."""
+    try:
+        target.put_nowait(item)
+    except queue.Full:
+        check_invariant(False, "backlog_full")
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -1,4 +1,8 @@
-"""Runs a node: start, signals, exit code. It imports nothing that only tools need."""
+"""Runs a node: start, signals, exit code. It imports nothing that only tools need.
+
+Signals are blocked before anything else is imported: the imports take a while, and the default action of a
+SIGHUP is to end the program. Until then the shell's trap of `run` ignores it.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +13,12 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from tansyladder.start_errors import BadConfigError, BadSettingsError
+
 if TYPE_CHECKING:
+    from tansyladder.assembly import Node
     from tansyladder.config.operator_settings import Options
     from tansyladder.config.platform import Config
-    from tansyladder.node.client_listener import ClientListener
-    from tansyladder.node.policy_runner import PolicyRunner
-    from tansyladder.node.reload import Reloader
 
 # Bytes of each thread's stack. Little of it is touched: on days of 37 and of 330 descriptors the node took
 # 9 and 13 MB, so an established connection with its thread costs some 27 KB.
@@ -24,50 +28,58 @@
 EXIT_BAD_CONFIGURATION = 2
 
 
-class StartError(Exception):
-    """The node can't start with what it was given."""
-
-
-class BadConfigError(StartError):
-    """The fault is in the platform's configuration."""
-
-
-class BadSettingsError(StartError):
-    """The fault is in the operator's settings."""
-
-
 def serve(options_path: str | Path | None = None) -> int:
-    """Run until a signal ends it, then drain; `options_path`: of the operator's settings, where there are."""
-    # Every thread inherits it; this one waits for them. It comes before the imports, which take a while: the
-    # default action of a SIGHUP is to end the program. Until here the shell's trap of `run` ignores it.
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    signal.signal(signal.SIGHUP, lambda *_: None)  # an ignored one might not even wait
+    """Run until a signal ends it, then drain.
 
-    from tansyladder.log import LogEvent, log
+    Args:
+        options_path: Of the operator's settings, where there are.
 
+    Returns:
+        The exit code.
+    """
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # every thread inherits it; this one waits for them
+    signal.signal(signal.SIGHUP, lambda *_: None)  # an ignored one might not even wait
     try:
-        config = _load_config()
-        options = _load_options(options_path)
-        _prepare_process(options)
-        runner = _build_runner(config, options)
-        listener = _open_listeners(config, runner)
-        _join_cluster(runner)
+        node = _build_node(options_path)
     except BadConfigError as err:
         print(f"event=bad_config why={err}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     except BadSettingsError as err:
         print(f"event=bad_settings why={err}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
-    reloader = _start(runner, listener, options_path)
-    _log_started(config)
+    _run(node, options_path)
+    return 0
+
+
+def _build_node(options_path: str | Path | None) -> Node:
+    """Read what the node is to run with, and build it.
+
+    Raises:
+        BadConfigError: The fault is in the platform's configuration.
+        BadSettingsError: The fault is in the operator's settings.
+    """
+    config = _load_config()
+    options = _load_options(options_path)
+    _prepare_process(options)
+    from tansyladder.assembly import build_node
+
+    return build_node(config, options, os.environ.get("TMPDIR"))
+
+
+def _run(node: Node, options_path: str | Path | None) -> None:
+    """Serve until a signal ends it."""
+    from tansyladder.log import LogEvent, log
+
+    reloader = node.start(os.environ, options_path)
+    _log_started(node.context.configuration.config)
     while (received := signal.sigwait(SIGNALS)) == signal.SIGHUP:
         reloader.request_reload()  # read elsewhere: a SIGTERM meanwhile must not wait for a slow disk
     log(LogEvent.STOPPING, signal=signal.Signals(received).name)
-    _stop(runner, listener)
-    return 0
+    node.stop()
 
 
 def _load_config() -> Config:
+    """Read the platform's configuration."""
     from tansyladder.config import platform
     from tansyladder.config.errors import ConfigError
 
@@ -78,6 +90,7 @@
 
 
 def _load_options(path: str | Path | None) -> Options:
+    """Read the operator's settings."""
     from tansyladder.config import operator_settings
     from tansyladder.config.errors import OptionsError
 
@@ -88,7 +101,7 @@
 
 
 def _prepare_process(options: Options) -> None:
-    """Set what holds for all threads, before the first one starts."""
+    """Set what applies to all threads, before the first one starts."""
     from tansyladder.log import LogEvent, log, use_json_format
 
     use_json_format(options.log.json)
@@ -97,91 +110,11 @@
     threading.excepthook = lambda args: log(LogEvent.INTERNAL_ERROR, why=repr(args.exc_value))
 
 
-def _build_runner(config: Config, options: Options) -> PolicyRunner:
-    """The policy's runner, with the layers that the operator's settings switch on."""
-    from tansyladder.node.policy_runner import PolicyRunner
-
-    runner = PolicyRunner(config, options)
-    store = None
-    if options.store.enabled and not options.peers.enabled:
-        from tansyladder.sessions.session_store import open_session_store
-
-        store = runner.endpoint_cache = open_session_store(options.store.directory, config.name)
-        if store is not None:
-            store.start()
-    if options.resume.enabled:
-        # Only now, as it loads the library of its cryptography.
-        from tansyladder.sessions.resumption_handler import ResumptionHandler
-
-        runner.session_service = ResumptionHandler(runner, store)
-    return runner
-
-
-def _open_listeners(config: Config, runner: PolicyRunner) -> ClientListener:
-    """The clients' listener, and the operators' where the configuration names one, which answers from now."""
-    from tansyladder.net.listener_handover import ListenerHandover
-    from tansyladder.node.client_listener import ClientListener
-
-    try:
-        listener = ClientListener(runner, ListenerHandover(config.listen, os.environ.get("TMPDIR")))
-    except OSError as err:
-        raise BadConfigError(f"GW_LISTEN: {err}") from err
-    if config.operator is not None:
-        from tansyladder.node.admin_server import AdminServer
-
-        try:
-            AdminServer(runner, listener, config.operator).start()
-        except OSError as err:
-            raise BadConfigError(f"GW_OPERATOR: {err}") from err
-    return listener
-
-
-def _join_cluster(runner: PolicyRunner) -> None:
-    """Join the nodes that take over each other's sessions, where the operator's settings name them."""
-    if not runner.options.peers.enabled:
-        return
-    from tansyladder.cluster.bootstrap import join_cluster  # and all that only peers need
-    from tansyladder.config.errors import ConfigError
-    from tansyladder.sessions.resumption_handler import ResumptionHandler
-
-    if not isinstance(runner.session_service, ResumptionHandler):
-        return  # the settings' check has made sure that peers have resumption
-    try:
-        join_cluster(runner, runner.session_service, os.environ.get("TMPDIR"))
-    except (OSError, ValueError, ConfigError) as err:
-        raise BadSettingsError(f"peers: {err}") from err
-
-
-def _start(runner: PolicyRunner, listener: ClientListener, options_path: str | Path | None) -> Reloader:
-    """Start the threads, clients last; returns what reloads the configuration."""
-    from tansyladder.node.discovery_client import DiscoveryClient
-    from tansyladder.node.health_checker import HealthChecker
-
-    runner.start()
-    discovery = DiscoveryClient(runner)
-    discovery.start()
-    HealthChecker(runner).start()
-    listener.start()
-    from tansyladder.node.reload import Reloader  # only now: clients are accepted meanwhile
-
-    reloader = Reloader(os.environ, runner, discovery, options_path)
-    reloader.start()
-    return reloader
-
-
 def _log_started(config: Config) -> None:
+    """Log that the node listens, and what its configuration does not give."""
     from tansyladder.config.platform import absent_features
     from tansyladder.log import LogEvent, log
 
     known_count = len(config.known_endpoints.endpoints)
     log(LogEvent.STARTED, name=config.name, members=known_count, sockets=config.limits.sockets)
     log(LogEvent.SETTINGS_ABSENT, what=",".join(absent_features(config)))
-
-
-def _stop(runner: PolicyRunner, listener: ClientListener) -> None:
-    """Drain, then leave the cluster and close the store."""
-    listener.drain()
-    if runner.decision_permit is not None:
-        runner.decision_permit.leave()
-    if runner.endpoint_cache is not None:
-        runner.endpoint_cache.close()
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -13,7 +13,8 @@
 from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.clock import now
 from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
-from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
+from tansyladder.node.context import NodeContext
+from tansyladder.node.delay_reporting import build_delay_reports
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption.errors import ControlMessageError, PositionError
 from tansyladder.resumption.stream import Stream, StreamOutput, StreamSignal
@@ -39,7 +40,7 @@
 
     def __init__(
         self,
-        runner: PolicyRunner,
+        context: NodeContext,
         queue: ActionQueue,
         stream: Stream,
         client: ClientConnection,
@@ -52,7 +53,7 @@
         self._client = client
         self._upstream = upstream
         self._host = upstream.socket
-        self._reports = build_delay_reports(runner, upstream.request_id, attempt, self._endpoint.number)
+        self._reports = build_delay_reports(context, upstream.request_id, attempt, self._endpoint.number)
         self._response_timeout = ResponseTimeout(self._reports.record_delay)
         self.has_host_sent = False  # whether the host sent a line to the client
 
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -17,9 +17,9 @@
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.net.upstream import UpstreamConnection
+from tansyladder.node.context import NodeContext
 from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.stream import Stream
@@ -56,22 +56,22 @@
     Each session runs in a thread: that of its first request, or one of its own where it is restored.
     """
 
-    def __init__(self, runner: PolicyRunner, session_store: SessionStore | None = None) -> None:
+    def __init__(self, context: NodeContext, session_store: SessionStore | None = None) -> None:
         """As SessionRegistry."""
-        super().__init__(runner, session_store)
+        super().__init__(context, session_store)
         self._claiming: set[int] = set()  # ids of sessions that are being claimed; guarded by `_lock`
 
     def join_peers(self, service: OwnershipService) -> None:
         """From now on claim and confirm sessions with the cluster."""
         from tansyladder.sessions.ownership_client import OwnershipClient
 
-        self.ownership = OwnershipClient(service, self._runner.clock, self.options.expires)
+        self.ownership = OwnershipClient(service, self._context.clock, self.options.expires)
 
     def serve(
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
         """Serve a session from its first UP to its end; the client's socket is closed then."""
-        Session(self._runner, self, request, client).run(upstream, request_id)
+        Session(self._context, self, request, client).run(upstream, request_id)
 
     def rotate_keys(self, options: ResumeOptions) -> None:
         """Put the keys of new settings in force."""
@@ -101,7 +101,7 @@
 
     def _check_is_available(self) -> None:
         """ResumeRejectedError, TokenError: this node resumes no session now."""
-        if self._runner.lifecycle.is_draining:
+        if self._context.lifecycle.is_draining:
             if self.resumes_on_any_node:
                 raise ResumeRejectedError(RETRY_SOON)  # another node claims the session
             raise TokenError(ResumeRejection.DRAINING)
@@ -130,7 +130,7 @@
             release()
             queue.add_client(client)
 
-        self.token_registry.begin_resume(payload, self._runner.clock.micros(arrived), deliver)
+        self.token_registry.begin_resume(payload, self._context.clock.micros(arrived), deliver)
         return b""
 
     # --- sessions that are restored
@@ -158,13 +158,13 @@
         TokenError: there is no capacity for it.
         """
         queue = ActionQueue()
-        expires_at = self._runner.clock.moment(expires_at_us)
+        expires_at = self._context.clock.moment(expires_at_us)
         try:
             queue.open()
             node_start = ownership_epoch or self.node_start
             stream = Stream.restored(session_id, self.memory_budget, self.options.buffer, node_start)
-            class_number = self._runner.class_numbers[opening.class_name]
-            session = Session(self._runner, self, ResumableRequest(queue, class_number, opening, stream))
+            class_number = self._context.configuration.class_numbers[opening.class_name]
+            session = Session(self._context, self, ResumableRequest(queue, class_number, opening, stream))
             session.set_expiry(expires_at)
             self.token_registry.add(session_id, queue, generation_floor, ownership_epoch)
             threading.Thread(target=session.run, name="restored-session", daemon=True).start()
@@ -227,7 +227,7 @@
             raise ResumeRejectedError(RETRY_SOON)
         epoch = takeover.ownership.claim(payload, client.deadline)
         self._restore(payload.session_id, takeover.opening, payload.generation, payload.expires_at_us, epoch)
-        arrived_us = self._runner.clock.micros(takeover.arrived)
+        arrived_us = self._context.clock.micros(takeover.arrived)
         self.token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
         log(LogEvent.SESSION_TAKEN_OVER, tenure=epoch, took=now() - takeover.arrived)
 
@@ -237,6 +237,6 @@
 
     def _answer(self, takeover: _Takeover, answer: bytes) -> None:
         sock = takeover.client.sock
-        self._runner.metrics.record_outcome(takeover.opening.class_name, RequestOutcome.of_answer(answer))
+        self._context.metrics.record_outcome(takeover.opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(sock)
         sockets.shutdown_and_drain(sock, answer)
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -14,8 +14,8 @@
 from tansyladder.net.action_queue import ResumingClient
 from tansyladder.net.clock import now
 from tansyladder.net.upstream import UpstreamConnection
+from tansyladder.node.context import NodeContext
 from tansyladder.node.extension_points import ResumableRequest
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import PositionError
@@ -41,23 +41,23 @@
 
     def __init__(
         self,
-        runner: PolicyRunner,
+        context: NodeContext,
         registry: SessionRegistry,
         request: ResumableRequest,
         client: socket.socket | None = None,
     ) -> None:
         """`client`: connected; without one the session is restored and awaits its client."""
-        self._runner = runner
+        self._context = context
         self._registry = registry
         self._queue = request.action_queue
         self._stream = request.stream
         self._lifecycle = SessionLifecycle()
         self._client = ClientConnection(
-            registry, runner.metrics, self._lifecycle, request.opening, request.stream
+            registry, context.metrics, self._lifecycle, request.opening, request.stream
         )
         if client is not None:
             self._client.connect(client)
-        self._placer = UpstreamPlacer(runner, registry, request)
+        self._placer = UpstreamPlacer(context, registry, request)
         self._upstream: PlacedUpstream | None = None
         self._migrations_without_progress = 0
 
@@ -100,7 +100,7 @@
 
     def _forward(self, upstream: PlacedUpstream) -> PlacedUpstream:
         """Forward until the stream host is lost; the next one."""
-        forwarder = Forwarder(self._runner, self._queue, self._stream, self._client, upstream)
+        forwarder = Forwarder(self._context, self._queue, self._stream, self._client, upstream)
         try:
             forwarder.run()
         except UpstreamLostError as lost:
@@ -125,8 +125,8 @@
         self._upstream = None
         self._lifecycle.apply(SessionEvent.UPSTREAM_LOST)
         self._queue.mark_lost()
-        self._runner.handle_events(upstream.connection.attempt_ended(upstream.request_id, status))
-        self._runner.unregister_request(upstream.request_id)
+        self._context.policy.handle_events(upstream.connection.attempt_ended(upstream.request_id, status))
+        self._context.policy.unregister_request(upstream.request_id)
 
     def _next_upstream(self, lost: UpstreamLostError) -> PlacedUpstream:
         """Place the session anew, once there is a client to place it for.
@@ -152,7 +152,7 @@
         self._migrations_without_progress += 1
         if self._migrations_without_progress > MAX_MIGRATIONS_WITHOUT_PROGRESS:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE)
-        if self._runner.lifecycle.is_draining:
+        if self._context.lifecycle.is_draining:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
 
     def _migrate(self, lost: UpstreamLostError) -> PlacedUpstream:
@@ -189,7 +189,7 @@
                 continue
             if self._queue.is_superseded:
                 raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
-            if self._runner.lifecycle.is_draining:
+            if self._context.lifecycle.is_draining:
                 raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED)
             expires_at = self._client.expires_at
             if now() >= expires_at:
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -18,7 +18,7 @@
     RESUME_TOKEN_FIELD,
     Opening,
 )
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.context import NodeContext
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import ResumeRejection
 from tansyladder.resumption.replay_buffer import MemoryBudget
@@ -40,21 +40,21 @@
 class SessionRegistry:
     """The resumable sessions of one node. Thread-safe."""
 
-    def __init__(self, runner: PolicyRunner, session_store: SessionStore | None = None) -> None:
+    def __init__(self, context: NodeContext, session_store: SessionStore | None = None) -> None:
         """`session_store`: where sessions outlive the process; unused with peers, which see to that."""
-        options = runner.options.resume
-        has_peers = runner.options.peers.enabled
-        self._runner = runner
+        options = context.options.resume
+        has_peers = context.options.peers.enabled
+        self._context = context
         self.options: ResumeOptions = options
         self.resumes_on_any_node = has_peers
         self.ownership: OwnershipClient | None = None  # set once this process has joined its peers
         self.session_store = None if has_peers else session_store
         identity = self.session_store.identity if self.session_store else None
-        self.keyring = _new_keyring(runner, identity)
+        self.keyring = _new_keyring(context, identity)
         self.node_start = 1 if has_peers else identity.start_count if identity else 0
         self._is_durable = has_peers or self.session_store is not None
         self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(options.remembered, self.node_start)
-        memory_limit = runner.config.limits.memory_mb * MEBIBYTE
+        memory_limit = context.configuration.config.limits.memory_mb * MEBIBYTE
         self.memory_budget = MemoryBudget(int(memory_limit * options.memory_share))
         self._suspended_count = 0
         self._lock = threading.Lock()  # of `_suspended_count`
@@ -117,7 +117,7 @@
             self.session_store.delete_session(session_id)
 
     def _token_expiry_us(self) -> int:
-        return self._runner.clock.micros(now() + self.options.expires)
+        return self._context.clock.micros(now() + self.options.expires)
 
     # --- suspended sessions
 
@@ -140,19 +140,19 @@
             self._suspended_count -= 1
 
 
-def _new_keyring(runner: PolicyRunner, identity: NodeIdentity | None) -> Keyring:
+def _new_keyring(context: NodeContext, identity: NodeIdentity | None) -> Keyring:
     """The keys of this node's tokens, or of its fleet's, whose tokens are valid at all of its nodes.
 
     The issuer is bound to the name as well: a folder that was copied to another node does not make that node
     an issuer of this one's tokens.
     """
-    peers = runner.options.peers
-    issuer_name = peers.fleet if peers.enabled else runner.config.name
+    peers = context.options.peers
+    issuer_name = peers.fleet if peers.enabled else context.configuration.config.name
     node_seed = identity.issuer_id if identity else os.urandom(32)
     issuer_seed = b"" if peers.enabled else node_seed
     name_key = issuer_name.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
     issuer_id = hashlib.blake2b(issuer_seed, digest_size=ISSUER_ID_BYTES, key=name_key).digest()
-    keys = sealing_keys(runner.options.resume)
+    keys = sealing_keys(context.options.resume)
     return Keyring(issuer_id, keys, os.urandom, identity.token_key if identity else None)
 
 
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -10,8 +10,8 @@
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.upstream import ConnectResult, UpstreamConnection
 from tansyladder.node.attempt_loop import AttemptLoop, build_request
+from tansyladder.node.context import NodeContext
 from tansyladder.node.extension_points import ResumableRequest
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Reject
 from tansyladder.resumption.errors import PositionError
 from tansyladder.sessions.session_registry import SessionRegistry
@@ -45,21 +45,21 @@
 class UpstreamPlacer:
     """Places one session. Owned by the session's thread."""
 
-    def __init__(self, runner: PolicyRunner, registry: SessionRegistry, request: ResumableRequest) -> None:
-        self._runner = runner
+    def __init__(self, context: NodeContext, registry: SessionRegistry, request: ResumableRequest) -> None:
+        self._context = context
         self._request = request
         self._first_line = registry.first_line_builder(request.opening, request.stream)
         self._replay = b""
 
     def place(self, deadline: timedelta) -> PlacedUpstream | PlacementRejected:
         """Follow the policy until a stream host continues the session, or the request is given up."""
-        runner = self._runner
+        context = self._context
         request = self._request
         queue = request.action_queue
         opening = request.opening
-        request_id = runner.register_request(queue)
+        request_id = context.policy.register_request(queue)
         loop = AttemptLoop(
-            runner,
+            context,
             queue,
             request_id,
             opening.class_name,
@@ -69,12 +69,12 @@
             LINES_OF_ANSWER,
             self._accept,
         )
-        answer = loop.run(build_request(runner, request_id, request.class_number, opening, deadline, True))
+        answer = loop.run(build_request(context, request_id, request.class_number, opening, deadline, True))
         if isinstance(answer, UpstreamConnection):
             up_line, _position, *following_lines = answer.initial_lines
             connection = replace(answer, initial_lines=(up_line, *following_lines))
             return PlacedUpstream.of(connection, request_id, self._replay)
-        runner.unregister_request(request_id)
+        context.policy.unregister_request(request_id)
         if isinstance(answer, Reject):
             return PlacementRejected(answer.retry_after_us * MICROSECOND)
         return PlacementRejected(timedelta(0))
--- a/tests/formats/storage_adapter.py
+++ b/tests/formats/storage_adapter.py
@@ -23,7 +23,7 @@
 from tansyladder.store import Durability, Store, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 from tests.formats.adapter import LogCommand, LogEntry, Place, encode
-from tests.node.harness import RecordingPolicyRunner, load_test_config
+from tests.node.harness import NodeParts, load_test_config
 
 HardState = persistent_state.HardState
 Snapshot = persistent_state.Snapshot
@@ -273,7 +273,7 @@
 
 def node_keyring(folder: Path, sessions: SessionStore) -> Keyring:
     """Of a node `n0` that keeps its sessions in a store, with the key that it drew."""
-    return SessionRegistry(RecordingPolicyRunner(load_test_config(folder)), sessions).keyring
+    return SessionRegistry(NodeParts(load_test_config(folder)).context, sessions).keyring
 
 
 def fleet_keyring(folder: Path, keys: list[tuple[int, bytes]]) -> Keyring:
@@ -282,7 +282,7 @@
     entries = tuple(KeyEntry(id=number, digits=secret.hex()) for number, secret in keys)
     resume = ResumeOptions(enabled=True, keys=entries)
     return SessionRegistry(
-        RecordingPolicyRunner(load_test_config(folder), Options(resume=resume, peers=peers)), None
+        NodeParts(load_test_config(folder), Options(resume=resume, peers=peers)).context, None
     ).keyring
 
 
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -18,10 +18,9 @@
 from tansyladder.config.platform import Address
 from tansyladder.net import handover_messages, listener_handover
 from tansyladder.net.listener_handover import ListenerHandover
-from tansyladder.node.client_listener import ClientListener
 from tests.node.harness import (
+    NodeParts,
     Peer,
-    RecordingPolicyRunner,
     ScriptedServer,
     answer_up,
     endpoint_entry,
@@ -144,9 +143,9 @@
         queued = client_of(port)
         config = load_test_config(tmp_path, endpoint_entry("s0", host.address), listen=f"127.0.0.1:{port}")
         monkeypatch.setattr(new, "request_listener", lambda: listener)
-        runner = RecordingPolicyRunner(config)
-        client_listener = ClientListener(runner, new)
-        runner.start()
+        parts = NodeParts(config)
+        client_listener = parts.new_listener(new)
+        parts.start()
         client_listener.start()
         assert queued.read_line() == "UP r1"
         queued.close()
@@ -189,7 +188,7 @@
 ) -> None:
     """A stale file, a process that hangs, no folder at all: a plain start, beside whoever listens."""
     monkeypatch.setattr(listener_handover, "MESSAGE_TIMEOUT", timedelta(milliseconds=50))
-    first = ClientListener(RecordingPolicyRunner(load_test_config(tmp_path)))
+    first = NodeParts(load_test_config(tmp_path)).new_listener()
     port = first.address[1]
     name = tmp_path / f"tansyladder-127.0.0.1-{port}.sock"
     hangs = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -199,9 +198,8 @@
     assert handover(tmp_path, port).request_listener() is None
     assert ListenerHandover(Address("127.0.0.1", port), None).request_listener() is None
     assert ListenerHandover(Address("127.0.0.1", port), str(tmp_path / "none")).request_listener() is None
-    beside = ClientListener(
-        RecordingPolicyRunner(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")),
-        handover(tmp_path, port),
+    beside = NodeParts(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")).new_listener(
+        handover(tmp_path, port)
     )
     assert beside.address == first.address
     beside.start()
@@ -215,8 +213,8 @@
 def test_both_processes_share_the_nodes_descriptors(tmp_path: Path) -> None:
     """The old one keeps what it uses and half of what is free; a client that waits counts thrice."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
-    runner = RecordingPolicyRunner(load_test_config(tmp_path, limits=limits))
-    old = ClientListener(runner, ListenerHandover(Address("127.0.0.1", 1), str(tmp_path)))
+    parts = NodeParts(load_test_config(tmp_path, limits=limits))
+    old = parts.new_listener(ListenerHandover(Address("127.0.0.1", 1), str(tmp_path)))
     idle = old.split_descriptors()
     # What a full table of pending connections may take stays with neither.
     assert 0 < idle.released_count < idle.retained_count < 200 - idle.released_count
@@ -233,7 +231,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     own_handover = handover(tmp_path, 1)
-    listener = ClientListener(RecordingPolicyRunner(load_test_config(tmp_path)), own_handover)
+    listener = NodeParts(load_test_config(tmp_path)).new_listener(own_handover)
     changed = threading.Event()
     monkeypatch.setattr(listener, "set_accepting", lambda _: changed.set())
     listener.start()
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -15,11 +15,23 @@
 from tansyladder.config import platform
 from tansyladder.config.operator_settings import Options, ResumeOptions
 from tansyladder.net.action_queue import ActionQueue
+from tansyladder.net.clock import Clock
+from tansyladder.net.listener_handover import ListenerHandover
+from tansyladder.node.active_configuration import ActiveConfiguration
+from tansyladder.node.attachable_endpoint_cache import AttachableEndpointCache
 from tansyladder.node.client_listener import ClientListener
+from tansyladder.node.context import NodeContext
+from tansyladder.node.decision_gate import DecisionGate
+from tansyladder.node.discovery_client import DiscoveryClient
+from tansyladder.node.endpoint_registry import newest_list
+from tansyladder.node.health_checker import HealthChecker
+from tansyladder.node.lifecycle import Lifecycle
+from tansyladder.node.metrics import Metrics
 from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.events import Event
 from tansyladder.sessions.resumption_handler import ResumptionHandler
-from tansyladder.sessions.session_store import open_session_store
+from tansyladder.sessions.session_store import SessionStore, open_session_store
 
 Script = Callable[["Peer"], None]
 SETTINGS: dict[str, Any] = {
@@ -115,8 +127,10 @@
 class RecordingPolicyRunner(PolicyRunner):
     """A policy runner that records the events that its policy handles."""
 
-    def __init__(self, config: platform.Config, options: Options | None = None) -> None:
-        super().__init__(config, options)
+    def __init__(
+        self, configuration: ActiveConfiguration, clock: Clock, metrics: Metrics, work_queues: WorkQueues
+    ) -> None:
+        super().__init__(configuration, clock, metrics, work_queues)
         self.events: list[Event] = []
 
     def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
@@ -134,12 +148,67 @@
         raise AssertionError(f"no {kind.__name__}: {self.events}")
 
 
+class NodeParts:
+    """A node's parts below its listener, with a policy runner that records its events."""
+
+    def __init__(self, config: platform.Config, options: Options | None = None) -> None:
+        self.work_queues = WorkQueues()
+        self.endpoint_cache = AttachableEndpointCache()
+        configuration = ActiveConfiguration(config)
+        clock = Clock()
+        metrics = Metrics(config.class_names)
+        self.runner = RecordingPolicyRunner(configuration, clock, metrics, self.work_queues)
+        self.context = NodeContext(
+            configuration, options or Options(), clock, metrics, Lifecycle(), self.runner
+        )
+
+    def start(self) -> None:
+        """Give the policy the newest list that is known, and start its timers."""
+        context = self.context
+        configured = context.configuration.config.known_endpoints
+        self.runner.start(newest_list(configured, self.endpoint_cache, None, context.clock))
+
+    def new_listener(
+        self, handover: ListenerHandover | None = None, session_service: ResumptionHandler | None = None
+    ) -> ClientListener:
+        """A listener for clients; without `handover` no other process of the node is looked for."""
+        listen = self.context.configuration.config.listen
+        gate = DecisionGate(requires_lease=False)
+        return ClientListener(self.context, handover or ListenerHandover(listen, None), session_service, gate)
+
+    def new_discovery_client(self) -> DiscoveryClient:
+        """A client of the discovery that the configuration names."""
+        return DiscoveryClient(self.context, self.work_queues, self.endpoint_cache)
+
+    def new_health_checker(self) -> HealthChecker:
+        """What checks endpoints for the policy."""
+        return HealthChecker(self.context, self.work_queues)
+
+
 class Node:
     """A node on loopback and the way of a client to it."""
 
-    def __init__(self, runner: RecordingPolicyRunner, listener: ClientListener) -> None:
-        self.runner = runner
+    def __init__(
+        self,
+        parts: NodeParts,
+        listener: ClientListener,
+        session_service: ResumptionHandler | None = None,
+        session_store: SessionStore | None = None,
+    ) -> None:
+        self.session_store = session_store
+        self.parts = parts
+        self.context = parts.context
+        self.configuration = parts.context.configuration
+        self.metrics = parts.context.metrics
+        self.runner = parts.runner
         self.listener = listener
+        self._session_service = session_service
+
+    @property
+    def session_service(self) -> ResumptionHandler:
+        """The node's resumable sessions; only a node with resumption has them."""
+        assert self._session_service is not None
+        return self._session_service
 
     def connect(self) -> Peer:
         """A client's connection that has sent nothing."""
@@ -214,16 +283,16 @@
         *(endpoint_entry(f"s{index}", server.address) for index, server in enumerate(members)),
         **overrides,
     )
-    runner = RecordingPolicyRunner(config, Options(resume=resume) if resume else None)
-    session_store = runner.endpoint_cache = open_session_store(str(store), "n0") if store else None
-    if resume:
-        runner.session_service = ResumptionHandler(runner, session_store)
-    listener = ClientListener(runner)
-    runner.start()
+    parts = NodeParts(config, Options(resume=resume) if resume else None)
+    session_store = open_session_store(str(store), "n0") if store else None
+    if session_store is not None:
+        parts.endpoint_cache.attach(session_store)
+    session_service = ResumptionHandler(parts.context, session_store) if resume else None
+    listener = parts.new_listener(session_service=session_service)
+    parts.start()
     listener.start()
     try:
-        yield Node(runner, listener)
+        yield Node(parts, listener, session_service, session_store)
     finally:
         listener.stop_listening()
-        if runner.endpoint_cache is not None:
-            runner.endpoint_cache.close()
+        parts.endpoint_cache.close()
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -16,6 +16,7 @@
 from tansyladder.config.platform import Address
 from tansyladder.node import connection_drainer
 from tansyladder.node.admin_server import MAX_CALLERS, MAX_LINE_BYTES, AdminServer
+from tansyladder.node.decision_gate import DecisionGate
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.policy.events import ClientDisconnected
 from tests.node.harness import SETTINGS, Node, Peer, ScriptedServer, answer_up, running_node
@@ -60,8 +61,10 @@
 @contextmanager
 def administered_node(tmp_path: Path, *members: ScriptedServer, **over: Any) -> Iterator[AdministeredNode]:
     with running_node(tmp_path, *members, **over) as node:
-        administered = AdministeredNode(node.runner, node.listener)
-        administered.admin_server = AdminServer(node.runner, node.listener, Address("127.0.0.1", 0))
+        administered = AdministeredNode(node.parts, node.listener)
+        administered.admin_server = AdminServer(
+            node.context, DecisionGate(requires_lease=False), node.listener, Address("127.0.0.1", 0)
+        )
         administered.admin_server.start()
         yield administered
         administered.admin_server.stop()
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -12,13 +12,12 @@
 
 import pytest
 
-from tansyladder.node.client_listener import ClientListener
 from tansyladder.policy.events import (
     AttemptEnded,
 )
 from tests.node.harness import (
+    NodeParts,
     Peer,
-    RecordingPolicyRunner,
     ScriptedDiscovery,
     ScriptedServer,
     answer_up,
@@ -84,7 +83,7 @@
 
 def test_the_reserve_descriptor_is_closed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Where it could not be had again, its old number was closed anew: by then it may be a client's."""
-    listener = ClientListener(RecordingPolicyRunner(load_test_config(tmp_path)))
+    listener = NodeParts(load_test_config(tmp_path)).new_listener()
     closed: list[int] = []
 
     def none_left(*_: object) -> int:
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -19,7 +19,6 @@
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
 from tansyladder.net.upstream import ConnectResult, UpstreamConnector
-from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -99,7 +98,7 @@
             client.close()
         node.runner.wait_for(ClientDisconnected)  # and not after 9 s: the wait for the connection is over
         assert node.runner.wait_for(AttemptEnded).is_closed
-        assert node.runner.metrics.total_counts()["tries"] == 0
+        assert node.metrics.total_counts()["tries"] == 0
     # Whatever connection comes up later brings nothing; there is none where the wait was given up.
     host.sock.settimeout(0.0)
 
@@ -244,8 +243,8 @@
     with running_node(
         tmp_path, discovery=ScriptedServer(answer).address, known=known, settings=seldom
     ) as node:
-        DiscoveryClient(node.runner).start()
-        node.runner.discovery_polls.put(True)
+        node.parts.new_discovery_client().start()
+        node.parts.work_queues.request_discovery_poll()
         node.runner.wait_for(EndpointListUpdate, 3)
         told = [e for e in node.runner.events if isinstance(e, EndpointListUpdate)][1:3]
         assert [(e.kind, e.version) for e in told] == [
--- a/tests/node/test_discovery_client.py
+++ b/tests/node/test_discovery_client.py
@@ -12,7 +12,6 @@
 
 from tansyladder.config.platform import Address
 from tansyladder.node import discovery_client as discovery_of
-from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.policy.events import (
     EndpointListUpdate,
     EndpointState,
@@ -52,11 +51,11 @@
     )
     seldom = SETTINGS | {"rules": {"ask_within": 10**12}}  # the module's own calls stay out of this story
     with running_node(tmp_path, discovery=service.address, settings=seldom) as node:
-        discovery = DiscoveryClient(node.runner)
+        discovery = node.parts.new_discovery_client()
         discovery.start()
         for count in (4, 5, 6):  # the list it had, the whole one, what changed, and then only failures
             node.runner.wait_for(EndpointListUpdate, count)
-            node.runner.discovery_polls.put(True)
+            node.parts.work_queues.request_discovery_poll()
         kinds = [e.kind for e in node.runner.events if isinstance(e, EndpointListUpdate)][1:6]
         assert kinds == [ListUpdateKind.SNAPSHOT, ListUpdateKind.DELTA, *[ListUpdateKind.FAILED] * 3]
         assert calls[0][1] == "GET /v1/servers HTTP/1.1"  # a node that comes back has an old list
@@ -75,9 +74,9 @@
     new = ScriptedDiscovery(2, endpoint_entry("s0", host.address), endpoint_entry("s7", host.address))
     seldom = SETTINGS | {"rules": {"ask_within": 10**12}}
     with running_node(tmp_path, host, discovery=old.address, settings=seldom) as node:
-        discovery = DiscoveryClient(node.runner)
+        discovery = node.parts.new_discovery_client()
         discovery.start()
-        node.runner.discovery_polls.put(True)
+        node.parts.work_queues.request_discovery_poll()
         node.runner.wait_for(EndpointListUpdate, 2)
         client = node.open()
         assert client.read_line() == "UP r1"
@@ -117,10 +116,10 @@
     with running_node(
         tmp_path, discovery=ScriptedServer(never, later._serve, never, never).address, settings=seldom
     ) as node:
-        discovery = DiscoveryClient(node.runner)
+        discovery = node.parts.new_discovery_client()
         discovery._needs_snapshot = False  # its list is not old
         discovery.start()
-        node.runner.discovery_polls.put(True)
+        node.parts.work_queues.request_discovery_poll()
         node.runner.wait_for(
             EndpointListUpdate, 3
         )  # the known one, the one in the silent call's place, and a failure
@@ -141,7 +140,7 @@
     with running_node(
         tmp_path, ScriptedServer(answer_up()), discovery=flaky.address, settings=pushed
     ) as node:
-        DiscoveryClient(node.runner).start()
+        node.parts.new_discovery_client().start()
         assert node.runner.endpoint_by_id("s7") is not None
         assert agent.calls[0] == "GET /v1/servers HTTP/1.1"
         assert not [
@@ -162,7 +161,7 @@
 
     flaky = ScriptedServer(fail_twice)
     with running_node(tmp_path) as node:
-        discovery = DiscoveryClient(node.runner)
+        discovery = node.parts.new_discovery_client()
         discovery.start()
         host, port = flaky.address.split(":")
         discovery.switch_address(Address(host, int(port)))
--- a/tests/node/test_discovery_polls.py
+++ b/tests/node/test_discovery_polls.py
@@ -18,8 +18,8 @@
 
 def test_a_new_address_ends_the_wait_after_a_change(tmp_path: Path) -> None:
     with running_node(tmp_path) as node:
-        node.runner.request_discovery_poll()
-        discovery_client.DiscoveryClient(node.runner)._wait_for_request(timedelta(hours=1))
+        node.parts.work_queues.request_discovery_poll()
+        node.parts.new_discovery_client()._wait_for_request(timedelta(hours=1))
 
 
 @pytest.mark.parametrize("nodes", [3, 40, 10**9])
@@ -49,7 +49,7 @@
     told: dict[str, Any] = SETTINGS | {"balancers": nodes}
     known = {"revision": 7, "members": [{"id": "s0", "host_port": "127.0.0.1:9", "phase": "up"}]}
     with running_node(tmp_path, settings=told, known=known) as node, contextlib.suppress(IndexError):
-        watch = discovery_client.DiscoveryClient(node.runner)
+        watch = node.parts.new_discovery_client()
         assert watch._poll_once()
         assert watch._poll_once()
     assert asked[0] == "/v1/servers?since=7&timeout_ms=4500"  # what changed since the list that it knows
--- a/tests/node/test_drain_crossings.py
+++ b/tests/node/test_drain_crossings.py
@@ -189,7 +189,7 @@
         client = node.open()
         assert [client.read_line(), client.read_line()] == ["BUSY 200", ""]
         assert node.listener.active_count == 0
-        assert node.runner.metrics.total_counts()["shed"] == 1
+        assert node.metrics.total_counts()["shed"] == 1
 
 
 def test_an_idle_front_end_is_shut_down_before_the_close(tmp_path: Path) -> None:
--- a/tests/node/test_endpoint_reports.py
+++ b/tests/node/test_endpoint_reports.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-from tansyladder.node.health_checker import HealthChecker
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -69,7 +68,7 @@
             [(ReportKind.REPORTED_DELAY, 1, 40.5), (ReportKind.REPORTED_DELAY, 1, 3.0)] if tells else []
         )
         assert (
-            node.runner.config.settings.health_check_interval_us > 0
+            node.configuration.settings.health_check_interval_us > 0
         )  # a promise of notes alone stops no probes
         client.close()
 
@@ -87,7 +86,7 @@
     ceilings = SETTINGS["ceilings"] | {"probes": True}
     settings = SETTINGS | {"ceilings": ceilings, "extra": {"message_aim": [50_000]}}  # delays are not told
     with running_node(tmp_path, ScriptedServer(pong, err), settings=settings) as node:
-        HealthChecker(node.runner).start()
+        node.parts.new_health_checker().start()
         first, second = node.runner.wait_for(HealthCheckResult), node.runner.wait_for(HealthCheckResult, 2)
         assert first.status is AttemptStatus.OK
         assert 20_000 <= first.latency_us < 140_000
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -15,7 +15,6 @@
 from tansyladder.config.errors import ConfigError
 from tansyladder.config.platform import load
 from tansyladder.config.reload import reload
-from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.node.reload import Reloader
 from tansyladder.policy.actions import Fail, Reject, SetTimer, StartAttempt
 from tansyladder.policy.balancer import Balancer
@@ -78,10 +77,10 @@
 )
 def test_a_broken_file_changes_nothing_and_names_its_key(tmp_path: Path, edit: Edit, named: str) -> None:
     with Office(tmp_path) as node:
-        before = (node.node.runner.config, dict(node.node.runner.class_numbers))
+        before = (node.node.configuration.config, dict(node.node.configuration.class_numbers))
         node.edit(edit)
         assert named in node.refused()
-        assert (node.node.runner.config, dict(node.node.runner.class_numbers)) == before
+        assert (node.node.configuration.config, dict(node.node.configuration.class_numbers)) == before
 
 
 @pytest.mark.parametrize("text", ["", " ", "{", "[]", "null", "\xff", '{"settings": {"classes": [NaN]}}'])
@@ -101,7 +100,9 @@
     def __enter__(self) -> Office:
         self.node: Node = self._node.__enter__()
         self.environ = {"GW_CONFIG": str(self.file)}
-        self.reloader = Reloader(self.environ, self.node.runner, DiscoveryClient(self.node.runner))
+        self.reloader = Reloader(
+            self.environ, self.node.context, self.node.parts.new_discovery_client(), None
+        )
         return self
 
     def __exit__(self, *error: Any) -> None:
@@ -115,10 +116,10 @@
 
     def refused(self) -> str:
         with pytest.raises(ConfigError) as err:
-            reload(self.environ, self.node.runner.config)
-        files = self.node.runner.metrics.totals()["config_rejected"]
+            reload(self.environ, self.node.configuration.config)
+        files = self.node.metrics.totals()["config_rejected"]
         self.reloader.reload_now()
-        assert self.node.runner.metrics.totals()["config_rejected"] == files + 1  # type: ignore[operator]
+        assert self.node.metrics.totals()["config_rejected"] == files + 1  # type: ignore[operator]
         return str(err.value)
 
 
@@ -130,6 +131,7 @@
 def test_classes_come_and_go_and_established_connections_stay(tmp_path: Path) -> None:
     with Office(tmp_path, ScriptedServer(answer_up(echoes))) as node:
         runner = node.node.runner
+        configuration = node.node.configuration
         old = node.node.open()
         assert old.read_line() == "UP r1"
         terms = copy.deepcopy(json.loads(node.file.read_text())["settings"]["classes"][0])
@@ -137,8 +139,8 @@
         node.edit(setting("settings.classes", [other]), setting("settings.ceilings.attempts_cap", 1))
         node.edit(setting("name", "else"), setting("settings.ceilings.connect_timeout", 50_000))
         node.reloader.reload_now()
-        assert runner.metrics.totals()["config_applied"] == 1
-        assert (runner.config.name, runner.config.settings.connect_timeout_us) == ("n0", 50_000)
+        assert node.node.metrics.totals()["config_applied"] == 1
+        assert (configuration.config.name, configuration.settings.connect_timeout_us) == ("n0", 50_000)
         gone, new = node.node.open(), node.node.open("c=draw,d=900")
         assert (gone.read_line(), new.read_line()) == ("ERR", "UP r1")
         for client in (old, new):
@@ -150,11 +152,11 @@
         assert "settings.classes.0.effect: missing" in node.refused()  # the default would be a laxer one
         node.edit(setting("settings.classes", [terms | {"effect": "read_like"}, shorter]))
         node.reloader.reload_now()
-        assert runner.class_numbers == {
+        assert configuration.class_numbers == {
             "chat": 0,
             "draw": 2,
         }  # old terms have their old number, new ones a new one
-        assert [c.deadline_us for c in runner.config.settings.classes] == [1_200_000, 900_000, 700_000]
+        assert [c.deadline_us for c in configuration.settings.classes] == [1_200_000, 900_000, 700_000]
         for client in (old, gone, new):
             client.close()
 
@@ -163,7 +165,7 @@
     with Office(tmp_path) as node:
         node.edit(setting("limits.sockets", 99), setting("settings.localities", ["b", "a"]))
         node.edit(setting("settings.rules.ask_within", 5_000_000))
-        _, taken, fixed = reload(node.environ, node.node.runner.config)
+        _, taken, fixed = reload(node.environ, node.node.configuration.config)
         assert (taken, fixed) == (["settings.rules.ask_within"], ["limits.sockets", "settings.localities"])
         assert load(node.environ).limits.sockets == 99
 
--- a/tests/node/test_second_deployment.py
+++ b/tests/node/test_second_deployment.py
@@ -10,7 +10,6 @@
 from tansyladder.config.errors import ConfigError
 from tansyladder.config.platform import absent_features
 from tansyladder.net.protocol import parse_load_report
-from tansyladder.node.health_checker import HealthChecker
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -105,7 +104,7 @@
         peer.read_line()
 
     with running_node(tmp_path, ScriptedServer(report), settings=PUSHED) as node:
-        HealthChecker(node.runner).start()
+        node.parts.new_health_checker().start()
         probed = node.runner.wait_for(HealthCheckResult)
         assert (probed.status, probed.load_report) == (AttemptStatus.OK, load)
 
--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -12,7 +12,6 @@
 from pathlib import Path
 
 from tansyladder.config.operator_settings import ResumeOptions
-from tansyladder.sessions.resumption_handler import ResumptionHandler
 from tests.node.harness import SETTINGS, Node, Peer, Script, ScriptedServer, running_node
 
 RESUMPTION_OPTIONS = ResumeOptions(enabled=True, expires=timedelta(seconds=60))
@@ -96,8 +95,7 @@
 
     def lose_connection(self) -> None:
         """Its connection breaks, and the node has noticed."""
-        service = self.node.runner.session_service
-        assert isinstance(service, ResumptionHandler)
+        service = self.node.session_service
         before = service.suspended_count
         until = time.monotonic() + 10
         break_connection(self.peer)
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -55,7 +55,7 @@
         assert [again.read_line(), again.read_line()] == ["ERR resume spent", ""]
         client.send_lines("M 2")
         assert client.read_line() == "F 4"  # and the second use hurt nobody
-        counted = node.runner.metrics.total_counts()
+        counted = node.metrics.total_counts()
         assert (counted["ok"], counted["errors"], counted["shed"], counted["tries"]) == (2, 1, 0, 1)
 
 
@@ -181,15 +181,14 @@
     new = KeyEntry(2, "cd" * 32)
     resume = msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(old,))
     with resuming_node(tmp_path, ScriptedHost(echo_lines), resume=resume) as node:
-        assert node.runner.session_service is not None
         client = SessionClient(node)
         client.open_session()
-        node.runner.session_service.rotate_keys(msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(new, old)))
+        node.session_service.rotate_keys(msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(new, old)))
         client.peer = client.reconnect()
         assert [client.read_line(), client.read_line()] == ["UP r1", "RS AT 1"]
         client.send_lines("M 2")
         assert client.read_line() == "F 2 M 2"
-        node.runner.session_service.rotate_keys(msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(old,)))
+        node.session_service.rotate_keys(msgspec.structs.replace(RESUMPTION_OPTIONS, keys=(old,)))
         gone = client.reconnect()
         assert gone.read_line() == "ERR resume forged"
         client.send_lines("M 3")
@@ -251,14 +250,13 @@
         client.lose_connection()
         lost.set()
         node.runner.wait_for(AttemptEnded)
-        monkeypatch.setattr(node.runner.session_service, "reserve_suspended", lambda: False)
+        monkeypatch.setattr(node.session_service, "reserve_suspended", lambda: False)
         returning = client.reconnect()
         node.runner.wait_for(RequestReceived, 2)
         break_connection(returning)
         broken.set()
         assert node.runner.wait_for(AttemptEnded, 2).status is AttemptStatus.CANCELLED
-        assert node.runner.session_service is not None
         deadline = time.monotonic() + 5
-        while len(node.runner.session_service.token_registry) and time.monotonic() < deadline:
+        while len(node.session_service.token_registry) and time.monotonic() < deadline:
             time.sleep(0.002)
         assert client.reconnect().read_line() == "ERR resume room"
--- a/tests/sessions/test_migration.py
+++ b/tests/sessions/test_migration.py
@@ -120,7 +120,7 @@
         assert [client.read_line() for _ in range(4)] == ["UP r1", "F 1", "MOVE", ""]
         late = client.reconnect()
         assert late.read_line() == "ERR resume moved"
-        assert len(node.runner.session_service.token_registry) == 0 if node.runner.session_service else False
+        assert len(node.session_service.token_registry) == 0
 
 
 def test_a_draining_host_migrates_connected_and_later_suspended_sessions(tmp_path: Path) -> None:
@@ -162,7 +162,7 @@
         suspended.lose_connection()
         draining = threading.Thread(target=node.listener.drain)
         draining.start()
-        while not node.runner.lifecycle.is_draining:
+        while not node.context.lifecycle.is_draining:
             pass
         late = suspended.reconnect()
         assert late.read_line() in ("ERR resume draining", "")
@@ -170,6 +170,5 @@
         connected.peer.close()
         draining.join(10)
         assert not draining.is_alive()
-        assert node.runner.request_ids(True) == []
-        assert node.runner.session_service is not None
-        assert len(node.runner.session_service.token_registry) == 0
+        assert node.runner.established_request_ids() == []
+        assert len(node.session_service.token_registry) == 0
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -9,7 +9,7 @@
 
 from tansyladder.config.platform import EndpointEntry, EndpointList
 from tansyladder.policy.events import EndpointListUpdate, ListUpdateKind
-from tansyladder.sessions.session_store import SessionStore, open_session_store
+from tansyladder.sessions.session_store import open_session_store
 from tests.node.harness import Peer, running_node
 from tests.sessions.harness import (
     ScriptedHost,
@@ -115,10 +115,9 @@
     new = ScriptedHost(echo_lines)
     entry = EndpointEntry("s9", new.listener.address, "up", zone="a", kind="m")
     with running_node(tmp_path, old.listener, store=tmp_path / "a") as first:
-        assert first.runner.endpoint_cache is not None
-        first.runner.endpoint_cache.save_endpoints(EndpointList(7, True, [entry]))
+        first.parts.endpoint_cache.save_endpoints(EndpointList(7, True, [entry]))
         gone = EndpointEntry("s8", "127.0.0.1:9", "removed")
-        first.runner.endpoint_cache.save_endpoints(EndpointList(8, False, [gone]))
+        first.parts.endpoint_cache.save_endpoints(EndpointList(8, False, [gone]))
     with running_node(tmp_path, old.listener, store=tmp_path / "a") as second:
         listed = second.runner.wait_for(EndpointListUpdate)
         assert (listed.version, listed.kind) == (8, ListUpdateKind.CACHED)
@@ -141,7 +140,7 @@
         shutil.rmtree(folder)
         folder.write_text("")
     with resuming_node(tmp_path, ScriptedHost(echo_lines), store=folder) as node:
-        assert node.runner.endpoint_cache is None
+        assert node.session_store is None
         client = SessionClient(node)
         client.open_session()
         client.peer = client.reconnect()
@@ -155,8 +154,8 @@
     with resuming_node(tmp_path, ScriptedHost(echo_lines), store=tmp_path / "a") as node:
         client = SessionClient(node)
         client.open_session()
-        assert isinstance(node.runner.endpoint_cache, SessionStore)
-        node.runner.endpoint_cache._store._lifecycle.fail("made to fail")
+        assert node.session_store is not None
+        node.session_store._store._lifecycle.fail("made to fail")
         refused = client.reconnect()
         assert [refused.read_line(), refused.read_line()] == ["ERR resume store", ""]
         client.send_lines("M 2")
