--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -11,17 +11,18 @@
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.clock import now
 from tansyladder.net.handover_messages import ConnectionState, DescriptorSplit
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.protocol import RESUME_TOKEN_FIELD, Opening
 from tansyladder.node.admission_control import AdmissionControl
 from tansyladder.node.connection_acceptor import PENDING_CLOSE_TIMEOUT, ConnectionAcceptor
 from tansyladder.node.connection_drainer import ConnectionDrainer
+from tansyladder.node.connection_handler import ConnectionHandler
+from tansyladder.node.existing_connections import AdoptedConnectionHandler, RestoredConnectionHandler
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.node.policy_runner import PolicyRunner
-from tansyladder.node.request_handler import AdoptedConnection, serve_connection
+from tansyladder.node.request_handler import RequestHandler
 
 LISTEN_BACKLOG = 1024
 CLOSE_TIMEOUT = timedelta(milliseconds=300)  # at the end, for a notified client to end its side
@@ -145,20 +146,21 @@
     ) -> None:
         with released:
             pass
-        self._serve(sock, opening, arrived)
-
-    def _serve(
-        self,
-        sock: socket.socket,
-        opening: Opening,
-        arrived: timedelta,
-        adopted: AdoptedConnection | None = None,
-    ) -> None:
-        """Serve a connection to its end; `adopted`: what the process before handed over with it."""
+        self._serve(self._build_handler(sock, opening, arrived), opening.connection_id)
+
+    def _build_handler(self, sock: socket.socket, opening: Opening, arrived: timedelta) -> ConnectionHandler:
+        """Return the handler of an admitted connection: a new request, or one from before the run."""
+        deadline = arrived + opening.wait
+        if opening.endpoint_id is None:
+            return RequestHandler(self._runner, sock, opening, deadline)
+        return RestoredConnectionHandler(self._runner, sock, opening, deadline, opening.endpoint_id)
+
+    def _serve(self, handler: ConnectionHandler, connection_id: str) -> None:
+        """Serve a connection to its end, and count it no longer as served then."""
         try:
-            serve_connection(self._runner, sock, opening, arrived, adopted)
+            handler.run()
         finally:
-            self._admission.release(opening.connection_id)
+            self._admission.release(connection_id)
 
     # --- the handover between processes, as a ConnectionOwner
 
@@ -178,7 +180,8 @@
             opening = protocol.parse_opening(state.opening.encode() + b"\r\n")
             sockets.configure_stream(upstream)
             self._admission.add(opening.connection_id)
-            args = (client, opening, now(), AdoptedConnection(state, upstream))
+            handler = AdoptedConnectionHandler(self._runner, client, opening, upstream, state)
+            args = (handler, opening.connection_id)
             threading.Thread(target=self._serve, args=args, name="connection", daemon=True).start()
         except (protocol.LineError, RuntimeError) as err:  # RuntimeError: the system has no thread left
             log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
--- /dev/null
+++ b/tansyladder/node/connection_handler.py
@@ -0,0 +1,107 @@
+"""What the handlers of all served connections have in common: their request's registration and their end."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+from abc import ABC, abstractmethod
+from datetime import timedelta
+
+from tansyladder.log import LogEvent, log
+from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import ActionQueue
+from tansyladder.net.protocol import Opening, format_reject
+from tansyladder.net.relay import Relay
+from tansyladder.net.upstream import UpstreamConnection
+from tansyladder.node.metrics import RequestOutcome
+from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
+from tansyladder.policy.events import AttemptStatus
+
+# Of a client that was admitted and is rejected by its handler, without an answer of the policy.
+RETRY_AFTER = timedelta(milliseconds=100)
+
+
+class ConnectionHandler(ABC):
+    """Serves one client's connection to its end. Owned by the connection's own thread.
+
+    A subclass says how the connection to an endpoint is established, and calls `_relay` for it.
+    """
+
+    def __init__(self, runner: PolicyRunner, client: socket.socket, opening: Opening) -> None:
+        """`opening`: the client's first line."""
+        self._runner = runner
+        self._client = client
+        self._opening = opening
+        # The request keeps its class's number, and so its settings; 0 where the settings know no such class.
+        self._class_number = runner.class_numbers.get(opening.class_name, 0)
+        self._action_queue = ActionQueue()
+        self._request_id = 0  # until the request is registered
+        self._is_answered = False  # whether the client has its final answer or has left
+
+    @abstractmethod
+    def _serve(self) -> None:
+        """Serve the connection, whose request is registered with the policy runner."""
+
+    def run(self) -> None:
+        """Serve the connection to its end; raises nothing and closes the client's socket."""
+        try:
+            sockets.configure_stream(self._client)
+            self._serve_registered()
+        except OSError as err:
+            log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
+            if not self._is_answered:
+                self._record_outcome(RequestOutcome.CLIENT_LEFT)
+        except Exception as err:  # noqa: BLE001 - the thread's top: one connection's fault ends only that one
+            log(LogEvent.INTERNAL_ERROR, why=repr(err))
+            if not self._is_answered:
+                self._record_outcome(RequestOutcome.FAILED)
+            with contextlib.suppress(OSError):
+                self._client.sendall(protocol.ERR + b"\r\n")
+        finally:
+            self._client.close()
+
+    def _serve_registered(self) -> None:
+        """Serve the connection while its request is registered with the policy runner."""
+        try:
+            self._action_queue.open()
+        except OSError as err:  # no descriptor is left: a retry does no harm
+            log(LogEvent.CLIENT_REJECTED, why=err)
+            self._answer(RequestOutcome.REJECTED, format_reject(RETRY_AFTER))
+            return
+        self._request_id = self._runner.register_request(self._action_queue)
+        try:
+            self._serve()
+        finally:
+            self._runner.unregister_request(self._request_id)
+            self._action_queue.close()
+            self._client.close()
+
+    def _answer(self, outcome: RequestOutcome, line: bytes = b"") -> None:
+        """Record the final answer; send `line` and end our side where the answer is the node's own."""
+        self._is_answered = True
+        self._record_outcome(outcome)
+        if line:
+            sockets.shutdown_and_drain(self._client, line)
+
+    def _record_outcome(self, outcome: RequestOutcome) -> None:
+        self._runner.metrics.record_outcome(self._opening.class_name, outcome)
+
+    def _build_relay(self, connection: UpstreamConnection) -> Relay:
+        """Return the relay of an established connection; from now on the policy's actions wake it."""
+        delay_reports = build_delay_reports(
+            self._runner, self._request_id, connection.attempt, connection.endpoint.number
+        )
+        relay = Relay(
+            self._client,
+            connection,
+            self._opening,
+            self._action_queue,
+            delay_reports,
+            self._runner.listener_handover,
+        )
+        self._action_queue.use_callback(relay.wake)
+        return relay
+
+    def _report_end(self, connection: UpstreamConnection, status: AttemptStatus) -> None:
+        """Notify the policy that an established connection has ended."""
+        self._runner.handle_events(connection.attempt_ended(self._request_id, status))
--- /dev/null
+++ b/tansyladder/node/existing_connections.py
@@ -0,0 +1,140 @@
+"""Serves connections that were established before this process: adopted from its predecessor, or restored.
+
+The policy of this process has placed none of them: it is notified of each one once it is established here.
+"""
+
+from __future__ import annotations
+
+import socket
+from datetime import timedelta
+
+from tansyladder.log import LogEvent, log
+from tansyladder.net import protocol, sockets
+from tansyladder.net.action_queue import EndpointAddress
+from tansyladder.net.clock import MICROSECOND, now
+from tansyladder.net.handover_messages import ConnectionState
+from tansyladder.net.protocol import Opening, format_reject
+from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
+from tansyladder.node.attempt_loop import load_hint_of, tenant_of
+from tansyladder.node.connection_handler import RETRY_AFTER, ConnectionHandler
+from tansyladder.node.metrics import RequestOutcome
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.policy.actions import Reject
+from tansyladder.policy.events import AttemptStatus, ConnectionAdopted
+
+RESTORE_RETRY_INTERVAL = timedelta(milliseconds=100)  # between two attempts to restore a connection
+
+
+class ExistingConnectionHandler(ConnectionHandler):
+    """Base of the handlers of connections that this process's policy has not placed."""
+
+    def _report_adopted(self, endpoint: EndpointAddress) -> None:
+        """Notify the policy of a connection that is established at an endpoint."""
+        opening = self._opening
+        adopted = ConnectionAdopted(
+            self._request_id,
+            self._class_number,
+            tenant_of(self._runner, opening),
+            endpoint.number,
+            opening.key,
+            load_hint_of(opening),
+        )
+        self._runner.handle_events(adopted)
+
+
+class AdoptedConnectionHandler(ExistingConnectionHandler):
+    """Serves a connection that the predecessor handed over with both of its sockets."""
+
+    def __init__(
+        self,
+        runner: PolicyRunner,
+        client: socket.socket,
+        opening: Opening,
+        upstream: socket.socket,
+        state: ConnectionState,
+    ) -> None:
+        """`upstream`: the socket to the endpoint; `state`: what the predecessor knew of the connection."""
+        super().__init__(runner, client, opening)
+        self._upstream = upstream
+        self._state = state
+        self._is_answered = True  # by the predecessor
+
+    def _serve(self) -> None:
+        endpoint = self._runner.endpoint_by_id(self._state.endpoint_id)
+        if endpoint is None:
+            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=self._state.endpoint_id)
+            self._upstream.close()
+            sockets.shutdown_and_drain(self._client, protocol.MOVE + b"\r\n")
+            return
+        self._report_adopted(endpoint)
+        connection = UpstreamConnection(
+            endpoint, self._upstream, protocol.LineBuffer(), initial_lines=(), attempt=0, setup_duration_us=0
+        )
+        status = self._build_relay(connection).resume(self._state)
+        self._report_end(connection, status)
+
+
+class RestoredConnectionHandler(ExistingConnectionHandler):
+    """Connects a client again to the endpoint at which its connection was before the run."""
+
+    def __init__(
+        self,
+        runner: PolicyRunner,
+        client: socket.socket,
+        opening: Opening,
+        deadline: timedelta,
+        endpoint_id: str,
+    ) -> None:
+        """`deadline`: until when attempts are made; `endpoint_id`: what the client's first line names."""
+        super().__init__(runner, client, opening)
+        self._deadline = deadline
+        self._endpoint_id = endpoint_id
+
+    def _serve(self) -> None:
+        endpoint = self._runner.endpoint_by_id(self._endpoint_id)
+        if endpoint is None:
+            self._answer_failure(ConnectResult(AttemptStatus.CONNECT_FAILED))
+            return
+        result = self._connect(endpoint)
+        if result.sock is None or result.buffer is None:
+            self._answer_failure(result)
+            return
+        self._answer(RequestOutcome.OK)
+        self._report_adopted(endpoint)
+        lines = (result.up_line, *result.following_lines)
+        connection = UpstreamConnection(
+            endpoint, result.sock, result.buffer, lines, attempt=0, setup_duration_us=0
+        )
+        status = self._build_relay(connection).run()
+        self._report_end(connection, status)
+
+    def _answer_failure(self, result: ConnectResult) -> None:
+        """Give the final answer to a client whose connection could not be restored."""
+        log(LogEvent.CONNECTION_RESTORE_FAILED, member=self._endpoint_id, status=result.status.name)
+        if result.client_end is ClientEnd.DISCONNECTED:
+            self._answer(RequestOutcome.CLIENT_LEFT)
+        else:
+            self._answer(RequestOutcome.REJECTED, format_reject(RETRY_AFTER))
+
+    def _connect(self, endpoint: EndpointAddress) -> ConnectResult:
+        """Make attempts until one succeeds, the deadline is reached, or the client or the node ends them."""
+        while True:
+            connector = UpstreamConnector(
+                endpoint,
+                self._opening.format_for_endpoint,
+                self._deadline,
+                self._runner.config.settings.connect_timeout_us * MICROSECOND,
+                self._record_attempt,
+            )
+            result = connector.open(self._client, self._action_queue)
+            if result.sock is not None or result.client_end is ClientEnd.DISCONNECTED:
+                return result
+            retry_at = now() + RESTORE_RETRY_INTERVAL
+            if retry_at >= self._deadline:
+                return result
+            sockets.wait_readable(retry_at, self._action_queue.fileno())
+            if isinstance(self._action_queue.peek(), Reject):
+                return result
+
+    def _record_attempt(self) -> None:
+        self._runner.metrics.record_attempt(self._opening.class_name)
