--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -193,7 +193,10 @@
     def set_accepting(self, accepting: bool) -> None:
         """The next process accepts the clients, or is gone again; it matters only to a draining process."""
         if self._runner.lifecycle.state is NodeState.DRAINING:
-            self._acceptor.yield_queue(not accepting)
+            if accepting:
+                self._acceptor.reclaim_queue()
+            else:
+                self._acceptor.yield_queue()
 
     # --- the end
 
@@ -202,9 +205,9 @@
         lifecycle = self._runner.lifecycle
         # Before the state changes, as clients that come once it is seen are the successor's; and again after
         # it, as a successor's end in between is passed over by `set_accepting`.
-        self._acceptor.yield_queue(self._handover.has_successor)
+        self._share_queue()
         lifecycle.begin_drain()
-        self._acceptor.yield_queue(self._handover.has_successor)
+        self._share_queue()
         self._handover.begin_migration()
         end = self.drainer.shutdown_deadline()
         notified = self.drainer.migrate_gradually(lifecycle.state_since, end, self._is_idle)
@@ -215,6 +218,13 @@
         left = self.drainer.remaining()
         log(LogEvent.DRAINED, standing=left.established, in_hand=left.waiting)
 
+    def _share_queue(self) -> None:
+        """Leave the listener's queue to a successor where there is one."""
+        if self._handover.has_successor:
+            self._acceptor.yield_queue()
+        else:
+            self._acceptor.reclaim_queue()
+
     def stop_listening(self) -> None:
         """Stop the acceptor, wait until it has answered its clients, then close the listener."""
         self._handover.unpublish()
--- a/tansyladder/node/pending_connections.py
+++ b/tansyladder/node/pending_connections.py
@@ -6,27 +6,28 @@
 import socket
 from collections.abc import Callable
 from datetime import timedelta
+from enum import Enum
 from typing import Protocol
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
 
-# A client without a complete first line is answered ERR at the first deadline and closed at the second: under
-# 3 s after the accept, however slowly its bytes come and however busy the node is.
+# A client without a complete first line is answered ERR after the first and closed after the second: under
+# 3 s after the accept, however slowly its bytes arrive and however busy the node is.
 FIRST_LINE_TIMEOUT = timedelta(seconds=1.8)
 PENDING_LIFETIME = timedelta(seconds=2.3)
 PING_IDLE_TIMEOUT = timedelta(seconds=60)  # between two PINGs of the front end on one connection
-MAX_PINGS_PER_SECOND = 20  # a front end asks and waits for the answer; more is a flood
-PING_WINDOW = timedelta(seconds=1)  # that MAX_PINGS_PER_SECOND is counted in
-# A connection this young has its line on the way: where too many come at once, the next ones wait in the
-# listener's queue for this long, and only then one of the table counts as silent.
+MAX_PINGS_PER_SECOND = 20  # a front end waits for each answer; more is a flood
+PING_WINDOW = timedelta(seconds=1)  # in which MAX_PINGS_PER_SECOND are counted
+# The first line of a younger connection is on its way. Where the table is full of young ones, new connections
+# wait in the listener's queue until one of the table has been silent for this long and can be evicted.
 MIN_SILENCE = timedelta(milliseconds=50)
-DISCARD_BUFFER_BYTES = 1 << 16  # read at once of what an answered client still sends
+DISCARD_BUFFER_BYTES = 1 << 16  # that are read at once of what an answered client still sends
 
 
 class RequestAdmitter(Protocol):
-    """What decides on first lines; every call comes from the acceptor's thread."""
+    """Decides on first lines. Every call comes from the acceptor's thread."""
 
     @property
     def is_ready(self) -> bool:
@@ -34,7 +35,7 @@
 
     @property
     def retry_after(self) -> timedelta:
-        """When a rejected client may come again."""
+        """After which time a rejected client may retry."""
 
     def admit(
         self,
@@ -43,7 +44,7 @@
         arrived: timedelta,
         release: Callable[[], None],
     ) -> bytes:
-        """Take the connection after a call of `release`, or return the answer that rejects it."""
+        """Call `release` and take the connection over, or return the answer that rejects it."""
 
     def record_invalid_line(self) -> None:
         """Count a first line that could not be parsed."""
@@ -52,41 +53,58 @@
         """Count a request that was rejected before it was parsed."""
 
 
+class PendingState(Enum):
+    """What a pending connection is waiting for; each state is reached from those above it only."""
+
+    AWAITING_LINE = "awaiting line"  # its first line, or a front end's next PING
+    ANSWERED = "answered"  # its final answer was sent; only the client's end is awaited
+    REMOVED = "removed"  # from the table: closed, or served by a thread of its own
+
+
 class PendingConnection:
-    """A connection that has not sent a valid OPEN; owned by the acceptor's thread."""
+    """A connection that has not sent a valid OPEN. Owned by the acceptor's thread."""
 
     __slots__ = (
         "buffer",
         "close_deadline",
         "discarded_bytes",
         "first_line_deadline",
-        "is_answered",
         "last_line_at",
         "ping_count",
         "ping_window_start",
         "sock",
+        "state",
     )
 
     def __init__(self, sock: socket.socket) -> None:
         sockets.disable_send_delay(sock)
         self.sock = sock
+        self.state = PendingState.AWAITING_LINE
         self.buffer = protocol.LineBuffer()
-        # Only a complete PING moves the deadlines on: half a line does not.
+        # Only a complete PING extends the deadlines: a part of a line does not.
         self.last_line_at = now()
         self.first_line_deadline = self.last_line_at + FIRST_LINE_TIMEOUT
         self.close_deadline = self.last_line_at + PENDING_LIFETIME
-        self.is_answered = False  # it has its final answer, and only its own end is waited for
         self.discarded_bytes = 0
         self.ping_count = 0
         self.ping_window_start = timedelta(0)
 
+    @property
+    def is_awaiting_line(self) -> bool:
+        """Whether it has no final answer, and is still in the table."""
+        return self.state is PendingState.AWAITING_LINE
+
     @property
     def is_expecting_line(self) -> bool:
         """Whether its first line may be on its way; a front end that only sends PING has none."""
-        return not self.is_answered and bool(self.buffer.partial_line or not self.ping_count)
+        return self.is_awaiting_line and bool(self.buffer.partial_line or not self.ping_count)
 
     def count_ping(self, arrived: timedelta) -> None:
-        """Count a PING; raises LineError where there are too many in a second."""
+        """Count a PING.
+
+        Raises:
+            LineError: There were too many within a second.
+        """
         if arrived - self.ping_window_start >= PING_WINDOW:
             self.ping_count = 0
             self.ping_window_start = arrived
@@ -95,21 +113,37 @@
             raise protocol.LineError("a flood of PINGs")
 
     def extend_deadlines(self, arrived: timedelta) -> None:
-        """A PING was answered: the next line may take its time."""
+        """Wait for the front end's next line, after an answered PING."""
         self.last_line_at = arrived
         self.first_line_deadline = arrived + PING_IDLE_TIMEOUT
-        # A request may come in the instant in which the idle connection is ended.
+        # A request may arrive just as the idle connection is shut down.
         self.close_deadline = self.first_line_deadline + sockets.DRAIN_TIMEOUT
 
 
+def send_final_answer(sock: socket.socket, answer: bytes) -> None:
+    """Send an answer without blocking, and end our side; an empty answer only ends it.
+
+    Raises:
+        OSError: The connection is broken, or its send buffer is full.
+    """
+    if answer:
+        sock.send(answer, socket.MSG_DONTWAIT)
+    sock.shutdown(socket.SHUT_WR)
+
+
+def _eviction_order(connection: PendingConnection) -> tuple[bool, timedelta]:
+    """Return the sort key of evictions: answered connections first, then the longest silent ones."""
+    return connection.is_awaiting_line, connection.last_line_at
+
+
 class PendingConnections:
-    """The table of pending connections; owned by the acceptor's thread, which never blocks on one of them.
+    """The table of pending connections. Owned by the acceptor's thread, which never blocks on one of them.
 
     Other threads may only read `count` and `is_expecting_lines`.
     """
 
     def __init__(self, poll: select.poll, admitter: RequestAdmitter) -> None:
-        """`poll`: what the acceptor waits on; connections are registered there while they are pending."""
+        """`poll`: what the acceptor waits on; connections are registered with it while they are pending."""
         self._poll = poll
         self._admitter = admitter
         self._by_descriptor: dict[int, PendingConnection] = {}
@@ -126,21 +160,21 @@
         return any(connection.is_expecting_line for connection in self.all())
 
     def all(self) -> list[PendingConnection]:
-        """The pending connections at this moment."""
+        """Return the connections that are pending at this moment."""
         return list(self._by_descriptor.values())
 
     def get(self, descriptor: int) -> PendingConnection | None:
-        """The connection with a descriptor; None where it has been closed meanwhile."""
+        """Return the connection with a descriptor; None where it is no longer pending."""
         return self._by_descriptor.get(descriptor)
 
     def add(self, sock: socket.socket) -> None:
-        """Take an accepted connection in, and read what has come with it."""
+        """Add an accepted connection, and read what has already arrived on it."""
         connection = self._by_descriptor[sock.fileno()] = PendingConnection(sock)
         self._poll.register(sock, select.POLLIN)
-        self.handle_readable(connection)  # most lines are there already
+        self.handle_readable(connection)  # most first lines have arrived by now
 
     def handle_readable(self, connection: PendingConnection) -> None:
-        """Read from a connection; whatever it sent affects no other one."""
+        """Read from a connection; no fault of it affects another one."""
         try:
             self._read(connection)
         except BlockingIOError:
@@ -155,58 +189,60 @@
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
+    def check_all_deadlines(self, moment: timedelta) -> None:
+        """Check the deadlines of every connection."""
+        for connection in self.all():
+            self.check_deadlines(connection, moment)
+
     def check_deadlines(self, connection: PendingConnection, moment: timedelta) -> None:
-        """Answer a connection whose first line is overdue; close one whose time is up."""
+        """Answer a connection whose first line is overdue; close one whose lifetime is over."""
         if moment >= connection.close_deadline:
             self.close(connection)
-        elif moment >= connection.first_line_deadline and not connection.is_answered:
+        elif moment >= connection.first_line_deadline and connection.is_awaiting_line:
             log(LogEvent.INVALID_LINE, where="client", why="no first line")
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
     def evict_one(self) -> bool:
-        """Close the oldest answered connection, else the longest silent one; False where all are young.
+        """Make room in the table; return False where all connections are too young to be evicted.
 
-        A client that sent PING or half a line once and stays is no better than a silent one: where such
-        clients fill the table, each new client would be the one to go, or to wait.
+        An answered connection is evicted first, then the one whose last line is the oldest. A client that
+        sent one PING or a part of a line and then nothing counts as silent too: where such clients fill the
+        table, each new client would otherwise be evicted, or have to wait.
         """
-        oldest = min(
-            self._by_descriptor.values(),
-            key=lambda connection: (not connection.is_answered, connection.last_line_at),
-        )
-        if not oldest.is_answered:
+        oldest = min(self._by_descriptor.values(), key=_eviction_order)
+        if oldest.is_awaiting_line:
             if now() - oldest.last_line_at < MIN_SILENCE:
                 return False
-            self.handle_readable(oldest)  # its line may be there unread
-        if self._is_pending(oldest):
-            if not oldest.is_answered:
-                log(LogEvent.CLIENT_REJECTED, why="silent")
-                # Its line may come in this instant: then this is its answer.
-                self.answer_and_shutdown(oldest, protocol.format_reject(self._admitter.retry_after))
+            self.handle_readable(oldest)  # its line may have arrived unread
+        if oldest.is_awaiting_line:
+            log(LogEvent.CLIENT_REJECTED, why="silent")
+            # This is also the answer to a line that arrives at this very moment.
+            self.answer_and_shutdown(oldest, protocol.format_reject(self._admitter.retry_after))
+        if oldest.state is not PendingState.REMOVED:  # it may be served by now
             self.close(oldest)
         return True
 
     def answer_and_shutdown(self, connection: PendingConnection, answer: bytes) -> None:
-        """Send the final answer and end our side; a close at once might overtake the answer."""
-        connection.is_answered = True
+        """Send the final answer and end our side; closing at once might overtake the answer."""
+        if connection.is_awaiting_line:
+            connection.state = PendingState.ANSWERED
         connection.close_deadline = min(connection.close_deadline, now() + sockets.DRAIN_TIMEOUT)
         try:
-            if answer:
-                connection.sock.send(answer, socket.MSG_DONTWAIT)
-            connection.sock.shutdown(socket.SHUT_WR)
+            send_final_answer(connection.sock, answer)
         except OSError:
             self.close(connection)
 
     def shutdown_unanswered(self) -> None:
-        """Read what has come until now, and end our side of the connections that have no answer."""
+        """Read what has arrived until now, and end our side of the connections that have no answer."""
         for connection in self.all():
-            if not connection.is_answered:
+            if connection.is_awaiting_line:
                 self.handle_readable(connection)
-            if not connection.is_answered and self._is_pending(connection):
+            if connection.is_awaiting_line:
                 self.answer_and_shutdown(connection, b"")
 
     def close(self, connection: PendingConnection) -> None:
         """Close a connection, whether it is still in the table or not."""
-        if self._is_pending(connection):
+        if connection.state is not PendingState.REMOVED:
             self._release(connection)
         connection.sock.close()
 
@@ -215,21 +251,21 @@
         for connection in self.all():
             self.close(connection)
 
-    def _is_pending(self, connection: PendingConnection) -> bool:
-        return self._by_descriptor.get(connection.sock.fileno()) is connection
-
     def _release(self, connection: PendingConnection) -> None:
+        """Remove a connection from the table without closing it."""
+        connection.state = PendingState.REMOVED
         self._poll.unregister(connection.sock)
         del self._by_descriptor[connection.sock.fileno()]
 
     def _read(self, connection: PendingConnection) -> None:
-        if connection.is_answered:
+        """Read what has arrived on a connection, and handle the complete lines of it."""
+        if connection.state is PendingState.ANSWERED:
             self._discard(connection)
             return
         data = connection.sock.recv(2 * protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
         arrived = now()
         if not data:
-            self.close(connection)  # an incomplete line and a close asks for nothing
+            self.close(connection)  # the client has disconnected; a part of a line is no request
             return
         lines = connection.buffer.feed(data)
         for line in lines:
@@ -241,8 +277,8 @@
                 self._admit(connection, protocol.parse_opening(line), arrived)
 
     def _discard(self, connection: PendingConnection) -> None:
-        """Read away what an answered client still sends, within a bound."""
-        # TCP drops what is read with MSG_TRUNC without a copy: a flood costs the interpreter little.
+        """Discard what an answered client still sends; close a connection that sends too much."""
+        # With MSG_TRUNC, TCP drops the data without a copy: a flood costs little.
         flags = socket.MSG_DONTWAIT | socket.MSG_TRUNC
         size = connection.sock.recv_into(self._discard_buffer, 0, flags)
         connection.discarded_bytes += size
@@ -257,7 +293,7 @@
     def _answer_ping(self, connection: PendingConnection, arrived: timedelta) -> None:
         connection.count_ping(arrived)
         if not self._admitter.is_ready:
-            # The connection ends as well: the front end keeps none to a node in standby.
+            # The connection ends as well: a front end has none to a node in standby.
             self.answer_and_shutdown(connection, protocol.BUSY + b"\r\n")
             return
         connection.sock.send(protocol.PONG + b"\r\n", socket.MSG_DONTWAIT)
