--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -12,18 +12,19 @@
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.clock import now
 from tansyladder.net.handover_messages import ConnectionState, DescriptorSplit
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.protocol import RESUME_TOKEN_FIELD, Opening
 from tansyladder.node.admission_control import AdmissionControl
 from tansyladder.node.connection_acceptor import PENDING_CLOSE_TIMEOUT, ConnectionAcceptor
 from tansyladder.node.connection_drainer import ConnectionDrainer
+from tansyladder.node.connection_handler import ConnectionHandler
 from tansyladder.node.context import ConnectionServices, NodeContext
 from tansyladder.node.decision_gate import DecisionGate
+from tansyladder.node.existing_connections import AdoptedConnectionHandler, RestoredConnectionHandler
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.request_handler import AdoptedConnection, serve_connection
+from tansyladder.node.request_handler import RequestHandler
 
 if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
     from tansyladder.node.extension_points import SessionService
@@ -170,20 +171,21 @@
     ) -> None:
         with released:
             pass
-        self._serve(sock, opening, arrived)
+        self._serve(self._build_handler(sock, opening, arrived), opening.connection_id)
 
-    def _serve(
-        self,
-        sock: socket.socket,
-        opening: Opening,
-        arrived: timedelta,
-        adopted: AdoptedConnection | None = None,
-    ) -> None:
-        """Serve a connection to its end; `adopted`: what the process before handed over with it."""
+    def _build_handler(self, sock: socket.socket, opening: Opening, arrived: timedelta) -> ConnectionHandler:
+        """Return the handler of an admitted connection: a new request, or one from before the run."""
+        deadline = arrived + opening.wait
+        if opening.endpoint_id is None:
+            return RequestHandler(self._services, sock, opening, deadline)
+        return RestoredConnectionHandler(self._services, sock, opening, deadline, opening.endpoint_id)
+
+    def _serve(self, handler: ConnectionHandler, connection_id: str) -> None:
+        """Serve a connection to its end, and count it no longer as served then."""
         try:
-            serve_connection(self._services, sock, opening, arrived, adopted)
+            handler.run()
         finally:
-            self._admission.release(opening.connection_id)
+            self._admission.release(connection_id)
 
     # --- the handover between processes, as a ConnectionOwner
 
@@ -203,7 +205,8 @@
             opening = protocol.parse_opening(state.opening.encode() + b"\r\n")
             sockets.configure_stream(upstream)
             self._admission.add(opening.connection_id)
-            args = (client, opening, now(), AdoptedConnection(state, upstream))
+            handler = AdoptedConnectionHandler(self._services, client, opening, upstream, state)
+            args = (handler, opening.connection_id)
             threading.Thread(target=self._serve, args=args, name="connection", daemon=True).start()
         except (protocol.LineError, RuntimeError) as err:  # RuntimeError: the system has no thread left
             log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
@@ -215,7 +218,10 @@
     def set_accepting(self, accepting: bool) -> None:
         """The next process accepts the clients, or is gone again; it matters only to a draining process."""
         if self._lifecycle.state is NodeState.DRAINING:
-            self._acceptor.yield_queue(not accepting)
+            if accepting:
+                self._acceptor.reclaim_queue()
+            else:
+                self._acceptor.yield_queue()
 
     # --- the end
 
@@ -223,9 +229,9 @@
         """After SIGTERM: serve what still arrives, migrate what is established, reject the rest in time."""
         # Before the state changes, as clients that come once it is seen are the successor's; and again after
         # it, as a successor's end in between is passed over by `set_accepting`.
-        self._acceptor.yield_queue(self._handover.has_successor)
+        self._share_queue()
         self._lifecycle.begin_drain()
-        self._acceptor.yield_queue(self._handover.has_successor)
+        self._share_queue()
         self._handover.begin_migration()
         end = self.drainer.shutdown_deadline()
         notified = self.drainer.migrate_gradually(self._lifecycle.state_since, end, self._is_idle)
@@ -236,6 +242,13 @@
         left = self.drainer.remaining()
         log(LogEvent.DRAINED, standing=left.established, in_hand=left.waiting)
 
+    def _share_queue(self) -> None:
+        """Leave the listener's queue to a successor where there is one."""
+        if self._handover.has_successor:
+            self._acceptor.yield_queue()
+        else:
+            self._acceptor.reclaim_queue()
+
     def stop_listening(self) -> None:
         """Stop the acceptor, wait until it has answered its clients, then close the listener."""
         self._handover.unpublish()
