--- a/tansyladder/net/action_queue.py
+++ b/tansyladder/net/action_queue.py
@@ -1,43 +1,19 @@
-"""What the node's policy tells the one thread that serves a request, and an endpoint's network address."""
+"""The policy's actions for one request, on their way to the thread that serves it."""
 
 from __future__ import annotations
 
 import contextlib
 import os
-import socket
 import threading
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
-from datetime import timedelta
 
-from tansyladder.config.platform import Address
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
-from tansyladder.policy.events import EndpointState
 
 QueuedAction = StartAttempt | Reject | Fail | CancelAttempt | Migrate
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointAddress:
-    """How this node reaches an endpoint; what the policy knows of it is `policy.endpoints.Endpoint`."""
-
-    number: int  # the policy's number for it
-    id: str
-    address: Address
-    state: EndpointState
-
-
-@dataclass(frozen=True, slots=True)
-class ResumingClient:
-    """A client that came back with a token to the session that it opens."""
-
-    sock: socket.socket
-    received_line_count: int  # of the endpoint's lines, since the session began
-    deadline: timedelta  # by when it wants its answer
-    token_expiry_us: int = 0  # in microseconds of Unix time
-
-
 class ActionQueue:
     """The policy's actions for one request, on which its thread can poll beside its sockets.
 
--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -12,8 +12,9 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import ActionQueue, EndpointAddress
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.net.sockets import PeekResult
 from tansyladder.policy.actions import CancelAttempt, Reject
 from tansyladder.policy.events import AttemptEnded, AttemptStatus
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -10,8 +10,8 @@
 from tansyladder.config.errors import ConfigError
 from tansyladder.config.platform import Address, Config, EndpointEntry, EndpointList, parse_address
 from tansyladder.log import LogEvent, log
-from tansyladder.net.action_queue import EndpointAddress
 from tansyladder.net.clock import EPOCH, Clock, now
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.policy.events import EndpointState, EndpointUpdate, ListUpdateKind
 
 if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -9,8 +9,8 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import EndpointAddress
 from tansyladder.net.clock import MICROSECOND, now
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -19,9 +19,10 @@
 from tansyladder.config.platform import Config, EndpointList
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
-from tansyladder.net.action_queue import ActionQueue, EndpointAddress, QueuedAction
+from tansyladder.net.action_queue import ActionQueue, QueuedAction
 from tansyladder.net.clock import MICROSECOND, Clock, now
 from tansyladder.net.delay_reports import DelayMeter, DelayReports
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.node.class_numbers import ClassNumbers
 from tansyladder.node.endpoint_registry import EndpointRegistry, newest_list, valid_entries
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -10,8 +10,9 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import ActionQueue, EndpointAddress
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import MICROSECOND, now
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.net.handover_messages import ConnectionState
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -7,10 +7,10 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import sockets
-from tansyladder.net.action_queue import ResumingClient
 from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import Opening
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.node.metrics import Metrics, RequestOutcome
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import PositionError
--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -15,8 +15,8 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import sockets
-from tansyladder.net.action_queue import ResumingClient
 from tansyladder.net.clock import Clock, now
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.replication.session_ownership import (
     ClaimConfirmation,
     ClaimRejection,
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -13,9 +13,10 @@
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import ActionQueue, ResumingClient
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.node.metrics import RequestOutcome
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -11,8 +11,8 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import ResumingClient
 from tansyladder.net.clock import now
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.node.policy_runner import PolicyRunner
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from tansyladder.config.operator_settings import ResumeOptions
-from tansyladder.net.action_queue import ActionQueue, ResumingClient
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import MILLISECOND, now
 from tansyladder.net.protocol import (
     RESUME_OFFER_FIELD,
@@ -18,6 +18,7 @@
     RESUME_TOKEN_FIELD,
     Opening,
 )
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import ResumeRejection
--- a/tests/net/test_action_queue.py
+++ b/tests/net/test_action_queue.py
@@ -8,7 +8,8 @@
 import pytest
 
 from tansyladder.net import sockets
-from tansyladder.net.action_queue import ActionQueue, ResumingClient
+from tansyladder.net.action_queue import ActionQueue
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.policy.actions import CancelAttempt, Fail
 
 
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -12,8 +12,9 @@
 
 from tansyladder.config.platform import Address
 from tansyladder.net import protocol
-from tansyladder.net.action_queue import ActionQueue, EndpointAddress
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.delay_reports import DelayReports
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.net.handover_messages import BytesByDirection, ConnectionState
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.relay import Relay
