--- a/tansyladder/net/action_queue.py
+++ b/tansyladder/net/action_queue.py
@@ -8,6 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
+from tansyladder.net.action_queue_state import ESTABLISHED_STATES, QueueEvent, QueueState, next_state
 from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
 
@@ -17,9 +18,10 @@
 class ActionQueue:
     """The policy's actions for one request, on which its thread can poll beside its sockets.
 
-    Thread-safe: any thread may post and wake; one thread, the request's, takes. Until the connection is
-    established the queue is pollable and costs a descriptor. After that the request's thread can have a
-    callback wake it instead, so that a node of many connections needs no descriptor for each queue.
+    Thread-safe: any thread may post, wake and supersede; one thread, the request's, takes and changes the
+    state. Until the connection is established the queue is pollable and costs a descriptor. After that the
+    request's thread can have a callback wake it instead, so that a node of many connections needs no
+    descriptor for each queue.
     """
 
     def __init__(self) -> None:
@@ -29,16 +31,28 @@
         self._lock = threading.Lock()
         self._event = -1  # an eventfd, readable while the thread is to be woken; -1: none
         self._callback: Callable[[], None] | None = None
-        self.is_established = False  # whether the request's connection is
-        self.is_superseded = False  # whether another node owns the session now
+        self._state = QueueState.NEW
+        # Independent of the state: the cluster decides it on a thread of its own, at any moment and for good.
+        self._is_superseded = False
+
+    @property
+    def is_established(self) -> bool:
+        """Whether the request's connection is established."""
+        return self._state in ESTABLISHED_STATES
+
+    @property
+    def is_superseded(self) -> bool:
+        """Whether another node owns the session of this queue now."""
+        return self._is_superseded
 
     def open(self) -> None:
-        """Take the descriptor that makes the queue pollable.
+        """Open the descriptor that makes the queue pollable.
 
         Raises:
             OSError: No descriptor is left.
         """
         self._event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self._state = next_state(self._state, QueueEvent.OPENED)
 
     def fileno(self) -> int:
         """Return the descriptor to poll on; -1 where the queue is not open."""
@@ -64,14 +78,19 @@
         return self._actions[0] if self._actions else None
 
     def add_client(self, client: ResumingClient) -> None:
-        """Hand over a client that comes back to this session, and wake the session's thread."""
+        """Hand a client that resumes this session over, and wake the session's thread."""
         self._clients.append(client)
         self.wake()
 
     def take_client(self) -> ResumingClient | None:
-        """Remove and return the next client that came back, if there is one."""
+        """Remove and return the next client that resumes this session, if there is one."""
         return self._clients.popleft() if self._clients else None
 
+    def supersede(self) -> None:
+        """Note that another node owns the session, and wake the session's thread, which ends it."""
+        self._is_superseded = True
+        self.wake()
+
     def wake(self) -> None:
         """Wake the request's thread; without effect once the queue is closed."""
         with self._lock:
@@ -81,34 +100,32 @@
                 self._callback()
 
     def use_callback(self, callback: Callable[[], None]) -> None:
-        """Mark the connection established; from now on a wake is a call, and no descriptor is held.
+        """Mark the connection established; from now on a wake is a call, and no descriptor is open.
 
         The callback runs in the waking thread, under the queue's lock: it must neither block nor use
         the queue. It is called at once where actions are waiting.
         """
+        self._state = next_state(self._state, QueueEvent.CALLBACK_SET)
         with self._lock:
             self._close_event()
             self._callback = callback
-            self.is_established = True
             if self._actions:
                 callback()
 
     def mark_established(self) -> None:
-        """Mark the connection established, for a thread that goes on polling at a descriptor's price."""
-        with self._lock:
-            self.is_established = True
+        """Mark the connection established, for a thread that continues to poll the descriptor."""
+        self._state = next_state(self._state, QueueEvent.ESTABLISHED)
 
     def mark_lost(self) -> None:
         """Mark the connection as no longer established; its thread may be about to place it anew."""
-        with self._lock:
-            self.is_established = False
+        self._state = next_state(self._state, QueueEvent.LOST)
 
     def close(self) -> None:
         """Release the descriptor and the callback; actions that are posted later wake nobody."""
+        self._state = next_state(self._state, QueueEvent.CLOSED)
         with self._lock:
             self._close_event()
             self._callback = None
-            self.is_established = False
 
     def _close_event(self) -> None:
         if self._event >= 0:
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -182,8 +182,7 @@
         if self.ownership is not None and owner != self.ownership.node:
             queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
             if queue is not None:
-                queue.is_superseded = True
-                queue.wake()
+                queue.supersede()
 
     def _start_takeover(self, takeover: _Takeover, release: Callable[[], None]) -> None:
         """Take over another node's session in a thread of its own.
--- a/tests/net/test_action_queue.py
+++ b/tests/net/test_action_queue.py
@@ -9,6 +9,13 @@
 
 from tansyladder.net import sockets
 from tansyladder.net.action_queue import ActionQueue
+from tansyladder.net.action_queue_state import (
+    ESTABLISHED_STATES,
+    TRANSITIONS,
+    QueueEvent,
+    QueueState,
+    next_state,
+)
 from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.policy.actions import CancelAttempt, Fail
 
@@ -75,3 +82,39 @@
         assert queue.take_client() is client
         assert queue.take_client() is None
     queue.close()
+
+
+def test_superseding_a_session_wakes_its_thread_and_leaves_the_state() -> None:
+    queue = ActionQueue()
+    queue.open()
+    queue.mark_established()
+    queue.supersede()
+    assert queue.is_superseded
+    assert queue.is_established
+    assert is_readable(queue)
+    queue.close()
+
+
+def test_a_connection_that_is_lost_can_be_established_again() -> None:
+    queue = ActionQueue()
+    queue.open()
+    assert not queue.is_established
+    queue.mark_established()
+    assert queue.is_established
+    queue.mark_lost()
+    assert not queue.is_established
+    queue.mark_established()
+    assert queue.is_established
+    queue.close()
+
+
+def test_every_state_can_be_closed_and_the_closed_one_is_final() -> None:
+    assert set(TRANSITIONS) == set(QueueState)
+    assert {transitions[QueueEvent.CLOSED] for transitions in TRANSITIONS.values()} == {QueueState.CLOSED}
+    assert TRANSITIONS[QueueState.CLOSED] == {QueueEvent.CLOSED: QueueState.CLOSED}
+    assert QueueState.CLOSED not in ESTABLISHED_STATES
+
+
+def test_an_event_that_a_state_does_not_allow_violates_an_invariant() -> None:
+    with pytest.raises(AssertionError, match="action_queue_transition"):
+        next_state(QueueState.CALLBACK, QueueEvent.LOST)
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -43,6 +43,7 @@
         self.upstream, upstream = socket_pair()
         self.reports: list[tuple[ReportKind, float]] = []
         self.actions = ActionQueue()
+        self.actions.open()
         self.status: AttemptStatus | None = None
         connection = UpstreamConnection(ENDPOINT, upstream, protocol.LineBuffer(), initial_lines, 0, 0)
         reports = DelayReports(1, lambda: None, lambda *report: self.reports.append(report), lambda: True)
