--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -9,8 +9,8 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import EndpointAddress
 from tansyladder.net.clock import MICROSECOND, now
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.node.context import NodeContext
 from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -15,8 +15,9 @@
 from tansyladder.config.platform import Config, EndpointList
 from tansyladder.invariants import check_invariant
 from tansyladder.log import LogEvent, log
-from tansyladder.net.action_queue import ActionQueue, EndpointAddress, QueuedAction
+from tansyladder.net.action_queue import ActionQueue, QueuedAction
 from tansyladder.net.clock import Clock, now
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.node.active_configuration import ActiveConfiguration
 from tansyladder.node.endpoint_registry import EndpointRegistry, valid_entries
 from tansyladder.node.event_counters import EventCounters
--- a/tansyladder/node/work_queues.py
+++ b/tansyladder/node/work_queues.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 
 from tansyladder.invariants import check_invariant
-from tansyladder.net.action_queue import EndpointAddress
+from tansyladder.net.endpoint_address import EndpointAddress
 
 ItemT = TypeVar("ItemT")
 # Health checks and polls that may wait for their threads: more than there are endpoints.
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -13,9 +13,10 @@
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import ActionQueue, ResumingClient
+from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.node.context import NodeContext
 from tansyladder.node.extension_points import ResumableRequest
@@ -181,8 +182,7 @@
         if self.ownership is not None and owner != self.ownership.node:
             queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
             if queue is not None:
-                queue.is_superseded = True
-                queue.wake()
+                queue.supersede()
 
     def _start_takeover(self, takeover: _Takeover, release: Callable[[], None]) -> None:
         """Take over another node's session in a thread of its own.
