--- a/tansyladder/cli.py
+++ b/tansyladder/cli.py
@@ -28,22 +28,35 @@
 @click.argument("file", type=EXISTING)
 def check(file: Path) -> None:
     """Read a configuration (.json) or an operator's settings (else); exit code 2 names the fault."""
-    from tansyladder.config import operator_settings, platform
     from tansyladder.config.errors import ConfigurationError
 
     try:
         if file.suffix == ".json":
-            config = platform.load({"GW_CONFIG": str(file)})
-            known_count = len(config.known_endpoints.endpoints)
-            click.echo(f"{file}: sound: node {config.name}, {known_count} members known")
+            _check_configuration(file)
         else:
-            operator_settings.load(file)
-            click.echo(f"{file}: sound")
+            _check_settings(file)
     except ConfigurationError as err:
         click.echo(f"{file}: {err}", err=True)
         sys.exit(2)
 
 
+def _check_configuration(file: Path) -> None:
+    from tansyladder.config import platform
+
+    config = platform.load({"GW_CONFIG": str(file)})
+    known_count = len(config.known_endpoints.endpoints)
+    click.echo(f"{file}: sound: node {config.name}, {known_count} members known")
+
+
+def _check_settings(file: Path) -> None:
+    """Report deprecated keys as well, a line each on standard error; the file is sound with them."""
+    from tansyladder.config import operator_settings
+
+    for deprecated in operator_settings.load_file(file).deprecated_keys:
+        click.echo(f"{file}: {deprecated.path}: deprecated; use {deprecated.replacement_path}", err=True)
+    click.echo(f"{file}: sound")
+
+
 @commands.group()
 def lab() -> None:
     """Stand-ins for all that a node meets, on loopback, and measurements among them."""
--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -66,7 +66,7 @@
     resumption_handler.join_peers(raft_runner)
     replica = raft_runner.document_replica
     if replica is not None:
-        policy_runner.decision_permit = DocumentPublisher(raft_runner, replica, documents.stamps)
+        policy_runner.decision_permit = DocumentPublisher(raft_runner, replica, documents.decision_log)
     raft_runner.start()
     log(LogEvent.CLUSTER_JOINED, store=store is not None)
 
@@ -87,4 +87,4 @@
 def _document_settings(options: DocumentsOptions) -> DocumentReplicaSettings | None:
     if not options.enabled:
         return None
-    return DocumentReplicaSettings(VALIDATORS, LeaseExpiryPolicy(options.cut_off), options.lease)
+    return DocumentReplicaSettings(VALIDATORS, LeaseExpiryPolicy(options.on_lease_expiry), options.lease)
--- /dev/null
+++ b/tansyladder/config/deprecated_keys.py
@@ -0,0 +1,68 @@
+"""Earlier names of the operator's settings keys: still accepted, and reported by `tansyladder check`."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any, NamedTuple
+
+from tansyladder.config.errors import OptionsError
+
+
+class DeprecatedKey(NamedTuple):
+    """An earlier name of a key, and the name that replaced it in the same section."""
+
+    section: str
+    name: str
+    replacement: str
+
+    @property
+    def path(self) -> str:
+        """The earlier name with its section."""
+        return f"{self.section}.{self.name}"
+
+    @property
+    def replacement_path(self) -> str:
+        """The present name with its section."""
+        return f"{self.section}.{self.replacement}"
+
+
+DEPRECATED_KEYS = (
+    DeprecatedKey("resume", "parked", "max_suspended"),
+    DeprecatedKey("resume", "remembered", "retained_end_reasons"),
+    DeprecatedKey("documents", "cut_off", "on_lease_expiry"),
+    DeprecatedKey("documents", "stamps", "decision_log"),
+)
+
+
+def rename_deprecated_keys(sections: dict[str, Any]) -> tuple[DeprecatedKey, ...]:
+    """Rename the deprecated keys of parsed settings in place, and return those that were found.
+
+    Raises:
+        OptionsError: a section gives both the earlier and the present name.
+    """
+    found = []
+    for deprecated in DEPRECATED_KEYS:
+        section = sections.get(deprecated.section)
+        if not isinstance(section, dict) or deprecated.name not in section:
+            continue
+        if deprecated.replacement in section:
+            raise OptionsError(
+                deprecated.path, f"given together with {deprecated.replacement_path}, which replaces it"
+            )
+        section[deprecated.replacement] = section.pop(deprecated.name)
+        found.append(deprecated)
+    return tuple(found)
+
+
+def error_with_written_key(key: str, problem: str, found: Iterable[DeprecatedKey]) -> OptionsError:
+    """Return the error of a value that can't be used, with the key as the file writes it.
+
+    `problem` begins with the key's name where `key` is the whole section.
+    """
+    for deprecated in found:
+        if key == deprecated.replacement_path:
+            return OptionsError(deprecated.path, problem)
+        prefix = f"{deprecated.replacement}: "
+        if key == deprecated.section and problem.startswith(prefix):
+            return OptionsError(key, f"{deprecated.name}: {problem.removeprefix(prefix)}")
+    return OptionsError(key, problem)
--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -9,10 +9,15 @@
 import re
 from datetime import timedelta
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated, Any, NamedTuple
 
 import msgspec
 
+from tansyladder.config.deprecated_keys import (
+    DeprecatedKey,
+    error_with_written_key,
+    rename_deprecated_keys,
+)
 from tansyladder.config.errors import OptionsError
 
 SPANS = {
@@ -53,8 +58,9 @@
     expires: timedelta = timedelta(seconds=30)  # of a token; also how long a broken session is kept
     buffer: Annotated[int, msgspec.Meta(ge=4096, le=16 << 20)] = 64 << 10  # bytes each way of a session
     memory_share: Annotated[float, msgspec.Meta(gt=0, le=0.5)] = 0.125  # of limits.memory_mb, for all buffers
-    parked: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 256  # sessions without a client at once
-    remembered: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 4096  # ended ones, for a clear refusal
+    max_suspended: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 256  # sessions without a client
+    # Ended sessions whose reason is retained, so that the rejection of a late client names it.
+    retained_end_reasons: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 4096
     keys: tuple[KeyEntry, ...] = ()  # the first one seals; none: one drawn at the start
 
     def __post_init__(self) -> None:
@@ -103,15 +109,15 @@
     """Documents that hold at all nodes or at none; the same at all of them."""
 
     enabled: bool = False
-    lease: timedelta = timedelta(seconds=30)  # for how long a node that hears nothing goes on deciding
-    cut_off: str = "stop"  # then; or `serve`: it goes on under what it knows, and counts that
-    stamps: str = ""  # a file for each first line, with the moment and the numbers that it is decided under
+    lease: timedelta = timedelta(seconds=30)  # for which a node without contact to the others decides
+    on_lease_expiry: str = "stop"  # or `serve`: it decides under the versions it knows, and counts that
+    decision_log: str = ""  # a file with the time and the versions that each first line is decided under
 
     def __post_init__(self) -> None:
         if not timedelta(seconds=2) <= self.lease <= timedelta(minutes=10):
             raise ValueError("lease: from 2 s to 10 min expected")
-        if self.cut_off not in ("stop", "serve"):
-            raise ValueError("cut_off: stop or serve expected")
+        if self.on_lease_expiry not in ("stop", "serve"):
+            raise ValueError("on_lease_expiry: stop or serve expected")
 
 
 class LogOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -136,8 +142,16 @@
             raise ValueError("documents.enabled: needs peers.enabled")
 
 
-def parse(text: str) -> Options:
-    """Read settings from the text of a file; OptionsError names the path of the first fault."""
+class SettingsFile(NamedTuple):
+    """The content of a settings file."""
+
+    options: Options
+    deprecated_keys: tuple[DeprecatedKey, ...]  # earlier names of keys that the file uses
+
+
+def parse_file(text: str) -> SettingsFile:
+    """Parse the text of a settings file. OptionsError: names the path of the first fault."""
+    # Only a node with settings needs the library.
     import sexpdata
 
     try:
@@ -146,25 +160,36 @@
         raise OptionsError("file", f"brackets that don't match: {err}") from err
     except Exception as err:
         raise OptionsError("file", f"not S-expressions: {str(err)[:MAX_SHOWN_CHARACTERS]}") from err
+    sections = _parse_entries(entries, "")
+    deprecated_keys = rename_deprecated_keys(sections)
     try:
-        return msgspec.convert(_parse_entries(entries, ""), Options)
+        return SettingsFile(msgspec.convert(sections, Options), deprecated_keys)
     except msgspec.ValidationError as err:  # "why - at `$.resume.expires`"
-        problem, _, at = str(err).partition(" - at `$")
-        raise OptionsError(at.rstrip("`").lstrip("."), problem) from err
+        problem, _, location = str(err).partition(" - at `$")
+        key = location.rstrip("`").lstrip(".")
+        raise error_with_written_key(key, problem, deprecated_keys) from err
 
 
-def load(path: str | Path | None) -> Options:
-    """Read settings from a file; all are off where none is named."""
-    if path is None:
-        return Options()
+def parse(text: str) -> Options:
+    """Parse the settings in the text of a file. OptionsError: names the path of the first fault."""
+    return parse_file(text).options
+
+
+def load_file(path: str | Path) -> SettingsFile:
+    """Read a settings file. OptionsError: it can't be read, or has a fault, whose path is named."""
     try:
-        return parse(Path(path).read_text(encoding="utf-8"))
+        return parse_file(Path(path).read_text(encoding="utf-8"))
     except OSError as err:
         raise OptionsError("file", f"{err.strerror or err}: {path}") from err
     except UnicodeDecodeError as err:
         raise OptionsError("file", f"not UTF-8: {path}") from err
 
 
+def load(path: str | Path | None) -> Options:
+    """Read settings from a file; return the defaults, with all features off, where none is named."""
+    return Options() if path is None else load_file(path).options
+
+
 def restart_required_changes(running: Options, reloaded: Options) -> list[str]:
     """The paths of what differs and waits for a restart: everything but the keys of tokens."""
     changed = []
--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -32,7 +32,7 @@
 LEADER_POLL_INTERVAL = 0.05  # seconds between two looks into all logs
 HOST_POLL_INTERVAL = 0.1  # seconds between two questions to the hosts' process
 KEY_BYTES = 32
-SETTINGS = """(resume (enabled true) (expires "30 s") (parked 2000) (keys (1 "{key}")))
+SETTINGS = """(resume (enabled true) (expires "30 s") (max_suspended 2000) (keys (1 "{key}")))
 (store (enabled true) (directory "FOLDER/store"))
 """
 
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -26,7 +26,7 @@
 
 DOCUMENT = "note"
 LEASE_DURATION = 3.0  # seconds
-SETTINGS = f'(documents (enabled true) (lease "{LEASE_DURATION:.0f} s") (stamps "FOLDER/stamps"))\n'
+SETTINGS = f'(documents (enabled true) (lease "{LEASE_DURATION:.0f} s") (decision_log "FOLDER/stamps"))\n'
 HOST_COUNT = 2
 PROBE_INTERVAL = 0.03  # seconds between two first lines to a node
 PROBE_TIMEOUT = 3.0  # seconds until an answer counts as missing
--- a/tansyladder/lab/topology.py
+++ b/tansyladder/lab/topology.py
@@ -17,7 +17,7 @@
 from tansyladder.lab.report import Report
 from tansyladder.lab.waiting import wait_until
 
-RESUME_SETTINGS = '(resume (enabled true) (expires "30 s") (parked 2000))\n'
+RESUME_SETTINGS = '(resume (enabled true) (expires "30 s") (max_suspended 2000))\n'
 CONCURRENT_CONNECTS = 24  # clients that open at the same time, so that a start is no burst of connections
 CONNECT_TIMEOUT = 30.0  # seconds in which a client must have a session
 QUIET_TIMEOUT = 3.0  # seconds in which lines that are under way arrive, and connections end
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -53,7 +53,9 @@
         self.keyring = _new_keyring(runner, identity)
         self.node_start = 1 if has_peers else identity.start_count if identity else 0
         self._is_durable = has_peers or self.session_store is not None
-        self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(options.remembered, self.node_start)
+        self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(
+            options.retained_end_reasons, self.node_start
+        )
         memory_limit = runner.config.limits.memory_mb * MEBIBYTE
         self.memory_budget = MemoryBudget(int(memory_limit * options.memory_share))
         self._suspended_count = 0
@@ -129,7 +131,7 @@
     def reserve_suspended(self) -> bool:
         """Count a session that has lost its client; False where too many wait already."""
         with self._lock:
-            if self._suspended_count >= self.options.parked:
+            if self._suspended_count >= self.options.max_suspended:
                 return False
             self._suspended_count += 1
             return True
--- a/tests/answers/test_operator_calls.py
+++ b/tests/answers/test_operator_calls.py
@@ -49,7 +49,7 @@
     (resume (enabled true) (keys (1 "{"ab" * 32}")))
     (store (enabled true) (directory "{folder}/store"))
     (peers (enabled true) (fleet "f") (key "{"cd" * 32}") (voters "n0") (members {addresses}))
-    (documents (enabled true) (stamps "{folder}/stamps"))
+    (documents (enabled true) (decision_log "{folder}/stamps"))
     """
 
 
--- a/tests/answers/test_operator_settings.py
+++ b/tests/answers/test_operator_settings.py
@@ -26,13 +26,13 @@
         "expires": "PT30S",
         "buffer": 65536,
         "memory_share": 0.125,
-        "parked": 256,
-        "remembered": 4096,
+        "max_suspended": 256,
+        "retained_end_reasons": 4096,
         "keys": [],
     },
     "store": {"enabled": False, "directory": ""},
     "peers": {"enabled": False, "fleet": "", "key": "", "members": {}, "voters": "", "listen": ""},
-    "documents": {"enabled": False, "lease": "PT30S", "cut_off": "stop", "stamps": ""},
+    "documents": {"enabled": False, "lease": "PT30S", "on_lease_expiry": "stop", "decision_log": ""},
     "log": {"json": False},
 }
 ONLY_IN_A_COMMENT = {"resume.keys"}  # the example's keys of tokens would be known to everybody
@@ -42,8 +42,8 @@
     "resume.expires": '"1 min"',
     "resume.buffer": '"8 KiB"',
     "resume.memory_share": "0.25",
-    "resume.parked": "7",
-    "resume.remembered": "7",
+    "resume.max_suspended": "7",
+    "resume.retained_end_reasons": "7",
     "resume.keys": f'(2 "{"ab" * 32}")',
     "store.directory": '"/var"',
     "peers.fleet": '"f"',
@@ -52,8 +52,8 @@
     "peers.voters": '"n0"',
     "peers.listen": '"10.0.0.4:8100"',
     "documents.lease": '"1 min"',
-    "documents.cut_off": '"serve"',
-    "documents.stamps": '"/stamps"',
+    "documents.on_lease_expiry": '"serve"',
+    "documents.decision_log": '"/stamps"',
     "log.json": "true",
 }
 WHOLE_FLEET = f"""
--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -40,6 +40,7 @@
         (f'(resume (keys (256 "{KEY}")))', "resume.keys[0][0]"),
         ("(documents (enabled true))", "documents.enabled: needs peers"),
         ('(documents (lease "1 s"))', "documents: lease"),
+        ('(documents (on_lease_expiry "never"))', "documents: on_lease_expiry"),
         ('(documents (cut_off "never"))', "documents: cut_off"),
         ("(resume (colour 1))", "`colour`"),
         ("(shop)", "`shop`"),
@@ -131,9 +132,9 @@
         file.write_text("(resume")
         node.send_signal(signal.SIGHUP)
         until_line(node, b'event=reload_failed why="file: brackets')
-        file.write_text(f'(resume (enabled true) (parked 9) (keys (2 "{"cd" * 32}") (1 "{KEY}")))')
+        file.write_text(f'(resume (enabled true) (max_suspended 9) (keys (2 "{"cd" * 32}") (1 "{KEY}")))')
         node.send_signal(signal.SIGHUP)
-        until_line(node, b"event=reload_ignored keys=resume.parked")
+        until_line(node, b"event=reload_ignored keys=resume.max_suspended")
         until_line(node, b"event=reloaded")
         client = client_of(port)
         assert client.read_line() == "UP r1"
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -215,7 +215,7 @@
 
 def test_suspended_sessions_beyond_the_limit_end(tmp_path: Path) -> None:
     host = ScriptedHost(echo_lines)
-    few = msgspec.structs.replace(RESUMPTION_OPTIONS, parked=1)
+    few = msgspec.structs.replace(RESUMPTION_OPTIONS, max_suspended=1)
     with resuming_node(tmp_path, host, resume=few) as node:
         first = SessionClient(node)
         second = SessionClient(node, key="80")
