--- a/tansyladder/__main__.py
+++ b/tansyladder/__main__.py
@@ -1,19 +1,20 @@
-"""`python -m tansyladder`: without words the node, as the platform starts it; with words the command line."""
+"""`python -m tansyladder`: without arguments the node, as the platform starts it; else the command line."""
 
 from __future__ import annotations
 
 import sys
 
+from tansyladder.serve import serve
+
 
 def main() -> int:
-    """The exit code."""
+    """Run the node or a command, and return the exit code."""
     if len(sys.argv) == 1:
-        from tansyladder.serve import serve
-
         return serve()
-    from tansyladder.cli import main as command_line
+    # Lazy: it loads click and the tools, which a node on the platform does without.
+    from tansyladder.cli import main as run_command
 
-    return command_line()
+    return run_command()
 
 
 if __name__ == "__main__":
--- a/tansyladder/lab/chaos/skewed_clock.py
+++ b/tansyladder/lab/chaos/skewed_clock.py
@@ -1,6 +1,7 @@
 """Runs a node whose wall clock is off by some seconds.
 
-Usage: `python -m tansyladder.lab.chaos.skewed_clock SECONDS …`; the rest is as for `python -m tansyladder`.
+Usage: `python -m tansyladder.lab.chaos.skewed_clock SECONDS …`; the rest is as for `python -m tansyladder`
+with the commands of the node.
 """
 
 from __future__ import annotations
@@ -8,8 +9,8 @@
 import sys
 from datetime import datetime, timedelta, tzinfo
 
-from tansyladder.__main__ import main
 from tansyladder.net import clock
+from tansyladder.node_commands import main
 
 CLOCK_OFFSET = timedelta(seconds=float(sys.argv.pop(1)))
 
--- /dev/null
+++ b/tansyladder/node_commands.py
@@ -0,0 +1,62 @@
+"""The commands of the node itself, `serve` and `check`; a node without arguments does not load click."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+
+import click
+
+from tansyladder.config import operator_settings, platform
+from tansyladder.config.errors import ConfigurationError
+from tansyladder.serve import EXIT_BAD_CONFIGURATION
+from tansyladder.serve import serve as run_node
+
+FILE = click.Path(path_type=Path)
+
+
+@click.group()
+def node_commands() -> None:
+    """Run a balancer node, or check its files."""
+
+
+@node_commands.command()
+@click.option("--settings", type=FILE, help="the operator's settings, S-expressions as in deploy/")
+def serve(settings: Path | None) -> None:
+    """Run the node that GW_CONFIG describes, until SIGTERM."""
+    sys.exit(run_node(settings))
+
+
+@node_commands.command()
+@click.argument("file", type=FILE)
+def check(file: Path) -> None:
+    """Read a configuration (.json) or an operator's settings (else); exit code 2 names the fault."""
+    try:
+        if file.suffix == ".json":
+            _check_configuration(file)
+        else:
+            _check_settings(file)
+    except ConfigurationError as err:
+        click.echo(f"{file}: {err}", err=True)
+        sys.exit(EXIT_BAD_CONFIGURATION)
+
+
+def _check_configuration(file: Path) -> None:
+    config = platform.load({"GW_CONFIG": str(file)})
+    known_count = len(config.known_endpoints.endpoints)
+    click.echo(f"{file}: sound: node {config.name}, {known_count} members known")
+
+
+def _check_settings(file: Path) -> None:
+    """Check settings, and report deprecated keys on standard error; they are no fault."""
+    for deprecated in operator_settings.load_file(file).deprecated_keys:
+        click.echo(f"{file}: {deprecated.path}: deprecated; use {deprecated.replacement_path}", err=True)
+    click.echo(f"{file}: sound")
+
+
+def main() -> int:
+    """Run the node if the process has no arguments, else the command that they name; return the exit code."""
+    if len(sys.argv) == 1:
+        return run_node()
+    node_commands(prog_name="tansyladder")
+    return 0
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -62,3 +62,11 @@
 
 def test_layers_import_downwards_only_and_no_tool() -> None:
     assert not [f"{one} -> {to}" for one, others in imports().items() for to in others if is_upward(one, to)]
+
+
+def test_only_the_entry_imports_the_command_line() -> None:
+    """`__main__` and `cli` are the top: tools that start a node use `serve` or `node_commands`."""
+    imported = imports()
+    top = ("tansyladder.__main__", "tansyladder.cli")
+    importers = {module: {one for one, others in imported.items() if module in others} for module in top}
+    assert importers == {"tansyladder.__main__": set(), "tansyladder.cli": {"tansyladder.__main__"}}
