--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -28,10 +28,11 @@
     return time.time_ns() // 1000
 
 
-def _show_progress(what: str, done: int, total: int) -> None:
+def _show_progress(unit: str, done: int, total: int) -> None:
+    """Overwrite a line on standard error, if that is a terminal."""
     if sys.stderr.isatty():
         line_end = "" if done < total else "\n"
-        print(f"\r{what}: {done} of {total}  ", end=line_end, file=sys.stderr, flush=True)
+        print(f"\r{unit}: {done} of {total}  ", end=line_end, file=sys.stderr, flush=True)
 
 
 @contextlib.contextmanager
@@ -47,7 +48,7 @@
 
 @contextlib.contextmanager
 def _open_folder(folder: Path) -> Iterator[Store]:
-    """The store in a folder, whichever node's it is."""
+    """Open the store in a folder, whichever node owns it."""
     node = manifest.read_manifest(RealFiles(folder)).node
     with contextlib.closing(open_store(RealFiles(folder), node, _clock_us)) as current:
         yield current
@@ -64,9 +65,9 @@
     """Show the manifest and the segments; changes nothing, and works beside a running node."""
     with _reporting_errors():
         examination = repairing.examine(RealFiles(folder), _show_progress)
-    found = examination.manifest
-    if found is not None:
-        click.echo(f"node {found.node}, format {found.version}, next segment {found.next_segment_id}")
+    current = examination.manifest
+    if current is not None:
+        click.echo(f"node {current.node}, format {current.version}, next segment {current.next_segment_id}")
     for report in examination.segments:
         click.echo(_segment_line(report))
     for fault in examination.faults:
--- a/tansyladder/store/commit_queue.py
+++ b/tansyladder/store/commit_queue.py
@@ -1,4 +1,4 @@
-"""Group commit: of the threads that write at once, one writes and syncs for all that wait."""
+"""Group commit: of the threads that write concurrently, one writes and syncs for all that wait."""
 
 from __future__ import annotations
 
@@ -16,22 +16,21 @@
 
 @dataclass(slots=True, eq=False)
 class PendingBatch:
-    """The operations of one caller, which waits for them."""
+    """The operations of one caller, which waits until they are written."""
 
     operations: Sequence[WriteOperation]
     size: int  # bytes in the log
     needs_sync: bool
-    # Held while the caller waits, and released to wake it up: the cheapest thing to block on.
+    # Held while the caller waits, and released to wake it up. No other primitive is cheaper to block on.
     wakeup: threading.Lock = field(default_factory=threading.Lock)
     is_leader: bool = False
     error: StoreError | None = None
 
 
 class CommitQueue:
-    """The batches that wait, and who writes them.
+    """The batches that wait to be written, and the leadership, which at most one thread has.
 
-    At any moment at most one thread is the leader. It alone may use what the commit writes to: the log, the
-    maintenance and whatever changes the record table.
+    Only the leader may use the log and the maintenance, and change the record table.
 
     Thread-safe: `_lock` guards the queue and the leadership; it isn't held while a group is written.
     """
@@ -47,10 +46,10 @@
         return len(self._waiting)
 
     def submit(self, batch: PendingBatch) -> None:
-        """Return once the batch is written, by this thread or by another.
+        """Have a batch written, by this thread or by another one; return once it is.
 
         Raises:
-            StoreError: it is not written, or that isn't known.
+            StoreError: the batch is not written, or it is not known whether it is.
             Exception: any other error of the commit, where this thread is the leader; the store is broken.
         """
         with self._lock:
@@ -61,7 +60,7 @@
             else:
                 self._has_leader = batch.is_leader = True
         if not batch.is_leader:
-            batch.wakeup.acquire()  # until it is written, or its turn to lead has come
+            batch.wakeup.acquire()  # until it is written, or this thread becomes the leader
         if batch.is_leader:
             self._lead()
         if batch.error is not None:
@@ -69,7 +68,7 @@
 
     @contextmanager
     def leadership(self) -> Iterator[bool]:
-        """Become the leader for a block of work, or yield False where another thread is. StoreBrokenError."""
+        """Become the leader for a block of work; yield False where another thread is. StoreBrokenError."""
         with self._lock:
             self._lifecycle.check_open()
             is_leader = not self._has_leader
@@ -81,7 +80,7 @@
                 self._finish((), None)
 
     def _lead(self) -> None:
-        """Write what waits, this thread's own batch first; then the next that waits leads."""
+        """Write a group of the waiting batches, this thread's own first, and hand the leadership on."""
         group = self._take_group()
         error: StoreError | None = None
         try:
@@ -89,12 +88,13 @@
         except StoreError as err:
             error = err
         except BaseException as err:
-            # It isn't known how far the commit came: nobody may write behind it, or wait for it.
+            # It isn't known what was written: no other batch may follow it in the log, or wait for it.
             self._finish(group, self._lifecycle.fail(f"commit: {err!r}"))
             raise
         self._finish(group, error)
 
     def _take_group(self) -> list[PendingBatch]:
+        """Remove from the queue the oldest batches that fit into one group, at least one."""
         with self._lock:
             count = 0
             size = 0
@@ -108,7 +108,7 @@
         return group
 
     def _finish(self, group: Sequence[PendingBatch], error: StoreError | None) -> None:
-        """Wake up the group and hand the leadership on. Where the store is broken, all that wait fail too."""
+        """Wake up the group and hand the leadership on; if the store is broken, fail all waiting batches."""
         with self._lock:
             if error is not None and self._lifecycle.is_broken:
                 group = [*group, *self._waiting]
--- a/tansyladder/store/compaction.py
+++ b/tansyladder/store/compaction.py
@@ -1,7 +1,8 @@
-"""Compaction: the live records of a run of neighbouring segments are written anew, a few at a time.
+"""Compaction: copies the live records of a run of adjacent segments into a new one, a few at a time.
 
-A deletion, or a value that has expired, must stay while an older segment may hold an older value of its key;
-where the run begins with the oldest segment there is none, and it goes.
+The record of a deletion must be kept as long as an older segment may hold an older value of its key. If the
+run begins with the oldest segment there is no such segment, and the record is dropped. A value that has
+expired is treated as a deletion.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from tansyladder.store.record_table import MovedRecord
 from tansyladder.store.segment import Segment, segment_file_name
 
-MIN_DEAD_SHARE = 0.5  # of a run: less than one byte is written for each byte that is freed
-SMALL_SEGMENT_BYTES = 1 << 20  # segments below this are merged with their neighbours: each start leaves one
-SMALL_RUN_LENGTH = 8  # as many of them at a time
+MIN_DEAD_SHARE = 0.5  # of a run: a compaction writes less than one byte for each byte that it frees
+SMALL_SEGMENT_BYTES = 1 << 20  # smaller ones are merged with adjacent ones, as each start leaves one
+SMALL_RUN_LENGTH = 8  # small segments that are merged at a time
 FRAME_BODY_BYTES = 256 << 10  # of a frame that compaction writes
-READ_BYTES = 1 << 20  # at a time
+READ_BYTES = 1 << 20  # read at a time
 MAX_FRAME_BYTES = frames.FRAME_HEADER_BYTES + frames.MAX_FRAME_BODY_BYTES
 
 IsLive = Callable[[int, int], bool]  # of a key's hash and a location: whether its newest record is there
@@ -35,7 +36,10 @@
 
 
 def choose_run(sealed: Sequence[Segment]) -> list[Segment]:
-    """The run most worth compacting: with enough dead bytes, the one that frees most; else small ones."""
+    """Choose the run with enough dead bytes that frees most, else a run of small segments; empty: none.
+
+    `sealed`: the complete segments, oldest first.
+    """
     best: list[Segment] = []
     most_dead_bytes = 0
     for start in range(len(sealed)):
@@ -51,6 +55,7 @@
 
 
 def _choose_small_run(sealed: Sequence[Segment]) -> list[Segment]:
+    """Choose the oldest SMALL_RUN_LENGTH adjacent segments that are all small; empty: there are none."""
     for start in range(len(sealed) - SMALL_RUN_LENGTH + 1):
         run = list(sealed[start : start + SMALL_RUN_LENGTH])
         if all(segment.size < SMALL_SEGMENT_BYTES for segment in run):
@@ -68,7 +73,7 @@
         self._buffer_offset = 0
 
     def next_frame(self) -> frames.Frame | None:
-        """The next frame; None at the segment's end. StoreCorruptError, OSError."""
+        """Read the next frame; None at the segment's end. StoreCorruptError, OSError."""
         if self._position >= self._segment.size:
             return None
         frame = self._decode()
@@ -84,6 +89,7 @@
         return frame
 
     def _decode(self) -> frames.Frame | None:
+        """Decode the frame at the position; None where the buffer doesn't hold all of it."""
         start = self._position - self._buffer_offset
         return frames.decode_frame(self._buffer, self._segment.id, self._position, start)
 
@@ -109,11 +115,11 @@
         return len(self._hint)
 
     def note_time(self, latest_time_us: int) -> None:
-        """Frames from here on tell that the store has seen this time."""
+        """Record in the following frames that the store has seen this time."""
         self._hint.latest_time_us = max(self._hint.latest_time_us, latest_time_us)
 
     def add(self, record: frames.Record, key_hash: int) -> int:
-        """Add a record of an old segment; its location in the new one. OSError."""
+        """Add a record of an old segment, and return its location in the new one. OSError."""
         if (
             len(self._body) + record.size > FRAME_BODY_BYTES
             or self._body_records == frames.MAX_RECORDS_PER_FRAME
@@ -140,7 +146,7 @@
         self._body_records = 0
 
     def finish(self) -> Segment:
-        """The segment, on disk but for its name, which nothing relies on yet. OSError."""
+        """Sync and return the segment. Its directory entry is not synced, and not needed yet. OSError."""
         self._flush()
         self._file.sync()
         hints.write_hint(self._files, self._hint, self._segment_id, self._size)
@@ -152,17 +158,17 @@
 
 
 class Compaction:
-    """One run on its way into a new segment. Owned by the commit leader: no lock.
+    """The compaction of one run into a new segment. Owned by the commit leader: no lock.
 
     Attributes:
         run: the segments that are compacted.
-        moved: the records that the index has to point to elsewhere, or not at all.
+        moved: the records whose entries in the index have to be changed or removed.
     """
 
     def __init__(
-        self, files: Files, target: CompactionTarget, run: list[Segment], includes_oldest: bool
+        self, files: Files, target: CompactionTarget, run: list[Segment], *, includes_oldest: bool
     ) -> None:
-        """OSError: the new segment can't be made."""
+        """`includes_oldest`: whether no segment is older than the run. OSError: no file can be created."""
         self.run = run
         self.moved: list[MovedRecord] = []
         self._includes_oldest = includes_oldest
@@ -177,13 +183,11 @@
         return self._writer.record_count
 
     def step(self, budget_bytes: int, is_live: IsLive, now_us: int) -> bool:
-        """Read so many bytes of the run and write what is live; True once all is read.
+        """Read about so many bytes of the run and copy what is live; return True once all is read.
 
         StoreCorruptError, OSError.
         """
-        for segment in self.run:
-            if segment.pending_hint is not None:
-                self._writer.note_time(segment.pending_hint.latest_time_us)
+        self._note_times_of_run()
         remaining_bytes = budget_bytes
         while remaining_bytes > 0:
             if not self._unread:
@@ -199,13 +203,20 @@
             remaining_bytes -= frame.end - frame.offset
         return False
 
+    def _note_times_of_run(self) -> None:
+        """Note the latest times that are known of segments without a hint file."""
+        for segment in self.run:
+            if segment.pending_hint is not None:
+                self._writer.note_time(segment.pending_hint.latest_time_us)
+
     def _next_segment(self) -> None:
+        """Continue with the next segment of the run, if there is one."""
         del self._unread[0]
         if self._unread:
             self._reader = FrameReader(self._unread[0])
 
     def _copy(self, segment: Segment, record: frames.Record, is_live: IsLive, now_us: int) -> None:
-        """Write a record anew if it must stay, and note what it means for the index."""
+        """Copy a record if it must be kept, and note the change of the index."""
         key_hash = hash_key(record.key, self._hash_secret)
         location = segment.id << frames.OFFSET_BITS | record.offset
         if record.kind == frames.PUT:
@@ -223,9 +234,9 @@
             self.moved.append(MovedRecord(key_hash, location, new_location, record.size))
 
     def finish(self) -> Segment:
-        """The new segment, on disk but for its name. OSError."""
+        """Sync and return the new segment; its directory entry is not synced. OSError."""
         return self._writer.finish()
 
     def abort(self) -> None:
-        """Give the new segment up."""
+        """Close the new segment; the next start removes its file."""
         self._writer.abort()
--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -1,4 +1,4 @@
-"""The store: what callers see of it, and how its parts are joined."""
+"""The store's public interface, which joins its parts."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 from tansyladder.store.segment_log import SegmentLog
 from tansyladder.store.snapshot import Snapshot
 
-DEFAULT_SEGMENT_BYTES = 32 << 20  # from which a new segment is begun
-DEFAULT_BUDGET_BYTES = 1 << 20  # of one step of maintenance: some ten milliseconds
-FULL_BUDGET_BYTES = 64 << 20  # of one step where nobody waits for it
+DEFAULT_SEGMENT_BYTES = 32 << 20  # size from which another segment is begun
+DEFAULT_BUDGET_BYTES = 1 << 20  # of one step of maintenance, which takes some ten milliseconds
+FULL_BUDGET_BYTES = 64 << 20  # of one step that delays no writer
 
 
 class Store:
-    """An open store. Made by `open_store`.
+    """An open store. Created by `open_store`.
 
-    A write returns when it is as durable as it asked to be. After a failed sync it is not known what is on
-    disk, so the store refuses all further writes (StoreBrokenError); what it had can still be read.
+    A write returns once it has the durability that it asked for. After a failed sync it is not known what is
+    on disk, so the store rejects all further writes (StoreBrokenError); it can still be read.
 
     Thread-safe. The record table, the commit queue and the lifecycle have a lock each; the log, the writer
     and the maintenance belong to the thread that leads the commit queue. No lock is held while a file is
     written.
 
     Attributes:
-        dropped_bytes: bytes of an incomplete tail that opening left out.
-        rebuilt_hint_count: segments whose hint could not be used.
+        dropped_bytes: bytes of an incomplete tail that recovery dropped.
+        rebuilt_hint_count: segments whose hint file was missing or invalid.
     """
 
     def __init__(
         self, files: Files, recovered: RecoveryResult, read_clock: Callable[[], int], max_segment_bytes: int
     ) -> None:
-        """`read_clock`: Unix time in microseconds. OSError: the first segment can't be made."""
+        """`read_clock`: Unix time in microseconds. OSError: the first segment can't be created."""
         self.dropped_bytes = recovered.dropped_bytes
         self.rebuilt_hint_count = recovered.rebuilt_hint_count
         self._files = files
@@ -56,11 +56,11 @@
     # Reading.
 
     def __len__(self) -> int:
-        """Keys, with those that expired and are not compacted away."""
+        """Count the keys, including expired ones that are not compacted yet."""
         return len(self._records)
 
     def get(self, key: bytes) -> bytes | None:
-        """A key's value; None where there is none, or it has expired.
+        """Return a key's value; None where there is none, or it has expired.
 
         Raises:
             StoreCorruptError: the record is not as it was written.
@@ -72,11 +72,11 @@
         return record.value
 
     def snapshot(self) -> Snapshot:
-        """The store as it is now, whatever is written or compacted later; close it after use."""
+        """Return the present content, independent of later writes and compactions; close it after use."""
         return self._records.snapshot()
 
     def items(self, prefix: bytes = b"") -> list[tuple[bytes, bytes]]:
-        """All live keys that begin so, with their values; reads every record.
+        """Return all live keys that begin with the prefix, with their values; reads every record.
 
         StoreCorruptError, OSError.
         """
@@ -90,19 +90,19 @@
     def put(
         self, key: bytes, value: bytes, expiry_us: int = 0, durability: Durability = Durability.SYNCED
     ) -> None:
-        """Set a key; raises what `write` does."""
+        """Set a key. Raises the errors of `write`."""
         self.write((WriteOperation(key, value, expiry_us),), durability)
 
     def delete(self, key: bytes, durability: Durability = Durability.SYNCED) -> None:
-        """Delete a key; one that is not there is no error. Raises what `write` does."""
+        """Delete a key; a key that doesn't exist is no error. Raises the errors of `write`."""
         self.write((WriteOperation(key, None),), durability)
 
     def write(self, operations: Sequence[WriteOperation], durability: Durability = Durability.SYNCED) -> None:
-        """Apply all operations or none, in their order; returns when they are as durable as asked for.
+        """Apply all operations in their order, or none; return once they are as durable as asked for.
 
         Raises:
-            RecordTooLargeError, KeyCollisionError, StoreFullError: nothing is kept.
-            StoreBrokenError: it is not known what is kept, or the store took no more writes.
+            RecordTooLargeError, KeyCollisionError, StoreFullError: nothing was written.
+            StoreBrokenError: it is not known what was written, or the store accepts no more writes.
         """
         size = encoded_batch_bytes(operations)
         if operations:
@@ -111,26 +111,26 @@
     # Maintenance.
 
     def maintain(self, budget_bytes: int = DEFAULT_BUDGET_BYTES) -> bool:
-        """One step: a sync of buffered writes, a hint file, or about so many bytes of compaction.
+        """Do one step: sync buffered writes, write a hint file, or compact about so many bytes.
 
-        Called by one thread, again at once where it returns True, which means that there is more to do. It
-        leads the commit queue meanwhile, so no writer waits for longer than one step.
+        Called by one thread, which calls again at once while the result is True: there is more to do. A step
+        leads the commit queue, so writers wait for one step at most.
 
         Raises:
-            StoreFullError, StoreCorruptError: the step was given up; writes go on.
-            StoreBrokenError: the store takes no more writes.
+            StoreFullError, StoreCorruptError: the step was aborted; the store still accepts writes.
+            StoreBrokenError: the store accepts no more writes.
         """
         with self._queue.leadership() as is_leader:
-            # Where a writer leads there may be more to do, and it syncs too.
+            # While a writer leads, which syncs as well, there may be more to do.
             return self._maintenance.step(budget_bytes) if is_leader else True
 
     def compact_all(self) -> None:
-        """Maintain until there is nothing left to do."""
+        """Do steps of maintenance until no more is due."""
         while self.maintain(FULL_BUDGET_BYTES):
             pass
 
     def close(self) -> None:
-        """Sync and give the directory up. StoreBrokenError: it is not known what is on disk."""
+        """Sync, close all files and release the directory. StoreBrokenError: the state on disk is unknown."""
         previous = self._lifecycle.close()
         if previous is None:
             return
@@ -151,12 +151,12 @@
 
     @property
     def waiting_write_count(self) -> int:
-        """Writes that wait for the one under way."""
+        """Writes that wait for the one in progress."""
         return len(self._queue)
 
     @property
     def latest_time_us(self) -> int:
-        """The latest Unix time that the store has seen; what had expired by then stays expired."""
+        """The latest Unix time that the store has seen; values that expired before it stay expired."""
         return self._clock.latest_us
 
     @property
@@ -166,7 +166,7 @@
 
     @property
     def compacted_bytes(self) -> int:
-        """Bytes of them that compaction wrote."""
+        """Bytes of `written_bytes` that compaction wrote."""
         return self._maintenance.compacted_bytes
 
     @property
--- a/tansyladder/store/errors.py
+++ b/tansyladder/store/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the store, in one hierarchy. docs/store.md says what each one asks of the operator."""
+"""The errors of the store, in one hierarchy. docs/store.md says what an operator does about each."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class StoreError(Exception):
-    """The store can't be used, or can't do this.
+    """Base of the store's errors.
 
     Attributes:
-        code: names the case in logs and exit messages; the operators' pages list it.
-        path: the file that is concerned, relative to the store's directory; empty where it is none.
-        key: the key that is concerned; None where it is none.
+        code: names the error in logs and exit messages; docs/store.md lists it.
+        path: the affected file, relative to the store's directory; empty where there is none.
+        key: the affected key; None where there is none.
     """
 
     code: ClassVar[str] = "store"
@@ -53,13 +53,13 @@
 
 
 class StoreFullError(StoreError):
-    """There is no room for this write. Nothing of it is kept, and later writes may succeed."""
+    """The file system has no space for this write. Nothing was written, and later writes may succeed."""
 
     code = "full"
 
 
 class StoreBrokenError(StoreError):
-    """A write or a sync failed and what is on disk is unknown, or the store is closed: it refuses writes."""
+    """The store rejects writes: one failed and the state on disk is unknown, or the store is closed."""
 
     code = "broken"
 
--- a/tansyladder/store/files.py
+++ b/tansyladder/store/files.py
@@ -1,7 +1,7 @@
-"""The file system as far as the store needs it, and the real one; the lab has one that fails on purpose.
+"""The interface of the file system that the store uses, and its implementation by the operating system.
 
-The store relies on what the docstrings of `File` and `Files` promise: anything else may happen at a loss of
-power. Each call raises OSError where the file system refuses it.
+The store relies on nothing beyond what the docstrings of `File` and `Files` promise; the lab has an
+implementation that loses everything else at a power loss. Each call raises OSError where it fails.
 """
 
 from __future__ import annotations
@@ -20,50 +20,50 @@
     """An open file. Thread-safe: reads and writes name their offset."""
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """All of the data, or OSError with any part of it written. On disk only after `sync`."""
+        """Write all of the data; after an OSError any part of it is written. On disk only after `sync`."""
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Up to so many bytes; fewer at the end of the file only."""
+        """Read so many bytes; fewer only at the end of the file."""
 
     def sync(self) -> None:
-        """All written so far is on disk, but not the file's name. After an OSError nothing is known of it."""
+        """Put all written data on disk, but not the file's name. After an OSError any part may be on disk."""
 
     def truncate(self, size: int) -> None:
-        """Cut; on disk only after `sync`."""
+        """Shorten the file; on disk only after `sync`."""
 
     def size(self) -> int:
-        """Bytes of the file."""
+        """Return the file's size in bytes."""
 
     def close(self) -> None:
-        """Give the file up; does nothing the second time."""
+        """Close the file; does nothing the second time."""
 
 
 class Files(Protocol):
     """One directory. Thread-safe, but for `lock` and `unlock`, which belong to the owner of the store."""
 
     def create(self, name: str) -> File:
-        """A new, empty file; its name is on disk only after `sync_directory`."""
+        """Create an empty file, replacing any other; its name is on disk only after `sync_directory`."""
 
     def open(self, name: str) -> File:
-        """An existing file, for reading and writing. FileNotFoundError."""
+        """Open an existing file for reading and writing. FileNotFoundError."""
 
     def rename(self, old: str, new: str) -> None:
-        """Replace `new` in one step: at a power loss before `sync_directory` either of the two is there."""
+        """Replace `new` atomically: after a power loss before `sync_directory` it is either of the two."""
 
     def remove(self, name: str) -> None:
         """Remove a file; it is gone from the disk only after `sync_directory`. FileNotFoundError."""
 
     def list_names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Return the names of all files, sorted."""
 
     def sync_directory(self) -> None:
-        """All names made, changed and removed so far are on disk."""
+        """Put all names that were created, changed or removed on disk."""
 
     def lock(self) -> None:
-        """Own the directory until `unlock` or the process's end. BlockingIOError: somebody else does."""
+        """Own the directory until `unlock` or the process's end. BlockingIOError: it has another owner."""
 
     def unlock(self) -> None:
-        """Give the directory up; does nothing where it isn't owned."""
+        """Release the directory; does nothing where it isn't owned."""
 
 
 class RealFile:
@@ -73,7 +73,7 @@
         self._descriptor = descriptor
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """All of the data, or OSError with any part of it written."""
+        """Write all of the data; after an OSError any part of it is written."""
         view = memoryview(data)
         while view:
             written = os.pwrite(self._descriptor, view, offset)
@@ -81,7 +81,7 @@
             view = view[written:]
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Up to so many bytes; fewer at the end of the file only."""
+        """Read so many bytes; fewer only at the end of the file."""
         data = os.pread(self._descriptor, size, offset)
         while 0 < len(data) < size:
             more = os.pread(self._descriptor, size - len(data), offset + len(data))
@@ -91,29 +91,29 @@
         return data
 
     def sync(self) -> None:
-        """All data written so far is on disk, and the size."""
-        os.fdatasync(self._descriptor)  # which includes the size, as without it the data could not be read
+        """Put all data written so far, and the size, on disk."""
+        os.fdatasync(self._descriptor)  # syncs the size as well, without which the data could not be read
 
     def truncate(self, size: int) -> None:
-        """Cut the file."""
+        """Shorten the file."""
         os.ftruncate(self._descriptor, size)
 
     def size(self) -> int:
-        """Bytes of the file."""
+        """Return the file's size in bytes."""
         return os.fstat(self._descriptor).st_size
 
     def close(self) -> None:
-        """Give the file up; does nothing the second time."""
+        """Close the file; does nothing the second time."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
 
 
 class RealFiles:
-    """A directory of the operating system, made where it is missing. Thread rule: that of `Files`."""
+    """A directory of the operating system, created where it is missing. Thread rule: that of `Files`."""
 
     def __init__(self, path: Path) -> None:
-        """OSError: the directory can't be made, read or written."""
+        """OSError: the directory can't be created, read or written."""
         path.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._path = path
         self._lock_descriptor = -1
@@ -121,16 +121,16 @@
             raise PermissionError(errno.EACCES, "not readable and writable", str(path))
 
     def create(self, name: str) -> File:
-        """A new, empty file."""
+        """Create an empty file, replacing any other."""
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         return RealFile(os.open(self._path / name, flags, 0o600))
 
     def open(self, name: str) -> File:
-        """An existing file. FileNotFoundError."""
+        """Open an existing file. FileNotFoundError."""
         return RealFile(os.open(self._path / name, os.O_RDWR | os.O_CLOEXEC))
 
     def rename(self, old: str, new: str) -> None:
-        """Replace `new` in one step."""
+        """Replace `new` atomically."""
         os.rename(self._path / old, self._path / new)
 
     def remove(self, name: str) -> None:
@@ -138,11 +138,11 @@
         os.unlink(self._path / name)
 
     def list_names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Return the names of all files, sorted."""
         return sorted(os.listdir(self._path))
 
     def sync_directory(self) -> None:
-        """All changes of names so far are on disk."""
+        """Put all changes of names on disk."""
         descriptor = os.open(self._path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -150,7 +150,7 @@
             os.close(descriptor)
 
     def lock(self) -> None:
-        """Own the directory until `unlock` or the process's end. BlockingIOError: another process does."""
+        """Own the directory until `unlock` or the process's end. BlockingIOError: another process owns it."""
         descriptor = os.open(self._path / LOCK_FILE_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -160,7 +160,7 @@
         self._lock_descriptor = descriptor
 
     def unlock(self) -> None:
-        """Give the directory up; does nothing where it isn't owned."""
+        """Release the directory; does nothing where it isn't owned."""
         if self._lock_descriptor >= 0:
             with contextlib.suppress(OSError):
                 os.close(self._lock_descriptor)
--- a/tansyladder/store/forward_clock.py
+++ b/tansyladder/store/forward_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock that never steps back: what had expired must not be valid again."""
+"""A wall clock that never steps back, so that expired values never become valid again."""
 
 from __future__ import annotations
 
@@ -22,6 +22,6 @@
         return self._latest_us
 
     def now_us(self) -> int:
-        """Read the clock: the time, or the latest one where the clock has stepped back."""
+        """Read the clock; return the latest time where the clock has stepped back."""
         self._latest_us = max(self._read_clock(), self._latest_us)
         return self._latest_us
--- a/tansyladder/store/frames.py
+++ b/tansyladder/store/frames.py
@@ -1,10 +1,10 @@
 """Encoding and decoding of a segment's bytes: a header, then frames, each one batch of records.
 
-docs/store-format.md describes the same byte by byte; all numbers are little endian. Every checksum is XXH3-64
-seeded with the position of what it covers, so that bytes left from an earlier write, or a frame inside a
-value, are not valid anywhere else.
+docs/store-format.md specifies the format byte by byte; all numbers are little endian. Every checksum is an
+XXH3-64 seeded with the position of the bytes that it covers, so that neither bytes of an earlier write nor a
+frame inside a value are valid at another position.
 
-No I/O; functions are pure, and `SegmentScan` is owned by one thread.
+No I/O. The functions are pure, and a `SegmentScan` is owned by one thread.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 
 
 class SegmentHeader(NamedTuple):
-    """What the header of a segment says of it."""
+    """The content of a segment's header."""
 
     version: int
     node_hash: int
 
 
 class Record(NamedTuple):
-    """One change of a key as it stands in a segment."""
+    """One change of a key, as a segment stores it."""
 
     offset: int  # of the record in its segment
     kind: int  # PUT or DELETE
@@ -68,17 +68,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One batch as it stands in a segment."""
+    """One batch, as a segment stores it."""
 
     offset: int
     end: int
-    synced_bytes: int  # of this segment that were on disk for sure when the frame was written
+    synced_bytes: int  # of this segment that were known to be on disk when the frame was written
     latest_time_us: int  # the highest Unix time that the store had seen
     records: tuple[Record, ...]
 
 
 class ByteRange(NamedTuple):
-    """Bytes of a segment from `start` up to `end`, which is not one of them."""
+    """The bytes of a segment from `start` up to and excluding `end`."""
 
     start: int
     end: int
@@ -89,30 +89,30 @@
 
 
 def hash_node_name(name: str) -> int:
-    """The hash of a node's name, as the header of each segment holds it."""
+    """Return the hash of a node's name that the header of each segment contains."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 def encode_segment_header(segment_id: int, node_hash: int) -> bytes:
-    """The first bytes of a segment."""
+    """Encode the header of a segment."""
     header = SEGMENT_HEADER.pack(MAGIC, VERSION, segment_id, node_hash)
     return header + _checksum(header, segment_id, 0).to_bytes(CHECKSUM_BYTES, "little")
 
 
 def decode_segment_header(data: bytes, segment_id: int) -> SegmentHeader | None:
-    """The header at the start of a segment's bytes; None where they hold no valid header of this segment."""
+    """Decode the header at the start of a segment; None where there is no valid header of this segment."""
     if len(data) < SEGMENT_HEADER_BYTES:
         return None
     magic, version, number, node_hash = SEGMENT_HEADER.unpack_from(data)
     checksum = int.from_bytes(data[SEGMENT_HEADER.size : SEGMENT_HEADER_BYTES], "little")
-    is_sound = checksum == _checksum(data[: SEGMENT_HEADER.size], segment_id, 0)
-    if magic != MAGIC or number != segment_id or not is_sound:
+    has_valid_checksum = checksum == _checksum(data[: SEGMENT_HEADER.size], segment_id, 0)
+    if magic != MAGIC or number != segment_id or not has_valid_checksum:
         return None
     return SegmentHeader(version, node_hash)
 
 
 def encode_record(record: Record, segment_id: int) -> bytes:
-    """One record for its offset. Its own checksum lets a read of it alone be trusted."""
+    """Encode a record for its offset. It has a checksum of its own, as it is also read without its frame."""
     offset, kind, sequence, expiry_us, key, value = record
     header = RECORD_HEADER.pack(0, kind, len(key), len(value), sequence, expiry_us)
     checked = header[RECORD_CHECKSUM_BYTES:] + key + value
@@ -123,7 +123,7 @@
 def encode_frame(
     body: bytes, record_count: int, synced_bytes: int, latest_time_us: int, segment_id: int, offset: int
 ) -> bytes:
-    """A frame for its offset; the body holds records encoded from `offset + FRAME_HEADER_BYTES` on."""
+    """Encode a frame for its offset; its body must be encoded for `offset + FRAME_HEADER_BYTES`."""
     header = FRAME_HEADER.pack(FRAME_MAGIC, record_count, len(body), synced_bytes, latest_time_us)
     return header + _checksum(header + body, segment_id, offset).to_bytes(CHECKSUM_BYTES, "little") + body
 
@@ -131,9 +131,9 @@
 def decode_record(
     data: bytes, segment_id: int, offset: int, start: int = 0, limit: int | None = None
 ) -> Record | None:
-    """The record at `data[start:]`, which stands at `offset` of its segment and ends by `data[limit]`.
+    """Decode the record at `data[start:limit]`, whose offset in its segment is `offset`.
 
-    None where it is cut off or its checksum is wrong.
+    Returns None where it is incomplete or its checksum is wrong.
     """
     limit = len(data) if limit is None else limit
     if limit - start < RECORD_HEADER.size:
@@ -151,20 +151,20 @@
 
 
 def encoded_record_bytes(header: bytes) -> int:
-    """Bytes of the record that begins here, as its header says; the header isn't checked."""
+    """Return the size of a record in bytes according to its header, which isn't verified."""
     _, _, key_bytes, value_bytes, _, _ = RECORD_HEADER.unpack_from(header)
     return int(RECORD_HEADER.size + key_bytes + value_bytes)
 
 
 def encoded_key_bytes(header: bytes) -> int:
-    """Bytes of the key of the record that begins here, as its header says; the header isn't checked."""
+    """Return the size of a record's key in bytes according to its header, which isn't verified."""
     return int(RECORD_HEADER.unpack_from(header)[2])
 
 
 def decode_frame(data: bytes, segment_id: int, offset: int, start: int) -> Frame | None:
-    """The frame at `data[start:]`, which stands at `offset` of its segment.
+    """Decode the frame at `data[start:]`, whose offset in its segment is `offset`.
 
-    None where it is cut off or a checksum is wrong.
+    Returns None where it is incomplete or a checksum is wrong.
     """
     if len(data) - start < FRAME_HEADER_BYTES or data[start : start + len(FRAME_MAGIC)] != FRAME_MAGIC:
         return None
@@ -177,26 +177,38 @@
     checksum = int.from_bytes(data[header_end:body_start], "little")
     if checksum != _checksum(data[start:header_end] + data[body_start:end], segment_id, offset):
         return None
+    body = ByteRange(body_start, end)
+    records = _decode_body(data, segment_id, offset - start, body, record_count)
+    if records is None:
+        return None
+    return Frame(offset, offset + end - start, synced_bytes, latest_time_us, records)
+
+
+def _decode_body(
+    data: bytes, segment_id: int, data_offset: int, body: ByteRange, record_count: int
+) -> tuple[Record, ...] | None:
+    """Decode the records that fill `body` of `data`, whose offset in its segment is `data_offset`.
+
+    Returns None where a checksum is wrong, or the records don't end at the end of the body.
+    """
     records = []
-    position = body_start
+    position = body.start
     for _ in range(record_count):
-        record = decode_record(data, segment_id, offset + position - start, position, end)
+        record = decode_record(data, segment_id, data_offset + position, position, body.end)
         if record is None:
             return None
         records.append(record)
         position += record.size
-    if position != end:
-        return None
-    return Frame(offset, offset + end - start, synced_bytes, latest_time_us, tuple(records))
+    return tuple(records) if position == body.end else None
 
 
 class SegmentScan:
-    """A walk over the bytes of one segment.
+    """A scan of the bytes of one segment.
 
-    Attributes, which hold once `frames` is exhausted:
-        valid_end: the end of the last frame of the unbroken run from the start.
-        holes: bytes that are no frame, with a valid frame behind them.
-        synced_bytes: the highest count of bytes that a frame says had been on disk.
+    Attributes, complete once `frames` is exhausted:
+        valid_end: the end of the last frame before the first hole.
+        holes: broken bytes that are followed by a valid frame.
+        synced_bytes: the highest number of synced bytes in any frame's header.
     """
 
     def __init__(self, data: bytes, segment_id: int) -> None:
@@ -206,14 +218,17 @@
         self.holes: list[ByteRange] = []
         self.synced_bytes = 0
 
-    def first_damage(self, is_sealed: bool) -> ByteRange | None:
-        """The first bytes that are damage: any hole of a sealed segment, else one that had been on disk."""
+    def first_damage(self, *, is_sealed: bool) -> ByteRange | None:
+        """Return the first damaged bytes; None where there are none.
+
+        Any hole of a sealed segment is damage. In the active segment only a hole that had been synced is.
+        """
         if self.holes and (is_sealed or self.holes[0].start < self.synced_bytes):
             return self.holes[0]
         return None
 
     def frames(self) -> Iterator[Frame]:
-        """The valid frames in order, those behind a hole too."""
+        """Yield the valid frames in their order, including those behind a hole."""
         position = SEGMENT_HEADER_BYTES
         while position < len(self._data):
             frame = decode_frame(self._data, self._segment_id, position, position)
@@ -229,7 +244,7 @@
             yield frame
 
     def _find_frame(self, start: int) -> Frame | None:
-        """The first valid frame from `start` on; only searched for where something is broken."""
+        """Find the first valid frame from `start` on. Slow; only called where bytes are broken."""
         position = self._data.find(FRAME_MAGIC, start)
         while position >= 0:
             frame = decode_frame(self._data, self._segment_id, position, position)
--- a/tansyladder/store/group_writer.py
+++ b/tansyladder/store/group_writer.py
@@ -1,4 +1,4 @@
-"""The write path behind the commit queue: a group of batches becomes frames of the active segment."""
+"""The write path behind the commit queue: a group of batches is encoded as frames and appended to the log."""
 
 from __future__ import annotations
 
@@ -37,25 +37,27 @@
         return self._last_sequence
 
     def commit(self, group: Sequence[PendingBatch]) -> None:
-        """Write all batches at once, sync once if one of them needs it, and make them visible.
+        """Write all batches at once, sync once if one of them requires it, and make them visible.
 
         Raises:
-            StoreFullError, KeyCollisionError: nothing of the group is kept.
-            StoreBrokenError: it is not known what is kept.
+            StoreFullError, KeyCollisionError: nothing of the group was written.
+            StoreBrokenError: it is not known what was written.
         """
-        self._lifecycle.check_open()  # a step of maintenance may have failed while these waited
+        self._lifecycle.check_open()  # a step of maintenance may have failed while the batches waited
         self._log.roll_if_full(sum(batch.size for batch in group))
         written = Hint()
         data = self._encode(group, written)
-        self._log.append(data, any(batch.needs_sync for batch in group))
+        self._log.append(data)
+        if any(batch.needs_sync for batch in group):
+            self._log.sync()
         self._records.apply(self._log.active, written, len(group))
         self._last_sequence += len(written)
 
     def _encode(self, group: Sequence[PendingBatch], written: Hint) -> bytes:
-        """The frames of a group for the end of the active segment; their records are added to `written`."""
+        """Encode a group as frames for the end of the active segment, and add its records to `written`."""
         active = self._log.active
         synced_bytes = self._log.synced_bytes
-        written.latest_time_us = self._clock.now_us()
+        written.note_time(self._clock.now_us())
         encoded = []
         offset = active.size
         for batch in group:
@@ -69,7 +71,7 @@
         return b"".join(encoded)
 
     def _encode_body(self, operations: Sequence[WriteOperation], offset: int, written: Hint) -> bytes:
-        """The records of one batch from an offset of the active segment on; they are added to `written`."""
+        """Encode the records of a batch for an offset of the active segment, and add them to `written`."""
         segment_id = self._log.active.id
         hash_secret = self._log.hash_secret
         sequence = self._last_sequence + len(written)
--- a/tansyladder/store/hints.py
+++ b/tansyladder/store/hints.py
@@ -1,6 +1,6 @@
-"""Hint files: what the index needs to know of a sealed segment, without its keys and values.
+"""Hint files: the data of a sealed segment that the index is built from, without keys and values.
 
-A hint only saves time: one that is missing, cut off, changed or of another size of its segment is made anew.
+A hint only saves time: it is rebuilt from its segment where it is missing, damaged or of another size.
 """
 
 from __future__ import annotations
@@ -41,14 +41,16 @@
 
 
 class Hint:
-    """The records of one segment in columns, in their order in the segment. Not thread-safe.
+    """The records of one segment as columns, in the order of the segment. Not thread-safe.
 
     Attributes:
-        hashes: of the keys.
-        expiries: Unix time in microseconds, 0 for never.
-        offsets: of the records in the segment.
-        sizes: of the records, in bytes.
-        latest_time_us: the highest Unix time that the store had seen.
+        hashes: hashes of the keys.
+        sequences: sequences of the records.
+        expiries: Unix times in microseconds, 0 for never.
+        offsets: offsets of the records in the segment.
+        sizes: sizes of the records in bytes.
+        kinds: PUT or DELETE.
+        latest_time_us: the highest Unix time that the store had seen, in microseconds.
     """
 
     def __init__(self) -> None:
@@ -72,9 +74,13 @@
         self.sizes.append(record.size)
         self.kinds.append(record.kind)
 
+    def note_time(self, time_us: int) -> None:
+        """Record that the store has seen this time."""
+        self.latest_time_us = max(self.latest_time_us, time_us)
+
     def extend(self, later: Hint) -> None:
         """Append the records of a later part of the same segment."""
-        self.latest_time_us = max(self.latest_time_us, later.latest_time_us)
+        self.note_time(later.latest_time_us)
         self.hashes.extend(later.hashes)
         self.sequences.extend(later.sequences)
         self.expiries.extend(later.expiries)
@@ -83,7 +89,7 @@
         self.kinds.extend(later.kinds)
 
     def encode(self, segment_id: int, segment_size: int) -> bytes:
-        """The bytes of the hint's file."""
+        """Encode the content of the hint file."""
         columns = [getattr(self, column.attribute).tobytes() for column in COLUMNS]
         header = HEADER.pack(MAGIC, VERSION, segment_id, segment_size, len(self), self.latest_time_us)
         content = header + b"".join(columns)
@@ -91,7 +97,7 @@
 
     @classmethod
     def decode(cls, data: bytes, segment_id: int, segment_size: int) -> Hint | None:
-        """The hint in a file's bytes; None where it is no valid hint of this segment at this size."""
+        """Decode the content of a hint file; None where it is no valid hint of this segment at this size."""
         content_end = len(data) - CHECKSUM_BYTES
         if content_end < HEADER.size or xxhash.xxh3_64_digest(data[:content_end]) != data[content_end:]:
             return None
@@ -99,7 +105,7 @@
         if identity != [MAGIC, VERSION, segment_id, segment_size]:
             return None
         hint = cls()
-        hint.latest_time_us = latest_time_us
+        hint.note_time(latest_time_us)
         start = HEADER.size
         for column in COLUMNS:
             values: array[Any] = getattr(hint, column.attribute)
@@ -110,12 +116,12 @@
 
 
 def hint_file_name(segment_id: int) -> str:
-    """The name of a segment's hint file."""
+    """Return the name of a segment's hint file."""
     return f"{segment_id:016x}.hint"
 
 
 def write_hint(files: Files, hint: Hint, segment_id: int, segment_size: int) -> None:
-    """Write a hint file. Its name need not be on disk at any moment: the hint can be made anew. OSError."""
+    """Write a hint file. Its directory entry is never synced, as the hint can be rebuilt. OSError."""
     new_name = hint_file_name(segment_id) + ".new"
     with contextlib.closing(files.create(new_name)) as file:
         file.write_at(0, hint.encode(segment_id, segment_size))
@@ -124,7 +130,7 @@
 
 
 def read_hint(files: Files, segment_id: int, segment_size: int) -> Hint | None:
-    """A segment's hint; None where there is none that can be used."""
+    """Read a segment's hint; None where there is no valid one."""
     try:
         with contextlib.closing(files.open(hint_file_name(segment_id))) as file:
             return Hint.decode(file.read_at(0, file.size()), segment_id, segment_size)
@@ -133,7 +139,7 @@
 
 
 def build_hint(records: Iterable[Record], hash_secret: int) -> Hint:
-    """A hint made from the records of a segment."""
+    """Build a hint from the records of a segment."""
     hint = Hint()
     for record in records:
         hint.add(record, hash_key(record.key, hash_secret))
@@ -141,5 +147,5 @@
 
 
 def hash_key(key: bytes, hash_secret: int) -> int:
-    """A key's hash in the index."""
+    """Return a key's hash in the index."""
     return avoid_reserved_hashes(xxhash.xxh3_64_intdigest(key, seed=hash_secret))
--- a/tansyladder/store/index.py
+++ b/tansyladder/store/index.py
@@ -1,8 +1,8 @@
 """The index: a hash table from each key's hash to the location of its newest record, 16 bytes a slot.
 
-A location is `segment << 32 | offset`. Two keys with one hash can't both be kept: the hash is 64 bits wide
-and keyed by a secret of the store, so that among a million keys it happens once in 37 million stores, and
-nobody can aim at it; the store refuses the second one by comparing keys.
+A location is `segment << 32 | offset`. Two keys with the same hash can't both be stored: the store compares
+keys and rejects the second one. The hash has 64 bits and is seeded with a secret of the store, so a collision
+happens in one of 37 million stores of a million keys, and can't be provoked.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 if TYPE_CHECKING:
     import numpy as np
 
-# Two values that no key's hash has.
+# Two values that are reserved: no key's hash has them.
 EMPTY_SLOT = 0
 DELETED_SLOT = 1
 SLOT_BYTES = 16
-MAX_LOAD_FACTOR = 0.7  # share of occupied slots, those of deleted keys included: beyond it probing gets slow
+MAX_LOAD_FACTOR = 0.7  # of occupied slots, including those of deleted keys; above it probing becomes slow
 MIN_SLOTS = 64
-MAX_SLOTS_WITHOUT_NUMPY = 1 << 14  # up to which a table is rebuilt without numpy: some milliseconds at most
+MAX_SLOTS_WITHOUT_NUMPY = 1 << 14  # larger tables are rebuilt with numpy; this one takes some milliseconds
 
 
 def avoid_reserved_hashes(key_hash: int) -> int:
-    """A hash that stands for no special slot."""
+    """Return the hash, or another one where it is a reserved value."""
     return key_hash if key_hash > DELETED_SLOT else key_hash + 2
 
 
@@ -38,6 +38,7 @@
         self._allocate(slot_count)
 
     def _allocate(self, slot_count: int) -> None:
+        """Replace the table by an empty one; `slot_count` is a power of two."""
         self._mask = slot_count - 1
         self._hashes = array("Q", bytes(8 * slot_count))
         self._locations = array("Q", bytes(8 * slot_count))
@@ -53,18 +54,18 @@
         return SLOT_BYTES * len(self._hashes)
 
     def _find_slot(self, key_hash: int) -> int:
-        """The slot that holds a hash, else -1."""
+        """Return the slot of a hash, or -1 where there is none."""
         hashes = self._hashes
         mask = self._mask
         slot = key_hash & mask
-        while (found := hashes[slot]) != EMPTY_SLOT:
-            if found == key_hash:
+        while (slot_hash := hashes[slot]) != EMPTY_SLOT:
+            if slot_hash == key_hash:
                 return slot
             slot = (slot + 1) & mask
         return -1
 
     def get(self, key_hash: int) -> int:
-        """The location of a hash; 0 where there is none."""
+        """Return the location of a hash; 0 where there is none."""
         slot = self._find_slot(key_hash)
         return self._locations[slot] if slot >= 0 else 0
 
@@ -85,7 +86,7 @@
         self._locations[slot] = location
 
     def remove(self, key_hash: int) -> None:
-        """Remove a hash; one that is not there is no error."""
+        """Remove a hash; one that doesn't exist is no error."""
         slot = self._find_slot(key_hash)
         if slot >= 0:
             self._hashes[slot] = DELETED_SLOT
@@ -93,11 +94,12 @@
             self._key_count -= 1
 
     def items(self) -> Iterator[tuple[int, int]]:
-        """Hashes and locations; the table must not change meanwhile."""
+        """Return hashes and locations; the table must not change while they are read."""
         pairs = zip(self._hashes, self._locations, strict=True)
         return ((key_hash, location) for key_hash, location in pairs if key_hash > DELETED_SLOT)
 
     def _grow(self) -> None:
+        """Rebuild the table without deleted slots, at most half as full as its maximum."""
         slot_count = len(self._hashes)
         while self._key_count + 1 > MAX_LOAD_FACTOR / 2 * slot_count:
             slot_count *= 2
@@ -107,7 +109,7 @@
             self._rebuild_with_numpy(slot_count)
 
     def _rebuild_key_by_key(self, slot_count: int) -> None:
-        """Without numpy, whose import takes longer than this: the store's lock is held for so long."""
+        """Rebuild without numpy, whose import would take longer while the record table's lock is held."""
         live = list(self.items())
         self._allocate(slot_count)
         hashes = self._hashes
@@ -122,6 +124,7 @@
         self._key_count = self._occupied_slots = len(live)
 
     def _rebuild_with_numpy(self, slot_count: int) -> None:
+        # Lazy: a small store never needs numpy.
         import numpy as np
 
         hashes = np.frombuffer(self._hashes, np.uint64)
@@ -134,7 +137,7 @@
 
     @classmethod
     def build(cls, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> Index:
-        """A table of distinct hashes, filled in a few passes over whole arrays."""
+        """Build a table from distinct hashes, in a few passes over arrays."""
         slot_count = MIN_SLOTS
         while len(hashes) + 1 > MAX_LOAD_FACTOR * slot_count:
             slot_count *= 2
@@ -143,7 +146,8 @@
         return index
 
     def _insert_all(self, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> None:
-        """Fill an empty table: in each pass all that meet an empty slot take it, others go one slot on."""
+        """Fill an empty table: in each pass, hashes whose slot is empty take it; others try the next one."""
+        # Lazy: a small store never needs numpy.
         import numpy as np
 
         table_hashes = np.frombuffer(self._hashes, np.uint64)
@@ -152,7 +156,7 @@
         slots = hashes & mask
         while len(hashes):
             is_empty = table_hashes[slots] == EMPTY_SLOT
-            table_hashes[slots[is_empty]] = hashes[is_empty]  # of several at one slot the last stays
+            table_hashes[slots[is_empty]] = hashes[is_empty]  # the last of several at one slot takes it
             is_placed = table_hashes[slots] == hashes
             table_locations[slots[is_placed]] = locations[is_placed]
             remaining = ~is_placed
--- a/tansyladder/store/maintenance.py
+++ b/tansyladder/store/maintenance.py
@@ -14,11 +14,11 @@
 from tansyladder.store.segment import Segment, segment_file_name
 from tansyladder.store.segment_log import SegmentLog
 
-MOVE_BATCH = 1000  # records moved in the index at a time: readers wait for no longer than that takes
+MOVE_BATCH = 1000  # records moved in the index at a time, which bounds how long readers wait
 
 
 class Maintenance:
-    """What is due besides writes. Owned by the commit leader: no lock.
+    """Background work besides writes. Owned by the commit leader: no lock.
 
     Attributes:
         compacted_bytes: bytes that compactions have written.
@@ -35,7 +35,7 @@
         self.compacted_bytes = 0
 
     def step(self, budget_bytes: int) -> bool:
-        """One step, which reads about so many bytes at most; whether there is more to do.
+        """Do one step, which reads about so many bytes at most; return whether there is more to do.
 
         StoreFullError, StoreBrokenError, StoreCorruptError.
         """
@@ -49,24 +49,24 @@
         return True
 
     def abort(self) -> None:
-        """Give up a compaction that is under way; the next start removes its file."""
+        """Abort a compaction that is in progress; the next start removes its file."""
         if self._compaction is not None:
             self._compaction.abort()
             self._compaction = None
 
     def _write_one_hint(self) -> bool:
-        """Write a hint file that is due; whether there was one."""
+        """Write a hint file that is due; return whether there was one."""
         for segment in self._records.segments_by_age():
             hint = segment.pending_hint
             if hint is not None and segment is not self._log.active:
                 with contextlib.suppress(OSError):  # without it the next start reads the segment
                     hints.write_hint(self._log.files, hint, segment.id, segment.size)
-                segment.pending_hint = None
+                segment.drop_pending_hint()
                 return True
         return False
 
     def _begin_compaction(self) -> bool:
-        """Begin a compaction that is worth it; whether there is one."""
+        """Begin a compaction that is due; return whether there is one."""
         segments = self._records.segments_by_age()
         run = compaction.choose_run(segments[:-1])  # not the active one
         if not run:
@@ -75,12 +75,14 @@
             self._log.reserve_segment_id(), self._log.node_hash, self._log.hash_secret
         )
         try:
-            self._compaction = Compaction(self._log.files, target, run, run[0] is segments[0])
+            includes_oldest = run[0] is segments[0]
+            self._compaction = Compaction(self._log.files, target, run, includes_oldest=includes_oldest)
         except OSError as err:
             raise self._lifecycle.error_for(err, "compaction") from err
         return True
 
     def _continue_compaction(self, running: Compaction, budget_bytes: int) -> None:
+        """Do one step of a compaction; the last one installs its segment."""
         try:
             is_complete = running.step(budget_bytes, self._records.is_live, self._clock.now_us())
             if is_complete:
@@ -95,10 +97,10 @@
             self._compaction = None
 
     def _install(self, finished: Compaction) -> None:
-        """Put the new segment in the run's place: on disk, then named, then used; then the old files go."""
+        """Replace the run by the new segment: sync it, name it in the manifest, use it, remove old files."""
         compacted = finished.finish()
         self.compacted_bytes += compacted.size
-        self._log.written_bytes += compacted.size
+        self._log.count_compacted_bytes(compacted.size)
         order = self._order_with(finished, compacted)
         self._log.replace_segments(order)
         self._records.add_compacted(compacted)
@@ -110,7 +112,7 @@
                 self._remove_files(segment)
 
     def _order_with(self, finished: Compaction, compacted: Segment) -> list[Segment]:
-        """All segments by age with the new one, unless it is empty, in the run's place."""
+        """Return all segments by age, with the run replaced by the new segment unless that is empty."""
         order = self._records.segments_by_age()
         start = order.index(finished.run[0])
         end = start + len(finished.run)
@@ -119,6 +121,7 @@
         return order
 
     def _remove_files(self, segment: Segment) -> None:
+        """Remove a segment's files, as far as that succeeds."""
         for name in (segment_file_name(segment.id), hints.hint_file_name(segment.id)):
             with contextlib.suppress(OSError):  # the next start removes it
                 self._log.files.remove(name)
--- a/tansyladder/store/manifest.py
+++ b/tansyladder/store/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: which segments make up the store, in the order of their age. It is replaced in one step."""
+"""The manifest: lists the segments of the store in the order of their age. It is replaced atomically."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 VERSION = 1
 CHECKSUM_DIGITS = 16  # hexadecimal digits of the checksum, followed by a line feed
 MAX_BYTES = 16 << 20
-ACTIVE_SIZE = -1  # stands for the size of the segment that is written to
+ACTIVE_SIZE = -1  # in place of the size of the active segment, which grows
 
 
 class UncertainWriteError(OSError):
-    """The old or the new manifest is on disk, and it is not known which: only what both name counts."""
+    """Either the old or the new manifest is on disk; only what both name can be relied on."""
 
 
 class SegmentEntry(msgspec.Struct, frozen=True):
@@ -31,15 +31,15 @@
 
     @property
     def is_sealed(self) -> bool:
-        """Whether the segment is complete, so that its size is known."""
+        """Whether the segment is complete, so that its size is final."""
         return self.size != ACTIVE_SIZE
 
 
 class Manifest(msgspec.Struct, frozen=True):
-    """The content of the manifest; the names of the JSON fields are those of docs/store-format.md."""
+    """The content of the manifest, whose JSON fields docs/store-format.md specifies."""
 
     version: int
-    node: str  # the name of the node whose store it is
+    node: str  # the name of the node that owns the store
     hash_secret_hex: str = msgspec.field(name="secret")  # seeds the hashes of the index
     next_segment_id: int = msgspec.field(name="next")
     segments: tuple[SegmentEntry, ...]
@@ -51,7 +51,7 @@
 
 
 def write_manifest(files: Files, manifest: Manifest) -> None:
-    """Replace the manifest; the new one is on disk when this returns.
+    """Replace the manifest, and return once the new one is on disk.
 
     Raises:
         UncertainWriteError: the old or the new one is on disk.
@@ -70,10 +70,10 @@
 
 
 def read_manifest(files: Files) -> Manifest:
-    """The manifest as it is on disk.
+    """Read and verify the manifest.
 
     Raises:
-        StoreCorruptError: it is not as it was written.
+        StoreCorruptError: its checksum or its content is invalid.
         StoreVersionError: a later version of the program wrote it.
         OSError: it can't be read.
     """
--- a/tansyladder/store/opening.py
+++ b/tansyladder/store/opening.py
@@ -1,4 +1,4 @@
-"""Opening a store: the lock on its directory, a manifest where there is none, recovery, and cleaning up."""
+"""Opening a store: locks the directory, creates a missing manifest, recovers, and removes unused files."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 FIRST_SEGMENT_ID = 1
 HASH_SECRET_BYTES = 8
-TRIM_MIN_KEYS = 10_000  # from which opening takes memory worth giving back
+TRIM_MIN_KEYS = 10_000  # from which on the memory that opening used is returned to the system
 
 
 def open_store(
@@ -25,8 +25,8 @@
 
     Raises:
         StoreLockedError: another process owns the directory.
-        StoreUnusableError: it can't be read or written.
-        StoreVersionError, NotAStoreError, StoreCorruptError: it stays as it is.
+        StoreUnusableError: the directory can't be read or written.
+        StoreVersionError, NotAStoreError, StoreCorruptError: the store can't be opened, and was not changed.
     """
     try:
         files.lock()
@@ -44,6 +44,7 @@
 
 
 def _open_locked(files: Files, node: str, read_clock: Callable[[], int], max_segment_bytes: int) -> Store:
+    """Open a store whose directory is locked; an error leaves no file open."""
     if manifest.FILE_NAME not in files.list_names():
         _create_manifest(files, node)
     recovered = recovery.recover(files, node, read_clock())
@@ -62,6 +63,7 @@
 
 
 def _create_manifest(files: Files, node: str) -> None:
+    """Create the manifest of an empty store. StoreCorruptError: there are segments, so it was lost."""
     if any(name.endswith(LOG_SUFFIX) for name in files.list_names()):
         raise StoreCorruptError("missing, and there are segments", path=manifest.FILE_NAME)
     hash_secret_hex = os.urandom(HASH_SECRET_BYTES).hex()
@@ -70,7 +72,7 @@
 
 
 def _remove_empty_segments(recovered: recovery.RecoveryResult) -> None:
-    """Leave out segments without a frame, as each start that writes nothing makes one."""
+    """Remove segments without a frame; each start that writes nothing leaves one."""
     for segment in list(recovered.segments):
         if segment.size <= frames.SEGMENT_HEADER_BYTES:
             recovered.segments.remove(segment)
@@ -78,6 +80,6 @@
 
 
 def _trim_memory() -> None:
-    """Opening takes columns of all records for a moment; the allocator would keep what they took."""
+    """Return free memory to the system: the allocator would keep that of the columns of all records."""
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None).malloc_trim(0)
--- a/tansyladder/store/operations.py
+++ b/tansyladder/store/operations.py
@@ -1,4 +1,4 @@
-"""What callers ask of the store: operations, how durable a write must be, and the bounds of a batch."""
+"""Write operations, the durability of a write, and the bounds of a batch."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 class Durability(enum.Enum):
     """What a write waits for."""
 
-    # On disk: the write outlives a loss of power.
+    # On disk: the write survives a power loss.
     SYNCED = "synced"
-    # With the operating system: it outlives the process, and is on disk after the next sync or `maintain`.
+    # In the operating system's cache: it survives the process, and is on disk after the next sync.
     BUFFERED = "buffered"
 
 
@@ -30,18 +30,21 @@
 
 
 def encoded_batch_bytes(operations: Sequence[WriteOperation]) -> int:
-    """The bytes of a batch in the log. RecordTooLargeError: it, or something in it, exceeds a bound."""
+    """Return the size of a batch in the log. RecordTooLargeError: a part or all of it exceeds a bound."""
     size = frames.FRAME_HEADER_BYTES
-    for key, value, expiry_us in operations:
-        if not 0 < len(key) <= frames.MAX_KEY_BYTES:
-            raise RecordTooLargeError(f"a key of {len(key)} bytes: 1 to {frames.MAX_KEY_BYTES}", key=key)
-        if value is not None and len(value) > frames.MAX_VALUE_BYTES:
-            raise RecordTooLargeError(
-                f"a value of {len(value)} bytes: up to {frames.MAX_VALUE_BYTES}", key=key
-            )
-        if not 0 <= expiry_us <= MAX_EXPIRY_US:
-            raise RecordTooLargeError(f"an expiry out of range: {expiry_us}", key=key)
-        size += frames.RECORD_HEADER.size + len(key) + len(value or b"")
+    for operation in operations:
+        _check_bounds(operation)
+        size += frames.RECORD_HEADER.size + len(operation.key) + len(operation.value or b"")
     if len(operations) > frames.MAX_RECORDS_PER_FRAME or size > frames.MAX_FRAME_BODY_BYTES:
         raise RecordTooLargeError(f"a batch of {len(operations)} operations and {size} bytes")
     return size
+
+
+def _check_bounds(operation: WriteOperation) -> None:
+    key, value, expiry_us = operation
+    if not 0 < len(key) <= frames.MAX_KEY_BYTES:
+        raise RecordTooLargeError(f"a key of {len(key)} bytes: 1 to {frames.MAX_KEY_BYTES}", key=key)
+    if value is not None and len(value) > frames.MAX_VALUE_BYTES:
+        raise RecordTooLargeError(f"a value of {len(value)} bytes: up to {frames.MAX_VALUE_BYTES}", key=key)
+    if not 0 <= expiry_us <= MAX_EXPIRY_US:
+        raise RecordTooLargeError(f"an expiry out of range: {expiry_us}", key=key)
--- a/tansyladder/store/record_table.py
+++ b/tansyladder/store/record_table.py
@@ -1,4 +1,4 @@
-"""Where each key's newest record is: the index, and the segments that it points into."""
+"""The record table: the index of each key's newest record, and the segments that it points into."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class MovedRecord(NamedTuple):
-    """A record that a compaction wrote anew, or left out because it has expired."""
+    """A record that a compaction copied, or dropped because it has expired."""
 
     key_hash: int
     old_location: int
@@ -27,16 +27,16 @@
 
 
 class SegmentStats(NamedTuple):
-    """Figures of one segment, in bytes."""
+    """Statistics of one segment, in bytes."""
 
     size: int
     dead_bytes: int
 
 
 class StoreStats(NamedTuple):
-    """Figures of the whole store; the names are those of the log's fields."""
+    """Statistics of the whole store, named like the fields of the log."""
 
-    keys: int  # those that expired and are not compacted away included
+    keys: int  # including expired ones that are not compacted yet
     segments: int
     bytes: int  # of all segments
     live: int  # bytes of records that the index points to
@@ -48,7 +48,7 @@
     """The index and the segments of an open store, in the order of their age.
 
     Thread-safe: `_lock` guards the index, the segments' dictionary and order, and their live bytes, fixed
-    bytes and references. A record is read under it, so that its file stays open; nothing is written under it.
+    bytes and references. A record is read under it, so that its file stays open; no file is written under it.
     Only the commit leader calls the methods that change the table.
     """
 
@@ -63,12 +63,12 @@
         return len(self._index)
 
     def segments_by_age(self) -> list[Segment]:
-        """The segments, oldest first, the active one last."""
+        """Return the segments, oldest first, the active one last."""
         with self._lock:
             return [self._segments[segment_id] for segment_id in self._ids_by_age]
 
     def read(self, key: bytes) -> frames.Record | None:
-        """The newest record of a key; None where there is none. StoreCorruptError, OSError."""
+        """Read the newest record of a key; None where there is none. StoreCorruptError, OSError."""
         with self._lock:
             location = self._index.get(hash_key(key, self._hash_secret))
             if not location:
@@ -77,7 +77,7 @@
         return record if record.key == key else None
 
     def snapshot(self) -> Snapshot:
-        """The table as it is now, whatever is written or compacted later."""
+        """Return the present content of the table, independent of later writes and compactions."""
         with self._lock:
             locations = [location for _, location in self._index.items()]
             segments = dict(self._segments)
@@ -96,7 +96,7 @@
             return self._index.get(key_hash) == location
 
     def check_collision(self, key_hash: int, key: bytes) -> None:
-        """Raise KeyCollisionError where another key has this hash: both can't be kept."""
+        """Raise KeyCollisionError where another stored key has this hash, as both can't be stored."""
         with self._lock:
             location = self._index.get(key_hash)
             if not location:
@@ -109,7 +109,7 @@
             raise KeyCollisionError(f"{key[:KEY_EXCERPT_BYTES]!r} has the hash of another key", key=key)
 
     def add_segment(self, segment: Segment) -> None:
-        """Add a segment that is younger than all others."""
+        """Add a segment that is newer than all others."""
         with self._lock:
             self._segments = {**self._segments, segment.id: segment}
             self._ids_by_age = [*self._ids_by_age, segment.id]
@@ -119,51 +119,48 @@
         segment_bits = segment.id << frames.OFFSET_BITS
         columns = zip(written.hashes, written.kinds, written.offsets, written.sizes, strict=True)
         with self._lock:
-            if segment.pending_hint is None:
-                segment.pending_hint = Hint()
-            segment.pending_hint.extend(written)
-            segment.fixed_bytes += frame_count * frames.FRAME_HEADER_BYTES
+            segment.note_appended(written, frame_count)
             for key_hash, kind, offset, size in columns:
                 self._count_dead(key_hash)
                 if kind == frames.PUT:
                     self._index.put(key_hash, segment_bits | offset)
-                    segment.live_bytes += size
+                    segment.add_live_bytes(size)
                 else:
                     self._index.remove(key_hash)
 
     def _count_dead(self, key_hash: int) -> None:
-        """Under the lock: the record that a hash points to, if any, is live no more."""
+        """Count the record that a hash points to, if there is one, as dead. Called under the lock."""
         location = self._index.get(key_hash)
         if not location:
             return
         segment = self._segments[location >> frames.OFFSET_BITS]
-        with contextlib.suppress(OSError):  # the figure only chooses what is compacted
+        with contextlib.suppress(OSError):  # the number only determines what is compacted
             header = segment.file.read_at(location & OFFSET_MASK, frames.RECORD_HEADER.size)
             if len(header) == frames.RECORD_HEADER.size:
-                segment.live_bytes -= min(segment.live_bytes, frames.encoded_record_bytes(header))
+                segment.remove_live_bytes(frames.encoded_record_bytes(header))
 
     def add_compacted(self, segment: Segment) -> None:
-        """Add a segment that a compaction wrote; it has no place in the order until `replace_segments`."""
+        """Add a segment that a compaction wrote; `replace_segments` adds it to the order by age."""
         with self._lock:
             self._segments[segment.id] = segment
 
     def move_records(self, moved: Sequence[MovedRecord], target: Segment) -> None:
-        """Point the index at records that were copied to the target, but for those overwritten meanwhile."""
+        """Change the index to the copies of records in the target; skip records overwritten meanwhile."""
         with self._lock:
             for record in moved:
                 if self._index.get(record.key_hash) != record.old_location:
                     continue
                 if record.new_location:
                     self._index.put(record.key_hash, record.new_location)
-                    target.live_bytes += record.size
+                    target.add_live_bytes(record.size)
                 else:
                     self._index.remove(record.key_hash)
 
     def replace_segments(self, old: Sequence[Segment], compacted: Segment, order: list[Segment]) -> None:
-        """Drop segments that were compacted, and the new one too where the order doesn't name it."""
+        """Drop segments that were compacted, and the new one as well where the order doesn't contain it."""
         with self._lock:
-            # What is dead in the new segment now must stay; else it would be compacted again without end.
-            compacted.fixed_bytes = compacted.size - compacted.live_bytes
+            # What is dead in the new segment can't be freed; otherwise it would be compacted again and again.
+            compacted.fix_dead_bytes()
             self._ids_by_age = [segment.id for segment in order]
             for segment in (*old, compacted):
                 if segment not in order:
@@ -171,13 +168,13 @@
                     segment.release()
 
     def close(self) -> None:
-        """Give up all segments; files that a snapshot uses stay open for it."""
+        """Release all segments; files that a snapshot uses stay open for it."""
         with self._lock:
             for segment in self._segments.values():
                 segment.release()
 
     def stats(self, sequence: int) -> StoreStats:
-        """Figures for logs and tools; `sequence` is that of the newest record."""
+        """Return statistics for logs and tools; `sequence` is that of the newest record."""
         with self._lock:
             segments = [self._segments[segment_id] for segment_id in self._ids_by_age]
             return StoreStats(
@@ -190,5 +187,6 @@
             )
 
     def stats_by_segment(self) -> dict[int, SegmentStats]:
-        """Figures of each segment by its number, oldest first."""
-        return {s.id: SegmentStats(s.size, s.dead_bytes) for s in self.segments_by_age()}
+        """Return statistics of each segment by its id, oldest first."""
+        segments = self.segments_by_age()
+        return {segment.id: SegmentStats(segment.size, segment.dead_bytes) for segment in segments}
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: what is on disk becomes an index again, and what a crash left incomplete is left out.
+"""Recovery: rebuilds the index from the files, and drops an incomplete tail that a crash left.
 
-Only the active segment may end in bytes that are no frame: nothing behind its last sync was acknowledged.
-What had been on disk for sure and is broken now is a StoreCorruptError, never dropped.
+Only the active segment may have such a tail, as writes after its last sync were never acknowledged. Damage to
+synced bytes is a StoreCorruptError, and they are never dropped.
 """
 
 from __future__ import annotations
@@ -26,37 +26,37 @@
 
 @dataclass(slots=True)
 class RecoveryResult:
-    """All that opening found; sizes in bytes."""
+    """The content of a store at its start; sizes in bytes."""
 
     manifest: Manifest
     segments: list[Segment] = field(default_factory=list)  # oldest first
     index: Index = field(default_factory=Index)
-    last_sequence: int = 0  # the highest that any record has
+    last_sequence: int = 0  # the highest of any record
     latest_time_us: int = 0  # the highest Unix time that the store has seen
     dropped_bytes: int = 0  # of an incomplete tail
-    rebuilt_hint_count: int = 0  # segments whose hint could not be used
+    rebuilt_hint_count: int = 0  # sealed segments whose hint was missing or invalid
 
 
 class LoadedSegment(NamedTuple):
-    """A segment with what the index needs of its records."""
+    """A segment with its hint."""
 
     segment: Segment
     hint: Hint
 
 
 class ScannedSegment(NamedTuple):
-    """The bytes of a segment that count, and a hint made from them."""
+    """The valid size of a segment, and a hint built from its records."""
 
     size: int
     hint: Hint
 
 
 def recover(files: Files, node: str, now_us: int) -> RecoveryResult:
-    """Read the whole store, up to an incomplete tail; changes nothing on disk.
+    """Read the whole store, except for an incomplete tail; change nothing on disk.
 
     Raises:
-        StoreCorruptError, StoreVersionError: the store can't be opened by this program.
-        NotAStoreError: it is another node's.
+        StoreCorruptError, StoreVersionError: this program can't open the store.
+        NotAStoreError: it belongs to another node.
         OSError: it can't be read.
     """
     result = RecoveryResult(manifest.read_manifest(files))
@@ -65,9 +65,9 @@
     loaded: list[LoadedSegment] = []
     with contextlib.ExitStack() as undo:
         for entry in result.manifest.segments:
-            found = _load_segment(files, entry, result)
-            undo.callback(found.segment.release)
-            loaded.append(found)
+            loaded_segment = _load_segment(files, entry, result)
+            undo.callback(loaded_segment.segment.release)
+            loaded.append(loaded_segment)
         _build_index(loaded, result, now_us)
         undo.pop_all()
     result.segments = [segment for segment, _ in loaded]
@@ -75,6 +75,7 @@
 
 
 def _load_segment(files: Files, entry: SegmentEntry, result: RecoveryResult) -> LoadedSegment:
+    """Open, verify and read one segment; an error leaves no file open."""
     path = segment_file_name(entry.id)
     try:
         file = files.open(path)
@@ -100,7 +101,7 @@
 
 
 def _read_segment(files: Files, file: File, entry: SegmentEntry, result: RecoveryResult) -> LoadedSegment:
-    """By its hint where it has a valid one, else by reading all of it."""
+    """Read the hint of a sealed segment, or scan the segment where there is no valid hint."""
     if entry.is_sealed:
         hint = hints.read_hint(files, entry.id, entry.size)
         if hint is not None:
@@ -110,33 +111,35 @@
     if entry.is_sealed:
         result.rebuilt_hint_count += 1
     else:
-        result.dropped_bytes += file.size() - size  # the next manifest names the size that counts
+        result.dropped_bytes += file.size() - size  # the next manifest contains the valid size
     segment = Segment(entry.id, file, size, fixed_bytes=size - sum(hint.sizes), pending_hint=hint)
     return LoadedSegment(segment, hint)
 
 
 def _scan_segment(file: File, entry: SegmentEntry, hash_secret: int) -> ScannedSegment:
+    """Read all frames of a segment up to an incomplete tail. StoreCorruptError: synced bytes are damaged."""
     path = segment_file_name(entry.id)
     scan = frames.SegmentScan(file.read_at(0, entry.size if entry.is_sealed else file.size()), entry.id)
-    found = list(scan.frames())
-    damage = scan.first_damage(entry.is_sealed)
+    valid_frames = list(scan.frames())
+    damage = scan.first_damage(is_sealed=entry.is_sealed)
     if damage is not None:
         message = f"bytes {damage.start} to {damage.end} are broken, with sound ones behind them"
         raise StoreCorruptError(message, path=path)
     if entry.is_sealed and scan.valid_end != entry.size:
         raise StoreCorruptError(f"broken from byte {scan.valid_end} of {entry.size} on", path=path)
-    # What stands behind a hole that no sync had covered was never acknowledged, and came after what is lost.
-    counted = [frame for frame in found if frame.end <= scan.valid_end]
-    hint = hints.build_hint((record for frame in counted for record in frame.records), hash_secret)
-    hint.latest_time_us = max((frame.latest_time_us for frame in counted), default=0)
+    # Frames after an unsynced hole were never acknowledged, and are later than the lost ones: drop them too.
+    recovered = [frame for frame in valid_frames if frame.end <= scan.valid_end]
+    hint = hints.build_hint((record for frame in recovered for record in frame.records), hash_secret)
+    hint.note_time(max((frame.latest_time_us for frame in recovered), default=0))
     return ScannedSegment(scan.valid_end, hint)
 
 
 def _build_index(all_loaded: list[LoadedSegment], result: RecoveryResult, now_us: int) -> None:
-    """Of each key the record with the highest sequence counts, if it is a value that has not expired."""
+    """Index the record of each key with the highest sequence, unless it is a deletion or has expired."""
     loaded = [(segment, hint) for segment, hint in all_loaded if len(hint)]
     if not loaded:
         return
+    # Lazy: an empty store never needs numpy.
     import numpy as np
 
     def column(attribute: str, number_type: type) -> np.ndarray[Any, Any]:
@@ -159,12 +162,13 @@
     locations = segment_bits | column("offsets", np.uint32)[newest]
     live_bytes = np.bincount(segment_numbers, column("sizes", np.uint32)[newest], len(loaded))
     for (segment, _), segment_live_bytes in zip(loaded, live_bytes, strict=True):
-        segment.live_bytes = int(segment_live_bytes)
+        segment.add_live_bytes(int(segment_live_bytes))
     result.index = Index.build(hashes[is_live], locations)
 
 
 def _newest_of_each(hashes: np.ndarray[Any, Any], sequences: np.ndarray[Any, Any]) -> np.ndarray[Any, Any]:
-    """The position of each hash's record with the highest sequence."""
+    """Return the position of each hash's record with the highest sequence."""
+    # Lazy: an empty store never needs numpy.
     import numpy as np
 
     order = np.lexsort((sequences, hashes))
@@ -175,7 +179,7 @@
 
 
 def remove_unused_files(files: Files, used_ids: set[int]) -> None:
-    """Remove what no manifest names: a compaction or a new segment that a crash cut short. OSError."""
+    """Remove files that no manifest names: those of a compaction or a new segment before a crash. OSError."""
     for name in files.list_names():
         stem, _, suffix = name.partition(".")
         is_segment_file = suffix in ("log", "hint")
@@ -186,7 +190,7 @@
 
 
 def _parse_hex(digits: str) -> int:
-    """The number, or -1 where it is none."""
+    """Parse a hexadecimal number; -1 where the text is none."""
     try:
         return int(digits, 16)
     except ValueError:
--- a/tansyladder/store/repair.py
+++ b/tansyladder/store/repair.py
@@ -1,4 +1,4 @@
-"""Examining a store without changing it, and saving what can be read of a damaged one into a new place."""
+"""Examining a store without changing it, and copying the readable records of a damaged one to a new store."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 RECORDS_PER_BATCH = 1000  # that `repair` writes at once
 NODE_WITHOUT_MANIFEST = "repaired"
-Progress = Callable[[str, int, int], None]  # what is counted, done, in all
+Progress = Callable[[str, int, int], None]  # unit, number done, total number
 
 
-def _no_progress(_what: str, _done: int, _total: int) -> None:
+def _no_progress(_unit: str, _done: int, _total: int) -> None:
     """Report nothing."""
 
 
@@ -29,18 +29,18 @@
     """One segment as it is on disk; sizes in bytes."""
 
     id: int
-    entry: SegmentEntry | None  # None where the manifest doesn't name it
+    entry: SegmentEntry | None  # None where the manifest doesn't list the segment
     size: int = 0
     frame_count: int = 0
     record_count: int = 0
     has_hint: bool = False
-    fault: str = ""  # empty where all is as it should be
-    tail_bytes: int = 0  # behind the last frame of the active segment: what a crash leaves, and no fault
+    fault: str = ""  # empty where the segment is valid
+    tail_bytes: int = 0  # after the last frame of the active segment: left by a crash, and no fault
 
 
 @dataclass(slots=True)
 class Examination:
-    """What is known of a whole store."""
+    """The result of reading a whole store."""
 
     manifest: Manifest | None = None
     manifest_fault: str = ""
@@ -48,22 +48,24 @@
 
     @property
     def faults(self) -> list[str]:
-        """A line for everything that is not as it should be; empty for a sound store."""
-        of_segments = [f"{segment_file_name(s.id)}: {s.fault}" for s in self.segments if s.fault]
-        return [self.manifest_fault, *of_segments] if self.manifest_fault else of_segments
+        """A line for each fault; empty for a valid store."""
+        segment_faults = [
+            f"{segment_file_name(segment.id)}: {segment.fault}" for segment in self.segments if segment.fault
+        ]
+        return [self.manifest_fault, *segment_faults] if self.manifest_fault else segment_faults
 
 
 @dataclass(slots=True)
 class RepairResult:
-    """What a repair came to."""
+    """The result of a repair."""
 
     faults: list[str]
     saved_keys: int
-    lost_sequences: int  # changes between the first and the last that are not there, compacted ones too
+    lost_sequences: int  # missing changes between the first and the last one, including compacted ones
 
 
 def examine(files: Files, progress: Progress = _no_progress) -> Examination:
-    """Read every byte and change none; a store that is in use may look torn at its end. OSError."""
+    """Read every byte and change none; a store that is in use may seem to have a torn tail. OSError."""
     examination = Examination()
     try:
         examination.manifest = manifest.read_manifest(files)
@@ -87,6 +89,7 @@
 
 
 def _examine_segment(files: Files, segment_id: int, entry: SegmentEntry | None) -> SegmentReport:
+    """Read one segment and report its content and its faults."""
     report = SegmentReport(segment_id, entry)
     try:
         data = _read_segment(files, segment_id)
@@ -94,25 +97,29 @@
         report.fault = str(err) or "missing"
         return report
     report.size = len(data)
-    data = _counted_bytes(data, entry)
-    scan = frames.SegmentScan(data, segment_id)
+    if entry is not None and entry.is_sealed:
+        report.has_hint = hints.read_hint(files, segment_id, entry.size) is not None
+    _examine_frames(_listed_bytes(data, entry), report)
+    return report
+
+
+def _examine_frames(data: bytes, report: SegmentReport) -> None:
+    """Scan a segment's bytes, and add its counts and faults to the report."""
+    scan = frames.SegmentScan(data, report.id)
     for frame in scan.frames():
         report.frame_count += 1
         report.record_count += len(frame.records)
-    if entry is not None and entry.is_sealed:
-        report.has_hint = hints.read_hint(files, segment_id, entry.size) is not None
-    if frames.decode_segment_header(data, segment_id) is None:
+    if frames.decode_segment_header(data, report.id) is None:
         report.fault = "its head is broken"
-    elif entry is not None:
-        report.fault = _frame_fault(scan, entry)
+    elif report.entry is not None:
+        report.fault = _frame_fault(scan, report.entry)
         if not report.fault:
             report.tail_bytes = len(data) - scan.valid_end
-    return report
 
 
 def _frame_fault(scan: frames.SegmentScan, entry: SegmentEntry) -> str:
-    """What is wrong with the frames of a segment that the manifest names; empty where nothing is."""
-    damage = scan.first_damage(entry.is_sealed)
+    """Describe the fault of a listed segment's frames; empty where they are valid."""
+    damage = scan.first_damage(is_sealed=entry.is_sealed)
     if damage is not None:
         return f"bytes {damage.start} to {damage.end} are broken"
     if entry.is_sealed and scan.valid_end != entry.size:
@@ -125,31 +132,31 @@
         return file.read_at(0, file.size())
 
 
-def _counted_bytes(data: bytes, entry: SegmentEntry | None) -> bytes:
-    """The bytes of a segment up to the size that the manifest names, if it does."""
+def _listed_bytes(data: bytes, entry: SegmentEntry | None) -> bytes:
+    """Cut a segment's bytes to the size that the manifest lists, if it does."""
     return data[: entry.size] if entry is not None and entry.is_sealed else data
 
 
 def read_records(files: Files, examination: Examination) -> Iterator[frames.Record]:
-    """Every record that can be read, whatever stands between them."""
+    """Yield every readable record, including those after damaged bytes."""
     for report in examination.segments:
         if report.entry is None and examination.manifest is not None:
-            continue  # a compaction that a crash cut short: its records are elsewhere
+            continue  # an interrupted compaction, whose records are in other segments as well
         try:
             data = _read_segment(files, report.id)
         except OSError:
             continue
-        for frame in frames.SegmentScan(_counted_bytes(data, report.entry), report.id).frames():
+        for frame in frames.SegmentScan(_listed_bytes(data, report.entry), report.id).frames():
             yield from frame.records
 
 
 def repair(
     source: Files, target: Files, read_clock: Callable[[], int], progress: Progress = _no_progress
 ) -> RepairResult:
-    """Save the newest readable record of each key into a new, empty store; the damaged one stays as it is.
+    """Copy the newest readable record of each key to a new, empty store; the damaged one is not changed.
 
-    A change that was lost may have been a key's newest one: then an older value is kept. `read_clock`: Unix
-    time in microseconds.
+    If the newest change of a key is lost, the copy has an older value. `read_clock`: Unix time in
+    microseconds.
 
     Raises:
         StoreError: the target is not empty, or can't be written.
@@ -178,5 +185,5 @@
 
 
 def _count_missing(sequences: set[int]) -> int:
-    """Numbers between the lowest and the highest that are not there."""
+    """Count the missing numbers between the lowest and the highest one."""
     return max(sequences) - min(sequences) + 1 - len(sequences) if sequences else 0
--- a/tansyladder/store/segment.py
+++ b/tansyladder/store/segment.py
@@ -1,4 +1,4 @@
-"""A segment of an open store: its file, its figures, and the reading of one record of it."""
+"""A segment of an open store: its file, its byte counts, and reading one of its records."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from tansyladder.store.hints import Hint
 
 OFFSET_MASK = (1 << frames.OFFSET_BITS) - 1
-FIRST_READ_BYTES = 512  # read for a record whose size is not known; most fit
+FIRST_READ_BYTES = 512  # read at first for a record of unknown size; most records fit
 MAX_RECORD_BYTES = frames.RECORD_HEADER.size + frames.MAX_KEY_BYTES + frames.MAX_VALUE_BYTES
 LOG_SUFFIX = ".log"
 
 
 def segment_file_name(segment_id: int) -> str:
-    """The name of a segment's file."""
+    """Return the name of a segment's file."""
     return f"{segment_id:016x}{LOG_SUFFIX}"
 
 
@@ -32,31 +32,58 @@
     file: File
     size: int
     live_bytes: int = 0  # of records that the index points to
-    fixed_bytes: int = 0  # that no compaction would free: headers, and deletions that must stay
-    reference_count: int = 1  # the store, and each snapshot; the file is closed at 0
-    pending_hint: Hint | None = None  # where its hint file is not written yet
+    fixed_bytes: int = 0  # that no compaction can free: headers, and deletions that must be kept
+    reference_count: int = 1  # of the store and each snapshot; the file is closed at 0
+    pending_hint: Hint | None = None  # of a segment whose hint file is not written yet
 
     @property
     def dead_bytes(self) -> int:
         """Bytes that a compaction may free."""
         return self.size - self.fixed_bytes - self.live_bytes
 
+    def grow(self, size: int) -> None:
+        """Count bytes that were appended."""
+        self.size += size
+
+    def note_appended(self, written: Hint, frame_count: int) -> None:
+        """Add the records that were appended in so many frames to the pending hint."""
+        if self.pending_hint is None:
+            self.pending_hint = Hint()
+        self.pending_hint.extend(written)
+        self.fixed_bytes += frame_count * frames.FRAME_HEADER_BYTES
+
+    def drop_pending_hint(self) -> None:
+        """Forget the pending hint, once its file is written or could not be."""
+        self.pending_hint = None
+
+    def add_live_bytes(self, size: int) -> None:
+        """Count bytes of records that the index points to from now on."""
+        self.live_bytes += size
+
+    def remove_live_bytes(self, size: int) -> None:
+        """Count bytes of a record that the index no longer points to."""
+        self.live_bytes -= min(self.live_bytes, size)
+
+    def fix_dead_bytes(self) -> None:
+        """Count the bytes that are dead now as bytes that no compaction can free."""
+        self.fixed_bytes = self.size - self.live_bytes
+
     def acquire(self) -> None:
-        """Keep the file open until a further `release`."""
+        """Add a reference, which keeps the file open until a further `release`."""
         self.reference_count += 1
 
     def release(self) -> None:
-        """Give up a reference; the last one closes the file."""
+        """Drop a reference; the last one closes the file."""
         self.reference_count -= 1
         if not self.reference_count:
             self.file.close()
 
 
 def read_record(segment: Segment, offset: int) -> frames.Record:
-    """The record at an offset of a segment.
+    """Read the record at an offset of a segment.
 
     Raises:
-        StoreCorruptError: it is not as it was written.
+        StoreCorruptError: its checksum is wrong.
         OSError: it can't be read.
     """
     data = segment.file.read_at(offset, FIRST_READ_BYTES)
--- a/tansyladder/store/segment_log.py
+++ b/tansyladder/store/segment_log.py
@@ -1,4 +1,4 @@
-"""The log: appends to the active segment, new segments, and the manifest that names them."""
+"""The log: appends to the active segment, creates new segments, and lists them in the manifest."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 class SegmentLog:
     """The segments as files. Owned by the commit leader: no lock.
 
-    Making one begins a new segment: nothing is ever written behind bytes that a crash may have left.
+    The constructor begins a new segment, so that nothing is appended to bytes that a crash may have left.
 
     Attributes:
         files: the store's directory.
@@ -45,11 +45,11 @@
 
     @property
     def has_unsynced_bytes(self) -> bool:
-        """Whether something of the active segment may not be on disk."""
+        """Whether bytes of the active segment may not be on disk."""
         return self.synced_bytes < self.active.size
 
     def roll_if_full(self, size: int) -> None:
-        """Seal the active segment and begin another where so many bytes would exceed the bound.
+        """Seal the active segment and begin another if so many further bytes would exceed the bound.
 
         StoreFullError, StoreBrokenError.
         """
@@ -64,8 +64,8 @@
         except OSError as err:
             raise self._lifecycle.error_for(err, "new segment") from err
 
-    def append(self, data: bytes, sync: bool) -> None:
-        """Append to the active segment. StoreFullError: it is as before. StoreBrokenError."""
+    def append(self, data: bytes) -> None:
+        """Append to the active segment. StoreFullError: the segment is unchanged. StoreBrokenError."""
         active = self.active
         try:
             active.file.write_at(active.size, data)
@@ -75,15 +75,17 @@
             except OSError as second:
                 raise self._lifecycle.fail(f"after a failed write: {second}") from second
             raise self._lifecycle.error_for(err, "write") from err
-        active.size += len(data)
+        active.grow(len(data))
         self.written_bytes += len(data)
-        if sync:
-            self.sync()
+
+    def count_compacted_bytes(self, size: int) -> None:
+        """Count bytes that a compaction wrote to a segment of its own."""
+        self.written_bytes += size
 
     def sync(self) -> None:
-        """Have all of the active segment on disk. StoreBrokenError: it is not known what is.
+        """Sync the active segment. StoreBrokenError: it is not known which bytes are on disk.
 
-        A second try would not help: the system drops what it failed to write, and then reports success.
+        A retry would not help: the system drops pages that it failed to write, and then reports success.
         """
         try:
             self.active.file.sync()
@@ -92,18 +94,18 @@
         self.synced_bytes = self.active.size
 
     def reserve_segment_id(self) -> int:
-        """A number for a segment that a compaction writes."""
+        """Return an id for a segment that a compaction writes."""
         segment_id = self._next_segment_id
         self._next_segment_id += 1
         return segment_id
 
     def replace_segments(self, order: Sequence[Segment]) -> None:
-        """Name these complete segments in the manifest, which is on disk when this returns. OSError."""
+        """List these segments in the manifest, and return once it is on disk. OSError."""
         self.files.sync_directory()
         self._write_manifest(order, self.active, self._next_segment_id)
 
     def _begin_segment(self) -> None:
-        """A new active segment: its header and its name are on disk before the manifest names it. OSError."""
+        """Create the next active segment: sync its header and name, then list it in the manifest. OSError."""
         segment_id = self._next_segment_id
         file = self.files.create(segment_file_name(segment_id))
         try:
@@ -123,6 +125,7 @@
         self.synced_bytes = size
 
     def _write_manifest(self, order: Sequence[Segment], active: Segment, next_segment_id: int) -> None:
+        """Replace the manifest by one that lists these segments, oldest first. OSError."""
         entries = tuple(
             SegmentEntry(segment.id, manifest.ACTIVE_SIZE if segment is active else segment.size)
             for segment in order
--- a/tansyladder/store/snapshot.py
+++ b/tansyladder/store/snapshot.py
@@ -1,4 +1,4 @@
-"""The store as it was at one moment."""
+"""Snapshots: the content of the store at one moment."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class Snapshot:
-    """The store as it was at one moment; keeps its segments' files open until it is closed.
+    """The content of the store at one moment. It keeps the files of its segments open until it is closed.
 
-    Owned by the thread that took it. A context manager, which closes it.
+    Owned by the thread that took it. A context manager that closes itself.
     """
 
     def __init__(
@@ -46,10 +46,10 @@
         self.close()
 
     def items(self, prefix: bytes = b"") -> Iterator[SnapshotEntry]:
-        """The entries whose key begins with the prefix, in no order, expired ones too.
+        """Yield the entries whose key begins with the prefix, in no particular order, including expired ones.
 
         Raises:
-            StoreCorruptError: a record is not as it was written.
+            StoreCorruptError: the checksum of a record is wrong.
             OSError: a record can't be read.
         """
         for location in self._locations:
@@ -59,7 +59,7 @@
                 yield SnapshotEntry(record.key, record.value, record.expiry_us)
 
     def close(self) -> None:
-        """Give up the segments; does nothing the second time."""
+        """Release the segments; does nothing the second time."""
         segments = list(self._segments.values())
         self._segments = {}
         self._release(segments)
