--- a/tansyladder/resumption/__init__.py
+++ b/tansyladder/resumption/__init__.py
@@ -1,1 +1,1 @@
-"""Resumable sessions without sockets or clocks: control messages, tokens, replay buffers and positions."""
+"""Resumable sessions, without I/O or clocks: control messages, tokens, replay buffers and positions."""
--- a/tansyladder/resumption/control_messages.py
+++ b/tansyladder/resumption/control_messages.py
@@ -1,7 +1,7 @@
 """Parsing and formatting of the control lines of resumable sessions.
 
-A control line begins with `RS `; a client that offers resumption must not use that word for lines of its own.
-Control lines are not counted in positions. The grammar is in docs/design/resumable-streams.md.
+A control line begins with `RS `; a client that offers resumption must not begin lines of its own with it.
+Positions don't count control lines. docs/design/resumable-streams.md has the grammar.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 CONTROL_PREFIX = b"RS "
 END_LINE = b"RS END\r\n"
-FIRST_POSITION_LINE = b"RS AT 0 0\r\n"  # of a stream host that supports resumption, for a new session
-MAX_POSITION = 10**15  # lines; no session reaches it, and a bound keeps huge numerals from being parsed
+FIRST_POSITION_LINE = b"RS AT 0 0\r\n"  # for a new session, by a stream host that supports resumption
+MAX_POSITION = 10**15  # lines; no session has as many, and larger numbers are rejected
 _ACKNOWLEDGEMENT = re.compile(rb"RS ACK ([0-9]{1,16})\r\n\Z")
 _RESUME_POSITION = re.compile(rb"RS AT ([0-9]{1,16}) ([0-9]{1,16})\r\n\Z")
 
 
 class Acknowledgement(NamedTuple):
-    """The sender has all of the other side's lines up to `position`; they need not be replayed."""
+    """The sender has received all lines up to `position`, which need not be replayed."""
 
     position: int
 
 
 class ResumePosition(NamedTuple):
-    """Where a stream host continues: it has `received` lines of the client and has sent `sent` of its own."""
+    """The position of a stream host: it has received and sent so many lines of the session."""
 
     received: int
     sent: int
 
 
 class EndOfSession(NamedTuple):
-    """The client ends the session. Without it, the end of a connection is treated as a broken connection."""
+    """The client ends the session. A connection that ends without it counts as broken."""
 
 
 def is_control(line: bytes) -> bool:
@@ -42,6 +42,7 @@
 
 
 def _parse_position(digits: bytes) -> int:
+    """Parse a position. ControlMessageError: it is out of range."""
     value = int(digits)
     if value > MAX_POSITION:
         raise ControlMessageError("a position out of range")
@@ -49,7 +50,7 @@
 
 
 def parse_client(line: bytes) -> Acknowledgement | EndOfSession:
-    """Parse a client's control line. ControlMessageError: it is not one that a client may send."""
+    """Parse a client's control line. ControlMessageError: a client may not send it."""
     if line == END_LINE:
         return EndOfSession()
     if match := _ACKNOWLEDGEMENT.match(line):
@@ -58,7 +59,7 @@
 
 
 def parse_host(line: bytes) -> Acknowledgement | ResumePosition:
-    """Parse a stream host's control line. ControlMessageError: it is not one that a host may send."""
+    """Parse a stream host's control line. ControlMessageError: a host may not send it."""
     if match := _ACKNOWLEDGEMENT.match(line):
         return Acknowledgement(_parse_position(match[1]))
     if match := _RESUME_POSITION.match(line):
@@ -67,37 +68,37 @@
 
 
 def format_acknowledgement(position: int) -> bytes:
-    """To either side: all of its lines up to this position have been received."""
+    """Format the acknowledgement of all lines up to a position, for either side."""
     return b"RS ACK %d\r\n" % position
 
 
 def format_resume_position(position: int) -> bytes:
-    """To a client that resumes: how many of its lines the node has."""
+    """Format the number of lines that the node has received, for a client that resumes."""
     return b"RS AT %d\r\n" % position
 
 
 def format_token(text: str, lifetime_ms: int) -> bytes:
-    """To a client: a token that resumes the session, and its lifetime in milliseconds."""
+    """Format a token that resumes the session, for its client; `lifetime_ms` in milliseconds."""
     return b"RS TOKEN %s %d\r\n" % (text.encode("ascii"), lifetime_ms)
 
 
 def format_resumption_lost(reason: str) -> bytes:
-    """To a client: the session continues but can't be resumed any more."""
+    """Format the notice that the session continues but can no longer be resumed, for its client."""
     return b"RS OFF %s\r\n" % reason.encode("ascii")
 
 
 def format_rejection(reason: str) -> bytes:
-    """The final answer to a token that resumes nothing; a client without resumption reads it as an error."""
+    """Format the rejection of a token; a client that knows no resumption takes it for an error."""
     return b"ERR resume %s\r\n" % reason.encode("ascii")
 
 
 def placement_parameters(
     session_id: int, epoch: int, replayable_from: int, replayable_to: int, host_position: int
 ) -> tuple[tuple[str, str], ...]:
-    """Names and values for the first line to a stream host; hosts reject older epochs (fencing).
+    """Return names and values of the fields of the first line to a stream host.
 
-    The node can replay the client's lines after `replayable_from` up to `replayable_to`, and has the host's
-    lines up to `host_position`.
+    `epoch` is a fencing token: hosts reject older ones. The node can replay the client's lines after
+    `replayable_from` up to `replayable_to`, and has received the host's lines up to `host_position`.
     """
     values = (
         ("rsn", f"{session_id:016x}"),
--- a/tansyladder/resumption/errors.py
+++ b/tansyladder/resumption/errors.py
@@ -1,4 +1,4 @@
-"""The errors of this package, and the reasons that clients and operators are told."""
+"""The errors of this package, and the reasons that clients and operators get."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 
 class ResumeRejection(StrEnum):
-    """Why a token does not resume its session; the value follows `ERR resume` and stands in the log."""
+    """Why a token was rejected. The value is sent after `ERR resume` and written to the log."""
 
     MALFORMED = "malformed"  # no token of this version
-    ELSEWHERE = "elsewhere"  # sealed by another node, or in an earlier life of this one
-    FORGED = "forged"  # the seal does not match the token, the key or the client's claims
+    ELSEWHERE = "elsewhere"  # sealed by another issuer: another node, or an earlier start of this one
+    FORGED = "forged"  # the authentication of the token, its key or the client's claims fails
     EXPIRED = "expired"
     SPENT = "spent"  # redeemed, or older than a redeemed one
     CLAIMED = "claimed"  # another resume of the session is in progress
     AHEAD = "ahead"  # the client has lines that were never sent
     BEHIND = "behind"  # the client lacks lines that it acknowledged
     ENDED = "ended"
-    MOVED = "moved"  # the client was told to open a new session
+    MOVED = "moved"  # the client was redirected to open a new session
     LOST = "lost"  # a buffer overflowed
-    NO_CAPACITY = "room"  # too many sessions waited for their clients
+    NO_CAPACITY = "room"  # too many sessions were suspended
     DRAINING = "draining"  # the node is shutting down
     STORE = "store"  # the store could not record that the token is redeemed
 
 
 class PositionMismatch(StrEnum):
-    """How a position does not fit the lines that are buffered."""
+    """Why a session can't continue from a position."""
 
-    AHEAD = "ahead"  # of the newest line
-    BEHIND = "behind"  # the oldest line that can be replayed
+    AHEAD = "ahead"  # it is ahead of the newest line
+    BEHIND = "behind"  # it is behind the oldest line that can be replayed
     SILENT = "silent"  # the stream host sent no position
 
 
@@ -37,11 +37,11 @@
 
 
 class ControlMessageError(ResumptionError):
-    """A control line that its sender must not send."""
+    """A control line that is malformed, or that its sender may not send."""
 
 
 class PositionError(ResumptionError):
-    """A position from which the session can't continue; `reason` says how it does not fit."""
+    """A position from which the session can't continue, for `reason`."""
 
     def __init__(self, reason: PositionMismatch) -> None:
         super().__init__(reason)
@@ -49,7 +49,7 @@
 
 
 class TokenError(ResumptionError):
-    """A token that resumes nothing; `reason` is what its presenter is told."""
+    """A token that is rejected; the client gets `reason`."""
 
     def __init__(self, reason: ResumeRejection) -> None:
         super().__init__(reason)
--- a/tansyladder/resumption/replay_buffer.py
+++ b/tansyladder/resumption/replay_buffer.py
@@ -1,4 +1,4 @@
-"""Lines of one direction that were sent and are not acknowledged yet, within bounds on their bytes."""
+"""Replay buffers: the unacknowledged lines of one direction of a session, bounded in bytes."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from tansyladder.invariants import check_invariant
 from tansyladder.resumption.errors import PositionError, PositionMismatch
 
-LINE_OVERHEAD_BYTES = 64  # of a buffered line beside its text: the object's header and its place in the queue
+LINE_OVERHEAD_BYTES = 64  # of a buffered line beside its text: the object's header and its entry in the queue
 
 
 class MemoryBudget:
-    """Bytes that all replay buffers of a node may use together. Thread-safe."""
+    """The memory in bytes that all replay buffers of a node share. Thread-safe."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
@@ -22,11 +22,11 @@
 
     @property
     def used_bytes(self) -> int:
-        """Bytes that are reserved now."""
+        """Bytes that are reserved."""
         return self._used_bytes
 
     def reserve(self, size_bytes: int) -> bool:
-        """Reserve bytes; False, and nothing is reserved, where that would exceed the limit."""
+        """Reserve bytes, and return whether that stays within the limit; else nothing is reserved."""
         with self._lock:
             if self._used_bytes + size_bytes > self.limit_bytes:
                 return False
@@ -43,8 +43,8 @@
 class ReplayBuffer:
     """The lines after `acknowledged_position` up to `end_position`, counted from 1.
 
-    Once a limit is exceeded no line is buffered any more, and positions are still counted. Owned by the
-    session's thread.
+    Once a limit is exceeded the buffer discards its lines and buffers no more; it still counts positions.
+    Owned by the session's thread.
     """
 
     __slots__ = (
@@ -85,7 +85,7 @@
         self._lines.append(line)
 
     def acknowledge(self, position: int) -> None:
-        """Drop the lines up to a position; one that was acknowledged before changes nothing.
+        """Drop the lines up to a position; an earlier position changes nothing.
 
         PositionError: the position is ahead of the newest line.
         """
@@ -103,7 +103,7 @@
             self._budget.release(released_bytes)
 
     def lines_after(self, position: int) -> Iterable[bytes]:
-        """The lines after a position, oldest first. PositionError: not all of them are buffered."""
+        """Return the lines after a position, oldest first. PositionError: not all of them are buffered."""
         if position > self.end_position:
             raise PositionError(PositionMismatch.AHEAD)
         if position < self.acknowledged_position or not self.can_replay:
@@ -114,12 +114,12 @@
         return lines
 
     def restart_at(self, position: int) -> None:
-        """Continue an empty buffer from a position that the other side told."""
+        """Continue an empty buffer from the position that the other side sent."""
         self.acknowledged_position = position
         self.end_position = position
 
     def discard(self) -> None:
-        """Discard the buffered lines and buffer none from now on; positions are still counted."""
+        """Discard the buffered lines and buffer no more; positions are still counted."""
         self.can_replay = False
         self._lines.clear()
         self._budget.release(self._size_bytes)
--- a/tansyladder/resumption/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -1,7 +1,8 @@
-"""The lines of one session in both directions: what is forwarded, counted, acknowledged and replayed.
+"""The stream of one session: forwards, counts, acknowledges and replays its lines in both directions.
 
-Nothing here has a socket: lines come in, and bytes for either side come out. A session that loses its stream
-host continues at another one from the positions of both; a client that resumes continues from its own.
+It has no sockets: its methods take lines and return bytes for either side. A session that loses its stream
+host continues at another one, from the positions of the client and that host. A client that resumes continues
+from its own position.
 """
 
 from __future__ import annotations
@@ -14,24 +15,48 @@
 from tansyladder.resumption.errors import ControlMessageError, PositionError, PositionMismatch
 from tansyladder.resumption.replay_buffer import MemoryBudget, ReplayBuffer
 
-LINES_PER_ACKNOWLEDGEMENT = 16  # of a client: few bytes on the wire, and little to buffer at the client
-EPOCH_COUNTER_BITS = 20  # of an epoch; the bits above are the start of the node or the ownership epoch
+LINES_PER_ACKNOWLEDGEMENT = 16  # of a client, which keeps both traffic and the client's buffer small
+EPOCH_COUNTER_BITS = 20  # of an epoch; the bits above are the node's start number or the ownership epoch
 BYE_LINE = b"BYE\r\n"
 MOVE_LINE = b"MOVE\r\n"
 
 
+class HostState(Enum):
+    """What the session knows of its stream host."""
+
+    NEW = "new"  # no line of the first host yet, which shows whether it supports resumption
+    WITHOUT_RESUMPTION = "without resumption"  # no other host can continue the session
+    RESUMABLE = "resumable"  # another host can continue the session
+    PLACING = "placing"  # the next host's position is expected
+    RESTORED = "restored"  # as PLACING, and no position is known: the node that knew them has ended
+
+
+# The states in which the host, or the earlier hosts of the session, support resumption.
+_RESUMPTION_STATES = frozenset({HostState.RESUMABLE, HostState.PLACING, HostState.RESTORED})
+# The states in which the host's next line is the first one after UP.
+_FIRST_LINE_STATES = frozenset({HostState.NEW, HostState.PLACING, HostState.RESTORED})
+# The state after the first line to the next host was formatted.
+_STATE_AFTER_OPENING = {
+    HostState.NEW: HostState.NEW,
+    HostState.WITHOUT_RESUMPTION: HostState.NEW,
+    HostState.RESUMABLE: HostState.PLACING,
+    HostState.PLACING: HostState.PLACING,
+    HostState.RESTORED: HostState.RESTORED,
+}
+
+
 class StreamSignal(Enum):
-    """What a line means for the session beside being forwarded."""
+    """The effect of a line on the session."""
 
     NONE = "none"
     CLIENT_LEFT = "client left"  # the client ended the session
-    HOST_REDIRECTED = "host redirected"  # the stream host sends the client to another host
+    HOST_REDIRECTED = "host redirected"  # the stream host redirects the client to another host
     HOST_FINISHED = "host finished"  # the stream host ended the session
 
 
 @dataclass(slots=True)
 class StreamOutput:
-    """Bytes to send to both sides, and what the line means for the session."""
+    """Bytes to send to either side, and the effect of the line on the session."""
 
     to_client: bytes = b""
     to_host: bytes = b""
@@ -43,15 +68,13 @@
 
     __slots__ = (
         "_acknowledged_to_client",
-        "_awaits_first_line",
         "_duplicate_lines_expected",
+        "_has_reported_loss",
+        "_host_state",
         "_is_durable",
-        "_resumption_loss_unreported",
         "epoch",
         "from_client",
         "from_host",
-        "host_resumes",
-        "positions_unknown",
         "session_id",
     )
 
@@ -61,42 +84,48 @@
         budget: MemoryBudget,
         buffer_limit_bytes: int,
         node_start: int = 0,
+        *,
         is_durable: bool = False,
     ) -> None:
         """`buffer_limit_bytes`: of each direction, with a fixed cost for each line.
 
-        `node_start`: start of the node or ownership epoch; it makes epochs higher than all of an earlier one.
-        `is_durable`: the session may outlive the node, so only lines that the stream host has are
-        acknowledged to the client.
+        `node_start`: the node's start number or the ownership epoch; epochs of a later one are higher.
+        `is_durable`: the session may outlive the node, so only lines that the stream host has acknowledged
+        are acknowledged to the client.
         """
         self.session_id = session_id
         self._is_durable = is_durable
-        self.positions_unknown = False  # after the node that knew them died: the client and a host tell them
-        self._duplicate_lines_expected = 0  # lines that a resuming client sends again though they are here
-        self.from_client = ReplayBuffer(budget, buffer_limit_bytes)  # until the stream host has them
-        self.from_host = ReplayBuffer(budget, buffer_limit_bytes)  # until the client has them
+        self._host_state = HostState.NEW
+        self._duplicate_lines_expected = 0  # that a client resends after it resumed, though the node has them
+        self.from_client = ReplayBuffer(budget, buffer_limit_bytes)  # until the stream host has the lines
+        self.from_host = ReplayBuffer(budget, buffer_limit_bytes)  # until the client has the lines
         self.epoch = node_start << EPOCH_COUNTER_BITS  # incremented by each placement
-        self.host_resumes = False  # whether the stream host supports resumption
-        self._awaits_first_line = True  # whether the host's next line is the first one after UP
         self._acknowledged_to_client = 0  # position of the last acknowledgement to the client
-        self._resumption_loss_unreported = True
+        self._has_reported_loss = False  # whether the client knows that it can't resume any more
 
     @classmethod
     def restored(
         cls, session_id: int, budget: MemoryBudget, buffer_limit_bytes: int, node_start: int
     ) -> Stream:
-        """A session of an earlier start or another node; its client and the next host tell its positions."""
-        stream = cls(session_id, budget, buffer_limit_bytes, node_start, True)
-        stream.host_resumes = True
-        stream.positions_unknown = True
+        """Restore a session of an earlier start or another node.
+
+        Its positions are unknown until its client and the next stream host have sent theirs.
+        """
+        stream = cls(session_id, budget, buffer_limit_bytes, node_start, is_durable=True)
+        stream._host_state = HostState.RESTORED
         return stream
 
     # --- what is still possible
 
+    @property
+    def _is_host_resumable(self) -> bool:
+        """Whether the stream host supports resumption."""
+        return self._host_state in _RESUMPTION_STATES
+
     @property
     def can_migrate(self) -> bool:
         """Whether the session can continue at another stream host."""
-        return self.host_resumes and self.from_client.can_replay
+        return self._is_host_resumable and self.from_client.can_replay
 
     @property
     def can_resume_client(self) -> bool:
@@ -106,19 +135,20 @@
     # --- the stream host
 
     def begin_placement(self) -> tuple[tuple[str, str], ...]:
-        """Names and values for the first line to the next stream host; its epoch fences off earlier hosts."""
+        """Return the fields of the first line to the next stream host; its epoch fences off earlier hosts."""
         self.epoch += 1
-        self._awaits_first_line = True
+        self._host_state = _STATE_AFTER_OPENING[self._host_state]
+        are_positions_unknown = self._host_state is HostState.RESTORED
         first = self.from_client.acknowledged_position
-        last = control_messages.MAX_POSITION if self.positions_unknown else self.from_client.end_position
+        last = control_messages.MAX_POSITION if are_positions_unknown else self.from_client.end_position
         host_position = self.from_host.end_position
         return control_messages.placement_parameters(self.session_id, self.epoch, first, last, host_position)
 
     def complete_placement(self, line: bytes) -> bytes:
-        """Take in the new stream host's line after UP; the client's lines that the host lacks.
+        """Process the new stream host's first line after UP; return the client's lines that the host lacks.
 
-        PositionError: the line tells no position (`silent`), the host has less than was acknowledged
-        (`behind`), more than was ever sent, or does not continue where the last one ended (`ahead`).
+        PositionError: the line has no position (`silent`), the host lacks acknowledged lines (`behind`), or
+        has received or sent more lines than the node knows of (`ahead`).
         """
         resume_position = _parse_resume_position(line)
         sent = self.from_host.end_position
@@ -126,33 +156,27 @@
             is_ahead = resume_position.sent > sent
             raise PositionError(PositionMismatch.AHEAD if is_ahead else PositionMismatch.BEHIND)
         received = resume_position.received
-        if self.positions_unknown:
+        if self._host_state is HostState.RESTORED:
             self.from_client.restart_at(received)
             self._acknowledged_to_client = received
-            self.positions_unknown = False
+            self._host_state = HostState.PLACING
         lines = b"".join(self.from_client.lines_after(received))
         self.from_client.acknowledge(received)
-        self._awaits_first_line = False
-        self.host_resumes = True
+        self._host_state = HostState.RESUMABLE
         return lines
 
     def receive_from_host(self, line: bytes) -> StreamOutput:
-        """Take in a complete line of the stream host.
+        """Process a complete line of the stream host.
 
         ControlMessageError, PositionError: the session can't continue with this host.
         """
-        is_first = self._awaits_first_line
-        self._awaits_first_line = False
-        if is_first:
+        if self._host_state in _FIRST_LINE_STATES:
             if line == control_messages.FIRST_POSITION_LINE:
-                self.host_resumes = True
+                self._host_state = HostState.RESUMABLE
                 return StreamOutput()
-            self.from_client.discard()  # a host that never acknowledges can't be replaced by another one
-        if self.host_resumes and control_messages.is_control(line):
-            message = control_messages.parse_host(line)
-            if not isinstance(message, control_messages.Acknowledgement):
-                raise ControlMessageError("RS AT stands behind UP only")
-            self.from_client.acknowledge(message.position)
+            self._reject_migration()
+        if self._is_host_resumable and control_messages.is_control(line):
+            self._receive_host_control(line)
             return StreamOutput()
         if line == MOVE_LINE:
             return StreamOutput(signal=StreamSignal.HOST_REDIRECTED)
@@ -161,27 +185,40 @@
             return StreamOutput(to_client=line, signal=StreamSignal.HOST_FINISHED)
         return StreamOutput(to_client=line)
 
+    def _reject_migration(self) -> None:
+        """Buffer no lines for further hosts: a host that sends no position never acknowledges any."""
+        is_new = self._host_state is HostState.NEW
+        self._host_state = HostState.WITHOUT_RESUMPTION if is_new else HostState.RESUMABLE
+        self.from_client.discard()
+
+    def _receive_host_control(self, line: bytes) -> None:
+        """Process an acknowledgement of the stream host, which may send no other control line here."""
+        message = control_messages.parse_host(line)
+        if not isinstance(message, control_messages.Acknowledgement):
+            raise ControlMessageError("RS AT stands behind UP only")
+        self.from_client.acknowledge(message.position)
+
     # --- the client
 
     def adopt_client_position(self, position: int) -> None:
-        """Take the client's word for how many of the host's lines it has, where that is unknown here."""
-        if self.positions_unknown:
+        """Use the client's count of the host's lines that it has received, if this node has none."""
+        if self._host_state is HostState.RESTORED:
             self.from_host.restart_at(position)
 
     @property
     def durable_position(self) -> int:
-        """How many of the client's lines it need not send again, whatever becomes of this node."""
-        if self._is_durable and self.host_resumes:
+        """The position up to which the client need not resend its lines, even if this node fails."""
+        if self._is_durable and self._is_host_resumable:
             return self.from_client.acknowledged_position
         return self.from_client.end_position
 
     @property
     def has_unacknowledged_lines(self) -> bool:
-        """Whether the client may have to send lines again."""
+        """Whether the client may have to resend lines."""
         return self._acknowledged_to_client < self.from_client.end_position
 
     def receive_from_client(self, line: bytes) -> StreamOutput:
-        """Take in a complete line of the client. ControlMessageError, PositionError: the client's error."""
+        """Process a complete line of the client. ControlMessageError, PositionError: the client's error."""
         if control_messages.is_control(line):
             return self._receive_client_control(line)
         if self._duplicate_lines_expected:
@@ -194,17 +231,18 @@
         return StreamOutput(to_host=line)
 
     def _receive_client_control(self, line: bytes) -> StreamOutput:
+        """Process a control line of the client; the host gets it if it supports resumption."""
         message = control_messages.parse_client(line)
         if isinstance(message, control_messages.EndOfSession):
-            to_host = control_messages.END_LINE if self.host_resumes else b""
+            to_host = control_messages.END_LINE if self._is_host_resumable else b""
             return StreamOutput(to_host=to_host, signal=StreamSignal.CLIENT_LEFT)
         self.from_host.acknowledge(message.position)
-        if not self.host_resumes:
+        if not self._is_host_resumable:
             return StreamOutput()
         return StreamOutput(to_host=control_messages.format_acknowledgement(message.position))
 
     def acknowledge_client(self) -> bytes:
-        """The line that acknowledges the client's lines; empty where there is nothing new."""
+        """Return the line that acknowledges the client's lines; empty where there is nothing new."""
         position = self.durable_position
         if self._acknowledged_to_client >= position:
             return b""
@@ -212,9 +250,9 @@
         return control_messages.format_acknowledgement(position)
 
     def resume_client(self, position: int) -> Iterable[bytes]:
-        """For a client that has this many of the host's lines: the node's position, and the lines it lacks.
+        """Resume a client that has so many of the host's lines; return the node's position and further lines.
 
-        PositionError: `ahead` or `behind`; nothing has changed then.
+        PositionError: `ahead` or `behind`; nothing has changed.
         """
         lines = list(self.from_host.lines_after(position))
         self.from_host.acknowledge(position)
@@ -223,20 +261,20 @@
         return (control_messages.format_resume_position(self._acknowledged_to_client), *lines)
 
     def report_lost_resumption(self) -> bytes:
-        """The line that tells the client that it can't resume any more; empty unless that is new."""
-        if self.can_resume_client or not self._resumption_loss_unreported:
+        """Return the line that notifies the client that it can no longer resume; empty unless that is new."""
+        if self.can_resume_client or self._has_reported_loss:
             return b""
-        self._resumption_loss_unreported = False
+        self._has_reported_loss = True
         return control_messages.format_resumption_lost("buffer")
 
     def close(self) -> None:
-        """Return the memory of both replay buffers."""
+        """Release the memory of both replay buffers."""
         self.from_client.discard()
         self.from_host.discard()
 
 
 def _parse_resume_position(line: bytes) -> control_messages.ResumePosition:
-    """The position that a stream host tells after UP. PositionError (`silent`): the line tells none."""
+    """Parse the position that a stream host sends after UP. PositionError (`silent`): the line has none."""
     try:
         message = control_messages.parse_host(line) if control_messages.is_control(line) else None
     except ControlMessageError as error:
--- a/tansyladder/resumption/tokens.py
+++ b/tansyladder/resumption/tokens.py
@@ -1,8 +1,8 @@
-"""Resumption tokens: opaque and authenticated text, bound to its issuer and to what a session is.
+"""Resumption tokens: opaque, authenticated text that is bound to its issuer and to the claims of its client.
 
 A token is sealed with AES-256-GCM of the `cryptography` library (RFC 5116), which compares tags in constant
-time. The session's service class, group and key are bound as associated data: they are not in the token, and
-whoever presents it must name the same ones.
+time. The session's service class, group and key are associated data: the token doesn't contain them, and the
+client has to send the same ones with it.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 _PAYLOAD = struct.Struct(">QQQ")  # session id, generation, expiry in microseconds
 _HEADER_BYTES = 1 + ISSUER_ID_BYTES  # key id, issuer id
 TOKEN_BYTES = _HEADER_BYTES + NONCE_BYTES + _PAYLOAD.size + TAG_BYTES
-TOKEN_LENGTH = -(-TOKEN_BYTES * 4 // 3)  # 82 characters of unpadded base64, under the 128 of a value in OPEN
+TOKEN_LENGTH = -(-TOKEN_BYTES * 4 // 3)  # 82 characters of unpadded base64; a value in OPEN has up to 128
 
 
 class SealingKey(NamedTuple):
-    """A key that seals and opens tokens; its id stands in the token."""
+    """A key that seals and opens tokens; tokens contain its id."""
 
     key_id: int  # 0 to 255
     secret: bytes  # KEY_BYTES
@@ -44,14 +44,14 @@
 
 
 class TokenClaims(NamedTuple):
-    """What a client that presents a token must name as it did when the session began."""
+    """What a client has to send with a token, as it did when the session began."""
 
     service_class: str
     group: int
     key: int
 
     def encode(self) -> bytes:
-        """Unambiguous bytes: the numbers have fixed sizes and come first."""
+        """Encode unambiguously: the numbers have fixed sizes and come first."""
         return struct.pack(">QQ", self.group, self.key) + self.service_class.encode()
 
 
@@ -65,9 +65,9 @@
         random_bytes: Callable[[int], bytes],
         default_secret: bytes | None = None,
     ) -> None:
-        """`issuer_id`: ISSUER_ID_BYTES that no other node has; `random_bytes`: os.urandom.
+        """`issuer_id`: ISSUER_ID_BYTES that no other node uses; `random_bytes`: os.urandom.
 
-        `default_secret`: of the key that is used where `keys` is empty; drawn here if there is none either.
+        `default_secret`: of the key that is used while `keys` is empty; random if it is None.
         """
         if len(issuer_id) != ISSUER_ID_BYTES:
             raise ValueError(f"issuer_id: {ISSUER_ID_BYTES} bytes expected")
@@ -77,7 +77,7 @@
         self.rotate(keys)
 
     def rotate(self, keys: Sequence[SealingKey]) -> None:
-        """Seal with the first key from now on, and open tokens of all of them but of no other key.
+        """Replace the keys: the first one seals new tokens, and only tokens of these keys are opened.
 
         ValueError: two keys have one id.
         """
@@ -88,7 +88,7 @@
         self._ciphers = {key.key_id: AESGCM(key.secret) for key in keys}
 
     def seal(self, payload: TokenPayload, claims: TokenClaims) -> str:
-        """The text of a token, TOKEN_LENGTH characters."""
+        """Seal a payload, and return the text of its token, TOKEN_LENGTH characters."""
         key_id, cipher = next(iter(self._ciphers.items()))
         header = bytes((key_id,)) + self._issuer_id
         nonce = self._random_bytes(NONCE_BYTES)
@@ -96,7 +96,7 @@
         return base64.urlsafe_b64encode(header + nonce + sealed).rstrip(b"=").decode()
 
     def open(self, text: str, claims: TokenClaims) -> TokenPayload:
-        """The payload of a token. TokenError: malformed, elsewhere (another issuer) or forged."""
+        """Open a token. TokenError: it is malformed, elsewhere (of another issuer) or forged."""
         if len(text) != TOKEN_LENGTH:
             raise TokenError(ResumeRejection.MALFORMED)
         try:
@@ -106,7 +106,7 @@
         header = token[:_HEADER_BYTES]
         nonce = token[_HEADER_BYTES : _HEADER_BYTES + NONCE_BYTES]
         sealed = token[_HEADER_BYTES + NONCE_BYTES :]
-        if header[1:] != self._issuer_id:  # not secret: it only tells another node's token from a forged one
+        if header[1:] != self._issuer_id:  # not secret: distinguishes another node's token from a forged one
             raise TokenError(ResumeRejection.ELSEWHERE)
         cipher = self._ciphers.get(header[0])
         if cipher is None:  # forged, or sealed with a key that was removed
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -71,7 +71,13 @@
     def new_stream(self) -> Stream:
         """The stream of a new session; its random id is the secret by which stream hosts know it."""
         session_id = int.from_bytes(os.urandom(SESSION_ID_BYTES), "big")
-        return Stream(session_id, self.memory_budget, self.options.buffer, self.node_start, self._is_durable)
+        return Stream(
+            session_id,
+            self.memory_budget,
+            self.options.buffer,
+            self.node_start,
+            is_durable=self._is_durable,
+        )
 
     @staticmethod
     def first_line_builder(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
