--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -78,7 +78,7 @@
     member.resumption_handler.join_peers(raft_runner)
     replica = raft_runner.document_replica
     if replica is not None:
-        member.decision_gate.join(DocumentPublisher(raft_runner, replica, documents.stamps))
+        member.decision_gate.join(DocumentPublisher(raft_runner, replica, documents.decision_log))
     raft_runner.start()
     log(LogEvent.CLUSTER_JOINED, store=store is not None)
 
@@ -99,4 +99,4 @@
 def _document_settings(options: DocumentsOptions) -> DocumentReplicaSettings | None:
     if not options.enabled:
         return None
-    return DocumentReplicaSettings(VALIDATORS, LeaseExpiryPolicy(options.cut_off), options.lease)
+    return DocumentReplicaSettings(VALIDATORS, LeaseExpiryPolicy(options.on_lease_expiry), options.lease)
