--- a/tests/formats/test_handover_formats.py
+++ b/tests/formats/test_handover_formats.py
@@ -1,4 +1,4 @@
-"""Two processes of different builds talk while one takes the other's place: what build 05b45c5 wrote.
+"""Two processes of different builds hand a listener over: the messages are those of build 05b45c5.
 
 The messages go over a socket that keeps them apart, with descriptors beside them. Each side is played once by
 the test with the committed bytes, against the build under test on the other.
@@ -7,51 +7,52 @@
 from __future__ import annotations
 
 import socket
+import threading
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
 
-from tests.formats import adapter
+import msgspec
+
+from tansyladder.cluster.decision_log import DecisionStamp
+from tansyladder.config.platform import Address, EndpointEntry, EndpointList
+from tansyladder.net.handover_messages import (
+    BytesByDirection,
+    ConnectionState,
+    DescriptorSplit,
+    DescriptorTransfer,
+)
+from tansyladder.net.listener_handover import ListenerHandover
+from tests.formats.writers import READY_ENDPOINT
 
 DATA = Path(__file__).parent / "data" / "handover"
-PORT = 4711
+ADDRESS = Address("127.0.0.1", 4711)
 SOCKET_NAME = "tansyladder-127.0.0.1-4711.sock"
 MAX_MESSAGE_BYTES = 1 << 16
 
-ENDPOINTS = adapter.endpoint_list(
+ENDPOINTS = EndpointList(
     revision=12,
     complete=True,
-    endpoints=[
-        adapter.READY_ENDPOINT,
-        adapter.endpoint(
-            endpoint_id="s2",
-            address="10.0.0.2:7000",
-            phase="draining",
-            locality="",
-            flavor="",
-            cell=0,
-            size=1.0,
-            up_since_ms=0,
-        ),
-    ],
+    endpoints=[READY_ENDPOINT, EndpointEntry(id="s2", address="10.0.0.2:7000", state="draining")],
 )
-LISTENER = adapter.listener_handover(retained_descriptor_count=150, endpoints=ENDPOINTS)
-CONNECTION = adapter.connection_handover(
-    first_line="OPEN 9b1f 7f c=chat,d=1200,g=5c",
+LISTENER = DescriptorTransfer(retained_descriptor_count=150, endpoints=ENDPOINTS)
+CONNECTION = ConnectionState(
+    opening="OPEN 9b1f 7f c=chat,d=1200,g=5c",
     endpoint_id="s1",
     last_upstream_word="M 1",
     waiting_since_us=81_000_123,
-    partial_lines=(b"half of the ho\xff", b"half of the client"),
-    pending_lines=(b"M 1\r\nM 2\r\n", b"\x00\r\n"),
+    partial_lines=BytesByDirection(to_client=b"half of the ho\xff", to_upstream=b"half of the client"),
+    pending_lines=BytesByDirection(to_client=b"M 1\r\nM 2\r\n", to_upstream=b"\x00\r\n"),
 )
-IDLE_CONNECTION = adapter.connection_handover(
-    first_line="OPEN 9b20 80 c=chat",
+IDLE_CONNECTION = ConnectionState(
+    opening="OPEN 9b20 80 c=chat",
     endpoint_id="s2",
     last_upstream_word="",
     waiting_since_us=None,
-    partial_lines=(b"", b""),
-    pending_lines=(b"", b""),
+    partial_lines=BytesByDirection(to_client=b"", to_upstream=b""),
+    pending_lines=BytesByDirection(to_client=b"", to_upstream=b""),
 )
-STAMP = adapter.decision_stamp(time=1_790_000_000_000_000, connection_id="9b1f", numbers={"note": 3})
-FILES = {"listener": LISTENER, "connection": CONNECTION, "connection_idle": IDLE_CONNECTION, "stamp": STAMP}
+STAMP = DecisionStamp(timestamp_us=1_790_000_000_000_000, connection_id="9b1f", numbers={"note": 3})
 
 
 def written(name: str) -> bytes:
@@ -59,21 +60,33 @@
 
 
 def test_handover_messages_decode_to_their_values_and_encode_to_the_same_bytes() -> None:
-    assert adapter.decode_listener_handover(written("listener")) == LISTENER
-    assert adapter.decode_connection_handover(written("connection")) == CONNECTION
-    assert adapter.decode_connection_handover(written("connection_idle")) == IDLE_CONNECTION
-    for name in ("listener", "connection", "connection_idle"):
-        assert adapter.encode_json(FILES[name]) == written(name)
+    assert msgspec.json.decode(written("listener"), type=DescriptorTransfer) == LISTENER
+    assert msgspec.json.decode(written("connection"), type=ConnectionState) == CONNECTION
+    assert msgspec.json.decode(written("connection_idle"), type=ConnectionState) == IDLE_CONNECTION
+    assert msgspec.json.encode(LISTENER) == written("listener")
+    assert msgspec.json.encode(CONNECTION) == written("connection")
+    assert msgspec.json.encode(IDLE_CONNECTION) == written("connection_idle")
 
 
 def test_a_decision_stamp_decodes_to_its_values_and_encodes_to_the_same_bytes() -> None:
-    """A line of the file that is told what each first line was decided under."""
-    assert adapter.decode_decision_stamp(written("stamp")) == STAMP
-    assert adapter.encode_json(STAMP) == written("stamp")
+    """A line of the decision log."""
+    assert msgspec.json.decode(written("stamp"), type=DecisionStamp) == STAMP
+    assert msgspec.json.encode(STAMP) == written("stamp")
+
+
+@contextmanager
+def background(run: Callable[[], None]) -> Iterator[None]:
+    """Run a function in a thread that ends with the block."""
+    thread = threading.Thread(target=run)
+    thread.start()
+    try:
+        yield
+    finally:
+        thread.join(10)
 
 
 def test_a_new_process_takes_the_listener_of_the_build_before(tmp_path: Path) -> None:
-    successor = adapter.Successor(PORT, tmp_path)
+    successor = ListenerHandover(ADDRESS, str(tmp_path))
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
         socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as running,
@@ -89,35 +102,59 @@
             socket.send_fds(connection, [written("listener")], [listener.fileno()])
             connection.close()
 
-        with adapter.background(answer_once):
-            given = successor.request_listener()
+        with background(answer_once):
+            received_listener = successor.request_listener()
         assert requests == [b"TAKE 1"]
-        assert given is not None
-        assert given.getsockname() == listener.getsockname()
-        given.close()
-    assert successor.retained_descriptor_count == 150
+        assert received_listener is not None
+        assert received_listener.getsockname() == listener.getsockname()
+        received_listener.close()
+    assert successor.remote_descriptor_count == 150
     assert successor.endpoints == ENDPOINTS
 
 
+class RunningProcess:
+    """A process that gives its listener away, and its connections once the successor serves."""
+
+    def __init__(self, folder: Path, listener: socket.socket) -> None:
+        self.has_successor = threading.Event()
+        self.is_accepting_again = threading.Event()
+        self.handover = ListenerHandover(ADDRESS, str(folder))
+        self.handover.serve(listener, self)
+
+    def split_descriptors(self) -> DescriptorSplit:
+        return DescriptorSplit(retained_count=150, released_count=0)
+
+    def known_endpoints(self) -> EndpointList:
+        return ENDPOINTS
+
+    def set_accepting(self, accepting: bool) -> None:
+        (self.is_accepting_again if accepting else self.has_successor).set()
+
+    def adopt_connection(
+        self, state: ConnectionState, client: socket.socket, upstream: socket.socket
+    ) -> None:
+        raise AssertionError(f"nothing runs before this process: {state}, {client}, {upstream}")
+
+
 def test_the_build_before_takes_listener_and_connections_of_a_running_process(tmp_path: Path) -> None:
-    """As in a return to the build before: it asks, says that it serves, and gets what stands."""
-    client, host = socket.socketpair()
-    with socket.create_server(("127.0.0.1", 0)) as listener, client, host:
-        running = adapter.RunningProcess(PORT, tmp_path, listener, 150, ENDPOINTS)
+    """As in a rollback to the build before: it requests the listener, serves, and gets the connections."""
+    client, endpoint = socket.socketpair()
+    with socket.create_server(("127.0.0.1", 0)) as listener, client, endpoint:
+        running = RunningProcess(tmp_path, listener)
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as successor:
             successor.settimeout(5)
             successor.connect(str(tmp_path / SOCKET_NAME))
             successor.sendall(b"TAKE 1")
             received, descriptors, _, _ = socket.recv_fds(successor, MAX_MESSAGE_BYTES, 4)
             assert (received, len(descriptors)) == (written("listener"), 1)
-            with socket.socket(fileno=descriptors[0]) as given:
-                assert given.getsockname() == listener.getsockname()
+            with socket.socket(fileno=descriptors[0]) as received_listener:
+                assert received_listener.getsockname() == listener.getsockname()
             successor.sendall(b"SERVING")
             assert running.has_successor.wait(5)
-            assert running.hand_over(CONNECTION, client, host)
+            assert running.handover.hand_over(CONNECTION, client, endpoint)
             received, descriptors, _, _ = socket.recv_fds(successor, MAX_MESSAGE_BYTES, 4)
             assert (received, len(descriptors)) == (written("connection"), 2)
             with socket.socket(fileno=descriptors[0]) as first, socket.socket(fileno=descriptors[1]):
                 first.sendall(b"from the client's end")
-                assert host.recv(64) == b"from the client's end"
+                assert endpoint.recv(64) == b"from the client's end"
         assert running.is_accepting_again.wait(5)
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -8,20 +8,38 @@
 import shutil
 from pathlib import Path
 
+import msgspec
 import pytest
-
-from tests.formats import adapter, storage_adapter, writers
+from msgspec.structs import replace
+
+from tansyladder.cluster import rollback_detector
+from tansyladder.config.operator_settings import KeyEntry, Options, PeersOptions, ResumeOptions
+from tansyladder.config.platform import EndpointList
+from tansyladder.raft.messages import EntryKind, LogEntry, LogPosition
+from tansyladder.raft.persistent_state import HardState, PersistentState, Snapshot
+from tansyladder.replication.document_messages import ChangeOutcome, ChangeResult
+from tansyladder.replication.documents import ChangePhase, PendingChange, Version
+from tansyladder.replication.replicated_state import ReplicatedState
+from tansyladder.replication.session_ownership import OwnershipRecord
+from tansyladder.resumption.errors import TokenError
+from tansyladder.resumption.tokens import Keyring, TokenClaims, TokenPayload
+from tansyladder.sessions.session_registry import SessionRegistry
+from tansyladder.sessions.session_store import NodeIdentity, SessionStore, StoredEndpointList, StoredSession
+from tests.formats import writers
+from tests.formats.writers import (
+    DRAINING_ENDPOINT,
+    HOUR,
+    MINUTE,
+    NOTE,
+    NOTE_DIGEST,
+    NOW,
+    READY_ENDPOINT,
+    SECOND_NOTE,
+    SECOND_NOTE_DIGEST,
+)
+from tests.node.harness import RecordingPolicyRunner, load_test_config
 
 DATA = Path(__file__).parent / "data"
-NOW = 1_790_000_000_000_000  # microseconds of Unix time
-MINUTE = 60_000_000
-HOUR = 60 * MINUTE
-
-BIG_STATE = bytes(range(256)) * 200
-NOTE = b'(note "' + b"All nodes: build 7 stays until Monday. " * 1400 + b'")'
-NOTE_DIGEST = bytes.fromhex("35e4ba2f09a3998a67141f538a1b6f84a3bb20a5289ae5748891b2771a606012")
-SECOND_NOTE = b'(note "Build 8 from now on.")'
-SECOND_DIGEST = bytes.fromhex("8277ff72c3663a3e9db1dc0344e8dbc897739b5606f66b1ca64d694dbdcd6349")
 
 
 def copied(name: str, tmp_path: Path) -> Path:
@@ -29,16 +47,16 @@
 
 
 def contents_of(folder: Path) -> dict[str, bytes]:
-    """By name; without the lock, which is empty."""
+    """The files by name; without the lock, which is empty."""
     return {file.name: file.read_bytes() for file in sorted(folder.iterdir()) if file.name != "LOCK"}
 
 
 @pytest.fixture
 def boot_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Where the machine's boot id is read from; that of the machine that wrote the data, to begin with."""
+    """The file of the machine's boot id; at first it holds that of the machine that wrote the data."""
     file = tmp_path / "boot_id"
     file.write_text("3f0c1d2e-0b5a-4a57-9c3e-6d1f0e2b7a90\n")
-    storage_adapter.use_boot_file(monkeypatch, file)
+    monkeypatch.setattr(rollback_detector, "BOOT_ID_FILE", file)
     return file
 
 
@@ -70,11 +88,11 @@
 def test_a_store_is_read_by_its_hints(tmp_path: Path) -> None:
     folder = copied("store", tmp_path)
     assert sorted(contents_of(folder)) == STORE_FILES
-    store = storage_adapter.open_folder(folder, NOW)
+    store = writers.open_folder(folder)
     snapshot = store.snapshot()
     assert set(snapshot.items()) == STORE_RECORDS
     snapshot.close()
-    # Segments sealed after the last upkeep have no hint.
+    # Segments sealed after the last maintenance have no hint.
     assert (store.rebuilt_hint_count, store.dropped_bytes) == (2, 0)
     assert store.get(b"beta") is None
     assert store.get(b"gamma") is None
@@ -86,7 +104,7 @@
     folder = copied("store", tmp_path)
     for hint in folder.glob("*.hint"):
         hint.unlink()
-    store = storage_adapter.open_folder(folder, NOW + 2_000_000)
+    store = writers.open_folder(folder, NOW + 2_000_000)
     expected = {(key, value) for key, value, _ in STORE_RECORDS if key != b"short"}
     assert set(store.items()) == expected
     assert (store.rebuilt_hint_count, store.dropped_bytes) == (5, 0)
@@ -108,41 +126,32 @@
     b"peers/log/\x00\x00\x00\x00\x00\x00\x00\x03",
     b"peers/log/\x00\x00\x00\x00\x00\x00\x00\x04",
 }
-HARD_STATE = storage_adapter.hard_state(
-    term=5,
-    vote="n3",
-    disk="0102030405060708",
-    founders={"n1": "0102030405060708", "n2": "d2", "n3": "d3"},
-    sure=3,
-    doubt=False,
-    floor=(4, 3),
-)
-DOUBTED_HARD_STATE = storage_adapter.hard_state(
-    term=5,
-    vote="n3",
-    disk="0102030405060708",
-    founders={"n1": "0102030405060708", "n2": "d2", "n3": "d3"},
-    sure=3,
-    doubt=True,
-    floor=(4, 3),
-)
-SNAPSHOT = storage_adapter.snapshot(index=2, term=3, voters={"n2": "d9"}, state=BIG_STATE)
-LOG_ENTRIES = (
-    adapter.log_entry(term=4, kind=2, request="n2", data=b"d9 s9"),
-    adapter.log_entry(term=5, kind=1, request="n3/cc/7", data=b"\x00\xff"),
+RAFT_STATE = PersistentState(
+    hard_state=HardState(
+        term=5,
+        voted_for="n3",
+        disk_id="0102030405060708",
+        initial_disks={"n1": "0102030405060708", "n2": "d2", "n3": "d3"},
+        committed_admission_index=3,
+        stale_disk_suspected=False,
+        vote_floor=LogPosition(term=4, log_index=3),
+    ),
+    snapshot=Snapshot(index=2, term=3, voter_disks={"n2": "d9"}, state=bytes(range(256)) * 200),
+    entries=(
+        LogEntry(term=4, kind=EntryKind.ADMIT_DISK, request_id="n2", data=b"d9 s9"),
+        LogEntry(term=5, kind=EntryKind.COMMAND, request_id="n3/cc/7", data=b"\x00\xff"),
+    ),
 )
 
 
 @pytest.mark.usefixtures("boot_file")
 def test_a_raft_log_is_read_and_its_disk_witness_matches(tmp_path: Path) -> None:
-    store = storage_adapter.open_folder(copied("raft", tmp_path), NOW)
+    store = writers.open_folder(copied("raft", tmp_path))
     records = dict(store.items())
     assert set(records) == RAFT_KEYS
     assert records[b"peers/count"] == (7).to_bytes(8, "big")
-    storage = storage_adapter.open_raft_storage(store, copied("witness", tmp_path))
-    assert storage_adapter.raft_hard_state(storage) == HARD_STATE
-    assert storage_adapter.raft_snapshot(storage) == SNAPSHOT
-    assert storage_adapter.raft_entries(storage) == LOG_ENTRIES
+    storage = writers.open_raft_storage(store, copied("witness", tmp_path))
+    assert storage.persisted == RAFT_STATE
     store.close()
 
 
@@ -160,9 +169,9 @@
         written = file.read_bytes().rstrip(b" ")
         assert written[-1] == 7  # its count of writes
         file.write_bytes((written[:-1] + b"\x08").ljust(128))
-    store = storage_adapter.open_folder(copied("raft", tmp_path), NOW)
-    storage = storage_adapter.open_raft_storage(store, witness)
-    assert storage_adapter.raft_hard_state(storage) == DOUBTED_HARD_STATE
+    store = writers.open_folder(copied("raft", tmp_path))
+    storage = writers.open_raft_storage(store, witness)
+    assert storage.persisted.hard_state == replace(RAFT_STATE.hard_state, stale_disk_suspected=True)
     store.close()
 
 
@@ -177,48 +186,33 @@
 # --- sessions and the list of endpoints
 
 FIRST_LINE = "OPEN 9b1f 7f c=chat,d=1200,g=5c,rs=1"
-LIFE = bytes(range(1, 9))
-NODE_KEY = bytes(range(1, 33))
-ENDPOINTS = adapter.endpoint_list(
-    revision=9,
-    complete=True,
-    endpoints=[
-        adapter.READY_ENDPOINT,
-        adapter.endpoint(
-            endpoint_id="s3",
-            address="10.0.0.3:7001",
-            phase="draining",
-            locality="b",
-            flavor="l",
-            cell=1,
-            size=0.5,
-            up_since_ms=1_789_999_500_000,
-        ),
-    ],
-)
+IDENTITY = NodeIdentity(issuer_id=bytes(range(1, 9)), token_key=bytes(range(1, 33)), start_count=2)
+ENDPOINTS = EndpointList(revision=9, complete=True, endpoints=[READY_ENDPOINT, DRAINING_ENDPOINT])
 
 
 def test_sessions_and_endpoints_are_read(tmp_path: Path) -> None:
-    store = storage_adapter.open_folder(copied("sessions", tmp_path), NOW)
+    store = writers.open_folder(copied("sessions", tmp_path))
     assert {key for key, _ in store.items()} == {
         b"life",
         b"members",
         b"session/\x01\x23\x45\x67\x89\xab\xcd\xef",
         b"session/\xff\xff\xff\xff\xff\xff\xff\xff",
     }
-    sessions = storage_adapter.open_sessions(store, NOW)
-    assert storage_adapter.node_life(sessions) == (LIFE, NODE_KEY, 2)  # this is the second start
-    kept = (FIRST_LINE, 4_294_967_297, NOW + 35_000_000)
-    assert storage_adapter.saved_session(sessions, 0x0123456789ABCDEF) == kept
-    redeemed = (FIRST_LINE, 4_294_967_300, NOW + 30_000_007)
-    assert storage_adapter.saved_session(sessions, 0xFFFFFFFFFFFFFFFF) == redeemed
-    assert storage_adapter.saved_session(sessions, 1) is None
-    assert storage_adapter.saved_endpoints(sessions) == (NOW, ENDPOINTS)
+    sessions = SessionStore(store, lambda: NOW)
+    assert sessions.identity == IDENTITY  # this is the second start
+    assert sessions.load_session(0x0123456789ABCDEF) == StoredSession(
+        first_line=FIRST_LINE, generation_floor=4_294_967_297, expires_at_us=NOW + 35_000_000
+    )
+    assert sessions.load_session(0xFFFFFFFFFFFFFFFF) == StoredSession(
+        first_line=FIRST_LINE, generation_floor=4_294_967_300, expires_at_us=NOW + 30_000_007
+    )
+    assert sessions.load_session(1) is None
+    assert sessions.cached_endpoints() == StoredEndpointList(saved_at_us=NOW, endpoints=ENDPOINTS)
     sessions.close()
 
 
 def test_sessions_expire_by_what_is_stored(tmp_path: Path) -> None:
-    store = storage_adapter.open_folder(copied("sessions", tmp_path), NOW + 30_000_007)
+    store = writers.open_folder(copied("sessions", tmp_path), NOW + 30_000_007)
     assert {key for key, _ in store.items(b"session/")} == {b"session/\x01\x23\x45\x67\x89\xab\xcd\xef"}
     store.close()
 
@@ -228,91 +222,100 @@
     assert contents_of(tmp_path / "sessions") == contents_of(DATA / "sessions")
 
 
-# --- documents, and all that the log decides
-
-
-def test_document_contents_are_read_by_their_digests(tmp_path: Path) -> None:
-    store = storage_adapter.open_folder(copied("documents", tmp_path), NOW)
-    prefix = b"documents/" + NOTE_DIGEST
-    records = {prefix + b"\x00\x00": NOTE[:49_152], prefix + b"\x00\x01": NOTE[49_152:]}
-    records[b"documents/" + SECOND_DIGEST + b"\x00\x00"] = SECOND_NOTE
-    assert dict(store.items()) == records
-    state = storage_adapter.AgreedState(["n1"])
-    state.load((DATA / "state" / "agreed.msgpack").read_bytes())
-    opened = state.open_documents(store, NOW)
-    assert state.contents(opened, "note") == [NOTE]
-    store.close()
-
-
-def test_document_contents_are_written_byte_for_byte(tmp_path: Path) -> None:
-    writers.write_documents(tmp_path / "documents")
-    assert contents_of(tmp_path / "documents") == contents_of(DATA / "documents")
-
+# --- documents, and the whole replicated state
 
 OWNERS = {
-    0xFEDCBA9876543210: storage_adapter.SessionOwner(
-        tenure=2,
+    0xFEDCBA9876543210: OwnershipRecord(
+        epoch=2,
         owner="n1/aa",
-        floor=8_589_934_594,
-        keep=NOW + 2 * MINUTE,
-        base=0,
-        turn=6,
-        confirmed_at=NOW + 13,
-        number=41,
-        opened=True,
+        generation_floor=8_589_934_594,
+        retain_until_us=NOW + 2 * MINUTE,
+        claimed_floor=0,
+        sequence=6,
+        confirmed_at_us=NOW + 13,
+        idempotency_key=41,
+        is_opened=True,
     ),
-    9: storage_adapter.SessionOwner(
-        tenure=1,
+    9: OwnershipRecord(
+        epoch=1,
         owner="n2/bb",
-        floor=0,
-        keep=NOW + 3 * MINUTE,
-        base=0,
-        turn=0,
-        confirmed_at=0,
-        number=42,
-        opened=False,
+        generation_floor=0,
+        retain_until_us=NOW + 3 * MINUTE,
+        idempotency_key=42,
     ),
 }
-CHANGE = storage_adapter.PendingChange(
+CHANGE = PendingChange(
     name="note",
     number=3,
-    digest=SECOND_DIGEST,
+    digest=SECOND_NOTE_DIGEST,
     size=29,
-    key="wish 3",
-    time=NOW + 9,
-    stage=2,
+    idempotency_key="wish 3",
+    proposed_at_us=NOW + 9,
+    phase=ChangePhase.PREPARED,
     accepted_by={"n1/aa"},
     round=1,
-    prepared_at=NOW + 11,
-    short_lease=300_000,
-    must_prepare={"n1/aa"},
+    prepare_started_at_us=NOW + 11,
+    short_lease_us=300_000,
+    participants={"n1/aa"},
     prepared_by=set(),
 )
 
 
+def restored(file_name: str) -> ReplicatedState:
+    """The state of a committed snapshot."""
+    state = ReplicatedState(["n1"])
+    state.restore((DATA / "state" / file_name).read_bytes())
+    return state
+
+
+def test_document_contents_are_read_by_their_digests(tmp_path: Path) -> None:
+    store = writers.open_folder(copied("documents", tmp_path))
+    assert dict(store.items()) == {
+        b"documents/" + NOTE_DIGEST + b"\x00\x00": NOTE[:49_152],
+        b"documents/" + NOTE_DIGEST + b"\x00\x01": NOTE[49_152:],
+        b"documents/" + SECOND_NOTE_DIGEST + b"\x00\x00": SECOND_NOTE,
+    }
+    state = restored("agreed.msgpack")
+    replica = writers.open_documents(store, state)
+    assert [replica.content(version) for version in state.documents.versions("note")] == [NOTE]
+    store.close()
+
+
+def test_document_contents_are_written_byte_for_byte(tmp_path: Path) -> None:
+    writers.write_documents(tmp_path / "documents")
+    assert contents_of(tmp_path / "documents") == contents_of(DATA / "documents")
+
+
 def test_the_agreed_state_is_read_and_written_byte_for_byte() -> None:
     written = (DATA / "state" / "agreed.msgpack").read_bytes()
-    state = storage_adapter.AgreedState(["n1"])
-    state.load(written)
-    assert state.owners() == OWNERS
-    assert state.versions("note") == [(1, NOTE_DIGEST, 54_609, NOW + 300_004)]
-    assert state.pending_change() == CHANGE
-    assert state.leases() == {"n1/aa": NOW + 30_000_006}
-    refused = ("refused", 2, "n1: other: no such document")
-    assert state.results() == {"wish 1": ("done", 1, ""), "wish 2": refused}
-    assert state.dump() == written
-    assert writers.agreed_state(writers.AGREED_COMMANDS).dump() == written
+    state = restored("agreed.msgpack")
+    documents = state.documents
+    assert state.session_ownership.records == OWNERS
+    assert documents.versions("note") == (
+        Version(number=1, digest=NOTE_DIGEST, size=54_609, effective_at_us=NOW + 300_004),
+    )
+    assert documents.change == CHANGE
+    assert documents.leases == {"n1/aa": NOW + 30_000_006}
+    assert documents.results == {
+        "wish 1": ChangeResult(outcome=ChangeOutcome.DONE, number=1),
+        "wish 2": ChangeResult(
+            outcome=ChangeOutcome.REJECTED, number=2, reason="n1: other: no such document"
+        ),
+    }
+    assert state.snapshot() == written
+    replayed = ReplicatedState(["n1"])
+    for command in writers.AGREED_COMMANDS:
+        replayed.apply(msgspec.msgpack.encode(command))
+    assert replayed.snapshot() == written
 
 
 def test_a_state_from_before_there_were_documents_is_read() -> None:
     """Such a snapshot holds the owners alone."""
-    written = (DATA / "state" / "owners.msgpack").read_bytes()
-    state = storage_adapter.AgreedState(["n1"])
-    state.load(written)
-    assert state.owners() == OWNERS
-    assert state.pending_change() is None
-    assert state.versions("note") == []
-    assert state.dump_owners() == written
+    state = restored("owners.msgpack")
+    assert state.session_ownership.records == OWNERS
+    assert state.documents.change is None
+    assert state.documents.versions("note") == ()
+    assert state.session_ownership.snapshot() == (DATA / "state" / "owners.msgpack").read_bytes()
 
 
 # --- tokens
@@ -320,45 +323,43 @@
 NODE_TOKEN = "AMLtW02APu4fAQIDBAUGBwgJCgsMrw3p-rnA7gJvvfgk4_o9JwlYqdmNmnKybBohrX4Wons8ZftPpXG2FA"
 FLEET_TOKEN = "B8FnSfiPi2UaAQIDBAUGBwgJCgsMBMkfsmU_PWlMomNGEBPqKkJFugBMgvNFos5gd-s191vDV58lZPY4ug"
 OTHER_KEY_TOKEN = "A8FnSfiPi2UaAQIDBAUGBwgJCgsMIU7CKSHFk01j9lbjRqnZAzFgnDbOtIB-FQTQKUes7K4NK_wthOJ6_w"
-CLAIMS = (0x0123456789ABCDEF, 4_294_967_298, NOW + 30_000_000)
-FLEET_KEYS = [(7, bytes(range(32))), (3, bytes(range(100, 132)))]
+PAYLOAD = TokenPayload(
+    session_id=0x0123456789ABCDEF, generation=4_294_967_298, expires_at_us=NOW + 30_000_000
+)
+CLAIMS = TokenClaims(service_class="chat", group=5, key=80)
+FLEET_KEYS = (
+    KeyEntry(id=7, digits=bytes(range(32)).hex()),
+    KeyEntry(id=3, digits=bytes(range(100, 132)).hex()),
+)
+
+
+def fleet_keyring(folder: Path, *keys: KeyEntry) -> Keyring:
+    """The keyring of any node of the fleet `f1`; its tokens open at all others."""
+    peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
+    options = Options(resume=ResumeOptions(enabled=True, keys=keys), peers=peers)
+    return SessionRegistry(RecordingPolicyRunner(load_test_config(folder), options), None).keyring
 
 
 def test_a_token_of_a_node_with_a_store_opens_and_is_sealed_to_the_same_text(tmp_path: Path) -> None:
-    """By the identity and the key that the node's store holds, and by the node's name."""
-    store = storage_adapter.open_folder(copied("sessions", tmp_path), NOW)
-    sessions = storage_adapter.open_sessions(store, NOW)
-    with writers.fixed_random():
-        ring = storage_adapter.node_keyring(tmp_path, sessions)
-        again = seal(ring)
-    assert storage_adapter.open_token(ring, NODE_TOKEN, service_class="chat", group=5, key=80) == CLAIMS
-    assert again == NODE_TOKEN
-    with pytest.raises(storage_adapter.TokenError):
-        storage_adapter.open_token(ring, NODE_TOKEN, service_class="chat", group=80, key=5)
+    """The identity and the key that the node's store holds, and the node's name, decide the text."""
+    sessions = SessionStore(writers.open_folder(copied("sessions", tmp_path)), lambda: NOW)
+    with writers.fixed_random_bytes():
+        keyring = SessionRegistry(RecordingPolicyRunner(load_test_config(tmp_path)), sessions).keyring
+        assert keyring.seal(PAYLOAD, CLAIMS) == NODE_TOKEN
+    assert keyring.open(NODE_TOKEN, CLAIMS) == PAYLOAD
+    with pytest.raises(TokenError):
+        keyring.open(NODE_TOKEN, TokenClaims(service_class="chat", group=80, key=5))
     sessions.close()
 
 
 def test_a_token_of_a_fleet_opens_and_is_sealed_to_the_same_text(tmp_path: Path) -> None:
-    """By the fleet's name and keys; the first one seals, and all open."""
-    with writers.fixed_random():
-        ring = storage_adapter.fleet_keyring(tmp_path, FLEET_KEYS)
-        again = seal(ring)
-        other = seal(storage_adapter.fleet_keyring(tmp_path, FLEET_KEYS[::-1]))
-    for text in (FLEET_TOKEN, OTHER_KEY_TOKEN):
-        assert storage_adapter.open_token(ring, text, service_class="chat", group=5, key=80) == CLAIMS
-        with pytest.raises(storage_adapter.TokenError):
-            storage_adapter.open_token(ring, text, service_class="chaT", group=5, key=80)
-    assert (again, other) == (FLEET_TOKEN, OTHER_KEY_TOKEN)
-
-
-def seal(ring: storage_adapter.Keyring) -> str:
-    session, generation, expiry = CLAIMS
-    return storage_adapter.seal_token(
-        ring,
-        session=session,
-        generation=generation,
-        expiry=expiry,
-        service_class="chat",
-        group=5,
-        key=80,
-    )
+    """The fleet's name and keys decide the text; the first key seals, and all open."""
+    with writers.fixed_random_bytes():
+        keyring = fleet_keyring(tmp_path, *FLEET_KEYS)
+        assert keyring.seal(PAYLOAD, CLAIMS) == FLEET_TOKEN
+        other_keyring = fleet_keyring(tmp_path, *reversed(FLEET_KEYS))
+        assert other_keyring.seal(PAYLOAD, CLAIMS) == OTHER_KEY_TOKEN
+    for token in (FLEET_TOKEN, OTHER_KEY_TOKEN):
+        assert keyring.open(token, CLAIMS) == PAYLOAD
+        with pytest.raises(TokenError):
+            keyring.open(token, TokenClaims(service_class="chaT", group=5, key=80))
--- a/tests/formats/test_transport_formats.py
+++ b/tests/formats/test_transport_formats.py
@@ -1,4 +1,4 @@
-"""A peer of build 05b45c5 is greeted and its frames are read, and frames are written as it wrote them.
+"""The build under test and a peer of build 05b45c5 greet each other and read each other's frames.
 
 The files hold all bytes that the dialling and the listening side of one connection sent: the greetings with
 their proofs of the key, then two frames each. The nonces, which are random, were fixed, and the clock too.
@@ -7,80 +7,96 @@
 from __future__ import annotations
 
 import socket
-from collections.abc import Iterator
-from contextlib import contextmanager
 from pathlib import Path
 
+import msgspec
 import pytest
 
-from tests.formats import adapter, storage_adapter
-from tests.formats.adapter import PeerMessage
-from tests.formats.writers import NOW, fixed_random
+from tansyladder.cluster.peer_handshake import Greeting
+from tansyladder.cluster.peer_transport import PeerMessage, PeerTransport
+from tansyladder.config.operator_settings import PeersOptions
+from tansyladder.raft.messages import Handshake, LogPosition, ProposalRequest
+from tansyladder.replication.content_transfer import DocumentMessage
+from tansyladder.replication.document_messages import LeaseRenewal
+from tests.formats.writers import NOW, fixed_random_bytes
 
 DATA = Path(__file__).parent / "data" / "transport"
-DIALLER_MESSAGES: list[PeerMessage] = [
-    adapter.hello(disk="d1", start="s1", founders={}, to="", wants_answer=True, term=0, last=(0, 0)),
-    adapter.propose(request="n1/aa/1", data=b"\x00" * 300),
-]
-LISTENER_MESSAGES: list[PeerMessage] = [
-    adapter.hello(
-        disk="d2", start="s2", founders={"n1": "d1"}, to="s1", wants_answer=False, term=2, last=(2, 5)
-    ),
-    adapter.lease_renewal(start="n2/bb"),
-]
-DIALLER_NONCE = bytes(range(0x01, 0x11))
-LISTENER_NONCE = bytes(range(0x80, 0x90))
-
-
-@contextmanager
-def ends() -> Iterator[tuple[socket.socket, socket.socket]]:
-    ours, theirs = socket.socketpair()
-    with ours, theirs:
-        ours.settimeout(5)
-        theirs.settimeout(5)
-        yield ours, theirs
-
-
-def received(sock: socket.socket) -> bytes:
-    """All that comes until the other end shuts down."""
+NODES = {"dialler": "n1", "listener": "n2"}  # by the side of the connection
+NONCES = {"dialler": bytes(range(0x01, 0x11)), "listener": bytes(range(0x80, 0x90))}
+MESSAGES: dict[str, list[PeerMessage]] = {
+    "dialler": [
+        Handshake(disk_id="d1", incarnation="s1", initial_disks={}, wants_reply=True),
+        ProposalRequest(request_id="n1/aa/1", data=b"\x00" * 300),
+    ],
+    "listener": [
+        Handshake(
+            disk_id="d2",
+            incarnation="s2",
+            initial_disks={"n1": "d1"},
+            recipient_incarnation="s1",
+            term=2,
+            last_position=LogPosition(term=2, log_index=5),
+        ),
+        DocumentMessage(body=LeaseRenewal(incarnation="n2/bb")),
+    ],
+}
+
+
+def sent_bytes(side: str) -> bytes:
+    """All that one side of the connection sent."""
+    return (DATA / f"{side}.bin").read_bytes()
+
+
+def new_transport(name: str) -> PeerTransport:
+    """A node of the cluster `f1` of two nodes."""
+    members = {"n1": "127.0.0.1:1", "n2": "127.0.0.1:2"}
+    options = PeersOptions(
+        enabled=True, fleet="f1", key="5c" * 32, members=members, voters="n1", listen="127.0.0.1:0"
+    )
+    return PeerTransport(name, options, lambda _, __: None, lambda: NOW)
+
+
+def read_to_end(sock: socket.socket) -> bytes:
+    """All that arrives until the other end shuts down."""
     return b"".join(iter(lambda: sock.recv(1 << 16), b""))
 
 
-def first_greeting(stream: bytes) -> object:
-    size = int.from_bytes(stream[:4], "big")
-    return adapter.decode_greeting(stream[4 : 4 + size])
-
-
-@pytest.mark.parametrize("side", ["dialler", "listener"])
-def test_one_side_of_a_connection_with_a_peer_of_the_build_before(side: str) -> None:
-    dials = side == "dialler"
-    ours_file, theirs_file = ("dialler", "listener") if dials else ("listener", "dialler")
-    sent, expected = (DIALLER_MESSAGES, LISTENER_MESSAGES) if dials else (LISTENER_MESSAGES, DIALLER_MESSAGES)
-    transport = storage_adapter.peer_transport("n1" if dials else "n2", NOW)
-    try:
-        with ends() as (ours, theirs), fixed_random(side):
-            theirs.sendall((DATA / f"{theirs_file}.bin").read_bytes())
-            channel = (
-                storage_adapter.dial(transport, ours, "n2")
-                if dials
-                else storage_adapter.welcome(transport, ours)
-            )
-            for message in sent:
-                channel.send(adapter.encode(message))
-            assert [adapter.decode_peer_message(channel.receive()) for _ in expected] == expected
-            ours.shutdown(socket.SHUT_WR)
-            assert received(theirs) == (DATA / f"{ours_file}.bin").read_bytes()
-    finally:
-        storage_adapter.close_transport(transport)
+@pytest.mark.parametrize(("side", "peer_side"), [("dialler", "listener"), ("listener", "dialler")])
+def test_one_side_of_a_connection_with_a_peer_of_the_build_before(side: str, peer_side: str) -> None:
+    transport = new_transport(NODES[side])
+    own_sock, peer_sock = socket.socketpair()
+    with transport._listener, own_sock, peer_sock, fixed_random_bytes(NONCES[side][0]):  # noqa: SLF001 - it never starts
+        own_sock.settimeout(5)
+        peer_sock.settimeout(5)
+        peer_sock.sendall(sent_bytes(peer_side))
+        handshake = transport.handshake
+        is_dialler = side == "dialler"
+        channel = handshake.dial(own_sock, NODES[peer_side]) if is_dialler else handshake.accept(own_sock)
+        for message in MESSAGES[side]:
+            channel.send(msgspec.msgpack.encode(message))
+        decoder = msgspec.msgpack.Decoder(PeerMessage)
+        received = [decoder.decode(channel.receive()) for _ in MESSAGES[peer_side]]
+        assert received == MESSAGES[peer_side]
+        own_sock.shutdown(socket.SHUT_WR)
+        assert read_to_end(peer_sock) == sent_bytes(side)
+
+
+def first_greeting(side: str) -> Greeting:
+    data = sent_bytes(side)
+    size = int.from_bytes(data[:4], "big")
+    return msgspec.msgpack.decode(data[4 : 4 + size], type=Greeting)
 
 
 def test_the_first_greetings_hold_their_values() -> None:
-    dialler = first_greeting((DATA / "dialler.bin").read_bytes())
-    assert dialler == adapter.greeting(
-        version=2, fleet="f1", name="n1", to="n2", nonce=DIALLER_NONCE, time=NOW, proof=b""
+    assert first_greeting("dialler") == Greeting(
+        version=2, cluster="f1", sender="n1", recipient="n2", nonce=NONCES["dialler"], sent_at_us=NOW
     )
-    listener = first_greeting((DATA / "listener.bin").read_bytes())
-    proof = bytes.fromhex("c52ce0b3acdf21b896f70fd67e4502bbe166d8f46f1bf2d051e6d1a9a33a41b6")
-    assert listener == adapter.greeting(
-        version=2, fleet="f1", name="n2", to="n1", nonce=LISTENER_NONCE, time=NOW, proof=proof
+    assert first_greeting("listener") == Greeting(
+        version=2,
+        cluster="f1",
+        sender="n2",
+        recipient="n1",
+        nonce=NONCES["listener"],
+        sent_at_us=NOW,
+        proof=bytes.fromhex("c52ce0b3acdf21b896f70fd67e4502bbe166d8f46f1bf2d051e6d1a9a33a41b6"),
     )
