--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports go down from layer to layer, and nowhere in a ring; those for types alone count as well."""
+"""The package's imports go down from layer to layer and form no cycle; imports for types count as well."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import tansyladder
 
 ROOT = Path(tansyladder.__file__).parent
-LAYERS = (  # from the bottom to the top
+LAYERS = (  # packages, from the bottom to the top
     "policy",
     "config",
     "store",
@@ -21,44 +21,50 @@
     "sessions",
     "cluster",
 )
-TOOLS = ("lab", "simulation", "simulator")
+TOOLS = ("lab", "simulation", "simulator")  # packages that no layer may import
 
 
-def name_of(path: Path) -> str:
-    """A module's dotted name."""
+def module_name(path: Path) -> str:
+    """The dotted name of the module in a file."""
     return ".".join(("tansyladder", *path.relative_to(ROOT).with_suffix("").parts))
 
 
-def imports() -> dict[str, set[str]]:
-    """Which modules of ours each one names in an import, wherever it stands."""
-    found: dict[str, set[str]] = {}
-    names = {name_of(path) for path in ROOT.rglob("*.py")}
-    for path in ROOT.rglob("*.py"):
-        out = found.setdefault(name_of(path), set())
-        for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.ImportFrom) and node.module:
-                out |= {node.module, *(f"{node.module}.{alias.name}" for alias in node.names)} & names
-            elif isinstance(node, ast.Import):
-                out |= {alias.name for alias in node.names} & names
-    return found
+def imported_names(path: Path) -> set[str]:
+    """The dotted names that a file imports anywhere, inside of functions too."""
+    names: set[str] = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom) and node.module:
+            names |= {node.module, *(f"{node.module}.{alias.name}" for alias in node.names)}
+        elif isinstance(node, ast.Import):
+            names |= {alias.name for alias in node.names}
+    return names
 
 
-def layer(module: str) -> str:
-    """The package of a module; empty for modules beside the packages."""
+def import_graph() -> dict[str, set[str]]:
+    """The modules of the package that each of them imports."""
+    files = {module_name(path): path for path in ROOT.rglob("*.py")}
+    return {module: imported_names(path) & files.keys() for module, path in files.items()}
+
+
+def package_of(module: str) -> str:
+    """The package that a module belongs to; empty for a module beside the packages."""
     return module.split(".")[1] if module.count(".") > 1 else ""
 
 
-def is_upward(module: str, other: str) -> bool:
-    """Whether an import goes to a layer above, or to a tool."""
-    here = layer(module)
-    there = layer(other)
-    return here in LAYERS and (there in TOOLS or there in LAYERS[LAYERS.index(here) + 1 :])
+def is_upward(importer: str, imported: str) -> bool:
+    """Whether a layer imports a higher layer or a tool."""
+    own_package = package_of(importer)
+    if own_package not in LAYERS:
+        return False
+    higher_layers = LAYERS[LAYERS.index(own_package) + 1 :]
+    return package_of(imported) in (*higher_layers, *TOOLS)
 
 
 def test_imports_form_no_cycle() -> None:
-    order = list(TopologicalSorter(imports()).static_order())  # CycleError names a ring
+    order = list(TopologicalSorter(import_graph()).static_order())  # CycleError names the cycle
     assert order.index("tansyladder.net.clock") < order.index("tansyladder.cluster.bootstrap")
 
 
 def test_layers_import_downwards_only_and_no_tool() -> None:
-    assert not [f"{one} -> {to}" for one, others in imports().items() for to in others if is_upward(one, to)]
+    imports = [(importer, name) for importer, names in import_graph().items() for name in names]
+    assert [f"{importer} -> {name}" for importer, name in imports if is_upward(importer, name)] == []
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands."""
+"""The example of the README runs as it is printed there."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 import sys
 from pathlib import Path
 
+README = Path(__file__).parent.parent / "README.md"
+
 
 def test_the_embedding_example_runs() -> None:
-    text = Path(__file__).parent.parent.joinpath("README.md").read_text()
-    [code] = re.findall(r"```python\n(.*?)```", text, re.S)
-    call = [sys.executable, "-c", code]
-    done = subprocess.run(call, capture_output=True, text=True, timeout=60, check=True)
-    assert done.stdout.startswith("open 1 on server ")
+    [example] = re.findall(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
+    command = [sys.executable, "-c", example]
+    run = subprocess.run(command, capture_output=True, text=True, timeout=60, check=True)
+    assert run.stdout.startswith("open 1 on server ")
