--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -59,7 +59,7 @@
     try:
         _join(member)
     except (OSError, ValueError, ConfigError, StoreError) as err:
-        log(LogEvent.CLUSTER_JOIN_FAILED, why=err)
+        log(LogEvent.CLUSTER_JOIN_FAILED, error=err)
 
 
 def _join(member: ClusterMember) -> None:
@@ -80,7 +80,7 @@
     if replica is not None:
         member.decision_gate.join(DocumentPublisher(raft_runner, replica, documents.decision_log))
     raft_runner.start()
-    log(LogEvent.CLUSTER_JOINED, store=store is not None)
+    log(LogEvent.CLUSTER_JOINED, has_store=store is not None)
 
 
 def _open_store(member: ClusterMember) -> Store | None:
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -11,6 +11,7 @@
 
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import ClientRejectionReason, LineSource
 from tansyladder.net import protocol, sockets
 from tansyladder.net.handover_messages import ConnectionState, DescriptorSplit
 from tansyladder.net.listener_handover import ListenerHandover
@@ -124,7 +125,7 @@
         try:
             answer = self._try_admit(sock, opening, arrived, release)
         except protocol.LineError as err:
-            log(LogEvent.INVALID_LINE, where="client", why=err)
+            log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error=err)
             answer = protocol.ERR + b"\r\n"
         if answer:
             self._metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
@@ -142,13 +143,13 @@
         if not self._lifecycle.accepts_requests:
             return protocol.format_reject(self.retry_after)
         if not self._admission.reserve(opening.connection_id):
-            log(LogEvent.CLIENT_REJECTED, why="limit")
+            log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.CONNECTION_LIMIT)
             return protocol.format_reject(self.retry_after)
         try:
             self._start_serving(sock, opening, arrived, release)
         except RuntimeError as err:  # the system has no thread left
             self._admission.release(opening.connection_id)
-            log(LogEvent.CLIENT_REJECTED, why=err)
+            log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.THREAD_LIMIT, error=err)
             return protocol.format_reject(self.retry_after)
         return b""
 
@@ -209,7 +210,7 @@
             args = (handler, opening.connection_id)
             threading.Thread(target=self._serve, args=args, name="connection", daemon=True).start()
         except (protocol.LineError, RuntimeError) as err:  # RuntimeError: the system has no thread left
-            log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
+            log(LogEvent.CONNECTION_ADOPTION_FAILED, error=err)
             upstream.close()
             with contextlib.suppress(OSError):
                 client.send(protocol.MOVE + b"\r\n", socket.MSG_DONTWAIT)
@@ -240,7 +241,7 @@
         self.drainer.evict_remaining(notified, end + CLOSE_TIMEOUT)
         self.stop_listening()
         left = self.drainer.remaining()
-        log(LogEvent.DRAINED, standing=left.established, in_hand=left.waiting)
+        log(LogEvent.DRAINED, established=left.established, pending=left.waiting)
 
     def _share_queue(self) -> None:
         """Leave the listener's queue to a successor where there is one."""
--- a/tansyladder/node/connection_acceptor.py
+++ b/tansyladder/node/connection_acceptor.py
@@ -11,6 +11,7 @@
 from datetime import timedelta
 
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import ClientRejectionReason
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
 from tansyladder.node.acceptor_state import AcceptorEvent, AcceptorLifecycle
@@ -160,7 +161,7 @@
         if err.errno in CLOSED_LISTENER_ERRORS:
             self._lifecycle.apply(AcceptorEvent.STOPPED)
             return
-        log(LogEvent.ACCEPT_FAILED, why=err)
+        log(LogEvent.ACCEPT_FAILED, error=err)
         if err.errno in DESCRIPTOR_LIMIT_ERRORS:
             self._handle_descriptor_exhaustion()
 
@@ -185,7 +186,7 @@
         sock, _ = self._listener.accept()
         with sock:
             sockets.disable_send_delay(sock)
-            log(LogEvent.CLIENT_REJECTED, why="descriptors")
+            log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.DESCRIPTOR_LIMIT)
             with contextlib.suppress(OSError):
                 self._admitter.record_rejection(sock.recv(protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT))
             with contextlib.suppress(OSError):
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING
 
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import LineSource
 from tansyladder.net import protocol
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.protocol import Opening, format_reject
@@ -92,7 +93,7 @@
             case Fail():
                 self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
             case ClientEnd.SENT_EARLY:
-                log(LogEvent.INVALID_LINE, where="client", why="a second line before UP")
+                log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error="a second line before UP")
                 self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
             case ClientEnd.DISCONNECTED:
                 self._answer(RequestOutcome.CLIENT_LEFT)
--- a/tansyladder/node/work_queues.py
+++ b/tansyladder/node/work_queues.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from tansyladder.invariants import check_invariant
+from tansyladder.invariants import Invariant, violate_invariant
 from tansyladder.net.endpoint_address import EndpointAddress
 
 ItemT = TypeVar("ItemT")
@@ -39,4 +39,4 @@
     try:
         target.put_nowait(item)
     except queue.Full:
-        check_invariant(False, "backlog_full")
+        violate_invariant(Invariant.QUEUE_FULL)
