--- a/tansyladder/invariants.py
+++ b/tansyladder/invariants.py
@@ -11,6 +11,7 @@
 class Invariant(StrEnum):
     """What must never happen; `invariant` of the log event `invariant_violated`."""
 
+    ACTION_QUEUE_TRANSITION_INVALID = "action_queue_transition_invalid"
     CHANGE_RESULT_CONFLICT = "change_result_conflict"  # in the simulation alone
     DECISION_OVERDUE = "decision_overdue"
     PEER_FRAME_TOO_LARGE = "peer_frame_too_large"
