--- a/tests/net/test_action_queue.py
+++ b/tests/net/test_action_queue.py
@@ -116,5 +116,5 @@
 
 
 def test_an_event_that_a_state_does_not_allow_violates_an_invariant() -> None:
-    with pytest.raises(AssertionError, match="action_queue_transition"):
+    with pytest.raises(AssertionError, match="action_queue_transition_invalid"):
         next_state(QueueState.CALLBACK, QueueEvent.LOST)
