--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -15,6 +15,8 @@
     from tansyladder.node.client_listener import ClientListener
     from tansyladder.node.policy_runner import PolicyRunner
     from tansyladder.node.reload import Reloader
+    from tansyladder.sessions.resumption_handler import ResumptionHandler
+    from tansyladder.sessions.session_store import SessionStore
 
 # Bytes of each thread's stack. Little of it is touched: on days of 37 and of 330 descriptors the node took
 # 9 and 13 MB, so an established connection with its thread costs some 27 KB.
@@ -50,8 +52,9 @@
         options = _load_options(options_path)
         _prepare_process(options)
         runner = _build_runner(config, options)
+        resumption_handler = _enable_resumption(runner, _open_store(runner))
         listener = _open_listeners(config, runner)
-        _join_cluster(runner)
+        _join_cluster(runner, resumption_handler)
     except BadConfigError as err:
         print(f"event=bad_config why={err}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
@@ -98,23 +101,34 @@
 
 
 def _build_runner(config: Config, options: Options) -> PolicyRunner:
-    """The policy's runner, with the layers that the operator's settings switch on."""
     from tansyladder.node.policy_runner import PolicyRunner
 
-    runner = PolicyRunner(config, options)
-    store = None
-    if options.store.enabled and not options.peers.enabled:
-        from tansyladder.sessions.session_store import open_session_store
+    return PolicyRunner(config, options)
+
+
+def _open_store(runner: PolicyRunner) -> SessionStore | None:
+    """The store, where the operator's settings switch it on; with peers it is opened by who joins them."""
+    options = runner.options
+    if not options.store.enabled or options.peers.enabled:
+        return None
+    from tansyladder.sessions.session_store import open_session_store
 
-        store = runner.endpoint_cache = open_session_store(options.store.directory, config.name)
-        if store is not None:
-            store.start()
-    if options.resume.enabled:
-        # Only now, as it loads the library of its cryptography.
-        from tansyladder.sessions.resumption_handler import ResumptionHandler
+    store = runner.endpoint_cache = open_session_store(options.store.directory, runner.config.name)
+    if store is not None:
+        store.start()
+    return store
 
-        runner.session_service = ResumptionHandler(runner, store)
-    return runner
+
+def _enable_resumption(runner: PolicyRunner, store: SessionStore | None) -> ResumptionHandler | None:
+    """What resumes sessions, where the operator's settings switch it on."""
+    if not runner.options.resume.enabled:
+        return None
+    # Only now, as it loads the library of its cryptography.
+    from tansyladder.sessions.resumption_handler import ResumptionHandler
+    from tansyladder.sessions.session_registry import SessionRegistry
+
+    handler = runner.session_service = ResumptionHandler(runner, SessionRegistry(runner, store))
+    return handler
 
 
 def _open_listeners(config: Config, runner: PolicyRunner) -> ClientListener:
@@ -136,18 +150,15 @@
     return listener
 
 
-def _join_cluster(runner: PolicyRunner) -> None:
+def _join_cluster(runner: PolicyRunner, resumption_handler: ResumptionHandler | None) -> None:
     """Join the nodes that take over each other's sessions, where the operator's settings name them."""
-    if not runner.options.peers.enabled:
-        return
+    if not runner.options.peers.enabled or resumption_handler is None:
+        return  # the settings' check has made sure that peers have resumption
     from tansyladder.cluster.bootstrap import join_cluster  # and all that only peers need
     from tansyladder.config.errors import ConfigError
-    from tansyladder.sessions.resumption_handler import ResumptionHandler
 
-    if not isinstance(runner.session_service, ResumptionHandler):
-        return  # the settings' check has made sure that peers have resumption
     try:
-        join_cluster(runner, runner.session_service, os.environ.get("TMPDIR"))
+        join_cluster(runner, resumption_handler, os.environ.get("TMPDIR"))
     except (OSError, ValueError, ConfigError) as err:
         raise BadSettingsError(f"peers: {err}") from err
 
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -30,7 +30,7 @@
 from tansyladder.sessions.session_store import NodeIdentity, SessionStore
 
 if TYPE_CHECKING:  # a node without peers does not load what they need
-    from tansyladder.sessions.ownership_client import OwnershipClient
+    from tansyladder.sessions.ownership_client import OwnershipClient, OwnershipService
 
 # Fields of a client's first line that a stream host does not get.
 CLIENT_ONLY_FIELDS = frozenset({RESUME_OFFER_FIELD, RESUME_TOKEN_FIELD, RESUME_POSITION_FIELD})
@@ -48,7 +48,7 @@
         self._runner = runner
         self.options: ResumeOptions = options
         self.resumes_on_any_node = has_peers
-        self.ownership: OwnershipClient | None = None  # set once this process has joined its peers
+        self._ownership: OwnershipClient | None = None  # set once this process has joined its peers
         self.session_store = None if has_peers else session_store
         identity = self.session_store.identity if self.session_store else None
         self.keyring = _new_keyring(runner, identity)
@@ -60,12 +60,24 @@
         self._suspended_count = 0
         self._lock = threading.Lock()  # of `_suspended_count`
 
-    # --- new sessions
+    # --- ownership among peers
+
+    def join_peers(self, service: OwnershipService) -> OwnershipClient:
+        """From now on confirm sessions with the cluster; return what claims them. Called once."""
+        from tansyladder.sessions.ownership_client import OwnershipClient
+
+        ownership = OwnershipClient(service, self._runner.clock, self.options.expires)
+        self._ownership = ownership
+        return ownership
 
-    def offers_resumption(self, opening: Opening) -> bool:
-        """Whether a client's first line asks for a new session that can be resumed."""
-        fields = opening.field_values
-        return fields.get(RESUME_OFFER_FIELD) == "1" and RESUME_TOKEN_FIELD not in fields
+    def end_superseded(self, session_id: int, ownership_epoch: int, owner: str) -> None:
+        """End a session that another node owns from an epoch on; without effect where this node owns it."""
+        if self._ownership is not None and owner != self._ownership.node:
+            queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
+            if queue is not None:
+                queue.supersede()
+
+    # --- new sessions
 
     def new_stream(self) -> Stream:
         """The stream of a new session; its random id is the secret by which stream hosts know it."""
@@ -99,21 +111,21 @@
             session_id, opening.line, next_floor, self._token_expiry_us()
         ):
             raise ResumeRejectedError(control_messages.format_rejection(ResumeRejection.STORE))
-        if self.ownership is not None:
+        if self._ownership is not None:
             current_floor = self.token_registry.generation_floor(session_id)
-            self.ownership.confirm(session_id, current_floor, next_floor, client)
+            self._ownership.confirm(session_id, current_floor, next_floor, client)
         self.token_registry.redeem(session_id)
 
     def confirm_opened(self, session_id: int) -> None:
         """A client that resumed was answered: peers are told that its token is spent."""
-        if self.ownership is not None:
-            self.ownership.report_opened(session_id)
+        if self._ownership is not None:
+            self._ownership.report_opened(session_id)
 
     def end(self, session_id: int, session_end: SessionEnd) -> None:
         """Remove a session: it can't be resumed any more."""
         self.token_registry.end(session_id, session_end)
-        if self.ownership is not None:
-            self.ownership.forget(session_id)
+        if self._ownership is not None:
+            self._ownership.forget(session_id)
         if self.session_store is not None:
             self.session_store.delete_session(session_id)
 
--- /dev/null
+++ b/tansyladder/sessions/session_restorer.py
@@ -0,0 +1,72 @@
+"""Restores sessions of an earlier start or of another node, each in a thread of its own."""
+
+from __future__ import annotations
+
+import threading
+
+from tansyladder.log import LogEvent, log
+from tansyladder.net import protocol
+from tansyladder.net.action_queue import ActionQueue
+from tansyladder.net.clock import now
+from tansyladder.net.protocol import Opening
+from tansyladder.node.extension_points import ResumableRequest
+from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.resumption.errors import ResumeRejection, TokenError
+from tansyladder.resumption.stream import Stream
+from tansyladder.resumption.token_registry import SessionEnd
+from tansyladder.resumption.tokens import TokenPayload
+from tansyladder.sessions.session import Session
+from tansyladder.sessions.session_registry import SessionRegistry
+from tansyladder.sessions.session_store import SessionStore
+
+
+class SessionRestorer:
+    """Starts sessions that have neither a client nor a stream host yet. Thread-safe."""
+
+    def __init__(self, runner: PolicyRunner, registry: SessionRegistry) -> None:
+        """`registry`: gets the restored sessions."""
+        self._runner = runner
+        self._registry = registry
+
+    def restore_stored(self, session_store: SessionStore, payload: TokenPayload) -> None:
+        """Restore the session of a token, if it is stored. TokenError: spent, or no capacity."""
+        stored = session_store.load_session(payload.session_id)
+        if stored is None:
+            return
+        if payload.generation < stored.generation_floor:
+            raise TokenError(ResumeRejection.SPENT)
+        opening = protocol.parse_opening(stored.first_line.encode() + b"\r\n")
+        self.restore(payload.session_id, opening, stored.generation_floor, stored.expires_at_us)
+
+    def restore(
+        self,
+        session_id: int,
+        opening: Opening,
+        generation_floor: int,
+        expires_at_us: int,
+        ownership_epoch: int = 0,
+    ) -> None:
+        """Start a session without a client or a stream host.
+
+        `ownership_epoch`: of the claim, where the session was another node's.
+
+        TokenError: there is no capacity for it.
+        """
+        registry = self._registry
+        queue = ActionQueue()
+        expires_at = self._runner.clock.moment(expires_at_us)
+        try:
+            queue.open()
+            node_start = ownership_epoch or registry.node_start
+            stream = Stream.restored(session_id, registry.memory_budget, registry.options.buffer, node_start)
+            class_number = self._runner.class_numbers[opening.class_name]
+            request = ResumableRequest(queue, class_number, opening, stream)
+            session = Session(self._runner, registry, request)
+            session.set_expiry(expires_at)
+            registry.token_registry.add(session_id, queue, generation_floor, ownership_epoch)
+            threading.Thread(target=session.run, name="restored-session", daemon=True).start()
+        except (OSError, RuntimeError) as error:
+            registry.token_registry.end(session_id, SessionEnd.NO_CAPACITY)
+            queue.close()
+            raise TokenError(ResumeRejection.NO_CAPACITY) from error
+        log(LogEvent.SESSION_RESTORED, left=expires_at - now())
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -19,6 +19,7 @@
 from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.events import Event
 from tansyladder.sessions.resumption_handler import ResumptionHandler
+from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_store import open_session_store
 
 Script = Callable[["Peer"], None]
@@ -217,7 +218,7 @@
     runner = RecordingPolicyRunner(config, Options(resume=resume) if resume else None)
     session_store = runner.endpoint_cache = open_session_store(str(store), "n0") if store else None
     if resume:
-        runner.session_service = ResumptionHandler(runner, session_store)
+        runner.session_service = ResumptionHandler(runner, SessionRegistry(runner, session_store))
     listener = ClientListener(runner)
     runner.start()
     listener.start()
--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -13,6 +13,7 @@
 
 from tansyladder.config.operator_settings import ResumeOptions
 from tansyladder.sessions.resumption_handler import ResumptionHandler
+from tansyladder.sessions.session_registry import SessionRegistry
 from tests.node.harness import SETTINGS, Node, Peer, Script, ScriptedServer, running_node
 
 RESUMPTION_OPTIONS = ResumeOptions(enabled=True, expires=timedelta(seconds=60))
@@ -67,6 +68,13 @@
             peer.send_lines(f"F {sent} {line}", f"RS ACK {received}")
 
 
+def session_registry(node: Node) -> SessionRegistry:
+    """The sessions of a node that resumes them."""
+    service = node.runner.session_service
+    assert isinstance(service, ResumptionHandler)
+    return service.registry
+
+
 class SessionClient:
     """A client that offers to resume."""
 
@@ -96,12 +104,11 @@
 
     def lose_connection(self) -> None:
         """Its connection breaks, and the node has noticed."""
-        service = self.node.runner.session_service
-        assert isinstance(service, ResumptionHandler)
-        before = service.suspended_count
+        registry = session_registry(self.node)
+        before = registry.suspended_count
         until = time.monotonic() + 10
         break_connection(self.peer)
-        while service.suspended_count == before and time.monotonic() < until:
+        while registry.suspended_count == before and time.monotonic() < until:
             time.sleep(0.002)
 
     def reconnect(self, fields: str = "", key: str = "", token: str = "") -> Peer:
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -24,6 +24,7 @@
     host_with_two_scripts,
     read_to_end,
     resuming_node,
+    session_registry,
     start_session,
 )
 
@@ -251,7 +252,7 @@
         client.lose_connection()
         lost.set()
         node.runner.wait_for(AttemptEnded)
-        monkeypatch.setattr(node.runner.session_service, "reserve_suspended", lambda: False)
+        monkeypatch.setattr(session_registry(node), "reserve_suspended", lambda: False)
         returning = client.reconnect()
         node.runner.wait_for(RequestReceived, 2)
         break_connection(returning)
--- a/tests/sessions/test_session_limits.py
+++ b/tests/sessions/test_session_limits.py
@@ -8,7 +8,6 @@
 import pytest
 
 from tansyladder.policy.events import AttemptEnded
-from tansyladder.sessions.resumption_handler import ResumptionHandler
 from tests.node.harness import Peer
 from tests.sessions.harness import (
     RESUMPTION_OPTIONS,
@@ -16,6 +15,7 @@
     SessionClient,
     echo_lines,
     resuming_node,
+    session_registry,
     start_session,
 )
 
@@ -36,7 +36,6 @@
         peer.send_lines("BYE")
 
     with resuming_node(tmp_path, ScriptedHost(flood)) as node:
-        assert node.runner.session_service is not None
         client = SessionClient(node)
         assert client.read_line() == "UP r1"
         if slow == "reads late":
@@ -45,8 +44,7 @@
         while len(received) < count + 1:
             line = client.read_line()
             received.append(line)
-            assert isinstance(node.runner.session_service, ResumptionHandler)
-            assert node.runner.session_service.memory_budget.used_bytes <= 2 * RESUMPTION_OPTIONS.buffer
+            assert session_registry(node).memory_budget.used_bytes <= 2 * RESUMPTION_OPTIONS.buffer
         assert received.count("RS OFF buffer") == 1
         assert received.count(whole) == count
         client.send_lines("M 1")
@@ -90,5 +88,4 @@
         assert one.ended.acquire(timeout=5)
         node.runner.wait_for(AttemptEnded)
         assert client.reconnect().read_line() == "ERR resume ended"
-        assert isinstance(node.runner.session_service, ResumptionHandler)
-        assert node.runner.session_service.memory_budget.used_bytes == 0
+        assert session_registry(node).memory_budget.used_bytes == 0
