--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -33,17 +33,17 @@
     OSError, ValueError, ConfigError: the settings don't fit. StoreError: the store can't be read. In the
     thread they are logged.
     """
-    if policy_runner.listener_handover.predecessor_gone.is_set():
-        _join(policy_runner, resumption_handler, state_directory)
-    else:
+    if policy_runner.listener_handover.is_predecessor_running:
         arguments = (policy_runner, resumption_handler, state_directory)
         threading.Thread(target=_join_after_predecessor, args=arguments, name="join", daemon=True).start()
+    else:
+        _join(policy_runner, resumption_handler, state_directory)
 
 
 def _join_after_predecessor(
     policy_runner: PolicyRunner, resumption_handler: ResumptionHandler, state_directory: str | None
 ) -> None:
-    policy_runner.listener_handover.predecessor_gone.wait()
+    policy_runner.listener_handover.wait_until_predecessor_exits()
     try:
         _join(policy_runner, resumption_handler, state_directory)
     except (OSError, ValueError, ConfigError, StoreError) as err:
--- a/tansyladder/net/handover_messages.py
+++ b/tansyladder/net/handover_messages.py
@@ -15,6 +15,7 @@
 
 REQUEST_LISTENER = b"TAKE 1"  # the new process asks for the clients' listener
 SERVING = b"SERVING"  # the new process takes clients
+MAX_MESSAGE_BYTES = 1 << 18  # far over what an endpoint list or a connection's unsent bytes take
 
 
 class DescriptorTransfer(msgspec.Struct, frozen=True):
--- a/tansyladder/net/handover_sockets.py
+++ b/tansyladder/net/handover_sockets.py
@@ -20,16 +20,12 @@
 
 
 class HandoverAddress:
-    """The name of the Unix socket under which the processes of a node find each other.
-
-    Owned by the thread of the handover, but for `unpublish`, which the process calls when it ends.
-    """
+    """The name of the Unix socket under which the processes of a node find each other. Immutable."""
 
     def __init__(self, listen: Address, folder: str) -> None:
         """`listen`: the clients' address, which the node's processes share; `folder`: private to the node."""
         self._folder = folder
         self._name = "tansyladder-{}-{}.sock".format(*listen)
-        self.listener: socket.socket | None = None  # this process's, once it is published
 
     def connect(self, sock: socket.socket) -> None:
         """Connect a socket to the process that has the name.
@@ -40,8 +36,8 @@
         with _short_path(self._folder) as folder:
             sock.connect(f"{folder}/{self._name}")
 
-    def publish(self) -> None:
-        """Put a socket of ours under the name in one step, so that a process is reachable at any moment.
+    def bind(self) -> socket.socket:
+        """Return a listening socket that has the name from now on, so that a process is always reachable.
 
         Raises:
             OSError: The folder can't be written to.
@@ -56,16 +52,31 @@
             os.chmod(own_path, 0o600)
             listener.listen(MAX_SUCCESSORS)
             os.replace(own_path, f"{folder}/{self._name}")
+        return listener
+
+    def remove(self) -> None:
+        """Remove the name, whichever process has it."""
+        with contextlib.suppress(OSError):
+            (Path(self._folder) / self._name).unlink()
+
+
+class PublishedAddress:
+    """The address while this process listens there. Owned by the handover's thread, but for `unpublish`."""
+
+    def __init__(self, address: HandoverAddress) -> None:
+        """Publish it. OSError: the folder can't be written to."""
+        self._address = address
+        self.listener = address.bind()
+
+    def publish_again(self) -> None:
+        """Take the name back from a process that has ended. OSError: the folder can't be written to."""
         previous = self.listener
-        self.listener = listener
-        if previous is not None:
-            previous.close()
+        self.listener = self._address.bind()
+        previous.close()
 
     def unpublish(self) -> None:
-        """Remove the name, where this process has published it."""
-        if self.listener is not None:
-            with contextlib.suppress(OSError):
-                (Path(self._folder) / self._name).unlink()
+        """Remove the name."""
+        self._address.remove()
 
 
 class SuccessorConnections:
--- /dev/null
+++ b/tansyladder/net/handover_thread.py
@@ -0,0 +1,137 @@
+"""The thread that talks to the other processes of the node: the one before, and those that come next."""
+
+from __future__ import annotations
+
+import select
+import socket
+
+import msgspec
+
+from tansyladder.log import LogEvent, log
+from tansyladder.net.handover_lifecycle import DESCRIPTORS_PER_CONNECTION, HandoverLifecycle
+from tansyladder.net.handover_messages import (
+    MAX_MESSAGE_BYTES,
+    REQUEST_LISTENER,
+    SERVING,
+    ConnectionOwner,
+    ConnectionState,
+    DescriptorTransfer,
+)
+from tansyladder.net.handover_sockets import PublishedAddress, SuccessorConnections
+
+MAX_REQUEST_BYTES = 64  # of a message from a new process
+
+
+class HandoverThread:
+    """Takes connections from the process before, and gives the listener to the next. Owned by its thread."""
+
+    def __init__(
+        self,
+        lifecycle: HandoverLifecycle,
+        address: PublishedAddress,
+        predecessor: socket.socket | None,
+        successors: SuccessorConnections,
+        listener: socket.socket,
+        owner: ConnectionOwner,
+    ) -> None:
+        """Prepare the thread; `run` runs in it.
+
+        Args:
+            lifecycle: Changed by this thread from now on.
+            address: Where new processes connect.
+            predecessor: To the process before this one, where there is one.
+            successors: Gets the connections of new processes.
+            listener: The clients' listener, for new processes.
+            owner: Is notified of what the other processes do.
+        """
+        self._lifecycle = lifecycle
+        self._address = address
+        self._predecessor = predecessor
+        self._successors = successors
+        self._listener = listener
+        self._owner = owner
+
+    def run(self) -> None:
+        """Handle what the other processes send, for as long as this process runs."""
+        while True:
+            poll = select.poll()
+            for sock in (self._address.listener, self._predecessor, *self._successors.sockets()):
+                if sock is not None:
+                    poll.register(sock, select.POLLIN)
+            for descriptor, _ in poll.poll():
+                try:
+                    self._handle_readable(descriptor)
+                except BlockingIOError:
+                    pass
+                except OSError as err:
+                    log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
+                # The thread's top: whatever came there, the next version must still get through.
+                except Exception as err:  # noqa: BLE001
+                    log(LogEvent.INTERNAL_ERROR, why=repr(err))
+
+    def _handle_readable(self, descriptor: int) -> None:
+        if descriptor == self._address.listener.fileno():
+            self._successors.accept(self._address.listener)
+        elif self._predecessor is not None and descriptor == self._predecessor.fileno():
+            self._receive_from_predecessor(self._predecessor)
+        elif (successor := self._successors.find(descriptor)) is not None:  # else it was closed a moment ago
+            self._receive_from_successor(successor)
+
+    # --- the process before
+
+    def _receive_from_predecessor(self, predecessor: socket.socket) -> None:
+        """Take an established connection, or note that the process before this one has ended."""
+        try:
+            message, descriptors, _, _ = socket.recv_fds(
+                predecessor, MAX_MESSAGE_BYTES, DESCRIPTORS_PER_CONNECTION
+            )
+        except TimeoutError:
+            return
+        except OSError:
+            message = b""
+            descriptors = []
+        if not message:
+            predecessor.close()
+            self._predecessor = None
+            self._lifecycle.predecessor_exited()
+            log(LogEvent.LISTENER_HANDOVER, step="alone")
+            return
+        client, upstream = (socket.socket(fileno=descriptor) for descriptor in descriptors)
+        self._lifecycle.connection_received()
+        self._owner.adopt_connection(msgspec.json.decode(message, type=ConnectionState), client, upstream)
+
+    # --- new processes
+
+    def _receive_from_successor(self, successor: socket.socket) -> None:
+        try:
+            message = successor.recv(MAX_REQUEST_BYTES)
+        except TimeoutError:
+            return
+        except OSError:
+            message = b""
+        if message == REQUEST_LISTENER:
+            self._share_listener(successor)
+        elif message == SERVING:
+            self._successors.mark_serving(successor)
+            self._lifecycle.successor_serving()
+            log(LogEvent.LISTENER_HANDOVER, step="succeeded")
+            self._owner.set_accepting(False)
+        else:  # its end, or no process of ours
+            self._drop_successor(successor)
+
+    def _share_listener(self, successor: socket.socket) -> None:
+        split = self._owner.split_descriptors()
+        self._lifecycle.listener_sent(split.released_count)
+        transfer = DescriptorTransfer(split.retained_count, self._owner.known_endpoints())
+        socket.send_fds(successor, [msgspec.json.encode(transfer)], [self._listener.fileno()])
+        log(LogEvent.LISTENER_HANDOVER, step="gave_listener")
+
+    def _drop_successor(self, successor: socket.socket) -> None:
+        if self._successors.remove(successor):
+            log(LogEvent.LISTENER_HANDOVER, step="successor_gone")
+            if not self._successors.has_serving:
+                self._lifecycle.successor_lost()
+                self._address.publish_again()  # the name was the successor's
+                self._owner.set_accepting(True)
+        if not self._successors.sockets():
+            self._lifecycle.successors_disconnected()
--- /dev/null
+++ b/tests/net/test_handover_lifecycle.py
@@ -0,0 +1,73 @@
+"""The states of a process between the process before it and the next, and what others read of them."""
+
+from __future__ import annotations
+
+import threading
+
+import pytest
+
+from tansyladder.net.handover_lifecycle import (
+    PREDECESSOR_TRANSITIONS,
+    SUCCESSOR_TRANSITIONS,
+    HandoverLifecycle,
+    PredecessorState,
+    SuccessorState,
+)
+
+
+def test_every_state_has_its_transitions() -> None:
+    assert set(PREDECESSOR_TRANSITIONS) == set(PredecessorState)
+    assert set(SUCCESSOR_TRANSITIONS) == set(SuccessorState)
+
+
+def test_the_end_of_the_process_before_wakes_those_that_wait_for_it() -> None:
+    lifecycle = HandoverLifecycle()
+    lifecycle.wait_until_predecessor_exits()  # there is none
+    lifecycle.listener_received(150)
+    assert lifecycle.is_predecessor_running
+    waiting = threading.Thread(target=lifecycle.wait_until_predecessor_exits, daemon=True)
+    waiting.start()
+    waiting.join(0.05)
+    assert waiting.is_alive()
+    lifecycle.predecessor_exited()
+    waiting.join(10)
+    assert not waiting.is_alive()
+    assert not lifecycle.is_predecessor_running
+
+
+def test_descriptors_come_back_with_the_connections_and_with_the_end_of_the_process_before() -> None:
+    lifecycle = HandoverLifecycle()
+    lifecycle.listener_received(3)
+    assert lifecycle.remote_descriptor_count == 3
+    lifecycle.connection_received()
+    assert lifecycle.remote_descriptor_count == 1
+    lifecycle.connection_received()
+    assert lifecycle.remote_descriptor_count == 0
+    lifecycle.listener_sent(40)  # to the next process, while the one before drains
+    lifecycle.predecessor_exited()
+    assert lifecycle.remote_descriptor_count == 0
+
+
+def test_a_listener_that_was_sent_stays_shared_when_the_successor_is_lost() -> None:
+    lifecycle = HandoverLifecycle()
+    assert not lifecycle.is_listener_shared
+    lifecycle.listener_sent(40)
+    assert lifecycle.is_listener_shared
+    assert not lifecycle.has_successor
+    lifecycle.successor_serving()
+    lifecycle.listener_sent(30)  # a second process asks
+    assert lifecycle.has_successor
+    lifecycle.successor_lost()
+    assert not lifecycle.has_successor
+    assert lifecycle.is_listener_shared
+    lifecycle.successors_disconnected()
+    assert lifecycle.remote_descriptor_count == 0
+
+
+def test_an_event_that_a_state_does_not_allow_violates_an_invariant() -> None:
+    lifecycle = HandoverLifecycle()
+    with pytest.raises(AssertionError, match="handover_transition"):
+        lifecycle.predecessor_exited()
+    with pytest.raises(AssertionError, match="handover_transition"):
+        lifecycle.successor_lost()
+    assert not lifecycle.is_listener_shared
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -60,7 +60,7 @@
         self._sock.settimeout(10)
         self._sock.connect(str(tmp_path / f"tansyladder-127.0.0.1-{port}.sock"))
         self._sock.sendall(handover_messages.REQUEST_LISTENER)
-        message, descriptors, _, _ = socket.recv_fds(self._sock, listener_handover.MAX_MESSAGE_BYTES, 1)
+        message, descriptors, _, _ = socket.recv_fds(self._sock, handover_messages.MAX_MESSAGE_BYTES, 1)
         msgspec.json.decode(message, type=handover_messages.DescriptorTransfer)
         assert len(descriptors) == 1
         self._listener = socket.socket(fileno=descriptors[0])
