--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -16,8 +16,8 @@
 from tansyladder.net.protocol import RESUME_OFFER_FIELD, RESUME_POSITION_FIELD, RESUME_TOKEN_FIELD, Opening
 from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.net.upstream import UpstreamConnection
+from tansyladder.node.context import NodeContext
 from tansyladder.node.extension_points import ResumableRequest
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.stream import Stream
@@ -40,11 +40,11 @@
     Each session runs in a thread: that of its first request, or one of its own where it is restored.
     """
 
-    def __init__(self, runner: PolicyRunner, registry: SessionRegistry) -> None:
+    def __init__(self, context: NodeContext, registry: SessionRegistry) -> None:
         """`registry`: the sessions of this node."""
-        self._runner = runner
+        self._context = context
         self.registry = registry
-        self._restorer = SessionRestorer(runner, registry)
+        self._restorer = SessionRestorer(context, registry)
         self._takeover: SessionTakeover | None = None  # set once this process has joined its peers
 
     def join_peers(self, service: OwnershipService) -> None:
@@ -52,7 +52,7 @@
         from tansyladder.sessions.takeover import SessionTakeover
 
         ownership = self.registry.join_peers(service)
-        self._takeover = SessionTakeover(self._runner, self.registry, self._restorer, ownership)
+        self._takeover = SessionTakeover(self._context, self.registry, self._restorer, ownership)
 
     # --- new sessions
 
@@ -78,7 +78,7 @@
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
         """Serve a session from its first UP to its end; the client's socket is closed then."""
-        Session(self._runner, self.registry, request, client).run(upstream, request_id)
+        Session(self._context, self.registry, request, client).run(upstream, request_id)
 
     def rotate_keys(self, options: ResumeOptions) -> None:
         """Put the keys of new settings in force."""
@@ -110,7 +110,7 @@
     def _check_is_available(self) -> None:
         """ResumeRejectedError, TokenError: this node resumes no session now."""
         resumes_on_any_node = self.registry.resumes_on_any_node
-        if self._runner.lifecycle.is_draining:
+        if self._context.lifecycle.is_draining:
             if resumes_on_any_node:
                 raise ResumeRejectedError(RETRY_SOON)  # another node claims the session
             raise TokenError(ResumeRejection.DRAINING)
@@ -139,7 +139,7 @@
             release()
             queue.add_client(client)
 
-        registry.token_registry.begin_resume(payload, self._runner.clock.micros(arrived), deliver)
+        registry.token_registry.begin_resume(payload, self._context.clock.micros(arrived), deliver)
         return b""
 
     # --- sessions of other nodes
--- a/tansyladder/sessions/session_restorer.py
+++ b/tansyladder/sessions/session_restorer.py
@@ -9,8 +9,8 @@
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import Opening
+from tansyladder.node.context import NodeContext
 from tansyladder.node.extension_points import ResumableRequest
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd
@@ -23,9 +23,9 @@
 class SessionRestorer:
     """Starts sessions that have neither a client nor a stream host yet. Thread-safe."""
 
-    def __init__(self, runner: PolicyRunner, registry: SessionRegistry) -> None:
+    def __init__(self, context: NodeContext, registry: SessionRegistry) -> None:
         """`registry`: gets the restored sessions."""
-        self._runner = runner
+        self._context = context
         self._registry = registry
 
     def restore_stored(self, session_store: SessionStore, payload: TokenPayload) -> None:
@@ -54,14 +54,14 @@
         """
         registry = self._registry
         queue = ActionQueue()
-        expires_at = self._runner.clock.moment(expires_at_us)
+        expires_at = self._context.clock.moment(expires_at_us)
         try:
             queue.open()
             node_start = ownership_epoch or registry.node_start
             stream = Stream.restored(session_id, registry.memory_budget, registry.options.buffer, node_start)
-            class_number = self._runner.class_numbers[opening.class_name]
+            class_number = self._context.configuration.class_numbers[opening.class_name]
             request = ResumableRequest(queue, class_number, opening, stream)
-            session = Session(self._runner, registry, request)
+            session = Session(self._context, registry, request)
             session.set_expiry(expires_at)
             registry.token_registry.add(session_id, queue, generation_floor, ownership_epoch)
             threading.Thread(target=session.run, name="restored-session", daemon=True).start()
--- a/tansyladder/sessions/takeover.py
+++ b/tansyladder/sessions/takeover.py
@@ -12,8 +12,8 @@
 from tansyladder.net.clock import now
 from tansyladder.net.protocol import Opening
 from tansyladder.net.resuming_client import ResumingClient
+from tansyladder.node.context import NodeContext
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.tokens import TokenPayload
@@ -45,13 +45,13 @@
 
     def __init__(
         self,
-        runner: PolicyRunner,
+        context: NodeContext,
         registry: SessionRegistry,
         restorer: SessionRestorer,
         ownership: OwnershipClient,
     ) -> None:
         """`ownership`: decides on the claims."""
-        self._runner = runner
+        self._context = context
         self._registry = registry
         self._restorer = restorer
         self._ownership = ownership
@@ -110,7 +110,7 @@
         self._restorer.restore(
             payload.session_id, request.opening, payload.generation, payload.expires_at_us, epoch
         )
-        arrived_us = self._runner.clock.micros(request.arrived)
+        arrived_us = self._context.clock.micros(request.arrived)
         token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
         log(LogEvent.SESSION_TAKEN_OVER, tenure=epoch, took=now() - request.arrived)
 
@@ -120,6 +120,6 @@
 
     def _reject(self, request: _Request, answer: bytes) -> None:
         sock = request.client.sock
-        self._runner.metrics.record_outcome(request.opening.class_name, RequestOutcome.of_answer(answer))
+        self._context.metrics.record_outcome(request.opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(sock)
         sockets.shutdown_and_drain(sock, answer)
--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -12,8 +12,6 @@
 from pathlib import Path
 
 from tansyladder.config.operator_settings import ResumeOptions
-from tansyladder.sessions.resumption_handler import ResumptionHandler
-from tansyladder.sessions.session_registry import SessionRegistry
 from tests.node.harness import SETTINGS, Node, Peer, Script, ScriptedServer, running_node
 
 RESUMPTION_OPTIONS = ResumeOptions(enabled=True, expires=timedelta(seconds=60))
@@ -68,13 +66,6 @@
             peer.send_lines(f"F {sent} {line}", f"RS ACK {received}")
 
 
-def session_registry(node: Node) -> SessionRegistry:
-    """The sessions of a node that resumes them."""
-    service = node.runner.session_service
-    assert isinstance(service, ResumptionHandler)
-    return service.registry
-
-
 class SessionClient:
     """A client that offers to resume."""
 
@@ -104,7 +95,7 @@
 
     def lose_connection(self) -> None:
         """Its connection breaks, and the node has noticed."""
-        registry = session_registry(self.node)
+        registry = self.node.session_service.registry
         before = registry.suspended_count
         until = time.monotonic() + 10
         break_connection(self.peer)
