--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -18,6 +18,7 @@
 from tansyladder.config.operator_settings import DocumentsOptions
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
+from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.node.attachable_endpoint_cache import AttachableEndpointCache
 from tansyladder.node.context import NodeContext
 from tansyladder.node.decision_gate import DecisionGate
@@ -34,7 +35,7 @@
     resumption_handler: ResumptionHandler
     endpoint_cache: AttachableEndpointCache
     decision_gate: DecisionGate
-    predecessor_gone: threading.Event
+    handover: ListenerHandover
     state_directory: str | None  # the node's own, which outlives its process
 
 
@@ -47,15 +48,15 @@
         OSError, ValueError, ConfigError: The settings can't be used.
         StoreError: The store can't be read.
     """
-    if member.predecessor_gone.is_set():
-        _join(member)
-    else:
+    if member.handover.is_predecessor_running:
         threading.Thread(target=_join_after_predecessor, args=(member,), name="join", daemon=True).start()
+    else:
+        _join(member)
 
 
 def _join_after_predecessor(member: ClusterMember) -> None:
     """Wait for the end of the process before, then join."""
-    member.predecessor_gone.wait()
+    member.handover.wait_until_predecessor_exits()
     try:
         _join(member)
     except (OSError, ValueError, ConfigError, StoreError) as err:
--- a/tansyladder/invariants.py
+++ b/tansyladder/invariants.py
@@ -14,6 +14,7 @@
     ACTION_QUEUE_TRANSITION_INVALID = "action_queue_transition_invalid"
     CHANGE_RESULT_CONFLICT = "change_result_conflict"  # in the simulation alone
     DECISION_OVERDUE = "decision_overdue"
+    HANDOVER_TRANSITION_INVALID = "handover_transition_invalid"
     PEER_FRAME_TOO_LARGE = "peer_frame_too_large"
     PEER_MESSAGE_UNSUPPORTED = "peer_message_unsupported"
     QUEUE_FULL = "queue_full"
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -59,7 +59,7 @@
         self._sock.settimeout(10)
         self._sock.connect(str(tmp_path / f"tansyladder-127.0.0.1-{port}.sock"))
         self._sock.sendall(handover_messages.REQUEST_LISTENER)
-        message, descriptors, _, _ = socket.recv_fds(self._sock, listener_handover.MAX_MESSAGE_BYTES, 1)
+        message, descriptors, _, _ = socket.recv_fds(self._sock, handover_messages.MAX_MESSAGE_BYTES, 1)
         msgspec.json.decode(message, type=handover_messages.DescriptorTransfer)
         assert len(descriptors) == 1
         self._listener = socket.socket(fileno=descriptors[0])
@@ -233,7 +233,8 @@
     own_handover = handover(tmp_path, 1)
     listener = NodeParts(load_test_config(tmp_path)).new_listener(own_handover)
     changed = threading.Event()
-    monkeypatch.setattr(listener, "set_accepting", lambda _: changed.set())
+    monkeypatch.setattr(listener, "on_successor_serving", changed.set)
+    monkeypatch.setattr(listener, "on_successor_lost", changed.set)
     listener.start()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.settimeout(5)
