--- a/tansyladder/node/connection_acceptor.py
+++ b/tansyladder/node/connection_acceptor.py
@@ -53,7 +53,7 @@
         self._pending = PendingConnections(self._poll, admitter)
         # Closed when no descriptor is left, so that a client can still be accepted and rejected.
         self._reserve_descriptor = os.open(os.devnull, os.O_RDONLY)
-        listener.setblocking(False)
+        listener.settimeout(0)  # it does not block
         self._poll.register(listener, self._listener_events)
         self._poll.register(self._wakeup, select.POLLIN)
 
--- a/tansyladder/node/connection_handler.py
+++ b/tansyladder/node/connection_handler.py
@@ -28,7 +28,6 @@
     """
 
     def __init__(self, runner: PolicyRunner, client: socket.socket, opening: Opening) -> None:
-        """`opening`: the client's first line."""
         self._runner = runner
         self._client = client
         self._opening = opening
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery wrote it, and the numbers under which the policy knows its endpoints."""
+"""The endpoint list as discovery wrote it, and the numbers by which the policy knows its endpoints."""
 
 from __future__ import annotations
 
@@ -35,7 +35,11 @@
 
 
 def parse_entry(entry: EndpointEntry) -> ValidEntry:
-    """Check an entry; ConfigError names the JSON key that can't be used."""
+    """Parse and check an entry.
+
+    Raises:
+        ConfigError: The value of a JSON key is invalid; the error names the key.
+    """
     address = parse_address(entry.address, "host_port")
     state = ENDPOINT_STATES.get(entry.state)
     if state is None:
@@ -46,7 +50,7 @@
 
 
 def valid_entries(entries: Iterable[EndpointEntry]) -> list[ValidEntry]:
-    """The entries that can be used; the others are logged and left out."""
+    """Return the entries that are valid; the others are logged and left out."""
     valid = []
     for entry in entries:
         try:
@@ -62,7 +66,7 @@
     predecessor_list: EndpointList | None,
     clock: Clock,
 ) -> EndpointList:
-    """The newest of the lists that a start may know: configured, stored, or of the process before."""
+    """Return the newest of the lists that a start may know: configured, cached, or the predecessor's."""
     newest = configured
     cached = cache.cached_endpoints() if cache is not None else None
     if cached is not None and cached.endpoints.revision > newest.revision:
@@ -76,7 +80,7 @@
 
 
 class EndpointRegistry:
-    """Numbers endpoints, zones and kinds in the order in which this node hears of them.
+    """Numbers endpoints, zones and kinds in the order in which this node learns of them.
 
     Not thread-safe: the policy runner owns it and calls it under its own lock.
     """
@@ -92,14 +96,14 @@
         self.revision = config.known_endpoints.revision
 
     def find(self, endpoint_id: str) -> EndpointAddress | None:
-        """The endpoint with an id that was on the list once; None: this node never heard of it."""
+        """Return the endpoint with an id; None where it has never been on this node's list."""
         number = self._numbers.get(endpoint_id)
         return self.by_number.get(number) if number is not None else None
 
     def apply(
         self, listed: EndpointList, valid: Iterable[ValidEntry], kind: ListUpdateKind
     ) -> tuple[EndpointUpdate, ...]:
-        """Take a list, or changes of it, in; returns what the policy is told of its valid entries."""
+        """Apply a list, or changes of it; return the updates of its valid entries for the policy."""
         updates = tuple(self._update(entry, address, state) for entry, address, state in valid)
         self.revision = listed.revision
         if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
@@ -112,10 +116,11 @@
         return updates
 
     def as_list(self) -> EndpointList:
-        """The complete list as it is known."""
-        return EndpointList(self.revision, True, list(self._entries.values()))
+        """Return the complete list as this node knows it."""
+        return EndpointList(self.revision, complete=True, endpoints=list(self._entries.values()))
 
     def _update(self, entry: EndpointEntry, address: Address, state: EndpointState) -> EndpointUpdate:
+        """Number an endpoint and keep its address; return its update for the policy."""
         number = self._numbers.setdefault(entry.id, len(self._numbers) + 1)
         self.by_number[number] = EndpointAddress(number, entry.id, address, state)
         started_at_us = 0
@@ -130,6 +135,6 @@
             entry.capacity,
             state,
             started_at_us,
-            # Nodes number endpoints differently, so what all of them agree on is taken from the id.
+            # Nodes number endpoints differently: what they have to agree on is derived from the id.
             zlib.crc32(entry.id.encode()),
         )
--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -1,4 +1,4 @@
-"""Interfaces of the layers above the node, which the operator's settings switch on.
+"""Interfaces of what the layers above the node add to it where the operator's settings say so.
 
 Every method is thread-safe.
 """
@@ -26,7 +26,7 @@
 
     @property
     def saved_at_us(self) -> int:
-        """When it was stored, in microseconds of Unix time."""
+        """When the list was stored, in microseconds of Unix time."""
 
     @property
     def endpoints(self) -> EndpointList:
@@ -34,40 +34,48 @@
 
 
 class EndpointListCache(Protocol):
-    """Stores the endpoint list beyond the process; no method raises."""
+    """Stores the endpoint list for the next process; no method raises."""
 
     def cached_endpoints(self) -> CachedEndpointList | None:
-        """The list that an earlier process stored; None: there is none."""
+        """Return the list that an earlier process stored; None where there is none."""
 
     def save_endpoints(self, listed: EndpointList) -> None:
-        """Store the list as it is after these changes."""
+        """Apply a complete list, or changes, to the stored one."""
 
     def close(self) -> None:
-        """Write what is buffered to the disk, at an orderly end."""
+        """Write what is buffered to the disk, at a graceful shutdown."""
 
 
 class DecisionPermit(Protocol):
-    """The cluster's documents, and whether this node holds a lease to decide under them."""
+    """Says whether this node holds a lease on the cluster's documents, and manages the documents."""
 
     def may_decide(self, connection_id: str = "") -> bool:
-        """Whether the node may decide now; `connection_id`: of the request that it is asked for."""
+        """Return whether the node may decide now; `connection_id`: of the request in question."""
 
     def describe(self) -> str:
-        """The versions in force here, as JSON."""
+        """Return the versions in force at this node, as JSON."""
 
     def publish(self, document: str, idempotency_key: str, path: str) -> str:
-        """Begin to publish a file as a document, on a thread of its own; ValueError says why not."""
+        """Begin to publish a file as a document, on a thread of its own; return the outcome so far.
+
+        Raises:
+            ValueError: The document can't be published; the message says why.
+        """
 
     def change_result(self, idempotency_key: str) -> str:
-        """How a change ended; ValueError: it is not in force, or that is not known."""
+        """Return the outcome of a change that is in force.
+
+        Raises:
+            ValueError: The change is not in force, or its outcome is not known; the message says which.
+        """
 
     def leave(self) -> None:
-        """Release the lease: this node decides nothing any more."""
+        """Release the lease: from now on this node decides nothing."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResumableRequest:
-    """A request whose client offered to resume its session."""
+    """A request whose client has offered to resume its session."""
 
     action_queue: ActionQueue
     class_number: int  # of its service class, as the policy numbers them
@@ -80,26 +88,26 @@
 
     @property
     def token_registry(self) -> Sized:
-        """The tokens of the sessions that this node owns."""
+        """The tokens of the sessions that this node owns; its size is their number."""
 
     def offers_resumption(self, opening: Opening) -> bool:
-        """Whether a client's first line offers to resume its session later."""
+        """Return whether a client's first line offers to resume its session later."""
 
     def new_stream(self) -> Stream:
-        """The positions and the buffer of a new session."""
+        """Return the positions and the replay buffer of a new session."""
 
     def first_line_builder(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """What formats the first line for an endpoint, by how long the node waits."""
+        """Return a function that formats the first line for an endpoint, by how long the node waits."""
 
     def serve(
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
-        """Serve a session from its first UP to its end; the client's socket is closed then."""
+        """Serve a session from its first UP to its end, and close the client's socket."""
 
     def resume(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Hand a client with a token to its session, after a call of `release`; else the rejecting answer."""
+        """Call `release` and hand a client with a token to its session, or return the rejecting answer."""
 
     def rotate_keys(self, options: ResumeOptions) -> None:
         """Put the token keys of new settings in force."""
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -9,20 +9,20 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now, seconds_left
 
-# After the first BUSY to a PING the front end's new connections come for 0.2 s, and it asks each 0.1 s.
+# The front end sends PING each 0.1 s, and new connections for up to 0.2 s after the first BUSY.
 LATE_REQUEST_WINDOW = timedelta(seconds=1)
 
 
 class NodeState(Enum):
-    """What a node is doing, in the words of the operators' call `status`."""
+    """What a node is doing; the value is the operators' word, as `status` answers it."""
 
     STARTING = "starting"
     SERVING = "serving"
     STANDBY = "standby"
-    DRAINING = "draining"  # for good: SIGTERM came
+    DRAINING = "draining"  # after SIGTERM; the last state
 
 
-# From which states each one may be reached; a transition from another state is ignored.
+# The states from which each one can be reached; a transition from another state is ignored.
 ALLOWED_FROM = {
     NodeState.STARTING: (),
     NodeState.SERVING: (NodeState.STARTING, NodeState.STANDBY),
@@ -32,7 +32,7 @@
 
 
 class Lifecycle:
-    """The one state of a node. Thread-safe: the condition guards it, and changes are logged outside it."""
+    """The state of a node. Thread-safe: the condition guards it, and changes are logged outside of it."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
@@ -51,51 +51,51 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether a client that has to leave its endpoint has to leave this node."""
+        """Whether a client that has to leave its endpoint also has to leave this node."""
         return self._state in (NodeState.STANDBY, NodeState.DRAINING)
 
     @property
     def is_ready(self) -> bool:
-        """Whether PING is answered PONG. SIGTERM leaves it so: the platform stops sending by itself."""
+        """Whether PING is answered PONG, also after SIGTERM: then the platform stops sending by itself."""
         return self._state is not NodeState.STANDBY
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether a request is served: in standby only one that was on its way."""
+        """Whether requests are served: in standby only those that were already on their way."""
         return self._state is not NodeState.STANDBY or now() - self._state_since < LATE_REQUEST_WINDOW
 
     def mark_started(self) -> None:
-        """The node accepts clients, unless standby was asked for meanwhile."""
+        """Begin to serve, unless standby was requested meanwhile."""
         self._transition(NodeState.SERVING, only_from=NodeState.STARTING)
 
     def enter_standby(self) -> bool:
-        """Send clients away; False where the node ends anyway. A second call changes nothing."""
+        """Go to standby; return False where the node is draining. A second call changes nothing."""
         self._transition(NodeState.STANDBY)
         return self._state is NodeState.STANDBY
 
     def activate(self) -> bool:
-        """Serve again, also in the middle of a drain to standby; False where the node ends."""
+        """Serve again, also during the drain of a standby; return False where the node is draining."""
         self._transition(NodeState.SERVING, only_from=NodeState.STANDBY)
         return self._state in (NodeState.SERVING, NodeState.STARTING)
 
     def begin_drain(self) -> None:
-        """SIGTERM came, in whatever state."""
+        """Go to the last state, from any other one: SIGTERM was received."""
         self._transition(NodeState.DRAINING)
 
     def wait_for_change(self, since: timedelta, until: timedelta | None = None) -> bool:
-        """Wait until a moment; True as soon as the state that began at `since` is over."""
+        """Wait until a deadline; return True as soon as the state that began at `since` is over."""
         with self._changed:
             timeout = None if until is None else seconds_left(until)
             return self._changed.wait_for(lambda: self._state_since != since, timeout)
 
     def wait_for_state(self, state: NodeState) -> timedelta:
-        """Wait for as long as it takes; returns when the state began."""
+        """Wait for a state without a deadline; return when it began."""
         with self._changed:
             self._changed.wait_for(lambda: self._state is state)
             return self._state_since
 
     def _transition(self, state: NodeState, only_from: NodeState | None = None) -> None:
-        """Change to a state where the table allows it, and `only_from` a given one where one is given."""
+        """Change to a state where the table allows it; `only_from` restricts it to one previous state."""
         with self._changed:
             previous = self._state
             if previous not in ALLOWED_FROM[state] or only_from not in (None, previous):
--- a/tansyladder/node/metrics.py
+++ b/tansyladder/node/metrics.py
@@ -1,7 +1,7 @@
-"""Totals since the start: how each request ended for its client, and how many attempts were made.
+"""Totals since the start: how requests ended for their clients, and how many attempts were made.
 
-A final answer is counted where it is given, once. The lock is held for an addition or a copy, never while
-anything is written.
+Each final answer is counted once, where it is given. The lock is held for an addition or a copy, never for
+any I/O.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 
 class RequestOutcome(Enum):
-    """What a request came to for its client; the value is the key of `stats`."""
+    """How a request ended for its client; the value is the key in the answer to `stats`."""
 
     OK = "ok"  # its connection was established
-    REJECTED = "shed"  # trying again is harmless
+    REJECTED = "shed"  # a retry does no harm
     FAILED = "errors"
     CLIENT_LEFT = "left"  # it disconnected before it had an answer
 
     @classmethod
     def of_answer(cls, answer: bytes) -> RequestOutcome:
-        """What a client makes of a final answer of the node's own."""
+        """Return the outcome for a client that gets this final answer of the node's own."""
         return cls.REJECTED if first_word(answer) == BUSY else cls.FAILED
 
 
 ATTEMPTS_KEY = "tries"
 OUTCOME_KEYS = tuple(outcome.value for outcome in RequestOutcome)
-MAX_CLASSES = 64  # with those that first lines named and no settings know
+MAX_CLASSES = 64  # including those that only clients' first lines name
 
 
 class Metrics:
-    """One node's totals by class; classes that are gone, or that only clients know, have theirs too.
+    """One node's totals by class, including removed classes and those that only clients name.
 
     Thread-safe.
     """
@@ -53,11 +53,11 @@
                 self._class_counter(name)
 
     def record_outcome(self, class_name: str, outcome: RequestOutcome) -> None:
-        """Count a request that has its final answer, or no client to give it to."""
+        """Count a request that has its final answer, or whose client has left."""
         self._increment(class_name, outcome.value)
 
     def record_attempt(self, class_name: str) -> None:
-        """Count an attempt whose last byte was written to an endpoint."""
+        """Count an attempt whose first line was written to an endpoint completely."""
         self._increment(class_name, ATTEMPTS_KEY)
 
     def record_invalid_line(self) -> None:
@@ -65,13 +65,13 @@
         with self._lock:
             self._invalid_line_count += 1
 
-    def record_reload(self, applied: bool) -> None:
-        """Count a configuration that was put in force, or refused, at SIGHUP."""
+    def record_reload(self, *, applied: bool) -> None:
+        """Count a configuration that was read at SIGHUP, and put in force or rejected."""
         with self._lock:
             self._reloads["config_applied" if applied else "config_rejected"] += 1
 
     def totals(self) -> dict[str, object]:
-        """All metrics, by the keys of `stats`."""
+        """Return all metrics, by the keys of `stats`."""
         with self._lock:
             classes = {name: dict(counter) for name, counter in self._classes.items()}
             return {
@@ -83,16 +83,18 @@
             }
 
     def total_counts(self) -> Counter[str]:
-        """The counts by key, over all classes."""
+        """Return the counts by key, summed over all classes."""
         with self._lock:
             return sum(self._classes.values(), Counter[str]())
 
     def _increment(self, class_name: str, key: str) -> None:
+        """Add one to a count of a class; a class beyond MAX_CLASSES counts as an invalid line."""
         with self._lock:
             if class_name not in self._classes and len(self._classes) >= MAX_CLASSES:
-                self._invalid_line_count += 1  # a client that invents names fills no memory
+                self._invalid_line_count += 1  # clients that make up names must not fill the memory
                 return
             self._class_counter(class_name)[key] += 1
 
     def _class_counter(self, class_name: str) -> Counter[str]:
+        """Return the counter of a class, adding it where it is new; called with the lock held."""
         return self._classes.setdefault(class_name, Counter(dict.fromkeys((*OUTCOME_KEYS, ATTEMPTS_KEY), 0)))
--- a/tansyladder/node/policy_timers.py
+++ b/tansyladder/node/policy_timers.py
@@ -13,20 +13,20 @@
 
 
 class PolicyTimers:
-    """When to tell the policy that a timer has expired; every method is called with the lock held."""
+    """The timers that have not expired yet. Every method is called with the policy runner's lock held."""
 
     def __init__(self, lock: threading.Lock) -> None:
-        self._heap: list[tuple[timedelta, int]] = []  # when, and the policy's token
+        self._heap: list[tuple[timedelta, int]] = []  # moment of expiry, and the policy's token
         self._changed = threading.Condition(lock)
 
     def set(self, moment: timedelta, token: int) -> None:
-        """Set a timer; wakes the timer thread where it is the next one to expire."""
+        """Set a timer, and wake the timer thread where it is the next one to expire."""
         heapq.heappush(self._heap, (moment, token))
         if self._heap[0][1] == token:
             self._changed.notify()
 
     def wait_for_expired(self) -> list[TimerExpired]:
-        """Wait, with the lock released meanwhile, until timers have expired; takes them off."""
+        """Wait, with the lock released, until timers have expired; remove and return them."""
         while not self._heap or self._heap[0][0] > now():
             seconds = (self._heap[0][0] - now()).total_seconds() if self._heap else IDLE_WAIT_SECONDS
             self._changed.wait(max(0.0, seconds))
