--- a/tansyladder/node/connection_handler.py
+++ b/tansyladder/node/connection_handler.py
@@ -13,8 +13,9 @@
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import UpstreamConnection
+from tansyladder.node.context import ConnectionServices
+from tansyladder.node.delay_reporting import build_delay_reports
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner, build_delay_reports
 from tansyladder.policy.events import AttemptStatus
 
 # Of a client that was admitted and is rejected by its handler, without an answer of the policy.
@@ -27,12 +28,14 @@
     A subclass says how the connection to an endpoint is established, and calls `_relay` for it.
     """
 
-    def __init__(self, runner: PolicyRunner, client: socket.socket, opening: Opening) -> None:
-        self._runner = runner
+    def __init__(self, services: ConnectionServices, client: socket.socket, opening: Opening) -> None:
+        context = services.context
+        self._services = services
+        self._context = context
         self._client = client
         self._opening = opening
         # The request keeps its class's number, and so its settings; 0 where the settings know no such class.
-        self._class_number = runner.class_numbers.get(opening.class_name, 0)
+        self._class_number = context.configuration.class_numbers.get(opening.class_name, 0)
         self._action_queue = ActionQueue()
         self._request_id = 0  # until the request is registered
         self._is_answered = False  # whether the client has its final answer or has left
@@ -67,11 +70,11 @@
             log(LogEvent.CLIENT_REJECTED, why=err)
             self._answer(RequestOutcome.REJECTED, format_reject(RETRY_AFTER))
             return
-        self._request_id = self._runner.register_request(self._action_queue)
+        self._request_id = self._context.policy.register_request(self._action_queue)
         try:
             self._serve()
         finally:
-            self._runner.unregister_request(self._request_id)
+            self._context.policy.unregister_request(self._request_id)
             self._action_queue.close()
             self._client.close()
 
@@ -83,12 +86,12 @@
             sockets.shutdown_and_drain(self._client, line)
 
     def _record_outcome(self, outcome: RequestOutcome) -> None:
-        self._runner.metrics.record_outcome(self._opening.class_name, outcome)
+        self._context.metrics.record_outcome(self._opening.class_name, outcome)
 
     def _build_relay(self, connection: UpstreamConnection) -> Relay:
         """Return the relay of an established connection; from now on the policy's actions wake it."""
         delay_reports = build_delay_reports(
-            self._runner, self._request_id, connection.attempt, connection.endpoint.number
+            self._context, self._request_id, connection.attempt, connection.endpoint.number
         )
         relay = Relay(
             self._client,
@@ -96,11 +99,11 @@
             self._opening,
             self._action_queue,
             delay_reports,
-            self._runner.listener_handover,
+            self._services.handover,
         )
         self._action_queue.use_callback(relay.wake)
         return relay
 
     def _report_end(self, connection: UpstreamConnection, status: AttemptStatus) -> None:
         """Notify the policy that an established connection has ended."""
-        self._runner.handle_events(connection.attempt_ended(self._request_id, status))
+        self._context.policy.handle_events(connection.attempt_ended(self._request_id, status))
--- a/tansyladder/node/existing_connections.py
+++ b/tansyladder/node/existing_connections.py
@@ -10,15 +10,15 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import EndpointAddress
 from tansyladder.net.clock import MICROSECOND, now
+from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.net.handover_messages import ConnectionState
 from tansyladder.net.protocol import Opening, format_reject
 from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
 from tansyladder.node.attempt_loop import load_hint_of, tenant_of
 from tansyladder.node.connection_handler import RETRY_AFTER, ConnectionHandler
+from tansyladder.node.context import ConnectionServices
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Reject
 from tansyladder.policy.events import AttemptStatus, ConnectionAdopted
 
@@ -34,12 +34,12 @@
         adopted = ConnectionAdopted(
             self._request_id,
             self._class_number,
-            tenant_of(self._runner, opening),
+            tenant_of(self._context, opening),
             endpoint.number,
             opening.key,
             load_hint_of(opening),
         )
-        self._runner.handle_events(adopted)
+        self._context.policy.handle_events(adopted)
 
 
 class AdoptedConnectionHandler(ExistingConnectionHandler):
@@ -47,20 +47,20 @@
 
     def __init__(
         self,
-        runner: PolicyRunner,
+        services: ConnectionServices,
         client: socket.socket,
         opening: Opening,
         upstream: socket.socket,
         state: ConnectionState,
     ) -> None:
         """`upstream`: the socket to the endpoint; `state`: what the predecessor knew of the connection."""
-        super().__init__(runner, client, opening)
+        super().__init__(services, client, opening)
         self._upstream = upstream
         self._state = state
         self._is_answered = True  # by the predecessor
 
     def _serve(self) -> None:
-        endpoint = self._runner.endpoint_by_id(self._state.endpoint_id)
+        endpoint = self._context.policy.endpoint_by_id(self._state.endpoint_id)
         if endpoint is None:
             log(LogEvent.CONNECTION_ADOPTION_FAILED, member=self._state.endpoint_id)
             self._upstream.close()
@@ -79,19 +79,19 @@
 
     def __init__(
         self,
-        runner: PolicyRunner,
+        services: ConnectionServices,
         client: socket.socket,
         opening: Opening,
         deadline: timedelta,
         endpoint_id: str,
     ) -> None:
         """`deadline`: until when attempts are made; `endpoint_id`: what the client's first line names."""
-        super().__init__(runner, client, opening)
+        super().__init__(services, client, opening)
         self._deadline = deadline
         self._endpoint_id = endpoint_id
 
     def _serve(self) -> None:
-        endpoint = self._runner.endpoint_by_id(self._endpoint_id)
+        endpoint = self._context.policy.endpoint_by_id(self._endpoint_id)
         if endpoint is None:
             self._answer_failure(ConnectResult(AttemptStatus.CONNECT_FAILED))
             return
@@ -123,7 +123,7 @@
                 endpoint,
                 self._opening.format_for_endpoint,
                 self._deadline,
-                self._runner.config.settings.connect_timeout_us * MICROSECOND,
+                self._context.configuration.settings.connect_timeout_us * MICROSECOND,
                 self._record_attempt,
             )
             result = connector.open(self._client, self._action_queue)
@@ -137,4 +137,4 @@
                 return result
 
     def _record_attempt(self) -> None:
-        self._runner.metrics.record_attempt(self._opening.class_name)
+        self._context.metrics.record_attempt(self._opening.class_name)
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -14,8 +14,8 @@
 from tansyladder.net.upstream import ClientEnd, UpstreamConnection
 from tansyladder.node.attempt_loop import AttemptLoop, build_request
 from tansyladder.node.connection_handler import ConnectionHandler
+from tansyladder.node.context import ConnectionServices
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.policy_runner import PolicyRunner
 from tansyladder.policy.actions import Fail, Reject
 
 if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
@@ -26,14 +26,14 @@
     """Serves one new request from its first line to the end of its connection."""
 
     def __init__(
-        self, runner: PolicyRunner, client: socket.socket, opening: Opening, deadline: timedelta
+        self, services: ConnectionServices, client: socket.socket, opening: Opening, deadline: timedelta
     ) -> None:
         """`deadline`: by when the client wants its answer."""
-        super().__init__(runner, client, opening)
+        super().__init__(services, client, opening)
         self._deadline = deadline
 
     def _serve(self) -> None:
-        session_service = self._runner.session_service
+        session_service = self._services.session_service
         if session_service is not None and session_service.offers_resumption(self._opening):
             self._serve_resumable(session_service)
         else:
@@ -60,7 +60,7 @@
     def _place(self, first_line: Callable[[timedelta], bytes]) -> UpstreamConnection | None:
         """Follow the policy until a connection is established; else answer the client and return None."""
         attempt_loop = AttemptLoop(
-            self._runner,
+            self._context,
             self._action_queue,
             self._request_id,
             self._opening.class_name,
@@ -69,7 +69,7 @@
             self._client,
         )
         request = build_request(
-            self._runner,
+            self._context,
             self._request_id,
             self._class_number,
             self._opening,
