--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -99,6 +99,11 @@
         """Host and port that operators connect to."""
         return Address(*self._listener.getsockname()[:2])
 
+    @property
+    def caller_count(self) -> int:
+        """Operators' connections that are open. Thread-safe."""
+        return len(self._callers)
+
     def start(self) -> None:
         """Start the threads of the calls and of the drains that `standby` asks for."""
         threading.Thread(target=self._run, name="operator", daemon=True).start()
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -96,6 +96,11 @@
         """Connections that are served at the moment. Thread-safe."""
         return self._admission.active_count
 
+    @property
+    def pending_count(self) -> int:
+        """Connections that have not sent a valid first line yet. Thread-safe."""
+        return self._acceptor.pending_count
+
     def start(self) -> None:
         """Accept clients, and take over from the process before where there is one."""
         self._acceptor_thread.start()
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -150,13 +150,13 @@
         while True:
             is_polling = self._work_queues.discovery_polls.get()
             while is_polling:
-                is_polling = self._poll_once()
+                is_polling = self.poll_once()
                 if is_polling:
                     with contextlib.suppress(queue.Empty):
                         is_polling = self._work_queues.discovery_polls.get_nowait()
 
-    def _poll_once(self) -> bool:
-        """Make one call; False where it failed, and the policy decides when to poll again."""
+    def poll_once(self) -> bool:
+        """Make one call; return False where it failed, and the policy decides when to make the next one."""
         with self._lock:
             http = self._http
             needs_snapshot = self._needs_snapshot
@@ -217,7 +217,7 @@
         if not self._is_agent and listed.endpoints and self._call_interval > SIMULTANEOUS_CALL_INTERVAL:
             # A change answers the polls of all nodes at once. What changes within 200 ms of an answer counts
             # as told: a node that asked later sent to an endpoint that was gone, by a list it never saw.
-            self._wait_for_request(random.uniform(0, 1) * POLL_AGAIN_SPREAD)
+            self._work_queues.wait_for_poll_request(random.uniform(0, 1) * POLL_AGAIN_SPREAD)
         return True
 
     def _handle_failure(self, http: HttpClient, failure: CallFailure) -> bool:
@@ -240,17 +240,12 @@
                 self._state = transitions[self._state]
                 is_polling = self._is_agent or is_first_silence
         if self._is_agent:
-            self._wait_for_request(AGENT_RETRY_INTERVAL)
+            self._work_queues.wait_for_poll_request(AGENT_RETRY_INTERVAL)
         if not is_polling:
             unchanged = EndpointList(revision=self._policy.revision)
             self._policy.update_endpoints(unchanged, ListUpdateKind.FAILED)
         return is_polling
 
-    def _wait_for_request(self, duration: timedelta) -> None:
-        """Wait, unless a new address is named meanwhile: that is to be polled at once."""
-        with contextlib.suppress(queue.Empty):
-            self._work_queues.discovery_polls.get(timeout=duration.total_seconds())
-
 
 def _sleep(duration: timedelta) -> None:
     threading.Event().wait(max(0.0, duration.total_seconds()))
--- a/tansyladder/node/work_queues.py
+++ b/tansyladder/node/work_queues.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+import contextlib
 import queue
 from dataclasses import dataclass, field
+from datetime import timedelta
 from typing import TypeVar
 
 from tansyladder.invariants import check_invariant
@@ -33,6 +35,11 @@
         """Have discovery polled, or not polled any more until the next request."""
         _enqueue(self.discovery_polls, is_polling)
 
+    def wait_for_poll_request(self, timeout: timedelta) -> None:
+        """Wait for a request to poll discovery, which this removes, or until a timeout."""
+        with contextlib.suppress(queue.Empty):
+            self.discovery_polls.get(timeout=timeout.total_seconds())
+
 
 def _enqueue(target: queue.Queue[ItemT], item: ItemT) -> None:
     """Append an item; where the queue is full an invariant is violated, and the item is dropped."""
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -24,12 +24,12 @@
     ScriptedServer,
     answer_up,
     endpoint_entry,
-    ignore,
     load_test_config,
+    read_until_closed,
 )
 from tests.node.program import client_of, program, until_line
 
-STAYS = answer_up(lambda peer: ignore(*iter(peer.read_line, "")))
+STAYS = answer_up(read_until_closed)
 
 
 def echo_lines(peer: Peer) -> None:
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -33,7 +33,7 @@
 from tansyladder.sessions.resumption_handler import ResumptionHandler
 from tansyladder.sessions.session_store import SessionStore, open_session_store
 
-Script = Callable[["Peer"], None]
+Script = Callable[["Peer"], object]
 SETTINGS: dict[str, Any] = {
     "family": "conn",
     "discovery": "on_request",
@@ -51,7 +51,7 @@
 
 
 def unique_id() -> str:
-    """An id that no other connection of these stories has."""
+    """Return an id that no other connection of these tests has."""
     return f"{next(_ids):x}"
 
 
@@ -80,24 +80,35 @@
         self.sock.close()
 
 
-def ignore(*_: object) -> None:
-    """For scripts that only read."""
+def read_until_closed(peer: Peer) -> None:
+    """A script that sends nothing, and ends with the other side's end."""
+    while peer.read_line():
+        pass
 
 
-def answer_up(then: Script | None = None) -> Script:
-    """A stream host's script that brings the connection up."""
+def echo_lines(peer: Peer) -> None:
+    """A script that sends each line back, until the other side's end."""
+    while line := peer.read_line():
+        peer.send_lines(line)
+
+
+def do_nothing(_: Peer) -> None:
+    """A script that ends at once, which closes the connection."""
+
+
+def answer_up(then: Script = do_nothing) -> Script:
+    """Return an endpoint's script that answers the first line with UP."""
 
     def script(peer: Peer) -> None:
         peer.read_line()
         peer.send_lines("UP r1")
-        if then:
-            then(peer)
+        then(peer)
 
     return script
 
 
 class ScriptedServer:
-    """A scripted party: its n-th connection follows the n-th script, the last one again and again."""
+    """A scripted server: its n-th connection follows the n-th script, further ones the last script."""
 
     def __init__(self, *scripts: Script) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -112,10 +123,10 @@
             except OSError:
                 return
             script = self._scripts[min(number, len(self._scripts) - 1)]
-            threading.Thread(target=self._play, args=(script, Peer(sock)), daemon=True).start()
+            threading.Thread(target=self._run_script, args=(script, Peer(sock)), daemon=True).start()
 
     @staticmethod
-    def _play(script: Script, peer: Peer) -> None:
+    def _run_script(script: Script, peer: Peer) -> None:
         try:
             script(peer)
         except (OSError, ValueError):
@@ -137,13 +148,17 @@
         self.events.extend(events)
         return super()._decide(events)
 
+    def events_of(self, kind: type[EventT]) -> list[EventT]:
+        """Return the events of a kind so far."""
+        return [event for event in self.events if isinstance(event, kind)]
+
     def wait_for(self, kind: type[EventT], count: int = 1) -> EventT:
-        """The newest event of a kind, once there are so many."""
-        until = time.monotonic() + 10
-        while time.monotonic() < until:
-            found = [e for e in self.events if isinstance(e, kind)]
-            if len(found) >= count:
-                return found[count - 1]
+        """Wait until there are `count` events of a kind, and return the last of these."""
+        deadline = time.monotonic() + 10
+        while time.monotonic() < deadline:
+            events = self.events_of(kind)
+            if len(events) >= count:
+                return events[count - 1]
             time.sleep(0.005)
         raise AssertionError(f"no {kind.__name__}: {self.events}")
 
@@ -186,7 +201,7 @@
 
 
 class Node:
-    """A node on loopback and the way of a client to it."""
+    """A node on loopback, to which clients can connect."""
 
     def __init__(
         self,
@@ -211,23 +226,23 @@
         return self._session_service
 
     def connect(self) -> Peer:
-        """A client's connection that has sent nothing."""
+        """Connect a client that sends nothing."""
         return Peer(socket.create_connection(self.listener.address, 5))
 
     def open(self, values: str = "c=chat,d=1200,g=5c", key: str = "7f") -> Peer:
-        """A client that has sent a first line with these values."""
+        """Connect a client and send a first line with these fields."""
         client = self.connect()
         client.send_lines(f"OPEN {unique_id()} {key} {values}")
         return client
 
 
 def endpoint_entry(ident: str, address: str, **overrides: Any) -> dict[str, Any]:
-    """An entry of the endpoint list as discovery writes it."""
+    """Return an entry of the endpoint list as discovery writes it."""
     return {"id": ident, "host_port": address, "locality": "a", "flavor": "m", "phase": "up", **overrides}
 
 
 def load_test_config(tmp_path: Path, *members: dict[str, Any], **overrides: Any) -> platform.Config:
-    """A configuration as the platform writes it."""
+    """Write and load a configuration as the platform writes it."""
     file = tmp_path / "config.json"
     document = {
         "name": "n0",
@@ -244,24 +259,24 @@
 
 
 class ScriptedDiscovery:
-    """A scripted discovery that tells one list and keeps what it was asked."""
+    """A scripted discovery that answers each call with one list, and records the calls."""
 
     def __init__(self, revision: int, *members: dict[str, object]) -> None:
         self.calls: list[str] = []
         self.ended = threading.Event()
         self.body = json.dumps({"revision": revision, "complete": True, "members": members})
-        self.listener = ScriptedServer(self._serve)
+        self.listener = ScriptedServer(self.serve)
         self.address = self.listener.address
 
-    def _serve(self, peer: Peer) -> None:
-        first = True
+    def serve(self, peer: Peer) -> None:
+        """Answer the calls of a connection; a poll that is not its first call is left unanswered."""
+        is_first_call = True
         while call := peer.read_line():
             self.calls.append(call)
-            while peer.read_line():
-                pass
-            if "since" in call and not first:
-                break  # a watch that nothing ends but the node
-            first = False
+            read_until_closed(peer)  # the headers, up to the empty line
+            if "since" in call and not is_first_call:
+                break  # only the node ends this poll
+            is_first_call = False
             peer.sock.sendall(
                 f"HTTP/1.1 200 OK\r\nContent-Length: {len(self.body)}\r\n\r\n{self.body}".encode()
             )
--- a/tests/node/program.py
+++ b/tests/node/program.py
@@ -20,7 +20,7 @@
 
 
 def until_line(run: subprocess.Popen[bytes], start: bytes) -> None:
-    """Read the program's log up to a line."""
+    """Read the program's log up to a line that begins with `start`."""
     assert run.stderr is not None
     for line in run.stderr:
         if line.startswith(start):
@@ -34,16 +34,23 @@
     hosts: ScriptedServer | list[ScriptedServer],
     *before: str,
     words: tuple[str, ...] = (),
-    **over: object,
+    **overrides: object,
 ) -> Iterator[tuple[subprocess.Popen[bytes], int]]:
-    """The real program in its release build, and its port."""
+    """Run the real program in its release build; yield its process and its port.
+
+    Args:
+        tmp_path: Where its configuration is written.
+        hosts: The endpoints that it knows.
+        before: The command that runs the program's command.
+        words: The program's arguments.
+        overrides: Of the configuration.
+    """
     hosts = hosts if isinstance(hosts, list) else [hosts]
     with socket.create_server(("127.0.0.1", 0)) as spare:
         port = spare.getsockname()[1]
-    read = load_test_config(
-        tmp_path, *(endpoint_entry(f"s{i}", h.address) for i, h in enumerate(hosts)), **over
-    )
-    discovery = "{}:{}".format(*read.discovery)
+    entries = [endpoint_entry(f"s{index}", host.address) for index, host in enumerate(hosts)]
+    config = load_test_config(tmp_path, *entries, **overrides)
+    discovery = "{}:{}".format(*config.discovery)
     env = {
         **os.environ,
         "GW_CONFIG": str(tmp_path / "config.json"),
@@ -57,11 +64,11 @@
             until_line(run, b"event=started")
             yield run, port
         finally:
-            run.kill()  # a story that fails must not wait for the program's end
+            run.kill()  # a test that fails must not wait for the program's end
 
 
 def client_of(port: int, key: str = "7f") -> Peer:
-    """A client of the program that has sent its first line."""
+    """Connect a client to the program and send its first line."""
     client = Peer(socket.create_connection(("127.0.0.1", port), 5))
     client.send_lines(f"OPEN {unique_id()} {key} c=chat,d=1200,g=5c")
     return client
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -1,10 +1,11 @@
-"""The operators' address, the node's figures, standby and the way back, over loopback."""
+"""The admin server over loopback: its calls, the node's metrics, standby and the return from it."""
 
 from __future__ import annotations
 
 import json
 import socket
 import threading
+from collections import Counter
 from collections.abc import Iterator
 from contextlib import contextmanager
 from datetime import timedelta
@@ -19,32 +20,31 @@
 from tansyladder.node.decision_gate import DecisionGate
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.policy.events import ClientDisconnected
-from tests.node.harness import SETTINGS, Node, Peer, ScriptedServer, answer_up, running_node
+from tests.node.harness import (
+    SETTINGS,
+    Node,
+    Peer,
+    ScriptedServer,
+    answer_up,
+    echo_lines,
+    read_until_closed,
+    running_node,
+)
 
 CHAT = SETTINGS["classes"][0]
 
 
-def read_until_closed(peer: Peer) -> None:
-    """A member's script behind UP: it says nothing more, until the node ends the connection."""
-    while peer.read_line():
-        pass
-
-
-def echo(peer: Peer) -> None:
-    while line := peer.read_line():
-        peer.send_lines(line)
-
-
 class AdministeredNode(Node):
-    """A node, and the operators' way to it."""
+    """A node with an admin server."""
 
     admin_server: AdminServer
 
     def connect_operator(self) -> Peer:
+        """Connect an operator who sends nothing."""
         return Peer(socket.create_connection(self.admin_server.address, 5))
 
     def call(self, line: bytes) -> list[str]:
-        """The answer's lines, up to the end of the connection."""
+        """Make a call, and return the lines of its answer."""
         caller = self.connect_operator()
         caller.sock.sendall(line)
         lines = list(iter(caller.read_line, ""))
@@ -52,15 +52,19 @@
         return lines
 
     def stats(self) -> dict[str, Any]:
-        metrics, dot = self.call(b"stats\r\n")
-        assert dot == "."
-        read: dict[str, Any] = json.loads(metrics)
-        return read
+        """Return the metrics that the call `stats` answers."""
+        metrics, last_line = self.call(b"stats\r\n")
+        assert last_line == "."
+        parsed: dict[str, Any] = json.loads(metrics)
+        return parsed
 
 
 @contextmanager
-def administered_node(tmp_path: Path, *members: ScriptedServer, **over: Any) -> Iterator[AdministeredNode]:
-    with running_node(tmp_path, *members, **over) as node:
+def administered_node(
+    tmp_path: Path, *members: ScriptedServer, **overrides: Any
+) -> Iterator[AdministeredNode]:
+    """Run a node that knows these endpoints, with an admin server."""
+    with running_node(tmp_path, *members, **overrides) as node:
         administered = AdministeredNode(node.parts, node.listener)
         administered.admin_server = AdminServer(
             node.context, DecisionGate(requires_lease=False), node.listener, Address("127.0.0.1", 0)
@@ -71,13 +75,20 @@
 
 
 def ping(node: Node) -> str:
-    front = node.connect()
-    front.send_lines("PING")
-    answer = front.read_line()
-    front.close()
+    """Send a PING on a connection of its own, and return the answer."""
+    front_end = node.connect()
+    front_end.send_lines("PING")
+    answer = front_end.read_line()
+    front_end.close()
     return answer
 
 
+def shorten_drains(monkeypatch: pytest.MonkeyPatch, **seconds: float) -> None:
+    """Set spans of drains, by the names of their constants."""
+    for name, value in seconds.items():
+        monkeypatch.setattr(connection_drainer, name, timedelta(seconds=value))
+
+
 @pytest.mark.parametrize(
     ("line", "answer"),
     [
@@ -93,8 +104,8 @@
 )
 def test_each_call_has_its_answer_and_a_fault_its_reason(tmp_path: Path, line: bytes, answer: str) -> None:
     with administered_node(tmp_path, ScriptedServer(answer_up(read_until_closed))) as node:
-        (said,) = node.call(line)
-        assert said.startswith(answer)
+        (received,) = node.call(line)
+        assert received.startswith(answer)
         assert ping(node) == "PONG"
 
 
@@ -104,95 +115,105 @@
         for caller in idle[MAX_CALLERS:]:
             caller.sock.sendall(b"stat")
         assert node.call(b"status\r\n") == ["+OK serving"]
-        assert (
-            len(node.admin_server._callers) <= MAX_CALLERS
-        )  # who came first is gone, and costs nothing any more
+        # The first callers have been closed.
+        assert node.admin_server.caller_count <= MAX_CALLERS
         assert [caller.read_line() for caller in idle[:MAX_CALLERS]] == [""] * MAX_CALLERS
         for caller in idle:
             caller.close()
 
 
-def test_every_outcome_is_counted_once(tmp_path: Path) -> None:
-    """Brought up, turned away by the module and at the limit, failed, left: as the clients saw it."""
+class OutcomeServer(ScriptedServer):
+    """An endpoint that answers ERR to the keys `f` and `e` and UP to all others, and counts first lines."""
 
-    received_lines: list[str] = []
+    def __init__(self) -> None:
+        self.received_lines: list[str] = []
+        super().__init__(self._answer_by_key)
 
-    def by_key(peer: Peer) -> None:
-        received_lines.append(line := peer.read_line())
+    def _answer_by_key(self, peer: Peer) -> None:
+        self.received_lines.append(line := peer.read_line())
         if " f " in line or " e " in line:
             peer.send_lines("ERR")
         else:
             peer.send_lines("UP r1")
             read_until_closed(peer)
 
-    unsafe = CHAT | {"name": "once", "effect": "non_idempotent"}
-    settings = SETTINGS | {"classes": [CHAT, unsafe]}
+
+def open_with_id(node: Node, connection_id: str) -> Peer:
+    """Connect a client that names its connection's id."""
+    client = node.connect()
+    client.send_lines(f"OPEN {connection_id} 7 c=chat,d=1200")
+    return client
+
+
+def test_every_outcome_is_counted_once(tmp_path: Path) -> None:
+    """Established, rejected by the policy and at the limit, failed, disconnected: as the clients saw it."""
+    endpoint = OutcomeServer()
+    not_idempotent = CHAT | {"name": "once", "effect": "non_idempotent"}
+    settings = SETTINGS | {"classes": [CHAT, not_idempotent]}
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
-    with administered_node(tmp_path, ScriptedServer(by_key), settings=settings, limits=limits) as node:
-        standing = [node.open(key="7") for _ in range(3)]
-        assert [client.read_line() for client in standing] == ["UP r1"] * 3
+    with administered_node(tmp_path, endpoint, settings=settings, limits=limits) as node:
+        established = [node.open(key="7") for _ in range(3)]
+        assert [client.read_line() for client in established] == ["UP r1"] * 3
         failed = node.open("c=once,d=1200", key="f")
         assert failed.read_line() == "ERR"  # it may have run, and must not run again
-        refused = node.open("c=chat,d=300", key="e")
-        assert refused.read_line().startswith("BUSY")
-        taken = node.connect()
-        taken.send_lines("OPEN ab 7 c=chat,d=1200")
-        assert taken.read_line() == "UP r1"
-        twice = node.connect()
-        twice.send_lines("OPEN ab 7 c=chat,d=1200")
-        assert twice.read_line() == "ERR"
-        nobody = node.open("c=gone,d=1200")
-        assert nobody.read_line() == "ERR"
+        rejected = node.open("c=chat,d=300", key="e")
+        assert rejected.read_line().startswith("BUSY")
+        first = open_with_id(node, "ab")
+        assert first.read_line() == "UP r1"
+        duplicate = open_with_id(node, "ab")
+        assert duplicate.read_line() == "ERR"
+        unknown_class = node.open("c=gone,d=1200")
+        assert unknown_class.read_line() == "ERR"
         crowd = [node.open("c=once,d=1200", key="7") for _ in range(40)]
-        words = [client.read_line().split()[0] for client in crowd]
-        assert words.count("BUSY") > 0
-        metrics = node.stats()
-        chat, once = metrics["responses"]["chat"], metrics["responses"]["once"]
-        assert (chat["ok"], chat["shed"], chat["errors"]) == (4, 1, 1)
-        assert (once["ok"], once["shed"], once["errors"]) == (words.count("UP"), words.count("BUSY"), 1)
-        assert metrics["tries"] == chat["tries"] + once["tries"] == len(received_lines) > 4
-        assert metrics["responses"]["gone"]["errors"] == 1
-        assert metrics["pool_size"] == 1
-        # The two that were told of their failure may not be off the books yet.
-        assert 0 <= metrics["active"] - (4 + words.count("UP")) <= 2
-        for client in (*standing, failed, refused, taken, twice, nobody, *crowd):
+        answers = Counter(client.read_line().split()[0] for client in crowd)
+        assert answers["BUSY"] > 0
+        check_outcomes(node.stats(), endpoint, answers)
+        for client in (*established, failed, rejected, first, duplicate, unknown_class, *crowd):
             client.close()
 
 
+def check_outcomes(metrics: dict[str, Any], endpoint: OutcomeServer, answers: Counter[str]) -> None:
+    """Compare the metrics with what the clients and the endpoint saw; `answers`: of the crowd."""
+    chat, once = metrics["responses"]["chat"], metrics["responses"]["once"]
+    assert (chat["ok"], chat["shed"], chat["errors"]) == (4, 1, 1)
+    assert (once["ok"], once["shed"], once["errors"]) == (answers["UP"], answers["BUSY"], 1)
+    assert metrics["tries"] == chat["tries"] + once["tries"] == len(endpoint.received_lines) > 4
+    assert metrics["responses"]["gone"]["errors"] == 1
+    assert metrics["pool_size"] == 1
+    # The connections of the two that have failed may still be counted.
+    assert 0 <= metrics["active"] - (4 + answers["UP"]) <= 2
+
+
 def test_clients_that_left_and_that_a_drain_rejected_are_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for name, span in (("LATE_ARRIVAL_WINDOW", 0.01), ("STANDBY_DRAIN_DURATION", 0.05)):
-        monkeypatch.setattr(connection_drainer, name, timedelta(seconds=span))
-    came, free = threading.Semaphore(0), threading.Event()
+    shorten_drains(monkeypatch, LATE_ARRIVAL_WINDOW=0.01, STANDBY_DRAIN_DURATION=0.05)
+    received, released = threading.Semaphore(0), threading.Event()
 
-    def holds(peer: Peer) -> None:
+    def hold_request(peer: Peer) -> None:
         peer.read_line()
-        came.release()
-        free.wait(10)
-
-    with administered_node(tmp_path, ScriptedServer(holds), ScriptedServer(holds)) as node:
-        leaves, stays_on = node.open(key="1"), node.open(key="2")
-        assert came.acquire(timeout=5)
-        assert came.acquire(timeout=5)
-        leaves.close()
+        received.release()
+        released.wait(10)
+
+    with administered_node(tmp_path, ScriptedServer(hold_request), ScriptedServer(hold_request)) as node:
+        leaving, waiting = node.open(key="1"), node.open(key="2")
+        assert received.acquire(timeout=5)
+        assert received.acquire(timeout=5)
+        leaving.close()
         node.runner.wait_for(ClientDisconnected)
         assert node.call(b"standby\r\n") == ["+OK standby"]
-        assert stays_on.read_line().startswith("BUSY")
+        assert waiting.read_line().startswith("BUSY")
         chat = node.stats()["responses"]["chat"]
         assert (chat["left"], chat["shed"], chat["ok"], chat["errors"]) == (1, 1, 0, 0)
-        free.set()
-        stays_on.close()
+        released.set()
+        waiting.close()
 
 
 @pytest.mark.parametrize(
     ("steps", "phase", "answers"),
     [
-        (
-            ["enter_standby", "mark_started"],
-            "standby",
-            [True, None],
-        ),  # asked for during the start: it comes up so
+        # Requested during the start: the node is in standby once it has started.
+        (["enter_standby", "mark_started"], "standby", [True, None]),
         (["activate", "mark_started"], "serving", [True, None]),
         (["mark_started", "enter_standby", "enter_standby", "activate"], "serving", [None, True, True, True]),
         (["mark_started", "enter_standby", "begin_drain", "activate"], "draining", [None, True, None, False]),
@@ -207,7 +228,7 @@
 
 
 def test_sigterm_in_standby_ends_the_node(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(seconds=0.01))
+    shorten_drains(monkeypatch, LATE_ARRIVAL_WINDOW=0.01)
     with administered_node(tmp_path, ScriptedServer(answer_up(read_until_closed))) as node:
         client = node.open()
         assert client.read_line() == "UP r1"
@@ -224,12 +245,9 @@
 def test_standby_migrates_all_answers_busy_and_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for name, span in (
-        ("LATE_ARRIVAL_WINDOW", 0.05),
-        ("LAST_MIGRATION_MARGIN", 0.05),
-        ("STANDBY_DRAIN_DURATION", 0.3),
-    ):
-        monkeypatch.setattr(connection_drainer, name, timedelta(seconds=span))
+    shorten_drains(
+        monkeypatch, LATE_ARRIVAL_WINDOW=0.05, LAST_MIGRATION_MARGIN=0.05, STANDBY_DRAIN_DURATION=0.3
+    )
     with administered_node(tmp_path, ScriptedServer(answer_up(read_until_closed))) as node:
         clients = [node.open() for _ in range(6)]
         assert [client.read_line() for client in clients] == ["UP r1"] * 6
@@ -238,33 +256,30 @@
         assert idle_front_end.read_line() == "PONG"
         assert node.call(b"standby\r\n") == node.call(b"standby\r\n") == ["+OK standby"]
         idle_front_end.send_lines("PING")
-        assert [idle_front_end.read_line(), idle_front_end.read_line()] == [
-            "BUSY",
-            "",
-        ]  # the front keeps no connection here
+        # A front end has no connection to a node in standby.
+        assert [idle_front_end.read_line(), idle_front_end.read_line()] == ["BUSY", ""]
         late = node.open()
-        assert late.read_line() == "UP r1"  # who was on the way is served, and moved like the others
+        assert late.read_line() == "UP r1"  # a request that was on its way is served, then migrated
         assert [client.read_line() for client in (*clients, late)] == ["MOVE"] * 7
         assert node.call(b"status\r\n") == ["-ERR standby"]
         assert ping(node) == "BUSY"
         monkeypatch.setattr("tansyladder.node.lifecycle.LATE_REQUEST_WINDOW", timedelta(0))
-        refused = node.open()
-        assert refused.read_line().startswith("BUSY")
+        rejected = node.open()
+        assert rejected.read_line().startswith("BUSY")
         assert node.call(b"active\r\n") == node.call(b"active\r\n") == ["+OK serving"]
         assert ping(node) == "PONG"
         again = node.open()
         assert again.read_line() == "UP r1"
-        for client in (idle_front_end, late, refused, again, *clients):
+        for client in (idle_front_end, late, rejected, again, *clients):
             client.close()
 
 
 def test_active_in_the_middle_of_a_drain_keeps_the_other_connections(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(
-        connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(seconds=30)
-    )  # the moves would begin then
-    with administered_node(tmp_path, ScriptedServer(answer_up(echo))) as node:
+    # Migrations would begin after that time.
+    monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(seconds=30))
+    with administered_node(tmp_path, ScriptedServer(answer_up(echo_lines))) as node:
         client = node.open()
         assert client.read_line() == "UP r1"
         assert node.call(b"standby\r\n") == ["+OK standby"]
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import os
 import signal
 import socket
@@ -12,35 +13,35 @@
 
 import pytest
 
-from tansyladder.policy.events import (
-    AttemptEnded,
-)
+from tansyladder.node.connection_acceptor import ConnectionAcceptor
+from tansyladder.policy.events import AttemptEnded
 from tests.node.harness import (
     NodeParts,
     Peer,
     ScriptedDiscovery,
     ScriptedServer,
     answer_up,
+    echo_lines,
     endpoint_entry,
-    ignore,
     load_test_config,
+    read_until_closed,
     running_node,
     unique_id,
 )
 from tests.node.program import client_of, program, until_line
 
+SMALL_LIMITS = {"cores": 1, "memory_mb": 32, "sockets": 256}
+
 
 def test_over_its_limit_the_node_rejects(tmp_path: Path) -> None:
     limits = {"cores": 1, "memory_mb": 192, "sockets": 34}
-    with running_node(
-        tmp_path, ScriptedServer(answer_up(lambda peer: ignore(peer.read_line()))), limits=limits
-    ) as node:
+    with running_node(tmp_path, ScriptedServer(answer_up(Peer.read_line)), limits=limits) as node:
         clients = [node.open() for _ in range(3)]
-        assert sorted(c.read_line().split()[0] for c in clients) == ["BUSY", "UP", "UP"]
+        assert sorted(client.read_line().split()[0] for client in clients) == ["BUSY", "UP", "UP"]
 
 
 def test_out_of_descriptors_clients_are_rejected_and_the_node_goes_on(tmp_path: Path) -> None:
-    host = ScriptedServer(answer_up(lambda peer: ignore(*iter(peer.read_line, ""))))
+    host = ScriptedServer(answer_up(read_until_closed))
     with program(tmp_path, host, "sh", "-c", 'ulimit -n 32; exec "$@"', "sh") as (run, port):
         clients = [client_of(port) for _ in range(40)]
         words = [client.read_line().split()[0] for client in clients]
@@ -59,21 +60,23 @@
 
 
 def test_idle_clients_leave_discovery_and_attempts_their_descriptors(tmp_path: Path) -> None:
-    """They may fill the table while discovery is down; its return is heard all the same."""
-    host = ScriptedServer(answer_up(lambda peer: ignore(*iter(peer.read_line, ""))))
-    later = ScriptedDiscovery(9, endpoint_entry("s0", host.address))
-    gate = socket.socket()
-    gate.bind(("127.0.0.1", 0))  # refuses until it listens
-    limits = {"cores": 1, "memory_mb": 32, "sockets": 96}
-    over: dict[str, Any] = {"discovery": f"127.0.0.1:{gate.getsockname()[1]}", "limits": limits}
-    with program(tmp_path, host, "sh", "-c", 'ulimit -n 96; exec "$@"', "sh", **over) as (run, port):
+    """They may fill the table while discovery is down; its new list must arrive all the same."""
+    host = ScriptedServer(answer_up(read_until_closed))
+    service = ScriptedDiscovery(9, endpoint_entry("s0", host.address))
+    discovery = socket.socket()
+    discovery.bind(("127.0.0.1", 0))  # connects are refused until it listens
+    overrides: dict[str, Any] = {
+        "discovery": f"127.0.0.1:{discovery.getsockname()[1]}",
+        "limits": {"cores": 1, "memory_mb": 32, "sockets": 96},
+    }
+    with program(tmp_path, host, "sh", "-c", 'ulimit -n 96; exec "$@"', "sh", **overrides) as (run, port):
         until_line(run, b"event=discovery_failed")
         clients = [client_of(port, unique_id()) for _ in range(30)]
         assert {client.read_line().split()[0] for client in clients} == {"UP", "BUSY"}  # the table is full
         idle = [socket.create_connection(("127.0.0.1", port), 5) for _ in range(60)]
-        gate.listen()
-        sock, _ = gate.accept()
-        threading.Thread(target=later._serve, args=(Peer(sock),), daemon=True).start()
+        discovery.listen()
+        sock, _ = discovery.accept()
+        threading.Thread(target=service.serve, args=(Peer(sock),), daemon=True).start()
         until_line(run, b"event=endpoints_updated revision=9")
         for client in clients:
             client.close()
@@ -81,29 +84,53 @@
             silent.close()
 
 
+class ExhaustedListener(socket.socket):
+    """A listener that finds no descriptor for a connection; some attempts later its acceptor is stopped."""
+
+    accept_count = 0
+    acceptor: ConnectionAcceptor
+
+    def accept(self) -> tuple[socket.socket, Any]:
+        """Fail, as where the process has used up its descriptors."""
+        self.accept_count += 1
+        if self.accept_count == 4:  # two for each client: one to serve it, one to reject it
+            self.acceptor.stop()
+        raise OSError(errno.EMFILE, "no descriptor")
+
+
 def test_the_reserve_descriptor_is_closed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Where it could not be had again, its old number was closed anew: by then it may be a client's."""
-    listener = NodeParts(load_test_config(tmp_path)).new_listener()
+    """Where it could not be opened again, its number was closed twice: by then it may be a client's."""
+    admitter = NodeParts(load_test_config(tmp_path)).new_listener()
+    listener = ExhaustedListener(fileno=socket.create_server(("127.0.0.1", 0)).detach())
+    listener.acceptor = ConnectionAcceptor(listener, 1, admitter)
+    close = os.close
     closed: list[int] = []
 
-    def none_left(*_: object) -> int:
-        raise OSError("none left")
+    def fail_to_open(*_: object) -> int:
+        raise OSError(errno.EMFILE, "no descriptor")
+
+    def record_close(descriptor: int) -> None:
+        if threading.current_thread() is threading.main_thread():
+            closed.append(descriptor)
+        else:  # of an earlier test's node
+            close(descriptor)
 
-    with monkeypatch.context() as patch:
-        patch.setattr(os, "open", none_left)
-        patch.setattr(os, "close", closed.append)
-        listener._acceptor._handle_descriptor_exhaustion()
-        listener._acceptor._handle_descriptor_exhaustion()
+    with socket.create_connection(listener.getsockname()), monkeypatch.context() as patch:
+        patch.setattr(os, "open", fail_to_open)
+        patch.setattr(os, "close", record_close)
+        listener.acceptor.run()
+    assert listener.accept_count >= 4
     assert len(closed) == 1
     os.close(closed[0])
-    listener.stop_listening()
+    listener.close()
+    admitter.stop_listening()
 
 
 def test_an_id_that_is_open_is_not_opened_again(tmp_path: Path) -> None:
     """A second client with it would share its registration; the first one must not notice."""
     with running_node(
         tmp_path,
-        ScriptedServer(answer_up(lambda peer: ignore(*map(peer.send_lines, iter(peer.read_line, ""))))),
+        ScriptedServer(answer_up(echo_lines)),
     ) as node:
         client, other = node.connect(), node.connect()
         client.send_lines("OPEN ab 7f c=chat,d=1200")
@@ -116,16 +143,16 @@
         node.runner.wait_for(AttemptEnded)
         again = node.connect()
         again.send_lines("OPEN ab 7f c=chat,d=1200")
-        assert again.read_line() in ("UP r1", "ERR")  # its last thread may be on its way out
+        assert again.read_line() in ("UP r1", "ERR")  # the first one's thread may not have ended yet
 
 
 def test_a_dripping_first_line_is_answered_with_an_error_in_time(tmp_path: Path) -> None:
-    """Each byte used to start the wait of 5 s anew for a silent one; 3 s are owed from the accept on."""
+    """Each byte used to begin the wait of 5 s anew; an answer is due 3 s after the accept."""
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
-        slow, quiet, half = node.connect(), node.connect(), node.connect()
+        slow, silent, partial = node.connect(), node.connect(), node.connect()
         start = time.monotonic()
-        half.sock.sendall(b"OPEN 1 7f c=ch")
-        half.close()
+        partial.sock.sendall(b"OPEN 1 7f c=ch")
+        partial.close()
         while time.monotonic() - start < 8:
             try:
                 slow.sock.sendall(b"x")
@@ -134,40 +161,34 @@
             time.sleep(0.05)
         assert time.monotonic() - start < 6
         assert slow.read_line() == "ERR"
-        assert quiet.read_line() == "ERR"
-        whole = node.connect()
+        assert silent.read_line() == "ERR"
+        complete = node.connect()
         for part in (b"OPEN 12 7f c=cha", b"t,d=1200", b"\r", b"\n"):
-            whole.sock.sendall(part)
+            complete.sock.sendall(part)
             time.sleep(0.02)
-        assert whole.read_line() == "UP r1"
+        assert complete.read_line() == "UP r1"
 
 
 def test_hundreds_of_silent_connections_take_nothing_from_a_client(tmp_path: Path) -> None:
-    """Each held a place, a thread and descriptors for 5 s, and clients were turned away for them."""
-    limits = {"cores": 1, "memory_mb": 32, "sockets": 256}
-    with running_node(
-        tmp_path, ScriptedServer(answer_up(lambda peer: ignore(peer.read_line()))), limits=limits
-    ) as node:
+    """Each had a thread and descriptors for 5 s, and clients were rejected for want of them."""
+    with running_node(tmp_path, ScriptedServer(answer_up(Peer.read_line)), limits=SMALL_LIMITS) as node:
         before = threading.active_count()
         silent = [node.connect() for _ in range(60)]
-        for start in (b"OPEN 1 7f c=", b"PING\r\n"):  # no better than none: each new client was the one to go
+        for start in (b"OPEN 1 7f c=", b"PING\r\n"):  # they count as silent too
             for _ in range(60):
                 silent.append(node.connect())
                 silent[-1].sock.sendall(start)
         clients = [node.open() for _ in range(20)]
-        assert [c.read_line() for c in clients] == ["UP r1"] * 20
-        assert threading.active_count() - before <= 2 * 20 + 2  # these clients', and their members' scripts
-        # The oldest went, and not without a word: its line might have come in that instant.
+        assert [client.read_line() for client in clients] == ["UP r1"] * 20
+        assert threading.active_count() - before <= 2 * 20 + 2  # of these clients, and of their endpoints
+        # The oldest one was evicted with an answer, as its line might have arrived just then.
         assert [silent[0].read_line() for _ in range(2)] == ["BUSY 200", ""]
-        assert node.listener._acceptor.pending_count <= 256 // 6
+        assert node.listener.pending_count <= 256 // 6
 
 
 def test_a_crowd_that_connects_before_it_sends_is_served(tmp_path: Path) -> None:
-    """The first ones were taken for silent within milliseconds, and closed for those behind them."""
-    limits = {"cores": 1, "memory_mb": 32, "sockets": 256}
-    with running_node(
-        tmp_path, ScriptedServer(answer_up(lambda peer: ignore(peer.read_line()))), limits=limits
-    ) as node:
+    """The first ones counted as silent within milliseconds, and were closed for those behind them."""
+    with running_node(tmp_path, ScriptedServer(answer_up(Peer.read_line)), limits=SMALL_LIMITS) as node:
         clients = [node.connect() for _ in range(60)]
         for client in clients:
             client.send_lines(f"OPEN {unique_id()} {unique_id()} c=chat,d=5000")
@@ -175,10 +196,10 @@
 
 
 def test_a_flood_is_cut_off_and_delays_no_other(tmp_path: Path) -> None:
-    """A line without an end was read away for as long as its sender liked to send."""
+    """A line without an end was discarded for as long as its sender went on."""
     with running_node(
         tmp_path,
-        ScriptedServer(answer_up(lambda peer: ignore(*map(peer.send_lines, iter(peer.read_line, ""))))),
+        ScriptedServer(answer_up(echo_lines)),
     ) as node:
         flood = node.connect()
 
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -24,21 +24,22 @@
     Peer,
     ScriptedServer,
     answer_up,
-    ignore,
+    echo_lines,
+    read_until_closed,
     running_node,
 )
 
 
 def test_a_connection_that_ends_with_bye_is_no_failure(tmp_path: Path) -> None:
-    """BYE and the end came out as a reset, as success is 0; the module marked a sound member."""
+    """BYE and the end counted as a reset, as success is 0; the policy ejected a healthy endpoint."""
 
-    def whole_life(peer: Peer) -> None:
+    def send_up_and_bye(peer: Peer) -> None:
         peer.read_line()
         peer.send_lines("UP r1", "BYE")
 
-    host = ScriptedServer(answer_up(lambda peer: peer.send_lines("BYE")), whole_life)
-    with running_node(tmp_path, host) as node:
-        for count in (1, 2):  # the second member's whole life comes in one read
+    endpoint = ScriptedServer(answer_up(lambda peer: peer.send_lines("BYE")), send_up_and_bye)
+    with running_node(tmp_path, endpoint) as node:
+        for count in (1, 2):  # all of the second connection's lines arrive in one read
             client = node.open()
             assert [client.read_line() for _ in range(3)] == ["UP r1", "BYE", ""]
             assert node.runner.wait_for(AttemptEstablished, count).endpoint_id == 1
@@ -48,13 +49,12 @@
 
 
 def test_lines_are_relayed_both_ways_and_a_silent_endpoint_times_out(tmp_path: Path) -> None:
-    def echo_once(peer: Peer) -> None:
+    def echo_one_line(peer: Peer) -> None:
         peer.send_lines(peer.read_line())
-        while peer.read_line():
-            pass
+        read_until_closed(peer)
 
     with running_node(
-        tmp_path, ScriptedServer(answer_up(echo_once)), settings=SETTINGS | {"extra": {}}
+        tmp_path, ScriptedServer(answer_up(echo_one_line)), settings=SETTINGS | {"extra": {}}
     ) as node:
         client = node.open()
         assert client.read_line() == "UP r1"
@@ -98,21 +98,21 @@
         answers = list(iter(client.read_line, ""))
         assert answers[-1] == "ERR"
         assert set(answers[:-1]) <= {"PONG"}
-        assert not [e for e in node.runner.events if isinstance(e, RequestReceived)]
-        front = node.connect()
+        assert not node.runner.events_of(RequestReceived)
+        front_end = node.connect()
         for _ in range(2):
-            front.send_lines("PING")
-            assert front.read_line() == "PONG"
+            front_end.send_lines("PING")
+            assert front_end.read_line() == "PONG"
 
 
 def test_the_first_line_is_forwarded_unchanged_but_for_the_time(tmp_path: Path) -> None:
     lines: list[str] = []
 
-    def keep(peer: Peer) -> None:
+    def record_line(peer: Peer) -> None:
         lines.append(peer.read_line())
         peer.send_lines("UP r1", "BYE")
 
-    with running_node(tmp_path, ScriptedServer(keep)) as node:
+    with running_node(tmp_path, ScriptedServer(record_line)) as node:
         assert node.open("c=chat,d=1200,g=5c0f,again=1,x=new").read_line() == "UP r1"
     start, wait, rest = re.split(r"(?<=,d=)(\d+)", lines[0])
     assert re.fullmatch("OPEN [0-9a-f]+ 7f c=chat,d=", start)
@@ -121,37 +121,39 @@
 
 
 def test_an_endpoint_that_rejects_is_closed_before_the_next_attempt(tmp_path: Path) -> None:
-    """Two attempts of one request must never be outstanding at once, and BUSY comes with its time."""
-    asked: list[Peer] = []
-    over: list[bytes] = []
+    """A request must never have two attempts in flight, and BUSY has its Retry-After."""
+    peers: list[Peer] = []
+    received_after_end: list[bytes] = []
 
-    def busy(peer: Peer) -> None:
+    def answer_busy(peer: Peer) -> None:
         peer.read_line()
-        over.extend(p.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) for p in asked)
-        asked.append(peer)
+        received_after_end.extend(
+            earlier.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) for earlier in peers
+        )
+        peers.append(peer)
         peer.send_lines("BUSY")
-        time.sleep(2)  # open at this end, so that the node's own close shows
+        time.sleep(2)  # open at this end, so that only the node can have closed it
 
-    with running_node(tmp_path, ScriptedServer(busy)) as node:
+    with running_node(tmp_path, ScriptedServer(answer_busy)) as node:
         client = node.open()
-        word, ms = client.read_line().split()
+        word, retry_after_ms = client.read_line().split()
         assert word == "BUSY"
-        assert 0 < int(ms) <= 1000
+        assert 0 < int(retry_after_ms) <= 1000
         assert client.read_line() == ""
-    assert len(over) == sum(range(len(asked)))
-    assert set(over) <= {b""}
-    assert {e.status for e in node.runner.events if isinstance(e, AttemptEnded)} == {AttemptStatus.FULL}
+    assert len(received_after_end) == sum(range(len(peers)))
+    assert set(received_after_end) <= {b""}
+    assert {event.status for event in node.runner.events_of(AttemptEnded)} == {AttemptStatus.FULL}
 
 
 def test_a_client_that_disconnects_ends_its_attempt(tmp_path: Path) -> None:
     ended = threading.Event()
 
-    def silent(peer: Peer) -> None:
+    def stay_silent(peer: Peer) -> None:
         peer.read_line()
         peer.read_line()
         ended.set()
 
-    with running_node(tmp_path, ScriptedServer(silent)) as node:
+    with running_node(tmp_path, ScriptedServer(stay_silent)) as node:
         client = node.open()
         node.runner.wait_for(RequestReceived)
         client.close()
@@ -162,10 +164,9 @@
 
 
 def test_an_endpoint_that_never_answers_times_out_and_the_client_is_answered_in_time(tmp_path: Path) -> None:
-    with running_node(
-        tmp_path, ScriptedServer(lambda peer: ignore(peer.read_line(), peer.read_line()))
-    ) as node:
-        client, start = node.open("c=chat,d=300"), time.monotonic()
+    with running_node(tmp_path, ScriptedServer(read_until_closed)) as node:
+        client = node.open("c=chat,d=300")
+        start = time.monotonic()
         assert client.read_line().startswith("BUSY")
         assert time.monotonic() - start < 0.6
         assert node.runner.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
@@ -175,11 +176,11 @@
     def reset(peer: Peer) -> None:
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
-    def last_words(peer: Peer) -> None:
+    def send_after_end(peer: Peer) -> None:
         assert peer.read_line() == ""
         peer.send_lines("M 9")
 
-    with running_node(tmp_path, ScriptedServer(answer_up(last_words), answer_up(reset))) as node:
+    with running_node(tmp_path, ScriptedServer(answer_up(send_after_end), answer_up(reset))) as node:
         client = node.open()
         assert client.read_line() == "UP r1"
         client.sock.shutdown(socket.SHUT_WR)
@@ -194,9 +195,7 @@
 
 def test_a_connection_from_before_the_run_is_restored_at_its_endpoint(tmp_path: Path) -> None:
     with running_node(
-        tmp_path,
-        ScriptedServer(answer_up()),
-        ScriptedServer(answer_up(lambda peer: ignore(peer.read_line()))),
+        tmp_path, ScriptedServer(answer_up()), ScriptedServer(answer_up(Peer.read_line))
     ) as node:
         assert node.open("c=chat,d=4294967,at=s1").read_line() == "UP r1"
         assert node.runner.wait_for(ConnectionAdopted).endpoint_id == 2
@@ -208,10 +207,7 @@
         while True:
             peer.send_lines("F" * 4000)
 
-    def echo(peer: Peer) -> None:
-        peer.send_lines(peer.read_line())
-
-    with running_node(tmp_path, ScriptedServer(answer_up(flood), answer_up(echo))) as node:
+    with running_node(tmp_path, ScriptedServer(answer_up(flood), answer_up(echo_lines))) as node:
         stuck = node.open()
         node.runner.wait_for(AttemptEstablished)
         client = node.open(key="80")
@@ -222,21 +218,18 @@
 
 
 def test_a_flood_after_up_delays_no_line(tmp_path: Path) -> None:
-    """While the relay wrote a flood to a member that answers first, it read nothing of that member."""
+    """While the relay wrote a flood to an endpoint that answers first, it read nothing from it."""
     size = 20_000_000
 
     def answer_first(peer: Peer) -> None:
-        for _ in range(size // 4000):  # it reads on once its own lines are out
+        for _ in range(size // 4000):  # it reads once its own lines are sent
             peer.send_lines("F" * 3998)
         peer.send_lines("LAST")
         for _ in range(size // 4000):
             peer.read_line()
         peer.send_lines("ALL")
 
-    with running_node(
-        tmp_path,
-        ScriptedServer(answer_up(answer_first), answer_up(lambda peer: peer.send_lines(peer.read_line()))),
-    ) as node:
+    with running_node(tmp_path, ScriptedServer(answer_up(answer_first), answer_up(echo_lines))) as node:
         flood = node.open()
         assert flood.read_line() == "UP r1"
 
@@ -249,7 +242,7 @@
         other = node.open(key="80")
         assert other.read_line() == "UP r1"
         other.send_lines("M 1")
-        assert other.read_line() == "M 1"  # nobody else is held up
+        assert other.read_line() == "M 1"  # no other client is delayed
         answers = 0
         while (line := flood.read_line()) != "LAST":
             assert line == "F" * 3998
@@ -261,19 +254,19 @@
 
 
 def test_a_second_command_behind_the_first_one_is_an_error(tmp_path: Path) -> None:
-    """In a read of its own it came after admission; with UP there at the same moment it was passed on."""
-    spoken = threading.Event()
+    """It may arrive in a read of its own after admission; if UP was there by then, it was forwarded."""
+    sent = threading.Event()
 
-    def late(peer: Peer) -> None:
+    def answer_late(peer: Peer) -> None:
         peer.read_line()
-        assert spoken.wait(5)
+        assert sent.wait(5)
         time.sleep(0.05)
         peer.send_lines("UP r1")
         peer.read_line()
 
-    with running_node(tmp_path, ScriptedServer(late)) as node:
+    with running_node(tmp_path, ScriptedServer(answer_late)) as node:
         client = node.open()
         node.runner.wait_for(RequestReceived)
         client.send_lines("OPEN 77 7f c=chat,d=1200")
-        spoken.set()
+        sent.set()
         assert [client.read_line(), client.read_line()] == ["ERR", ""]
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -16,9 +16,7 @@
 import pytest
 
 from tansyladder.net import sockets
-from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
-from tansyladder.net.upstream import ConnectResult, UpstreamConnector
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -33,225 +31,212 @@
     Peer,
     ScriptedServer,
     endpoint_entry,
+    read_until_closed,
     running_node,
 )
 
-SOON = timedelta(seconds=10)
-RESET = struct.pack("ii", 1, 0)  # a close with it is one
-PATIENT: dict[str, Any] = SETTINGS | {"ceilings": {"attempts_cap": 3, "connect_timeout": 9_000_000}}
+TEST_TIMEOUT = timedelta(seconds=10)
+LINGER_ZERO = struct.pack("ii", 1, 0)  # of SO_LINGER: a close is a reset
+LONG_CONNECT_TIMEOUT: dict[str, Any] = SETTINGS | {
+    "ceilings": {"attempts_cap": 3, "connect_timeout": 9_000_000}
+}
+# Of discovery: the policy makes no calls of its own during the test.
+RARE_DISCOVERY_CALLS: dict[str, Any] = SETTINGS | {"rules": {"ask_within": 10**12}}
 
 
-def until_left(sock: socket.socket) -> None:
-    """Wait until the other side's end has come to this one."""
-    sockets.wait_readable(now() + SOON, sock.fileno())
-
-
-def until_served(node: Node) -> None:
-    """Wait until no connection is in hand or stands."""
-    until = now() + SOON
+def wait_until_served(node: Node) -> None:
+    """Wait until the node serves no connection any more."""
+    deadline = now() + TEST_TIMEOUT
     while node.listener.active_count:
-        assert now() < until
+        assert now() < deadline
         threading.Event().wait(0.005)
 
 
-class Full:
-    """A stream host whose queue is full: connections to it don't come up until it takes some in."""
+class FullEndpoint:
+    """An endpoint whose listen queue is full: no further connection to it is established."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
-        self._fill = [socket.create_connection(self.sock.getsockname())]
-
-    def heard(self) -> bytes:
-        """What came on the first connection that was not there from the start."""
-        self.sock.settimeout(10)
-        for _ in self._fill:
-            self.sock.accept()[0].close()
-        sock, _ = self.sock.accept()
-        sock.settimeout(10)
-        return sock.recv(4096)
+        self._queued = socket.create_connection(self.sock.getsockname())
+
+    def received_data(self) -> list[bytes]:
+        """Return what arrived on each connection that has been established until now, then its end."""
+        self._queued.close()
+        self.sock.settimeout(0)
+        received: list[bytes] = []
+        while True:
+            try:
+                sock, _ = self.sock.accept()
+            except BlockingIOError:
+                return received
+            sock.settimeout(10)
+            received.append(sock.recv(4096))
+
+
+def end_client(client: Peer, end: str) -> None:
+    """End a client's connection by a close, a reset or a half close."""
+    if end == "half":
+        client.sock.shutdown(socket.SHUT_WR)
+        return
+    if end == "reset":
+        client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
+    client.close()
 
 
 @pytest.mark.parametrize("end", ["close", "reset", "half"])
 def test_no_attempt_starts_for_a_client_that_disconnected_while_connecting(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str
 ) -> None:
-    """A connection that came up late got the first line of a client that had gone long before."""
-    trying = threading.Event()
-    come_up = UpstreamConnector._wait_until_connected
+    """A connection that was established late got the first line of a client that had left long before."""
+    connecting = threading.Event()
+    wait_connected = sockets.wait_connected
 
-    def told(self: UpstreamConnector, *args: Any) -> ConnectResult | None:
-        trying.set()
-        return come_up(self, *args)
+    def notify_and_wait(sock: socket.socket, deadline: timedelta, *descriptors: int) -> set[int]:
+        connecting.set()
+        return wait_connected(sock, deadline, *descriptors)
 
-    monkeypatch.setattr(UpstreamConnector, "_wait_until_connected", told)
-    host = Full()
-    with running_node(tmp_path, host, settings=PATIENT) as node:  # type: ignore[arg-type]
+    monkeypatch.setattr(sockets, "wait_connected", notify_and_wait)
+    endpoint = FullEndpoint()
+    with running_node(tmp_path, endpoint, settings=LONG_CONNECT_TIMEOUT) as node:  # type: ignore[arg-type]
         client = node.open("c=chat,d=9000")
-        assert trying.wait(10)
-        if end == "half":
-            client.sock.shutdown(socket.SHUT_WR)
-        elif end == "reset":
-            client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            client.close()
-        else:
-            client.close()
-        node.runner.wait_for(ClientDisconnected)  # and not after 9 s: the wait for the connection is over
+        assert connecting.wait(10)
+        end_client(client, end)
+        node.runner.wait_for(ClientDisconnected)  # not after 9 s: the wait for the connection has ended
         assert node.runner.wait_for(AttemptEnded).is_closed
         assert node.metrics.total_counts()["tries"] == 0
-    # Whatever connection comes up later brings nothing; there is none where the wait was given up.
-    host.sock.settimeout(0.0)
-
-    def accept_empty_connections() -> None:
-        for _ in range(3):
-            sock, _ = host.sock.accept()
-            assert not sock.recv(4096, socket.MSG_DONTWAIT)
-
-    with pytest.raises(BlockingIOError):
-        accept_empty_connections()
+    # Beside the connection that fills the queue there is none, or one without a line.
+    assert set(endpoint.received_data()) == {b""}
 
 
 def test_no_line_is_sent_for_a_client_that_disconnected_as_the_connection_was_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Between a connection that is up and its first line nobody looked at the client again."""
-    come_up = UpstreamConnector._wait_until_connected
+    """The client was not checked again between an established connection and its first line."""
+    wait_connected = sockets.wait_connected
     clients: list[Peer] = []
     opened = threading.Event()
 
-    def left_meanwhile(
-        self: UpstreamConnector,
-        sock: socket.socket,
-        until: timedelta,
-        client: socket.socket,
-        box: ActionQueue,
-    ) -> ConnectResult | None:
-        answer = come_up(self, sock, until, client, box)
+    def disconnect_client_after(sock: socket.socket, deadline: timedelta, *descriptors: int) -> set[int]:
+        ready = wait_connected(sock, deadline, *descriptors)
         assert opened.wait(10)
         clients[0].close()
-        until_left(client)
-        return answer
+        *_, client = descriptors
+        sockets.wait_readable(now() + TEST_TIMEOUT, client)  # until its end has arrived at the node
+        return ready
 
-    monkeypatch.setattr(UpstreamConnector, "_wait_until_connected", left_meanwhile)
-    heard: list[str] = []
+    monkeypatch.setattr(sockets, "wait_connected", disconnect_client_after)
+    received_lines: list[str] = []
     ended = threading.Event()
 
-    def keep(peer: Peer) -> None:
-        heard.append(peer.read_line())
+    def record_line(peer: Peer) -> None:
+        received_lines.append(peer.read_line())
         ended.set()
 
-    with running_node(tmp_path, ScriptedServer(keep), settings=PATIENT) as node:
+    with running_node(tmp_path, ScriptedServer(record_line), settings=LONG_CONNECT_TIMEOUT) as node:
         clients.append(node.open("c=chat,d=9000"))
         opened.set()
         assert node.runner.wait_for(AttemptEnded).is_closed
         assert ended.wait(10)
-    assert heard == [""]
+    assert received_lines == [""]
 
 
 @pytest.mark.parametrize("word", ["BUSY", "ERR", "UP r1"])
 def test_an_answer_that_crosses_the_clients_end_starts_no_further_attempt(tmp_path: Path, word: str) -> None:
     lines: list[str] = []
-    asked, left = threading.Event(), threading.Event()
+    received, disconnected = threading.Event(), threading.Event()
 
-    def hold(peer: Peer) -> None:
+    def answer_after_disconnect(peer: Peer) -> None:
         lines.append(peer.read_line())
-        asked.set()
-        assert left.wait(10)
+        received.set()
+        assert disconnected.wait(10)
         peer.send_lines(word)
 
-    host = ScriptedServer(hold)
-    with running_node(tmp_path, host, host, host) as node:
+    endpoint = ScriptedServer(answer_after_disconnect)
+    with running_node(tmp_path, endpoint, endpoint, endpoint) as node:
         client = node.open("c=chat,d=9000")
-        assert asked.wait(10)
+        assert received.wait(10)
         client.close()
-        left.set()
+        disconnected.set()
         node.runner.wait_for(AttemptEnded)
-        until_served(node)
+        wait_until_served(node)
         assert len(lines) == 1
 
 
 def test_a_client_that_disconnects_in_the_backoff_is_not_forwarded(tmp_path: Path) -> None:
-    """The retry's order and the client's end lie there together: the end is looked at first."""
+    """The retry's action and the client's end are there together: the end is checked first."""
     lines: list[str] = []
-    slow = {"classes": [{"name": "chat", "slo": 4_000_000, "hard_limit": 9_000_000, "worth": 5.0}]}
+    long_deadline = {"classes": [{"name": "chat", "slo": 4_000_000, "hard_limit": 9_000_000, "worth": 5.0}]}
 
-    def busy(peer: Peer) -> None:
+    def answer_busy(peer: Peer) -> None:
         lines.append(peer.read_line())
         peer.send_lines("BUSY")
 
-    with running_node(tmp_path, ScriptedServer(busy), settings=SETTINGS | slow) as node:
+    with running_node(tmp_path, ScriptedServer(answer_busy), settings=SETTINGS | long_deadline) as node:
         client = node.open("c=chat,d=9000")
-        refused = node.runner.wait_for(AttemptEnded)
-        assert refused.status is AttemptStatus.FULL
-        assert not refused.is_closed
+        rejected = node.runner.wait_for(AttemptEnded)
+        assert rejected.status is AttemptStatus.FULL
+        assert not rejected.is_closed
         client.close()
         node.runner.wait_for(ClientDisconnected)
-        until_served(node)
+        wait_until_served(node)
         assert len(lines) == 1
 
 
 def test_an_answer_that_never_ends_times_out_at_the_deadline(tmp_path: Path) -> None:
-    """Each byte begins a wait anew, but not the attempt's time."""
+    """Each byte begins a new wait, but does not extend the attempt's deadline."""
     sent: list[bytes] = []
     answered = threading.Event()
 
-    def drip(peer: Peer) -> None:
+    def send_endless_line(peer: Peer) -> None:
         peer.read_line()
         while not answered.wait(0.002):
             peer.sock.sendall(b"U")
             sent.append(b"U")
 
-    with running_node(tmp_path, ScriptedServer(drip)) as node:
+    with running_node(tmp_path, ScriptedServer(send_endless_line)) as node:
         client = node.open("c=chat,d=300")
         assert client.read_line().startswith("BUSY")
         answered.set()
         assert node.runner.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
-        assert len(sent) < 1000  # not only once its line is too long
+        assert len(sent) < 1000  # it ends before the line is too long
+
+
+def answer_calls(peer: Peer, bodies: list[dict[str, Any]], calls: list[str]) -> None:
+    """Answer each call to discovery with the next body, until there is none; record the calls."""
+    while call := peer.read_line():
+        calls.append(call)
+        read_until_closed(peer)  # the headers, up to the empty line
+        if not bodies:
+            return
+        text = json.dumps(bodies.pop(0))
+        peer.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(text)}\r\n\r\n{text}".encode())
 
 
 def test_an_older_change_is_ignored(tmp_path: Path) -> None:
-    """A delayed answer of a watch must not bring back what a newer one took away."""
-    bodies = iter(
-        [
-            {
-                "revision": 7,
-                "complete": False,
-                "members": [endpoint_entry("s9", "127.0.0.1:9", phase="draining")],
-            },
-            {"revision": 6, "complete": False, "members": [endpoint_entry("s9", "127.0.0.1:9")]},
-            {
-                "revision": 8,
-                "complete": True,
-                "members": [endpoint_entry("s9", "127.0.0.1:9", phase="draining")],
-            },
-        ]
-    )
+    """A delayed answer to a poll must not undo a newer one."""
+    ready = endpoint_entry("s9", "127.0.0.1:9")
+    draining = endpoint_entry("s9", "127.0.0.1:9", phase="draining")
+    bodies: list[dict[str, Any]] = [
+        {"revision": 7, "complete": False, "members": [draining]},
+        {"revision": 6, "complete": False, "members": [ready]},
+        {"revision": 8, "complete": True, "members": [draining]},
+    ]
     calls: list[str] = []
-
-    def answer(peer: Peer) -> None:
-        while call := peer.read_line():
-            calls.append(call)
-            while peer.read_line():
-                pass
-            if (body := next(bodies, None)) is None:
-                return
-            text = json.dumps(body)
-            peer.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(text)}\r\n\r\n{text}".encode())
-
-    seldom = SETTINGS | {"rules": {"ask_within": 10**12}}  # the module's own calls stay out of this
+    discovery = ScriptedServer(lambda peer: answer_calls(peer, bodies, calls))
     known = {"revision": 5, "members": [endpoint_entry("s0", "127.0.0.1:9")]}
     with running_node(
-        tmp_path, discovery=ScriptedServer(answer).address, known=known, settings=seldom
+        tmp_path, discovery=discovery.address, known=known, settings=RARE_DISCOVERY_CALLS
     ) as node:
         node.parts.new_discovery_client().start()
         node.parts.work_queues.request_discovery_poll()
         node.runner.wait_for(EndpointListUpdate, 3)
-        told = [e for e in node.runner.events if isinstance(e, EndpointListUpdate)][1:3]
-        assert [(e.kind, e.version) for e in told] == [
+        updates = node.runner.events_of(EndpointListUpdate)[1:3]
+        assert [(update.kind, update.version) for update in updates] == [
             (ListUpdateKind.DELTA, 7),
             (ListUpdateKind.SNAPSHOT, 8),
         ]
-        assert calls[2] == "GET /v1/servers HTTP/1.1"  # its numbers may have begun anew
-        s9 = node.runner.endpoint_by_id("s9")
-        assert s9 is not None
-        assert s9.state is EndpointState.DRAINING
+        assert calls[2] == "GET /v1/servers HTTP/1.1"  # discovery may number its revisions anew
+        endpoint = node.runner.endpoint_by_id("s9")
+        assert endpoint is not None
+        assert endpoint.state is EndpointState.DRAINING
--- a/tests/node/test_drain_crossings.py
+++ b/tests/node/test_drain_crossings.py
@@ -3,172 +3,184 @@
 from __future__ import annotations
 
 import socket
-import struct
 import threading
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from datetime import timedelta
 from pathlib import Path
-from typing import Any
 
 import pytest
 
 from tansyladder.net import sockets
+from tansyladder.net.action_queue import QueuedAction
 from tansyladder.net.clock import now
-from tansyladder.node import connection_drainer
-from tansyladder.node.client_listener import ClientListener
+from tansyladder.node import connection_drainer, pending_connections
+from tansyladder.node.acceptor_state import AcceptorState
 from tansyladder.node.connection_acceptor import ConnectionAcceptor
 from tansyladder.node.connection_drainer import ConnectionDrainer
-from tansyladder.node.pending_connections import PendingConnections
-from tansyladder.policy.events import (
-    RequestReceived,
-)
+from tansyladder.node.connection_handler import ConnectionHandler
+from tansyladder.node.pending_connections import PendingConnection, PendingConnections
+from tansyladder.policy.events import RequestReceived
 from tests.node.harness import (
-    SETTINGS,
     Node,
     Peer,
     RecordingPolicyRunner,
     ScriptedServer,
     answer_up,
+    read_until_closed,
     running_node,
     unique_id,
 )
 
-SOON = timedelta(seconds=10)
-RESET = struct.pack("ii", 1, 0)  # a close with it is one
-PATIENT: dict[str, Any] = SETTINGS | {"ceilings": {"attempts_cap": 3, "connect_timeout": 9_000_000}}
+TEST_TIMEOUT = timedelta(seconds=10)
 
 
-def end(node: Node) -> None:
-    """The drain of SIGTERM in a thread of its own, up to its end."""
+def start_drain(node: Node) -> threading.Thread:
+    """Begin the drain of SIGTERM in a thread of its own."""
     drain = threading.Thread(target=node.listener.drain, daemon=True)
     drain.start()
+    return drain
+
+
+def wait_until_drained(drain: threading.Thread) -> None:
+    """Wait for the end of a drain."""
     drain.join(10)
     assert not drain.is_alive()
 
 
-def at_the_end(monkeypatch: pytest.MonkeyPatch, then: Callable[[ConnectionAcceptor], None]) -> None:
-    """Do something in the moment in which a node's admission ends."""
-    see_out = ConnectionAcceptor._finish
+def send_opening(client: Peer) -> None:
+    """Send a valid first line."""
+    client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
+
+
+def send_ping(client: Peer) -> None:
+    """Send a PING and read its answer."""
+    client.send_lines("PING")
+    assert client.read_line() == "PONG"
 
-    def first(self: ConnectionAcceptor) -> None:
-        then(self)
-        see_out(self)
 
-    monkeypatch.setattr(ConnectionAcceptor, "_finish", first)
+def run_when_stopping(monkeypatch: pytest.MonkeyPatch, action: Callable[[], None]) -> None:
+    """Run an action in the acceptor's thread, once it sees that it has been stopped.
 
+    From there on the acceptor accepts what is in the listener's queue, and reads what has arrived.
+    """
+    is_stopping: property = vars(AcceptorState)["is_stopping"]
 
-@pytest.mark.parametrize("rests", [True, False], ids=["resting", "in the queue"])
+    def check(state: AcceptorState) -> bool:
+        if found := is_stopping.__get__(state):
+            action()
+        return bool(found)
+
+    monkeypatch.setattr(AcceptorState, "is_stopping", property(check))
+
+
+@pytest.mark.parametrize("connection", ["idle", "queued"])
 def test_a_request_that_comes_as_the_node_ends_is_answered(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, rests: bool
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, connection: str
 ) -> None:
-    """Who lay in the listener's queue, or spoke on a resting connection in that instant, was reset."""
+    """A client in the listener's queue, or one that sent on an idle connection just then, was reset."""
     clients: list[Peer] = []
 
-    def speak(
-        _: ConnectionAcceptor,
-    ) -> None:  # in the admission's own thread: nobody takes it in before the end
-        if not rests:
+    def send_request() -> None:
+        if connection == "queued":
             clients.append(node.connect())
-        clients[0].send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
+        send_opening(clients[0])
 
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
-        if rests:
+        if connection == "idle":
             clients.append(node.connect())
-            clients[0].send_lines("PING")
-            assert clients[0].read_line() == "PONG"
-        at_the_end(monkeypatch, speak)
-        end(node)
+            send_ping(clients[0])
+        run_when_stopping(monkeypatch, send_request)
+        wait_until_drained(start_drain(node))
         assert [clients[0].read_line(), clients[0].read_line()] == ["BUSY 200", ""]
-        assert not [
-            e for e in node.runner.events if isinstance(e, RequestReceived)
-        ]  # it came too late to be served
+        assert not node.runner.events_of(RequestReceived)  # it came too late to be served
 
 
 def test_what_is_read_after_our_end_is_neither_served_nor_reset(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A close over bytes that came in that instant is a reset, and what went out before may go with it."""
+    """A close over bytes that have just arrived is a reset, which may discard what was sent before."""
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
         client = node.connect()
-        client.send_lines("PING")
-        assert client.read_line() == "PONG"
-        tell = PendingConnections.answer_and_shutdown
-
-        def cross(self: PendingConnections, newcomer: Any, answer: bytes) -> None:
-            tell(self, newcomer, answer)
-            assert client.read_line() == ""  # our end has come, and now a request crosses it
-            client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
-
-        monkeypatch.setattr(PendingConnections, "answer_and_shutdown", cross)
-        end(node)
+        send_ping(client)
+        answer_and_shutdown = PendingConnections.answer_and_shutdown
+
+        def answer_and_receive_request(
+            self: PendingConnections, connection: PendingConnection, answer: bytes
+        ) -> None:
+            answer_and_shutdown(self, connection, answer)
+            assert client.read_line() == ""  # the node's end has arrived; now a request crosses it
+            send_opening(client)
+
+        monkeypatch.setattr(PendingConnections, "answer_and_shutdown", answer_and_receive_request)
+        wait_until_drained(start_drain(node))
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # it was not reset
-        assert not [e for e in node.runner.events if isinstance(e, RequestReceived)]
+        assert not node.runner.events_of(RequestReceived)
 
 
 def test_a_half_line_at_sigterm_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A node that had nobody else ended within half a second, in the middle of a slow client's line."""
+    """A node that served no other client ended within half a second, in the middle of a slow one's line."""
     monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(0))
+    expecting = threading.Event()
+    is_expecting_lines: property = vars(ConnectionAcceptor)["is_expecting_lines"]
+
+    def check(self: ConnectionAcceptor) -> bool:
+        if found := is_expecting_lines.__get__(self):
+            expecting.set()
+        return bool(found)
+
     with running_node(tmp_path, ScriptedServer(answer_up(lambda peer: peer.send_lines("BYE")))) as node:
         client = node.connect()
         client.sock.sendall(b"OPEN 7e7")
-        expecting = threading.Event()
-        look: property = vars(ConnectionAcceptor)["is_expecting_lines"]
-
-        def seen(self: ConnectionAcceptor) -> bool:
-            if found := look.__get__(self):
-                expecting.set()
-            return bool(found)
-
-        monkeypatch.setattr(ConnectionAcceptor, "is_expecting_lines", property(seen))
-        drain = threading.Thread(target=node.listener.drain, daemon=True)
-        drain.start()
+        monkeypatch.setattr(ConnectionAcceptor, "is_expecting_lines", property(check))
+        drain = start_drain(node)
         assert expecting.wait(10)
         client.sock.sendall(b" 7f c=chat,d=1200\r\n")
         assert [client.read_line() for _ in range(2)] == ["UP r1", "BYE"]
         client.close()
-        drain.join(10)
-        assert not drain.is_alive()
+        wait_until_drained(drain)
 
 
-def test_a_request_admitted_in_the_drains_last_round_is_rejected_too(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """It had no number yet when all that were in hand got their refusal, and was cut off at the exit."""
-    monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(0))
-    monkeypatch.setattr(
-        connection_drainer, "KILL_MARGIN", connection_drainer.EXIT_MARGIN - timedelta(seconds=1)
-    )
-    go_on = threading.Event()
-    begin = ClientListener._serve_when_released
-    turned_out = threading.Event()
-    turn_out = ConnectionDrainer.evict_remaining
+def hold_connections_until_first_round(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Hold connections' threads until a drain's last phase has looked for requests once.
 
-    def late(self: ClientListener, *args: Any) -> None:
-        assert turned_out.wait(10)
-        assert go_on.wait(10)
-        begin(self, *args)
+    The last phase has 10 s, whatever the drain's deadline is.
+    """
+    evicting, dispatched = threading.Event(), threading.Event()
+    run = ConnectionHandler.run
+    evict_remaining = ConnectionDrainer.evict_remaining
+    dispatch = RecordingPolicyRunner.dispatch
 
-    def evict_later(self: ConnectionDrainer, notified: set[int], _until: timedelta) -> None:
-        turned_out.set()
-        turn_out(self, notified, now() + SOON)
+    def run_later(self: ConnectionHandler) -> None:
+        assert evicting.wait(10)
+        assert dispatched.wait(10)
+        run(self)
 
-    order = RecordingPolicyRunner.dispatch
+    def evict_and_notify(self: ConnectionDrainer, notified: set[int], _until: timedelta) -> None:
+        evicting.set()
+        evict_remaining(self, notified, now() + TEST_TIMEOUT)
 
-    def first_order(self: RecordingPolicyRunner, orders: Any) -> None:
-        order(self, orders)
-        go_on.set()  # the first round found nobody
+    def dispatch_and_notify(self: RecordingPolicyRunner, actions: Sequence[QueuedAction]) -> None:
+        dispatch(self, actions)
+        if evicting.is_set():
+            dispatched.set()
 
-    monkeypatch.setattr(ClientListener, "_serve_when_released", late)
-    monkeypatch.setattr(ConnectionDrainer, "evict_remaining", evict_later)
-    monkeypatch.setattr(RecordingPolicyRunner, "dispatch", first_order)
+    monkeypatch.setattr(ConnectionHandler, "run", run_later)
+    monkeypatch.setattr(ConnectionDrainer, "evict_remaining", evict_and_notify)
+    monkeypatch.setattr(RecordingPolicyRunner, "dispatch", dispatch_and_notify)
 
-    def never(peer: Peer) -> None:
-        while peer.read_line():
-            pass
 
-    with running_node(tmp_path, ScriptedServer(never)) as node:
+def test_a_request_admitted_in_the_drains_last_round_is_rejected_too(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """It was not registered yet when the waiting requests were rejected, and was cut off at the exit."""
+    monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(0))
+    monkeypatch.setattr(
+        connection_drainer, "KILL_MARGIN", connection_drainer.EXIT_MARGIN - timedelta(seconds=1)
+    )
+    hold_connections_until_first_round(monkeypatch)
+    with running_node(tmp_path, ScriptedServer(read_until_closed)) as node:
         client = node.open("c=chat,d=9000")
-        end(node)
+        wait_until_drained(start_drain(node))
         assert not node.listener.active_count  # at the exit it would have been cut off
         assert client.read_line().startswith("BUSY")
 
@@ -176,39 +188,42 @@
 def test_out_of_threads_a_client_is_rejected_at_admission(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The socket was closed at once behind the answer, over whatever had come meanwhile."""
-    with running_node(tmp_path, ScriptedServer(answer_up())) as node:
-        start = threading.Thread.start
+    """The socket was closed right after the answer, over whatever had arrived meanwhile."""
+    start = threading.Thread.start
 
-        def none_left(self: threading.Thread) -> None:
-            if "_serve_when_released" in repr(self._target):  # type: ignore[attr-defined]
-                raise RuntimeError("can't start new thread")
-            start(self)
+    def start_unless_connection(self: threading.Thread) -> None:
+        if self.name == "connection":
+            raise RuntimeError("can't start new thread")
+        start(self)
 
-        monkeypatch.setattr(threading.Thread, "start", none_left)
+    with running_node(tmp_path, ScriptedServer(answer_up())) as node:
+        monkeypatch.setattr(threading.Thread, "start", start_unless_connection)
         client = node.open()
         assert [client.read_line(), client.read_line()] == ["BUSY 200", ""]
         assert node.listener.active_count == 0
         assert node.metrics.total_counts()["shed"] == 1
 
 
-def test_an_idle_front_end_is_shut_down_before_the_close(tmp_path: Path) -> None:
+def test_an_idle_front_end_is_shut_down_before_the_close(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """After a minute without a PING its connection was closed in one step, over a request that came then."""
+    monkeypatch.setattr(pending_connections, "PING_IDLE_TIMEOUT", timedelta(milliseconds=100))
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
         client = node.connect()
-        for _ in range(2):  # the second answer shows that all of the first one is done
-            client.send_lines("PING")
-            assert client.read_line() == "PONG"
-        [newcomer] = node.listener._acceptor._pending.all()
-        assert newcomer.close_deadline - newcomer.first_line_deadline == sockets.DRAIN_TIMEOUT
-        node.listener._acceptor._pending.check_deadlines(
-            newcomer, newcomer.first_line_deadline
-        )  # the minute is over
-        assert [client.read_line(), client.read_line()] == ["ERR", ""]
-        client.send_lines(f"OPEN {unique_id()} 7f c=chat,d=1200")
+        send_ping(client)
+        assert [client.read_line(), client.read_line()] == ["ERR", ""]  # the time is over
+        send_opening(client)
         client.sock.shutdown(socket.SHUT_WR)
-        until = now() + SOON
-        while node.listener._acceptor.pending_count and now() < until:  # until it has read that
+        deadline = now() + TEST_TIMEOUT
+        while node.listener.pending_count and now() < deadline:  # until the node has read that
             threading.Event().wait(0.005)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
-        assert not [e for e in node.runner.events if isinstance(e, RequestReceived)]
+        assert not node.runner.events_of(RequestReceived)
+
+
+def test_an_idle_front_end_has_the_drain_timeout_between_its_deadlines() -> None:
+    with socket.socket() as sock:
+        connection = PendingConnection(sock)
+        connection.extend_deadlines(now())
+        assert connection.close_deadline - connection.first_line_deadline == sockets.DRAIN_TIMEOUT
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -17,16 +17,16 @@
     ScriptedServer,
     answer_up,
     endpoint_entry,
-    ignore,
     load_test_config,
+    read_until_closed,
     unique_id,
 )
 from tests.node.program import client_of, program, until_line
 
 
 def test_a_planned_restart_migrates_its_connections_and_ends_in_time(tmp_path: Path) -> None:
-    """Three members have room for 20 set-ups, eight each: who waits for room may miss the deadline."""
-    hosts = [ScriptedServer(answer_up(lambda peer: ignore(*iter(peer.read_line, "")))) for _ in range(3)]
+    """Three endpoints can have 20 set-ups in flight, eight each: who waits for one may miss the deadline."""
+    hosts = [ScriptedServer(answer_up(read_until_closed)) for _ in range(3)]
     with program(tmp_path, hosts) as (run, port):
         clients = [client_of(port, unique_id()) for _ in range(20)]
         assert {client.read_line() for client in clients} == {"UP r1"}
@@ -34,7 +34,7 @@
         run.send_signal(signal.SIGTERM)
         time.sleep(0.2)
         clients.append(client_of(port, unique_id()))
-        assert clients[-1].read_line() == "UP r1"  # what still arrives is served, and moved like the others
+        assert clients[-1].read_line() == "UP r1"  # late requests are served, and migrated like the others
         assert [client.read_line() for client in clients] == ["MOVE"] * 21
         for client in clients:
             client.close()
@@ -44,21 +44,19 @@
 
 def test_sighup_reads_the_file_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     """Its default action ended the program, at any moment; a half-written file must not either."""
-    host = ScriptedServer(answer_up(lambda peer: ignore(*iter(peer.read_line, ""))))
-    old, new = (
-        ScriptedDiscovery(5, endpoint_entry("s0", host.address)),
-        ScriptedDiscovery(2, endpoint_entry("s0", host.address)),
-    )
+    host = ScriptedServer(answer_up(read_until_closed))
+    old = ScriptedDiscovery(5, endpoint_entry("s0", host.address))
+    new = ScriptedDiscovery(2, endpoint_entry("s0", host.address))
     file = tmp_path / "config.json"
     with program(tmp_path, host, discovery=old.address) as (run, port):
         assert run.stderr is not None
         client = client_of(port)
         assert client.read_line() == "UP r1"
-        whole = file.read_text()
-        file.write_text(whole[: len(whole) // 2])
+        document = file.read_text()
+        file.write_text(document[: len(document) // 2])
         run.send_signal(signal.SIGHUP)
         until_line(run, b'event=reload_failed why="GW_CONFIG: not JSON')
-        changed = json.loads(whole) | {"discovery": new.address, "seed": "1"}
+        changed = json.loads(document) | {"discovery": new.address, "seed": "1"}
         file.write_text(json.dumps(changed))
         for _ in range(5):
             run.send_signal(signal.SIGHUP)
@@ -82,7 +80,7 @@
     run = subprocess.Popen(["/bin/sh", "-c", command], env=env, stderr=subprocess.PIPE)
     with run:
         started = threading.Thread(target=until_line, args=(run, b"event=started"))
-        shell = (b"", b"/bin/sh")  # nothing stands there for a moment while the shell itself is loaded
+        shell = (b"", b"/bin/sh")  # it is empty for a moment while the shell itself is loaded
         while Path(f"/proc/{run.pid}/cmdline").read_bytes().split(b"\0")[0] in shell:
             time.sleep(0.001)  # the signal goes to the program, not to the shell before it
         started.start()
