--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -1,10 +1,11 @@
-"""New settings while the node runs: all or nothing, and what is under way keeps its class's terms."""
+"""New settings while the node runs: all or nothing, and requests in flight keep their class's settings."""
 
 from __future__ import annotations
 
 import copy
 import json
 from collections.abc import Callable
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -15,6 +16,7 @@
 from tansyladder.config.errors import ConfigError
 from tansyladder.config.platform import load
 from tansyladder.config.reload import reload
+from tansyladder.node.active_configuration import ActiveConfiguration
 from tansyladder.node.reload import Reloader
 from tansyladder.policy.actions import Fail, Reject, SetTimer, StartAttempt
 from tansyladder.policy.balancer import Balancer
@@ -27,35 +29,74 @@
     TimerExpired,
 )
 from tansyladder.policy.settings import ClassSettings, Settings
-from tests.node.harness import Node, Peer, ScriptedServer, answer_up, running_node
+from tests.node.harness import Node, ScriptedServer, answer_up, echo_lines, running_node
 from tests.policy.harness import MILLISECOND, SECOND, endpoint, make_settings
 
 Edit = Callable[[dict[str, Any]], None]
 
 
 def setting(path: str, value: object = None) -> Edit:
-    """Set a value deep in the file, or take its key out."""
+    """Return an edit that sets the value at a path of the document, or removes its key."""
 
-    def edit(whole: dict[str, Any]) -> None:
-        *way, last = path.split(".")
-        at: Any = whole
-        for name in way:
-            at = at[int(name)] if isinstance(at, list) else at[name]
+    def edit(document: dict[str, Any]) -> None:
+        *parents, key = path.split(".")
+        container: Any = document
+        for name in parents:
+            container = container[int(name)] if isinstance(container, list) else container[name]
         if value is None:
-            del at[last]
+            del container[key]
         else:
-            at[last] = value
+            container[key] = value
 
     return edit
 
 
+class ReloadableNode:
+    """A node and its configuration file, which is read again when a test says so instead of by a signal."""
+
+    def __init__(self, tmp_path: Path, *members: ScriptedServer) -> None:
+        self.file = tmp_path / "config.json"
+        self._running = running_node(tmp_path, *members)
+
+    def __enter__(self) -> ReloadableNode:
+        self.node: Node = self._running.__enter__()
+        self.environ = {"GW_CONFIG": str(self.file)}
+        discovery = self.node.parts.new_discovery_client()
+        self.reloader = Reloader(self.environ, self.node.context, discovery, None)
+        return self
+
+    def __exit__(self, *error: Any) -> None:
+        self._running.__exit__(*error)
+
+    @property
+    def configuration(self) -> ActiveConfiguration:
+        """The configuration in force."""
+        return self.node.configuration
+
+    def edit(self, *edits: Edit) -> None:
+        """Change the file."""
+        document = json.loads(self.file.read_text())
+        for edit in edits:
+            edit(document)
+        self.file.write_text(json.dumps(document))
+
+    def rejection(self) -> str:
+        """Reload the file, which has to be rejected; return why."""
+        with pytest.raises(ConfigError) as err:
+            reload(self.environ, self.configuration.config)
+        count = self.node.metrics.totals()["config_rejected"]
+        self.reloader.reload_now()
+        assert self.node.metrics.totals()["config_rejected"] == count + 1  # type: ignore[operator]
+        return str(err.value)
+
+
 @pytest.mark.parametrize(
     ("edit", "named"),
     [
         (setting("settings.classes.0.hard_limit", 0), "settings.classes.0.hard_limit"),
         (setting("settings.classes.0.hard_limit", -5), "settings.classes.0.hard_limit"),
         (setting("settings.classes.0.hard_limit", "1200000"), "settings.classes.0.hard_limit"),
-        (setting("settings.classes.0.hard_limit", True), "settings.classes.0.hard_limit"),
+        (setting("settings.classes.0.hard_limit", value=True), "settings.classes.0.hard_limit"),
         (setting("settings.classes.0.hard_limit", [5]), "settings.classes.0.hard_limit"),
         (setting("settings.classes.0.hard_limit", 1e300), "settings.classes.0.hard_limit"),
         (setting("settings.classes.0.hard_limit", 0.5), "settings.classes.0.hard_limit"),
@@ -63,7 +104,7 @@
         (setting("settings.classes.0.name"), "settings.classes.0.name"),
         (setting("settings.classes", []), "settings.classes"),
         (setting("settings.ceilings.attempts_cap", 0), "settings.ceilings.attempts_cap"),
-        (setting("settings.ceilings.attempts_cap", False), "settings.ceilings.attempts_cap"),
+        (setting("settings.ceilings.attempts_cap", value=False), "settings.ceilings.attempts_cap"),
         (setting("settings.ceilings.attempts_cap", "NaN"), "settings.ceilings.attempts_cap"),
         (setting("settings.ceilings.attempts_cap"), "settings.ceilings.attempts_cap"),
         (setting("settings.ceilings"), "settings.ceilings.attempts_cap"),
@@ -76,67 +117,29 @@
     ],
 )
 def test_a_broken_file_changes_nothing_and_names_its_key(tmp_path: Path, edit: Edit, named: str) -> None:
-    with Office(tmp_path) as node:
-        before = (node.node.configuration.config, dict(node.node.configuration.class_numbers))
+    with ReloadableNode(tmp_path) as node:
+        before = (node.configuration.config, dict(node.configuration.class_numbers))
         node.edit(edit)
-        assert named in node.refused()
-        assert (node.node.configuration.config, dict(node.node.configuration.class_numbers)) == before
+        assert named in node.rejection()
+        assert (node.configuration.config, dict(node.configuration.class_numbers)) == before
 
 
 @pytest.mark.parametrize("text", ["", " ", "{", "[]", "null", "\xff", '{"settings": {"classes": [NaN]}}'])
 def test_a_file_that_is_no_configuration_changes_nothing(tmp_path: Path, text: str) -> None:
-    with Office(tmp_path) as node:
+    with ReloadableNode(tmp_path) as node:
         node.file.write_bytes(text.encode("latin-1"))
-        assert node.refused()
-
-
-class Office:
-    """A node, its file, and a reader that is asked directly instead of by a signal."""
-
-    def __init__(self, tmp_path: Path, *members: ScriptedServer) -> None:
-        self.file = tmp_path / "config.json"
-        self._node = running_node(tmp_path, *members)
-
-    def __enter__(self) -> Office:
-        self.node: Node = self._node.__enter__()
-        self.environ = {"GW_CONFIG": str(self.file)}
-        self.reloader = Reloader(
-            self.environ, self.node.context, self.node.parts.new_discovery_client(), None
-        )
-        return self
-
-    def __exit__(self, *error: Any) -> None:
-        self._node.__exit__(*error)
-
-    def edit(self, *edits: Edit) -> None:
-        whole = json.loads(self.file.read_text())
-        for edit in edits:
-            edit(whole)
-        self.file.write_text(json.dumps(whole))
-
-    def refused(self) -> str:
-        with pytest.raises(ConfigError) as err:
-            reload(self.environ, self.node.configuration.config)
-        files = self.node.metrics.totals()["config_rejected"]
-        self.reloader.reload_now()
-        assert self.node.metrics.totals()["config_rejected"] == files + 1  # type: ignore[operator]
-        return str(err.value)
-
-
-def echoes(peer: Peer) -> None:
-    for said in iter(peer.read_line, ""):
-        peer.send_lines(said)
+        assert node.rejection()
 
 
 def test_classes_come_and_go_and_established_connections_stay(tmp_path: Path) -> None:
-    with Office(tmp_path, ScriptedServer(answer_up(echoes))) as node:
+    with ReloadableNode(tmp_path, ScriptedServer(answer_up(echo_lines))) as node:
         runner = node.node.runner
-        configuration = node.node.configuration
+        configuration = node.configuration
         old = node.node.open()
         assert old.read_line() == "UP r1"
-        terms = copy.deepcopy(json.loads(node.file.read_text())["settings"]["classes"][0])
-        other = terms | {"name": "draw", "hard_limit": 900_000, "effect": "non_idempotent"}
-        node.edit(setting("settings.classes", [other]), setting("settings.ceilings.attempts_cap", 1))
+        chat = copy.deepcopy(json.loads(node.file.read_text())["settings"]["classes"][0])
+        draw = chat | {"name": "draw", "hard_limit": 900_000, "effect": "non_idempotent"}
+        node.edit(setting("settings.classes", [draw]), setting("settings.ceilings.attempts_cap", 1))
         node.edit(setting("name", "else"), setting("settings.ceilings.connect_timeout", 50_000))
         node.reloader.reload_now()
         assert node.node.metrics.totals()["config_applied"] == 1
@@ -145,31 +148,97 @@
         assert (gone.read_line(), new.read_line()) == ("ERR", "UP r1")
         for client in (old, new):
             client.send_lines("M 1")
-            assert client.read_line() == "M 1"  # connections that stand keep their class
+            assert client.read_line() == "M 1"  # established connections keep their class
         assert runner.wait_for(Settings).retired_classes == {0}
-        shorter = other | {"hard_limit": 700_000}
-        node.edit(setting("settings.classes", [terms, shorter]))
-        assert "settings.classes.0.effect: missing" in node.refused()  # the default would be a laxer one
-        node.edit(setting("settings.classes", [terms | {"effect": "read_like"}, shorter]))
+        shorter = draw | {"hard_limit": 700_000}
+        node.edit(setting("settings.classes", [chat, shorter]))
+        assert "settings.classes.0.effect: missing" in node.rejection()  # its default would be less strict
+        node.edit(setting("settings.classes", [chat | {"effect": "read_like"}, shorter]))
         node.reloader.reload_now()
-        assert configuration.class_numbers == {
-            "chat": 0,
-            "draw": 2,
-        }  # old terms have their old number, new ones a new one
-        assert [c.deadline_us for c in configuration.settings.classes] == [1_200_000, 900_000, 700_000]
+        # Earlier settings keep their number, new ones get a new one.
+        assert configuration.class_numbers == {"chat": 0, "draw": 2}
+        deadlines = [each.deadline_us for each in configuration.settings.classes]
+        assert deadlines == [1_200_000, 900_000, 700_000]
         for client in (old, gone, new):
             client.close()
 
 
 def test_keys_that_wait_for_a_restart_are_named(tmp_path: Path) -> None:
-    with Office(tmp_path) as node:
+    with ReloadableNode(tmp_path) as node:
         node.edit(setting("limits.sockets", 99), setting("settings.localities", ["b", "a"]))
         node.edit(setting("settings.rules.ask_within", 5_000_000))
-        _, taken, fixed = reload(node.environ, node.node.configuration.config)
-        assert (taken, fixed) == (["settings.rules.ask_within"], ["limits.sockets", "settings.localities"])
+        reloaded = reload(node.environ, node.configuration.config)
+        assert reloaded.changed_keys == ["settings.rules.ask_within"]
+        assert reloaded.restart_only_keys == ["limits.sockets", "settings.localities"]
         assert load(node.environ).limits.sockets == 99
 
 
+class RequestUnderReloads:
+    """One request of a policy that gets new settings between its attempts; each attempt finds BUSY."""
+
+    def __init__(self, seed: int, max_attempts: int, deadline_us: int) -> None:
+        settings = make_settings(max_attempts=max_attempts)
+        self._classes = settings.classes
+        self._balancer = Balancer(settings, seed, 0)
+        self._max_attempts = max_attempts
+        self._deadline_us = deadline_us
+        self._now_us = 0
+        self._attempt_count = 0
+        self._timers: list[SetTimer] = []
+        listed = tuple(endpoint(number) for number in range(4))
+        self._balancer.handle(0, [EndpointListUpdate(ListUpdateKind.CACHED, listed)])
+        self._actions = self._balancer.handle(0, [RequestReceived(1, 0, 0, deadline_us, key=7)])
+
+    def reconfigure(self, deadline_ms: int, max_attempts: int) -> None:
+        """Give the policy settings whose only class in force is a new one."""
+        new_class = ClassSettings(
+            latency_objective_us=50 * MILLISECOND,
+            deadline_us=deadline_ms * MILLISECOND,
+            message_latency_objective_us=20 * MILLISECOND,
+        )
+        self._classes = (*self._classes, new_class)
+        settings = replace(
+            make_settings(max_attempts=max_attempts),
+            classes=self._classes,
+            retired_classes=frozenset(range(len(self._classes) - 1)),
+        )
+        self._max_attempts = max_attempts
+        self._actions = self._balancer.handle(self._now_us, [settings])
+        # Intervals depend on the classes in force alone.
+        assert self._balancer.context.reaction_time_us == deadline_ms * MILLISECOND
+
+    def run_one_attempt(self) -> bool:
+        """Let time pass until an attempt has ended; False: the request has its final answer."""
+        while self._actions or self._timers:
+            self._timers += [action for action in self._actions if isinstance(action, SetTimer)]
+            for action in self._actions:
+                if isinstance(action, Reject | Fail):
+                    return False
+                if isinstance(action, StartAttempt):
+                    self._check_attempt(action)
+            if any(isinstance(action, StartAttempt) for action in self._actions):
+                self._end_attempt()
+                return True
+            self._expire_next_timer()
+        return True
+
+    def _check_attempt(self, action: StartAttempt) -> None:
+        self._attempt_count += 1
+        assert self._attempt_count <= self._max_attempts
+        assert self._now_us + action.timeout_us <= self._deadline_us
+
+    def _end_attempt(self) -> None:
+        self._now_us += 1 * MILLISECOND
+        ended = AttemptEnded(1, self._attempt_count - 1, 0, AttemptStatus.FULL, MILLISECOND, is_closed=False)
+        self._actions = self._balancer.handle(self._now_us, [ended])
+
+    def _expire_next_timer(self) -> None:
+        self._timers.sort(key=lambda timer: timer.due_at_us)
+        timer = self._timers.pop(0)
+        self._now_us = max(self._now_us, timer.due_at_us)
+        self._actions = self._balancer.handle(self._now_us, [TimerExpired(timer.timer_id)])
+
+
 @given(
     st.lists(st.tuples(st.integers(50, 900), st.integers(1, 5)), min_size=1, max_size=4),
     st.integers(0, 2**16),
@@ -178,47 +247,10 @@
     changes: list[tuple[int, int]], seed: int
 ) -> None:
     """However the settings change, a request's attempts end by its own deadline, and none exceeds the cap."""
-    first = make_settings(max_attempts=5)
-    core = Balancer(first, seed, 0)
-    core.handle(0, [EndpointListUpdate(ListUpdateKind.CACHED, tuple(endpoint(n) for n in range(4)))])
-    actions = core.handle(0, [RequestReceived(1, 0, 0, 2 * SECOND, key=7)])
-    classes, now, sent, cap = first.classes, 0, 0, 5
-    timers: list[SetTimer] = []
-    for deadline, cap in [(0, 5), *changes]:
-        if deadline:
-            new = ClassSettings(
-                latency_objective_us=50 * MILLISECOND,
-                deadline_us=deadline * MILLISECOND,
-                message_latency_objective_us=20 * MILLISECOND,
-            )
-            classes = (*classes, new)
-            retired = frozenset(range(len(classes) - 1))
-            told = make_settings(max_attempts=cap)
-            told = Settings(
-                **{
-                    **{f: getattr(told, f) for f in told.__slots__},
-                    "classes": classes,
-                    "retired_classes": retired,
-                }
-            )
-            actions = core.handle(now, [told])
-            assert core.context.reaction_time_us == deadline * MILLISECOND  # paces go by the classes in force
-        while actions or timers:
-            timers += [a for a in actions if isinstance(a, SetTimer)]
-            for action in actions:
-                if isinstance(action, Reject | Fail):
-                    return
-                if isinstance(action, StartAttempt):
-                    sent += 1
-                    assert sent <= cap
-                    assert now + action.timeout_us <= 2 * SECOND
-            if any(isinstance(a, StartAttempt) for a in actions):
-                now += 1 * MILLISECOND
-                actions = core.handle(
-                    now, [AttemptEnded(1, sent - 1, 0, AttemptStatus.FULL, MILLISECOND, False)]
-                )
-                break
-            timers.sort(key=lambda t: t.due_at_us)
-            due = timers.pop(0)
-            now = max(now, due.due_at_us)
-            actions = core.handle(now, [TimerExpired(due.timer_id)])
+    request = RequestUnderReloads(seed, max_attempts=5, deadline_us=2 * SECOND)
+    has_answer = not request.run_one_attempt()
+    for deadline_ms, max_attempts in changes:
+        if has_answer:
+            return
+        request.reconfigure(deadline_ms, max_attempts)
+        has_answer = not request.run_one_attempt()
--- a/tests/node/test_second_deployment.py
+++ b/tests/node/test_second_deployment.py
@@ -1,4 +1,4 @@
-"""Settings of two shapes: lists asked for and no reports, or lists pushed, tenants, reports and loads."""
+"""Settings of two deployments: polled lists and no reports, or pushed lists, tenants, reports and loads."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     running_node,
 )
 
-ASKED: dict[str, Any] = SETTINGS
+POLLED: dict[str, Any] = SETTINGS
 PUSHED: dict[str, Any] = SETTINGS | {
     "discovery": "pushed",
     "weights": "live",
@@ -45,40 +45,41 @@
 }
 
 
-@pytest.fixture(params=[ASKED, PUSHED], ids=["asked", "pushed"])
-def shape(request: pytest.FixtureRequest) -> dict[str, Any]:
+@pytest.fixture(params=[POLLED, PUSHED], ids=["polled", "pushed"])
+def deployment(request: pytest.FixtureRequest) -> dict[str, Any]:
     """The settings of one customer."""
-    found: dict[str, Any] = request.param
-    return found
+    settings: dict[str, Any] = request.param
+    return settings
 
 
-def test_a_load_line_is_a_delay_or_a_load_as_the_settings_say(tmp_path: Path, shape: dict[str, Any]) -> None:
-    """A connection's load, taken for milliseconds, moved everybody off and marked the member."""
-    host = ScriptedServer(
-        answer_up(lambda p: p.send_lines("LOAD 40500", "LOAD -1", "LOAD x", "LOAD 1e300", "LOAD 30"))
-    )
-    with running_node(tmp_path, host, settings=shape) as node:
+def test_a_load_line_is_a_delay_or_a_load_as_the_settings_say(
+    tmp_path: Path, deployment: dict[str, Any]
+) -> None:
+    """A load, taken for a delay in milliseconds, had all connections migrated and the endpoint ejected."""
+    lines = ("LOAD 40500", "LOAD -1", "LOAD x", "LOAD 1e300", "LOAD 30")
+    host = ScriptedServer(answer_up(lambda peer: peer.send_lines(*lines)))
+    with running_node(tmp_path, host, settings=deployment) as node:
         client = node.open("c=chat,t=north,d=1200")
         assert [client.read_line() for _ in range(6)][-1] == "LOAD 30"
         node.runner.wait_for(AttemptEnded)
-        kind = ReportKind.LOAD if shape is PUSHED else ReportKind.REPORTED_DELAY
-        notes = [(e.kind, e.value) for e in node.runner.events if isinstance(e, ConnectionReport)]
-        assert notes == [(kind, 40500.0), (kind, 30.0)]
+        kind = ReportKind.LOAD if deployment is PUSHED else ReportKind.REPORTED_DELAY
+        reports = [(report.kind, report.value) for report in node.runner.events_of(ConnectionReport)]
+        assert reports == [(kind, 40500.0), (kind, 30.0)]
         client.close()
 
 
 @pytest.mark.parametrize("tenant", ["t=south,", "t=west,", ""])
 def test_a_tenant_is_passed_by_its_number_and_an_unknown_one_is_answered_with_an_error(
-    tmp_path: Path, shape: dict[str, Any], tenant: str
+    tmp_path: Path, deployment: dict[str, Any], tenant: str
 ) -> None:
-    with running_node(tmp_path, ScriptedServer(answer_up()), settings=shape) as node:
+    with running_node(tmp_path, ScriptedServer(answer_up()), settings=deployment) as node:
         client = node.open(f"c=chat,{tenant}d=1200")
-        if shape is PUSHED and tenant != "t=south,":
+        if deployment is PUSHED and tenant != "t=south,":
             assert client.read_line() == "ERR"
-            assert not [e for e in node.runner.events if isinstance(e, RequestReceived)]
+            assert not node.runner.events_of(RequestReceived)
         else:
             assert client.read_line() == "UP r1"
-            assert node.runner.wait_for(RequestReceived).tenant == (1 if shape is PUSHED else 0)
+            assert node.runner.wait_for(RequestReceived).tenant == (1 if deployment is PUSHED else 0)
 
 
 @pytest.mark.parametrize(
@@ -96,7 +97,7 @@
 def test_a_load_report_is_parsed_by_its_names_and_a_bad_one_changes_nothing(
     tmp_path: Path, answer: list[str], load: tuple[float, ...]
 ) -> None:
-    """Each probe waited for a line that never came, timed out, and marked a sound member."""
+    """Each health check waited for a line that never came, timed out, and had a healthy endpoint ejected."""
 
     def report(peer: Peer) -> None:
         assert peer.read_line() == "STATS"
@@ -105,14 +106,14 @@
 
     with running_node(tmp_path, ScriptedServer(report), settings=PUSHED) as node:
         node.parts.new_health_checker().start()
-        probed = node.runner.wait_for(HealthCheckResult)
-        assert (probed.status, probed.load_report) == (AttemptStatus.OK, load)
+        result = node.runner.wait_for(HealthCheckResult)
+        assert (result.status, result.load_report) == (AttemptStatus.OK, load)
 
 
-def test_absent_features_are_named(tmp_path: Path, shape: dict[str, Any]) -> None:
-    off = absent_features(load_test_config(tmp_path, settings=shape))
-    more = ["loads", "probes", "pushed_lists", "reports", "tenants", "weights"]
-    assert off == ([] if shape is PUSHED else more)
+def test_absent_features_are_named(tmp_path: Path, deployment: dict[str, Any]) -> None:
+    absent = absent_features(load_test_config(tmp_path, settings=deployment))
+    all_features = ["loads", "probes", "pushed_lists", "reports", "tenants", "weights"]
+    assert absent == ([] if deployment is PUSHED else all_features)
 
 
 def test_reports_name_their_columns() -> None:
@@ -121,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    ("over", "named"),
+    ("overrides", "named"),
     [
         ({"tenants": "north"}, "settings.tenants"),
         ({"tenants": [{"share": 1}]}, "settings.tenants.0.name"),
@@ -131,18 +132,19 @@
     ],
 )
 def test_a_bad_setting_of_either_shape_is_named_by_its_path(
-    tmp_path: Path, shape: dict[str, Any], over: dict[str, Any], named: str
+    tmp_path: Path, deployment: dict[str, Any], overrides: dict[str, Any], named: str
 ) -> None:
     with pytest.raises(ConfigError, match=f"^{named}"):
-        load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), settings=shape | over)
+        load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), settings=deployment | overrides)
 
 
 def test_no_name_of_these_settings_is_in_the_program() -> None:
-    """Classes, tenants and places come from the settings alone."""
+    """Classes, tenants and zones come from the settings alone."""
     root = Path(__file__).parent.parent.parent
     files = [*(root / "tansyladder").rglob("*.py"), root / "deploy" / "balancer.toml"]
-    texts = [p.read_text() for p in files]
-    kits = [t for p in (root / "deploy" / "sites").glob("*.toml") for t in p.read_text().split('"')[1::2]]
-    names = {t for t in kits if "-" in t and t.isascii() and "/" not in t and " " not in t and "." not in t}
+    texts = [path.read_text() for path in files]
+    sites = [path.read_text() for path in (root / "deploy" / "sites").glob("*.toml")]
+    quoted = [text for site in sites for text in site.split('"')[1::2]]
+    names = {text for text in quoted if "-" in text and text.isascii() and not set("/ .") & set(text)}
     assert {"audit-tail", "permit-review"} <= names
     assert not [(name, text[:60]) for name in names for text in texts if name in text]
