--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -1,4 +1,4 @@
-"""Admits clients' requests within the node's limits and serves each connection on a thread of its own."""
+"""The clients' listener: admits requests within the node's limits, and drains the node at its end."""
 
 from __future__ import annotations
 
@@ -11,20 +11,18 @@
 
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
-from tansyladder.net import protocol, sockets
+from tansyladder.net import protocol
 from tansyladder.net.handover_messages import ConnectionState, DescriptorSplit
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.protocol import RESUME_TOKEN_FIELD, Opening
 from tansyladder.node.admission_control import AdmissionControl
 from tansyladder.node.connection_acceptor import PENDING_CLOSE_TIMEOUT, ConnectionAcceptor
 from tansyladder.node.connection_drainer import ConnectionDrainer
-from tansyladder.node.connection_handler import ConnectionHandler
+from tansyladder.node.connection_threads import ConnectionThreads
 from tansyladder.node.context import ConnectionServices, NodeContext
 from tansyladder.node.decision_gate import DecisionGate
-from tansyladder.node.existing_connections import AdoptedConnectionHandler, RestoredConnectionHandler
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import RequestOutcome
-from tansyladder.node.request_handler import RequestHandler
 
 if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
     from tansyladder.node.extension_points import SessionService
@@ -34,7 +32,7 @@
 
 
 class ClientListener:
-    """The clients' listener: admission on the acceptor's thread, then a thread for each connection.
+    """Accepts and admits clients on the acceptor's thread, then has each served on a thread of its own.
 
     It has no lock: what its threads share is in `AdmissionControl`, the acceptor and the policy runner.
     `start`, `drain` and `stop_listening` belong to the main thread; the methods of a `ConnectionOwner` to the
@@ -48,18 +46,17 @@
         session_service: SessionService | None,
         decision_gate: DecisionGate,
     ) -> None:
-        """Take over the listener of the process before, or open one.
+        """Take over the predecessor's listener, or open one.
 
         Args:
             context: Of the node.
-            handover: Between the process before, this one and the next.
+            handover: Between the predecessor, this process and its successor.
             session_service: Where sessions can be resumed.
-            decision_gate: Whether requests may be decided here.
+            decision_gate: Says whether requests may be decided here.
 
         Raises:
             OSError: The address can't be listened on.
         """
-        self._services = ConnectionServices(context, handover, session_service)
         self._policy = context.policy
         self._lifecycle = context.lifecycle
         self._metrics = context.metrics
@@ -67,7 +64,9 @@
         self._session_service = session_service
         self._decision_gate = decision_gate
         self._admission = AdmissionControl(context, handover, session_service)
-        self._is_rejecting_all = False  # what is read from now on comes too late to be served
+        services = ConnectionServices(context, handover, session_service)
+        self._threads = ConnectionThreads(services, self._admission)
+        self._is_rejecting_all = False  # True: requests arrive too late to be served before the end
         # The port can be shared, for a new process that the old one does not answer.
         self._listener = self._handover.request_listener() or socket.create_server(
             context.configuration.config.listen, backlog=LISTEN_BACKLOG, reuse_port=True
@@ -83,7 +82,7 @@
 
     @property
     def retry_after(self) -> timedelta:
-        """When a client rejected here may come again; zero where the platform sends no such time."""
+        """After which time a rejected client may retry; zero where the platform sends no Retry-After."""
         return self._admission.retry_after
 
     @property
@@ -102,7 +101,7 @@
         return self._acceptor.pending_count
 
     def start(self) -> None:
-        """Accept clients, and take over from the process before where there is one."""
+        """Accept clients, and take over from the predecessor where there is one."""
         self._acceptor_thread.start()
         self._lifecycle.mark_started()
         self._handover.serve(self._listener, self)
@@ -114,7 +113,7 @@
         self._metrics.record_invalid_line()
 
     def record_rejection(self, line: bytes) -> None:
-        """Count a request that found no descriptor."""
+        """Count a request that was rejected because no descriptor was left."""
         try:
             class_name = protocol.parse_opening(line).class_name
         except protocol.LineError:
@@ -125,7 +124,7 @@
     def admit(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Serve a connection on a thread of its own, after a call of `release`; else the rejecting answer."""
+        """Call `release` and have the connection served, or return the answer that rejects it."""
         try:
             answer = self._try_admit(sock, opening, arrived, release)
         except protocol.LineError as err:
@@ -138,7 +137,7 @@
     def _try_admit(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Check the first line, the node's state and its limits in this order; the answer of a rejection."""
+        """Check the first line, the node's state and its limits, in this order; return the answer if any."""
         self._admission.check_fields(opening)
         if self._is_rejecting_all or not self._decision_gate.may_decide(opening.connection_id):
             return protocol.format_reject(self.retry_after)
@@ -150,69 +149,29 @@
             log(LogEvent.CLIENT_REJECTED, why="limit")
             return protocol.format_reject(self.retry_after)
         try:
-            self._start_serving(sock, opening, arrived, release)
+            self._threads.serve(sock, opening, arrived, release)
         except RuntimeError as err:  # the system has no thread left
             self._admission.release(opening.connection_id)
             log(LogEvent.CLIENT_REJECTED, why=err)
             return protocol.format_reject(self.retry_after)
         return b""
 
-    def _start_serving(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
-    ) -> None:
-        """Start a connection's thread, which does not use the socket before `release` has returned."""
-        released = threading.Lock()
-        args = (released, sock, opening, arrived)
-        with released:
-            threading.Thread(
-                target=self._serve_when_released, args=args, name="connection", daemon=True
-            ).start()
-            release()
-
-    # --- a connection's thread
-
-    def _serve_when_released(
-        self, released: threading.Lock, sock: socket.socket, opening: Opening, arrived: timedelta
-    ) -> None:
-        with released:
-            pass
-        self._serve(self._build_handler(sock, opening, arrived), opening.connection_id)
-
-    def _build_handler(self, sock: socket.socket, opening: Opening, arrived: timedelta) -> ConnectionHandler:
-        """Return the handler of an admitted connection: a new request, or one from before the run."""
-        deadline = arrived + opening.wait
-        if opening.endpoint_id is None:
-            return RequestHandler(self._services, sock, opening, deadline)
-        return RestoredConnectionHandler(self._services, sock, opening, deadline, opening.endpoint_id)
-
-    def _serve(self, handler: ConnectionHandler, connection_id: str) -> None:
-        """Serve a connection to its end, and count it no longer as served then."""
-        try:
-            handler.run()
-        finally:
-            self._admission.release(connection_id)
-
     # --- the handover between processes, as a ConnectionOwner
 
     def split_descriptors(self) -> DescriptorSplit:
-        """Descriptors that this process keeps where another one comes, and what that leaves to it."""
+        """Return how this process shares its descriptors with a successor."""
         return self._admission.split_descriptors(self._acceptor.pending_count)
 
     def known_endpoints(self) -> EndpointList:
-        """The endpoint list as this process knows it."""
+        """Return the endpoint list as this process knows it."""
         return self._policy.endpoint_list()
 
     def adopt_connection(
         self, state: ConnectionState, client: socket.socket, upstream: socket.socket
     ) -> None:
-        """Go on with a connection of the process before, on a thread of its own."""
+        """Have a connection of the predecessor served, or end it where that fails."""
         try:
-            opening = protocol.parse_opening(state.opening.encode() + b"\r\n")
-            sockets.configure_stream(upstream)
-            self._admission.add(opening.connection_id)
-            handler = AdoptedConnectionHandler(self._services, client, opening, upstream, state)
-            args = (handler, opening.connection_id)
-            threading.Thread(target=self._serve, args=args, name="connection", daemon=True).start()
+            self._threads.adopt(state, client, upstream)
         except (protocol.LineError, RuntimeError) as err:  # RuntimeError: the system has no thread left
             log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
             upstream.close()
@@ -221,19 +180,20 @@
             client.close()
 
     def set_accepting(self, accepting: bool) -> None:
-        """The next process accepts the clients, or is gone again; it matters only to a draining process."""
-        if self._lifecycle.state is NodeState.DRAINING:
-            if accepting:
-                self._acceptor.reclaim_queue()
-            else:
-                self._acceptor.yield_queue()
+        """Accept from the listener's queue or leave it to the successor, where this process drains."""
+        if self._lifecycle.state is not NodeState.DRAINING:
+            return
+        if accepting:
+            self._acceptor.reclaim_queue()
+        else:
+            self._acceptor.yield_queue()
 
     # --- the end
 
     def drain(self) -> None:
-        """After SIGTERM: serve what still arrives, migrate what is established, reject the rest in time."""
-        # Before the state changes, as clients that come once it is seen are the successor's; and again after
-        # it, as a successor's end in between is passed over by `set_accepting`.
+        """Shut down gracefully: serve late requests, migrate connections, and reject the rest in time."""
+        # Before the state changes, as clients that connect once it is visible are the successor's; and again
+        # after it, as `set_accepting` ignores a successor's end in between.
         self._share_queue()
         self._lifecycle.begin_drain()
         self._share_queue()
