--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' address: one call a connection, answered on a thread of its own."""
+"""The admin server: operators' calls, one on each connection, answered on a thread of its own."""
 
 from __future__ import annotations
 
@@ -26,23 +26,24 @@
 if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
     from tansyladder.node.extension_points import DecisionPermit
 
-MAX_CALLERS = ADMIN_DESCRIPTORS - 2  # beside the listener, and one accepted before another is closed
+MAX_CALLERS = ADMIN_DESCRIPTORS - 2  # one is the listener's, and one is accepted before another is closed
 CALLER_TIMEOUT = timedelta(seconds=10)  # for a complete line, and for reading the answer
 MAX_LINE_BYTES = 512  # of a call, whose longest part is a path
-ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)  # after an accept that failed for want of descriptors
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)  # after an accept that found no descriptor
 EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=250)  # between two checks of the callers' deadlines
 EXPIRY_CHECK_INTERVAL_MS = EXPIRY_CHECK_INTERVAL / timedelta(milliseconds=1)
 LISTEN_BACKLOG = 128
 MAX_SHOWN_CHARACTERS = 40  # of an unknown call, in its answer
 EXPECTED_CALLS = "status, stats, standby or active expected"
+SHUT_DOWN_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL  # of the listener
 
 
 class CallError(Exception):
-    """A call that can't be done; the message is the answer."""
+    """A call that can't be made; the message is its answer."""
 
 
 class Caller:
-    """A connection on the operators' address; owned by the server's thread."""
+    """An operator's connection. Owned by the server's thread."""
 
     __slots__ = ("accepted_at", "received", "sock", "unsent")
 
@@ -50,18 +51,18 @@
         self.sock = sock
         self.accepted_at = now()
         self.received = b""
-        self.unsent: bytes | None = None  # what is left of the answer, once there is one
+        self.unsent: bytes | None = None  # the rest of the answer; None: the call is not complete
 
     @property
     def is_finished(self) -> bool:
-        """Whether the answer is out, and only the caller's own end is waited for."""
+        """Whether the answer was sent, and only the caller's own end is awaited."""
         return self.unsent == b""
 
 
 class AdminServer:
     """Answers operators' calls, each on a connection of its own, on one thread that blocks on no caller.
 
-    The calls ask the owners of what they are about, all of which are thread-safe.
+    What the calls use is thread-safe.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
             ("change", 1): lambda key: [self._decision_permit.change_result(key)],
         }
         self._listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
-        self._listener.setblocking(False)
+        self._listener.settimeout(0)  # it does not block
         self._callers: dict[int, Caller] = {}  # by descriptor, in the order in which they came
         self._poll = select.poll()
         self._poll.register(self._listener, select.POLLIN)
@@ -147,7 +148,7 @@
         return [state.value]  # the log has the change itself
 
     def _answer(self, line: bytes) -> bytes:
-        """What a call's line is answered with."""
+        """Return the answer to the line of a call."""
         try:
             first, *more = self._call(line)
             lines = [first if more else f"+OK {first}", *more]
@@ -156,7 +157,11 @@
         return "".join(f"{line}\r\n" for line in lines).encode()
 
     def _call(self, line: bytes) -> list[str]:
-        """Make a call; CallError or ValueError where it can't be done."""
+        """Make a call, and return the lines of its result.
+
+        Raises:
+            CallError, ValueError: It can't be made.
+        """
         try:
             text = line.decode("ascii").strip()
         except UnicodeDecodeError as err:
@@ -177,21 +182,26 @@
     # --- their connections
 
     def _run(self) -> None:
+        """Serve callers until the listener is shut down."""
         last_check = now()
         while True:
             for descriptor, events in self._poll.poll(EXPIRY_CHECK_INTERVAL_MS if self._callers else None):
                 caller = self._callers.get(descriptor)
                 if caller is not None:
                     self._handle_ready(caller)
+                elif events & SHUT_DOWN_EVENTS and descriptor == self._listener.fileno():
+                    return
                 elif descriptor == self._listener.fileno():
-                    if events & (select.POLLHUP | select.POLLERR | select.POLLNVAL):
-                        return
                     self._accept()
             if now() - last_check >= EXPIRY_CHECK_INTERVAL:
                 last_check = now()
-                for caller in list(self._callers.values()):
-                    if last_check - caller.accepted_at >= CALLER_TIMEOUT:
-                        self._close(caller)
+                self._close_expired(last_check)
+
+    def _close_expired(self, moment: timedelta) -> None:
+        """Close the callers whose time is over."""
+        for caller in list(self._callers.values()):
+            if moment - caller.accepted_at >= CALLER_TIMEOUT:
+                self._close(caller)
 
     def _accept(self) -> None:
         try:
@@ -202,23 +212,23 @@
             return
         if len(self._callers) >= MAX_CALLERS:
             self._close_oldest()
-        sock.setblocking(False)
+        sock.settimeout(0)  # it does not block
         caller = self._callers[sock.fileno()] = Caller(sock)
         self._poll.register(sock, select.POLLIN)
-        self._handle_ready(caller)  # most lines are there already
+        self._handle_ready(caller)  # most calls have arrived by now
 
     def _free_descriptor(self) -> None:
-        """Close a caller; without one, wait a little, as the next accept must not spin."""
+        """Close a caller; where there is none, wait briefly, as the next accept must not spin."""
         if self._callers:
             self._close_oldest()
-        else:  # the machine has less than it said
+        else:  # the machine has fewer descriptors than it granted
             threading.Event().wait(ACCEPT_RETRY_DELAY.total_seconds())
 
     def _close_oldest(self) -> None:
         self._close(next(iter(self._callers.values())))
 
     def _handle_ready(self, caller: Caller) -> None:
-        """Serve a caller; whatever it does affects no other one."""
+        """Serve a caller; no fault of it affects another one."""
         try:
             if caller.unsent is None:
                 self._read(caller)
@@ -235,7 +245,7 @@
             self._close(caller)
 
     def _read(self, caller: Caller) -> None:
-        """Read a caller's line; once it is complete, answer it."""
+        """Read a caller's line, and answer it once it is complete."""
         data = caller.sock.recv(MAX_LINE_BYTES + 1)
         caller.received += data
         line, line_end, _ = caller.received.partition(b"\n")
@@ -248,11 +258,11 @@
             caller.unsent = self._answer(line)
         else:
             return
-        self._poll.modify(caller.sock, select.POLLOUT)  # what else it sends must not keep us busy
+        self._poll.modify(caller.sock, select.POLLOUT)  # what it sends further must not keep the thread busy
         self._send(caller)
 
     def _send(self, caller: Caller) -> None:
-        """Send what fits of the answer, and end our side behind it."""
+        """Send as much of the answer as possible, and end our side after the last byte."""
         unsent = caller.unsent or b""
         caller.unsent = unsent[caller.sock.send(unsent) :]
         if caller.is_finished:
@@ -260,7 +270,7 @@
             self._poll.modify(caller.sock, select.POLLIN)
 
     def _discard(self, caller: Caller) -> None:
-        """Read away until the caller ends its side: a close with unread bytes would be a reset."""
+        """Discard what the caller sends until it ends its side: closing over unread bytes is a reset."""
         data = caller.sock.recv(protocol.MAX_LINE_BYTES)
         if not data or now() - caller.accepted_at > sockets.DRAIN_TIMEOUT:
             self._close(caller)
--- a/tansyladder/node/admission_control.py
+++ b/tansyladder/node/admission_control.py
@@ -1,4 +1,4 @@
-"""Decides which requests this node serves: known classes and tenants, within its descriptors."""
+"""Admits requests: of classes and tenants that the settings know, within the node's descriptors."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
     from tansyladder.node.extension_points import SessionService
 
-# Of the descriptors that the machine grants, a pending connection needs one; a served one needs two, and a
-# third for its action queue until it is established.
+# A pending connection uses one of the descriptors that the machine grants; a served one uses two, and a third
+# for its action queue until it is established.
 SERVED_DESCRIPTORS = 3
-ADMIN_DESCRIPTORS = 18  # for the operators' address, which no client can have
+ADMIN_DESCRIPTORS = 18  # reserved for operators' calls
 RESERVED_DESCRIPTORS = 20  # for the listener, discovery, health checks, logs and the configuration
 MIN_PENDING = 8
 MAX_PENDING = 128
-PENDING_SHARE = 6  # one descriptor in so many may be a pending connection's
-REJECTION_RETRY_AFTER = timedelta(milliseconds=200)  # that a client rejected at admission is told
+PENDING_SHARE = 6  # one descriptor in so many may be used by a pending connection
+REJECTION_RETRY_AFTER = timedelta(milliseconds=200)  # Retry-After of a client that is rejected at admission
+MAX_SHOWN_CHARACTERS = 40  # of a client's value in an error
 
 
 class AdmissionControl:
@@ -62,23 +63,32 @@
 
     @property
     def retry_after(self) -> timedelta:
-        """When a client rejected here may come again; zero where the platform sends no such time."""
+        """After which time a rejected client may retry; zero where the platform sends no Retry-After."""
         settings = self._configuration.settings
         if not settings.can_send_retry_after:
             return timedelta(0)
         return min(REJECTION_RETRY_AFTER, settings.max_retry_after_us * MICROSECOND)
 
     def check_fields(self, opening: Opening) -> None:
-        """Raise LineError where the settings know no such class or tenant."""
+        """Check the class and the tenant that a first line names.
+
+        Raises:
+            LineError: The settings know no such class or tenant.
+        """
         if opening.class_name not in self._configuration.class_numbers:
-            raise protocol.LineError(f"c: unknown class {opening.class_name[:40]}")
+            raise protocol.LineError(f"c: unknown class {opening.class_name[:MAX_SHOWN_CHARACTERS]}")
         tenants = self._configuration.config.tenants
-        if tenants and opening.field_values.get(TENANT_FIELD) not in tenants:
-            raise protocol.LineError(f"t: unknown tenant {opening.field_values.get(TENANT_FIELD, '')[:40]}")
+        tenant = opening.field_values.get(TENANT_FIELD)
+        if tenants and tenant not in tenants:
+            raise protocol.LineError(f"t: unknown tenant {(tenant or '')[:MAX_SHOWN_CHARACTERS]}")
 
     def reserve(self, connection_id: str) -> bool:
-        """Count a connection as served; False at the limit, LineError where its id is open already."""
-        # An established connection has given its action queue's descriptor back; a resumable one keeps it.
+        """Count a connection as served; return False where the limit is reached.
+
+        Raises:
+            LineError: A connection with this id is open already.
+        """
+        # An established connection has released its action queue's descriptor; a resumable one keeps it.
         released = len(self._policy.established_request_ids())
         if self._session_service is not None:
             released -= len(self._session_service.token_registry)
@@ -92,17 +102,17 @@
             return True
 
     def add(self, connection_id: str) -> None:
-        """Count a connection that the process before handed over, whatever the limit is."""
+        """Count a connection that the predecessor handed over, whatever the limit is."""
         with self._lock:
             self._open_ids.add(connection_id)
 
     def release(self, connection_id: str) -> None:
-        """A connection has ended."""
+        """Count a connection no longer: it has ended."""
         with self._lock:
             self._open_ids.discard(connection_id)
 
     def split_descriptors(self, pending_count: int) -> DescriptorSplit:
-        """Descriptors that this process keeps where another one comes, and what that leaves to it."""
+        """Return how this process shares its descriptors with a successor: half of the free ones are its."""
         used = SERVED_DESCRIPTORS * len(self._open_ids) - len(self._policy.established_request_ids())
         free = max(0, self._available - used)
         retained = self._reserved + pending_count + used + free // 2
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -1,4 +1,4 @@
-"""The attempts of one request: the policy's choices, one after another, until a connection is established."""
+"""Makes the attempts of one request that the policy starts, until a connection is established."""
 
 from __future__ import annotations
 
@@ -11,7 +11,14 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue, QueuedAction
 from tansyladder.net.clock import MICROSECOND, now
-from tansyladder.net.upstream import ClientEnd, ConnectResult, UpstreamConnection, UpstreamConnector
+from tansyladder.net.endpoint_address import EndpointAddress
+from tansyladder.net.upstream import (
+    CLIENT_END_BY_PEEK,
+    ClientEnd,
+    ConnectResult,
+    UpstreamConnection,
+    UpstreamConnector,
+)
 from tansyladder.node.context import NodeContext
 from tansyladder.policy.actions import CancelAttempt, Fail, Migrate, Reject, StartAttempt
 from tansyladder.policy.events import (
@@ -24,26 +31,25 @@
 
 ANSWER_GRACE = timedelta(milliseconds=25)  # past the deadline, for the policy's final answer to arrive
 
-
 AttemptLoopResult = UpstreamConnection | Reject | Fail | ClientEnd
 
 
 @dataclass(slots=True)
 class AttemptLoop:
-    """What the attempts of one request have in common; owned by the request's thread."""
+    """Makes one request's attempts, one at a time. Owned by the request's thread."""
 
     context: NodeContext
     action_queue: ActionQueue
     request_id: int
     class_name: str
     deadline: timedelta
-    first_line: Callable[[timedelta], bytes]  # of the endpoint, by how long the node waits
-    client: socket.socket | None = None  # whose end ends the loop; None: no client is watched
-    answer_line_count: int = 1  # lines that make an endpoint's answer
-    is_acceptable: Callable[[ConnectResult], bool] = lambda _: True  # of an established connection
+    first_line: Callable[[timedelta], bytes]  # formats the endpoint's line, by how long the node waits
+    client: socket.socket | None = None  # whose disconnect ends the loop; None: no client is watched
+    answer_line_count: int = 1  # lines of an endpoint's complete answer
+    is_acceptable: Callable[[ConnectResult], bool] = lambda _: True  # checks an established connection
 
     def run(self, request: RequestReceived) -> AttemptLoopResult:
-        """Follow the policy until a connection is established or the request ends; one attempt at a time."""
+        """Pass the request to the policy, and make attempts until a connection is established or it ends."""
         self.context.policy.handle_events(request)
         attempt = 0
         while True:
@@ -60,10 +66,10 @@
                 case Fail():
                     return action
                 case CancelAttempt() | Migrate():
-                    pass  # the attempt is over already, or nothing is established yet
+                    pass  # the attempt has ended already, or no connection is established yet
 
     def _make_attempt(self, action: StartAttempt, attempt: int) -> UpstreamConnection | ClientEnd | None:
-        """Make one attempt; None: it failed, and the policy decides what is next."""
+        """Make one attempt; return None where it failed and the policy decides what follows."""
         policy = self.context.policy
         endpoint = policy.endpoint(action.endpoint_id)
         started = now()
@@ -86,23 +92,33 @@
                 return UpstreamConnection(endpoint, result.sock, result.buffer, lines, attempt, duration_us)
             result.sock.close()
             result = replace(result, status=AttemptStatus.CANCELLED)
-        client_end = result.client_end
-        is_client_finished = client_end is not None
+        self._report_failure(endpoint, attempt, result, duration_us)
+        return result.client_end
+
+    def _report_failure(
+        self, endpoint: EndpointAddress, attempt: int, result: ConnectResult, duration_us: int
+    ) -> None:
+        """Notify the policy that an attempt has ended, after the client's disconnect where that ended it."""
+        has_client_left = result.client_end is not None
         ended = AttemptEnded(
-            self.request_id, attempt, endpoint.number, result.status, duration_us, is_client_finished
+            self.request_id,
+            attempt,
+            endpoint.number,
+            result.status,
+            duration_us,
+            is_closed=has_client_left,
         )
-        if is_client_finished:
-            policy.handle_events(ClientDisconnected(self.request_id), ended)
+        if has_client_left:
+            self.context.policy.handle_events(ClientDisconnected(self.request_id), ended)
         else:
-            policy.handle_events(ended)
-        return client_end
+            self.context.policy.handle_events(ended)
 
     def _record_attempt(self) -> None:
         self.context.metrics.record_attempt(self.class_name)
 
     def _next_action(self) -> QueuedAction | ClientEnd:
         """Wait for the policy's next action, or for the client's end."""
-        until = self.deadline + ANSWER_GRACE
+        deadline = self.deadline + ANSWER_GRACE
         descriptors = [self.action_queue.fileno()]
         if self.client is not None:
             descriptors.append(self.client.fileno())
@@ -110,25 +126,28 @@
             action = self.action_queue.take()
             if action is not None and action.request_id == self.request_id:
                 return action
-            ready = sockets.wait_readable(until, *descriptors)
-            if self.client and self.client.fileno() in ready and self.action_queue.peek() is None:
-                match sockets.peek(self.client):
-                    case sockets.PeekResult.DATA:
-                        return ClientEnd.SENT_EARLY
-                    case sockets.PeekResult.CLOSED:
-                        return ClientEnd.DISCONNECTED
-            if not ready and now() >= until:
+            ready = sockets.wait_readable(deadline, *descriptors)
+            client_end = self._check_client(ready)
+            if client_end is not None:
+                return client_end
+            if not ready and now() >= deadline:
                 check_invariant(False, "answer_overdue")
                 return Reject(self.request_id, 0)
 
+    def _check_client(self, ready: set[int]) -> ClientEnd | None:
+        """Return how the client ended its request, if it did; an action that has arrived goes first."""
+        if self.client is None or self.client.fileno() not in ready or self.action_queue.peek() is not None:
+            return None
+        return CLIENT_END_BY_PEEK.get(sockets.peek(self.client))
+
 
 def load_hint_of(opening: protocol.Opening) -> int | None:
-    """The client's hint of its load as the policy takes it; None: it gave none."""
+    """Return the client's hint of its load in the policy's unit; None where the line has none."""
     return None if opening.load_hint is None else int(opening.load_hint)
 
 
 def tenant_of(context: NodeContext, opening: protocol.Opening) -> int:
-    """The number of the tenant that a first line names; 0 where the settings have no such."""
+    """Return the number of the tenant that a first line names; 0 where the settings have no such tenant."""
     return context.configuration.config.tenant_number(opening.field_values.get(protocol.TENANT_FIELD, ""))
 
 
@@ -138,9 +157,10 @@
     class_number: int,
     opening: protocol.Opening,
     deadline: timedelta,
+    *,
     is_reconnect: bool,
 ) -> RequestReceived:
-    """The event that tells the policy of a request; `is_reconnect`: its connection broke or was migrated."""
+    """Build the policy's event of a request; `is_reconnect`: its connection broke or was migrated."""
     return RequestReceived(
         request_id,
         class_number,
--- a/tansyladder/node/connection_drainer.py
+++ b/tansyladder/node/connection_drainer.py
@@ -1,7 +1,8 @@
-"""Drains a node: established connections are migrated, waiting requests are rejected, each told once."""
+"""Drains a node: migrates established connections and rejects waiting requests, each of them once."""
 
 from __future__ import annotations
 
+import math
 import threading
 from collections.abc import Callable
 from datetime import timedelta
@@ -13,11 +14,11 @@
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.policy.actions import Migrate, Reject
 
-LATE_ARRIVAL_WINDOW = timedelta(milliseconds=450)  # after SIGTERM new connections come for up to 0.4 s
+LATE_ARRIVAL_WINDOW = timedelta(milliseconds=450)  # after SIGTERM new connections arrive for up to 0.4 s
 LONGEST_REQUEST_WAIT = timedelta(seconds=3)  # that a shutdown grants, however long the deadlines are
-KILL_MARGIN = timedelta(milliseconds=700)  # SIGKILL comes no earlier than the longest deadline and this
+KILL_MARGIN = timedelta(milliseconds=700)  # SIGKILL is sent no earlier than the longest deadline and this
 EXIT_MARGIN = timedelta(milliseconds=400)  # of that margin, for the end of the process
-# After `standby` every client has left in 4 s, less a margin.
+# 4 s after `standby` every client has to have left; this is less, by a margin.
 STANDBY_DRAIN_DURATION = timedelta(seconds=3.4)
 LAST_MIGRATION_MARGIN = timedelta(milliseconds=500)  # from the last client's MOVE to the end of the drain
 DRAIN_STEP_INTERVAL = timedelta(milliseconds=10)
@@ -31,7 +32,7 @@
 
 
 class ConnectionDrainer:
-    """Tells connections to leave; thread-safe, as it has no state of its own that changes."""
+    """Migrates connections and rejects requests. Thread-safe, as no state of its own changes."""
 
     def __init__(self, context: NodeContext, active_count: Callable[[], int]) -> None:
         """`active_count`: how many connections are served at the moment."""
@@ -41,7 +42,7 @@
         self._active_count = active_count
 
     def shutdown_deadline(self) -> timedelta:
-        """Until when a shutdown may spread its migrations, from the moment it began."""
+        """Return until when the shutdown that has begun may spread its migrations."""
         longest_wait = min(self._configuration.config.longest_deadline, LONGEST_REQUEST_WAIT)
         return self._lifecycle.state_since + longest_wait + KILL_MARGIN - EXIT_MARGIN
 
@@ -59,47 +60,50 @@
     def migrate_gradually(
         self, since: timedelta, end: timedelta, is_finished: Callable[[], bool] = lambda: False
     ) -> set[int]:
-        """Migrate established connections, spread until `end`; returns the ids of those that were told.
+        """Migrate established connections, spread until `end`; return the ids of their requests.
 
-        All clients coming at once to the other nodes would fail together. It ends early once the lifecycle's
-        state, which began at `since`, changes, or `is_finished` says so.
+        If all clients reconnected at once to the other nodes, they would fail together. It ends early once
+        the lifecycle's state, which began at `since`, changes, or `is_finished` returns True.
         """
         notified = set[int]()
         while True:
             step_end = max(since + LATE_ARRIVAL_WINDOW, now() + DRAIN_STEP_INTERVAL)
             if self._lifecycle.wait_for_change(since, step_end) or now() >= end:
                 return notified
-            established = [
-                number for number in self._policy.established_request_ids() if number not in notified
-            ]
+            established = _without(notified, self._policy.established_request_ids())
             if is_finished():
                 return notified
             steps_left = max(1, (end - LAST_MIGRATION_MARGIN - now()) // DRAIN_STEP_INTERVAL)
-            share = established[: -(-len(established) // steps_left)]
-            notified.update(share)
-            self._policy.dispatch([Migrate(number) for number in share])
+            step_size = math.ceil(len(established) / steps_left)
+            migrated = established[:step_size]
+            notified.update(migrated)
+            self._policy.dispatch([Migrate(request_id) for request_id in migrated])
 
     def evict_remaining(self, notified: set[int], until: timedelta) -> None:
-        """Reject waiting requests and migrate established ones until all have left or a moment has come.
+        """Reject waiting requests and migrate established ones, until all have ended or the deadline.
 
-        Each is told once: a rejection that finds its connection established by then becomes a migration. A
-        request that was admitted a moment ago may not be registered yet, so this looks again and again.
+        Each is notified once: a rejection whose connection is established by then becomes a migration. A
+        request that has just been admitted may not be registered yet, so this checks repeatedly.
         """
         while True:
-            waiting = [number for number in self._policy.waiting_request_ids() if number not in notified]
+            waiting = _without(notified, self._policy.waiting_request_ids())
             notified.update(waiting)
-            established = [
-                number for number in self._policy.established_request_ids() if number not in notified
-            ]
+            established = _without(notified, self._policy.established_request_ids())
             notified.update(established)
-            rejections = [Reject(number) for number in waiting]
-            migrations = [Migrate(number) for number in established]
+            rejections = [Reject(request_id) for request_id in waiting]
+            migrations = [Migrate(request_id) for request_id in established]
             self._policy.dispatch([*rejections, *migrations])
             if not self._active_count() or now() >= until:
                 return
             threading.Event().wait(DRAIN_STEP_INTERVAL.total_seconds())
 
     def remaining(self) -> RemainingRequests:
-        """How many requests this node still has."""
+        """Count the requests that this node still has."""
         established_count = len(self._policy.established_request_ids())
-        return RemainingRequests(established_count, len(self._policy.waiting_request_ids()))
+        waiting_count = len(self._policy.waiting_request_ids())
+        return RemainingRequests(established_count, waiting_count)
+
+
+def _without(notified: set[int], request_ids: list[int]) -> list[int]:
+    """Return the requests that have not been notified."""
+    return [request_id for request_id in request_ids if request_id not in notified]
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -23,33 +23,37 @@
 if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
     from tansyladder.node.extension_points import EndpointListCache
 
-# A change counts as told 6 s after discovery had it and could be reached, whatever became of a node's calls.
-# A poll that falls silent is given up after POLL_TIMEOUT + ANSWER_MARGIN, and the call in its place has the
-# rest. One that follows a failure may hang as well, where discovery is still down, and the policy's backoff
-# (up to 4 s) comes on top of that: so it waits for little.
+# Nodes have to know a change 6 s after discovery has it and is reachable, even where their calls failed. A
+# poll without an answer times out after POLL_TIMEOUT + ANSWER_MARGIN, and the poll in its place has the rest.
+# A poll after a failure may be left unanswered as well, while discovery is still down, and the policy's
+# backoff (up to 4 s) is added to that: so its timeout is short.
 POLL_TIMEOUT = timedelta(seconds=4.5)  # that a poll asks discovery to wait for a change
-POLL_TIMEOUT_AFTER_FAILURE = timedelta(milliseconds=500)  # the same, from a failure to the next answer
+POLL_TIMEOUT_AFTER_FAILURE = timedelta(milliseconds=500)  # the same, after a failure until the next answer
 ANSWER_MARGIN = timedelta(milliseconds=750)  # for an answer to arrive, beyond the poll's timeout
-IMMEDIATE_ANSWER_TIMEOUT = timedelta(seconds=2)  # of a call that does not poll: calls queue at the service
-# Nodes whose call interval is no longer may call at once: all get their turn in time.
+IMMEDIATE_ANSWER_TIMEOUT = timedelta(seconds=2)  # of a call that does not poll: discovery queues calls
+# Nodes whose call interval is at most this may call at the same time: discovery answers all of them in time.
 SIMULTANEOUS_CALL_INTERVAL = timedelta(seconds=1)
 CONNECT_TIMEOUT = timedelta(seconds=1)
-# All nodes are told of a new address at once, so their first calls to it are spread over at least this.
+# All nodes learn of a new address at once, so their first calls to it are spread over at least this.
 MIN_FIRST_CALL_SPREAD = timedelta(milliseconds=250)
-MAX_RETRY_SPREAD = timedelta(seconds=1)  # the widest interval between two attempts there
+MAX_RETRY_SPREAD = timedelta(seconds=1)  # the longest interval between two calls to a new address
 POLL_AGAIN_SPREAD = timedelta(milliseconds=150)  # from an answer with changes to the next poll
-AGENT_RETRY_INTERVAL = timedelta(milliseconds=50)  # between calls of an agent here, which cost nobody
-FIRST_LIST_TIMEOUT = timedelta(milliseconds=300)  # of a start: what it has by then counts as told
+AGENT_RETRY_INTERVAL = timedelta(
+    milliseconds=50
+)  # between calls to an agent on this machine, which are cheap
+FIRST_LIST_TIMEOUT = timedelta(
+    milliseconds=300
+)  # of a start: lists that an agent has by then have to be known
 PATH = "/v1/servers"
 MILLISECOND = timedelta(milliseconds=1)
 
 
 class PollState(Enum):
-    """What the last calls came to; it decides the next call's timeout and what a silence means."""
+    """How the last calls ended; this decides on the next poll's timeout and on what a timeout means."""
 
     ANSWERING = "answering"
-    SILENT = "silent"  # the last call had no answer in time, or an agent's failed
-    REFUSED = "refused"  # refused since a silence: something answers there, but no list has come
+    SILENT = "silent"  # the last call had no answer in time, or a call to an agent failed
+    REFUSED = "refused"  # failed otherwise since a timeout: something answers there, but has sent no list
 
 
 # The state after a call that had no answer in time, and after one that failed in another way. A list leads
@@ -63,7 +67,7 @@
 
 
 class CallFailure(NamedTuple):
-    """Why a call to discovery brought no list."""
+    """Why a call to discovery returned no list."""
 
     error: str
     is_timeout: bool = False
@@ -71,7 +75,7 @@
 
 
 class DiscoveryClient:
-    """Polls discovery on one thread, when the policy says so, until a call fails.
+    """Polls discovery on one thread, from a request of the policy until a call fails.
 
     `_lock` guards the address, its client and what is known of it; nothing else is called under it. The
     polling thread alone writes `_state`. `switch_address` is thread-safe.
@@ -85,7 +89,7 @@
         Args:
             context: Of the node.
             work_queues: The policy's requests to poll.
-            endpoint_cache: Where the list is stored beyond the process.
+            endpoint_cache: Stores the list for the next process.
         """
         config = context.configuration.config
         self._configuration = context.configuration
@@ -95,8 +99,8 @@
         self._lock = threading.Lock()
         self._address = config.discovery
         self._http = HttpClient(config.discovery)
-        # Whether this address has yet to send its complete list; at a start the changes since the known list
-        # will do, unless an agent answers here.
+        # Whether this address has yet to send its complete list. At a start the changes since the known list
+        # are enough, unless an agent answers.
         self._needs_snapshot = self._is_agent or not config.known_endpoints.endpoints
         self._retry_spread = self._first_call_spread
         self._state = PollState.ANSWERING
@@ -109,26 +113,27 @@
 
     @property
     def _is_agent(self) -> bool:
-        """Whether an agent on this machine is sent the lists, and answers at once with what it has."""
+        """Whether an agent on this machine receives the lists, and answers at once with the newest one."""
         return not self._configuration.settings.polls_discovery
 
     @property
     def _first_call_spread(self) -> timedelta:
-        """Over which first calls to a new address are spread: it counts as known after 4 s."""
+        """The time over which nodes' first calls to a new address are spread; 4 s are allowed for them."""
         is_large_cluster = self._call_interval > SIMULTANEOUS_CALL_INTERVAL
         return MAX_RETRY_SPREAD if is_large_cluster else MIN_FIRST_CALL_SPREAD
 
     def start(self) -> None:
-        """Start the polling thread; where an agent answers, wait a little for its first list."""
+        """Start the polling thread; where an agent answers, wait briefly for its first list."""
         threading.Thread(target=self._run, name="discovery", daemon=True).start()
-        if self._is_agent:  # else the policy says when
+        if self._is_agent:  # else the policy decides when to poll
             self._work_queues.request_discovery_poll()
             self._first_answer.wait(FIRST_LIST_TIMEOUT.total_seconds())
 
     def switch_address(self, address: Address) -> bool:
-        """Poll another address from now on; False where it is polled already.
+        """Poll another address from now on; return False where it is polled already.
 
-        The known list stays until the new address has sent its complete list. The old one's call ends here.
+        The known list stays in force until the new address has sent its complete one. The call to the old
+        address is aborted.
         """
         with self._lock:
             if address == self._address:
@@ -142,7 +147,7 @@
         return True
 
     def _require_snapshot(self) -> None:
-        """Ask for the complete list next; called with the lock held."""
+        """Have the next call request the complete list; called with the lock held."""
         self._needs_snapshot = True
         self._retry_spread = self._first_call_spread
 
@@ -162,11 +167,11 @@
             needs_snapshot = self._needs_snapshot
             retry_spread = self._retry_spread
         if needs_snapshot and not self._is_agent:
-            # All nodes come at once to a service that takes calls one after another.
+            # All nodes call at once, and discovery answers calls one after another.
             _sleep(random.uniform(0, 1) * retry_spread)
         started = now()
-        result = self._call(http, needs_snapshot)
-        if http is not self._http:  # the address was switched: what the old one says counts for nothing
+        result = self._call(http, needs_snapshot=needs_snapshot)
+        if http is not self._http:  # the address was switched: the old one's answer is ignored
             http.close()
             return True
         if isinstance(result, CallFailure):
@@ -180,10 +185,11 @@
                 complete=result.complete,
                 entries=len(result.endpoints),
             )
-        return self._handle_list(http, result)
+        self._handle_list(http, result)
+        return True
 
-    def _call(self, http: HttpClient, needs_snapshot: bool) -> EndpointList | CallFailure:
-        """Ask for the complete list, or poll for the changes since the known one."""
+    def _call(self, http: HttpClient, *, needs_snapshot: bool) -> EndpointList | CallFailure:
+        """Request the complete list, or poll for the changes since the known one."""
         known_revision = self._policy.revision
         poll_timeout = POLL_TIMEOUT_AFTER_FAILURE if self._state is PollState.SILENT else POLL_TIMEOUT
         path = f"{PATH}?since={known_revision}&timeout_ms={poll_timeout // MILLISECOND}"
@@ -201,12 +207,12 @@
             return CallFailure(f"older than what is known: {listed.revision}", is_stale=True)
         return listed
 
-    def _handle_list(self, http: HttpClient, listed: EndpointList) -> bool:
-        """Give a list to the policy; True: polling goes on."""
+    def _handle_list(self, http: HttpClient, listed: EndpointList) -> None:
+        """Give a list to the policy, unless the address has been switched meanwhile."""
         with self._lock:
             if http is not self._http:
                 http.close()
-                return True
+                return
             self._needs_snapshot = False
             self._state = PollState.ANSWERING
         self._policy.record_discovery_call(failed=False)
@@ -215,30 +221,27 @@
         self._first_answer.set()
         self._endpoint_cache.save_endpoints(listed)
         if not self._is_agent and listed.endpoints and self._call_interval > SIMULTANEOUS_CALL_INTERVAL:
-            # A change answers the polls of all nodes at once. What changes within 200 ms of an answer counts
-            # as told: a node that asked later sent to an endpoint that was gone, by a list it never saw.
+            # A change answers the polls of all nodes at once, so the next ones are spread. Nodes have to know
+            # what changes within 200 ms of an answer: one that polls later may use an endpoint that has gone.
             self._work_queues.wait_for_poll_request(random.uniform(0, 1) * POLL_AGAIN_SPREAD)
-        return True
 
     def _handle_failure(self, http: HttpClient, failure: CallFailure) -> bool:
-        """Note a failed call; True: polling goes on here, False: the policy decides when."""
+        """Record a failed call; return True where polling continues, False where the policy decides when."""
         with self._lock:
             if http is not self._http:
                 return True
             if failure.is_stale and not self._needs_snapshot:
-                # It came late, or its numbers have begun anew: the complete list tells.
+                # The answer was late, or discovery numbers its lists anew: the complete list decides.
                 self._require_snapshot()
                 return True
             if self._needs_snapshot:
                 self._retry_spread = min(2 * self._retry_spread, MAX_RETRY_SPREAD)
                 is_polling = True
             else:
-                # A poll that falls silent once is no failed call: it is opened anew at once.
-                is_first_silence = failure.is_timeout and self._state is PollState.ANSWERING
+                is_polling = self._is_poll_repeated(failure)
                 is_silence = failure.is_timeout or self._is_agent
                 transitions = STATE_AFTER_TIMEOUT if is_silence else STATE_AFTER_REFUSAL
                 self._state = transitions[self._state]
-                is_polling = self._is_agent or is_first_silence
         if self._is_agent:
             self._work_queues.wait_for_poll_request(AGENT_RETRY_INTERVAL)
         if not is_polling:
@@ -246,6 +249,10 @@
             self._policy.update_endpoints(unchanged, ListUpdateKind.FAILED)
         return is_polling
 
+    def _is_poll_repeated(self, failure: CallFailure) -> bool:
+        """Return whether a failed poll is repeated at once: any of an agent, or the first to time out."""
+        return self._is_agent or (failure.is_timeout and self._state is PollState.ANSWERING)
+
 
 def _sleep(duration: timedelta) -> None:
     threading.Event().wait(max(0.0, duration.total_seconds()))
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -120,7 +120,7 @@
         return EndpointList(self.revision, complete=True, endpoints=list(self._entries.values()))
 
     def _update(self, entry: EndpointEntry, address: Address, state: EndpointState) -> EndpointUpdate:
-        """Number an endpoint and keep its address; return its update for the policy."""
+        """Store the address of an endpoint under its number; return the update for the policy."""
         number = self._numbers.setdefault(entry.id, len(self._numbers) + 1)
         self.by_number[number] = EndpointAddress(number, entry.id, address, state)
         started_at_us = 0
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks: one short connection each, `STATS` where endpoints report their load, else `PING`."""
+"""Makes health checks: one short connection each, STATS where endpoints report their load, else PING."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 
-CHECK_TIMEOUT = timedelta(milliseconds=150)  # an endpoint that has no time answers ERR after 100 ms
+CHECK_TIMEOUT = timedelta(milliseconds=150)  # an overloaded endpoint answers ERR after 100 ms
 WORKER_COUNT = 4
-MAX_LOGGED_BYTES = 80  # of an answer that can't be used
+MAX_LOGGED_BYTES = 80  # of an invalid answer
 
 
 class CheckResult(NamedTuple):
-    """What a health check came to; `load` is empty where the endpoint sent no report."""
+    """How a health check ended; `load` is empty where the endpoint sent no valid report."""
 
     status: AttemptStatus
     load: tuple[float, ...] = ()
@@ -57,7 +57,7 @@
             )
 
     def _check(self, endpoint: EndpointAddress) -> CheckResult:
-        """Connect, ask, and read the answer; its lines are read to the end of a report."""
+        """Connect to an endpoint, send the request and read the answer, a report included."""
         deadline = now() + CHECK_TIMEOUT
         connect_timeout = min(self._configuration.settings.connect_timeout_us * MICROSECOND, CHECK_TIMEOUT)
         try:
@@ -76,7 +76,7 @@
         except TimeoutError:
             if not lines:
                 return CheckResult(AttemptStatus.TIMEOUT)
-            # It answers, and has no report: it stays as it was known.
+            # It is healthy, and the load that it has reported before still counts.
             self._log_invalid_report(endpoint, lines[0])
             return CheckResult(AttemptStatus.OK)
         except OSError:
@@ -87,7 +87,12 @@
         return self._parse_report(endpoint, lines[-1])
 
     def _read_answer(self, sock: socket.socket, deadline: timedelta, lines: list[bytes]) -> bool:
-        """Read an answer into `lines`; False where it does not begin with PONG. Raises OSError at its end."""
+        """Read an answer into `lines`; return False where it does not begin with PONG.
+
+        Raises:
+            OSError: The connection ended, or the deadline passed, before the answer was complete.
+            LineError: A line is too long.
+        """
         buffer = protocol.LineBuffer()
         while not lines or not self._is_complete(lines):
             data = sockets.receive_by(sock, protocol.MAX_LINE_BYTES, deadline)
@@ -99,7 +104,7 @@
         return True
 
     def _is_complete(self, lines: list[bytes]) -> bool:
-        """Whether the answer is complete: a report stands behind PONG, or in a line of its own."""
+        """Return whether the answer is complete: a report follows PONG, or is a line of its own."""
         return not self._report_columns or len(lines) > 1 or b"=" in lines[0]
 
     def _parse_report(self, endpoint: EndpointAddress, line: bytes) -> CheckResult:
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -1,7 +1,7 @@
-"""Runs the policy of a node: owns its Balancer behind one lock, its clock and timers, and hands actions out.
+"""Runs the policy of a node: owns its Balancer and timers behind one lock, and dispatches its actions.
 
 Sockets are used outside the lock only: actions are put into the requests' queues under it, so that their
-order is the policy's, and the threads that wait are woken after it is released.
+order is the policy's, and the threads that wait for them are woken after it is released.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 class PolicyRunner:
-    """Runs one node's policy: passes events in, hands actions out, keeps its timers.
+    """Runs one node's policy: passes events to it, dispatches its actions, and keeps its timers.
 
     Thread-safe. `_lock` guards the policy, timers, action queues and registries; sockets and files are used
     outside it.
@@ -69,12 +69,14 @@
         self._event_counters = EventCounters(
             config.settings.classes, lambda number: self._endpoints[number].id, metrics
         )
-        self._pending_counts: deque[dict[str, object]] = deque()  # log lines to be written outside the lock
+        self._pending_counts: deque[dict[str, object]] = (
+            deque()
+        )  # fields of log lines, to be written unlocked
         self._balancer = Balancer(config.settings, config.seed, clock.micros(now()))
 
     @property
     def revision(self) -> int:
-        """Of the endpoint list that the policy knows."""
+        """The revision of the endpoint list that the policy knows."""
         return self._registry.revision
 
     def reconfigure(self, config: Config) -> None:
@@ -87,28 +89,28 @@
         self._wake_and_log(woken_queues)
 
     def start(self, initial: EndpointList) -> None:
-        """Give the policy the newest list that is known from before, and start the timers."""
+        """Give the policy the newest endpoint list that is known at the start, and start the timers."""
         self.update_endpoints(initial, ListUpdateKind.CACHED)
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
     # --- the policy's events and actions
 
     def handle_events(self, *events: Event) -> None:
-        """Pass events of this moment to the policy, in order, and hand its actions out."""
+        """Pass events of this moment to the policy, in order, and dispatch its actions."""
         with self._lock:
             woken_queues = self._decide(events)
         self._wake_and_log(woken_queues)
 
     def _wake_and_log(self, woken_queues: list[ActionQueue]) -> None:
-        """What is left to do once the lock is released."""
+        """Wake the threads that wait for actions, and write the log lines; called without the lock."""
         for action_queue in woken_queues:
             action_queue.wake()
         while self._pending_counts:
-            with contextlib.suppress(IndexError):  # another thread was quicker
+            with contextlib.suppress(IndexError):  # another thread has just taken the last one
                 log(LogEvent.COUNTS, **self._pending_counts.popleft())
 
     def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
-        """Call the policy, under the lock; returns the queues to wake once it is released."""
+        """Call the policy, under the lock; return the queues to wake once it is released."""
         woken_queues: list[ActionQueue] = []
         now_us = self._clock.micros(now())
         if fields := self._event_counters.finish_second(now_us):
@@ -121,16 +123,24 @@
                 case SetTimer(at_us, token):
                     self._timers.set(self._clock.moment(at_us), token)
                 case StartAttempt() | Reject() | Fail() | CancelAttempt() | Migrate():
-                    action_queue = self._action_queues.get(action.request_id)
-                    # A cancel comes too late for an established connection, a migration too early for others.
-                    ignored = CancelAttempt if action_queue and action_queue.is_established else Migrate
-                    if action_queue and not isinstance(action, ignored):
-                        action_queue.post(action)
+                    if (action_queue := self._post(action)) is not None:
                         woken_queues.append(action_queue)
                 case _:
                     self._perform(action)
         return woken_queues
 
+    def _post(self, action: QueuedAction) -> ActionQueue | None:
+        """Post an action of the policy to its request; return the queue to wake, None where it is ignored."""
+        action_queue = self._action_queues.get(action.request_id)
+        if action_queue is None:
+            return None
+        # A cancellation is too late for an established connection, a migration too early for any other.
+        ignored = CancelAttempt if action_queue.is_established else Migrate
+        if isinstance(action, ignored):
+            return None
+        action_queue.post(action)
+        return action_queue
+
     def _perform(self, action: Action) -> None:
         """Perform an action that concerns no request."""
         match action:
@@ -150,27 +160,27 @@
                 woken_queues = self._decide(self._timers.wait_for_expired())
             self._wake_and_log(woken_queues)
 
-    def record_discovery_call(self, failed: bool) -> None:
-        """Count a call to discovery that is over."""
+    def record_discovery_call(self, *, failed: bool) -> None:
+        """Count a call to discovery that has ended."""
         with self._lock:
             self._event_counters.count_discovery_call(failed)
 
     # --- requests
 
     def register_request(self, action_queue: ActionQueue) -> int:
-        """A new request's id; the policy's actions for it go to `action_queue`."""
+        """Return a new request's id; the policy's actions for the request go to `action_queue`."""
         with self._lock:
             request_id = next(self._request_ids)
             self._action_queues[request_id] = action_queue
             return request_id
 
     def unregister_request(self, request_id: int) -> None:
-        """A request is over: actions for it are ignored."""
+        """Ignore further actions for a request, which has ended."""
         with self._lock:
             self._action_queues.pop(request_id, None)
 
     def dispatch(self, actions: Sequence[QueuedAction]) -> None:
-        """Hand out actions of the node's own; those for requests that are over are ignored."""
+        """Dispatch actions of the node's own; those for requests that have ended are ignored."""
         woken_queues = []
         with self._lock:
             for action in actions:
@@ -192,22 +202,22 @@
             return [number for number, queue in self._action_queues.items() if not queue.is_established]
 
     def endpoint(self, number: int) -> EndpointAddress:
-        """The endpoint that the policy knows by a number."""
+        """Return the endpoint that the policy knows by a number."""
         with self._lock:
             return self._endpoints[number]
 
     def endpoint_by_id(self, endpoint_id: str) -> EndpointAddress | None:
-        """The endpoint with an id of the list; None: this node never heard of it."""
+        """Return the endpoint with an id; None where it has never been on this node's list."""
         with self._lock:
             return self._registry.find(endpoint_id)
 
     def pool_metrics(self) -> dict[str, int]:
-        """The metrics of the endpoint list, as the policy sees it."""
+        """Return the metrics of the endpoint list as the policy knows it."""
         counts = self._balancer.endpoint_counts()
         return {"pool_size": counts.listed, "pool_ejected": counts.ejected}
 
     def update_endpoints(self, listed: EndpointList, kind: ListUpdateKind) -> None:
-        """Take in the list or changes of it; entries that can't be used are logged and left out."""
+        """Apply the list or changes of it; invalid entries are logged and left out."""
         valid = valid_entries(listed.endpoints)
         with self._lock:
             updates = self._registry.apply(listed, valid, kind)
@@ -215,6 +225,6 @@
         self._wake_and_log(woken_queues)
 
     def endpoint_list(self) -> EndpointList:
-        """The complete list as it is known, for the next process."""
+        """Return the complete list as it is known, for the next process."""
         with self._lock:
             return self._registry.as_list()
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -1,4 +1,4 @@
-"""Reloads the configuration while the node runs: read completely, then put in force or refused."""
+"""Reloads the configuration while the node runs: it is read completely, then applied or rejected."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Reloader:
-    """Reads the configuration when asked, on its own thread, which owns all but the request."""
+    """Reads the configuration on request, on its own thread, which owns all but the request."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         session_service: SessionService | None,
         options_path: str | Path | None = None,
     ) -> None:
-        """Reload what a start has read.
+        """Prepare to read again what the start has read.
 
         Args:
             environ: Names the platform's file.
@@ -57,33 +57,33 @@
         threading.Thread(target=self._run, name="reload", daemon=True).start()
 
     def request_reload(self) -> None:
-        """Ask for a reload; one that comes while the file is read makes it be read again. Thread-safe."""
+        """Request a reload; a request during a reload causes another one. Thread-safe."""
         self._requested.set()
 
     def _run(self) -> None:
         while True:
             self._requested.wait()
-            self._requested.clear()  # before the file is read: a later signal may mean a newer one
+            self._requested.clear()  # before the file is read: a later signal may announce a newer one
             if self._lifecycle.state is NodeState.DRAINING:
-                return  # nothing changes any more
+                return  # the configuration no longer changes
             self.reload_now()
 
     def reload_now(self) -> None:
-        """Read the files now, and put them in force, or leave all as it was."""
+        """Read the files now, and apply them; where one is invalid, nothing changes."""
         try:
             reloaded = reload(self._environ, self._running_config)
             options = load(self._options_path)
         except (ConfigError, OptionsError) as err:
             log(LogEvent.RELOAD_FAILED, why=err)
             self._metrics.record_reload(applied=False)
-        except Exception as err:  # noqa: BLE001 - whatever a file may hold, the next one must still be read
+        except Exception as err:  # noqa: BLE001 - whatever is in a file, the next one must still be read
             log(LogEvent.INTERNAL_ERROR, why=repr(err))
             self._metrics.record_reload(applied=False)
         else:
             self._apply(reloaded, options)
 
     def _apply(self, reloaded: ReloadedConfig, options: Options) -> None:
-        """Put a configuration in force that has been read and checked."""
+        """Put a valid configuration in force."""
         config = reloaded.config
         ignored_keys = reloaded.restart_only_keys + restart_required_changes(self._running_options, options)
         if ignored_keys:
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -48,7 +48,7 @@
 
     def _serve_resumable(self, session_service: SessionService) -> None:
         """Place a request whose session can be resumed, then hand it to the session service."""
-        # Loaded already, with the sessions: a node without them starts faster.
+        # Loaded with the sessions already; a node without sessions starts faster.
         from tansyladder.node.extension_points import ResumableRequest
 
         stream = session_service.new_stream()
@@ -74,7 +74,7 @@
             self._class_number,
             self._opening,
             self._deadline,
-            self._opening.is_reconnect,
+            is_reconnect=self._opening.is_reconnect,
         )
         result = attempt_loop.run(request)
         if isinstance(result, UpstreamConnection):
--- a/tansyladder/node/work_queues.py
+++ b/tansyladder/node/work_queues.py
@@ -12,7 +12,7 @@
 from tansyladder.net.endpoint_address import EndpointAddress
 
 ItemT = TypeVar("ItemT")
-# Health checks and polls that may wait for their threads: more than there are endpoints.
+# Health checks or polls that may wait for their threads; more than a node has endpoints.
 QUEUE_CAPACITY = 256
 
 
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -69,7 +69,9 @@
             LINES_OF_ANSWER,
             self._accept,
         )
-        answer = loop.run(build_request(context, request_id, request.class_number, opening, deadline, True))
+        answer = loop.run(
+            build_request(context, request_id, request.class_number, opening, deadline, is_reconnect=True)
+        )
         if isinstance(answer, UpstreamConnection):
             up_line, _position, *following_lines = answer.initial_lines
             connection = replace(answer, initial_lines=(up_line, *following_lines))
