--- a/tansyladder/cluster/__init__.py
+++ b/tansyladder/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What connects the node to the other nodes: peer connections, the Raft thread and its storage, documents."""
+"""The node's part in its cluster: peer connections, the Raft thread and its storage, documents."""
--- a/tansyladder/cluster/content_storage.py
+++ b/tansyladder/cluster/content_storage.py
@@ -16,22 +16,22 @@
 class ContentStorage:
     """Reads and writes contents by digest. Thread-safe, as the store is.
 
-    Without a store nothing is kept: a node's contents are in its memory alone.
+    Without a store nothing is stored: a node's contents are in its memory alone.
     """
 
     def __init__(self, store: Store | None) -> None:
-        """`store`: the node's own, or None."""
+        """Use the node's store, or none."""
         self._store = store
 
     def digests(self) -> set[bytes]:
-        """Return the digests of all stored contents, complete or not. StoreError: they can't be read."""
+        """Return the digests of all stored contents, complete or not. StoreError: the store can't be read."""
         if self._store is None:
             return set()
         start = len(KEY_PREFIX)
         return {key[start : start + DIGEST_BYTES] for key, _ in self._store.items(KEY_PREFIX)}
 
     def read(self, digest: bytes) -> bytes | None:
-        """Return a content that is complete and has its digest. StoreError: it can't be read."""
+        """Return a complete content that matches its digest, or None. StoreError: it can't be read."""
         if self._store is None:
             return None
         records: list[bytes] = []
@@ -44,7 +44,7 @@
         return content if content and digest_of(content) == digest else None
 
     def write(self, content: bytes) -> bool:
-        """Write a content and sync it; False, with a log line, where the store can't take it."""
+        """Write and sync a content; if the store fails, log that and return False."""
         if self._store is None:
             return True
         digest = digest_of(content)
@@ -62,7 +62,7 @@
         return True
 
     def delete(self, digest: bytes) -> None:
-        """Delete a content's records; a log line where the store fails: the next start deletes them."""
+        """Delete a content's records; if the store fails, log that: the next start deletes them."""
         if self._store is None:
             return
         try:
@@ -74,4 +74,5 @@
 
 
 def _key(digest: bytes, number: int) -> bytes:
+    """Return the key of one of a content's records, which are numbered from 0."""
     return KEY_PREFIX + digest + number.to_bytes(2, "big")
--- a/tansyladder/cluster/content_worker.py
+++ b/tansyladder/cluster/content_worker.py
@@ -10,11 +10,11 @@
 
 from tansyladder.cluster.node_contents import NodeContents
 
-QUEUE_SIZE = 8  # tasks that wait; further ones are submitted again at a later step
-MAX_FAULT_LENGTH = 200  # characters of a fault that go into the log's command
+QUEUE_SIZE = 8  # waiting tasks; the caller submits further ones again at a later step
+MAX_FAULT_LENGTH = 200  # characters of a fault in the command for the log
 STORAGE_FAULT = "disk: the content can't be kept"
 
-Validator = Callable[[bytes], str]  # returns the path of a content's first fault and what it is, or ""
+Validator = Callable[[bytes], str]  # returns the path and the description of a content's first fault, or ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteContent:
-    """Write a fetched content of a version that has been committed."""
+    """Write a fetched content of a committed version."""
 
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class DeleteContent:
-    """Delete a content, unless it is wanted again by then."""
+    """Delete a content, unless a document refers to it again by then."""
 
     digest: bytes
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Validation:
-    """The result of a `ValidateContent`; `fault` is empty where the content is valid and written."""
+    """The result of a `ValidateContent`; `fault` is empty if the content is valid and written."""
 
     number: int
     content: bytes
@@ -56,18 +56,25 @@
     """Runs tasks in the order of their submission, in a thread of its own. Thread-safe."""
 
     def __init__(self, contents: NodeContents, validators: Mapping[str, Validator]) -> None:
-        """`validators`: by document."""
+        """Begin without tasks; `validators` are by document."""
         self._contents = contents
         self._validators = validators
-        self._tasks: queue.Queue[Task] = queue.Queue(QUEUE_SIZE)
+        self._tasks: queue.Queue[Task | None] = queue.Queue(QUEUE_SIZE)  # None ends the thread
         self._results: queue.Queue[Validation | WriteContent] = queue.Queue()
+        self._thread = threading.Thread(target=self._run, name="documents", daemon=True)
 
     def start(self) -> None:
-        """Start the thread, a daemon that ends with the process."""
-        threading.Thread(target=self._run, name="documents", daemon=True).start()
+        """Start the thread, a daemon that ends with the process or at `stop`."""
+        self._thread.start()
+
+    def stop(self) -> None:
+        """Run the tasks that wait, then end the thread and wait for it; without effect before `start`."""
+        if self._thread.is_alive():
+            self._tasks.put(None)
+            self._thread.join()
 
     def submit(self, task: Task) -> bool:
-        """Queue a task; False where the queue is full."""
+        """Queue a task; False if the queue is full."""
         try:
             self._tasks.put_nowait(task)
         except queue.Full:
@@ -76,11 +83,11 @@
 
     @property
     def waiting_count(self) -> int:
-        """How many tasks wait for the thread."""
+        """The number of tasks that wait for the thread."""
         return self._tasks.qsize()
 
     def take_results(self) -> list[Validation | WriteContent]:
-        """Return the validations, and the writes that have succeeded, since the last call."""
+        """Return the validations and the successful writes since the last call."""
         results: list[Validation | WriteContent] = []
         with contextlib.suppress(queue.Empty):
             while True:
@@ -88,19 +95,24 @@
         return results
 
     def _run(self) -> None:
-        while True:
-            match self._tasks.get():
-                case DeleteContent(digest):
-                    self._contents.delete(digest)
-                case WriteContent(content) as task:
-                    if self._contents.storage.write(content):
-                        self._results.put(task)
-                case ValidateContent() as task:
-                    fault = self._validate(task)[:MAX_FAULT_LENGTH]
-                    self._results.put(Validation(task.number, task.content, fault))
+        """Run the tasks until `stop`; the thread's function."""
+        while (task := self._tasks.get()) is not None:
+            self._run_task(task)
+
+    def _run_task(self, task: Task) -> None:
+        """Run one task, and queue its result if it has one."""
+        match task:
+            case DeleteContent(digest):
+                self._contents.delete(digest)
+            case WriteContent(content):
+                if self._contents.storage.write(content):
+                    self._results.put(task)
+            case ValidateContent():
+                fault = self._validate(task)[:MAX_FAULT_LENGTH]
+                self._results.put(Validation(task.number, task.content, fault))
 
     def _validate(self, task: ValidateContent) -> str:
-        """Validate and write a content; return its fault."""
+        """Validate a content, and write it if it is valid; return its fault, or an empty text."""
         if task.name not in self._validators:
             return f"{task.name}: no such document"
         try:
--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -1,4 +1,4 @@
-"""Agreed documents as the client listener and the operators' calls use them."""
+"""The interface of replicated documents to the client listener and the operators' calls."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from tansyladder.replication.document_messages import ChangeOutcome, ChangeResult
 from tansyladder.replication.documents import MAX_CONTENT_BYTES, Version
 
-PUBLISH_TIMEOUT = timedelta(seconds=60)  # of a change with its attempts: a lease may have to end first
+PUBLISH_TIMEOUT = timedelta(seconds=60)  # of a change with all attempts, as a lease may have to end first
 ATTEMPT_TIMEOUT = timedelta(seconds=5)
 ATTEMPT_PAUSE_S = 0.2
 LEASE_RELEASE_TIMEOUT = timedelta(milliseconds=200)
 MAX_PENDING_CHANGES = 4  # that this node publishes at once
-MAX_KNOWN_CHANGES = 64  # published here, whose result is known here
+MAX_KNOWN_CHANGES = 64  # published by this node, whose results it remembers
 
 
 class DocumentStatus(msgspec.Struct, frozen=True):
-    """The version of a document in force at this node, as the call `documents` shows it."""
+    """The version of a document in force at this node, as the operators' call `documents` reports it."""
 
     number: int
     digest: str  # in hexadecimal digits
@@ -37,10 +37,10 @@
 
 
 class DocumentPublisher:
-    """Publishes changes of documents, and says what this node may decide under. Thread-safe."""
+    """Publishes changes of documents, and permits decisions while the lease lasts. Thread-safe."""
 
     def __init__(self, raft_runner: RaftRunner, replica: DocumentReplica, decision_log_path: str) -> None:
-        """`decision_log_path`: empty for none. OSError: it can't be written."""
+        """Begin without changes; `decision_log_path` is empty for no log. OSError: it can't be written."""
         self._raft_runner = raft_runner
         self._replica = replica
         self._decision_log = DecisionLog(decision_log_path) if decision_log_path else None
@@ -48,7 +48,7 @@
         self._results: dict[str, ChangeResult | None] = {}  # by idempotency key; None: pending
 
     def may_decide(self, connection_id: str = "") -> bool:
-        """Whether the node may make a decision now; `connection_id`: of the first line that it is about."""
+        """Whether the node may make a decision now; with a connection's id, that is put into the log."""
         now_us = self._replica.now_us()
         lease = self._replica.lease
         is_allowed = self._replica.may_decide(lease, now_us)
@@ -59,7 +59,7 @@
         return is_allowed
 
     def describe(self) -> str:
-        """Return what is in force at this node, as JSON."""
+        """Return the lease and the versions in force at this node, as JSON."""
         now_us = self._replica.now_us()
         lease = self._replica.lease
         remaining_ms = max(0, lease.end_us - now_us) // 1000
@@ -71,7 +71,7 @@
         return msgspec.json.encode(described).decode()
 
     def publish(self, document: str, idempotency_key: str, path: str) -> str:
-        """Begin to change a document to a file's content, in a thread of its own; the outcome so far.
+        """Begin to change a document to a file's content, in a separate thread; return the outcome so far.
 
         DocumentChangeError: nothing has been proposed.
         """
@@ -93,9 +93,9 @@
         return ChangeOutcome.IN_PROGRESS.value
 
     def change_result(self, idempotency_key: str) -> str:
-        """Return `done` and the version's number for a change that has been committed.
+        """Return `done` and the version's number for a committed change.
 
-        DocumentChangeError: it is pending, was rejected or aborted, or isn't known here.
+        DocumentChangeError: the change is pending, was rejected or aborted, or isn't known to this node.
         """
         with self._lock:
             is_known = idempotency_key in self._results
@@ -109,10 +109,11 @@
         return f"{result.outcome.value} {result.number}"
 
     def leave(self) -> None:
-        """Make no decisions any more, and give the lease back so that nobody waits for its end."""
+        """Stop making decisions, and release the lease so that no change has to wait for its end."""
         self._raft_runner.release_lease(now() + LEASE_RELEASE_TIMEOUT)
 
     def _status(self, version: Version) -> DocumentStatus:
+        """Describe a version for the operators."""
         return DocumentStatus(
             number=version.number,
             digest=version.digest.hex(),
@@ -122,7 +123,10 @@
         )
 
     def _make_room(self) -> None:
-        """Forget the oldest known result if there are many. Called with the lock held."""
+        """Forget the oldest results beyond the bound; the caller holds the lock.
+
+        DocumentChangeError: too many changes are pending.
+        """
         pending_count = sum(result is None for result in self._results.values())
         if pending_count >= MAX_PENDING_CHANGES:
             raise DocumentChangeError(f"busy: {MAX_PENDING_CHANGES} changes are under way here")
@@ -131,7 +135,7 @@
             del self._results[oldest]
 
     def _publish(self, document: str, content: bytes, idempotency_key: str) -> None:
-        """Publish a change and keep its result; the thread's function."""
+        """Publish a change and record its result; the thread's function."""
         try:
             result = self._attempt(document, content, idempotency_key)
         except ValueError as err:  # this node itself rejects it
@@ -148,7 +152,7 @@
             self._results[idempotency_key] = result
 
     def _attempt(self, document: str, content: bytes, idempotency_key: str) -> ChangeResult:
-        """Propose a change until its result is known and no other one is in its way."""
+        """Propose a change repeatedly, until its result is known and no other change is pending."""
         deadline = now() + PUBLISH_TIMEOUT
         result: ChangeResult | None = None
         while now() < deadline:
@@ -161,7 +165,10 @@
 
 
 def _read_content(path: str) -> bytes:
-    """Read a file, up to one byte more than a content may have."""
+    """Read a file, up to one byte more than the limit of a content.
+
+    DocumentChangeError: the file can't be read.
+    """
     try:
         with Path(path).open("rb") as file:
             return file.read(MAX_CONTENT_BYTES + 1)
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -1,7 +1,7 @@
-"""A node's part in agreed documents: their content on its disk, its lease, and its votes on changes.
+"""A node's part in replicated documents: their contents on its disk, its lease, and its votes on changes.
 
-The Raft thread calls `step` after each step of the log, before anything of that step leaves the node: a lease
-that was shortened is published by then. A `ContentWorker` validates and writes contents in its own thread.
+The Raft thread calls `step` after each step of the log, before it sends the messages of that step, so that a
+shortened lease is published first. A `ContentWorker` validates and writes contents in its own thread.
 """
 
 from __future__ import annotations
@@ -40,34 +40,35 @@
 from tansyladder.store import Store
 
 DEFAULT_LEASE_DURATION = timedelta(seconds=30)
-RENEWALS_PER_LEASE = 12  # sent to the leader in one lease duration
+RENEWALS_PER_LEASE = 12  # sent to the leader during one lease
 URGENT_RENEWAL_INTERVAL_US = 150 * MILLISECOND_US  # while a change is pending, or the lease ends within 1 s
 BUSY_INTERVAL_US = 50 * MILLISECOND_US  # between two steps in those cases
 IDLE_INTERVAL_US = 1 * SECOND_US  # between two steps otherwise
-PROPOSED_RETENTION_US = 90 * SECOND_US  # for a content that was proposed here, until its change is in the log
+PROPOSED_RETENTION_US = 90 * SECOND_US  # of a content that this node proposed, until the log has its change
 RESULT_POLL_INTERVAL = timedelta(milliseconds=10)
+MAX_REPORTED_NAME = 40  # characters of a document's unknown name in the error
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentReplicaSettings:
-    """What a node's operator and its build decide about documents; the same at all nodes."""
+    """Settings of the operator and of the build about documents; the same at all nodes."""
 
-    validators: Mapping[str, Validator]  # by document: the documents that there may be
+    validators: Mapping[str, Validator]  # by document; only these documents are allowed
     lease_expiry_policy: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP
     lease_duration: timedelta = DEFAULT_LEASE_DURATION
 
 
 class StepOutput(NamedTuple):
-    """What a step asks the Raft thread to do."""
+    """The commands and messages of a step, for the Raft thread."""
 
     commands: list[Command]  # to propose
     messages: list[AddressedMessage]  # to send
 
 
 class DocumentReplica:
-    """Documents at one node.
+    """The replicated documents at one node.
 
-    `step`, `handle`, `is_urgent` and `next_step_in_us` belong to the Raft thread; all else is thread-safe.
+    The Raft thread alone calls `step`, `handle`, `is_urgent` and `next_step_in_us`; all else is thread-safe.
     """
 
     def __init__(
@@ -79,9 +80,18 @@
         settings: DocumentReplicaSettings,
         now_us: Callable[[], int],
     ) -> None:
-        """`documents`: as the log has left them; `now_us`: reads Unix time in microseconds.
-
-        StoreError: the contents can't be read.
+        """Load the contents of the documents from the store.
+
+        Args:
+            incarnation: This start of the node (NAME/START).
+            peers: The names of the other nodes.
+            documents: The replicated state, as this node has applied it.
+            store: The node's store, or None.
+            settings: The same at all nodes.
+            now_us: Reads Unix time in microseconds.
+
+        Raises:
+            StoreError: The contents can't be read.
         """
         self._incarnation = incarnation
         self._documents = documents
@@ -92,30 +102,37 @@
         self.counters: Counter[str] = Counter()
         self._lease_holder = LeaseHolder(incarnation, documents)
         self._coordinator = LeaseCoordinator(incarnation, documents, self._lease_duration_us)
-        self._lease = DocumentLease()  # replaced as a whole, so it is read without the lock
-        self._is_stopped = False
+        self._lease = DocumentLease()  # replaced as a whole, so any thread reads it without a lock
+        self._has_stopped_deciding = False
         self._throttle = ProposalThrottle(REPROPOSE_INTERVAL_US)
         self._next_renewal_at_us = 0
         self._contents = NodeContents(peers, ContentStorage(store), Random(incarnation))
         self._contents.load(documents.referenced_digests())
-        self.validator = ChangeValidator(incarnation, documents, self._contents, settings.validators)
+        self._validator = ChangeValidator(incarnation, documents, self._contents, settings.validators)
 
     def start(self) -> None:
-        """Delete contents of changes that came to nothing, and start the worker. StoreError."""
+        """Delete the contents of changes that were not committed, and start the worker.
+
+        StoreError: the store can't be read.
+        """
         for digest in self._contents.storage.digests() - self._documents.referenced_digests():
             self._contents.delete(digest)
-        self.validator.worker.start()
+        self._validator.start()
+
+    def stop(self) -> None:
+        """Stop the worker, and wait until its thread has ended."""
+        self._validator.stop()
 
     # --- for any thread
 
     @property
     def lease(self) -> DocumentLease:
-        """What this node may decide under, as of its last step."""
+        """The lease and the versions under which this node may decide, as of its last step."""
         return self._lease
 
     def may_decide(self, lease: DocumentLease, now_us: int) -> bool:
         """Whether the node may make decisions under a lease; with `SERVE` also after its end, counted."""
-        if self._is_stopped:
+        if self._has_stopped_deciding:
             return False
         if now_us < lease.end_us:
             return True
@@ -126,19 +143,24 @@
 
     def stop_deciding(self) -> None:
         """Make no decisions from now on."""
-        self._is_stopped = True
+        self._has_stopped_deciding = True
+
+    @property
+    def waiting_task_count(self) -> int:
+        """The number of contents that wait to be validated, written or deleted."""
+        return self._validator.waiting_task_count
 
     def content(self, version: Version) -> bytes | None:
-        """Return the content of a version if it is here."""
+        """Return the content of a version, or None if this node lacks it."""
         return self._contents.get(version.digest)
 
     def propose(self, name: str, content: bytes, idempotency_key: str) -> Proposal:
-        """Validate and store a content, serve it to peers from now on, and return what to propose.
+        """Validate and store a content, serve it to peers from now on, and return the command to propose.
 
-        DocumentRejectedError: it can't become a version, or the disk can't take it.
+        DocumentRejectedError: the content can't become a version, or the disk can't store it.
         """
         if name not in self._validators:
-            raise DocumentRejectedError(f"name: no such document: {name[:40]}")
+            raise DocumentRejectedError(f"name: no such document: {name[:MAX_REPORTED_NAME]}")
         if not 0 < len(content) <= MAX_CONTENT_BYTES:
             raise DocumentRejectedError(f"size: from 1 to {MAX_CONTENT_BYTES} bytes, not {len(content)}")
         fault = self._validators[name](content)
@@ -150,11 +172,11 @@
         return Proposal(name, digest, len(content), idempotency_key, self._incarnation, self.now_us())
 
     def result(self, idempotency_key: str) -> ChangeResult | None:
-        """Return the result of a change, as far as this node has applied the log."""
+        """Return the result of a change, as of the entries that this node has applied."""
         return self._documents.results.get(idempotency_key)
 
     def wait_for_result(self, idempotency_key: str, until: timedelta) -> ChangeResult | None:
-        """Wait for the result of a change; None if there is none by a moment of the node's clock."""
+        """Wait for the result of a change until a moment of the node's clock; None without one by then."""
         while True:
             result = self.result(idempotency_key)
             if result is not None or now() >= until:
@@ -165,7 +187,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether followers should learn of commits at once, not with the next heartbeat."""
+        """Whether followers have to learn of commits at once, not with the next heartbeat."""
         return self._coordinator.is_urgent(self.now_us())
 
     def next_step_in_us(self) -> int:
@@ -173,7 +195,7 @@
         return BUSY_INTERVAL_US if self._is_busy(self.now_us()) else IDLE_INTERVAL_US
 
     def handle(self, sender: str, message: DocumentMessage) -> list[AddressedMessage]:
-        """Take in another node's message; return what to send."""
+        """Process another node's message; return the messages to send."""
         body = message.body
         if isinstance(body, LeaseRenewal):
             if node_name(body.incarnation) == sender:
@@ -181,14 +203,17 @@
             return []
         return self._contents.handle(sender, body, self.now_us())
 
-    def step(self, leader: str, is_leader: bool) -> StepOutput:
-        """Follow the log after a step of it; `leader`: the name of the leader, or empty."""
+    def step(self, leader: str, *, is_leader: bool) -> StepOutput:
+        """Process the entries that the log has applied; `leader` is empty if none is known.
+
+        `is_leader`: whether this node is that leader.
+        """
         now_us = self.now_us()
         commands: list[Command] = []
         prepared = self._lease_holder.prepare(now_us)
         if prepared is not None and self._throttle.allows((prepared.number, prepared.round), now_us):
             commands.append(prepared)
-        commands += self.validator.step(self._lease_holder.change_to_validate(), now_us)
+        commands += self._validator.step(self._lease_holder.change_to_validate(), now_us)
         self._publish_lease(now_us)
         if is_leader:
             self._coordinator.record_renewal(self._incarnation, now_us)
@@ -203,6 +228,7 @@
         return self._documents.change is not None or now_us >= self._lease.end_us - SECOND_US
 
     def _renew_lease(self, leader: str, now_us: int) -> list[AddressedMessage]:
+        """Return the renewal for the leader when it is due."""
         if now_us < self._next_renewal_at_us:
             return []
         interval_us = self._lease_duration_us // RENEWALS_PER_LEASE
@@ -212,9 +238,9 @@
         return [AddressedMessage(leader, DocumentMessage(LeaseRenewal(self._incarnation)))]
 
     def _publish_lease(self, now_us: int) -> None:
-        """Publish the lease and the known versions; fetch the newest ones' contents that are missing."""
+        """Publish the lease and the known versions; fetch missing contents of the newest versions."""
         versions = {name: self._documents.versions(name) for name in self._documents.names()}
         newest = [known[-1] for known in versions.values()]
         has_all = self._contents.has_all(newest, now_us)
-        # A node that knows of a version and lacks its content can't follow it.
+        # A node that lacks the content of a version that it knows can't decide under it.
         self._lease = DocumentLease(self._lease_holder.lease_end_us() if has_all else 0, versions)
--- a/tansyladder/cluster/document_validators.py
+++ b/tansyladder/cluster/document_validators.py
@@ -1,4 +1,4 @@
-"""The documents that there are, and how a node validates the content of each."""
+"""The documents of this version, and the validator of each."""
 
 from __future__ import annotations
 
@@ -7,11 +7,13 @@
 from tansyladder.cluster.content_worker import Validator
 
 MAX_NOTE_BYTES = 64 << 10
+NOTE_LENGTH = 2  # elements of the expression: the symbol and the text
+MAX_REPORTED_ERROR = 80  # characters of the parser's message
 
 
 def validate_note(content: bytes) -> str:
-    """Return the first fault of a note to the staff of all nodes, which changes nothing: (note "text")."""
-    import sexpdata
+    """Return the first fault of a note, which has the form (note "text") and configures nothing."""
+    import sexpdata  # only where an operator has enabled documents: a node without them starts faster
 
     if len(content) > MAX_NOTE_BYTES:
         return f"note: {len(content)} bytes, {MAX_NOTE_BYTES} at most"
@@ -19,9 +21,9 @@
         note = sexpdata.loads(content.decode())
     except UnicodeDecodeError:
         return "note: not UTF-8"
-    except Exception as err:  # noqa: BLE001 - the library ends on broken text with errors of many kinds
-        return f"note: not an S-expression: {str(err)[:80]}"
-    is_note = isinstance(note, list) and len(note) == 2 and note[0] == sexpdata.Symbol("note")
+    except Exception as err:  # noqa: BLE001 - the library raises errors of many kinds for invalid text
+        return f"note: not an S-expression: {str(err)[:MAX_REPORTED_ERROR]}"
+    is_note = isinstance(note, list) and len(note) == NOTE_LENGTH and note[0] == sexpdata.Symbol("note")
     return "" if is_note and isinstance(note[1], str) else 'note: (note "text") expected'
 
 
--- a/tansyladder/cluster/inbox.py
+++ b/tansyladder/cluster/inbox.py
@@ -7,22 +7,22 @@
 
 from tansyladder.cluster.peer_transport import PeerMessage
 
-INBOX_SIZE = 4096  # messages that wait for the thread; more are dropped, as on a bad network
-MAX_MESSAGES_PER_STEP = 256  # their writes share a sync
+INBOX_SIZE = 4096  # waiting messages; further ones are dropped, as an unreliable network does
+MAX_MESSAGES_PER_STEP = 256  # whose writes share a sync
 MIN_WAIT_SECONDS = 0.001  # between two steps without a message
 
-ReceivedMessage = tuple[str, PeerMessage]  # with its sender
+ReceivedMessage = tuple[str, PeerMessage]  # the sender, and what it sent; bare pairs as for `RaftNode.handle`
 
 
 class Inbox:
-    """A bounded queue. Thread-safe; one thread takes."""
+    """A bounded queue. Thread-safe; one thread alone calls `take`."""
 
     def __init__(self) -> None:
         """Begin empty."""
         self._queue: queue.Queue[ReceivedMessage] = queue.Queue(INBOX_SIZE)
 
     def put(self, sender: str, message: PeerMessage) -> bool:
-        """Add a message; False: the inbox is full."""
+        """Add a message; False if the inbox is full."""
         try:
             self._queue.put_nowait((sender, message))
         except queue.Full:
@@ -30,7 +30,7 @@
         return True
 
     def take(self, timeout_seconds: float) -> list[ReceivedMessage]:
-        """Wait for a message, and take all that have come by then, up to a step's worth."""
+        """Wait for a message, and return those that have arrived by then, up to `MAX_MESSAGES_PER_STEP`."""
         received: list[ReceivedMessage] = []
         with contextlib.suppress(queue.Empty):
             received.append(self._queue.get(timeout=max(MIN_WAIT_SECONDS, timeout_seconds)))
--- a/tansyladder/cluster/node_contents.py
+++ b/tansyladder/cluster/node_contents.py
@@ -1,4 +1,4 @@
-"""The contents of documents at one node: in memory, on the disk, and on their way from peers."""
+"""The contents of documents at one node: in memory, on the disk, and in transfer from peers."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     """
 
     def __init__(self, peers: Sequence[str], storage: ContentStorage, rng: Random) -> None:
-        """`peers`: names of the nodes to fetch from; `rng`: draws the order in which they are asked."""
+        """Begin without contents in memory; `rng` draws the order in which `peers` get the requests."""
         self.storage = storage
         self._lock = threading.Lock()
         self._contents = ContentStore(peers, rng)
         self._protected_until_us: dict[bytes, int] = {}  # by digest
 
     def load(self, digests: Iterable[bytes]) -> None:
-        """Read contents from the disk; those that are missing are fetched later. StoreError."""
+        """Read contents from the disk; the missing ones are fetched later. StoreError: it can't be read."""
         for digest in digests:
             content = self.storage.read(digest)
             if content is not None:
                 self.add(content)
 
     def get(self, digest: bytes) -> bytes | None:
-        """Return a content that is here."""
+        """Return a content, or None if it is not in memory."""
         with self._lock:
             return self._contents.get(digest)
 
@@ -49,7 +49,7 @@
             self._contents.add(content)
 
     def store_proposed(self, content: bytes, protected_until_us: int) -> bytes | None:
-        """Write a content that is to be proposed, and serve it; its digest, or None if the disk failed."""
+        """Write and serve a content to propose; return its digest, or None if the disk has failed."""
         digest = digest_of(content)
         with self._lock:
             self._protected_until_us[digest] = protected_until_us
@@ -59,13 +59,13 @@
         return digest
 
     def get_or_fetch(self, digest: bytes, size: int, now_us: int) -> bytes | None:
-        """Return a content of a size in bytes, or begin to fetch it."""
+        """Return a content of a size in bytes, or begin to fetch it and return None."""
         with self._lock:
             self._contents.fetch(digest, size, now_us)
             return self._contents.get(digest)
 
     def has_all(self, versions: Sequence[Version], now_us: int) -> bool:
-        """Whether the contents of all versions are here; fetch the others, and retry what is overdue."""
+        """Whether the contents of all versions are in memory; fetch the others, and retry overdue fetches."""
         with self._lock:
             for version in versions:
                 self._contents.fetch(version.digest, version.size, now_us)
@@ -73,23 +73,23 @@
             return all(self._contents.get(version.digest) is not None for version in versions)
 
     def handle(self, sender: str, message: ChunkRequest | Chunk, now_us: int) -> list[AddressedMessage]:
-        """Take in a peer's message; return what to send."""
+        """Process a peer's message; return the messages to send."""
         with self._lock:
             self._contents.handle(sender, message, now_us)
             return self._contents.take_outgoing()
 
     def take_outgoing(self) -> list[AddressedMessage]:
-        """Return the messages to send since the last call."""
+        """Return the messages to send, and remove them."""
         with self._lock:
             return self._contents.take_outgoing()
 
     def take_completed(self) -> list[bytes]:
-        """Return the fetched contents since the last call; write each to the disk, then `add` it."""
+        """Return the contents fetched since the last call; the caller writes each and then `add`s it."""
         with self._lock:
             return self._contents.take_completed()
 
     def discard_unreferenced(self, referenced: set[bytes], now_us: int) -> list[bytes]:
-        """Drop contents neither referenced nor protected from memory; return their digests."""
+        """Remove contents that are neither referenced nor protected from memory; return their digests."""
         with self._lock:
             self._protected_until_us = {
                 digest: until_us for digest, until_us in self._protected_until_us.items() if until_us > now_us
--- a/tansyladder/cluster/peer_channel.py
+++ b/tansyladder/cluster/peer_channel.py
@@ -1,8 +1,8 @@
 """Frames between two peers that have proved the cluster's key to each other.
 
 A frame is its length (4 bytes), an authentication tag (16 bytes) and a message in msgpack. The tags are keyed
-by both sides' nonces and cover the number of the frame in its direction, so a frame of another connection, or
-one that came before on this one, is not accepted.
+by both sides' nonces and cover the number of the frame in its direction. So a frame of another connection, or
+a replayed frame of this connection, is rejected.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 import queue
 import socket
 import struct
+from enum import Enum
 
 from tansyladder.cluster.errors import PeerProtocolError
 
-MAX_FRAME_BYTES = 4 << 20  # more than a snapshot of all session owners at their bound
-SEND_QUEUE_SIZE = 512  # messages that wait for a peer
+MAX_FRAME_BYTES = 4 << 20  # more than a snapshot with the maximum of session owners
+SEND_QUEUE_SIZE = 512  # messages that wait to be sent to a peer
 TAG_BYTES = 16
 RECEIVE_BYTES = 1 << 16  # of one call
 LENGTH = struct.Struct(">I")
@@ -24,8 +25,20 @@
 _FRAME_NUMBER = struct.Struct(">Q")
 
 
+class ConnectionSide(Enum):
+    """The two sides of a connection. The values are part of what the keys of frames are derived from."""
+
+    DIALLER = b"dialler"
+    LISTENER = b"listener"
+
+    @property
+    def opposite(self) -> ConnectionSide:
+        """The side of the other node."""
+        return ConnectionSide.LISTENER if self is ConnectionSide.DIALLER else ConnectionSide.DIALLER
+
+
 def receive_exactly(sock: socket.socket, size: int) -> bytes:
-    """Receive so many bytes. OSError: the connection has ended, or nothing came in time."""
+    """Receive a number of bytes. OSError: the connection has ended, or the timeout has passed."""
     parts = []
     missing = size
     while missing:
@@ -38,10 +51,10 @@
 
 
 class _FrameAuthenticator:
-    """Makes the tags of one direction's frames, which are numbered from 0."""
+    """Computes the tags of the frames of one direction, which are numbered from 0."""
 
-    def __init__(self, key: bytes, sender: bytes) -> None:
-        self._key = hmac.digest(key, b"frames " + sender, "sha256")
+    def __init__(self, key: bytes, sender: ConnectionSide) -> None:
+        self._key = hmac.digest(key, b"frames " + sender.value, "sha256")
         self._frame_number = 0
 
     def next_tag(self, data: bytes) -> bytes:
@@ -57,13 +70,12 @@
     One thread receives and one sends; `enqueue` and `close` are thread-safe.
     """
 
-    def __init__(self, sock: socket.socket, peer: str, key: bytes, is_dialler: bool) -> None:
-        """`key`: of this connection alone; `is_dialler`: whether this node has opened it."""
+    def __init__(self, sock: socket.socket, peer: str, key: bytes, own_side: ConnectionSide) -> None:
+        """Begin with empty queues; no other connection has the same `key`."""
         self.sock = sock
         self.peer = peer
-        own_side, other_side = (b"dialler", b"listener") if is_dialler else (b"listener", b"dialler")
         self._outgoing = _FrameAuthenticator(key, own_side)
-        self._incoming = _FrameAuthenticator(key, other_side)
+        self._incoming = _FrameAuthenticator(key, own_side.opposite)
         self._queue: queue.Queue[bytes | None] = queue.Queue(SEND_QUEUE_SIZE)  # None: the channel is closed
 
     def send(self, data: bytes) -> None:
@@ -74,7 +86,7 @@
     def receive(self) -> bytes:
         """Receive a message.
 
-        OSError: the connection has ended. PeerProtocolError: this is not what the peer sent next.
+        OSError: the connection has ended. PeerProtocolError: the frame is too large or not authentic.
         """
         (length,) = LENGTH.unpack(receive_exactly(self.sock, LENGTH.size))
         if length > MAX_FRAME_BYTES:
@@ -86,7 +98,7 @@
         return data
 
     def enqueue(self, data: bytes) -> bool:
-        """Queue a message for the sending thread; False: the queue is full."""
+        """Queue a message for the sending thread; False if the queue is full."""
         try:
             self._queue.put_nowait(data)
         except queue.Full:
@@ -98,7 +110,7 @@
         return self._queue.get()
 
     def close(self) -> None:
-        """End the connection and wake up both threads; the receiving thread closes the socket."""
+        """End the connection and wake up both threads, of which the receiving one closes the socket."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         with contextlib.suppress(queue.Full):
--- a/tansyladder/cluster/peer_transport.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -1,19 +1,20 @@
 """One TCP connection for each pair of nodes, which carries the messages of Raft and of documents.
 
-The node whose name is lower dials. A message that does not fit the queue, or finds no connection, is dropped
-and counted: Raft sends it again, and nobody waits for a peer.
+The node with the lower name dials. A message for a peer without a connection, or with a full queue, is
+dropped and counted: Raft sends it again, and no thread blocks on a peer.
 """
 
 from __future__ import annotations
 
+import contextlib
 import random
 import socket
 import struct
 import threading
-import time
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
+from functools import partial
 
 import msgspec
 
@@ -27,13 +28,11 @@
 from tansyladder.raft.messages import Message
 from tansyladder.replication.content_transfer import DocumentMessage
 
-IDLE_TIMEOUT = timedelta(
-    seconds=10
-)  # a peer that sends nothing for so long, not even a handshake, is dialled anew
-SEND_TIMEOUT = timedelta(seconds=2)  # for a peer that takes nothing
-MIN_REDIAL_SECONDS = 0.05  # between two dials, drawn: a cluster that starts does not dial in step
+IDLE_TIMEOUT = timedelta(seconds=10)  # a silent connection ends then: Raft's handshakes are more frequent
+SEND_TIMEOUT = timedelta(seconds=2)  # of one write to a peer that doesn't read
+MIN_REDIAL_SECONDS = 0.05  # between two dials; drawn, so that a starting cluster does not dial in step
 MAX_REDIAL_SECONDS = 0.5
-MAX_PENDING_HANDSHAKES = 64  # connections that have not proved the key yet
+MAX_PENDING_HANDSHAKES = 64  # accepted connections that have not proved the key yet
 LISTEN_BACKLOG_RESERVE = 16  # beyond one connection of each peer
 
 PeerMessage = Message | DocumentMessage
@@ -41,14 +40,34 @@
 
 @dataclass(slots=True)
 class TransportCounters:
-    """What has happened since the start. Threads count without a lock: two at once may lose one count."""
+    """Counts since the start. Threads count without a lock, so two at once may lose one count."""
 
     messages_dropped: int = 0
-    connections_rejected: int = 0  # with too many handshakes under way
-    peers_rejected: int = 0  # in the handshake, or for what they sent after it
+    connections_rejected: int = 0  # as too many handshakes were in progress
+    peers_rejected: int = 0  # in the handshake, or for an invalid message
     bytes_received: int = 0
     bytes_sent: int = 0
 
+    def count_dropped_message(self) -> None:
+        """Count a message that found no connection or a full queue."""
+        self.messages_dropped += 1
+
+    def count_rejected_connection(self) -> None:
+        """Count a connection that was closed before its handshake."""
+        self.connections_rejected += 1
+
+    def count_rejected_peer(self) -> None:
+        """Count a peer that was rejected."""
+        self.peers_rejected += 1
+
+    def count_received(self, message_bytes: int) -> None:
+        """Count the bytes of a received message and its frame."""
+        self.bytes_received += message_bytes + FRAME_OVERHEAD_BYTES
+
+    def count_sent(self, message_bytes: int) -> None:
+        """Count the bytes of a sent message and its frame."""
+        self.bytes_sent += message_bytes + FRAME_OVERHEAD_BYTES
+
 
 class PeerTransport:
     """All connections of one node to its peers. Thread-safe."""
@@ -60,10 +79,17 @@
         on_message: Callable[[str, PeerMessage], None],
         now_us: Callable[[], int],
     ) -> None:
-        """`on_message`: gets the sender and each message, and must not wait; `now_us`: Unix time.
+        """Listen for peers; `start` begins to accept and to dial.
 
-        OSError: the address can't be listened at. ClusterConfigurationError, ConfigError: the settings don't
-        fit.
+        Args:
+            name: This node's name.
+            options: The settings of the cluster.
+            on_message: Gets the sender and each message, and must not block.
+            now_us: Reads Unix time in microseconds.
+
+        Raises:
+            OSError: The node can't listen at its address.
+            ClusterConfigurationError, ConfigError: The settings are invalid.
         """
         addresses = {
             member: parse_address(text, f"peers.members.{member}") for member, text in options.members.items()
@@ -77,7 +103,9 @@
         self.handshake = PeerHandshake(name, options.fleet, bytes.fromhex(options.key), self._peers, now_us)
         self.counters = TransportCounters()
         self._channels: dict[str, PeerChannel] = {}
-        self._channels_lock = threading.Lock()  # for changes of _channels; `send` reads without it
+        self._lock = threading.Lock()  # guards _threads and changes of _channels; `send` reads without it
+        self._threads: set[threading.Thread] = set()
+        self._stop_requested = threading.Event()
         self._handshake_slots = threading.BoundedSemaphore(MAX_PENDING_HANDSHAKES)
         self._decoder = msgspec.msgpack.Decoder(PeerMessage)
         listen = parse_address(options.listen or options.members[name], "peers.listen")
@@ -85,52 +113,88 @@
         self._listener = socket.create_server(listen, backlog=backlog, reuse_port=True)
 
     def start(self) -> None:
-        """Accept connections, and dial the peers whose names are higher."""
-        threading.Thread(target=self._accept_connections, name="peers", daemon=True).start()
+        """Accept connections, and dial the peers with higher names."""
+        self._start_thread("peers", self._accept_connections)
         for peer in self._peers:
             if self._name < peer:
-                threading.Thread(target=self._dial, args=(peer,), name=f"peer-{peer}", daemon=True).start()
+                self._start_thread(f"peer-{peer}", partial(self._dial, peer))
+
+    def stop(self) -> None:
+        """Close the listener and all connections, and wait until all threads have ended.
+
+        That takes as long as a pending handshake or write may: `HANDSHAKE_TIMEOUT` or `SEND_TIMEOUT`.
+        """
+        self._stop_requested.set()
+        with contextlib.suppress(OSError):
+            self._listener.shutdown(socket.SHUT_RDWR)  # wakes up the accepting thread
+        self._listener.close()
+        with self._lock:  # no further channel is registered from here on
+            channels = list(self._channels.values())
+        for channel in channels:
+            channel.close()
+        while threads := self._running_threads():
+            for thread in threads:
+                thread.join()
 
     def send(self, recipient: str, message: PeerMessage) -> None:
-        """Queue a message; without a connection or room for it, it is dropped as on a bad network."""
+        """Queue a message; it is dropped if there is no connection or its queue is full."""
         channel = self._channels.get(recipient)
         if channel is None or not channel.enqueue(msgspec.msgpack.encode(message)):
-            self.counters.messages_dropped += 1
+            self.counters.count_dropped_message()
+
+    def _start_thread(self, name: str, function: Callable[[], None]) -> None:
+        """Start a daemon thread that `stop` waits for. RuntimeError: the system can't start a thread."""
+        thread = threading.Thread(target=function, name=name, daemon=True)
+        thread.start()
+        with self._lock:
+            self._threads = {known for known in self._threads if known.is_alive()} | {thread}
+
+    def _running_threads(self) -> list[threading.Thread]:
+        """Return the transport's threads that have not ended."""
+        with self._lock:
+            return [thread for thread in self._threads if thread.is_alive()]
 
     def _dial(self, peer: str) -> None:
-        """Keep a connection to a peer, for the life of the process."""
+        """Keep a connection to a peer until `stop`; the function of the peer's thread."""
         timeout = HANDSHAKE_TIMEOUT.total_seconds()
-        while True:
+        while not self._stop_requested.is_set():
             try:
                 with socket.create_connection(self._peers[peer], timeout) as sock:
                     self._run(self.handshake.dial(sock, peer))
             except PeerError as err:
                 log(LogEvent.PEER_REJECTED, peer=peer, why=err)
             except OSError:
-                pass  # the peer is down or not up yet, which its own log tells
-            time.sleep(random.uniform(MIN_REDIAL_SECONDS, MAX_REDIAL_SECONDS))
+                pass  # the peer is down or still starting; its own log shows which
+            self._stop_requested.wait(random.uniform(MIN_REDIAL_SECONDS, MAX_REDIAL_SECONDS))
 
     def _accept_connections(self) -> None:
+        """Accept connections until `stop`; the function of the thread `peers`."""
         while True:
             try:
                 sock, _ = self._listener.accept()
             except OSError as err:
+                if self._stop_requested.is_set():
+                    return
                 log(LogEvent.PEER_ACCEPT_FAILED, why=err)
-                time.sleep(MAX_REDIAL_SECONDS)
-                continue
-            if not self._handshake_slots.acquire(blocking=False):
-                sock.close()
-                self.counters.connections_rejected += 1
+                self._stop_requested.wait(MAX_REDIAL_SECONDS)
                 continue
-            try:
-                threading.Thread(target=self._serve, args=(sock,), name="peer-in", daemon=True).start()
-            except RuntimeError as err:  # the system has no thread to give
-                self._handshake_slots.release()
-                sock.close()
-                log(LogEvent.PEER_ACCEPT_FAILED, why=err)
+            self._start_serving(sock)
+
+    def _start_serving(self, sock: socket.socket) -> None:
+        """Serve an accepted connection in a thread of its own; close it if there are too many handshakes."""
+        if not self._handshake_slots.acquire(blocking=False):
+            sock.close()
+            self.counters.count_rejected_connection()
+            return
+        try:
+            self._start_thread("peer-in", partial(self._serve, sock))
+        except RuntimeError as err:  # the system can't start a thread
+            self._handshake_slots.release()
+            sock.close()
+            log(LogEvent.PEER_ACCEPT_FAILED, why=err)
 
     def _serve(self, sock: socket.socket) -> None:
-        """Run an accepted connection to its end."""
+        """Run an accepted connection until it ends."""
         with sock:
             try:
                 try:
@@ -139,19 +203,18 @@
                     self._handshake_slots.release()
                 self._run(channel)
             except PeerError as err:
-                self.counters.peers_rejected += 1
+                self.counters.count_rejected_peer()
                 log(LogEvent.PEER_REJECTED, why=err)
             except OSError:
-                pass  # the peer is gone, and dials again
+                pass  # the connection has ended, and the peer dials again
 
     def _run(self, channel: PeerChannel) -> None:
-        """Receive messages until the connection ends. OSError, PeerError: why it has ended."""
+        """Receive messages until the connection ends. OSError, PeerError: the cause of the end."""
         _set_socket_options(channel.sock)
         self._register(channel)
         log(LogEvent.PEER_CONNECTED, peer=channel.peer)
-        sender = threading.Thread(target=self._send_queued, args=(channel,), name="peer-out", daemon=True)
         try:
-            sender.start()
+            self._start_thread("peer-out", partial(self._send_queued, channel))
             while True:
                 self._receive(channel)
         finally:
@@ -161,21 +224,25 @@
             log(LogEvent.PEER_DISCONNECTED, peer=channel.peer, dropped=dropped)
 
     def _register(self, channel: PeerChannel) -> None:
-        """Put a channel in place of an earlier one of the same peer, and close that."""
-        with self._channels_lock:
+        """Replace and close an earlier channel of the same peer. OSError: the transport is stopping."""
+        with self._lock:
+            if self._stop_requested.is_set():
+                raise ConnectionAbortedError("the transport is stopping")
             replaced = self._channels.get(channel.peer)
             self._channels[channel.peer] = channel
         if replaced is not None:
             replaced.close()
 
     def _unregister(self, channel: PeerChannel) -> None:
-        with self._channels_lock:
+        """Remove a channel, unless another one has replaced it."""
+        with self._lock:
             if self._channels.get(channel.peer) is channel:
                 del self._channels[channel.peer]
 
     def _receive(self, channel: PeerChannel) -> None:
+        """Receive one message. OSError: the connection has ended. PeerError: the message is invalid."""
         data = channel.receive()
-        self.counters.bytes_received += len(data) + FRAME_OVERHEAD_BYTES
+        self.counters.count_received(len(data))
         try:
             message = self._decoder.decode(data)
         except msgspec.MsgspecError as err:
@@ -183,19 +250,21 @@
         self._on_message(channel.peer, message)
 
     def _send_queued(self, channel: PeerChannel) -> None:
+        """Send queued messages until the channel is closed; the function of the thread `peer-out`."""
         while (data := channel.next_queued()) is not None:
             try:
                 check_invariant(len(data) <= MAX_FRAME_BYTES, "peer_frame_too_large")
                 channel.send(data)
-                self.counters.bytes_sent += len(data) + FRAME_OVERHEAD_BYTES
+                self.counters.count_sent(len(data))
             except OSError:
                 channel.close()
                 return
 
 
 def _set_socket_options(sock: socket.socket) -> None:
+    """Bound the waits of a connection, and send small messages at once."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.settimeout(IDLE_TIMEOUT.total_seconds())
-    # Sends have a bound of their own: a peer that takes nothing must not hold up its queue for long.
+    # Writes have a shorter timeout: a peer that doesn't read must not block its queue for long.
     send_timeout = struct.pack("ll", int(SEND_TIMEOUT.total_seconds()), 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, send_timeout)
--- a/tansyladder/cluster/pending_results.py
+++ b/tansyladder/cluster/pending_results.py
@@ -1,4 +1,4 @@
-"""The proposals of this node whose results threads are waiting for."""
+"""The proposals of this node for whose results threads are waiting."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from tansyladder.raft.messages import ProposalResult
 
-MAX_WAITING_PROPOSALS = 1024  # of this node; more fail at once
+MAX_WAITING_PROPOSALS = 1024  # of this node; further ones fail at once
 
 
 class PendingResult:
-    """A place for the result of one proposal. Thread-safe."""
+    """The future result of one proposal. Thread-safe."""
 
     __slots__ = ("_is_set", "_result")
 
@@ -24,7 +24,7 @@
         self._result: ProposalResult | None = None
 
     def wait(self, timeout: timedelta) -> ProposalResult | None:
-        """Return the result, or None if none has come in time or by the call of `wake_up`."""
+        """Wait for the result and return it; None at the timeout or after `wake_up`."""
         self._is_set.wait(timeout.total_seconds())
         return self._result
 
@@ -39,17 +39,17 @@
 
 
 class PendingResults:
-    """All proposals that are waited for, by request id. Thread-safe: each change is one dict operation."""
+    """The results that threads wait for, by request id. Thread-safe: each change is one dict operation."""
 
     def __init__(self, incarnation: str) -> None:
-        """`incarnation`: the node and its start, which makes request ids unique in the cluster."""
+        """Begin without proposals; `incarnation` makes request ids unique in the cluster."""
         self._incarnation = incarnation
         self._numbers = itertools.count(1)
         self._pending: dict[str, PendingResult] = {}
 
     @property
     def is_full(self) -> bool:
-        """Whether as many proposals are waited for as may be."""
+        """Whether `MAX_WAITING_PROPOSALS` are waiting."""
         return len(self._pending) >= MAX_WAITING_PROPOSALS
 
     def new_request_id(self) -> str:
@@ -58,7 +58,7 @@
 
     @contextmanager
     def expect(self, request_id: str) -> Iterator[PendingResult]:
-        """Take the result of a proposal while in the context."""
+        """Register a proposal within the context, so that its result is delivered."""
         pending = PendingResult()
         self._pending[request_id] = pending
         try:
@@ -67,7 +67,7 @@
             self._pending.pop(request_id, None)
 
     def resolve(self, result: ProposalResult) -> None:
-        """Hand a result to the thread that waits for it, if there is one."""
+        """Deliver a result to the thread that waits for it, if there is one."""
         pending = self._pending.pop(result.request_id, None)
         if pending is not None:
             pending.resolve(result)
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -1,4 +1,4 @@
-"""Runs this node of the Raft cluster: the thread that owns it, and the calls of other threads."""
+"""The Raft thread, which owns this node's `RaftNode`, and the interface for other threads."""
 
 from __future__ import annotations
 
@@ -43,33 +43,34 @@
 
 PROPOSAL_RETRY_INTERVAL = timedelta(milliseconds=150)  # doubles with each attempt
 MICROSECONDS_PER_SECOND = 1_000_000
+INCARNATION_BYTES = 4  # drawn for each start of a node
 
 
 @dataclass(frozen=True, slots=True)
 class NodeStorage:
-    """Where the node keeps what must outlive its process."""
+    """The storage of state that must outlive the process."""
 
-    store: Store | None  # without one, the state of Raft lasts as long as the process
-    state_directory: str | None  # for the file that shows that the store is no older copy
+    store: Store | None  # without one, the state of Raft is lost when the process ends
+    state_directory: str | None  # of the rollback detector's file
 
 
 class RaftStatus(NamedTuple):
-    """What operators are told of a node whenever it changes."""
+    """The state of a node that is logged for operators whenever it changes."""
 
     role: str
     term: int
     leader: str
     is_voting: bool
-    stale_disk_suspected: bool
+    stale_disk_suspected: bool  # a suspected node never votes; one without a vote need not be suspected
 
     @classmethod
     def of(cls, node: RaftNode) -> RaftStatus:
-        """Return the present status of a node."""
+        """Read the present status of a node."""
         leader = node.leader or "none"
         return cls(node.role.value, node.term, leader, node.is_voting, node.stale_disk_suspected)
 
     def log(self) -> None:
-        """Log it under the field names that `docs/peers.md` gives."""
+        """Log the status under the field names of `docs/peers.md`."""
         log(
             LogEvent.RAFT_STATE,
             role=self.role,
@@ -81,20 +82,22 @@
 
 
 def _monotonic_us() -> int:
+    """Read the monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 def _membership(name: str, options: PeersOptions) -> Membership:
+    """Return the cluster's voters and learners; all members without a vote are learners."""
     voters = options.voters.split()
     learners = [member for member in options.members if member not in voters]
     return Membership(name, voters, learners)
 
 
 class RaftRunner:
-    """One node of the cluster that decides on session owners and documents.
+    """This node of the cluster, which replicates session ownership and documents.
 
-    Thread-safe, but for the methods whose names begin with an underscore: they are the Raft thread's own
-    unless they say otherwise.
+    The public methods are thread-safe; the Raft thread alone calls the private ones, unless they say
+    otherwise.
     """
 
     def __init__(
@@ -106,16 +109,23 @@
         now_us: Callable[[], int],
         documents: DocumentReplicaSettings | None = None,
     ) -> None:
-        """Read the state from the disk and listen for peers; `start` begins to take part.
-
-        `on_ownership_claimed`: gets the session, tenure and owner of each claim that holds, and must not
-        wait. `now_us`: Unix time in microseconds. `documents`: None where this cluster agrees on no
-        documents.
-
-        StoreError, OSError: the state can't be read, or the peers' address can't be listened at.
+        """Read the state from the disk and listen for peers; `start` begins to participate.
+
+        Args:
+            name: This node's name.
+            options: The settings of the cluster.
+            storage: The storage of state that must outlive the process.
+            on_ownership_claimed: Gets the session, epoch and owner of each accepted claim, on the Raft
+                thread; it must not block.
+            now_us: Reads Unix time in microseconds.
+            documents: None if this cluster replicates no documents.
+
+        Raises:
+            StoreError: The state can't be read.
+            OSError: The node can't listen at its address for peers.
         """
         self._storage = RaftStorage(storage.store, RollbackDetector(storage.state_directory, name))
-        self.incarnation = f"{name}/{os.urandom(4).hex()}"  # the node and its start
+        self.incarnation = f"{name}/{os.urandom(INCARNATION_BYTES).hex()}"  # the node and its start
         self._name = name
         self._inbox = Inbox()
         self._pending_results = PendingResults(self.incarnation)
@@ -128,7 +138,7 @@
         )
         self.document_replica: DocumentReplica | None = None
         if documents is not None:
-            # After the node has loaded the state, which names the documents whose content the replica reads.
+            # The node has loaded the state by now, so the replica reads the contents that it refers to.
             peers = [member for member in options.members if member != name]
             self.document_replica = DocumentReplica(
                 self.incarnation, peers, state_machine.documents, storage.store, documents, now_us
@@ -136,24 +146,24 @@
         self.transport = PeerTransport(name, options, self._enqueue, now_us)
 
     def start(self) -> None:
-        """Take part in the cluster."""
+        """Participate in the cluster from now on."""
         self.transport.start()
         if self.document_replica is not None:
             self.document_replica.start()
         threading.Thread(target=self._run, name="raft", daemon=True).start()
 
     def propose(self, command: Command) -> None:
-        """Propose a command whose loss does no harm, and wait for nothing."""
+        """Propose a command without waiting for its result; the caller proposes it again if it is lost."""
         request_id = self._pending_results.new_request_id()
         self._enqueue(self._name, ProposalRequest(request_id, msgspec.msgpack.encode(command)))
 
     def decide_ownership(
         self, command: OwnershipClaim | ClaimConfirmation, deadline: timedelta
     ) -> ClaimResult | None:
-        """Have the cluster decide on a session's owner.
+        """Propose a claim or a confirmation of a session's owner, and return its result.
 
-        None: the result was not known by the deadline, or nobody leads. It may have been a yes: what it was
-        about must not be taken for granted either way.
+        None: the result was not known by the deadline, or there is no leader. The command may have been
+        accepted, so the caller must not rely on either outcome.
         """
         result = self._decide(command, deadline)
         return msgspec.msgpack.decode(result, type=ClaimResult) if result is not None else None
@@ -161,10 +171,10 @@
     def publish_document(
         self, name: str, content: bytes, idempotency_key: str, deadline: timedelta
     ) -> ChangeResult | None:
-        """Change a document in the whole cluster, and return what became of that.
+        """Change a document in the whole cluster, and return the result of the change.
 
-        None: it was not known by the deadline, and may be a yes still; with the same key it is the same
-        change. ValueError: this node itself finds a fault in the content, and has proposed nothing.
+        None: the result was not known by the deadline, and the change may be committed later; with the same
+        key it is the same change. ValueError: this node rejects the content, and has proposed nothing.
         """
         if self.document_replica is None:
             raise ValueError("documents: not enabled")
@@ -178,13 +188,13 @@
         return result
 
     def release_lease(self, deadline: timedelta) -> None:
-        """Decide nothing any more at this node, so that nobody has to wait for the end of its lease."""
+        """Stop making decisions at this node and release its lease, so that no change waits for its end."""
         if self.document_replica is not None:
             self.document_replica.stop_deciding()
             self._decide(LeaseRelease(self.incarnation, self.document_replica.now_us()), deadline)
 
     def _decide(self, command: Command, deadline: timedelta) -> bytes | None:
-        """Propose a command until its result is known; None: it is not known by the deadline.
+        """Propose a command until its result is known; None if it is not known by the deadline.
 
         Runs in the calling thread, and may propose the command more than once.
         """
@@ -197,15 +207,16 @@
                 result = pending.wait(min(deadline - now(), retry_interval))
             if result is not None:
                 return result.result
-            retry_interval *= 2  # a cluster that is slow must not get more load
+            retry_interval *= 2  # a slow cluster must not get more load
         return None
 
     def _enqueue(self, sender: str, message: PeerMessage) -> None:
         """Hand a message to the Raft thread, from any thread."""
         if not self._inbox.put(sender, message):
-            self.transport.counters.messages_dropped += 1
+            self.transport.counters.count_dropped_message()
 
     def _run(self) -> None:
+        """Step until an error, after which this node takes no part any more; the Raft thread's function."""
         try:
             while True:
                 self._step(self._receive())
@@ -215,27 +226,29 @@
             self._pending_results.wake_up_all()
 
     def _step(self, received: list[ReceivedMessage]) -> None:
+        """Process messages and expired timers; sync the writes before anything is sent."""
         raft_messages = [(sender, body) for sender, body in received if not isinstance(body, DocumentMessage)]
         document_messages = [(sender, body) for sender, body in received if isinstance(body, DocumentMessage)]
         replica = self.document_replica
         is_urgent = replica is not None and replica.is_urgent
         effects = self._node.handle(_monotonic_us(), raft_messages, announces_commits_at_once=is_urgent)
-        self._storage.write(effects.writes)  # before anything leaves
+        self._storage.write(effects.writes)
         if replica is not None:
             self._step_documents(replica, document_messages)
         self._deliver(effects)
         self._log_status()
 
     def _receive(self) -> list[ReceivedMessage]:
-        """Wait for messages until the next step is due, and take those that have come together."""
+        """Wait for messages until the next step is due, and return those that have arrived."""
         wait_us = self._node.next_deadline - _monotonic_us()
         if self.document_replica is not None:
             wait_us = min(wait_us, self.document_replica.next_step_in_us())
         return self._inbox.take(wait_us / MICROSECONDS_PER_SECOND)
 
     def _step_documents(self, replica: DocumentReplica, received: list[tuple[str, DocumentMessage]]) -> None:
-        """Do what documents ask for after a step; a lease is cut before anything of the step leaves."""
-        commands, messages = replica.step(self._node.leader, self._node.role is Role.LEADER)
+        """Step the documents after the log; a lease is shortened before messages of the step are sent."""
+        is_leader = self._node.role is Role.LEADER
+        commands, messages = replica.step(self._node.leader, is_leader=is_leader)
         for sender, message in received:
             messages += replica.handle(sender, message)
         for command in commands:
@@ -248,13 +261,14 @@
             self.transport.send(recipient, message)
 
     def _deliver(self, effects: Effects) -> None:
+        """Send the messages of a step, and deliver its results to the waiting threads."""
         for recipient, message in effects.messages:
             self.transport.send(recipient, message)
         for result in effects.results:
             self._pending_results.resolve(result)
 
     def _log_status(self) -> None:
-        """Log what operators watch, whenever it changes."""
+        """Log the node's status if it has changed."""
         status = RaftStatus.of(self._node)
         if status != self._logged_status:
             self._logged_status = status
--- a/tansyladder/cluster/raft_storage.py
+++ b/tansyladder/cluster/raft_storage.py
@@ -18,26 +18,30 @@
 SNAPSHOT_KEY_PREFIX = b"peers/snapshot"
 LOG_KEY_PREFIX = b"peers/log/"
 WRITE_COUNT_KEY = b"peers/count"
-SNAPSHOT_RECORD_BYTES = 48 << 10  # of a snapshot in one record; the store bounds the size of a record
-INDEX_BYTES = 8  # of an entry's index in its key, and of the count of writes; big-endian
+SNAPSHOT_RECORD_BYTES = 48 << 10  # of a snapshot in one record, as the store limits the size of records
+INDEX_BYTES = 8  # of an entry's index in its key, and of the write count; big-endian
+DISK_ID_BYTES = 8
 
 Records = dict[bytes, bytes]
 
 
 def log_entry_key(index: int) -> bytes:
-    """Return the key of an entry's record; keys sort as indexes do."""
+    """Return the key of an entry's record; keys sort in the order of the indexes."""
     return LOG_KEY_PREFIX + index.to_bytes(INDEX_BYTES, "big")
 
 
 def _snapshot_key(number: int) -> bytes:
+    """Return the key of one of the snapshot's records, which are numbered from 0."""
     return SNAPSHOT_KEY_PREFIX + b"/%06d" % number
 
 
 def _snapshot_keys(records: Records) -> list[bytes]:
+    """Return the keys of the snapshot's records in their order."""
     return sorted(key for key in records if key.startswith(SNAPSHOT_KEY_PREFIX))
 
 
 def _decode_snapshot(records: Records) -> Snapshot:
+    """Decode the snapshot; an empty one if there are no records of it."""
     keys = _snapshot_keys(records)
     if not keys:
         return Snapshot()
@@ -45,7 +49,7 @@
 
 
 def _decode_entries(records: Records, first_index: int) -> tuple[LogEntry, ...]:
-    """Decode entries up to the first one that is missing."""
+    """Decode the entries up to the first missing one."""
     entries: list[LogEntry] = []
     while (data := records.get(log_entry_key(first_index + len(entries)))) is not None:
         entries.append(msgspec.msgpack.decode(data, type=LogEntry))
@@ -53,21 +57,24 @@
 
 
 def _decode_hard_state(records: Records) -> HardState:
-    """Decode the hard state; a disk without one gets a name."""
+    """Decode the hard state; a disk without one gets a new name."""
     data = records.get(HARD_STATE_KEY)
-    return msgspec.msgpack.decode(data, type=HardState) if data else HardState(disk_id=os.urandom(8).hex())
+    if data:
+        return msgspec.msgpack.decode(data, type=HardState)
+    return HardState(disk_id=os.urandom(DISK_ID_BYTES).hex())
 
 
 class RaftStorage:
-    """Raft's records in the node's store; without a store they last as long as the process.
+    """Raft's records in the node's store; without a store they are lost when the process ends.
 
-    Each write is counted, on the disk and in the rollback detector's file. A disk that is behind that file,
-    or that has none, may be an older copy; one that lacks an entry in the middle has lost something as well.
-    Both are suspected to be stale (`HardState.stale_disk_suspected`). Owned by the Raft thread.
+    Each write is counted, on the disk and in the rollback detector's file. A disk whose count is behind that
+    file, or for which there is no file, may be an older copy; a disk that lacks an entry in the middle of the
+    log has lost data as well. Both are suspected to be stale (`HardState.stale_disk_suspected`). Owned by the
+    Raft thread.
     """
 
     def __init__(self, store: Store | None, rollback_detector: RollbackDetector) -> None:
-        """Read the records. StoreError: they can't be written; MsgspecError: they can't be decoded."""
+        """Read the records. StoreError: the store fails. MsgspecError: a record can't be decoded."""
         self._store = store
         self._rollback_detector = rollback_detector
         records = dict(store.items(KEY_PREFIX)) if store else {}
@@ -81,7 +88,7 @@
         self._disk_id = hard_state.disk_id
         self.persisted = PersistentState(hard_state, snapshot, entries)
         if store is None:
-            rollback_detector.invalidate()  # a store that comes back later lacks what this start promises
+            rollback_detector.invalidate()  # a store used by a later start lacks the votes of this one
         self.write([hard_state])
 
     def write(self, writes: list[Write]) -> None:
@@ -101,11 +108,11 @@
         records[WRITE_COUNT_KEY] = self._write_count.to_bytes(INDEX_BYTES, "big")
         operations = [WriteOperation(key, value) for key, value in records.items()]
         self._store.write(operations, Durability.SYNCED)
-        # The caller has sent nothing yet that rests on these writes.
+        # The caller has not sent any message yet that depends on these writes.
         self._rollback_detector.record(self._disk_id, self._write_count)
 
     def _check_for_rollback(self, hard_state: HardState, records: Records) -> HardState:
-        """Return the hard state, with the suspicion that the disk is stale where there is cause for it."""
+        """Return the hard state; the disk is suspected to be stale unless it is shown to be the newest."""
         end_of_log = log_entry_key(self._last_index)
         has_all_entries = all(key <= end_of_log for key in records if key.startswith(LOG_KEY_PREFIX))
         is_newest = self._rollback_detector.is_newest(hard_state.disk_id, self._write_count)
@@ -115,7 +122,7 @@
         return replace(hard_state, stale_disk_suspected=True)
 
     def _add_snapshot(self, records: dict[bytes, bytes | None], snapshot: Snapshot) -> None:
-        """Put a snapshot in place of the one before and of the entries that it includes."""
+        """Replace the previous snapshot and the entries that the new one includes."""
         data = msgspec.msgpack.encode(snapshot)
         parts = [
             data[start : start + SNAPSHOT_RECORD_BYTES]
@@ -130,7 +137,7 @@
         self._last_index = max(self._last_index, snapshot.index)
 
     def _add_log_suffix(self, records: dict[bytes, bytes | None], suffix: LogSuffix) -> None:
-        """Put entries in place of all entries from the first of them on."""
+        """Replace all entries from the first one of the suffix on."""
         for index, entry in enumerate(suffix.entries, suffix.index):
             records[log_entry_key(index)] = msgspec.msgpack.encode(entry)
         end_index = suffix.index + len(suffix.entries)
--- a/tests/cluster/test_peer_transport.py
+++ b/tests/cluster/test_peer_transport.py
@@ -1,4 +1,4 @@
-"""Connections between two nodes: greetings, proofs of the key, frames."""
+"""Connections between two nodes: handshakes, proofs of the key, frames, and their end."""
 
 from __future__ import annotations
 
@@ -6,6 +6,9 @@
 import queue
 import socket
 import struct
+import threading
+from collections.abc import Iterator
+from contextlib import contextmanager
 from dataclasses import dataclass
 from typing import NamedTuple
 
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Peer:
-    """What the second node differs in from the first."""
+    """The settings in which the second node may differ from the first."""
 
     cluster: str = "f"
     key: str = KEY
@@ -66,31 +69,64 @@
         for transport in self.transports:
             transport.start()
 
+    def stop(self) -> None:
+        """Stop both, and wait until their threads have ended."""
+        for transport in self.transports:
+            transport.stop()
+
     def send_until_received(self) -> tuple[str, PeerMessage]:
         """Send from `a` until `b` has received something."""
         for number in range(200):
             self.transports[0].send("b", Handshake(f"d{number}", "s", {}))
             with contextlib.suppress(queue.Empty):
                 return self.received[1].get(timeout=0.05)
-        raise AssertionError("nothing was received")
+        raise AssertionError("no message was received")
+
+
+@contextmanager
+def two_nodes(peer: Peer = Peer()) -> Iterator[TwoNodes]:
+    """The nodes `a` and `b`; the test starts them, and their threads have ended afterwards."""
+    nodes = TwoNodes(peer)
+    try:
+        yield nodes
+    finally:
+        nodes.stop()
 
 
 class GreetingResult(NamedTuple):
-    """What a listener answered to a greeting, and what it sent after the second one."""
+    """A listener's greeting, and the first byte that it sent after the confirmation; empty at an end."""
 
     greeting: Greeting
-    after: bytes
+    after_confirmation: bytes
 
 
 def test_two_nodes_exchange_messages_also_large_ones() -> None:
-    nodes = TwoNodes()
-    nodes.start()
-    sender, message = nodes.send_until_received()
-    assert sender == "a"
-    assert type(message) is Handshake
     large = AppendEntries(1, 0, 0, (LogEntry(1, EntryKind.COMMAND, "r", b"x" * (2 << 20)),), 0)
-    nodes.transports[1].send("a", large)
-    assert nodes.received[0].get(timeout=10) == ("b", large)
+    with two_nodes() as nodes:
+        nodes.start()
+        sender, message = nodes.send_until_received()
+        assert sender == "a"
+        assert type(message) is Handshake
+        nodes.transports[1].send("a", large)
+        assert nodes.received[0].get(timeout=10) == ("b", large)
+
+
+def test_a_stopped_transport_leaves_no_thread_and_accepts_no_connection() -> None:
+    before = set(threading.enumerate())
+    with two_nodes() as nodes:
+        nodes.start()
+        nodes.send_until_received()
+        assert set(threading.enumerate()) > before
+        nodes.transports[0].stop()
+        nodes.transports[1].stop()
+        assert set(threading.enumerate()) <= before
+        with pytest.raises(ConnectionRefusedError):
+            socket.create_connection(nodes.addresses[1], 5)
+
+
+def test_a_transport_that_was_never_started_stops() -> None:
+    with two_nodes() as nodes:
+        nodes.transports[0].stop()
 
 
 @pytest.mark.parametrize(
@@ -106,17 +142,17 @@
 def test_a_peer_with_another_key_cluster_or_clock_is_rejected(
     peer: Peer, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    nodes = TwoNodes(peer)
-    nodes.start()
-    for _ in range(400):
-        nodes.transports[0].send("b", Handshake("d", "s", {}))
-        if "peer_rejected" in capfd.readouterr().err:
-            break
-        with pytest.raises(queue.Empty):
-            nodes.received[1].get(timeout=0.05)
-    else:
-        raise AssertionError("nobody was rejected")
-    assert nodes.received[1].empty()
+    with two_nodes(peer) as nodes:
+        nodes.start()
+        for _ in range(400):
+            nodes.transports[0].send("b", Handshake("d", "s", {}))
+            if "peer_rejected" in capfd.readouterr().err:
+                break
+            with pytest.raises(queue.Empty):
+                nodes.received[1].get(timeout=0.05)
+        else:
+            raise AssertionError("nobody was rejected")
+        assert nodes.received[1].empty()
 
 
 @pytest.mark.parametrize(
@@ -128,12 +164,12 @@
     ],
 )
 def test_a_connection_that_begins_without_a_greeting_is_closed(first_bytes: bytes) -> None:
-    nodes = TwoNodes()
-    nodes.transports[1].start()
-    with socket.create_connection(nodes.addresses[1], 5) as sock:
-        sock.sendall(first_bytes)
-        with contextlib.suppress(ConnectionResetError):  # a close with bytes that nobody has read
-            assert sock.recv(1) == b""
+    with two_nodes() as nodes:
+        nodes.transports[1].start()
+        with socket.create_connection(nodes.addresses[1], 5) as sock:
+            sock.sendall(first_bytes)
+            with contextlib.suppress(ConnectionResetError):  # the listener closes with unread bytes
+                assert sock.recv(1) == b""
 
 
 def send_greeting(sock: socket.socket, greeting: Greeting) -> None:
@@ -142,7 +178,7 @@
 
 
 def greet(address: tuple[str, int], greeting: Greeting, proof: bytes) -> GreetingResult:
-    """Dial with a greeting, and confirm with a proof."""
+    """Dial with a greeting, and confirm the listener's greeting with a proof."""
     with socket.create_connection(address, 5) as sock:
         send_greeting(sock, greeting)
         (size,) = struct.unpack(">I", sock.recv(4, socket.MSG_WAITALL))
@@ -152,14 +188,14 @@
 
 
 def test_a_recorded_proof_opens_no_second_connection() -> None:
-    """The listener's nonce is new each time, so the proof of another time proves nothing."""
-    nodes = TwoNodes()
-    nodes.transports[1].start()
+    """The listener draws a new nonce for each connection, which a recorded proof doesn't authenticate."""
     greeting = Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, NOW_US)
-    first = greet(nodes.addresses[1], greeting, b"?" * 32)
-    assert first.after == b""
-    # The proof with which a true dialler had answered that nonce.
-    proof = nodes.transports[1].handshake.proof(b"dialler", greeting, first.greeting)
-    second = greet(nodes.addresses[1], greeting, proof)
-    assert second.after == b""
-    assert first.greeting.nonce != second.greeting.nonce
+    with two_nodes() as nodes:
+        nodes.transports[1].start()
+        first = greet(nodes.addresses[1], greeting, b"?" * 32)
+        assert first.after_confirmation == b""
+        # The proof with which the node `a` would have confirmed that nonce.
+        proof = nodes.transports[1].handshake.proof(b"dialler", greeting, first.greeting)
+        second = greet(nodes.addresses[1], greeting, proof)
+        assert second.after_confirmation == b""
+        assert first.greeting.nonce != second.greeting.nonce
--- a/tests/cluster/test_pending_results.py
+++ b/tests/cluster/test_pending_results.py
@@ -3,43 +3,53 @@
 from __future__ import annotations
 
 import threading
-from contextlib import ExitStack
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack, contextmanager
 from datetime import timedelta
 
 from tansyladder.cluster.pending_results import MAX_WAITING_PROPOSALS, PendingResults
 from tansyladder.raft.messages import ProposalResult
 
-AT_ONCE = timedelta(0)
-LONG = timedelta(seconds=10)
+NO_WAIT = timedelta(0)
+LONG_TIMEOUT = timedelta(seconds=10)
+
+
+@contextmanager
+def called_by_another_thread(function: Callable[[], None]) -> Iterator[None]:
+    """Call a function in a thread of its own, which has ended afterwards."""
+    thread = threading.Thread(target=function, name="raft")
+    thread.start()
+    try:
+        yield
+    finally:
+        thread.join()
 
 
 def test_a_result_reaches_the_thread_that_waits_for_it() -> None:
     results = PendingResults("n1/a")
     request_id = results.new_request_id()
     result = ProposalResult(request_id, b"done")
-    with results.expect(request_id) as pending:
-        threading.Thread(target=results.resolve, args=(result,), name="raft").start()
-        assert pending.wait(LONG) == result
+    with results.expect(request_id) as pending, called_by_another_thread(lambda: results.resolve(result)):
+        assert pending.wait(LONG_TIMEOUT) == result
 
 
-def test_a_result_that_comes_late_or_twice_is_dropped() -> None:
+def test_a_late_or_repeated_result_is_dropped() -> None:
     results = PendingResults("n1/a")
     request_id = results.new_request_id()
     with results.expect(request_id) as pending:
-        assert pending.wait(AT_ONCE) is None
+        assert pending.wait(NO_WAIT) is None
     results.resolve(ProposalResult(request_id, b"late"))
     assert not results.is_full
     with results.expect(request_id) as pending:
         results.resolve(ProposalResult(request_id, b"first"))
         results.resolve(ProposalResult(request_id, b"second"))
-        assert pending.wait(AT_ONCE) == ProposalResult(request_id, b"first")
+        assert pending.wait(NO_WAIT) == ProposalResult(request_id, b"first")
 
 
 def test_all_waiting_threads_wake_up_without_results_when_raft_stops() -> None:
     results = PendingResults("n1/a")
-    with results.expect(results.new_request_id()) as pending:
-        threading.Thread(target=results.wake_up_all, name="raft").start()
-        assert pending.wait(LONG) is None
+    with results.expect(results.new_request_id()) as pending, called_by_another_thread(results.wake_up_all):
+        assert pending.wait(LONG_TIMEOUT) is None
 
 
 def test_request_ids_are_unique_and_the_number_of_waiting_proposals_is_bounded() -> None:
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -13,37 +13,48 @@
 from tansyladder.cluster.rollback_detector import RollbackDetector
 from tansyladder.raft.messages import EntryKind, LogEntry
 from tansyladder.raft.persistent_state import HardState, LogSuffix, Snapshot
-from tansyladder.store import Durability, WriteOperation, open_store
+from tansyladder.store import Durability, Store, WriteOperation, open_store
 from tansyladder.store.files import RealFiles
 
 
 @contextmanager
-def opened_storage(folder: Path, detector_folder: str = "here") -> Iterator[RaftStorage]:
-    """The storage of one start; its store is closed at the end."""
-    (folder / detector_folder).mkdir(exist_ok=True)
+def opened_store(folder: Path) -> Iterator[Store]:
+    """The node's store, which is closed at the end."""
     store = open_store(RealFiles(folder / "store"), "n", lambda: 1)
     try:
-        yield RaftStorage(store, RollbackDetector(str(folder / detector_folder), "n"))
+        yield store
     finally:
         store.close()
 
 
-def start(folder: Path, detector_folder: str = "here") -> HardState:
-    """The hard state that a start finds; the start itself is one more write."""
+@contextmanager
+def opened_storage(folder: Path, detector_folder: str = "here") -> Iterator[RaftStorage]:
+    """The storage of one start of the node."""
+    (folder / detector_folder).mkdir(exist_ok=True)
+    with opened_store(folder) as store:
+        yield RaftStorage(store, RollbackDetector(str(folder / detector_folder), "n"))
+
+
+def hard_state_after_start(folder: Path, detector_folder: str = "here") -> HardState:
+    """Start the node and return its hard state; the start itself is one more write."""
     with opened_storage(folder, detector_folder) as storage:
         return storage.persisted.hard_state
 
 
+def is_suspected_after_start(folder: Path, detector_folder: str = "here") -> bool:
+    """Start the node and return whether its disk is suspected to be stale."""
+    return hard_state_after_start(folder, detector_folder).stale_disk_suspected
+
+
 def overwrite(folder: Path, key: bytes, value: bytes | None) -> None:
     """Change a record without the storage."""
-    store = open_store(RealFiles(folder / "store"), "n", lambda: 1)
-    store.write([WriteOperation(key, value)], Durability.SYNCED)
-    store.close()
+    with opened_store(folder) as store:
+        store.write([WriteOperation(key, value)], Durability.SYNCED)
 
 
 def end_suspicion(folder: Path) -> None:
-    """Write the hard state that a node writes once it is admitted."""
-    disk_id = start(folder).disk_id
+    """Write the hard state that a node writes once its disk is admitted."""
+    disk_id = hard_state_after_start(folder).disk_id
     overwrite(folder, HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=disk_id)))
 
 
@@ -66,17 +77,17 @@
 
 
 def test_a_disk_that_is_not_shown_to_be_the_newest_is_suspected(tmp_path: Path) -> None:
-    assert not start(tmp_path).stale_disk_suspected  # a new disk has lost nothing
+    assert not is_suspected_after_start(tmp_path)  # a new disk has lost nothing
     shutil.copytree(tmp_path / "store", tmp_path / "copy")
-    assert not start(tmp_path).stale_disk_suspected
+    assert not is_suspected_after_start(tmp_path)
     shutil.rmtree(tmp_path / "store")
     (tmp_path / "copy").rename(tmp_path / "store")
-    assert start(tmp_path).stale_disk_suspected
-    assert start(tmp_path).stale_disk_suspected  # until Raft ends it
+    assert is_suspected_after_start(tmp_path)
+    assert is_suspected_after_start(tmp_path)  # until Raft ends the suspicion
     end_suspicion(tmp_path)
-    assert not start(tmp_path).stale_disk_suspected
+    assert not is_suspected_after_start(tmp_path)
     overwrite(tmp_path, log_entry_key(2), msgspec.msgpack.encode(LogEntry(1)))  # entry 1 is missing
-    assert start(tmp_path).stale_disk_suspected
+    assert is_suspected_after_start(tmp_path)
     end_suspicion(tmp_path)
     overwrite(tmp_path, log_entry_key(2), None)
-    assert start(tmp_path, "elsewhere").stale_disk_suspected  # as after a start of the machine
+    assert is_suspected_after_start(tmp_path, "elsewhere")  # as after a boot of the machine
--- a/tests/cluster/test_session_takeover.py
+++ b/tests/cluster/test_session_takeover.py
@@ -7,13 +7,13 @@
 
 from tansyladder.lab.chaos import cluster, experiments, history, schedule
 from tansyladder.lab.chaos.faults import FaultInjector
-from tansyladder.lab.chaos.schedule import FaultKind
+from tansyladder.lab.chaos.schedule import Fault, FaultKind
 from tansyladder.lab.node import LabNode
 
 
-def run_faults(tmp_path: Path, *faults: tuple[float, FaultKind, int, float]) -> list[history.Event]:
+def run_faults(tmp_path: Path, *faults: Fault) -> list[history.Event]:
     """Run faults at three nodes with 24 sessions; no invariant is violated, and all clients end connected."""
-    plan = schedule.Schedule(1, 3, 2, 24, tuple(schedule.Fault(*fault) for fault in faults))
+    plan = schedule.Schedule(1, 3, 2, 24, faults)
     result = asyncio.run(experiments.run_schedule(plan, tmp_path / "history.jsonl"))
     assert result["all_back"]
     assert not result["cases"]
@@ -26,29 +26,31 @@
 
 
 def takeover_count(events: list[history.Event]) -> int:
-    """How many sessions a second owner has taken."""
+    """The number of sessions that a second owner has taken over."""
     return len({event.session_id for event in events if event.kind == "taken" and event.epoch >> 20 >= 2})
 
 
-def test_sessions_of_a_killed_node_are_taken_over_once(tmp_path: Path) -> None:
-    events = run_faults(tmp_path, (0.3, FaultKind.KILL, 0, 2.0))
-    assert max_session_count(events) == 1  # nobody began anew
+def assert_taken_over(events: list[history.Event]) -> None:
+    """Check that other nodes have taken over the sessions of the node with the fault, a third of all."""
+    assert max_session_count(events) == 1  # no client has begun another session
     assert 6 <= takeover_count(events) <= 12
 
 
+def test_sessions_of_a_killed_node_are_taken_over_once(tmp_path: Path) -> None:
+    assert_taken_over(run_faults(tmp_path, Fault(0.3, FaultKind.KILL, 0, 2.0)))
+
+
 def test_a_paused_node_sends_nothing_in_sessions_that_were_taken_over(tmp_path: Path) -> None:
-    events = run_faults(tmp_path, (0.3, FaultKind.PAUSE, 1, 4.5))
-    assert max_session_count(events) == 1
-    assert 6 <= takeover_count(events) <= 12
+    assert_taken_over(run_faults(tmp_path, Fault(0.3, FaultKind.PAUSE, 1, 4.5)))
 
 
 def test_without_a_majority_tokens_are_answered_busy_and_stay_valid(tmp_path: Path) -> None:
-    """The first node loses its peers, and its clients' connections break: each comes back with its token."""
+    """The first node loses its peers and its clients' connections break; each reconnects with its token."""
     events = run_faults(
         tmp_path,
-        (0.3, FaultKind.CUT_PEERS, 0, 3.0),
-        (0.3, FaultKind.CUT_PEERS, 1, 3.0),
-        (0.8, FaultKind.RESET_CLIENTS, 2, 0.1),
+        Fault(0.3, FaultKind.CUT_PEERS, 0, 3.0),
+        Fault(0.3, FaultKind.CUT_PEERS, 1, 3.0),
+        Fault(0.8, FaultKind.RESET_CLIENTS, 2, 0.1),
     )
     assert max_session_count(events) == 1
     tokens = {event.connection_id for event in events if event.kind == "asked" and event.token}
@@ -56,16 +58,14 @@
 
 
 def test_sessions_of_a_restarted_node_are_taken_over(tmp_path: Path) -> None:
-    events = run_faults(tmp_path, (0.3, FaultKind.RESTART, 0, 0.0))
-    assert max_session_count(events) == 1  # nobody was told to begin anew
-    assert 6 <= takeover_count(events) <= 12
+    assert_taken_over(run_faults(tmp_path, Fault(0.3, FaultKind.RESTART, 0, 0.0)))
 
 
 def test_a_new_version_joins_the_cluster_once_the_old_process_has_ended() -> None:
     async def scenario() -> tuple[int, bytes]:
         async with cluster.running_cluster(3, 2, 1) as running:
             await running.connect_clients(12)
-            await FaultInjector(running).inject(schedule.Fault(0, FaultKind.UPGRADE, 1, 0.0))
+            await FaultInjector(running).inject(Fault(0, FaultKind.UPGRADE, 1, 0.0))
             log = running.nodes[1].process.log
             while log.read_bytes().count(b"event=cluster_joined") < 2:
                 await asyncio.sleep(0.02)
--- a/tests/replication/test_content_transfer.py
+++ b/tests/replication/test_content_transfer.py
@@ -1,9 +1,10 @@
-"""How contents get from peer to peer, and when a node deletes them."""
+"""The transfer of contents between peers, and their deletion at a node."""
 
 from __future__ import annotations
 
 import hashlib
-from collections.abc import Sequence
+from collections.abc import Iterator, Sequence
+from contextlib import contextmanager
 from pathlib import Path
 from random import Random
 
@@ -14,14 +15,14 @@
 from tansyladder.replication.content_transfer import CHUNK_BYTES, Chunk, ChunkRequest, ContentStore
 from tansyladder.replication.documents import Documents, Version
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
-from tansyladder.store import open_store
+from tansyladder.store import Store, open_store
 from tansyladder.store.files import RealFiles
 
 KEY_PREFIX = b"documents/"
 
 
 def answer_of(peer: str, server: ContentStore, request: ChunkRequest, now_us: int) -> Chunk | None:
-    """Return what a peer answers to a request; its name says how it fails."""
+    """Return a peer's answer to a request; the peer's name begins with the way in which it fails."""
     server.handle("client", request, now_us)
     [(_, message)] = server.take_outgoing()
     chunk = message.body
@@ -37,38 +38,42 @@
     return chunk
 
 
+def fetched_contents(client: ContentStore, server: ContentStore) -> list[bytes]:
+    """Carry messages between a client and its peers, for which one server answers, until a fetch ends."""
+    for step in range(1, 401):
+        now_us = step * 20 * MILLISECOND_US
+        requests = client.take_outgoing()
+        assert len(requests) <= 8
+        for peer, message in requests:
+            assert isinstance(message.body, ChunkRequest)
+            answer = answer_of(peer, server, message.body, now_us)
+            if answer is not None:
+                client.handle(peer, answer, now_us)
+        client.retry_overdue(now_us)
+        completed = client.take_completed()
+        if completed:
+            return completed
+    return []
+
+
 @settings(max_examples=60, deadline=None)
 @given(
     st.integers(1, 9 * CHUNK_BYTES),
     st.lists(st.sampled_from(["sound", "lacking", "corrupt", "silent"]), min_size=1, max_size=4),
     st.integers(0, 99),
 )
-def test_a_content_is_fetched_whole_from_the_one_peer_that_has_it(
+def test_a_complete_content_is_fetched_from_the_one_peer_that_has_it(
     size: int, kinds: Sequence[str], seed: int
 ) -> None:
-    """The other peers lack it, are silent, or have a byte of it turned."""
+    """The other peers lack the content, are silent, or have a corrupt byte in it."""
     content = Random(seed).randbytes(size)
     peers = [f"{kind}{number}" for number, kind in enumerate([*kinds, "sound"])]
     server = ContentStore([], Random(1))
     client = ContentStore(peers, Random(seed))
     digest = server.add(content)
     assert digest == hashlib.sha256(content).digest()
-    now_us = 0
-    client.fetch(digest, size, now_us)
-    for _ in range(400):
-        now_us += 20 * MILLISECOND_US
-        requests = client.take_outgoing()
-        assert len(requests) <= 8
-        for peer, message in requests:
-            assert isinstance(message.body, ChunkRequest)
-            answer = answer_of(peer, server, message.body, now_us)
-            if answer is not None:
-                client.handle(peer, answer, now_us)
-        client.retry_overdue(now_us)
-        completed = client.take_completed()
-        if completed:
-            break
-    assert completed == [content]
+    client.fetch(digest, size, 0)
+    assert fetched_contents(client, server) == [content]
     assert client.get(digest) is None
     client.add(content)
     assert client.get(digest) == content
@@ -76,25 +81,80 @@
     assert client.get(digest) is None
 
 
-def test_a_content_of_no_document_is_deleted_from_memory_and_disk(tmp_path: Path) -> None:
-    """Proposals that came to nothing must not fill the disk; the next start deletes them too."""
-    store = open_store(RealFiles(tmp_path), "n0", lambda: 0)
-    now_us = 1000 * SECOND_US
-
-    def make_replica(incarnation: str) -> DocumentReplica:
-        replica_settings = DocumentReplicaSettings({"note": lambda _: ""})
-        return DocumentReplica(incarnation, [], Documents(["a"]), store, replica_settings, lambda: now_us)
-
-    replica = make_replica("a/1")
-    proposal = replica.propose("note", b"x" * (3 * CHUNK_BYTES), "ask")
-    version = Version(1, proposal.digest, proposal.size, 0)
-    replica.step("", False)
-    assert len(store.items(KEY_PREFIX)) == 3
-    assert replica.content(version) is not None
-    now_us += 100 * SECOND_US
-    replica.step("", False)
-    assert replica.content(version) is None
-    assert replica.validator.worker.waiting_count == 1
-    make_replica("a/2").start()
-    assert not store.items(KEY_PREFIX)
-    store.close()
+class ReplicaFactory:
+    """Makes the replica of each start of a node; all starts have the same store and clock."""
+
+    def __init__(self, store: Store) -> None:
+        self.now_us = 1000 * SECOND_US
+        self._store = store
+
+    def make(self, incarnation: str) -> DocumentReplica:
+        """Make the replica of one start, in a cluster without documents."""
+        return DocumentReplica(
+            incarnation,
+            [],
+            Documents(["a"]),
+            self._store,
+            DocumentReplicaSettings({"note": lambda _: ""}),
+            lambda: self.now_us,
+        )
+
+    def advance_clock(self, duration_us: int) -> None:
+        """Let time pass."""
+        self.now_us += duration_us
+
+
+@contextmanager
+def opened_store(folder: Path) -> Iterator[Store]:
+    """A node's store, which is closed at the end."""
+    store = open_store(RealFiles(folder), "n0", lambda: 0)
+    try:
+        yield store
+    finally:
+        store.close()
+
+
+@contextmanager
+def started(replica: DocumentReplica) -> Iterator[None]:
+    """Start a replica; its thread has ended afterwards."""
+    replica.start()
+    try:
+        yield
+    finally:
+        replica.stop()
+
+
+def test_an_unreferenced_content_is_deleted_from_memory_and_disk(tmp_path: Path) -> None:
+    """The contents of changes that were not committed must not fill the disk; a start deletes them too."""
+    with opened_store(tmp_path) as store:
+        replicas = ReplicaFactory(store)
+        replica = replicas.make("a/1")
+        proposal = replica.propose("note", b"x" * (3 * CHUNK_BYTES), "ask")
+        version = Version(1, proposal.digest, proposal.size, 0)
+        replica.step("", is_leader=False)
+        assert len(store.items(KEY_PREFIX)) == 3
+        assert replica.content(version) is not None
+        replicas.advance_clock(100 * SECOND_US)
+        replica.step("", is_leader=False)
+        assert replica.content(version) is None
+        assert replica.waiting_task_count == 1
+        with started(replicas.make("a/2")):
+            assert not store.items(KEY_PREFIX)
+
+
+def test_the_worker_of_a_stopped_replica_has_run_its_tasks(tmp_path: Path) -> None:
+    with opened_store(tmp_path) as store:
+        replicas = ReplicaFactory(store)
+        replica = replicas.make("a/1")
+        with started(replica):
+            replica.propose("note", b"x" * CHUNK_BYTES, "ask")
+            assert len(store.items(KEY_PREFIX)) == 1
+            replicas.advance_clock(100 * SECOND_US)
+            replica.step("", is_leader=False)
+        assert replica.waiting_task_count == 0
+        assert not store.items(KEY_PREFIX)
+
+
+def test_a_replica_that_was_never_started_stops(tmp_path: Path) -> None:
+    with opened_store(tmp_path) as store:
+        ReplicaFactory(store).make("a/1").stop()
