--- a/tansyladder/simulation/consensus_checker.py
+++ b/tansyladder/simulation/consensus_checker.py
@@ -1,4 +1,4 @@
-"""Checks Raft's safety after each step of each node."""
+"""A checker of Raft's safety, which runs after each step of each node."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class InvariantViolationError(Exception):
-    """A promise of the cluster was broken; the message says which, with the time in microseconds."""
+    """An invariant of the cluster was violated; the message names it, with the time in microseconds."""
 
     def __init__(self, now: int, problem: str) -> None:
-        """`now`: the virtual time, in microseconds."""
+        """Make the error for a virtual time, in microseconds."""
         super().__init__(f"{now}: {problem}")
         self.now = now
 
 
 @dataclass(frozen=True, slots=True)
 class LogBeforeStep:
-    """A node's log before a step, as a snapshot may take the place of its entries within the step."""
+    """A node's log before a step, as a snapshot may replace its entries within the step."""
 
     commit_index: int
     snapshot_index: int
@@ -30,15 +30,15 @@
 
     @classmethod
     def of(cls, raft: RaftNode) -> LogBeforeStep:
-        """Return the present log of a node."""
+        """Copy the present log of a node."""
         return cls(raft.commit_index, raft.log.snapshot.index, raft.log.entries)
 
 
 class ConsensusChecker:
-    """What the history of all nodes has shown, to compare each step with."""
+    """Compares each step of a node with the history of all nodes."""
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
+        """Begin with an empty history."""
         self.leaders_by_term: dict[int, str] = {}
         self.committed_entries: list[LogEntry] = []  # from index 1, as the first node committed each
 
@@ -50,9 +50,17 @@
         writes: Iterable[Write],
         now: int,
     ) -> None:
-        """Check a node after a step. InvariantViolationError: a promise is broken.
+        """Check a node after a step.
 
-        `commands`: those that its state machine has applied; `writes`: of the step.
+        Args:
+            raft: The node.
+            commands: All commands that its state machine has applied.
+            before: The node's log before the step.
+            writes: The writes of the step.
+            now: The virtual time, in microseconds.
+
+        Raises:
+            InvariantViolationError: The step violates an invariant.
         """
         self._check_leader(raft, now)
         appended = [entry for write in writes if isinstance(write, LogSuffix) for entry in write.entries]
@@ -63,17 +71,18 @@
             raise InvariantViolationError(now, f"{raft.name} has another state at {raft.last_applied}")
 
     def check_converged(self, nodes: Iterable[RaftNode], answered: Iterable[str], now: int) -> None:
-        """Check that all logs are the same, and hold all requests that were answered with a result."""
+        """Check that all logs are the same, and hold all proposals that got a result."""
         logged = {entry.request_id for entry in self.committed_entries}
         for request_id in answered:
             if request_id not in logged:
-                raise InvariantViolationError(now, f"{request_id} was answered and is in no log")
+                raise InvariantViolationError(now, f"{request_id} has a result and is in no log")
         entry_count = len(self.committed_entries)
         for node in nodes:
             if node.commit_index != entry_count:
                 raise InvariantViolationError(now, f"{node.name} is at {node.commit_index} of {entry_count}")
 
     def _check_leader(self, raft: RaftNode, now: int) -> None:
+        """Check that no other node has led the term of a leader."""
         if raft.role is Role.LEADER:
             first_leader = self.leaders_by_term.setdefault(raft.term, raft.name)
             if first_leader != raft.name:
@@ -82,7 +91,7 @@
     def _check_commits(
         self, raft: RaftNode, before: LogBeforeStep, log_of_step: Sequence[LogEntry], now: int
     ) -> None:
-        """Compare what the step has committed with what other nodes have committed before."""
+        """Compare the entries that the step has committed with those that other nodes have committed."""
         for index in range(before.commit_index + 1, raft.commit_index + 1):
             is_compacted = index <= raft.log.snapshot.index
             if index > len(self.committed_entries):
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -1,7 +1,7 @@
-"""A simulated cluster that agrees on a document: which node decides under which version, and when.
+"""A simulated cluster with a replicated document, under whose versions the nodes make decisions.
 
-Each node has a clock of its own that is off by a little, decides now and then for a client, and may be
-paused: when it goes on it decides first, and reads what has arrived meanwhile after that. The history
+Each node has a clock of its own with a small error, makes decisions for clients at regular intervals, and
+may be paused. A resumed node decides before it reads the messages that have arrived meanwhile. The history
 records the decisions, the validations and the results of changes; `document_invariants` checks it. The same
 seed gives the same history.
 """
@@ -10,29 +10,22 @@
 
 from functools import partial
 
-from tansyladder.replication.document_messages import (
-    ChangeOutcome,
-    Proposal,
-)
+from tansyladder.replication.document_messages import ChangeOutcome, Proposal
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
-from tansyladder.simulation.document_node import (
-    REPROPOSE_INTERVAL_US,
-    Decision,
-)
+from tansyladder.simulation.document_node import REPROPOSE_INTERVAL_US, Decision, RejectedClient
 from tansyladder.simulation.document_replication import (
     DOCUMENT,
     DocumentClusterOptions,
     DocumentReplicationCluster,
 )
-from tansyladder.simulation.fault_rates import NO_FAULTS
-from tansyladder.simulation.raft_cluster import SimulatedNode
+from tansyladder.simulation.simulated_node import CountedEvent, SimulatedNode
 
-CONTENT_SIZE = 100  # bytes, stated only: the simulation has no contents
+CONTENT_SIZE = 100  # bytes; stated only, as the simulation has no contents
 DECISION_INTERVAL_US = 15 * MILLISECOND_US  # between two clients of a node
-PROPOSAL_INTERVAL_US = 3 * SECOND_US  # between two changes, on the mean
+PROPOSAL_INTERVAL_US = 3 * SECOND_US  # mean, between two changes
 PAUSE_RANGE_US = (SECOND_US // 5, 12 * SECOND_US)
-LOAD_INTERVAL_US = 500 * MILLISECOND_US  # between two commands that aren't about documents, on the mean
-LIVENESS_TIMEOUT_US = 60 * SECOND_US  # of a change: leases have to end, and rounds may be aborted
+LOAD_INTERVAL_US = 500 * MILLISECOND_US  # mean, between two commands that aren't about documents
+LIVENESS_TIMEOUT_US = 60 * SECOND_US  # of a change, as leases have to end, and rounds may be aborted
 
 
 class SimulatedDocumentCluster(DocumentReplicationCluster):
@@ -41,7 +34,6 @@
     def __init__(self, seed: int, options: DocumentClusterOptions) -> None:
         """Start all nodes and their clients."""
         super().__init__(seed, options)
-        self.counts["decisions"] = 0
         for name in self.names:
             first_us = int(self._load_rng.integers(DECISION_INTERVAL_US))
             self.call_at(first_us, partial(self._decide_regularly, name))
@@ -49,7 +41,7 @@
     # --- faults and load
 
     def inject_document_faults(self, seconds: float) -> None:
-        """Inject faults, change the document and serve clients for so long."""
+        """Inject faults, change the document and serve clients for a time."""
         end = self.now + int(seconds * SECOND_US)
         self._call_randomly(self.options.mean_pause_interval_us, end, self._pause_random_node)
         self._call_randomly(PROPOSAL_INTERVAL_US, end, self._propose_random_change)
@@ -57,11 +49,7 @@
 
     def converge(self) -> None:
         """End all faults, start all nodes, and change the document until one change is committed."""
-        self._cut_links.clear()
-        self.faults = NO_FAULTS
-        for name in self.names:
-            if self.nodes[name].raft is None:
-                self.start_node(name)
+        self.end_faults()
         self.run_until(self.now + PAUSE_RANGE_US[1] + SECOND_US)  # the last pause has ended
         deadline = self.now + 2 * LIVENESS_TIMEOUT_US
         key = ""
@@ -70,15 +58,18 @@
                 key = self.propose_change(self.names[0])
             self.run_until(self.now + SECOND_US)
         self.run_until(self.now + 3 * SECOND_US)
-        self.history.last_key = key
+        self.history.record_last_change(key)
 
     def is_committed(self, key: str) -> bool:
-        """Whether a change is known to be committed; `key`: its idempotency key."""
+        """Whether the change with an idempotency key is known to be committed."""
         result = self.history.results.get(key)
         return result is not None and result.outcome is ChangeOutcome.DONE
 
-    def propose_change(self, name: str, is_valid: bool = True) -> str:
-        """Ask a node to change the document; return the idempotency key."""
+    def propose_change(self, name: str, *, is_valid: bool = True) -> str:
+        """Begin to change the document at a node, and return the idempotency key.
+
+        `is_valid`: whether all nodes accept the content; else one of them rejects it.
+        """
         key = f"ask{len(self.history.is_valid)}"
         self.history.is_valid[key] = is_valid
         self._propose_change_until(name, key, self.now + LIVENESS_TIMEOUT_US)
@@ -90,20 +81,20 @@
 
     def _propose_random_change(self) -> None:
         name = self._random_name(self._load_rng)
-        self.propose_change(name, bool(self._load_rng.random() >= self.options.invalid_rate))
+        self.propose_change(name, is_valid=bool(self._load_rng.random() >= self.options.invalid_rate))
 
     def _propose_change_until(self, name: str, key: str, deadline: int) -> None:
-        """Propose a change until its result is known, as the answer to an earlier proposal may be lost."""
+        """Propose a change until its result is known, as the result of an earlier proposal may be lost."""
         if key in self.history.results or self.now > deadline:
             return
         node = self.nodes[name]
-        if node.raft is not None and not self.is_paused(name):
+        if self.is_running(name):
             incarnation = self.document_nodes[name].incarnation
             clock_us = self._clock_us(name)
             proposal = Proposal(DOCUMENT, key.encode(), CONTENT_SIZE, key, incarnation, clock_us)
             self._propose_once(node, proposal, f"offer {key}")
-        again = partial(self._propose_change_until, name, key, deadline)
-        self.call_at(self.now + 2 * REPROPOSE_INTERVAL_US, again)
+        retry = partial(self._propose_change_until, name, key, deadline)
+        self.call_at(self.now + 2 * REPROPOSE_INTERVAL_US, retry)
 
     # --- decisions
 
@@ -111,28 +102,29 @@
         self._decide(node.name)
 
     def _decide_regularly(self, name: str) -> None:
-        if self.nodes[name].raft is not None and not self.is_paused(name):
+        """Decide for a client at each interval at which the node is running."""
+        if self.is_running(name):
             self._decide(name)
         self.call_at(self.now + DECISION_INTERVAL_US, partial(self._decide_regularly, name))
 
     def _decide(self, name: str) -> None:
-        """Serve a client, or reject it where the node may make no decisions."""
+        """Serve a client, or reject it if the node may make no decisions."""
         document_node = self.document_nodes[name]
         clock_us = self._clock_us(name)
-        self.counts["decisions"] += 1
+        self.counts[CountedEvent.DECISION] += 1
         version = document_node.documents.version_at(DOCUMENT, clock_us)
         has_content = version is None or version.number in self._stored_numbers[name]
         if document_node.lease_holder.has_lease(clock_us) and has_content:
             number = version.number if version else 0
             self.history.decisions.append(Decision(self.now, name, number, clock_us))
         else:
-            self.history.rejected_clients.append((self.now, name))
+            self.history.rejected_clients.append(RejectedClient(self.now, name))
 
 
 def simulate_documents(
     seed: int, seconds: float = 40.0, options: DocumentClusterOptions | None = None
 ) -> SimulatedDocumentCluster:
-    """Play one history to its end, with faults for so long."""
+    """Run one history to its end, with faults for a time."""
     cluster = SimulatedDocumentCluster(seed, options or DocumentClusterOptions())
     cluster.inject_document_faults(seconds)
     cluster.converge()
--- a/tansyladder/simulation/document_invariants.py
+++ b/tansyladder/simulation/document_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of agreed documents, checked on the history of a simulated cluster that has converged."""
+"""The invariants of replicated documents, checked on the history of a simulated cluster."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def document_violations(cluster: SimulatedDocumentCluster) -> list[str]:
-    """Return what the history shows of broken invariants; each text names the moment or the number."""
+    """Return the violations in the history of a cluster that has converged; texts name times or numbers."""
     clock_error_us = 2 * cluster.options.max_clock_error_us
     return [
         *_order_violations(cluster.history.decisions, lambda decision: decision.stamp_us, 0),
@@ -25,7 +25,7 @@
 def _order_violations(
     decisions: list[Decision], time_of: Callable[[Decision], int], tolerance_us: int
 ) -> list[str]:
-    """No decision is made under a version after one under a later version: the first that is."""
+    """Return the first decision under a version after one under a later version, if there is one."""
     newest = 0
     first_at_us = 0  # of the newest version's decisions
     for decision in sorted(decisions, key=time_of):
@@ -39,11 +39,12 @@
 
 
 def _used_numbers(cluster: SimulatedDocumentCluster) -> set[int]:
+    """Return the numbers of the versions under which nodes have decided."""
     return {decision.number for decision in cluster.history.decisions} - {0}
 
 
 def _uncommitted_numbers(cluster: SimulatedDocumentCluster) -> list[str]:
-    """Decisions are made only under versions whose change was committed."""
+    """Return the versions under which nodes have decided although their changes weren't committed."""
     history = cluster.history
     violations: list[str] = []
     for number in sorted(_used_numbers(cluster)):
@@ -55,13 +56,13 @@
 
 
 def _rejected_numbers(cluster: SimulatedDocumentCluster) -> list[str]:
-    """A change that one node has rejected is never in force."""
+    """Return the versions under which nodes have decided although a node had rejected them."""
     used = _used_numbers(cluster) & cluster.history.rejected_numbers
     return [f"number {number} is in force after a rejection" for number in sorted(used)]
 
 
 def _liveness_violations(cluster: SimulatedDocumentCluster) -> list[str]:
-    """Without faults a change is committed, all nodes follow it, and no client is rejected."""
+    """Check that without faults a change is committed, all nodes follow it, and no client is rejected."""
     history = cluster.history
     if not cluster.is_committed(history.last_key):
         return [f"no change is committed: {history.last_key} {history.results.get(history.last_key)}"]
@@ -72,7 +73,7 @@
             followed[decision.node] = decision.number
     if len(set(followed.values())) > 1:
         violations.append(f"at the end nodes follow {followed}")
-    late = [at_us for at_us, _ in history.rejected_clients if at_us > cluster.now - 2 * SECOND_US]
-    if late:
-        violations.append(f"{len(late)} clients are rejected without a fault")
+    rejected = [client for client in history.rejected_clients if client.at_us > cluster.now - 2 * SECOND_US]
+    if rejected:
+        violations.append(f"{len(rejected)} clients are rejected without a fault")
     return violations
--- a/tansyladder/simulation/document_replication.py
+++ b/tansyladder/simulation/document_replication.py
@@ -1,4 +1,4 @@
-"""Simulated nodes that follow documents: clocks, lease renewals, validation and contents."""
+"""Simulated nodes with replicated documents: clocks, lease renewals, validation and contents."""
 
 from __future__ import annotations
 
@@ -9,13 +9,9 @@
 import msgspec
 
 from tansyladder.invariants import check_invariant
-from tansyladder.raft.messages import Message, ProposalRequest
+from tansyladder.raft.messages import ProposalRequest, ReceivedMessage
 from tansyladder.raft.node_state import Role
-from tansyladder.replication.document_messages import (
-    DocumentCommand,
-    LeaseRenewal,
-    ValidationVote,
-)
+from tansyladder.replication.document_messages import DocumentCommand, LeaseRenewal, ValidationVote
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.simulation.document_node import (
     STANDARD_DOCUMENT_COMPONENTS,
@@ -24,16 +20,16 @@
     DocumentNode,
     DocumentStateMachine,
 )
-from tansyladder.simulation.fault_rates import FaultRates
+from tansyladder.simulation.fault_rates import FaultRates, Link
 from tansyladder.simulation.pausable_cluster import PausableCluster
-from tansyladder.simulation.raft_cluster import RecordingStateMachine, SimulatedNode
+from tansyladder.simulation.simulated_node import RecordingStateMachine, SimulatedNode
 
 DOCUMENT = "rules"
 FAULT = "rules.zones: no such zone"
 RENEWAL_INTERVAL_US = 1 * SECOND_US
-STEP_INTERVAL_US = 20 * MILLISECOND_US  # between two looks of a node at the pending change
+STEP_INTERVAL_US = 20 * MILLISECOND_US  # between two steps of a node's documents
 FETCH_DURATION_RANGE_US = (5 * MILLISECOND_US, 800 * MILLISECOND_US)  # to fetch and to validate a content
-CLOCK_EPOCH_US = 100 * SECOND_US  # what a clock shows at the beginning, but for its error
+CLOCK_EPOCH_US = 100 * SECOND_US  # the time of an exact clock at the beginning
 
 
 @dataclass(frozen=True)
@@ -44,13 +40,13 @@
     learners: int = 2
     faults: FaultRates | None = None
     components: DocumentComponents = STANDARD_DOCUMENT_COMPONENTS
-    max_clock_error_us: int = 25 * MILLISECOND_US  # either way
-    invalid_rate: float = 0.15  # of the proposals that some node finds a fault in
-    mean_pause_interval_us: int = 4 * SECOND_US  # of all nodes together; 0: never
+    max_clock_error_us: int = 25 * MILLISECOND_US  # in either direction
+    invalid_rate: float = 0.15  # of the proposals in which a node finds a fault
+    mean_pause_interval_us: int = 4 * SECOND_US  # of all nodes together; 0: no pauses
 
 
 class DocumentReplicationCluster(PausableCluster):
-    """Nodes that take part in agreed documents, each with a clock of its own that is off by a little."""
+    """Nodes that replicate documents, each with a clock of its own that has a small error."""
 
     def __init__(self, seed: int, options: DocumentClusterOptions) -> None:
         """Start all nodes."""
@@ -61,17 +57,16 @@
         self._clock_errors_us: dict[str, int] = {}
         super().__init__(seed, options.voters, options.learners, options.faults)
 
-    def crash(self, name: str, wipe: bool) -> None:
-        """Crash a node; `wipe`: its disk is lost, with the contents on it."""
-        if wipe:
-            self._stored_numbers[name].clear()
-        super().crash(name, wipe)
+    def lose_disk(self, name: str) -> None:
+        """Replace the disk of a node that is down by a new one, without the contents."""
+        self._stored_numbers[name].clear()
+        super().lose_disk(name)
 
     def _clock_us(self, name: str) -> int:
-        """Return what a node's clock shows."""
+        """Read a node's clock."""
         if name not in self._clock_errors_us:
-            most = self.options.max_clock_error_us
-            self._clock_errors_us[name] = int(self._network_rng.integers(-most, most + 1))
+            max_error_us = self.options.max_clock_error_us
+            self._clock_errors_us[name] = int(self._network_rng.integers(-max_error_us, max_error_us + 1))
         return self.now + self._clock_errors_us[name] + CLOCK_EPOCH_US
 
     def _make_state_machine(self) -> RecordingStateMachine:
@@ -90,19 +85,17 @@
         self._step_regularly(node, node.incarnation)
         self._renew_regularly(node, node.incarnation)
 
-    def _step_node(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
-        document_node = self.document_nodes.get(node.name)
-        if node.raft is None or document_node is None or self.is_paused(node.name):
-            super()._step_node(node, *received)
-            return
+    def _step_node(self, node: SimulatedNode, *received: ReceivedMessage) -> None:
         super()._step_node(node, *received)
-        self._prepare(node)
+        if self.is_running(node.name):
+            self._prepare(node)
 
     def _announces_commits_at_once(self, node: SimulatedNode) -> bool:
-        """Do what `DocumentReplica.is_urgent` tells a real node to do."""
+        """Decide as `DocumentReplica.is_urgent` does at a real node."""
         return self.document_nodes[node.name].coordinator.is_urgent(self._clock_us(node.name))
 
     def _step_regularly(self, node: SimulatedNode, incarnation: int) -> None:
+        """Step the documents of an incarnation at each interval at which it is running."""
         if node.incarnation != incarnation or node.raft is None:
             return
         if not self.is_paused(node.name):
@@ -110,7 +103,7 @@
         self.call_at(self.now + STEP_INTERVAL_US, partial(self._step_regularly, node, incarnation))
 
     def _follow_log(self, node: SimulatedNode) -> None:
-        """Do what `DocumentReplica.step` does at a real node."""
+        """Step the documents as `DocumentReplica.step` does at a real node."""
         assert node.raft is not None
         document_node = self.document_nodes[node.name]
         clock_us = self._clock_us(node.name)
@@ -127,13 +120,13 @@
             document_node.coordinator.reset()
 
     def _prepare(self, node: SimulatedNode) -> None:
-        """Shorten the lease where the log asks for it, at once after each step."""
+        """Shorten the lease if the pending change requires it, after each step."""
         prepared = self.document_nodes[node.name].lease_holder.prepare(self._clock_us(node.name))
         if prepared is not None:
             self._propose_once(node, prepared, f"armed {prepared.number} {prepared.round}")
 
     def _propose_once(self, node: SimulatedNode, command: DocumentCommand, key: str) -> None:
-        """Propose a command of a node, unless it did so a moment ago."""
+        """Propose a command of a node, unless it was proposed within `REPROPOSE_INTERVAL_US`."""
         document_node = self.document_nodes[node.name]
         if document_node.throttle.allows(key, self.now):
             request_id = f"{document_node.incarnation}:{key}:{self.now}"
@@ -141,36 +134,40 @@
             self.call_at(self.now, partial(self._propose_request, node, node.incarnation, request))
 
     def _propose_request(self, node: SimulatedNode, incarnation: int, request: ProposalRequest) -> None:
+        """Hand a proposal to the node, unless it has crashed since."""
         if node.incarnation == incarnation:
             self._step_node(node, (node.name, request))
 
     # --- lease renewals
 
     def _renew_regularly(self, node: SimulatedNode, incarnation: int) -> None:
+        """Send lease renewals to all nodes, as any of them may lead, at each interval."""
         if node.incarnation != incarnation or node.raft is None:
             return
         if not self.is_paused(node.name):
             renewal = LeaseRenewal(self.document_nodes[node.name].incarnation)
             for name in self.names:
-                self._send_renewal(node.name, name, renewal)
+                self._send_renewal(Link(node.name, name), renewal)
         self.call_at(self.now + RENEWAL_INTERVAL_US, partial(self._renew_regularly, node, incarnation))
 
-    def _send_renewal(self, sender: str, to: str, renewal: LeaseRenewal) -> None:
-        if to == sender:
-            self.document_nodes[to].coordinator.record_renewal(renewal.incarnation, self._clock_us(to))
-        elif self._network_rng.random() >= self.faults.loss_rate:
-            delay_us = int(self._network_rng.integers(*self.faults.delay_range_us))
-            self.call_at(self.now + delay_us, partial(self._receive_renewal, sender, to, renewal))
+    def _send_renewal(self, link: Link, renewal: LeaseRenewal) -> None:
+        """Send a renewal over the network, or record it at the node itself."""
+        if link.sender == link.recipient:
+            self._record_renewal(link.recipient, renewal)
+        else:
+            on_arrival = partial(self._record_renewal, link.recipient, renewal)
+            self._network.send_without_duplicates(link, on_arrival)
 
-    def _receive_renewal(self, sender: str, to: str, renewal: LeaseRenewal) -> None:
-        is_up = self.nodes[to].raft is not None and not self.is_paused(to)
-        if is_up and (sender, to) not in self._cut_links:
-            self.document_nodes[to].coordinator.record_renewal(renewal.incarnation, self._clock_us(to))
+    def _record_renewal(self, recipient: str, renewal: LeaseRenewal) -> None:
+        """Record a renewal at a node that is running; others lose it."""
+        if self.is_running(recipient):
+            clock_us = self._clock_us(recipient)
+            self.document_nodes[recipient].coordinator.record_renewal(renewal.incarnation, clock_us)
 
     # --- contents
 
     def _validate_change(self, node: SimulatedNode, clock_us: int) -> None:
-        """Fetch and validate the pending change's content, then vote."""
+        """Fetch and validate the content of the pending change, then vote."""
         document_node = self.document_nodes[node.name]
         change = document_node.lease_holder.change_to_validate()
         if change is None:
@@ -185,7 +182,7 @@
             self._propose_once(node, vote, f"verdict {change.number}")
 
     def _fetch_newest(self, node: SimulatedNode) -> None:
-        """Fetch the newest version's content where the node had no part in its change."""
+        """Fetch the content of the newest version if the node has not validated its change."""
         document_node = self.document_nodes[node.name]
         for version in document_node.documents.versions(DOCUMENT)[-1:]:
             is_stored = version.number in self._stored_numbers[node.name]
@@ -193,12 +190,13 @@
                 self._fetch(node, version.number, None)
 
     def _fetch(self, node: SimulatedNode, number: int, key: str | None) -> None:
-        """Have a content come in a while; `key`: of the change, if it is to be validated."""
+        """Fetch a content, which takes a while; with the change's key it is validated."""
         self.document_nodes[node.name].faults_by_number[number] = None
         arrival = self.now + int(self._network_rng.integers(*FETCH_DURATION_RANGE_US))
         self.call_at(arrival, partial(self._on_fetched, node, node.incarnation, number, key))
 
     def _on_fetched(self, node: SimulatedNode, incarnation: int, number: int, key: str | None) -> None:
+        """Store a fetched content, and record the fault that the node finds in it, if any."""
         if node.incarnation != incarnation:
             return
         if key is not None:
@@ -211,5 +209,5 @@
         self._stored_numbers[node.name].add(number)
 
     def _rejecting_node(self, key: str) -> str:
-        """Return the one node that finds a fault in an invalid content; the same at each run."""
+        """Return the one node that finds a fault in an invalid content; the same in each run."""
         return self.names[sum(key.encode()) % len(self.names)]
--- a/tansyladder/simulation/event_loop.py
+++ b/tansyladder/simulation/event_loop.py
@@ -1,4 +1,4 @@
-"""Events on a virtual clock."""
+"""An event loop on a virtual clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EventLoop:
-    """Calls functions in the order of their times; those of one time in the order of their scheduling."""
+    """Calls functions in the order of their times, and those of one time in the order of scheduling."""
 
     def __init__(self) -> None:
         """Begin at time 0."""
@@ -19,11 +19,11 @@
         self._event_numbers = itertools.count()
 
     def call_at(self, time_us: int, call: Callable[[], object]) -> None:
-        """Schedule a call; a time that is over means now."""
+        """Schedule a call; a time in the past means now."""
         heapq.heappush(self._events, (max(time_us, self.now), next(self._event_numbers), call))
 
     def run_until(self, time_us: int) -> None:
-        """Make all calls that are due by a time."""
+        """Make all calls that are due by a time, and advance the clock to it."""
         while self._events and self._events[0][0] <= time_us:
             self.now, _, call = heapq.heappop(self._events)
             call()
--- a/tansyladder/simulation/fault_rates.py
+++ b/tansyladder/simulation/fault_rates.py
@@ -1,9 +1,10 @@
-"""How bad the simulated network and nodes are."""
+"""The rates of faults of the simulated network, nodes and disks, and the draws of single faults."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from enum import Enum, auto
 from typing import NamedTuple
 
 import numpy
@@ -21,50 +22,78 @@
     mean_crash_interval_us: int = 3 * SECOND_US  # between crashes of any nodes; 0: no crashes
     downtime_range_us: tuple[int, int] = (200 * MILLISECOND_US, 3 * SECOND_US)
     disk_loss_rate: float = 0.2  # of crashes: the disk is lost with the node
-    disk_rollback_rate: float = 0.0  # of crashes: the node comes back with an older copy of its disk
-    disk_suspicion_rate: float = 0.0  # of other starts: nothing shows that the disk is the newest
+    disk_rollback_rate: float = 0.0  # of crashes: the node restarts with an older copy of its disk
+    disk_suspicion_rate: float = 0.0  # of other crashes: the next start can't show the disk to be the newest
     mean_cut_interval_us: int = 3 * SECOND_US  # between cuts of links; 0: no cuts
     cut_duration_range_us: tuple[int, int] = (300 * MILLISECOND_US, 4 * SECOND_US)
 
 
 NO_FAULTS = FaultRates(loss_rate=0.0, duplication_rate=0.0, mean_crash_interval_us=0, mean_cut_interval_us=0)
 
-Link = tuple[str, str]  # sender and recipient
+
+class Link(NamedTuple):
+    """One direction between two nodes."""
+
+    sender: str
+    recipient: str
+
+    @property
+    def reverse(self) -> Link:
+        """The other direction between the nodes."""
+        return Link(self.recipient, self.sender)
+
+
+class DiskLoss(Enum):
+    """What the disk of a crashed node loses."""
+
+    NONE = auto()
+    LOST = auto()  # the disk is replaced by a new one
+    ROLLED_BACK = auto()  # the disk is replaced by an older copy of itself
 
 
 class DiskFaults(NamedTuple):
-    """What a crash does to the disk of its node."""
+    """The faults of a disk at a crash of its node."""
 
-    is_lost: bool
-    is_rolled_back: bool
-    is_suspected: bool  # at the next start, without being older
+    loss: DiskLoss
+    is_suspected: bool  # although not rolled back; independent of a loss, as a new disk may be suspected too
 
 
 def draw_delays(rng: numpy.random.Generator, rates: FaultRates) -> list[int]:
-    """Draw how long each copy of a message is under way, of those that arrive; in microseconds."""
+    """Draw the delays of the copies of a message that arrive, in microseconds."""
     copy_count = 1 + (rng.random() < rates.duplication_rate)
     return [
         int(rng.integers(*rates.delay_range_us)) for _ in range(copy_count) if rng.random() >= rates.loss_rate
     ]
 
 
-def draw_disk_faults(rng: numpy.random.Generator, rates: FaultRates, may_be_lost: bool) -> DiskFaults:
-    """Draw what a crash does to a disk; `may_be_lost`: whether the cluster can do without it."""
+def draw_disk_faults(rng: numpy.random.Generator, rates: FaultRates, *, may_be_lost: bool) -> DiskFaults:
+    """Draw the faults of a disk; `may_be_lost`: whether the cluster keeps a majority without it."""
+    loss = _draw_loss(rng, rates)
+    if not may_be_lost:
+        loss = DiskLoss.NONE
+    if loss is DiskLoss.ROLLED_BACK or not rates.disk_suspicion_rate:
+        return DiskFaults(loss, is_suspected=False)
+    return DiskFaults(loss, is_suspected=bool(rng.random() < rates.disk_suspicion_rate))
+
+
+def _draw_loss(rng: numpy.random.Generator, rates: FaultRates) -> DiskLoss:
+    """Draw what a disk loses."""
     draw = rng.random()
-    is_lost = may_be_lost and bool(draw < rates.disk_loss_rate)
-    is_rolled_back = may_be_lost and bool(0 <= draw - rates.disk_loss_rate < rates.disk_rollback_rate)
-    if is_rolled_back or not rates.disk_suspicion_rate:
-        return DiskFaults(is_lost, is_rolled_back, is_suspected=False)
-    return DiskFaults(is_lost, is_rolled_back, is_suspected=bool(rng.random() < rates.disk_suspicion_rate))
+    if draw < rates.disk_loss_rate:
+        return DiskLoss.LOST
+    if draw - rates.disk_loss_rate < rates.disk_rollback_rate:
+        return DiskLoss.ROLLED_BACK
+    return DiskLoss.NONE
 
 
 def draw_links(rng: numpy.random.Generator, names: Sequence[str]) -> set[Link]:
     """Draw one direction between two nodes, or both, or all links of a node."""
     one, other = (str(name) for name in rng.choice(names, 2, replace=False))
+    link = Link(one, other)
     kind = rng.integers(3)
     if kind == 0:
-        return {(one, other)}
+        return {link}
     if kind == 1:
-        return {(one, other), (other, one)}
-    peers = [name for name in names if name != one]
-    return {(one, peer) for peer in peers} | {(peer, one) for peer in peers}
+        return {link, link.reverse}
+    links = {Link(one, peer) for peer in names if peer != one}
+    return links | {each.reverse for each in links}
--- a/tansyladder/simulation/pausable_cluster.py
+++ b/tansyladder/simulation/pausable_cluster.py
@@ -4,41 +4,46 @@
 
 from functools import partial
 
-from tansyladder.raft.messages import Message
+from tansyladder.raft.messages import Message, ReceivedMessage
 from tansyladder.simulation.fault_rates import FaultRates
-from tansyladder.simulation.raft_cluster import SimulatedCluster, SimulatedNode
+from tansyladder.simulation.raft_cluster import SimulatedCluster
+from tansyladder.simulation.simulated_node import CountedEvent, SimulatedNode
 
-PAUSED_TIMER_INTERVAL_US = 20_000  # between two looks whether a node that a timer woke still pauses
+PAUSED_TIMER_INTERVAL_US = 20_000  # between two checks whether a node with an expired timer is still paused
 
 
 class PausableCluster(SimulatedCluster):
-    """Buffers what arrives at a paused node; when it goes on, it first acts on what it knew before."""
+    """Buffers the messages for a paused node; on its resumption the node first acts on its old state."""
 
     def __init__(self, seed: int, voters: int, learners: int, faults: FaultRates | None = None) -> None:
-        """As for `SimulatedCluster`."""
-        self._buffered: dict[str, list[tuple[str, Message]]] = {}  # by paused node
+        """Start all nodes, as `SimulatedCluster` does."""
+        self._buffered: dict[str, list[ReceivedMessage]] = {}  # by paused node
         super().__init__(seed, voters, learners, faults)
-        self.counts["pauses"] = 0
 
     def is_paused(self, name: str) -> bool:
         """Whether a node is paused now."""
         return name in self._buffered
 
+    def is_running(self, name: str) -> bool:
+        """Whether a node is up and not paused."""
+        return self.nodes[name].raft is not None and not self.is_paused(name)
+
     def pause(self, name: str, duration_us: int) -> None:
-        """Pause a node that is up and not paused yet."""
-        node = self.nodes[name]
-        if self.is_paused(name) or node.raft is None:
+        """Pause a node for a time; without effect if it is down or paused."""
+        if not self.is_running(name):
             return
-        self.counts["pauses"] += 1
+        node = self.nodes[name]
+        self.counts[CountedEvent.PAUSE] += 1
         self._buffered[name] = []
         self.call_at(self.now + duration_us, partial(self._resume, node, node.incarnation))
 
-    def crash(self, name: str, wipe: bool) -> None:
-        """Crash a node; `wipe`: its disk is lost. A pause ends with it."""
+    def crash(self, name: str) -> None:
+        """Stop a node without warning, paused or not."""
         self._buffered.pop(name, None)
-        super().crash(name, wipe)
+        super().crash(name)
 
     def _resume(self, node: SimulatedNode, incarnation: int) -> None:
+        """End a pause, unless the node has crashed since."""
         buffered = self._buffered.pop(node.name, [])
         if node.raft is None or node.incarnation != incarnation:
             return
@@ -47,22 +52,22 @@
             self._step_node(node, message)
 
     def _on_resumed(self, node: SimulatedNode) -> None:
-        """Called when a node goes on, before it reads what has arrived meanwhile."""
+        """Act as a resumed node does before it reads the buffered messages; for subclasses."""
 
-    def _on_message(self, sender: str, to: str, message: Message) -> None:
-        if not self.is_paused(to):
-            super()._on_message(sender, to, message)
-        elif (sender, to) not in self._cut_links:
-            self._buffered[to].append((sender, message))
+    def _on_message(self, sender: str, recipient: str, message: Message) -> None:
+        if self.is_paused(recipient):
+            self._buffered[recipient].append((sender, message))
+        else:
+            super()._on_message(sender, recipient, message)
 
-    def _on_timer(self, node: SimulatedNode, wait: int, start: int) -> None:
+    def _on_timer(self, node: SimulatedNode, timer_number: int, incarnation: int) -> None:
         if self.is_paused(node.name):
-            later = partial(self._on_timer, node, wait, start)
-            self.call_at(self.now + PAUSED_TIMER_INTERVAL_US, later)
+            retry = partial(self._on_timer, node, timer_number, incarnation)
+            self.call_at(self.now + PAUSED_TIMER_INTERVAL_US, retry)
         else:
-            super()._on_timer(node, wait, start)
+            super()._on_timer(node, timer_number, incarnation)
 
-    def _step_node(self, node: SimulatedNode, *received: tuple[str, Message]) -> None:
+    def _step_node(self, node: SimulatedNode, *received: ReceivedMessage) -> None:
         if self.is_paused(node.name):  # a proposal of the simulation's own load
             self._buffered[node.name] += received
         else:
--- a/tests/raft/test_safety.py
+++ b/tests/raft/test_safety.py
@@ -1,17 +1,20 @@
-"""Raft's safety on a simulated network, and that each guard taken out breaks it."""
+"""Raft's safety on a simulated network, and that the checker finds the removal of each guard."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import replace
 
 import pytest
 
-from tansyladder.raft.node import STANDARD_COMPONENTS, RaftComponents
+from tansyladder.raft.node import STANDARD_COMPONENTS, RaftComponents, RaftNode
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 from tansyladder.simulation.consensus_checker import InvariantViolationError
 from tansyladder.simulation.fault_rates import FaultRates
 from tansyladder.simulation.raft_cluster import SimulatedCluster, simulate
-from tests.simulation.without_guards import GUARDS
+from tansyladder.simulation.simulated_disk import SimulatedDisk
+from tansyladder.simulation.simulated_node import CountedEvent
+from tests.simulation.without_guards import GUARDS, UnsyncedDisk
 
 HARD_FAULTS = FaultRates(
     loss_rate=0.1,
@@ -31,17 +34,29 @@
     faults: FaultRates,
     voters: int = 3,
     components: RaftComponents = STANDARD_COMPONENTS,
-    is_synced: bool = True,
+    disk_type: type[SimulatedDisk] = SimulatedDisk,
 ) -> SimulatedCluster:
-    """Play 15 s of faults with one learner, and check the cluster to its end."""
-    return simulate(SimulatedCluster(seed, voters, 1, faults, components, is_synced), 15.0)
+    """Run 15 s of faults with one learner, and check the cluster to its end."""
+    return simulate(SimulatedCluster(seed, voters, 1, faults, components, disk_type), 15.0)
+
+
+def total_count(clusters: Iterable[SimulatedCluster], event: CountedEvent) -> int:
+    """How often all clusters together have counted an event."""
+    return sum(cluster.counts[event] for cluster in clusters)
+
+
+def started_raft(cluster: SimulatedCluster, name: str) -> RaftNode:
+    """The Raft node of a simulated node that is up."""
+    raft = cluster.nodes[name].raft
+    assert raft is not None
+    return raft
 
 
 @pytest.mark.parametrize("voters", [1, 3, 5])
 def test_committed_entries_survive_crashes_lost_disks_and_cut_links(voters: int) -> None:
     clusters = [run_history(seed, HARD_FAULTS, voters) for seed in range(12)]
-    assert sum(cluster.counts["crashes"] for cluster in clusters) > 100
-    assert sum(cluster.counts["wiped"] for cluster in clusters) > 5 or voters == 1
+    assert total_count(clusters, CountedEvent.CRASH) > 100
+    assert total_count(clusters, CountedEvent.DISK_LOSS) > 5 or voters == 1
     assert sum(len(cluster.results) for cluster in clusters) > 300
 
 
@@ -68,20 +83,21 @@
         run_history(seed, HARD_FAULTS, components=GUARDS[guard])
 
 
-def test_messages_that_leave_before_writes_are_synced_are_found() -> None:
+def test_messages_that_are_sent_before_writes_are_synced_are_found() -> None:
     run_history(2, HARD_FAULTS)
     with pytest.raises(InvariantViolationError, match="two leaders"):
-        run_history(2, HARD_FAULTS, is_synced=False)
+        run_history(2, HARD_FAULTS, disk_type=UnsyncedDisk)
 
 
 def test_committed_entries_survive_disks_that_are_rolled_back() -> None:
     clusters = [run_history(seed, DISK_ROLLBACKS, voters) for voters in (3, 5) for seed in range(12)]
-    assert sum(cluster.counts["older"] for cluster in clusters) > 15
+    assert total_count(clusters, CountedEvent.DISK_ROLLBACK) > 15
     assert sum(len(cluster.results) for cluster in clusters) > 500
 
 
 @pytest.mark.parametrize(
-    ("guard", "seed"), [("TrustsAnyDisk", 26), ("TrustsAtOnce", 29), ("VotesForShorterLogs", 29)]
+    ("guard", "seed"),
+    [("TrustsAnyDisk", 26), ("TrustsAtOnce", 29), ("VotesForShorterLogs", 29)],
 )
 def test_a_removed_guard_against_rolled_back_disks_is_found(guard: str, seed: int) -> None:
     run_history(seed, DISK_ROLLBACKS)
@@ -89,20 +105,20 @@
         run_history(seed, DISK_ROLLBACKS, components=GUARDS[guard])
 
 
-def test_a_cluster_with_all_disks_suspected_recovers_once_all_voters_are_back() -> None:
+def test_a_cluster_with_all_disks_suspected_recovers_once_all_voters_have_restarted() -> None:
     cluster = SimulatedCluster(1, faults=RELIABLE_NETWORK)
     cluster.run_until(5 * SECOND_US)
     for name in cluster.names:
-        cluster.crash(name, wipe=False)
-        cluster.suspect_disk(cluster.nodes[name])
+        cluster.crash(name)
+        cluster.suspect_disk(name)
     for name in cluster.names[:2]:
         cluster.start_node(name)
     cluster.run_until(10 * SECOND_US)
-    rafts = [cluster.nodes[name].raft for name in cluster.voters[:2]]
-    assert not any(raft is None or raft.is_voting for raft in rafts)  # the third may know of more
+    rafts = [started_raft(cluster, name) for name in cluster.voters[:2]]
+    assert not any(raft.is_voting for raft in rafts)  # the third voter may know of more votes and entries
     cluster.start_node("n2")
     cluster.run_until(20 * SECOND_US)
-    assert all(raft is not None and raft.is_electable for raft in rafts)
+    assert all(raft.is_electable for raft in rafts)
     request_id = cluster.propose("n0")
     cluster.run_until(21 * SECOND_US)
     assert request_id in cluster.results
@@ -112,28 +128,28 @@
     cluster = SimulatedCluster(1)
     cluster.run_until(5 * SECOND_US)
     for name in cluster.voters[1:]:
-        cluster.crash(name, wipe=False)
-    cluster.run_until(8 * SECOND_US)  # the one that is left has stepped down or found no leader
-    unknown_before = cluster.counts["unknown"]
+        cluster.crash(name)
+    cluster.run_until(8 * SECOND_US)  # the remaining voter has stepped down or found no leader
+    unknown_before = cluster.counts[CountedEvent.UNKNOWN_RESULT]
     request_id = cluster.propose("n0")
-    assert cluster.counts["unknown"] == unknown_before + 1
+    assert cluster.counts[CountedEvent.UNKNOWN_RESULT] == unknown_before + 1
     assert request_id not in cluster.results
 
 
 def test_a_voter_with_a_new_disk_votes_only_once_the_log_admits_it() -> None:
     cluster = SimulatedCluster(1, faults=RELIABLE_NETWORK)
     cluster.run_until(5 * SECOND_US)
-    cluster.crash("n2", wipe=True)
-    cluster.crash("n1", wipe=False)
+    cluster.crash("n2")
+    cluster.lose_disk("n2")
+    cluster.crash("n1")
     cluster.start_node("n2")
     cluster.run_until(9 * SECOND_US)
-    raft = cluster.nodes["n2"].raft
-    assert raft is not None
+    raft = started_raft(cluster, "n2")
     assert not raft.is_voting  # n0 alone is no majority, and n2 doesn't count
     cluster.start_node("n1")
     cluster.run_until(15 * SECOND_US)
     assert raft.is_voting
-    cluster.crash("n1", wipe=False)
+    cluster.crash("n1")
     cluster.run_until(20 * SECOND_US)
     request_id = cluster.propose("n0")
     cluster.run_until(21 * SECOND_US)
--- a/tests/replication/test_simulated_documents.py
+++ b/tests/replication/test_simulated_documents.py
@@ -1,4 +1,4 @@
-"""Agreed documents on simulated clusters with faults, and with guards taken out."""
+"""Replicated documents on simulated clusters with faults, and with guards removed."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 from tansyladder.simulation.document_node import STANDARD_DOCUMENT_COMPONENTS, DocumentComponents
 from tansyladder.simulation.document_replication import DocumentClusterOptions
 from tansyladder.simulation.fault_rates import FaultRates
+from tansyladder.simulation.simulated_node import CountedEvent
 from tests.simulation.documents_without_guards import DOCUMENT_GUARDS
 
 HEAVY_FAULTS = FaultRates(
@@ -31,7 +32,7 @@
     mean_crash_interval_us=0,
     mean_cut_interval_us=0,
 )
-FOUND_GUARDS = sorted(name for name, guard in DOCUMENT_GUARDS.items() if guard.seed)
+GUARDS_WITH_SEED = [guard for guard, removal in DOCUMENT_GUARDS.items() if removal.seed]
 
 
 @pytest.mark.parametrize(("voters", "learners"), [(1, 1), (3, 2), (5, 0)])
@@ -43,7 +44,8 @@
     assert [document_violations(cluster) for cluster in clusters] == [[]] * 2
     results = [result for cluster in clusters for result in cluster.history.results.values()]
     assert sum(result.outcome is ChangeOutcome.DONE for result in results) >= 4
-    assert sum(cluster.counts["crashes"] + cluster.counts["pauses"] for cluster in clusters) > 5
+    faults = (CountedEvent.CRASH, CountedEvent.PAUSE)
+    assert sum(cluster.counts[fault] for cluster in clusters for fault in faults) > 5
 
 
 def test_without_faults_no_client_is_rejected_for_a_change() -> None:
@@ -51,7 +53,7 @@
     cluster = simulate_documents(1, 20.0, options)
     assert not document_violations(cluster)
     assert ChangeOutcome.REJECTED in {result.outcome for result in cluster.history.results.values()}
-    assert [at_us for at_us, _ in cluster.history.rejected_clients if at_us > 4 * SECOND_US] == []
+    assert [client for client in cluster.history.rejected_clients if client.at_us > 4 * SECOND_US] == []
 
 
 def test_the_same_seed_gives_the_same_history() -> None:
@@ -72,8 +74,8 @@
     return tuple(violations(seed, STANDARD_DOCUMENT_COMPONENTS))
 
 
-@pytest.mark.parametrize("name", FOUND_GUARDS)
-def test_a_guard_taken_out_is_found(name: str) -> None:
-    guard = DOCUMENT_GUARDS[name]
-    assert not violations_with_all_guards(guard.seed)
-    assert any(guard.violation in violation for violation in violations(guard.seed, guard.components))
+@pytest.mark.parametrize("guard", GUARDS_WITH_SEED)
+def test_a_removed_guard_is_found(guard: str) -> None:
+    removal = DOCUMENT_GUARDS[guard]
+    assert not violations_with_all_guards(removal.seed)
+    assert any(removal.violation in violation for violation in violations(removal.seed, removal.components))
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection
+from collections.abc import Collection, Sequence
 
 import msgspec
 
@@ -22,8 +22,10 @@
 )
 from tansyladder.raft.node import RaftComponents
 from tansyladder.raft.node_state import NodeState
+from tansyladder.raft.persistent_state import HardState, Write
 from tansyladder.raft.proposals import ProposalHandler
 from tansyladder.raft.voter_disks import VoterDisks
+from tansyladder.simulation.simulated_disk import SimulatedDisk
 
 
 class VotesForAnyLog(Elections):
@@ -164,6 +166,20 @@
         pass
 
 
+class UnsyncedDisk(SimulatedDisk):
+    """Never writes terms and votes, as if each crash came before their sync."""
+
+    def write(self, writes: Sequence[Write]) -> None:
+        initial_disks = self.persisted.hard_state.initial_disks
+        super().write(
+            [
+                write
+                for write in writes
+                if not isinstance(write, HardState) or write.initial_disks != initial_disks
+            ]
+        )
+
+
 GUARDS: dict[str, RaftComponents] = {
     "VotesForAnyLog": RaftComponents(elections=VotesForAnyLog),
     "VotesTwice": RaftComponents(elections=VotesTwice),
