--- a/tests/raft/test_safety.py
+++ b/tests/raft/test_safety.py
@@ -14,7 +14,7 @@
 from tansyladder.simulation.raft_cluster import SimulatedCluster, simulate
 from tansyladder.simulation.simulated_disk import SimulatedDisk
 from tansyladder.simulation.simulated_node import CountedEvent
-from tests.simulation.without_guards import GUARDS, UnsyncedDisk
+from tests.simulation.without_guards import COMPONENTS_WITHOUT, Guard, UnsyncedDisk
 
 HARD_FAULTS = FaultRates(
     loss_rate=0.1,
@@ -70,17 +70,17 @@
 @pytest.mark.parametrize(
     ("guard", "seed", "violation"),
     [
-        ("VotesForAnyLog", 14, "commits"),
-        ("VotesTwice", 6, "two leaders"),
-        ("VotesAfterForgetting", 9, "commits"),
-        ("AppendsAnywhere", 18, "commits"),
-        ("AnswersEarly", 4, "is in no log"),
+        (Guard.ELECTION_RESTRICTION, 14, "commits"),
+        (Guard.ONE_VOTE_PER_TERM, 6, "two leaders"),
+        (Guard.DISK_ADMISSION, 9, "commits"),
+        (Guard.LOG_MATCHING, 18, "commits"),
+        (Guard.COMMIT_BEFORE_RESULT, 4, "is in no log"),
     ],
 )
-def test_a_removed_guard_is_found(guard: str, seed: int, violation: str) -> None:
+def test_a_removed_guard_is_found(guard: Guard, seed: int, violation: str) -> None:
     run_history(seed, HARD_FAULTS)
     with pytest.raises(InvariantViolationError, match=violation):
-        run_history(seed, HARD_FAULTS, components=GUARDS[guard])
+        run_history(seed, HARD_FAULTS, components=COMPONENTS_WITHOUT[guard])
 
 
 def test_messages_that_are_sent_before_writes_are_synced_are_found() -> None:
@@ -97,12 +97,12 @@
 
 @pytest.mark.parametrize(
     ("guard", "seed"),
-    [("TrustsAnyDisk", 26), ("TrustsAtOnce", 29), ("VotesForShorterLogs", 29)],
+    [(Guard.STALE_DISK_SUSPICION, 26), (Guard.TERM_AND_VOTE_FLOOR, 29), (Guard.VOTE_FLOOR, 29)],
 )
-def test_a_removed_guard_against_rolled_back_disks_is_found(guard: str, seed: int) -> None:
+def test_a_removed_guard_against_rolled_back_disks_is_found(guard: Guard, seed: int) -> None:
     run_history(seed, DISK_ROLLBACKS)
     with pytest.raises(InvariantViolationError, match="commits"):
-        run_history(seed, DISK_ROLLBACKS, components=GUARDS[guard])
+        run_history(seed, DISK_ROLLBACKS, components=COMPONENTS_WITHOUT[guard])
 
 
 def test_a_cluster_with_all_disks_suspected_recovers_once_all_voters_have_restarted() -> None:
--- a/tests/replication/test_lease_holder.py
+++ b/tests/replication/test_lease_holder.py
@@ -1,4 +1,4 @@
-"""The lease of one incarnation: how it is shortened, and that it ends with the incarnation."""
+"""The lease of one incarnation: its shortening, and its end with the incarnation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 from tansyladder.replication.documents import Documents
 from tansyladder.replication.lease_holder import LeaseHolder
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
-from tests.simulation.documents_without_guards import ClaimsToShortenLease, KeepsLeaseOverStarts
+from tests.simulation.documents_without_guards import (
+    HolderWithoutIncarnationCheck,
+    HolderWithoutLeaseShortening,
+)
 
 LEASE_END_US = 30 * SECOND_US
 SHORT_LEASE_US = 300 * MILLISECOND_US
@@ -32,7 +35,7 @@
 
 
 def shortened_end_us(holder_type: type[LeaseHolder]) -> int:
-    """Return when a lease ends that was asked to be shortened, while the log lacks the answer."""
+    """Shorten a lease for a pending change, and return its end before the log has the `Prepared`."""
     holder = holder_type("a/1", prepared_documents())
     assert holder.lease_end_us() == LEASE_END_US
     assert holder.prepare(NOW_US) == Prepared(1, 1, "a/1", NOW_US)
@@ -40,22 +43,22 @@
 
 
 def next_incarnations_end_us(holder_type: type[LeaseHolder]) -> int:
-    """Return when the lease ends of a process that starts while the one before it has a lease."""
+    """Return the end of the lease of a process that starts while the previous one has a lease."""
     return holder_type("a/2", prepared_documents()).lease_end_us()
 
 
-def test_a_lease_is_short_from_the_moment_it_is_said_to_be() -> None:
+def test_a_lease_is_short_from_the_moment_at_which_it_is_shortened() -> None:
     assert shortened_end_us(LeaseHolder) == NOW_US + SHORT_LEASE_US
-    assert shortened_end_us(ClaimsToShortenLease) == LEASE_END_US  # found where the guard is taken out
+    assert shortened_end_us(HolderWithoutLeaseShortening) == LEASE_END_US  # the removal is found
 
 
 def test_a_new_incarnation_has_no_lease() -> None:
     assert next_incarnations_end_us(LeaseHolder) == 0
-    assert next_incarnations_end_us(KeepsLeaseOverStarts) == LEASE_END_US
+    assert next_incarnations_end_us(HolderWithoutIncarnationCheck) == LEASE_END_US
 
 
 @pytest.mark.parametrize("later_us", [0, 40 * MILLISECOND_US])
-def test_a_repeated_answer_is_the_same_until_the_log_has_it(later_us: int) -> None:
+def test_a_repeated_prepared_is_the_same_until_the_log_has_it(later_us: int) -> None:
     documents = prepared_documents()
     holder = LeaseHolder("a/1", documents)
     prepared = holder.prepare(NOW_US)
--- a/tests/replication/test_simulated_documents.py
+++ b/tests/replication/test_simulated_documents.py
@@ -14,7 +14,7 @@
 from tansyladder.simulation.document_replication import DocumentClusterOptions
 from tansyladder.simulation.fault_rates import FaultRates
 from tansyladder.simulation.simulated_node import CountedEvent
-from tests.simulation.documents_without_guards import DOCUMENT_GUARDS
+from tests.simulation.documents_without_guards import REMOVALS, DocumentGuard
 
 HEAVY_FAULTS = FaultRates(
     loss_rate=0.1,
@@ -32,7 +32,7 @@
     mean_crash_interval_us=0,
     mean_cut_interval_us=0,
 )
-GUARDS_WITH_SEED = [guard for guard, removal in DOCUMENT_GUARDS.items() if removal.seed]
+GUARDS_WITH_SEED = [guard for guard, removal in REMOVALS.items() if removal.seed]
 
 
 @pytest.mark.parametrize(("voters", "learners"), [(1, 1), (3, 2), (5, 0)])
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("guard", GUARDS_WITH_SEED)
-def test_a_removed_guard_is_found(guard: str) -> None:
-    removal = DOCUMENT_GUARDS[guard]
+def test_a_removed_guard_is_found(guard: DocumentGuard) -> None:
+    removal = REMOVALS[guard]
     assert not violations_with_all_guards(removal.seed)
     assert any(removal.violation in violation for violation in violations(removal.seed, removal.components))
--- a/tests/simulation/documents_without_guards.py
+++ b/tests/simulation/documents_without_guards.py
@@ -1,7 +1,8 @@
-"""Parts of agreed documents with one guard taken out, to show that the invariants find what it is for."""
+"""Components of replicated documents without one guard each, to show that the invariants find its removal."""
 
 from __future__ import annotations
 
+from enum import Enum, auto
 from typing import NamedTuple
 
 import msgspec
@@ -21,15 +22,28 @@
 from tansyladder.simulation.document_node import DocumentComponents
 
 
-class CommitsWithoutAll(Documents):
-    """Without the wait for a participant that isn't prepared, until its lease has ended."""
+class DocumentGuard(Enum):
+    """A guard of the rule that a version is in force at all nodes or at none."""
+
+    PREPARED_WAIT = auto()
+    DELAYED_EFFECT = auto()
+    REJECTION = auto()
+    ACCEPTANCE_WAIT = auto()
+    LEASE_FREEZE = auto()
+    ROUND_CHECK = auto()
+    LEASE_SHORTENING = auto()
+    INCARNATION_CHECK = auto()
+
+
+class DocumentsWithoutPreparedWait(Documents):
+    """Commits a change while a participant that isn't prepared still has a lease."""
 
     def unprepared_holders(self, change: PendingChange, at_us: int) -> set[str]:  # noqa: ARG002 - no wait
         return set()
 
 
-class TakesEffectAtOnce(Documents):
-    """Without the end of the last lease as the moment of effect: it is the moment of the commit."""
+class DocumentsWithoutDelayedEffect(Documents):
+    """Puts a version in force at the moment of its commit, not at the end of the last lease."""
 
     def _apply_commit(self, change: PendingChange, commit: Commit) -> ChangeResult:
         result = super()._apply_commit(change, commit)
@@ -39,22 +53,22 @@
         return result
 
 
-class CountsRejectionAsAcceptance(Documents):
-    """Without the rejection by one node."""
+class DocumentsWithoutRejection(Documents):
+    """Counts a rejection as an acceptance."""
 
     def _apply_validation_vote(self, change: PendingChange, vote: ValidationVote) -> ChangeResult:
         return super()._apply_validation_vote(change, msgspec.structs.replace(vote, fault=""))
 
 
-class PreparesBeforeAllAccept(Documents):
-    """Without the wait for all acceptances."""
+class DocumentsWithoutAcceptanceWait(Documents):
+    """Prepares a change before all nodes have accepted it."""
 
     def missing_acceptances(self, change: PendingChange, holders: set[str]) -> set[str]:  # noqa: ARG002
         return set()
 
 
-class GrantsWhilePrepared(Documents):
-    """Without the rule that no lease is granted while leases are short."""
+class DocumentsWithoutLeaseFreeze(Documents):
+    """Grants leases while a change is prepared."""
 
     def _apply_lease_grant(self, grant: LeaseGrant) -> ChangeResult:
         change = self.change
@@ -65,22 +79,22 @@
             self.change = change
 
 
-class AlwaysRenewsLeases(LeaseCoordinator):
-    """The leader's part in the same rule, which would hide that the state machine has none."""
+class CoordinatorWithoutLeaseFreeze(LeaseCoordinator):
+    """Proposes lease grants while a change is prepared; otherwise the state machine gets none to reject."""
 
     def next_commands(self, now_us: int) -> list[DocumentCommand]:
         return super().next_commands(now_us) + self._renew_leases(now_us)
 
 
-class CountsOldRounds(Documents):
-    """Without the number of the round in which a lease was shortened."""
+class DocumentsWithoutRoundCheck(Documents):
+    """Counts a lease that was shortened in an earlier round."""
 
     def _apply_prepared(self, change: PendingChange, prepared: Prepared) -> ChangeResult:
         return super()._apply_prepared(change, msgspec.structs.replace(prepared, round=change.round))
 
 
-class ClaimsToShortenLease(LeaseHolder):
-    """Without the shortening of its own lease: it says so, and goes on to the end that it had."""
+class HolderWithoutLeaseShortening(LeaseHolder):
+    """Reports a shortened lease, but continues to decide until the end of the long one."""
 
     _full_end_us = 0
 
@@ -92,8 +106,8 @@
         return super().prepare(now_us)
 
 
-class KeepsLeaseOverStarts(LeaseHolder):
-    """Without the incarnation in a lease: one that was granted to an earlier process is used."""
+class HolderWithoutIncarnationCheck(LeaseHolder):
+    """Decides under a lease that was granted to an earlier incarnation of its node."""
 
     def lease_end_us(self) -> int:
         name = node_name(self.incarnation)
@@ -102,31 +116,39 @@
         return max(ends_us, default=0)
 
 
-class MissingGuard(NamedTuple):
-    """What is put in place, and how it is found."""
+class Removal(NamedTuple):
+    """The components without a guard, and how the removal is found."""
 
     components: DocumentComponents
     seed: int  # of a history that finds it; 0: found in none of 40
     violation: str  # part of the text
 
 
-DOCUMENT_GUARDS = {
-    "CommitsWithoutAll": MissingGuard(DocumentComponents(documents=CommitsWithoutAll), 5, "decides under"),
-    "TakesEffectAtOnce": MissingGuard(DocumentComponents(documents=TakesEffectAtOnce), 1, "decides under"),
-    "CountsRejectionAsAcceptance": MissingGuard(
-        DocumentComponents(documents=CountsRejectionAsAcceptance), 1, "after a rejection"
+REMOVALS: dict[DocumentGuard, Removal] = {
+    DocumentGuard.PREPARED_WAIT: Removal(
+        DocumentComponents(documents=DocumentsWithoutPreparedWait), 5, "decides under"
+    ),
+    DocumentGuard.DELAYED_EFFECT: Removal(
+        DocumentComponents(documents=DocumentsWithoutDelayedEffect), 1, "decides under"
+    ),
+    DocumentGuard.REJECTION: Removal(
+        DocumentComponents(documents=DocumentsWithoutRejection), 1, "after a rejection"
+    ),
+    DocumentGuard.ACCEPTANCE_WAIT: Removal(
+        DocumentComponents(documents=DocumentsWithoutAcceptanceWait), 1, "after a rejection"
     ),
-    "PreparesBeforeAllAccept": MissingGuard(
-        DocumentComponents(documents=PreparesBeforeAllAccept), 1, "after a rejection"
+    DocumentGuard.LEASE_FREEZE: Removal(
+        DocumentComponents(documents=DocumentsWithoutLeaseFreeze, coordinator=CoordinatorWithoutLeaseFreeze),
+        0,
+        "decides under",
     ),
-    "GrantsWhilePrepared": MissingGuard(
-        DocumentComponents(documents=GrantsWhilePrepared, coordinator=AlwaysRenewsLeases), 0, "decides under"
+    DocumentGuard.ROUND_CHECK: Removal(
+        DocumentComponents(documents=DocumentsWithoutRoundCheck), 0, "decides under"
     ),
-    "CountsOldRounds": MissingGuard(DocumentComponents(documents=CountsOldRounds), 0, "decides under"),
-    "ClaimsToShortenLease": MissingGuard(
-        DocumentComponents(lease_holder=ClaimsToShortenLease), 0, "decides under"
+    DocumentGuard.LEASE_SHORTENING: Removal(
+        DocumentComponents(lease_holder=HolderWithoutLeaseShortening), 0, "decides under"
     ),
-    "KeepsLeaseOverStarts": MissingGuard(
-        DocumentComponents(lease_holder=KeepsLeaseOverStarts), 0, "decides under"
+    DocumentGuard.INCARNATION_CHECK: Removal(
+        DocumentComponents(lease_holder=HolderWithoutIncarnationCheck), 0, "decides under"
     ),
 }
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -1,8 +1,9 @@
-"""Components with one guard taken out, to show that the checkers find what each guard is for."""
+"""Raft components without one guard each, to show that the checker finds what each guard prevents."""
 
 from __future__ import annotations
 
 from collections.abc import Collection, Sequence
+from enum import Enum, auto
 
 import msgspec
 
@@ -28,8 +29,28 @@
 from tansyladder.simulation.simulated_disk import SimulatedDisk
 
 
-class VotesForAnyLog(Elections):
-    """Without the election restriction."""
+class Guard(Enum):
+    """A guard of Raft's safety, or of its liveness."""
+
+    ELECTION_RESTRICTION = auto()
+    ONE_VOTE_PER_TERM = auto()
+    DISK_ADMISSION = auto()
+    STALE_DISK_SUSPICION = auto()
+    TERM_AND_VOTE_FLOOR = auto()
+    VOTE_FLOOR = auto()
+    TERM_FLOOR = auto()
+    TRUSTED_ACKNOWLEDGMENTS = auto()
+    CURRENT_TERM_COMMIT = auto()
+    LOG_MATCHING = auto()
+    COMMIT_BEFORE_RESULT = auto()
+    LEADER_TERM_CHECK = auto()
+    RESPONSE_TERM_CHECK = auto()
+    CHECK_QUORUM = auto()
+    COMMIT_POSITION_EXCHANGE = auto()
+
+
+class ElectionsWithoutRestriction(Elections):
+    """Votes for a candidate with any log (5.4.1)."""
 
     def on_request_vote(self, sender: str, request: RequestVote) -> None:
         beyond_all = 1 << 60
@@ -37,8 +58,8 @@
         super().on_request_vote(sender, any_log)
 
 
-class VotesTwice(Elections):
-    """Without the one vote in a term."""
+class ElectionsWithoutVoteRecord(Elections):
+    """Votes for several candidates in one term."""
 
     def on_request_vote(self, sender: str, request: RequestVote) -> None:
         if not request.pre_vote:
@@ -46,8 +67,8 @@
         super().on_request_vote(sender, request)
 
 
-class CountsAnyDisk(VoterDisks):
-    """Without the names of disks: a voter that lost its disk votes and counts on."""
+class VoterDisksWithoutAdmission(VoterDisks):
+    """Lets a voter vote and count on any disk, so also after the loss of its disk."""
 
     @property
     def is_voting(self) -> bool:
@@ -61,40 +82,40 @@
         return list(self._state.voters)
 
 
-class CountsAnyAcknowledgment(LeaderReplication):
-    """Without leaving out what a voter holds whose disk may be an older copy."""
+class LeaderWithoutTrustCheck(LeaderReplication):
+    """Counts the acknowledgments of voters whose disks are suspected to be stale."""
 
     def on_append_entries_response(self, sender: str, response: AppendEntriesResponse) -> None:
         trusted = msgspec.structs.replace(response, is_disk_trusted=True)
         super().on_append_entries_response(sender, trusted)
 
 
-class TrustsAnyDisk(DiskAdmission):
-    """Without the suspicion: a voter on an older copy of its disk votes and counts on."""
+class AdmissionWithoutSuspicion(DiskAdmission):
+    """Trusts any disk, so a voter votes and counts on an older copy of its disk."""
 
     def __init__(self, state: NodeState, disks: VoterDisks, incarnation: str) -> None:
         state.hard_state = msgspec.structs.replace(state.hard_state, stale_disk_suspected=False)
         super().__init__(state, disks, incarnation)
 
 
-class TrustsAtOnce(DiskAdmission):
-    """Without the position that the others' logs have reached, and without the end of their terms."""
+class AdmissionWithoutFloors(DiskAdmission):
+    """Ends the suspicion without the terms and the log positions that the other voters have reported."""
 
     def _end_suspicion(self) -> None:
         trusted = msgspec.structs.replace(self._state.hard_state, stale_disk_suspected=False)
         self._state.persist(trusted)
 
 
-class VotesForShorterLogs(DiskAdmission):
-    """Without the position that the others' logs had reached when the suspicion ended."""
+class AdmissionWithoutVoteFloor(DiskAdmission):
+    """Ends the suspicion without the log positions that the other voters have reported."""
 
     def _end_suspicion(self) -> None:
         super()._end_suspicion()
         self._state.persist(self._state.hard_state.with_vote_floor(START_OF_LOG))
 
 
-class VotesInDoubtfulTerms(DiskAdmission):
-    """Without leaving out the terms in which it may have voted."""
+class AdmissionWithoutTermFloor(DiskAdmission):
+    """Ends the suspicion without the terms that the other voters have reported."""
 
     def _end_suspicion(self) -> None:
         before = self._state.hard_state
@@ -103,15 +124,15 @@
         self._state.persist(msgspec.structs.replace(after, term=before.term, voted_for=before.voted_for))
 
 
-class CommitsOldTerms(LeaderReplication):
-    """Without the rule that only entries of the leader's own term are counted."""
+class LeaderCommittingEarlierTerms(LeaderReplication):
+    """Commits entries of earlier terms without an entry of its own term (5.4.2)."""
 
-    def _is_of_own_term(self, index: int) -> bool:  # noqa: ARG002 - any entry will do
+    def _is_of_own_term(self, index: int) -> bool:  # noqa: ARG002 - of any term
         return True
 
 
-class AppendsAnywhere(FollowerReplication):
-    """Without the look whether the entry before fits."""
+class FollowerWithoutLogMatching(FollowerReplication):
+    """Appends entries whatever entry precedes them in its log."""
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
         log = self._state.log
@@ -121,8 +142,8 @@
         super().on_append_entries(sender, message)
 
 
-class AnswersEarly(ProposalHandler):
-    """Without the wait for the entry to be committed."""
+class ProposalsWithEarlyResults(ProposalHandler):
+    """Sends the result of a proposal before its entry is committed."""
 
     def on_proposal(self, sender: str, request: ProposalRequest) -> None:
         super().on_proposal(sender, request)
@@ -131,8 +152,8 @@
             state.outbox.answer(sender, ProposalResult(request.request_id, b"done"))
 
 
-class TakesAnyTerm(FollowerReplication):
-    """Without the look at the term of who says that it leads."""
+class FollowerWithoutTermCheck(FollowerReplication):
+    """Accepts entries of a leader whose term is over."""
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
         state = self._state
@@ -141,8 +162,8 @@
         super().on_append_entries(sender, message)
 
 
-class CountsOldAnswers(LeaderReplication):
-    """Without the look at the term of an answer to the leader."""
+class LeaderWithoutTermCheck(LeaderReplication):
+    """Counts responses of earlier terms."""
 
     def on_append_entries_response(self, sender: str, response: AppendEntriesResponse) -> None:
         if response.term < self._state.term:
@@ -150,8 +171,8 @@
         super().on_append_entries_response(sender, response)
 
 
-class NeverStepsDown(LeaderReplication):
-    """Without check-quorum: a leader that nobody hears goes on."""
+class LeaderWithoutCheckQuorum(LeaderReplication):
+    """Continues to lead without contact to a majority."""
 
     def has_quorum_contact(self) -> bool:
         for peer in self._progress.values():
@@ -159,8 +180,8 @@
         return super().has_quorum_contact()
 
 
-class LearnsNoCommit(CommittedLog):
-    """Without learning from votes how far the log is committed: who was admitted may count for nobody."""
+class CommittedLogWithoutExchange(CommittedLog):
+    """Ignores the commit positions in votes, so an admitted voter may count at no other node."""
 
     def learn(self, position: CommitPosition) -> None:
         pass
@@ -180,20 +201,20 @@
         )
 
 
-GUARDS: dict[str, RaftComponents] = {
-    "VotesForAnyLog": RaftComponents(elections=VotesForAnyLog),
-    "VotesTwice": RaftComponents(elections=VotesTwice),
-    "VotesAfterForgetting": RaftComponents(disks=CountsAnyDisk, leader=CountsAnyAcknowledgment),
-    "TrustsAnyDisk": RaftComponents(admission=TrustsAnyDisk),
-    "TrustsAtOnce": RaftComponents(admission=TrustsAtOnce),
-    "VotesForShorterLogs": RaftComponents(admission=VotesForShorterLogs),
-    "VotesInDoubtfulTerms": RaftComponents(admission=VotesInDoubtfulTerms),
-    "CountsInDoubt": RaftComponents(leader=CountsAnyAcknowledgment),
-    "CommitsOldTerms": RaftComponents(leader=CommitsOldTerms),
-    "AppendsAnywhere": RaftComponents(follower=AppendsAnywhere),
-    "AnswersEarly": RaftComponents(proposals=AnswersEarly),
-    "TakesAnyTerm": RaftComponents(follower=TakesAnyTerm),
-    "CountsOldAnswers": RaftComponents(leader=CountsOldAnswers),
-    "NeverStepsDown": RaftComponents(leader=NeverStepsDown),
-    "LearnsNoCommit": RaftComponents(commits=LearnsNoCommit),
+COMPONENTS_WITHOUT: dict[Guard, RaftComponents] = {
+    Guard.ELECTION_RESTRICTION: RaftComponents(elections=ElectionsWithoutRestriction),
+    Guard.ONE_VOTE_PER_TERM: RaftComponents(elections=ElectionsWithoutVoteRecord),
+    Guard.DISK_ADMISSION: RaftComponents(disks=VoterDisksWithoutAdmission, leader=LeaderWithoutTrustCheck),
+    Guard.STALE_DISK_SUSPICION: RaftComponents(admission=AdmissionWithoutSuspicion),
+    Guard.TERM_AND_VOTE_FLOOR: RaftComponents(admission=AdmissionWithoutFloors),
+    Guard.VOTE_FLOOR: RaftComponents(admission=AdmissionWithoutVoteFloor),
+    Guard.TERM_FLOOR: RaftComponents(admission=AdmissionWithoutTermFloor),
+    Guard.TRUSTED_ACKNOWLEDGMENTS: RaftComponents(leader=LeaderWithoutTrustCheck),
+    Guard.CURRENT_TERM_COMMIT: RaftComponents(leader=LeaderCommittingEarlierTerms),
+    Guard.LOG_MATCHING: RaftComponents(follower=FollowerWithoutLogMatching),
+    Guard.COMMIT_BEFORE_RESULT: RaftComponents(proposals=ProposalsWithEarlyResults),
+    Guard.LEADER_TERM_CHECK: RaftComponents(follower=FollowerWithoutTermCheck),
+    Guard.RESPONSE_TERM_CHECK: RaftComponents(leader=LeaderWithoutTermCheck),
+    Guard.CHECK_QUORUM: RaftComponents(leader=LeaderWithoutCheckQuorum),
+    Guard.COMMIT_POSITION_EXCHANGE: RaftComponents(commits=CommittedLogWithoutExchange),
 }
