--- a/tansyladder/config/deprecated_keys.py
+++ b/tansyladder/config/deprecated_keys.py
@@ -55,7 +55,7 @@
 
 
 def error_with_written_key(key: str, problem: str, found: Iterable[DeprecatedKey]) -> OptionsError:
-    """Return the error of a value that can't be used, with the key as the file writes it.
+    """Return the error of an invalid value, with the key as the file writes it.
 
     `problem` begins with the key's name where `key` is the whole section.
     """
--- a/tansyladder/config/errors.py
+++ b/tansyladder/config/errors.py
@@ -1,13 +1,13 @@
-"""What is wrong with a configuration: one hierarchy for the platform's file and the operator's settings."""
+"""The errors of configurations: one hierarchy for the platform's file and the operator's settings."""
 
 from __future__ import annotations
 
 
 class ConfigurationError(Exception):
-    """Settings that can't be used; the message begins with the key, where one is at fault."""
+    """A configuration that can't be used; the message begins with the key at fault, if there is one."""
 
     def __init__(self, key: str, problem: str) -> None:
-        """`key`: as the file names it, or the variable that names the file; empty: the whole file."""
+        """`key`: its name in the file, or the variable that names the file; empty: the whole file."""
         super().__init__(f"{key}: {problem}" if key else problem)
         self.key = key
         self.problem = problem
--- a/tansyladder/config/json_paths.py
+++ b/tansyladder/config/json_paths.py
@@ -4,7 +4,7 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Flatten decoded JSON; a list of objects has its length at `path.count`, other lists are one value."""
+    """Flatten decoded JSON. A list of objects gets its length at `path.count`; other lists are one value."""
     if isinstance(value, dict):
         return _flatten_object(value, path)
     if isinstance(value, list):
--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -1,7 +1,8 @@
 """The operator's own settings: one S-expression file, read with sexpdata and checked in one place.
 
-Nothing of it is needed on the platform. Absent, every feature that it switches on is off. Spans are written
-"30 s" (us, ms, s, min, h), sizes "64 KiB" (KiB, MiB); a fault is named with its path: `resume.expires: …`.
+The platform needs no such file: without it, all features that it can enable are disabled. Durations are
+written "30 s" (us, ms, s, min, h), sizes "64 KiB" (KiB, MiB). An error names the path of its key, as in
+`resume.expires: …`.
 """
 
 from __future__ import annotations
@@ -28,21 +29,29 @@
     "h": timedelta(hours=1),
 }
 SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
-MAX_DEPTH = 16  # of brackets: deeper is no settings file, and must not exhaust the reader's stack
-MAX_SHOWN_VALUE = 40  # characters of a value that can't be used, in the message
-MAX_SHOWN_CHARACTERS = 80  # of the library's own message
-TOKEN_KEYS = "keys"  # the one name with a list behind it, and the one that a reload may change
+MAX_DEPTH = 16  # of brackets; deeper ones must not exhaust the reader's stack
+MAX_SHOWN_VALUE = 40  # characters of an invalid value in an error message
+MAX_SHOWN_CHARACTERS = 80  # of the library's message in an error message
+TOKEN_KEYS = "keys"  # the only name with a list of values, and the only one that a reload may change
+TOKEN_KEY_ID_MAX = 255  # one byte of a token
+SECRET_PATTERN = re.compile(r"[0-9a-fA-F]{64}\Z")  # 32 bytes
+VOTER_COUNTS = (1, 3, 5)
+LEASE_EXPIRY_POLICIES = ("stop", "serve")
+SHORTEST_EXPIRY = timedelta(seconds=1)
+LONGEST_EXPIRY = timedelta(hours=1)
+SHORTEST_LEASE = timedelta(seconds=2)
+LONGEST_LEASE = timedelta(minutes=10)
 _QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) ?(us|ms|s|min|h|B|KiB|MiB)\Z", re.A)
 
 
 class KeyEntry(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A key of tokens: its id (0 to 255) and 32 bytes in hexadecimal digits."""
+    """A key that seals tokens: its id and 32 bytes in hexadecimal digits."""
 
-    id: Annotated[int, msgspec.Meta(ge=0, le=255)]
+    id: Annotated[int, msgspec.Meta(ge=0, le=TOKEN_KEY_ID_MAX)]
     digits: str
 
     def __post_init__(self) -> None:
-        if not re.fullmatch("[0-9a-fA-F]{64}", self.digits):
+        if not SECRET_PATTERN.match(self.digits):
             raise ValueError("32 bytes in hexadecimal digits expected")
 
     @property
@@ -52,26 +61,28 @@
 
 
 class ResumeOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Resumable streams; `keys` may change on a reload, all else needs a restart."""
+    """Resumable sessions. A reload may change `keys`; all else needs a restart."""
 
     enabled: bool = False
-    expires: timedelta = timedelta(seconds=30)  # of a token; also how long a broken session is kept
-    buffer: Annotated[int, msgspec.Meta(ge=4096, le=16 << 20)] = 64 << 10  # bytes each way of a session
+    expires: timedelta = timedelta(seconds=30)  # of a token and of a suspended session
+    buffer: Annotated[int, msgspec.Meta(ge=4096, le=16 << 20)] = (
+        64 << 10
+    )  # bytes of each direction of a session
     memory_share: Annotated[float, msgspec.Meta(gt=0, le=0.5)] = 0.125  # of limits.memory_mb, for all buffers
     max_suspended: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 256  # sessions without a client
     # Ended sessions whose reason is retained, so that the rejection of a late client names it.
     retained_end_reasons: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 4096
-    keys: tuple[KeyEntry, ...] = ()  # the first one seals; none: one drawn at the start
+    keys: tuple[KeyEntry, ...] = ()  # the first one seals; empty: a random one is generated at the start
 
     def __post_init__(self) -> None:
-        if not timedelta(seconds=1) <= self.expires <= timedelta(hours=1):
+        if not SHORTEST_EXPIRY <= self.expires <= LONGEST_EXPIRY:
             raise ValueError("expires: from 1 s to 1 h expected")
-        if len({k.id for k in self.keys}) != len(self.keys):
+        if len({key.id for key in self.keys}) != len(self.keys):
             raise ValueError("keys: an id stands twice")
 
 
 class StoreOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The embedded store; only on a disk that lasts."""
+    """The embedded store, which needs a persistent disk."""
 
     enabled: bool = False
     directory: str = ""
@@ -82,31 +93,35 @@
 
 
 class PeersOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Nodes that take over each other's sessions; the same at all of them, but for `listen`."""
+    """Nodes that take over each other's sessions; equal at all of them, except for `listen`."""
 
     enabled: bool = False
-    fleet: str = ""  # its name: nodes of another one are refused
-    key: str = ""  # 32 bytes in hexadecimal digits, which all of them prove to each other
-    members: dict[str, str] = {}  # the nodes' names and their addresses for peers
-    voters: str = ""  # the names of one, three or five of them
-    listen: str = ""  # where this node listens for peers; empty: at its own address among the members
+    fleet: str = ""  # the name of the cluster; nodes of another one are rejected
+    key: str = ""  # 32 bytes in hexadecimal digits, by which nodes authenticate each other
+    members: dict[str, str] = {}  # the nodes' addresses for peers by their names
+    voters: str = ""  # the names of one, three or five members
+    listen: str = ""  # this node's address for peers; empty: the one among the members
 
     def __post_init__(self) -> None:
-        if not self.enabled:
-            return
-        voters = self.voters.split()
+        if self.enabled:
+            self._check()
+
+    def _check(self) -> None:
+        """Raise ValueError where a value that peers need is missing or invalid."""
         if not self.fleet:
             raise ValueError("fleet: missing")
-        if not re.fullmatch("[0-9a-fA-F]{64}", self.key):
+        if not SECRET_PATTERN.match(self.key):
             raise ValueError("key: 32 bytes in hexadecimal digits expected")
-        if len(set(voters)) not in (1, 3, 5) or len(set(voters)) != len(voters):
+        names = self.voters.split()
+        voters = set(names)
+        if len(voters) not in VOTER_COUNTS or len(voters) != len(names):
             raise ValueError("voters: one, three or five names expected")
-        if missing := sorted(set(voters) - set(self.members)):
-            raise ValueError(f"voters: not among the members: {missing[0][:40]}")
+        if missing := sorted(voters - set(self.members)):
+            raise ValueError(f"voters: not among the members: {missing[0][:MAX_SHOWN_VALUE]}")
 
 
 class DocumentsOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Documents that hold at all nodes or at none; the same at all of them."""
+    """Documents that are in force at all nodes or at none; equal at all nodes."""
 
     enabled: bool = False
     lease: timedelta = timedelta(seconds=30)  # for which a node without contact to the others decides
@@ -114,20 +129,20 @@
     decision_log: str = ""  # a file with the time and the versions that each first line is decided under
 
     def __post_init__(self) -> None:
-        if not timedelta(seconds=2) <= self.lease <= timedelta(minutes=10):
+        if not SHORTEST_LEASE <= self.lease <= LONGEST_LEASE:
             raise ValueError("lease: from 2 s to 10 min expected")
-        if self.on_lease_expiry not in ("stop", "serve"):
+        if self.on_lease_expiry not in LEASE_EXPIRY_POLICIES:
             raise ValueError("on_lease_expiry: stop or serve expected")
 
 
 class LogOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the log is written."""
+    """The format of the log."""
 
     json: bool = False
 
 
 class Options(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All that an operator may set beside the platform's configuration."""
+    """All settings of the operator."""
 
     resume: ResumeOptions = ResumeOptions()
     store: StoreOptions = StoreOptions()
@@ -151,7 +166,7 @@
 
 def parse_file(text: str) -> SettingsFile:
     """Parse the text of a settings file. OptionsError: names the path of the first fault."""
-    # Only a node with settings needs the library.
+    # Lazy: a node without settings doesn't load the library.
     import sexpdata
 
     try:
@@ -191,7 +206,7 @@
 
 
 def restart_required_changes(running: Options, reloaded: Options) -> list[str]:
-    """The paths of what differs and waits for a restart: everything but the keys of tokens."""
+    """Return the paths of changes that need a restart, which are all but those of the tokens' keys."""
     changed = []
     for section, before in msgspec.structs.asdict(running).items():
         old = msgspec.structs.asdict(before)
@@ -201,7 +216,7 @@
 
 
 def _parse_entries(entries: list[Any], path: str) -> dict[str, object]:
-    """`((a 1) (b (c 2)))` as nested dictionaries; `keys` is the one name with a list behind it."""
+    """Convert entries such as `((a 1) (b (c 2)))` to nested dictionaries; `path` is that of their section."""
     if path.count(".") > MAX_DEPTH:
         raise OptionsError(path[:MAX_SHOWN_VALUE], f"brackets deeper than {MAX_DEPTH}")
     parsed: dict[str, object] = {}
@@ -215,15 +230,14 @@
             raise OptionsError(entry_path, "stands twice")
         if not values and path:
             raise OptionsError(entry_path, "a value is missing")
-        if name == TOKEN_KEYS:
-            parsed[name] = [_parse_key(key, entry_path) for key in values]
-        else:
-            parsed[name] = _parse_value(values, entry_path)
+        parsed[name] = _parse_values(name, values, entry_path)
     return parsed
 
 
-def _parse_value(values: list[Any], path: str) -> object:
-    """What stands behind a name: entries with names of their own, or one plain value."""
+def _parse_values(name: str, values: list[Any], path: str) -> object:
+    """Convert the values that follow a name: a list for TOKEN_KEYS, else named entries or one plain value."""
+    if name == TOKEN_KEYS:
+        return [_parse_key(key, path) for key in values]
     if all(map(_is_named, values)):
         return _parse_entries(values, path)
     if len(values) != 1:
@@ -232,14 +246,15 @@
 
 
 def _parse_key(key: object, path: str) -> object:
-    """A key of tokens, `(3 "ab..")`, as a list; its form is checked later."""
+    """Convert a key such as `(3 "ab..")` to a list, which msgspec validates."""
     if isinstance(key, list):
         return [_parse_scalar(value, path) for value in key]
     return _parse_scalar(key, path)
 
 
 def _parse_scalar(value: object, path: str) -> object:
-    import sexpdata
+    """Convert a plain value: a boolean, a number, a duration, a size in bytes, or a string."""
+    import sexpdata  # lazy as in `parse_file`
 
     if isinstance(value, sexpdata.Symbol):
         text = value.value()
@@ -256,6 +271,7 @@
 
 
 def _is_named(value: object) -> bool:
-    import sexpdata
+    """Return whether a value is a list that begins with a name."""
+    import sexpdata  # lazy as in `parse_file`
 
     return isinstance(value, list) and bool(value) and isinstance(value[0], sexpdata.Symbol)
--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -1,6 +1,6 @@
-"""Reads the platform's configuration, checks it and gives it defaults.
+"""Reads and validates the platform's configuration, and adds its defaults.
 
-`GW_CONFIG` names a JSON file; `GW_NAME`, `GW_LISTEN`, `GW_OPERATOR` and `GW_DISCOVERY` go before it.
+`GW_CONFIG` names a JSON file; `GW_NAME`, `GW_LISTEN`, `GW_OPERATOR` and `GW_DISCOVERY` override its keys.
 """
 
 from __future__ import annotations
@@ -22,10 +22,11 @@
 
 MAX_PORT = 65535
 MAX_PORT_DIGITS = 5
-MAX_SHOWN_CHARACTERS = 80  # of a value that can't be used, in the message
+MAX_SHOWN_CHARACTERS = 80  # of an invalid value in an error message
+MAX_SHOWN_NUMBER = 40  # characters of an invalid number in an error message
 MICROSECOND = timedelta(microseconds=1)
 POSITIVE_CLASS_KEYS = ("slo", "hard_limit")
-# The policy's names of settings, in the messages of its errors, and the file's.
+# Names of settings in the error messages of the policy, and in the file.
 FILE_KEYS = {".deadline:": ".hard_limit:", ".aim:": ".slo:"}
 
 
@@ -37,7 +38,7 @@
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=False):
-    """What the machine grants the node."""
+    """The resources that the machine grants the node."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -45,7 +46,7 @@
 
 
 class EndpointEntry(msgspec.Struct):
-    """One endpoint as discovery writes it."""
+    """One endpoint, in discovery's form."""
 
     id: str
     address: str = msgspec.field(name="host_port")
@@ -54,7 +55,7 @@
     kind: str = msgspec.field(default="", name="flavor")
     cell: int = 0
     capacity: float = msgspec.field(default=1.0, name="size")
-    started_at_ms: int = msgspec.field(default=0, name="up_since_ms")  # Unix time; 0: not known
+    started_at_ms: int = msgspec.field(default=0, name="up_since_ms")  # Unix time; 0: unknown
 
 
 class EndpointList(msgspec.Struct):
@@ -66,7 +67,7 @@
 
 
 class _File(msgspec.Struct):
-    """The JSON file; keys that are not named here are ignored."""
+    """The JSON file; other keys are ignored."""
 
     name: str = ""
     listen: str = ""
@@ -80,11 +81,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The platform's configuration; immutable, so it is shared between threads."""
+    """The platform's configuration. Immutable, so that threads can share it."""
 
     name: str
     listen: Address
-    operator: Address | None  # where operators call; None: there is no such listener
+    operator: Address | None  # of the admin server; None: there is none
     discovery: Address
     seed: int
     limits: Limits
@@ -93,19 +94,19 @@
     class_names: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    tenants: tuple[str, ...]  # their names, in the order of their numbers
+    tenants: tuple[str, ...]  # the tenants' names, in the order of their numbers
     reports_delay: bool
     reports_load: bool
     longest_deadline: timedelta
-    written_values: Mapping[str, str]  # what the file says, by the paths of its keys
+    written_values: Mapping[str, str]  # the values of the file by the paths of its keys
 
     def tenant_number(self, name: str) -> int:
-        """The number of a tenant; 0 where the settings have none of that name."""
+        """Return the number of a tenant; 0 where the settings have no tenant of that name."""
         return self.tenants.index(name) if name in self.tenants else 0
 
 
 def absent_features(config: Config) -> list[str]:
-    """The features that the settings do not give, and that are off therefore."""
+    """Return the features that are disabled because the settings don't provide them."""
     is_given = {
         "delays": config.reports_delay,
         "loads": config.reports_load,
@@ -119,7 +120,7 @@
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Parse HOST:PORT; the platform has no DNS, and looking a name up would block without an end."""
+    """Parse HOST:PORT. Names are rejected: the platform has no DNS, and a lookup would block. ConfigError."""
     host, _, port = text.rpartition(":")
     try:
         if host != "localhost":
@@ -130,13 +131,14 @@
 
 
 def _parse_port(text: str) -> int:
+    """Parse a port. ValueError: the text is none."""
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_PORT_DIGITS or int(text) > MAX_PORT:
         raise ValueError(text)
     return int(text)
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the configuration from the environment and the file that it names, or raise ConfigError."""
+    """Read the configuration from the environment and the file that it names. ConfigError: it is invalid."""
     text = _read_file(environ)
     file = _decode(text)
     seed = _parse_seed(file.seed)
@@ -148,7 +150,7 @@
     try:
         settings = build_settings(flat)
         longest_deadline = _longest_deadline(settings)
-    except (ValueError, OverflowError) as err:  # of numbers of thousands of digits too
+    except (ValueError, OverflowError) as err:  # also of numbers with thousands of digits
         raise _settings_error(err) from err
     has_operator = bool(environ.get("GW_OPERATOR") or file.operator)
     return Config(
@@ -206,7 +208,7 @@
 
 
 def _settings_error(err: Exception) -> ConfigError:
-    """The error of a value that the policy's settings refuse, with the keys as the file names them."""
+    """Convert the error of a value that the policy rejects, with the keys of the file."""
     problem = str(err)
     for policy_name, key in FILE_KEYS.items():
         problem = problem.replace(policy_name, key)
@@ -218,7 +220,7 @@
 
 
 def _with_rates(settings: Settings) -> Settings:
-    """Settings with the rates of a cluster of this size."""
+    """Add the rates for a cluster of this size to the settings."""
     node_count = settings.node_count
     return replace(
         settings,
@@ -269,21 +271,22 @@
 
 
 def _check_positive(values: Mapping[str, Any], key: str, path: str) -> None:
-    """A value that is given must be a number, not a string that looks like one, and above 0."""
+    """Check that a value, if present, is a number above 0, and not a string with a number. ConfigError."""
     value = values.get(key, 1)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        raise ConfigError(f"{path}{key}", f"a number above 0 expected, not {str(value)[:40]!r}")
+        shown = str(value)[:MAX_SHOWN_NUMBER]
+        raise ConfigError(f"{path}{key}", f"a number above 0 expected, not {shown!r}")
 
 
 def _address(environ: Mapping[str, str], variable: str, in_file: str) -> Address:
-    """The environment's address, else the file's; an error names the one that was read."""
+    """Parse the environment's address, or else the file's; an error names the one that was used."""
     if environ.get(variable):
         return parse_address(environ[variable], variable)
     return parse_address(in_file, variable.removeprefix("GW_").lower())
 
 
 def _written_values(text: bytes, known_endpoints: EndpointList) -> dict[str, str]:
-    """The file's values by path; the list it knows is one value, as it only serves a start."""
+    """Return the file's values by path; the known endpoints are one value, as only a start uses them."""
     document = msgspec.json.decode(text)
     if "known" in document:
         document["known"] = msgspec.json.encode(known_endpoints).decode()
--- a/tansyladder/config/policy_settings.py
+++ b/tansyladder/config/policy_settings.py
@@ -1,6 +1,6 @@
 """Builds the policy's settings from the platform's keys, for the simulator and for the node.
 
-This module is the border between the platform's words and the fields of `policy.settings`.
+This module maps the platform's names to the fields of `policy.settings`.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
     "idempotency_key": Idempotency.WITH_KEY,
     "non_idempotent": Idempotency.NONE,
 }
-LARGEST_NUMBER = 1e15  # thirty years in microseconds, which fits every span
+LARGEST_NUMBER = 1e15  # thirty years in microseconds, longer than any duration
 
-# Names of fields in error messages: operators read them, and the node's configuration maps two of them on.
+# Names of fields in error messages for operators; the node's configuration maps two of them to its keys.
 _REPORTED_NAMES = {
     "latency_objective_us": "aim",
     "deadline_us": "deadline",
@@ -50,15 +50,17 @@
 
 
 class _Keys:
-    """Typed access to the platform's flat `path=value` pairs; errors are ValueErrors that name the path."""
+    """Typed access to the platform's flat `path=value` pairs; a ValueError names the path of a bad value."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self._pairs = pairs
 
     def text(self, key: str, default: str = "") -> str:
+        """Return a text as it is written."""
         return self._pairs.get(key, default)
 
     def number(self, key: str, default: float) -> float:
+        """Return a finite number."""
         try:
             value = float(self._pairs.get(key, default))
         except ValueError as err:
@@ -68,12 +70,15 @@
         return value
 
     def integer(self, key: str, default: int) -> int:
+        """Return a number without its fraction."""
         return int(self.number(key, default))
 
-    def flag(self, key: str, default: bool) -> bool:
-        return self._pairs.get(key, "true" if default else "false") == "true"
+    def flag(self, key: str) -> bool:
+        """Return a boolean; False where it is absent."""
+        return self._pairs.get(key) == "true"
 
     def numbers(self, key: str) -> tuple[float, ...]:
+        """Return the numbers of a list, without null values; empty where it is absent."""
         texts = self._pairs.get(key, "").split(",")
         try:
             return tuple(float(text) for text in texts if text not in ("", "null"))
@@ -84,8 +89,8 @@
 def build_settings(pairs: Mapping[str, str]) -> Settings:
     """Build settings from the platform's paths and values.
 
-    Unknown keys are skipped and absent ones have defaults. Raises ValueError with the path of a value that
-    can't be used.
+    Unknown keys are ignored and absent ones have defaults. ValueError: a value is invalid; the message names
+    its path.
     """
     try:
         return _settings(_Keys(pairs))
@@ -98,6 +103,7 @@
 
 
 def _class_settings(keys: _Keys, index: int, message_objectives: tuple[float, ...]) -> ClassSettings:
+    """Build the settings of one class; `message_objectives` has one for each class, or fewer."""
     path = f"classes.{index}."
     idempotency = keys.text(path + "effect", "read_like")
     if idempotency not in IDEMPOTENCY:
@@ -127,12 +133,12 @@
         is_connection_oriented=keys.text("family", "conn") == "conn",
         pass_through=keys.text("extra.mode") == "pass",
         park_us=keys.integer("extra.park", 0),
-        can_check_health=keys.flag("ceilings.probes", False),
-        can_message_peers=keys.flag("ceilings.peer_messages", False),
-        can_cancel_attempts=keys.flag("ceilings.cancel", False),
-        can_send_retry_after=keys.flag("ceilings.retry_after", False),
+        can_check_health=keys.flag("ceilings.probes"),
+        can_message_peers=keys.flag("ceilings.peer_messages"),
+        can_cancel_attempts=keys.flag("ceilings.cancel"),
+        can_send_retry_after=keys.flag("ceilings.retry_after"),
         max_retry_after_us=keys.integer("ceilings.max_retry_after", 1_000_000),
-        can_hedge=keys.flag("ceilings.second_copies", False),
+        can_hedge=keys.flag("ceilings.second_copies"),
         max_attempts=keys.integer("ceilings.attempts_cap", 3),
         connect_timeout_us=keys.integer("ceilings.connect_timeout", 250_000),
         answer_grace_us=keys.integer("rules.grace_to_answer", 0),
@@ -141,7 +147,7 @@
         slow_start_duration_us=keys.integer("rules.cold", 0),
         overload_factor=keys.number("rules.tip_multiple", 2.0),
         overload_duration_us=keys.integer("rules.fall", 1_000_000),
-        report_columns=tuple(v for v in keys.text("report.columns", "").split(",") if v),
+        report_columns=tuple(column for column in keys.text("report.columns").split(",") if column),
         has_weights=keys.text("weights", "none") != "none",
         cross_zone_cost=keys.number("deductions.cross_zone", 0.0),
         over_quota_weight=keys.number("over_share_worth", 1.0),
--- a/tansyladder/config/reload.py
+++ b/tansyladder/config/reload.py
@@ -1,4 +1,4 @@
-"""Reads the platform's configuration again, and tells what of it can be put in force while the node runs."""
+"""Reads the platform's configuration again, and selects the changes that take effect while the node runs."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 _OF_CLASS = re.compile(r"settings\.classes\.([0-9]+)\.(.+)\Z")
 
-# What a reload does not change: who the node is, what the machine grants, and what the policy's numbers of
-# zones, kinds and columns were given for.
+# Keys that a reload doesn't change: the identity of the node, the resources of the machine, and the lists in
+# which the policy numbers zones, kinds and columns.
 RESTART_ONLY_KEYS = (
     "name",
     "listen",
@@ -35,7 +35,7 @@
     "settings.extra.mode",
     "settings.ceilings.probes",
 )
-# The policy's settings that come from those keys.
+# The policy's settings that are built from those keys.
 FIXED_SETTINGS = (
     "node_index",
     "zone",
@@ -53,29 +53,43 @@
 class ReloadedConfig(NamedTuple):
     """A configuration that was read while another one is in force."""
 
-    config: Config  # to put in force
+    config: Config  # that can take effect
     changed_keys: list[str]
-    restart_only_keys: list[str]  # that changed too, and wait for the next start
+    restart_only_keys: list[str]  # changed keys that need a restart
 
 
 def reload(environ: Mapping[str, str], running: Config) -> ReloadedConfig:
-    """Read the file as it is now, against the configuration that is running.
+    """Read the file again, and compare it with the running configuration.
 
-    ConfigError: nothing of it can be used. A key that was there before must be there still: a file that was
-    cut off, or half written, must not put defaults in force. Here the file goes before GW_DISCOVERY, which
-    gave the address of the start.
+    GW_DISCOVERY is ignored: it has the address for the start, which the file may have changed since.
+
+    ConfigError: the file is invalid, or lacks a key that the running configuration has. A truncated file must
+    not put defaults in force.
     """
     read = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
     missing = _missing_key(read.written_values, running.written_values)
     if missing is not None:
         raise ConfigError(missing, "missing; the running configuration has it")
-    keys = sorted(running.written_values.keys() | read.written_values.keys())
-    changed = [key for key in keys if running.written_values.get(key) != read.written_values.get(key)]
-    restart_only = [
-        key for key in changed if any(f"{key}.".startswith(f"{part}.") for part in RESTART_ONLY_KEYS)
-    ]
+    changed = _changed_keys(running.written_values, read.written_values)
+    restart_only = [key for key in changed if _is_restart_only(key)]
+    config = _merge(running, read)
+    return ReloadedConfig(config, [key for key in changed if key not in restart_only], restart_only)
+
+
+def _changed_keys(running: Mapping[str, str], written: Mapping[str, str]) -> list[str]:
+    """Return the sorted keys with different values, including those that only one of both has."""
+    return [key for key in sorted(running.keys() | written.keys()) if running.get(key) != written.get(key)]
+
+
+def _is_restart_only(key: str) -> bool:
+    """Return whether a key, or an object that contains it, is one of RESTART_ONLY_KEYS."""
+    return any(f"{key}.".startswith(f"{part}.") for part in RESTART_ONLY_KEYS)
+
+
+def _merge(running: Config, read: Config) -> Config:
+    """Return the running configuration with the changes that take effect without a restart."""
     fixed = {name: getattr(running.settings, name) for name in FIXED_SETTINGS}
-    config = replace(
+    return replace(
         running,
         discovery=read.discovery,
         settings=replace(read.settings, **fixed),
@@ -85,11 +99,10 @@
         longest_deadline=read.longest_deadline,
         written_values=read.written_values,
     )
-    return ReloadedConfig(config, [key for key in changed if key not in restart_only], restart_only)
 
 
 def _missing_key(written: Mapping[str, str], running: Mapping[str, str]) -> str | None:
-    """A key that the running configuration has and this one lacks; classes may go, their keys may not."""
+    """Return a key of the running configuration that this one lacks; whole classes may be removed."""
     required = set.intersection(*_keys_by_class(running).values())
     for index, keys in _keys_by_class(written).items():
         if not required <= keys:
@@ -98,7 +111,8 @@
 
 
 def _keys_by_class(written: Mapping[str, str]) -> dict[str, set[str]]:
+    """Return the keys of each class by its index."""
     keys: dict[str, set[str]] = {}
-    for found in filter(None, map(_OF_CLASS.match, written)):
-        keys.setdefault(found[1], set()).add(found[2])
+    for match in filter(None, map(_OF_CLASS.match, written)):
+        keys.setdefault(match[1], set()).add(match[2])
     return keys
