--- a/tests/answers/test_exit_codes.py
+++ b/tests/answers/test_exit_codes.py
@@ -16,7 +16,8 @@
 import pytest
 
 from tansyladder.lab.node import spare_port
-from tests.answers.program import ROOT, command_line, platform_config, port_of, run, running_node
+from tests.answers.own_output import CommandResult, run_command
+from tests.answers.program import ROOT, platform_config, port_of, run, running_node
 
 PEERS = f"""
 (resume (enabled true) (keys (1 "{"ab" * 32}")))
@@ -66,16 +67,13 @@
     assert done.stderr.splitlines()[-1].startswith("event=bad_settings why=peers: ")
 
 
-def test_check_says_that_sound_files_are_sound(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_check_says_that_sound_files_are_sound(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     config_file = tmp_path / "config.json"
     config_file.write_text(json.dumps(platform_config("127.0.0.1:9")))
     example = ROOT / "deploy" / "settings.example.sexp"
-    for file in (config_file, example):
-        assert command_line(["check", str(file)], monkeypatch) == 0
-    sound = f"{config_file}: sound: node n0, 1 members known\n{example}: sound\n"
-    assert capsys.readouterr() == (sound, "")
+    sound_configuration = CommandResult(0, f"{config_file}: sound: node n0, 1 members known\n", "")
+    assert run_command(["check", str(config_file)], monkeypatch) == sound_configuration
+    assert run_command(["check", str(example)], monkeypatch) == CommandResult(0, f"{example}: sound\n", "")
 
 
 @pytest.mark.parametrize(
@@ -96,9 +94,7 @@
         (["store", "verify", "missing"], 2),
     ],
 )
-def test_the_command_lines_exit_codes(
-    words: list[str], code: int, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:
-    assert command_line(words, monkeypatch) == code
-    shown = capsys.readouterr()
-    assert shown.out if code == 0 else shown.err
+def test_the_command_lines_exit_codes(words: list[str], code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    result = run_command(words, monkeypatch)
+    assert result.exit_code == code
+    assert result.stdout if code == 0 else result.stderr
