--- a/tansyladder/lab/chaos/checkers.py
+++ b/tansyladder/lab/chaos/checkers.py
@@ -1,17 +1,18 @@
 """The invariants of resumable sessions, each checked on the history of one run; pure functions.
 
-Each checker carries the name of its invariant and returns the cases that violate it. Reports have them under
-the keys of CHECKERS, which stay as they are:
+Each checker has the name of its invariant and returns the cases that violate it. Reports have them under the
+keys of CHECKERS, which stay as they are:
 
 lost_lines, doubled_lines   the lines of a session arrive each once and in order, in both directions.
 two_owners                  a host accepts a session's lines from the newest epoch only, which one node has.
 token_twice                 a token opens one connection in the whole cluster.
-answers_wrong               a connection gets one final answer in time, unless a fault is on its way.
-sessions_lost               a client that shows the token of a live session gets that session back.
-rules_broken                hosts saw no second attempt, nothing new after a drain and no bad first line.
+answers_wrong               a connection gets one final answer in time, unless a fault excuses it.
+sessions_lost               a client that shows the token of a live session resumes that session.
+rules_broken                hosts had one attempt of a request at a time, none after a drain, and no invalid
+                            first line.
 documents_mixed             no request is decided under a version after one was under a later version, and
                             in the end all nodes have the same version in force.
-orphans                     once all is quiet, hosts have no more connections than clients are served.
+orphans                     once clients are quiet, hosts have no more connections than clients are served.
 """
 
 from __future__ import annotations
@@ -21,7 +22,10 @@
 from datetime import timedelta
 from typing import NamedTuple
 
+import msgspec
+
 from tansyladder.lab.chaos.history import Event, EventKind, Party
+from tansyladder.lab.chaos.reports import Cases, ViolationCounts
 from tansyladder.lab.clients import FINAL_ANSWERS
 from tansyladder.lab.report import MICROSECOND
 
@@ -33,14 +37,14 @@
 
 
 class LineFindings(NamedTuple):
-    """Lines that arrived too late in their session or never, and lines that arrived more than once."""
+    """Gaps between the lines of a session, and lines that arrived more than once."""
 
     lost: Findings
     duplicated: Findings
 
 
 class Outage(NamedTuple):
-    """A stretch of time in which a node could not be reached, in microseconds."""
+    """A time in which a node could not be reached, in microseconds."""
 
     start_us: int
     end_us: int
@@ -53,12 +57,27 @@
     session_count: int
 
 
+class _SessionEpoch(NamedTuple):
+    """A session under one of its epochs."""
+
+    session_id: str
+    epoch: int
+
+
+class _Sender(NamedTuple):
+    """Whose lines a receiver counts: a host's in a client's session, or a client's in a session at hosts."""
+
+    receiver: str
+    lines: str
+    session_count: int = 0  # of a client, whose sessions have host lines of their own
+
+
 def _session_of(event: Event) -> _ClientSession:
     return _ClientSession(event.client, event.session_count)
 
 
 def no_line_lost(history: Sequence[Event]) -> Findings:
-    """Find gaps in the numbers of received lines, and lines that were never confirmed."""
+    """Find gaps in the numbers of received lines, and lines that no host confirmed."""
     return _check_line_numbers(history).lost + _unconfirmed_lines(history)
 
 
@@ -70,30 +89,32 @@
 def _check_line_numbers(history: Sequence[Event]) -> LineFindings:
     """Compare each received line's number with the last one before it."""
     findings = LineFindings([], [])
-    host_lines: Counter[_ClientSession] = Counter()  # the last one that the client received
-    client_lines: Counter[str] = Counter()  # the last one that hosts received, by session id
+    last_numbers: Counter[_Sender] = Counter()
     for event in history:
-        if event.kind != EventKind.LINE_RECEIVED:
+        sender = _sender_of(event)
+        if sender is None:
             continue
         number = event.number
-        if event.party == Party.CLIENT:
-            session = _session_of(event)
-            last = host_lines[session]
-            if number > last + 1:
-                findings.lost.append(f"client {event.client}: host line {number} after {last}")
-            elif number <= last:
-                findings.duplicated.append(f"client {event.client}: host line {number} again")
-            host_lines[session] = max(last, number)
-        elif event.party == Party.HOST and event.session_id:
-            last = client_lines[event.session_id]
-            if number > last + 1:
-                findings.lost.append(f"session {event.session_id}: line {number} after {last}")
-            elif number <= last:
-                findings.duplicated.append(f"session {event.session_id}: client line {number} again")
-            client_lines[event.session_id] = max(last, number)
+        last = last_numbers[sender]
+        if number > last + 1:
+            findings.lost.append(f"{sender.receiver}: {sender.lines} {number} after {last}")
+        elif number <= last:
+            findings.duplicated.append(f"{sender.receiver}: {sender.lines} {number} again")
+        last_numbers[sender] = max(last, number)
     return findings
 
 
+def _sender_of(event: Event) -> _Sender | None:
+    """Return whose line was received; None where the event is another or the session has no id."""
+    if event.kind != EventKind.LINE_RECEIVED:
+        return None
+    if event.party == Party.CLIENT:
+        return _Sender(f"client {event.client}", "host line", event.session_count)
+    if event.party == Party.HOST and event.session_id:
+        return _Sender(f"session {event.session_id}", "client line")
+    return None
+
+
 def _unconfirmed_lines(history: Sequence[Event]) -> Findings:
     """Find clients that were served at the end with lines that no host had confirmed."""
     sent: Counter[_ClientSession] = Counter()
@@ -108,53 +129,63 @@
         elif event.party == Party.CONTROLLER and event.kind == EventKind.CLIENT_CONNECTED:
             served[event.client] = session
     return [
-        f"client {client}: {sent[session] - confirmed[session]} lines unheard at the end"
+        f"client {client}: {sent[session] - confirmed[session]} lines unconfirmed at the end"
         for client, session in served.items()
         if sent[session] > confirmed[session]
     ]
 
 
 def single_owner(history: Sequence[Event]) -> Findings:
-    """Find lines accepted from an owner that was replaced, and epochs that two nodes used."""
+    """Find lines accepted from a superseded owner, and epochs that two nodes used."""
     findings: Findings = []
-    newest_epochs: dict[str, int] = {}  # by session id
-    epoch_users: dict[tuple[str, int], int] = {}  # nodes, by session id and epoch
+    newest_epochs: Counter[str] = Counter()  # by session id
+    epoch_users: dict[_SessionEpoch, int] = {}  # nodes
     for event in history:
         if event.party != Party.HOST or not event.session_id:
             continue
-        session = f"session {event.session_id}"
-        newest = newest_epochs.get(event.session_id, 0)
+        newest = newest_epochs[event.session_id]
         if event.kind == EventKind.SESSION_ACQUIRED:
-            user = epoch_users.setdefault((event.session_id, event.epoch), event.node)
-            if user != event.node:
-                findings.append(f"{session}: epoch {event.epoch} of nodes {user} and {event.node}")
-            if event.epoch < newest:
-                findings.append(f"{session}: epoch {event.epoch} taken after {newest}")
+            user = epoch_users.setdefault(_SessionEpoch(event.session_id, event.epoch), event.node)
+            findings += _check_acquisition(event, user, newest)
             newest_epochs[event.session_id] = max(newest, event.epoch)
         elif event.kind == EventKind.LINE_RECEIVED and event.epoch < newest:
-            findings.append(f"{session}: node {event.node} heard, {event.epoch} after {newest}")
+            findings.append(
+                f"session {event.session_id}: line of node {event.node}, epoch {event.epoch} after {newest}"
+            )
+    return findings
+
+
+def _check_acquisition(event: Event, epoch_user: int, newest_epoch: int) -> Findings:
+    """Find what is wrong with the epoch under which a session was acquired."""
+    findings: Findings = []
+    session = f"session {event.session_id}"
+    if epoch_user != event.node:
+        findings.append(f"{session}: epoch {event.epoch} of nodes {epoch_user} and {event.node}")
+    if event.epoch < newest_epoch:
+        findings.append(f"{session}: epoch {event.epoch} acquired after {newest_epoch}")
     return findings
 
 
 def token_used_once(history: Sequence[Event]) -> Findings:
     """Find tokens that were answered UP on more than one connection."""
-    shown = _connections_with_token(history)
-    opened = Counter(
-        shown[event.connection_id].token
+    first_lines = _first_lines_with_token(history)
+    use_counts = Counter(
+        first_lines[event.connection_id].token
         for event in history
-        if event.kind == EventKind.ANSWERED and event.label == "UP" and event.connection_id in shown
+        if event.kind == EventKind.ANSWERED and event.label == "UP" and event.connection_id in first_lines
     )
-    return [f"token {token[:24]}: opened {count} times" for token, count in opened.items() if count > 1]
+    return [f"token {token[:24]}: opened {count} times" for token, count in use_counts.items() if count > 1]
 
 
 def one_answer_in_time(history: Sequence[Event]) -> Findings:
-    """Find answers that are not final, late, given twice, or missing though no fault was on their way."""
+    """Find answers that are not final, late, repeated, or missing without a fault that excuses it."""
     answer_counts = Counter(event.connection_id for event in history if event.kind == EventKind.ANSWERED)
     repeated = [f"connection {ident}: {count} answers" for ident, count in answer_counts.items() if count > 1]
     return _wrong_answers(history) + _missing_answers(history) + repeated
 
 
 def _wrong_answers(history: Sequence[Event]) -> Findings:
+    """Find answers that are not final or late."""
     findings: Findings = []
     sent_at_us: dict[str, int] = {}  # by connection id
     for event in history:
@@ -175,9 +206,9 @@
     nodes = {event.connection_id: event.node for event in history if event.kind == EventKind.FORWARDED}
     outages = _outages(history)
     end_us = history[-1].timestamp_us if history else 0
-    opened = {event.connection_id: event for event in history if event.kind == EventKind.OPEN_SENT}
+    first_lines = {event.connection_id: event for event in history if event.kind == EventKind.OPEN_SENT}
     answered = {event.connection_id for event in history if event.kind == EventKind.ANSWERED and event.label}
-    for connection_id, event in opened.items():
+    for connection_id, event in first_lines.items():
         due_us = event.timestamp_us + ANSWER_DEADLINE_US
         node = nodes.get(connection_id, -1)
         is_excused = any(
@@ -205,28 +236,28 @@
 
 
 def no_session_lost(history: Sequence[Event]) -> Findings:
-    """Find clients with a good token whose session was refused, or ended with MOVE."""
-    shown = _connections_with_token(history)
+    """Find clients with a valid token whose session was rejected, or ended with MOVE."""
+    first_lines = _first_lines_with_token(history)
     findings: Findings = []
     for event in history:
         if event.kind == EventKind.MIGRATION_REQUESTED and event.token:
             findings.append(f"client {event.client}: MOVE")
-        elif event.kind == EventKind.ANSWERED and event.label == "ERR" and event.connection_id in shown:
-            opened = shown[event.connection_id]
-            if not opened.detail:  # a token that the controller shows once more on purpose has a detail
-                findings.append(f"client {opened.client}: {event.detail[:60]}")
+        elif event.kind == EventKind.ANSWERED and event.label == "ERR" and event.connection_id in first_lines:
+            first_line = first_lines[event.connection_id]
+            if not first_line.detail:  # the controller's own replays of a token have a detail
+                findings.append(f"client {first_line.client}: {event.detail[:60]}")
     return findings
 
 
-def _connections_with_token(history: Sequence[Event]) -> dict[str, Event]:
-    """Return what was sent on the connections that show a token, by connection id."""
+def _first_lines_with_token(history: Sequence[Event]) -> dict[str, Event]:
+    """Return the first lines that show a token, by connection id."""
     return {
         event.connection_id: event for event in history if event.kind == EventKind.OPEN_SENT and event.token
     }
 
 
 def no_host_rule_broken(history: Sequence[Event]) -> Findings:
-    """Find the violations that the hosts themselves have seen."""
+    """Find the violations that the hosts themselves have recorded."""
     return [
         f"{event.label}: {event.detail[:80]}"
         for event in history
@@ -235,11 +266,11 @@
 
 
 def no_orphaned_connection(history: Sequence[Event]) -> Findings:
-    """Find connections that hosts still have for no client at the end."""
+    """Find connections at hosts that are for no client at the end."""
     from_controller = [event for event in history if event.party == Party.CONTROLLER]
     served = sum(event.kind == EventKind.CLIENT_CONNECTED for event in from_controller)
-    held = sum(event.number for event in from_controller if event.kind == EventKind.HOST_CONNECTION_COUNT)
-    return [f"{held} connections at hosts, {served} clients stand"] if held > served else []
+    at_hosts = sum(event.number for event in from_controller if event.kind == EventKind.HOST_CONNECTION_COUNT)
+    return [f"{at_hosts} connections at hosts, {served} clients served"] if at_hosts > served else []
 
 
 def documents_consistent(history: Sequence[Event]) -> Findings:
@@ -248,6 +279,7 @@
 
 
 def _outdated_decisions(history: Sequence[Event]) -> Findings:
+    """Find requests decided under a version after another request was under a later one."""
     findings: Findings = []
     newest: dict[str, Event] = {}  # the first decision under the newest version, by document
     decisions = [event for event in history if event.kind == EventKind.REQUEST_DECIDED]
@@ -265,6 +297,7 @@
 
 
 def _differing_versions(history: Sequence[Event]) -> Findings:
+    """Find documents that do not have the same version in force at all nodes at the end."""
     versions: dict[str, set[int]] = defaultdict(set)  # by document
     for event in history:
         if event.kind == EventKind.DOCUMENT_IN_FORCE:
@@ -290,11 +323,11 @@
     return {name: checker(history) for name, checker in CHECKERS.items()}
 
 
-def violation_counts(findings: dict[str, Findings]) -> dict[str, int]:
+def violation_counts(findings: dict[str, Findings]) -> ViolationCounts:
     """Return how many cases each checker has found."""
-    return {name: len(cases) for name, cases in findings.items()}
+    return msgspec.convert({name: len(cases) for name, cases in findings.items()}, ViolationCounts)
 
 
-def first_cases(findings: dict[str, Findings]) -> dict[str, Findings]:
+def first_cases(findings: dict[str, Findings]) -> Cases:
     """Return the first few cases of the checkers that have found any."""
     return {name: cases[:CASES_IN_REPORT] for name, cases in findings.items() if cases}
--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -1,9 +1,10 @@
-"""A cluster under test: real nodes, hosts in a process of their own, a link for every way, and clients."""
+"""A cluster under test: real nodes, hosts in a process of their own, clients, and the links between all."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import itertools
 import secrets
 import tempfile
 from collections.abc import AsyncIterator
@@ -27,23 +28,36 @@
 from tansyladder.lab.waiting import wait_until
 
 START_TIMEOUT = 30.0  # seconds in which all clients are served, and nodes have a leader
-QUIET_TIMEOUT = 3.0  # seconds in which lines that are under way arrive
-ORPHAN_TIMEOUT = 3.0  # seconds in which hosts lose connections that are for no client, all being sound
-LEADER_POLL_INTERVAL = 0.05  # seconds between two looks into all logs
-HOST_POLL_INTERVAL = 0.1  # seconds between two questions to the hosts' process
+QUIET_TIMEOUT = 3.0  # seconds in which lines that were sent arrive
+ORPHAN_TIMEOUT = 3.0  # seconds in which connections at hosts that are for no client end, without faults
+LEADER_POLL_INTERVAL = 0.05  # seconds between two reads of all logs
+HOST_POLL_INTERVAL = 0.1  # seconds between two requests to the hosts' process
 KEY_BYTES = 32
 SETTINGS = """(resume (enabled true) (expires "30 s") (parked 2000) (keys (1 "{key}")))
 (store (enabled true) (directory "FOLDER/store"))
 """
 
 
+@dataclass(frozen=True, slots=True)
+class ClusterSettings:
+    """What a cluster consists of."""
+
+    node_count: int
+    host_count: int
+    seed: int
+    has_peers: bool = True  # whether the nodes are peers
+    operator_settings: str = ""  # added to those of every node
+
+
 @dataclass
 class ClusterEndpoint:
-    """A host as one node knows it: by the address of the link between the two."""
+    """A host with the address of its link to one node, as the node's discovery service lists it."""
 
     ident: str
     address: str
-    drain_announced_at: timedelta | None = None
+
+    def record_drain_announcement(self) -> None:
+        """Do nothing: the hosts run in another process, and no run drains them."""
 
 
 class ChaosCluster:
@@ -52,29 +66,26 @@
     def __init__(
         self,
         folder: Path,
-        node_count: int,
-        host_count: int,
-        seed: int,
-        has_peers: bool = True,
-        operator_settings: str = "",
+        settings: ClusterSettings,
+        *,
+        hosts: HostProcess | None = None,
+        peers: PeerNetwork | None = None,
     ) -> None:
-        """Make a cluster that is not started; `operator_settings` are added to those of every node."""
+        """Make a cluster that is not started; hosts and links of its own where none are given."""
         self.folder = folder
-        self.node_count = node_count
-        self.host_count = host_count
-        self.seed = seed
+        self.settings = settings
         self.report = Report()
         self.history = History()
         self.full_history: list[Event] = []  # of all processes, once the cluster is closed
-        self.hosts = HostProcess(host_count, node_count, seed, folder / "hosts.jsonl")
-        self.peers = PeerNetwork(node_count)
+        self.hosts = hosts or HostProcess(
+            settings.host_count, settings.node_count, settings.seed, folder / "hosts.jsonl"
+        )
+        self.peers = peers or PeerNetwork(settings.node_count)
         self.nodes: list[ChaosNode] = []
         self.clients: list[Client] = []
         self.host_links: list[list[Link]] = []  # by node, and then by host
         self.client_links: list[Link] = []  # by node
         self.load_balancer = LoadBalancer(self.history, [])
-        self._has_peers = has_peers
-        self._operator_settings = operator_settings
         self._discovery_servers: list[DiscoveryServer] = []
         self._client_tasks: list[asyncio.Task[None]] = []
 
@@ -83,12 +94,13 @@
     async def start(self) -> None:
         """Start all parties but the clients, and wait until all nodes listen and know their leader."""
         await self.hosts.start()
-        common_settings = SETTINGS.format(key=secrets.token_hex(KEY_BYTES)) + self._operator_settings
-        peer_settings = await self.peers.start() if self._has_peers else [""] * self.node_count
-        for number in range(self.node_count):
+        settings = self.settings
+        common_settings = SETTINGS.format(key=secrets.token_hex(KEY_BYTES)) + settings.operator_settings
+        peer_settings = await self.peers.start() if settings.has_peers else [""] * settings.node_count
+        for number in range(settings.node_count):
             await self._add_node(number, common_settings + peer_settings[number])
         await asyncio.gather(*(node.process.start() for node in self.nodes))
-        if self._has_peers:
+        if settings.has_peers:
             await self._wait_for_leader()
         self.load_balancer = LoadBalancer(self.history, [link.address for link in self.client_links])
         await self.load_balancer.start()
@@ -108,7 +120,7 @@
         folder = self.folder / name
         folder.mkdir()
         process = LabNode(
-            folder, discovery.address, discovery.listed(), operator_settings, name, self.node_count
+            folder, discovery.address, discovery.listed(), operator_settings, name, self.settings.node_count
         )
         self.nodes.append(ChaosNode(number, process, self.history))
         client_link = Link(f"{LOOPBACK}:{process.port}")
@@ -127,56 +139,57 @@
             raise LabTimeoutError("the nodes did not agree on a leader")
 
     async def close(self) -> None:
-        """End all parties, each process by its own id, and put `full_history` together."""
+        """End all parties, each process by its own id, and merge their histories to `full_history`."""
         for node in self.nodes:
             node.wake_up()
-        for client in self.clients:
-            await client.leave()
-        for task in self._client_tasks:
-            task.cancel()
-        await asyncio.gather(*self._client_tasks, return_exceptions=True)
+        await self._close_clients()
         await self.load_balancer.close()
         await asyncio.gather(*(node.close() for node in self.nodes))
-        for link in self.client_links:
+        for link in (*self.client_links, *itertools.chain.from_iterable(self.host_links)):
             await link.close()
         await self.peers.close()
-        for links in self.host_links:
-            for link in links:
-                await link.close()
         for discovery in self._discovery_servers:
             await discovery.close()
         await self.hosts.close()
         self.full_history = merge(self.history.events, self.hosts.load_history())
 
+    async def _close_clients(self) -> None:
+        """End all sessions, and wait until the clients' tasks have ended."""
+        for client in self.clients:
+            await client.leave()
+        for task in self._client_tasks:
+            task.cancel()
+        await asyncio.gather(*self._client_tasks, return_exceptions=True)
+
     # --- clients
 
     async def connect_clients(self, count: int) -> None:
         """Add clients, each with a session that is served. Raises LabTimeoutError."""
         first = len(self.clients)
         new: list[Client] = [
-            RecordingClient(self.history, self.report, self.load_balancer.port, number, self.seed)
+            RecordingClient(self.history, self.report, self.load_balancer.port, number, self.settings.seed)
             for number in range(first, first + count)
         ]
         self.clients += new
         try:
             await asyncio.wait_for(connect_all(new, self._client_tasks), START_TIMEOUT)
         except TimeoutError as err:
-            raise LabTimeoutError("not all clients got in") from err
+            raise LabTimeoutError("not all clients are served") from err
 
     async def wait_until_all_connected(self, timeout: float) -> bool:
         """Wait until all clients are served, but no longer than so many seconds; return whether they are."""
         return await wait_until(lambda: self._served_count() == len(self.clients), timeout)
 
     async def quiesce(self) -> None:
-        """Let all clients send no more, wait for their last lines, and record what is connected then."""
+        """Let all clients stop sending, wait for their last lines, and record what is connected then."""
         for client in self.clients:
-            client.is_quiet = True
+            client.stop_sending()
         await wait_until(
-            lambda: not any(client.unconfirmed_line_count() for client in self.clients), QUIET_TIMEOUT
+            lambda: not any(client.unconfirmed_line_count for client in self.clients), QUIET_TIMEOUT
         )
         connection_counts = await self._wait_for_orphans()
         for client in self.clients:
-            if client.up.is_set():
+            if client.is_served:
                 self.history.record(
                     Party.CONTROLLER,
                     EventKind.CLIENT_CONNECTED,
@@ -198,7 +211,7 @@
             await asyncio.sleep(HOST_POLL_INTERVAL)
 
     def _served_count(self) -> int:
-        return sum(client.up.is_set() for client in self.clients)
+        return sum(client.is_served for client in self.clients)
 
     def clients_on(self, node: int) -> set[int]:
         """Return the numbers of the clients whose newest connection was forwarded to a node."""
@@ -210,11 +223,12 @@
 
 @contextlib.asynccontextmanager
 async def running_cluster(
-    node_count: int, host_count: int, seed: int, has_peers: bool = True, operator_settings: str = ""
+    node_count: int, host_count: int, seed: int, *, has_peers: bool = True, operator_settings: str = ""
 ) -> AsyncIterator[ChaosCluster]:
     """Start a cluster, and close it at the end of the block; it has its `full_history` then."""
+    settings = ClusterSettings(node_count, host_count, seed, has_peers, operator_settings)
     with tempfile.TemporaryDirectory(prefix="tansyladder-chaos-") as folder:
-        cluster = ChaosCluster(Path(folder), node_count, host_count, seed, has_peers, operator_settings)
+        cluster = ChaosCluster(Path(folder), settings)
         try:
             await cluster.start()
             yield cluster
--- a/tansyladder/lab/chaos/commands.py
+++ b/tansyladder/lab/chaos/commands.py
@@ -1,4 +1,8 @@
-"""The commands that run experiments with a cluster."""
+"""The commands that run experiments with a cluster.
+
+The experiments are imported in the commands that run them: they load NumPy, which takes 100 ms or so, and
+this module is loaded for each command of `tansyladder`.
+"""
 
 from __future__ import annotations
 
@@ -15,150 +19,169 @@
 from tansyladder.lab.output import show
 
 if TYPE_CHECKING:
+    from tansyladder.lab.chaos.reports import ChaosReport, ScheduleReport
     from tansyladder.lab.chaos.schedule import Schedule
 
+node_count_option = click.option("--nodes", default=5, show_default=True, type=click.IntRange(3, 9))
+host_count_option = click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
+seed_option = click.option("--seed", default=1, show_default=True)
+json_option = click.option("--json", "as_json", is_flag=True, help="one JSON object")
+
 
 @click.command("takeover")
-@click.option("--nodes", default=5, show_default=True, type=click.IntRange(3, 9))
-@click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
+@node_count_option
+@host_count_option
 @click.option("--sessions", default=300, show_default=True, type=click.IntRange(1, 3000))
-@click.option("--seed", default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@seed_option
+@json_option
 @click.option("--peers", default="both", show_default=True, type=click.Choice(["on", "off", "both"]))
-def takeover_command(nodes: int, hosts: int, sessions: int, seed: int, as_json: bool, peers: str) -> None:
-    """Kill one node of a cluster, pause another for 5 s, and see which sessions go on at the others."""
-    from tansyladder.lab.chaos import experiments
+def takeover_command(nodes: int, hosts: int, sessions: int, seed: int, *, as_json: bool, peers: str) -> None:
+    """Kill one node of a cluster, pause another for 5 s, and count which sessions the others resume."""
+    from tansyladder.lab.chaos import experiments  # loads NumPy
 
-    result = asyncio.run(experiments.takeover(nodes, hosts, sessions, seed, peers != "off"))
+    report = asyncio.run(experiments.takeover(nodes, hosts, sessions, seed, has_peers=peers != "off"))
     if peers == "both":
-        off = asyncio.run(experiments.takeover(nodes, hosts, sessions, seed, False))
-        result["resumed_share_off"] = off["resumed_share"]
-    show(result, as_json)
-    sys.exit(1 if result["cases"] else 0)
+        without_peers = asyncio.run(experiments.takeover(nodes, hosts, sessions, seed, has_peers=False))
+        report = msgspec.structs.replace(report, resumed_share_without_peers=without_peers.resumed_share)
+    show(report, as_json=as_json)
+    sys.exit(1 if report.cases else 0)
 
 
 @click.command("documents")
-@click.option("--nodes", default=5, show_default=True, type=click.IntRange(3, 9))
-@click.option("--seed", default=1, show_default=True)
-@click.option("--keep", type=click.Path(path_type=Path, dir_okay=False), help="where the history is written")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def documents_command(nodes: int, seed: int, keep: Path | None, as_json: bool) -> None:
-    """Change a document while nodes are killed, paused and cut off: one version is in force at a time."""
-    from tansyladder.lab.chaos import documents
+@node_count_option
+@seed_option
+@click.option("--keep", type=click.Path(path_type=Path, dir_okay=False), help="file to write the history to")
+@json_option
+def documents_command(nodes: int, seed: int, keep: Path | None, *, as_json: bool) -> None:
+    """Change a document under faults, and check that all nodes have one version in force at a time."""
+    from tansyladder.lab.chaos import documents  # loads NumPy
 
-    result = asyncio.run(documents.run_experiment(nodes, seed, keep))
-    show(result, as_json)
-    sys.exit(1 if result["cases"] else 0)
+    report = asyncio.run(documents.run_experiment(nodes, seed, keep))
+    show(report, as_json=as_json)
+    sys.exit(1 if report.cases else 0)
 
 
 @click.command("peers-cost")
-@click.option("--nodes", default=5, show_default=True, type=click.IntRange(3, 9))
-@click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
+@node_count_option
+@host_count_option
 @click.option("--sessions", default=1000, show_default=True, type=click.IntRange(1, 3000))
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(1, 120))
-@click.option("--seed", default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@seed_option
+@json_option
 def peers_cost_command(
-    nodes: int, hosts: int, sessions: int, seconds: float, seed: int, as_json: bool
+    nodes: int, hosts: int, sessions: int, seconds: float, seed: int, *, as_json: bool
 ) -> None:
     """Measure what peers cost a cluster without faults."""
-    from tansyladder.lab.chaos import experiments
+    from tansyladder.lab.chaos import experiments  # loads NumPy
 
-    show(asyncio.run(experiments.measure_cost(nodes, hosts, sessions, seed, seconds)), as_json)
+    report = asyncio.run(experiments.measure_cost(nodes, hosts, sessions, seed, seconds))
+    show(report, as_json=as_json)
 
 
 @click.command("duplicate-tokens")
-@click.option("--nodes", default=5, show_default=True, type=click.IntRange(3, 9))
-@click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
+@node_count_option
+@host_count_option
 @click.option("--tokens", default=500, show_default=True, type=click.IntRange(1, 3000))
-@click.option("--seed", default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def duplicate_tokens_command(nodes: int, hosts: int, tokens: int, seed: int, as_json: bool) -> None:
-    """Show each of many tokens at two nodes of a cluster at one moment, and see that it opens once."""
-    from tansyladder.lab.chaos import experiments
+@seed_option
+@json_option
+def duplicate_tokens_command(nodes: int, hosts: int, tokens: int, seed: int, *, as_json: bool) -> None:
+    """Show each of many tokens at two nodes at one moment, and check that it opens one connection."""
+    from tansyladder.lab.chaos import experiments  # loads NumPy
 
-    result = asyncio.run(experiments.duplicate_tokens(nodes, hosts, tokens, seed))
-    show(result, as_json)
-    sys.exit(1 if result["cases"] else 0)
+    report = asyncio.run(experiments.duplicate_tokens(nodes, hosts, tokens, seed))
+    show(report, as_json=as_json)
+    sys.exit(1 if report.cases else 0)
 
 
 @click.command("chaos")
-@click.option("--nodes", default=5, show_default=True, type=click.IntRange(3, 9))
-@click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
+@node_count_option
+@host_count_option
 @click.option("--sessions", default=60, show_default=True, type=click.IntRange(1, 3000))
 @click.option("--seconds", default=12.0, show_default=True, type=click.FloatRange(1, 600))
-@click.option("--seed", default=1, show_default=True, help="of the first schedule; more runs count on")
+@click.option("--seed", default=1, show_default=True, help="of the first run; each further run adds one")
 @click.option("--runs", default=1, show_default=True, type=click.IntRange(1, 10_000))
 @click.option(
     "--schedule",
-    "played",
+    "schedule_file",
     type=click.Path(path_type=Path, exists=True, dir_okay=False),
-    help="play this file's schedule",
+    help="run the schedule in this file",
 )
-@click.option("--keep", type=click.Path(path_type=Path, file_okay=False), help="histories and schedules")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@click.option(
+    "--keep",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="folder to write histories and schedules to",
+)
+@json_option
 def chaos_command(
-    seed: int, runs: int, played: Path | None, keep: Path | None, as_json: bool, **generated: Any
+    seed: int, runs: int, schedule_file: Path | None, keep: Path | None, *, as_json: bool, **generated: Any
 ) -> None:
-    """Play seeded faults between several nodes, hosts and clients, and check what they saw."""
-    from tansyladder.lab.chaos import schedule
+    """Inject seeded faults into a cluster, and check the invariants on the history of all parties."""
+    from tansyladder.lab.chaos import schedule  # loads NumPy
 
-    if played is not None:
-        schedules = [schedule.load(played)]
+    if schedule_file is not None:
+        schedules = [schedule.load(schedule_file)]
     else:
         schedules = [schedule.generate(seed + run, **generated) for run in range(runs)]
     report = _run_schedules(schedules, keep)
-    show(report, as_json)
-    sys.exit(1 if report["first"] else 0)
-
-
-def _run_schedules(schedules: Sequence[Schedule], keep: Path | None) -> dict[str, Any]:
-    """Run schedules one after the other; report all violations, and the cases of the first run with any."""
-    from tansyladder.lab.chaos import experiments, schedule
-
-    report: dict[str, Any] = {"histories": 0, "faults": 0, "sessions": 0}
-    report |= {"violations": Counter(), "first": None}
-    for plan in schedules:
-        if keep is not None:
-            keep.mkdir(parents=True, exist_ok=True)
-            schedule.save(keep / f"schedule-{plan.seed}.json", plan)
-        result = asyncio.run(
-            experiments.run_schedule(plan, keep / f"history-{plan.seed}.jsonl" if keep else None)
+    show(report, as_json=as_json)
+    sys.exit(1 if report.first_failed_run else 0)
+
+
+def _run_schedules(schedules: Sequence[Schedule], keep: Path | None) -> ChaosReport:
+    """Run schedules one after the other; report all violations, and the first run with any."""
+    from tansyladder.lab.chaos.reports import ChaosReport, FailedRun  # loads NumPy
+
+    reports = [_run_schedule(schedule, keep) for schedule in schedules]
+    violations: Counter[str] = Counter()
+    for report in reports:
+        violations.update(msgspec.to_builtins(report.violations))
+    failed_runs = [
+        FailedRun(
+            seed=schedule.seed, cases=report.cases, rejections=report.rejections, faults=schedule.faults
         )
-        report["histories"] += 1
-        report["faults"] += result["faults"]
-        report["sessions"] += result["sessions"]
-        report["violations"].update({name: count for name, count in result["violations"].items() if count})
-        if result["cases"] and report["first"] is None:
-            report["first"] = {
-                "seed": plan.seed,
-                "cases": result["cases"],
-                "refused": result["refused"],
-                "schedule": msgspec.to_builtins(plan.faults),
-            }
-    return report
+        for schedule, report in zip(schedules, reports, strict=True)
+        if report.cases
+    ]
+    return ChaosReport(
+        runs=len(reports),
+        faults=sum(report.faults for report in reports),
+        sessions=sum(report.sessions for report in reports),
+        violations={key: count for key, count in violations.items() if count},
+        first_failed_run=failed_runs[0] if failed_runs else None,
+    )
+
+
+def _run_schedule(plan: Schedule, keep: Path | None) -> ScheduleReport:
+    """Run a schedule; write it, and its history, into a folder where one is given."""
+    from tansyladder.lab.chaos import experiments, schedule  # loads NumPy
+
+    if keep is None:
+        return asyncio.run(experiments.run_schedule(plan))
+    keep.mkdir(parents=True, exist_ok=True)
+    schedule.save(keep / f"schedule-{plan.seed}.json", plan)
+    return asyncio.run(experiments.run_schedule(plan, keep / f"history-{plan.seed}.jsonl"))
 
 
 @click.command("scenarios")
-@click.option("--only", multiple=True, help="by name; else all")
-@click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
+@click.option("--only", multiple=True, help="scenarios by name; without it all")
+@host_count_option
 @click.option("--sessions", default=60, show_default=True, type=click.IntRange(5, 3000))
-@click.option("--seed", default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def scenarios_command(only: tuple[str, ...], hosts: int, sessions: int, seed: int, as_json: bool) -> None:
-    """Play the hard cases with five nodes, one after the other, and check what all parties saw."""
-    from tansyladder.lab.chaos import experiments
-    from tansyladder.lab.chaos.scenarios import SCENARIOS, scenario_schedule
+@seed_option
+@json_option
+def scenarios_command(only: tuple[str, ...], hosts: int, sessions: int, seed: int, *, as_json: bool) -> None:
+    """Run difficult fault scenarios with five nodes, and check the invariants on their histories."""
+    from tansyladder.lab.chaos import experiments  # loads NumPy
+    from tansyladder.lab.chaos.scenarios import SCENARIOS, scenario_schedule  # loads NumPy
 
     if unknown := set(only) - SCENARIOS.keys():
         names = ", ".join(SCENARIOS)
         raise click.BadParameter(f"{', '.join(sorted(unknown))}; there are {names}", param_hint="--only")
-    results = {
+    reports = {
         name: asyncio.run(experiments.run_schedule(scenario_schedule(name, seed, sessions, hosts)))
         for name in only or SCENARIOS
     }
-    show(results, as_json)
-    sys.exit(1 if any(result["cases"] or not result["all_back"] for result in results.values()) else 0)
+    show(reports, as_json=as_json)
+    sys.exit(1 if any(report.cases or not report.all_reconnected for report in reports.values()) else 0)
 
 
 COMMANDS = (
--- a/tansyladder/lab/chaos/experiments.py
+++ b/tansyladder/lab/chaos/experiments.py
@@ -1,4 +1,4 @@
-"""Experiments with a cluster: nodes lost in a known way, schedules of faults, duplicate tokens, and costs."""
+"""Experiments with a cluster: lost nodes, schedules of faults, duplicate tokens, and costs."""
 
 from __future__ import annotations
 
@@ -6,17 +6,23 @@
 from collections import Counter
 from collections.abc import Sequence
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 from tansyladder.lab.chaos import checkers
 from tansyladder.lab.chaos import history as histories
 from tansyladder.lab.chaos.cluster import ChaosCluster, running_cluster
 from tansyladder.lab.chaos.faults import FaultInjector
 from tansyladder.lab.chaos.history import Event, EventKind, Party
+from tansyladder.lab.chaos.reports import (
+    DuplicateTokensReport,
+    PeersCostReport,
+    ScheduleReport,
+    TakeoverReport,
+)
 from tansyladder.lab.chaos.schedule import Fault, Schedule
 from tansyladder.lab.clients import AbandonedSession, Client
-from tansyladder.lab.connections import connection
-from tansyladder.lab.report import MICROSECOND, Report
+from tansyladder.lab.connections import answer_status, connection
+from tansyladder.lab.report import MICROSECOND, Percentiles, Report
 
 PAUSE = 5.0  # seconds that a node is paused
 RECONNECT_TIMEOUT = 15.0  # seconds in which all clients must be served again
@@ -25,9 +31,19 @@
 MEBIBYTE = 2**20
 
 
-async def takeover(nodes: int, hosts: int, sessions: int, seed: int, peers: bool = True) -> dict[str, Any]:
-    """Kill one node and pause another; report which of their sessions go on at the others."""
-    async with running_cluster(nodes, hosts, seed, peers) as cluster:
+class _NodeCost(NamedTuple):
+    """What a node costs on average."""
+
+    cpu_ms_per_second: float
+    memory_mb: float
+    bytes_per_second: int  # to peers and from them
+
+
+async def takeover(
+    nodes: int, hosts: int, sessions: int, seed: int, *, has_peers: bool = True
+) -> TakeoverReport:
+    """Kill one node and pause another; report which of their sessions are resumed at the others."""
+    async with running_cluster(nodes, hosts, seed, has_peers=has_peers) as cluster:
         await cluster.connect_clients(sessions)
         await asyncio.sleep(WARM_UP_TIME)
         affected = cluster.clients_on(0) | cluster.clients_on(1)
@@ -36,9 +52,9 @@
         cluster.nodes[1].pause()
         await asyncio.sleep(PAUSE)
         cluster.nodes[1].resume()
-        all_back = await cluster.wait_until_all_connected(RECONNECT_TIMEOUT)
+        all_reconnected = await cluster.wait_until_all_connected(RECONNECT_TIMEOUT)
         resumed = sum(
-            client.session_count == sessions_before[client.number] and client.up.is_set()
+            client.session_count == sessions_before[client.number] and client.is_served
             for client in cluster.clients
             if client.number in affected
         )
@@ -46,76 +62,95 @@
     history = cluster.full_history
     findings = checkers.check(history)
     gaps = _resumption_gaps(history)
-    return {
-        "peers": peers,
-        "nodes": nodes,
-        "hosts": hosts,
-        "sessions": sessions,
-        "seed": seed,
-        "sessions_hit": len(affected),
-        "all_back": all_back,
-        "resumed": resumed,
-        "resumed_share": round(resumed / max(1, len(affected)), 4),
-        **checkers.violation_counts(findings),
-        "gap_p50_ms": gaps.get("p50"),
-        "gap_p99_ms": gaps.get("p99"),
-        "fenced": sum(event.kind == EventKind.SESSION_FENCED for event in history),
-        "refused": _refusals(history),
-        "cases": checkers.first_cases(findings),
-    }
+    return TakeoverReport(
+        has_peers=has_peers,
+        nodes=nodes,
+        hosts=hosts,
+        sessions=sessions,
+        seed=seed,
+        affected_sessions=len(affected),
+        all_reconnected=all_reconnected,
+        resumed=resumed,
+        resumed_share=round(resumed / max(1, len(affected)), 4),
+        violations=checkers.violation_counts(findings),
+        gap_p50_ms=gaps.p50,
+        gap_p99_ms=gaps.p99,
+        fenced=sum(event.kind == EventKind.SESSION_FENCED for event in history),
+        rejections=_rejections(history),
+        cases=checkers.first_cases(findings),
+    )
 
 
-async def measure_cost(nodes: int, hosts: int, sessions: int, seed: int, seconds: float) -> dict[str, Any]:
+async def measure_cost(nodes: int, hosts: int, sessions: int, seed: int, seconds: float) -> PeersCostReport:
     """Report what a cluster without faults costs, first without peers and then with them."""
-    report: dict[str, Any] = {"nodes": nodes, "sessions": sessions, "seconds": seconds}
-    for name, has_peers in (("off", False), ("on", True)):
-        async with running_cluster(nodes, hosts, seed, has_peers) as cluster:
-            processes = [node.process for node in cluster.nodes]
-            await cluster.connect_clients(sessions)
-            await asyncio.sleep(WARM_UP_TIME)
-            cpu_before = [process.cpu_time() for process in processes]
-            bytes_before = cluster.peers.forwarded_bytes
-            await asyncio.sleep(seconds)
-            cpu_s = sum(
-                (process.cpu_time() - before).total_seconds()
-                for process, before in zip(processes, cpu_before, strict=True)
-            )
-            peer_bytes = cluster.peers.forwarded_bytes - bytes_before
-            memory_bytes = sum(process.memory_bytes() for process in processes)
-            report[f"cpu_ms_a_node_and_second_{name}"] = round(cpu_s * 1000 / nodes / seconds, 2)
-            report[f"memory_mb_a_node_{name}"] = round(memory_bytes / nodes / MEBIBYTE, 2)
-            report[f"bytes_a_node_and_second_{name}"] = round(peer_bytes / nodes / seconds)
-    return report
-
-
-async def duplicate_tokens(nodes: int, hosts: int, sessions: int, seed: int) -> dict[str, Any]:
+    async with running_cluster(nodes, hosts, seed, has_peers=False) as cluster:
+        without_peers = await _measure_node_cost(cluster, sessions, seconds)
+    async with running_cluster(nodes, hosts, seed, has_peers=True) as cluster:
+        with_peers = await _measure_node_cost(cluster, sessions, seconds)
+    return PeersCostReport(
+        nodes=nodes,
+        sessions=sessions,
+        seconds=seconds,
+        cpu_ms_per_second_without_peers=without_peers.cpu_ms_per_second,
+        memory_mb_without_peers=without_peers.memory_mb,
+        bytes_per_second_without_peers=without_peers.bytes_per_second,
+        cpu_ms_per_second_with_peers=with_peers.cpu_ms_per_second,
+        memory_mb_with_peers=with_peers.memory_mb,
+        bytes_per_second_with_peers=with_peers.bytes_per_second,
+    )
+
+
+async def _measure_node_cost(cluster: ChaosCluster, sessions: int, seconds: float) -> _NodeCost:
+    """Connect clients, and measure the nodes of a cluster for so many seconds."""
+    processes = [node.process for node in cluster.nodes]
+    await cluster.connect_clients(sessions)
+    await asyncio.sleep(WARM_UP_TIME)
+    cpu_before = [process.cpu_time() for process in processes]
+    bytes_before = cluster.peers.forwarded_bytes
+    await asyncio.sleep(seconds)
+    cpu_s = sum(
+        (process.cpu_time() - before).total_seconds()
+        for process, before in zip(processes, cpu_before, strict=True)
+    )
+    peer_bytes = cluster.peers.forwarded_bytes - bytes_before
+    memory_bytes = sum(process.memory_bytes() for process in processes)
+    return _NodeCost(
+        cpu_ms_per_second=round(cpu_s * 1000 / len(processes) / seconds, 2),
+        memory_mb=round(memory_bytes / len(processes) / MEBIBYTE, 2),
+        bytes_per_second=round(peer_bytes / len(processes) / seconds),
+    )
+
+
+async def duplicate_tokens(nodes: int, hosts: int, sessions: int, seed: int) -> DuplicateTokensReport:
     """Show each client's token at two nodes at one moment, and a third time after that."""
-    opened: Counter[int] = Counter()  # tokens, by how often they were answered UP
+    token_counts: Counter[int] = Counter()  # tokens, by how often they were answered UP
     async with running_cluster(nodes, hosts, seed) as cluster:
         await cluster.connect_clients(sessions)
         await asyncio.sleep(WARM_UP_TIME)
         for client in cluster.clients:
             answers = await _show_three_times(cluster, client)
-            opened[answers.count("UP")] += 1
+            token_counts[answers.count("UP")] += 1
     findings = checkers.check(cluster.full_history)
-    return {
-        "nodes": nodes,
-        "tokens": sessions,
-        "opened_once": opened[1],
-        "opened_never": opened[0],
-        "token_twice": len(findings["token_twice"]),
-        "answers_wrong": len(findings["answers_wrong"]),
-        "two_owners": len(findings["two_owners"]),
-        "cases": checkers.first_cases(findings),
-    }
+    violations = checkers.violation_counts(findings)
+    return DuplicateTokensReport(
+        nodes=nodes,
+        tokens=sessions,
+        opened_once=token_counts[1],
+        opened_never=token_counts[0],
+        reused_tokens=violations.reused_tokens,
+        wrong_answers=violations.wrong_answers,
+        shared_sessions=violations.shared_sessions,
+        cases=checkers.first_cases(findings),
+    )
 
 
 async def _show_three_times(cluster: ChaosCluster, client: Client) -> list[str]:
-    """Show an abandoned session's token at two nodes at once and then at one; return the first words back."""
+    """Show an abandoned session's token at two nodes at once and then at one; return the answers."""
     session = client.abandon()
-    first = client.number % cluster.node_count
-    second = (client.number + 1 + client.number % (cluster.node_count - 1)) % cluster.node_count
-    third = (first + 1) % cluster.node_count
+    node_count = cluster.settings.node_count
+    first = client.number % node_count
+    second = (client.number + 1 + client.number % (node_count - 1)) % node_count
+    third = (first + 1) % node_count
     answers = await asyncio.gather(
         _show_token(cluster, session, client.number, first, 0),
         _show_token(cluster, session, client.number, second, 1),
@@ -129,7 +164,7 @@
     """Show a token at a node; return the first word of the answer. The connection ends with it."""
     connection_id = f"{client:x}0{attempt}"
     history = cluster.history
-    async with connection(cluster.client_links[node].address) as opened:
+    async with connection(cluster.client_links[node].address) as established:
         history.record(
             Party.CLIENT,
             EventKind.OPEN_SENT,
@@ -139,48 +174,50 @@
             detail="once more",
         )
         history.record(Party.LOAD_BALANCER, EventKind.FORWARDED, connection_id=connection_id, node=node)
-        opened.writer.write(f"OPEN {connection_id} {session.open_parameters}\r\n".encode())
-        line = await asyncio.wait_for(opened.reader.readline(), ANSWER_TIMEOUT)
-        answer = line.decode().strip()
-        word = answer.partition(" ")[0]
+        answer = await established.exchange_line(
+            f"OPEN {connection_id} {session.open_parameters}", ANSWER_TIMEOUT
+        )
+        status = answer_status(answer)
         history.record(
             Party.CLIENT,
             EventKind.ANSWERED,
             client=client,
             connection_id=connection_id,
-            label=word,
-            detail=answer,
+            label=status,
+            detail=answer.decode().strip(),
         )
-        return word
+        return status
 
 
-async def run_schedule(schedule: Schedule, history_path: Path | None = None) -> dict[str, Any]:
-    """Inject a schedule's faults and check what all parties saw; write the history where a path is given."""
+async def run_schedule(schedule: Schedule, history_path: Path | None = None) -> ScheduleReport:
+    """Inject a schedule's faults and check the history, which is written where a path is given."""
     async with running_cluster(schedule.nodes, schedule.hosts, schedule.seed) as cluster:
         await cluster.connect_clients(schedule.sessions)
         await asyncio.gather(
             _inject_faults(FaultInjector(cluster), schedule.faults), cluster.connect_clients(schedule.late)
         )
-        all_back = await cluster.wait_until_all_connected(RECONNECT_TIMEOUT)
+        all_reconnected = await cluster.wait_until_all_connected(RECONNECT_TIMEOUT)
         await cluster.quiesce()
     history = cluster.full_history
     if history_path is not None:
         histories.save(history_path, history)
     findings = checkers.check(history)
-    return {
-        "seed": schedule.seed,
-        "faults": len(schedule.faults),
-        "sessions": schedule.sessions + schedule.late,
-        "all_back": all_back,
-        "begun_anew": _clients_with_new_session(history),
-        "gaps_ms": _resumption_gaps(history),
-        "violations": checkers.violation_counts(findings),
-        "refused": _refusals(history),
-        "cases": checkers.first_cases(findings),
-    }
+    return ScheduleReport(
+        seed=schedule.seed,
+        faults=len(schedule.faults),
+        sessions=schedule.sessions + schedule.late,
+        all_reconnected=all_reconnected,
+        clients_with_new_session=_count_clients_with_new_session(history),
+        gaps_ms=_resumption_gaps(history),
+        violations=checkers.violation_counts(findings),
+        rejections=_rejections(history),
+        cases=checkers.first_cases(findings),
+    )
 
 
 async def _inject_faults(injector: FaultInjector, faults: Sequence[Fault]) -> None:
+    """Inject each fault at its start, and wait until all have ended."""
+
     async def inject_in_time(fault: Fault) -> None:
         await asyncio.sleep(fault.start_s)
         await injector.inject(fault)
@@ -188,14 +225,14 @@
     await asyncio.gather(*(inject_in_time(fault) for fault in faults))
 
 
-def _clients_with_new_session(history: Sequence[Event]) -> int:
-    """Return how many clients had to begin more than one session."""
+def _count_clients_with_new_session(history: Sequence[Event]) -> int:
+    """Return how many clients have begun more than one session."""
     session_counts = {event.client: event.session_count for event in history if event.party == Party.CLIENT}
     return sum(count > 1 for count in session_counts.values())
 
 
-def _resumption_gaps(history: Sequence[Event]) -> dict[str, float]:
-    """Return percentiles of the time from showing a token to UP, in ms."""
+def _resumption_gaps(history: Sequence[Event]) -> Percentiles:
+    """Return percentiles of the time from showing a token to UP."""
     report = Report()
     shown_at_us: dict[str, int] = {}  # by connection id
     for event in history:
@@ -207,8 +244,8 @@
     return report.percentiles("gap")
 
 
-def _refusals(history: Sequence[Event]) -> dict[str, int]:
-    """Return the answers that refused tokens, with their counts."""
+def _rejections(history: Sequence[Event]) -> dict[str, int]:
+    """Return the answers that rejected tokens, with their counts."""
     with_token = {
         event.connection_id for event in history if event.kind == EventKind.OPEN_SENT and event.token
     }
--- a/tansyladder/lab/chaos/faults.py
+++ b/tansyladder/lab/chaos/faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a schedule into a cluster: each from its beginning to its end."""
+"""Injects faults into a cluster: each from its start to its end."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from tansyladder.lab.report import clock
 
 FLAP_INTERVAL = 0.1  # seconds between two changes of a flapping link
-TOKEN_POLL_INTERVAL = 0.001  # seconds between two looks for a client that shows a token
+TOKEN_POLL_INTERVAL = 0.001  # seconds between two checks for a client that shows a token
 LEADER_LOG_LINE = re.compile(rb"event=raft_state role=\w+ term=(\d+) leader=(\w+)")
-NEEDS_RUNNING_NODE = frozenset(  # these do nothing to a node that another fault has killed
+NEEDS_RUNNING_NODE = frozenset(  # without effect on a node that another fault has killed
     {
         FaultKind.PAUSE,
         FaultKind.RESTART,
@@ -91,7 +91,7 @@
         await _kill_for(fault.duration_s, [recipient] if recipient is not None else [])
 
     async def _kill_with_host(self, fault: Fault) -> None:
-        host = fault.node % self._cluster.host_count
+        host = fault.node % self._cluster.settings.host_count
         self._cluster.hosts.kill_host(host)
         await _kill_for(fault.duration_s, [self._node(fault)])
         self._cluster.hosts.restart_host(host)
@@ -111,7 +111,7 @@
         old_process = await self._node(fault).upgrade()
         if fault.kind is FaultKind.UPGRADE_KILL:
             await asyncio.sleep(fault.duration_s)
-            with contextlib.suppress(ProcessLookupError):  # it has ended by itself
+            with contextlib.suppress(ProcessLookupError):  # it has ended already
                 old_process.kill()
         await old_process.wait()
 
@@ -168,6 +168,7 @@
     async def _cut(
         self, fault: Fault, links: Sequence[Link], kind: EventKind, *directions: Direction
     ) -> None:
+        """Cut links in these directions, or in both, for the duration of a fault."""
         self._node(fault).record(kind)
         for link in links:
             link.cut(*directions)
@@ -187,9 +188,10 @@
         await self._delay(fault, self._cluster.peers.links_of(fault.node))
 
     async def _delay(self, fault: Fault, links: Sequence[Link]) -> None:
+        """Delay links for the duration of a fault."""
         self._node(fault).record(EventKind.LINK_DELAYED)
         for link in links:
-            link.delay = fault.value
+            link.delay_by(fault.value)
         await asyncio.sleep(fault.duration_s)
         self._recover(fault, links)
 
@@ -210,20 +212,21 @@
         self._recover(fault, links)
 
     def _recover(self, fault: Fault, links: Sequence[Link]) -> None:
+        """End the faults of links, and record that."""
         for link in links:
             link.recover()
         self._node(fault).record(EventKind.RECOVERED)
 
 
 async def _kill_for(seconds: float, nodes: Sequence[ChaosNode]) -> None:
-    """Kill nodes at one moment, and start them again so much later."""
+    """Kill nodes at one moment, and start them again after so many seconds."""
     await asyncio.gather(*(node.kill() for node in nodes))
     await asyncio.sleep(seconds)
     await asyncio.gather(*(node.restart() for node in nodes))
 
 
 def find_leader(cluster: ChaosCluster) -> ChaosNode:
-    """Return the running node whose log has it as the leader of the newest term; else any that runs."""
+    """Return the running node whose log names it as the leader of the newest term; else any running node."""
 
     def leader_term(node: ChaosNode) -> int:
         states = LEADER_LOG_LINE.findall(node.process.log.read_bytes())
--- a/tansyladder/lab/chaos/history.py
+++ b/tansyladder/lab/chaos/history.py
@@ -33,7 +33,7 @@
 
     # Clients
     OPEN_SENT = "asked"  # the first line of a connection, with the token that it shows
-    ANSWERED = "answered"  # the first line back; an empty label where the connection ended without one
+    ANSWERED = "answered"  # the answer to it; an empty label where the connection ended without one
     LINE_SENT = "said"
     LINE_RECEIVED = "heard"  # by a client or by a host
     MIGRATION_REQUESTED = "moved"  # MOVE: the session is over, and the client has to open another
@@ -43,7 +43,7 @@
     FORWARDED = "sent_to"
     # Hosts
     SESSION_ACQUIRED = "taken"
-    SESSION_FENCED = "fenced"  # refused, as a newer epoch has the session
+    SESSION_FENCED = "fenced"  # an owner was rejected, as a newer epoch has the session
     INVARIANT_VIOLATED = "broken"
     FINAL_CONNECTION_COUNT = "holds"
     # Controller: faults, and their end
@@ -57,7 +57,7 @@
     PEER_LINKS_FLAPPING = "flap_peers"
     DISK_FULL = "full_disk"
     RECOVERED = "sound"
-    # Controller: what is there when all is quiet
+    # Controller: what is connected once all clients are quiet
     CLIENT_CONNECTED = "standing"
     HOST_CONNECTION_COUNT = "held"
     # Documents
@@ -134,7 +134,7 @@
 
 
 def merge(*parts: Iterable[Event]) -> list[Event]:
-    """Return all events, ordered by their timestamps."""
+    """Return all events in the order of their timestamps."""
     return sorted((event for part in parts for event in part), key=lambda event: event.timestamp_us)
 
 
--- a/tansyladder/lab/chaos/host_process.py
+++ b/tansyladder/lab/chaos/host_process.py
@@ -1,4 +1,4 @@
-"""The controller's end of the process that plays the stand-in hosts (see `hosts.py`)."""
+"""The controller's end of the process that runs the stand-in hosts (see `hosts.py`)."""
 
 from __future__ import annotations
 
@@ -38,21 +38,21 @@
         self.addresses = await self._read_json()
 
     def kill_host(self, host: int) -> None:
-        """Let a host die: its connections are reset, and new ones refused."""
-        self._send(f"die {host}")
+        """Let a host die: its connections are reset, and new ones rejected."""
+        self._send(f"kill {host}")
 
     def restart_host(self, host: int) -> None:
         """Let a host that has died listen again, at the same addresses."""
-        self._send(f"back {host}")
+        self._send(f"restart {host}")
 
     async def connection_counts(self) -> list[int]:
         """Return how many connections each host has."""
-        self._send("held")
+        self._send("count")
         counts: list[int] = await self._read_json()
         return counts
 
     async def close(self) -> None:
-        """End the process, with SIGKILL where it does not end by itself in time."""
+        """End the process, with SIGKILL where it does not end in time."""
         if self._process is None or self._process.stdin is None:
             return
         self._process.stdin.close()
@@ -67,11 +67,13 @@
         return load(self._history_path) if self._history_path.exists() else []
 
     def _send(self, command: str) -> None:
+        """Send a command line to the process. Raises NotStartedError."""
         if self._process is None or self._process.stdin is None:
             raise NotStartedError("the hosts' process")
         self._process.stdin.write(f"{command}\n".encode())
 
     async def _read_json(self) -> Any:
+        """Return the next JSON line of the process. Raises TimeoutError, NotStartedError."""
         if self._process is None or self._process.stdout is None:
             raise NotStartedError("the hosts' process")
         return json.loads(await asyncio.wait_for(self._process.stdout.readline(), ANSWER_TIMEOUT))
--- a/tansyladder/lab/chaos/hosts.py
+++ b/tansyladder/lab/chaos/hosts.py
@@ -3,8 +3,8 @@
     python -m tansyladder.lab.chaos.hosts HOSTS NODES SEED HISTORY
 
 It prints the listeners' addresses as one JSON line, and ends when its standard input does. Until then it
-reads commands there: `die N`, `back N` and `held`, which it answers with a JSON line, the connections at each
-host. `host_process.py` is the other end.
+reads commands there: `kill N`, `restart N`, and `count`, which it answers with the connections at each host
+as a JSON line. `host_process.py` is the other end.
 """
 
 from __future__ import annotations
@@ -17,14 +17,15 @@
 import msgspec
 
 from tansyladder.lab.chaos.history import EventKind, History, Party
-from tansyladder.lab.hosts import HostedStream, StreamHost, StreamHostCluster
+from tansyladder.lab.hosted_stream import HostedStream
+from tansyladder.lab.hosts import StreamHost, StreamHostCluster
 from tansyladder.lab.report import Report
 
 FLUSH_INTERVAL = 0.2  # seconds between two writes of the history
 
 
 class RecordingHostCluster(StreamHostCluster):
-    """Hosts that record which sessions they acquire and refuse, and which lines they receive."""
+    """Hosts that record which sessions they acquire and reject, and which lines they receive."""
 
     def __init__(self, seed: int, history: History) -> None:
         super().__init__(Report(), seed)
@@ -35,7 +36,7 @@
             Party.HOST,
             kind,
             node=stream.listener_index,
-            host=stream.host.ident,
+            host=stream.host_id,
             session_id=stream.session_id,
             epoch=stream.epoch,
             number=number,
@@ -46,7 +47,7 @@
         self._record(EventKind.SESSION_ACQUIRED, stream)
 
     def on_session_fenced(self, stream: HostedStream) -> None:
-        """Record the owner that was refused."""
+        """Record the owner that was rejected."""
         self._record(EventKind.SESSION_FENCED, stream)
 
     def on_line_received(self, stream: HostedStream, number: int) -> None:
@@ -82,11 +83,11 @@
 async def _run_commands(hosts: list[StreamHost]) -> None:
     """Run the commands on standard input until it ends."""
     loop = asyncio.get_running_loop()
-    while words := (await loop.run_in_executor(None, sys.stdin.readline)).split():
-        match words:
-            case ["die", number]:
+    while command := (await loop.run_in_executor(None, sys.stdin.readline)).split():
+        match command:
+            case ["kill", number]:
                 await hosts[int(number)].die()
-            case ["back", number]:
+            case ["restart", number]:
                 await hosts[int(number)].start()
             case _:
                 _print_json([len(host.streams) for host in hosts])
--- a/tansyladder/lab/chaos/links.py
+++ b/tansyladder/lab/chaos/links.py
@@ -13,13 +13,13 @@
 
 CHUNK_BYTES = 1 << 16
 BACKLOG = 1024
-HEALTH_CHECK_INTERVAL = 0.1  # seconds between two PINGs of the load balancer to a node
-HEALTH_CHECK_TIMEOUT = 1.0  # seconds in which it expects the answer
-UNHEALTHY_AFTER = timedelta(seconds=2)  # a node that did not answer still gets clients for so long
+HEALTH_CHECK_INTERVAL = 0.1  # seconds between two health checks of a node
+HEALTH_CHECK_TIMEOUT = 1.0  # seconds until a health check has failed
+UNHEALTHY_AFTER = timedelta(seconds=2)  # a node that fails its health checks still gets clients for so long
 
 
 class Direction(Enum):
-    """Which way bytes pass through a proxy."""
+    """In which direction bytes pass through a proxy."""
 
     TO_TARGET = auto()
     FROM_TARGET = auto()
@@ -46,7 +46,7 @@
             writer.transport.abort()
 
     async def close(self) -> None:
-        """Listen no more, and reset all connections."""
+        """Stop listening, and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -74,7 +74,7 @@
                 self._writers.discard(target.writer)
                 target.writer.close()
         except (OSError, IndexError, asyncio.CancelledError):
-            writer.transport.abort()  # the target is gone, no first line came, or the run is over
+            writer.transport.abort()  # the target is gone, there was no first line, or the run has ended
         finally:
             self._writers.discard(writer)
             writer.close()
@@ -89,7 +89,7 @@
     async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
     ) -> None:
-        """Forward bytes in one direction, and its end."""
+        """Forward bytes in one direction, and the end of the stream."""
         try:
             while data := await reader.read(CHUNK_BYTES):
                 await self._wait_until_open(direction)
@@ -107,18 +107,22 @@
 
     def __init__(self, target_address: str) -> None:
         super().__init__()
-        self.delay = 0.0  # seconds, in each direction
+        self.delay = 0.0  # seconds, in each direction; set by `delay_by` and `recover`
         self._target_address = target_address
         self._is_open = {direction: asyncio.Event() for direction in Direction}
         self.recover()
 
+    def delay_by(self, seconds: float) -> None:
+        """Delay all bytes in each direction."""
+        self.delay = seconds
+
     def cut(self, *directions: Direction) -> None:
-        """Hold back all bytes in these directions, or in both, and keep all connections open."""
+        """Hold back all bytes in these directions, or in both; all connections stay open."""
         for direction in directions or Direction:
             self._is_open[direction].clear()
 
     def recover(self) -> None:
-        """End all faults; what was held back arrives now."""
+        """End all faults; bytes that were held back arrive now."""
         self.delay = 0.0
         for is_open in self._is_open.values():
             is_open.set()
@@ -134,19 +138,19 @@
 
 
 class LoadBalancer(_Proxy):
-    """Forwards clients' connections to the nodes in turn, leaving out those that fail their health checks."""
+    """Forwards clients' connections round robin to the nodes that pass their health checks."""
 
     def __init__(self, history: History, node_addresses: list[str]) -> None:
         super().__init__()
         self._history = history
         self._node_addresses = node_addresses
         self._healthy_at = [timedelta(0)] * len(node_addresses)  # when each answered last
-        self._next_turn = 0
+        self._turn_count = 0
         self._health_checks: list[asyncio.Task[None]] = []
 
     @property
     def port(self) -> int:
-        """Where clients connect."""
+        """The port that clients connect to."""
         return int(self.address.rpartition(":")[2])
 
     async def start(self) -> None:
@@ -157,30 +161,31 @@
         await super().start()
 
     async def close(self) -> None:
-        """Listen no more, and reset all connections."""
+        """Stop listening, and reset all connections."""
         for task in self._health_checks:
             task.cancel()
         await super().close()
 
     async def _check_health(self, node: int) -> None:
+        """Check a node's health at intervals until the task is cancelled."""
         while True:
             with contextlib.suppress(OSError):  # TimeoutError is one
                 async with (
                     asyncio.timeout(HEALTH_CHECK_TIMEOUT),
-                    connection(self._node_addresses[node]) as opened,
+                    connection(self._node_addresses[node]) as established,
                 ):
-                    opened.writer.write(b"PING\r\n")
-                    if await opened.reader.readline() == b"PONG\r\n":
+                    established.writer.write(b"PING\r\n")
+                    if await established.reader.readline() == b"PONG\r\n":
                         self._healthy_at[node] = clock()
             await asyncio.sleep(HEALTH_CHECK_INTERVAL)
 
     def _next_node(self) -> int:
-        """Return the next healthy node in turn; any node where none is healthy."""
+        """Return the next healthy node, round robin; any node where none is healthy."""
         now = clock()
         healthy = [node for node, at in enumerate(self._healthy_at) if now - at < UNHEALTHY_AFTER]
         candidates = healthy or list(range(len(self._node_addresses)))
-        self._next_turn += 1
-        return candidates[self._next_turn % len(candidates)]
+        self._turn_count += 1
+        return candidates[self._turn_count % len(candidates)]
 
     async def _connect_target(self, reader: asyncio.StreamReader, /) -> Connection:
         """Connect to a node, and forward the first line, which has the connection's id."""
--- a/tansyladder/lab/chaos/node.py
+++ b/tansyladder/lab/chaos/node.py
@@ -1,4 +1,4 @@
-"""A node of a chaos run: its process, and which state the faults have put it into."""
+"""A node of a chaos run: its process, and the state that faults have left it in."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     """What a node's process does."""
 
     RUNNING = auto()
-    PAUSED = auto()  # SIGSTOP: it lives, and answers nothing
-    DOWN = auto()  # killed, or told to end; nothing but a restart leads out of it
+    PAUSED = auto()  # by SIGSTOP: it exists, and answers nothing
+    DOWN = auto()  # killed, or sent SIGTERM; only a restart leaves this state
 
 
 class ChaosNode:
     """One node whose faults are recorded. Owned by one event loop; not thread-safe.
 
-    Faults may overlap: one at a time starts or ends the process, and those that find it down leave it so.
+    Faults may overlap: one at a time starts or ends the process, and the others leave a node that is down so.
     """
 
     def __init__(self, number: int, process: LabNode, history: History) -> None:
@@ -56,7 +56,7 @@
             await self.process.stop()
 
     async def restart(self, clock_offset: float = 0.0) -> None:
-        """Start a node that is down, on its disk; `clock_offset`: seconds by which its clock is off."""
+        """Start a node that is down, on its disk; `clock_offset`: seconds by which its clock is wrong."""
         async with self._lock:
             if self.is_down:  # else the end of another fault has started it
                 await self.process.start(clock_offset)
@@ -70,14 +70,14 @@
         self.process.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Continue the process with SIGCONT, with all that has come meanwhile in its buffers."""
+        """Continue the process with SIGCONT; what it was sent meanwhile is in its buffers."""
         if not self.is_down:  # else another fault has killed it meanwhile
             self.state = NodeState.RUNNING
             self.process.signal(signal.SIGCONT)
             self.record(EventKind.RECOVERED)
 
     async def upgrade(self) -> asyncio.subprocess.Process:
-        """Start a new process that takes over; return the old one, which is draining."""
+        """Start a new process that takes the listener over; return the old one, which is draining."""
         self.record(EventKind.UPGRADED)
         async with self._lock:
             return await self.process.upgrade()
--- a/tansyladder/lab/chaos/peer_network.py
+++ b/tansyladder/lab/chaos/peer_network.py
@@ -40,7 +40,9 @@
             self._links[low, high] = link
             await link.start()
         key = secrets.token_hex(KEY_BYTES)
-        odd_count = self._node_count - 1 + self._node_count % 2  # an even number of voters is no safer
+        odd_count = (
+            self._node_count - 1 + self._node_count % 2
+        )  # an even number of voters tolerates no more faults
         voters = " ".join(f"n{number}" for number in range(min(MAX_VOTERS, odd_count)))
         return [
             SETTINGS.format(
--- a/tansyladder/lab/chaos/recording_client.py
+++ b/tansyladder/lab/chaos/recording_client.py
@@ -7,11 +7,11 @@
 from tansyladder.lab.report import Report
 
 SILENCE_TIMEOUT = 2.0  # seconds without a line after which a connection counts as dead
-MAX_ATTEMPTS = 60  # unserved connections in a row: faults may keep all nodes from answering for long
+MAX_ATTEMPTS = 60  # unserved connections in a row: no node may answer for as long as faults last
 
 
 class RecordingClient(Client):
-    """A client with a history, patient enough for a cluster with faults."""
+    """A client with a history, which makes more attempts, as faults may last."""
 
     max_attempts = MAX_ATTEMPTS
 
@@ -21,6 +21,7 @@
         self._history = history
 
     def _record(self, kind: EventKind, fields: EventFields) -> None:
+        """Record an event of the client's present session."""
         fields["client"] = self.number
         fields["session_count"] = self.session_count
         self._history.record(Party.CLIENT, kind, **fields)
@@ -29,9 +30,9 @@
         """Record a first line."""
         self._record(EventKind.OPEN_SENT, {"connection_id": connection_id, "token": token})
 
-    def on_answered(self, connection_id: str, word: str, line: str) -> None:
-        """Record an answer, or that none came."""
-        self._record(EventKind.ANSWERED, {"connection_id": connection_id, "label": word, "detail": line})
+    def on_answered(self, connection_id: str, status: str, line: str) -> None:
+        """Record an answer, or the end of a connection without one."""
+        self._record(EventKind.ANSWERED, {"connection_id": connection_id, "label": status, "detail": line})
 
     def on_line_sent(self, number: int) -> None:
         """Record a line of the client."""
@@ -42,5 +43,5 @@
         self._record(EventKind.LINE_RECEIVED, {"number": number, "acknowledged_line": confirmed})
 
     def on_migration_requested(self) -> None:
-        """Record MOVE, with the token that the client had."""
+        """Record a MOVE line, with the token that the client had."""
         self._record(EventKind.MIGRATION_REQUESTED, {"token": self.session.token})
--- a/tansyladder/lab/chaos/scenarios.py
+++ b/tansyladder/lab/chaos/scenarios.py
@@ -1,4 +1,4 @@
-"""The hard cases by name, each a schedule for five nodes that all vote."""
+"""The difficult fault scenarios by name, each a schedule for five nodes that are all voters."""
 
 from __future__ import annotations
 
--- a/tansyladder/lab/chaos/schedule.py
+++ b/tansyladder/lab/chaos/schedule.py
@@ -9,13 +9,15 @@
 import msgspec
 import numpy
 
+from tansyladder.lab.waiting import DelayRange
+
 FIRST_START = 0.5  # seconds
-FAULT_INTERVAL = (1.2, 2.5)  # seconds between the starts of two faults, the least and the most
-FAULT_DURATION = (0.4, 3.0)  # seconds, the least and the most
-LINK_DELAY = (0.02, 0.4)  # seconds, the least and the most
+FAULT_INTERVAL = DelayRange(1.2, 2.5)  # between the starts of two faults
+FAULT_DURATION = DelayRange(0.4, 3.0)
+LINK_DELAY = DelayRange(0.02, 0.4)
 CLOCK_OFFSETS = (-1.8, -0.2, 0.2, 1.8)  # seconds; peers accept up to 2
 NODE_REST = 0.5  # seconds without a fault after one of the same node
-DISK_RECOVERY = 3.0  # seconds without another fault after one of a disk: its voter has to be admitted again
+DISK_RECOVERY = 3.0  # seconds without another fault after a disk fault: its voter has to be admitted again
 
 
 class FaultKind(Enum):
@@ -27,22 +29,22 @@
     CUT_TO_HOSTS = "cut_up"  # nothing passes from the node to the hosts
     CUT_FROM_HOSTS = "cut_down"  # nothing passes from the hosts to the node
     CUT_CLIENTS = "cut_clients"  # nothing passes between clients and the node
-    RESET_CLIENTS = "reset"  # all connections of the node's clients break
+    RESET_CLIENTS = "reset"  # all connections of the node's clients are reset
     CUT_PEERS = "cut_peers"  # nothing passes between the node and its peers
-    DELAY_PEERS = "delay_peers"  # each way between the node and its peers takes longer
-    DELAY_HOSTS = "delay"  # each way between the node and the hosts takes longer
+    DELAY_PEERS = "delay_peers"  # bytes between the node and its peers are delayed, in each direction
+    DELAY_HOSTS = "delay"  # bytes between the node and the hosts are delayed, in each direction
     FLAP_PEERS = "flap_peers"  # the links to its peers fail and recover each 100 ms
-    KILL_WITH_HOST = "kill_with_host"  # the host of the same number dies as well, and comes back at the end
-    KILL_LEADER = "kill_leader"  # whichever node leads; started again at the end
-    KILL_TOKEN_RECIPIENT = "kill_taker"  # whichever node is the next to get a token, at that moment
+    KILL_WITH_HOST = "kill_with_host"  # the host of the same number dies as well, and is restarted at the end
+    KILL_LEADER = "kill_leader"  # the leader is killed, and started again at the end
+    KILL_TOKEN_RECIPIENT = "kill_taker"  # the next node that a token is forwarded to is killed at that moment
     RESTART = "restart"  # SIGTERM, and started again once it has ended
-    UPGRADE = "upgrade"  # a new process takes its place while it runs; SIGTERM to the old one then
-    UPGRADE_KILL = "upgrade_kill"  # the same, and the old one is killed in the middle of its drain
-    KILL_ALL = "kill_all"  # every node, all back on their disks
-    LOSE_DISK = "lose_disk"  # killed, and back with an empty store
-    ROLL_BACK_DISK = "old_disk"  # killed halfway, and back with a copy of its store from the start
-    FILL_DISK = "full_disk"  # nothing more can be written; killed at the end, and back with room
-    SKEW_CLOCK = "skew"  # started again with a clock that is off by `value`, and once more with a true one
+    UPGRADE = "upgrade"  # a new process takes the listener over; the old one gets SIGTERM
+    UPGRADE_KILL = "upgrade_kill"  # the same, and the old one is killed during its drain
+    KILL_ALL = "kill_all"  # every node is killed, and restarted on its disk
+    LOSE_DISK = "lose_disk"  # killed, and restarted with an empty store
+    ROLL_BACK_DISK = "old_disk"  # killed halfway, and restarted with a copy of its store from the start
+    FILL_DISK = "full_disk"  # writes fail; killed at the end, and restarted with free space
+    SKEW_CLOCK = "skew"  # restarted with a clock that is wrong by `value`, and at the end with a correct one
 
 
 NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
@@ -65,7 +67,7 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A run's faults in the order of their starts, and all that it takes to repeat the run."""
+    """A run's faults in the order of their starts, and all parameters that repeat the run."""
 
     seed: int
     nodes: PositiveInt
@@ -76,7 +78,7 @@
 
 
 def generate(seed: int, nodes: int, hosts: int, sessions: int, seconds: float) -> Schedule:
-    """Generate faults for so many seconds; a node has one at a time, and a minority of nodes has any."""
+    """Generate faults for so many seconds; a node has one at a time, and a minority of the nodes has any."""
     rng = numpy.random.default_rng(seed)
     kinds = list(FaultKind)
     faults: list[Fault] = []
--- a/tansyladder/lab/chaos/skewed_clock.py
+++ b/tansyladder/lab/chaos/skewed_clock.py
@@ -1,4 +1,4 @@
-"""Runs a node whose wall clock is off by some seconds.
+"""Runs a node whose wall clock is wrong by some seconds.
 
 Usage: `python -m tansyladder.lab.chaos.skewed_clock SECONDS …`; the rest is as for `python -m tansyladder`.
 """
@@ -15,11 +15,11 @@
 
 
 class SkewedDatetime(datetime):
-    """The wall clock with its offset; a node reads it once, at its start."""
+    """The wall clock with an offset; a node reads it once, at its start."""
 
     @classmethod
     def now(cls, tz: tzinfo | None = None) -> SkewedDatetime:
-        """Return the time that the node takes for the present."""
+        """Return the present time with the offset."""
         true_time = super().now(tz)
         return true_time + CLOCK_OFFSET
 
--- a/tansyladder/lab/client_session.py
+++ b/tansyladder/lab/client_session.py
@@ -7,22 +7,22 @@
 
 from datetime import timedelta
 
-from tansyladder.lab.report import Report, clock
+from tansyladder.lab.report import Invariant, Report, clock
 
 ACK_INTERVAL = 8  # host lines between two acknowledgements
 
 
 class SessionObserver:
-    """What a session tells whoever records it; nothing is recorded here."""
+    """Is notified of a session's events; subclasses record them, and this class does nothing."""
 
     def on_line_sent(self, number: int) -> None:
-        """A line of the client is sent for the first time."""
+        """Observe that a line of the client is sent for the first time."""
 
     def on_line_received(self, number: int, confirmed: int) -> None:
-        """A host line has come; it confirms the client's lines up to `confirmed`."""
+        """Observe a host line that confirms the client's lines up to `confirmed`."""
 
     def on_migration_requested(self) -> None:
-        """MOVE has come; the token is still the session's."""
+        """Observe a MOVE line; the session still has its token."""
 
 
 class GapMeter:
@@ -33,11 +33,11 @@
         self._last_frame_at: timedelta | None = None
 
     def reset(self) -> None:
-        """Forget the longest gap, but not when the last frame came."""
+        """Reset the longest gap, but not the time of the last frame."""
         self.longest = timedelta(0)
 
     def record_frame(self) -> None:
-        """Note that a frame has come."""
+        """Record that a frame was received now."""
         now = clock()
         if self._last_frame_at is not None:
             self.longest = max(self.longest, now - self._last_frame_at)
@@ -47,14 +47,14 @@
 class ClientSession:
     """One session over all of its connections. Owned by one event loop; not thread-safe."""
 
-    def __init__(self, report: Report, observer: SessionObserver, gaps: GapMeter, resumes: bool) -> None:
+    def __init__(self, report: Report, observer: SessionObserver, gaps: GapMeter, *, resumes: bool) -> None:
         self.token = ""  # the one that resumes it; empty while there is none to show
         self.received = 0  # the last host line
-        self.is_migrating = False  # MOVE has come: another session has to be opened
+        self.is_migrating = False  # MOVE was received: the client has to open another session
         self._acknowledged = 0  # the last host line that was acknowledged
-        self._sent = 0  # the last line of its own
-        self._confirmed = 0  # the last line of its own that a host has confirmed
-        self._unacknowledged: list[int] = []  # lines of its own that may have to be sent again
+        self._sent = 0  # the client's last line
+        self._confirmed = 0  # the client's last line that a host has confirmed
+        self._unacknowledged: list[int] = []  # the client's lines that may have to be sent again
         self._report = report
         self._observer = observer
         self._gaps = gaps
@@ -65,6 +65,15 @@
         """How many of its lines no host has confirmed."""
         return self._sent - self._confirmed
 
+    def take_token(self) -> str:
+        """Return the token and forget it, as it may be shown once; empty where there is none."""
+        token, self.token = self.token, ""
+        return token
+
+    def return_token(self, token: str) -> None:
+        """Store a token again that was shown and may still be valid."""
+        self.token = token
+
     def next_line(self) -> str:
         """Return the client's next line."""
         self._sent += 1
@@ -77,7 +86,7 @@
         words = line.decode().split()
         match words[0]:
             case "RS":
-                return self._receive_control_line(words)
+                return self._receive_control_message(words)
             case "F":
                 return self._receive_frame(int(words[1]), int(words[2]))
             case "MOVE":
@@ -86,10 +95,11 @@
                 self.token = ""
                 self.is_migrating = True
             case _:
-                self._report.record_violation("final_answers_wrong", f"{line[:60]!r} after UP")
+                self._report.record_violation(Invariant.FINAL_ANSWER, f"{line[:60]!r} after UP")
         return []
 
-    def _receive_control_line(self, words: list[str]) -> list[str]:
+    def _receive_control_message(self, words: list[str]) -> list[str]:
+        """Handle an RS line; return the lines that have to be sent again."""
         match words:
             case ["RS", "TOKEN", token, _]:
                 self.token = token
@@ -99,25 +109,27 @@
             case ["RS", "ACK", position]:
                 self._acknowledge_up_to(int(position))
             case ["RS", "OFF", *_]:
-                self._report.counts["cannot_return"] += 1
+                self._report.counts["resumption_off"] += 1
             case _:
-                self._report.record_violation("bad_words", " ".join(words))
+                self._report.record_violation(Invariant.VALID_CONTROL_MESSAGE, " ".join(words))
         return []
 
     def _acknowledge_up_to(self, position: int) -> None:
-        """Forget lines that nobody will ask for again."""
+        """Drop the lines up to a position, which need not be sent again."""
         self._unacknowledged = [number for number in self._unacknowledged if number > position]
 
     def _receive_frame(self, number: int, confirmed: int) -> list[str]:
-        """Check a host line's number and what it confirms, and acknowledge it when it is time."""
+        """Check a host line's number and what it confirms; return an acknowledgement where one is due."""
         self._observer.on_line_received(number, confirmed)
         self._gaps.record_frame()
         if number > self.received + 1:
-            self._report.record_violation("lines_lost", f"host line {number} after {self.received}")
+            self._report.record_violation(Invariant.NO_LINE_LOST, f"host line {number} after {self.received}")
         elif number <= self.received:
-            self._report.record_violation("lines_doubled", f"host line {number}")
+            self._report.record_violation(Invariant.NO_LINE_DUPLICATED, f"host line {number}")
         if confirmed > self._sent:
-            self._report.record_violation("lines_doubled", f"heard {confirmed} of {self._sent}")
+            self._report.record_violation(
+                Invariant.NO_LINE_DUPLICATED, f"{confirmed} lines confirmed, {self._sent} sent"
+            )
         self.received = max(self.received, number)
         self._confirmed = max(self._confirmed, confirmed)
         if self._resumes and self.received - self._acknowledged >= ACK_INTERVAL:
--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -5,15 +5,17 @@
 import asyncio
 import contextlib
 import random
-from dataclasses import dataclass
+from dataclasses import KW_ONLY, dataclass
 from datetime import timedelta
+from enum import Enum, auto
 from typing import NamedTuple
 
 from tansyladder.lab.client_session import ClientSession, GapMeter, SessionObserver
-from tansyladder.lab.connections import LOOPBACK, Connection, connection, open_connection
-from tansyladder.lab.report import Report, clock
+from tansyladder.lab.connections import LOOPBACK, Connection, answer_status, connection, open_connection
+from tansyladder.lab.report import Invariant, Report, clock
+from tansyladder.lab.waiting import DelayRange
 
-RECONNECT_DELAY = (0.11, 0.82)  # seconds, the least and the most before a client connects again
+RECONNECT_DELAY = DelayRange(0.11, 0.82)  # before a client connects again
 LINE_INTERVAL = 1.0  # seconds between two lines of a client
 ANSWER_TIMEOUT = 5.0  # seconds beyond the client's deadline until an answer counts as missing
 ANSWER_TIMEOUT_OF_IMPATIENT = 0.7  # the same for a client that gives up on a silent node and connects again
@@ -29,6 +31,7 @@
     """What all clients of a run have in common."""
 
     seed: int
+    _: KW_ONLY
     resumes: bool  # whether they offer to resume their session on another connection
     line_interval: float = LINE_INTERVAL  # seconds
     silence_timeout: float | None = None  # seconds without a line after which a connection counts as dead
@@ -46,8 +49,16 @@
     open_parameters: str  # the first line after the connection's id
 
 
+class ClientState(Enum):
+    """What a client does; it goes through these states in their order, and may skip QUIET."""
+
+    ACTIVE = auto()  # sends lines, and reconnects when its connection ends
+    QUIET = auto()  # reconnects, and sends no lines
+    LEAVING = auto()  # its connection has ended or is closed, and it does not reconnect
+
+
 class Client(SessionObserver):
-    """One viewer with one session at a time. Owned by one event loop; not thread-safe.
+    """One client with one session at a time. Owned by one event loop; not thread-safe.
 
     Subclasses observe it through the `on_...` methods, which do nothing here.
     """
@@ -56,86 +67,111 @@
 
     def __init__(self, report: Report, port: int, number: int, settings: ClientSettings) -> None:
         self.report = report
-        self.port = port
         self.number = number
-        self.resumes = settings.resumes
-        self.rng = random.Random(settings.seed * 1_000_003 + number)
-        self.connections = 0  # opened so far
         self.session_count = 0  # begun so far
-        self.connections_at_watch = 0
         self.used_token = ""  # the last one that was shown
-        self.up = asyncio.Event()  # set while the client is served
         self.served_at = timedelta(0)
-        self.gaps = GapMeter()  # measures since the last `watch`
-        self.session = self._new_session()
-        self.is_quiet = False  # set by the run: the client sends no more lines
+        self.gaps = GapMeter()  # measures since `start_measurement`
+        self._address = f"{LOOPBACK}:{port}"
         self._settings = settings
-        if self.rng.random() < PREVIEW_SHARE:
+        self._rng = random.Random(settings.seed * 1_000_003 + number)
+        self.session = self._new_session()
+        self._state = ClientState.ACTIVE
+        self._served = asyncio.Event()  # set while a session is served; independent of the client's state
+        self._connection_count = 0  # opened so far
+        self._count_at_measurement = 0  # connections that were opened before the measurement
+        if self._rng.random() < PREVIEW_SHARE:
             self._class_name = "preview"
             self._deadline_ms = 2000
         else:
             self._class_name = "viewport"
             self._deadline_ms = 1200
-        self._key = f"{self.rng.getrandbits(64):016x}"
+        self._key = f"{self._rng.getrandbits(64):016x}"
         self._group = f"{number // CLIENTS_PER_GROUP + 1:x}"
         self._writer: asyncio.StreamWriter | None = None
-        self._is_leaving = False
 
     # --- for subclasses that observe
 
     def on_open_sent(self, connection_id: str, token: str) -> None:
-        """A first line was sent; `token` is empty where it shows none."""
+        """Observe that a first line was sent; `token` is empty where it shows none."""
 
-    def on_answered(self, connection_id: str, word: str, line: str) -> None:
-        """The first line back has come, or the connection ended without one (both are empty then)."""
+    def on_answered(self, connection_id: str, status: str, line: str) -> None:
+        """Observe an answer, or the end of a connection without one (both are empty then)."""
 
     # --- for the run
 
-    def watch(self) -> None:
-        """Measure gaps, and whether its connection stays, from now on."""
+    @property
+    def is_served(self) -> bool:
+        """Whether it has a session that is served on its connection."""
+        return self._served.is_set()
+
+    @property
+    def has_same_connection(self) -> bool:
+        """Whether it is served on the connection that it had when the measurement was started."""
+        return self.is_served and self._connection_count == self._count_at_measurement
+
+    @property
+    def unconfirmed_line_count(self) -> int:
+        """How many of its lines no host has confirmed; 0 a moment after it stops sending."""
+        return self.session.unconfirmed_line_count if self.is_served else 0
+
+    @property
+    def _is_leaving(self) -> bool:
+        return self._state is ClientState.LEAVING
+
+    async def wait_until_served(self) -> None:
+        """Wait until it has a session that is served."""
+        await self._served.wait()
+
+    def start_measurement(self) -> None:
+        """Measure gaps, and whether its connection stays the same, from now on."""
         self.gaps.reset()
-        self.connections_at_watch = self.connections
+        self._count_at_measurement = self._connection_count
 
     async def run(self) -> None:
-        """Connect, and connect again after each end, until `leave` or too many attempts in a row fail."""
+        """Connect, and reconnect after each end, until `leave` or too many attempts in a row fail."""
         failed_attempts = 0
         while not self._is_leaving and failed_attempts < self.max_attempts:
             was_served = await self._use_one_connection()
             failed_attempts = 0 if was_served else failed_attempts + 1
             if not self._is_leaving:
-                await asyncio.sleep(self.rng.uniform(*RECONNECT_DELAY))
+                await asyncio.sleep(self._rng.uniform(*RECONNECT_DELAY))
         if failed_attempts >= self.max_attempts:
             self.report.counts["gave_up"] += 1
 
+    def stop_sending(self) -> None:
+        """Send no more lines; the session stays."""
+        if self._state is ClientState.ACTIVE:
+            self._state = ClientState.QUIET
+
     async def leave(self) -> None:
-        """End the session and the connection in good order, for good."""
-        self._is_leaving = True
+        """End the session and close the connection, for good."""
+        self._state = ClientState.LEAVING
         if self._writer is not None:
             with contextlib.suppress(OSError):
-                if self.resumes and self.up.is_set():
+                if self._settings.resumes and self.is_served:
                     self._writer.write(b"RS END\r\n")
                 self._writer.close()
 
-    def unconfirmed_line_count(self) -> int:
-        """Return how many of its lines no host has confirmed; 0 a moment after it stops sending."""
-        return self.session.unconfirmed_line_count if self.up.is_set() else 0
-
-    async def replay(self) -> str:
-        """Show the used token once more; return the answer's first word. The session must not notice."""
-        async with connection(f"{LOOPBACK}:{self.port}") as opened:
-            parameters = self._resume_parameters(self.used_token)
-            opened.writer.write(f"OPEN {self.rng.getrandbits(60):x} {parameters}\r\n".encode())
-            answer = await asyncio.wait_for(opened.reader.readline(), ANSWER_TIMEOUT)
-            return answer.split(b" ")[0].strip().decode()
+    async def replay_token(self) -> str:
+        """Show the used token once more; return the answer's first word. The session must not be affected."""
+        async with connection(self._address) as established:
+            line = f"OPEN {self._rng.getrandbits(60):x} {self._resume_parameters(self.used_token)}"
+            return answer_status(await established.exchange_line(line, ANSWER_TIMEOUT))
 
     def abandon(self) -> AbandonedSession:
-        """Break the connection and connect no more."""
-        self._is_leaving = True
+        """Reset the connection and do not reconnect."""
+        self._state = ClientState.LEAVING
         self.reset_connection()
         return AbandonedSession(self.session.token, self._resume_parameters(self.session.token))
 
+    def expect_disconnect(self) -> None:
+        """Count as not served until the next UP: the run is about to end the node."""
+        self._served.clear()
+
     def reset_connection(self) -> None:
         """Reset the connection, as when a network is gone."""
+        self._served.clear()
         if self._writer is not None:
             self._writer.transport.abort()
 
@@ -143,104 +179,113 @@
 
     async def _use_one_connection(self) -> bool:
         """Open a connection and use it until it ends; return whether it was served."""
-        self.connections += 1
+        self._connection_count += 1
         try:
-            opened = await open_connection(f"{LOOPBACK}:{self.port}")
+            established = await open_connection(self._address)
         except OSError:
             self.report.counts["refused_connections"] += 1
             return False
-        self._writer = opened.writer
+        self._writer = established.writer
         try:
-            if not await self._open_session(opened):
+            if not await self._open_session(established):
                 return False
-            await self._exchange_lines(opened)
+            await self._exchange_lines(established)
             return True
         finally:
-            self.up.clear()
-            opened.writer.close()
+            self._served.clear()
+            established.writer.close()
 
-    async def _open_session(self, opened: Connection) -> bool:
+    async def _open_session(self, established: Connection) -> bool:
         """Send the first line and read its answer; return whether a session is served."""
-        shown_token = self.session.token if self.resumes else ""
+        shown_token = self.session.take_token() if self._settings.resumes else ""
         if shown_token:
-            parameters = self._resume_parameters(shown_token)
-            self.session.token = ""
             self.used_token = shown_token
-        else:
-            parameters = self._parameters() + (",rs=1" if self.resumes else "")
-        if self.connections > 1:
-            parameters += ",again=1"
-        connection_id = f"{self.rng.getrandbits(60):x}"
+        connection_id = f"{self._rng.getrandbits(60):x}"
         sent_at = clock()
         try:
-            opened.writer.write(f"OPEN {connection_id} {parameters}\r\n".encode())
             self.on_open_sent(connection_id, shown_token)
-            timeout = self._deadline_ms / 1000 + self._settings.answer_timeout
-            line = await asyncio.wait_for(opened.reader.readline(), timeout)
-            answer = line.decode()
-        except TimeoutError:  # is an OSError, so it comes first
-            self.session.token = shown_token
-            self.report.record_violation("final_answers_wrong", f"no answer on connection {self.connections}")
+            answer = await established.exchange_line(
+                f"OPEN {connection_id} {self._open_parameters(shown_token)}",
+                self._deadline_ms / 1000 + self._settings.answer_timeout,
+            )
+            status = answer_status(answer)
+            text = answer.decode().strip()
+        except TimeoutError:  # is an OSError, so it is handled first
+            self.session.return_token(shown_token)
+            self.report.record_violation(
+                Invariant.FINAL_ANSWER, f"no answer on connection {self._connection_count}"
+            )
             return False
         except (OSError, ValueError, asyncio.IncompleteReadError):
-            self.session.token = shown_token
+            self.session.return_token(shown_token)
+            return False
+        self.on_answered(connection_id, status, text)
+        if status in ("BUSY", ""):  # rejected for now, or not answered: the token may still be valid
+            self.session.return_token(shown_token)
+        self._check_answer(answer, status)
+        if status != "UP":
             return False
-        self.on_answered(connection_id, answer.split(" ")[0].strip(), answer.strip())
-        return self._handle_answer(line, shown_token, sent_at)
-
-    def _handle_answer(self, line: bytes, shown_token: str, sent_at: timedelta) -> bool:
-        """Count an answer; return whether it is UP."""
-        word = line.split(b" ")[0].strip().decode()
-        self.report.counts[f"answer_{word or 'none'}"] += 1
-        if word not in FINAL_ANSWERS and not self._is_leaving:
+        self._start_serving(shown_token, sent_at)
+        return True
+
+    def _check_answer(self, answer: bytes, status: str) -> None:
+        """Count an answer, and check that it is a final one."""
+        self.report.counts[f"answer_{status or 'none'}"] += 1
+        if status not in FINAL_ANSWERS and not self._is_leaving:
             self.report.record_violation(
-                "final_answers_wrong", f"{line[:60]!r} on connection {self.connections}"
+                Invariant.FINAL_ANSWER, f"{answer[:60]!r} on connection {self._connection_count}"
             )
-        if word in ("BUSY", ""):  # refused for now, or no answer came: the token may still be good
-            self.session.token = shown_token
-        if word != "UP":
-            return False
+
+    def _start_serving(self, shown_token: str, sent_at: timedelta) -> None:
+        """Record that the answer is UP, and begin a session where no token resumed the one before."""
         self.served_at = clock()
-        self.report.record_delay("come_back" if shown_token else "set_up", self.served_at - sent_at)
+        self.report.record_delay("resume" if shown_token else "set_up", self.served_at - sent_at)
         if not shown_token:
             self.session_count += 1
             self.session = self._new_session()
-        self.up.set()
-        return True
+        self._served.set()
 
-    def _parameters(self) -> str:
-        """Return what each of its first lines has after the connection's id."""
-        return f"{self._key} c={self._class_name},d={self._deadline_ms},g={self._group}"
+    def _open_parameters(self, shown_token: str) -> str:
+        """Return the first line after the connection's id."""
+        if shown_token:
+            parameters = self._resume_parameters(shown_token)
+        else:
+            parameters = self._common_parameters() + (",rs=1" if self._settings.resumes else "")
+        return parameters + (",again=1" if self._connection_count > 1 else "")
 
     def _resume_parameters(self, token: str) -> str:
         """Return the same for a first line that shows a token."""
-        return f"{self._parameters()},rt={token},rp={self.session.received}"
+        return f"{self._common_parameters()},rt={token},rp={self.session.received}"
+
+    def _common_parameters(self) -> str:
+        """Return what all of its first lines have after the connection's id."""
+        return f"{self._key} c={self._class_name},d={self._deadline_ms},g={self._group}"
 
-    async def _exchange_lines(self, opened: Connection) -> None:
-        """Send and receive lines until the connection ends, breaks or falls silent."""
-        sender = asyncio.ensure_future(self._send_lines(opened.writer))
+    async def _exchange_lines(self, established: Connection) -> None:
+        """Send and receive lines until the connection ends, breaks or is silent for too long."""
+        sender = asyncio.ensure_future(self._send_lines(established.writer))
         try:
-            await self._receive_lines(opened)
+            await self._receive_lines(established)
         except (OSError, ValueError, asyncio.IncompleteReadError):
-            pass  # the node, or the way to it, is gone or silent (TimeoutError is an OSError)
+            pass  # the node, or the link to it, is gone or silent (TimeoutError is an OSError)
         finally:
             sender.cancel()
 
     async def _send_lines(self, writer: asyncio.StreamWriter) -> None:
-        """Send lines at a steady pace, the clients out of step with each other."""
+        """Send lines at a constant rate; the clients' phases differ."""
         interval = self._settings.line_interval
-        await asyncio.sleep(self.rng.random() * interval)
-        while not writer.transport.is_closing() and not self.is_quiet:
+        await asyncio.sleep(self._rng.random() * interval)
+        while not writer.transport.is_closing() and self._state is ClientState.ACTIVE:
             writer.write(f"{self.session.next_line()}\r\n".encode())
             await asyncio.sleep(interval)
 
-    async def _receive_lines(self, opened: Connection) -> None:
+    async def _receive_lines(self, established: Connection) -> None:
         """Receive lines until the connection ends or the session migrates. Raises OSError, ValueError."""
-        while line := await asyncio.wait_for(opened.reader.readline(), self._settings.silence_timeout):
+        while line := await asyncio.wait_for(established.reader.readline(), self._settings.silence_timeout):
             for answer in self.session.receive(line):
-                opened.writer.write(f"{answer}\r\n".encode())
+                established.writer.write(f"{answer}\r\n".encode())
             if self.session.is_migrating:
                 return
 
     def _new_session(self) -> ClientSession:
-        return ClientSession(self.report, self, self.gaps, self.resumes)
+        return ClientSession(self.report, self, self.gaps, resumes=self._settings.resumes)
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -3,29 +3,45 @@
 from __future__ import annotations
 
 import asyncio
-import dataclasses
 import json
 import sys
+import tempfile
+from collections import Counter
 from collections.abc import Coroutine
 from pathlib import Path
 from typing import Any
 
 import click
+import msgspec
 
-from tansyladder.lab import cost, drain, reconnect, restart
+from tansyladder.lab import cost, crash_consistency, drain, fleet_counts, reconnect, restart, store_kill
 from tansyladder.lab.chaos import commands as chaos_commands
-from tansyladder.lab.drain import DrainStyle
+from tansyladder.lab.drain import DrainReport, DrainStyle
 from tansyladder.lab.interactive import serve_cluster, serve_node
-from tansyladder.lab.output import show
+from tansyladder.lab.output import JsonReport, show
+from tansyladder.lab.reconnect import ReconnectReport
+from tansyladder.lab.restart import RestartReport
 
 SWITCH = click.Choice(["on", "off"])
 
 
-def _run_and_exit(experiment: Coroutine[Any, Any, dict[str, Any]], as_json: bool) -> None:
+class FleetReport(JsonReport, frozen=True, kw_only=True):
+    """The counts of all nodes; seconds count from the earliest line."""
+
+    nodes: int
+    unread_lines: int = msgspec.field(name="unread")
+    totals: Counter[str]
+    seconds: dict[int, Counter[str]]
+    connections: dict[int, Counter[str]] = msgspec.field(name="standing")  # by second and endpoint
+
+
+def _run_and_exit(
+    experiment: Coroutine[Any, Any, DrainReport | ReconnectReport | RestartReport], *, as_json: bool
+) -> None:
     """Run an experiment, show its report, and exit with 1 where an invariant was violated."""
     report = asyncio.run(experiment)
-    show(report, as_json)
-    sys.exit(1 if any(report.get(rule) for rule in drain.RULES) else 0)
+    show(report, as_json=as_json)
+    sys.exit(1 if report.violations.has_any else 0)
 
 
 @click.command("drain")
@@ -37,9 +53,10 @@
     "--style", default="told", show_default=True, type=click.Choice([style.value for style in DrainStyle])
 )
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def drain_command(sessions: int, hosts: int, seed: int, resume: str, style: str, as_json: bool) -> None:
-    """Put all sessions on one host, drain it, and see where they go on and what they miss."""
-    _run_and_exit(drain.run(sessions, hosts, seed, resume == "on", DrainStyle(style)), as_json)
+def drain_command(sessions: int, hosts: int, seed: int, resume: str, style: str, *, as_json: bool) -> None:
+    """Drain the host that has all sessions, and measure how they migrate to the others."""
+    experiment = drain.run(sessions, hosts, seed, DrainStyle(style), resumes=resume == "on")
+    _run_and_exit(experiment, as_json=as_json)
 
 
 @click.command("reconnect")
@@ -49,9 +66,12 @@
 @click.option("--resume", default="on", show_default=True, type=SWITCH)
 @click.option("--share", default=0.5, show_default=True, type=click.FloatRange(0.01, 1))
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def reconnect_command(sessions: int, hosts: int, seed: int, resume: str, share: float, as_json: bool) -> None:
-    """Break a share of the clients' connections at one moment, and see them come back."""
-    _run_and_exit(reconnect.run(sessions, hosts, seed, resume == "on", share), as_json)
+def reconnect_command(
+    sessions: int, hosts: int, seed: int, resume: str, share: float, *, as_json: bool
+) -> None:
+    """Reset a share of the clients' connections at one moment, and measure how soon they reconnect."""
+    experiment = reconnect.run(sessions, hosts, seed, share, resumes=resume == "on")
+    _run_and_exit(experiment, as_json=as_json)
 
 
 @click.command("cost")
@@ -59,9 +79,9 @@
 @click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 50))
 @click.option("--seed", default=1, show_default=True)
 def cost_command(sessions: tuple[int, ...], hosts: int, seed: int) -> None:
-    """Measure what a session costs the node, with resuming and without; one JSON object a line."""
+    """Measure what a session costs the node, with resumption and without; one JSON object a line."""
     for count in sessions:
-        click.echo(json.dumps(asyncio.run(cost.run(count, hosts, seed))))
+        click.echo(json.dumps(asyncio.run(cost.run(count, hosts, seed)).json_object()))
 
 
 @click.command("up")
@@ -72,11 +92,11 @@
     default=1,
     show_default=True,
     type=click.IntRange(1, 9),
-    help="more than one: they are peers, with a front",
+    help="more than one: they are peers, behind a load balancer",
 )
 def up_command(hosts: int, resume: str, nodes: int) -> None:
-    """Start stand-in hosts, a discovery and nodes, and say how to talk to them; until Ctrl-C."""
-    asyncio.run(serve_cluster(nodes, hosts) if nodes > 1 else serve_node(hosts, resume == "on"))
+    """Run stand-in hosts, a discovery service and nodes until Ctrl-C, and print how to talk to them."""
+    asyncio.run(serve_cluster(nodes, hosts) if nodes > 1 else serve_node(hosts, resumes=resume == "on"))
 
 
 @click.command("restart")
@@ -85,31 +105,27 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--store", default="on", show_default=True, type=SWITCH)
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def restart_command(sessions: int, hosts: int, seed: int, store: str, as_json: bool) -> None:
-    """End the node with SIGKILL, start it again, and see which sessions go on."""
-    _run_and_exit(restart.run(sessions, hosts, seed, store == "on"), as_json)
+def restart_command(sessions: int, hosts: int, seed: int, store: str, *, as_json: bool) -> None:
+    """Kill the node, start it again, and count which sessions are resumed."""
+    _run_and_exit(restart.run(sessions, hosts, seed, has_store=store == "on"), as_json=as_json)
 
 
 @click.command("fleet")
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 @click.option("--members", is_flag=True, help="connections/attempts/failures by member, not what nodes did")
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def fleet_command(folder: Path, members: bool, as_json: bool) -> None:
+def fleet_command(folder: Path, *, members: bool, as_json: bool) -> None:
     """Add up the `counts` lines of a fleet's logs, a file for each node, by second."""
-    from tansyladder.lab import fleet_counts
-
     counts = fleet_counts.read_folder(folder)
     if as_json:
-        show(
-            {
-                "nodes": counts.nodes,
-                "unread": counts.unread,
-                "totals": counts.totals,
-                "seconds": counts.seconds,
-                "standing": counts.connections,
-            },
-            True,
+        report = FleetReport(
+            nodes=counts.nodes,
+            unread_lines=counts.unread,
+            totals=counts.totals,
+            seconds=counts.seconds,
+            connections=counts.connections,
         )
+        show(report, as_json=True)
     else:
         click.echo(fleet_counts.table(counts, members))
 
@@ -118,40 +134,41 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--full", is_flag=True, help="every step and every offset")
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def store_faults_command(seed: int, full: bool, as_json: bool) -> None:
-    """Hurt a store's files in every way that the stand-in knows, and check what is there after recovery."""
-    from tansyladder.lab import crash_consistency
-
-    report = crash_consistency.run(seed, full)
-    show(dataclasses.asdict(report), as_json)
-    sys.exit(1 if report.broken_promises else 0)
+def store_faults_command(seed: int, *, full: bool, as_json: bool) -> None:
+    """Lose power, fail calls and corrupt files of a store, and check the state that it recovers to."""
+    report = crash_consistency.run(seed, full=full)
+    show(report, as_json=as_json)
+    sys.exit(1 if report.violation_count else 0)
 
 
 @click.command("store-kill")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--rounds", default=200, show_default=True, type=click.IntRange(1, 10_000))
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def store_kill_command(seed: int, rounds: int, as_json: bool) -> None:
-    """End a writing process with SIGKILL again and again, and check what it had acknowledged."""
-    import tempfile
-
-    from tansyladder.lab import store_kill
-
+def store_kill_command(seed: int, rounds: int, *, as_json: bool) -> None:
+    """Kill a writing process again and again, and check that all it had acknowledged is stored."""
     with tempfile.TemporaryDirectory(prefix="tansyladder-kill-") as folder:
         report = store_kill.run(Path(folder), seed, rounds)
-    show(dataclasses.asdict(report), as_json)
-    sys.exit(1 if report.lost or report.wrong else 0)
+    show(report, as_json=as_json)
+    sys.exit(1 if report.lost or report.invalid_states else 0)
 
 
 @click.command("store-bench")
-@click.option("--folder", type=click.Path(path_type=Path, exists=True), help="where; none: a temporary one")
-@click.option("--records", default=1_000_000, show_default=True, help="small ones, whose memory is measured")
+@click.option(
+    "--folder",
+    type=click.Path(path_type=Path, exists=True),
+    help="folder to write in; without it a temporary one",
+)
+@click.option(
+    "--records", default=1_000_000, show_default=True, help="small records of the memory measurement"
+)
 @click.option("--json", "as_json", is_flag=True, help="one JSON object")
-def store_bench_command(folder: Path | None, records: int, as_json: bool) -> None:
+def store_bench_command(folder: Path | None, records: int, *, as_json: bool) -> None:
     """Measure the store beside sqlite3 and lmdb, in one run on one folder."""
+    # Loads sqlite3 and lmdb, which no other command needs.
     from tansyladder.lab import store_benchmark
 
-    show(store_benchmark.run(folder, records), as_json)
+    show(store_benchmark.run(folder, records), as_json=as_json)
 
 
 EARLIER_NAMES = {
--- a/tansyladder/lab/connections.py
+++ b/tansyladder/lab/connections.py
@@ -16,6 +16,14 @@
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
+    async def exchange_line(self, line: str, timeout: float) -> bytes:
+        """Send a line and return the next one that is received, or what was received before the end.
+
+        Raises OSError, and TimeoutError where nothing is received in `timeout` seconds.
+        """
+        self.writer.write(f"{line}\r\n".encode())
+        return await asyncio.wait_for(self.reader.readline(), timeout)
+
 
 async def open_connection(address: str) -> Connection:
     """Connect to `HOST:PORT`. Raises OSError."""
@@ -27,8 +35,13 @@
 @contextlib.asynccontextmanager
 async def connection(address: str) -> AsyncIterator[Connection]:
     """Connect to `HOST:PORT`, and close the connection at the end of the block. Raises OSError."""
-    opened = await open_connection(address)
+    established = await open_connection(address)
     try:
-        yield opened
+        yield established
     finally:
-        opened.writer.close()
+        established.writer.close()
+
+
+def answer_status(answer: bytes) -> str:
+    """Return the first word of an answer; empty where none was received. Raises ValueError."""
+    return answer.partition(b" ")[0].strip().decode()
--- a/tansyladder/lab/cost.py
+++ b/tansyladder/lab/cost.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
+import msgspec
+
+from tansyladder.lab.output import JsonReport
 from tansyladder.lab.report import MICROSECOND
 from tansyladder.lab.topology import TopologySettings, running_topology
 
@@ -12,25 +14,58 @@
 FRAME_INTERVAL = 4.0  # seconds between two frames of a session beside the answers to lines
 WARM_UP_TIME = 2.0  # seconds that all sessions are served before the measurement
 MEASUREMENT_TIME = 6.0  # seconds over which CPU time is counted
+KIBIBYTE = 1 << 10
 MEBIBYTE = 1 << 20
 
 
-async def run(sessions: int, hosts: int, seed: int) -> dict[str, Any]:
-    """Report memory (RssAnon beyond an idle node's) and CPU time of a session, both ways, with ratios."""
-    figures = {
-        "off": await _measure(sessions, hosts, seed, resumes=False),
-        "on": await _measure(sessions, hosts, seed, resumes=True),
-    }
-    ratios = {
-        name: round(figures["on"][name] / figures["off"][name], 2) if figures["off"][name] else None
-        for name in figures["on"]
-    }
-    return {"sessions": sessions, **figures, "on_to_off": ratios}
+class SessionCost(msgspec.Struct, frozen=True):
+    """What an idle node takes, and what each session adds."""
+
+    idle_mb: float
+    kb_per_session: float = msgspec.field(name="kb_a_session")
+    cpu_us_per_session_second: float = msgspec.field(name="cpu_us_a_session_second")
+
+    def ratios_to(self, other: SessionCost) -> SessionCostRatios:
+        """Return how many times as much as another this is."""
+        return SessionCostRatios(
+            idle_mb=_ratio(self.idle_mb, other.idle_mb),
+            kb_per_session=_ratio(self.kb_per_session, other.kb_per_session),
+            cpu_us_per_session_second=_ratio(self.cpu_us_per_session_second, other.cpu_us_per_session_second),
+        )
+
+
+class SessionCostRatios(msgspec.Struct, frozen=True):
+    """Each cost with resumption as a multiple of the one without; None where that is 0."""
+
+    idle_mb: float | None
+    kb_per_session: float | None = msgspec.field(name="kb_a_session")
+    cpu_us_per_session_second: float | None = msgspec.field(name="cpu_us_a_session_second")
+
 
+class CostReport(JsonReport, frozen=True, kw_only=True):
+    """The costs of so many sessions."""
 
-async def _measure(sessions: int, hosts: int, seed: int, resumes: bool) -> dict[str, float]:
+    sessions: int
+    without_resumption: SessionCost = msgspec.field(name="off")
+    with_resumption: SessionCost = msgspec.field(name="on")
+    ratios: SessionCostRatios = msgspec.field(name="on_to_off")
+
+
+async def run(sessions: int, hosts: int, seed: int) -> CostReport:
+    """Measure memory (RssAnon beyond an idle node's) and CPU time of a session, both ways."""
+    without_resumption = await _measure(sessions, hosts, seed, resumes=False)
+    with_resumption = await _measure(sessions, hosts, seed, resumes=True)
+    return CostReport(
+        sessions=sessions,
+        without_resumption=without_resumption,
+        with_resumption=with_resumption,
+        ratios=with_resumption.ratios_to(without_resumption),
+    )
+
+
+async def _measure(sessions: int, hosts: int, seed: int, *, resumes: bool) -> SessionCost:
     settings = TopologySettings(
-        seed, hosts, resumes, frame_interval=FRAME_INTERVAL, line_interval=LINE_INTERVAL
+        seed, hosts, resumes=resumes, frame_interval=FRAME_INTERVAL, line_interval=LINE_INTERVAL
     )
     async with running_topology(settings) as topology:
         node = topology.node
@@ -40,8 +75,12 @@
         cpu_before = node.cpu_time()
         await asyncio.sleep(MEASUREMENT_TIME)
         cpu_us = (node.cpu_time() - cpu_before) / MICROSECOND
-        return {
-            "idle_mb": round(idle_bytes / MEBIBYTE, 2),
-            "kb_a_session": round((node.memory_bytes() - idle_bytes) / 1024 / sessions, 1),
-            "cpu_us_a_session_second": round(cpu_us / MEASUREMENT_TIME / sessions, 1),
-        }
+        return SessionCost(
+            idle_mb=round(idle_bytes / MEBIBYTE, 2),
+            kb_per_session=round((node.memory_bytes() - idle_bytes) / KIBIBYTE / sessions, 1),
+            cpu_us_per_session_second=round(cpu_us / MEASUREMENT_TIME / sessions, 1),
+        )
+
+
+def _ratio(value: float, other: float) -> float | None:
+    return round(value / other, 2) if other else None
--- a/tansyladder/lab/crash_consistency.py
+++ b/tansyladder/lab/crash_consistency.py
@@ -1,8 +1,8 @@
 """Every fault that the fault-injecting files know, and whether a store recovers from it to an allowed state.
 
-The checker knows the states that the store went through, one for each batch. What is recovered must be one of
-them: not older than what was acknowledged as synced, not newer than what was asked for. Nothing else is
-allowed, but StoreCorruptError where bytes that had been on disk were changed behind the store's back.
+The checker has the states that the store went through, one for each batch. What is recovered must be one of
+them: not older than the last write that was acknowledged as synced, not newer than the last request.
+StoreCorruptError is allowed only where the run has changed bytes that were on disk.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 from enum import Enum
 from typing import NamedTuple
 
-from tansyladder.lab.fault_injecting_files import NO_STEP, FaultInjectingFiles, SimulatedPowerLoss
+import msgspec
+
+from tansyladder.lab.fault_injecting_files import FaultInjectingFiles, SimulatedPowerLoss
+from tansyladder.lab.output import JsonReport
 from tansyladder.store import Durability, StoreError, WriteOperation, open_store
 from tansyladder.store.errors import StoreCorruptError, StoreFullError
 
@@ -24,7 +27,9 @@
 MAINTENANCE_BUDGET_BYTES = 300  # so that a compaction takes several steps
 NODE = "n1"
 KEY_COUNT = 9  # few, so that much is overwritten
-RECOVERY_STEPS = 12  # of a recovery, among which a second loss of power is drawn
+DELETION_SHARE = 0.25  # of a workload's operations
+BUFFERED_SHARE = 0.3  # of a workload's batches, which are not synced
+RECOVERY_STEPS = 12  # of a recovery: power may be lost a second time at any of them
 MAX_CASES = 5  # described in the report
 MAX_CASE_LENGTH = 400  # characters
 KEEP_SHARES = (0.1, 0.5, 0.9)  # of the unsynced changes that are on disk after a loss of power
@@ -39,21 +44,21 @@
     durability: Durability = Durability.SYNCED
 
 
-class BrokenPromise(Enum):
-    """What a recovered state that isn't allowed amounts to; the values name the report's fields."""
+class Violation(Enum):
+    """What is wrong with a recovered state; the values are keys of the report."""
 
-    LOST = "lost"
-    HALF_BATCH = "half_batches"
-    RESURRECTED = "resurrected"
+    LOST_WRITE = "lost"
+    PARTIAL_BATCH = "half_batches"
+    RESURRECTED_VALUE = "resurrected"  # one that was overwritten or deleted is back
 
 
 @dataclass(frozen=True, slots=True)
 class Thoroughness:
-    """How much of all that could be tried is tried."""
+    """How many of the possible faults are injected."""
 
     batches: int  # of a workload
-    draws: int  # states that are drawn for each loss of power
-    max_changes: int  # up to which every set of unsynced changes is tried
+    draws: int  # random states after each loss of power
+    max_changes: int  # up to which every set of unsynced changes is checked
     step_interval: int  # between two steps at which power is lost
     offset_interval: int  # between two bytes that are changed
 
@@ -62,25 +67,24 @@
 FULL = Thoroughness(batches=60, draws=6, max_changes=10, step_interval=1, offset_interval=1)
 
 
-@dataclass(frozen=True, slots=True)
-class CrashConsistencyReport:
-    """What a run came to; the names are those of the JSON report."""
+class CrashConsistencyReport(JsonReport, frozen=True, kw_only=True):
+    """The results of all recoveries."""
 
     offsets: int  # at which bytes were cut or flipped
     faults: int  # losses of power and failing calls
     recoveries: int
-    named: int  # recoveries that were refused with StoreCorruptError, where that is allowed
+    reported_corruptions: int = msgspec.field(name="named")  # StoreCorruptError where that is allowed
     lost: int
-    half_batches: int
+    partial_batches: int = msgspec.field(name="half_batches")
     resurrected: int
     max_recovery_ms: float
-    took_s: float
-    cases: list[str]  # the first of the recoveries that broke a promise
+    duration_s: float = msgspec.field(name="took_s")
+    cases: list[str]  # the first violations
 
     @property
-    def broken_promises(self) -> int:
-        """Recoveries to a state that isn't allowed."""
-        return self.lost + self.half_batches + self.resurrected
+    def violation_count(self) -> int:
+        """Recoveries to a state that is not allowed."""
+        return self.lost + self.partial_batches + self.resurrected
 
 
 class ManualClock:
@@ -90,12 +94,12 @@
         self.now = 1_000_000
 
     def __call__(self) -> int:
-        """The time that was set."""
+        """Return the time that was set."""
         return self.now
 
 
-def draw_workload(seed: int, batches: int) -> list[WorkloadStep]:
-    """A seeded workload of so many batches, with steps of maintenance between them."""
+def generate_workload(seed: int, batches: int) -> list[WorkloadStep]:
+    """Generate a workload of so many batches, with steps of maintenance between them."""
     rng = random.Random(seed)
     steps: list[WorkloadStep] = []
     for number in range(batches):
@@ -103,15 +107,15 @@
         for _ in range(rng.choice((1, 1, 1, 2, 4))):
             key = b"k%d" % rng.randrange(KEY_COUNT)
             value = b"%d-%d" % (number, rng.randrange(99)) * rng.randrange(1, 9)
-            operations.append(WriteOperation(key, None if rng.random() < 0.25 else value))
-        durability = Durability.BUFFERED if rng.random() < 0.3 else Durability.SYNCED
+            operations.append(WriteOperation(key, None if rng.random() < DELETION_SHARE else value))
+        durability = Durability.BUFFERED if rng.random() < BUFFERED_SHARE else Durability.SYNCED
         steps.append(WorkloadStep(tuple(operations), durability))
         steps += [WorkloadStep()] * rng.choice((0, 0, 1, 3))
     return steps
 
 
 def state_after(state: State, operations: tuple[WriteOperation, ...]) -> State:
-    """A state with a batch applied."""
+    """Return a state with a batch applied to it."""
     changed = dict(state)
     for operation in operations:
         if operation.value is None:
@@ -122,10 +126,10 @@
 
 
 class StoreLifetime:
-    """One run of a workload, as far as it gets before the power is lost or the store refuses to go on.
+    """One run of a workload, up to its end, a loss of power or an error of the store.
 
     Attributes:
-        states: the empty state, and the state after each batch that was asked for.
+        states: the empty state, and the state after each batch that was requested.
         acknowledged_state: the number of the newest state that a synced write acknowledged.
     """
 
@@ -138,6 +142,7 @@
             self._run(steps)
 
     def _run(self, steps: list[WorkloadStep]) -> None:
+        """Run the steps, and record each state. Raises SimulatedPowerLoss, StoreError."""
         store = open_store(self.files, NODE, self.clock, MAX_SEGMENT_BYTES)
         for operations, durability in steps:
             if not operations:
@@ -155,67 +160,70 @@
 
 
 def recover_contents(files: FaultInjectingFiles, clock: Callable[[], int]) -> State:
-    """What a store holds after recovery. StoreError: it can't be opened or read."""
+    """Recover a store and return its contents. Raises StoreError where it cannot be opened or read."""
     with contextlib.closing(open_store(files, NODE, clock, MAX_SEGMENT_BYTES)) as store:
         return dict(store.items())
 
 
 @dataclass(slots=True)
 class CheckResults:
-    """What the recoveries of a run came to."""
+    """The results of the recoveries so far."""
 
     recoveries: int = 0
-    named: int = 0  # refused with StoreCorruptError, where that is allowed
-    broken: dict[BrokenPromise, int] = field(default_factory=lambda: dict.fromkeys(BrokenPromise, 0))
+    reported_corruptions: int = 0  # StoreCorruptError where that is allowed
+    violations: dict[Violation, int] = field(default_factory=lambda: dict.fromkeys(Violation, 0))
     slowest_recovery_s: float = 0.0
     cases: list[str] = field(default_factory=list)
 
     def check_recovery(
-        self, files: FaultInjectingFiles, lifetime: StoreLifetime, case: str, is_damaged: bool = False
+        self, files: FaultInjectingFiles, lifetime: StoreLifetime, case: str, *, is_corrupted: bool = False
     ) -> None:
-        """Recover and compare; `is_damaged`: bytes were changed, so older states and refusals are allowed."""
+        """Recover a store and check its state.
+
+        Where the run has changed bytes (`is_corrupted`), older states and StoreCorruptError are allowed.
+        """
         self.recoveries += 1
         started = time.perf_counter()
         try:
             found = recover_contents(files, lifetime.clock)
         except StoreCorruptError as err:
-            if is_damaged:
-                self.named += 1
+            if is_corrupted:
+                self.reported_corruptions += 1
             else:
-                self._report(BrokenPromise.LOST, f"{case}: {err}")
+                self._record_violation(Violation.LOST_WRITE, f"{case}: {err}")
             return
         except StoreError as err:
-            self._report(BrokenPromise.LOST, f"{case}: {err!r}")
+            self._record_violation(Violation.LOST_WRITE, f"{case}: {err!r}")
             return
         finally:
             self.slowest_recovery_s = max(self.slowest_recovery_s, time.perf_counter() - started)
-        oldest_allowed = 0 if is_damaged else lifetime.acknowledged_state
+        oldest_allowed = 0 if is_corrupted else lifetime.acknowledged_state
         if found not in lifetime.states[oldest_allowed:]:
-            promise = _broken_promise(found, lifetime, oldest_allowed)
-            self._report(promise, f"{case}: {found} is no state from {oldest_allowed} on")
+            violation = _classify(found, lifetime, oldest_allowed)
+            self._record_violation(violation, f"{case}: {found} is no state from {oldest_allowed} on")
 
-    def _report(self, promise: BrokenPromise, case: str) -> None:
-        self.broken[promise] += 1
+    def _record_violation(self, violation: Violation, case: str) -> None:
+        """Count a violation, and store its case where it is one of the first."""
+        self.violations[violation] += 1
         if len(self.cases) < MAX_CASES:
-            self.cases.append(f"{promise.value}: {case}"[:MAX_CASE_LENGTH])
+            self.cases.append(f"{violation.value}: {case}"[:MAX_CASE_LENGTH])
 
 
-def _broken_promise(found: State, lifetime: StoreLifetime, oldest_allowed: int) -> BrokenPromise:
-    """Which promise a state breaks: an old one lost something, else a batch is in part there or back."""
+def _classify(found: State, lifetime: StoreLifetime, oldest_allowed: int) -> Violation:
+    """Return what is wrong with a state that is not allowed."""
     if found in lifetime.states[:oldest_allowed]:
-        return BrokenPromise.LOST
+        return Violation.LOST_WRITE
     allowed_pairs = {pair for state in lifetime.states[oldest_allowed:] for pair in state.items()}
-    return BrokenPromise.HALF_BATCH if set(found.items()) <= allowed_pairs else BrokenPromise.RESURRECTED
+    return Violation.PARTIAL_BATCH if set(found.items()) <= allowed_pairs else Violation.RESURRECTED_VALUE
 
 
 def check_power_losses(seed: int, thoroughness: Thoroughness, results: CheckResults) -> int:
-    """Lose power at each step of a life, and once more in the recovery; how many steps there are."""
-    steps = draw_workload(seed, thoroughness.batches)
+    """Lose power at steps of a workload, and again in the recovery; return how many steps there are."""
+    steps = generate_workload(seed, thoroughness.batches)
     step_count = StoreLifetime(FaultInjectingFiles(), steps).files.step_count
     rng = random.Random(seed)
     for step in range(0, step_count, thoroughness.step_interval):
-        files = FaultInjectingFiles()
-        files.power_loss_step = step
+        files = FaultInjectingFiles(power_loss_step=step)
         lifetime = StoreLifetime(files, steps)
         results.check_recovery(files.after_process_kill(), lifetime, f"killed at {step}")
         for number, state in enumerate(files.every_power_loss(thoroughness.max_changes)):
@@ -229,24 +237,23 @@
 def _check_second_loss(
     files: FaultInjectingFiles, rng: random.Random, lifetime: StoreLifetime, results: CheckResults, case: str
 ) -> None:
-    """Lose power in the recovery from a first loss too, and then let a recovery finish."""
-    files.power_loss_step = rng.randrange(RECOVERY_STEPS)
+    """Lose power in the recovery from a first loss too, and check the recovery after that."""
+    files.lose_power_at(rng.randrange(RECOVERY_STEPS))
     with contextlib.suppress(SimulatedPowerLoss, StoreError):
         open_store(files, NODE, lifetime.clock, MAX_SEGMENT_BYTES).maintain(MAINTENANCE_BUDGET_BYTES)
-    files.power_loss_step = NO_STEP
     results.check_recovery(files.after_power_loss(rng, rng.random()), lifetime, f"{case}, twice")
 
 
 def check_failing_calls(seed: int, batches: int, results: CheckResults) -> int:
-    """Let each call fail once, with EIO or ENOSPC, then crash; how many faults."""
-    steps = draw_workload(seed, batches)
+    """Let each call fail once, with EIO or ENOSPC, then crash; return how many faults there were."""
+    steps = generate_workload(seed, batches)
     rng = random.Random(seed + 1)
     undisturbed = StoreLifetime(FaultInjectingFiles(), steps).files
     faults = 0
     for step, kind in enumerate(undisturbed.step_kinds):
         for code in (errno.EIO, errno.ENOSPC):
             files = FaultInjectingFiles()
-            files.failing_steps[step] = code
+            files.fail_at(step, code)
             lifetime = StoreLifetime(files, steps)
             faults += 1
             case = f"errno {code} at {step} ({kind})"
@@ -256,9 +263,9 @@
 
 
 def check_changed_bytes(seed: int, thoroughness: Thoroughness, results: CheckResults) -> int:
-    """Cut and flip the files of a store in the middle of its life at each offset; how many offsets."""
+    """Cut files of an open store, or flip a bit, at each offset; return how many offsets there were."""
     files = FaultInjectingFiles()
-    lifetime = StoreLifetime(files, draw_workload(seed, thoroughness.batches))
+    lifetime = StoreLifetime(files, generate_workload(seed, thoroughness.batches))
     intact = {name: bytes(inode.visible) for name, inode in files.visible.items()}
     rng = random.Random(seed + 2)
     offset_count = 0
@@ -266,20 +273,20 @@
         offsets = range(rng.randrange(thoroughness.offset_interval), len(data), thoroughness.offset_interval)
         offset_count += len(offsets)
         for changed, case in _changed_copies(data, offsets, rng):
-            damaged = FaultInjectingFiles({**intact, name: changed})
-            results.check_recovery(damaged, lifetime, f"{name} {case}", is_damaged=True)
+            corrupted = FaultInjectingFiles({**intact, name: changed})
+            results.check_recovery(corrupted, lifetime, f"{name} {case}", is_corrupted=True)
     return offset_count
 
 
 class ChangedCopy(NamedTuple):
-    """A file's bytes after something changed them, and what that was."""
+    """A file's bytes after a change, and a description of the change."""
 
     data: bytes
     case: str
 
 
 def _changed_copies(data: bytes, offsets: range, rng: random.Random) -> Iterator[ChangedCopy]:
-    """A file cut at each offset, with a bit flipped there, emptied, and zeroed."""
+    """Yield a file cut at each offset, with a bit flipped there, emptied, and zeroed."""
     for offset in offsets:
         flipped = bytearray(data)
         flipped[offset] ^= 1 << rng.randrange(8)
@@ -289,8 +296,8 @@
     yield ChangedCopy(bytes(len(data)), "zeroed")
 
 
-def run(seed: int, full: bool) -> CrashConsistencyReport:
-    """All of it; `full`: every step and every offset, with more draws."""
+def run(seed: int, *, full: bool) -> CrashConsistencyReport:
+    """Inject all kinds of faults; with `full` at every step and every offset, with more random states."""
     thoroughness = FULL if full else QUICK
     results = CheckResults()
     started = time.monotonic()
@@ -301,11 +308,11 @@
         offsets=offsets,
         faults=faults,
         recoveries=results.recoveries,
-        named=results.named,
-        lost=results.broken[BrokenPromise.LOST],
-        half_batches=results.broken[BrokenPromise.HALF_BATCH],
-        resurrected=results.broken[BrokenPromise.RESURRECTED],
+        reported_corruptions=results.reported_corruptions,
+        lost=results.violations[Violation.LOST_WRITE],
+        partial_batches=results.violations[Violation.PARTIAL_BATCH],
+        resurrected=results.violations[Violation.RESURRECTED_VALUE],
         max_recovery_ms=round(results.slowest_recovery_s * 1000, 1),
-        took_s=round(time.monotonic() - started, 1),
+        duration_s=round(time.monotonic() - started, 1),
         cases=results.cases,
     )
--- a/tansyladder/lab/discovery_server.py
+++ b/tansyladder/lab/discovery_server.py
@@ -1,11 +1,10 @@
-"""A stand-in discovery service: the whole endpoint list, and long polls for changes, over HTTP/1.1."""
+"""A stand-in discovery service: the complete endpoint list, and long polls for changes, over HTTP/1.1."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 from dataclasses import dataclass
-from datetime import timedelta
 from enum import Enum
 from typing import Protocol
 from urllib.parse import parse_qs, urlsplit
@@ -13,7 +12,9 @@
 import msgspec
 
 from tansyladder.lab.connections import LOOPBACK
-from tansyladder.lab.report import clock
+
+ZONE = "a"  # of all endpoints
+KIND = "m"  # of all endpoints
 
 
 class Phase(Enum):
@@ -25,11 +26,31 @@
 
 
 class ListedEndpoint(Protocol):
-    """A host that discovery lists; it notes there when it first wrote that the host drains or is removed."""
+    """A host that discovery lists."""
 
     ident: str
     address: str
-    drain_announced_at: timedelta | None
+
+    def record_drain_announcement(self) -> None:
+        """Record that a poll was answered with the host as draining or removed."""
+
+
+class EndpointEntry(msgspec.Struct, frozen=True):
+    """An endpoint in discovery's JSON form."""
+
+    ident: str = msgspec.field(name="id")
+    address: str = msgspec.field(name="host_port")
+    zone: str = msgspec.field(name="locality")
+    kind: str = msgspec.field(name="flavor")
+    phase: Phase
+
+
+class EndpointList(msgspec.Struct, frozen=True):
+    """The endpoint list, or what has changed in it, in discovery's JSON form."""
+
+    revision: int = 0
+    is_complete: bool = msgspec.field(name="complete", default=True)
+    endpoints: tuple[EndpointEntry, ...] = msgspec.field(name="members", default=())
 
 
 @dataclass(slots=True)
@@ -42,7 +63,7 @@
 
 
 class DiscoveryServer:
-    """The endpoint list; each change reaches all who poll. Owned by one event loop; not thread-safe."""
+    """The endpoint list; each change answers all polls. Owned by one event loop; not thread-safe."""
 
     def __init__(self) -> None:
         self.address = ""
@@ -57,32 +78,26 @@
         self.address = f"{LOOPBACK}:{self._server.sockets[0].getsockname()[1]}"
 
     async def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
     async def set_phase(self, phase: Phase, *endpoints: ListedEndpoint) -> None:
-        """Set the phase of endpoints in one revision, and answer the polls that wait."""
+        """Set the phase of endpoints in one revision, and answer the waiting polls."""
         async with self._changed:
             self.revision += 1
             for endpoint in endpoints:
                 self._entries[endpoint.ident] = _Entry(endpoint, phase, self.revision)
             self._changed.notify_all()
 
-    def listed(self, since: int | None = None) -> dict[str, object]:
-        """Return the list in discovery's JSON form, or what has changed after a revision."""
-        members = [
-            {
-                "id": ident,
-                "host_port": entry.endpoint.address,
-                "locality": "a",
-                "flavor": "m",
-                "phase": entry.phase.value,
-            }
+    def listed(self, since: int | None = None) -> EndpointList:
+        """Return the complete list, or what has changed after a revision."""
+        endpoints = tuple(
+            EndpointEntry(ident, entry.endpoint.address, ZONE, KIND, entry.phase)
             for ident, entry in self._entries.items()
-            if (since is None and entry.phase is not Phase.REMOVED) or (since or 0) < entry.revision
-        ]
-        return {"revision": self.revision, "complete": since is None, "members": members}
+            if since is None or since < entry.revision
+        )
+        return EndpointList(self.revision, since is None, endpoints)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the requests of one connection until it ends."""
@@ -92,11 +107,12 @@
                     pass  # header fields
                 await self._answer(line.split()[1].decode(), writer)
         except (OSError, ValueError, KeyError, IndexError, asyncio.CancelledError):
-            pass  # cancelled: the run is over, and nothing waits for this connection
+            pass  # cancelled: the run has ended, and nothing waits for this connection
         finally:
             writer.close()
 
     async def _answer(self, target: str, writer: asyncio.StreamWriter) -> None:
+        """Answer a request for the list, or for its changes once there are any."""
         query = parse_qs(urlsplit(target).query)
         since = int(query["since"][0]) if "since" in query else None
         if since is not None:
@@ -105,8 +121,8 @@
         writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
         await writer.drain()
         for entry in self._entries.values():
-            if entry.phase is not Phase.UP and entry.endpoint.drain_announced_at is None:
-                entry.endpoint.drain_announced_at = clock()
+            if entry.phase is not Phase.UP:
+                entry.endpoint.record_drain_announcement()
 
     async def _wait_for_change(self, since: int, timeout: float) -> None:
         """Wait until the list is newer than a revision, but no longer than so many seconds."""
--- a/tansyladder/lab/errors.py
+++ b/tansyladder/lab/errors.py
@@ -1,10 +1,10 @@
-"""What can go wrong with a run itself, apart from the invariants that it checks."""
+"""Errors of a run itself, apart from the invariants that it checks."""
 
 from __future__ import annotations
 
 
 class LabError(Exception):
-    """A run could not be set up, or could not go on."""
+    """A run could not be set up, or could not continue."""
 
 
 class NoFreePortError(LabError):
@@ -23,7 +23,7 @@
 
 
 class NodeError(LabError):
-    """A node did not start or take over in time; `log_tail` has the last lines of its log."""
+    """A node did not start, or not take the listener over, in time; `log_tail` has the end of its log."""
 
     def __init__(self, problem: str, log_tail: str) -> None:
         super().__init__(f"{problem}:\n{log_tail}")
@@ -32,7 +32,7 @@
 
 
 class LabTimeoutError(LabError):
-    """What a run waited for did not come in time; `problem` says what, `state` what was there instead."""
+    """A condition was not met in time; `problem` names it, `state` describes what there was instead."""
 
     def __init__(self, problem: str, state: str = "") -> None:
         super().__init__(f"{problem}:\n{state}" if state else problem)
--- a/tansyladder/lab/fault_injecting_files.py
+++ b/tansyladder/lab/fault_injecting_files.py
@@ -1,8 +1,9 @@
 """A directory in memory that keeps synced and unsynced data apart, and loses, tears and fails on request.
 
-At a loss of power any set of the unsynced writes may be on disk, each of them whole or in part, in any order;
-so may any set of unsynced changes of names. A sync that fails drops what it was to write, and the next one
-reports success all the same, as real systems do. Steps are counted: a run can be cut at each of them.
+At a loss of power any set of the unsynced writes may be on disk, each of them complete or in part, in any
+order; so may any set of unsynced changes of names. A sync that fails drops the unsynced writes, and the next
+one reports success all the same, as real systems do. Calls that may fail are numbered as steps, so that a
+fault can be injected at each of them.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class SimulatedPowerLoss(BaseException):
-    """The machine is gone at this step. No Exception, so that no handler of errors takes it for one."""
+    """The machine loses power at this step. It is no Exception, so that no error handler catches it."""
 
 
 class ContentChange(NamedTuple):
@@ -54,7 +55,7 @@
         self.unsynced = []
 
     def durable_with(self, changes: Sequence[ContentChange]) -> bytes:
-        """The durable bytes with these changes on disk too."""
+        """Return the durable bytes with these changes applied to them."""
         data = bytearray(self.durable)
         for change in changes:
             apply_change(data, change)
@@ -62,13 +63,13 @@
 
 
 class NameChange(NamedTuple):
-    """A name that stands for another file now, or for none."""
+    """A name that now refers to another file, or to none."""
 
     name: str
     inode: Inode | None
 
     def apply(self, names: dict[str, Inode]) -> None:
-        """Make the change in a directory."""
+        """Apply the change to a directory."""
         if self.inode is None:
             names.pop(self.name, None)
         else:
@@ -83,7 +84,7 @@
 
 
 def apply_change(data: bytearray, change: ContentChange) -> None:
-    """Make a change in a file's bytes; what lies between their end and the offset is zeros."""
+    """Apply a change to a file's bytes; a gap between their end and the offset is filled with zeros."""
     offset, new_data = change
     if new_data is None:
         del data[offset:]
@@ -100,25 +101,33 @@
         durable: the files by name, as the directory is on disk.
         unsynced: the changes of names between the two.
         step_count: calls that could have failed.
-        step_kinds: what each of them was.
+        step_kinds: the kind of each of these calls.
         power_loss_step: the step at which SimulatedPowerLoss is raised.
         failing_steps: the errno of the steps at which a call fails.
-        before_sync: called while a sync takes its time.
+        before_sync: called at the start of each sync.
     """
 
-    def __init__(self, files: dict[str, bytes] | None = None) -> None:
+    def __init__(self, files: dict[str, bytes] | None = None, power_loss_step: int = NO_STEP) -> None:
         self.visible = {name: Inode(data) for name, data in (files or {}).items()}
         self.durable = dict(self.visible)
         self.unsynced: list[NameChange] = []
         self.step_count = 0
         self.step_kinds: list[str] = []
-        self.power_loss_step = NO_STEP
+        self.power_loss_step = power_loss_step
         self.failing_steps: dict[int, int] = {}
         self.before_sync: Callable[[], None] = lambda: None
         self._is_locked = False
 
+    def lose_power_at(self, step: int) -> None:
+        """Raise SimulatedPowerLoss at a step."""
+        self.power_loss_step = step
+
+    def fail_at(self, step: int, error_number: int) -> None:
+        """Raise OSError with this errno at a step."""
+        self.failing_steps[step] = error_number
+
     def count_step(self, kind: str) -> None:
-        """Count a call that may fail. SimulatedPowerLoss or OSError where the run asks for it."""
+        """Count a call that may fail. Raises SimulatedPowerLoss or OSError where the run injects a fault."""
         number = self.step_count
         self.step_count += 1
         self.step_kinds.append(kind)
@@ -130,7 +139,7 @@
     # What the store calls: see `tansyladder.store.files.Files`.
 
     def create(self, name: str) -> FaultInjectingFile:
-        """A new, empty file. OSError."""
+        """Create an empty file. Raises OSError."""
         self.count_step("create")
         inode = Inode()
         self.visible[name] = inode
@@ -138,21 +147,21 @@
         return FaultInjectingFile(self, inode)
 
     def open(self, name: str) -> FaultInjectingFile:
-        """An existing file. FileNotFoundError."""
+        """Open an existing file. Raises FileNotFoundError."""
         if name not in self.visible:
             raise FileNotFoundError(errno.ENOENT, name)
         return FaultInjectingFile(self, self.visible[name])
 
     def rename(self, old: str, new: str) -> None:
-        """Replace `new` in one step. OSError."""
+        """Rename a file to `new`, which is replaced. Raises OSError."""
         self.count_step("rename")
         inode = self.visible.pop(old)
         self.visible[new] = inode
-        # Each name changes by itself: at a loss of power either may be on disk without the other.
+        # These are two changes: after a loss of power either may be on disk without the other.
         self.unsynced += [NameChange(new, inode), NameChange(old, None)]
 
     def remove(self, name: str) -> None:
-        """Remove a file. OSError."""
+        """Remove a file. Raises OSError."""
         self.count_step("remove")
         if name not in self.visible:
             raise FileNotFoundError(errno.ENOENT, name)
@@ -160,46 +169,46 @@
         self.unsynced.append(NameChange(name, None))
 
     def list_names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Return the names of all files, sorted."""
         return sorted(self.visible)
 
     def sync_directory(self) -> None:
-        """All changes of names so far are on disk. OSError."""
+        """Make all changes of names so far durable. Raises OSError."""
         self.count_step("sync_directory")
         self.durable = dict(self.visible)
         self.unsynced = []
 
     def lock(self) -> None:
-        """Own the directory. BlockingIOError: somebody does."""
+        """Lock the directory. Raises BlockingIOError where it is locked."""
         if self._is_locked:
             raise BlockingIOError(errno.EAGAIN, "locked")
         self._is_locked = True
 
     def unlock(self) -> None:
-        """Give the directory up."""
+        """Unlock the directory."""
         self._is_locked = False
 
-    # What is there after a crash.
+    # The directory after a crash.
 
     def after_process_kill(self) -> FaultInjectingFiles:
-        """The process is gone and the system is not: all that was written is there."""
+        """Return the directory after the process was killed: all writes are visible to the next process."""
         return FaultInjectingFiles({name: bytes(inode.visible) for name, inode in self.visible.items()})
 
     def after_power_loss(
-        self, rng: random.Random, keep_share: float, tear: bool = True
+        self, rng: random.Random, keep_share: float, *, tears_writes: bool = True
     ) -> FaultInjectingFiles:
-        """One state: each unsynced change is on disk with this probability, torn now and then."""
+        """Return a random directory: each unsynced change is on disk with this probability, some torn."""
         contents: dict[Inode, bytes] = {}
         for inode in self._all_inodes():
             retained = [change for change in inode.unsynced if rng.random() < keep_share]
             contents[inode] = inode.durable_with(
-                [_maybe_torn(change, rng) if tear else change for change in retained]
+                [_maybe_torn(change, rng) if tears_writes else change for change in retained]
             )
         retained_names = [change for change in self.unsynced if rng.random() < keep_share]
         return self._with_contents(contents, retained_names)
 
     def every_power_loss(self, max_changes: int) -> Iterator[FaultInjectingFiles]:
-        """Every set of whole unsynced changes; nothing where there are more than `max_changes` of them."""
+        """Yield a directory for each set of unsynced changes; none if there are more than `max_changes`."""
         inodes = self._all_inodes()
         writes = [UnsyncedChange(inode, n) for inode in inodes for n in range(len(inode.unsynced))]
         change_count = len(writes) + len(self.unsynced)
@@ -212,14 +221,14 @@
             yield self._with_contents(contents, retained_names)
 
     def _all_inodes(self) -> list[Inode]:
-        """Every file that some name stands for, stood for, or may stand for after a loss of power."""
+        """Return every file that a name refers to, referred to, or may refer to after a loss of power."""
         from_changes = [change.inode for change in self.unsynced if change.inode is not None]
         return list(dict.fromkeys([*self.visible.values(), *self.durable.values(), *from_changes]))
 
     def _with_contents(
         self, contents: dict[Inode, bytes], retained_names: Sequence[NameChange]
     ) -> FaultInjectingFiles:
-        """The directory on disk with these changes of names, and files with these bytes."""
+        """Return the durable directory with these changes of names, and files with these bytes."""
         names = dict(self.durable)
         for change in retained_names:
             change.apply(names)
@@ -227,7 +236,7 @@
 
 
 def _maybe_torn(change: ContentChange, rng: random.Random) -> ContentChange:
-    """A write of which only a part is on disk, now and then."""
+    """Return a write, or a random part of it."""
     offset, data = change
     if data is None or rng.random() >= TORN_WRITE_SHARE:
         return change
@@ -237,6 +246,7 @@
 
 
 def _with_retained_writes(inode: Inode, retained: set[UnsyncedChange]) -> bytes:
+    """Return a file's durable bytes with those unsynced changes that are on disk."""
     changes = [change for n, change in enumerate(inode.unsynced) if UnsyncedChange(inode, n) in retained]
     return inode.durable_with(changes)
 
@@ -249,7 +259,7 @@
         self._inode = inode
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """All of the data; half of it where the step fails. OSError."""
+        """Write all of the data, or half of it where the step fails. Raises OSError."""
         try:
             self._files.count_step("write")
         except OSError:
@@ -261,11 +271,11 @@
         self._inode.change(offset, data)
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Up to so many bytes; fewer at the end of the file only."""
+        """Return up to so many bytes; fewer at the end of the file only."""
         return bytes(self._inode.visible[offset : offset + size])
 
     def sync(self) -> None:
-        """All written so far is on disk. OSError."""
+        """Make all writes so far durable. Raises OSError."""
         self._files.before_sync()
         try:
             self._files.count_step("sync")
@@ -275,13 +285,13 @@
         self._inode.sync()
 
     def truncate(self, size: int) -> None:
-        """Cut the file. OSError."""
+        """Truncate the file. Raises OSError."""
         self._files.count_step("truncate")
         self._inode.change(size, None)
 
     def size(self) -> int:
-        """Bytes of the file."""
+        """Return the size of the file in bytes."""
         return len(self._inode.visible)
 
     def close(self) -> None:
-        """Nothing is kept for an open file."""
+        """Do nothing: an open file has no resources."""
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -1,32 +1,31 @@
-"""Stand-in stream hosts and the session store behind them, as many as a run asks for in one event loop.
-
-The lines of a session are numbered: `F n h` is the host's n-th line and confirms the client's lines up to h;
-the client's are `M n`. The store has both counts, so that any host can resume a session.
-"""
+"""Stand-in stream hosts, as many as a run asks for in one event loop."""
 
 from __future__ import annotations
 
 import asyncio
 import random
-from dataclasses import dataclass, field
 from datetime import timedelta
 from enum import Enum
 from functools import partial
 
 from tansyladder.lab.connections import LOOPBACK
-from tansyladder.lab.report import Report, clock
+from tansyladder.lab.first_lines import FirstLine, ResumptionRequest, parse_first_line
+from tansyladder.lab.hosted_stream import HostedStream, StreamStore
+from tansyladder.lab.report import Invariant, Report, clock
 from tansyladder.lab.waiting import wait_until
 
 ACK_LINES = 8  # client lines between two acknowledgements
-ACK_INTERVAL = 2.0  # seconds between two acknowledgements where fewer lines come
+ACK_INTERVAL = 2.0  # seconds between two acknowledgements where fewer lines arrive
 HEALTH_CHECK_TIME = 0.003  # seconds until a health check is answered
 SLOW_FACTOR = 8  # by which a slow host takes longer
-DRAIN_GRACE = timedelta(seconds=2.55)  # nothing new comes to a host that drains or is removed after this
+DRAIN_GRACE = timedelta(seconds=2.55)  # no new attempt arrives at a draining or removed host after this
 STALE_ATTEMPT_GRACE = 0.05  # seconds in which the end of an earlier attempt, already in its socket, is read
+SILENT_EXTRA_TIME = 1.0  # seconds beyond the deadline for which a silent host leaves a first line unanswered
 CLOSE_TIMEOUT = 2.0  # seconds in which a host's connections end
 PARALLEL_SETUPS = 2  # cores of a host
 BACKLOG = 1024
 MAX_LINE_BYTES = 8192
+MAX_CASE_LENGTH = 80  # characters of a violation's case
 
 
 class HostBehaviour(Enum):
@@ -37,73 +36,7 @@
     SILENT = "silent"  # accepts connections and answers nothing
     RESETTING = "resetting"  # resets each connection at its first line
     FULL = "full"  # answers BUSY
-    OLD = "old"  # knows nothing of resumption
-
-
-@dataclass(slots=True)
-class StoredStream:
-    """One session in the store."""
-
-    received: int = 0  # the last client line
-    sent: int = 0  # the last host line
-    epoch: int = 0  # of the session's owner
-
-
-class StreamStore:
-    """The session store that all hosts share; it fences off whoever held a session under an older epoch."""
-
-    def __init__(self) -> None:
-        self.sessions: dict[str, StoredStream] = {}
-        self.fenced_count = 0
-
-    def acquire(self, session_id: str, epoch: int) -> StoredStream | None:
-        """Return the session for its newest owner, or None where it has one of this epoch or a newer one."""
-        stored = self.sessions.setdefault(session_id, StoredStream())
-        if epoch <= stored.epoch:
-            self.fenced_count += 1
-            return None
-        stored.epoch = epoch
-        return stored
-
-
-@dataclass(slots=True, eq=False)
-class HostedStream:
-    """One connection at a host. Owned by the event loop."""
-
-    host: StreamHost
-    connection_id: str  # from the first line
-    writer: asyncio.StreamWriter
-    listener_index: int = 0  # which of the host's listeners it came through
-    stored: StoredStream = field(default_factory=StoredStream)
-    session_id: str = ""
-    epoch: int = 0
-    resumes: bool = False
-    acknowledged: int = 0  # the last client line that the client was sent an acknowledgement for
-    tasks: list[asyncio.Task[None]] = field(default_factory=list)
-
-    @property
-    def is_fenced(self) -> bool:
-        """Whether another owner has the session by now."""
-        return self.stored.epoch != self.epoch
-
-    def send(self, line: str) -> None:
-        """Send a line, unless the connection ends already."""
-        if not self.writer.transport.is_closing():
-            self.writer.write(f"{line}\r\n".encode())
-
-    def send_frame(self) -> None:
-        """Send the session's next line, or end the connection where another owner has the session."""
-        if self.resumes and self.is_fenced:
-            self.writer.close()
-            return
-        self.stored.sent += 1
-        self.send(f"F {self.stored.sent} {self.stored.received}")
-
-    def send_acknowledgement(self) -> None:
-        """Acknowledge the client's lines, where there are new ones and the session can be resumed."""
-        if self.resumes and self.acknowledged < self.stored.received:
-            self.acknowledged = self.stored.received
-            self.send(f"RS ACK {self.acknowledged}")
+    OLD = "old"  # an old version, without resumption
 
 
 class StreamHostCluster:
@@ -119,16 +52,16 @@
         self._open_streams: dict[str, set[HostedStream]] = {}  # by connection id
 
     def on_session_acquired(self, stream: HostedStream) -> None:
-        """A host has begun or resumed a session."""
+        """Observe that a host has begun or resumed a session."""
 
     def on_session_fenced(self, stream: HostedStream) -> None:
-        """A session was refused, as a newer epoch has it."""
+        """Observe that an owner was rejected, as a newer epoch has its session."""
 
     def on_line_received(self, stream: HostedStream, number: int) -> None:
-        """A client's line has come."""
+        """Observe a client's line."""
 
     def register(self, stream: HostedStream) -> None:
-        """Note that a first line has come; no earlier attempt of the same id may be open a moment later."""
+        """Record an attempt; no earlier one of the same connection may be in flight a moment later."""
         earlier = set(self._open_streams.get(stream.connection_id, ()))
         self._open_streams.setdefault(stream.connection_id, set()).add(stream)
         if earlier:
@@ -136,12 +69,13 @@
             loop.call_later(STALE_ATTEMPT_GRACE, self._check_ended, stream.connection_id, earlier)
 
     def unregister(self, stream: HostedStream) -> None:
-        """Note that an attempt has ended."""
+        """Record that an attempt has ended."""
         self._open_streams.get(stream.connection_id, set()).discard(stream)
 
     def _check_ended(self, connection_id: str, earlier: set[HostedStream]) -> None:
+        """Check that none of the earlier attempts is still in flight."""
         if self._open_streams.get(connection_id, set()) & earlier:
-            self.report.record_violation("second_attempts", connection_id)
+            self.report.record_violation(Invariant.SINGLE_ATTEMPT, connection_id)
 
 
 class StreamHost:
@@ -165,10 +99,11 @@
         self.frame_interval = frame_interval
         self.setup_time = setup_time
         self.streams: set[HostedStream] = set()
-        self.is_draining = False
-        self.drain_announced_at: timedelta | None = None  # when discovery wrote that it drains or is removed
         self.address = ""
         self.addresses: list[str] = []  # of all its listeners
+        # A host starts its drain before discovery announces it, or dies without one: both may be alone.
+        self._is_draining = False
+        self._drain_announced_at: timedelta | None = None
         self._servers: list[asyncio.Server] = []
         self._cores = asyncio.Semaphore(PARALLEL_SETUPS)
 
@@ -183,20 +118,29 @@
             self.addresses.append(f"{LOOPBACK}:{server.sockets[0].getsockname()[1]}")
         self.address = self.addresses[0]
 
+    def start_drain(self) -> None:
+        """Answer BUSY to new sessions from now on."""
+        self._is_draining = True
+
+    def record_drain_announcement(self) -> None:
+        """Record that discovery has listed the host as draining or removed; the first time counts."""
+        if self._drain_announced_at is None:
+            self._drain_announced_at = clock()
+
     def migrate_all(self) -> None:
-        """Send MOVE to all sessions and end them at once, as a draining host does in the end."""
+        """Send MOVE to all sessions and end them at once, as a host does at the end of its drain."""
         for stream in list(self.streams):
             stream.send("MOVE")
             stream.writer.close()
 
     async def die(self) -> None:
-        """Reset all connections and refuse new ones, as when the process is gone."""
+        """Reset all connections and reject new ones, as when the process is gone."""
         for stream in list(self.streams):
             stream.writer.transport.abort()
         await self.close()
 
     async def close(self) -> None:
-        """Listen no more, and reset all connections."""
+        """Stop listening, and reset all connections."""
         while self._servers:
             self._servers.pop().close()
         for stream in list(self.streams):
@@ -213,36 +157,43 @@
         """Answer health checks, then serve one session until it ends."""
         stream: HostedStream | None = None
         try:
-            while (line := await reader.readline()) == b"PING\r\n":
-                if self.behaviour is not HostBehaviour.SILENT:
-                    await asyncio.sleep(self._scaled(HEALTH_CHECK_TIME))
-                    writer.write(b"PONG\r\n")
+            line = await self._answer_health_checks(reader, writer)
             if line.endswith(b"\r\n"):
-                stream = await self._open(listener_index, line.decode().split(), writer)
+                stream = await self._open(listener_index, line.decode(), writer)
             if stream is not None:
                 await self._receive_lines(stream, reader)
         except (OSError, ValueError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # cancelled: the run is over, and nothing waits for this connection
+            pass  # cancelled: the run has ended, and nothing waits for this connection
         finally:
             if stream is not None:
                 self._remove(stream)
             writer.close()
 
+    async def _answer_health_checks(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bytes:
+        """Answer PING lines; return the first other line."""
+        while (line := await reader.readline()) == b"PING\r\n":
+            if self.behaviour is not HostBehaviour.SILENT:
+                await asyncio.sleep(self._scaled(HEALTH_CHECK_TIME))
+                writer.write(b"PONG\r\n")
+        return line
+
     async def _open(
-        self, listener_index: int, words: list[str], writer: asyncio.StreamWriter
+        self, listener_index: int, line: str, writer: asyncio.StreamWriter
     ) -> HostedStream | None:
         """Handle a first line; return its stream where a session is served on it."""
-        if len(words) != 4 or words[0] != "OPEN":
-            self.cluster.report.record_violation("bad_first_lines", " ".join(words)[:80])
+        first_line = parse_first_line(line)
+        if first_line is None:
+            case = " ".join(line.split())[:MAX_CASE_LENGTH]
+            self.cluster.report.record_violation(Invariant.VALID_FIRST_LINE, case)
             writer.write(b"SYNTAX\r\n")
             return None
-        parameters = dict(pair.split("=", 1) for pair in words[3].split(","))
-        stream = HostedStream(self, words[1], writer, listener_index)
+        stream = HostedStream(self.ident, first_line.connection_id, writer, listener_index)
         self.cluster.register(stream)
         try:
-            if self.drain_announced_at is not None and clock() - self.drain_announced_at > DRAIN_GRACE:
-                self.cluster.report.record_violation("late_sends_after_drain", self.ident)
-            if not await self._set_up(stream, parameters):
+            self._check_drain_grace()
+            if not await self._set_up(stream, first_line):
                 return None
             self.streams.add(stream)
             stream.tasks.append(asyncio.ensure_future(self._send_frames(stream)))
@@ -251,45 +202,47 @@
             if stream not in self.streams:
                 self.cluster.unregister(stream)
 
-    async def _set_up(self, stream: HostedStream, parameters: dict[str, str]) -> bool:
+    def _check_drain_grace(self) -> None:
+        """Check that a new attempt does not arrive too late in a drain."""
+        announced_at = self._drain_announced_at
+        if announced_at is not None and clock() - announced_at > DRAIN_GRACE:
+            self.cluster.report.record_violation(Invariant.NO_ATTEMPT_AFTER_DRAIN, self.ident)
+
+    async def _set_up(self, stream: HostedStream, first_line: FirstLine) -> bool:
         """Answer a first line; return whether the answer is UP."""
         if self.behaviour is HostBehaviour.RESETTING:
             stream.writer.transport.abort()
             return False
         if self.behaviour is HostBehaviour.SILENT:
-            await asyncio.sleep(float(parameters["d"]) / 1000 + 1)
+            await asyncio.sleep(first_line.deadline_s + SILENT_EXTRA_TIME)
             return False
-        if self.is_draining or self.behaviour is HostBehaviour.FULL:
+        if self._is_draining or self.behaviour is HostBehaviour.FULL:
             stream.send("BUSY")
             return False
         async with self._cores:
             await asyncio.sleep(self._scaled(self.setup_time))
-        if "rsn" in parameters and self.behaviour is not HostBehaviour.OLD:
-            return self._acquire_session(stream, parameters)
+        if first_line.resumption is not None and self.behaviour is not HostBehaviour.OLD:
+            return self._acquire_session(stream, first_line.resumption)
         stream.send(f"UP {self.ident}-{stream.connection_id}")
         return True
 
-    def _acquire_session(self, stream: HostedStream, parameters: dict[str, str]) -> bool:
+    def _acquire_session(self, stream: HostedStream, request: ResumptionRequest) -> bool:
         """Begin or resume a session that the store has; return whether the node may have it."""
-        stream.session_id = parameters["rsn"]
-        stream.epoch = int(parameters["re"])
-        stored = self.cluster.store.acquire(stream.session_id, stream.epoch)
+        stream.claim(request.session_id, request.epoch)
+        stored = self.cluster.store.acquire(request.session_id, request.epoch)
         if stored is None:
             self.cluster.on_session_fenced(stream)
         else:
             self.cluster.on_session_acquired(stream)
-        if stored is None or not int(parameters["ra"]) <= stored.received <= int(parameters["ri"]):
+        if stored is None or not request.acknowledged <= stored.received <= request.received:
             stream.send("BUSY")
             return False
-        stored.sent = int(parameters["ro"])  # what a lost host sent beyond it never arrived
-        stream.stored = stored
-        stream.resumes = True
-        stream.acknowledged = stored.received
+        stream.resume(stored, request.sent)
         stream.send(f"UP {self.ident}-{stream.connection_id}\r\nRS AT {stored.received} {stored.sent}")
         return True
 
     async def _send_frames(self, stream: HostedStream) -> None:
-        """Send frames at a steady pace, the sessions out of step with each other."""
+        """Send frames at a constant rate; the sessions' phases differ."""
         stream.send_frame()
         await asyncio.sleep(self.cluster.rng.random() * self.frame_interval)
         acknowledged_at = clock()
@@ -306,14 +259,14 @@
     async def _receive_lines(self, stream: HostedStream, reader: asyncio.StreamReader) -> None:
         """Receive the client's lines until the connection ends or another owner has the session."""
         while line := await reader.readline():
-            words = line.split()
-            if stream.resumes and words[0] == b"RS":
+            verb, argument, *_ = line.split()
+            if stream.is_resumable and verb == b"RS":
                 continue
             if stream.is_fenced:
-                self.cluster.store.fenced_count += 1
+                self.cluster.store.count_fenced()
                 self.cluster.on_session_fenced(stream)
                 return
-            self._handle_line(stream, int(words[1]))
+            self._handle_line(stream, int(argument))
 
     def _handle_line(self, stream: HostedStream, number: int) -> None:
         """Check a client line's number and answer it with a frame."""
@@ -321,10 +274,10 @@
         stored = stream.stored
         report = self.cluster.report
         if number > stored.received + 1:
-            report.record_violation("lines_lost", f"client line {number} after {stored.received}")
+            report.record_violation(Invariant.NO_LINE_LOST, f"client line {number} after {stored.received}")
         elif number <= stored.received:
-            report.record_violation("lines_doubled", f"client line {number}")
-        stored.received = max(stored.received, number)
+            report.record_violation(Invariant.NO_LINE_DUPLICATED, f"client line {number}")
+        stored.record_received(number)
         if self.behaviour is HostBehaviour.SILENT:
             return
         stream.send_frame()
@@ -332,6 +285,7 @@
             stream.send_acknowledgement()
 
     def _remove(self, stream: HostedStream) -> None:
+        """End a stream's tasks, and record that its attempt has ended."""
         for task in stream.tasks:
             task.cancel()
         self.streams.discard(stream)
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -13,7 +13,10 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from tansyladder.lab.connections import LOOPBACK
+from tansyladder.lab.discovery_server import EndpointList
 from tansyladder.lab.errors import NodeError, NoFreePortError, NotStartedError
 from tansyladder.lab.waiting import wait_until
 
@@ -34,7 +37,7 @@
         {"name": "viewport", "slo": 300_000, "hard_limit": 1_200_000, "worth": 5.0},
         {"name": "preview", "slo": 500_000, "hard_limit": 2_000_000, "worth": 1.0},
     ],
-    # One event loop plays all hosts: its lag would pass for late messages, and with probes for slow hosts.
+    # One event loop runs all hosts: its lag would count as message delay, and in health checks as slow hosts.
     "extra": {"message_aim": [250_000, 50_000], "tells_delay": False},
     "ceilings": {
         "attempts_cap": 4,
@@ -55,12 +58,12 @@
 
 PORTS = range(10_000, 32_000)  # below those that the system gives to outgoing connections
 _next_ports = itertools.cycle(PORTS)
-for _ in range(os.getpid() * 97 % len(PORTS)):  # runs beside each other begin at different ones
+for _ in range(os.getpid() * 97 % len(PORTS)):  # concurrent runs begin at different ports
     next(_next_ports)
 
 
 def spare_port() -> int:
-    """Return a port that nobody listens at, and that no outgoing connection takes until it is used.
+    """Return a port without a listener, which no outgoing connection takes before it is used.
 
     Raises NoFreePortError.
     """
@@ -80,7 +83,7 @@
         self,
         folder: Path,
         discovery_address: str,
-        known_endpoints: dict[str, Any],
+        known_endpoints: EndpointList,
         operator_settings: str = "",
         name: str = "lab",
         node_count: int = 1,
@@ -90,8 +93,8 @@
         Args:
             folder: of the node alone.
             discovery_address: where it polls the endpoint list.
-            known_endpoints: the endpoint list that it starts with, in discovery's form.
-            operator_settings: empty for none; FOLDER stands for the node's folder.
+            known_endpoints: the endpoint list that it starts with.
+            operator_settings: S-expressions, empty for none; FOLDER stands for the node's folder.
             name: of the node.
             node_count: of all nodes that share the hosts.
         """
@@ -109,7 +112,7 @@
             "discovery": discovery_address,
             "seed": "1ab",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 8192},
-            "known": known_endpoints,
+            "known": msgspec.to_builtins(known_endpoints),
             "settings": MODULE_SETTINGS | {"balancers": node_count},
         }
         self.config.write_text(json.dumps(configuration, indent=1))
@@ -136,6 +139,7 @@
             raise NodeError("the node did not start", self.log_tail())
 
     def _command(self, clock_offset: float) -> list[str]:
+        """Return the command line of a new process."""
         command = [sys.executable, "-O", "-m"]
         if clock_offset:
             command += ["tansyladder.lab.chaos.skewed_clock", str(clock_offset)]
@@ -146,6 +150,7 @@
         return command
 
     def _environment(self) -> dict[str, str]:
+        """Return this process's environment with the variables of this node alone."""
         environment = {
             **os.environ,
             "GW_OPERATOR": f"{LOOPBACK}:{self.admin_port}",
@@ -158,7 +163,7 @@
         return environment
 
     async def upgrade(self) -> asyncio.subprocess.Process:
-        """Start a new process beside the running one, and send SIGTERM to the old one once that knows of it.
+        """Start a new process beside the running one, which gets SIGTERM once its listener is handed over.
 
         Returns the old process, which is draining. Raises NodeError, with the old process killed, where the
         new one does not take over in time.
@@ -170,16 +175,16 @@
             await self.start()
             await self._wait_for_handover(log_size)
         except NodeError:
-            old.kill()  # whoever holds this object knows of the new process only
+            old.kill()  # the caller can end the new process only
             await old.wait()
             raise
         old.terminate()
         return old
 
     async def _wait_for_handover(self, log_size: int) -> None:
-        """Wait until the log says, beyond so many bytes, that the old process has a successor."""
+        """Wait until the log says, after so many bytes, that the old process has a successor."""
         if not await wait_until(lambda: b"step=succeeded" in self.log.read_bytes()[log_size:], START_TIMEOUT):
-            raise NodeError("the old process goes on", self.log_tail())
+            raise NodeError("the old process has no successor", self.log_tail())
 
     async def kill(self) -> None:
         """End the process with SIGKILL, as a crash would."""
@@ -188,11 +193,11 @@
         await process.wait()
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process alone, as SIGSTOP and SIGCONT."""
+        """Send a signal to the process, such as SIGSTOP."""
         self._running_process().send_signal(number)
 
     def limit_file_size(self) -> None:
-        """Let it make no file longer from now on (EFBIG, as ENOSPC where there is no room)."""
+        """Let all writes that extend a file fail from now on, as on a full disk (with EFBIG for ENOSPC)."""
         resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (0, 0))
 
     async def stop(self) -> int:
@@ -218,14 +223,14 @@
         return self._running_process().pid
 
     def memory_bytes(self) -> int:
-        """Return the bytes of its own memory that are in use now (RssAnon)."""
+        """Return its resident anonymous memory (RssAnon) in bytes."""
         for line in self._read_proc("status").splitlines():
             if line.startswith("RssAnon:"):
                 return int(line.split()[1]) * 1024
         return 0
 
     def cpu_time(self) -> timedelta:
-        """Return the CPU time that it has spent."""
+        """Return the CPU time that it has used."""
         fields = self._read_proc("stat").rpartition(")")[2].split()
         user_ticks = int(fields[11])
         system_ticks = int(fields[12])
--- a/tansyladder/lab/output.py
+++ b/tansyladder/lab/output.py
@@ -1,17 +1,46 @@
-"""Prints the report of an experiment."""
+"""The report of an experiment, and how it is printed."""
 
 from __future__ import annotations
 
 import json
-from typing import Any
+from collections.abc import Mapping
+from typing import Any, ClassVar
 
 import click
+import msgspec
 
 
-def show(report: dict[str, Any], as_json: bool) -> None:
-    """Print a report, as one JSON object or a field a line."""
+class JsonReport(msgspec.Struct, frozen=True, kw_only=True):
+    """A report that is printed as one JSON object.
+
+    Fields are encoded in their order, under the names that `msgspec.field` gives them. A field that is UNSET
+    is left out.
+    """
+
+    INLINED: ClassVar[frozenset[str]] = (
+        frozenset()
+    )  # fields that are structs and whose own fields take their place
+
+    def json_object(self) -> dict[str, Any]:
+        """Return the JSON object, with the keys in the order of the fields."""
+        encoded: dict[str, Any] = {}
+        for field in msgspec.structs.fields(self):
+            value = getattr(self, field.name)
+            if field.name in self.INLINED:
+                encoded |= msgspec.to_builtins(value)
+            elif value is not msgspec.UNSET:
+                encoded[field.encode_name] = msgspec.to_builtins(value)
+        return encoded
+
+
+def show(report: JsonReport | Mapping[str, JsonReport], *, as_json: bool) -> None:
+    """Print a report, or several by their names, as one JSON object or a field a line."""
+    if isinstance(report, JsonReport):
+        fields = report.json_object()
+    else:
+        fields = {name: each.json_object() for name, each in report.items()}
     if as_json:
-        click.echo(json.dumps(report))
+        click.echo(json.dumps(fields))
         return
-    for name, value in report.items():
+    for name, value in fields.items():
         click.echo(f"{name:24} {value}")
--- a/tansyladder/lab/reconnect.py
+++ b/tansyladder/lab/reconnect.py
@@ -4,43 +4,64 @@
 
 import asyncio
 from datetime import timedelta
-from typing import Any
+from typing import ClassVar
+
+import msgspec
 
 from tansyladder.lab.clients import RECONNECT_DELAY
-from tansyladder.lab.drain import RULES
+from tansyladder.lab.output import JsonReport
+from tansyladder.lab.report import InvariantViolations, Percentiles
 from tansyladder.lab.topology import TopologySettings, running_topology
 from tansyladder.lab.waiting import wait_until
 
-RECONNECT_TIMEOUT = RECONNECT_DELAY[1] + 8  # seconds in which all clients must be served again
+RECONNECT_TIMEOUT = RECONNECT_DELAY.longest + 8  # seconds in which all clients must be served again
 SETTLE_TIME = 0.5  # seconds that all sessions are served before and after the break
 
 
-async def run(sessions: int, hosts: int, seed: int, resumes: bool, share: float) -> dict[str, Any]:
-    """Reset a share of the connections at one moment; report what each client had, and how soon again."""
-    async with running_topology(TopologySettings(seed, hosts, resumes)) as topology:
+class ReconnectReport(JsonReport, frozen=True, kw_only=True):
+    """What became of the clients whose connections were reset."""
+
+    INLINED: ClassVar[frozenset[str]] = frozenset({"violations"})
+
+    sessions: int
+    reset_count: int = msgspec.field(name="dropped")
+    all_reconnected: bool = msgspec.field(name="all_back")  # in time
+    resumed: int = msgspec.field(name="kept")
+    violations: InvariantViolations
+    gap_ms: Percentiles  # between two frames
+    resume_ms: Percentiles = msgspec.field(name="come_back_ms")  # from the first line to UP
+    set_up_ms: Percentiles  # the same for a new session
+    resumes: bool = msgspec.field(name="resume")
+    cases: dict[str, list[str]]  # by violated invariant
+
+
+async def run(sessions: int, hosts: int, seed: int, share: float, *, resumes: bool) -> ReconnectReport:
+    """Reset a share of the connections at one moment; measure how soon their clients are served again."""
+    async with running_topology(TopologySettings(seed, hosts, resumes=resumes)) as topology:
         await topology.connect_clients(sessions)
         await asyncio.sleep(SETTLE_TIME)
-        dropped = topology.clients[: round(sessions * share)]
+        reset_clients = topology.clients[: round(sessions * share)]
         for client in topology.clients:
-            client.watch()
-        for client in dropped:
-            client.up.clear()
+            client.start_measurement()
+        for client in reset_clients:
             client.reset_connection()
-        all_back = await wait_until(lambda: all(client.up.is_set() for client in dropped), RECONNECT_TIMEOUT)
+        all_reconnected = await wait_until(
+            lambda: all(client.is_served for client in reset_clients), RECONNECT_TIMEOUT
+        )
         await asyncio.sleep(SETTLE_TIME)
         await topology.quiesce()
         report = topology.report
-        for client in dropped:
+        for client in reset_clients:
             report.record_delay("gap", max(timedelta(0), client.gaps.longest))
-        return {
-            "sessions": sessions,
-            "dropped": len(dropped),
-            "all_back": all_back,
-            "kept": sum(client.session_count == 1 for client in dropped),
-            **{rule: report.counts[rule] for rule in RULES},
-            "gap_ms": report.percentiles("gap"),
-            "come_back_ms": report.percentiles("come_back"),
-            "set_up_ms": report.percentiles("set_up"),
-            "resume": resumes,
-            "cases": report.cases,
-        }
+        return ReconnectReport(
+            sessions=sessions,
+            reset_count=len(reset_clients),
+            all_reconnected=all_reconnected,
+            resumed=sum(client.session_count == 1 for client in reset_clients),
+            violations=report.violations(),
+            gap_ms=report.percentiles("gap"),
+            resume_ms=report.percentiles("resume"),
+            set_up_ms=report.percentiles("set_up"),
+            resumes=resumes,
+            cases=report.cases,
+        )
--- a/tansyladder/lab/report.py
+++ b/tansyladder/lab/report.py
@@ -5,14 +5,16 @@
 import time
 from collections import Counter
 from datetime import timedelta
+from enum import StrEnum
 
+import msgspec
 from hdrh.histogram import HdrHistogram
 
 MICROSECOND = timedelta(microseconds=1)
 MILLISECOND = timedelta(milliseconds=1)
 MAX_DELAY_US = 120_000_000  # the longest that a histogram can hold
 SIGNIFICANT_DIGITS = 3  # of a histogram's values
-CASES_PER_INVARIANT = 5  # that are kept
+CASES_PER_INVARIANT = 5  # that are stored
 
 
 def clock() -> timedelta:
@@ -20,6 +22,42 @@
     return timedelta(microseconds=time.monotonic_ns() // 1000)
 
 
+class Invariant(StrEnum):
+    """What the stand-ins check while they run; the values are keys of JSON reports and of histories."""
+
+    FINAL_ANSWER = "final_answers_wrong"  # each connection gets one final answer in time
+    NO_LINE_LOST = "lines_lost"
+    NO_LINE_DUPLICATED = "lines_doubled"
+    SINGLE_ATTEMPT = "second_attempts"  # a request has one attempt in flight
+    NO_ATTEMPT_AFTER_DRAIN = "late_sends_after_drain"  # no new attempt at a host that has drained
+    VALID_FIRST_LINE = "bad_first_lines"
+    VALID_CONTROL_MESSAGE = "bad_words"
+    NO_ORPHANED_CONNECTION = "orphans"  # hosts have no connections once all clients have left
+
+
+class InvariantViolations(msgspec.Struct, frozen=True):
+    """How often a run violated the invariants that decide its exit code."""
+
+    wrong_final_answers: int = msgspec.field(name="final_answers_wrong")
+    lost_lines: int = msgspec.field(name="lines_lost")
+    duplicated_lines: int = msgspec.field(name="lines_doubled")
+    simultaneous_attempts: int = msgspec.field(name="second_attempts")
+    attempts_after_drain: int = msgspec.field(name="late_sends_after_drain")
+
+    @property
+    def has_any(self) -> bool:
+        """Whether any of them was violated."""
+        return any(msgspec.structs.astuple(self))
+
+
+class Percentiles(msgspec.Struct, frozen=True, omit_defaults=True):
+    """Percentiles of delays in ms; all None, and left out of the JSON, where there was no delay."""
+
+    p50: float | None = None
+    p99: float | None = None
+    max: float | None = None
+
+
 class Report:
     """Counts and delays of one run. Owned by one event loop; not thread-safe."""
 
@@ -28,10 +66,10 @@
         self.cases: dict[str, list[str]] = {}  # by violated invariant
         self._histograms: dict[str, HdrHistogram] = {}
 
-    def record_violation(self, invariant: str, case: str) -> None:
-        """Count a violated invariant; the first cases are kept for whoever looks for the cause."""
+    def record_violation(self, invariant: Invariant, case: str) -> None:
+        """Count a violated invariant, and store its first cases, so that the cause can be found."""
         self.counts[invariant] += 1
-        cases = self.cases.setdefault(invariant, [])
+        cases = self.cases.setdefault(invariant.value, [])
         if len(cases) < CASES_PER_INVARIANT:
             cases.append(case)
 
@@ -40,23 +78,37 @@
         histogram = self._histograms.setdefault(name, HdrHistogram(1, MAX_DELAY_US, SIGNIFICANT_DIGITS))
         histogram.record_value(min(MAX_DELAY_US, max(1, delay // MICROSECOND)))
 
-    def percentiles(self, name: str) -> dict[str, float]:
-        """Return p50, p99 and max of a name's delays in ms; empty where there was none."""
+    def violations(self) -> InvariantViolations:
+        """Return how often each invariant was violated that decides the exit code."""
+        return InvariantViolations(
+            wrong_final_answers=self.counts[Invariant.FINAL_ANSWER],
+            lost_lines=self.counts[Invariant.NO_LINE_LOST],
+            duplicated_lines=self.counts[Invariant.NO_LINE_DUPLICATED],
+            simultaneous_attempts=self.counts[Invariant.SINGLE_ATTEMPT],
+            attempts_after_drain=self.counts[Invariant.NO_ATTEMPT_AFTER_DRAIN],
+        )
+
+    def percentiles(self, name: str) -> Percentiles:
+        """Return percentiles of the delays of a name."""
         histogram = self._histograms.get(name)
         if histogram is None:
-            return {}
-        values_us = {
-            "p50": histogram.get_value_at_percentile(50),
-            "p99": histogram.get_value_at_percentile(99),
-            "max": histogram.get_max_value(),
-        }
-        return {key: round(value / 1000, 1) for key, value in values_us.items()}
+            return Percentiles()
+        return Percentiles(
+            p50=_milliseconds(histogram.get_value_at_percentile(50)),
+            p99=_milliseconds(histogram.get_value_at_percentile(99)),
+            max=_milliseconds(histogram.get_max_value()),
+        )
 
     def as_text(self) -> str:
         """Return everything, a line each."""
         lines = [f"{name:32} {count}" for name, count in sorted(self.counts.items())]
         for name in sorted(self._histograms):
-            shown = " ".join(f"{key} {value} ms" for key, value in self.percentiles(name).items())
+            percentiles = msgspec.structs.asdict(self.percentiles(name))
+            shown = " ".join(f"{key} {value} ms" for key, value in percentiles.items())
             lines.append(f"{name:32} {shown}")
         lines += [f"  {invariant}: {case}" for invariant, cases in self.cases.items() for case in cases]
         return "\n".join(lines)
+
+
+def _milliseconds(value_us: int) -> float:
+    return round(value_us * MICROSECOND / MILLISECOND, 1)
