--- a/tansyladder/policy/balancer.py
+++ b/tansyladder/policy/balancer.py
@@ -1,18 +1,19 @@
-"""The decision module's entry. It only dispatches: each event goes to the part that owns what it changes."""
+"""The entry of the policy. It only dispatches: each event goes to the part that owns what it changes.
+
+`docs/policy.md` tells how the parts decide. What a balancer knows comes from the events of its own node
+alone: nodes send each other no messages.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from functools import partial
 from typing import Any
 
 from tansyladder.policy import events as event_types
 from tansyladder.policy.actions import Action
-from tansyladder.policy.context import Context
-from tansyladder.policy.discovery import handle_list_update
+from tansyladder.policy.endpoint_table import EndpointCounts
 from tansyladder.policy.events import Event
-from tansyladder.policy.records import EndpointCounts, EndpointTable, RequestTable
-from tansyladder.policy.request_lifecycle import RequestLifecycle
+from tansyladder.policy.parts import PolicyParts
 from tansyladder.policy.settings import Settings
 
 
@@ -22,26 +23,13 @@
     Not thread-safe: the caller serializes `handle`. `endpoint_counts` alone may be called from any thread.
     """
 
-    __slots__ = ("_handlers", "context", "endpoints", "requests")
+    __slots__ = ("_begin_batch", "_clock", "_handlers", "parts")
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        self.context = Context(settings, seed, now)
-        self.endpoints = EndpointTable()
-        self.requests = RequestTable()
-        lifecycle = RequestLifecycle(self.context, self.endpoints, self.requests)
-        self._handlers: dict[type, Callable[[Any], None]] = {
-            Settings: self.context.apply_settings,
-            event_types.TimerExpired: self.context.handle_timer,
-            event_types.EndpointListUpdate: partial(handle_list_update, self.context, self.endpoints),
-            event_types.RequestReceived: lifecycle.handle_request,
-            event_types.AttemptEstablished: lifecycle.handle_attempt_established,
-            event_types.AttemptEnded: lifecycle.handle_attempt_ended,
-            event_types.ClientDisconnected: self.requests.handle_client_disconnected,
-            event_types.ConnectionAdopted: self._adopt_connection,
-            event_types.ConnectionReport: lifecycle.handle_connection_report,
-            event_types.HealthCheckResult: lifecycle.handle_health_check_result,
-            event_types.PeerMessage: self._ignore,
-        }
+        self.parts = PolicyParts(settings, seed, now)
+        self._clock = self.parts.clock
+        self._begin_batch = self.parts.actions.begin_batch
+        self._handlers = _handlers_by_event(self.parts)
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
         """Decide what follows from events.
@@ -53,20 +41,34 @@
         Returns:
             The actions to perform, in order.
         """
-        self.context.now = now
-        self.context.actions = []
+        self._clock.now = now
+        actions = self._begin_batch()
+        handlers = self._handlers
         for event in events:
-            self._handlers[type(event)](event)
-        return self.context.actions
+            handlers[type(event)](event)
+        return actions
 
     def endpoint_counts(self) -> EndpointCounts:
         """Count the endpoints. Thread-safe without a lock: it reads a copy of the table."""
-        return self.endpoints.counts(self.context.now)
+        return self.parts.endpoints.counts(self._clock.now)
+
+
+def _handlers_by_event(parts: PolicyParts) -> dict[type, Callable[[Any], None]]:
+    """Name the handler of each type of event."""
+    return {
+        Settings: parts.in_force.apply,
+        event_types.TimerExpired: parts.timers.handle_timer_expired,
+        event_types.EndpointListUpdate: parts.list_updater.handle_list_update,
+        event_types.RequestReceived: parts.arrivals.handle_request,
+        event_types.AttemptEstablished: parts.lifecycle.handle_attempt_established,
+        event_types.AttemptEnded: parts.lifecycle.handle_attempt_ended,
+        event_types.ClientDisconnected: parts.lifecycle.handle_client_disconnected,
+        event_types.ConnectionAdopted: parts.lifecycle.handle_connection_adopted,
+        event_types.ConnectionReport: parts.reports.handle_connection_report,
+        event_types.HealthCheckResult: parts.reports.handle_health_check_result,
+        event_types.PeerMessage: _ignore,
+    }
 
-    def _adopt_connection(self, event: event_types.ConnectionAdopted) -> None:
-        """Count a connection that was established before this node's start."""
-        self.requests.adopt(event, self.endpoints.by_id.get(event.endpoint_id))
-        self.context.connections_by_tenant[event.tenant] += 1
 
-    def _ignore(self, event: event_types.PeerMessage) -> None:
-        """Nodes send each other no messages yet."""
+def _ignore(event: event_types.PeerMessage) -> None:
+    """Ignore a message of another node: nodes send each other none yet."""
--- a/tansyladder/policy/endpoint_load.py
+++ b/tansyladder/policy/endpoint_load.py
@@ -1,83 +1,89 @@
-"""How loaded endpoints are, by their load reports, late messages and what this node sent them."""
-
-from tansyladder.policy.context import Context
-from tansyladder.policy.records import Endpoint, EndpointPool, Request
-from tansyladder.policy.slow_start import available_permit, capacity_share
-
-ASSUMED_MEAN_UTILIZATION = 0.6  # of an endpoint that carries the mean load, where nobody reports
-UTILIZATION_LIMIT = 0.75  # from which an endpoint takes nothing new: its messages are late already
-MAX_GUESSED_UTILIZATION = 0.7  # of an endpoint that only health checks tell of, and nothing bad
-POOL_REFRESHES_PER_DEADLINE = 32  # figures are cached, or each request of a burst computes them
-
-
-def is_delayed(context: Context, endpoint: Endpoint) -> bool:
-    """Whether messages at an endpoint are known to be late."""
-    return context.now < endpoint.delay_valid_until and endpoint.message_delay_us > context.delay_limit_us
-
-
-def is_utilization_known(context: Context, endpoint: Endpoint) -> bool:
-    """Whether an endpoint's last load report is still of use."""
-    age = context.now - endpoint.utilization_at
-    return endpoint.utilization_at >= 0 and age < context.settings.slow_start_duration_us // 4
-
-
-def pending_utilization(context: Context, endpoint: Endpoint) -> float:
-    """The utilization by requests of this node that no report shows yet."""
-    age = context.now - endpoint.pending_at
-    return endpoint.pending_utilization * max(0.0, 1.0 - age / context.reaction_time_us)
-
-
-def refresh_pool(context: Context, pool: EndpointPool) -> EndpointPool:
-    """Compute a pool's figures anew where they are older than a part of the deadline."""
-    max_age = context.reaction_time_us // POOL_REFRESHES_PER_DEADLINE
-    if pool.refreshed_at >= 0 and context.now - pool.refreshed_at <= max_age:
-        return pool
-    endpoints = pool.endpoints
-    pool.refreshed_at = context.now
-    pool.warming_up = [e for e in endpoints if capacity_share(context, e) < 1.0]
-    pool.capacity = sum(e.weight * capacity_share(context, e) for e in endpoints)
-    pool.mean_load = sum(e.load for e in endpoints) / pool.capacity if pool.capacity else 0.0
-    if context.utilization_column < 0:  # nobody reports: late messages are all that is known
-        objective = context.message_objective_us
-        delays = [e.message_delay_us / objective if is_delayed(context, e) else 0.0 for e in endpoints]
-        known = [max(ASSUMED_MEAN_UTILIZATION, min(1.0, delay)) for delay in delays]
-    else:
-        known = [min(e.utilization, 1.0) for e in endpoints if is_utilization_known(context, e)]
-    pool.mean_utilization = sum(known) / len(known) if known else ASSUMED_MEAN_UTILIZATION
-    return pool
-
-
-def selection_weight(context: Context, endpoint: Endpoint, pool: EndpointPool) -> float:
-    """The weight of an endpoint in a random draw: its capacity thinned by its utilization; 0: it is full."""
-    share = capacity_share(context, endpoint)
-    if share < 1.0 and not available_permit(context, endpoint):
-        return 0.0
-    if is_utilization_known(context, endpoint):
-        utilization = endpoint.utilization + pending_utilization(context, endpoint)
-    else:
-        relative_load = endpoint.load / (endpoint.weight * share) / pool.mean_load if pool.mean_load else 1.0
-        utilization = pool.mean_utilization * relative_load
-        if context.settings.health_check_interval_us and not endpoint.reports_delay:
-            utilization = min(utilization, MAX_GUESSED_UTILIZATION)  # a guess ranks, but rejects nobody
-    if context.now < endpoint.delay_valid_until:
-        utilization = max(utilization, endpoint.message_delay_us / context.message_objective_us)
-    return float(endpoint.weight * share * max(0.0, UTILIZATION_LIMIT - utilization) ** 2)
-
-
-def record_assignment(context: Context, request: Request, endpoint: Endpoint, pool: EndpointPool) -> None:
-    """Count a request until reports show it, so that a burst isn't all sent to the one last reported idle."""
-    # Other nodes are taken to do as this one does, so its own mean load stands for the fleet's.
-    mean_load = refresh_pool(context, pool).mean_load * endpoint.weight
-    if pool.capacity:
-        pool.mean_load += request.load / pool.capacity  # or a burst would find all endpoints over the mean
-    added = ASSUMED_MEAN_UTILIZATION * request.load / max(mean_load, request.load)
-    endpoint.pending_utilization = pending_utilization(context, endpoint) + added
-    endpoint.pending_at = context.now
-
-
-def record_load_report(context: Context, endpoint: Endpoint, report: tuple[float, ...]) -> None:
-    """Take the utilization out of a load report, where it makes sense."""
-    column = context.utilization_column
-    if 0 <= column < len(report) and 0.0 <= report[column] < 1e6:  # a larger one makes no sense
-        endpoint.utilization = report[column]
-        endpoint.utilization_at = context.now
+"""What is known of the load of one endpoint, and for how long it counts.
+
+From three sources, each with its age:
+
+- the utilization in the last load report, which counts for a part of the slow start's duration;
+- the delay of messages, reported by the endpoint or measured by this node, which counts until it expires;
+- the pending utilization: what requests of this node add until reports show it. It decays linearly over the
+  reaction time: pending x (1 - age / reaction time).
+
+An endpoint whose messages are late has an excess share of its load, which is to be migrated:
+
+- utilization reported within the reaction time: 1 - TARGET_UTILIZATION / utilization, where it is over the
+  target;
+- else: 1 - delay limit / message delay, at most MAX_GUESSED_EXCESS.
+
+What other nodes have sent since the last report is not known.
+"""
+
+from __future__ import annotations
+
+from tansyladder.policy.clock import Clock
+from tansyladder.policy.endpoints import NEVER, Endpoint
+from tansyladder.policy.settings_in_force import SettingsInForce
+
+# A report counts for this part of the slow start: in that time an endpoint's load can change by as much.
+REPORT_LIFETIMES_PER_SLOW_START = 4
+TARGET_UTILIZATION = 0.75  # that migrations bring an overloaded endpoint down to
+MAX_GUESSED_EXCESS = 0.5  # of an endpoint's load, where its utilization is unknown
+MAX_REPORTED_UTILIZATION = 1e6  # a larger one makes no sense: full is 1
+
+
+class EndpointLoad:
+    """Knows the utilization and the message delay of endpoints."""
+
+    def __init__(self, clock: Clock, in_force: SettingsInForce) -> None:
+        self._clock = clock
+        self._in_force = in_force
+
+    def has_valid_delay(self, endpoint: Endpoint) -> bool:
+        """Whether the last known message delay of an endpoint still counts."""
+        return self._clock.now < endpoint.delay_valid_until
+
+    def is_delayed(self, endpoint: Endpoint) -> bool:
+        """Whether messages at an endpoint are known to be late."""
+        if self._clock.now >= endpoint.delay_valid_until:
+            return False
+        return endpoint.message_delay_us > self._in_force.limits.delay_limit_us
+
+    def is_utilization_known(self, endpoint: Endpoint) -> bool:
+        """Whether the last load report of an endpoint still counts."""
+        reported_at = endpoint.utilization_at
+        if reported_at < 0:
+            return False
+        lifetime = self._in_force.settings.slow_start_duration_us // REPORT_LIFETIMES_PER_SLOW_START
+        return self._clock.now - reported_at < lifetime
+
+    def known_utilization(self, endpoint: Endpoint) -> float:
+        """Return the utilization by the last load report and by the requests that it does not show yet."""
+        return endpoint.utilization + self._pending_utilization(endpoint)
+
+    def _pending_utilization(self, endpoint: Endpoint) -> float:
+        """Return what requests of this node add to the utilization that no report shows yet."""
+        age = self._clock.now - endpoint.pending_at
+        return endpoint.pending_utilization * max(0.0, 1.0 - age / self._in_force.limits.reaction_time_us)
+
+    def add_pending_utilization(self, endpoint: Endpoint, added: float) -> None:
+        """Add what a request of this node is going to add to an endpoint's utilization."""
+        endpoint.pending_utilization = self._pending_utilization(endpoint) + added
+        endpoint.pending_at = self._clock.now
+
+    def relative_delay(self, endpoint: Endpoint) -> float:
+        """Return the message delay of an endpoint as a multiple of the objective."""
+        return endpoint.message_delay_us / self._in_force.limits.message_objective_us
+
+    def record_load_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> None:
+        """Record the utilization in a load report; one that makes no sense is ignored."""
+        column = self._in_force.limits.utilization_column
+        if 0 <= column < len(report) and 0.0 <= report[column] < MAX_REPORTED_UTILIZATION:
+            endpoint.utilization = report[column]
+            endpoint.utilization_at = self._clock.now
+
+    def excess_share(self, endpoint: Endpoint) -> float:
+        """Return the share of the load that is too much, of an endpoint whose messages are late."""
+        limits = self._in_force.limits
+        reported_at = endpoint.utilization_at
+        if reported_at == NEVER or self._clock.now - reported_at >= limits.reaction_time_us:
+            return min(MAX_GUESSED_EXCESS, 1.0 - limits.delay_limit_us / endpoint.message_delay_us)
+        is_over_target = endpoint.utilization > TARGET_UTILIZATION
+        return 1.0 - TARGET_UTILIZATION / endpoint.utilization if is_over_target else 0.0
--- /dev/null
+++ b/tansyladder/policy/final_answers.py
@@ -0,0 +1,38 @@
+"""What final answer a request gets that is not served.
+
+A rejection tells the client that it may send the request again, and after how long: after the rest of the
+backoff's interval, within the limit that is configured. Where a repetition is not safe (`retry_safety`),
+the answer is that the request failed. Whether a client sends it again is not known.
+"""
+
+from __future__ import annotations
+
+from tansyladder.policy.action_sink import ActionSink
+from tansyladder.policy.actions import Fail, Reject
+from tansyladder.policy.request_table import RequestTable
+from tansyladder.policy.requests import Request
+from tansyladder.policy.retry_safety import may_client_repeat
+from tansyladder.policy.settings_in_force import SettingsInForce
+
+NO_RETRY_AFTER_US = 0  # of a rejection that names no wait
+
+
+class FinalAnswers:
+    """Gives requests that are not served their final answer."""
+
+    def __init__(self, in_force: SettingsInForce, actions: ActionSink, requests: RequestTable) -> None:
+        self._in_force = in_force
+        self._actions = actions
+        self._requests = requests
+
+    def reject(self, request: Request, retry_after_us: int) -> None:
+        """Give the final answer: a rejection where the client may safely repeat it, else a failure."""
+        settings = self._in_force.settings
+        if may_client_repeat(request, settings.classes[request.class_index]):
+            wait_us = max(NO_RETRY_AFTER_US, min(retry_after_us, settings.max_retry_after_us))
+            self._actions.emit(
+                Reject(request.id, wait_us if settings.can_send_retry_after else NO_RETRY_AFTER_US)
+            )
+        else:
+            self._actions.emit(Fail(request.id))
+        self._requests.remove(request)
--- /dev/null
+++ b/tansyladder/policy/health_checks.py
@@ -0,0 +1,67 @@
+"""When the health of an endpoint is checked.
+
+A check starts on demand, where a decision needs an endpoint's load, and periodically: all endpoints in
+turn, each once in the configured interval, from a random moment of the first interval on, so that nodes
+that start together do not check together. Endpoints that report delays themselves are skipped. An endpoint
+has one check in flight at most. Checks of other nodes are not known; the interval grows with the number of
+nodes before it comes here.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from tansyladder.policy.action_sink import ActionSink
+from tansyladder.policy.actions import CheckHealth
+from tansyladder.policy.clock import Clock
+from tansyladder.policy.endpoint_table import EndpointTable
+from tansyladder.policy.endpoints import Endpoint
+from tansyladder.policy.settings_in_force import SettingsInForce
+from tansyladder.policy.timers import TimerScheduler
+
+MIN_CHECK_GAP_US = 50_000  # between a node's periodic health checks, however many endpoints are listed
+
+
+class HealthCheckScheduler:
+    """Starts health checks, on demand and periodically."""
+
+    def __init__(
+        self,
+        *,
+        clock: Clock,
+        in_force: SettingsInForce,
+        rng: Random,
+        actions: ActionSink,
+        timers: TimerScheduler,
+        endpoints: EndpointTable,
+    ) -> None:
+        self._clock = clock
+        self._in_force = in_force
+        self._rng = rng
+        self._actions = actions
+        self._timers = timers
+        self._endpoints = endpoints
+
+    def check(self, endpoint: Endpoint) -> None:
+        """Start a health check of an endpoint unless one is in flight."""
+        if not endpoint.is_check_in_flight:
+            endpoint.is_check_in_flight = True
+            self._actions.emit(CheckHealth(endpoint.id))
+
+    def start_periodic_checks(self) -> None:
+        """Check all endpoints in turn, from a random moment of the first interval on, if configured."""
+        settings = self._in_force.settings
+        interval = settings.health_check_interval_us
+        if interval and settings.can_check_health:
+            self._timers.schedule(self._clock.now + self._rng.randint(0, interval), self._check_next, 0)
+
+    def _check_next(self, turn: int) -> None:
+        """Check the endpoint whose turn it is, and schedule the next turn."""
+        ready = self._endpoints.home_zone.endpoints + self._endpoints.other_zones.endpoints
+        if ready:
+            endpoint = ready[turn % len(ready)]
+            if not endpoint.reports_delay:
+                self.check(endpoint)
+        interval_us = self._in_force.settings.health_check_interval_us
+        gap_us = max(MIN_CHECK_GAP_US, interval_us // max(1, len(ready)))
+        self._timers.schedule(self._clock.now + gap_us, self._check_next, turn + 1)
--- /dev/null
+++ b/tansyladder/policy/parts.py
@@ -0,0 +1,204 @@
+"""The parts of one balancer, each built with what it needs of the others. Nothing is decided here.
+
+The order is that of `docs/policy.md`: what the parts share, what is known of endpoints, how one is
+selected, how endpoints are judged, and how requests are handled.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from tansyladder.policy.action_sink import ActionSink
+from tansyladder.policy.attempt_sending import AttemptSender, AttemptTimeouts
+from tansyladder.policy.attempts import AttemptStarter, EndpointAssigner
+from tansyladder.policy.candidate_checks import CandidateChecker
+from tansyladder.policy.clock import Clock
+from tansyladder.policy.discovery_polling import DiscoveryPoller
+from tansyladder.policy.drain_migration import DrainMigration
+from tansyladder.policy.ejection import Ejector
+from tansyladder.policy.endpoint_draw import EndpointDraw
+from tansyladder.policy.endpoint_list import EndpointListUpdater
+from tansyladder.policy.endpoint_load import EndpointLoad
+from tansyladder.policy.endpoint_reports import EndpointReportHandler
+from tansyladder.policy.endpoint_sampling import EndpointSampler
+from tansyladder.policy.endpoint_selection import EndpointSelector
+from tansyladder.policy.endpoint_table import EndpointTable
+from tansyladder.policy.endpoint_weights import EndpointWeights
+from tansyladder.policy.excess_migration import ExcessMigration
+from tansyladder.policy.final_answers import FinalAnswers
+from tansyladder.policy.health_checks import HealthCheckScheduler
+from tansyladder.policy.key_backoffs import KeyBackoffs
+from tansyladder.policy.migration_priority import MigrationPriority
+from tansyladder.policy.outlier_detection import OutlierDetector
+from tansyladder.policy.overload_migration import OverloadMigration
+from tansyladder.policy.pool_load import PoolLoad
+from tansyladder.policy.previous_endpoint import PreviousEndpointFinder
+from tansyladder.policy.request_arrival import RequestArrivalHandler
+from tansyladder.policy.request_lifecycle import RequestLifecycle
+from tansyladder.policy.request_table import RequestTable
+from tansyladder.policy.retries import RetryScheduler
+from tansyladder.policy.settings import Settings
+from tansyladder.policy.settings_in_force import SettingsInForce
+from tansyladder.policy.setup_failures import SetupFailureRate
+from tansyladder.policy.slow_start import SlowStart
+from tansyladder.policy.tenant_quotas import TenantQuotas
+from tansyladder.policy.timers import TimerScheduler
+from tansyladder.policy.weighted_draw import WeightedDraw
+
+
+class PolicyParts:
+    """All parts of one balancer. No part holds this: each gets the parts that it needs by its constructor."""
+
+    def __init__(self, settings: Settings, seed: int, now: int) -> None:
+        self.clock = Clock(now)
+        self.in_force = SettingsInForce(settings)
+        self.rng = Random(seed)
+        self.actions = ActionSink()
+        self.timers = TimerScheduler(self.actions)
+        self.endpoints = EndpointTable()
+        self.requests = RequestTable()
+        self.setup_failures = SetupFailureRate()
+        self.quotas = TenantQuotas(self.in_force)
+        self.slow_start = SlowStart(self.clock, self.in_force)
+        self.load = EndpointLoad(self.clock, self.in_force)
+        self.pool_load = PoolLoad(self.clock, self.in_force, self.slow_start, self.load)
+        self.scores = WeightedDraw(self.in_force, self.rng)
+        self.sampler = EndpointSampler(self.clock, self.in_force, self.rng, self.scores)
+        self.health_checks = self._build_health_checks()
+        self.outliers = self._build_outlier_detector()
+        self.poller = DiscoveryPoller(self.clock, self.in_force, self.rng, self.actions, self.timers)
+        self.list_updater = self._build_list_updater()
+        self.answers = FinalAnswers(self.in_force, self.actions, self.requests)
+        self.retries = self._build_retry_scheduler()
+        self.sender = self._build_attempt_sender()
+        self.attempts = self._build_attempt_starter()
+        self.arrivals = self._build_arrival_handler()
+        self.lifecycle = self._build_lifecycle()
+        self.reports = EndpointReportHandler(self.requests, self.endpoints, self.attempts, self.outliers)
+
+    def _build_selector(self) -> EndpointSelector:
+        """Build the selection of endpoints."""
+        weights = EndpointWeights(self.in_force, self.slow_start, self.load)
+        draw = EndpointDraw(self.clock, self.in_force, self.sampler, weights, self.scores)
+        return EndpointSelector(self.in_force, self.endpoints, self.pool_load, self.sampler, draw)
+
+    def _build_health_checks(self) -> HealthCheckScheduler:
+        """Build what starts health checks."""
+        return HealthCheckScheduler(
+            clock=self.clock,
+            in_force=self.in_force,
+            rng=self.rng,
+            actions=self.actions,
+            timers=self.timers,
+            endpoints=self.endpoints,
+        )
+
+    def _build_outlier_detector(self) -> OutlierDetector:
+        """Build the judgement of endpoints, with the migration that follows from it."""
+        priorities = MigrationPriority(self.in_force, self.quotas)
+        migration = OverloadMigration(
+            clock=self.clock,
+            in_force=self.in_force,
+            rng=self.rng,
+            timers=self.timers,
+            load=self.load,
+            excess=ExcessMigration(self.rng, self.actions, self.load, self.setup_failures, priorities),
+        )
+        return OutlierDetector(
+            clock=self.clock,
+            in_force=self.in_force,
+            load=self.load,
+            ejector=Ejector(self.clock, self.in_force, self.rng),
+            health_checks=self.health_checks,
+            migration=migration,
+        )
+
+    def _build_list_updater(self) -> EndpointListUpdater:
+        """Build what applies discovery's lists."""
+        return EndpointListUpdater(
+            clock=self.clock,
+            in_force=self.in_force,
+            endpoints=self.endpoints,
+            health_checks=self.health_checks,
+            drain_migration=DrainMigration(self.clock, self.in_force, self.rng, self.actions, self.timers),
+            poller=self.poller,
+        )
+
+    def _build_retry_scheduler(self) -> RetryScheduler:
+        """Build the scheduling of retries, which start attempts when they are due."""
+        backoffs = KeyBackoffs(
+            clock=self.clock,
+            in_force=self.in_force,
+            rng=self.rng,
+            timers=self.timers,
+            requests=self.requests,
+            setup_failures=self.setup_failures,
+        )
+        return RetryScheduler(
+            clock=self.clock,
+            in_force=self.in_force,
+            timers=self.timers,
+            backoffs=backoffs,
+            answers=self.answers,
+            start_attempt=self._start_attempt,
+        )
+
+    def _start_attempt(self, request_id: int) -> None:
+        """Start an attempt; the starter is built after the retries, which it needs as well."""
+        self.attempts.start(request_id)
+
+    def _build_attempt_sender(self) -> AttemptSender:
+        """Build what sends attempts to the endpoints that were selected."""
+        return AttemptSender(
+            in_force=self.in_force,
+            actions=self.actions,
+            endpoints=self.endpoints,
+            slow_start=self.slow_start,
+            pool_load=self.pool_load,
+            timeouts=AttemptTimeouts(self.clock, self.in_force, self.setup_failures),
+        )
+
+    def _build_attempt_starter(self) -> AttemptStarter:
+        """Build the start of attempts: the checks of candidates, then the assignment of an endpoint."""
+        candidates = CandidateChecker(
+            clock=self.clock,
+            in_force=self.in_force,
+            endpoints=self.endpoints,
+            sampler=self.sampler,
+            slow_start=self.slow_start,
+            health_checks=self.health_checks,
+        )
+        assigner = EndpointAssigner(
+            clock=self.clock,
+            requests=self.requests,
+            selector=self._build_selector(),
+            sender=self.sender,
+            retries=self.retries,
+            answers=self.answers,
+        )
+        return AttemptStarter(self.timers, self.requests, candidates, assigner)
+
+    def _build_arrival_handler(self) -> RequestArrivalHandler:
+        """Build the handling of requests that arrive."""
+        previous_endpoints = PreviousEndpointFinder(
+            self.clock, self.in_force, self.endpoints, self.slow_start
+        )
+        return RequestArrivalHandler(
+            clock=self.clock,
+            requests=self.requests,
+            previous_endpoints=previous_endpoints,
+            sender=self.sender,
+            attempts=self.attempts,
+            retries=self.retries,
+        )
+
+    def _build_lifecycle(self) -> RequestLifecycle:
+        """Build the handling of attempts and connections."""
+        return RequestLifecycle(
+            requests=self.requests,
+            endpoints=self.endpoints,
+            retries=self.retries,
+            outliers=self.outliers,
+            setup_failures=self.setup_failures,
+            quotas=self.quotas,
+        )
--- /dev/null
+++ b/tansyladder/policy/requests.py
@@ -0,0 +1,115 @@
+"""The record of one request, and of the connection that it became. Nothing is decided here.
+
+Moments and spans are integer microseconds.
+"""
+
+from __future__ import annotations
+
+from tansyladder.policy.backoff import Backoff
+from tansyladder.policy.endpoints import Endpoint
+from tansyladder.policy.events import ConnectionAdopted, RequestReceived
+from tansyladder.policy.request_states import (
+    CLOSED_STATES,
+    ESTABLISHED_STATES,
+    STATE_WHEN_CLOSED,
+    STATE_WHEN_ESTABLISHED,
+    RequestState,
+)
+
+DEFAULT_LOAD = 1.0  # of a connection without a load hint
+
+
+class Request:
+    """A request that this node handles, or the connection that it became."""
+
+    __slots__ = (
+        "attempt_count",
+        "backoff",
+        "candidates",
+        "class_index",
+        "deadline",
+        "endpoint",
+        "group_key",
+        "id",
+        "key",
+        "last_failed_endpoint",
+        "load",
+        "may_have_run_at",
+        "may_have_run_on",
+        "pending_check_count",
+        "retry_at",
+        "state",
+        "tenant",
+    )
+
+    def __init__(self, event: RequestReceived | ConnectionAdopted, deadline: int) -> None:
+        self.id = event.request_id
+        self.class_index = event.class_index
+        self.tenant = event.tenant
+        self.deadline = deadline
+        self.key = event.key
+        self.group_key = event.group_key
+        self.load = float(event.load_hint) if event.load_hint else DEFAULT_LOAD
+        self.state = RequestState.PENDING
+        self.attempt_count = 0
+        self.endpoint: Endpoint | None = None  # of its attempt in flight, or of its connection
+        self.backoff: Backoff | None = None
+        self.retry_at = 0  # when its next attempt is due
+        self.last_failed_endpoint: Endpoint | None = None
+        self.may_have_run_on: Endpoint | None = None  # of the first attempt that may have run
+        self.may_have_run_at = 0
+        self.candidates: list[Endpoint] = []  # endpoints whose load was checked for it
+        self.pending_check_count = 0  # health checks that it waits for
+
+    @property
+    def is_established(self) -> bool:
+        """Whether its connection is established."""
+        return self.state in ESTABLISHED_STATES
+
+    @property
+    def is_closed(self) -> bool:
+        """Whether it is over when its attempt or its connection ends."""
+        return self.state in CLOSED_STATES
+
+    def start_attempt(self, endpoint: Endpoint) -> None:
+        """Note that an attempt is in flight at an endpoint."""
+        self.endpoint = endpoint
+        self.attempt_count += 1
+        endpoint.add_connection(self)
+        endpoint.pending_attempt_count += 1
+
+    def establish(self) -> None:
+        """Note that the connection of its attempt is established."""
+        self.state = STATE_WHEN_ESTABLISHED[self.state]
+        if self.endpoint:
+            self.endpoint.pending_attempt_count -= 1
+
+    def adopt(self, endpoint: Endpoint | None) -> None:
+        """Note that its connection was established by its first attempt, before this node's start."""
+        self.state = RequestState.ESTABLISHED
+        self.attempt_count = 1
+        self.endpoint = endpoint
+        if endpoint:
+            endpoint.add_connection(self)
+
+    def close(self) -> None:
+        """Note that its client left, or was asked to reconnect."""
+        self.state = STATE_WHEN_CLOSED[self.state]
+
+    def record_possible_execution(self, endpoint: Endpoint | None, started_at: int) -> None:
+        """Note that an attempt may have run; the first one of a request counts."""
+        if self.may_have_run_on is None:
+            self.may_have_run_on = endpoint
+            self.may_have_run_at = started_at
+
+    def detach(self) -> None:
+        """Remove the attempt or the connection from its endpoint; the request is pending again."""
+        endpoint = self.endpoint
+        is_established = self.is_established
+        self.endpoint = None
+        self.state = RequestState.PENDING
+        if endpoint is None or not endpoint.remove_connection(self):
+            return
+        if not is_established:
+            endpoint.pending_attempt_count -= 1
+        endpoint.release_load(self.load)
--- a/tansyladder/policy/retries.py
+++ b/tansyladder/policy/retries.py
@@ -1,66 +1,81 @@
-"""Retries after failed set-ups of connections, and the rejection of requests that get no further attempt."""
+"""Whether and when a request is retried.
+
+The retry is due at the moment that the backoff has drawn. A request is not retried, but gets its final
+answer, where
+
+- the retry would start so late that a backoff slot later is past its deadline,
+- its attempts are used up, or
+- no further attempt is safe, as an earlier one may have run (`retry_safety`).
+
+Whether an endpoint is going to have capacity at the moment drawn is not known.
+"""
+
+from __future__ import annotations
 
 from collections.abc import Callable
 
-from tansyladder.policy.actions import Fail, Reject
 from tansyladder.policy.backoff import Backoff
-from tansyladder.policy.context import Context
-from tansyladder.policy.records import Request, RequestTable
-from tansyladder.policy.settings import DeduplicationScope, Idempotency
-
-SLOTS_PER_OBJECTIVE = 8  # backoff slots in the latency objective: three failures in a row still fit it
-MAX_BACKOFFS = 4096  # keys whose backoff a node remembers: bounds memory, far over what is in flight at once
+from tansyladder.policy.clock import Clock
+from tansyladder.policy.endpoints import Endpoint
+from tansyladder.policy.events import AttemptEnded, AttemptStatus
+from tansyladder.policy.final_answers import NO_RETRY_AFTER_US, FinalAnswers
+from tansyladder.policy.key_backoffs import SLOTS_PER_OBJECTIVE, KeyBackoffs
+from tansyladder.policy.requests import Request
+from tansyladder.policy.retry_safety import may_execute_anywhere
+from tansyladder.policy.settings_in_force import SettingsInForce
+from tansyladder.policy.timers import TimerScheduler
 
 
 class RetryScheduler:
-    """Decides whether a request gets a further attempt, and when. Owns the backoffs of keys."""
+    """Decides whether a request gets a further attempt, and when."""
+
+    def __init__(
+        self,
+        *,
+        clock: Clock,
+        in_force: SettingsInForce,
+        timers: TimerScheduler,
+        backoffs: KeyBackoffs,
+        answers: FinalAnswers,
+        start_attempt: Callable[[int], None],
+    ) -> None:
+        self._clock = clock
+        self._in_force = in_force
+        self._timers = timers
+        self._backoffs = backoffs
+        self._answers = answers
+        self._start_attempt = start_attempt
 
-    __slots__ = ("context", "requests", "start_attempt")
+    def handle_failed_attempt(self, request: Request, endpoint: Endpoint | None, event: AttemptEnded) -> None:
+        """Retry after an attempt that ended without a connection, or reject the request."""
+        request.last_failed_endpoint = endpoint
+        if not event.status.definitely_not_executed:
+            request.record_possible_execution(endpoint, self._clock.now - event.latency_us)
+        if event.status is AttemptStatus.NOT_ATTEMPTED:
+            self._answers.reject(request, NO_RETRY_AFTER_US)
+        else:
+            self.handle_setup_failure(request)
 
-    def __init__(self, context: Context, requests: RequestTable, start: Callable[[int], None]) -> None:
-        self.context = context
-        self.requests = requests
-        self.start_attempt = start
+    def handle_connection_established(self, request: Request) -> None:
+        """Clear the backoff of a request's key if its connection lasts."""
+        self._backoffs.clear_if_lasting(request)
 
     def handle_setup_failure(self, request: Request) -> None:
-        """Open the next interval of the backoff after a set-up that failed or found no endpoint."""
-        backoffs = self.requests.backoffs
-        backoff = request.backoff
-        if backoff is None:
-            backoff = request.backoff = Backoff()
-            if request.key:
-                backoffs[request.key] = backoff
-                if len(backoffs) > MAX_BACKOFFS:
-                    del backoffs[next(iter(backoffs))]
-        # When set-ups fail everywhere the first intervals widen: many clients share each of them.
-        widening = 1 + (SLOTS_PER_OBJECTIVE - 1) * self.context.setup_failure_rate
-        terms = self.context.settings.classes[request.class_index]
-        slot = max(1, int(terms.latency_objective_us // SLOTS_PER_OBJECTIVE * widening))
-        max_attempt = (terms.deadline_us // slot).bit_length()
-        backoff.record_failure(self.context.now, slot, max_attempt, self.context.rng)
-        self.retry_or_reject(request, backoff)
+        """Back off after a set-up that failed or found no endpoint."""
+        self.retry_or_reject(request, self._backoffs.record_failure(request))
 
     def retry_or_reject(self, request: Request, backoff: Backoff) -> None:
-        """Retry at the moment drawn; reject where that is too late, or no further attempt may be made."""
-        terms = self.context.settings.classes[request.class_index]
-        is_too_late = backoff.retry_at + terms.latency_objective_us // SLOTS_PER_OBJECTIVE > request.deadline
-        is_used_up = request.attempt_count >= self.context.settings.max_attempts
-        is_unrepeatable = request.may_have_run_on and terms.idempotency is Idempotency.NONE
-        if is_too_late or is_used_up or is_unrepeatable:
-            self.reject(request, backoff.interval_end - self.context.now)
+        """Retry at the moment drawn; reject where no further attempt may be made then."""
+        if self._may_retry(request, backoff.retry_at):
+            request.retry_at = backoff.retry_at  # its own: the key's changes with other requests
+            self._timers.schedule(request.retry_at, self._start_attempt, request.id)
         else:
-            request.retry_at = backoff.retry_at  # its own: the key's moves on with other requests
-            self.context.schedule(request.retry_at, self.start_attempt, request.id)
+            self._answers.reject(request, backoff.interval_end - self._clock.now)
 
-    def reject(self, request: Request, retry_after_us: int) -> None:
-        """Give the final answer: a rejection where the client may safely repeat it, else a failure."""
-        settings = self.context.settings
+    def _may_retry(self, request: Request, retry_at: int) -> bool:
+        """Whether a further attempt is safe, allowed, and in time when it starts at a moment."""
+        settings = self._in_force.settings
         terms = settings.classes[request.class_index]
-        is_deduplicated = terms.deduplication_scope is DeduplicationScope.ALL
-        is_keyed = terms.idempotency is Idempotency.WITH_KEY and is_deduplicated
-        if request.may_have_run_on and not (is_keyed or terms.idempotency is Idempotency.IDEMPOTENT):
-            self.context.actions.append(Fail(request.id))
-        else:
-            wait = max(0, min(retry_after_us, settings.max_retry_after_us))
-            self.context.actions.append(Reject(request.id, wait if settings.can_send_retry_after else 0))
-        del self.requests.by_id[request.id]
+        is_in_time = retry_at + terms.latency_objective_us // SLOTS_PER_OBJECTIVE <= request.deadline
+        has_attempts_left = request.attempt_count < settings.max_attempts
+        return is_in_time and has_attempts_left and may_execute_anywhere(request, terms)
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -200,7 +200,8 @@
                 }
             )
             actions = core.handle(now, [told])
-            assert core.context.reaction_time_us == deadline * MILLISECOND  # paces go by the classes in force
+            limits = core.parts.in_force.limits  # they go by the classes in force
+            assert limits.reaction_time_us == deadline * MILLISECOND
         while actions or timers:
             timers += [a for a in actions if isinstance(a, SetTimer)]
             for action in actions:
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -8,6 +8,7 @@
 from tansyladder.policy.actions import Action, SetTimer, StartAttempt
 from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.balancer import Balancer
+from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptStatus,
@@ -22,7 +23,6 @@
     RequestReceived,
     TimerExpired,
 )
-from tansyladder.policy.records import Endpoint
 from tansyladder.policy.settings import ClassSettings, Settings
 
 MILLISECOND = 1000  # us, as all spans and moments here
@@ -131,11 +131,11 @@
 
     def endpoint(self, endpoint_id: int) -> Endpoint:
         """The balancer's record of an endpoint."""
-        return self.balancer.endpoints.by_id[endpoint_id]
+        return self.balancer.parts.endpoints.by_id[endpoint_id]
 
     def backoff(self, key: int) -> Backoff:
         """The backoff of a key; KeyError where it has none."""
-        return self.balancer.requests.backoffs[key]
+        return self.balancer.parts.requests.backoffs[key]
 
     def deliver(self, *events: Event) -> list[Action]:
         """Hand events over now; the actions that follow, timers aside."""
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -94,7 +94,7 @@
     send = only_attempt(node.run_to_next_action())
     node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
     node.run_until(node.now + DEADLINE + 1)
-    assert 7 not in node.balancer.requests.backoffs
+    assert 7 not in node.balancer.parts.requests.backoffs
 
 
 def test_a_client_that_comes_again_within_its_interval_waits_for_its_retry() -> None:
@@ -147,11 +147,11 @@
     _, actions = node.send_request(key=0)
     node.fail_attempt(only_attempt(actions), 0)
     assert only_attempt(node.run_to_next_action())
-    assert not node.balancer.requests.backoffs
+    assert not node.balancer.parts.requests.backoffs
 
 
 def test_the_number_of_backoffs_is_bounded() -> None:
     node = BalancerDriver([], max_attempts=1)
     for key in range(1, 5000):
         node.send_request(key=key)
-    assert len(node.balancer.requests.backoffs) <= 4096
+    assert len(node.balancer.parts.requests.backoffs) <= 4096
--- /dev/null
+++ b/tests/policy/test_deploy_list.py
@@ -0,0 +1,28 @@
+"""The deploy file names each module of the policy that decides, or helps to."""
+
+from __future__ import annotations
+
+import tomllib
+from pathlib import Path
+
+import tansyladder.policy
+
+POLICY_FOLDER = Path(tansyladder.policy.__file__).parent
+PROJECT_ROOT = POLICY_FOLDER.parent.parent
+INTERFACE_MODULES = {
+    "__init__",
+    "actions",
+    "events",
+    "settings",
+}  # what the policy is told, and what it answers
+
+
+def test_the_deploy_file_lists_each_module_that_decides() -> None:
+    deploy = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())
+    modules = {path for path in POLICY_FOLDER.glob("*.py") if path.stem not in INTERFACE_MODULES}
+    assert {PROJECT_ROOT / path for path in deploy["policy"]} == modules
+
+
+def test_the_deploy_file_lists_each_module_once_and_in_order() -> None:
+    paths = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    assert paths == sorted(set(paths))
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -79,9 +79,9 @@
         node.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
     node.run_to_next_action(60 * SECOND)
     node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, ()))
-    start = node.now = max(node.now, node.balancer.endpoints.poll_backoff.interval_end)
+    start = node.now = max(node.now, node.balancer.parts.poller.backoff.interval_end)
     node.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
-    assert node.balancer.endpoints.poll_backoff.interval_end - start == 2 * SECOND
+    assert node.balancer.parts.poller.backoff.interval_end - start == 2 * SECOND
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 40])
@@ -208,4 +208,4 @@
         node.deliver(AttemptEstablished(send.request_id, 0, send.endpoint_id, MILLISECOND))
         if key == 1:
             assert send.endpoint_id in (1, 2)  # home first
-    assert {int(s.id >= 10) for s in node.balancer.endpoints.by_id.values() if s.connections} == zones
+    assert {int(s.id >= 10) for s in node.balancer.parts.endpoints.by_id.values() if s.connections} == zones
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -9,7 +9,6 @@
 
 from tansyladder.config.rates import health_check_interval
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, StartAttempt
-from tansyladder.policy.endpoint_load import is_delayed
 from tansyladder.policy.events import (
     AttemptEstablished,
     AttemptStatus,
@@ -131,7 +130,7 @@
     assert of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     for _ in range(3):
         answer_check(node, 5 * MILLISECOND)
-    assert not is_delayed(node.balancer.context, hanging)
+    assert not node.balancer.parts.load.is_delayed(hanging)
     for _ in range(40):
         answer_check(node, MILLISECOND)
     assert hanging.best_latency_us == MILLISECOND  # it goes on: the best was measured in a bad time
@@ -291,7 +290,7 @@
     node.deliver(adopted(1, 1), ConnectionReport(1, kind, 0, 1, 300.0))
     node.run_until(node.now + 3 * SECOND)
     node.deliver()
-    assert is_delayed(node.balancer.context, node.endpoint(1)) is is_still_delayed
+    assert node.balancer.parts.load.is_delayed(node.endpoint(1)) is is_still_delayed
 
 
 @pytest.mark.parametrize("nodes", [67, 200, 10**14])
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -18,7 +18,6 @@
     ListUpdateKind,
     ReportKind,
 )
-from tansyladder.policy.slow_start import capacity_share
 from tests.policy.harness import (
     LOAD_REPORTS,
     MILLISECOND,
@@ -133,13 +132,13 @@
     restarted = node.endpoint(1)
     assert restarted.ejection.attempt == 0
     assert restarted.ejection.retry_at == 0
-    assert capacity_share(node.balancer.context, restarted) < 1.0
+    assert node.balancer.parts.slow_start.capacity_share(restarted) < 1.0
 
 
 def test_without_slow_start_an_endpoint_that_is_ready_later_is_warm() -> None:
     """Clocks differ: discovery may name a moment that is still to come here."""
     node = BalancerDriver([endpoint(1, ready_at=START_TIME + SECOND)], slow_start_duration_us=0)
-    assert capacity_share(node.balancer.context, node.endpoint(1)) == 1.0
+    assert node.balancer.parts.slow_start.capacity_share(node.endpoint(1)) == 1.0
     assert only_attempt(node.send_request().actions).endpoint_id == 1
 
 
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
-from tansyladder.policy.endpoint_selection import sample
 from tansyladder.policy.events import (
     AttemptEnded,
     AttemptEstablished,
@@ -180,7 +179,7 @@
     node.fail_attempt(only_attempt(actions), 0)
     node.run_until(node.endpoint(1).ejection.interval_end)
     sent = [a for k in range(2, 9) for a in node.send_request(key=k).actions if isinstance(a, StartAttempt)]
-    out = [r for r in node.balancer.requests.by_id.values() if r.endpoint]
+    out = [r for r in node.balancer.parts.requests.by_id.values() if r.endpoint]
     assert len(out) == 1
     assert len(sent) <= 1
     node.deliver(AttemptEstablished(out[0].id, out[0].attempt_count - 1, 1, MILLISECOND))
@@ -215,12 +214,12 @@
     node = BalancerDriver([endpoint(1)])
     request_id, _ = node.send_request(tenant=2)
     node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND), adopted(900, 1, tenant=2))
-    assert node.balancer.context.connections_by_tenant == {2: 2}
+    assert node.balancer.parts.quotas.connections_by_tenant == {2: 2}
     node.deliver(
         AttemptEnded(request_id, 0, 1, AttemptStatus.OK, SECOND, True),
         AttemptEnded(900, 0, 1, AttemptStatus.RESET, SECOND, True),
     )
-    assert node.balancer.context.connections_by_tenant == {2: 0}
+    assert node.balancer.parts.quotas.connections_by_tenant == {2: 0}
 
 
 def time_out_requests(node: BalancerDriver, times: int) -> None:
@@ -239,7 +238,7 @@
     time_out_requests(node, 1)
     narrow = node.backoff(100).interval_end - START_TIME - MILLISECOND
     time_out_requests(node, 12)
-    assert node.balancer.context.setup_failure_rate > 0.5
+    assert node.balancer.parts.setup_failures.rate > 0.5
     now = node.now
     _, actions = node.send_request(key=300)
     send = only_attempt(actions)
@@ -256,10 +255,10 @@
     for changes in ({}, {"pass_through": True}):
         node = BalancerDriver(endpoints(1, 400), **changes)
         request_id, _ = node.send_request()
-        home = node.balancer.endpoints.home_zone
+        home = node.balancer.parts.endpoints.home_zone
         refreshed_at = home.refreshed_at
-        request = node.balancer.requests.by_id[request_id]
-        assert len(sample(node.balancer.context, home, request, 16)) == 16
+        request = node.balancer.parts.requests.by_id[request_id]
+        assert len(node.balancer.parts.sampler.sample(home, request, 16)) == 16
         node.now += MILLISECOND
         node.send_request()
         assert home.refreshed_at == refreshed_at
--- a/tests/policy/test_records.py
+++ b/tests/policy/test_request_states.py
@@ -1,19 +1,14 @@
-"""The states of a request, and which files of the decision module count as deciding."""
+"""The states of a request, and their transitions."""
 
 from __future__ import annotations
 
-import tomllib
-from pathlib import Path
-
 import pytest
 
-import tansyladder.policy
 from tansyladder.policy.events import RequestReceived
-from tansyladder.policy.records import Request, RequestState
+from tansyladder.policy.request_states import RequestState
+from tansyladder.policy.requests import Request
 from tests.policy.harness import START_TIME
 
-NOT_DECIDING = {"__init__", "actions", "balancer", "events", "records", "runtime", "settings"}
-
 
 def request_in(state: RequestState) -> Request:
     """A request in a state."""
@@ -54,11 +49,3 @@
     request.close()
     assert request.state is after
     assert request.is_closed
-
-
-def test_each_file_that_decides_is_counted() -> None:
-    """A new module decides until it is named here: its lines count towards the module's limit."""
-    root = Path(tansyladder.policy.__file__).parent
-    deploy = tomllib.loads((root.parent.parent / "deploy" / "balancer.toml").read_text())
-    counted = {Path(path).stem for path in deploy["policy"]}
-    assert counted == {path.stem for path in root.glob("*.py")} - NOT_DECIDING
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -66,7 +66,7 @@
     assert (
         node.deliver(AttemptEnded(request_id, 0, send.endpoint_id, AttemptStatus.TIMEOUT, SECOND, True)) == []
     )
-    assert request_id not in node.balancer.requests.by_id
+    assert request_id not in node.balancer.parts.requests.by_id
 
 
 def test_the_time_out_at_the_deadline_gets_the_final_answer() -> None:
