--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -154,7 +154,7 @@
 
 
 def _count_from_first_second(fleet: FleetCounts) -> None:
-    """Number all seconds from the first one of any node."""
+    """Renumber all seconds from the first one of any node."""
     first = min(fleet.seconds)
     last = max(fleet.seconds)
 
--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -17,10 +17,10 @@
 from hypothesis import strategies as st
 from structlog import DropEvent
 
-from tansyladder import log as logging
 from tansyladder.config.errors import OptionsError
 from tansyladder.config.operator_settings import KeyEntry, Options, load, parse, restart_required_changes
-from tansyladder.log import LogEvent
+from tansyladder.log import LineFormat, LogEvent, log, set_line_format
+from tansyladder.log_writer import MAX_LINES_PER_WINDOW, RATE_WINDOW, RateLimiter
 from tests.node.harness import ScriptedServer, answer_up, endpoint_entry, load_test_config
 from tests.node.program import client_of, program, until_line
 
@@ -150,21 +150,21 @@
 def test_the_log_keeps_its_lines_and_no_secret(capsys: pytest.CaptureFixture[str]) -> None:
     secrets: dict[str, Any] = {"token": "s3cret"}  # no field of the log has a secret by its type
     duration = timedelta(milliseconds=1.5)
-    logging.log(LogEvent.STARTED, error="two words", duration_ms=duration, node="x", **secrets)
-    logging.set_line_format(logging.LineFormat.JSON)
+    log(LogEvent.STARTED, error="two words", duration_ms=duration, node="x", **secrets)
+    set_line_format(LineFormat.JSON)
     try:
-        logging.log(LogEvent.DRAINED, error='a "b"', pending=3, duration_ms=duration)
+        log(LogEvent.DRAINED, error='a "b"', pending=3, duration_ms=duration)
     finally:
-        logging.set_line_format(logging.LineFormat.KEY_VALUE)
+        set_line_format(LineFormat.KEY_VALUE)
     first, second = capsys.readouterr().err.splitlines()
     assert first == 'event=started error="two words" duration_ms=1.5 node=x token=hidden:6'
     assert json.loads(second) == {"event": "drained", "error": 'a "b"', "pending": 3, "duration_ms": 1.5}
 
 
 def test_lines_of_one_event_are_rate_limited() -> None:
-    limit = logging.RateLimiter()
+    limit = RateLimiter()
     dropped = 0
-    for _ in range(logging.MAX_LINES_PER_WINDOW + 5):
+    for _ in range(MAX_LINES_PER_WINDOW + 5):
         try:
             limit(None, "msg", {"event": "flood"})
         except DropEvent:
@@ -174,13 +174,13 @@
 
 
 def test_the_next_line_of_an_event_has_the_number_of_dropped_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    limit = logging.RateLimiter()
+    limit = RateLimiter()
     moment = 0.0
-    monkeypatch.setattr("tansyladder.log.time.monotonic", lambda: moment)
-    for _ in range(logging.MAX_LINES_PER_WINDOW):
+    monkeypatch.setattr("tansyladder.log_writer.time.monotonic", lambda: moment)
+    for _ in range(MAX_LINES_PER_WINDOW):
         limit(None, "msg", {"event": "flood"})
     with pytest.raises(DropEvent):
         limit(None, "msg", {"event": "flood"})
-    moment = logging.RATE_WINDOW.total_seconds()
+    moment = RATE_WINDOW.total_seconds()
     assert limit(None, "msg", {"event": "flood"}) == {"event": "flood", "dropped_lines": 1}
     assert limit(None, "msg", {"event": "flood"}) == {"event": "flood"}
--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -9,7 +9,7 @@
 from tansyladder.cli import commands
 from tansyladder.lab import commands as lab_commands
 from tansyladder.lab import fleet_counts
-from tansyladder.log import LineRenderer
+from tansyladder.log_rendering import LineRenderer
 from tansyladder.node.event_counters import EventCounters
 from tansyladder.node.metrics import Metrics, RequestOutcome
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
@@ -24,8 +24,11 @@
 from tests.policy.harness import MILLISECOND, SECOND, make_settings
 
 
-def lines_of(at: int, refused: bool) -> list[str]:
-    """What one node writes: it takes 9 up, places 1 late at its second attempt, and 9 ends; 2 is refused."""
+def lines_of(at: int, *, is_rejected: bool) -> list[str]:
+    """The log of a node that adopts connection 9, which ends, and gets two requests.
+
+    Request 1 misses its latency objective at its second attempt; request 2 may be rejected.
+    """
     figures = Metrics(["chat"])
     counts = EventCounters(make_settings().classes, lambda n: f"s-{n}", figures)
     lines = ["event=started name=n0"]
@@ -37,12 +40,16 @@
         ),
         (
             at * SECOND + 500 * MILLISECOND,
-            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MILLISECOND, False)],
+            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MILLISECOND, is_closed=False)],
             [StartAttempt(1, 5, SECOND)],
         ),
         (at * SECOND + 600 * MILLISECOND, [AttemptEstablished(1, 1, 5, 100 * MILLISECOND)], [Migrate(9)]),
-        ((at + 1) * SECOND, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, True)], []),
-        ((at + 3) * SECOND, [RequestReceived(2, 0, 0, 0, is_reconnect=True)], [Reject(2)] if refused else []),
+        ((at + 1) * SECOND, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, is_closed=True)], []),
+        (
+            (at + 3) * SECOND,
+            [RequestReceived(2, 0, 0, 0, is_reconnect=True)],
+            [Reject(2)] if is_rejected else [],
+        ),
         ((at + 4) * SECOND, [], []),
         ((at + 5) * SECOND, [], []),
     ]
@@ -63,10 +70,13 @@
 
 
 def test_a_fleets_lines_add_up_by_second_and_by_endpoint() -> None:
-    first = lines_of(100, refused=True)
+    first = lines_of(100, is_rejected=True)
     assert len(first) == 4  # a second in which nothing was done has no line
     fleet = fleet_counts.read(
-        {"n0": first, "n1": [*lines_of(101, False), "event=counts timestamp=105 established=", "else"]}
+        {
+            "n0": first,
+            "n1": [*lines_of(101, is_rejected=False), "event=counts timestamp=105 established=", "else"],
+        }
     )
     assert (fleet.nodes, fleet.unread) == (2, 1)
     assert fleet.totals == {
@@ -90,13 +100,13 @@
 
 
 def test_the_connections_of_a_node_end_with_its_process() -> None:
-    fleet = fleet_counts.read({"n0": lines_of(100, False) + lines_of(110, False)})
+    fleet = fleet_counts.read({"n0": lines_of(100, is_rejected=False) + lines_of(110, is_rejected=False)})
     assert [fleet.connections[at]["s-5"] for at in (0, 3, 4, 9, 10)] == [1, 1, 0, 0, 1]
 
 
 def test_the_command_prints_both_tables(tmp_path: Path) -> None:
     lab_commands.add_to(commands.commands["lab"])  # type: ignore[arg-type]
-    (tmp_path / "n0.log").write_text("\n".join(lines_of(100, True)))
+    (tmp_path / "n0.log").write_text("\n".join(lines_of(100, is_rejected=True)))
     shown = CliRunner().invoke(commands, ["lab", "fleet", str(tmp_path)]).output
     assert shown.splitlines()[0] == "1 nodes, 0 lines unread"
     assert shown.splitlines()[-1].startswith(" all")
