--- a/tansyladder/node/connection_handler.py
+++ b/tansyladder/node/connection_handler.py
@@ -30,7 +30,6 @@
     """
 
     def __init__(self, services: ConnectionServices, client: socket.socket, opening: Opening) -> None:
-        """`opening`: the client's first line."""
         context = services.context
         self._services = services
         self._context = context
--- a/tansyladder/node/existing_connections.py
+++ b/tansyladder/node/existing_connections.py
@@ -110,8 +110,7 @@
 
     def _answer_failure(self, result: ConnectResult) -> None:
         """Give the final answer to a client whose connection could not be restored."""
-        status = result.status.name.lower()
-        log(LogEvent.CONNECTION_RESTORE_FAILED, endpoint=self._endpoint_id, status=status)
+        log(LogEvent.CONNECTION_RESTORE_FAILED, endpoint=self._endpoint_id, status=result.status.name.lower())
         if result.client_end is ClientEnd.DISCONNECTED:
             self._answer(RequestOutcome.CLIENT_LEFT)
         else:
