--- a/tansyladder/resumption/errors.py
+++ b/tansyladder/resumption/errors.py
@@ -29,7 +29,7 @@
 
     AHEAD = "ahead"  # it is ahead of the newest line
     BEHIND = "behind"  # it is behind the oldest line that can be replayed
-    SILENT = "no_position"  # the stream host sent no position
+    NO_POSITION = "no_position"  # the stream host sent no position
 
 
 class ResumptionError(Exception):
--- a/tansyladder/resumption/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -278,7 +278,7 @@
     try:
         message = control_messages.parse_host(line) if control_messages.is_control(line) else None
     except ControlMessageError as error:
-        raise PositionError(PositionMismatch.SILENT) from error
+        raise PositionError(PositionMismatch.NO_POSITION) from error
     if not isinstance(message, control_messages.ResumePosition):
-        raise PositionError(PositionMismatch.SILENT)
+        raise PositionError(PositionMismatch.NO_POSITION)
     return message
--- a/tansyladder/sessions/errors.py
+++ b/tansyladder/sessions/errors.py
@@ -16,22 +16,22 @@
     """Why a session left its stream host; the value is `reason` of `session_moved` and `session_rejected`."""
 
     RESTART = "restart"  # the session was restored here and has no stream host yet
-    ORDERED = "migrated_by_policy"  # the policy migrates it
-    STALLED = "stalled"  # the host takes no bytes
-    SILENT = "response_timeout"  # the host does not answer
-    RESET = "connection_reset"
-    CLOSED = "connection_closed"  # the host closed its connection without BYE
+    MIGRATED_BY_POLICY = "migrated_by_policy"
+    STALLED = "stalled"  # the host accepts no bytes
+    RESPONSE_TIMEOUT = "response_timeout"  # the host does not answer
+    CONNECTION_RESET = "connection_reset"
+    CONNECTION_CLOSED = "connection_closed"  # the host closed its connection without BYE
     INVALID_LINE = "invalid_line"
-    INVALID_MESSAGE = "invalid_control_message"
-    REDIRECTED = "moved_by_endpoint"  # the host sent MOVE
-    FINISHED = "finished"  # the host sent BYE while the client was away
+    INVALID_CONTROL_MESSAGE = "invalid_control_message"
+    MOVED_BY_ENDPOINT = "moved_by_endpoint"  # the host sent MOVE
+    FINISHED = "finished"  # the host sent BYE while the client was disconnected
 
 
 class SuspendReason(StrEnum):
     """Why a session lost its client; the value is `reason` of `session_suspended`."""
 
-    BROKEN = "connection_lost"
-    STALLED = "stalled"  # the client takes no bytes
+    CONNECTION_LOST = "connection_lost"
+    STALLED = "stalled"  # the client accepts no bytes
 
 
 class SessionError(Exception):
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -88,7 +88,7 @@
         """Take the policy's actions; the only one for an established connection is to migrate it."""
         while (action := self._queue.take()) is not None:
             if action.request_id == self._upstream.request_id:  # else of an earlier placement
-                raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.ORDERED)
+                raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MIGRATED_BY_POLICY)
 
     def _check_deadlines(self) -> None:
         """Do what is due by the clock: tokens, acknowledgements, and sides that send or take nothing."""
@@ -106,7 +106,7 @@
         if connected.is_stalled:
             client.suspend(SuspendReason.STALLED)
         elif not connected.unsent and self._response_timeout.check_silent():
-            raise UpstreamLostError(AttemptStatus.TIMEOUT, UpstreamLossReason.SILENT)
+            raise UpstreamLostError(AttemptStatus.TIMEOUT, UpstreamLossReason.RESPONSE_TIMEOUT)
         elif client.closing_deadline is None:
             client.send_due_lines(moment)
 
@@ -148,7 +148,7 @@
         except OSError:
             data = b""
         if not data:
-            self._client.suspend(SuspendReason.BROKEN)
+            self._client.suspend(SuspendReason.CONNECTION_LOST)
             return
         counted_position = self._stream.from_client.end_position
         output = _receive_client_lines(self._stream, connected, data)
@@ -177,9 +177,9 @@
         except BlockingIOError:
             return
         except OSError as error:
-            raise self._host_lost(UpstreamLossReason.RESET) from error
+            raise self._host_lost(UpstreamLossReason.CONNECTION_RESET) from error
         if not data:
-            raise self._host_lost(UpstreamLossReason.CLOSED)
+            raise self._host_lost(UpstreamLossReason.CONNECTION_CLOSED)
         try:
             lines = host.line_buffer.feed(data)
         except protocol.LineError as error:
@@ -196,7 +196,9 @@
                 output = self._stream.receive_from_host(line)
             except (ControlMessageError, PositionError) as error:
                 log(LogEvent.INVALID_RESPONSE, endpoint=self._endpoint.id, error=error)
-                raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_MESSAGE) from error
+                raise UpstreamLostError(
+                    AttemptStatus.ERROR, UpstreamLossReason.INVALID_CONTROL_MESSAGE
+                ) from error
             if output.to_client:
                 to_client += output.to_client
                 self._record_response(line)
@@ -206,7 +208,7 @@
         self._client.send(to_client)
         self._client.send(self._stream.report_lost_resumption())
         if signal is StreamSignal.HOST_REDIRECTED:
-            raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.REDIRECTED)
+            raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MOVED_BY_ENDPOINT)
         if signal is StreamSignal.HOST_FINISHED:
             if self._client.socket is None and self._stream.can_resume_client:  # its last lines are buffered
                 raise UpstreamLostError(AttemptStatus.OK, UpstreamLossReason.FINISHED)
@@ -224,7 +226,7 @@
         try:
             self._host.send(data)
         except OSError as error:
-            raise self._host_lost(UpstreamLossReason.RESET) from error
+            raise self._host_lost(UpstreamLossReason.CONNECTION_RESET) from error
 
     def _host_lost(self, reason: UpstreamLossReason) -> UpstreamLostError | SessionEndedError:
         """The error of a host whose connection ended without BYE; it ends a session whose client has left."""
