--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -9,7 +9,7 @@
 from tansyladder.cli import commands
 from tansyladder.lab import commands as lab_commands
 from tansyladder.lab import fleet_counts
-from tansyladder.log import LineRenderer
+from tansyladder.log_rendering import LineRenderer
 from tansyladder.node.event_counters import EventCounters
 from tansyladder.node.metrics import Metrics, RequestOutcome
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
