--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -48,7 +48,7 @@
         self._results: dict[str, ChangeResult | None] = {}  # by idempotency key; None: pending
 
     def may_decide(self, connection_id: str = "") -> bool:
-        """Whether the node may make a decision now; with a connection's id, that is put into the log."""
+        """Whether the node may make a decision now; with a connection's id, the decision is logged."""
         now_us = self._replica.now_us()
         lease = self._replica.lease
         is_allowed = self._replica.may_decide(lease, now_us)
--- a/tansyladder/cluster/peer_channel.py
+++ b/tansyladder/cluster/peer_channel.py
@@ -26,7 +26,7 @@
 
 
 class ConnectionSide(Enum):
-    """The two sides of a connection. The values are part of what the keys of frames are derived from."""
+    """The two sides of a connection. The keys of frames are derived from the values."""
 
     DIALLER = b"dialler"
     LISTENER = b"listener"
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -44,6 +44,7 @@
 PROPOSAL_RETRY_INTERVAL = timedelta(milliseconds=150)  # doubles with each attempt
 MICROSECONDS_PER_SECOND = 1_000_000
 INCARNATION_BYTES = 4  # drawn for each start of a node
+RANDOM_SEED_BYTES = 16  # of a node's election timeouts
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,6 +94,12 @@
     return Membership(name, voters, learners)
 
 
+def _start_node(membership: Membership, storage: RaftStorage, state_machine: ReplicatedState) -> RaftNode:
+    """Start a node from its storage, with random election timeouts."""
+    rng = Random(os.urandom(RANDOM_SEED_BYTES))
+    return RaftNode(membership, storage.persisted, state_machine, rng, _monotonic_us())
+
+
 class RaftRunner:
     """This node of the cluster, which replicates session ownership and documents.
 
@@ -112,17 +119,14 @@
         """Read the state from the disk and listen for peers; `start` begins to participate.
 
         Args:
-            name: This node's name.
-            options: The settings of the cluster.
-            storage: The storage of state that must outlive the process.
-            on_ownership_claimed: Gets the session, epoch and owner of each accepted claim, on the Raft
-                thread; it must not block.
+            name: That of this node.
+            options, storage: Settings of the cluster, and what outlives the process.
+            on_ownership_claimed: Gets session, epoch and owner of each accepted claim; it must not block.
             now_us: Reads Unix time in microseconds.
             documents: None if this cluster replicates no documents.
 
         Raises:
-            StoreError: The state can't be read.
-            OSError: The node can't listen at its address for peers.
+            StoreError, OSError: The state can't be read, or the node can't listen for peers.
         """
         self._storage = RaftStorage(storage.store, RollbackDetector(storage.state_directory, name))
         self.incarnation = f"{name}/{os.urandom(INCARNATION_BYTES).hex()}"  # the node and its start
@@ -133,9 +137,7 @@
         self._logged_status: RaftStatus | None = None
         membership = _membership(name, options)
         state_machine = ReplicatedState(membership.voters, on_ownership_claimed)
-        self._node = RaftNode(
-            membership, self._storage.persisted, state_machine, Random(os.urandom(16)), _monotonic_us()
-        )
+        self._node = _start_node(membership, self._storage, state_machine)
         self.document_replica: DocumentReplica | None = None
         if documents is not None:
             # The node has loaded the state by now, so the replica reads the contents that it refers to.
--- a/tansyladder/raft/follower.py
+++ b/tansyladder/raft/follower.py
@@ -43,7 +43,7 @@
             self._respond(sender, success=True, index=message.last_included_index)
 
     def _accept_leader(self, sender: str, term: int) -> bool:
-        """Follow the sender; False if its term is over, which the response tells it."""
+        """Follow the sender; if its term is over, respond with the present term and return False."""
         state = self._state
         if term < state.term:
             self._respond(sender, success=False, index=0)
--- a/tansyladder/raft/leader.py
+++ b/tansyladder/raft/leader.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class PeerProgress:
-    """What a leader knows of another node's log."""
+    """A leader's knowledge of another node's log."""
 
     next_index: int  # the entry to send next
     last_contact_at: int  # when its last response arrived, or when the term began
--- a/tansyladder/raft/persistent_state.py
+++ b/tansyladder/raft/persistent_state.py
@@ -35,7 +35,7 @@
         disk_id: The name of this disk, drawn when its store was created.
         initial_disks: The disk with which each voter founded the cluster, by voter; empty until known.
         committed_admission_index: The newest disk admission in the log that is known to be committed. Without
-            it a voter whose admission nobody remembers as committed could not be counted.
+            it a restart of all nodes could lose that knowledge, and with it the voter that was admitted.
         stale_disk_suspected: Whether the disk may be an older copy of itself. Independent of the role: a
             suspected node may follow a leader, but it neither votes nor counts.
         vote_floor: The furthest log position that other voters reported when the suspicion ended; a candidate
@@ -74,7 +74,7 @@
         return replace(self, stale_disk_suspected=False, voted_for=self.voted_for or UNKNOWN_CANDIDATE)
 
     def with_vote_floor(self, floor: LogPosition) -> HardState:
-        """Return the state whose vote no log gets that ends before a position."""
+        """Return the state that denies its vote to a candidate whose log ends before a position."""
         return replace(self, vote_floor=floor)
 
 
--- a/tansyladder/replication/content_transfer.py
+++ b/tansyladder/replication/content_transfer.py
@@ -246,5 +246,5 @@
             self._send(fetch.current_peer, ChunkRequest(digest, offset))
 
     def _send(self, peer: str, body: ChunkRequest | Chunk) -> None:
-        """Queue a message for the caller, who takes it by `take_outgoing`."""
+        """Queue a message for `take_outgoing`."""
         self._outgoing.append(AddressedMessage(peer, DocumentMessage(body)))
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -25,7 +25,7 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Mapping, Sequence
+from collections.abc import Collection, Mapping, Sequence
 from enum import IntEnum
 from typing import NamedTuple
 
@@ -148,6 +148,25 @@
     return incarnation.partition("/")[0]
 
 
+def _exceeded_limit(proposal: Proposal, known_names: Collection[str]) -> str:
+    """Return the limit that a proposal exceeds; empty if it exceeds none."""
+    if not 0 < proposal.size <= MAX_CONTENT_BYTES:
+        return f"size: from 1 to {MAX_CONTENT_BYTES} bytes"
+    if proposal.name not in known_names and len(known_names) >= MAX_DOCUMENTS:
+        return f"name: there are {MAX_DOCUMENTS} documents"
+    return ""
+
+
+def _extended_leases(leases: Mapping[str, int], grant: LeaseGrant) -> dict[str, int]:
+    """Return a copy of leases with those of a grant, as other threads read the present ones."""
+    extended = dict(leases)
+    for incarnation in grant.incarnations:
+        if incarnation in extended or len(extended) < MAX_LEASES:
+            end_us = grant.timestamp_us + grant.duration_us
+            extended[incarnation] = max(end_us, extended.get(incarnation, 0))
+    return extended
+
+
 class Documents:
     """The replicated state machine of documents and leases.
 
@@ -234,13 +253,14 @@
         return self._apply_abort(change, command)
 
     def _apply_proposal(self, proposal: Proposal) -> ChangeResult:
+        """Begin a change, unless another one is pending; a repeated proposal gets the change's own result."""
         if proposal.idempotency_key in self.results:
             return self.results[proposal.idempotency_key]
         if self.change is not None:
             if self.change.idempotency_key == proposal.idempotency_key:
                 return ChangeResult(ChangeOutcome.IN_PROGRESS, self.change.number)
             return ChangeResult(ChangeOutcome.BUSY, self.change.number, self.change.name)
-        fault = self._exceeded_limit(proposal)
+        fault = _exceeded_limit(proposal, self._versions.keys())
         if fault:
             return ChangeResult(ChangeOutcome.REJECTED, 0, fault)
         self._change_count += 1
@@ -254,25 +274,13 @@
         )
         return ChangeResult(ChangeOutcome.IN_PROGRESS, self._change_count)
 
-    def _exceeded_limit(self, proposal: Proposal) -> str:
-        """Return the limit that a proposal exceeds; empty if it exceeds none."""
-        if not 0 < proposal.size <= MAX_CONTENT_BYTES:
-            return f"size: from 1 to {MAX_CONTENT_BYTES} bytes"
-        if proposal.name not in self._versions and len(self._versions) >= MAX_DOCUMENTS:
-            return f"name: there are {MAX_DOCUMENTS} documents"
-        return ""
-
     def _apply_lease_grant(self, grant: LeaseGrant) -> ChangeResult:
         """Extend leases, and forget those that ended long ago; `LEASES_FROZEN` in the prepared phase."""
         if self.change is not None and self.change.phase is ChangePhase.PREPARED:
             return ChangeResult(ChangeOutcome.LEASES_FROZEN)  # the commit relies on the present ends
-        leases = dict(self.leases)  # a copy, as other threads read the present one
-        for incarnation in grant.incarnations:
-            if incarnation in leases or len(leases) < MAX_LEASES:
-                end_us = grant.timestamp_us + grant.duration_us
-                leases[incarnation] = max(end_us, leases.get(incarnation, 0))
         # A lease that ended one duration ago has ended by any node's clock.
         oldest_end_us = self.latest_timestamp_us - grant.duration_us
+        leases = _extended_leases(self.leases, grant)
         self.leases = {
             incarnation: end_us for incarnation, end_us in leases.items() if end_us > oldest_end_us
         }
--- a/tansyladder/simulation/simulated_node.py
+++ b/tansyladder/simulation/simulated_node.py
@@ -11,7 +11,7 @@
 
 
 class CountedEvent(Enum):
-    """What a simulated cluster counts, to show that a history had the faults that it is to have."""
+    """Events that a simulated cluster counts, so that a test can check that faults have occurred."""
 
     CRASH = auto()
     DISK_LOSS = auto()
