--- a/tansyladder/cluster/content_worker.py
+++ b/tansyladder/cluster/content_worker.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeleteContent:
-    """Delete a content, unless a document refers to it again by then."""
+    """Delete a content, unless it is in memory again when the task runs."""
 
     digest: bytes
 
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -176,7 +176,7 @@
         return self._documents.results.get(idempotency_key)
 
     def wait_for_result(self, idempotency_key: str, until: timedelta) -> ChangeResult | None:
-        """Wait for the result of a change until a moment of the node's clock; None without one by then."""
+        """Wait for the result of a change, at most until a moment of the node's clock."""
         while True:
             result = self.result(idempotency_key)
             if result is not None or now() >= until:
--- a/tests/cluster/test_peer_transport.py
+++ b/tests/cluster/test_peer_transport.py
@@ -38,8 +38,8 @@
 class TwoNodes:
     """The transports of the nodes `a` and `b`, and what each has received."""
 
-    def __init__(self, peer: Peer = Peer()) -> None:
-        """`peer`: the node `b`."""
+    def __init__(self, peer: Peer) -> None:
+        """Let both listen; `peer` are the settings of the node `b`."""
         listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
         self.addresses: list[tuple[str, int]] = [listener.getsockname() for listener in listeners]
         for listener in listeners:
@@ -151,7 +151,7 @@
             with pytest.raises(queue.Empty):
                 nodes.received[1].get(timeout=0.05)
         else:
-            raise AssertionError("nobody was rejected")
+            raise AssertionError("no peer was rejected")
         assert nodes.received[1].empty()
 
 
--- a/tests/cluster/test_session_takeover.py
+++ b/tests/cluster/test_session_takeover.py
@@ -67,7 +67,7 @@
             await running.connect_clients(12)
             await FaultInjector(running).inject(Fault(0, FaultKind.UPGRADE, 1, 0.0))
             log = running.nodes[1].process.log
-            while log.read_bytes().count(b"event=cluster_joined") < 2:
+            while log.read_bytes().count(b"event=cluster_joined") < 2:  # of the old and of the new process
                 await asyncio.sleep(0.02)
             await running.wait_until_all_connected(15)
             return sum(client.session_count for client in running.clients), log.read_bytes()
@@ -92,6 +92,23 @@
         await asyncio.sleep(0.1)
 
 
+async def send_and_disconnect(node: LabNode, first_line: str) -> None:
+    """Send a first line, and close the connection without waiting for the answer."""
+    _, writer = await asyncio.open_connection("127.0.0.1", node.port)
+    writer.write(f"{first_line}\r\n".encode())
+    await writer.drain()
+    writer.close()
+    await writer.wait_closed()
+
+
+async def wait_until_first_lines_are_read(node: LabNode) -> None:
+    """Wait for the answer to a PING, which the node reads after the connections before it."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
+    writer.write(b"PING\r\n")
+    assert await reader.readline() == b"PONG\r\n"
+    writer.close()
+
+
 def test_a_token_buffered_at_a_paused_node_stays_valid_when_its_client_has_left() -> None:
     async def scenario() -> list[str]:
         async with cluster.running_cluster(3, 2, 1) as running:
@@ -99,22 +116,14 @@
             answers = []
             for client in running.clients[:4]:
                 open_parameters = client.abandon().open_parameters
-                stopped, other = (1, 2) if client.number % 2 else (2, 0)
-                running.nodes[stopped].pause()
-                port = running.nodes[stopped].process.port
-                _, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(f"OPEN {client.number:x}0 {open_parameters}\r\n".encode())
-                await writer.drain()
-                writer.close()
-                await writer.wait_closed()
-                running.nodes[stopped].resume()
-                reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(b"PING\r\n")  # it has come to the token by then
-                assert await reader.readline() == b"PONG\r\n"
-                writer.close()
-                answers.append(
-                    await final_answer(running.nodes[other].process, open_parameters, client.number * 256 + 1)
-                )
+                paused_number, other_number = (1, 2) if client.number % 2 else (2, 0)
+                paused, other = running.nodes[paused_number], running.nodes[other_number]
+                paused.pause()
+                await send_and_disconnect(paused.process, f"OPEN {client.number:x}0 {open_parameters}")
+                paused.resume()
+                await wait_until_first_lines_are_read(paused.process)
+                connection_id = client.number * 256 + 1
+                answers.append(await final_answer(other.process, open_parameters, connection_id))
             return answers
 
     assert asyncio.run(asyncio.wait_for(scenario(), 60)) == ["UP"] * 4
