--- a/tansyladder/lab/chaos/experiments.py
+++ b/tansyladder/lab/chaos/experiments.py
@@ -135,8 +135,8 @@
     return DuplicateTokensReport(
         nodes=nodes,
         tokens=sessions,
-        opened_once=token_counts[1],
-        opened_never=token_counts[0],
+        accepted_once=token_counts[1],
+        never_accepted=token_counts[0],
         reused_tokens=violations.reused_tokens,
         wrong_answers=violations.wrong_answers,
         shared_sessions=violations.shared_sessions,
--- a/tansyladder/lab/chaos/hosts.py
+++ b/tansyladder/lab/chaos/hosts.py
@@ -17,8 +17,9 @@
 import msgspec
 
 from tansyladder.lab.chaos.history import EventKind, History, Party
+from tansyladder.lab.host_cluster import StreamHostCluster
 from tansyladder.lab.hosted_stream import HostedStream
-from tansyladder.lab.hosts import StreamHost, StreamHostCluster
+from tansyladder.lab.hosts import StreamHost
 from tansyladder.lab.report import Report
 
 FLUSH_INTERVAL = 0.2  # seconds between two writes of the history
--- a/tansyladder/lab/chaos/reports.py
+++ b/tansyladder/lab/chaos/reports.py
@@ -57,8 +57,8 @@
 
     nodes: int
     tokens: int
-    opened_once: int
-    opened_never: int
+    accepted_once: int = msgspec.field(name="opened_once")
+    never_accepted: int = msgspec.field(name="opened_never")
     reused_tokens: int = msgspec.field(name="token_twice")
     wrong_answers: int = msgspec.field(name="answers_wrong")
     shared_sessions: int = msgspec.field(name="two_owners")
--- a/tansyladder/lab/chaos/scenarios.py
+++ b/tansyladder/lab/chaos/scenarios.py
@@ -67,7 +67,7 @@
     "set-ups in hand": (Fault(0.02, FaultKind.KILL, 0, 3.0), Fault(0.05, FaultKind.KILL, 1, 3.0)),
 }
 MINIMUM_SESSIONS = {"200 of one node at once": 1000}  # by scenario; fewer are too few for it
-LATE_CLIENTS = {"set-ups in hand": 120}  # by scenario: clients that connect while the faults go on
+LATE_CLIENTS = {"set-ups in hand": 120}  # by scenario: clients that connect during the faults
 
 
 def scenario_schedule(name: str, seed: int, sessions: int, hosts: int) -> Schedule:
--- a/tansyladder/lab/chaos/schedule.py
+++ b/tansyladder/lab/chaos/schedule.py
@@ -74,7 +74,7 @@
     hosts: PositiveInt
     sessions: PositiveInt
     faults: tuple[Fault, ...]
-    late: int = 0  # clients that connect while the faults go on
+    late: int = 0  # clients that connect during the faults
 
 
 def generate(seed: int, nodes: int, hosts: int, sessions: int, seconds: float) -> Schedule:
--- /dev/null
+++ b/tansyladder/lab/client_line_exchange.py
@@ -0,0 +1,67 @@
+"""The lines of one session on one of its client's connections."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from tansyladder.lab.client_session import ClientSession
+from tansyladder.lab.connections import Connection
+
+
+class ClientLineExchange:
+    """Sends and receives a session's lines. Owned by one event loop; not thread-safe."""
+
+    def __init__(
+        self,
+        session: ClientSession,
+        connection: Connection,
+        *,
+        first_delay: float,
+        line_interval: float,
+        silence_timeout: float | None,
+        is_sending: Callable[[], bool],
+    ) -> None:
+        """Make an exchange that has not started.
+
+        Args:
+            session: whose lines are exchanged.
+            connection: on which the first line was answered UP.
+            first_delay: seconds until the first line is sent.
+            line_interval: seconds between two lines.
+            silence_timeout: seconds without a line after which the connection counts as dead; None for none.
+            is_sending: whether the client still sends lines.
+        """
+        self._session = session
+        self._connection = connection
+        self._first_delay = first_delay
+        self._line_interval = line_interval
+        self._silence_timeout = silence_timeout
+        self._is_sending = is_sending
+
+    async def run(self) -> None:
+        """Exchange lines until the connection ends, breaks or is silent, or the session migrates."""
+        sender = asyncio.ensure_future(self._send_lines())
+        try:
+            await self._receive_lines()
+        except (OSError, ValueError, asyncio.IncompleteReadError):
+            pass  # the node, or the link to it, is gone or silent (TimeoutError is an OSError)
+        finally:
+            sender.cancel()
+
+    async def _send_lines(self) -> None:
+        """Send lines at a constant rate; the clients' phases differ."""
+        writer = self._connection.writer
+        await asyncio.sleep(self._first_delay)
+        while not writer.transport.is_closing() and self._is_sending():
+            writer.write(f"{self._session.next_line()}\r\n".encode())
+            await asyncio.sleep(self._line_interval)
+
+    async def _receive_lines(self) -> None:
+        """Receive lines until the connection ends or the session migrates. Raises OSError, ValueError."""
+        reader, writer = self._connection
+        while line := await asyncio.wait_for(reader.readline(), self._silence_timeout):
+            for answer in self._session.receive(line):
+                writer.write(f"{answer}\r\n".encode())
+            if self._session.is_migrating:
+                return
--- a/tansyladder/lab/client_session.py
+++ b/tansyladder/lab/client_session.py
@@ -13,7 +13,13 @@
 
 
 class SessionObserver:
-    """Is notified of a session's events; subclasses record them, and this class does nothing."""
+    """Is notified of a client's events; subclasses record them, and this class does nothing."""
+
+    def on_open_sent(self, connection_id: str, token: str) -> None:
+        """Observe that a first line was sent; `token` is empty where it shows none."""
+
+    def on_answered(self, connection_id: str, status: str, line: str) -> None:
+        """Observe an answer, or the end of a connection without one (both are empty then)."""
 
     def on_line_sent(self, number: int) -> None:
         """Observe that a line of the client is sent for the first time."""
@@ -67,7 +73,8 @@
 
     def take_token(self) -> str:
         """Return the token and forget it, as it may be shown once; empty where there is none."""
-        token, self.token = self.token, ""
+        token = self.token
+        self.token = ""
         return token
 
     def return_token(self, token: str) -> None:
@@ -83,12 +90,12 @@
 
     def receive(self, line: bytes) -> list[str]:
         """Handle a line from the node; return the lines that answer it. Raises ValueError, IndexError."""
-        words = line.decode().split()
-        match words[0]:
+        line_fields = line.decode().split()
+        match line_fields[0]:
             case "RS":
-                return self._receive_control_message(words)
+                return self._receive_control_message(line_fields)
             case "F":
-                return self._receive_frame(int(words[1]), int(words[2]))
+                return self._receive_frame(int(line_fields[1]), int(line_fields[2]))
             case "MOVE":
                 self._report.counts["moved"] += 1
                 self._observer.on_migration_requested()
@@ -98,9 +105,9 @@
                 self._report.record_violation(Invariant.FINAL_ANSWER, f"{line[:60]!r} after UP")
         return []
 
-    def _receive_control_message(self, words: list[str]) -> list[str]:
+    def _receive_control_message(self, line_fields: list[str]) -> list[str]:
         """Handle an RS line; return the lines that have to be sent again."""
-        match words:
+        match line_fields:
             case ["RS", "TOKEN", token, _]:
                 self.token = token
             case ["RS", "AT", position]:
@@ -111,7 +118,7 @@
             case ["RS", "OFF", *_]:
                 self._report.counts["resumption_off"] += 1
             case _:
-                self._report.record_violation(Invariant.VALID_CONTROL_MESSAGE, " ".join(words))
+                self._report.record_violation(Invariant.VALID_CONTROL_MESSAGE, " ".join(line_fields))
         return []
 
     def _acknowledge_up_to(self, position: int) -> None:
--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -10,18 +10,18 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
+from tansyladder.lab.client_line_exchange import ClientLineExchange
 from tansyladder.lab.client_session import ClientSession, GapMeter, SessionObserver
 from tansyladder.lab.connections import LOOPBACK, Connection, answer_status, connection, open_connection
+from tansyladder.lab.first_lines import ClientProfile
 from tansyladder.lab.report import Invariant, Report, clock
 from tansyladder.lab.waiting import DelayRange
 
 RECONNECT_DELAY = DelayRange(0.11, 0.82)  # before a client connects again
 LINE_INTERVAL = 1.0  # seconds between two lines of a client
 ANSWER_TIMEOUT = 5.0  # seconds beyond the client's deadline until an answer counts as missing
-ANSWER_TIMEOUT_OF_IMPATIENT = 0.7  # the same for a client that gives up on a silent node and connects again
-MAX_ATTEMPTS = 8  # unserved connections in a row until a client gives up
-PREVIEW_SHARE = 0.17  # of the clients
-CLIENTS_PER_GROUP = 8
+ANSWER_TIMEOUT_OF_IMPATIENT = 0.7  # the same for a client that reconnects when the node is silent
+MAX_ATTEMPTS = 8  # unserved connections in a row after which a client leaves
 
 FINAL_ANSWERS = ("UP", "BUSY", "ERR")
 
@@ -60,7 +60,7 @@
 class Client(SessionObserver):
     """One client with one session at a time. Owned by one event loop; not thread-safe.
 
-    Subclasses observe it through the `on_...` methods, which do nothing here.
+    Subclasses observe it through the methods of `SessionObserver`, which do nothing here.
     """
 
     max_attempts = MAX_ATTEMPTS
@@ -80,24 +80,9 @@
         self._served = asyncio.Event()  # set while a session is served; independent of the client's state
         self._connection_count = 0  # opened so far
         self._count_at_measurement = 0  # connections that were opened before the measurement
-        if self._rng.random() < PREVIEW_SHARE:
-            self._class_name = "preview"
-            self._deadline_ms = 2000
-        else:
-            self._class_name = "viewport"
-            self._deadline_ms = 1200
-        self._key = f"{self._rng.getrandbits(64):016x}"
-        self._group = f"{number // CLIENTS_PER_GROUP + 1:x}"
+        self._profile = ClientProfile.generate(self._rng, number)
         self._writer: asyncio.StreamWriter | None = None
 
-    # --- for subclasses that observe
-
-    def on_open_sent(self, connection_id: str, token: str) -> None:
-        """Observe that a first line was sent; `token` is empty where it shows none."""
-
-    def on_answered(self, connection_id: str, status: str, line: str) -> None:
-        """Observe an answer, or the end of a connection without one (both are empty then)."""
-
     # --- for the run
 
     @property
@@ -137,7 +122,7 @@
             if not self._is_leaving:
                 await asyncio.sleep(self._rng.uniform(*RECONNECT_DELAY))
         if failed_attempts >= self.max_attempts:
-            self.report.counts["gave_up"] += 1
+            self.report.counts["left_unserved"] += 1
 
     def stop_sending(self) -> None:
         """Send no more lines; the session stays."""
@@ -154,7 +139,7 @@
                 self._writer.close()
 
     async def replay_token(self) -> str:
-        """Show the used token once more; return the answer's first word. The session must not be affected."""
+        """Show the used token again; return the answer's first word. The session must not be affected."""
         async with connection(self._address) as established:
             line = f"OPEN {self._rng.getrandbits(60):x} {self._resume_parameters(self.used_token)}"
             return answer_status(await established.exchange_line(line, ANSWER_TIMEOUT))
@@ -206,18 +191,14 @@
             self.on_open_sent(connection_id, shown_token)
             answer = await established.exchange_line(
                 f"OPEN {connection_id} {self._open_parameters(shown_token)}",
-                self._deadline_ms / 1000 + self._settings.answer_timeout,
+                self._profile.deadline_ms / 1000 + self._settings.answer_timeout,
             )
             status = answer_status(answer)
             text = answer.decode().strip()
-        except TimeoutError:  # is an OSError, so it is handled first
-            self.session.return_token(shown_token)
-            self.report.record_violation(
-                Invariant.FINAL_ANSWER, f"no answer on connection {self._connection_count}"
-            )
-            return False
-        except (OSError, ValueError, asyncio.IncompleteReadError):
+        except (OSError, ValueError, asyncio.IncompleteReadError) as err:
             self.session.return_token(shown_token)
+            if isinstance(err, TimeoutError):
+                self._record_wrong_answer("no answer")
             return False
         self.on_answered(connection_id, status, text)
         if status in ("BUSY", ""):  # rejected for now, or not answered: the token may still be valid
@@ -232,9 +213,11 @@
         """Count an answer, and check that it is a final one."""
         self.report.counts[f"answer_{status or 'none'}"] += 1
         if status not in FINAL_ANSWERS and not self._is_leaving:
-            self.report.record_violation(
-                Invariant.FINAL_ANSWER, f"{answer[:60]!r} on connection {self._connection_count}"
-            )
+            self._record_wrong_answer(f"{answer[:60]!r}")
+
+    def _record_wrong_answer(self, answer: str) -> None:
+        case = f"{answer} on connection {self._connection_count}"
+        self.report.record_violation(Invariant.FINAL_ANSWER, case)
 
     def _start_serving(self, shown_token: str, sent_at: timedelta) -> None:
         """Record that the answer is UP, and begin a session where no token resumed the one before."""
@@ -250,42 +233,25 @@
         if shown_token:
             parameters = self._resume_parameters(shown_token)
         else:
-            parameters = self._common_parameters() + (",rs=1" if self._settings.resumes else "")
+            parameters = self._profile.new_session(resumes=self._settings.resumes)
         return parameters + (",again=1" if self._connection_count > 1 else "")
 
     def _resume_parameters(self, token: str) -> str:
         """Return the same for a first line that shows a token."""
-        return f"{self._common_parameters()},rt={token},rp={self.session.received}"
-
-    def _common_parameters(self) -> str:
-        """Return what all of its first lines have after the connection's id."""
-        return f"{self._key} c={self._class_name},d={self._deadline_ms},g={self._group}"
+        return self._profile.resumed_session(token, self.session.received)
 
     async def _exchange_lines(self, established: Connection) -> None:
-        """Send and receive lines until the connection ends, breaks or is silent for too long."""
-        sender = asyncio.ensure_future(self._send_lines(established.writer))
-        try:
-            await self._receive_lines(established)
-        except (OSError, ValueError, asyncio.IncompleteReadError):
-            pass  # the node, or the link to it, is gone or silent (TimeoutError is an OSError)
-        finally:
-            sender.cancel()
-
-    async def _send_lines(self, writer: asyncio.StreamWriter) -> None:
-        """Send lines at a constant rate; the clients' phases differ."""
+        """Send and receive lines until the connection ends or the session migrates."""
         interval = self._settings.line_interval
-        await asyncio.sleep(self._rng.random() * interval)
-        while not writer.transport.is_closing() and self._state is ClientState.ACTIVE:
-            writer.write(f"{self.session.next_line()}\r\n".encode())
-            await asyncio.sleep(interval)
-
-    async def _receive_lines(self, established: Connection) -> None:
-        """Receive lines until the connection ends or the session migrates. Raises OSError, ValueError."""
-        while line := await asyncio.wait_for(established.reader.readline(), self._settings.silence_timeout):
-            for answer in self.session.receive(line):
-                established.writer.write(f"{answer}\r\n".encode())
-            if self.session.is_migrating:
-                return
+        exchange = ClientLineExchange(
+            self.session,
+            established,
+            first_delay=self._rng.random() * interval,
+            line_interval=interval,
+            silence_timeout=self._settings.silence_timeout,
+            is_sending=lambda: self._state is ClientState.ACTIVE,
+        )
+        await exchange.run()
 
     def _new_session(self) -> ClientSession:
         return ClientSession(self.report, self, self.gaps, resumes=self._settings.resumes)
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -179,7 +179,7 @@
 
 
 def _deprecated_alias(name: str, command: click.Command) -> click.Command:
-    """Return a hidden command that prints the new name to standard error and then does the same."""
+    """Return a hidden command that prints the new name to standard error and then runs the new command."""
 
     def run(**options: Any) -> None:
         click.echo(f"`lab {name}` is now called `lab {command.name}`", err=True)
--- a/tansyladder/lab/hosted_stream.py
+++ b/tansyladder/lab/hosted_stream.py
@@ -70,7 +70,6 @@
     epoch: int = 0
     is_resumable: bool = False
     acknowledged: int = 0  # the last client line that the client was sent an acknowledgement for
-    tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     @property
     def is_fenced(self) -> bool:
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -3,24 +3,19 @@
 from __future__ import annotations
 
 import asyncio
-import random
 from datetime import timedelta
-from enum import Enum
 from functools import partial
 
 from tansyladder.lab.connections import LOOPBACK
 from tansyladder.lab.first_lines import FirstLine, ResumptionRequest, parse_first_line
-from tansyladder.lab.hosted_stream import HostedStream, StreamStore
-from tansyladder.lab.report import Invariant, Report, clock
+from tansyladder.lab.host_cluster import StreamHostCluster
+from tansyladder.lab.host_line_exchange import HostLineExchange
+from tansyladder.lab.hosted_stream import HostedStream
+from tansyladder.lab.report import Invariant, clock
 from tansyladder.lab.waiting import wait_until
 
-ACK_LINES = 8  # client lines between two acknowledgements
-ACK_INTERVAL = 2.0  # seconds between two acknowledgements where fewer lines arrive
 HEALTH_CHECK_TIME = 0.003  # seconds until a health check is answered
-SLOW_FACTOR = 8  # by which a slow host takes longer
 DRAIN_GRACE = timedelta(seconds=2.55)  # no new attempt arrives at a draining or removed host after this
-STALE_ATTEMPT_GRACE = 0.05  # seconds in which the end of an earlier attempt, already in its socket, is read
-SILENT_EXTRA_TIME = 1.0  # seconds beyond the deadline for which a silent host leaves a first line unanswered
 CLOSE_TIMEOUT = 2.0  # seconds in which a host's connections end
 PARALLEL_SETUPS = 2  # cores of a host
 BACKLOG = 1024
@@ -28,56 +23,6 @@
 MAX_CASE_LENGTH = 80  # characters of a violation's case
 
 
-class HostBehaviour(Enum):
-    """How a host treats health checks and sessions."""
-
-    SOUND = "sound"
-    SLOW = "slow"
-    SILENT = "silent"  # accepts connections and answers nothing
-    RESETTING = "resetting"  # resets each connection at its first line
-    FULL = "full"  # answers BUSY
-    OLD = "old"  # an old version, without resumption
-
-
-class StreamHostCluster:
-    """What all hosts of a run share. Owned by one event loop; not thread-safe.
-
-    Subclasses observe the hosts through the `on_...` methods, which do nothing here.
-    """
-
-    def __init__(self, report: Report, seed: int) -> None:
-        self.report = report
-        self.store = StreamStore()
-        self.rng = random.Random(seed)
-        self._open_streams: dict[str, set[HostedStream]] = {}  # by connection id
-
-    def on_session_acquired(self, stream: HostedStream) -> None:
-        """Observe that a host has begun or resumed a session."""
-
-    def on_session_fenced(self, stream: HostedStream) -> None:
-        """Observe that an owner was rejected, as a newer epoch has its session."""
-
-    def on_line_received(self, stream: HostedStream, number: int) -> None:
-        """Observe a client's line."""
-
-    def register(self, stream: HostedStream) -> None:
-        """Record an attempt; no earlier one of the same connection may be in flight a moment later."""
-        earlier = set(self._open_streams.get(stream.connection_id, ()))
-        self._open_streams.setdefault(stream.connection_id, set()).add(stream)
-        if earlier:
-            loop = asyncio.get_running_loop()
-            loop.call_later(STALE_ATTEMPT_GRACE, self._check_ended, stream.connection_id, earlier)
-
-    def unregister(self, stream: HostedStream) -> None:
-        """Record that an attempt has ended."""
-        self._open_streams.get(stream.connection_id, set()).discard(stream)
-
-    def _check_ended(self, connection_id: str, earlier: set[HostedStream]) -> None:
-        """Check that none of the earlier attempts is still in flight."""
-        if self._open_streams.get(connection_id, set()) & earlier:
-            self.report.record_violation(Invariant.SINGLE_ATTEMPT, connection_id)
-
-
 class StreamHost:
     """A stand-in stream host. Owned by one event loop; not thread-safe."""
 
@@ -85,7 +30,6 @@
         self,
         cluster: StreamHostCluster,
         ident: str,
-        behaviour: HostBehaviour = HostBehaviour.SOUND,
         frame_interval: float = 0.5,
         setup_time: float = 0.004,
     ) -> None:
@@ -95,9 +39,8 @@
         """
         self.cluster = cluster
         self.ident = ident
-        self.behaviour = behaviour
-        self.frame_interval = frame_interval
-        self.setup_time = setup_time
+        self._frame_interval = frame_interval
+        self._setup_time = setup_time
         self.streams: set[HostedStream] = set()
         self.address = ""
         self.addresses: list[str] = []  # of all its listeners
@@ -147,10 +90,6 @@
             stream.writer.transport.abort()
         await wait_until(lambda: not self.streams, CLOSE_TIMEOUT)
 
-    def _scaled(self, seconds: float) -> float:
-        """Return how long something takes at this host."""
-        return seconds * (SLOW_FACTOR if self.behaviour is HostBehaviour.SLOW else 1)
-
     async def _serve(
         self, listener_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -161,12 +100,13 @@
             if line.endswith(b"\r\n"):
                 stream = await self._open(listener_index, line.decode(), writer)
             if stream is not None:
-                await self._receive_lines(stream, reader)
+                await HostLineExchange(self.cluster, stream, self._frame_interval).run(reader)
         except (OSError, ValueError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass  # cancelled: the run has ended, and nothing waits for this connection
         finally:
             if stream is not None:
-                self._remove(stream)
+                self.streams.discard(stream)
+                self.cluster.unregister(stream)
             writer.close()
 
     async def _answer_health_checks(
@@ -174,9 +114,8 @@
     ) -> bytes:
         """Answer PING lines; return the first other line."""
         while (line := await reader.readline()) == b"PING\r\n":
-            if self.behaviour is not HostBehaviour.SILENT:
-                await asyncio.sleep(self._scaled(HEALTH_CHECK_TIME))
-                writer.write(b"PONG\r\n")
+            await asyncio.sleep(HEALTH_CHECK_TIME)
+            writer.write(b"PONG\r\n")
         return line
 
     async def _open(
@@ -196,7 +135,6 @@
             if not await self._set_up(stream, first_line):
                 return None
             self.streams.add(stream)
-            stream.tasks.append(asyncio.ensure_future(self._send_frames(stream)))
             return stream
         finally:
             if stream not in self.streams:
@@ -210,18 +148,12 @@
 
     async def _set_up(self, stream: HostedStream, first_line: FirstLine) -> bool:
         """Answer a first line; return whether the answer is UP."""
-        if self.behaviour is HostBehaviour.RESETTING:
-            stream.writer.transport.abort()
-            return False
-        if self.behaviour is HostBehaviour.SILENT:
-            await asyncio.sleep(first_line.deadline_s + SILENT_EXTRA_TIME)
-            return False
-        if self._is_draining or self.behaviour is HostBehaviour.FULL:
+        if self._is_draining:
             stream.send("BUSY")
             return False
         async with self._cores:
-            await asyncio.sleep(self._scaled(self.setup_time))
-        if first_line.resumption is not None and self.behaviour is not HostBehaviour.OLD:
+            await asyncio.sleep(self._setup_time)
+        if first_line.resumption is not None:
             return self._acquire_session(stream, first_line.resumption)
         stream.send(f"UP {self.ident}-{stream.connection_id}")
         return True
@@ -240,53 +172,3 @@
         stream.resume(stored, request.sent)
         stream.send(f"UP {self.ident}-{stream.connection_id}\r\nRS AT {stored.received} {stored.sent}")
         return True
-
-    async def _send_frames(self, stream: HostedStream) -> None:
-        """Send frames at a constant rate; the sessions' phases differ."""
-        stream.send_frame()
-        await asyncio.sleep(self.cluster.rng.random() * self.frame_interval)
-        acknowledged_at = clock()
-        while not stream.writer.transport.is_closing():
-            if self.behaviour is HostBehaviour.SLOW:
-                await asyncio.sleep(self.frame_interval)
-            if self.behaviour is not HostBehaviour.SILENT:
-                stream.send_frame()
-            if (clock() - acknowledged_at).total_seconds() >= ACK_INTERVAL:
-                acknowledged_at = clock()
-                stream.send_acknowledgement()
-            await asyncio.sleep(self.frame_interval)
-
-    async def _receive_lines(self, stream: HostedStream, reader: asyncio.StreamReader) -> None:
-        """Receive the client's lines until the connection ends or another owner has the session."""
-        while line := await reader.readline():
-            verb, argument, *_ = line.split()
-            if stream.is_resumable and verb == b"RS":
-                continue
-            if stream.is_fenced:
-                self.cluster.store.count_fenced()
-                self.cluster.on_session_fenced(stream)
-                return
-            self._handle_line(stream, int(argument))
-
-    def _handle_line(self, stream: HostedStream, number: int) -> None:
-        """Check a client line's number and answer it with a frame."""
-        self.cluster.on_line_received(stream, number)
-        stored = stream.stored
-        report = self.cluster.report
-        if number > stored.received + 1:
-            report.record_violation(Invariant.NO_LINE_LOST, f"client line {number} after {stored.received}")
-        elif number <= stored.received:
-            report.record_violation(Invariant.NO_LINE_DUPLICATED, f"client line {number}")
-        stored.record_received(number)
-        if self.behaviour is HostBehaviour.SILENT:
-            return
-        stream.send_frame()
-        if stored.received - stream.acknowledged >= ACK_LINES:
-            stream.send_acknowledgement()
-
-    def _remove(self, stream: HostedStream) -> None:
-        """End a stream's tasks, and record that its attempt has ended."""
-        for task in stream.tasks:
-            task.cancel()
-        self.streams.discard(stream)
-        self.cluster.unregister(stream)
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -24,7 +24,7 @@
 STOP_TIMEOUT = 10.0  # seconds from SIGTERM to its end
 LOG_TAIL_LINES = 15
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # of the CPU times in /proc
-FOLDER_PLACEHOLDER = "FOLDER"  # in an operator's settings: stands for the node's folder
+FOLDER_PLACEHOLDER = "FOLDER"  # in an operator's settings: replaced by the node's folder
 MODULE_SETTINGS: dict[str, Any] = {
     "family": "conn",
     "discovery": "on_request",
@@ -94,7 +94,7 @@
             folder: of the node alone.
             discovery_address: where it polls the endpoint list.
             known_endpoints: the endpoint list that it starts with.
-            operator_settings: S-expressions, empty for none; FOLDER stands for the node's folder.
+            operator_settings: S-expressions, empty for none; FOLDER is replaced by the node's folder.
             name: of the node.
             node_count: of all nodes that share the hosts.
         """
--- a/tansyladder/lab/report.py
+++ b/tansyladder/lab/report.py
@@ -23,7 +23,7 @@
 
 
 class Invariant(StrEnum):
-    """What the stand-ins check while they run; the values are keys of JSON reports and of histories."""
+    """An invariant that the stand-ins check; the values are keys of JSON reports and of histories."""
 
     FINAL_ANSWER = "final_answers_wrong"  # each connection gets one final answer in time
     NO_LINE_LOST = "lines_lost"
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -47,7 +47,7 @@
 
 
 async def run(sessions: int, hosts: int, seed: int, *, has_store: bool) -> RestartReport:
-    """Kill the node; all clients reconnect by themselves, and then each shows its used token once more."""
+    """Kill the node, wait until its clients have reconnected, and replay all used tokens."""
     settings = TopologySettings(
         seed,
         hosts,
--- a/tansyladder/lab/topology.py
+++ b/tansyladder/lab/topology.py
@@ -12,7 +12,8 @@
 from tansyladder.lab.clients import LINE_INTERVAL, Client, ClientSettings
 from tansyladder.lab.discovery_server import DiscoveryServer, Phase
 from tansyladder.lab.errors import LabTimeoutError
-from tansyladder.lab.hosts import HostBehaviour, StreamHost, StreamHostCluster
+from tansyladder.lab.host_cluster import StreamHostCluster
+from tansyladder.lab.hosts import StreamHost
 from tansyladder.lab.node import LabNode
 from tansyladder.lab.report import Invariant, Report
 from tansyladder.lab.waiting import wait_until
@@ -65,9 +66,7 @@
         self.host_cluster = StreamHostCluster(self.report, settings.seed)
         self.discovery = DiscoveryServer()
         self.hosts = [
-            StreamHost(
-                self.host_cluster, f"s{index}", HostBehaviour.SOUND, frame_interval=settings.frame_interval
-            )
+            StreamHost(self.host_cluster, f"s{index}", frame_interval=settings.frame_interval)
             for index in range(settings.host_count)
         ]
         self.clients: list[Client] = []
