--- a/tansyladder/lab/chaos/peer_network.py
+++ b/tansyladder/lab/chaos/peer_network.py
@@ -4,6 +4,7 @@
 
 import itertools
 import secrets
+from typing import NamedTuple
 
 from tansyladder.lab.chaos.links import Link
 from tansyladder.lab.connections import LOOPBACK
@@ -16,12 +17,19 @@
 """
 
 
+class _NodePair(NamedTuple):
+    """The numbers of two nodes with a link between them; the lower one connects."""
+
+    low: int
+    high: int
+
+
 class PeerNetwork:
     """All links between nodes. Owned by one event loop; not thread-safe."""
 
     def __init__(self, node_count: int) -> None:
         self._node_count = node_count
-        self._links: dict[tuple[int, int], Link] = {}  # from the lower to the higher number
+        self._links: dict[_NodePair, Link] = {}
 
     @property
     def forwarded_bytes(self) -> int:
@@ -37,7 +45,7 @@
         listen_addresses = [f"{LOOPBACK}:{spare_port()}" for _ in range(self._node_count)]
         for low, high in itertools.combinations(range(self._node_count), 2):
             link = Link(listen_addresses[high])
-            self._links[low, high] = link
+            self._links[_NodePair(low, high)] = link
             await link.start()
         key = secrets.token_hex(KEY_BYTES)
         odd_count = (
@@ -60,7 +68,7 @@
         The lower number of a pair connects, so that every connection goes through the pair's link.
         """
         addresses = [
-            self._links[node, peer].address if peer > node else listen_addresses[peer]
+            self._links[_NodePair(node, peer)].address if peer > node else listen_addresses[peer]
             for peer in range(self._node_count)
         ]
         return " ".join(f'(n{peer} "{address}")' for peer, address in enumerate(addresses))
--- a/tansyladder/lab/crash_consistency.py
+++ b/tansyladder/lab/crash_consistency.py
@@ -88,14 +88,18 @@
 
 
 class ManualClock:
-    """Unix time in microseconds, set by the run."""
+    """A clock that only its caller advances, in microseconds of Unix time."""
 
     def __init__(self) -> None:
-        self.now = 1_000_000
+        self.now_us = 1_000_000
+
+    def advance(self, duration_us: int) -> None:
+        """Set the clock forward, or back by a negative duration."""
+        self.now_us += duration_us
 
     def __call__(self) -> int:
-        """Return the time that was set."""
-        return self.now
+        """Return the present time."""
+        return self.now_us
 
 
 def generate_workload(seed: int, batches: int) -> list[WorkloadStep]:
--- a/tansyladder/lab/fault_injecting_files.py
+++ b/tansyladder/lab/fault_injecting_files.py
@@ -102,9 +102,6 @@
         unsynced: the changes of names between the two.
         step_count: calls that could have failed.
         step_kinds: the kind of each of these calls.
-        power_loss_step: the step at which SimulatedPowerLoss is raised.
-        failing_steps: the errno of the steps at which a call fails.
-        before_sync: called at the start of each sync.
     """
 
     def __init__(self, files: dict[str, bytes] | None = None, power_loss_step: int = NO_STEP) -> None:
@@ -113,28 +110,36 @@
         self.unsynced: list[NameChange] = []
         self.step_count = 0
         self.step_kinds: list[str] = []
-        self.power_loss_step = power_loss_step
-        self.failing_steps: dict[int, int] = {}
-        self.before_sync: Callable[[], None] = lambda: None
+        self._power_loss_step = power_loss_step
+        self._failing_steps: dict[int, int] = {}
+        self._before_sync: Callable[[], None] = lambda: None
         self._is_locked = False
 
     def lose_power_at(self, step: int) -> None:
         """Raise SimulatedPowerLoss at a step."""
-        self.power_loss_step = step
+        self._power_loss_step = step
 
     def fail_at(self, step: int, error_number: int) -> None:
         """Raise OSError with this errno at a step."""
-        self.failing_steps[step] = error_number
+        self._failing_steps[step] = error_number
+
+    def call_before_sync(self, callback: Callable[[], None]) -> None:
+        """Call a function at the start of each sync from now on, in the thread that syncs."""
+        self._before_sync = callback
+
+    def start_sync(self) -> None:
+        """Call the function that `call_before_sync` has set."""
+        self._before_sync()
 
     def count_step(self, kind: str) -> None:
         """Count a call that may fail. Raises SimulatedPowerLoss or OSError where the run injects a fault."""
         number = self.step_count
         self.step_count += 1
         self.step_kinds.append(kind)
-        if number == self.power_loss_step:
+        if number == self._power_loss_step:
             raise SimulatedPowerLoss
-        if number in self.failing_steps:
-            raise OSError(self.failing_steps[number], f"made to fail: {kind}")
+        if number in self._failing_steps:
+            raise OSError(self._failing_steps[number], f"made to fail: {kind}")
 
     # What the store calls: see `tansyladder.store.files.Files`.
 
@@ -276,7 +281,7 @@
 
     def sync(self) -> None:
         """Make all writes so far durable. Raises OSError."""
-        self._files.before_sync()
+        self._files.start_sync()
         try:
             self._files.count_step("sync")
         except OSError:
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -44,7 +44,7 @@
         self.streams: set[HostedStream] = set()
         self.address = ""
         self.addresses: list[str] = []  # of all its listeners
-        # A host starts its drain before discovery announces it, or dies without one: both may be alone.
+        # Independent: a host may start its drain before discovery announces it, or die without a drain.
         self._is_draining = False
         self._drain_announced_at: timedelta | None = None
         self._servers: list[asyncio.Server] = []
--- a/tests/store/test_against_dictionary.py
+++ b/tests/store/test_against_dictionary.py
@@ -60,7 +60,7 @@
     @rule(drawn=DRAWN_OPERATIONS, durability=st.sampled_from(Durability))
     def write(self, drawn: list[tuple[bytes, bytes | None, int]], durability: Durability) -> None:
         operations = [
-            WriteOperation(key, value, lifetime_us and self.clock.now + lifetime_us)
+            WriteOperation(key, value, lifetime_us and self.clock.now_us + lifetime_us)
             for key, value, lifetime_us in drawn
         ]
         self.store.write(operations, durability)
@@ -72,7 +72,7 @@
 
     @rule(step_us=st.integers(-30, 60))
     def step_the_clock(self, step_us: int) -> None:
-        self.clock.now += step_us
+        self.clock.advance(step_us)
 
     @rule(steps=st.integers(1, 8), budget_bytes=st.integers(1, 600))
     def maintain(self, steps: int, budget_bytes: int) -> None:
@@ -108,7 +108,7 @@
 
     @invariant()
     def it_holds_what_the_dictionary_does(self) -> None:
-        now_us = max(self.clock.now, self.store.latest_time_us)
+        now_us = max(self.clock.now_us, self.store.latest_time_us)
         alive = {
             key: entry.value
             for key, entry in self.model.items()
--- a/tests/store/test_compaction.py
+++ b/tests/store/test_compaction.py
@@ -34,10 +34,10 @@
     clock = ManualClock()
     files, store = open_in_memory(clock=clock)
     store.put(b"k", b"old")
-    store.put(b"k", b"new", expiry_us=clock.now + 10)
-    clock.now += 20
+    store.put(b"k", b"new", expiry_us=clock.now_us + 10)
+    clock.advance(20)
     store.put(b"other", b"x")
-    clock.now -= 20
+    clock.advance(-20)
     assert store.get(b"k") is None
     store.close()
     _, store = open_in_memory(files, clock=clock)
--- a/tests/store/test_opening.py
+++ b/tests/store/test_opening.py
@@ -64,11 +64,11 @@
 def test_expired_at_a_recovery_stays_expired_when_the_clock_steps_back() -> None:
     clock = ManualClock()
     files, store = open_in_memory(clock=clock)
-    store.write([WriteOperation(b"k", b"v", clock.now + 40)], Durability.SYNCED)
+    store.write([WriteOperation(b"k", b"v", clock.now_us + 40)], Durability.SYNCED)
     store.close()
-    clock.now += 40
+    clock.advance(40)
     _, store = open_in_memory(files, clock=clock)
-    clock.now -= 1
+    clock.advance(-1)
     assert store.get(b"k") is None
     store.write([WriteOperation(b"else", b"v", 0)], Durability.SYNCED)
     store.close()
--- a/tests/store/test_writing.py
+++ b/tests/store/test_writing.py
@@ -63,8 +63,8 @@
     """Also where the disk fails in the middle: who was told of success finds its record after a loss."""
     files, store = open_in_memory(max_segment_bytes=1 << 20)
     acknowledged: dict[bytes, bytes] = {}
-    files.before_sync = lambda: wait_until(lambda: store.waiting_write_count >= 8, seconds=0.1)
-    files.failing_steps[files.step_count + 60] = errno.EIO
+    files.call_before_sync(lambda: wait_until(lambda: store.waiting_write_count >= 8, seconds=0.1))
+    files.fail_at(files.step_count + 60, errno.EIO)
     writers = [
         threading.Thread(target=put_until_refused, args=(store, writer, acknowledged)) for writer in range(16)
     ]
@@ -96,12 +96,12 @@
     writer = threading.Thread(target=write_late)
 
     def fail_once_the_writer_waits() -> None:
-        files.before_sync = lambda: None
+        files.call_before_sync(lambda: None)
         writer.start()
         wait_until(lambda: store.waiting_write_count > 0)
-        files.failing_steps[files.step_count] = errno.EIO
+        files.fail_at(files.step_count, errno.EIO)
 
-    files.before_sync = fail_once_the_writer_waits
+    files.call_before_sync(fail_once_the_writer_waits)
     with pytest.raises(errors.StoreBrokenError):
         store.maintain()
     writer.join(MAX_WAIT_S)
