--- a/tansyladder/lab/chaos/checkers.py
+++ b/tansyladder/lab/chaos/checkers.py
@@ -64,12 +64,12 @@
     epoch: int
 
 
-class _Sender(NamedTuple):
-    """Whose lines a receiver counts: a host's in a client's session, or a client's in a session at hosts."""
+class _LineSequence(NamedTuple):
+    """Lines that are numbered from 1: a host's in a client's session, or a client's in a session at hosts."""
 
     receiver: str
-    lines: str
-    session_count: int = 0  # of a client, whose sessions have host lines of their own
+    sender: str
+    session_count: int = 0  # of a client: each of its sessions is numbered from 1
 
 
 def _session_of(event: Event) -> _ClientSession:
@@ -89,29 +89,30 @@
 def _check_line_numbers(history: Sequence[Event]) -> LineFindings:
     """Compare each received line's number with the last one before it."""
     findings = LineFindings([], [])
-    last_numbers: Counter[_Sender] = Counter()
+    last_numbers: Counter[_LineSequence] = Counter()
     for event in history:
-        sender = _sender_of(event)
-        if sender is None:
+        sequence = _sequence_of(event)
+        if sequence is None:
             continue
         number = event.number
-        last = last_numbers[sender]
+        last = last_numbers[sequence]
+        line = f"{sequence.receiver}: {sequence.sender} line {number}"
         if number > last + 1:
-            findings.lost.append(f"{sender.receiver}: {sender.lines} {number} after {last}")
+            findings.lost.append(f"{line} after {last}")
         elif number <= last:
-            findings.duplicated.append(f"{sender.receiver}: {sender.lines} {number} again")
-        last_numbers[sender] = max(last, number)
+            findings.duplicated.append(f"{line} again")
+        last_numbers[sequence] = max(last, number)
     return findings
 
 
-def _sender_of(event: Event) -> _Sender | None:
-    """Return whose line was received; None where the event is another or the session has no id."""
+def _sequence_of(event: Event) -> _LineSequence | None:
+    """Return the sequence of a received line; None for other events and for sessions without an id."""
     if event.kind != EventKind.LINE_RECEIVED:
         return None
     if event.party == Party.CLIENT:
-        return _Sender(f"client {event.client}", "host line", event.session_count)
+        return _LineSequence(f"client {event.client}", "host", event.session_count)
     if event.party == Party.HOST and event.session_id:
-        return _Sender(f"session {event.session_id}", "client line")
+        return _LineSequence(f"session {event.session_id}", "client")
     return None
 
 
--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -8,7 +8,7 @@
 import secrets
 import tempfile
 from collections.abc import AsyncIterator
-from dataclasses import dataclass
+from dataclasses import KW_ONLY, dataclass
 from datetime import timedelta
 from pathlib import Path
 
@@ -45,6 +45,7 @@
     node_count: int
     host_count: int
     seed: int
+    _: KW_ONLY
     has_peers: bool = True  # whether the nodes are peers
     operator_settings: str = ""  # added to those of every node
 
@@ -226,7 +227,9 @@
     node_count: int, host_count: int, seed: int, *, has_peers: bool = True, operator_settings: str = ""
 ) -> AsyncIterator[ChaosCluster]:
     """Start a cluster, and close it at the end of the block; it has its `full_history` then."""
-    settings = ClusterSettings(node_count, host_count, seed, has_peers, operator_settings)
+    settings = ClusterSettings(
+        node_count, host_count, seed, has_peers=has_peers, operator_settings=operator_settings
+    )
     with tempfile.TemporaryDirectory(prefix="tansyladder-chaos-") as folder:
         cluster = ChaosCluster(Path(folder), settings)
         try:
--- a/tansyladder/lab/chaos/commands.py
+++ b/tansyladder/lab/chaos/commands.py
@@ -16,6 +16,7 @@
 import click
 import msgspec
 
+from tansyladder.lab.options import json_option, seed_option
 from tansyladder.lab.output import show
 
 if TYPE_CHECKING:
@@ -23,14 +24,12 @@
     from tansyladder.lab.chaos.schedule import Schedule
 
 node_count_option = click.option("--nodes", default=5, show_default=True, type=click.IntRange(3, 9))
-host_count_option = click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
-seed_option = click.option("--seed", default=1, show_default=True)
-json_option = click.option("--json", "as_json", is_flag=True, help="one JSON object")
+cluster_host_count_option = click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 20))
 
 
 @click.command("takeover")
 @node_count_option
-@host_count_option
+@cluster_host_count_option
 @click.option("--sessions", default=300, show_default=True, type=click.IntRange(1, 3000))
 @seed_option
 @json_option
@@ -63,7 +62,7 @@
 
 @click.command("peers-cost")
 @node_count_option
-@host_count_option
+@cluster_host_count_option
 @click.option("--sessions", default=1000, show_default=True, type=click.IntRange(1, 3000))
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(1, 120))
 @seed_option
@@ -80,7 +79,7 @@
 
 @click.command("duplicate-tokens")
 @node_count_option
-@host_count_option
+@cluster_host_count_option
 @click.option("--tokens", default=500, show_default=True, type=click.IntRange(1, 3000))
 @seed_option
 @json_option
@@ -95,7 +94,7 @@
 
 @click.command("chaos")
 @node_count_option
-@host_count_option
+@cluster_host_count_option
 @click.option("--sessions", default=60, show_default=True, type=click.IntRange(1, 3000))
 @click.option("--seconds", default=12.0, show_default=True, type=click.FloatRange(1, 600))
 @click.option("--seed", default=1, show_default=True, help="of the first run; each further run adds one")
@@ -164,7 +163,7 @@
 
 @click.command("scenarios")
 @click.option("--only", multiple=True, help="scenarios by name; without it all")
-@host_count_option
+@cluster_host_count_option
 @click.option("--sessions", default=60, show_default=True, type=click.IntRange(5, 3000))
 @seed_option
 @json_option
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -23,6 +23,7 @@
 from tansyladder.lab.connections import LOOPBACK, answer_status, connection
 from tansyladder.lab.errors import LabError, LabTimeoutError
 from tansyladder.lab.report import Report, clock
+from tansyladder.replication.document_messages import ChangeOutcome
 
 DOCUMENT = "note"
 LEASE_DURATION = 3.0  # seconds
@@ -40,7 +41,8 @@
 CALM_TIME = 2.0  # seconds without faults at the end
 CHANGES_BEFORE_FAULTS = 5
 MAX_DOCUMENT_BYTES = 50_000
-PENDING_STATES = ("under way", "not known")  # starts of the answer while a change has not ended
+PENDING_OUTCOMES = (ChangeOutcome.IN_PROGRESS.value, ChangeOutcome.UNKNOWN.value)
+MAX_LABEL_LENGTH = 60  # characters of an answer in the history
 
 
 class DocumentVersion(msgspec.Struct, frozen=True):
@@ -56,6 +58,27 @@
     document: DocumentVersion | None = msgspec.field(name=DOCUMENT, default=None)
 
 
+class ChangeAnswer(NamedTuple):
+    """What a node answers about a change, such as `done VERSION` or `refused: REASON`."""
+
+    text: str
+
+    @property
+    def is_final(self) -> bool:
+        """Whether the change has ended."""
+        return bool(self.text) and not self.text.startswith(PENDING_OUTCOMES)
+
+    @property
+    def outcome(self) -> str:
+        """The first word of the answer."""
+        return self.text.partition(" ")[0].rstrip(":")
+
+    @property
+    def committed_version(self) -> int | None:
+        """The new version of the document; None where the change was not committed."""
+        return int(self.text.split()[1]) if self.outcome == ChangeOutcome.DONE else None
+
+
 class FaultDuration(NamedTuple):
     """A kind of fault, and how long it lasts."""
 
@@ -80,7 +103,7 @@
     def __init__(self, cluster: ChaosCluster, seed: int) -> None:
         self.cluster = cluster
         self.report = Report()
-        self.outcomes: list[str] = []  # of the changes, in the node's words: done, refused and others
+        self.outcomes: list[str] = []  # of the changes, mostly values of ChangeOutcome
         self._rng = numpy.random.default_rng(seed)
         self._injector = FaultInjector(cluster)
         self._change_count = 0
@@ -151,33 +174,35 @@
         self.cluster.history.record(Party.CONTROLLER, EventKind.CHANGE_REQUESTED, node=node, detail=change)
         while clock() - started_at < timedelta(seconds=CHANGE_TIMEOUT):
             await self.call(node, f"publish {DOCUMENT} {change} {path}")
-            if outcome := await self._poll_change(node, change):
-                self._record_outcome(change, outcome, clock() - started_at)
+            if answer := await self._poll_change(node, change):
+                self._record_outcome(change, answer, clock() - started_at)
                 return
             node = (node + 1) % self.cluster.settings.node_count
         raise LabTimeoutError(f"{change}: the outcome is not known")
 
-    async def _poll_change(self, node: int, change: str) -> str:
-        """Return the outcome of a change; empty where the node does not answer, or not know it in time."""
+    async def _poll_change(self, node: int, change: str) -> ChangeAnswer | None:
+        """Return how a change ended; None where the node does not answer, or does not know it in time."""
         for _ in range(CHANGE_POLLS):
             lines = await self.call(node, f"change {change}")
             if not lines or not lines[0]:
-                return ""
-            state = lines[0].partition(" ")[2]
-            if state and not state.startswith(PENDING_STATES):
-                return state
+                return None
+            answer = ChangeAnswer(lines[0].partition(" ")[2])
+            if answer.is_final:
+                return answer
             await asyncio.sleep(CHANGE_POLL_INTERVAL)
-        return ""
+        return None
 
-    def _record_outcome(self, change: str, outcome: str, duration: timedelta) -> None:
+    def _record_outcome(self, change: str, answer: ChangeAnswer, duration: timedelta) -> None:
         """Record how a change ended, and its duration where it was committed."""
-        is_committed = outcome.startswith("done")
-        version = int(outcome.split()[1]) if is_committed else 0
-        self.outcomes.append(outcome.partition(" ")[0].rstrip(":"))
+        self.outcomes.append(answer.outcome)
         self.cluster.history.record(
-            Party.CONTROLLER, EventKind.CHANGE_ENDED, detail=change, label=outcome[:60], number=version
+            Party.CONTROLLER,
+            EventKind.CHANGE_ENDED,
+            detail=change,
+            label=answer.text[:MAX_LABEL_LENGTH],
+            number=answer.committed_version or 0,
         )
-        if is_committed:
+        if answer.committed_version is not None:
             self.report.record_delay("publish", duration)
 
     async def _documents(self, node: int) -> DocumentsStatus:
@@ -261,8 +286,8 @@
         nodes=nodes,
         seed=seed,
         changes=len(experiment.outcomes),
-        committed=experiment.outcomes.count("done"),
-        rejected=experiment.outcomes.count("refused"),
+        committed=experiment.outcomes.count(ChangeOutcome.DONE),
+        rejected=experiment.outcomes.count(ChangeOutcome.REJECTED),
         probes=len(answers),
         served=answers.count("UP"),
         decisions=len(decisions),
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -18,12 +18,11 @@
 from tansyladder.lab.chaos import commands as chaos_commands
 from tansyladder.lab.drain import DrainReport, DrainStyle
 from tansyladder.lab.interactive import serve_cluster, serve_node
+from tansyladder.lab.options import SWITCH, host_count_option, json_option, resume_option, seed_option
 from tansyladder.lab.output import JsonReport, show
 from tansyladder.lab.reconnect import ReconnectReport
 from tansyladder.lab.restart import RestartReport
 
-SWITCH = click.Choice(["on", "off"])
-
 
 class FleetReport(JsonReport, frozen=True, kw_only=True):
     """The counts of all nodes; seconds count from the earliest line."""
@@ -47,12 +46,12 @@
 @click.command("drain")
 @click.option("--sessions", default=300, show_default=True, type=click.IntRange(1, 3000))
 @click.option("--hosts", default=4, show_default=True, type=click.IntRange(2, 50))
-@click.option("--seed", default=1, show_default=True)
-@click.option("--resume", default="on", show_default=True, type=SWITCH)
+@seed_option
+@resume_option
 @click.option(
     "--style", default="told", show_default=True, type=click.Choice([style.value for style in DrainStyle])
 )
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@json_option
 def drain_command(sessions: int, hosts: int, seed: int, resume: str, style: str, *, as_json: bool) -> None:
     """Drain the host that has all sessions, and measure how they migrate to the others."""
     experiment = drain.run(sessions, hosts, seed, DrainStyle(style), resumes=resume == "on")
@@ -61,11 +60,11 @@
 
 @click.command("reconnect")
 @click.option("--sessions", default=300, show_default=True, type=click.IntRange(1, 3000))
-@click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 50))
-@click.option("--seed", default=1, show_default=True)
-@click.option("--resume", default="on", show_default=True, type=SWITCH)
+@host_count_option
+@seed_option
+@resume_option
 @click.option("--share", default=0.5, show_default=True, type=click.FloatRange(0.01, 1))
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@json_option
 def reconnect_command(
     sessions: int, hosts: int, seed: int, resume: str, share: float, *, as_json: bool
 ) -> None:
@@ -76,8 +75,8 @@
 
 @click.command("cost")
 @click.option("--sessions", default=[100, 1000], multiple=True, type=click.IntRange(1, 3000))
-@click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 50))
-@click.option("--seed", default=1, show_default=True)
+@host_count_option
+@seed_option
 def cost_command(sessions: tuple[int, ...], hosts: int, seed: int) -> None:
     """Measure what a session costs the node, with resumption and without; one JSON object a line."""
     for count in sessions:
@@ -86,7 +85,7 @@
 
 @click.command("up")
 @click.option("--hosts", default=3, show_default=True, type=click.IntRange(1, 50))
-@click.option("--resume", default="on", show_default=True, type=SWITCH)
+@resume_option
 @click.option(
     "--nodes",
     default=1,
@@ -101,10 +100,10 @@
 
 @click.command("restart")
 @click.option("--sessions", default=200, show_default=True, type=click.IntRange(1, 3000))
-@click.option("--hosts", default=4, show_default=True, type=click.IntRange(1, 50))
-@click.option("--seed", default=1, show_default=True)
+@host_count_option
+@seed_option
 @click.option("--store", default="on", show_default=True, type=SWITCH)
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@json_option
 def restart_command(sessions: int, hosts: int, seed: int, store: str, *, as_json: bool) -> None:
     """Kill the node, start it again, and count which sessions are resumed."""
     _run_and_exit(restart.run(sessions, hosts, seed, has_store=store == "on"), as_json=as_json)
@@ -113,7 +112,7 @@
 @click.command("fleet")
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 @click.option("--members", is_flag=True, help="connections/attempts/failures by member, not what nodes did")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@json_option
 def fleet_command(folder: Path, *, members: bool, as_json: bool) -> None:
     """Add up the `counts` lines of a fleet's logs, a file for each node, by second."""
     counts = fleet_counts.read_folder(folder)
@@ -131,9 +130,9 @@
 
 
 @click.command("store-faults")
-@click.option("--seed", default=1, show_default=True)
+@seed_option
 @click.option("--full", is_flag=True, help="every step and every offset")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@json_option
 def store_faults_command(seed: int, *, full: bool, as_json: bool) -> None:
     """Lose power, fail calls and corrupt files of a store, and check the state that it recovers to."""
     report = crash_consistency.run(seed, full=full)
@@ -142,9 +141,9 @@
 
 
 @click.command("store-kill")
-@click.option("--seed", default=1, show_default=True)
+@seed_option
 @click.option("--rounds", default=200, show_default=True, type=click.IntRange(1, 10_000))
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@json_option
 def store_kill_command(seed: int, rounds: int, *, as_json: bool) -> None:
     """Kill a writing process again and again, and check that all it had acknowledged is stored."""
     with tempfile.TemporaryDirectory(prefix="tansyladder-kill-") as folder:
@@ -162,7 +161,7 @@
 @click.option(
     "--records", default=1_000_000, show_default=True, help="small records of the memory measurement"
 )
-@click.option("--json", "as_json", is_flag=True, help="one JSON object")
+@json_option
 def store_bench_command(folder: Path | None, records: int, *, as_json: bool) -> None:
     """Measure the store beside sqlite3 and lmdb, in one run on one folder."""
     # Loads sqlite3 and lmdb, which no other command needs.
--- a/tests/answers/test_lab_reports.py
+++ b/tests/answers/test_lab_reports.py
@@ -48,7 +48,7 @@
     "store-bench",
 ]
 EARLIER_NAMES = {"return": "reconnect", "stories": "scenarios", "twins": "duplicate-tokens"}
-RULES = (
+INVARIANTS = (
     "final_answers_wrong",
     "lines_lost",
     "lines_doubled",
@@ -80,13 +80,13 @@
     "full_disk skew"
 )
 HISTORY = "at who what client life ident token word text node host session epoch number of_own moment"
-# By the class of the report; `RULES` and `CHECKERS` stand for the names above.
+# By the class of the report; `INVARIANTS` and `CHECKERS` stand for the names above.
 REPORTS: dict[type[msgspec.Struct], str] = {
-    DrainReport: "sessions on_the_host resumed resumed_within_aim RULES gap_ms set_up_ms host_empty_after_ms "
-    "fenced moved resume style took_s cases",
-    ReconnectReport: "sessions dropped all_back kept RULES gap_ms come_back_ms set_up_ms resume cases",
+    DrainReport: "sessions on_the_host resumed resumed_within_aim INVARIANTS gap_ms set_up_ms "
+    "host_empty_after_ms fenced moved resume style took_s cases",
+    ReconnectReport: "sessions dropped all_back kept INVARIANTS gap_ms come_back_ms set_up_ms resume cases",
     RestartReport: "sessions all_back kept share_kept first_placement_ms replayed replays_refused "
-    "stand_after_replays RULES come_back_ms set_up_ms store cases",
+    "stand_after_replays INVARIANTS come_back_ms set_up_ms store cases",
     cost.CostReport: "sessions off on on_to_off",
     cost.SessionCost: "idle_mb kb_a_session cpu_us_a_session_second",
     cost.SessionCostRatios: "idle_mb kb_a_session cpu_us_a_session_second",
@@ -173,15 +173,17 @@
 
 @pytest.mark.parametrize("report", REPORTS)
 def test_the_fields_of_a_long_runs_report(report: type[msgspec.Struct]) -> None:
-    expected = REPORTS[report].replace("RULES", " ".join(RULES)).replace("CHECKERS", " ".join(CHECKERS))
+    expected = (
+        REPORTS[report].replace("INVARIANTS", " ".join(INVARIANTS)).replace("CHECKERS", " ".join(CHECKERS))
+    )
     assert keys_of(report) == expected.split()
 
 
-def test_the_rules_that_a_run_counts() -> None:
-    assert keys_of(InvariantViolations) == list(RULES)
+def test_the_invariants_that_decide_the_exit_code_of_a_run() -> None:
+    assert keys_of(InvariantViolations) == list(INVARIANTS)
 
 
-def test_the_promises_that_a_history_is_checked_for() -> None:
+def test_the_invariants_that_a_history_is_checked_for() -> None:
     assert list(checkers.check([])) == CHECKERS
 
 
