--- a/tansyladder/assembly.py
+++ b/tansyladder/assembly.py
@@ -130,8 +130,9 @@
         return None
     # Only now, as it loads the library of its cryptography.
     from tansyladder.sessions.resumption_handler import ResumptionHandler
+    from tansyladder.sessions.session_registry import SessionRegistry
 
-    return ResumptionHandler(context, store)
+    return ResumptionHandler(context, SessionRegistry(context, store))
 
 
 def _open_listener(
@@ -169,7 +170,7 @@
         node.session_service,
         node.endpoint_cache,
         node.decision_gate,
-        node.handover.predecessor_gone,
+        node.handover,
         state_directory,
     )
     try:
--- a/tansyladder/node/connection_handler.py
+++ b/tansyladder/node/connection_handler.py
@@ -8,6 +8,7 @@
 from datetime import timedelta
 
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import ClientRejectionReason
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.protocol import Opening, format_reject
@@ -29,7 +30,6 @@
     """
 
     def __init__(self, services: ConnectionServices, client: socket.socket, opening: Opening) -> None:
-        """`opening`: the client's first line."""
         context = services.context
         self._services = services
         self._context = context
@@ -51,11 +51,11 @@
             sockets.configure_stream(self._client)
             self._serve_registered()
         except OSError as err:
-            log(LogEvent.CLIENT_CONNECTION_FAILED, why=err)
+            log(LogEvent.CLIENT_CONNECTION_FAILED, error=err)
             if not self._is_answered:
                 self._record_outcome(RequestOutcome.CLIENT_LEFT)
         except Exception as err:  # noqa: BLE001 - the thread's top: one connection's fault ends only that one
-            log(LogEvent.INTERNAL_ERROR, why=repr(err))
+            log(LogEvent.INTERNAL_ERROR, error=repr(err))
             if not self._is_answered:
                 self._record_outcome(RequestOutcome.FAILED)
             with contextlib.suppress(OSError):
@@ -68,7 +68,7 @@
         try:
             self._action_queue.open()
         except OSError as err:  # no descriptor is left: a retry does no harm
-            log(LogEvent.CLIENT_REJECTED, why=err)
+            log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.DESCRIPTOR_LIMIT, error=err)
             self._answer(RequestOutcome.REJECTED, format_reject(RETRY_AFTER))
             return
         self._request_id = self._context.policy.register_request(self._action_queue)
--- a/tansyladder/node/existing_connections.py
+++ b/tansyladder/node/existing_connections.py
@@ -62,7 +62,7 @@
     def _serve(self) -> None:
         endpoint = self._context.policy.endpoint_by_id(self._state.endpoint_id)
         if endpoint is None:
-            log(LogEvent.CONNECTION_ADOPTION_FAILED, member=self._state.endpoint_id)
+            log(LogEvent.CONNECTION_ADOPTION_FAILED, endpoint=self._state.endpoint_id)
             self._upstream.close()
             sockets.shutdown_and_drain(self._client, protocol.MOVE + b"\r\n")
             return
@@ -110,7 +110,7 @@
 
     def _answer_failure(self, result: ConnectResult) -> None:
         """Give the final answer to a client whose connection could not be restored."""
-        log(LogEvent.CONNECTION_RESTORE_FAILED, member=self._endpoint_id, status=result.status.name)
+        log(LogEvent.CONNECTION_RESTORE_FAILED, endpoint=self._endpoint_id, status=result.status.name.lower())
         if result.client_end is ClientEnd.DISCONNECTED:
             self._answer(RequestOutcome.CLIENT_LEFT)
         else:
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -8,6 +8,7 @@
 from typing import NoReturn
 
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import LineSource
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.buffered_socket import BufferedSocket
@@ -182,7 +183,7 @@
         try:
             lines = host.line_buffer.feed(data)
         except protocol.LineError as error:
-            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=error)
+            log(LogEvent.INVALID_RESPONSE, endpoint=self._endpoint.id, error=error)
             raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_LINE) from error
         self._forward_host_lines(tuple(lines))
 
@@ -194,7 +195,7 @@
             try:
                 output = self._stream.receive_from_host(line)
             except (ControlMessageError, PositionError) as error:
-                log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=error)
+                log(LogEvent.INVALID_RESPONSE, endpoint=self._endpoint.id, error=error)
                 raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_MESSAGE) from error
             if output.to_client:
                 to_client += output.to_client
@@ -214,9 +215,9 @@
     def _record_response(self, line: bytes) -> None:
         """Note when the host answered, and the load that it reports."""
         self.has_host_sent = True
-        word = protocol.first_word(line)
-        self._response_timeout.line_received(word)
-        if word == protocol.LOAD:
+        keyword = protocol.parse_keyword(line)
+        self._response_timeout.line_received(keyword)
+        if keyword == protocol.LOAD:
             self._reports.record_load_line(line)
 
     def _send_to_host(self, data: bytes) -> None:
@@ -244,6 +245,6 @@
                 output.signal = line_output.signal
                 break
     except (protocol.LineError, ControlMessageError, PositionError) as error:
-        log(LogEvent.INVALID_LINE, where="session", why=error)
+        log(LogEvent.INVALID_LINE, source=LineSource.SESSION, error=error)
         raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE) from error
     return output
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -69,7 +69,9 @@
             LINES_OF_ANSWER,
             self._accept,
         )
-        answer = loop.run(build_request(context, request_id, request.class_number, opening, deadline, True))
+        answer = loop.run(
+            build_request(context, request_id, request.class_number, opening, deadline, is_reconnect=True)
+        )
         if isinstance(answer, UpstreamConnection):
             up_line, _position, *following_lines = answer.initial_lines
             connection = replace(answer, initial_lines=(up_line, *following_lines))
@@ -85,6 +87,6 @@
             self._replay = self._request.stream.complete_placement(result.following_lines[0])
         except PositionError as error:
             up_line = result.up_line.decode(errors="replace").strip()
-            log(LogEvent.REPLAY_MISMATCH, receipt=up_line[:MAX_LOGGED_LINE], why=error.reason)
+            log(LogEvent.REPLAY_MISMATCH, reason=error.reason, up_line=up_line[:MAX_LOGGED_LINE])
             return False
         return True
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -250,7 +250,7 @@
         client.lose_connection()
         lost.set()
         node.runner.wait_for(AttemptEnded)
-        monkeypatch.setattr(node.session_service, "reserve_suspended", lambda: False)
+        monkeypatch.setattr(node.session_service.registry, "reserve_suspended", lambda: False)
         returning = client.reconnect()
         node.runner.wait_for(RequestReceived, 2)
         break_connection(returning)
--- a/tests/sessions/test_session_limits.py
+++ b/tests/sessions/test_session_limits.py
@@ -43,7 +43,7 @@
         while len(received) < count + 1:
             line = client.read_line()
             received.append(line)
-            assert node.session_service.memory_budget.used_bytes <= 2 * RESUMPTION_OPTIONS.buffer
+            assert node.session_service.registry.memory_budget.used_bytes <= 2 * RESUMPTION_OPTIONS.buffer
         assert received.count("RS OFF buffer") == 1
         assert received.count(whole) == count
         client.send_lines("M 1")
@@ -87,4 +87,4 @@
         assert one.ended.acquire(timeout=5)
         node.runner.wait_for(AttemptEnded)
         assert client.reconnect().read_line() == "ERR resume ended"
-        assert node.session_service.memory_budget.used_bytes == 0
+        assert node.session_service.registry.memory_budget.used_bytes == 0
