--- a/tansyladder/sessions/__init__.py
+++ b/tansyladder/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions that move between stream hosts, and come back to this node or to another one."""
+"""Resumable sessions: they migrate between stream hosts, and clients resume them at this or another node."""
--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -20,8 +20,8 @@
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
 
-ACKNOWLEDGEMENT_INTERVAL = timedelta(seconds=4)  # at most, of lines of a client that are not acknowledged
-CLOSING_TIMEOUT = timedelta(milliseconds=800)  # what one side ended, the other has ended within a second
+ACKNOWLEDGEMENT_INTERVAL = timedelta(seconds=4)  # after which a client's lines are acknowledged at the latest
+CLOSING_TIMEOUT = timedelta(milliseconds=800)  # the platform allows a second to close both sides
 
 
 class ClientConnection:
@@ -35,27 +35,27 @@
         opening: Opening,
         stream: Stream,
     ) -> None:
-        """A client that is not connected yet; `connect` gives it its socket."""
+        """Prepare a client that is not connected yet; `connect` sets its socket."""
         self._registry = registry
         self._metrics = metrics
         self._lifecycle = lifecycle
         self._opening = opening
         self._stream = stream
         self.socket: BufferedSocket | None = None
-        self.up_line = b""  # of the stream host; a client that resumes gets it again
+        self.up_line = b""  # of the stream host; sent again to a client that resumes
         self.expires_at = now()  # until when the client may resume
         self.closing_deadline: timedelta | None = None  # of the host's last lines, once the client has left
         self._renew_at = now()  # when the next token is due
         self._acknowledge_at: timedelta | None = None
 
     def connect(self, sock: socket.socket) -> None:
-        """Take the socket of the client that began the session."""
+        """Set the socket of the client that began the session."""
         self.socket = BufferedSocket(sock)
 
     # --- sending
 
     def send(self, data: bytes) -> None:
-        """Send to the client if it is connected; one whose connection is broken suspends the session."""
+        """Send to the client if it is connected; a broken connection suspends the session."""
         if self.socket is not None and data:
             try:
                 self.socket.send(data)
@@ -63,9 +63,9 @@
                 self.suspend(SuspendReason.BROKEN)
 
     def issue_token(self) -> bytes:
-        """The line of a new token, empty where resumption has become impossible.
+        """Return the line of a new token, empty if the session can't be resumed any more.
 
-        The next one is due after half its lifetime.
+        The next token is due after half the lifetime of this one.
         """
         lifetime = self._registry.options.expires
         moment = now()
@@ -76,7 +76,7 @@
         return self._registry.issue_token_line(self._stream.session_id, self._opening)
 
     def lines_forwarded(self) -> None:
-        """Have the client's new lines acknowledged before long."""
+        """Schedule the acknowledgement of lines that were forwarded."""
         self._acknowledge_at = self._acknowledge_at or now() + ACKNOWLEDGEMENT_INTERVAL
 
     def send_due_lines(self, moment: timedelta) -> None:
@@ -89,7 +89,7 @@
             self.send(self.issue_token())
 
     def next_deadline(self) -> timedelta:
-        """When something is due for the client, or its time to resume is over."""
+        """Return when a line is due for the client, or its time to resume is over."""
         deadline = self.expires_at if self.socket is None else self._renew_at
         if self._acknowledge_at is not None:
             deadline = min(deadline, self._acknowledge_at)
@@ -100,9 +100,10 @@
     # --- suspension and resumption
 
     def suspend(self, reason: SuspendReason) -> None:
-        """Drop a connected client, and await that it resumes.
+        """Disconnect the client, and wait for it to resume.
 
-        SessionEndedError: it had left, can't resume any more, or too many sessions wait already.
+        Raises:
+            SessionEndedError: The client had left, can't resume any more, or too many sessions are suspended.
         """
         if self.closing_deadline is not None:
             raise SessionEndedError(SessionEnd.ENDED)
@@ -118,10 +119,10 @@
         log(LogEvent.SESSION_SUSPENDED, why=reason)
 
     def resume(self, client: ResumingClient) -> None:
-        """Connect a client that came back, or reject it.
+        """Connect a client that reconnected, or reject it.
 
-        The old connection is reset first, so it gets no further line. The new one gets the session's
-        positions, a new token and the lines that it lacks.
+        The old connection is reset first and gets no further line. The new one gets the session's positions,
+        a new token and the lines that the client lacks.
         """
         try:
             position_line, *lines = self._stream.resume_client(client.received_line_count)
@@ -142,16 +143,16 @@
         self._metrics.record_outcome(self._opening.class_name, RequestOutcome.OK)
         log(LogEvent.SESSION_RESUMED, position=client.received_line_count)
         self.send(self.up_line + position_line + self.issue_token() + b"".join(lines))
-        if self.socket is not None:  # else the client may not have seen that its token is redeemed
+        if self.socket is not None:  # else the client may not know that its token is redeemed
             self._registry.confirm_opened(self._stream.session_id)
 
     def cancel_resume(self, client: ResumingClient, answer: bytes) -> None:
-        """Reject a client that came back; its token stays valid."""
+        """Reject a client that reconnected; its token remains valid."""
         self._registry.token_registry.cancel_resume(self._stream.session_id)
         self.reject(client, answer)
 
     def reject(self, client: ResumingClient, answer: bytes) -> None:
-        """Send a client that came back its final answer and close its connection."""
+        """Send a client that reconnected its final answer and close its connection."""
         self._metrics.record_outcome(self._opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(client.sock)
         sockets.shutdown_and_drain(client.sock, answer)
@@ -159,11 +160,11 @@
     # --- the end
 
     def start_closing(self) -> None:
-        """The client has left: it still gets the host's last lines, for a limited time."""
+        """Start the time in which a client that has left still gets the host's last lines."""
         self.closing_deadline = now() + CLOSING_TIMEOUT
 
     def close(self, last_line: bytes) -> None:
-        """Send what is left and a last line, and close the connection."""
+        """Send the unsent bytes and a last line, and close the connection."""
         if self.socket is not None:
             sockets.configure_stream(self.socket.sock)
             sockets.shutdown_and_drain(self.socket.sock, self.socket.unsent + last_line)
--- a/tansyladder/sessions/errors.py
+++ b/tansyladder/sessions/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a connection of a session or the session itself, and the reasons that stand in the log."""
+"""Errors that end a connection of a session or the session itself, and their reasons in the log."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption.token_registry import SessionEnd
 
-RETRY_SOON = protocol.format_reject(timedelta(milliseconds=200))  # to a token that may be valid in a moment
+RETRY_SOON = protocol.format_reject(timedelta(milliseconds=200))  # to a token that may soon be valid
 
 
 class UpstreamLossReason(StrEnum):
     """Why a session left its stream host; the value is `why` of `session_moved` and `session_rejected`."""
 
-    RESTART = "restart"  # the session was restored here and has no stream host yet
+    RESTART = "restart"  # the session was restored and has no stream host yet
     ORDERED = "ordered"  # the policy migrates it
-    STALLED = "stuck"  # the host takes no bytes
+    STALLED = "stuck"  # the host accepts no bytes
     SILENT = "silent"  # the host does not answer
     RESET = "reset"
     CLOSED = "ended"  # the host closed its connection without BYE
@@ -31,7 +31,7 @@
     """Why a session lost its client; the value is `why` of `session_suspended`."""
 
     BROKEN = "broke"
-    STALLED = "stuck"  # the client takes no bytes
+    STALLED = "stuck"  # the client accepts no bytes
 
 
 class SessionError(Exception):
@@ -39,9 +39,9 @@
 
 
 class UpstreamLostError(SessionError):
-    """The connection to the stream host can't continue; the session may, at another host.
+    """The connection to the stream host has ended; the session may continue at another host.
 
-    `status` is what the policy is told of the attempt.
+    `status` is reported to the policy as the status of the attempt.
     """
 
     def __init__(self, status: AttemptStatus, reason: UpstreamLossReason) -> None:
@@ -53,8 +53,8 @@
 class SessionEndedError(SessionError):
     """The session ends.
 
-    `status` is what the policy is told of the attempt, `last_line` goes to the client before its connection
-    is closed.
+    `status` is reported to the policy as the status of the attempt, `last_line` is sent to the client before
+    its connection is closed.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
 
 
 class ResumeRejectedError(SessionError):
-    """A resume that changed nothing of the session; `answer` is the line that its client gets."""
+    """A resumption was rejected without effect on the session; `answer` is the line for the client."""
 
     def __init__(self, answer: bytes) -> None:
         super().__init__(answer.decode().strip())
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -5,6 +5,7 @@
 import contextlib
 import select
 import socket
+from datetime import timedelta
 from typing import NoReturn
 
 from tansyladder.log import LogEvent, log
@@ -32,10 +33,10 @@
 
 
 class Forwarder:
-    """One stream host's part of a session, with or without a connected client. Owned by the session's thread.
+    """Forwards the lines of a session at one stream host, with or without a connected client.
 
-    A side that has not taken all that was sent to it is not sent more: the other side is not read then, which
-    holds up its sender.
+    Owned by the session's thread. While a side has unsent bytes the other side is not read, which applies
+    backpressure to its sender.
     """
 
     def __init__(
@@ -59,42 +60,50 @@
 
     def run(self) -> NoReturn:
         """Forward until UpstreamLostError or SessionEndedError is raised."""
-        queue = self._queue
-        client = self._client
-        host = self._host
-        queue.mark_established()
+        self._start()
+        while True:
+            self._resume_clients()
+            self._check_deadlines()
+            self._handle_ready(self._wait_ready())
+
+    def _start(self) -> None:
+        """Send the stream host the lines that it lacks, and forward those that it sent with its answer."""
+        self._queue.mark_established()
         if self._upstream.replay:
             self._response_timeout.line_sent()
             self._send_to_host(self._upstream.replay)
         self._forward_host_lines(self._upstream.connection.initial_lines[1:])
-        while True:
-            if queue.is_superseded:
-                raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
-            while resuming_client := queue.take_client():
-                client.resume(resuming_client)
-            self._check_deadlines()
-            ready = self._wait_ready()
-            if queue.fileno() in ready:
-                self._apply_policy_actions()
-            if client.socket is not None and client.socket.sock.fileno() in ready:
-                self._read_client(client.socket)
-            if host.sock.fileno() in ready:
-                self._read_host()
-            if client.socket is None and not self._stream.can_resume_client:
-                raise SessionEndedError(SessionEnd.BUFFER_OVERFLOW)
+
+    def _resume_clients(self) -> None:
+        """Connect clients that have reconnected; SessionEndedError: another node owns the session."""
+        if self._queue.is_superseded:
+            raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
+        while resuming_client := self._queue.take_client():
+            self._client.resume(resuming_client)
+
+    def _handle_ready(self, ready: set[int]) -> None:
+        """Handle what the queue's and the sockets' descriptors are ready for."""
+        client = self._client
+        if self._queue.fileno() in ready:
+            self._apply_policy_actions()
+        if client.socket is not None and client.socket.sock.fileno() in ready:
+            self._read_client(client.socket)
+        if self._host.sock.fileno() in ready:
+            self._read_host()
+        if client.socket is None and not self._stream.can_resume_client:
+            raise SessionEndedError(SessionEnd.BUFFER_OVERFLOW)
 
     def _apply_policy_actions(self) -> None:
-        """Take the policy's actions; the only one for an established connection is to migrate it."""
+        """Take the policy's actions; for an established connection it is always to migrate the session."""
         while (action := self._queue.take()) is not None:
             if action.request_id == self._upstream.request_id:  # else of an earlier placement
                 raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.ORDERED)
 
     def _check_deadlines(self) -> None:
-        """Do what is due by the clock: tokens, acknowledgements, and sides that send or take nothing."""
+        """Send the tokens and acknowledgements that are due, and check the deadlines of both sides."""
         moment = now()
         client = self._client
-        connected = client.socket
-        if connected is None:
+        if client.socket is None:
             if moment >= client.expires_at:
                 raise SessionEndedError(SessionEnd.EXPIRED)
             return
@@ -102,6 +111,11 @@
             raise SessionEndedError(SessionEnd.ENDED)
         if self._host.is_stalled:
             raise UpstreamLostError(AttemptStatus.TIMEOUT, UpstreamLossReason.STALLED)
+        self._check_connected(client.socket, moment)
+
+    def _check_connected(self, connected: BufferedSocket, moment: timedelta) -> None:
+        """Suspend a client that is stalled; UpstreamLostError: the stream host does not answer it."""
+        client = self._client
         if connected.is_stalled:
             client.suspend(SuspendReason.STALLED)
         elif not connected.unsent and self._response_timeout.check_silent():
@@ -110,48 +124,37 @@
             client.send_due_lines(moment)
 
     def _wait_ready(self) -> set[int]:
-        """Wait until a socket or the queue is ready or something is due; the descriptors that are ready."""
+        """Wait until a descriptor is ready or a deadline has passed; return the ready descriptors."""
         client = self._client
-        connected = client.socket
         host = self._host
         poll = select.poll()
         poll.register(self._queue, select.POLLIN)
-        client_unsent = connected is not None and bool(connected.unsent)
-        if connected is not None:
-            events = 0 if host.unsent or client.closing_deadline is not None else select.POLLIN
-            if client_unsent:
-                events |= select.POLLOUT
-            if events:
-                poll.register(connected.sock, events)
-        events = 0 if client_unsent else select.POLLIN
-        if host.unsent:
-            events |= select.POLLOUT
-        if events:
-            poll.register(host.sock, events)
+        has_unsent = bool(host.unsent)
+        may_read_host = True
+        if client.socket is not None:
+            has_unsent = has_unsent or bool(client.socket.unsent)
+            may_read_host = not client.socket.unsent
+            may_read_client = not host.unsent and client.closing_deadline is None
+            _register(poll, client.socket, may_read=may_read_client)
+        _register(poll, host, may_read=may_read_host)
         deadline = client.next_deadline()
-        if self._response_timeout.is_waiting or host.unsent or client_unsent:
+        if self._response_timeout.is_waiting or has_unsent:
             deadline = min(deadline, now() + OVERDUE_INTERVAL)
         return sockets.poll_until(poll, deadline)
 
     # --- from the client
 
     def _read_client(self, connected: BufferedSocket) -> None:
-        """Send the client what is left, read it once and forward its lines."""
-        try:
-            connected.send()
-            if self._host.unsent or self._client.closing_deadline is not None:
-                return
-            data = connected.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
-        except BlockingIOError:
+        """Send the client its unsent bytes, read it once and forward its lines."""
+        data = self._receive_from_client(connected)
+        if data is None:
             return
-        except OSError:
-            data = b""
         if not data:
             self._client.suspend(SuspendReason.BROKEN)
             return
-        counted_position = self._stream.from_client.end_position
+        previous_position = self._stream.from_client.end_position
         output = _receive_client_lines(self._stream, connected, data)
-        if self._stream.from_client.end_position > counted_position:  # nobody answers an acknowledgement
+        if self._stream.from_client.end_position > previous_position:  # an acknowledgement gets no answer
             self._response_timeout.line_sent()
             self._client.lines_forwarded()
         self._send_to_host(output.to_host)
@@ -162,10 +165,22 @@
                 with contextlib.suppress(OSError):
                     self._host.sock.shutdown(socket.SHUT_WR)
 
+    def _receive_from_client(self, connected: BufferedSocket) -> bytes | None:
+        """Return the next received bytes, nothing if the connection broke, or None if none are to be read."""
+        try:
+            connected.send()
+            if self._host.unsent or self._client.closing_deadline is not None:
+                return None
+            return connected.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
+        except BlockingIOError:
+            return None
+        except OSError:
+            return b""
+
     # --- from the stream host
 
     def _read_host(self) -> None:
-        """Send the stream host what is left, read it once and forward its lines."""
+        """Send the stream host its unsent bytes, read it once and forward its lines."""
         host = self._host
         connected = self._client.socket
         try:
@@ -187,15 +202,11 @@
         self._forward_host_lines(tuple(lines))
 
     def _forward_host_lines(self, lines: tuple[bytes, ...]) -> None:
-        """Count the stream host's lines and forward them; MOVE and BYE decide what comes next."""
+        """Count the stream host's lines and forward them; after MOVE or BYE raise what follows from it."""
         to_client = b""
         signal = StreamSignal.NONE
         for line in lines:
-            try:
-                output = self._stream.receive_from_host(line)
-            except (ControlMessageError, PositionError) as error:
-                log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=error)
-                raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_MESSAGE) from error
+            output = self._receive_host_line(line)
             if output.to_client:
                 to_client += output.to_client
                 self._record_response(line)
@@ -204,6 +215,17 @@
                 break
         self._client.send(to_client)
         self._client.send(self._stream.report_lost_resumption())
+        self._check_signal(signal)
+
+    def _receive_host_line(self, line: bytes) -> StreamOutput:
+        try:
+            return self._stream.receive_from_host(line)
+        except (ControlMessageError, PositionError) as error:
+            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=error)
+            raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_MESSAGE) from error
+
+    def _check_signal(self, signal: StreamSignal) -> None:
+        """Raise UpstreamLostError or SessionEndedError for a signal that ends the host's connection."""
         if signal is StreamSignal.HOST_REDIRECTED:
             raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.REDIRECTED)
         if signal is StreamSignal.HOST_FINISHED:
@@ -212,7 +234,7 @@
             raise SessionEndedError(SessionEnd.ENDED, AttemptStatus.OK)
 
     def _record_response(self, line: bytes) -> None:
-        """Note when the host answered, and the load that it reports."""
+        """Record that the host answered, and the load that it reports."""
         self.has_host_sent = True
         keyword = protocol.parse_keyword(line)
         self._response_timeout.line_received(keyword)
@@ -226,14 +248,23 @@
             raise self._host_lost(UpstreamLossReason.RESET) from error
 
     def _host_lost(self, reason: UpstreamLossReason) -> UpstreamLostError | SessionEndedError:
-        """The error of a host whose connection ended without BYE; it ends a session whose client has left."""
+        """Return the error for a connection that the host ended without BYE."""
         if self._client.closing_deadline is not None:
             return SessionEndedError(SessionEnd.ENDED)
         return UpstreamLostError(AttemptStatus.RESET, reason)
 
 
+def _register(poll: select.poll, side: BufferedSocket, *, may_read: bool) -> None:
+    """Register what to wait for at one side, if anything."""
+    events = select.POLLIN if may_read else 0
+    if side.unsent:
+        events |= select.POLLOUT
+    if events:
+        poll.register(side.sock, events)
+
+
 def _receive_client_lines(stream: Stream, connected: BufferedSocket, data: bytes) -> StreamOutput:
-    """What the lines in a client's data mean. SessionEndedError: one of them is invalid."""
+    """Return what to do for the lines in a client's data. SessionEndedError: one of them is invalid."""
     output = StreamOutput()
     try:
         for line in connected.line_buffer.feed(data):
--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -1,7 +1,7 @@
-"""Agreement with the cluster on which node owns a session, and on which of its tokens are spent.
+"""Claims sessions with the cluster, which decides which node owns one and which of its tokens are spent.
 
-A node that is shown another node's token claims the session before it restores it, and every resume is
-confirmed before the client is answered. This module is loaded only where the node has peers.
+A node that receives another node's token claims the session before it restores it, and every resumption is
+confirmed before the client is answered. This module is loaded only if the node has peers.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 CLAIM_TIMEOUT = timedelta(milliseconds=500)  # for the cluster to decide on a claim
 CONFIRMATION_TIMEOUT = timedelta(milliseconds=700)  # for the cluster to decide on a confirmation
 RELEASE_ATTEMPT_TIMEOUT = timedelta(seconds=2)
-RELEASE_PAUSE_S = (0.05, 0.25)  # between two attempts, drawn evenly
-ANSWER_MARGIN = timedelta(milliseconds=100)  # of a client's wait that is left for its answer
-MAX_CLOCK_SKEW = timedelta(seconds=5)  # between nodes; longer than an entry takes to be agreed on
-# Reasons of the cluster for which the same token may still resume the session later.
+RELEASE_PAUSE_S = (0.05, 0.25)  # between two attempts, drawn uniformly
+ANSWER_MARGIN = timedelta(milliseconds=100)  # before a client's deadline, for its answer
+MAX_CLOCK_SKEW = timedelta(seconds=5)  # between nodes; longer than an entry takes to be committed
+# Rejections by the cluster after which the same token may still resume the session later.
 TEMPORARY_REASONS = (ClaimRejection.CLAIMED, ClaimRejection.FULL)
 
 
 class OwnershipService(Protocol):
-    """Where the cluster decides who owns a session. Thread-safe."""
+    """The cluster, which decides who owns a session. Thread-safe."""
 
     incarnation: str  # the node and its start
 
@@ -51,14 +51,14 @@
     def decide_ownership(
         self, command: OwnershipClaim | ClaimConfirmation, deadline: timedelta
     ) -> ClaimResult | None:
-        """What the cluster decides on a command; None where that is not known in time."""
+        """Return what the cluster decides on a command; None if that is not known by the deadline."""
 
 
 class RetentionPeriod(NamedTuple):
     """Microseconds of Unix time."""
 
     now_us: int
-    until_us: int  # until when tokens that were issued by now may be valid
+    until_us: int  # when the last token that was issued by now expires
 
 
 class OwnershipClient:
@@ -69,7 +69,7 @@
         self._clock = clock
         self._token_lifetime = token_lifetime
         self._request_numbers = itertools.count(1)  # of claims and confirmations; `next` is atomic
-        self._unreported: dict[int, SessionOpened] = {}  # by session: confirmed, and UP is not sent yet
+        self._unreported: dict[int, SessionOpened] = {}  # by session: confirmed, but UP is not sent yet
         self._releasing_count = 0
         self._lock = threading.Lock()  # of `_releasing_count`
 
@@ -79,9 +79,10 @@
         return self._service.incarnation
 
     def claim(self, payload: TokenPayload, deadline: timedelta) -> int:
-        """Claim the session of a token for this node; its ownership epoch.
+        """Claim the session of a token for this node; return the ownership epoch.
 
-        ResumeRejectedError: the cluster has decided otherwise, or its decision is not known in time.
+        Raises:
+            ResumeRejectedError: The cluster rejected the claim, or its decision is not known in time.
         """
         period = self._retention_period()
         claim = OwnershipClaim(
@@ -103,10 +104,11 @@
     def confirm(self, session_id: int, current_floor: int, next_floor: int, client: ResumingClient) -> None:
         """Have the cluster confirm that this node owns a session and tokens below `next_floor` are spent.
 
-        ResumeRejectedError: it does not, or its decision is not known in time. That is no rejection by the
-        cluster, so the client is told to try again, and the cluster that the token was not redeemed.
+        Raises:
+            ResumeRejectedError: The cluster rejected the confirmation, or its decision is not known in time.
+                In the latter case the client is asked to retry, and the token is released.
         """
-        if sockets.is_disconnected(client.sock):  # this node was slow: the client shows its token elsewhere
+        if sockets.is_disconnected(client.sock):  # this node was slow: the client tries another
             raise ResumeRejectedError(RETRY_SOON)
         period = self._retention_period()
         epoch = next_floor >> GENERATION_COUNTER_BITS
@@ -127,7 +129,7 @@
             self._release(confirmation.releasing(current_floor, next(self._request_numbers)))
             raise ResumeRejectedError(RETRY_SOON)
         if not result.epoch:
-            # A node that has claimed the session since may fail to resume it: the token may be valid still.
+            # A node that has claimed the session since may fail to resume it: the token may still be valid.
             is_claimed = result.reason is ClaimRejection.CLAIMED
             rejection = control_messages.format_rejection(result.reason)
             raise ResumeRejectedError(RETRY_SOON if is_claimed else rejection)
@@ -135,13 +137,13 @@
         self._unreported[session_id] = opened
 
     def report_opened(self, session_id: int) -> None:
-        """Tell the cluster that a confirmed client was answered: its token is spent beyond doubt."""
+        """Report to the cluster that a confirmed client was answered: its token is definitely spent."""
         opened = self._unreported.pop(session_id, None)
         if opened is not None:
             self._service.propose(opened)
 
     def forget(self, session_id: int) -> None:
-        """Drop what is known of a session that has ended."""
+        """Discard what is known of a session that has ended."""
         self._unreported.pop(session_id, None)
 
     def _retention_period(self) -> RetentionPeriod:
@@ -150,7 +152,7 @@
         return RetentionPeriod(self._clock.micros(moment), self._clock.micros(until))
 
     def _release(self, confirmation: ClaimConfirmation) -> None:
-        """Tell the cluster in a thread that a token was not redeemed; beyond the limit it is not told."""
+        """Report in a thread that a token was not redeemed; not reported beyond the limit of threads."""
         with self._lock:
             if self._releasing_count >= MAX_CONCURRENT_RELEASES:
                 return
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -48,8 +48,8 @@
         self._takeover: SessionTakeover | None = None  # set once this process has joined its peers
 
     def join_peers(self, service: OwnershipService) -> None:
-        """From now on claim and confirm sessions with the cluster. Called once."""
-        from tansyladder.sessions.takeover import SessionTakeover
+        """Claim and confirm sessions with the cluster from now on. Called once."""
+        from tansyladder.sessions.takeover import SessionTakeover  # for peers alone
 
         ownership = self.registry.join_peers(service)
         self._takeover = SessionTakeover(self._context, self.registry, self._restorer, ownership)
@@ -71,7 +71,7 @@
         return self.registry.new_stream()
 
     def first_line_builder(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """Return what formats the first line to a stream host, by how long the node waits."""
+        """Return a function that formats the first line to a stream host, by how long the node waits."""
         return self.registry.first_line_builder(opening, stream)
 
     def serve(
@@ -89,11 +89,16 @@
     def resume(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Hand a client with a token over to its session's thread; empty, or the answer that rejects it.
+        """Hand a client with a token over to its session's thread, without waiting.
 
-        `release` is called first where the client is handed over; its socket is not the caller's any more.
-        Nothing waits here, and a rejection changes nothing for the session. LineError: the line has no
-        position.
+        `release` is called before the client is handed over, after which its socket is not the caller's any
+        more. A rejection has no effect on the session.
+
+        Returns:
+            Nothing if the client is handed over, else the answer that rejects it.
+
+        Raises:
+            LineError: The first line has no valid position.
         """
         try:
             self._check_is_available()
@@ -121,13 +126,11 @@
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
         registry = self.registry
-        position = opening.field_values.get(RESUME_POSITION_FIELD, "")
-        if not _POSITION.match(position):
-            raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
+        position = _parse_position(opening)
         payload = registry.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
-        if self._takeover is not None:  # a process that was stopped has clients of long ago in its buffers
+        if self._takeover is not None:  # a process that was stopped may read old clients' lines now
             arrived = min(arrived, now() - sockets.time_since_last_data(sock))
-        client = ResumingClient(sock, int(position), arrived + opening.wait, payload.expires_at_us)
+        client = ResumingClient(sock, position, arrived + opening.wait, payload.expires_at_us)
         if not registry.token_registry.is_known(payload.session_id):
             if self._takeover is not None:
                 self._takeover.start(client, opening, payload, arrived, release)
@@ -147,3 +150,11 @@
     def on_ownership_claimed(self, session_id: int, ownership_epoch: int, owner: str) -> None:
         """End a session here that another node owns by a decision of the cluster."""
         self.registry.end_superseded(session_id, ownership_epoch, owner)
+
+
+def _parse_position(opening: Opening) -> int:
+    """Return how many lines of the endpoint a client has received. LineError: its first line does not say."""
+    position = opening.field_values.get(RESUME_POSITION_FIELD, "")
+    if not _POSITION.match(position):
+        raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
+    return int(position)
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -1,7 +1,7 @@
-"""The life of one resumable session: placement at stream hosts, forwarding, suspension, resumption, the end.
+"""One resumable session from start to end: placement at stream hosts, forwarding, suspension, resumption.
 
-The states and what changes them are in `session_state`. A client that comes back is handed over through the
-session's action queue; the old connection is reset before the new one gets a line.
+The states and their transitions are in `session_state`. A client that reconnects is handed over through the
+session's action queue; its old connection is reset before the new one gets a line.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
 from tansyladder.sessions.upstream_placement import PlacedUpstream, PlacementRejected, UpstreamPlacer
 
-MIGRATION_TIMEOUT = timedelta(milliseconds=900)  # no line of a client is held back for over a second
-DRAIN_CHECK_INTERVAL = timedelta(seconds=1)  # of a detached session, which nothing wakes when the node drains
-MAX_MIGRATIONS_WITHOUT_PROGRESS = 3  # in a row, without a line of any host: a session may fail its hosts
+MIGRATION_TIMEOUT = timedelta(milliseconds=900)  # no line of a client may be delayed by over a second
+DRAIN_CHECK_INTERVAL = timedelta(seconds=1)  # of a detached session, which a drain of the node does not wake
+MAX_MIGRATIONS_WITHOUT_PROGRESS = 3  # in a row, without a line of any host: the session may be the fault
 
 
 class Session:
@@ -46,7 +46,7 @@
         request: ResumableRequest,
         client: socket.socket | None = None,
     ) -> None:
-        """`client`: connected; without one the session is restored and awaits its client."""
+        """`client`: its socket; None for a restored session, which waits for its client to resume."""
         self._context = context
         self._registry = registry
         self._queue = request.action_queue
@@ -62,13 +62,15 @@
         self._migrations_without_progress = 0
 
     def set_expiry(self, moment: timedelta) -> None:
-        """Set until when the client of a restored session may resume."""
+        """Set the time by which the client of a restored session has to resume."""
         self._client.expires_at = moment
 
     def run(self, connection: UpstreamConnection | None = None, request_id: int = 0) -> None:
-        """Serve the session to its end; all of its sockets are closed then.
+        """Serve the session to its end, and close all of its sockets.
 
-        `connection`: to the first stream host, of this request; a restored session has none.
+        Args:
+            connection: To the first stream host; a restored session has none.
+            request_id: Of the request that established the connection.
         """
         end = SessionEndedError(SessionEnd.ENDED)
         try:
@@ -92,14 +94,14 @@
         return upstream
 
     def _restore(self) -> PlacedUpstream:
-        """Await the client of a restored session and place it."""
+        """Wait for the client of a restored session, and place the session."""
         if not self._registry.reserve_suspended():
             raise SessionEndedError(SessionEnd.NO_CAPACITY)
         self._lifecycle.apply(SessionEvent.RESTORED)
         return self._next_upstream(UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.RESTART))
 
     def _forward(self, upstream: PlacedUpstream) -> PlacedUpstream:
-        """Forward until the stream host is lost; the next one."""
+        """Forward until the stream host is lost; return the next one."""
         forwarder = Forwarder(self._context, self._queue, self._stream, self._client, upstream)
         try:
             forwarder.run()
@@ -120,7 +122,7 @@
         self._lifecycle.apply(SessionEvent.UPSTREAM_CONNECTED)
 
     def _leave_upstream(self, upstream: PlacedUpstream, status: AttemptStatus) -> None:
-        """Close the connection before the policy is told, and before the next one is opened."""
+        """Close the connection, then report its end to the policy; the next one is opened later."""
         upstream.socket.sock.close()
         self._upstream = None
         self._lifecycle.apply(SessionEvent.UPSTREAM_LOST)
@@ -129,9 +131,10 @@
         self._context.policy.unregister_request(upstream.request_id)
 
     def _next_upstream(self, lost: UpstreamLostError) -> PlacedUpstream:
-        """Place the session anew, once there is a client to place it for.
+        """Place the session again, once its client is connected.
 
-        SessionEndedError: it can't be placed, or its client does not come back in time.
+        Raises:
+            SessionEndedError: The session can't be placed, or its client does not resume in time.
         """
         while True:
             self._check_can_be_placed(lost)
@@ -165,8 +168,8 @@
         return placed
 
     def _place_for(self, client: ResumingClient, lost: UpstreamLostError) -> PlacedUpstream | None:
-        """Place a session whose client came back; where no host takes it, reject the client."""
-        if lost.status is AttemptStatus.OK:  # the host has finished: only its last lines are left to send
+        """Place a session whose client reconnected; reject the client if no host accepts the session."""
+        if lost.status is AttemptStatus.OK:  # the host has finished: only buffered lines are left to send
             self._client.resume(client)
             raise SessionEndedError(SessionEnd.ENDED)
         placed = self._placer.place(client.deadline)
@@ -183,22 +186,25 @@
         """Wait for a client that resumes a detached session. SessionEndedError: none can any more."""
         while True:
             client = self._queue.take_client()
-            if client is not None:
-                if self._accepts_position(client):
-                    return client
-                continue
-            if self._queue.is_superseded:
-                raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
-            if self._context.lifecycle.is_draining:
-                raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED)
-            expires_at = self._client.expires_at
-            if now() >= expires_at:
-                raise SessionEndedError(SessionEnd.EXPIRED)
-            self._queue.take()
-            sockets.wait_readable(min(expires_at, now() + DRAIN_CHECK_INTERVAL), self._queue.fileno())
+            if client is None:
+                self._check_can_wait()
+                self._queue.take()
+                wait_until = min(self._client.expires_at, now() + DRAIN_CHECK_INTERVAL)
+                sockets.wait_readable(wait_until, self._queue.fileno())
+            elif self._accepts_position(client):
+                return client
+
+    def _check_can_wait(self) -> None:
+        """SessionEndedError: no client can resume the session here any more."""
+        if self._queue.is_superseded:
+            raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
+        if self._context.lifecycle.is_draining:
+            raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED)
+        if now() >= self._client.expires_at:
+            raise SessionEndedError(SessionEnd.EXPIRED)
 
     def _accepts_position(self, client: ResumingClient) -> bool:
-        """Whether a client can resume from its position; it is rejected otherwise."""
+        """Return whether a client can resume from its position; reject it otherwise."""
         self._stream.adopt_client_position(client.received_line_count)
         try:
             self._stream.from_host.lines_after(client.received_line_count)
@@ -210,19 +216,19 @@
     # --- the end
 
     def _redirect_line(self) -> bytes:
-        """The last line to a client for which this node can do no more.
+        """Return the last line to a client that this node can't serve any more.
 
-        MOVE has the client open a new session. Where another node can continue this one the line is empty:
-        the client of a connection that ends without MOVE comes back with its token.
+        MOVE has the client open a new session. If another node can continue this one the line is empty: after
+        a connection that ends without MOVE the client reconnects with its token.
         """
         can_resume_elsewhere = self._registry.resumes_on_any_node and self._stream.can_resume_client
         return b"" if can_resume_elsewhere else MOVE_LINE
 
     def _close(self, end: SessionEndedError) -> None:
-        """Release everything, and answer the clients that came back too late."""
+        """Release all resources, and answer the clients that reconnected too late."""
         if self._upstream is not None:
             self._leave_upstream(self._upstream, end.status)
-        # First: once the registry has the session ended no further client is handed over.
+        # First: once the session has ended in the registry no further client is handed over.
         self._registry.end(self._stream.session_id, end.session_end)
         while client := self._queue.take_client():
             self._client.reject(client, _late_answer(end.session_end))
@@ -235,7 +241,7 @@
 
 
 def _late_answer(session_end: SessionEnd) -> bytes:
-    """The answer to a client that comes back to a session which has just ended."""
+    """Return the answer to a client that reconnects to a session that has just ended."""
     if session_end is SessionEnd.CLAIMED_BY_OTHER_NODE:  # this node may claim it back in a moment
         return RETRY_SOON
     return control_messages.format_rejection(session_end.value)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -1,4 +1,4 @@
-"""What the resumable sessions of a node share: keys, tokens, memory, and the slots of suspended ones."""
+"""What the resumable sessions of a node share: keys, tokens, memory, and slots for suspended sessions."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:  # a node without peers does not load what they need
     from tansyladder.sessions.ownership_client import OwnershipClient, OwnershipService
 
-# Fields of a client's first line that a stream host does not get.
+# Fields of a client's first line that are not forwarded to a stream host.
 CLIENT_ONLY_FIELDS = frozenset({RESUME_OFFER_FIELD, RESUME_TOKEN_FIELD, RESUME_POSITION_FIELD})
 SESSION_ID_BYTES = 8
 MEBIBYTE = 1 << 20
@@ -42,7 +42,7 @@
     """The resumable sessions of one node. Thread-safe."""
 
     def __init__(self, context: NodeContext, session_store: SessionStore | None = None) -> None:
-        """`session_store`: where sessions outlive the process; unused with peers, which see to that."""
+        """`session_store`: persists sessions; unused with peers, which take sessions over instead."""
         options = context.options.resume
         has_peers = context.options.peers.enabled
         self._context = context
@@ -65,15 +65,15 @@
     # --- ownership among peers
 
     def join_peers(self, service: OwnershipService) -> OwnershipClient:
-        """From now on confirm sessions with the cluster; return what claims them. Called once."""
-        from tansyladder.sessions.ownership_client import OwnershipClient
+        """Confirm sessions with the cluster from now on; return the client that claims them. Called once."""
+        from tansyladder.sessions.ownership_client import OwnershipClient  # for peers alone
 
         ownership = OwnershipClient(service, self._context.clock, self.options.expires)
         self._ownership = ownership
         return ownership
 
     def end_superseded(self, session_id: int, ownership_epoch: int, owner: str) -> None:
-        """End a session that another node owns from an epoch on; without effect where this node owns it."""
+        """End a session that another node owns as of an epoch; without effect if this node is the owner."""
         if self._ownership is not None and owner != self._ownership.node:
             queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
             if queue is not None:
@@ -82,7 +82,7 @@
     # --- new sessions
 
     def new_stream(self) -> Stream:
-        """The stream of a new session; its random id is the secret by which stream hosts know it."""
+        """Create the stream of a new session; its random id is the secret by which stream hosts know it."""
         session_id = int.from_bytes(os.urandom(SESSION_ID_BYTES), "big")
         return Stream(
             session_id,
@@ -94,16 +94,16 @@
 
     @staticmethod
     def first_line_builder(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """What formats the first line to a stream host, by how long the node waits.
+        """Return a function that formats the first line to a stream host, by how long the node waits.
 
-        Each call begins another placement of the stream.
+        Each call of that function begins another placement of the stream.
         """
         return lambda wait: opening.format_for_endpoint(wait, CLIENT_ONLY_FIELDS, stream.begin_placement())
 
     # --- tokens
 
     def issue_token_line(self, session_id: int, opening: Opening) -> bytes:
-        """The control line with a new token for the session's client."""
+        """Issue a token for the session's client; return its control line."""
         expires_at_us = self._token_expiry_us()
         payload = self.token_registry.issue(session_id, expires_at_us)
         text = self.keyring.seal(payload, token_claims(opening))
@@ -113,7 +113,7 @@
         return control_messages.format_token(text, self.options.expires // MILLISECOND)
 
     def redeem(self, session_id: int, opening: Opening, client: ResumingClient) -> None:
-        """Redeem the token of a client that resumes. ResumeRejectedError: nothing has changed here."""
+        """Redeem the token of a client that resumes. ResumeRejectedError: it is not redeemed."""
         next_floor = self.token_registry.next_generation_floor(session_id)
         if self.session_store is not None and not self.session_store.redeem_session(
             session_id, opening.line, next_floor, self._token_expiry_us()
@@ -125,7 +125,7 @@
         self.token_registry.redeem(session_id)
 
     def confirm_opened(self, session_id: int) -> None:
-        """A client that resumed was answered: peers are told that its token is spent."""
+        """Report to the peers that a client that resumed was answered, so that its token is spent."""
         if self._ownership is not None:
             self._ownership.report_opened(session_id)
 
@@ -148,7 +148,7 @@
         return self._suspended_count
 
     def reserve_suspended(self) -> bool:
-        """Count a session that has lost its client; False where too many wait already."""
+        """Count a session that has lost its client; False if too many are suspended already."""
         with self._lock:
             if self._suspended_count >= self.options.max_suspended:
                 return False
@@ -156,13 +156,13 @@
             return True
 
     def release_suspended(self) -> None:
-        """Count a suspended session no more."""
+        """Stop counting a suspended session."""
         with self._lock:
             self._suspended_count -= 1
 
 
 def _new_keyring(context: NodeContext, identity: NodeIdentity | None) -> Keyring:
-    """The keys of this node's tokens, or of its fleet's, whose tokens are valid at all of its nodes.
+    """Build the keyring of this node's tokens, or of its fleet's, whose tokens are valid at all its nodes.
 
     The issuer is bound to the name as well: a folder that was copied to another node does not make that node
     an issuer of this one's tokens.
@@ -178,10 +178,10 @@
 
 
 def sealing_keys(options: ResumeOptions) -> list[SealingKey]:
-    """The keys of the operator's settings, the sealing one first."""
+    """Return the keys of the operator's settings; the first one seals."""
     return [SealingKey(key.id, key.secret) for key in options.keys]
 
 
 def token_claims(opening: Opening) -> TokenClaims:
-    """What a client must name again when it resumes."""
+    """Return the fields that a client has to repeat when it resumes."""
     return TokenClaims(opening.class_name, opening.group_key, opening.key)
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -1,6 +1,6 @@
-"""What a node keeps beyond its process: its identity, its sessions and the last list of endpoints.
+"""The records that outlive a node's process: its identity, its sessions and the last endpoint list.
 
-When the store fails the node goes on without it: the failure is logged once, and only what needs the store is
+If the store fails the node continues without it: the failure is logged once, and only what needs the store is
 rejected.
 """
 
@@ -31,7 +31,7 @@
 
 
 class NodeIdentity(msgspec.Struct, frozen=True):
-    """What makes tokens of an earlier start valid: their issuer is the folder, not the process."""
+    """The issuer of a node's tokens: the folder, not the process, so that tokens survive a restart."""
 
     issuer_id: bytes = msgspec.field(name="ident")
     token_key: bytes = msgspec.field(name="key")
@@ -39,7 +39,7 @@
 
 
 class StoredSession(msgspec.Struct, frozen=True):
-    """What a node that restarts needs to restore a session."""
+    """What a restarted node needs to restore a session."""
 
     first_line: str = msgspec.field(name="line")  # of the client
     generation_floor: int = msgspec.field(name="floor")  # tokens of lower generations are spent
@@ -47,7 +47,7 @@
 
 
 class StoredEndpointList(msgspec.Struct, frozen=True):
-    """The last list of endpoints, and when it was saved."""
+    """The last endpoint list, and when it was saved."""
 
     saved_at_us: int = msgspec.field(name="at")  # Unix time
     endpoints: EndpointList = msgspec.field(name="members")
@@ -60,11 +60,11 @@
 class SessionStore:
     """The node's records in an open store, with the store's maintenance thread. Thread-safe.
 
-    No method but the constructor raises an error of the store.
+    Only the constructor raises errors of the store.
     """
 
     def __init__(self, store: Store, now_us: Callable[[], int]) -> None:
-        """Count this start. `now_us`: Unix time in microseconds. StoreError."""
+        """Count this start. `now_us` returns microseconds of Unix time. StoreError: the store failed."""
         self.store = store
         self._store = store
         self._now_us = now_us
@@ -77,7 +77,7 @@
         else:
             previous = NodeIdentity(os.urandom(ISSUER_ID_BYTES), os.urandom(KEY_BYTES), 0)
         self.identity = NodeIdentity(previous.issuer_id, previous.token_key, previous.start_count + 1)
-        # On disk before any token is sealed under this start.
+        # Synced before any token of this start is sealed.
         store.put(IDENTITY_KEY, msgspec.msgpack.encode(self.identity))
 
     def start(self) -> None:
@@ -85,7 +85,7 @@
         threading.Thread(target=self._maintain, name="store", daemon=True).start()
 
     def close(self) -> None:
-        """Sync what is buffered and close the store."""
+        """Sync buffered writes and close the store."""
         self._stop.set()
         try:
             self._store.close()
@@ -124,7 +124,7 @@
     # --- endpoints
 
     def save_endpoints(self, update: EndpointList) -> None:
-        """Save the list as it is after an update."""
+        """Apply an update of the endpoint list and save the result."""
         if update.complete:
             self._endpoints = {}
         for entry in update.endpoints:
@@ -132,12 +132,12 @@
                 self._endpoints.pop(entry.id, None)
             else:
                 self._endpoints[entry.id] = entry
-        endpoints = EndpointList(update.revision, True, list(self._endpoints.values()))
+        endpoints = EndpointList(update.revision, complete=True, endpoints=list(self._endpoints.values()))
         record = msgspec.msgpack.encode(StoredEndpointList(self._now_us(), endpoints))
         self._write(WriteOperation(ENDPOINTS_KEY, record))
 
     def cached_endpoints(self) -> StoredEndpointList | None:
-        """The last list of an earlier start, where one was saved."""
+        """Return the last list of an earlier start, if one was saved."""
         record = self._read(ENDPOINTS_KEY)
         if not record:
             return None
@@ -150,14 +150,14 @@
     def save_session(
         self, session_id: int, first_line: str, generation_floor: int, expires_at_us: int
     ) -> None:
-        """Save a session, or that it expires later; on disk within MAINTENANCE_INTERVAL."""
+        """Save a session, or its later expiry; synced within MAINTENANCE_INTERVAL."""
         record = msgspec.msgpack.encode(StoredSession(first_line, generation_floor, expires_at_us))
         self._write(WriteOperation(_session_key(session_id), record, expires_at_us))
 
     def redeem_session(
         self, session_id: int, first_line: str, generation_floor: int, expires_at_us: int
     ) -> bool:
-        """Save that tokens below a generation are spent; on disk when this returns True."""
+        """Save that tokens below a generation are spent; synced if this returns True."""
         record = msgspec.msgpack.encode(StoredSession(first_line, generation_floor, expires_at_us))
         operation = WriteOperation(_session_key(session_id), record, expires_at_us)
         return self._write(operation, Durability.SYNCED)
@@ -167,13 +167,13 @@
         self._write(WriteOperation(_session_key(session_id), None))
 
     def load_session(self, session_id: int) -> StoredSession | None:
-        """A session of an earlier start, where one was saved."""
+        """Return a session of an earlier start, if it was saved."""
         record = self._read(_session_key(session_id))
         return msgspec.msgpack.decode(record, type=StoredSession) if record else None
 
 
 def open_session_store(directory: str, node_name: str) -> SessionStore | None:
-    """Open the node's records; None, and a log line, where the store can't be used."""
+    """Open the node's records; None, with a log line, if the store can't be used."""
     clock = Clock()
 
     def now_us() -> int:
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -17,7 +17,7 @@
 from tansyladder.sessions.session_registry import SessionRegistry
 
 MAX_LOGGED_LINE = 80  # characters of a stream host's UP line
-LINES_OF_ANSWER = 2  # UP, and the position at which the host continues
+ANSWER_LINE_COUNT = 2  # UP, and the position at which the host continues
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,13 +31,13 @@
 
     @classmethod
     def of(cls, connection: UpstreamConnection, request_id: int, replay: bytes = b"") -> PlacedUpstream:
-        """The host of an established connection, whose socket is used from now on."""
+        """Wrap an established connection, whose socket is used by the result alone from now on."""
         return cls(connection, request_id, BufferedSocket(connection.sock, connection.buffer), replay)
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRejected:
-    """No stream host took the session; another try is worthwhile after `retry_after`."""
+    """No stream host accepted the session; a retry makes sense after `retry_after`."""
 
     retry_after: timedelta
 
@@ -52,7 +52,7 @@
         self._replay = b""
 
     def place(self, deadline: timedelta) -> PlacedUpstream | PlacementRejected:
-        """Follow the policy until a stream host continues the session, or the request is given up."""
+        """Make the policy's attempts until a stream host continues the session or the request is rejected."""
         context = self._context
         request = self._request
         queue = request.action_queue
@@ -66,10 +66,12 @@
             deadline,
             self._first_line,
             None,
-            LINES_OF_ANSWER,
+            ANSWER_LINE_COUNT,
             self._accept,
         )
-        answer = loop.run(build_request(context, request_id, request.class_number, opening, deadline, True))
+        answer = loop.run(
+            build_request(context, request_id, request.class_number, opening, deadline, is_reconnect=True)
+        )
         if isinstance(answer, UpstreamConnection):
             up_line, _position, *following_lines = answer.initial_lines
             connection = replace(answer, initial_lines=(up_line, *following_lines))
@@ -80,7 +82,7 @@
         return PlacementRejected(timedelta(0))
 
     def _accept(self, result: ConnectResult) -> bool:
-        """Whether the position that a stream host told is one from which the session can continue."""
+        """Return whether the session can continue from the position in a stream host's answer."""
         try:
             self._replay = self._request.stream.complete_placement(result.following_lines[0])
         except PositionError as error:
