--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -66,7 +66,6 @@
     def __init__(self, store: Store, now_us: Callable[[], int]) -> None:
         """Count this start. `now_us` returns microseconds of Unix time. StoreError: the store failed."""
         self.store = store
-        self._store = store
         self._now_us = now_us
         self._has_failed = False
         self._endpoints: dict[str, EndpointEntry] = {}
@@ -88,14 +87,14 @@
         """Sync buffered writes and close the store."""
         self._stop.set()
         try:
-            self._store.close()
+            self.store.close()
         except StoreError as error:
             self._report_failure(error)
 
     def _maintain(self) -> None:
         while not self._has_failed and not self._stop.wait(MAINTENANCE_INTERVAL.total_seconds()):
             try:
-                while not self._stop.is_set() and self._store.maintain():
+                while not self._stop.is_set() and self.store.maintain():
                     pass
             except StoreError as error:
                 self._report_failure(error)
@@ -108,14 +107,14 @@
 
     def _read(self, key: bytes) -> bytes | None:
         try:
-            return self._store.get(key)
+            return self.store.get(key)
         except StoreError as error:
             self._report_failure(error)
             return None
 
     def _write(self, operation: WriteOperation, durability: Durability = Durability.BUFFERED) -> bool:
         try:
-            self._store.write((operation,), durability)
+            self.store.write((operation,), durability)
         except StoreError as error:
             self._report_failure(error)
             return False
--- a/tests/net/test_action_queue.py
+++ b/tests/net/test_action_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a request's actions: pollable at first, woken by a callback once it is established."""
+"""The queue of a request's actions: pollable at first, woken by a callback once that is established."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     queue.close()
 
 
-def test_a_wake_without_an_action_is_read_away() -> None:
+def test_a_wake_without_an_action_leaves_the_queue_unreadable() -> None:
     queue = ActionQueue()
     queue.open()
     queue.wake()
@@ -50,7 +50,7 @@
     queue.close()
 
 
-def test_an_established_connection_is_woken_by_its_callback_and_holds_no_descriptor() -> None:
+def test_an_established_connection_is_woken_by_its_callback_and_has_no_descriptor() -> None:
     queue = ActionQueue()
     queue.open()
     calls: list[int] = []
@@ -70,13 +70,13 @@
 
 
 @pytest.mark.parametrize("is_open", [True, False])
-def test_a_client_that_comes_back_wakes_the_session(is_open: bool) -> None:
+def test_a_client_that_reconnects_wakes_the_session(*, is_open: bool) -> None:
     queue = ActionQueue()
     if is_open:
         queue.open()
-    one, other = socket.socketpair()
-    with one, other:
-        client = ResumingClient(one, 3, timedelta(seconds=1))
+    client_sock, far_end = socket.socketpair()
+    with client_sock, far_end:
+        client = ResumingClient(client_sock, 3, timedelta(seconds=1))
         queue.add_client(client)
         assert not is_open or is_readable(queue)
         assert queue.take_client() is client
--- a/tests/net/test_delay_reports.py
+++ b/tests/net/test_delay_reports.py
@@ -1,4 +1,4 @@
-"""Delays: when a line counts as late, when an endpoint counts as silent, and when a report is due."""
+"""Delays: when a line is overdue, when an endpoint counts as silent, and when a report is due."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     clock.advance(30)
     timeout.line_sent()
     clock.advance(10)
-    timeout.line_received(b"LOAD")  # it answers nothing
+    timeout.line_received(b"LOAD")  # it is no answer
     assert timeout.is_waiting
     timeout.line_received(b"PONG")
     assert not timeout.is_waiting
@@ -62,10 +62,10 @@
         clock.advance(50)
         silent_after += 50
     assert silent_after == 4500
-    assert delays == [n * 250 * MILLISECOND for n in range(1, 19)]
+    assert delays == [count * 250 * MILLISECOND for count in range(1, 19)]
 
 
-def test_a_wait_goes_on_in_another_process(clock: ManualClock) -> None:
+def test_a_wait_continues_in_another_process(clock: ManualClock) -> None:
     delays: list[timedelta] = []
     first = ResponseTimeout(delays.append)
     assert first.waiting_since_us is None
@@ -80,7 +80,7 @@
     assert not second.is_waiting
 
 
-def test_a_report_is_due_while_the_median_is_over_the_threshold_and_once_when_it_is_back(
+def test_a_report_is_due_while_the_median_is_over_the_threshold_and_once_when_that_ends(
     clock: ManualClock,
 ) -> None:
     meter = DelayMeter(100 * MILLISECOND)
@@ -91,7 +91,7 @@
     assert meter.record(1, 300 * MILLISECOND) is None  # the last report is not a second old
     clock.advance(200)
     assert meter.record(1, 300 * MILLISECOND) == 300 * MILLISECOND
-    clock.advance(1100)  # what was before is out of the window
+    clock.advance(1100)  # earlier delays are outside of the window
     assert meter.record(1, 20 * MILLISECOND) == 20 * MILLISECOND
     assert meter.record(1, 20 * MILLISECOND) is None
 
@@ -112,7 +112,7 @@
     ],
 )
 def test_a_load_line_is_a_load_or_a_delay_by_the_settings(
-    line: bytes, reports_load: bool, has_meter: bool, report: tuple[ReportKind, float] | None
+    line: bytes, *, reports_load: bool, has_meter: bool, report: tuple[ReportKind, float] | None
 ) -> None:
     reports: list[tuple[ReportKind, float]] = []
     meter = DelayMeter(100 * MILLISECOND) if has_meter else None
--- a/tests/net/test_handover_lifecycle.py
+++ b/tests/net/test_handover_lifecycle.py
@@ -35,7 +35,7 @@
     assert not lifecycle.is_predecessor_running
 
 
-def test_descriptors_come_back_with_the_connections_and_with_the_end_of_the_process_before() -> None:
+def test_descriptors_return_with_the_connections_and_with_the_end_of_the_process_before() -> None:
     lifecycle = HandoverLifecycle()
     lifecycle.listener_received(3)
     assert lifecycle.remote_descriptor_count == 3
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client: what it takes as a response, and the error that each other one is."""
+"""The HTTP client: the responses that it accepts, and the errors of others."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @contextmanager
 def http_server(*responses: bytes) -> Iterator[tuple[HttpClient, list[bytes]]]:
-    """A client, and the requests that its server got; one connection, a response to each request.
+    """Yield a client and the requests that its server received, each of which gets the next response.
 
     The connection ends after the last response.
     """
@@ -85,7 +85,7 @@
         client.get("/", CONNECT_TIMEOUT, TIMEOUT)
 
 
-def test_a_response_that_is_not_whole_in_time_is_a_timeout() -> None:
+def test_a_response_that_is_not_complete_in_time_is_a_timeout() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = HttpClient(listener.getsockname())
         with pytest.raises(HttpTimeoutError, match="no answer in time"):
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -1,4 +1,4 @@
-"""A new process takes the place of a running one, at each step with a client in the listener's queue."""
+"""A new process takes the place of a running one; at each step a client is in the listener's queue."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 import subprocess
 import sys
 import threading
+from collections.abc import Iterator
+from contextlib import contextmanager
 from datetime import timedelta
 from pathlib import Path
 
@@ -29,35 +31,57 @@
 )
 from tests.node.program import client_of, program, until_line
 
-STAYS = answer_up(lambda peer: ignore(*iter(peer.read_line, "")))
+STAY_CONNECTED = answer_up(lambda peer: ignore(*iter(peer.read_line, "")))
 
 
 def echo_lines(peer: Peer) -> None:
-    """Answer each line in two parts, which the relay joins."""
+    """Send each line back in two parts, which the relay joins."""
     for line in iter(peer.read_line, ""):
         peer.sock.sendall(line[:2].encode())
         peer.send_lines(line[2:])
 
 
+def socket_path(tmp_path: Path, port: int = 1) -> Path:
+    """Return the name of the running process's Unix socket, by the port of the clients' listener."""
+    return tmp_path / f"tansyladder-127.0.0.1-{port}.sock"
+
+
+@contextmanager
+def successor_of(
+    process: subprocess.Popen[bytes], tmp_path: Path, port: int
+) -> Iterator[subprocess.Popen[bytes]]:
+    """Run the real program beside a running process, which it has taken the place of."""
+    env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_LISTEN": f"127.0.0.1:{port}"}
+    with subprocess.Popen(
+        [sys.executable, "-O", "-m", "tansyladder"], env=env, stderr=subprocess.PIPE
+    ) as successor:
+        try:
+            until_line(successor, b"event=listener_handover step=got_listener")
+            until_line(process, b"event=listener_handover step=succeeded")
+            yield successor
+        finally:
+            successor.kill()
+
+
 def handover(tmp_path: Path, port: int) -> ListenerHandover:
-    """The handover of a new process, in this one."""
+    """Return the handover of a new process, which runs in this one."""
     return ListenerHandover(Address("127.0.0.1", port), str(tmp_path))
 
 
-def request_listener(new: ListenerHandover) -> socket.socket:
-    """The listener of the running process, which must give it."""
-    listener = new.request_listener()
+def request_listener(new_handover: ListenerHandover) -> socket.socket:
+    """Return the listener of the running process, which has to send it."""
+    listener = new_handover.request_listener()
     assert listener is not None
     return listener
 
 
 class ScriptedSuccessor:
-    """A new process, message by message: it has the listener, and may say that it serves or die."""
+    """A new process that has the listener, and whose further messages a test sends."""
 
     def __init__(self, tmp_path: Path, port: int) -> None:
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self._sock.settimeout(10)
-        self._sock.connect(str(tmp_path / f"tansyladder-127.0.0.1-{port}.sock"))
+        self._sock.connect(str(socket_path(tmp_path, port)))
         self._sock.sendall(handover_messages.REQUEST_LISTENER)
         message, descriptors, _, _ = socket.recv_fds(self._sock, handover_messages.MAX_MESSAGE_BYTES, 1)
         msgspec.json.decode(message, type=handover_messages.DescriptorTransfer)
@@ -65,10 +89,11 @@
         self._listener = socket.socket(fileno=descriptors[0])
 
     def announce_serving(self) -> None:
+        """Notify the running process that this one serves clients."""
         self._sock.sendall(handover_messages.SERVING)
 
     def die(self) -> None:
-        """Leave nothing behind, as a process that is killed."""
+        """Close everything, as the end of a killed process does."""
         self._listener.close()
         self._sock.close()
 
@@ -78,47 +103,39 @@
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with program(tmp_path, ScriptedServer(answer_up(echo_lines))) as (old, port):
-        before = client_of(port)
-        assert before.read_line() == "UP r1"
-        env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_LISTEN": f"127.0.0.1:{port}"}
-        with subprocess.Popen(
-            [sys.executable, "-O", "-m", "tansyladder"], env=env, stderr=subprocess.PIPE
-        ) as new:
-            try:
-                until_line(new, b"event=listener_handover step=got_listener")
-                until_line(old, b"event=listener_handover step=succeeded")
-                new.send_signal(signal.SIGSTOP)
-                before.sock.sendall(b"M ")  # a line that is not whole yet, each way
-                old.send_signal(signal.SIGTERM)
-                until_line(old, b"event=state_changed now=draining")
-                queued = client_of(port, "81")  # nobody takes it in: the old one leaves it to the new one
-                assert old.wait(10) == 0
-                assert select.select([queued.sock], [], [], 0)[0] == []
-                new.send_signal(signal.SIGCONT)
-                assert queued.read_line() == "UP r1"
-                # It goes on, and neither its client nor its endpoint has noticed.
-                before.send_lines("1", "M 2")
-                assert [before.read_line(), before.read_line()] == ["M 1", "M 2"]
-                before.close()
-                new.send_signal(signal.SIGHUP)
-                until_line(new, b"event=reloaded")
-                # The name leads to the new one: a third start finds it.
-                listener = request_listener(handover(tmp_path, port))
-                assert listener.getsockname() == ("127.0.0.1", port)
-                listener.close()
-                queued.close()
-            finally:
-                new.kill()
-
-
-def test_a_successor_that_dies_before_it_serves_costs_no_client(
+        established = client_of(port)
+        assert established.read_line() == "UP r1"
+        with successor_of(old, tmp_path, port) as new:
+            new.send_signal(signal.SIGSTOP)
+            established.sock.sendall(b"M ")  # a partial line
+            old.send_signal(signal.SIGTERM)
+            until_line(old, b"event=state_changed now=draining")
+            queued = client_of(port, "81")  # not accepted yet: the old process leaves it to the new one
+            assert old.wait(10) == 0
+            assert select.select([queued.sock], [], [], 0)[0] == []
+            new.send_signal(signal.SIGCONT)
+            assert queued.read_line() == "UP r1"
+            # The connection continues, unnoticed by its client and its endpoint.
+            established.send_lines("1", "M 2")
+            assert [established.read_line(), established.read_line()] == ["M 1", "M 2"]
+            established.close()
+            new.send_signal(signal.SIGHUP)
+            until_line(new, b"event=reloaded")
+            # The name is that of the new process: a third one finds it.
+            listener = request_listener(handover(tmp_path, port))
+            assert listener.getsockname() == ("127.0.0.1", port)
+            listener.close()
+            queued.close()
+
+
+def test_the_end_of_a_successor_that_does_not_serve_yet_affects_no_client(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with program(tmp_path, ScriptedServer(STAYS)) as (old, port):
+    with program(tmp_path, ScriptedServer(STAY_CONNECTED)) as (old, port):
         successor = ScriptedSuccessor(tmp_path, port)
         first = client_of(port)
-        assert first.read_line() == "UP r1"  # the old one takes clients until it is told to end
+        assert first.read_line() == "UP r1"  # the old process serves clients until SIGTERM
         successor.die()
         second = client_of(port)
         assert second.read_line() == "UP r1"
@@ -134,7 +151,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    host = ScriptedServer(STAYS)
+    host = ScriptedServer(STAY_CONNECTED)
     with program(tmp_path, host) as (old, port):
         new = handover(tmp_path, port)
         listener = request_listener(new)
@@ -152,7 +169,7 @@
         client_listener.stop_listening()
 
 
-def test_a_successor_killed_in_the_drain_gives_the_queue_back(
+def test_the_queue_returns_to_a_draining_process_when_its_successor_is_killed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
@@ -162,10 +179,10 @@
     def answer_late(peer: Peer) -> None:
         connected.set()
         may_answer.wait(10)
-        STAYS(peer)
+        STAY_CONNECTED(peer)
 
-    with program(tmp_path, ScriptedServer(answer_late, STAYS)) as (old, port):
-        waiting = client_of(port)  # for as long as it has no answer the old one's drain lasts
+    with program(tmp_path, ScriptedServer(answer_late, STAY_CONNECTED)) as (old, port):
+        waiting = client_of(port)  # without its answer the drain of the old process does not end
         assert connected.wait(10)
         successor = ScriptedSuccessor(tmp_path, port)
         successor.announce_serving()
@@ -183,40 +200,39 @@
         assert old.wait(10) == 0
 
 
-def test_a_process_that_does_not_answer_is_skipped_and_the_port_is_shared(
+def test_a_process_that_does_not_answer_is_ignored_and_the_port_is_shared(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A stale file, a process that hangs, no folder at all: a plain start, beside whoever listens."""
+    """With a stale file, a process that hangs, or no folder, a node opens a listener of its own."""
     monkeypatch.setattr(listener_handover, "MESSAGE_TIMEOUT", timedelta(milliseconds=50))
     first = NodeParts(load_test_config(tmp_path)).new_listener()
     port = first.address[1]
-    name = tmp_path / f"tansyladder-127.0.0.1-{port}.sock"
-    hangs = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    hangs.bind(str(name))
-    assert handover(tmp_path, port).request_listener() is None  # nobody listens there
-    hangs.listen(1)
+    hanging = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    hanging.bind(str(socket_path(tmp_path, port)))
+    assert handover(tmp_path, port).request_listener() is None  # no process listens there
+    hanging.listen(1)
     assert handover(tmp_path, port).request_listener() is None
     assert ListenerHandover(Address("127.0.0.1", port), None).request_listener() is None
     assert ListenerHandover(Address("127.0.0.1", port), str(tmp_path / "none")).request_listener() is None
-    beside = NodeParts(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")).new_listener(
+    second = NodeParts(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")).new_listener(
         handover(tmp_path, port)
     )
-    assert beside.address == first.address
-    beside.start()
-    hangs.close()
-    listener = request_listener(handover(tmp_path, port))  # the stale name is replaced, and leads to it
+    assert second.address == first.address
+    second.start()
+    hanging.close()
+    listener = request_listener(handover(tmp_path, port))  # the stale name is replaced
     listener.close()
-    beside.stop_listening()
+    second.stop_listening()
     first.stop_listening()
 
 
 def test_both_processes_share_the_nodes_descriptors(tmp_path: Path) -> None:
-    """The old one keeps what it uses and half of what is free; a client that waits counts thrice."""
+    """The old one retains what it uses and half of what is free; a waiting client counts three times."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
     parts = NodeParts(load_test_config(tmp_path, limits=limits))
     old = parts.new_listener(ListenerHandover(Address("127.0.0.1", 1), str(tmp_path)))
     idle = old.split_descriptors()
-    # What a full table of pending connections may take stays with neither.
+    # Neither gets those that are reserved for pending connections.
     assert 0 < idle.released_count < idle.retained_count < 200 - idle.released_count
     for number in range(30):
         old._admission.add(str(number))  # noqa: SLF001 - in place of 30 clients that wait for their answers
@@ -227,7 +243,7 @@
     old.stop_listening()
 
 
-def test_a_stranger_at_the_handover_socket_gets_no_listener(
+def test_an_unknown_process_at_the_handover_socket_gets_no_listener(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     own_handover = handover(tmp_path, 1)
@@ -238,7 +254,7 @@
     listener.start()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.settimeout(5)
-        sock.connect(str(tmp_path / "tansyladder-127.0.0.1-1.sock"))
+        sock.connect(str(socket_path(tmp_path)))
         sock.sendall(b"GET / HTTP/1.1\r\n")
         assert Peer(sock).read_line() == ""
     assert not own_handover.is_listener_shared
--- a/tests/net/test_protocol.py
+++ b/tests/net/test_protocol.py
@@ -1,4 +1,4 @@
-"""The line protocol: lines out of chunks, a client's first line, and load reports."""
+"""The line protocol: splitting data into lines, a client's first line, and load reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tansyladder.net.protocol import LineBuffer, LineError
 
 
-def test_lines_are_cut_out_of_chunks() -> None:
+def test_received_data_is_split_into_lines() -> None:
     buffer = LineBuffer()
     assert buffer.feed(b"M 1\r\nM") == [b"M 1\r\n"]
     assert buffer.feed(b" 2") == []
@@ -28,7 +28,7 @@
         LineBuffer().feed(longest + b"x" + end)
 
 
-def test_a_first_line_is_parsed_and_passed_on_with_the_nodes_wait() -> None:
+def test_a_first_line_is_parsed_and_forwarded_with_the_nodes_wait() -> None:
     opening = protocol.parse_opening(b"OPEN 9B1F 7f c=chat,d=1200.5,g=5C,r=1,h=2.5,t=acme,rs=1\r\n")
     assert opening.connection_id == "9b1f"
     assert opening.key == 0x7F
@@ -41,8 +41,8 @@
     assert opening.load_hint == 2.5
     assert opening.field_values[protocol.TENANT_FIELD] == "acme"
     assert opening.line == "OPEN 9B1F 7f c=chat,d=1200.5,g=5C,r=1,h=2.5,t=acme,rs=1"
-    passed_on = opening.format_for_endpoint(timedelta(milliseconds=900.9), {"rs"}, (("rn", "4"),))
-    assert passed_on == b"OPEN 9B1F 7f c=chat,d=900,g=5C,r=1,h=2.5,t=acme,rn=4\r\n"
+    forwarded = opening.format_for_endpoint(timedelta(milliseconds=900.9), {"rs"}, (("rn", "4"),))
+    assert forwarded == b"OPEN 9B1F 7f c=chat,d=900,g=5C,r=1,h=2.5,t=acme,rn=4\r\n"
     assert b"d=1," in opening.format_for_endpoint(timedelta(0))
 
 
@@ -69,17 +69,17 @@
         (b"OPEN 1 2 c=a,d=1,again=yes\r\n", "again: 0 or 1 expected"),
     ],
 )
-def test_a_first_line_that_breaks_the_protocol_is_an_error_that_says_how(line: bytes, message: str) -> None:
+def test_a_first_line_that_violates_the_protocol_is_an_error_that_says_how(line: bytes, message: str) -> None:
     with pytest.raises(LineError) as caught:
         protocol.parse_opening(line)
     assert str(caught.value) == message
 
 
-def test_a_connection_from_before_the_run_may_have_a_long_wait() -> None:
+def test_a_connection_from_before_the_nodes_start_may_have_a_long_wait() -> None:
     assert protocol.parse_opening(b"OPEN 1 2 c=a,d=7200000,at=s1\r\n").wait == timedelta(hours=2)
 
 
-def test_a_rejection_says_when_to_come_again_in_whole_milliseconds() -> None:
+def test_a_rejection_says_when_to_retry_in_milliseconds_rounded_up() -> None:
     assert protocol.format_reject(timedelta(0)) == b"BUSY\r\n"
     assert protocol.format_reject(timedelta(microseconds=1)) == b"BUSY 1\r\n"
     assert protocol.format_reject(timedelta(milliseconds=20)) == b"BUSY 20\r\n"
@@ -96,5 +96,5 @@
         (b"PONG\r\n", ()),
     ],
 )
-def test_a_load_report_is_whole_or_empty(line: bytes, values: tuple[float, ...]) -> None:
+def test_a_load_report_is_complete_or_empty(line: bytes, values: tuple[float, ...]) -> None:
     assert protocol.parse_load_report(line, ("qps", "x0")) == values
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay between two pairs of sockets: whole lines both ways, ends in kind, and the policy's MOVE."""
+"""The relay between two connections: complete lines both ways, how it ends, and the policy's MOVE."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import threading
 import time
 from collections.abc import Iterator
+from typing import NamedTuple
 
 import pytest
 
@@ -27,20 +28,27 @@
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-def socket_pair() -> tuple[socket.socket, socket.socket]:
-    """Both ends of a TCP connection; every read of the first one ends."""
+class ConnectionEnds(NamedTuple):
+    """Both ends of a TCP connection; reads of the test's end time out."""
+
+    test_end: socket.socket
+    relay_end: socket.socket
+
+
+def connect() -> ConnectionEnds:
+    """Open a TCP connection on loopback."""
     with socket.create_server(Address("127.0.0.1", 0)) as listener:
-        one = socket.create_connection(listener.getsockname(), 10)
-        other, _ = listener.accept()
-    return one, other
+        test_end = socket.create_connection(listener.getsockname(), 10)
+        relay_end, _ = listener.accept()
+    return ConnectionEnds(test_end, relay_end)
 
 
 class RunningRelay:
-    """A relay in a thread of its own, and the far ends of its two connections."""
+    """A relay in a thread of its own, and the test's ends of its two connections."""
 
     def __init__(self, initial_lines: tuple[bytes, ...] = (), state: ConnectionState | None = None) -> None:
-        self.client, client = socket_pair()
-        self.upstream, upstream = socket_pair()
+        self.client, client = connect()
+        self.upstream, upstream = connect()
         self.reports: list[tuple[ReportKind, float]] = []
         self.actions = ActionQueue()
         self.actions.open()
@@ -56,13 +64,13 @@
     def _run(self, relay: Relay, state: ConnectionState | None) -> None:
         self.status = relay.run() if state is None else relay.resume(state)
 
-    def end(self) -> AttemptStatus | None:
-        """What became of the connection."""
+    def wait_for_end(self) -> AttemptStatus | None:
+        """Return how the connection ended."""
         self._thread.join(10)
         return self.status
 
     def close(self) -> None:
-        """End what is left of the connection."""
+        """Close the test's ends, and wait for the relay's thread."""
         self.client.close()
         self.upstream.close()
         self._thread.join(10)
@@ -83,7 +91,7 @@
     return b"".join(parts)
 
 
-def test_only_whole_lines_pass_in_both_directions(relay: RunningRelay) -> None:
+def test_only_complete_lines_are_forwarded_in_both_directions(relay: RunningRelay) -> None:
     for source, destination in ((relay.client, relay.upstream), (relay.upstream, relay.client)):
         source.sendall(b"M ")
         time.sleep(0.05)
@@ -107,17 +115,17 @@
     relay.upstream.shutdown(socket.SHUT_WR)
     assert read_to_end(relay.client) == last_lines
     relay.client.close()
-    assert relay.end() is status
+    assert relay.wait_for_end() is status
 
 
-def test_a_clients_end_is_passed_on_and_the_endpoints_last_lines_still_come(relay: RunningRelay) -> None:
+def test_a_clients_end_is_forwarded_and_it_still_gets_the_endpoints_last_lines(relay: RunningRelay) -> None:
     relay.client.sendall(b"M 1\r\nrest")
     relay.client.shutdown(socket.SHUT_WR)
     assert read_to_end(relay.upstream) == b"M 1\r\nrest"
     relay.upstream.sendall(b"BYE\r\n")
     relay.upstream.close()
     assert read_to_end(relay.client) == b"BYE\r\n"
-    assert relay.end() is AttemptStatus.CANCELLED
+    assert relay.wait_for_end() is AttemptStatus.CANCELLED
 
 
 def test_a_reset_of_the_endpoint_resets_the_client(relay: RunningRelay) -> None:
@@ -125,24 +133,24 @@
     relay.upstream.close()
     with pytest.raises(ConnectionResetError):
         relay.client.recv(64)
-    assert relay.end() is AttemptStatus.RESET
+    assert relay.wait_for_end() is AttemptStatus.RESET
 
 
-def test_an_action_of_the_policys_ends_the_connection_with_move(relay: RunningRelay) -> None:
+def test_an_action_of_the_policy_ends_the_connection_with_move(relay: RunningRelay) -> None:
     relay.actions.post(Migrate(1))
     relay.actions.wake()
     assert read_to_end(relay.client) == b"MOVE\r\n"
     assert read_to_end(relay.upstream) == b""
-    assert relay.end() is AttemptStatus.CANCELLED
+    assert relay.wait_for_end() is AttemptStatus.CANCELLED
 
 
 def test_a_line_that_is_too_long_ends_the_connection_with_move(relay: RunningRelay) -> None:
     relay.upstream.sendall(b"x" * protocol.MAX_LINE_BYTES)
     assert read_to_end(relay.client) == b"MOVE\r\n"
-    assert relay.end() is AttemptStatus.CANCELLED
+    assert relay.wait_for_end() is AttemptStatus.CANCELLED
 
 
-def test_a_load_line_is_reported_and_passed_on(relay: RunningRelay) -> None:
+def test_a_load_line_is_reported_and_forwarded(relay: RunningRelay) -> None:
     relay.upstream.sendall(b"LOAD 250\r\n")
     assert relay.client.recv(64) == b"LOAD 250\r\n"
     relay.upstream.sendall(b"BYE\r\n")
@@ -150,22 +158,22 @@
     assert relay.reports == [(ReportKind.LOAD, 250.0)]
 
 
-def test_a_slow_client_holds_the_endpoint_up_and_gets_all(relay: RunningRelay) -> None:
+def test_a_slow_client_applies_backpressure_to_the_endpoint_and_gets_every_line(relay: RunningRelay) -> None:
     line = b"M " + b"x" * 1000 + b"\r\n"
-    count = 20_000  # far over what the sockets' buffers hold
+    line_count = 20_000  # far more than fits the buffers of the sockets
     relay.upstream.settimeout(60)
-    sender = threading.Thread(target=relay.upstream.sendall, args=(line * count,), daemon=True)
+    sender = threading.Thread(target=relay.upstream.sendall, args=(line * line_count,), daemon=True)
     sender.start()
     time.sleep(0.2)
     assert sender.is_alive()
-    received = 0
-    while received < len(line) * count:
-        received += len(relay.client.recv(1 << 16))
+    received_bytes = 0
+    while received_bytes < len(line) * line_count:
+        received_bytes += len(relay.client.recv(1 << 16))
     sender.join(60)
     assert not sender.is_alive()
 
 
-def test_a_connection_goes_on_where_another_process_left_it() -> None:
+def test_a_connection_continues_where_another_process_left_it() -> None:
     state = ConnectionState(
         OPENING.line,
         "s1",
@@ -182,5 +190,5 @@
     relay.upstream.close()  # after BYE, as the other process had read it
     assert read_to_end(relay.client) == b"M "
     relay.client.close()
-    assert relay.end() is AttemptStatus.OK
+    assert relay.wait_for_end() is AttemptStatus.OK
     relay.close()
--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -1,4 +1,4 @@
-"""Scripted stream hosts that know positions, and clients that offer to resume."""
+"""Scripted stream hosts that support resumption, and clients that offer to resume."""
 
 from __future__ import annotations
 
@@ -23,98 +23,111 @@
 
 
 def break_connection(peer: Peer) -> None:
-    """The connection breaks: a reset and no word."""
+    """Break a connection: it ends with a reset, without a last line."""
     peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     peer.close()
 
 
 class ScriptedHost:
-    """A scripted stream host that knows positions; each connection's script gets the names it was told."""
+    """A scripted stream host; the script of each connection gets the fields of its first line."""
 
     def __init__(self, *scripts: HostScript) -> None:
-        self.opened_fields: list[dict[str, str]] = []
-        self.lines: list[str] = []
-        self.ended = threading.Semaphore(0)
+        self.first_line_fields: list[dict[str, str]] = []  # of each connection
+        self.first_lines: list[str] = []
+        self.ended = threading.Semaphore(0)  # released at the end of each connection
         self.listener = ScriptedServer(*map(self._script, scripts))
 
-    def _script(self, then: HostScript) -> Script:
+    def _script(self, host_script: HostScript) -> Script:
         def script(peer: Peer) -> None:
-            self.lines.append(peer.read_line())
-            names = dict(v.split("=") for v in self.lines[-1].split()[3].split(","))
-            self.opened_fields.append(names)
+            first_line = peer.read_line()
+            self.first_lines.append(first_line)
+            fields = dict(field.split("=") for field in first_line.split()[3].split(","))
+            self.first_line_fields.append(fields)
             try:
-                then(peer, names)
+                host_script(peer, fields)
             finally:
                 self.ended.release()
 
         return script
 
 
-def start_session(peer: Peer, *more: str) -> None:
-    peer.send_lines("UP r1", "RS AT 0 0", *more)
+def start_session(peer: Peer, *following_lines: str) -> None:
+    """Answer the first line of a new session."""
+    peer.send_lines("UP r1", "RS AT 0 0", *following_lines)
 
 
-def echo_lines(peer: Peer, names: dict[str, str]) -> None:
-    """Go on where the last one ended, hold what is sent at once, and answer each line with the next frame."""
-    sent = int(names.get("ro", 0))
-    received = int(names.get("ra", 0))
-    peer.send_lines(f"UP r{names.get('re', 0)}", f"RS AT {received} {sent}")
+def echo_lines(peer: Peer, fields: dict[str, str]) -> None:
+    """Continue a session at its positions; answer each line with a frame, and acknowledge it at once."""
+    sent_count = int(fields.get("ro", 0))
+    received_count = int(fields.get("ra", 0))
+    peer.send_lines(f"UP r{fields.get('re', 0)}", f"RS AT {received_count} {sent_count}")
     while line := peer.read_line():
         if line.startswith("M "):
-            received = received + 1
-            sent = sent + 1
-            peer.send_lines(f"F {sent} {line}", f"RS ACK {received}")
+            received_count += 1
+            sent_count += 1
+            peer.send_lines(f"F {sent_count} {line}", f"RS ACK {received_count}")
 
 
 class SessionClient:
     """A client that offers to resume."""
 
-    def __init__(self, node: Node, names: str = OFFER_FIELDS + ",rs=1", key: str = "7f") -> None:
+    def __init__(self, node: Node, key: str = "7f") -> None:
         self.node = node
         self.key = key
         self.token = ""
-        self.frames = 0
-        self.peer = node.open(names, key)
+        self.frame_count = 0
+        self.peer = node.open(f"{OFFER_FIELDS},rs=1", key)
 
     def read_line(self) -> str:
-        """The next line that is no token and no acknowledgment."""
+        """Return the next line that is neither a token nor an acknowledgement."""
         while (line := self.peer.read_line()).startswith(("RS TOKEN", "RS ACK")):
             if line.startswith("RS TOKEN"):
                 self.token = line.split()[2]
-        self.frames += line.startswith("F ")
+        self.frame_count += line.startswith("F ")
         return line
 
     def open_session(self) -> None:
+        """Open a session at a host that echoes lines, and exchange one."""
         assert self.read_line().startswith("UP ")
         self.send_lines("M 1")
         assert self.read_line() == "F 1 M 1"
         assert self.token
 
+    def read_lines(self, count: int) -> list[str]:
+        """Return the next lines that are neither tokens nor acknowledgements."""
+        return [self.read_line() for _ in range(count)]
+
     def send_lines(self, *lines: str) -> None:
+        """Send lines, each with its end."""
         self.peer.send_lines(*lines)
 
     def lose_connection(self) -> None:
-        """Its connection breaks, and the node has noticed."""
+        """Break the connection, and wait until the node has suspended the session."""
         registry = self.node.session_service.registry
-        before = registry.suspended_count
-        until = time.monotonic() + 10
+        previous_count = registry.suspended_count
+        deadline = time.monotonic() + 10
         break_connection(self.peer)
-        while registry.suspended_count == before and time.monotonic() < until:
+        while registry.suspended_count == previous_count and time.monotonic() < deadline:
             time.sleep(0.002)
 
     def reconnect(self, fields: str = "", key: str = "", token: str = "") -> Peer:
-        """A new connection with the token."""
-        names = fields or f"{OFFER_FIELDS},rp={self.frames}"
-        return self.node.open(f"{names},rt={token or self.token},again=1", key or self.key)
+        """Return a new connection that has sent a first line with the token."""
+        fields = fields or f"{OFFER_FIELDS},rp={self.frame_count}"
+        return self.node.open(f"{fields},rt={token or self.token},again=1", key or self.key)
+
+    def wait_for_new_token(self, previous_token: str) -> None:
+        """Read from the connection until its next token has arrived."""
+        while self.token == previous_token:
+            self.token = self.peer.read_line().split()[2]
 
 
-def host_with_two_scripts(leaving: HostScript, goes_on: HostScript) -> ScriptedHost:
-    """A host that runs `leaving` for the first placement of a session, and `goes_on` for later ones."""
+def migrating_hosts(first_placement: HostScript, later_placement: HostScript) -> list[ScriptedHost]:
+    """Return two hosts, each of which follows one script for the first placement and another one later."""
 
-    def either(peer: Peer, names: dict[str, str]) -> None:
-        (leaving if names["re"] == "1" else goes_on)(peer, names)
+    def script(peer: Peer, fields: dict[str, str]) -> None:
+        (first_placement if fields["re"] == "1" else later_placement)(peer, fields)
 
-    return ScriptedHost(either)
+    return [ScriptedHost(script) for _ in range(2)]
 
 
 @contextmanager
--- a/tests/sessions/test_session_limits.py
+++ b/tests/sessions/test_session_limits.py
@@ -18,36 +18,36 @@
     start_session,
 )
 
-READS_LATE_S = 0.3  # in which the host fills all buffers on the way; well under the node's SEND_TIMEOUT
+LATE_READ_S = 0.3  # in which the host fills all buffers in between; well under the node's SEND_TIMEOUT
 
 
-@pytest.mark.parametrize("slow", ["reads late", "acknowledges nothing"])
-def test_a_buffer_overflow_ends_resumption_but_not_the_session(tmp_path: Path, slow: str) -> None:
-    """Lines of 4 KiB, the longest there are: what is kept stays under its bound, and none is lost."""
-    count = 400
-    whole = "F" * 4094
+@pytest.mark.parametrize("slow_client", ["reads late", "acknowledges nothing"])
+def test_a_buffer_overflow_ends_resumption_but_not_the_session(tmp_path: Path, slow_client: str) -> None:
+    """With the longest lines, of 4 KiB, the replay buffers stay within their bound and no line is lost."""
+    line_count = 400
+    longest_line = "F" * 4094
 
-    def flood(peer: Peer, _names: dict[str, str]) -> None:
+    def flood(peer: Peer, _fields: dict[str, str]) -> None:
         start_session(peer)
-        for _ in range(count):
-            peer.send_lines(whole)
+        for _ in range(line_count):
+            peer.send_lines(longest_line)
         assert peer.read_line() == "M 1"
         peer.send_lines("BYE")
 
     with resuming_node(tmp_path, ScriptedHost(flood)) as node:
         client = SessionClient(node)
         assert client.read_line() == "UP r1"
-        if slow == "reads late":
-            time.sleep(READS_LATE_S)
+        if slow_client == "reads late":
+            time.sleep(LATE_READ_S)
         received: list[str] = []
-        while len(received) < count + 1:
+        while len(received) < line_count + 1:
             line = client.read_line()
             received.append(line)
             assert node.session_service.registry.memory_budget.used_bytes <= 2 * RESUMPTION_OPTIONS.buffer
         assert received.count("RS OFF buffer") == 1
-        assert received.count(whole) == count
+        assert received.count(longest_line) == line_count
         client.send_lines("M 1")
-        assert [client.read_line(), client.read_line()] == ["BYE", ""]
+        assert client.read_lines(2) == ["BYE", ""]
         assert client.reconnect().read_line().startswith("ERR resume")
 
 
@@ -55,36 +55,36 @@
 def test_an_invalid_control_line_redirects_only_its_client(tmp_path: Path, line: str) -> None:
     with resuming_node(tmp_path, ScriptedHost(echo_lines)) as node:
         client = SessionClient(node)
-        other = SessionClient(node, key="80")
-        for one in (client, other):
-            one.open_session()
+        other_client = SessionClient(node, key="80")
+        client.open_session()
+        other_client.open_session()
         client.send_lines(line)
-        if line == "RS":  # no control line without a space: it is passed on like any other
+        if line == "RS":  # without a space it is no control line, and is forwarded like any other line
             client.send_lines("RS END")
             assert client.read_line() == ""
         else:
-            assert [client.read_line(), client.read_line()] == ["MOVE", ""]
-        other.send_lines("M 2")
-        assert other.read_line() == "F 2 M 2"
+            assert client.read_lines(2) == ["MOVE", ""]
+        other_client.send_lines("M 2")
+        assert other_client.read_line() == "F 2 M 2"
 
 
-def test_a_session_that_its_client_ends_leaves_nothing(tmp_path: Path) -> None:
-    last: list[str] = []
+def test_a_session_that_its_client_ends_releases_its_memory(tmp_path: Path) -> None:
+    last_lines: list[str] = []
 
-    def host(peer: Peer, _names: dict[str, str]) -> None:
+    def host(peer: Peer, _fields: dict[str, str]) -> None:
         start_session(peer, "F 1")
-        last.append(peer.read_line())
+        last_lines.append(peer.read_line())
         assert peer.read_line() == ""
         peer.send_lines("F 2")
 
-    one = ScriptedHost(host)
-    with resuming_node(tmp_path, one) as node:
+    scripted_host = ScriptedHost(host)
+    with resuming_node(tmp_path, scripted_host) as node:
         client = SessionClient(node)
-        assert [client.read_line(), client.read_line()] == ["UP r1", "F 1"]
+        assert client.read_lines(2) == ["UP r1", "F 1"]
         client.send_lines("RS END")
-        assert [client.read_line(), client.read_line()] == ["F 2", ""]
-        assert last == ["RS END"]
-        assert one.ended.acquire(timeout=5)
+        assert client.read_lines(2) == ["F 2", ""]
+        assert last_lines == ["RS END"]
+        assert scripted_host.ended.acquire(timeout=5)
         node.runner.wait_for(AttemptEnded)
         assert client.reconnect().read_line() == "ERR resume ended"
         assert node.session_service.registry.memory_budget.used_bytes == 0
