--- a/tansyladder/node/acceptor_state.py
+++ b/tansyladder/node/acceptor_state.py
@@ -29,11 +29,11 @@
     """What changes the state of the acceptor."""
 
     QUEUE_YIELDED = "queue yielded"
-    QUEUE_RECLAIMED = "queue reclaimed"  # the other process is gone
+    QUEUE_RECLAIMED = "queue reclaimed"  # the other process has ended
     STOPPED = "stopped"  # by `stop`, or as the listener was shut down
 
 
-# Complete: each event may come in each state, as a successor can appear or end while the acceptor stops.
+# Complete: each event is possible in each state, as a successor can appear or end while the acceptor stops.
 TRANSITIONS: dict[AcceptorState, dict[AcceptorEvent, AcceptorState]] = {
     AcceptorState.ACCEPTING: {
         AcceptorEvent.QUEUE_YIELDED: AcceptorState.YIELDED,
--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server: operators' calls, one on each connection, answered on a thread of its own."""
+"""The admin server: operators' connections, one call on each, served by a thread of its own."""
 
 from __future__ import annotations
 
@@ -7,24 +7,17 @@
 import select
 import socket
 import threading
-from collections.abc import Callable
 from datetime import timedelta
-from typing import TYPE_CHECKING
-
-import msgspec
 
 from tansyladder.config.platform import Address
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
+from tansyladder.node.admin_commands import AdminCommands
 from tansyladder.node.admission_control import ADMIN_DESCRIPTORS
 from tansyladder.node.client_listener import ClientListener
 from tansyladder.node.context import NodeContext
 from tansyladder.node.decision_gate import DecisionGate
-from tansyladder.node.lifecycle import NodeState
-
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
-    from tansyladder.node.extension_points import DecisionPermit
 
 MAX_CALLERS = ADMIN_DESCRIPTORS - 2  # one is the listener's, and one is accepted before another is closed
 CALLER_TIMEOUT = timedelta(seconds=10)  # for a complete line, and for reading the answer
@@ -33,15 +26,9 @@
 EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=250)  # between two checks of the callers' deadlines
 EXPIRY_CHECK_INTERVAL_MS = EXPIRY_CHECK_INTERVAL / timedelta(milliseconds=1)
 LISTEN_BACKLOG = 128
-MAX_SHOWN_CHARACTERS = 40  # of an unknown call, in its answer
-EXPECTED_CALLS = "status, stats, standby or active expected"
 SHUT_DOWN_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL  # of the listener
 
 
-class CallError(Exception):
-    """A call that can't be made; the message is its answer."""
-
-
 class Caller:
     """An operator's connection. Owned by the server's thread."""
 
@@ -60,10 +47,7 @@
 
 
 class AdminServer:
-    """Answers operators' calls, each on a connection of its own, on one thread that blocks on no caller.
-
-    What the calls use is thread-safe.
-    """
+    """Answers operators' calls, each on a connection of its own, on one thread that blocks on no caller."""
 
     def __init__(
         self,
@@ -72,26 +56,11 @@
         client_listener: ClientListener,
         address: Address,
     ) -> None:
-        self._lifecycle = context.lifecycle
-        self._metrics = context.metrics
-        self._policy = context.policy
-        self._decision_gate = decision_gate
-        self._client_listener = client_listener
-        self._commands: dict[str, Callable[..., list[str]]] = {
-            "status": self._status,
-            "stats": self._stats,
-            "standby": lambda: self._change_state(self._lifecycle.enter_standby),
-            "active": lambda: self._change_state(self._lifecycle.activate),
-        }
-        # Where documents are replicated: by name, and how many arguments follow it.
-        self._document_commands: dict[tuple[str, int], Callable[..., list[str]]] = {
-            ("documents", 0): lambda: [self._decision_permit.describe(), "."],
-            ("publish", 3): lambda *arguments: [self._decision_permit.publish(*arguments)],
-            ("change", 1): lambda key: [self._decision_permit.change_result(key)],
-        }
+        self._commands = AdminCommands(context, decision_gate, client_listener)
+        self._run_standby_drains = client_listener.drainer.run_standby_drains
         self._listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
         self._listener.settimeout(0)  # it does not block
-        self._callers: dict[int, Caller] = {}  # by descriptor, in the order in which they came
+        self._callers: dict[int, Caller] = {}  # by descriptor, the oldest first
         self._poll = select.poll()
         self._poll.register(self._listener, select.POLLIN)
 
@@ -106,81 +75,15 @@
         return len(self._callers)
 
     def start(self) -> None:
-        """Start the threads of the calls and of the drains that `standby` asks for."""
+        """Start the threads of the calls and of the drains that `standby` begins."""
         threading.Thread(target=self._run, name="operator", daemon=True).start()
-        drain = self._client_listener.drainer.run_standby_drains
-        threading.Thread(target=drain, name="standby", daemon=True).start()
+        threading.Thread(target=self._run_standby_drains, name="standby", daemon=True).start()
 
     def stop(self) -> None:
         """Stop listening, which ends the thread of the calls. Thread-safe."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
 
-    # --- the calls
-
-    @property
-    def _decision_permit(self) -> DecisionPermit:
-        permit = self._decision_gate.permit
-        if permit is None:
-            raise CallError("not joined: this process has no part in the fleet yet")
-        return permit
-
-    def _status(self) -> list[str]:
-        state = self._lifecycle.state
-        if state is not NodeState.SERVING:
-            raise CallError(state.value)
-        return [state.value]
-
-    def _stats(self) -> list[str]:
-        metrics = {
-            **self._metrics.totals(),
-            "active": self._client_listener.active_count,
-            **self._policy.pool_metrics(),
-            "phase": self._lifecycle.state.value,
-        }
-        return [msgspec.json.encode(metrics).decode(), "."]
-
-    def _change_state(self, change: Callable[[], bool]) -> list[str]:
-        is_changed = change()
-        state = self._lifecycle.state
-        if not is_changed:
-            raise CallError(state.value)
-        return [state.value]  # the log has the change itself
-
-    def _answer(self, line: bytes) -> bytes:
-        """Return the answer to the line of a call."""
-        try:
-            first, *more = self._call(line)
-            lines = [first if more else f"+OK {first}", *more]
-        except (CallError, ValueError) as err:
-            lines = [f"-ERR {err}"]
-        return "".join(f"{line}\r\n" for line in lines).encode()
-
-    def _call(self, line: bytes) -> list[str]:
-        """Make a call, and return the lines of its result.
-
-        Raises:
-            CallError, ValueError: It can't be made.
-        """
-        try:
-            text = line.decode("ascii").strip()
-        except UnicodeDecodeError as err:
-            raise CallError("unreadable: plain words expected") from err
-        if not text:
-            raise CallError(f"empty: {EXPECTED_CALLS}")
-        if (command := self._commands.get(text)) is not None:
-            return command()
-        name = text
-        if self._decision_gate.requires_lease:
-            name, *arguments = text.split()
-            command = self._document_commands.get((name, len(arguments)))
-            if command is not None:
-                return command(*arguments)
-        shown = name if name.isprintable() else repr(name)
-        raise CallError(f"unknown: {shown[:MAX_SHOWN_CHARACTERS]}: {EXPECTED_CALLS}")
-
-    # --- their connections
-
     def _run(self) -> None:
         """Serve callers until the listener is shut down."""
         last_check = now()
@@ -255,7 +158,7 @@
         if len(line) > MAX_LINE_BYTES:
             caller.unsent = b"-ERR too long: a call is one word\r\n"
         elif line_end or not data:  # a caller may end its side in place of the line
-            caller.unsent = self._answer(line)
+            caller.unsent = self._commands.answer(line)
         else:
             return
         self._poll.modify(caller.sock, select.POLLOUT)  # what it sends further must not keep the thread busy
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -135,7 +135,7 @@
                 return Reject(self.request_id, 0)
 
     def _check_client(self, ready: set[int]) -> ClientEnd | None:
-        """Return how the client ended its request, if it did; an action that has arrived goes first."""
+        """Return how the client ended its request, if it did; an action that has arrived takes precedence."""
         if self.client is None or self.client.fileno() not in ready or self.action_queue.peek() is not None:
             return None
         return CLIENT_END_BY_PEEK.get(sockets.peek(self.client))
--- a/tansyladder/node/connection_handler.py
+++ b/tansyladder/node/connection_handler.py
@@ -25,7 +25,7 @@
 class ConnectionHandler(ABC):
     """Serves one client's connection to its end. Owned by the connection's own thread.
 
-    A subclass says how the connection to an endpoint is established, and calls `_relay` for it.
+    A subclass establishes the connection to an endpoint, and runs what `_build_relay` returns for it.
     """
 
     def __init__(self, services: ConnectionServices, client: socket.socket, opening: Opening) -> None:
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -1,4 +1,4 @@
-"""Polls discovery for the endpoint list when the policy asks for it, and follows a change of its address."""
+"""Polls discovery for the endpoint list at the policy's request, and follows a change of its address."""
 
 from __future__ import annotations
 
@@ -231,7 +231,7 @@
             if http is not self._http:
                 return True
             if failure.is_stale and not self._needs_snapshot:
-                # The answer was late, or discovery numbers its lists anew: the complete list decides.
+                # The answer was late, or discovery has begun new revisions: the complete list decides.
                 self._require_snapshot()
                 return True
             if self._needs_snapshot:
--- a/tansyladder/node/pending_connections.py
+++ b/tansyladder/node/pending_connections.py
@@ -27,7 +27,7 @@
 
 
 class RequestAdmitter(Protocol):
-    """Decides on first lines. Every call comes from the acceptor's thread."""
+    """Decides on first lines. All of it is called on the acceptor's thread."""
 
     @property
     def is_ready(self) -> bool:
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -147,7 +147,7 @@
 
 
 def test_a_dripping_first_line_is_answered_with_an_error_in_time(tmp_path: Path) -> None:
-    """Each byte used to begin the wait of 5 s anew; an answer is due 3 s after the accept."""
+    """Each byte used to restart the wait of 5 s; an answer is due 3 s after the accept."""
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
         slow, silent, partial = node.connect(), node.connect(), node.connect()
         start = time.monotonic()
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -1,4 +1,4 @@
-"""Where two events meet: each crossing is forced by a party that holds one side until the other has come.
+"""Where two events meet: each test forces a crossing by delaying one event until the other has happened.
 
 `docs/design/crossings.md` has the table; each of its rows names a test.
 """
@@ -236,7 +236,7 @@
             (ListUpdateKind.DELTA, 7),
             (ListUpdateKind.SNAPSHOT, 8),
         ]
-        assert calls[2] == "GET /v1/servers HTTP/1.1"  # discovery may number its revisions anew
+        assert calls[2] == "GET /v1/servers HTTP/1.1"  # discovery may have begun new revisions
         endpoint = node.runner.endpoint_by_id("s9")
         assert endpoint is not None
         assert endpoint.state is EndpointState.DRAINING
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -52,7 +52,7 @@
 
 
 class ReloadableNode:
-    """A node and its configuration file, which is read again when a test says so instead of by a signal."""
+    """A node and its configuration file, which a test reloads directly instead of by a signal."""
 
     def __init__(self, tmp_path: Path, *members: ScriptedServer) -> None:
         self.file = tmp_path / "config.json"
