--- a/tansyladder/net/action_queue_state.py
+++ b/tansyladder/net/action_queue_state.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from tansyladder.invariants import check_invariant
+from tansyladder.invariants import Invariant, check_invariant
 
 
 class QueueState(Enum):
@@ -56,5 +56,5 @@
 def next_state(state: QueueState, event: QueueEvent) -> QueueState:
     """Return the state after an event; an event that TRANSITIONS does not allow violates an invariant."""
     following = TRANSITIONS[state].get(event)
-    check_invariant(following is not None, "action_queue_transition")
+    check_invariant(Invariant.ACTION_QUEUE_TRANSITION_INVALID, holds=following is not None)
     return following or state
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -11,6 +11,7 @@
 
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import ClientRejectionReason, LineSource
 from tansyladder.net import protocol
 from tansyladder.net.handover_messages import ConnectionState, DescriptorSplit
 from tansyladder.net.listener_handover import ListenerHandover
@@ -128,7 +129,7 @@
         try:
             answer = self._try_admit(sock, opening, arrived, release)
         except protocol.LineError as err:
-            log(LogEvent.INVALID_LINE, where="client", why=err)
+            log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error=err)
             answer = protocol.ERR + b"\r\n"
         if answer:
             self._metrics.record_outcome(opening.class_name, RequestOutcome.of_answer(answer))
@@ -146,13 +147,13 @@
         if not self._lifecycle.accepts_requests:
             return protocol.format_reject(self.retry_after)
         if not self._admission.reserve(opening.connection_id):
-            log(LogEvent.CLIENT_REJECTED, why="limit")
+            log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.CONNECTION_LIMIT)
             return protocol.format_reject(self.retry_after)
         try:
             self._threads.serve(sock, opening, arrived, release)
         except RuntimeError as err:  # the system has no thread left
             self._admission.release(opening.connection_id)
-            log(LogEvent.CLIENT_REJECTED, why=err)
+            log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.THREAD_LIMIT, error=err)
             return protocol.format_reject(self.retry_after)
         return b""
 
@@ -173,27 +174,28 @@
         try:
             self._threads.adopt(state, client, upstream)
         except (protocol.LineError, RuntimeError) as err:  # RuntimeError: the system has no thread left
-            log(LogEvent.CONNECTION_ADOPTION_FAILED, why=err)
+            log(LogEvent.CONNECTION_ADOPTION_FAILED, error=err)
             upstream.close()
             with contextlib.suppress(OSError):
                 client.send(protocol.MOVE + b"\r\n", socket.MSG_DONTWAIT)
             client.close()
 
-    def set_accepting(self, accepting: bool) -> None:
-        """Accept from the listener's queue or leave it to the successor, where this process drains."""
-        if self._lifecycle.state is not NodeState.DRAINING:
-            return
-        if accepting:
-            self._acceptor.reclaim_queue()
-        else:
+    def on_successor_serving(self) -> None:
+        """Leave the listener's queue to the next process, if this one is draining."""
+        if self._lifecycle.state is NodeState.DRAINING:
             self._acceptor.yield_queue()
 
+    def on_successor_lost(self) -> None:
+        """Accept clients from the listener's queue again, if this process is draining."""
+        if self._lifecycle.state is NodeState.DRAINING:
+            self._acceptor.reclaim_queue()
+
     # --- the end
 
     def drain(self) -> None:
         """Shut down gracefully: serve late requests, migrate connections, and reject the rest in time."""
         # Before the state changes, as clients that connect once it is visible are the successor's; and again
-        # after it, as `set_accepting` ignores a successor's end in between.
+        # after it, as `on_successor_lost` ignores a successor's end in between.
         self._share_queue()
         self._lifecycle.begin_drain()
         self._share_queue()
@@ -205,7 +207,7 @@
         self.drainer.evict_remaining(notified, end + CLOSE_TIMEOUT)
         self.stop_listening()
         left = self.drainer.remaining()
-        log(LogEvent.DRAINED, standing=left.established, in_hand=left.waiting)
+        log(LogEvent.DRAINED, established=left.established, pending=left.waiting)
 
     def _share_queue(self) -> None:
         """Leave the listener's queue to a successor where there is one."""
--- a/tansyladder/node/pending_connections.py
+++ b/tansyladder/node/pending_connections.py
@@ -10,6 +10,7 @@
 from typing import Protocol
 
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import ClientRejectionReason, LineSource
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
 
@@ -180,13 +181,13 @@
         except BlockingIOError:
             pass
         except protocol.LineError as err:
-            log(LogEvent.INVALID_LINE, where="client", why=err)
+            log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error=err)
             self._admitter.record_invalid_line()
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
         except OSError:
             self.close(connection)
         except Exception as err:  # noqa: BLE001 - a fault in one client's request must not end the acceptor
-            log(LogEvent.INTERNAL_ERROR, why=repr(err))
+            log(LogEvent.INTERNAL_ERROR, error=repr(err))
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
     def check_all_deadlines(self, moment: timedelta) -> None:
@@ -199,7 +200,7 @@
         if moment >= connection.close_deadline:
             self.close(connection)
         elif moment >= connection.first_line_deadline and connection.is_awaiting_line:
-            log(LogEvent.INVALID_LINE, where="client", why="no first line")
+            log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error="no first line")
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
     def evict_one(self) -> bool:
@@ -215,7 +216,7 @@
                 return False
             self.handle_readable(oldest)  # its line may have arrived unread
         if oldest.is_awaiting_line:
-            log(LogEvent.CLIENT_REJECTED, why="silent")
+            log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.PENDING_EVICTED)
             # This is also the answer to a line that arrives at this very moment.
             self.answer_and_shutdown(oldest, protocol.format_reject(self._admitter.retry_after))
         if oldest.state is not PendingState.REMOVED:  # it may be served by now
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -13,14 +13,14 @@
 from collections.abc import Sequence
 
 from tansyladder.config.platform import Config, EndpointList
-from tansyladder.invariants import check_invariant
+from tansyladder.invariants import Invariant, violate_invariant
 from tansyladder.log import LogEvent, log
 from tansyladder.net.action_queue import ActionQueue, QueuedAction
 from tansyladder.net.clock import Clock, now
 from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.node.active_configuration import ActiveConfiguration
 from tansyladder.node.endpoint_registry import EndpointRegistry, valid_entries
-from tansyladder.node.event_counters import EventCounters
+from tansyladder.node.event_counters import EventCounters, SecondCounts
 from tansyladder.node.metrics import Metrics
 from tansyladder.node.policy_timers import PolicyTimers
 from tansyladder.node.work_queues import WorkQueues
@@ -69,9 +69,7 @@
         self._event_counters = EventCounters(
             config.settings.classes, lambda number: self._endpoints[number].id, metrics
         )
-        self._pending_counts: deque[dict[str, object]] = (
-            deque()
-        )  # fields of log lines, to be written unlocked
+        self._pending_counts: deque[SecondCounts] = deque()  # log lines to be written outside the lock
         self._balancer = Balancer(config.settings, config.seed, clock.micros(now()))
 
     @property
@@ -107,14 +105,15 @@
             action_queue.wake()
         while self._pending_counts:
             with contextlib.suppress(IndexError):  # another thread has just taken the last one
-                log(LogEvent.COUNTS, **self._pending_counts.popleft())
+                timestamp, counts, endpoints = self._pending_counts.popleft()
+                log(LogEvent.COUNTS, counts, timestamp=timestamp, endpoints=endpoints)
 
     def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
         """Call the policy, under the lock; return the queues to wake once it is released."""
         woken_queues: list[ActionQueue] = []
         now_us = self._clock.micros(now())
-        if fields := self._event_counters.finish_second(now_us):
-            self._pending_counts.append(fields)
+        if counts := self._event_counters.finish_second(now_us):
+            self._pending_counts.append(counts)
         for event in events:
             self._event_counters.count_event(event, now_us)
         for action in self._balancer.handle(now_us, events):
@@ -149,9 +148,9 @@
             case PollDiscovery(is_polling):
                 self._work_queues.request_discovery_poll(is_polling=is_polling)
             case Log(text):
-                log(LogEvent.POLICY, text=text)
+                log(LogEvent.POLICY, message=text)
             case SendPeerMessage():
-                check_invariant(False, "tell_without_peers")
+                violate_invariant(Invariant.PEER_MESSAGE_UNSUPPORTED)
 
     def _run_timers(self) -> None:
         """The timer thread: pass each timer to the policy when it is due."""
@@ -163,7 +162,7 @@
     def record_discovery_call(self, *, failed: bool) -> None:
         """Count a call to discovery that has ended."""
         with self._lock:
-            self._event_counters.count_discovery_call(failed)
+            self._event_counters.count_discovery_call(has_failed=failed)
 
     # --- requests
 
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -31,6 +31,7 @@
 from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.events import Event
 from tansyladder.sessions.resumption_handler import ResumptionHandler
+from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_store import SessionStore, open_session_store
 
 Script = Callable[["Peer"], object]
@@ -302,7 +303,9 @@
     session_store = open_session_store(str(store), "n0") if store else None
     if session_store is not None:
         parts.endpoint_cache.attach(session_store)
-    session_service = ResumptionHandler(parts.context, session_store) if resume else None
+    session_service = (
+        ResumptionHandler(parts.context, SessionRegistry(parts.context, session_store)) if resume else None
+    )
     listener = parts.new_listener(session_service=session_service)
     parts.start()
     listener.start()
--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -95,11 +95,11 @@
 
     def lose_connection(self) -> None:
         """Its connection breaks, and the node has noticed."""
-        service = self.node.session_service
-        before = service.suspended_count
+        registry = self.node.session_service.registry
+        before = registry.suspended_count
         until = time.monotonic() + 10
         break_connection(self.peer)
-        while service.suspended_count == before and time.monotonic() < until:
+        while registry.suspended_count == before and time.monotonic() < until:
             time.sleep(0.002)
 
     def reconnect(self, fields: str = "", key: str = "", token: str = "") -> Peer:
