--- a/tests/resumption/test_stream.py
+++ b/tests/resumption/test_stream.py
@@ -1,4 +1,4 @@
-"""A session's stream against a simple model of a client, hosts and a node that may die."""
+"""A session's stream against a simple model of a client, stream hosts and a node that may fail."""
 
 from __future__ import annotations
 
@@ -11,67 +11,88 @@
 
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import PositionError
-from tansyladder.resumption.replay_buffer import (
-    MemoryBudget,
-    ReplayBuffer,
-)
+from tansyladder.resumption.replay_buffer import MemoryBudget, ReplayBuffer
 from tansyladder.resumption.stream import Stream
 
-BUFFER_LIMIT_BYTES, BUDGET_BYTES = 1200, 1700
+BUFFER_LIMIT_BYTES = 1200
+BUDGET_BYTES = 1700
 
 
 class StreamMachine(RuleBasedStateMachine):
-    """A client, a node's Stream and hosts on a common store, each losing what is under way at any moment.
+    """A client, a node's Stream, and stream hosts with a common store; any of them may lose its connection.
 
-    The model is the plain truth: what each end has got so far must be 1, 2, 3, ... without a gap.
+    Lines are numbered from 1 in each direction. The model counts what each end has sent and received, and
+    each end must receive the lines of the other in order and without a gap. A session that no host can
+    continue ends, and a new one begins.
     """
 
-    durable = False
+    is_durable = False
 
     def __init__(self) -> None:
         super().__init__()
         self.budget = MemoryBudget(BUDGET_BYTES)
-        self.other = ReplayBuffer(self.budget, BUDGET_BYTES)  # what another session takes of the node's bytes
-        self.stream = Stream(7, self.budget, BUFFER_LIMIT_BYTES, is_durable=self.durable)
+        self.other_buffer = ReplayBuffer(self.budget, BUDGET_BYTES)  # of another session of the same node
+        self.node_start = 0
+        self.session_id = 0
+        self.begin_session()
+
+    def begin_session(self) -> None:
+        self.session_id += 1
+        self.stream = Stream(
+            self.session_id, self.budget, BUFFER_LIMIT_BYTES, self.node_start, is_durable=self.is_durable
+        )
         self.stream.begin_placement()
         self.stream.receive_from_host(b"RS AT 0 0\r\n")
-        self.said = self.has = 0  # the client's lines, and the host lines that it has got
-        self.unacknowledged: deque[int] = deque()  # its lines that it may have to say again
-        self.heard = self.frames = 0  # the store's counts
+        self.client_sent_count = 0
+        self.client_received_count = 0
+        self.host_sent_count = 0
+        self.host_received_count = 0  # in the hosts' common store
+        self.unacknowledged: deque[int] = deque()  # lines that the client may have to resend
         self.to_client: deque[bytes] = deque()
         self.to_host: deque[bytes] = deque()
         self.is_connected = True
-        self.resumption_lost = False
+        self.knows_of_loss = False  # whether the client knows that it can't resume any more
+
+    def end_session(self) -> None:
+        self.stream.close()
+        assert self.stream.from_client.size_bytes == self.stream.from_host.size_bytes == 0
+        assert self.budget.used_bytes == self.other_buffer.size_bytes
 
-    def _out(self, to_client: bytes, to_host: bytes) -> None:
+    def deliver(self, to_client: bytes, to_host: bytes) -> None:
         if self.is_connected:
             self.to_client.extend(to_client.splitlines(keepends=True))
         self.to_host.extend(to_host.splitlines(keepends=True))
 
-    def _say(self, number: int) -> None:
-        out = self.stream.receive_from_client(b"M %d\r\n" % number)
-        self._out(out.to_client, out.to_host)
+    def send_client_line(self, number: int) -> None:
+        output = self.stream.receive_from_client(b"M %d\r\n" % number)
+        self.deliver(output.to_client, output.to_host)
+
+    def acknowledge_client_lines(self, position: int) -> None:
+        assert position <= (self.host_received_count if self.is_durable else self.client_sent_count)
+        while self.unacknowledged and self.unacknowledged[0] <= position:
+            self.unacknowledged.popleft()
 
     @precondition(lambda self: self.is_connected)
-    @rule()
-    def client_sends(self) -> None:
-        self.said += 1
-        self.unacknowledged.append(self.said)
-        self._say(self.said)
+    @rule(count=st.integers(1, 8))
+    def client_sends(self, count: int) -> None:
+        for _ in range(count):
+            self.client_sent_count += 1
+            self.unacknowledged.append(self.client_sent_count)
+            self.send_client_line(self.client_sent_count)
 
     @rule(size=st.integers(0, 300))
     def host_sends(self, size: int) -> None:
-        self.frames += 1
-        out = self.stream.receive_from_host(b"F %d %s\r\n" % (self.frames, b"x" * size))
-        self._out(out.to_client + self.stream.report_lost_resumption(), out.to_host)
+        self.host_sent_count += 1
+        output = self.stream.receive_from_host(b"F %d %s\r\n" % (self.host_sent_count, b"x" * size))
+        self.deliver(output.to_client + self.stream.report_lost_resumption(), output.to_host)
 
     @rule(count=st.integers(1, 5))
     def host_receives(self, count: int) -> None:
         for _ in range(min(count, len(self.to_host))):
             line = self.to_host.popleft()
             if not control_messages.is_control(line):
-                assert int(line.split()[1]) == self.heard + 1
-                self.heard += 1
+                assert int(line.split()[1]) == self.host_received_count + 1
+                self.host_received_count += 1
 
     @rule(count=st.integers(1, 5))
     def client_receives(self, count: int) -> None:
@@ -79,139 +100,139 @@
             line = self.to_client.popleft()
             match line.split():
                 case [b"F", number, *_]:
-                    assert int(number) == self.has + 1
-                    self.has += 1
+                    assert int(number) == self.client_received_count + 1
+                    self.client_received_count += 1
                 case [b"RS", b"ACK", position]:
-                    self._held(int(position))
+                    self.acknowledge_client_lines(int(position))
                 case [b"RS", b"OFF", _]:
-                    self.resumption_lost = True
-
-    def _held(self, position: int) -> None:
-        assert position <= (self.heard if self.durable else self.said)
-        while self.unacknowledged and self.unacknowledged[0] <= position:
-            self.unacknowledged.popleft()
+                    self.knows_of_loss = True
 
     @rule()
     def host_acknowledges(self) -> None:
-        self.stream.receive_from_host(control_messages.format_acknowledgement(self.heard))
+        self.stream.receive_from_host(control_messages.format_acknowledgement(self.host_received_count))
 
     @precondition(lambda self: self.is_connected)
     @rule()
     def client_acknowledges(self) -> None:
-        out = self.stream.receive_from_client(control_messages.format_acknowledgement(self.has))
-        self._out(out.to_client, out.to_host)
+        line = control_messages.format_acknowledgement(self.client_received_count)
+        output = self.stream.receive_from_client(line)
+        self.deliver(output.to_client, output.to_host)
 
     @precondition(lambda self: self.is_connected)
-    @rule(lost=st.integers(0, 3))
-    def client_breaks(self, lost: int) -> None:
-        """What is under way to it is lost, and its last lines never arrive."""
+    @rule(lost_count=st.integers(0, 3))
+    def client_connection_breaks(self, lost_count: int) -> None:
+        """Lines in transit to the client are lost, and so are the last ones that it sent."""
         self.is_connected = False
         self.to_client.clear()
-        for _ in range(lost):
-            self.said += 1
-            self.unacknowledged.append(self.said)
+        for _ in range(lost_count):
+            self.client_sent_count += 1
+            self.unacknowledged.append(self.client_sent_count)
 
     @rule()
     def client_resumes(self) -> None:
-        """Also while its old connection looks sound: what that one had not delivered is lost."""
+        """Resume, also while the old connection seems intact; lines in transit on that one are lost."""
         if not self.stream.can_resume_client:
             with pytest.raises(PositionError, match="behind"):
-                self.stream.resume_client(self.has)
+                self.stream.resume_client(self.client_received_count)
             return
-        at, *lines = self.stream.resume_client(self.has)
+        position_line, *lines = self.stream.resume_client(self.client_received_count)
         self.is_connected = True
         self.to_client = deque(lines)
-        self._held(int(at.split()[2]))
+        self.acknowledge_client_lines(int(position_line.split()[2]))
         for number in list(self.unacknowledged):
-            self._say(number)
+            self.send_client_line(number)
 
     @rule()
     def host_is_lost(self) -> None:
-        """What is under way to it and from it is lost; another one goes on from the store."""
+        """Lines in transit to and from the host are lost; another host continues from the common store."""
         self.to_host.clear()
         if not self.stream.can_migrate:
+            self.end_session()
+            self.begin_session()
             return
-        names = dict(self.stream.begin_placement())
-        assert int(names["ra"]) <= self.heard <= int(names["ri"])
-        assert int(names["ro"]) == self.frames
-        lines = self.stream.complete_placement(b"RS AT %d %d\r\n" % (self.heard, self.frames))
+        fields = dict(self.stream.begin_placement())
+        assert int(fields["ra"]) <= self.host_received_count <= int(fields["ri"])
+        assert int(fields["ro"]) == self.host_sent_count
+        position_line = b"RS AT %d %d\r\n" % (self.host_received_count, self.host_sent_count)
+        lines = self.stream.complete_placement(position_line)
         self.to_host.extend(lines.splitlines(keepends=True))
 
-    @rule(ahead=st.integers(1, 9))
-    def positions_ahead_are_rejected(self, ahead: int) -> None:
-        """Positions of what never was are refused and change nothing."""
-        before = (self.stream.from_host.acknowledged_position, self.stream.from_client.acknowledged_position)
+    @rule(excess=st.integers(1, 9))
+    def positions_ahead_are_rejected(self, excess: int) -> None:
+        """Positions of lines that don't exist are rejected and change nothing."""
+        from_client = self.stream.from_client
+        from_host = self.stream.from_host
+        positions_before = (from_host.acknowledged_position, from_client.acknowledged_position)
         with pytest.raises(PositionError, match="ahead"):
-            self.stream.resume_client(self.stream.from_host.end_position + ahead)
+            self.stream.resume_client(from_host.end_position + excess)
         with pytest.raises(PositionError, match="ahead"):
             self.stream.receive_from_host(
-                control_messages.format_acknowledgement(self.stream.from_client.end_position + ahead)
+                control_messages.format_acknowledgement(from_client.end_position + excess)
             )
-        assert before == (
-            self.stream.from_host.acknowledged_position,
-            self.stream.from_client.acknowledged_position,
-        )
+        assert positions_before == (from_host.acknowledged_position, from_client.acknowledged_position)
 
     @rule(size=st.integers(1, 700))
-    def another_session_takes(self, size: int) -> None:
-        self.other.append(b"x" * size)
+    def another_session_buffers(self, size: int) -> None:
+        self.other_buffer.append(b"x" * size)
 
     @rule()
     def another_session_ends(self) -> None:
-        self.other.discard()
-        self.other = ReplayBuffer(self.budget, BUDGET_BYTES)
+        self.other_buffer.discard()
+        self.other_buffer = ReplayBuffer(self.budget, BUDGET_BYTES)
+
+    @invariant()
+    def every_line_is_counted(self) -> None:
+        assert self.stream.from_host.end_position == self.host_sent_count
+        if self.is_connected:
+            assert self.stream.from_client.end_position == self.client_sent_count
 
     @invariant()
     def memory_is_bounded(self) -> None:
-        up, down = self.stream.from_client, self.stream.from_host
-        assert up.size_bytes <= BUFFER_LIMIT_BYTES
-        assert down.size_bytes <= BUFFER_LIMIT_BYTES
-        assert (
-            self.budget.used_bytes == up.size_bytes + down.size_bytes + self.other.size_bytes <= BUDGET_BYTES
-        )
-        assert up.acknowledged_position <= self.heard
-        assert down.acknowledged_position <= self.has
-        if not down.can_replay and self.is_connected and not self.to_client:
-            assert self.resumption_lost or self.stream.report_lost_resumption()
+        from_client = self.stream.from_client
+        from_host = self.stream.from_host
+        assert from_client.size_bytes <= BUFFER_LIMIT_BYTES
+        assert from_host.size_bytes <= BUFFER_LIMIT_BYTES
+        used_bytes = from_client.size_bytes + from_host.size_bytes + self.other_buffer.size_bytes
+        assert self.budget.used_bytes == used_bytes <= BUDGET_BYTES
+        assert from_client.acknowledged_position <= self.host_received_count
+        assert from_host.acknowledged_position <= self.client_received_count
+        if not from_host.can_replay and self.is_connected and not self.to_client:
+            assert self.knows_of_loss or self.stream.report_lost_resumption()
 
 
 class DurableStreamMachine(StreamMachine):
-    """The same where the node may die with all that it knew, and its next start revives the session."""
+    """The same where the node may fail and lose all its state; its next start restores the session."""
 
-    durable = True
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.starts = 1
+    is_durable = True
 
     @precondition(lambda self: self.stream.can_migrate)
     @rule()
-    def node_dies(self) -> None:
-        """Its client comes back to the next start, which asks a host where the client's lines are."""
-        self.starts += 1
+    def node_fails(self) -> None:
+        """The client resumes at the next start, which asks a host for the position of the client's lines."""
+        self.node_start += 1
         self.stream.close()
-        self.stream = Stream.restored(7, self.budget, BUFFER_LIMIT_BYTES, self.starts)
+        self.stream = Stream.restored(self.session_id, self.budget, BUFFER_LIMIT_BYTES, self.node_start)
         self.to_client.clear()
         self.to_host.clear()
-        self.stream.adopt_client_position(self.has)
-        names = dict(self.stream.begin_placement())
-        assert int(names["re"]) > 1 << 20
-        assert int(names["ro"]) == self.has
-        self.frames = self.has  # what the host had said beyond it reached nobody
+        client_position = self.client_received_count
+        self.stream.adopt_client_position(client_position)
+        fields = dict(self.stream.begin_placement())
+        assert int(fields["re"]) > 1 << 20
+        assert int(fields["ro"]) == client_position
+        self.host_sent_count = client_position  # later lines of the host reached nobody
+        host_position = self.host_received_count
         with pytest.raises(PositionError, match="ahead"):
-            self.stream.complete_placement(b"RS AT %d %d\r\n" % (self.heard, self.has + 1))
-        assert self.stream.complete_placement(b"RS AT %d %d\r\n" % (self.heard, self.has)) == b""
-        self.resumption_lost = False
+            self.stream.complete_placement(b"RS AT %d %d\r\n" % (host_position, client_position + 1))
+        assert self.stream.complete_placement(b"RS AT %d %d\r\n" % (host_position, client_position)) == b""
+        self.knows_of_loss = False
         self.client_resumes()
 
 
 TestStream = StreamMachine.TestCase
-
-
 TestDurableStream = DurableStreamMachine.TestCase
 
-for case in (TestStream, TestDurableStream):
-    case.settings = settings(
+for test_case in (TestStream, TestDurableStream):
+    test_case.settings = settings(
         max_examples=120,
         stateful_step_count=50,
         deadline=None,
