--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -19,6 +19,7 @@
 from tansyladder import log as logging
 from tansyladder.config.errors import OptionsError
 from tansyladder.config.operator_settings import KeyEntry, Options, load, parse, restart_required_changes
+from tests.answers.program import run
 from tests.node.harness import ScriptedServer, answer_up, endpoint_entry, load_test_config
 from tests.node.program import client_of, program, until_line
 
@@ -54,20 +55,27 @@
     ],
 )
 def test_an_error_in_settings_names_its_path(text: str, path: str) -> None:
-    with pytest.raises(OptionsError) as err:
+    with pytest.raises(OptionsError) as raised:
         parse(text)
-    assert path in str(err.value)
+    assert path in str(raised.value)
 
 
-def test_settings_are_parsed_with_their_units_and_all_is_off_by_default(tmp_path: Path) -> None:
+def test_all_features_are_disabled_by_default() -> None:
     assert load(None) == parse("; nothing\n") == Options()
     assert not Options().resume.enabled
-    read = parse(f'(resume (enabled true) (expires "1.5 min") (buffer "8 KiB") (keys (3 "{KEY}")))')
-    assert read.resume.expires == timedelta(seconds=90)
-    assert read.resume.buffer == 8192
-    assert read.resume.keys == (KeyEntry(3, KEY),)
-    assert read.resume.keys[0].secret == b"\xab" * 32
-    assert restart_required_changes(Options(), read) == ["resume.enabled", "resume.expires", "resume.buffer"]
+
+
+def test_settings_are_parsed_with_their_units() -> None:
+    options = parse(f'(resume (enabled true) (expires "1.5 min") (buffer "8 KiB") (keys (3 "{KEY}")))')
+    assert options.resume.expires == timedelta(seconds=90)
+    assert options.resume.buffer == 8192
+    assert options.resume.keys == (KeyEntry(3, KEY),)
+    assert options.resume.keys[0].secret == b"\xab" * 32
+    changes = restart_required_changes(Options(), options)
+    assert changes == ["resume.enabled", "resume.expires", "resume.buffer"]
+
+
+def test_settings_are_read_from_a_file(tmp_path: Path) -> None:
     with pytest.raises(OptionsError, match="file: No such file"):
         load(tmp_path / "none")
     assert load(Path(__file__).parent.parent.parent / "deploy" / "settings.example.sexp").resume.enabled
@@ -80,35 +88,38 @@
         parse(text)
 
 
-def run(*words: str, **env: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run(
-        [sys.executable, "-m", "tansyladder", *words],
-        capture_output=True,
-        text=True,
-        timeout=30,
-        env={**os.environ, **env},
-    )
+def test_check_accepts_a_valid_configuration(tmp_path: Path) -> None:
+    load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"))
+    assert run("check", str(tmp_path / "config.json")).returncode == 0
 
 
-def test_check_names_the_error_and_exits_with_2(tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    ("file_name", "text", "path"),
+    [
+        ("bad.json", '{"limits": {"sockets": "many"}}', "limits.sockets"),
+        ("bad.sexp", "(resume (expires 1))", "resume.expires"),
+    ],
+)
+def test_check_names_the_error_and_exits_with_2(tmp_path: Path, file_name: str, text: str, path: str) -> None:
+    (tmp_path / file_name).write_text(text)
+    result = run("check", str(tmp_path / file_name))
+    assert result.returncode == 2
+    assert path in result.stderr
+    assert "Traceback" not in result.stderr
+
+
+def test_a_start_with_bad_settings_names_the_error_and_exits_with_2(tmp_path: Path) -> None:
     load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"))
-    assert run("check", str(tmp_path / "config.json")).returncode == 0
-    (tmp_path / "bad.json").write_text('{"limits": {"sockets": "many"}}')
     (tmp_path / "bad.sexp").write_text("(resume (expires 1))")
-    for name, path in (("bad.json", "limits.sockets"), ("bad.sexp", "resume.expires")):
-        done = run("check", str(tmp_path / name))
-        assert done.returncode == 2
-        assert path in done.stderr
-        assert "Traceback" not in done.stderr
-    env = {"GW_CONFIG": str(tmp_path / "config.json")}
-    done = run("serve", "--settings", str(tmp_path / "bad.sexp"), **env)
-    assert done.returncode == 2
-    assert "event=bad_settings" in done.stderr
-    assert "resume.expires" in done.stderr
+    config_file = tmp_path / "config.json"
+    result = run("serve", "--settings", str(tmp_path / "bad.sexp"), config_file=config_file)
+    assert result.returncode == 2
+    assert "event=bad_settings" in result.stderr
+    assert "resume.expires" in result.stderr
 
 
 def test_the_platforms_command_loads_no_tool(tmp_path: Path) -> None:
-    """Started without words the node must not pay for what only tools and other installations need."""
+    """Started without arguments the node must not load what only tools and other installations need."""
     load_test_config(tmp_path)
     code = (
         "import signal, sys;"
@@ -118,12 +129,12 @@
         "print(sorted({'click', 'sexpdata', 'cryptography', 'hdrh', 'numpy', 'xxhash'} & sys.modules.keys()))"
     )
     env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json")}
-    done = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, timeout=30)
-    assert done.stdout.strip() == "[]", done.stderr
+    result = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, timeout=30)
+    assert result.stdout.strip() == "[]", result.stderr
 
 
 def test_a_new_set_of_keys_is_put_in_force_by_a_signal(tmp_path: Path) -> None:
-    """A broken file changes nothing; what can't change is named, and no key is ever written to the log."""
+    """A broken file changes nothing; restart-only changes are named, and no key is written to the log."""
     file = tmp_path / "settings.sexp"
     file.write_text(f'(resume (enabled true) (keys (1 "{KEY}")))')
     host = ScriptedServer(answer_up(lambda peer: peer.send_lines(peer.read_line())))
@@ -164,12 +175,12 @@
 
 
 def test_lines_of_one_event_are_rate_limited() -> None:
-    limit = logging.RateLimiter()
-    dropped = 0
+    rate_limiter = logging.RateLimiter()
+    dropped_count = 0
     for _ in range(logging.MAX_LINES_PER_WINDOW + 5):
         try:
-            limit(None, "msg", {"event": "flood"})
+            rate_limiter(None, "msg", {"event": "flood"})
         except DropEvent:
-            dropped += 1
-    assert dropped == 5
-    assert limit(None, "msg", {"event": "other"}) == {"event": "other"}
+            dropped_count += 1
+    assert dropped_count == 5
+    assert rate_limiter(None, "msg", {"event": "other"}) == {"event": "other"}
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("over", "named"),
+    ("changes", "key"),
     [
         ({"listen": "nowhere"}, "listen"),
         ({"discovery": "127.0.0.1:x"}, "discovery"),
@@ -36,28 +36,30 @@
         ({"settings": SETTINGS | {"balancers": 1e300}}, "settings.balancers"),
     ],
 )
-def test_an_error_names_its_key(tmp_path: Path, over: dict[str, Any], named: str) -> None:
-    with pytest.raises(ConfigError) as err:
-        load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), **over)
-    assert named in str(err.value)
+def test_an_error_names_its_key(tmp_path: Path, changes: dict[str, Any], key: str) -> None:
+    with pytest.raises(ConfigError) as raised:
+        load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), **changes)
+    assert key in str(raised.value)
 
 
 def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
     load_test_config(tmp_path)
-    read = load({"GW_CONFIG": str(tmp_path / "config.json"), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.2:80"})
-    assert (read.name, read.listen, read.discovery) == ("n7", ("127.0.0.2", 80), ("127.0.0.1", 1))
-    assert (read.settings.classes[0].message_latency_objective_us, read.class_names) == (50_000, ("chat",))
-    assert read.longest_deadline == timedelta(seconds=1.2)
+    environ = {"GW_CONFIG": str(tmp_path / "config.json"), "GW_NAME": "n7", "GW_LISTEN": "127.0.0.2:80"}
+    config = load(environ)
+    assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.2", 80), ("127.0.0.1", 1))
+    assert config.class_names == ("chat",)
+    assert config.settings.classes[0].message_latency_objective_us == 50_000
+    assert config.longest_deadline == timedelta(seconds=1.2)
 
 
 def test_the_program_exits_with_2_and_one_line(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps({"settings": 5}))
     env = {**os.environ, "GW_CONFIG": str(file)}
-    done = subprocess.run([sys.executable, "-m", "tansyladder"], env=env, capture_output=True, timeout=20)
-    assert done.returncode == 2
-    assert done.stderr.count(b"\n") == 1
-    assert b"$.settings" in done.stderr
+    result = subprocess.run([sys.executable, "-m", "tansyladder"], env=env, capture_output=True, timeout=20)
+    assert result.returncode == 2
+    assert result.stderr.count(b"\n") == 1
+    assert b"$.settings" in result.stderr
 
 
 def test_a_broken_invariant_raises_in_debug_and_is_counted_in_release() -> None:
@@ -68,5 +70,5 @@
         "from tansyladder.invariants import check_invariant, violations;"
         "check_invariant(False, 'x'); print(violations['x'])"
     )
-    done = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, timeout=20)
-    assert (done.stdout, done.stderr) == ("1\n", "event=invariant_violated name=x count=1\n")
+    result = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, timeout=20)
+    assert (result.stdout, result.stderr) == ("1\n", "event=invariant_violated name=x count=1\n")
--- a/tests/resumption/test_host_positions.py
+++ b/tests/resumption/test_host_positions.py
@@ -1,22 +1,20 @@
-"""What a stream host may say after UP, and hosts that know nothing of positions."""
+"""The first line of a stream host after UP, and hosts without resumption."""
 
 from __future__ import annotations
 
 import pytest
 
 from tansyladder.resumption.errors import PositionError
-from tansyladder.resumption.replay_buffer import (
-    MemoryBudget,
-)
+from tansyladder.resumption.replay_buffer import MemoryBudget
 from tansyladder.resumption.stream import MOVE_LINE, Stream, StreamSignal
 
 
 @pytest.mark.parametrize(
-    "said",
+    "first_line",
     [b"RS AT 3 2\r\n", b"RS AT 0 2\r\n", b"RS AT 1 1\r\n", b"RS AT 1 3\r\n", b"F 1\r\n", b"RS ACK 1\r\n"],
 )
-def test_a_host_whose_position_does_not_fit_is_rejected(said: bytes) -> None:
-    """Two lines of the client, one acknowledged, and two of the host."""
+def test_a_host_whose_position_does_not_fit_is_rejected(first_line: bytes) -> None:
+    """The session has two lines of the client, one of them acknowledged, and two of the host."""
     stream = Stream(7, MemoryBudget(10_000), 5000)
     stream.begin_placement()
     for line in (b"RS AT 0 0\r\n", b"F 1\r\n", b"F 2\r\n"):
@@ -32,10 +30,10 @@
         "ro": "2",
     }
     with pytest.raises(PositionError):
-        stream.complete_placement(said)
+        stream.complete_placement(first_line)
     assert stream.complete_placement(b"RS AT 1 2\r\n") == b"M 2\r\n"
     assert stream.complete_placement(b"RS AT 2 2\r\n") == b""
-    assert dict(stream.begin_placement())["ra"] == "2"  # what a host holds is not asked of the next one
+    assert dict(stream.begin_placement())["ra"] == "2"  # lines that a host has are not replayed to the next
 
 
 def test_lines_of_a_host_without_resumption_pass_unchanged() -> None:
--- a/tests/resumption/test_replay_buffer.py
+++ b/tests/resumption/test_replay_buffer.py
@@ -1,15 +1,11 @@
-"""Bounds of a replay buffer."""
+"""The bounds of a replay buffer."""
 
 from __future__ import annotations
 
 import pytest
 
 from tansyladder.resumption.errors import PositionError
-from tansyladder.resumption.replay_buffer import (
-    LINE_OVERHEAD_BYTES,
-    MemoryBudget,
-    ReplayBuffer,
-)
+from tansyladder.resumption.replay_buffer import LINE_OVERHEAD_BYTES, MemoryBudget, ReplayBuffer
 
 
 def test_an_overflowing_buffer_releases_its_memory_and_keeps_counting() -> None:
--- a/tests/resumption/test_token_registry.py
+++ b/tests/resumption/test_token_registry.py
@@ -1,8 +1,9 @@
-"""Which token resumes a session, against a simple model of one session's tokens."""
+"""The token registry against a simple model of one session's tokens."""
 
 from __future__ import annotations
 
 import random
+from typing import NamedTuple
 
 import pytest
 from hypothesis import HealthCheck, settings
@@ -11,81 +12,91 @@
 
 from tansyladder.resumption.errors import TokenError
 from tansyladder.resumption.token_registry import SessionEnd, TokenRegistry
-from tansyladder.resumption.tokens import (
-    ISSUER_ID_BYTES,
-    Keyring,
-    SealingKey,
-    TokenClaims,
-)
+from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenClaims
+
+SESSION_ID = 9
+HANDLE = "session"
+
+
+class IssuedToken(NamedTuple):
+    """A token, and when it expires in microseconds."""
+
+    text: str
+    expires_at_us: int
 
 
 class RedemptionMachine(RuleBasedStateMachine):
-    """One session's tokens against a model of them: which opens it, and what the others are told."""
+    """One session's tokens against a model of them: which one resumes it, and why the others are rejected."""
 
     def __init__(self) -> None:
         super().__init__()
         self.registry: TokenRegistry[str] = TokenRegistry(1)
-        self.keys = Keyring(b"n" * ISSUER_ID_BYTES, [SealingKey(1, b"1" * 32)], random.Random(3).randbytes)
+        self.keyring = Keyring(b"n" * ISSUER_ID_BYTES, [SealingKey(1, b"1" * 32)], random.Random(3).randbytes)
         self.claims = TokenClaims("chat", 5, 7)
-        self.registry.add(9, "session")
-        self.now = 0
-        self.tokens: list[tuple[str, int]] = []  # with their expiry
-        self.spent = 0  # tokens that are good no more, counted from the first
-        self.claimed = False
-        self.ended: SessionEnd | None = None
-
-    @precondition(lambda self: self.ended is None)
-    @rule(lifetime=st.integers(1, 10))
-    def issue(self, lifetime: int) -> None:
-        claim = self.registry.issue(9, self.now + lifetime)
-        self.tokens.append((self.keys.seal(claim, self.claims), self.now + lifetime))
-
-    @rule(span=st.integers(1, 6))
-    def time_passes(self, span: int) -> None:
-        self.now += span
+        self.registry.add(SESSION_ID, HANDLE)
+        self.now_us = 0
+        self.tokens: list[IssuedToken] = []
+        self.spent_count = 0  # of the tokens, the oldest first
+        self.is_resume_in_progress = False
+        self.session_end: SessionEnd | None = None
+
+    @precondition(lambda self: self.session_end is None)
+    @rule(lifetime_us=st.integers(1, 10))
+    def issue(self, lifetime_us: int) -> None:
+        expires_at_us = self.now_us + lifetime_us
+        payload = self.registry.issue(SESSION_ID, expires_at_us)
+        self.tokens.append(IssuedToken(self.keyring.seal(payload, self.claims), expires_at_us))
+
+    @rule(duration_us=st.integers(1, 6))
+    def time_passes(self, duration_us: int) -> None:
+        self.now_us += duration_us
 
     @precondition(lambda self: self.tokens)
     @rule(data=st.data())
-    def present(self, data: st.DataObject) -> None:
-        which = data.draw(st.integers(0, len(self.tokens) - 1))
-        text, expiry = self.tokens[which]
-        reached: list[str] = []
-        expected = self._expected_rejection(which, expiry)
-        payload = self.keys.open(text, self.claims)
+    def begin_resume(self, data: st.DataObject) -> None:
+        number = data.draw(st.integers(0, len(self.tokens) - 1))
+        delivered: list[str] = []
+        expected = self._expected_rejection(number)
+        payload = self.keyring.open(self.tokens[number].text, self.claims)
         if expected:
             with pytest.raises(TokenError) as raised:
-                self.registry.begin_resume(payload, self.now, reached.append)
-            assert (raised.value.reason, reached) == (expected, [])
+                self.registry.begin_resume(payload, self.now_us, delivered.append)
+            assert (raised.value.reason, delivered) == (expected, [])
         else:
-            self.registry.begin_resume(payload, self.now, reached.append)
-            assert reached == ["session"]
-            self.claimed = True
-
-    def _expected_rejection(self, which: int, expiry: int) -> str:
-        if self.ended:
-            return self.ended.value
-        if which < self.spent:
+            self.registry.begin_resume(payload, self.now_us, delivered.append)
+            assert delivered == [HANDLE]
+            self.is_resume_in_progress = True
+
+    def _expected_rejection(self, number: int) -> str:
+        """The reason why a token is rejected; empty where it resumes the session."""
+        if self.session_end:
+            return self.session_end.value
+        if number < self.spent_count:
             return "spent"
-        if expiry <= self.now:
+        if self.tokens[number].expires_at_us <= self.now_us:
             return "expired"
-        return "claimed" if self.claimed else ""
-
-    @precondition(lambda self: self.claimed and self.ended is None)
-    @rule(through=st.booleans())
-    def resume_is_over(self, through: bool) -> None:
-        self.claimed = False
-        if through:
-            self.registry.redeem(9)
-            self.spent = len(self.tokens)
-        else:
-            self.registry.cancel_resume(9)
-
-    @precondition(lambda self: self.ended is None)
-    @rule(why=st.sampled_from(list(SessionEnd)))
-    def end(self, why: SessionEnd) -> None:
-        self.registry.end(9, why)
-        # One that was taken is not remembered: its new owner knows of it, and it may come back from there.
-        self.ended = SessionEnd.EXPIRED if why is SessionEnd.CLAIMED_BY_OTHER_NODE else why
+        return "claimed" if self.is_resume_in_progress else ""
+
+    @precondition(lambda self: self.is_resume_in_progress and self.session_end is None)
+    @rule()
+    def redeem(self) -> None:
+        self.is_resume_in_progress = False
+        self.registry.redeem(SESSION_ID)
+        self.spent_count = len(self.tokens)
+
+    @precondition(lambda self: self.is_resume_in_progress and self.session_end is None)
+    @rule()
+    def cancel_resume(self) -> None:
+        self.is_resume_in_progress = False
+        self.registry.cancel_resume(SESSION_ID)
+
+    @precondition(lambda self: self.session_end is None)
+    @rule(session_end=st.sampled_from(SessionEnd))
+    def end(self, session_end: SessionEnd) -> None:
+        self.registry.end(SESSION_ID, session_end)
+        # The end of a session that another node claimed is not retained: this node may claim it again.
+        is_claimed = session_end is SessionEnd.CLAIMED_BY_OTHER_NODE
+        self.session_end = SessionEnd.EXPIRED if is_claimed else session_end
 
 
 TestTokenRedemption = RedemptionMachine.TestCase
--- a/tests/resumption/test_tokens.py
+++ b/tests/resumption/test_tokens.py
@@ -21,63 +21,68 @@
 CLAIMS = TokenClaims("chat", 0x5C, 0x7F)
 
 
-def ring(issuer_id: bytes = b"l" * ISSUER_ID_BYTES, *keys: SealingKey) -> Keyring:
-    return Keyring(issuer_id, keys or [SealingKey(1, b"k" * 32)], random.Random(1).randbytes)
+ISSUER_ID = b"l" * ISSUER_ID_BYTES
+OTHER_ISSUER_ID = b"m" * ISSUER_ID_BYTES
+KEY = SealingKey(1, b"k" * 32)
+
+
+def new_keyring(issuer_id: bytes = ISSUER_ID, key: SealingKey = KEY) -> Keyring:
+    return Keyring(issuer_id, [key], random.Random(1).randbytes)
 
 
 @given(
-    at=st.integers(0, TOKEN_LENGTH - 1),
+    position=st.integers(0, TOKEN_LENGTH - 1),
     letter=st.sampled_from("AQgw-_09z="),
-    cut=st.integers(0, TOKEN_LENGTH - 1),
+    shorter_length=st.integers(0, TOKEN_LENGTH - 1),
 )
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_an_altered_token_is_rejected(at: int, letter: str, cut: int) -> None:
-    keys = ring()
-    claim = TokenPayload(5, 1, 1000)
-    text = keys.seal(claim, CLAIMS)
-    assert keys.open(text, CLAIMS) == claim
+def test_an_altered_token_is_rejected(position: int, letter: str, shorter_length: int) -> None:
+    keyring = new_keyring()
+    payload = TokenPayload(5, 1, 1000)
+    text = keyring.seal(payload, CLAIMS)
+    assert keyring.open(text, CLAIMS) == payload
     assert len(text) == TOKEN_LENGTH
-    altered = text[:at] + letter + text[at + 1 :]
-    for other in {altered, text[:cut], text + letter} - {text}:
-        with pytest.raises(TokenError) as err:
-            keys.open(other, CLAIMS)
-        assert err.value.reason in ("malformed", "elsewhere", "forged")
+    with_other_letter = text[:position] + letter + text[position + 1 :]
+    for altered in {with_other_letter, text[:shorter_length], text + letter} - {text}:
+        with pytest.raises(TokenError) as raised:
+            keyring.open(altered, CLAIMS)
+        assert raised.value.reason in ("malformed", "elsewhere", "forged")
 
 
 @pytest.mark.parametrize(
-    ("other", "binding", "why"),
+    ("keyring", "claims", "reason"),
     [
-        (ring(b"m" * ISSUER_ID_BYTES), CLAIMS, "elsewhere"),
-        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(1, b"q" * 32)), CLAIMS, "forged"),
-        (ring(b"l" * ISSUER_ID_BYTES, SealingKey(2, b"k" * 32)), CLAIMS, "forged"),
-        (ring(), TokenClaims("chat", 0x5C, 0x80), "forged"),
-        (ring(), TokenClaims("chat", 0x5D, 0x7F), "forged"),
-        (ring(), TokenClaims("chats", 0x5C, 0x7F), "forged"),
+        (new_keyring(OTHER_ISSUER_ID), CLAIMS, "elsewhere"),
+        (new_keyring(key=SealingKey(KEY.key_id, b"q" * 32)), CLAIMS, "forged"),
+        (new_keyring(key=SealingKey(2, KEY.secret)), CLAIMS, "forged"),
+        (new_keyring(), TokenClaims("chat", 0x5C, 0x80), "forged"),
+        (new_keyring(), TokenClaims("chat", 0x5D, 0x7F), "forged"),
+        (new_keyring(), TokenClaims("chats", 0x5C, 0x7F), "forged"),
     ],
 )
 def test_a_token_is_accepted_only_by_its_issuer_with_its_claims(
-    other: Keyring, binding: TokenClaims, why: str
+    keyring: Keyring, claims: TokenClaims, reason: str
 ) -> None:
-    with pytest.raises(TokenError, match=why):
-        other.open(ring().seal(TokenPayload(5, 1, 1000), CLAIMS), binding)
+    text = new_keyring().seal(TokenPayload(5, 1, 1000), CLAIMS)
+    with pytest.raises(TokenError, match=reason):
+        keyring.open(text, claims)
 
 
 def test_tokens_stay_valid_while_their_key_is_in_the_ring() -> None:
-    keys = ring()
-    old = SealingKey(1, b"k" * 32)
-    new = SealingKey(2, b"n" * 32)
-    text = keys.seal(TokenPayload(5, 1, 1000), CLAIMS)
-    keys.rotate([new, old])
-    assert keys.open(text, CLAIMS).session_id == 5
-    later = keys.seal(TokenPayload(5, 2, 1000), CLAIMS)
-    keys.rotate([new])
-    assert keys.open(later, CLAIMS).generation == 2
+    keyring = new_keyring()
+    new_key = SealingKey(2, b"n" * 32)
+    old_text = keyring.seal(TokenPayload(5, 1, 1000), CLAIMS)
+    keyring.rotate([new_key, KEY])
+    assert keyring.open(old_text, CLAIMS).session_id == 5
+    new_text = keyring.seal(TokenPayload(5, 2, 1000), CLAIMS)
+    keyring.rotate([new_key])
+    assert keyring.open(new_text, CLAIMS).generation == 2
     with pytest.raises(TokenError, match="forged"):
-        keys.open(text, CLAIMS)
+        keyring.open(old_text, CLAIMS)
     with pytest.raises(ValueError, match="twice"):
-        keys.rotate([new, new])
+        keyring.rotate([new_key, new_key])
 
 
 def test_every_seal_has_its_own_nonce() -> None:
-    keys = ring()
-    assert len({keys.seal(TokenPayload(5, 1, 1000), CLAIMS) for _ in range(50)}) == 50
+    keyring = new_keyring()
+    assert len({keyring.seal(TokenPayload(5, 1, 1000), CLAIMS) for _ in range(50)}) == 50
--- a/tests/store/harness.py
+++ b/tests/store/harness.py
@@ -25,22 +25,28 @@
     max_segment_bytes: int = SMALL_SEGMENT_BYTES,
     clock: ManualClock | None = None,
 ) -> OpenedStore:
-    """A store on these files, or on new ones."""
+    """Open a store on these files, or on new ones."""
     files = files or FaultInjectingFiles()
     return OpenedStore(files, open_store(files, NODE, clock or ManualClock(), max_segment_bytes))
 
 
-def closed_store_files(compact: bool = False) -> FaultInjectingFiles:
-    """A closed store of forty keys in several sealed segments; compacted, in few of them, with hints."""
+def closed_store_files() -> FaultInjectingFiles:
+    """Return the files of a closed store of KEY_COUNT keys in several sealed segments."""
     files, store = open_in_memory()
     for number in range(KEY_COUNT):
         store.put(b"key%d" % number, b"value%d" % number * 3)
-    if compact:
-        store.compact_all()
+    store.close()
+    return files
+
+
+def compacted_store_files() -> FaultInjectingFiles:
+    """Return the files of a closed store of KEY_COUNT keys in few sealed segments with hints."""
+    files, store = open_in_memory(closed_store_files())
+    store.compact_all()
     store.close()
     return files
 
 
 def contents_of(files: FaultInjectingFiles) -> dict[str, bytes]:
-    """The bytes of each file by name."""
+    """Return the bytes of each file by name."""
     return {name: bytes(inode.visible) for name, inode in files.visible.items()}
--- a/tests/store/test_against_dictionary.py
+++ b/tests/store/test_against_dictionary.py
@@ -1,4 +1,4 @@
-"""A stateful property: whatever happens to a store, it holds what a dictionary would."""
+"""A stateful property: after any sequence of operations and faults a store has a dictionary's content."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
     expiry_us: int
 
 
-class TakenSnapshot(NamedTuple):
-    """A snapshot, with what the store held when it was taken."""
+class ExpectedSnapshot(NamedTuple):
+    """A snapshot, with the content of the store when it was taken."""
 
     snapshot: Snapshot
     expected: dict[bytes, bytes]
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """A store on fault-injecting files: restarts, losses of power, maintenance, a clock that steps back."""
+    """A store on fault-injecting files: restarts, power losses, maintenance, a clock that steps back."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
         self.rng = random.Random(5)
         self.model: dict[bytes, ModelEntry] = {}
         self.expired: set[tuple[bytes, ModelEntry]] = set()
-        self.snapshots: list[TakenSnapshot] = []
+        self.snapshots: list[ExpectedSnapshot] = []
         self.store = self._open()
 
     def _open(self) -> Store:
@@ -96,18 +96,18 @@
 
     @rule()
     def take_a_snapshot(self) -> None:
-        self.snapshots.append(TakenSnapshot(self.store.snapshot(), self._contents()))
+        self.snapshots.append(ExpectedSnapshot(self.store.snapshot(), self._contents()))
 
     @precondition(lambda self: self.snapshots)
     @rule()
     def read_a_snapshot(self) -> None:
         snapshot, expected = self.snapshots.pop()
         with snapshot:
-            found = {key: value for key, value, _ in snapshot.items()}
-        assert expected.items() <= found.items()
+            contents = {key: value for key, value, _ in snapshot.items()}
+        assert expected.items() <= contents.items()
 
     @invariant()
-    def it_holds_what_the_dictionary_does(self) -> None:
+    def it_has_the_content_of_the_dictionary(self) -> None:
         now_us = max(self.clock.now, self.store.latest_time_us)
         alive = {
             key: entry.value
@@ -115,10 +115,10 @@
             if not entry.expiry_us or entry.expiry_us > now_us
         }
         self.expired |= {(key, entry) for key, entry in self.model.items() if key not in alive}
-        found = self._contents()
-        assert found.items() <= alive.items()
-        # Maintenance may have dropped what had expired before a clock that is behind: it does not come back.
-        missing = alive.keys() - found.keys()
+        contents = self._contents()
+        assert contents.items() <= alive.items()
+        # Maintenance may have dropped values that had expired before the clock stepped back.
+        missing = alive.keys() - contents.keys()
         assert {key for key in missing if (key, self.model[key]) not in self.expired} == set()
 
     @invariant()
--- a/tests/store/test_compaction.py
+++ b/tests/store/test_compaction.py
@@ -1,4 +1,4 @@
-"""Compaction keeps what an older segment may contradict, and what has expired stays expired."""
+"""Compaction keeps the deletions that are still needed, and expired values stay expired."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.store.harness import NODE, SMALL_SEGMENT_BYTES, open_in_memory
 
 
-def test_a_deletion_stays_while_an_older_segment_may_hold_its_key() -> None:
+def test_a_deletion_is_kept_while_an_older_segment_may_contain_its_key() -> None:
     files, store = open_in_memory(max_segment_bytes=1200)
     first = store.active_segment_id
     for number in range(8):
@@ -30,7 +30,7 @@
     assert store.get(b"old4") == b"x" * 40
 
 
-def test_what_has_expired_stays_expired_when_the_clock_steps_back() -> None:
+def test_an_expired_value_stays_expired_when_the_clock_steps_back() -> None:
     clock = ManualClock()
     files, store = open_in_memory(clock=clock)
     store.put(b"k", b"old")
@@ -48,7 +48,7 @@
 
 
 def test_a_snapshot_keeps_the_files_of_compacted_segments_open(tmp_path: Path) -> None:
-    """On a real directory, where a closed file can't be read; the store goes on after the snapshot."""
+    """On a real directory, where a closed file can't be read; the store stays usable after the snapshot."""
     store = open_store(RealFiles(tmp_path), NODE, ManualClock(), SMALL_SEGMENT_BYTES)
     for number in range(40):
         store.put(b"k%d" % (number % 4), b"old%d" % number)
--- a/tests/store/test_index.py
+++ b/tests/store/test_index.py
@@ -8,7 +8,7 @@
 
 
 def test_an_index_keeps_all_keys_while_it_grows_small_and_large() -> None:
-    """Up to `MAX_SLOTS_WITHOUT_NUMPY` slots it is rebuilt key by key, beyond that by numpy."""
+    """It is rebuilt key by key up to `MAX_SLOTS_WITHOUT_NUMPY` slots, and with numpy beyond that."""
     index = Index()
     rng = random.Random(5)
     locations = range(1, 2 * MAX_SLOTS_WITHOUT_NUMPY)
--- a/tests/store/test_opening.py
+++ b/tests/store/test_opening.py
@@ -1,4 +1,4 @@
-"""What opening a store refuses, and what it takes for expired, damaged, torn or rebuilt."""
+"""Opening a store: what it rejects, and how it treats expired, damaged, torn and missing data."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tansyladder.lab.fault_injecting_files import FaultInjectingFiles
 from tansyladder.store import Durability, WriteOperation, errors, frames, hints, manifest, open_store
 from tansyladder.store.files import RealFiles
-from tests.store.harness import KEY_COUNT, closed_store_files, open_in_memory
+from tests.store.harness import KEY_COUNT, closed_store_files, compacted_store_files, open_in_memory
 
 LARGE_SEGMENT_BYTES = 1 << 16  # so that all stays in the active one
 
@@ -61,7 +61,7 @@
     assert refused.value.path == manifest.FILE_NAME
 
 
-def test_expired_at_a_recovery_stays_expired_when_the_clock_steps_back() -> None:
+def test_a_value_that_expired_at_a_recovery_stays_expired_when_the_clock_steps_back() -> None:
     clock = ManualClock()
     files, store = open_in_memory(clock=clock)
     store.write([WriteOperation(b"k", b"v", clock.now + 40)], Durability.SYNCED)
@@ -77,7 +77,7 @@
 
 
 def test_a_frame_inside_a_value_is_no_frame() -> None:
-    """Nor is one that an earlier write left behind: each checksum is valid at its own offset alone."""
+    """Nor is one that an earlier write left: each checksum is valid only at its own offset."""
     offset = 40
     record = frames.Record(offset + frames.FRAME_HEADER_BYTES, frames.PUT, 99, 0, b"evil", b"x")
     body = frames.encode_record(record, segment_id=1)
@@ -93,7 +93,7 @@
 
 
 def test_broken_bytes_that_had_been_synced_are_damage_and_no_tail() -> None:
-    """Two synced batches behind it tell that the first had been on disk; else all would be dropped."""
+    """Two synced batches after it prove that the first one had been on disk; else all would be dropped."""
     files, store = open_in_memory(max_segment_bytes=LARGE_SEGMENT_BYTES)
     for key in (b"a", b"b", b"c"):
         store.put(key, key * 20)
@@ -114,8 +114,8 @@
     assert set(dict(store.items())) == {b"a", b"b"}
 
 
-def test_a_broken_hint_is_made_anew() -> None:
-    files = closed_store_files(compact=True)
+def test_a_broken_hint_is_rebuilt() -> None:
+    files = compacted_store_files()
     _, store = open_in_memory(files)
     assert store.rebuilt_hint_count == 0
     hint_names = [name for name in files.list_names() if name.endswith(".hint")]
--- a/tests/store/test_repair.py
+++ b/tests/store/test_repair.py
@@ -14,17 +14,24 @@
 from tansyladder.store import StoreError, errors, frames, open_store
 from tansyladder.store.files import RealFiles
 from tansyladder.store.repair import examine, repair
-from tests.store.harness import KEY_COUNT, closed_store_files, contents_of, open_in_memory
+from tests.store.harness import (
+    KEY_COUNT,
+    NODE,
+    SMALL_SEGMENT_BYTES,
+    closed_store_files,
+    contents_of,
+    open_in_memory,
+)
 
 
 def test_repair_saves_what_can_be_read_and_changes_nothing() -> None:
     intact = contents_of(closed_store_files())
     assert not examine(FaultInjectingFiles(intact)).faults
-    victim = sorted(name for name in intact if name.endswith(".log"))[1]
-    changed = bytearray(intact[victim])
+    damaged_name = sorted(name for name in intact if name.endswith(".log"))[1]
+    changed = bytearray(intact[damaged_name])
     changed[frames.SEGMENT_HEADER_BYTES + frames.FRAME_HEADER_BYTES + 30] ^= 1
-    damaged = {**intact, victim: bytes(changed)}
-    with pytest.raises(errors.StoreCorruptError, match=victim):
+    damaged = {**intact, damaged_name: bytes(changed)}
+    with pytest.raises(errors.StoreCorruptError, match=damaged_name):
         open_in_memory(FaultInjectingFiles(damaged))
     source = FaultInjectingFiles(damaged)
     target = FaultInjectingFiles()
@@ -32,7 +39,7 @@
     assert contents_of(source) == damaged
     assert result.saved_keys == KEY_COUNT - 1
     assert result.lost_sequences == 1
-    assert victim in result.faults[0]
+    assert damaged_name in result.faults[0]
     _, store = open_in_memory(target)
     assert len(store) == KEY_COUNT - 1
     with pytest.raises(StoreError, match="not empty"):
@@ -44,32 +51,46 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=30)
 
 
-def test_the_store_commands_show_verify_compact_dump_and_repair(tmp_path: Path) -> None:
+@pytest.fixture
+def store_folder(tmp_path: Path) -> Path:
+    """The folder of a closed store of five keys."""
     folder = tmp_path / "store"
-    store = open_store(RealFiles(folder), "n1", ManualClock(), 400)
+    store = open_store(RealFiles(folder), NODE, ManualClock(), SMALL_SEGMENT_BYTES)
     for number in range(60):
         store.put(b"k%d" % (number % 5), b"value" * 4)
     store.close()
-    assert "sealed" in run_store_command("inspect", str(folder)).stdout
-    assert run_store_command("verify", str(folder)).returncode == 0
-    assert "5 keys" in run_store_command("compact", str(folder)).stdout
-    dumped = run_store_command("dump", str(folder)).stdout.splitlines()
-    keys = {bytes.fromhex(json.loads(line)["key"]) for line in dumped}
-    assert keys == {b"k%d" % number for number in range(5)}
+    return folder
+
 
-    log = next(folder.glob("*.log"))
+def damage(folder: Path) -> None:
+    """Flip a bit of the largest segment, and remove the hints, so that the segment is read."""
+    log = max(folder.glob("*.log"), key=lambda path: path.stat().st_size)
     data = bytearray(log.read_bytes())
     data[60] ^= 1
     log.write_bytes(data)
     for hint in folder.glob("*.hint"):
         hint.unlink()
-    verified = run_store_command("verify", str(folder))
+
+
+def test_the_store_commands_inspect_verify_compact_and_dump(store_folder: Path) -> None:
+    assert "sealed" in run_store_command("inspect", str(store_folder)).stdout
+    assert run_store_command("verify", str(store_folder)).returncode == 0
+    assert "5 keys" in run_store_command("compact", str(store_folder)).stdout
+    dumped = run_store_command("dump", str(store_folder)).stdout.splitlines()
+    keys = {bytes.fromhex(json.loads(line)["key"]) for line in dumped}
+    assert keys == {b"k%d" % number for number in range(5)}
+
+
+def test_the_store_commands_report_and_repair_damage(store_folder: Path, tmp_path: Path) -> None:
+    assert "5 keys" in run_store_command("compact", str(store_folder)).stdout
+    damage(store_folder)
+    verified = run_store_command("verify", str(store_folder))
     assert verified.returncode == 1
     assert "broken" in verified.stderr
-    refused = run_store_command("dump", str(folder))
-    assert refused.returncode == 3
-    assert refused.stderr.startswith("damaged:")
-    assert "Traceback" not in refused.stderr
+    dumped = run_store_command("dump", str(store_folder))
+    assert dumped.returncode == 3
+    assert dumped.stderr.startswith("damaged:")
+    assert "Traceback" not in dumped.stderr
     target = tmp_path / "new"
-    assert run_store_command("repair", str(folder), str(target)).returncode == 0
+    assert run_store_command("repair", str(store_folder), str(target)).returncode == 0
     assert run_store_command("verify", str(target)).returncode == 0
--- a/tests/store/test_writing.py
+++ b/tests/store/test_writing.py
@@ -1,4 +1,4 @@
-"""The write path: bounds, group commit, and failures that end the writing."""
+"""The write path: bounds, group commit, and failures after which the store rejects writes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,37 @@
 MAX_WAIT_S = 20.0
 
 
-def wait_until(holds: Callable[[], bool], seconds: float = MAX_WAIT_S) -> None:
+def wait_until(is_met: Callable[[], bool], seconds: float = MAX_WAIT_S) -> None:
     deadline = time.monotonic() + seconds
-    while not holds() and time.monotonic() < deadline:
+    while not is_met() and time.monotonic() < deadline:
         time.sleep(0.0005)
 
 
+class ConcurrentPut:
+    """A thread that puts one key, and the error that it gets."""
+
+    def __init__(self, store: Store, key: bytes) -> None:
+        self._store = store
+        self._key = key
+        self._thread = threading.Thread(target=self._put, daemon=True)
+        self.errors = list[StoreError]()
+
+    def _put(self) -> None:
+        try:
+            self._store.put(self._key, b"x")
+        except StoreError as err:
+            self.errors.append(err)
+
+    def start(self) -> None:
+        """Begin the write."""
+        self._thread.start()
+
+    def join(self) -> None:
+        """Wait until the write has returned."""
+        self._thread.join(MAX_WAIT_S)
+        assert not self._thread.is_alive()
+
+
 def test_bounds_of_keys_values_and_batches() -> None:
     files, store = open_in_memory(max_segment_bytes=4 << 20)
     largest_key = b"k" * MAX_KEY_BYTES
@@ -47,8 +72,8 @@
     assert len(store) == 2
 
 
-def put_until_refused(store: Store, writer: int, acknowledged: dict[bytes, bytes]) -> None:
-    """Put sixty keys of one writer, and note each that the store acknowledged."""
+def put_until_rejected(store: Store, writer: int, acknowledged: dict[bytes, bytes]) -> None:
+    """Put sixty keys of one writer, and record each that the store has acknowledged."""
     for number in range(60):
         key = b"%d-%d" % (writer, number)
         value = b"%d" % number
@@ -60,13 +85,14 @@
 
 
 def test_many_writers_share_a_sync_and_each_gets_its_own_result() -> None:
-    """Also where the disk fails in the middle: who was told of success finds its record after a loss."""
+    """Also where the disk fails in the middle: each acknowledged record exists after a power loss."""
     files, store = open_in_memory(max_segment_bytes=1 << 20)
     acknowledged: dict[bytes, bytes] = {}
     files.before_sync = lambda: wait_until(lambda: store.waiting_write_count >= 8, seconds=0.1)
     files.failing_steps[files.step_count + 60] = errno.EIO
     writers = [
-        threading.Thread(target=put_until_refused, args=(store, writer, acknowledged)) for writer in range(16)
+        threading.Thread(target=put_until_rejected, args=(store, writer, acknowledged))
+        for writer in range(16)
     ]
     for thread in writers:
         thread.start()
@@ -81,31 +107,23 @@
     assert acknowledged.items() <= dict(recovered.items()).items()
 
 
-def test_a_write_that_waits_while_maintenance_breaks_the_store_is_refused() -> None:
-    """The failed sync dropped what stands before it in the log: a recovery would not reach this write."""
+def test_a_write_that_waits_while_maintenance_breaks_the_store_is_rejected() -> None:
+    """The failed sync has lost earlier records of the log: a recovery would not reach this write."""
     files, store = open_in_memory(max_segment_bytes=1 << 16)
     store.put(b"before", b"x", durability=Durability.BUFFERED)
-    refused = list[StoreError]()
-
-    def write_late() -> None:
-        try:
-            store.put(b"late", b"x")
-        except StoreError as err:
-            refused.append(err)
-
-    writer = threading.Thread(target=write_late)
+    late_put = ConcurrentPut(store, b"late")
 
     def fail_once_the_writer_waits() -> None:
         files.before_sync = lambda: None
-        writer.start()
+        late_put.start()
         wait_until(lambda: store.waiting_write_count > 0)
         files.failing_steps[files.step_count] = errno.EIO
 
     files.before_sync = fail_once_the_writer_waits
     with pytest.raises(errors.StoreBrokenError):
         store.maintain()
-    writer.join(MAX_WAIT_S)
-    assert [type(error) for error in refused] == [errors.StoreBrokenError]
+    late_put.join()
+    assert [type(error) for error in late_put.errors] == [errors.StoreBrokenError]
     _, recovered = open_in_memory(files.after_power_loss(random.Random(1), 0), 1 << 16)
     assert dict(recovered.items()) == {}
 
@@ -118,7 +136,7 @@
         self.is_unreadable = False
 
     def create(self, name: str) -> UnreadableOnceFile:
-        """A new, empty file. OSError."""
+        """Create an empty file. OSError."""
         super().create(name)
         return UnreadableOnceFile(self, self.visible[name])
 
@@ -131,7 +149,7 @@
         self._unreadable_files = files
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """As of any file, or OSError where it is to fail."""
+        """Read as any file does, or fail once with OSError."""
         if self._unreadable_files.is_unreadable:
             self._unreadable_files.is_unreadable = False
             raise OSError(errno.EIO, "made to fail: read")
@@ -139,30 +157,22 @@
 
 
 def test_a_commit_that_fails_unexpectedly_breaks_the_store_and_no_writer_waits_for_it() -> None:
-    """The leader compares the keys of one hash, and can't read the older one."""
+    """The leader compares the key with the stored one of the same hash, and can't read that."""
     files = UnreadableOnceFiles()
     _, store = open_in_memory(files)
     store.put(b"k", b"old")
     files.is_unreadable = True
     with pytest.raises(OSError, match="made to fail: read"):
         store.put(b"k", b"new")
-    refused = list[StoreError]()
-
-    def write_later() -> None:
-        try:
-            store.put(b"other", b"x")
-        except StoreError as err:
-            refused.append(err)
-
-    writer = threading.Thread(target=write_later, daemon=True)
-    writer.start()
-    writer.join(MAX_WAIT_S)
-    assert [type(error) for error in refused] == [errors.StoreBrokenError]
+    later_put = ConcurrentPut(store, b"other")
+    later_put.start()
+    later_put.join()
+    assert [type(error) for error in later_put.errors] == [errors.StoreBrokenError]
     assert store.get(b"k") == b"old"
 
 
 class UncertainManifestFiles(FaultInjectingFiles):
-    """Files whose second sync of the directory fails for want of room: the first is for a segment's name."""
+    """Files whose second sync of the directory fails for lack of space; the first is for a segment's name."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -170,7 +180,7 @@
         self.sync_count = 0
 
     def sync_directory(self) -> None:
-        """All changes of names are on disk, but not the second time."""
+        """Put all changes of names on disk, but fail the second time."""
         if self.is_failing:
             self.sync_count += 1
             if self.sync_count == 2:
@@ -184,7 +194,7 @@
 
 
 def test_an_uncertain_manifest_breaks_the_store() -> None:
-    """Its rename may be on disk and seal the segment: what was appended behind that size would be lost."""
+    """Its rename may be on disk and seal the segment: records after the sealed size would be lost."""
     files = UncertainManifestFiles()
     _, store = open_in_memory(files)
     files.is_failing = True
