--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -27,6 +27,7 @@
     answer_up,
     endpoint_entry,
     load_test_config,
+    read_until_closed,
 )
 from tests.node.program import client_of, program, until_line
 
