--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks: one short connection each, `STATS` where endpoints report their load, else `PING`."""
+"""Makes health checks: one short connection each, STATS where endpoints report their load, else PING."""
 
 from __future__ import annotations
 
@@ -9,54 +9,57 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import protocol, sockets
-from tansyladder.net.action_queue import EndpointAddress
 from tansyladder.net.clock import MICROSECOND, now
-from tansyladder.node.policy_runner import PolicyRunner
+from tansyladder.net.endpoint_address import EndpointAddress
+from tansyladder.node.context import NodeContext
+from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 
-CHECK_TIMEOUT = timedelta(milliseconds=150)  # an endpoint that has no time answers ERR after 100 ms
+CHECK_TIMEOUT = timedelta(milliseconds=150)  # an overloaded endpoint answers ERR after 100 ms
 WORKER_COUNT = 4
-MAX_LOGGED_BYTES = 80  # of an answer that can't be used
+MAX_LOGGED_BYTES = 80  # of an invalid answer
 
 
 class CheckResult(NamedTuple):
-    """What a health check came to; `load` is empty where the endpoint sent no report."""
+    """How a health check ended; `load` is empty where the endpoint sent no valid report."""
 
     status: AttemptStatus
     load: tuple[float, ...] = ()
 
 
 class HealthChecker:
-    """A few threads that take health checks off the policy runner's queue, one connection for each check.
+    """A few threads that take health checks off their queue, one connection for each check.
 
     Its attributes do not change after the start, so its threads share it without a lock.
     """
 
-    def __init__(self, runner: PolicyRunner) -> None:
-        self._runner = runner
-        self._report_columns = runner.config.settings.report_columns
+    def __init__(self, context: NodeContext, work_queues: WorkQueues) -> None:
+        self._configuration = context.configuration
+        self._policy = context.policy
+        self._work_queues = work_queues
+        self._report_columns = context.configuration.settings.report_columns
         self._request = protocol.STATS if self._report_columns else protocol.PING
 
     def start(self) -> None:
         """Start the threads, where the platform lets nodes check endpoints."""
-        if self._runner.config.settings.can_check_health:
+        if self._configuration.settings.can_check_health:
             for number in range(WORKER_COUNT):
                 threading.Thread(target=self._run, name=f"health-check-{number}", daemon=True).start()
 
     def _run(self) -> None:
         while True:
-            endpoint = self._runner.health_checks.get()
+            endpoint = self._work_queues.health_checks.get()
             started = now()
             result = self._check(endpoint)
             duration_us = (now() - started) // MICROSECOND
-            self._runner.handle_events(
+            self._policy.handle_events(
                 HealthCheckResult(endpoint.number, result.status, duration_us, result.load)
             )
 
     def _check(self, endpoint: EndpointAddress) -> CheckResult:
-        """Connect, ask, and read the answer; its lines are read to the end of a report."""
+        """Connect to an endpoint, send the request and read the answer, a report included."""
         deadline = now() + CHECK_TIMEOUT
-        connect_timeout = min(self._runner.config.settings.connect_timeout_us * MICROSECOND, CHECK_TIMEOUT)
+        connect_timeout = min(self._configuration.settings.connect_timeout_us * MICROSECOND, CHECK_TIMEOUT)
         try:
             sock = socket.create_connection(endpoint.address, connect_timeout.total_seconds())
         except OSError:
@@ -73,30 +76,35 @@
         except TimeoutError:
             if not lines:
                 return CheckResult(AttemptStatus.TIMEOUT)
-            # It answers, and has no report: it stays as it was known.
+            # It is healthy, and the load that it has reported before still counts.
             self._log_invalid_report(endpoint, lines[0])
             return CheckResult(AttemptStatus.OK)
         except OSError:
             return CheckResult(AttemptStatus.RESET)
         except protocol.LineError as err:
-            log(LogEvent.INVALID_RESPONSE, member=endpoint.id, why=err)
+            log(LogEvent.INVALID_RESPONSE, endpoint=endpoint.id, error=err)
             return CheckResult(AttemptStatus.ERROR)
         return self._parse_report(endpoint, lines[-1])
 
     def _read_answer(self, sock: socket.socket, deadline: timedelta, lines: list[bytes]) -> bool:
-        """Read an answer into `lines`; False where it does not begin with PONG. Raises OSError at its end."""
+        """Read an answer into `lines`; return False where it does not begin with PONG.
+
+        Raises:
+            OSError: The connection ended, or the deadline passed, before the answer was complete.
+            LineError: A line is too long.
+        """
         buffer = protocol.LineBuffer()
         while not lines or not self._is_complete(lines):
             data = sockets.receive_by(sock, protocol.MAX_LINE_BYTES, deadline)
             if not data:
                 raise ConnectionResetError("the connection ended within an answer")
             lines += buffer.feed(data)
-            if lines and protocol.first_word(lines[0]) != protocol.PONG:
+            if lines and protocol.parse_keyword(lines[0]) != protocol.PONG:
                 return False
         return True
 
     def _is_complete(self, lines: list[bytes]) -> bool:
-        """Whether the answer is complete: a report stands behind PONG, or in a line of its own."""
+        """Return whether the answer is complete: a report follows PONG, or is a line of its own."""
         return not self._report_columns or len(lines) > 1 or b"=" in lines[0]
 
     def _parse_report(self, endpoint: EndpointAddress, line: bytes) -> CheckResult:
@@ -109,4 +117,4 @@
 
     @staticmethod
     def _log_invalid_report(endpoint: EndpointAddress, line: bytes) -> None:
-        log(LogEvent.INVALID_LOAD_REPORT, member=endpoint.id, line=line[:MAX_LOGGED_BYTES])
+        log(LogEvent.INVALID_LOAD_REPORT, endpoint=endpoint.id, line=line[:MAX_LOGGED_BYTES])
--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -15,8 +15,8 @@
 
 from tansyladder.log import LogEvent, log
 from tansyladder.net import sockets
-from tansyladder.net.action_queue import ResumingClient
 from tansyladder.net.clock import Clock, now
+from tansyladder.net.resuming_client import ResumingClient
 from tansyladder.replication.session_ownership import (
     ClaimConfirmation,
     ClaimRejection,
@@ -160,7 +160,7 @@
                 target=self._release_until_decided, args=(confirmation,), name="give-back", daemon=True
             ).start()
         except RuntimeError as error:
-            log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
+            log(LogEvent.SESSION_TAKEOVER_FAILED, error=error)
             self._release_finished()
 
     def _release_until_decided(self, confirmation: ClaimConfirmation) -> None:
