--- a/tansyladder/resumption/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -13,6 +13,7 @@
 
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.errors import ControlMessageError, PositionError, PositionMismatch
+from tansyladder.resumption.host_state import HostState
 from tansyladder.resumption.replay_buffer import MemoryBudget, ReplayBuffer
 
 LINES_PER_ACKNOWLEDGEMENT = 16  # of a client, which keeps both traffic and the client's buffer small
@@ -21,30 +22,6 @@
 MOVE_LINE = b"MOVE\r\n"
 
 
-class HostState(Enum):
-    """What the session knows of its stream host."""
-
-    NEW = "new"  # no line of the first host yet, which shows whether it supports resumption
-    WITHOUT_RESUMPTION = "without resumption"  # no other host can continue the session
-    RESUMABLE = "resumable"  # another host can continue the session
-    PLACING = "placing"  # the next host's position is expected
-    RESTORED = "restored"  # as PLACING, and no position is known: the node that knew them has ended
-
-
-# The states in which the host, or the earlier hosts of the session, support resumption.
-_RESUMPTION_STATES = frozenset({HostState.RESUMABLE, HostState.PLACING, HostState.RESTORED})
-# The states in which the host's next line is the first one after UP.
-_FIRST_LINE_STATES = frozenset({HostState.NEW, HostState.PLACING, HostState.RESTORED})
-# The state after the first line to the next host was formatted.
-_STATE_AFTER_OPENING = {
-    HostState.NEW: HostState.NEW,
-    HostState.WITHOUT_RESUMPTION: HostState.NEW,
-    HostState.RESUMABLE: HostState.PLACING,
-    HostState.PLACING: HostState.PLACING,
-    HostState.RESTORED: HostState.RESTORED,
-}
-
-
 class StreamSignal(Enum):
     """The effect of a line on the session."""
 
@@ -117,15 +94,10 @@
 
     # --- what is still possible
 
-    @property
-    def _is_host_resumable(self) -> bool:
-        """Whether the stream host supports resumption."""
-        return self._host_state in _RESUMPTION_STATES
-
     @property
     def can_migrate(self) -> bool:
         """Whether the session can continue at another stream host."""
-        return self._is_host_resumable and self.from_client.can_replay
+        return self._host_state.supports_resumption and self.from_client.can_replay
 
     @property
     def can_resume_client(self) -> bool:
@@ -137,7 +109,7 @@
     def begin_placement(self) -> tuple[tuple[str, str], ...]:
         """Return the fields of the first line to the next stream host; its epoch fences off earlier hosts."""
         self.epoch += 1
-        self._host_state = _STATE_AFTER_OPENING[self._host_state]
+        self._host_state = self._host_state.after_opening()
         are_positions_unknown = self._host_state is HostState.RESTORED
         first = self.from_client.acknowledged_position
         last = control_messages.MAX_POSITION if are_positions_unknown else self.from_client.end_position
@@ -170,12 +142,13 @@
 
         ControlMessageError, PositionError: the session can't continue with this host.
         """
-        if self._host_state in _FIRST_LINE_STATES:
+        if self._host_state.expects_first_line:
             if line == control_messages.FIRST_POSITION_LINE:
                 self._host_state = HostState.RESUMABLE
                 return StreamOutput()
-            self._reject_migration()
-        if self._is_host_resumable and control_messages.is_control(line):
+            self._host_state = self._host_state.after_line_without_position()
+            self.from_client.discard()  # such a host never acknowledges, so no other one can continue
+        if self._host_state.supports_resumption and control_messages.is_control(line):
             self._receive_host_control(line)
             return StreamOutput()
         if line == MOVE_LINE:
@@ -185,12 +158,6 @@
             return StreamOutput(to_client=line, signal=StreamSignal.HOST_FINISHED)
         return StreamOutput(to_client=line)
 
-    def _reject_migration(self) -> None:
-        """Buffer no lines for further hosts: a host that sends no position never acknowledges any."""
-        is_new = self._host_state is HostState.NEW
-        self._host_state = HostState.WITHOUT_RESUMPTION if is_new else HostState.RESUMABLE
-        self.from_client.discard()
-
     def _receive_host_control(self, line: bytes) -> None:
         """Process an acknowledgement of the stream host, which may send no other control line here."""
         message = control_messages.parse_host(line)
@@ -208,7 +175,7 @@
     @property
     def durable_position(self) -> int:
         """The position up to which the client need not resend its lines, even if this node fails."""
-        if self._is_durable and self._is_host_resumable:
+        if self._is_durable and self._host_state.supports_resumption:
             return self.from_client.acknowledged_position
         return self.from_client.end_position
 
@@ -234,10 +201,10 @@
         """Process a control line of the client; the host gets it if it supports resumption."""
         message = control_messages.parse_client(line)
         if isinstance(message, control_messages.EndOfSession):
-            to_host = control_messages.END_LINE if self._is_host_resumable else b""
+            to_host = control_messages.END_LINE if self._host_state.supports_resumption else b""
             return StreamOutput(to_host=to_host, signal=StreamSignal.CLIENT_LEFT)
         self.from_host.acknowledge(message.position)
-        if not self._is_host_resumable:
+        if not self._host_state.supports_resumption:
             return StreamOutput()
         return StreamOutput(to_host=control_messages.format_acknowledgement(message.position))
 
