--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -1,8 +1,7 @@
-"""The operator's own settings: one S-expression file, read with sexpdata and checked in one place.
+"""The operator's own settings: their keys, defaults and bounds, in a file of S-expressions.
 
-The platform needs no such file: without it, all features that it can enable are disabled. Durations are
-written "30 s" (us, ms, s, min, h), sizes "64 KiB" (KiB, MiB). An error names the path of its key, as in
-`resume.expires: …`.
+The platform needs no such file: without it, all features that it can enable are disabled. An error names the
+path of its key, as in `resume.expires: …`.
 """
 
 from __future__ import annotations
@@ -10,7 +9,7 @@
 import re
 from datetime import timedelta
 from pathlib import Path
-from typing import Annotated, Any, NamedTuple
+from typing import Annotated, NamedTuple
 
 import msgspec
 
@@ -21,17 +20,7 @@
 )
 from tansyladder.config.errors import OptionsError
 
-SPANS = {
-    "us": timedelta(microseconds=1),
-    "ms": timedelta(milliseconds=1),
-    "s": timedelta(seconds=1),
-    "min": timedelta(minutes=1),
-    "h": timedelta(hours=1),
-}
-SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
-MAX_DEPTH = 16  # of brackets; deeper ones must not exhaust the reader's stack
-MAX_SHOWN_VALUE = 40  # characters of an invalid value in an error message
-MAX_SHOWN_CHARACTERS = 80  # of the library's message in an error message
+MAX_SHOWN_NAME = 40  # characters of an invalid name in an error message
 TOKEN_KEYS = "keys"  # the only name with a list of values, and the only one that a reload may change
 TOKEN_KEY_ID_MAX = 255  # one byte of a token
 SECRET_PATTERN = re.compile(r"[0-9a-fA-F]{64}\Z")  # 32 bytes
@@ -41,7 +30,6 @@
 LONGEST_EXPIRY = timedelta(hours=1)
 SHORTEST_LEASE = timedelta(seconds=2)
 LONGEST_LEASE = timedelta(minutes=10)
-_QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) ?(us|ms|s|min|h|B|KiB|MiB)\Z", re.A)
 
 
 class KeyEntry(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -117,7 +105,7 @@
         if len(voters) not in VOTER_COUNTS or len(voters) != len(names):
             raise ValueError("voters: one, three or five names expected")
         if missing := sorted(voters - set(self.members)):
-            raise ValueError(f"voters: not among the members: {missing[0][:MAX_SHOWN_VALUE]}")
+            raise ValueError(f"voters: not among the members: {missing[0][:MAX_SHOWN_NAME]}")
 
 
 class DocumentsOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -166,16 +154,10 @@
 
 def parse_file(text: str) -> SettingsFile:
     """Parse the text of a settings file. OptionsError: names the path of the first fault."""
-    # Lazy: a node without settings doesn't load the library.
-    import sexpdata
+    # Lazy: a node without settings doesn't load the library that reads them.
+    from tansyladder.config.s_expressions import parse_sections
 
-    try:
-        entries = sexpdata.parse(text)
-    except (sexpdata.ExpectClosingBracket, sexpdata.ExpectNothing, sexpdata.ExpectSExp) as err:
-        raise OptionsError("file", f"brackets that don't match: {err}") from err
-    except Exception as err:
-        raise OptionsError("file", f"not S-expressions: {str(err)[:MAX_SHOWN_CHARACTERS]}") from err
-    sections = _parse_entries(entries, "")
+    sections = parse_sections(text, list_names=(TOKEN_KEYS,))
     deprecated_keys = rename_deprecated_keys(sections)
     try:
         return SettingsFile(msgspec.convert(sections, Options), deprecated_keys)
@@ -213,65 +195,3 @@
         new = msgspec.structs.asdict(getattr(reloaded, section))
         changed += [f"{section}.{name}" for name in old if old[name] != new[name] and name != TOKEN_KEYS]
     return changed
-
-
-def _parse_entries(entries: list[Any], path: str) -> dict[str, object]:
-    """Convert entries such as `((a 1) (b (c 2)))` to nested dictionaries; `path` is that of their section."""
-    if path.count(".") > MAX_DEPTH:
-        raise OptionsError(path[:MAX_SHOWN_VALUE], f"brackets deeper than {MAX_DEPTH}")
-    parsed: dict[str, object] = {}
-    for entry in entries:
-        if not _is_named(entry):
-            raise OptionsError(path or "file", f"(name value) expected, not {str(entry)[:MAX_SHOWN_VALUE]}")
-        symbol, *values = entry
-        name = symbol.value()
-        entry_path = f"{path}.{name}" if path else name
-        if name in parsed:
-            raise OptionsError(entry_path, "stands twice")
-        if not values and path:
-            raise OptionsError(entry_path, "a value is missing")
-        parsed[name] = _parse_values(name, values, entry_path)
-    return parsed
-
-
-def _parse_values(name: str, values: list[Any], path: str) -> object:
-    """Convert the values that follow a name: a list for TOKEN_KEYS, else named entries or one plain value."""
-    if name == TOKEN_KEYS:
-        return [_parse_key(key, path) for key in values]
-    if all(map(_is_named, values)):
-        return _parse_entries(values, path)
-    if len(values) != 1:
-        raise OptionsError(path, f"one value expected, not {len(values)}")
-    return _parse_scalar(values[0], path)
-
-
-def _parse_key(key: object, path: str) -> object:
-    """Convert a key such as `(3 "ab..")` to a list, which msgspec validates."""
-    if isinstance(key, list):
-        return [_parse_scalar(value, path) for value in key]
-    return _parse_scalar(key, path)
-
-
-def _parse_scalar(value: object, path: str) -> object:
-    """Convert a plain value: a boolean, a number, a duration, a size in bytes, or a string."""
-    import sexpdata  # lazy as in `parse_file`
-
-    if isinstance(value, sexpdata.Symbol):
-        text = value.value()
-        if text not in ("true", "false"):
-            shown = text[:MAX_SHOWN_VALUE]
-            raise OptionsError(path, f"true, false, a number or a string expected, not {shown}")
-        return text == "true"
-    if isinstance(value, str) and (quantity := _QUANTITY.match(value)):
-        number, unit = quantity.groups()
-        return float(number) * SPANS[unit] if unit in SPANS else int(float(number) * SIZES[unit])
-    if isinstance(value, bool | int | float | str):
-        return value
-    raise OptionsError(path, "a plain value expected")
-
-
-def _is_named(value: object) -> bool:
-    """Return whether a value is a list that begins with a name."""
-    import sexpdata  # lazy as in `parse_file`
-
-    return isinstance(value, list) and bool(value) and isinstance(value[0], sexpdata.Symbol)
--- /dev/null
+++ b/tansyladder/config/s_expressions.py
@@ -0,0 +1,107 @@
+"""Reads settings from S-expressions such as `(section (name value))`, with sexpdata.
+
+Values are `true`, `false`, numbers and strings. Durations are written "30 s" (us, ms, s, min, h), sizes
+"64 KiB" (KiB, MiB).
+"""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Container
+from datetime import timedelta
+from typing import Any
+
+import sexpdata
+
+from tansyladder.config.errors import OptionsError
+
+DURATION_UNITS = {
+    "us": timedelta(microseconds=1),
+    "ms": timedelta(milliseconds=1),
+    "s": timedelta(seconds=1),
+    "min": timedelta(minutes=1),
+    "h": timedelta(hours=1),
+}
+SIZE_UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
+MAX_DEPTH = 16  # of brackets; deeper ones must not exhaust the reader's stack
+MAX_SHOWN_VALUE = 40  # characters of an invalid value in an error message
+MAX_SHOWN_CHARACTERS = 80  # of the library's message in an error message
+_QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) ?(us|ms|s|min|h|B|KiB|MiB)\Z", re.A)
+
+
+def parse_sections(text: str, list_names: Container[str]) -> dict[str, object]:
+    """Convert the text of a file to nested dictionaries, with durations as timedelta and sizes in bytes.
+
+    `list_names`: names that are followed by any number of items. OptionsError: names the path of the fault.
+    """
+    try:
+        entries = sexpdata.parse(text)
+    except (sexpdata.ExpectClosingBracket, sexpdata.ExpectNothing, sexpdata.ExpectSExp) as err:
+        raise OptionsError("file", f"brackets that don't match: {err}") from err
+    except Exception as err:
+        raise OptionsError("file", f"not S-expressions: {str(err)[:MAX_SHOWN_CHARACTERS]}") from err
+    return _parse_entries(entries, "", list_names)
+
+
+def _parse_entries(entries: list[Any], path: str, list_names: Container[str]) -> dict[str, object]:
+    """Convert entries such as `((a 1) (b (c 2)))` to nested dictionaries; `path` is that of their section."""
+    if path.count(".") > MAX_DEPTH:
+        raise OptionsError(path[:MAX_SHOWN_VALUE], f"brackets deeper than {MAX_DEPTH}")
+    parsed: dict[str, object] = {}
+    for entry in entries:
+        if not _is_named(entry):
+            raise OptionsError(path or "file", f"(name value) expected, not {str(entry)[:MAX_SHOWN_VALUE]}")
+        symbol, *values = entry
+        name = symbol.value()
+        entry_path = f"{path}.{name}" if path else name
+        if name in parsed:
+            raise OptionsError(entry_path, "stands twice")
+        if not values and path:
+            raise OptionsError(entry_path, "a value is missing")
+        parsed[name] = _parse_values(name, values, entry_path, list_names)
+    return parsed
+
+
+def _parse_values(name: str, values: list[Any], path: str, list_names: Container[str]) -> object:
+    """Convert the values that follow a name: a list of items, named entries, or one plain value."""
+    if name in list_names:
+        return [_parse_item(item, path) for item in values]
+    if all(map(_is_named, values)):
+        return _parse_entries(values, path, list_names)
+    if len(values) != 1:
+        raise OptionsError(path, f"one value expected, not {len(values)}")
+    return _parse_scalar(values[0], path)
+
+
+def _parse_item(item: object, path: str) -> object:
+    """Convert an item of a list: plain values in brackets, such as `(3 "ab..")`, or one plain value."""
+    if isinstance(item, list):
+        return [_parse_scalar(value, path) for value in item]
+    return _parse_scalar(item, path)
+
+
+def _parse_scalar(value: object, path: str) -> object:
+    """Convert a plain value: a boolean, a number, a duration, a size in bytes, or a string."""
+    if isinstance(value, sexpdata.Symbol):
+        text = value.value()
+        if text not in ("true", "false"):
+            shown = text[:MAX_SHOWN_VALUE]
+            raise OptionsError(path, f"true, false, a number or a string expected, not {shown}")
+        return text == "true"
+    if isinstance(value, str) and (quantity := _QUANTITY.match(value)):
+        return _parse_quantity(*quantity.groups())
+    if isinstance(value, bool | int | float | str):
+        return value
+    raise OptionsError(path, "a plain value expected")
+
+
+def _parse_quantity(number: str, unit: str) -> timedelta | int:
+    """Convert a duration, or a size in bytes."""
+    if unit in DURATION_UNITS:
+        return float(number) * DURATION_UNITS[unit]
+    return int(float(number) * SIZE_UNITS[unit])
+
+
+def _is_named(value: object) -> bool:
+    """Return whether a value is a list that begins with a name."""
+    return isinstance(value, list) and bool(value) and isinstance(value[0], sexpdata.Symbol)
