--- a/tansyladder/config/json_paths.py
+++ b/tansyladder/config/json_paths.py
@@ -29,6 +29,7 @@
 
 
 def _format(value: object) -> str:
+    """Format a plain value; null is empty."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return "" if value is None else str(value)
--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -174,6 +174,7 @@
 
 
 def _read_file(environ: Mapping[str, str]) -> bytes:
+    """Read the file that GW_CONFIG names. ConfigError: there is none, or it can't be read."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG", "not set; it names the JSON file with the settings")
@@ -184,6 +185,7 @@
 
 
 def _decode(text: bytes) -> _File:
+    """Decode the JSON file. ConfigError: it is invalid."""
     try:
         return msgspec.json.decode(text, type=_File)
     except msgspec.ValidationError as err:  # its message ends in the key: "... - at `$.limits.sockets`"
@@ -193,6 +195,7 @@
 
 
 def _parse_seed(text: str) -> int:
+    """Parse the hexadecimal seed. ConfigError."""
     try:
         return int(text, 16)
     except ValueError as err:
@@ -200,6 +203,7 @@
 
 
 def _check_limits(limits: Limits) -> None:
+    """Raise ConfigError where the machine's resources are not above 0."""
     for key, value in (("memory_mb", limits.memory_mb), ("sockets", limits.sockets)):
         if value < 1:
             raise ConfigError(f"limits.{key}", "must be above 0")
@@ -231,6 +235,7 @@
 
 
 def _names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
+    """Return the list of names behind a key. ConfigError: it is none."""
     names = settings.get(key, [])
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise ConfigError(f"settings.{key}", "a list of names expected")
@@ -238,6 +243,7 @@
 
 
 def _class_names(settings: Mapping[str, Any]) -> tuple[str, ...]:
+    """Check the classes and return their names. ConfigError: a class is invalid, or there is none."""
     classes = settings.get("classes", [])
     if not isinstance(classes, list) or not classes:
         raise ConfigError("settings.classes", "a list with at least one class expected")
@@ -250,6 +256,7 @@
 
 
 def _tenant_names(settings: Mapping[str, Any]) -> tuple[str, ...]:
+    """Check the tenants and return their names. ConfigError."""
     tenants = settings.get("tenants", [])
     if not isinstance(tenants, list):
         raise ConfigError("settings.tenants", "a list expected")
@@ -259,11 +266,13 @@
 
 
 def _check_name(entry: object, path: str) -> None:
+    """Raise ConfigError where an entry has no name."""
     if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
         raise ConfigError(f"{path}.name", "a name expected")
 
 
 def _unique_names(entries: list[dict[str, Any]], path: str) -> tuple[str, ...]:
+    """Return the entries' names. ConfigError: two entries have the same name."""
     names = tuple(entry["name"] for entry in entries)
     if len(set(names)) != len(names):
         raise ConfigError(path, "a name stands twice")
--- a/tansyladder/config/policy_settings.py
+++ b/tansyladder/config/policy_settings.py
@@ -120,6 +120,7 @@
 
 
 def _settings(keys: _Keys) -> Settings:
+    """Build the settings; SettingsError names a field, ValueError a path."""
     message_objectives = keys.numbers("extra.message_aim")
     class_indices = range(keys.integer("classes.count", 0))
     return Settings(
--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -25,6 +25,7 @@
 
 
 def _clock_us() -> int:
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
@@ -75,6 +76,7 @@
 
 
 def _segment_line(report: repairing.SegmentReport) -> str:
+    """Format the report of one segment."""
     state = "not named"
     if report.entry is not None:
         state = "sealed" if report.entry.is_sealed else "active"
--- a/tansyladder/store/compaction.py
+++ b/tansyladder/store/compaction.py
@@ -135,6 +135,7 @@
         return self._segment_id << frames.OFFSET_BITS | offset
 
     def _flush(self) -> None:
+        """Write the buffered records as one frame, if there are any. OSError."""
         if not self._body_records:
             return
         frame = frames.encode_frame(
--- a/tansyladder/store/frames.py
+++ b/tansyladder/store/frames.py
@@ -85,6 +85,7 @@
 
 
 def _checksum(data: bytes, segment_id: int, offset: int) -> int:
+    """Return the checksum of bytes at an offset of a segment."""
     return xxhash.xxh3_64_intdigest(data, seed=(segment_id << OFFSET_BITS | offset) & SEED_MASK)
 
 
--- a/tansyladder/store/index.py
+++ b/tansyladder/store/index.py
@@ -124,6 +124,7 @@
         self._key_count = self._occupied_slots = len(live)
 
     def _rebuild_with_numpy(self, slot_count: int) -> None:
+        """Rebuild a large table, whose keys would take too long one by one."""
         # Lazy: a small store never needs numpy.
         import numpy as np
 
--- a/tansyladder/store/operations.py
+++ b/tansyladder/store/operations.py
@@ -41,6 +41,7 @@
 
 
 def _check_bounds(operation: WriteOperation) -> None:
+    """Raise RecordTooLargeError where a part of the operation exceeds its bound."""
     key, value, expiry_us = operation
     if not 0 < len(key) <= frames.MAX_KEY_BYTES:
         raise RecordTooLargeError(f"a key of {len(key)} bytes: 1 to {frames.MAX_KEY_BYTES}", key=key)
--- a/tansyladder/store/record_table.py
+++ b/tansyladder/store/record_table.py
@@ -86,6 +86,7 @@
         return Snapshot(segments, locations, self._release)
 
     def _release(self, segments: Sequence[Segment]) -> None:
+        """Release the segments of a snapshot."""
         with self._lock:
             for segment in segments:
                 segment.release()
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -90,6 +90,7 @@
 
 
 def _check_header(file: File, entry: SegmentEntry, node: str) -> None:
+    """Check a segment's header and size. StoreCorruptError, NotAStoreError, OSError."""
     path = segment_file_name(entry.id)
     header = frames.decode_segment_header(file.read_at(0, frames.SEGMENT_HEADER_BYTES), entry.id)
     if header is None:
--- a/tansyladder/store/repair.py
+++ b/tansyladder/store/repair.py
@@ -83,6 +83,7 @@
 
 
 def _segment_ids_on_disk(files: Files) -> list[int]:
+    """Return the ids of all segment files, in ascending order."""
     name_length = SEGMENT_ID_DIGITS + len(LOG_SUFFIX)
     names = [name for name in files.list_names() if name.endswith(LOG_SUFFIX) and len(name) == name_length]
     return sorted(int(name[:SEGMENT_ID_DIGITS], 16) for name in names)
@@ -128,6 +129,7 @@
 
 
 def _read_segment(files: Files, segment_id: int) -> bytes:
+    """Read all bytes of a segment. OSError."""
     with contextlib.closing(files.open(segment_file_name(segment_id))) as file:
         return file.read_at(0, file.size())
 
