--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -43,12 +43,13 @@
         self.dropped_bytes = recovered.dropped_bytes
         self.rebuilt_hint_count = recovered.rebuilt_hint_count
         self._files = files
+        recovered_index = recovered.recovered_index
         self._lifecycle = StoreLifecycle()
-        self._clock = ForwardClock(read_clock, recovered.latest_time_us)
-        self._records = RecordTable(recovered.index, recovered.segments, recovered.manifest.hash_secret)
+        self._clock = ForwardClock(read_clock, recovered_index.latest_time_us)
+        self._records = RecordTable(recovered_index.index, recovered.segments, recovered.manifest.hash_secret)
         self._log = SegmentLog(files, recovered.manifest, self._records, self._lifecycle, max_segment_bytes)
         self._writer = GroupWriter(
-            self._log, self._records, self._lifecycle, self._clock, recovered.last_sequence
+            self._log, self._records, self._lifecycle, self._clock, recovered_index.last_sequence
         )
         self._queue = CommitQueue(self._writer.commit, self._lifecycle)
         self._maintenance = Maintenance(self._log, self._records, self._lifecycle, self._clock)
--- a/tansyladder/store/opening.py
+++ b/tansyladder/store/opening.py
@@ -7,7 +7,7 @@
 import os
 from collections.abc import Callable
 
-from tansyladder.store import frames, manifest, recovery
+from tansyladder.store import manifest, recovery
 from tansyladder.store.engine import DEFAULT_SEGMENT_BYTES, Store
 from tansyladder.store.errors import StoreCorruptError, StoreLockedError, StoreUnusableError
 from tansyladder.store.files import Files
@@ -49,7 +49,6 @@
         _create_manifest(files, node)
     recovered = recovery.recover(files, node, read_clock())
     try:
-        _remove_empty_segments(recovered)
         store = Store(files, recovered, read_clock, max_segment_bytes)
         used_ids = {segment.id for segment in recovered.segments} | {store.active_segment_id}
         recovery.remove_unused_files(files, used_ids)
@@ -71,14 +70,6 @@
     manifest.write_manifest(files, created)
 
 
-def _remove_empty_segments(recovered: recovery.RecoveryResult) -> None:
-    """Remove segments without a frame; each start that writes nothing leaves one."""
-    for segment in list(recovered.segments):
-        if segment.size <= frames.SEGMENT_HEADER_BYTES:
-            recovered.segments.remove(segment)
-            segment.release()
-
-
 def _trim_memory() -> None:
     """Return free memory to the system: the allocator would keep that of the columns of all records."""
     with contextlib.suppress(OSError, AttributeError):
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import contextlib
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from tansyladder.store import frames, hints, manifest
@@ -24,24 +24,33 @@
 SEGMENT_ID_DIGITS = 16  # hexadecimal digits of a segment's number in the names of its files
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
+class RecoveredIndex:
+    """The index of a store at its start."""
+
+    index: Index
+    last_sequence: int  # the highest of any record
+    latest_time_us: int  # the highest Unix time that the store has seen
+
+
+@dataclass(frozen=True, slots=True)
 class RecoveryResult:
     """The content of a store at its start; sizes in bytes."""
 
     manifest: Manifest
-    segments: list[Segment] = field(default_factory=list)  # oldest first
-    index: Index = field(default_factory=Index)
-    last_sequence: int = 0  # the highest of any record
-    latest_time_us: int = 0  # the highest Unix time that the store has seen
-    dropped_bytes: int = 0  # of an incomplete tail
-    rebuilt_hint_count: int = 0  # sealed segments whose hint was missing or invalid
+    segments: tuple[Segment, ...]  # oldest first, without those that have no frame
+    recovered_index: RecoveredIndex
+    dropped_bytes: int  # of an incomplete tail
+    rebuilt_hint_count: int  # sealed segments whose hint was missing or invalid
 
 
 class LoadedSegment(NamedTuple):
-    """A segment with its hint."""
+    """A segment with its hint; sizes in bytes."""
 
     segment: Segment
     hint: Hint
+    dropped_bytes: int = 0  # of an incomplete tail
+    is_hint_rebuilt: bool = False  # whether the hint of a sealed segment was missing or invalid
 
 
 class ScannedSegment(NamedTuple):
@@ -59,22 +68,38 @@
         NotAStoreError: it belongs to another node.
         OSError: it can't be read.
     """
-    result = RecoveryResult(manifest.read_manifest(files))
-    if result.manifest.node != node:
-        raise NotAStoreError(f"the store is of node {result.manifest.node!r}, not {node!r}")
+    current = manifest.read_manifest(files)
+    if current.node != node:
+        raise NotAStoreError(f"the store is of node {current.node!r}, not {node!r}")
     loaded: list[LoadedSegment] = []
     with contextlib.ExitStack() as undo:
-        for entry in result.manifest.segments:
-            loaded_segment = _load_segment(files, entry, result)
+        for entry in current.segments:
+            loaded_segment = _load_segment(files, entry, current)
             undo.callback(loaded_segment.segment.release)
             loaded.append(loaded_segment)
-        _build_index(loaded, result, now_us)
+        recovered_index = _build_index(loaded, now_us)
         undo.pop_all()
-    result.segments = [segment for segment, _ in loaded]
-    return result
-
-
-def _load_segment(files: Files, entry: SegmentEntry, result: RecoveryResult) -> LoadedSegment:
+    return RecoveryResult(
+        current,
+        _release_empty(loaded),
+        recovered_index,
+        dropped_bytes=sum(loaded_segment.dropped_bytes for loaded_segment in loaded),
+        rebuilt_hint_count=sum(loaded_segment.is_hint_rebuilt for loaded_segment in loaded),
+    )
+
+
+def _release_empty(loaded: list[LoadedSegment]) -> tuple[Segment, ...]:
+    """Release segments without a frame, of which each start without a write leaves one; return the others."""
+    used = []
+    for loaded_segment in loaded:
+        if loaded_segment.segment.size > frames.SEGMENT_HEADER_BYTES:
+            used.append(loaded_segment.segment)
+        else:
+            loaded_segment.segment.release()
+    return tuple(used)
+
+
+def _load_segment(files: Files, entry: SegmentEntry, current: Manifest) -> LoadedSegment:
     """Open, verify and read one segment; an error leaves no file open."""
     path = segment_file_name(entry.id)
     try:
@@ -82,8 +107,8 @@
     except FileNotFoundError as err:
         raise StoreCorruptError("missing", path=path) from err
     try:
-        _check_header(file, entry, result.manifest.node)
-        return _read_segment(files, file, entry, result)
+        _check_header(file, entry, current.node)
+        return _read_segment(files, file, entry, current.hash_secret)
     except BaseException:
         file.close()
         raise
@@ -101,20 +126,18 @@
         raise StoreCorruptError(f"{file.size()} bytes, and {entry.size} had been written", path=path)
 
 
-def _read_segment(files: Files, file: File, entry: SegmentEntry, result: RecoveryResult) -> LoadedSegment:
+def _read_segment(files: Files, file: File, entry: SegmentEntry, hash_secret: int) -> LoadedSegment:
     """Read the hint of a sealed segment, or scan the segment where there is no valid hint."""
     if entry.is_sealed:
         hint = hints.read_hint(files, entry.id, entry.size)
         if hint is not None:
             fixed_bytes = entry.size - sum(hint.sizes)
             return LoadedSegment(Segment(entry.id, file, entry.size, fixed_bytes=fixed_bytes), hint)
-    size, hint = _scan_segment(file, entry, result.manifest.hash_secret)
-    if entry.is_sealed:
-        result.rebuilt_hint_count += 1
-    else:
-        result.dropped_bytes += file.size() - size  # the next manifest contains the valid size
+    size, hint = _scan_segment(file, entry, hash_secret)
     segment = Segment(entry.id, file, size, fixed_bytes=size - sum(hint.sizes), pending_hint=hint)
-    return LoadedSegment(segment, hint)
+    if entry.is_sealed:
+        return LoadedSegment(segment, hint, is_hint_rebuilt=True)
+    return LoadedSegment(segment, hint, dropped_bytes=file.size() - size)  # the next manifest has the size
 
 
 def _scan_segment(file: File, entry: SegmentEntry, hash_secret: int) -> ScannedSegment:
@@ -135,36 +158,41 @@
     return ScannedSegment(scan.valid_end, hint)
 
 
-def _build_index(all_loaded: list[LoadedSegment], result: RecoveryResult, now_us: int) -> None:
-    """Index the record of each key with the highest sequence, unless it is a deletion or has expired."""
-    loaded = [(segment, hint) for segment, hint in all_loaded if len(hint)]
+def _build_index(all_loaded: list[LoadedSegment], now_us: int) -> RecoveredIndex:
+    """Index the record of each key with the highest sequence, unless it is a deletion or has expired.
+
+    Counts the live bytes of the segments as well.
+    """
+    loaded = [loaded_segment for loaded_segment in all_loaded if len(loaded_segment.hint)]
     if not loaded:
-        return
+        return RecoveredIndex(Index(), last_sequence=0, latest_time_us=0)
     # Lazy: an empty store never needs numpy.
     import numpy as np
 
     def column(attribute: str, number_type: type) -> np.ndarray[Any, Any]:
-        return np.concatenate([np.frombuffer(getattr(hint, attribute), number_type) for _, hint in loaded])
+        columns = [getattr(loaded_segment.hint, attribute) for loaded_segment in loaded]
+        return np.concatenate([np.frombuffer(values, number_type) for values in columns])
 
-    result.latest_time_us = max(hint.latest_time_us for _, hint in loaded)
+    latest_time_us = max(loaded_segment.hint.latest_time_us for loaded_segment in loaded)
     sequences = column("sequences", np.uint64)
-    result.last_sequence = int(sequences.max())
+    last_sequence = int(sequences.max())
     hashes = column("hashes", np.uint64)
     newest = _newest_of_each(hashes, sequences)
     del sequences  # each column is as long as the store has records: none is kept for longer than needed
     hashes = hashes[newest]
     expiries = column("expiries", np.uint64)[newest]
     is_put = column("kinds", np.uint8)[newest] == frames.PUT
-    is_live = is_put & ((expiries == 0) | (expiries > max(now_us, result.latest_time_us)))
+    is_live = is_put & ((expiries == 0) | (expiries > max(now_us, latest_time_us)))
     newest = newest[is_live]
-    segment_numbers = np.repeat(np.arange(len(loaded)), [len(hint) for _, hint in loaded])[newest]
-    segment_ids = np.array([segment.id for segment, _ in loaded], np.uint64)
+    record_counts = [len(loaded_segment.hint) for loaded_segment in loaded]
+    segment_numbers = np.repeat(np.arange(len(loaded)), record_counts)[newest]
+    segment_ids = np.array([loaded_segment.segment.id for loaded_segment in loaded], np.uint64)
     segment_bits = segment_ids[segment_numbers] << np.uint64(frames.OFFSET_BITS)
     locations = segment_bits | column("offsets", np.uint32)[newest]
     live_bytes = np.bincount(segment_numbers, column("sizes", np.uint32)[newest], len(loaded))
-    for (segment, _), segment_live_bytes in zip(loaded, live_bytes, strict=True):
-        segment.add_live_bytes(int(segment_live_bytes))
-    result.index = Index.build(hashes[is_live], locations)
+    for loaded_segment, segment_live_bytes in zip(loaded, live_bytes, strict=True):
+        loaded_segment.segment.add_live_bytes(int(segment_live_bytes))
+    return RecoveredIndex(Index.build(hashes[is_live], locations), last_sequence, latest_time_us)
 
 
 def _newest_of_each(hashes: np.ndarray[Any, Any], sequences: np.ndarray[Any, Any]) -> np.ndarray[Any, Any]:
--- a/tansyladder/store/repair.py
+++ b/tansyladder/store/repair.py
@@ -4,7 +4,7 @@
 
 import contextlib
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from tansyladder.store import frames, hints, manifest
 from tansyladder.store.errors import StoreError
@@ -24,7 +24,7 @@
     """Report nothing."""
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class SegmentReport:
     """One segment as it is on disk; sizes in bytes."""
 
@@ -38,13 +38,13 @@
     tail_bytes: int = 0  # after the last frame of the active segment: left by a crash, and no fault
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Examination:
     """The result of reading a whole store."""
 
-    manifest: Manifest | None = None
-    manifest_fault: str = ""
-    segments: list[SegmentReport] = field(default_factory=list)
+    manifest: Manifest | None  # None: it can't be read
+    manifest_fault: str
+    segments: tuple[SegmentReport, ...]
 
     @property
     def faults(self) -> list[str]:
@@ -55,7 +55,7 @@
         return [self.manifest_fault, *segment_faults] if self.manifest_fault else segment_faults
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class RepairResult:
     """The result of a repair."""
 
@@ -66,20 +66,23 @@
 
 def examine(files: Files, progress: Progress = _no_progress) -> Examination:
     """Read every byte and change none; a store that is in use may seem to have a torn tail. OSError."""
-    examination = Examination()
+    current = None
+    manifest_fault = ""
     try:
-        examination.manifest = manifest.read_manifest(files)
+        current = manifest.read_manifest(files)
     except (StoreError, OSError) as err:
-        examination.manifest_fault = str(err)
-    named = examination.manifest.segments if examination.manifest else ()
-    entries: dict[int, SegmentEntry | None] = {entry.id: entry for entry in named}
+        manifest_fault = str(err)
+    entries: dict[int, SegmentEntry | None] = {}
+    if current is not None:
+        entries.update({entry.id: entry for entry in current.segments})
     for segment_id in _segment_ids_on_disk(files):
         entries.setdefault(segment_id, None)
+    reports = []
     for done, (segment_id, entry) in enumerate(entries.items()):
         progress("segments", done, len(entries))
-        examination.segments.append(_examine_segment(files, segment_id, entry))
+        reports.append(_examine_segment(files, segment_id, entry))
     progress("segments", len(entries), len(entries))
-    return examination
+    return Examination(current, manifest_fault, tuple(reports))
 
 
 def _segment_ids_on_disk(files: Files) -> list[int]:
@@ -91,35 +94,41 @@
 
 def _examine_segment(files: Files, segment_id: int, entry: SegmentEntry | None) -> SegmentReport:
     """Read one segment and report its content and its faults."""
-    report = SegmentReport(segment_id, entry)
     try:
         data = _read_segment(files, segment_id)
     except OSError as err:
-        report.fault = str(err) or "missing"
-        return report
-    report.size = len(data)
-    if entry is not None and entry.is_sealed:
-        report.has_hint = hints.read_hint(files, segment_id, entry.size) is not None
-    _examine_frames(_listed_bytes(data, entry), report)
-    return report
-
-
-def _examine_frames(data: bytes, report: SegmentReport) -> None:
-    """Scan a segment's bytes, and add its counts and faults to the report."""
-    scan = frames.SegmentScan(data, report.id)
-    for frame in scan.frames():
-        report.frame_count += 1
-        report.record_count += len(frame.records)
-    if frames.decode_segment_header(data, report.id) is None:
-        report.fault = "its head is broken"
-    elif report.entry is not None:
-        report.fault = _frame_fault(scan, report.entry)
-        if not report.fault:
-            report.tail_bytes = len(data) - scan.valid_end
-
-
-def _frame_fault(scan: frames.SegmentScan, entry: SegmentEntry) -> str:
-    """Describe the fault of a listed segment's frames; empty where they are valid."""
+        return SegmentReport(segment_id, entry, fault=str(err) or "missing")
+    listed = _listed_bytes(data, entry)
+    scan = frames.SegmentScan(listed, segment_id)
+    record_counts = [len(frame.records) for frame in scan.frames()]
+    if frames.decode_segment_header(listed, segment_id) is None:
+        fault = "its head is broken"
+    else:
+        fault = _frame_fault(scan, entry)
+    is_valid = entry is not None and not fault
+    return SegmentReport(
+        segment_id,
+        entry,
+        size=len(data),
+        frame_count=len(record_counts),
+        record_count=sum(record_counts),
+        has_hint=_has_hint(files, entry),
+        fault=fault,
+        tail_bytes=len(listed) - scan.valid_end if is_valid else 0,
+    )
+
+
+def _has_hint(files: Files, entry: SegmentEntry | None) -> bool:
+    """Return whether a sealed segment has a valid hint file."""
+    if entry is None or not entry.is_sealed:
+        return False
+    return hints.read_hint(files, entry.id, entry.size) is not None
+
+
+def _frame_fault(scan: frames.SegmentScan, entry: SegmentEntry | None) -> str:
+    """Describe the fault of a listed segment's frames; empty where they are valid, or it isn't listed."""
+    if entry is None:
+        return ""
     damage = scan.first_damage(is_sealed=entry.is_sealed)
     if damage is not None:
         return f"bytes {damage.start} to {damage.end} are broken"
