--- a/tests/store/test_repair.py
+++ b/tests/store/test_repair.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import json
-import subprocess
-import sys
 from pathlib import Path
 
 import pytest
@@ -14,6 +12,7 @@
 from tansyladder.store import StoreError, errors, frames, open_store
 from tansyladder.store.files import RealFiles
 from tansyladder.store.repair import examine, repair
+from tests.answers.program import run
 from tests.store.harness import (
     KEY_COUNT,
     NODE,
@@ -46,11 +45,6 @@
         repair(source, target, ManualClock())
 
 
-def run_store_command(*words: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "tansyladder", "store", *words]
-    return subprocess.run(command, capture_output=True, text=True, timeout=30)
-
-
 @pytest.fixture
 def store_folder(tmp_path: Path) -> Path:
     """The folder of a closed store of five keys."""
@@ -73,24 +67,24 @@
 
 
 def test_the_store_commands_inspect_verify_compact_and_dump(store_folder: Path) -> None:
-    assert "sealed" in run_store_command("inspect", str(store_folder)).stdout
-    assert run_store_command("verify", str(store_folder)).returncode == 0
-    assert "5 keys" in run_store_command("compact", str(store_folder)).stdout
-    dumped = run_store_command("dump", str(store_folder)).stdout.splitlines()
+    assert "sealed" in run("store", "inspect", str(store_folder)).stdout
+    assert run("store", "verify", str(store_folder)).returncode == 0
+    assert "5 keys" in run("store", "compact", str(store_folder)).stdout
+    dumped = run("store", "dump", str(store_folder)).stdout.splitlines()
     keys = {bytes.fromhex(json.loads(line)["key"]) for line in dumped}
     assert keys == {b"k%d" % number for number in range(5)}
 
 
 def test_the_store_commands_report_and_repair_damage(store_folder: Path, tmp_path: Path) -> None:
-    assert "5 keys" in run_store_command("compact", str(store_folder)).stdout
+    assert "5 keys" in run("store", "compact", str(store_folder)).stdout
     damage(store_folder)
-    verified = run_store_command("verify", str(store_folder))
+    verified = run("store", "verify", str(store_folder))
     assert verified.returncode == 1
     assert "broken" in verified.stderr
-    dumped = run_store_command("dump", str(store_folder))
+    dumped = run("store", "dump", str(store_folder))
     assert dumped.returncode == 3
     assert dumped.stderr.startswith("damaged:")
     assert "Traceback" not in dumped.stderr
     target = tmp_path / "new"
-    assert run_store_command("repair", str(store_folder), str(target)).returncode == 0
-    assert run_store_command("verify", str(target)).returncode == 0
+    assert run("store", "repair", str(store_folder), str(target)).returncode == 0
+    assert run("store", "verify", str(target)).returncode == 0
