--- a/tests/store/test_opening.py
+++ b/tests/store/test_opening.py
@@ -17,12 +17,12 @@
 LARGE_SEGMENT_BYTES = 1 << 16  # so that all stays in the active one
 
 
-def test_the_store_of_another_node_is_refused() -> None:
+def test_the_store_of_another_node_is_rejected() -> None:
     with pytest.raises(errors.NotAStoreError, match="'n1'"):
         open_store(closed_store_files(), "n2", ManualClock())
 
 
-def test_a_directory_that_is_in_use_is_refused() -> None:
+def test_a_directory_that_is_in_use_is_rejected() -> None:
     files, store = open_in_memory(closed_store_files())
     with pytest.raises(errors.StoreLockedError):
         open_in_memory(files)
@@ -30,7 +30,7 @@
     open_in_memory(files)
 
 
-def test_a_real_directory_that_is_in_use_is_refused(tmp_path: Path) -> None:
+def test_a_real_directory_that_is_in_use_is_rejected(tmp_path: Path) -> None:
     store = open_store(RealFiles(tmp_path / "real"), "n1", ManualClock())
     with pytest.raises(errors.StoreLockedError):
         open_store(RealFiles(tmp_path / "real"), "n1", ManualClock())
@@ -39,26 +39,26 @@
         store.put(b"k", b"v")
 
 
-def test_a_real_directory_that_cant_be_made_is_refused(tmp_path: Path) -> None:
+def test_a_directory_that_cant_be_created_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    with pytest.raises(OSError, match="Not a directory") as refused:
+    with pytest.raises(OSError, match="Not a directory") as raised:
         RealFiles(tmp_path / "file" / "folder")
-    assert refused.value.errno == errno.ENOTDIR
+    assert raised.value.errno == errno.ENOTDIR
 
 
-def test_the_manifest_of_a_later_version_is_refused() -> None:
+def test_the_manifest_of_a_later_version_is_rejected() -> None:
     files = closed_store_files()
     known = manifest.read_manifest(files)
     manifest.write_manifest(files, msgspec.structs.replace(known, version=9))
-    with pytest.raises(errors.StoreVersionError, match="version 9") as refused:
+    with pytest.raises(errors.StoreVersionError, match="version 9") as raised:
         open_in_memory(files)
-    assert refused.value.path == manifest.FILE_NAME
+    assert raised.value.path == manifest.FILE_NAME
 
 
-def test_segments_without_a_manifest_are_refused() -> None:
-    with pytest.raises(errors.StoreCorruptError, match="missing") as refused:
+def test_segments_without_a_manifest_are_rejected() -> None:
+    with pytest.raises(errors.StoreCorruptError, match="missing") as raised:
         open_in_memory(FaultInjectingFiles({"0000000000000001.log": b""}))
-    assert refused.value.path == manifest.FILE_NAME
+    assert raised.value.path == manifest.FILE_NAME
 
 
 def test_a_value_that_expired_at_a_recovery_stays_expired_when_the_clock_steps_back() -> None:
@@ -105,11 +105,11 @@
     for offset in (in_first_frame, in_first_record):
         inode.visible = bytearray(intact)
         inode.visible[offset] ^= 1
-        with pytest.raises(errors.StoreCorruptError, match="broken") as refused:
+        with pytest.raises(errors.StoreCorruptError, match="broken") as raised:
             open_in_memory(files.after_process_kill())
-        assert refused.value.path == name
+        assert raised.value.path == name
     inode.visible = bytearray(intact)
-    inode.visible[-1] ^= 1  # the last one can't be told from a crash
+    inode.visible[-1] ^= 1  # the last one can't be distinguished from a crash
     _, store = open_in_memory(files.after_process_kill())
     assert set(dict(store.items())) == {b"a", b"b"}
 
