--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -173,25 +173,25 @@
 
 
 def test_lines_of_one_event_are_rate_limited() -> None:
-    limit = RateLimiter()
-    dropped = 0
+    rate_limiter = RateLimiter()
+    dropped_count = 0
     for _ in range(MAX_LINES_PER_WINDOW + 5):
         try:
-            limit(None, "msg", {"event": "flood"})
+            rate_limiter(None, "msg", {"event": "flood"})
         except DropEvent:
-            dropped += 1
-    assert dropped == 5
-    assert limit(None, "msg", {"event": "other"}) == {"event": "other"}
+            dropped_count += 1
+    assert dropped_count == 5
+    assert rate_limiter(None, "msg", {"event": "other"}) == {"event": "other"}
 
 
 def test_the_next_line_of_an_event_has_the_number_of_dropped_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    limit = RateLimiter()
+    rate_limiter = RateLimiter()
     moment = 0.0
     monkeypatch.setattr("tansyladder.log_writer.time.monotonic", lambda: moment)
     for _ in range(MAX_LINES_PER_WINDOW):
-        limit(None, "msg", {"event": "flood"})
+        rate_limiter(None, "msg", {"event": "flood"})
     with pytest.raises(DropEvent):
-        limit(None, "msg", {"event": "flood"})
+        rate_limiter(None, "msg", {"event": "flood"})
     moment = RATE_WINDOW.total_seconds()
-    assert limit(None, "msg", {"event": "flood"}) == {"event": "flood", "dropped_lines": 1}
-    assert limit(None, "msg", {"event": "flood"}) == {"event": "flood"}
+    assert rate_limiter(None, "msg", {"event": "flood"}) == {"event": "flood", "dropped_lines": 1}
+    assert rate_limiter(None, "msg", {"event": "flood"}) == {"event": "flood"}
