--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -11,6 +11,7 @@
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.events import (
     AttemptEnded,
+    AttemptEstablished,
     AttemptStatus,
     ConnectionAdopted,
     ConnectionReport,
@@ -76,7 +77,15 @@
     """An endpoint as discovery lists it; its cell is the zone's number and its weight 1 unless told."""
     cell = changes.get("cell", zone)
     weight = changes.get("weight", 1.0)
-    return EndpointUpdate(endpoint_id, zone, cell, 0, weight, state, ready_at)
+    return EndpointUpdate(
+        endpoint_id=endpoint_id,
+        zone=zone,
+        cell=cell,
+        kind=0,
+        weight=weight,
+        state=state,
+        ready_at_us=ready_at,
+    )
 
 
 def endpoints(first: int, last: int, **changes: Any) -> list[EndpointUpdate]:
@@ -88,12 +97,38 @@
     request_id: int, endpoint_id: int, load_hint: int | None = None, tenant: int = 0, group_key: int = 0
 ) -> ConnectionAdopted:
     """A connection that was established before the balancer's start."""
-    return ConnectionAdopted(request_id, 0, tenant, endpoint_id, 0, load_hint, group_key)
+    return ConnectionAdopted(
+        request_id=request_id,
+        class_index=0,
+        tenant=tenant,
+        endpoint_id=endpoint_id,
+        key=0,
+        load_hint=load_hint,
+        group_key=group_key,
+    )
 
 
 def delay_report(request_id: int, endpoint_id: int, delay_ms: float) -> ConnectionReport:
     """An endpoint's own report of how long messages of a connection take."""
-    return ConnectionReport(request_id, ReportKind.REPORTED_DELAY, 0, endpoint_id, delay_ms)
+    return ConnectionReport(
+        request_id=request_id,
+        kind=ReportKind.REPORTED_DELAY,
+        attempt=0,
+        endpoint_id=endpoint_id,
+        value=delay_ms,
+    )
+
+
+def list_update(kind: ListUpdateKind, *updates: EndpointUpdate) -> EndpointListUpdate:
+    """Discovery's list of endpoints, or changes to it."""
+    return EndpointListUpdate(kind=kind, endpoints=updates)
+
+
+def established(start: StartAttempt, attempt: int = 0, latency_us: int = MILLISECOND) -> AttemptEstablished:
+    """The connection of an attempt is established, by default of a request's first attempt."""
+    return AttemptEstablished(
+        request_id=start.request_id, attempt=attempt, endpoint_id=start.endpoint_id, latency_us=latency_us
+    )
 
 
 class SentRequest(NamedTuple):
@@ -123,11 +158,11 @@
     def __init__(self, endpoints: list[EndpointUpdate], seed: int = 1, **changes: Any) -> None:
         self.settings = make_settings(**changes)
         self.now = START_TIME
-        self.balancer = Balancer(self.settings, seed, self.now)
+        self.balancer = Balancer(settings=self.settings, seed=seed, now=self.now)
         self.pending_timers: list[PendingTimer] = []
         self.action_log: list[LoggedAction] = []
         self.next_id = 1
-        self.deliver(EndpointListUpdate(ListUpdateKind.CACHED, tuple(endpoints)))
+        self.deliver(EndpointListUpdate(kind=ListUpdateKind.CACHED, endpoints=tuple(endpoints)))
 
     def endpoint(self, endpoint_id: int) -> Endpoint:
         """The balancer's record of an endpoint."""
@@ -142,9 +177,9 @@
         actions: list[Action] = []
         for action in self.balancer.handle(self.now, list(events)):
             if isinstance(action, SetTimer):
-                self.pending_timers.append(PendingTimer(action.due_at_us, action.timer_id))
+                self.pending_timers.append(PendingTimer(due_at=action.due_at_us, timer_id=action.timer_id))
             else:
-                self.action_log.append(LoggedAction(self.now, action))
+                self.action_log.append(LoggedAction(at=self.now, action=action))
                 actions.append(action)
         return actions
 
@@ -155,7 +190,7 @@
             timer = min(self.pending_timers)
             self.pending_timers.remove(timer)
             self.now = max(self.now, timer.due_at)
-            self.deliver(TimerExpired(timer.timer_id))
+            self.deliver(TimerExpired(timer_id=timer.timer_id))
         self.now = max(self.now, until)
         return [logged.action for logged in self.action_log[logged_before:]]
 
@@ -173,8 +208,15 @@
         request_id = self.next_id
         self.next_id += 1
         tenant = changes.pop("tenant", 0)
-        request = RequestReceived(request_id, 0, tenant, self.now + left, key, **changes)
-        return SentRequest(request_id, self.deliver(request))
+        request = RequestReceived(
+            request_id=request_id,
+            class_index=0,
+            tenant=tenant,
+            deadline_us=self.now + left,
+            key=key,
+            **changes,
+        )
+        return SentRequest(request_id=request_id, actions=self.deliver(request))
 
     def fail_attempt(
         self,
@@ -185,7 +227,16 @@
     ) -> list[Action]:
         """Let an attempt fail some time after now."""
         self.now += after
-        return self.deliver(AttemptEnded(start.request_id, attempt, start.endpoint_id, status, after, False))
+        return self.deliver(
+            AttemptEnded(
+                request_id=start.request_id,
+                attempt=attempt,
+                endpoint_id=start.endpoint_id,
+                status=status,
+                latency_us=after,
+                is_closed=False,
+            )
+        )
 
 
 def of_type(actions: Iterable[Action], action_type: type[ActionType]) -> list[ActionType]:
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -81,18 +81,35 @@
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
-    send = only_attempt(node.run_to_next_action())
-    node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
+    start = only_attempt(node.run_to_next_action())
+    node.deliver(
+        AttemptEstablished(
+            request_id=request_id, attempt=1, endpoint_id=start.endpoint_id, latency_us=5 * MILLISECOND
+        )
+    )
     node.now += 100 * MILLISECOND
-    node.deliver(AttemptEnded(request_id, 1, send.endpoint_id, AttemptStatus.RESET, 100 * MILLISECOND, True))
+    node.deliver(
+        AttemptEnded(
+            request_id=request_id,
+            attempt=1,
+            endpoint_id=start.endpoint_id,
+            status=AttemptStatus.RESET,
+            latency_us=100 * MILLISECOND,
+            is_closed=True,
+        )
+    )
     assert node.backoff(7).attempt == 1
     node.run_until(node.now + SECOND)
     request_id, actions = node.send_request()
-    send = only_attempt(actions)
-    node.fail_attempt(send, 0)
+    start = only_attempt(actions)
+    node.fail_attempt(start, 0)
     assert node.backoff(7).attempt == 2
-    send = only_attempt(node.run_to_next_action())
-    node.deliver(AttemptEstablished(request_id, 1, send.endpoint_id, 5 * MILLISECOND))
+    start = only_attempt(node.run_to_next_action())
+    node.deliver(
+        AttemptEstablished(
+            request_id=request_id, attempt=1, endpoint_id=start.endpoint_id, latency_us=5 * MILLISECOND
+        )
+    )
     node.run_until(node.now + DEADLINE + 1)
     assert 7 not in node.balancer.parts.requests.backoffs
 
@@ -101,36 +118,40 @@
     node = BalancerDriver(FLEET)
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
-    due = node.backoff(7).retry_at
+    retry_at = node.backoff(7).retry_at
     request_id, actions = node.send_request()
     assert actions == []
-    sent = of_type(node.run_until(due), StartAttempt)
-    assert request_id in [a.request_id for a in sent]
+    starts = of_type(node.run_until(retry_at), StartAttempt)
+    assert request_id in [action.request_id for action in starts]
 
 
 def test_two_requests_of_one_key_are_both_answered() -> None:
     """The key's interval moves on with the second; the first must still be tried at its own time."""
     node = BalancerDriver(FLEET)
     first, actions = node.send_request()
-    second, more = node.send_request()
+    second, second_actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
-    node.fail_attempt(only_attempt(more), 0)
+    node.fail_attempt(only_attempt(second_actions), 0)
     node.run_until(node.now + DEADLINE)
-    answered = {a.request_id for _, a in node.action_log[2:] if isinstance(a, StartAttempt | Reject)}
+    answered = {
+        action.request_id for _, action in node.action_log[2:] if isinstance(action, StartAttempt | Reject)
+    }
     assert {first, second} <= answered
 
 
 def test_a_retry_after_the_deadline_is_rejected_with_the_rest_of_the_interval() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request(left=30 * MILLISECOND)
-    seen = node.fail_attempt(only_attempt(actions), 0)
+    last_actions = node.fail_attempt(only_attempt(actions), 0)
     for _ in range(4):
-        if seen and isinstance(seen[0], Reject):
+        if last_actions and isinstance(last_actions[0], Reject):
             break
-        seen = node.run_to_next_action()
+        last_actions = node.run_to_next_action()
     else:
         raise AssertionError("no refusal")
-    assert seen[0] == Reject(request_id, node.backoff(7).interval_end - node.now)
+    assert last_actions[0] == Reject(
+        request_id=request_id, retry_after_us=node.backoff(7).interval_end - node.now
+    )
 
 
 def test_attempts_run_out() -> None:
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -10,10 +10,8 @@
 from tansyladder.config.rates import health_check_interval
 from tansyladder.policy.actions import Action, CheckHealth, Migrate, StartAttempt
 from tansyladder.policy.events import (
-    AttemptEstablished,
     AttemptStatus,
     ConnectionReport,
-    EndpointListUpdate,
     HealthCheckResult,
     ListUpdateKind,
     ReportKind,
@@ -27,6 +25,8 @@
     delay_report,
     endpoint,
     endpoints,
+    established,
+    list_update,
     of_type,
     only_attempt,
 )
@@ -48,7 +48,7 @@
     while not node.endpoint(1).is_check_in_flight:
         node.run_to_next_action()
     node.now += latency
-    return node.deliver(HealthCheckResult(1, status, latency))
+    return node.deliver(HealthCheckResult(endpoint_id=1, status=status, latency_us=latency))
 
 
 def end_ejection(node: BalancerDriver, endpoint_id: int) -> None:
@@ -60,7 +60,9 @@
 
 def selected_endpoints(node: BalancerDriver, first_key: int, last_key: int) -> set[int]:
     """The endpoints that requests with these keys are sent to at once."""
-    actions = [a for key in range(first_key, last_key + 1) for a in node.send_request(key=key).actions]
+    actions = [
+        action for key in range(first_key, last_key + 1) for action in node.send_request(key=key).actions
+    ]
     return {start.endpoint_id for start in of_type(actions, StartAttempt)}
 
 
@@ -70,44 +72,52 @@
     while node.now < START_TIME + 4 * SECOND:
         for check in of_type(node.run_to_next_action(), CheckHealth):
             checked.append(check.endpoint_id)
-            node.deliver(HealthCheckResult(check.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND))
+            node.deliver(
+                HealthCheckResult(
+                    endpoint_id=check.endpoint_id, status=AttemptStatus.OK, latency_us=5 * MILLISECOND
+                )
+            )
     assert 7 <= len(checked) <= 9
     assert {checked.count(1), checked.count(2)} <= {3, 4, 5}
 
 
 @pytest.mark.parametrize(
-    ("nodes", "endpoint_count", "most"),
+    ("nodes", "endpoint_count", "max_checks_per_second"),
     [(3, 12, 3.3), (10, 12, 7.4), (40, 60, 7.4), (66, 60, 7.4), (40, 2000, 7.4)],
 )
 def test_health_checks_of_all_nodes_at_an_endpoint_are_bounded(
-    nodes: int, endpoint_count: int, most: float
+    nodes: int, endpoint_count: int, max_checks_per_second: float
 ) -> None:
     """Forty nodes that each check once a second keep endpoints so busy with it that they look slow."""
     interval = health_check_interval(nodes).total_seconds()
     assert interval <= 60
     node = BalancerDriver(
-        [endpoint(i) for i in range(endpoint_count)],
+        [endpoint(number) for number in range(endpoint_count)],
         can_check_health=True,
         health_check_interval_us=int(interval * SECOND),
     )
     end = node.now + 30 * SECOND
-    checks = 0
+    check_count = 0
     while node.now < end and (actions := node.run_to_next_action()):
-        checks += len(actions)
+        check_count += len(actions)
         node.deliver(
             *(
-                HealthCheckResult(a.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND)
-                for a in actions
-                if isinstance(a, CheckHealth)
+                HealthCheckResult(
+                    endpoint_id=action.endpoint_id, status=AttemptStatus.OK, latency_us=5 * MILLISECOND
+                )
+                for action in actions
+                if isinstance(action, CheckHealth)
             )
         )
-    assert 0 < checks <= 30 * 20 + 1  # of one node, at any size of the list
-    assert checks / 30 / endpoint_count * nodes <= most
+    assert 0 < check_count <= 30 * 20 + 1  # of one node, at any size of the list
+    assert check_count / 30 / endpoint_count * nodes <= max_checks_per_second
 
 
 def test_answers_far_slower_than_the_best_migrate_connections() -> None:
     node = checked_node()
-    assert answer_check(node, 40 * MILLISECOND) == [CheckHealth(1)]  # once may be chance: checked again
+    assert answer_check(node, 40 * MILLISECOND) == [
+        CheckHealth(endpoint_id=1)
+    ]  # once may be chance: checked again
     answer_check(node, 40 * MILLISECOND)
     assert node.endpoint(1).ejection.attempt == 1
     migrations = of_type(node.run_until(node.now + 3 * SECOND), Migrate)
@@ -201,21 +211,21 @@
     assert not of_type(node.run_until(node.now + 3 * SECOND), Migrate)
 
 
-@pytest.mark.parametrize(("nodes", "most"), [(3, 8), (10, 2), (40, 1), (100, 1)])
-def test_a_burst_waits_at_the_node_and_not_at_an_endpoint(nodes: int, most: int) -> None:
+@pytest.mark.parametrize(("nodes", "max_pending"), [(3, 8), (10, 2), (40, 1), (100, 1)])
+def test_a_burst_waits_at_the_node_and_not_at_an_endpoint(nodes: int, max_pending: int) -> None:
     """After a restart all clients come at once; what times out in an endpoint's queue costs it its work."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2)], can_check_health=True, discovery_call_interval_us=SECOND, node_count=nodes
     )
     for key in range(1, 61):
         node.send_request(key=key)
-    assert [node.endpoint(i).pending_attempt_count for i in (1, 2)] == [most, most]
+    assert [node.endpoint(number).pending_attempt_count for number in (1, 2)] == [max_pending, max_pending]
     starts = of_type([logged.action for logged in node.action_log], StartAttempt)
-    established = starts[: min(4, 2 * most)]
-    for start in established:
-        node.deliver(AttemptEstablished(start.request_id, 0, start.endpoint_id, MILLISECOND))
+    first_starts = starts[: min(4, 2 * max_pending)]
+    for start in first_starts:
+        node.deliver(established(start))
     later_starts = of_type(node.run_until(node.now + 100 * MILLISECOND), StartAttempt)
-    assert len(later_starts) == len(established)  # of requests that waited
+    assert len(later_starts) == len(first_starts)  # of requests that waited
 
 
 def test_a_guess_at_the_load_rejects_nobody() -> None:
@@ -224,8 +234,8 @@
         [endpoint(1), endpoint(2), endpoint(3)], can_check_health=True, health_check_interval_us=SECOND
     )
     node.deliver(
-        *(adopted(100 + i, 1) for i in range(30)),
-        *(adopted(200 + i, 2) for i in range(9)),
+        *(adopted(100 + number, 1) for number in range(30)),
+        *(adopted(200 + number, 2) for number in range(9)),
     )
     node.endpoint(3).ejection.retry_at = node.now + 10 * SECOND
     node.endpoint(1).ejection.retry_at = node.now + 10 * SECOND
@@ -252,7 +262,7 @@
         starts = of_type(node.run_to_next_action(), StartAttempt)
         retry = (starts or of_type(node.run_until(node.now + SECOND), StartAttempt))[0]
         assert retry.endpoint_id == 3 - first.endpoint_id
-        node.deliver(AttemptEstablished(retry.request_id, 1, retry.endpoint_id, MILLISECOND))
+        node.deliver(established(retry, attempt=1))
 
 
 def test_periodic_checks_leave_out_only_endpoints_that_reported_a_delay() -> None:
@@ -262,7 +272,7 @@
     # The first reports a delay; the second's was measured by the node.
     node.deliver(
         delay_report(1, 1, 20.0),
-        ConnectionReport(2, ReportKind.MEASURED_DELAY, 0, 2, 20.0),
+        ConnectionReport(request_id=2, kind=ReportKind.MEASURED_DELAY, attempt=0, endpoint_id=2, value=20.0),
     )
 
     def checked_within(span: int) -> set[int]:
@@ -271,23 +281,29 @@
         while node.now < end:
             for check in of_type(node.run_to_next_action(), CheckHealth):
                 checked.add(check.endpoint_id)
-                node.deliver(HealthCheckResult(check.endpoint_id, AttemptStatus.OK, 5 * MILLISECOND))
+                node.deliver(
+                    HealthCheckResult(
+                        endpoint_id=check.endpoint_id, status=AttemptStatus.OK, latency_us=5 * MILLISECOND
+                    )
+                )
         return checked
 
     assert checked_within(5 * SECOND) == {2}
-    node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, ready_at=node.now),)))  # a new process
+    node.deliver(list_update(ListUpdateKind.DELTA, endpoint(1, ready_at=node.now)))  # a new process
     assert checked_within(5 * SECOND) == {1, 2}
 
 
 @pytest.mark.parametrize(
     ("kind", "is_still_delayed"), [(ReportKind.REPORTED_DELAY, False), (ReportKind.MEASURED_DELAY, True)]
 )
-def test_a_reported_delay_ends_when_no_report_repeats_it(kind: ReportKind, is_still_delayed: bool) -> None:
+def test_a_reported_delay_ends_when_no_report_repeats_it(kind: ReportKind, *, is_still_delayed: bool) -> None:
     """Health checks of a large fleet come each half minute; reports are repeated each second."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=30 * SECOND
     )
-    node.deliver(adopted(1, 1), ConnectionReport(1, kind, 0, 1, 300.0))
+    node.deliver(
+        adopted(1, 1), ConnectionReport(request_id=1, kind=kind, attempt=0, endpoint_id=1, value=300.0)
+    )
     node.run_until(node.now + 3 * SECOND)
     node.deliver()
     assert node.balancer.parts.load.is_delayed(node.endpoint(1)) is is_still_delayed
@@ -296,8 +312,11 @@
 @pytest.mark.parametrize("nodes", [67, 200, 10**14])
 def test_where_a_turn_comes_too_rarely_no_endpoint_is_checked(nodes: int) -> None:
     """With 200 nodes one check would count for 45 s, and keep sound endpoints out."""
-    pace = health_check_interval(nodes) // timedelta(microseconds=1)
+    interval_us = health_check_interval(nodes) // timedelta(microseconds=1)
     node = BalancerDriver(
-        [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=pace, node_count=nodes
+        [endpoint(1), endpoint(2)],
+        can_check_health=True,
+        health_check_interval_us=interval_us,
+        node_count=nodes,
     )
     assert not of_type(node.run_until(node.now + 60 * SECOND), CheckHealth)
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -12,7 +12,6 @@
     AttemptStatus,
     ClientDisconnected,
     ConnectionReport,
-    EndpointListUpdate,
     EndpointState,
     HealthCheckResult,
     ListUpdateKind,
@@ -28,6 +27,7 @@
     delay_report,
     endpoint,
     endpoints,
+    list_update,
     of_type,
     only_attempt,
 )
@@ -41,7 +41,14 @@
 def answer_checks(node: BalancerDriver, endpoint_ids: list[int], utilization: float) -> list[Action]:
     """Answer health checks with a utilization; what the node does then."""
     report = (1.0, utilization)
-    return node.deliver(*(HealthCheckResult(e, AttemptStatus.OK, MILLISECOND, report) for e in endpoint_ids))
+    return node.deliver(
+        *(
+            HealthCheckResult(
+                endpoint_id=endpoint_id, status=AttemptStatus.OK, latency_us=MILLISECOND, load_report=report
+            )
+            for endpoint_id in endpoint_ids
+        )
+    )
 
 
 def test_an_endpoint_that_drains_during_a_health_check_gets_nothing() -> None:
@@ -50,9 +57,10 @@
     checked = checked_endpoints(actions)
     assert checked
     node.deliver(
-        EndpointListUpdate(
+        list_update(
             ListUpdateKind.DELTA,
-            (endpoint(1, state=EndpointState.DRAINING), endpoint(2, state=EndpointState.DRAINING)),
+            endpoint(1, state=EndpointState.DRAINING),
+            endpoint(2, state=EndpointState.DRAINING),
         )
     )
     actions = answer_checks(node, checked, 0.1) + node.run_until(node.now + 5 * SECOND)
@@ -62,17 +70,17 @@
 def test_an_ejected_endpoint_is_left_out_until_its_time() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
     _, actions = node.send_request(key=1)
-    failed = only_attempt(actions).endpoint_id
+    failed_id = only_attempt(actions).endpoint_id
     node.fail_attempt(only_attempt(actions), 0)
-    assert node.endpoint(failed).ejection.retry_at > node.now
-    sent = [
-        a.endpoint_id
-        for k in range(2, 6)
-        for a in node.send_request(key=k).actions
-        if isinstance(a, StartAttempt)
+    assert node.endpoint(failed_id).ejection.retry_at > node.now
+    selected = [
+        action.endpoint_id
+        for key in range(2, 6)
+        for action in node.send_request(key=key).actions
+        if isinstance(action, StartAttempt)
     ]
-    assert sent
-    assert failed not in sent
+    assert selected
+    assert failed_id not in selected
 
 
 def test_failures_during_an_ejection_do_not_lengthen_it() -> None:
@@ -85,38 +93,40 @@
 
 
 def test_a_burst_uses_up_the_permits_of_slow_start() -> None:
-    node = BalancerDriver([endpoint(i, ready_at=START_TIME) for i in range(1, 4)], node_count=1)
+    node = BalancerDriver([endpoint(number, ready_at=START_TIME) for number in range(1, 4)], node_count=1)
     for key in range(1, 40):
         node.send_request(key=key)
         node.run_until(node.now + 100 * MILLISECOND)
-    before = sum(isinstance(a, StartAttempt) for _, a in node.action_log)
+    starts_before = sum(isinstance(action, StartAttempt) for _, action in node.action_log)
     for key in range(100, 200):
         node.send_request(key=key)
-    assert sum(isinstance(a, StartAttempt) for _, a in node.action_log) - before <= 2 * 3
+    assert sum(isinstance(action, StartAttempt) for _, action in node.action_log) - starts_before <= 2 * 3
 
 
 def test_an_old_wait_for_health_checks_does_not_start_a_retry_early() -> None:
-    early = 0
+    late_retry_count = 0
     for seed in range(60):
         node = BalancerDriver(endpoints(1, 8), seed, **LOAD_REPORTS)
         _, actions = node.send_request(left=200 * MILLISECOND)
         start = only_attempt(answer_checks(node, checked_endpoints(actions), 0.1))
         node.fail_attempt(start, 0)
-        due = node.backoff(7).retry_at
-        early += due > START_TIME + 50 * MILLISECOND
-        node.run_until(due - 1)
+        retry_at = node.backoff(7).retry_at
+        late_retry_count += retry_at > START_TIME + 50 * MILLISECOND
+        node.run_until(retry_at - 1)
         starts = [logged for logged in node.action_log if isinstance(logged.action, StartAttempt)]
         assert len(starts) == 1
-    assert early > 5  # the case was met
+    assert late_retry_count > 5  # the case was met
 
 
 def test_absurd_reports_of_an_established_connection_are_ignored() -> None:
     node = BalancerDriver([endpoint(1)])
     request_id, actions = node.send_request(load_hint=500)
-    node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND))
+    node.deliver(AttemptEstablished(request_id=request_id, attempt=0, endpoint_id=1, latency_us=MILLISECOND))
     for value in (math.nan, math.inf, -7.0):
         node.deliver(
-            ConnectionReport(request_id, ReportKind.LOAD, 0, 1, value),
+            ConnectionReport(
+                request_id=request_id, kind=ReportKind.LOAD, attempt=0, endpoint_id=1, value=value
+            ),
             delay_report(request_id, 1, value),
         )
     assert only_attempt(actions).endpoint_id == 1
@@ -128,7 +138,7 @@
     node = BalancerDriver([endpoint(1)])
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
-    node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, ready_at=node.now),)))
+    node.deliver(list_update(ListUpdateKind.DELTA, endpoint(1, ready_at=node.now)))
     restarted = node.endpoint(1)
     assert restarted.ejection.attempt == 0
     assert restarted.ejection.retry_at == 0
@@ -143,11 +153,13 @@
 
 
 def test_absurd_weights_count_as_one() -> None:
-    bad = [math.nan, 0.0, -3.0, 1e30, math.inf]
+    absurd_weights = [math.nan, 0.0, -3.0, 1e30, math.inf]
     node = BalancerDriver(
-        [endpoint(i, weight=w) for i, w in enumerate(bad, 1)] + [endpoint(9, weight=2.0)], has_weights=True
+        [endpoint(number, weight=weight) for number, weight in enumerate(absurd_weights, 1)]
+        + [endpoint(9, weight=2.0)],
+        has_weights=True,
     )
-    assert [node.endpoint(i).weight for i in (1, 2, 3, 4, 5, 9)] == [1, 1, 1, 1, 1, 2.0]
+    assert [node.endpoint(number).weight for number in (1, 2, 3, 4, 5, 9)] == [1, 1, 1, 1, 1, 2.0]
     assert only_attempt(node.send_request().actions)
 
 
@@ -157,38 +169,43 @@
 
 
 def test_first_polls_are_spread_and_failed_ones_back_off() -> None:
-    firsts = []
+    first_polls = []
     for seed in range(40):
         node = BalancerDriver([endpoint(1)], seed, polls_discovery=True, poll_interval_us=10 * SECOND)
         node.run_until(START_TIME + 10 * SECOND)
-        firsts += poll_times(node)
+        first_polls += poll_times(node)
         for _ in range(3):  # a call may be told to have failed more than once
-            node.deliver(EndpointListUpdate(ListUpdateKind.FAILED, ()))
+            node.deliver(list_update(ListUpdateKind.FAILED))
         node.run_until(node.now + 3 * SECOND)
         assert len(poll_times(node)) == 2
-    first_of = sorted(firsts)
-    assert len(first_of) == 40
-    assert first_of[0] < 2 * SECOND
-    assert 5 * SECOND < first_of[-1] < 10 * SECOND
+    sorted_polls = sorted(first_polls)
+    assert len(sorted_polls) == 40
+    assert sorted_polls[0] < 2 * SECOND
+    assert 5 * SECOND < sorted_polls[-1] < 10 * SECOND
 
 
 def test_a_request_just_assigned_sends_the_next_elsewhere() -> None:
-    same = 0
+    same_endpoint_count = 0
     for seed in range(40):
         node = BalancerDriver([endpoint(1), endpoint(2)], seed, **LOAD_REPORTS)
         _, actions = node.send_request(key=1)
         first = only_attempt(answer_checks(node, checked_endpoints(actions), 0.4))
-        same += only_attempt(node.send_request(key=2).actions).endpoint_id == first.endpoint_id
-    assert same == 0
+        same_endpoint_count += only_attempt(node.send_request(key=2).actions).endpoint_id == first.endpoint_id
+    assert same_endpoint_count == 0
 
 
 def test_an_attempt_that_ends_after_the_client_left_is_not_retried() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
     request_id, actions = node.send_request()
-    node.deliver(ClientDisconnected(request_id))
+    node.deliver(ClientDisconnected(request_id=request_id))
     node.deliver(
         AttemptEnded(
-            request_id, 0, only_attempt(actions).endpoint_id, AttemptStatus.CONNECT_FAILED, MILLISECOND, False
+            request_id=request_id,
+            attempt=0,
+            endpoint_id=only_attempt(actions).endpoint_id,
+            status=AttemptStatus.CONNECT_FAILED,
+            latency_us=MILLISECOND,
+            is_closed=False,
         )
     )
     assert not of_type(node.run_until(node.now + 5 * SECOND), StartAttempt)
@@ -196,11 +213,11 @@
 
 def test_the_next_migration_waits_its_time() -> None:
     node = BalancerDriver(endpoints(1, 8))
-    node.deliver(*(adopted(1000 + i, 1, 1000) for i in range(60)))
-    times = []
+    node.deliver(*(adopted(1000 + number, 1, 1000) for number in range(60)))
+    migrated_at = []
     for number in range(60):
         node.deliver(delay_report(1050 + number % 5, 1, 300.0))
         node.run_until(node.now + 100 * MILLISECOND)
-        times = sorted({t for t, a in node.action_log if isinstance(a, Migrate)})
-    assert len(times) >= 2
-    assert all(b - a >= 2 * SECOND for a, b in pairwise(times))
+        migrated_at = sorted({at for at, action in node.action_log if isinstance(action, Migrate)})
+    assert len(migrated_at) >= 2
+    assert all(later - action >= 2 * SECOND for action, later in pairwise(migrated_at))
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -35,22 +35,27 @@
     """Send a request and answer its health checks with the utilizations told; all actions."""
     _, actions = node.send_request(key=key)
     replies = [
-        HealthCheckResult(a.endpoint_id, AttemptStatus.OK, MILLISECOND, (9.0, utilizations[a.endpoint_id]))
-        for a in actions
-        if isinstance(a, CheckHealth)
+        HealthCheckResult(
+            endpoint_id=action.endpoint_id,
+            status=AttemptStatus.OK,
+            latency_us=MILLISECOND,
+            load_report=(9.0, utilizations[action.endpoint_id]),
+        )
+        for action in actions
+        if isinstance(action, CheckHealth)
     ]
     return actions + node.deliver(*replies) if replies else actions
 
 
 def test_a_loaded_endpoint_gets_less_and_a_full_one_nothing() -> None:
-    met: Counter[int] = Counter()
+    selections: Counter[int] = Counter()
     utilizations = {1: 0.2, 2: 0.5, 3: 1.2}
     for seed in range(200):
         node = BalancerDriver([endpoint(1), endpoint(2), endpoint(3)], seed, **LOAD_REPORTS)
         actions = request_with_checks_answered(node, utilizations, 5)
-        met[of_type(actions, StartAttempt)[0].endpoint_id] += 1
-    assert met[3] == 0
-    assert met[1] > 2 * met[2] > 0
+        selections[of_type(actions, StartAttempt)[0].endpoint_id] += 1
+    assert selections[3] == 0
+    assert selections[1] > 2 * selections[2] > 0
 
 
 def test_a_pool_over_the_limit_takes_nothing_though_one_endpoint_has_capacity() -> None:
@@ -79,8 +84,8 @@
     fleet = [endpoint(1), endpoint(2), endpoint(11, zone=1), endpoint(12, zone=1)]
     node = BalancerDriver(fleet, **LOAD_REPORTS)
     assert {
-        of_type(request_with_checks_answered(node, {1: 0.1, 2: 0.2}, k), StartAttempt)[0].endpoint_id < 10
-        for k in range(1, 3)
+        of_type(request_with_checks_answered(node, {1: 0.1, 2: 0.2}, key), StartAttempt)[0].endpoint_id < 10
+        for key in range(1, 3)
     } == {True}
     node = BalancerDriver(fleet, **LOAD_REPORTS)
     assert of_type(request_with_checks_answered(node, {1: 1.1, 2: 0.9}, 5), StartAttempt)[0].endpoint_id > 10
@@ -96,7 +101,7 @@
 def node_with_connections(count: int, load: int, **changes: Any) -> BalancerDriver:
     """A node of eight endpoints with connections on the first, of one, two and three times the load."""
     node = BalancerDriver(endpoints(1, 8), **changes)
-    node.deliver(*(adopted(1000 + i, 1, load * (1 + i % 3)) for i in range(count)))
+    node.deliver(*(adopted(1000 + number, 1, load * (1 + number % 3)) for number in range(count)))
     return node
 
 
@@ -108,8 +113,10 @@
 def test_late_messages_migrate_a_part_of_the_load() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 300.0)
-    migrated = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
-    share = sum(1 + (i - 1000) % 3 for i in migrated) / 60
+    migrated = [
+        action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)
+    ]
+    share = sum(1 + (number - 1000) % 3 for number in migrated) / 60
     assert 0.3 < share <= 0.6
 
 
@@ -117,14 +124,14 @@
     node = node_with_connections(30, 1000)
     report_delay(node, 300.0)
     node.run_until(node.now + SECOND)
-    before = sum(isinstance(a, Migrate) for _, a in node.action_log)
+    migrations_before = sum(isinstance(action, Migrate) for _, action in node.action_log)
     report_delay(node, 300.0, 1001)
-    assert sum(isinstance(a, Migrate) for _, a in node.action_log) == before
+    assert sum(isinstance(action, Migrate) for _, action in node.action_log) == migrations_before
     end = node.now + SECOND
     while node.now < end:
         node.run_until(node.now + 100 * MILLISECOND)
         report_delay(node, 300.0, 1001)
-    assert sum(isinstance(a, Migrate) for _, a in node.action_log) == before
+    assert sum(isinstance(action, Migrate) for _, action in node.action_log) == migrations_before
 
 
 def test_a_delay_that_has_ended_migrates_nothing() -> None:
@@ -138,39 +145,56 @@
     """The messages are still late because work is piled up, not because there is too much."""
     node = node_with_connections(30, 1000, **LOAD_REPORTS)
     report_delay(node, 300.0)
-    node.deliver(HealthCheckResult(1, AttemptStatus.OK, MILLISECOND, (30.0, 0.5)))
+    node.deliver(
+        HealthCheckResult(
+            endpoint_id=1, status=AttemptStatus.OK, latency_us=MILLISECOND, load_report=(30.0, 0.5)
+        )
+    )
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
 
 
 def test_the_lowest_priority_for_its_load_migrates_first() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 100.0)
-    migrated = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
+    migrated = [
+        action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)
+    ]
     assert migrated
-    assert all((i - 1000) % 3 == 2 for i in migrated)
+    assert all((number - 1000) % 3 == 2 for number in migrated)
 
 
 def test_a_tenant_above_its_quota_migrates_first() -> None:
     node = BalancerDriver(endpoints(1, 8), tenant_quotas=(5.0, 50.0), over_quota_weight=0.1)
-    node.deliver(*(adopted(1000 + i, 1, 1000, tenant=i % 2) for i in range(30)))
+    node.deliver(*(adopted(1000 + number, 1, 1000, tenant=number % 2) for number in range(30)))
     report_delay(node, 120.0)
-    migrated = [a.request_id for a in node.run_until(node.now + SECOND) if isinstance(a, Migrate)]
+    migrated = [
+        action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)
+    ]
     assert migrated
-    assert all(i % 2 == 0 for i in migrated)
+    assert all(number % 2 == 0 for number in migrated)
 
 
 def test_absurd_load_and_connection_reports_are_ignored() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
     for value in (-1.0, float("nan"), float("inf"), 1e30):
         node.deliver(
-            HealthCheckResult(1, AttemptStatus.OK, MILLISECOND, (1.0, value)),
-            HealthCheckResult(2, AttemptStatus.OK, MILLISECOND, ()),
+            HealthCheckResult(
+                endpoint_id=1, status=AttemptStatus.OK, latency_us=MILLISECOND, load_report=(1.0, value)
+            ),
+            HealthCheckResult(endpoint_id=2, status=AttemptStatus.OK, latency_us=MILLISECOND, load_report=()),
+        )
+        node.deliver(
+            ConnectionReport(request_id=77, kind=2, attempt=0, endpoint_id=1, value=value),
+            ConnectionReport(request_id=1, kind=9, attempt=0, endpoint_id=1, value=5.0),
         )
-        node.deliver(ConnectionReport(77, 2, 0, 1, value), ConnectionReport(1, 9, 0, 1, 5.0))
     assert node.endpoint(1).utilization_at == -1
     request_id, actions = node.send_request()
     actions = actions + node.run_until(node.now + SECOND)
-    assert [a for a in actions if isinstance(a, StartAttempt | Reject) and a.request_id == request_id]
+    assert [
+        action
+        for action in actions
+        if isinstance(action, StartAttempt | Reject) and action.request_id == request_id
+    ]
 
 
 def test_one_attempt_at_a_time_after_an_ejection() -> None:
@@ -178,11 +202,23 @@
     _, actions = node.send_request(key=1)
     node.fail_attempt(only_attempt(actions), 0)
     node.run_until(node.endpoint(1).ejection.interval_end)
-    sent = [a for k in range(2, 9) for a in node.send_request(key=k).actions if isinstance(a, StartAttempt)]
-    out = [r for r in node.balancer.parts.requests.by_id.values() if r.endpoint]
-    assert len(out) == 1
-    assert len(sent) <= 1
-    node.deliver(AttemptEstablished(out[0].id, out[0].attempt_count - 1, 1, MILLISECOND))
+    starts = [
+        action
+        for key in range(2, 9)
+        for action in node.send_request(key=key).actions
+        if isinstance(action, StartAttempt)
+    ]
+    in_flight = [request for request in node.balancer.parts.requests.by_id.values() if request.endpoint]
+    assert len(in_flight) == 1
+    assert len(starts) <= 1
+    node.deliver(
+        AttemptEstablished(
+            request_id=in_flight[0].id,
+            attempt=in_flight[0].attempt_count - 1,
+            endpoint_id=1,
+            latency_us=MILLISECOND,
+        )
+    )
     assert only_attempt(node.send_request(key=20).actions).endpoint_id == 1
 
 
@@ -192,7 +228,11 @@
     node.fail_attempt(only_attempt(actions), 0)
     assert node.endpoint(1).ejection.attempt == 1
     retry = only_attempt(node.run_to_next_action())
-    node.deliver(AttemptEstablished(request_id, 1, retry.endpoint_id, MILLISECOND))
+    node.deliver(
+        AttemptEstablished(
+            request_id=request_id, attempt=1, endpoint_id=retry.endpoint_id, latency_us=MILLISECOND
+        )
+    )
     assert node.endpoint(1).ejection.attempt == 0
     assert all(only_attempt(node.send_request(key=key).actions) for key in range(2, 6))
 
@@ -200,10 +240,21 @@
 def test_a_drop_leaves_no_load_behind() -> None:
     node = BalancerDriver([endpoint(1)])
     request_id, actions = node.send_request(load_hint=500)
-    node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND))
-    node.deliver(ConnectionReport(request_id, ReportKind.LOAD, 0, 1, 900.0))
+    node.deliver(AttemptEstablished(request_id=request_id, attempt=0, endpoint_id=1, latency_us=MILLISECOND))
+    node.deliver(
+        ConnectionReport(request_id=request_id, kind=ReportKind.LOAD, attempt=0, endpoint_id=1, value=900.0)
+    )
     assert node.endpoint(1).load == 900.0
-    node.deliver(AttemptEnded(request_id, 0, 1, AttemptStatus.CANCELLED, SECOND, True))
+    node.deliver(
+        AttemptEnded(
+            request_id=request_id,
+            attempt=0,
+            endpoint_id=1,
+            status=AttemptStatus.CANCELLED,
+            latency_us=SECOND,
+            is_closed=True,
+        )
+    )
     assert node.endpoint(1).load == 0.0
     assert node.endpoint(1).pending_attempt_count == 0
     assert only_attempt(actions).endpoint_id == 1
@@ -213,11 +264,28 @@
     """Counting anew for each connection cost a minute of CPU on a fleet of a few thousand connections."""
     node = BalancerDriver([endpoint(1)])
     request_id, _ = node.send_request(tenant=2)
-    node.deliver(AttemptEstablished(request_id, 0, 1, MILLISECOND), adopted(900, 1, tenant=2))
+    node.deliver(
+        AttemptEstablished(request_id=request_id, attempt=0, endpoint_id=1, latency_us=MILLISECOND),
+        adopted(900, 1, tenant=2),
+    )
     assert node.balancer.parts.quotas.connections_by_tenant == {2: 2}
     node.deliver(
-        AttemptEnded(request_id, 0, 1, AttemptStatus.OK, SECOND, True),
-        AttemptEnded(900, 0, 1, AttemptStatus.RESET, SECOND, True),
+        AttemptEnded(
+            request_id=request_id,
+            attempt=0,
+            endpoint_id=1,
+            status=AttemptStatus.OK,
+            latency_us=SECOND,
+            is_closed=True,
+        ),
+        AttemptEnded(
+            request_id=900,
+            attempt=0,
+            endpoint_id=1,
+            status=AttemptStatus.RESET,
+            latency_us=SECOND,
+            is_closed=True,
+        ),
     )
     assert node.balancer.parts.quotas.connections_by_tenant == {2: 0}
 
@@ -234,18 +302,18 @@
 def test_set_ups_that_fail_everywhere_widen_the_backoff_and_stop_migrations() -> None:
     """A slow shared store: more attempts and more migrations would only add to it."""
     node = BalancerDriver(endpoints(1, 29))
-    node.deliver(*(adopted(1000 + i, 1, 1000) for i in range(30)))
+    node.deliver(*(adopted(1000 + number, 1, 1000) for number in range(30)))
     time_out_requests(node, 1)
-    narrow = node.backoff(100).interval_end - START_TIME - MILLISECOND
+    narrow_interval_us = node.backoff(100).interval_end - START_TIME - MILLISECOND
     time_out_requests(node, 12)
     assert node.balancer.parts.setup_failures.rate > 0.5
-    now = node.now
+    sent_at = node.now
     _, actions = node.send_request(key=300)
-    send = only_attempt(actions)
-    assert send.timeout_us == node.settings.classes[0].deadline_us
-    node.fail_attempt(send, 0, AttemptStatus.TIMEOUT)
+    start = only_attempt(actions)
+    assert start.timeout_us == node.settings.classes[0].deadline_us
+    node.fail_attempt(start, 0, AttemptStatus.TIMEOUT)
     assert node.backoff(300).attempt == 1
-    assert node.backoff(300).interval_end - now > 3 * narrow
+    assert node.backoff(300).interval_end - sent_at > 3 * narrow_interval_us
     report_delay(node, 600.0)
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
 
@@ -269,27 +337,29 @@
 
 def test_a_burst_between_two_refreshes_finds_capacity() -> None:
     node = BalancerDriver(endpoints(1, 8))
-    assert all(only_attempt(node.send_request(key=k).actions) for k in range(1, 100))
+    assert all(only_attempt(node.send_request(key=key).actions) for key in range(1, 100))
 
 
 def test_pass_through_samples_the_keys_own_order_at_every_node() -> None:
     fleet = endpoints(1, 40)
     for key in range(1, 20):
-        firsts = []
+        checked_by_node = []
         for seed in (1, 2, 3):
             node = BalancerDriver(fleet, seed, pass_through=True, park_us=5 * SECOND, **LOAD_REPORTS)
             _, actions = node.send_request(key=key)
-            firsts.append([a.endpoint_id for a in actions if isinstance(a, CheckHealth)])
-        assert firsts[0] == firsts[1] == firsts[2]
+            checked_by_node.append(
+                [action.endpoint_id for action in actions if isinstance(action, CheckHealth)]
+            )
+        assert checked_by_node[0] == checked_by_node[1] == checked_by_node[2]
         _, actions = node.send_request(key=key, is_midstream=True)
-        assert only_attempt(actions).endpoint_id == firsts[0][0]
+        assert only_attempt(actions).endpoint_id == checked_by_node[0][0]
 
 
 def test_where_nobody_reports_delayed_endpoints_fill_the_pool() -> None:
     """Waves over the capacity: with most endpoints late, requests are rejected until they recover."""
     node = BalancerDriver(endpoints(1, 4))
-    node.deliver(*(adopted(1000 + i, 1 + i % 4, 1000) for i in range(40)))
-    node.deliver(*(delay_report(1000 + i, 1 + i, 600.0) for i in range(3)))
+    node.deliver(*(adopted(1000 + number, 1 + number % 4, 1000) for number in range(40)))
+    node.deliver(*(delay_report(1000 + number, 1 + number, 600.0) for number in range(3)))
     node.now += 100 * MILLISECOND
     assert not of_type(node.send_request(key=1).actions, StartAttempt)
     node.run_until(node.now + 5 * SECOND)
@@ -298,41 +368,41 @@
 
 def test_a_full_pool_still_fills_endpoints_in_slow_start() -> None:
     node = BalancerDriver(
-        [*(endpoint(i) for i in range(1, 5)), endpoint(9, ready_at=START_TIME - 10 * SECOND)]
+        [*(endpoint(number) for number in range(1, 5)), endpoint(9, ready_at=START_TIME - 10 * SECOND)]
     )
-    node.deliver(*(adopted(1000 + i, 1 + i % 4, 1000) for i in range(400)))
-    sent = set()
+    node.deliver(*(adopted(1000 + number, 1 + number % 4, 1000) for number in range(400)))
+    selected = set()
     for key in range(1, 30):
-        node.deliver(*(delay_report(1000 + i, 1 + i, 600.0) for i in range(4)))
+        node.deliver(*(delay_report(1000 + number, 1 + number, 600.0) for number in range(4)))
         actions = node.run_until(node.now + 200 * MILLISECOND) + node.send_request(key=key).actions
-        sent |= {a.endpoint_id for a in actions if isinstance(a, StartAttempt)}
-    assert sent == {9}
+        selected |= {action.endpoint_id for action in actions if isinstance(action, StartAttempt)}
+    assert selected == {9}
 
 
 def test_a_groups_connections_share_endpoints_at_every_node() -> None:
     """Each endpoint with connections of a group does its work: at random, all do that of all groups."""
-    fleet = endpoints(1, 8) + [endpoint(i, zone=1) for i in range(11, 19)]
-    used = set()
+    fleet = endpoints(1, 8) + [endpoint(number, zone=1) for number in range(11, 19)]
+    used_by_groups = set()
     for group in range(1, 11):
-        chosen = set()
+        used_by_group = set()
         for seed in (1, 2, 3):
             node = BalancerDriver(fleet, seed)
-            chosen |= {
-                only_attempt(node.send_request(key=k, group_key=group).actions).endpoint_id
-                for k in range(1, 4)
+            used_by_group |= {
+                only_attempt(node.send_request(key=key, group_key=group).actions).endpoint_id
+                for key in range(1, 4)
             }
-        assert len(chosen) <= 3  # at random five to seven
-        assert max(chosen) < 10  # the home zone first
-        used |= chosen
-    assert len(used) > 4  # groups differ in their endpoints
+        assert len(used_by_group) <= 3  # at random five to seven
+        assert max(used_by_group) < 10  # the home zone first
+        used_by_groups |= used_by_group
+    assert len(used_by_groups) > 4  # groups differ in their endpoints
 
 
 def test_a_group_returns_to_an_endpoint_that_has_its_connections() -> None:
     """Drawn by its hash alone, a group with connections elsewhere costs the fleet its work once more."""
     node = BalancerDriver(endpoints(1, 8))
-    node.deliver(*(adopted(1000 + g, 1 + g % 8, group_key=g) for g in range(1, 33)))
-    same = sum(
-        only_attempt(node.send_request(key=g, group_key=g).actions).endpoint_id == 1 + g % 8
-        for g in range(1, 33)
+    node.deliver(*(adopted(1000 + group, 1 + group % 8, group_key=group) for group in range(1, 33)))
+    returned_count = sum(
+        only_attempt(node.send_request(key=group, group_key=group).actions).endpoint_id == 1 + group % 8
+        for group in range(1, 33)
     )
-    assert same > 12  # by the hash alone one in eight, some four of them
+    assert returned_count > 12  # by the hash alone one in eight, some four of them
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -15,14 +15,13 @@
     AttemptStatus,
     ClientDisconnected,
     ConnectionReport,
-    EndpointListUpdate,
     EndpointState,
     HealthCheckResult,
     ListUpdateKind,
     RequestReceived,
 )
 from tansyladder.policy.settings import DeduplicationScope, Idempotency
-from tests.policy.harness import DEADLINE, MILLISECOND, SECOND, BalancerDriver, endpoint
+from tests.policy.harness import DEADLINE, MILLISECOND, SECOND, BalancerDriver, endpoint, list_update
 
 IDEMPOTENCIES = [
     (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -60,7 +59,13 @@
     """Endpoints and clients that act at random; each action of the balancer is checked as it comes."""
 
     def __init__(
-        self, seed: int, idempotency: Idempotency, scope: DeduplicationScope, pass_through: bool, checks: bool
+        self,
+        seed: int,
+        idempotency: Idempotency,
+        scope: DeduplicationScope,
+        *,
+        pass_through: bool,
+        can_check_health: bool,
     ) -> None:
         self.rng = Random(seed)
         self.idempotency = idempotency
@@ -73,8 +78,8 @@
             idempotency=idempotency,
             deduplication_scope=scope,
             pass_through=pass_through,
-            can_check_health=checks,
-            report_columns=("active", "x0") if checks else (),
+            can_check_health=can_check_health,
+            report_columns=("active", "x0") if can_check_health else (),
         )
         self.deadlines: dict[int, int] = {}  # by request, while an answer is owed
         self.pending: dict[int, PendingAttempt] = {}  # by request
@@ -113,15 +118,20 @@
         assert self.attempt_numbers[request_id] < self.node.settings.max_attempts
         if request_id in self.executions and self.idempotency is not Idempotency.IDEMPOTENT:
             self._check_repetition(start)
-        self.pending[request_id] = PendingAttempt(self.attempt_numbers[request_id], start.endpoint_id, now)
+        self.pending[request_id] = PendingAttempt(
+            attempt=self.attempt_numbers[request_id], endpoint_id=start.endpoint_id, started_at=now
+        )
 
     def _check_repetition(self, start: StartAttempt) -> None:
         assert self.idempotency is Idempotency.WITH_KEY, "a request without idempotency ran twice"
         first = self.executions[start.request_id]
-        here = self.zone_and_cell[start.endpoint_id]
-        there = self.zone_and_cell[first.endpoint_id]
-        part = self.scope is DeduplicationScope.CELL
-        assert self.scope is DeduplicationScope.ALL or here[part] == there[part]
+        zone_and_cell = self.zone_and_cell[start.endpoint_id]
+        first_zone_and_cell = self.zone_and_cell[first.endpoint_id]
+        part_index = self.scope is DeduplicationScope.CELL
+        assert (
+            self.scope is DeduplicationScope.ALL
+            or zone_and_cell[part_index] == first_zone_and_cell[part_index]
+        )
         window = self.node.settings.classes[0].deduplication_window_us
         assert self.node.now - first.at < window
 
@@ -144,9 +154,18 @@
         if is_closed:
             self.deadlines.pop(request_id, None)
         elif not status.definitely_not_executed:
-            self.executions.setdefault(request_id, PossibleExecution(pending.endpoint_id, pending.started_at))
+            self.executions.setdefault(
+                request_id, PossibleExecution(endpoint_id=pending.endpoint_id, at=pending.started_at)
+            )
         self.established.discard(request_id)
-        ended = AttemptEnded(request_id, pending.attempt, pending.endpoint_id, status, latency, is_closed)
+        ended = AttemptEnded(
+            request_id=request_id,
+            attempt=pending.attempt,
+            endpoint_id=pending.endpoint_id,
+            status=status,
+            latency_us=latency,
+            is_closed=is_closed,
+        )
         self.check(self.node.deliver(ended))
 
     def step(self, request_id: int) -> None:
@@ -165,7 +184,7 @@
             case 7 if self.deadlines:
                 request_id = self.rng.choice(sorted(self.deadlines))
                 del self.deadlines[request_id]
-                self.check(self.node.deliver(ClientDisconnected(request_id)))
+                self.check(self.node.deliver(ClientDisconnected(request_id=request_id)))
             case 8:
                 self.answer_health_checks()
                 self.report_connections()
@@ -181,15 +200,24 @@
 
     def send_request(self, request_id: int) -> None:
         """Send a request, perhaps midstream, perhaps after its deadline."""
-        left = self.rng.choice([-MILLISECOND, 5 * MILLISECOND, 200 * MILLISECOND, DEADLINE])
-        self.deadlines[request_id] = self.node.now + max(0, left)
+        time_left_us = self.rng.choice([-MILLISECOND, 5 * MILLISECOND, 200 * MILLISECOND, DEADLINE])
+        self.deadlines[request_id] = self.node.now + max(0, time_left_us)
         if self.rng.random() < 0.2:
             self.midstream.add(request_id)
         is_midstream = request_id in self.midstream
-        deadline = self.node.now + left
+        deadline = self.node.now + time_left_us
         key = self.rng.randrange(5)
         self.check(
-            self.node.deliver(RequestReceived(request_id, 0, 0, deadline, key, is_midstream=is_midstream))
+            self.node.deliver(
+                RequestReceived(
+                    request_id=request_id,
+                    class_index=0,
+                    tenant=0,
+                    deadline_us=deadline,
+                    key=key,
+                    is_midstream=is_midstream,
+                )
+            )
         )
 
     def end_some_attempt(self) -> None:
@@ -207,7 +235,12 @@
             del self.deadlines[request_id]
             pending = self.pending[request_id]
             latency = self.node.now - pending.started_at
-            event = AttemptEstablished(request_id, pending.attempt, pending.endpoint_id, latency)
+            event = AttemptEstablished(
+                request_id=request_id,
+                attempt=pending.attempt,
+                endpoint_id=pending.endpoint_id,
+                latency_us=latency,
+            )
             self.check(self.node.deliver(event))
 
     def update_some_endpoint(self) -> None:
@@ -222,14 +255,16 @@
         zone, cell = self.zone_and_cell[endpoint_id]
         ready_at = self.node.now if self.rng.random() < 0.3 else 0
         update = endpoint(endpoint_id, zone, state, ready_at, cell=cell)
-        self.check(self.node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (update,))))
+        self.check(self.node.deliver(list_update(ListUpdateKind.DELTA, update)))
 
     def answer_health_checks(self) -> None:
         """Answer all health checks in flight, some with nonsense."""
         for endpoint_id in self.health_checks:
             utilization = self.rng.choice([0.2, 0.9, 3.0, -1.0, float("nan"), float("inf")])
             status = self.rng.choice([AttemptStatus.OK, AttemptStatus.OK, AttemptStatus.TIMEOUT])
-            result = HealthCheckResult(endpoint_id, status, MILLISECOND, (3.0, utilization))
+            result = HealthCheckResult(
+                endpoint_id=endpoint_id, status=status, latency_us=MILLISECOND, load_report=(3.0, utilization)
+            )
             self.check(self.node.deliver(result))
         self.health_checks = []
 
@@ -239,13 +274,23 @@
             pending = self.pending[request_id]
             value = self.rng.choice([20.0, 400.0, float("nan"), -3.0])
             kind = self.rng.choice([1, 2])
-            report = ConnectionReport(request_id, kind, pending.attempt, pending.endpoint_id, value)
+            report = ConnectionReport(
+                request_id=request_id,
+                kind=kind,
+                attempt=pending.attempt,
+                endpoint_id=pending.endpoint_id,
+                value=value,
+            )
             self.check(self.node.deliver(report))
 
     def expire(self) -> None:
         """Let attempts time out at the deadlines of their requests."""
         node = self.node
-        expired = [r for r in sorted(self.pending) if r in self.deadlines and self.deadlines[r] <= node.now]
+        expired = [
+            request
+            for request in sorted(self.pending)
+            if request in self.deadlines and self.deadlines[request] <= node.now
+        ]
         for request_id in expired:
             deadline = self.deadlines[request_id]
             node.now = deadline if node.now - deadline < SECOND else node.now
@@ -258,12 +303,16 @@
     seed=st.integers(0, 2**32),
     idempotency=st.sampled_from(IDEMPOTENCIES),
     pass_through=st.booleans(),
-    checks=st.booleans(),
+    can_check_health=st.booleans(),
 )
 def test_the_rules_hold(
-    seed: int, idempotency: tuple[Idempotency, DeduplicationScope], pass_through: bool, checks: bool
+    *,
+    seed: int,
+    idempotency: tuple[Idempotency, DeduplicationScope],
+    pass_through: bool,
+    can_check_health: bool,
 ) -> None:
-    checker = RuleChecker(seed, *idempotency, pass_through, checks)
+    checker = RuleChecker(seed, *idempotency, pass_through=pass_through, can_check_health=can_check_health)
     for request_id in range(1, 150):
         checker.step(request_id)
     for _ in range(200):
--- a/tests/policy/test_request_states.py
+++ b/tests/policy/test_request_states.py
@@ -12,7 +12,10 @@
 
 def request_in(state: RequestState) -> Request:
     """A request in a state."""
-    request = Request(RequestReceived(1, 0, 0, START_TIME), START_TIME)
+    request = Request(
+        event=RequestReceived(request_id=1, class_index=0, tenant=0, deadline_us=START_TIME),
+        deadline=START_TIME,
+    )
     request.state = state
     return request
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -10,7 +10,6 @@
     AttemptEstablished,
     AttemptStatus,
     ClientDisconnected,
-    EndpointListUpdate,
     EndpointState,
     ListUpdateKind,
     RequestReceived,
@@ -25,6 +24,7 @@
     adopted,
     endpoint,
     endpoints,
+    list_update,
     of_type,
     only_attempt,
 )
@@ -39,32 +39,44 @@
     node = BalancerDriver([])
     request_id, actions = node.send_request()
     actions = actions or node.run_until(node.now + DEADLINE)
-    assert [a.request_id for a in actions if isinstance(a, Reject)] == [request_id]
+    assert [action.request_id for action in actions if isinstance(action, Reject)] == [request_id]
 
 
 def test_a_deadline_already_past_is_rejected_at_once() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request(left=-5)
-    assert actions == [Reject(request_id, 0)]
+    assert actions == [Reject(request_id=request_id, retry_after_us=0)]
 
 
 def test_no_attempt_starts_after_the_client_left() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
-    node.deliver(ClientDisconnected(request_id))
+    node.deliver(ClientDisconnected(request_id=request_id))
     assert not [
-        a for a in node.run_until(node.now + 10 * SECOND) if isinstance(a, StartAttempt | Reject | Fail)
+        action
+        for action in node.run_until(node.now + 10 * SECOND)
+        if isinstance(action, StartAttempt | Reject | Fail)
     ]
 
 
 def test_an_attempt_that_ends_after_the_client_left_is_no_failure() -> None:
     node = BalancerDriver(FLEET)
     request_id, actions = node.send_request()
-    send = only_attempt(actions)
-    node.deliver(ClientDisconnected(request_id))
+    start = only_attempt(actions)
+    node.deliver(ClientDisconnected(request_id=request_id))
     assert (
-        node.deliver(AttemptEnded(request_id, 0, send.endpoint_id, AttemptStatus.TIMEOUT, SECOND, True)) == []
+        node.deliver(
+            AttemptEnded(
+                request_id=request_id,
+                attempt=0,
+                endpoint_id=start.endpoint_id,
+                status=AttemptStatus.TIMEOUT,
+                latency_us=SECOND,
+                is_closed=True,
+            )
+        )
+        == []
     )
     assert request_id not in node.balancer.parts.requests.by_id
 
@@ -72,9 +84,9 @@
 def test_the_time_out_at_the_deadline_gets_the_final_answer() -> None:
     node = BalancerDriver(FLEET, max_attempts=1)
     request_id, actions = node.send_request()
-    send = only_attempt(actions)
-    assert send.timeout_us == DEADLINE
-    actions = node.fail_attempt(send, 0, AttemptStatus.TIMEOUT, DEADLINE)
+    start = only_attempt(actions)
+    assert start.timeout_us == DEADLINE
+    actions = node.fail_attempt(start, 0, AttemptStatus.TIMEOUT, DEADLINE)
     assert len(actions) == 1
     assert isinstance(actions[0], Reject)
     assert actions[0].request_id == request_id
@@ -87,7 +99,7 @@
     for status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED):
         node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
         request_id, actions = node.send_request()
-        assert node.fail_attempt(only_attempt(actions), 0, status) == [Fail(request_id)]
+        assert node.fail_attempt(only_attempt(actions), 0, status) == [Fail(request_id=request_id)]
 
 
 def test_a_request_without_idempotency_that_did_not_run_is_retried() -> None:
@@ -102,9 +114,12 @@
 def test_a_keyed_request_that_may_have_run_stays_in_its_deduplication_scope(
     scope: DeduplicationScope,
 ) -> None:
-    fleet = [endpoint(i, zone=i % 2, cell=i % 4) for i in range(1, 17)]
-    part = {e.endpoint_id: (e.zone if scope is DeduplicationScope.ZONE else e.cell) for e in fleet}
-    retried = 0
+    fleet = [endpoint(number, zone=number % 2, cell=number % 4) for number in range(1, 17)]
+    scope_by_endpoint = {
+        endpoint_id.endpoint_id: (endpoint_id.zone if scope is DeduplicationScope.ZONE else endpoint_id.cell)
+        for endpoint_id in fleet
+    }
+    retry_count = 0
     for seed in range(40):
         node = BalancerDriver(fleet, seed, idempotency=Idempotency.WITH_KEY, deduplication_scope=scope)
         _, actions = node.send_request()
@@ -112,9 +127,9 @@
         actions = node.fail_attempt(first, 0, AttemptStatus.RESET) or node.run_to_next_action()
         assert not of_type(actions, Reject)
         for retry in of_type(actions, StartAttempt):
-            retried += 1
-            assert part[retry.endpoint_id] == part[first.endpoint_id]
-    assert retried > 20
+            retry_count += 1
+            assert scope_by_endpoint[retry.endpoint_id] == scope_by_endpoint[first.endpoint_id]
+    assert retry_count > 20
 
 
 def test_a_keyed_request_deduplicated_everywhere_may_go_anywhere_and_be_rejected() -> None:
@@ -138,7 +153,7 @@
     actions = node.fail_attempt(only_attempt(actions), 0, AttemptStatus.RESET, 20 * MILLISECOND)
     actions += node.run_until(node.now + DEADLINE)
     assert not of_type(actions, StartAttempt)
-    assert [a.request_id for a in actions if isinstance(a, Reject)] == [request_id]
+    assert [action.request_id for action in actions if isinstance(action, Reject)] == [request_id]
 
 
 def test_never_two_attempts_pending() -> None:
@@ -155,9 +170,9 @@
     for state in (EndpointState.DRAINING, EndpointState.GONE):
         node = BalancerDriver(FLEET)
         node.deliver(
-            EndpointListUpdate(ListUpdateKind.DELTA, tuple(endpoint(i, state=state) for i in range(1, 8)))
+            list_update(ListUpdateKind.DELTA, *(endpoint(number, state=state) for number in range(1, 8)))
         )
-        assert {only_attempt(node.send_request(key=k).actions).endpoint_id for k in range(1, 60)} == {8}
+        assert {only_attempt(node.send_request(key=key).actions).endpoint_id for key in range(1, 60)} == {8}
 
 
 def test_connections_migrate_before_their_endpoint_leaves() -> None:
@@ -166,18 +181,26 @@
     for request_id in range(101, 121):
         node.deliver(adopted(request_id, 1))
     node.deliver(adopted(121, 2))
-    node.deliver(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint(1, state=EndpointState.DRAINING),)))
-    grace = node.settings.drain_grace_us
-    half = [a.request_id for a in node.run_until(node.now + grace // 2) if isinstance(a, Migrate)]
-    rest = [a.request_id for a in node.run_until(node.now + grace // 2 + 1) if isinstance(a, Migrate)]
-    assert 4 <= len(half) <= 16
-    assert sorted(half + rest) == list(range(101, 121))
+    node.deliver(list_update(ListUpdateKind.DELTA, endpoint(1, state=EndpointState.DRAINING)))
+    grace_us = node.settings.drain_grace_us
+    migrated_in_first_half = [
+        action.request_id
+        for action in node.run_until(node.now + grace_us // 2)
+        if isinstance(action, Migrate)
+    ]
+    migrated_in_second_half = [
+        action.request_id
+        for action in node.run_until(node.now + grace_us // 2 + 1)
+        if isinstance(action, Migrate)
+    ]
+    assert 4 <= len(migrated_in_first_half) <= 16
+    assert sorted(migrated_in_first_half + migrated_in_second_half) == list(range(101, 121))
 
 
 def test_an_endpoint_absent_from_a_complete_list_gets_nothing() -> None:
     node = BalancerDriver(FLEET)
-    node.deliver(EndpointListUpdate(ListUpdateKind.SNAPSHOT, (endpoint(3),)))
-    assert {only_attempt(node.send_request(key=k).actions).endpoint_id for k in range(1, 30)} == {3}
+    node.deliver(list_update(ListUpdateKind.SNAPSHOT, endpoint(3)))
+    assert {only_attempt(node.send_request(key=key).actions).endpoint_id for key in range(1, 30)} == {3}
 
 
 def test_a_retry_is_assigned_by_the_list_of_its_own_time() -> None:
@@ -185,9 +208,11 @@
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
     node.deliver(
-        EndpointListUpdate(
+        list_update(
             ListUpdateKind.DELTA,
-            (endpoint(1, state=EndpointState.GONE), endpoint(2, state=EndpointState.GONE), endpoint(9)),
+            endpoint(1, state=EndpointState.GONE),
+            endpoint(2, state=EndpointState.GONE),
+            endpoint(9),
         )
     )
     assert only_attempt(node.run_to_next_action()).endpoint_id == 9
@@ -201,27 +226,33 @@
     """Every node has its part of the fleet's connections and gets a burst; one endpoint in ten starts."""
     connections_each = 40
     endpoint_count = 10
-    warm = endpoints(1, endpoint_count - 1)
-    total = 0
+    warm_endpoints = endpoints(1, endpoint_count - 1)
+    attempt_count = 0
     for seed in range(nodes):
-        node = BalancerDriver([*warm, endpoint(99, ready_at=START_TIME)], seed, node_count=nodes)
+        node = BalancerDriver([*warm_endpoints, endpoint(99, ready_at=START_TIME)], seed, node_count=nodes)
         established = max(1, connections_each * endpoint_count // nodes)
-        node.deliver(*(adopted(10_000 + i, 1 + i % (endpoint_count - 1)) for i in range(established)))
+        node.deliver(
+            *(adopted(10_000 + number, 1 + number % (endpoint_count - 1)) for number in range(established))
+        )
         for key in range(1, 1 + max(2, 2 * established)):
             request_id, actions = node.send_request(key=key)
             start = only_attempt(actions)
-            total += start.endpoint_id == 99
-            node.deliver(AttemptEstablished(request_id, 0, start.endpoint_id, MILLISECOND))
+            attempt_count += start.endpoint_id == 99
+            node.deliver(
+                AttemptEstablished(
+                    request_id=request_id, attempt=0, endpoint_id=start.endpoint_id, latency_us=MILLISECOND
+                )
+            )
     # At first it may take overload_factor x its capacity of the rate that fills it over its slow start.
-    assert total <= 3.0 * 0.15 * connections_each / 20 * 1 + 8 + nodes * 0.05
+    assert attempt_count <= 3.0 * 0.15 * connections_each / 20 * 1 + 8 + nodes * 0.05
 
 
 def test_slow_start_paces_requests_where_no_other_endpoint_is_left() -> None:
-    node = BalancerDriver([endpoint(i, ready_at=START_TIME) for i in range(1, 5)], node_count=4)
-    sent = 0
+    node = BalancerDriver([endpoint(number, ready_at=START_TIME) for number in range(1, 5)], node_count=4)
+    attempt_count = 0
     for key in range(1, 200):
-        sent += len(of_type(node.send_request(key=key).actions, StartAttempt))
-    assert sent <= 4 * 2
+        attempt_count += len(of_type(node.send_request(key=key).actions, StartAttempt))
+    assert attempt_count <= 4 * 2
 
 
 # --- settings
@@ -238,15 +269,28 @@
     ],
 )
 def test_senseless_settings_name_their_field(field: str, value: float) -> None:
-    good = BalancerDriver(FLEET).settings
+    valid = BalancerDriver(FLEET).settings
     with pytest.raises(ValueError, match=field):
-        Settings(**{**{f: getattr(good, f) for f in Settings.__slots__}, field: value})
+        Settings(
+            **{**{field_name: getattr(valid, field_name) for field_name in Settings.__slots__}, field: value}
+        )
 
 
 def test_a_request_whose_attempt_was_not_made_is_answered() -> None:
     node = BalancerDriver(FLEET)
-    node.deliver(RequestReceived(5, 0, 0, node.now + 100 * MILLISECOND, 3))
-    send = next(a for _, a in node.action_log if isinstance(a, StartAttempt))
-    assert node.deliver(AttemptEnded(5, 0, send.endpoint_id, AttemptStatus.NOT_ATTEMPTED, 0, False)) == [
-        Reject(5, 0)
-    ]
+    node.deliver(
+        RequestReceived(
+            request_id=5, class_index=0, tenant=0, deadline_us=node.now + 100 * MILLISECOND, key=3
+        )
+    )
+    start = next(action for _, action in node.action_log if isinstance(action, StartAttempt))
+    assert node.deliver(
+        AttemptEnded(
+            request_id=5,
+            attempt=0,
+            endpoint_id=start.endpoint_id,
+            status=AttemptStatus.NOT_ATTEMPTED,
+            latency_us=0,
+            is_closed=False,
+        )
+    ) == [Reject(request_id=5, retry_after_us=0)]
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -69,9 +69,20 @@
         2b8e6401d9f37c10 91f03b7c55d20a64 0007 00000006 0003 0000004d 0006 0000000a 0005 000d7f9a0e6f2b19"""
     )
     assert wire.read_batch(3, body) == [
-        (3, RequestReceived(0x9F71F5D3A91C4, 0, 0, 0x8405DA, 0x91F03B7C55D20A64, 0x2B8E6401D9F37C10, 12000)),
-        (3, TimerExpired(0x4D)),
-        (5, ClientDisconnected(0xD7F9A0E6F2B19)),
+        (
+            3,
+            RequestReceived(
+                request_id=0x9F71F5D3A91C4,
+                class_index=0,
+                tenant=0,
+                deadline_us=0x8405DA,
+                key=0x91F03B7C55D20A64,
+                group_key=0x2B8E6401D9F37C10,
+                load_hint=12000,
+            ),
+        ),
+        (3, TimerExpired(timer_id=0x4D)),
+        (5, ClientDisconnected(request_id=0xD7F9A0E6F2B19)),
     ]
 
 
@@ -84,33 +95,60 @@
     [(instance, update)] = wire.read_batch(1, body)
     assert instance == 3
     assert update == EndpointListUpdate(
-        ListUpdateKind.CACHED,
-        (
-            EndpointUpdate(0x03124A07, 0, 0, 0, 1.0, EndpointState.READY, 0),
-            EndpointUpdate(0x2C9011F2, 1, 0, 0, 1.5, EndpointState.READY, 0x5D1420),
+        kind=ListUpdateKind.CACHED,
+        endpoints=(
+            EndpointUpdate(
+                endpoint_id=0x03124A07,
+                zone=0,
+                cell=0,
+                kind=0,
+                weight=1.0,
+                state=EndpointState.READY,
+                ready_at_us=0,
+            ),
+            EndpointUpdate(
+                endpoint_id=0x2C9011F2,
+                zone=1,
+                cell=0,
+                kind=0,
+                weight=1.5,
+                state=EndpointState.READY,
+                ready_at_us=0x5D1420,
+            ),
         ),
-        0x29,
+        version=0x29,
     )
 
 
 def test_the_attempt_ended_example() -> None:
     body = from_hex("0005 00000018 0003 0009f71f5d3a91c4 0000 03124a07 0000 00004844 01 00")
     assert wire.read_batch(1, body) == [
-        (3, AttemptEnded(0x9F71F5D3A91C4, 0, 0x03124A07, AttemptStatus.OK, 0x4844, True, ()))
+        (
+            3,
+            AttemptEnded(
+                request_id=0x9F71F5D3A91C4,
+                attempt=0,
+                endpoint_id=0x03124A07,
+                status=AttemptStatus.OK,
+                latency_us=0x4844,
+                is_closed=True,
+                load_report=(),
+            ),
+        )
     ]
 
 
 def test_the_action_examples() -> None:
-    assert wire.write_action(3, StartAttempt(0x9F71F5D3A91C4, 0x03124A07, 80000)) == from_hex(
-        "0041 00000012 0003 0009f71f5d3a91c4 03124a07 00013880"
-    )
-    assert wire.write_action(3, SetTimer(0x87FD7A, 0x4D)) == from_hex(
+    assert wire.write_action(
+        3, StartAttempt(request_id=0x9F71F5D3A91C4, endpoint_id=0x03124A07, timeout_us=80000)
+    ) == from_hex("0041 00000012 0003 0009f71f5d3a91c4 03124a07 00013880")
+    assert wire.write_action(3, SetTimer(due_at_us=0x87FD7A, timer_id=0x4D)) == from_hex(
         "0045 0000000e 0003 000000000087fd7a 0000004d"
     )
-    assert wire.write_action(3, SendPeerMessage(None, b"hi 7")) == from_hex(
+    assert wire.write_action(3, SendPeerMessage(peer_index=None, data=b"hi 7")) == from_hex(
         "0048 0000000c 0003 ffffffff 0004 68692037"
     )
-    assert wire.write_action(5, Log("two servers known")) == from_hex(
+    assert wire.write_action(5, Log(text="two servers known")) == from_hex(
         "0049 00000015 0005 0011 74776f2073657276657273206b6e6f776e"
     )
 
@@ -118,12 +156,12 @@
 @pytest.mark.parametrize(
     ("action", "code", "body"),
     [
-        (Reject(9, 70), 66, struct.pack(">HQI", 1, 9, 70)),
-        (Fail(9), 67, struct.pack(">HQ", 1, 9)),
-        (CancelAttempt(9, 2), 68, struct.pack(">HQH", 1, 9, 2)),
-        (CheckHealth(8), 70, struct.pack(">HI", 1, 8)),
-        (PollDiscovery(True), 75, struct.pack(">HB", 1, 1)),
-        (Migrate(9), 77, struct.pack(">HQ", 1, 9)),
+        (Reject(request_id=9, retry_after_us=70), 66, struct.pack(">HQI", 1, 9, 70)),
+        (Fail(request_id=9), 67, struct.pack(">HQ", 1, 9)),
+        (CancelAttempt(request_id=9, attempt=2), 68, struct.pack(">HQH", 1, 9, 2)),
+        (CheckHealth(endpoint_id=8), 70, struct.pack(">HI", 1, 8)),
+        (PollDiscovery(is_enabled=True), 75, struct.pack(">HB", 1, 1)),
+        (Migrate(request_id=9), 77, struct.pack(">HQ", 1, 9)),
     ],
 )
 def test_the_other_actions(action: Action, code: int, body: bytes) -> None:
@@ -171,8 +209,8 @@
 
 
 def start(instance: int, seed: int) -> bytes:
-    raw = SETTINGS.encode()
-    return record(1, struct.pack(">HQI", instance, seed, len(raw)) + raw)
+    settings_bytes = SETTINGS.encode()
+    return record(1, struct.pack(">HQI", instance, seed, len(settings_bytes)) + settings_bytes)
 
 
 def batch(now: int, *records: bytes) -> bytes:
@@ -190,14 +228,16 @@
 
 def run_host(data: bytes) -> HostRun:
     """Run the host's program on an input."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "tansyladder.simulator.host"],
         input=data,
         capture_output=True,
         timeout=60,
         check=False,
     )
-    return HostRun(done.returncode, done.stdout, done.stderr.decode())
+    return HostRun(
+        exit_code=completed.returncode, replies=completed.stdout, message=completed.stderr.decode()
+    )
 
 
 def test_the_end_of_input_is_a_clean_end() -> None:
@@ -219,31 +259,33 @@
     ],
 )
 def test_bad_input_ends_with_one_plain_line(data: bytes) -> None:
-    done = run_host(data)
-    assert done.exit_code == 1
-    assert done.message.startswith("tansyladder: ")
-    assert done.message.count("\n") == 1
+    run = run_host(data)
+    assert run.exit_code == 1
+    assert run.message.startswith("tansyladder: ")
+    assert run.message.count("\n") == 1
 
 
 def batches(instances: list[int]) -> list[bytes]:
     """Forty batches: a start and an endpoint list, then a request each, whose last attempt failed."""
     endpoint = struct.Struct(">QHIfBHB")
     endpoints = b"".join(endpoint.pack(0, 0, 1 + number, 1.0, 0, 0, 3) for number in range(9))
-    out = []
-    for step in range(40):
+    encoded_batches = []
+    for batch_index in range(40):
         records = []
         for instance in instances:
-            if step == 0:
+            if batch_index == 0:
                 records.append(start(instance, 100 + instance))
                 records.append(record(2, struct.pack(">HQBI", instance, 1, 4, 9) + endpoints))
             else:
-                request = struct.pack(">HQHHQBIQQ", instance, step, 0, 0, 10**9, 0, 0, 0, step % 5)
+                request = struct.pack(
+                    ">HQHHQBIQQ", instance, batch_index, 0, 0, 10**9, 0, 0, 0, batch_index % 5
+                )
                 records.append(record(3, request))
-                if step > 1:
-                    ended = struct.pack(">HQHIHIBB", instance, step - 1, 0, 1, 2, 5, 0, 0)
+                if batch_index > 1:
+                    ended = struct.pack(">HQHIHIBB", instance, batch_index - 1, 0, 1, 2, 5, 0, 0)
                     records.append(record(5, ended))
-        out.append(batch(10**6 + step * 1000, *records))
-    return out
+        encoded_batches.append(batch(10**6 + batch_index * 1000, *records))
+    return encoded_batches
 
 
 def serve(data: bytes) -> bytes:
@@ -256,7 +298,7 @@
 def action_records(instances: list[int]) -> dict[int, list[bytes]]:
     """Each instance's action records, from one host of them all."""
     replies = serve(b"".join(batches(instances)))
-    found: dict[int, list[bytes]] = {instance: [] for instance in instances}
+    records_by_instance: dict[int, list[bytes]] = {instance: [] for instance in instances}
     position = 0
     while position < len(replies):
         end = position + 4 + int.from_bytes(replies[position : position + 4], "big")
@@ -264,9 +306,9 @@
         while position < end:
             size = 6 + int.from_bytes(replies[position + 2 : position + 6], "big")
             instance = int.from_bytes(replies[position + 6 : position + 8], "big")
-            found[instance].append(replies[position : position + size])
+            records_by_instance[instance].append(replies[position : position + size])
             position += size
-    return found
+    return records_by_instance
 
 
 def test_instances_are_isolated_and_determined_by_their_events() -> None:
@@ -280,5 +322,5 @@
     stop = batch(2 * 10**6, record(10, struct.pack(">H", 1)))
     data = b"".join(batches([1]))
     replies = serve(data + stop + data)
-    half = (len(replies) - 4) // 2
-    assert replies[:half] == replies[half + 4 :]
+    half_length = (len(replies) - 4) // 2
+    assert replies[:half_length] == replies[half_length + 4 :]
