--- /dev/null
+++ b/tests/policy/test_policy_page.py
@@ -0,0 +1,50 @@
+"""The page `docs/policy.md` names only what exists, and each module that decides."""
+
+from __future__ import annotations
+
+import importlib
+import re
+from pathlib import Path
+
+import pytest
+
+import tansyladder.policy
+
+POLICY_FOLDER = Path(tansyladder.policy.__file__).parent
+PAGE = POLICY_FOLDER.parent.parent / "docs" / "policy.md"
+QUALIFIED_NAME = re.compile(r"`([a-z_]+(?:\.[A-Za-z_]+)+)`")
+NOT_ON_THE_PAGE = {  # the interface, the entry's helpers, and records
+    "__init__",
+    "action_sink",
+    "actions",
+    "clock",
+    "endpoint_pools",
+    "endpoint_reports",
+    "endpoint_table",
+    "events",
+    "hashing",
+    "parts",
+    "request_states",
+    "request_table",
+    "requests",
+    "settings",
+    "timers",
+}
+
+
+def names_on_page() -> list[str]:
+    """The qualified names in code font: a module of the policy, and what it holds."""
+    return sorted(set(QUALIFIED_NAME.findall(PAGE.read_text())))
+
+
+@pytest.mark.parametrize("name", names_on_page())
+def test_each_name_on_the_page_exists(name: str) -> None:
+    module_name, *attributes = name.split(".")
+    found: object = importlib.import_module(f"tansyladder.policy.{module_name}")
+    for attribute in attributes:
+        found = getattr(found, attribute)  # AttributeError names what does not exist
+
+
+def test_the_page_names_each_module_that_decides() -> None:
+    modules = {path.stem for path in POLICY_FOLDER.glob("*.py")}
+    assert {name.split(".")[0] for name in names_on_page()} == modules - NOT_ON_THE_PAGE
