--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -19,6 +19,7 @@
     EndpointState,
     EndpointUpdate,
     Event,
+    HealthCheckResult,
     ListUpdateKind,
     ReportKind,
     RequestReceived,
@@ -131,6 +132,16 @@
     )
 
 
+def utilization_report(endpoint_id: int, utilization: float, connections: float = 1.0) -> HealthCheckResult:
+    """The answer to a health check, with the load report of `LOAD_REPORTS`."""
+    return HealthCheckResult(
+        endpoint_id=endpoint_id,
+        status=AttemptStatus.OK,
+        latency_us=MILLISECOND,
+        load_report=(connections, utilization),
+    )
+
+
 class SentRequest(NamedTuple):
     """A request that was sent, and what the balancer did at once."""
 
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -13,7 +13,6 @@
     ClientDisconnected,
     ConnectionReport,
     EndpointState,
-    HealthCheckResult,
     ListUpdateKind,
     ReportKind,
 )
@@ -30,6 +29,7 @@
     list_update,
     of_type,
     only_attempt,
+    utilization_report,
 )
 
 
@@ -40,15 +40,7 @@
 
 def answer_checks(node: BalancerDriver, endpoint_ids: list[int], utilization: float) -> list[Action]:
     """Answer health checks with a utilization; what the node does then."""
-    report = (1.0, utilization)
-    return node.deliver(
-        *(
-            HealthCheckResult(
-                endpoint_id=endpoint_id, status=AttemptStatus.OK, latency_us=MILLISECOND, load_report=report
-            )
-            for endpoint_id in endpoint_ids
-        )
-    )
+    return node.deliver(*(utilization_report(endpoint_id, utilization) for endpoint_id in endpoint_ids))
 
 
 def test_an_endpoint_that_drains_during_a_health_check_gets_nothing() -> None:
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -26,6 +26,7 @@
     endpoints,
     of_type,
     only_attempt,
+    utilization_report,
 )
 
 
@@ -35,12 +36,7 @@
     """Send a request and answer its health checks with the utilizations told; all actions."""
     _, actions = node.send_request(key=key)
     replies = [
-        HealthCheckResult(
-            endpoint_id=action.endpoint_id,
-            status=AttemptStatus.OK,
-            latency_us=MILLISECOND,
-            load_report=(9.0, utilizations[action.endpoint_id]),
-        )
+        utilization_report(action.endpoint_id, utilizations[action.endpoint_id], connections=9.0)
         for action in actions
         if isinstance(action, CheckHealth)
     ]
@@ -145,11 +141,7 @@
     """The messages are still late because work is piled up, not because there is too much."""
     node = node_with_connections(30, 1000, **LOAD_REPORTS)
     report_delay(node, 300.0)
-    node.deliver(
-        HealthCheckResult(
-            endpoint_id=1, status=AttemptStatus.OK, latency_us=MILLISECOND, load_report=(30.0, 0.5)
-        )
-    )
+    node.deliver(utilization_report(1, 0.5, connections=30.0))
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
 
 
@@ -178,9 +170,7 @@
     node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
     for value in (-1.0, float("nan"), float("inf"), 1e30):
         node.deliver(
-            HealthCheckResult(
-                endpoint_id=1, status=AttemptStatus.OK, latency_us=MILLISECOND, load_report=(1.0, value)
-            ),
+            utilization_report(1, value),
             HealthCheckResult(endpoint_id=2, status=AttemptStatus.OK, latency_us=MILLISECOND, load_report=()),
         )
         node.deliver(
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -56,7 +56,7 @@
 
 
 class RuleChecker:
-    """Endpoints and clients that act at random; each action of the balancer is checked as it comes."""
+    """What endpoints and clients know; each action of the balancer is checked against it as it comes."""
 
     def __init__(
         self,
@@ -168,6 +168,33 @@
         )
         self.check(self.node.deliver(ended))
 
+    def advance(self, until: int) -> None:
+        """Play timers up to a time, one moment after another, to check each at its own."""
+        node = self.node
+        while node.pending_timers and min(node.pending_timers).due_at <= until:
+            self.check(node.run_until(min(node.pending_timers).due_at))
+            self.expire()
+        self.check(node.run_until(until))
+        self.expire()
+
+    def expire(self) -> None:
+        """Let attempts time out at the deadlines of their requests."""
+        node = self.node
+        expired = [
+            request
+            for request in sorted(self.pending)
+            if request in self.deadlines and self.deadlines[request] <= node.now
+        ]
+        for request_id in expired:
+            deadline = self.deadlines[request_id]
+            node.now = deadline if node.now - deadline < SECOND else node.now
+            latency = node.now - self.pending[request_id].started_at
+            self.end_attempt(request_id, AttemptStatus.TIMEOUT, latency)
+
+
+class RandomTraffic(RuleChecker):
+    """Endpoints and clients that act at random."""
+
     def step(self, request_id: int) -> None:
         """Let some time pass, then something happen; a request that comes then has this number."""
         pause = self.rng.choice([0, MILLISECOND, 20 * MILLISECOND, 300 * MILLISECOND])
@@ -189,15 +216,6 @@
                 self.answer_health_checks()
                 self.report_connections()
 
-    def advance(self, until: int) -> None:
-        """Play timers up to a time, one moment after another, to check each at its own."""
-        node = self.node
-        while node.pending_timers and min(node.pending_timers).due_at <= until:
-            self.check(node.run_until(min(node.pending_timers).due_at))
-            self.expire()
-        self.check(node.run_until(until))
-        self.expire()
-
     def send_request(self, request_id: int) -> None:
         """Send a request, perhaps midstream, perhaps after its deadline."""
         time_left_us = self.rng.choice([-MILLISECOND, 5 * MILLISECOND, 200 * MILLISECOND, DEADLINE])
@@ -283,20 +301,6 @@
             )
             self.check(self.node.deliver(report))
 
-    def expire(self) -> None:
-        """Let attempts time out at the deadlines of their requests."""
-        node = self.node
-        expired = [
-            request
-            for request in sorted(self.pending)
-            if request in self.deadlines and self.deadlines[request] <= node.now
-        ]
-        for request_id in expired:
-            deadline = self.deadlines[request_id]
-            node.now = deadline if node.now - deadline < SECOND else node.now
-            latency = node.now - self.pending[request_id].started_at
-            self.end_attempt(request_id, AttemptStatus.TIMEOUT, latency)
-
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(
@@ -312,7 +316,7 @@
     pass_through: bool,
     can_check_health: bool,
 ) -> None:
-    checker = RuleChecker(seed, *idempotency, pass_through=pass_through, can_check_health=can_check_health)
+    checker = RandomTraffic(seed, *idempotency, pass_through=pass_through, can_check_health=can_check_health)
     for request_id in range(1, 150):
         checker.step(request_id)
     for _ in range(200):
