--- a/tansyladder/cluster/peer_transport.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -23,7 +23,7 @@
 from tansyladder.cluster.peer_handshake import HANDSHAKE_TIMEOUT, MAX_LOGGED_NAME, PeerHandshake
 from tansyladder.config.operator_settings import PeersOptions
 from tansyladder.config.platform import Address, parse_address
-from tansyladder.invariants import check_invariant
+from tansyladder.invariants import Invariant, check_invariant
 from tansyladder.log import LogEvent, log
 from tansyladder.raft.messages import Message
 from tansyladder.replication.content_transfer import DocumentMessage
@@ -162,7 +162,7 @@
                 with socket.create_connection(self._peers[peer], timeout) as sock:
                     self._run(self.handshake.dial(sock, peer))
             except PeerError as err:
-                log(LogEvent.PEER_REJECTED, peer=peer, why=err)
+                log(LogEvent.PEER_REJECTED, peer=peer, error=err)
             except OSError:
                 pass  # the peer is down or still starting; its own log shows which
             self._stop_requested.wait(random.uniform(MIN_REDIAL_SECONDS, MAX_REDIAL_SECONDS))
@@ -175,7 +175,7 @@
             except OSError as err:
                 if self._stop_requested.is_set():
                     return
-                log(LogEvent.PEER_ACCEPT_FAILED, why=err)
+                log(LogEvent.PEER_ACCEPT_FAILED, error=err)
                 self._stop_requested.wait(MAX_REDIAL_SECONDS)
                 continue
             self._start_serving(sock)
@@ -191,7 +191,7 @@
         except RuntimeError as err:  # the system can't start a thread
             self._handshake_slots.release()
             sock.close()
-            log(LogEvent.PEER_ACCEPT_FAILED, why=err)
+            log(LogEvent.PEER_ACCEPT_FAILED, error=err)
 
     def _serve(self, sock: socket.socket) -> None:
         """Run an accepted connection until it ends."""
@@ -204,7 +204,7 @@
                 self._run(channel)
             except PeerError as err:
                 self.counters.count_rejected_peer()
-                log(LogEvent.PEER_REJECTED, why=err)
+                log(LogEvent.PEER_REJECTED, error=err)
             except OSError:
                 pass  # the connection has ended, and the peer dials again
 
@@ -221,7 +221,7 @@
             self._unregister(channel)
             channel.close()
             dropped = self.counters.messages_dropped
-            log(LogEvent.PEER_DISCONNECTED, peer=channel.peer, dropped=dropped)
+            log(LogEvent.PEER_DISCONNECTED, peer=channel.peer, dropped_messages=dropped)
 
     def _register(self, channel: PeerChannel) -> None:
         """Replace and close an earlier channel of the same peer. OSError: the transport is stopping."""
@@ -253,7 +253,7 @@
         """Send queued messages until the channel is closed; the function of the thread `peer-out`."""
         while (data := channel.next_queued()) is not None:
             try:
-                check_invariant(len(data) <= MAX_FRAME_BYTES, "peer_frame_too_large")
+                check_invariant(Invariant.PEER_FRAME_TOO_LARGE, holds=len(data) <= MAX_FRAME_BYTES)
                 channel.send(data)
                 self.counters.count_sent(len(data))
             except OSError:
--- a/tests/answers/test_exit_codes.py
+++ b/tests/answers/test_exit_codes.py
@@ -16,7 +16,8 @@
 import pytest
 
 from tansyladder.lab.node import spare_port
-from tests.answers.program import ROOT, command_line, platform_config, port_of, run, running_node
+from tests.answers.own_output import CommandResult, run_command
+from tests.answers.program import ROOT, platform_config, port_of, run, running_node
 
 PEERS = f"""
 (resume (enabled true) (keys (1 "{"ab" * 32}")))
@@ -28,7 +29,7 @@
     with running_node(tmp_path, platform_config()) as node:
         node.process.send_signal(signal.SIGINT)
         assert node.log_line("event=stopping ") == "event=stopping signal=SIGINT"
-        assert node.log_line("event=drained ") == "event=drained standing=0 in_hand=0"
+        assert node.log_line("event=drained ") == "event=drained established=0 pending=0"
         assert node.process.wait(10) == 0
 
 
@@ -42,7 +43,7 @@
 def test_a_start_without_a_configuration_ends_with_2() -> None:
     done = run()
     assert done.returncode == 2
-    assert done.stderr.startswith("event=bad_config why=GW_CONFIG: not set")
+    assert done.stderr.startswith("event=bad_config error=GW_CONFIG: not set")
 
 
 @pytest.mark.parametrize(("key", "variable"), [("listen", "GW_LISTEN"), ("operator", "GW_OPERATOR")])
@@ -53,7 +54,7 @@
     with socket.create_server(("127.0.0.1", port_of(config[key]))):
         done = run(config_file=config_file)
     assert done.returncode == 2
-    assert done.stderr.splitlines()[-1].startswith(f"event=bad_config why={variable}: ")
+    assert done.stderr.splitlines()[-1].startswith(f"event=bad_config error={variable}: ")
 
 
 def test_a_node_that_is_not_among_its_peers_ends_the_start_with_2(tmp_path: Path) -> None:
@@ -63,19 +64,16 @@
     settings_file.write_text(PEERS.replace("PORT", str(spare_port())))
     done = run("serve", "--settings", str(settings_file), config_file=config_file)
     assert done.returncode == 2
-    assert done.stderr.splitlines()[-1].startswith("event=bad_settings why=peers: ")
+    assert done.stderr.splitlines()[-1].startswith("event=bad_settings error=peers: ")
 
 
-def test_check_says_that_sound_files_are_sound(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_check_says_that_sound_files_are_sound(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     config_file = tmp_path / "config.json"
     config_file.write_text(json.dumps(platform_config("127.0.0.1:9")))
     example = ROOT / "deploy" / "settings.example.sexp"
-    for file in (config_file, example):
-        assert command_line(["check", str(file)], monkeypatch) == 0
-    sound = f"{config_file}: sound: node n0, 1 members known\n{example}: sound\n"
-    assert capsys.readouterr() == (sound, "")
+    sound_configuration = CommandResult(0, f"{config_file}: sound: node n0, 1 members known\n", "")
+    assert run_command(["check", str(config_file)], monkeypatch) == sound_configuration
+    assert run_command(["check", str(example)], monkeypatch) == CommandResult(0, f"{example}: sound\n", "")
 
 
 @pytest.mark.parametrize(
@@ -96,9 +94,7 @@
         (["store", "verify", "missing"], 2),
     ],
 )
-def test_the_command_lines_exit_codes(
-    words: list[str], code: int, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:
-    assert command_line(words, monkeypatch) == code
-    shown = capsys.readouterr()
-    assert shown.out if code == 0 else shown.err
+def test_the_command_lines_exit_codes(words: list[str], code: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    result = run_command(words, monkeypatch)
+    assert result.exit_code == code
+    assert result.stdout if code == 0 else result.stderr
--- a/tests/cluster/test_session_takeover.py
+++ b/tests/cluster/test_session_takeover.py
@@ -15,8 +15,8 @@
     """Run faults at three nodes with 24 sessions; no invariant is violated, and all clients end connected."""
     plan = schedule.Schedule(1, 3, 2, 24, faults)
     result = asyncio.run(experiments.run_schedule(plan, tmp_path / "history.jsonl"))
-    assert result["all_back"]
-    assert not result["cases"]
+    assert result.all_reconnected
+    assert not result.cases
     return history.load(tmp_path / "history.jsonl")
 
 
@@ -74,7 +74,7 @@
 
     sessions, log = asyncio.run(asyncio.wait_for(scenario(), 60))
     assert sessions == 12
-    assert log.count(b"event=cluster_joined store=True") == 2
+    assert log.count(b"event=cluster_joined has_store=True") == 2
     assert log.index(b"event=drained") < log.rindex(b"event=cluster_joined")
     assert b"store_unusable" not in log
 
--- a/tests/replication/test_document_processes.py
+++ b/tests/replication/test_document_processes.py
@@ -37,13 +37,13 @@
 ) -> None:
     """Each fault occurs during a pending change, while clients connect to all nodes all the time."""
     result = asyncio.run(documents.run_experiment(3, 1, tmp_path / "history.jsonl"))
-    assert not result["cases"]
-    assert not result["turned_away_when_calm"]
-    # On a busy machine a node may not vote in time; then the change is aborted, which is a valid result.
-    assert result["changes"] == 13
-    assert result["done"] >= 5
-    assert result["refused"] >= 1
-    assert result["stamped"] >= result["served"] > 100
+    assert not result.cases
+    assert not result.probes_rejected_when_calm
+    # On a busy machine a node may not vote in time, and the change is aborted: that is a result too.
+    assert result.changes == 13
+    assert result.committed >= 5
+    assert result.rejected >= 1
+    assert result.decisions >= result.served > 100
     events = history.load(tmp_path / "history.jsonl")
     resumed = next_event(events, "sound", after=next_event(events, "stopped"))
     answers = answers_after(events, resumed)
