--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -15,6 +15,8 @@
 from tansyladder.lab.waiting import wait_until
 
 HEALTH_CHECK_TIME = 0.003  # seconds until a health check is answered
+SETUP_TIME = 0.004  # seconds of work for the setup of a session
+FRAME_INTERVAL = 0.5  # seconds between two frames of a session
 DRAIN_GRACE = timedelta(seconds=2.55)  # no new attempt arrives at a draining or removed host after this
 CLOSE_TIMEOUT = 2.0  # seconds in which a host's connections end
 PARALLEL_SETUPS = 2  # cores of a host
@@ -30,17 +32,12 @@
         self,
         cluster: StreamHostCluster,
         ident: str,
-        frame_interval: float = 0.5,
-        setup_time: float = 0.004,
+        frame_interval: float = FRAME_INTERVAL,
     ) -> None:
-        """Make a host that does not listen yet.
-
-        `frame_interval` is in seconds; `setup_time` is the work of a session's setup, in seconds.
-        """
+        """Make a host that does not listen yet; `frame_interval` is in seconds."""
         self.cluster = cluster
         self.ident = ident
         self._frame_interval = frame_interval
-        self._setup_time = setup_time
         self.streams: set[HostedStream] = set()
         self.address = ""
         self.addresses: list[str] = []  # of all its listeners
@@ -51,7 +48,7 @@
         self._cores = asyncio.Semaphore(PARALLEL_SETUPS)
 
     async def start(self, listener_count: int = 1) -> None:
-        """Listen; several listeners show which way a connection came. A restart uses the same addresses."""
+        """Listen; a listener for each link shows which one was used. A restart keeps the addresses."""
         ports = [int(address.rpartition(":")[2]) for address in self.addresses] or [0] * listener_count
         self.addresses = []
         for index, port in enumerate(ports):
@@ -152,7 +149,7 @@
             stream.send("BUSY")
             return False
         async with self._cores:
-            await asyncio.sleep(self._setup_time)
+            await asyncio.sleep(SETUP_TIME)
         if first_line.resumption is not None:
             return self._acquire_session(stream, first_line.resumption)
         stream.send(f"UP {self.ident}-{stream.connection_id}")
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -25,7 +25,7 @@
 LOG_TAIL_LINES = 15
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # of the CPU times in /proc
 FOLDER_PLACEHOLDER = "FOLDER"  # in an operator's settings: replaced by the node's folder
-MODULE_SETTINGS: dict[str, Any] = {
+POLICY_SETTINGS: dict[str, Any] = {
     "family": "conn",
     "discovery": "on_request",
     "localities": ["a"],
@@ -113,14 +113,14 @@
             "seed": "1ab",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 8192},
             "known": msgspec.to_builtins(known_endpoints),
-            "settings": MODULE_SETTINGS | {"balancers": node_count},
+            "settings": POLICY_SETTINGS | {"balancers": node_count},
         }
         self.config.write_text(json.dumps(configuration, indent=1))
         if self._settings_file is not None:
             self._settings_file.write_text(operator_settings.replace(FOLDER_PLACEHOLDER, str(folder)))
 
     async def start(self, clock_offset: float = 0.0) -> None:
-        """Start a process and wait until it listens; `clock_offset`: seconds by which its wall clock is off.
+        """Start a process and wait until it listens; `clock_offset`: error of its wall clock in seconds.
 
         Raises NodeError where it does not start in time.
         """
--- a/tansyladder/lab/topology.py
+++ b/tansyladder/lab/topology.py
@@ -13,7 +13,7 @@
 from tansyladder.lab.discovery_server import DiscoveryServer, Phase
 from tansyladder.lab.errors import LabTimeoutError
 from tansyladder.lab.host_cluster import StreamHostCluster
-from tansyladder.lab.hosts import StreamHost
+from tansyladder.lab.hosts import FRAME_INTERVAL, StreamHost
 from tansyladder.lab.node import LabNode
 from tansyladder.lab.report import Invariant, Report
 from tansyladder.lab.waiting import wait_until
@@ -33,7 +33,7 @@
     _: KW_ONLY
     resumes: bool  # whether the node and its clients resume sessions
     listed_count: int | None = None  # how many hosts the node knows at its start; None: all
-    frame_interval: float = 0.5  # seconds between two lines of a session
+    frame_interval: float = FRAME_INTERVAL  # seconds between two frames of a session
     line_interval: float = LINE_INTERVAL  # seconds between two lines of a client
     operator_settings: str | None = None  # of the node; None: those that `resumes` asks for
 
