--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -146,6 +146,16 @@
         if self.socket is not None:  # else the client may not know that its token is redeemed
             self._registry.confirm_opened(self._stream.session_id)
 
+    def accepts_position(self, client: ResumingClient) -> bool:
+        """Return whether a client of a detached session can resume from its position; reject it otherwise."""
+        self._stream.adopt_client_position(client.received_line_count)
+        try:
+            self._stream.from_host.lines_after(client.received_line_count)
+        except PositionError as error:
+            self.cancel_resume(client, control_messages.format_rejection(error.reason))
+            return False
+        return True
+
     def cancel_resume(self, client: ResumingClient, answer: bytes) -> None:
         """Reject a client that reconnected; its token remains valid."""
         self._registry.token_registry.cancel_resume(self._stream.session_id)
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import contextlib
 import select
 import socket
 from datetime import timedelta
@@ -13,9 +12,8 @@
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.buffered_socket import BufferedSocket
 from tansyladder.net.clock import now
-from tansyladder.net.response_timeout import OVERDUE_INTERVAL, ResponseTimeout
+from tansyladder.net.response_timeout import OVERDUE_INTERVAL
 from tansyladder.node.context import NodeContext
-from tansyladder.node.delay_reporting import build_delay_reports
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption.errors import ControlMessageError, PositionError
 from tansyladder.resumption.stream import Stream, StreamOutput, StreamSignal
@@ -27,6 +25,7 @@
     UpstreamLossReason,
     UpstreamLostError,
 )
+from tansyladder.sessions.host_connection import HostConnection
 from tansyladder.sessions.upstream_placement import PlacedUpstream
 
 MOVE_LINE = protocol.MOVE + b"\r\n"  # to a client that is to open a new session
@@ -47,31 +46,39 @@
         client: ClientConnection,
         upstream: PlacedUpstream,
     ) -> None:
-        attempt = upstream.connection.attempt
-        self._endpoint = upstream.connection.endpoint
+        """Prepare to forward at the stream host `upstream`; `run` forwards."""
         self._queue = queue
         self._stream = stream
         self._client = client
         self._upstream = upstream
-        self._host = upstream.socket
-        self._reports = build_delay_reports(context, upstream.request_id, attempt, self._endpoint.number)
-        self._response_timeout = ResponseTimeout(self._reports.record_delay)
-        self.has_host_sent = False  # whether the host sent a line to the client
+        self._host = HostConnection(context, upstream)
+        self._response_timeout = self._host.response_timeout
+
+    @property
+    def has_host_sent(self) -> bool:
+        """Whether the host sent a line to the client."""
+        return self._host.has_sent_lines
 
     def run(self) -> NoReturn:
         """Forward until UpstreamLostError or SessionEndedError is raised."""
-        self._start()
-        while True:
-            self._resume_clients()
-            self._check_deadlines()
-            self._handle_ready(self._wait_ready())
+        try:
+            self._start()
+            while True:
+                self._resume_clients()
+                self._check_deadlines()
+                self._handle_ready(self._wait_ready())
+        except UpstreamLostError as lost:
+            # The client has left: a connection that ended or broke is the end of the session.
+            if lost.status is AttemptStatus.RESET and self._client.closing_deadline is not None:
+                raise SessionEndedError(SessionEnd.ENDED) from lost
+            raise
 
     def _start(self) -> None:
         """Send the stream host the lines that it lacks, and forward those that it sent with its answer."""
         self._queue.mark_established()
         if self._upstream.replay:
             self._response_timeout.line_sent()
-            self._send_to_host(self._upstream.replay)
+            self._host.send(self._upstream.replay)
         self._forward_host_lines(self._upstream.connection.initial_lines[1:])
 
     def _resume_clients(self) -> None:
@@ -88,7 +95,7 @@
             self._apply_policy_actions()
         if client.socket is not None and client.socket.sock.fileno() in ready:
             self._read_client(client.socket)
-        if self._host.sock.fileno() in ready:
+        if self._host.fileno() in ready:
             self._read_host()
         if client.socket is None and not self._stream.can_resume_client:
             raise SessionEndedError(SessionEnd.BUFFER_OVERFLOW)
@@ -109,7 +116,7 @@
             return
         if client.closing_deadline is not None and moment >= client.closing_deadline:
             raise SessionEndedError(SessionEnd.ENDED)
-        if self._host.is_stalled:
+        if self._host.socket.is_stalled:
             raise UpstreamLostError(AttemptStatus.TIMEOUT, UpstreamLossReason.STALLED)
         self._check_connected(client.socket, moment)
 
@@ -129,14 +136,14 @@
         host = self._host
         poll = select.poll()
         poll.register(self._queue, select.POLLIN)
-        has_unsent = bool(host.unsent)
+        has_unsent = host.has_unsent
         may_read_host = True
         if client.socket is not None:
             has_unsent = has_unsent or bool(client.socket.unsent)
             may_read_host = not client.socket.unsent
-            may_read_client = not host.unsent and client.closing_deadline is None
+            may_read_client = not host.has_unsent and client.closing_deadline is None
             _register(poll, client.socket, may_read=may_read_client)
-        _register(poll, host, may_read=may_read_host)
+        _register(poll, host.socket, may_read=may_read_host)
         deadline = client.next_deadline()
         if self._response_timeout.is_waiting or has_unsent:
             deadline = min(deadline, now() + OVERDUE_INTERVAL)
@@ -157,19 +164,18 @@
         if self._stream.from_client.end_position > previous_position:  # an acknowledgement gets no answer
             self._response_timeout.line_sent()
             self._client.lines_forwarded()
-        self._send_to_host(output.to_host)
+        self._host.send(output.to_host)
         self._client.send(output.to_client)
         if output.signal is StreamSignal.CLIENT_LEFT:
             self._client.start_closing()
-            if not self._host.unsent:
-                with contextlib.suppress(OSError):
-                    self._host.sock.shutdown(socket.SHUT_WR)
+            if not self._host.has_unsent:
+                self._host.end_sending()
 
     def _receive_from_client(self, connected: BufferedSocket) -> bytes | None:
         """Return the next received bytes, nothing if the connection broke, or None if none are to be read."""
         try:
             connected.send()
-            if self._host.unsent or self._client.closing_deadline is not None:
+            if self._host.has_unsent or self._client.closing_deadline is not None:
                 return None
             return connected.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -181,25 +187,13 @@
 
     def _read_host(self) -> None:
         """Send the stream host its unsent bytes, read it once and forward its lines."""
-        host = self._host
+        self._host.send()
         connected = self._client.socket
-        try:
-            host.send()
-            if connected is not None and connected.unsent:
-                return
-            data = host.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
-        except BlockingIOError:
+        if connected is not None and connected.unsent:
             return
-        except OSError as error:
-            raise self._host_lost(UpstreamLossReason.RESET) from error
-        if not data:
-            raise self._host_lost(UpstreamLossReason.CLOSED)
-        try:
-            lines = host.line_buffer.feed(data)
-        except protocol.LineError as error:
-            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=error)
-            raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_LINE) from error
-        self._forward_host_lines(tuple(lines))
+        lines = self._host.receive_lines()
+        if lines is not None:
+            self._forward_host_lines(lines)
 
     def _forward_host_lines(self, lines: tuple[bytes, ...]) -> None:
         """Count the stream host's lines and forward them; after MOVE or BYE raise what follows from it."""
@@ -209,7 +203,7 @@
             output = self._receive_host_line(line)
             if output.to_client:
                 to_client += output.to_client
-                self._record_response(line)
+                self._host.record_response(line)
             if output.signal is not StreamSignal.NONE:
                 signal = output.signal
                 break
@@ -221,7 +215,7 @@
         try:
             return self._stream.receive_from_host(line)
         except (ControlMessageError, PositionError) as error:
-            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=error)
+            log(LogEvent.INVALID_RESPONSE, member=self._host.endpoint.id, why=error)
             raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_MESSAGE) from error
 
     def _check_signal(self, signal: StreamSignal) -> None:
@@ -233,26 +227,6 @@
                 raise UpstreamLostError(AttemptStatus.OK, UpstreamLossReason.FINISHED)
             raise SessionEndedError(SessionEnd.ENDED, AttemptStatus.OK)
 
-    def _record_response(self, line: bytes) -> None:
-        """Record that the host answered, and the load that it reports."""
-        self.has_host_sent = True
-        keyword = protocol.parse_keyword(line)
-        self._response_timeout.line_received(keyword)
-        if keyword == protocol.LOAD:
-            self._reports.record_load_line(line)
-
-    def _send_to_host(self, data: bytes) -> None:
-        try:
-            self._host.send(data)
-        except OSError as error:
-            raise self._host_lost(UpstreamLossReason.RESET) from error
-
-    def _host_lost(self, reason: UpstreamLossReason) -> UpstreamLostError | SessionEndedError:
-        """Return the error for a connection that the host ended without BYE."""
-        if self._client.closing_deadline is not None:
-            return SessionEndedError(SessionEnd.ENDED)
-        return UpstreamLostError(AttemptStatus.RESET, reason)
-
 
 def _register(poll: select.poll, side: BufferedSocket, *, may_read: bool) -> None:
     """Register what to wait for at one side, if anything."""
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -18,7 +18,6 @@
 from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption import control_messages
-from tansyladder.resumption.errors import PositionError
 from tansyladder.resumption.token_registry import SessionEnd
 from tansyladder.sessions.client_connection import ClientConnection
 from tansyladder.sessions.errors import RETRY_SOON, SessionEndedError, UpstreamLossReason, UpstreamLostError
@@ -191,7 +190,7 @@
                 self._queue.take()
                 wait_until = min(self._client.expires_at, now() + DRAIN_CHECK_INTERVAL)
                 sockets.wait_readable(wait_until, self._queue.fileno())
-            elif self._accepts_position(client):
+            elif self._client.accepts_position(client):
                 return client
 
     def _check_can_wait(self) -> None:
@@ -203,16 +202,6 @@
         if now() >= self._client.expires_at:
             raise SessionEndedError(SessionEnd.EXPIRED)
 
-    def _accepts_position(self, client: ResumingClient) -> bool:
-        """Return whether a client can resume from its position; reject it otherwise."""
-        self._stream.adopt_client_position(client.received_line_count)
-        try:
-            self._stream.from_host.lines_after(client.received_line_count)
-        except PositionError as error:
-            self._client.cancel_resume(client, control_messages.format_rejection(error.reason))
-            return False
-        return True
-
     # --- the end
 
     def _redirect_line(self) -> bytes:
