--- a/tansyladder/net/handover_lifecycle.py
+++ b/tansyladder/net/handover_lifecycle.py
@@ -8,7 +8,7 @@
 import threading
 from enum import Enum
 
-from tansyladder.invariants import check_invariant
+from tansyladder.invariants import Invariant, check_invariant
 
 DESCRIPTORS_PER_CONNECTION = 2
 
@@ -137,10 +137,10 @@
 
     def _change_predecessor(self, event: HandoverEvent) -> None:
         following = PREDECESSOR_TRANSITIONS[self._predecessor].get(event)
-        check_invariant(following is not None, "handover_transition")
+        check_invariant(Invariant.HANDOVER_TRANSITION_INVALID, holds=following is not None)
         self._predecessor = following or self._predecessor
 
     def _change_successor(self, event: HandoverEvent) -> None:
         following = SUCCESSOR_TRANSITIONS[self._successor].get(event)
-        check_invariant(following is not None, "handover_transition")
+        check_invariant(Invariant.HANDOVER_TRANSITION_INVALID, holds=following is not None)
         self._successor = following or self._successor
--- a/tansyladder/net/handover_thread.py
+++ b/tansyladder/net/handover_thread.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import HandoverStep
 from tansyladder.net.handover_lifecycle import DESCRIPTORS_PER_CONNECTION, HandoverLifecycle
 from tansyladder.net.handover_messages import (
     MAX_MESSAGE_BYTES,
@@ -71,10 +72,10 @@
         except BlockingIOError:
             pass
         except OSError as err:
-            log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
+            log(LogEvent.LISTENER_HANDOVER_FAILED, error=err)
         # The top of the thread: after any fault the next version must still get the listener.
         except Exception as err:  # noqa: BLE001
-            log(LogEvent.INTERNAL_ERROR, why=repr(err))
+            log(LogEvent.INTERNAL_ERROR, error=repr(err))
 
     def _handle_readable(self, descriptor: int) -> None:
         if descriptor == self._address.listener.fileno():
@@ -101,7 +102,7 @@
             predecessor.close()
             self._predecessor = None
             self._lifecycle.predecessor_exited()
-            log(LogEvent.LISTENER_HANDOVER, step="alone")
+            log(LogEvent.LISTENER_HANDOVER, step=HandoverStep.PREDECESSOR_EXITED)
             return
         client, upstream = (socket.socket(fileno=descriptor) for descriptor in descriptors)
         self._lifecycle.connection_received()
@@ -121,7 +122,7 @@
         elif message == SERVING:
             self._successors.mark_serving(successor)
             self._lifecycle.successor_serving()
-            log(LogEvent.LISTENER_HANDOVER, step="succeeded")
+            log(LogEvent.LISTENER_HANDOVER, step=HandoverStep.SUCCESSOR_SERVING)
             self._owner.on_successor_serving()
         else:  # the end of its process, or not one of this node
             self._drop_successor(successor)
@@ -131,11 +132,11 @@
         self._lifecycle.listener_sent(split.released_count)
         transfer = DescriptorTransfer(split.retained_count, self._owner.known_endpoints())
         socket.send_fds(successor, [msgspec.json.encode(transfer)], [self._listener.fileno()])
-        log(LogEvent.LISTENER_HANDOVER, step="gave_listener")
+        log(LogEvent.LISTENER_HANDOVER, step=HandoverStep.LISTENER_SENT)
 
     def _drop_successor(self, successor: socket.socket) -> None:
         if self._successors.remove(successor):
-            log(LogEvent.LISTENER_HANDOVER, step="successor_gone")
+            log(LogEvent.LISTENER_HANDOVER, step=HandoverStep.SUCCESSOR_EXITED)
             if not self._successors.has_serving:
                 self._lifecycle.successor_lost()
                 self._address.publish_again()  # the successor had taken the name
--- a/tansyladder/net/listener_handover.py
+++ b/tansyladder/net/listener_handover.py
@@ -21,6 +21,7 @@
 
 from tansyladder.config.platform import Address, EndpointList
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import HandoverStep
 from tansyladder.net.errors import NetworkError
 from tansyladder.net.handover_lifecycle import HandoverLifecycle
 from tansyladder.net.handover_messages import (
@@ -77,12 +78,12 @@
         except (OSError, HandoverError, msgspec.MsgspecError) as err:
             predecessor.close()
             if not isinstance(err, FileNotFoundError):
-                log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
+                log(LogEvent.LISTENER_HANDOVER_FAILED, error=err)
             return None
         self._predecessor = predecessor
         self.endpoints = transfer.endpoints
         self._lifecycle.listener_received(transfer.retained_descriptor_count)
-        log(LogEvent.LISTENER_HANDOVER, step="got_listener")
+        log(LogEvent.LISTENER_HANDOVER, step=HandoverStep.LISTENER_RECEIVED)
         return listener
 
     @property
@@ -115,7 +116,7 @@
             )
             threading.Thread(target=handover_thread.run, name="listener-handover", daemon=True).start()
         except (OSError, RuntimeError) as err:  # no folder or thread: a successor opens its own listener
-            log(LogEvent.LISTENER_HANDOVER_FAILED, why=err)
+            log(LogEvent.LISTENER_HANDOVER_FAILED, error=err)
 
     @property
     def has_successor(self) -> bool:
--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -111,7 +111,7 @@
             result = self._wait_for_response(sock, client, actions)
         except OSError as err:
             # The complete line may have been sent: the endpoint may have executed it.
-            log(LogEvent.ENDPOINT_CONNECTION_RESET, member=self._endpoint.id, why=err)
+            log(LogEvent.ENDPOINT_CONNECTION_RESET, endpoint=self._endpoint.id, error=err)
             result = ConnectResult(AttemptStatus.RESET)
         if result.sock is None:
             sock.close()
@@ -136,7 +136,7 @@
                 sockets.configure_stream(sock)
                 sock.sendall(self._format_first_line(self._deadline - now()))
         except OSError as err:
-            log(LogEvent.CONNECT_FAILED, member=self._endpoint.id, why=err)
+            log(LogEvent.CONNECT_FAILED, endpoint=self._endpoint.id, error=err)
             result = ConnectResult(AttemptStatus.CONNECT_FAILED)
         if sock is not None and result is None:
             self._on_written()
@@ -198,7 +198,7 @@
         try:
             lines += buffer.feed(data)
         except protocol.LineError as err:
-            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, why=err)
+            log(LogEvent.INVALID_RESPONSE, endpoint=self._endpoint.id, error=err)
             return ConnectResult(AttemptStatus.ERROR)
         if not lines:
             return None
@@ -212,7 +212,7 @@
     def _result_of_rejection(self, keyword: bytes, line: bytes) -> ConnectResult:
         """Return the result of an answer that is not UP."""
         if keyword not in STATUS_BY_KEYWORD:
-            log(LogEvent.INVALID_RESPONSE, member=self._endpoint.id, line=line[:MAX_LOGGED_BYTES])
+            log(LogEvent.INVALID_RESPONSE, endpoint=self._endpoint.id, line=line[:MAX_LOGGED_BYTES])
         return ConnectResult(STATUS_BY_KEYWORD.get(keyword, AttemptStatus.ERROR))
 
 
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -8,6 +8,7 @@
 from typing import NoReturn
 
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import LineSource
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.buffered_socket import BufferedSocket
@@ -215,7 +216,7 @@
         try:
             return self._stream.receive_from_host(line)
         except (ControlMessageError, PositionError) as error:
-            log(LogEvent.INVALID_RESPONSE, member=self._host.endpoint.id, why=error)
+            log(LogEvent.INVALID_RESPONSE, endpoint=self._host.endpoint.id, error=error)
             raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_MESSAGE) from error
 
     def _check_signal(self, signal: StreamSignal) -> None:
@@ -249,6 +250,6 @@
                 output.signal = line_output.signal
                 break
     except (protocol.LineError, ControlMessageError, PositionError) as error:
-        log(LogEvent.INVALID_LINE, where="session", why=error)
+        log(LogEvent.INVALID_LINE, source=LineSource.SESSION, error=error)
         raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE) from error
     return output
--- a/tansyladder/sessions/host_connection.py
+++ b/tansyladder/sessions/host_connection.py
@@ -66,7 +66,7 @@
         try:
             return tuple(self.socket.line_buffer.feed(data))
         except protocol.LineError as error:
-            log(LogEvent.INVALID_RESPONSE, member=self.endpoint.id, why=error)
+            log(LogEvent.INVALID_RESPONSE, endpoint=self.endpoint.id, error=error)
             raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_LINE) from error
 
     def record_response(self, line: bytes) -> None:
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -106,7 +106,7 @@
         except ResumeRejectedError as error:
             return error.answer
         except TokenError as error:
-            log(LogEvent.RESUME_REJECTED, why=error.reason)
+            log(LogEvent.RESUME_REJECTED, reason=error.reason)
             # The client may have given up on an answer that is on its way, and show the token again.
             if self._takeover is not None and error.reason is ResumeRejection.CLAIMED:
                 return RETRY_SOON
--- a/tansyladder/sessions/session_restorer.py
+++ b/tansyladder/sessions/session_restorer.py
@@ -69,4 +69,4 @@
             registry.token_registry.end(session_id, SessionEnd.NO_CAPACITY)
             queue.close()
             raise TokenError(ResumeRejection.NO_CAPACITY) from error
-        log(LogEvent.SESSION_RESTORED, left=expires_at - now())
+        log(LogEvent.SESSION_RESTORED, remaining_ms=expires_at - now())
--- a/tansyladder/sessions/takeover.py
+++ b/tansyladder/sessions/takeover.py
@@ -81,7 +81,7 @@
             release()
             threading.Thread(target=self._run, args=(request,), name="take-over", daemon=True).start()
         except RuntimeError as error:
-            log(LogEvent.SESSION_TAKEOVER_FAILED, why=error)
+            log(LogEvent.SESSION_TAKEOVER_FAILED, error=error)
             self._finish(session_id)
             self._reject(request, RETRY_SOON)
 
@@ -112,7 +112,7 @@
         )
         arrived_us = self._context.clock.micros(request.arrived)
         token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
-        log(LogEvent.SESSION_TAKEN_OVER, tenure=epoch, took=now() - request.arrived)
+        log(LogEvent.SESSION_TAKEN_OVER, ownership_epoch=epoch, duration_ms=now() - request.arrived)
 
     def _finish(self, session_id: int) -> None:
         with self._lock:
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -26,12 +26,12 @@
     ScriptedServer,
     answer_up,
     endpoint_entry,
-    ignore,
     load_test_config,
+    read_until_closed,
 )
 from tests.node.program import client_of, program, until_line
 
-STAY_CONNECTED = answer_up(lambda peer: ignore(*iter(peer.read_line, "")))
+STAY_CONNECTED = answer_up(read_until_closed)
 
 
 def echo_lines(peer: Peer) -> None:
@@ -56,8 +56,8 @@
         [sys.executable, "-O", "-m", "tansyladder"], env=env, stderr=subprocess.PIPE
     ) as successor:
         try:
-            until_line(successor, b"event=listener_handover step=got_listener")
-            until_line(process, b"event=listener_handover step=succeeded")
+            until_line(successor, b"event=listener_handover step=listener_received")
+            until_line(process, b"event=listener_handover step=successor_serving")
             yield successor
         finally:
             successor.kill()
@@ -109,7 +109,7 @@
             new.send_signal(signal.SIGSTOP)
             established.sock.sendall(b"M ")  # a partial line
             old.send_signal(signal.SIGTERM)
-            until_line(old, b"event=state_changed now=draining")
+            until_line(old, b"event=state_changed state=draining")
             queued = client_of(port, "81")  # not accepted yet: the old process leaves it to the new one
             assert old.wait(10) == 0
             assert select.select([queued.sock], [], [], 0)[0] == []
@@ -186,9 +186,9 @@
         assert connected.wait(10)
         successor = ScriptedSuccessor(tmp_path, port)
         successor.announce_serving()
-        until_line(old, b"event=listener_handover step=succeeded")
+        until_line(old, b"event=listener_handover step=successor_serving")
         old.send_signal(signal.SIGTERM)
-        until_line(old, b"event=state_changed now=draining")
+        until_line(old, b"event=state_changed state=draining")
         queued = client_of(port, "81")
         successor.die()
         assert queued.read_line() == "UP r1"
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -147,7 +147,7 @@
         client = SessionClient(node)
         client.open_session()
         resume_session(client)
-    assert f"event=store_unusable word={fault}" in capsys.readouterr().err
+    assert f"event=store_unusable code={fault}" in capsys.readouterr().err
     earlier_store.close()
 
 
