--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -60,7 +60,7 @@
             try:
                 self.socket.send(data)
             except OSError:
-                self.suspend(SuspendReason.BROKEN)
+                self.suspend(SuspendReason.CONNECTION_LOST)
 
     def issue_token(self) -> bytes:
         """Return the line of a new token, empty if the session can't be resumed any more.
--- a/tansyladder/sessions/errors.py
+++ b/tansyladder/sessions/errors.py
@@ -15,22 +15,22 @@
 class UpstreamLossReason(StrEnum):
     """Why a session left its stream host; the value is `reason` of `session_moved` and `session_rejected`."""
 
-    RESTART = "restart"  # the session was restored and has no stream host yet
-    ORDERED = "migrated_by_policy"  # the policy migrates it
+    RESTART = "restart"  # the session was restored here and has no stream host yet
+    MIGRATED_BY_POLICY = "migrated_by_policy"
     STALLED = "stalled"  # the host accepts no bytes
-    SILENT = "response_timeout"  # the host does not answer
-    RESET = "connection_reset"
-    CLOSED = "connection_closed"  # the host closed its connection without BYE
+    RESPONSE_TIMEOUT = "response_timeout"  # the host does not answer
+    CONNECTION_RESET = "connection_reset"
+    CONNECTION_CLOSED = "connection_closed"  # the host closed its connection without BYE
     INVALID_LINE = "invalid_line"
-    INVALID_MESSAGE = "invalid_control_message"
-    REDIRECTED = "moved_by_endpoint"  # the host sent MOVE
-    FINISHED = "finished"  # the host sent BYE while the client was away
+    INVALID_CONTROL_MESSAGE = "invalid_control_message"
+    MOVED_BY_ENDPOINT = "moved_by_endpoint"  # the host sent MOVE
+    FINISHED = "finished"  # the host sent BYE while the client was disconnected
 
 
 class SuspendReason(StrEnum):
     """Why a session lost its client; the value is `reason` of `session_suspended`."""
 
-    BROKEN = "connection_lost"
+    CONNECTION_LOST = "connection_lost"
     STALLED = "stalled"  # the client accepts no bytes
 
 
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -105,7 +105,7 @@
         """Take the policy's actions; for an established connection it is always to migrate the session."""
         while (action := self._queue.take()) is not None:
             if action.request_id == self._upstream.request_id:  # else of an earlier placement
-                raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.ORDERED)
+                raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MIGRATED_BY_POLICY)
 
     def _check_deadlines(self) -> None:
         """Send the tokens and acknowledgements that are due, and check the deadlines of both sides."""
@@ -127,7 +127,7 @@
         if connected.is_stalled:
             client.suspend(SuspendReason.STALLED)
         elif not connected.unsent and self._response_timeout.check_silent():
-            raise UpstreamLostError(AttemptStatus.TIMEOUT, UpstreamLossReason.SILENT)
+            raise UpstreamLostError(AttemptStatus.TIMEOUT, UpstreamLossReason.RESPONSE_TIMEOUT)
         elif client.closing_deadline is None:
             client.send_due_lines(moment)
 
@@ -158,7 +158,7 @@
         if data is None:
             return
         if not data:
-            self._client.suspend(SuspendReason.BROKEN)
+            self._client.suspend(SuspendReason.CONNECTION_LOST)
             return
         previous_position = self._stream.from_client.end_position
         output = _receive_client_lines(self._stream, connected, data)
@@ -217,12 +217,14 @@
             return self._stream.receive_from_host(line)
         except (ControlMessageError, PositionError) as error:
             log(LogEvent.INVALID_RESPONSE, endpoint=self._host.endpoint.id, error=error)
-            raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_MESSAGE) from error
+            raise UpstreamLostError(
+                AttemptStatus.ERROR, UpstreamLossReason.INVALID_CONTROL_MESSAGE
+            ) from error
 
     def _check_signal(self, signal: StreamSignal) -> None:
         """Raise UpstreamLostError or SessionEndedError for a signal that ends the host's connection."""
         if signal is StreamSignal.HOST_REDIRECTED:
-            raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.REDIRECTED)
+            raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MOVED_BY_ENDPOINT)
         if signal is StreamSignal.HOST_FINISHED:
             if self._client.socket is None and self._stream.can_resume_client:  # its last lines are buffered
                 raise UpstreamLostError(AttemptStatus.OK, UpstreamLossReason.FINISHED)
--- a/tansyladder/sessions/host_connection.py
+++ b/tansyladder/sessions/host_connection.py
@@ -42,7 +42,7 @@
         try:
             self.socket.send(data)
         except OSError as error:
-            raise UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.RESET) from error
+            raise UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.CONNECTION_RESET) from error
 
     def end_sending(self) -> None:
         """End this side of the connection; the host may still send lines."""
@@ -60,9 +60,9 @@
         except BlockingIOError:
             return None
         except OSError as error:
-            raise UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.RESET) from error
+            raise UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.CONNECTION_RESET) from error
         if not data:
-            raise UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.CLOSED)
+            raise UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.CONNECTION_CLOSED)
         try:
             return tuple(self.socket.line_buffer.feed(data))
         except protocol.LineError as error:
