--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -42,16 +42,34 @@
         self._opening = opening
         self._stream = stream
         self.socket: BufferedSocket | None = None
-        self.up_line = b""  # of the stream host; sent again to a client that resumes
-        self.expires_at = now()  # until when the client may resume
-        self.closing_deadline: timedelta | None = None  # of the host's last lines, once the client has left
+        self._up_line = b""  # of the stream host; sent again to a client that resumes
+        self._expires_at = now()  # until when the client may resume
+        self._closing_deadline: timedelta | None = None  # of the host's last lines, once the client has left
         self._renew_at = now()  # when the next token is due
         self._acknowledge_at: timedelta | None = None
 
+    @property
+    def expires_at(self) -> timedelta:
+        """Until when the client may resume."""
+        return self._expires_at
+
+    @property
+    def closing_deadline(self) -> timedelta | None:
+        """By when the host's last lines have to arrive, once the client has left; None before that."""
+        return self._closing_deadline
+
     def connect(self, sock: socket.socket) -> None:
         """Set the socket of the client that began the session."""
         self.socket = BufferedSocket(sock)
 
+    def set_up_line(self, up_line: bytes) -> None:
+        """Set the line with which the stream host accepted the session."""
+        self._up_line = up_line
+
+    def set_expiry(self, moment: timedelta) -> None:
+        """Set the time by which the client has to resume."""
+        self._expires_at = moment
+
     # --- sending
 
     def send(self, data: bytes) -> None:
@@ -70,11 +88,15 @@
         lifetime = self._registry.options.expires
         moment = now()
         self._renew_at = moment + lifetime / 2
-        self.expires_at = moment + lifetime
+        self._expires_at = moment + lifetime
         if not self._stream.can_resume_client:
             return b""
         return self._registry.issue_token_line(self._stream.session_id, self._opening)
 
+    def answer(self) -> None:
+        """Answer the client that began the session, with its first token."""
+        self.send(self._up_line + self.issue_token())
+
     def lines_forwarded(self) -> None:
         """Schedule the acknowledgement of lines that were forwarded."""
         self._acknowledge_at = self._acknowledge_at or now() + ACKNOWLEDGEMENT_INTERVAL
@@ -90,11 +112,11 @@
 
     def next_deadline(self) -> timedelta:
         """Return when a line is due for the client, or its time to resume is over."""
-        deadline = self.expires_at if self.socket is None else self._renew_at
+        deadline = self._expires_at if self.socket is None else self._renew_at
         if self._acknowledge_at is not None:
             deadline = min(deadline, self._acknowledge_at)
-        if self.closing_deadline is not None:
-            deadline = min(deadline, self.closing_deadline)
+        if self._closing_deadline is not None:
+            deadline = min(deadline, self._closing_deadline)
         return deadline
 
     # --- suspension and resumption
@@ -105,7 +127,7 @@
         Raises:
             SessionEndedError: The client had left, can't resume any more, or too many sessions are suspended.
         """
-        if self.closing_deadline is not None:
+        if self._closing_deadline is not None:
             raise SessionEndedError(SessionEnd.ENDED)
         if self.socket is not None:
             sockets.reset(self.socket.sock)
@@ -142,7 +164,7 @@
         self._lifecycle.apply(SessionEvent.CLIENT_CONNECTED)
         self._metrics.record_outcome(self._opening.class_name, RequestOutcome.OK)
         log(LogEvent.SESSION_RESUMED, received_lines=client.received_line_count)
-        self.send(self.up_line + position_line + self.issue_token() + b"".join(lines))
+        self.send(self._up_line + position_line + self.issue_token() + b"".join(lines))
         if self.socket is not None:  # else the client may not know that its token is redeemed
             self._registry.confirm_opened(self._stream.session_id)
 
@@ -171,7 +193,7 @@
 
     def start_closing(self) -> None:
         """Start the time in which a client that has left still gets the host's last lines."""
-        self.closing_deadline = now() + CLOSING_TIMEOUT
+        self._closing_deadline = now() + CLOSING_TIMEOUT
 
     def close(self, last_line: bytes) -> None:
         """Send the unsent bytes and a last line, and close the connection."""
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -62,7 +62,7 @@
 
     def set_expiry(self, moment: timedelta) -> None:
         """Set the time by which the client of a restored session has to resume."""
-        self._client.expires_at = moment
+        self._client.set_expiry(moment)
 
     def run(self, connection: UpstreamConnection | None = None, request_id: int = 0) -> None:
         """Serve the session to its end, and close all of its sockets.
@@ -86,10 +86,10 @@
 
     def _begin(self, upstream: PlacedUpstream) -> PlacedUpstream:
         """Answer the client of a new session."""
-        self._client.up_line = upstream.connection.initial_lines[0]
+        self._client.set_up_line(upstream.connection.initial_lines[0])
         self._connect_upstream(upstream)
         self._registry.token_registry.add(self._stream.session_id, self._queue)
-        self._client.send(self._client.up_line + self._client.issue_token())
+        self._client.answer()
         return upstream
 
     def _restore(self) -> PlacedUpstream:
@@ -177,7 +177,7 @@
             self._migrations_without_progress = 0
             self._client.cancel_resume(client, protocol.format_reject(placed.retry_after))
             return None
-        self._client.up_line = placed.connection.initial_lines[0]
+        self._client.set_up_line(placed.connection.initial_lines[0])
         self._connect_upstream(placed)
         self._client.resume(client)
         return placed
