--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -18,7 +18,6 @@
 from tansyladder.node.extension_points import ResumableRequest
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption import control_messages
-from tansyladder.resumption.errors import PositionError
 from tansyladder.resumption.token_registry import SessionEnd
 from tansyladder.sessions.client_connection import ClientConnection
 from tansyladder.sessions.errors import RETRY_SOON, SessionEndedError, UpstreamLossReason, UpstreamLostError
@@ -63,7 +62,7 @@
 
     def set_expiry(self, moment: timedelta) -> None:
         """Set the time by which the client of a restored session has to resume."""
-        self._client.expires_at = moment
+        self._client.set_expiry(moment)
 
     def run(self, connection: UpstreamConnection | None = None, request_id: int = 0) -> None:
         """Serve the session to its end, and close all of its sockets.
@@ -87,10 +86,10 @@
 
     def _begin(self, upstream: PlacedUpstream) -> PlacedUpstream:
         """Answer the client of a new session."""
-        self._client.up_line = upstream.connection.initial_lines[0]
+        self._client.set_up_line(upstream.connection.initial_lines[0])
         self._connect_upstream(upstream)
         self._registry.token_registry.add(self._stream.session_id, self._queue)
-        self._client.send(self._client.up_line + self._client.issue_token())
+        self._client.answer()
         return upstream
 
     def _restore(self) -> PlacedUpstream:
@@ -178,7 +177,7 @@
             self._migrations_without_progress = 0
             self._client.cancel_resume(client, protocol.format_reject(placed.retry_after))
             return None
-        self._client.up_line = placed.connection.initial_lines[0]
+        self._client.set_up_line(placed.connection.initial_lines[0])
         self._connect_upstream(placed)
         self._client.resume(client)
         return placed
@@ -192,7 +191,7 @@
                 self._queue.take()
                 wait_until = min(self._client.expires_at, now() + DRAIN_CHECK_INTERVAL)
                 sockets.wait_readable(wait_until, self._queue.fileno())
-            elif self._accepts_position(client):
+            elif self._client.accepts_position(client):
                 return client
 
     def _check_can_wait(self) -> None:
@@ -204,16 +203,6 @@
         if now() >= self._client.expires_at:
             raise SessionEndedError(SessionEnd.EXPIRED)
 
-    def _accepts_position(self, client: ResumingClient) -> bool:
-        """Return whether a client can resume from its position; reject it otherwise."""
-        self._stream.adopt_client_position(client.received_line_count)
-        try:
-            self._stream.from_host.lines_after(client.received_line_count)
-        except PositionError as error:
-            self._client.cancel_resume(client, control_messages.format_rejection(error.reason))
-            return False
-        return True
-
     # --- the end
 
     def _redirect_line(self) -> bytes:
