--- a/tansyladder/cluster/peer_transport.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
+import contextlib
 import random
 import socket
 import struct
 import threading
-import time
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
@@ -78,6 +78,7 @@
         self.counters = TransportCounters()
         self._channels: dict[str, PeerChannel] = {}
         self._channels_lock = threading.Lock()  # for changes of _channels; `send` reads without it
+        self._closed = threading.Event()
         self._handshake_slots = threading.BoundedSemaphore(MAX_PENDING_HANDSHAKES)
         self._decoder = msgspec.msgpack.Decoder(PeerMessage)
         listen = parse_address(options.listen or options.members[name], "peers.listen")
@@ -91,6 +92,17 @@
             if self._name < peer:
                 threading.Thread(target=self._dial, args=(peer,), name=f"peer-{peer}", daemon=True).start()
 
+    def close(self) -> None:
+        """Accept and dial no more, and end all connections; all threads end within HANDSHAKE_TIMEOUT."""
+        self._closed.set()
+        with contextlib.suppress(OSError):
+            self._listener.shutdown(socket.SHUT_RDWR)  # wakes up the accepting thread
+        self._listener.close()
+        with self._channels_lock:
+            channels = list(self._channels.values())
+        for channel in channels:
+            channel.close()
+
     def send(self, recipient: str, message: PeerMessage) -> None:
         """Queue a message; without a connection or room for it, it is dropped as on a bad network."""
         channel = self._channels.get(recipient)
@@ -98,9 +110,9 @@
             self.counters.messages_dropped += 1
 
     def _dial(self, peer: str) -> None:
-        """Keep a connection to a peer, for the life of the process."""
+        """Keep a connection to a peer until the transport is closed."""
         timeout = HANDSHAKE_TIMEOUT.total_seconds()
-        while True:
+        while not self._closed.is_set():
             try:
                 with socket.create_connection(self._peers[peer], timeout) as sock:
                     self._run(self.handshake.dial(sock, peer))
@@ -108,15 +120,17 @@
                 log(LogEvent.PEER_REJECTED, peer=peer, why=err)
             except OSError:
                 pass  # the peer is down or not up yet, which its own log tells
-            time.sleep(random.uniform(MIN_REDIAL_SECONDS, MAX_REDIAL_SECONDS))
+            self._closed.wait(random.uniform(MIN_REDIAL_SECONDS, MAX_REDIAL_SECONDS))
 
     def _accept_connections(self) -> None:
         while True:
             try:
                 sock, _ = self._listener.accept()
             except OSError as err:
+                if self._closed.is_set():
+                    return
                 log(LogEvent.PEER_ACCEPT_FAILED, why=err)
-                time.sleep(MAX_REDIAL_SECONDS)
+                self._closed.wait(MAX_REDIAL_SECONDS)
                 continue
             if not self._handshake_slots.acquire(blocking=False):
                 sock.close()
@@ -165,8 +179,11 @@
         with self._channels_lock:
             replaced = self._channels.get(channel.peer)
             self._channels[channel.peer] = channel
+            is_closed = self._closed.is_set()
         if replaced is not None:
             replaced.close()
+        if is_closed:  # `close` may not have seen it
+            channel.close()
 
     def _unregister(self, channel: PeerChannel) -> None:
         with self._channels_lock:
--- a/tests/cluster/test_peer_transport.py
+++ b/tests/cluster/test_peer_transport.py
@@ -66,6 +66,10 @@
         for transport in self.transports:
             transport.start()
 
+    def close(self) -> None:
+        for transport in self.transports:
+            transport.close()
+
     def send_until_received(self) -> tuple[str, PeerMessage]:
         """Send from `a` until `b` has received something."""
         for number in range(200):
@@ -83,14 +87,14 @@
 
 
 def test_two_nodes_exchange_messages_also_large_ones() -> None:
-    nodes = TwoNodes()
-    nodes.start()
-    sender, message = nodes.send_until_received()
-    assert sender == "a"
-    assert type(message) is Handshake
-    large = AppendEntries(1, 0, 0, (LogEntry(1, EntryKind.COMMAND, "r", b"x" * (2 << 20)),), 0)
-    nodes.transports[1].send("a", large)
-    assert nodes.received[0].get(timeout=10) == ("b", large)
+    with contextlib.closing(TwoNodes()) as nodes:
+        nodes.start()
+        sender, message = nodes.send_until_received()
+        assert sender == "a"
+        assert type(message) is Handshake
+        large = AppendEntries(1, 0, 0, (LogEntry(1, EntryKind.COMMAND, "r", b"x" * (2 << 20)),), 0)
+        nodes.transports[1].send("a", large)
+        assert nodes.received[0].get(timeout=10) == ("b", large)
 
 
 @pytest.mark.parametrize(
@@ -106,17 +110,17 @@
 def test_a_peer_with_another_key_cluster_or_clock_is_rejected(
     peer: Peer, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    nodes = TwoNodes(peer)
-    nodes.start()
-    for _ in range(400):
-        nodes.transports[0].send("b", Handshake("d", "s", {}))
-        if "peer_rejected" in capfd.readouterr().err:
-            break
-        with pytest.raises(queue.Empty):
-            nodes.received[1].get(timeout=0.05)
-    else:
-        raise AssertionError("nobody was rejected")
-    assert nodes.received[1].empty()
+    with contextlib.closing(TwoNodes(peer)) as nodes:
+        nodes.start()
+        for _ in range(400):
+            nodes.transports[0].send("b", Handshake("d", "s", {}))
+            if "peer_rejected" in capfd.readouterr().err:
+                break
+            with pytest.raises(queue.Empty):
+                nodes.received[1].get(timeout=0.05)
+        else:
+            raise AssertionError("nobody was rejected")
+        assert nodes.received[1].empty()
 
 
 @pytest.mark.parametrize(
@@ -128,12 +132,12 @@
     ],
 )
 def test_a_connection_that_begins_without_a_greeting_is_closed(first_bytes: bytes) -> None:
-    nodes = TwoNodes()
-    nodes.transports[1].start()
-    with socket.create_connection(nodes.addresses[1], 5) as sock:
-        sock.sendall(first_bytes)
-        with contextlib.suppress(ConnectionResetError):  # a close with bytes that nobody has read
-            assert sock.recv(1) == b""
+    with contextlib.closing(TwoNodes()) as nodes:
+        nodes.transports[1].start()
+        with socket.create_connection(nodes.addresses[1], 5) as sock:
+            sock.sendall(first_bytes)
+            with contextlib.suppress(ConnectionResetError):  # a close with bytes that nobody has read
+                assert sock.recv(1) == b""
 
 
 def send_greeting(sock: socket.socket, greeting: Greeting) -> None:
@@ -153,13 +157,13 @@
 
 def test_a_recorded_proof_opens_no_second_connection() -> None:
     """The listener's nonce is new each time, so the proof of another time proves nothing."""
-    nodes = TwoNodes()
-    nodes.transports[1].start()
-    greeting = Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, NOW_US)
-    first = greet(nodes.addresses[1], greeting, b"?" * 32)
-    assert first.after == b""
-    # The proof with which a true dialler had answered that nonce.
-    proof = nodes.transports[1].handshake.proof(b"dialler", greeting, first.greeting)
-    second = greet(nodes.addresses[1], greeting, proof)
-    assert second.after == b""
-    assert first.greeting.nonce != second.greeting.nonce
+    with contextlib.closing(TwoNodes()) as nodes:
+        nodes.transports[1].start()
+        greeting = Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, NOW_US)
+        first = greet(nodes.addresses[1], greeting, b"?" * 32)
+        assert first.after == b""
+        # The proof with which a true dialler had answered that nonce.
+        proof = nodes.transports[1].handshake.proof(b"dialler", greeting, first.greeting)
+        second = greet(nodes.addresses[1], greeting, proof)
+        assert second.after == b""
+        assert first.greeting.nonce != second.greeting.nonce
--- a/tests/formats/test_transport_formats.py
+++ b/tests/formats/test_transport_formats.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import socket
 from pathlib import Path
 
@@ -65,7 +66,7 @@
 def test_one_side_of_a_connection_with_a_peer_of_the_build_before(side: str, peer_side: str) -> None:
     transport = new_transport(NODES[side])
     own_sock, peer_sock = socket.socketpair()
-    with transport._listener, own_sock, peer_sock, fixed_random_bytes(NONCES[side][0]):  # noqa: SLF001 - it never starts
+    with contextlib.closing(transport), own_sock, peer_sock, fixed_random_bytes(NONCES[side][0]):
         own_sock.settimeout(5)
         peer_sock.settimeout(5)
         peer_sock.sendall(sent_bytes(peer_side))
