--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -37,7 +37,7 @@
     SECOND_NOTE,
     SECOND_NOTE_DIGEST,
 )
-from tests.node.harness import RecordingPolicyRunner, load_test_config
+from tests.node.harness import NodeParts, load_test_config
 
 DATA = Path(__file__).parent / "data"
 
@@ -337,14 +337,14 @@
     """The keyring of any node of the fleet `f1`; its tokens open at all others."""
     peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
     options = Options(resume=ResumeOptions(enabled=True, keys=keys), peers=peers)
-    return SessionRegistry(RecordingPolicyRunner(load_test_config(folder), options), None).keyring
+    return SessionRegistry(NodeParts(load_test_config(folder), options).context, None).keyring
 
 
 def test_a_token_of_a_node_with_a_store_opens_and_is_sealed_to_the_same_text(tmp_path: Path) -> None:
     """The identity and the key that the node's store holds, and the node's name, decide the text."""
     sessions = SessionStore(writers.open_folder(copied("sessions", tmp_path)), lambda: NOW)
     with writers.fixed_random_bytes():
-        keyring = SessionRegistry(RecordingPolicyRunner(load_test_config(tmp_path)), sessions).keyring
+        keyring = SessionRegistry(NodeParts(load_test_config(tmp_path)).context, sessions).keyring
         assert keyring.seal(PAYLOAD, CLAIMS) == NODE_TOKEN
     assert keyring.open(NODE_TOKEN, CLAIMS) == PAYLOAD
     with pytest.raises(TokenError):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -68,3 +68,11 @@
 def test_layers_import_downwards_only_and_no_tool() -> None:
     imports = [(importer, name) for importer, names in import_graph().items() for name in names]
     assert [f"{importer} -> {name}" for importer, name in imports if is_upward(importer, name)] == []
+
+
+def test_only_the_entry_imports_the_command_line() -> None:
+    """`__main__` and `cli` are the top: tools that start a node use `serve` or `node_commands`."""
+    graph = import_graph()
+    top = ("tansyladder.__main__", "tansyladder.cli")
+    importers = {module: {name for name, imported in graph.items() if module in imported} for module in top}
+    assert importers == {"tansyladder.__main__": set(), "tansyladder.cli": {"tansyladder.__main__"}}
