--- a/tansyladder/net/handover_sockets.py
+++ b/tansyladder/net/handover_sockets.py
@@ -22,7 +22,7 @@
 class HandoverAddress:
     """The name of the Unix socket under which the processes of a node find each other.
 
-    Owned by the thread of the handover, but for `unpublish`, which the process calls when it ends.
+    Owned by the thread of the handover, but for `unpublish` and `shut_down`, which end the handover.
     """
 
     def __init__(self, listen: Address, folder: str) -> None:
@@ -67,6 +67,12 @@
             with contextlib.suppress(OSError):
                 (Path(self._folder) / self._name).unlink()
 
+    def shut_down(self) -> None:
+        """Accept no process any more, and wake a thread that polls the listener."""
+        if self.listener is not None:
+            with contextlib.suppress(OSError):
+                self.listener.shutdown(socket.SHUT_RDWR)
+
 
 class SuccessorConnections:
     """The connections of processes that came for the listener, of which some may serve clients by now.
--- a/tansyladder/net/listener_handover.py
+++ b/tansyladder/net/listener_handover.py
@@ -54,6 +54,7 @@
         self._is_listener_shared = False
         # An eventfd, readable while established connections are to be handed over.
         self._migration_event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self._is_stopped = False
         self.endpoints: EndpointList | None = None  # the list of the process before
         self.predecessor_gone = threading.Event()  # set while no process before this one runs
         self.predecessor_gone.set()
@@ -135,11 +136,17 @@
         if self._address is not None and not self.has_successor:
             self._address.unpublish()
 
+    def stop(self) -> None:
+        """End the handover's thread; other processes get no answer from then on. Thread-safe."""
+        self._is_stopped = True
+        if self._address is not None:
+            self._address.shut_down()  # wakes the thread
+
     # --- the handover's thread
 
     def _run(self) -> None:
         assert self._address is not None
-        while True:
+        while not self._is_stopped:
             listener = self._address.listener
             assert listener is not None
             poll = select.poll()
@@ -147,6 +154,8 @@
                 if sock is not None:
                     poll.register(sock, select.POLLIN)
             for descriptor, _ in poll.poll():
+                if self._is_stopped:
+                    return
                 try:
                     self._handle_readable(descriptor)
                 except BlockingIOError:
--- a/tansyladder/node/connection_drainer.py
+++ b/tansyladder/node/connection_drainer.py
@@ -10,7 +10,6 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now
 from tansyladder.node.context import NodeContext
-from tansyladder.node.lifecycle import NodeState
 from tansyladder.policy.actions import Migrate, Reject
 
 LATE_ARRIVAL_WINDOW = timedelta(milliseconds=450)  # after SIGTERM new connections come for up to 0.4 s
@@ -46,9 +45,8 @@
         return self._lifecycle.state_since + longest_wait + KILL_MARGIN - EXIT_MARGIN
 
     def run_standby_drains(self) -> None:
-        """Drain whenever the node goes to standby; never returns, for a thread of its own."""
-        while True:
-            since = self._lifecycle.wait_for_state(NodeState.STANDBY)
+        """Drain whenever the node goes to standby, until it shuts down; for a thread of its own."""
+        while (since := self._lifecycle.wait_for_standby()) is not None:
             notified = self.migrate_gradually(since, since + STANDBY_DRAIN_DURATION)
             if not self._lifecycle.wait_for_change(since, now()):
                 self.evict_remaining(notified, now())
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -101,6 +101,7 @@
         self._retry_spread = self._first_call_spread
         self._state = PollState.ANSWERING
         self._first_answer = threading.Event()
+        self._stopped = threading.Event()
         self._decoder = msgspec.json.Decoder(EndpointList)
 
     @property
@@ -125,6 +126,14 @@
             self._work_queues.request_discovery_poll()
             self._first_answer.wait(FIRST_LIST_TIMEOUT.total_seconds())
 
+    def stop(self) -> None:
+        """Abort the call in flight and end the polling thread. Thread-safe."""
+        self._stopped.set()
+        with self._lock:
+            http = self._http
+        http.abort()
+        self._work_queues.request_discovery_poll(is_polling=False)  # wakes the thread
+
     def switch_address(self, address: Address) -> bool:
         """Poll another address from now on; False where it is polled already.
 
@@ -147,9 +156,9 @@
         self._retry_spread = self._first_call_spread
 
     def _run(self) -> None:
-        while True:
+        while not self._stopped.is_set():
             is_polling = self._work_queues.discovery_polls.get()
-            while is_polling:
+            while is_polling and not self._stopped.is_set():
                 is_polling = self._poll_once()
                 if is_polling:
                     with contextlib.suppress(queue.Empty):
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -46,9 +46,13 @@
             for number in range(WORKER_COUNT):
                 threading.Thread(target=self._run, name=f"health-check-{number}", daemon=True).start()
 
+    def stop(self) -> None:
+        """End the threads once they have made the checks that are queued."""
+        for _ in range(WORKER_COUNT):
+            self._work_queues.health_checks.put(None)
+
     def _run(self) -> None:
-        while True:
-            endpoint = self._work_queues.health_checks.get()
+        while (endpoint := self._work_queues.health_checks.get()) is not None:
             started = now()
             result = self._check(endpoint)
             duration_us = (now() - started) // MICROSECOND
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -88,11 +88,11 @@
             timeout = None if until is None else seconds_left(until)
             return self._changed.wait_for(lambda: self._state_since != since, timeout)
 
-    def wait_for_state(self, state: NodeState) -> timedelta:
-        """Wait for as long as it takes; returns when the state began."""
+    def wait_for_standby(self) -> timedelta | None:
+        """Wait for as long as it takes; returns when standby began, or None once the node drains for good."""
         with self._changed:
-            self._changed.wait_for(lambda: self._state is state)
-            return self._state_since
+            self._changed.wait_for(lambda: self.is_draining)
+            return self._state_since if self._state is NodeState.STANDBY else None
 
     def _transition(self, state: NodeState, only_from: NodeState | None = None) -> None:
         """Change to a state where the table allows it, and `only_from` a given one where one is given."""
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -91,6 +91,11 @@
         self.update_endpoints(initial, ListUpdateKind.CACHED)
         threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
 
+    def stop(self) -> None:
+        """End the timer thread; events are still passed to the policy."""
+        with self._lock:
+            self._timers.stop()
+
     # --- the policy's events and actions
 
     def handle_events(self, *events: Event) -> None:
@@ -144,10 +149,13 @@
                 check_invariant(False, "tell_without_peers")
 
     def _run_timers(self) -> None:
-        """The timer thread: pass each timer to the policy when it is due."""
+        """Pass each timer to the policy when it is due, until the timers are stopped; the timer thread."""
         while True:
             with self._lock:
-                woken_queues = self._decide(self._timers.wait_for_expired())
+                expired = self._timers.wait_for_expired()
+                if not expired:
+                    return
+                woken_queues = self._decide(expired)
             self._wake_and_log(woken_queues)
 
     def record_discovery_call(self, failed: bool) -> None:
--- a/tansyladder/node/policy_timers.py
+++ b/tansyladder/node/policy_timers.py
@@ -18,6 +18,7 @@
     def __init__(self, lock: threading.Lock) -> None:
         self._heap: list[tuple[timedelta, int]] = []  # when, and the policy's token
         self._changed = threading.Condition(lock)
+        self._is_stopped = False
 
     def set(self, moment: timedelta, token: int) -> None:
         """Set a timer; wakes the timer thread where it is the next one to expire."""
@@ -25,11 +26,22 @@
         if self._heap[0][1] == token:
             self._changed.notify()
 
+    def stop(self) -> None:
+        """Let no timer expire from now on, and wake the timer thread."""
+        self._is_stopped = True
+        self._changed.notify()
+
     def wait_for_expired(self) -> list[TimerExpired]:
-        """Wait, with the lock released meanwhile, until timers have expired; takes them off."""
-        while not self._heap or self._heap[0][0] > now():
+        """Wait, with the lock released meanwhile, until timers have expired; takes them off.
+
+        Returns:
+            The expired timers; none after `stop`.
+        """
+        while not self._is_stopped and (not self._heap or self._heap[0][0] > now()):
             seconds = (self._heap[0][0] - now()).total_seconds() if self._heap else IDLE_WAIT_SECONDS
             self._changed.wait(max(0.0, seconds))
+        if self._is_stopped:
+            return []
         moment = now()
         expired = []
         while self._heap and self._heap[0][0] <= moment:
--- a/tansyladder/node/work_queues.py
+++ b/tansyladder/node/work_queues.py
@@ -22,7 +22,8 @@
 class WorkQueues:
     """Work for the threads of health checks and of discovery. Thread-safe."""
 
-    health_checks: queue.Queue[EndpointAddress] = field(default_factory=_new_queue)
+    # None: a thread of the health checks is to end.
+    health_checks: queue.Queue[EndpointAddress | None] = field(default_factory=_new_queue)
     discovery_polls: queue.Queue[bool] = field(default_factory=_new_queue)  # False: no poll for now
 
     def request_health_check(self, endpoint: EndpointAddress) -> None:
--- a/tests/formats/test_handover_formats.py
+++ b/tests/formats/test_handover_formats.py
@@ -24,6 +24,7 @@
 )
 from tansyladder.net.listener_handover import ListenerHandover
 from tests.formats.writers import READY_ENDPOINT
+from tests.threads import stop_at_end_of_test
 
 DATA = Path(__file__).parent / "data" / "handover"
 ADDRESS = Address("127.0.0.1", 4711)
@@ -119,6 +120,7 @@
         self.has_successor = threading.Event()
         self.is_accepting_again = threading.Event()
         self.handover = ListenerHandover(ADDRESS, str(folder))
+        stop_at_end_of_test(self.handover.stop)
         self.handover.serve(listener, self)
 
     def split_descriptors(self) -> DescriptorSplit:
