--- a/tests/answers/__init__.py
+++ b/tests/answers/__init__.py
@@ -1,5 +1,5 @@
-"""What the software answers to operators, to the platform, and to scripts that read logs and reports.
+"""The software's contract with operators, with the platform, and with scripts that read logs and reports.
 
-The names here are literals on purpose. They are the contract of the operators' address, of the settings
-files, of exit codes and of JSON reports, and stay as they are whatever the code behind them is called.
+The names in these tests are literals on purpose: calls of the admin server, keys of settings files, exit
+codes and fields of JSON reports stay as they are, whatever the code behind them is called.
 """
--- a/tests/answers/program.py
+++ b/tests/answers/program.py
@@ -1,4 +1,4 @@
-"""Starts the real program and talks to it from outside; little of the package is imported."""
+"""Runs the real program as another process, and calls it as operators and clients do."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from tansyladder.lab.node import spare_port
 
 ROOT = Path(__file__).parent.parent.parent
-DEADLINE = 10.0  # seconds until an answer or a log line counts as missing
-LONGEST_RUN = 40.0  # seconds after which a node is ended, so that no test waits for ever
+ANSWER_TIMEOUT_SECONDS = 10.0  # until an answer or a log line counts as missing
+MAX_RUN_SECONDS = 40.0  # then a node is killed, so that no test waits for ever
 PROGRAM = (sys.executable, "-O", "-m", "tansyladder")
 
 PLATFORM_SETTINGS: dict[str, Any] = {
@@ -59,20 +59,20 @@
 
 
 def environment(config_file: Path | None = None) -> dict[str, str]:
-    """This process's environment with no variable of a node but the one that names the configuration."""
+    """This process's environment, whose only variable of a node is the one that names the configuration."""
     plain = {name: value for name, value in os.environ.items() if not name.startswith("GW_")}
     return plain | ({"GW_CONFIG": str(config_file)} if config_file else {})
 
 
-def run(*words: str, config_file: Path | None = None) -> subprocess.CompletedProcess[str]:
+def run(*arguments: str, config_file: Path | None = None) -> subprocess.CompletedProcess[str]:
     """Run the program to its end."""
     env = environment(config_file)
-    return subprocess.run([*PROGRAM, *words], env=env, capture_output=True, text=True, timeout=30)
+    return subprocess.run([*PROGRAM, *arguments], env=env, capture_output=True, text=True, timeout=30)
 
 
-def command_line(words: list[str], monkeypatch: pytest.MonkeyPatch) -> object:
+def command_line(arguments: list[str], monkeypatch: pytest.MonkeyPatch) -> object:
     """The exit code of the command line, run in this process."""
-    monkeypatch.setattr(sys, "argv", ["tansyladder", *words])
+    monkeypatch.setattr(sys, "argv", ["tansyladder", *arguments])
     with pytest.raises(SystemExit) as ended:
         main()
     return ended.value.code
@@ -88,7 +88,7 @@
         self.operator_port = port_of(config["operator"])
 
     def log_line(self, start: str) -> str:
-        """The next line of the log that begins so."""
+        """Read the log up to a line that begins in this way, and return that line."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
             if line.startswith(start):
@@ -96,15 +96,15 @@
         raise AssertionError(f"the log ended without {start!r}")
 
     def call(self, line: str) -> list[str]:
-        """The lines that the operators' address answers to a call."""
-        with socket.create_connection(("127.0.0.1", self.operator_port), DEADLINE) as sock:
+        """Call the admin server; returns the lines of its answer."""
+        with socket.create_connection(("127.0.0.1", self.operator_port), ANSWER_TIMEOUT_SECONDS) as sock:
             sock.sendall(f"{line}\n".encode())
             return sock.makefile("r").read().splitlines()
 
     def call_until(self, line: str, is_wanted: Callable[[str], bool]) -> list[str]:
-        """The first answer whose first line is one that is wanted."""
-        end = time.monotonic() + DEADLINE
-        while time.monotonic() < end:
+        """Repeat a call until the first line of its answer is as wanted; returns that answer."""
+        deadline = time.monotonic() + ANSWER_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             answer = self.call(line)
             if answer and is_wanted(answer[0]):
                 return answer
@@ -112,23 +112,23 @@
         raise AssertionError(f"{line}: still {answer}")
 
     def first_answer(self, line: str) -> str:
-        """What a client hears first after its first line."""
-        with socket.create_connection(("127.0.0.1", self.port), DEADLINE) as sock:
+        """Connect as a client and send a first line; returns the first line of the answer."""
+        with socket.create_connection(("127.0.0.1", self.port), ANSWER_TIMEOUT_SECONDS) as sock:
             sock.sendall(f"{line}\r\n".encode())
             return sock.makefile("r").readline().strip()
 
 
 @contextmanager
 def running_node(folder: Path, config: dict[str, Any], operator_settings: str = "") -> Iterator[RunningNode]:
-    """The real program in its release build, once it says that it has started."""
+    """Run the real program in its release build; begins once the program has logged its start."""
     config_file = folder / "config.json"
     settings_file = folder / "settings.sexp"
     config_file.write_text(json.dumps(config))
     settings_file.write_text(operator_settings)
-    words = ("serve", "--settings", str(settings_file)) if operator_settings else ()
+    arguments = ("serve", "--settings", str(settings_file)) if operator_settings else ()
     env = environment(config_file) | {"TMPDIR": str(folder)}
-    with subprocess.Popen([*PROGRAM, *words], env=env, stderr=subprocess.PIPE, text=True) as process:
-        watchdog = threading.Timer(LONGEST_RUN, process.kill)  # ends the log, and so whoever waits for a line
+    with subprocess.Popen([*PROGRAM, *arguments], env=env, stderr=subprocess.PIPE, text=True) as process:
+        watchdog = threading.Timer(MAX_RUN_SECONDS, process.kill)  # ends the log, and so a wait for a line
         watchdog.start()
         try:
             node = RunningNode(process, config, folder)
--- a/tests/answers/test_operator_calls.py
+++ b/tests/answers/test_operator_calls.py
@@ -1,9 +1,9 @@
-"""The calls of the operators' address and the names in their answers, of a node with and without settings.
+"""The calls of the admin server and the names in their answers, with and without operator's settings.
 
-Held elsewhere: `status`, `standby`, `active` and their refusals, unreadable and too long calls
-(`tests/node/test_admin_server.py`), what the figures of `stats` count (there too); `STATS`, by which this
-node asks a member for its load report (`tests/node/test_second_deployment.py`). Not held: the figure
-`stale` of `documents`, which is there only after a node was cut off from its peers.
+Tested elsewhere: `status`, `standby`, `active` and their errors, invalid calls, and what the metrics of
+`stats` count (`tests/node/test_admin_server.py`); the request `STATS` for an endpoint's load report
+(`tests/node/test_second_deployment.py`). Not tested: the metric `stale` of `documents`, which appears
+only after a node has lost its peers.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 ]
 STATS_OF_A_CLASS = ["ok", "shed", "errors", "left", "tries"]
 DOCUMENT = ["number", "digest", "size", "since", "here"]
-STAMP = ["at", "ident", "numbers"]
+DECISION_FIELDS = ["at", "ident", "numbers"]
 
 
 @pytest.fixture(scope="module")
@@ -43,7 +43,7 @@
 
 
 def fleet_settings(folder: Path, members: dict[str, int]) -> str:
-    """Settings of nodes that agree on documents; the first of them is the only voter."""
+    """Settings of a cluster with documents, whose first member is the only voter."""
     addresses = " ".join(f'({name} "127.0.0.1:{port}")' for name, port in members.items())
     return f"""
     (resume (enabled true) (keys (1 "{"ab" * 32}")))
@@ -55,7 +55,7 @@
 
 @pytest.fixture(scope="module")
 def document_nodes(tmp_path_factory: pytest.TempPathFactory) -> Iterator[list[RunningNode]]:
-    """Two nodes with resumable sessions, peers and documents, once both hold their leases."""
+    """Two nodes with resumable sessions, peers and documents, each of which has a lease."""
     members = {"n0": spare_port(), "n1": spare_port()}
     with ExitStack() as stack:
         nodes = []
@@ -70,25 +70,25 @@
 
 @pytest.fixture
 def document_node(document_nodes: list[RunningNode]) -> RunningNode:
-    """The voter."""
+    """The node of the two that is the voter."""
     return document_nodes[0]
 
 
 def check_stats(node: RunningNode) -> None:
     line, end = node.call("stats")
-    figures = json.loads(line)
-    assert list(figures) == STATS
-    assert {name: list(of_class) for name, of_class in figures["responses"].items()} == {
+    metrics = json.loads(line)
+    assert list(metrics) == STATS
+    assert {name: list(class_metrics) for name, class_metrics in metrics["responses"].items()} == {
         "chat": STATS_OF_A_CLASS
     }
-    assert (figures["pool_size"], figures["phase"], end) == (1, "serving", ".")
+    assert (metrics["pool_size"], metrics["phase"], end) == (1, "serving", ".")
 
 
-def test_stats_names_its_figures_without_settings(plain_node: RunningNode) -> None:
+def test_stats_names_its_metrics_without_settings(plain_node: RunningNode) -> None:
     check_stats(plain_node)
 
 
-def test_stats_names_the_same_figures_with_peers_and_documents(document_node: RunningNode) -> None:
+def test_stats_names_the_same_metrics_with_peers_and_documents(document_node: RunningNode) -> None:
     check_stats(document_node)
 
 
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("call", ["publish", "publish note wish", "change", "change a b", "documents all"])
-def test_a_call_with_too_few_or_too_many_words_is_unknown(document_node: RunningNode, call: str) -> None:
+def test_a_call_with_too_few_or_too_many_arguments_is_unknown(document_node: RunningNode, call: str) -> None:
     [answer] = document_node.call(call)
     assert answer.startswith("-ERR unknown: ")
 
@@ -115,8 +115,10 @@
     note.write_text('(note "no releases before Monday")')
     assert document_node.call(f"publish note first {note}") == ["+OK under way"]
     assert document_node.call_until("change first", is_ended) == ["+OK done 1"]
-    assert document_node.call(f"publish note first {note}") == ["+OK under way"]  # the same wish, said again
-    line, _ = document_node.call_until("documents", lambda line: '"note":' in line)  # from the next turn on
+    assert document_node.call(f"publish note first {note}") == ["+OK under way"]  # the same change
+    line, _ = document_node.call_until(
+        "documents", lambda line: '"note":' in line
+    )  # once a Raft step has applied it
     described = json.loads(line)
     assert list(described) == ["lease_ms", "note"]
     assert list(described["note"]) == DOCUMENT
@@ -124,7 +126,7 @@
     assert described["note"]["here"] is True
 
 
-def test_a_refused_change_says_why(document_node: RunningNode) -> None:
+def test_the_answer_to_a_rejected_change_names_its_fault(document_node: RunningNode) -> None:
     faulty = document_node.folder / "faulty.sexp"
     faulty.write_text("(note")
     assert document_node.call(f"publish note faulty {faulty}") == ["+OK under way"]
@@ -136,8 +138,10 @@
     assert document_node.call(f"publish note third {missing}") == ["-ERR file: No such file or directory"]
 
 
-def test_a_stamp_names_the_moment_the_first_line_and_the_numbers(document_node: RunningNode) -> None:
+def test_the_decision_log_has_the_time_the_connection_and_the_version_numbers(
+    document_node: RunningNode,
+) -> None:
     assert document_node.first_answer("OPEN 5e 7f c=chat,d=300").startswith("BUSY")
     stamps = [json.loads(line) for line in (document_node.folder / "stamps").read_text().splitlines()]
-    assert list(stamps[0]) == STAMP
+    assert list(stamps[0]) == DECISION_FIELDS
     assert stamps[0]["ident"] == "5e"
--- a/tests/answers/test_operator_settings.py
+++ b/tests/answers/test_operator_settings.py
@@ -1,7 +1,7 @@
-"""The keys of the operator's own settings, an S-expression file, and how a fault among them is named.
+"""The keys of the operator's settings, an S-expression file, their defaults, and the errors that name a key.
 
-Held elsewhere: units, faults of values and of brackets, an unknown key of `resume` and an unknown section
-(`tests/config/test_operator_settings.py`); which keys a SIGHUP puts in force (there, and
+Tested elsewhere: units, invalid values and brackets, an unknown key of `resume` and an unknown section
+(`tests/config/test_operator_settings.py`); which keys a SIGHUP puts in force (there, and in
 `tests/node/test_reload.py`).
 """
 
@@ -19,7 +19,7 @@
 from tests.answers.program import ROOT
 
 EXAMPLE = ROOT / "deploy" / "settings.example.sexp"
-# Every key and what holds where it is absent.
+# Every key and its default.
 DEFAULTS: dict[str, dict[str, object]] = {
     "resume": {
         "enabled": False,
@@ -35,8 +35,8 @@
     "documents": {"enabled": False, "lease": "PT30S", "on_lease_expiry": "stop", "decision_log": ""},
     "log": {"json": False},
 }
-ONLY_IN_A_COMMENT = {"resume.keys"}  # the example's keys of tokens would be known to everybody
-# A value of each key that can be given alone, by its path; none is the default.
+ONLY_IN_A_COMMENT = {"resume.keys"}  # as everybody would know the example's keys
+# Another value than the default of each key that is valid without other keys, by the key's path.
 ACCEPTED = {
     "resume.enabled": "true",
     "resume.expires": '"1 min"',
@@ -56,7 +56,7 @@
     "documents.decision_log": '"/stamps"',
     "log.json": "true",
 }
-WHOLE_FLEET = f"""
+ALL_FEATURES = f"""
 (resume (enabled true) (keys (2 "{"ab" * 32}")))
 (peers (enabled true) (fleet "f") (key "{"cd" * 32}") (voters "n0") (members (n0 "10.0.0.4:8100")))
 (documents (enabled true))
@@ -65,7 +65,7 @@
 
 
 def as_written(text: str) -> dict[str, Any]:
-    """What a file's text puts in force, by the file's own keys."""
+    """The settings that a file's text gives, by the keys of the file."""
     read: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(operator_settings.parse(text)))
     return read
 
@@ -99,22 +99,22 @@
     assert read[section][key] != DEFAULTS[section][key]
 
 
-def test_what_needs_other_keys_is_switched_on_together_with_them() -> None:
-    read = as_written(WHOLE_FLEET)
+def test_the_keys_that_need_other_keys_are_accepted_together_with_them() -> None:
+    read = as_written(ALL_FEATURES)
     switched_on = {f"{section}.enabled" for section, keys in read.items() if keys.get("enabled")}
     assert paths(DEFAULTS) - ACCEPTED.keys() == switched_on - {"resume.enabled"}
 
 
 @pytest.mark.parametrize("section", sorted(DEFAULTS))
-def test_an_unknown_key_is_refused_with_its_section_and_name(section: str) -> None:
-    with pytest.raises(OptionsError) as refused:
+def test_an_unknown_key_is_rejected_with_its_section_and_name(section: str) -> None:
+    with pytest.raises(OptionsError) as rejected:
         operator_settings.parse(f"({section} (colour 1))")
-    assert str(refused.value) == f"{section}: Object contains unknown field `colour`"
+    assert str(rejected.value) == f"{section}: Object contains unknown field `colour`"
 
 
 @pytest.mark.parametrize("path", sorted(ACCEPTED.keys() - {"peers.members"}))
-def test_a_value_of_the_wrong_type_is_refused_with_its_path(path: str) -> None:
+def test_a_value_of_the_wrong_type_is_rejected_with_its_path(path: str) -> None:
     section, key = path.split(".")
-    with pytest.raises(OptionsError) as refused:
+    with pytest.raises(OptionsError) as rejected:
         operator_settings.parse(f"({section} ({key} (colour 1)))")
-    assert str(refused.value).startswith(f"{path}")
+    assert str(rejected.value).startswith(f"{path}")
--- a/tests/answers/test_platform_configuration.py
+++ b/tests/answers/test_platform_configuration.py
@@ -1,12 +1,11 @@
-"""The keys of the platform's configuration file and of the environment: which are read, and named by faults.
-
-A key is read if another value of it changes what the file is read as; how the program names what it has
-read is not looked at. Held elsewhere: faults of `listen`, `discovery`, `seed`, `limits.memory_mb`,
-`settings.classes`, `settings.localities`, `settings.balancers`, `settings.rules.cold`, and that GW_NAME and
-GW_LISTEN go before the file (`tests/config/test_platform.py`); which keys wait for a restart
-(`tests/node/test_reload.py`); the values that the settings' keys give on the simulator's wire
-(`tests/simulator/test_wire.py`). Not held: the key of a fault in `group`, which the message does not name
-today.
+"""The keys of the platform's configuration file and environment: all are read, and errors name them.
+
+A key counts as read if another value of it changes the `Config`, in any field. Tested elsewhere: errors of
+`listen`, `discovery`, `seed`, `limits.memory_mb`, `settings.classes`, `settings.localities`,
+`settings.balancers`, `settings.rules.cold`, and that GW_NAME and GW_LISTEN take precedence over the file
+(`tests/config/test_platform.py`); which keys wait for a restart (`tests/node/test_reload.py`); the values
+that the settings' keys give on the simulator's wire (`tests/simulator/test_wire.py`). Not tested: an error in
+`group`, as its message does not name the key today.
 """
 
 from __future__ import annotations
@@ -23,10 +22,10 @@
 from tansyladder.config.platform import Config, load
 from tests.answers.program import platform_config
 
-MEMBER = "known.members.0"
+ENDPOINT = "known.members.0"
 CLASS = "settings.classes.0"
-# Another value of each key than that of the file below, by the key's path.
-READ = {
+# For each key another value than in BASE, by the key's path.
+OTHER_VALUES = {
     "name": "n7",
     "listen": "127.0.0.2:1",
     "operator": "127.0.0.2:1",
@@ -37,14 +36,14 @@
     "limits.sockets": 500,
     "known.revision": 7,
     "known.complete": False,
-    f"{MEMBER}.id": "s7",
-    f"{MEMBER}.host_port": "127.0.0.2:1",
-    f"{MEMBER}.phase": "draining",
-    f"{MEMBER}.locality": "b",
-    f"{MEMBER}.flavor": "n",
-    f"{MEMBER}.cell": 7,
-    f"{MEMBER}.size": 7.0,
-    f"{MEMBER}.up_since_ms": 7,
+    f"{ENDPOINT}.id": "s7",
+    f"{ENDPOINT}.host_port": "127.0.0.2:1",
+    f"{ENDPOINT}.phase": "draining",
+    f"{ENDPOINT}.locality": "b",
+    f"{ENDPOINT}.flavor": "n",
+    f"{ENDPOINT}.cell": 7,
+    f"{ENDPOINT}.size": 7.0,
+    f"{ENDPOINT}.up_since_ms": 7,
     f"{CLASS}.name": "call",
     f"{CLASS}.slo": 7000,
     f"{CLASS}.hard_limit": 7_000_000,
@@ -88,15 +87,15 @@
     "settings.rules.tip_multiple": 7.0,
     "settings.rules.fall": 7000,
 }
-REFUSED_AS_TEXT = {
+REJECTED_AS_TEXT = {
     f"{CLASS}.effect",
     "limits.cores",
     "limits.sockets",
     "known.revision",
     "known.complete",
-    f"{MEMBER}.cell",
-    f"{MEMBER}.size",
-    f"{MEMBER}.up_since_ms",
+    f"{ENDPOINT}.cell",
+    f"{ENDPOINT}.size",
+    f"{ENDPOINT}.up_since_ms",
     f"{CLASS}.slo",
     f"{CLASS}.hard_limit",
     f"{CLASS}.window",
@@ -125,49 +124,49 @@
 
 
 def with_value(path: str, value: object) -> dict[str, Any]:
-    """The file with another value at a path; what is missing on the way there is put in."""
+    """BASE with another value at a path, whose missing sections are added."""
     changed: Any = copy.deepcopy(BASE)
-    *way, last = path.split(".")
-    holder = changed
-    for step in way:
-        holder = holder[int(step)] if isinstance(holder, list) else holder.setdefault(step, {})
-    holder[last] = value
-    read: dict[str, Any] = changed
-    return read
+    *section_keys, last_key = path.split(".")
+    section = changed
+    for key in section_keys:
+        section = section[int(key)] if isinstance(section, list) else section.setdefault(key, {})
+    section[last_key] = value
+    config: dict[str, Any] = changed
+    return config
 
 
-def read_as(folder: Path, config: dict[str, Any]) -> Config:
+def load_config(folder: Path, config: dict[str, Any]) -> Config:
     file = folder / "config.json"
     file.write_text(json.dumps(config))
     return load({"GW_CONFIG": str(file)})
 
 
-def differing(one: Config, other: Config) -> set[str]:
+def differing_fields(first: Config, second: Config) -> set[str]:
     names = [field.name for field in dataclasses.fields(Config)]
-    return {name for name in names if getattr(one, name) != getattr(other, name)}
+    return {name for name in names if getattr(first, name) != getattr(second, name)}
 
 
-@pytest.mark.parametrize("path", READ)
+@pytest.mark.parametrize("path", OTHER_VALUES)
 def test_each_key_is_read(tmp_path: Path, path: str) -> None:
-    base = read_as(tmp_path, BASE)
-    # What is kept of the file as it was written differs with any key; that alone is not reading it.
-    as_written = differing(base, read_as(tmp_path, with_value("settings.colour", 1)))
+    base = load_config(tmp_path, BASE)
+    # One field has the values as written, and differs with any key: that alone does not count as read.
+    as_written = differing_fields(base, load_config(tmp_path, with_value("settings.colour", 1)))
     assert len(as_written) == 1
-    assert differing(base, read_as(tmp_path, with_value(path, READ[path]))) - as_written
+    assert differing_fields(base, load_config(tmp_path, with_value(path, OTHER_VALUES[path]))) - as_written
 
 
-@pytest.mark.parametrize("path", sorted(REFUSED_AS_TEXT))
-def test_a_value_that_makes_no_sense_is_refused_with_its_key(tmp_path: Path, path: str) -> None:
-    with pytest.raises(ConfigError) as refused:
-        read_as(tmp_path, with_value(path, "many"))
-    why = str(refused.value).replace("[0]", ".0")
-    assert f"{path}: " in why or f"`$.{path}`" in why
+@pytest.mark.parametrize("path", sorted(REJECTED_AS_TEXT))
+def test_a_text_in_place_of_another_type_is_rejected_with_its_key(tmp_path: Path, path: str) -> None:
+    with pytest.raises(ConfigError) as rejected:
+        load_config(tmp_path, with_value(path, "many"))
+    message = str(rejected.value).replace("[0]", ".0")
+    assert f"{path}: " in message or f"`$.{path}`" in message
 
 
 @pytest.mark.parametrize("variable", ["GW_OPERATOR", "GW_DISCOVERY", "GW_LISTEN"])
-def test_a_faulty_variable_is_named(tmp_path: Path, variable: str) -> None:
+def test_the_error_of_an_invalid_variable_names_it(tmp_path: Path, variable: str) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(BASE))
-    with pytest.raises(ConfigError) as refused:
+    with pytest.raises(ConfigError) as rejected:
         load({"GW_CONFIG": str(file), variable: "there"})
-    assert str(refused.value) == f"{variable}: HOST:PORT expected, not 'there'"
+    assert str(rejected.value) == f"{variable}: HOST:PORT expected, not 'there'"
