--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING
 
 from tansyladder.log import LogEvent, log
+from tansyladder.log_events import LineSource
 from tansyladder.net import protocol
 from tansyladder.net.clock import MICROSECOND
 from tansyladder.net.protocol import Opening, format_reject
@@ -48,7 +49,7 @@
 
     def _serve_resumable(self, session_service: SessionService) -> None:
         """Place a request whose session can be resumed, then hand it to the session service."""
-        # Loaded already, with the sessions: a node without them starts faster.
+        # Loaded with the sessions already; a node without sessions starts faster.
         from tansyladder.node.extension_points import ResumableRequest
 
         stream = session_service.new_stream()
@@ -74,7 +75,7 @@
             self._class_number,
             self._opening,
             self._deadline,
-            self._opening.is_reconnect,
+            is_reconnect=self._opening.is_reconnect,
         )
         result = attempt_loop.run(request)
         if isinstance(result, UpstreamConnection):
@@ -92,7 +93,7 @@
             case Fail():
                 self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
             case ClientEnd.SENT_EARLY:
-                log(LogEvent.INVALID_LINE, where="client", why="a second line before UP")
+                log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error="a second line before UP")
                 self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
             case ClientEnd.DISCONNECTED:
                 self._answer(RequestOutcome.CLIENT_LEFT)
--- a/tests/formats/test_transport_formats.py
+++ b/tests/formats/test_transport_formats.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import contextlib
 import socket
 from pathlib import Path
 
@@ -20,6 +19,7 @@
 from tansyladder.replication.content_transfer import DocumentMessage
 from tansyladder.replication.document_messages import LeaseRenewal
 from tests.formats.writers import NOW, fixed_random_bytes
+from tests.threads import stop_at_end_of_test
 
 DATA = Path(__file__).parent / "data" / "transport"
 NODES = {"dialler": "n1", "listener": "n2"}  # by the side of the connection
@@ -65,8 +65,9 @@
 @pytest.mark.parametrize(("side", "peer_side"), [("dialler", "listener"), ("listener", "dialler")])
 def test_one_side_of_a_connection_with_a_peer_of_the_build_before(side: str, peer_side: str) -> None:
     transport = new_transport(NODES[side])
+    stop_at_end_of_test(transport.stop)
     own_sock, peer_sock = socket.socketpair()
-    with contextlib.closing(transport), own_sock, peer_sock, fixed_random_bytes(NONCES[side][0]):
+    with own_sock, peer_sock, fixed_random_bytes(NONCES[side][0]):
         own_sock.settimeout(5)
         peer_sock.settimeout(5)
         peer_sock.sendall(sent_bytes(peer_side))
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -24,12 +24,12 @@
     ScriptedServer,
     answer_up,
     endpoint_entry,
-    ignore,
     load_test_config,
+    read_until_closed,
 )
 from tests.node.program import client_of, program, until_line
 
-STAYS = answer_up(lambda peer: ignore(*iter(peer.read_line, "")))
+STAYS = answer_up(read_until_closed)
 
 
 def echo_lines(peer: Peer) -> None:
@@ -59,7 +59,7 @@
         self._sock.settimeout(10)
         self._sock.connect(str(tmp_path / f"tansyladder-127.0.0.1-{port}.sock"))
         self._sock.sendall(handover_messages.REQUEST_LISTENER)
-        message, descriptors, _, _ = socket.recv_fds(self._sock, listener_handover.MAX_MESSAGE_BYTES, 1)
+        message, descriptors, _, _ = socket.recv_fds(self._sock, handover_messages.MAX_MESSAGE_BYTES, 1)
         msgspec.json.decode(message, type=handover_messages.DescriptorTransfer)
         assert len(descriptors) == 1
         self._listener = socket.socket(fileno=descriptors[0])
@@ -85,12 +85,12 @@
             [sys.executable, "-O", "-m", "tansyladder"], env=env, stderr=subprocess.PIPE
         ) as new:
             try:
-                until_line(new, b"event=listener_handover step=got_listener")
-                until_line(old, b"event=listener_handover step=succeeded")
+                until_line(new, b"event=listener_handover step=listener_received")
+                until_line(old, b"event=listener_handover step=successor_serving")
                 new.send_signal(signal.SIGSTOP)
                 before.sock.sendall(b"M ")  # a line that is not whole yet, each way
                 old.send_signal(signal.SIGTERM)
-                until_line(old, b"event=state_changed now=draining")
+                until_line(old, b"event=state_changed state=draining")
                 queued = client_of(port, "81")  # nobody takes it in: the old one leaves it to the new one
                 assert old.wait(10) == 0
                 assert select.select([queued.sock], [], [], 0)[0] == []
@@ -169,9 +169,9 @@
         assert connected.wait(10)
         successor = ScriptedSuccessor(tmp_path, port)
         successor.announce_serving()
-        until_line(old, b"event=listener_handover step=succeeded")
+        until_line(old, b"event=listener_handover step=successor_serving")
         old.send_signal(signal.SIGTERM)
-        until_line(old, b"event=state_changed now=draining")
+        until_line(old, b"event=state_changed state=draining")
         queued = client_of(port, "81")
         successor.die()
         assert queued.read_line() == "UP r1"
@@ -234,7 +234,8 @@
     own_handover = handover(tmp_path, 1)
     listener = NodeParts(load_test_config(tmp_path)).new_listener(own_handover)
     changed = threading.Event()
-    monkeypatch.setattr(listener, "set_accepting", lambda _: changed.set())
+    monkeypatch.setattr(listener, "on_successor_serving", changed.set)
+    monkeypatch.setattr(listener, "on_successor_lost", changed.set)
     listener.start()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.settimeout(5)
