--- a/tansyladder/net/listener_handover.py
+++ b/tansyladder/net/listener_handover.py
@@ -55,6 +55,7 @@
         """`folder`: private to the node and shared by its processes; None: there is no handover."""
         self._address = None if folder is None else HandoverAddress(listen, folder)
         self._published: PublishedAddress | None = None  # from `serve` on
+        self._thread: threading.Thread | None = None  # likewise
         self._predecessor: socket.socket | None = None  # given to the handover's thread by `serve`
         self._successors = SuccessorConnections()
         self._lifecycle = HandoverLifecycle()
@@ -114,7 +115,8 @@
             handover_thread = HandoverThread(
                 self._lifecycle, self._published, self._predecessor, self._successors, listener, owner
             )
-            threading.Thread(target=handover_thread.run, name="listener-handover", daemon=True).start()
+            self._thread = threading.Thread(target=handover_thread.run, name="listener-handover", daemon=True)
+            self._thread.start()
         except (OSError, RuntimeError) as err:  # no folder or thread: a successor opens its own listener
             log(LogEvent.LISTENER_HANDOVER_FAILED, error=err)
 
@@ -154,9 +156,11 @@
             self._published.unpublish()
 
     def stop(self) -> None:
-        """End the handover's thread: other processes get no answer from then on. Thread-safe."""
+        """End the handover's thread, and wait for it: other processes get no answer from then on."""
         if self._published is not None:
             self._published.stop()
+        if self._thread is not None and self._thread.is_alive():
+            self._thread.join()
 
 
 class _ReceivedListener(NamedTuple):
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -106,6 +106,7 @@
         self._state = PollState.ANSWERING
         self._first_answer = threading.Event()
         self._stopped = threading.Event()
+        self._thread = threading.Thread(target=self._run, name="discovery", daemon=True)
         self._decoder = msgspec.json.Decoder(EndpointList)
 
     @property
@@ -125,18 +126,20 @@
 
     def start(self) -> None:
         """Start the polling thread; where an agent answers, wait briefly for its first list."""
-        threading.Thread(target=self._run, name="discovery", daemon=True).start()
+        self._thread.start()
         if self._is_agent:  # else the policy decides when to poll
             self._work_queues.request_discovery_poll()
             self._first_answer.wait(FIRST_LIST_TIMEOUT.total_seconds())
 
     def stop(self) -> None:
-        """Abort the call in flight and end the polling thread. Thread-safe."""
+        """Abort the call in flight, end the polling thread, and wait for it."""
         self._stopped.set()
         with self._lock:
             http = self._http
         http.abort()
         self._work_queues.request_discovery_poll(is_polling=False)  # wakes the thread
+        if self._thread.ident is not None:
+            self._thread.join()
 
     def switch_address(self, address: Address) -> bool:
         """Poll another address from now on; return False where it is polled already.
@@ -177,7 +180,7 @@
             retry_spread = self._retry_spread
         if needs_snapshot and not self._is_agent:
             # All nodes call at once, and discovery answers calls one after another.
-            _sleep(random.uniform(0, 1) * retry_spread)
+            self._stopped.wait((random.uniform(0, 1) * retry_spread).total_seconds())
         started = now()
         result = self._call(http, needs_snapshot=needs_snapshot)
         if http is not self._http:  # the address was switched: the old one's answer is ignored
@@ -261,7 +264,3 @@
     def _is_poll_repeated(self, failure: CallFailure) -> bool:
         """Return whether a failed poll is repeated at once: any of an agent, or the first to time out."""
         return self._is_agent or (failure.is_timeout and self._state is PollState.ANSWERING)
-
-
-def _sleep(duration: timedelta) -> None:
-    threading.Event().wait(max(0.0, duration.total_seconds()))
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -40,16 +40,22 @@
         self._report_columns = context.configuration.settings.report_columns
         self._request = protocol.STATS if self._report_columns else protocol.PING
 
+        self._threads: list[threading.Thread] = []
+
     def start(self) -> None:
         """Start the threads, where the platform lets nodes check endpoints."""
         if self._configuration.settings.can_check_health:
             for number in range(WORKER_COUNT):
-                threading.Thread(target=self._run, name=f"health-check-{number}", daemon=True).start()
+                thread = threading.Thread(target=self._run, name=f"health-check-{number}", daemon=True)
+                thread.start()
+                self._threads.append(thread)
 
     def stop(self) -> None:
-        """End the threads once they have made the checks that are queued."""
-        for _ in range(WORKER_COUNT):
+        """End the threads, and wait until they have made the checks that are queued."""
+        for _ in self._threads:
             self._work_queues.health_checks.put(None)
+        for thread in self._threads:
+            thread.join()
 
     def _run(self) -> None:
         while (endpoint := self._work_queues.health_checks.get()) is not None:
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -62,6 +62,7 @@
         self._work_queues = work_queues
         self._lock = threading.Lock()
         self._timers = PolicyTimers(self._lock)
+        self._timer_thread = threading.Thread(target=self._run_timers, name="timers", daemon=True)
         self._request_ids = itertools.count(1)
         self._action_queues: dict[int, ActionQueue] = {}  # by request
         self._registry = EndpointRegistry(config, clock)
@@ -89,12 +90,14 @@
     def start(self, initial: EndpointList) -> None:
         """Give the policy the newest endpoint list that is known at the start, and start the timers."""
         self.update_endpoints(initial, ListUpdateKind.CACHED)
-        threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
+        self._timer_thread.start()
 
     def stop(self) -> None:
-        """End the timer thread; events are still passed to the policy."""
+        """End the timer thread, and wait for it; events are still passed to the policy."""
         with self._lock:
             self._timers.stop()
+        if self._timer_thread.ident is not None:
+            self._timer_thread.join()
 
     # --- the policy's events and actions
 
