--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,17 @@
-"""What pytest applies to all tests: the list of known failures, and the check for leftover threads."""
+"""What pytest applies to all tests: the list of known failures, the check for threads, the order's seed."""
 
 from __future__ import annotations
 
-from tests.known_red import pytest_collection_modifyitems, pytest_terminal_summary
+import pytest
+
+from tests import known_red
+from tests.known_red import pytest_collection_modifyitems
 from tests.threads import stop_and_check_threads
 
 __all__ = ["pytest_collection_modifyitems", "pytest_terminal_summary", "stop_and_check_threads"]
+
+
+def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
+    """Print the known failures, and the option that runs the tests in this order once more."""
+    known_red.pytest_terminal_summary(terminalreporter, config)
+    terminalreporter.write_line(f"order of the tests: --randomly-seed={config.getoption('randomly_seed')}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-import subprocess
-import sys
 from pathlib import Path
 
 import pytest
 
 from tests import known_red
+from tests.suite import run_suite
 
 SUITE = "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
 RED = "tests/test_suite.py::test_red"
@@ -33,14 +32,8 @@
     tmp_path: Path, lines: list[str] | None, exit_code: int, expected_output: str
 ) -> None:
     """Run pytest on a suite of a failing and a passing test, with a list of these lines."""
-    tests = tmp_path / "tests"
-    tests.mkdir()
-    (tests / "test_suite.py").write_text(SUITE)
-    (tests / "conftest.py").write_text(Path(known_red.__file__).read_text())
-    (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     if lines is not None:
         (tmp_path / "KNOWN-RED.txt").write_text("\n".join(lines))
-    command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-    run = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, timeout=60)
+    run = run_suite(tmp_path, known_red, SUITE)
     assert run.returncode == exit_code, run.stdout
     assert expected_output in run.stdout + run.stderr
--- a/tests/threads.py
+++ b/tests/threads.py
@@ -1,4 +1,4 @@
-"""Stops what a test has started, and waits for its threads.
+"""Stops what a test has started, waits for its threads, and fails a test that leaves some of them running.
 
 A thread that outlives its test writes its log lines while pytest captures nothing, or into the output of
 another test, and takes processor time from it.
@@ -33,10 +33,12 @@
 
 @pytest.fixture(autouse=True)
 def stop_and_check_threads() -> Iterator[None]:
-    """Stop what the test has started, and wait for its threads."""
+    """Stop what the test has started, and fail it where a thread runs that was not there before it."""
     threads_before = set(threading.enumerate())
     with ExitStack() as at_end:
         yield
         while _stops:
             at_end.callback(_stops.pop(0))
-    wait_until_ended(set(threading.enumerate()) - threads_before)
+    leftover = wait_until_ended(set(threading.enumerate()) - threads_before)
+    if leftover:
+        pytest.fail(f"the test has left these threads running: {', '.join(leftover)}", pytrace=False)
