--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -116,7 +116,7 @@
     assert contents_of(tmp_path / "store") == contents_of(DATA / "store")
 
 
-# --- the raft log
+# --- the Raft log
 
 RAFT_KEYS = {
     b"peers/hard",
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.usefixtures("boot_file")
-def test_a_raft_log_is_read_and_its_disk_witness_matches(tmp_path: Path) -> None:
+def test_a_raft_log_is_read_and_its_write_count_record_matches(tmp_path: Path) -> None:
     store = writers.open_folder(copied("raft", tmp_path))
     records = dict(store.items())
     assert set(records) == RAFT_KEYS
@@ -155,28 +155,28 @@
     store.close()
 
 
-@pytest.mark.parametrize("fault", ["another boot", "a write that the disk lacks", "no witness"])
-def test_a_raft_log_that_its_disk_witness_contradicts_is_suspected_stale(
+@pytest.mark.parametrize("fault", ["another boot", "a write that the disk lacks", "no record"])
+def test_a_raft_log_that_its_write_count_record_contradicts_is_suspected_stale(
     tmp_path: Path, boot_file: Path, fault: str
 ) -> None:
-    witness = copied("witness", tmp_path)
-    file = witness / "tansyladder-n1.peers"
+    record_folder = copied("witness", tmp_path)
+    file = record_folder / "tansyladder-n1.peers"
     if fault == "another boot":
         boot_file.write_text("00000000-0b5a-4a57-9c3e-6d1f0e2b7a90\n")
-    elif fault == "no witness":
+    elif fault == "no record":
         file.unlink()
     else:
         written = file.read_bytes().rstrip(b" ")
-        assert written[-1] == 7  # its count of writes
+        assert written[-1] == 7  # the count of writes
         file.write_bytes((written[:-1] + b"\x08").ljust(128))
     store = writers.open_folder(copied("raft", tmp_path))
-    storage = writers.open_raft_storage(store, witness)
+    storage = writers.open_raft_storage(store, record_folder)
     assert storage.persisted.hard_state == replace(RAFT_STATE.hard_state, stale_disk_suspected=True)
     store.close()
 
 
 @pytest.mark.usefixtures("boot_file")
-def test_a_raft_log_and_its_disk_witness_are_written_byte_for_byte(tmp_path: Path) -> None:
+def test_a_raft_log_and_its_write_count_record_are_written_byte_for_byte(tmp_path: Path) -> None:
     (tmp_path / "witness").mkdir()
     writers.write_raft(tmp_path / "raft", tmp_path / "witness")
     assert contents_of(tmp_path / "raft") == contents_of(DATA / "raft")
--- a/tests/formats/writers.py
+++ b/tests/formats/writers.py
@@ -80,8 +80,9 @@
     return open_store(RealFiles(folder), "n1", lambda: time_us, segment_size)
 
 
-def open_raft_storage(store: Store, witness_folder: Path) -> RaftStorage:
-    return RaftStorage(store, RollbackDetector(str(witness_folder), "n1"))
+def open_raft_storage(store: Store, record_folder: Path) -> RaftStorage:
+    """Open the Raft log in a store; `record_folder` has the record of its write count."""
+    return RaftStorage(store, RollbackDetector(str(record_folder), "n1"))
 
 
 def open_documents(store: Store, state: ReplicatedState) -> DocumentReplica:
@@ -119,11 +120,11 @@
     store.write([WriteOperation(key, value) for key, value in pairs], Durability.BUFFERED)
 
 
-def write_raft(folder: Path, witness_folder: Path) -> None:
+def write_raft(folder: Path, record_folder: Path) -> None:
     """A log whose end was replaced, a snapshot of two records in place of its beginning, the hard state."""
     with fixed_random_bytes():
         store = open_folder(folder)
-        storage = open_raft_storage(store, witness_folder)
+        storage = open_raft_storage(store, record_folder)
     disks = {"n1": "0102030405060708", "n2": "d2", "n3": "d3"}
     first_state = HardState(term=3, voted_for="n1", disk_id="0102030405060708", initial_disks=disks)
     last_state = HardState(
