--- a/tansyladder/net/handover_thread.py
+++ b/tansyladder/net/handover_thread.py
@@ -53,10 +53,11 @@
         self._owner = owner
 
     def run(self) -> None:
-        """Handle what the other processes send, for as long as this process runs."""
-        while True:
+        """Handle what the other processes send, until the address is stopped."""
+        while not self._address.is_stopped:
             for descriptor in self._wait_readable():
-                self._handle_and_log_errors(descriptor)
+                if not self._address.is_stopped:
+                    self._handle_and_log_errors(descriptor)
 
     def _wait_readable(self) -> list[int]:
         """Wait until another process sends or connects; return the readable descriptors."""
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -72,7 +72,7 @@
 
 def test_only_the_entry_imports_the_command_line() -> None:
     """`__main__` and `cli` are the top: tools that start a node use `serve` or `node_commands`."""
-    imported = import_graph()
+    graph = import_graph()
     top = ("tansyladder.__main__", "tansyladder.cli")
-    importers = {module: {one for one, others in imported.items() if module in others} for module in top}
+    importers = {module: {name for name, imported in graph.items() if module in imported} for module in top}
     assert importers == {"tansyladder.__main__": set(), "tansyladder.cli": {"tansyladder.__main__"}}
