--- a/tansyladder/store/compaction.py
+++ b/tansyladder/store/compaction.py
@@ -22,9 +22,10 @@
 SMALL_RUN_LENGTH = 8  # small segments that are merged at a time
 FRAME_BODY_BYTES = 256 << 10  # of a frame that compaction writes
 READ_BYTES = 1 << 20  # read at a time
+NO_LOCATION = 0
 MAX_FRAME_BYTES = frames.FRAME_HEADER_BYTES + frames.MAX_FRAME_BODY_BYTES
 
-IsLive = Callable[[int, int], bool]  # of a key's hash and a location: whether its newest record is there
+FindLocation = Callable[[int], int]  # by a key's hash: where its newest record is; 0: nowhere
 
 
 class CompactionTarget(NamedTuple):
@@ -183,7 +184,7 @@
         """Records in the new segment."""
         return self._writer.record_count
 
-    def step(self, budget_bytes: int, is_live: IsLive, now_us: int) -> bool:
+    def step(self, budget_bytes: int, find_location: FindLocation, now_us: int) -> bool:
         """Read about so many bytes of the run and copy what is live; return True once all is read.
 
         StoreCorruptError, OSError.
@@ -200,7 +201,7 @@
                 continue
             self._writer.note_time(frame.latest_time_us)
             for record in frame.records:
-                self._copy(segment, record, is_live, now_us)
+                self._copy(segment, record, find_location, now_us)
             remaining_bytes -= frame.end - frame.offset
         return False
 
@@ -216,24 +217,33 @@
         if self._unread:
             self._reader = FrameReader(self._unread[0])
 
-    def _copy(self, segment: Segment, record: frames.Record, is_live: IsLive, now_us: int) -> None:
+    def _copy(
+        self, segment: Segment, record: frames.Record, find_location: FindLocation, now_us: int
+    ) -> None:
         """Copy a record if it must be kept, and note the change of the index."""
         key_hash = hash_key(record.key, self._hash_secret)
         location = segment.id << frames.OFFSET_BITS | record.offset
-        if record.kind == frames.PUT:
-            if not is_live(key_hash, location):
-                return
-            if record.expiry_us and record.expiry_us <= now_us:
-                self.moved.append(MovedRecord(key_hash, location, 0, 0))
-                record = frames.Record(
-                    record.offset, frames.DELETE, record.sequence, 0, record.key, value=b""
-                )
-        if record.kind == frames.DELETE and self._includes_oldest:
+        if record.kind == frames.DELETE:
+            self._copy_deletion(record, key_hash)
             return
-        new_location = self._writer.add(record, key_hash)
-        if record.kind == frames.PUT:
+        newest_location = find_location(key_hash)
+        if newest_location not in (location, NO_LOCATION):
+            return  # a newer record replaces it
+        if record.expiry_us and record.expiry_us <= now_us:
+            # The index has no entry for what had expired at the start, but an older segment may have an older
+            # value of its key.
+            self.moved.append(MovedRecord(key_hash, location, NO_LOCATION, 0))
+            deletion = frames.Record(record.offset, frames.DELETE, record.sequence, 0, record.key, value=b"")
+            self._copy_deletion(deletion, key_hash)
+        elif newest_location == location:
+            new_location = self._writer.add(record, key_hash)
             self.moved.append(MovedRecord(key_hash, location, new_location, record.size))
 
+    def _copy_deletion(self, record: frames.Record, key_hash: int) -> None:
+        """Copy a deletion, unless no older segment can have a value of its key."""
+        if not self._includes_oldest:
+            self._writer.add(record, key_hash)
+
     def finish(self) -> Segment:
         """Sync and return the new segment; its directory entry is not synced. OSError."""
         return self._writer.finish()
--- a/tansyladder/store/maintenance.py
+++ b/tansyladder/store/maintenance.py
@@ -84,7 +84,7 @@
     def _continue_compaction(self, running: Compaction, budget_bytes: int) -> None:
         """Do one step of a compaction; the last one installs its segment."""
         try:
-            is_complete = running.step(budget_bytes, self._records.is_live, self._clock.now_us())
+            is_complete = running.step(budget_bytes, self._records.find_location, self._clock.now_us())
             if is_complete:
                 self._install(running)
         except StoreCorruptError:
--- a/tansyladder/store/record_table.py
+++ b/tansyladder/store/record_table.py
@@ -91,10 +91,10 @@
             for segment in segments:
                 segment.release()
 
-    def is_live(self, key_hash: int, location: int) -> bool:
-        """Whether the record at this location is the newest of its key."""
+    def find_location(self, key_hash: int) -> int:
+        """Return where the newest record of a key is; 0 where it is deleted, or had expired at the start."""
         with self._lock:
-            return self._index.get(key_hash) == location
+            return self._index.get(key_hash)
 
     def check_collision(self, key_hash: int, key: bytes) -> None:
         """Raise KeyCollisionError where another stored key has this hash, as both can't be stored."""
--- a/tests/store/test_compaction.py
+++ b/tests/store/test_compaction.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import random
 from pathlib import Path
 
 from tansyladder.lab.crash_consistency import ManualClock
@@ -47,6 +48,22 @@
     assert dict(store.items()) == {b"other": b"x"}
 
 
+def test_a_value_that_had_expired_at_the_start_still_hides_an_older_one() -> None:
+    """The index has no entry for it, but its record is kept as long as the older value's segment."""
+    clock = ManualClock()
+    files, store = open_in_memory(clock=clock)
+    store.put(b"k", b"old")
+    store.put(b"live", b"x" * 200)  # so that the other segment is compacted alone
+    files, store = open_in_memory(files.after_power_loss(random.Random(5), 0.0), clock=clock)
+    store.put(b"k", b"y" * 100, expiry_us=clock.now_us)
+    files, store = open_in_memory(files.after_power_loss(random.Random(5), 0.0), clock=clock)
+    store.compact_all()
+    store.close()
+    _, store = open_in_memory(files, clock=clock)
+    assert store.get(b"k") is None
+    assert store.get(b"live") == b"x" * 200
+
+
 def test_a_snapshot_keeps_the_files_of_compacted_segments_open(tmp_path: Path) -> None:
     """On a real directory, where a closed file can't be read; the store stays usable after the snapshot."""
     store = open_store(RealFiles(tmp_path), NODE, ManualClock(), SMALL_SEGMENT_BYTES)
