--- a/tansyladder/sessions/errors.py
+++ b/tansyladder/sessions/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a connection of a session or the session itself, and the reasons that stand in the log."""
+"""Errors that end a connection of a session or the session itself, and their reasons in the log."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption.token_registry import SessionEnd
 
-RETRY_SOON = protocol.format_reject(timedelta(milliseconds=200))  # to a token that may be valid in a moment
+RETRY_SOON = protocol.format_reject(timedelta(milliseconds=200))  # to a token that may soon be valid
 
 
 class UpstreamLossReason(StrEnum):
     """Why a session left its stream host; the value is `reason` of `session_moved` and `session_rejected`."""
 
     RESTART = "restart"  # the session was restored here and has no stream host yet
-    ORDERED = "migrated_by_policy"  # the policy migrates it
-    STALLED = "stalled"  # the host takes no bytes
-    SILENT = "response_timeout"  # the host does not answer
-    RESET = "connection_reset"
-    CLOSED = "connection_closed"  # the host closed its connection without BYE
+    MIGRATED_BY_POLICY = "migrated_by_policy"
+    STALLED = "stalled"  # the host accepts no bytes
+    RESPONSE_TIMEOUT = "response_timeout"  # the host does not answer
+    CONNECTION_RESET = "connection_reset"
+    CONNECTION_CLOSED = "connection_closed"  # the host closed its connection without BYE
     INVALID_LINE = "invalid_line"
-    INVALID_MESSAGE = "invalid_control_message"
-    REDIRECTED = "moved_by_endpoint"  # the host sent MOVE
-    FINISHED = "finished"  # the host sent BYE while the client was away
+    INVALID_CONTROL_MESSAGE = "invalid_control_message"
+    MOVED_BY_ENDPOINT = "moved_by_endpoint"  # the host sent MOVE
+    FINISHED = "finished"  # the host sent BYE while the client was disconnected
 
 
 class SuspendReason(StrEnum):
     """Why a session lost its client; the value is `reason` of `session_suspended`."""
 
-    BROKEN = "connection_lost"
-    STALLED = "stalled"  # the client takes no bytes
+    CONNECTION_LOST = "connection_lost"
+    STALLED = "stalled"  # the client accepts no bytes
 
 
 class SessionError(Exception):
@@ -39,9 +39,9 @@
 
 
 class UpstreamLostError(SessionError):
-    """The connection to the stream host can't continue; the session may, at another host.
+    """The connection to the stream host has ended; the session may continue at another host.
 
-    `status` is what the policy is told of the attempt.
+    `status` is reported to the policy as the status of the attempt.
     """
 
     def __init__(self, status: AttemptStatus, reason: UpstreamLossReason) -> None:
@@ -53,8 +53,8 @@
 class SessionEndedError(SessionError):
     """The session ends.
 
-    `status` is what the policy is told of the attempt, `last_line` goes to the client before its connection
-    is closed.
+    `status` is reported to the policy as the status of the attempt, `last_line` is sent to the client before
+    its connection is closed.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
 
 
 class ResumeRejectedError(SessionError):
-    """A resume that changed nothing of the session; `answer` is the line that its client gets."""
+    """A resumption was rejected without effect on the session; `answer` is the line for the client."""
 
     def __init__(self, answer: bytes) -> None:
         super().__init__(answer.decode().strip())
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -52,7 +52,7 @@
 
 
 class ReloadableNode:
-    """A node and its configuration file, which is read again when a test says so instead of by a signal."""
+    """A node and its configuration file, which a test reloads directly instead of by a signal."""
 
     def __init__(self, tmp_path: Path, *members: ScriptedServer) -> None:
         self.file = tmp_path / "config.json"
@@ -205,7 +205,7 @@
         self._max_attempts = max_attempts
         self._actions = self._balancer.handle(self._now_us, [settings])
         # Intervals depend on the classes in force alone.
-        assert self._balancer.context.reaction_time_us == deadline_ms * MILLISECOND
+        assert self._balancer.parts.in_force.limits.reaction_time_us == deadline_ms * MILLISECOND
 
     def run_one_attempt(self) -> bool:
         """Let time pass until an attempt has ended; False: the request has its final answer."""
