--- a/tests/answers/test_exit_codes.py
+++ b/tests/answers/test_exit_codes.py
@@ -2,7 +2,7 @@
 
 Held elsewhere: 0 after SIGTERM (`tests/node/test_program.py`, a planned restart), 2 for a configuration of
 the wrong type (`tests/config/test_platform.py`), 2 for faulty settings at the start and for faulty files at
-`check` (`tests/config/test_operator_settings.py`), 0, 1 and 3 of the store's commands
+`check` (`tests/test_node_commands.py`), 0, 1 and 3 of the store's commands
 (`tests/store/test_repair.py`), 0 and 1 of the simulator's host (`tests/simulator/test_wire.py`).
 """
 
--- a/tests/answers/test_log_page.py
+++ b/tests/answers/test_log_page.py
@@ -3,7 +3,7 @@
 The package is read as source text: every call of the log function and of the checks of invariants. mypy
 checks the names and types of fields at each call against `log_fields.LogFields`. Held elsewhere: the names of
 counts (`test_counts_line.py`) and their sums (`tests/lab/test_fleet_counts.py`), the form of a line
-(`tests/config/test_operator_settings.py`).
+(`tests/test_log.py`).
 """
 
 from __future__ import annotations
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -12,10 +12,8 @@
 
 import pytest
 
-from tansyladder import invariants
 from tansyladder.config.errors import ConfigError
 from tansyladder.config.platform import load
-from tansyladder.invariants import Invariant
 from tests.node.harness import SETTINGS, endpoint_entry, load_test_config
 
 
@@ -61,18 +59,3 @@
     assert result.returncode == 2
     assert result.stderr.count(b"\n") == 1
     assert b"$.settings" in result.stderr
-
-
-def test_a_broken_invariant_raises_in_debug_and_is_counted_in_release() -> None:
-    invariants.check_invariant(Invariant.QUEUE_FULL, holds=True)
-    with pytest.raises(AssertionError, match="queue_full"):
-        invariants.check_invariant(Invariant.QUEUE_FULL, holds=False)
-    code = (
-        "from tansyladder.invariants import Invariant, check_invariant, violations;"
-        "check_invariant(Invariant.QUEUE_FULL, holds=False); print(violations['queue_full'])"
-    )
-    result = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, text=True, timeout=20)
-    assert (result.stdout, result.stderr) == (
-        "1\n",
-        "event=invariant_violated invariant=queue_full violations=1\n",
-    )
