--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -62,6 +62,7 @@
         self._work_queues = work_queues
         self._lock = threading.Lock()
         self._timers = PolicyTimers(self._lock)
+        self._timer_thread = threading.Thread(target=self._run_timers, name="timers", daemon=True)
         self._request_ids = itertools.count(1)
         self._action_queues: dict[int, ActionQueue] = {}  # by request
         self._registry = EndpointRegistry(config, clock)
@@ -89,7 +90,14 @@
     def start(self, initial: EndpointList) -> None:
         """Give the policy the newest endpoint list that is known at the start, and start the timers."""
         self.update_endpoints(initial, ListUpdateKind.CACHED)
-        threading.Thread(target=self._run_timers, name="timers", daemon=True).start()
+        self._timer_thread.start()
+
+    def stop(self) -> None:
+        """End the timer thread, and wait for it; events are still passed to the policy."""
+        with self._lock:
+            self._timers.stop()
+        if self._timer_thread.ident is not None:
+            self._timer_thread.join()
 
     # --- the policy's events and actions
 
@@ -153,10 +161,13 @@
                 violate_invariant(Invariant.PEER_MESSAGE_UNSUPPORTED)
 
     def _run_timers(self) -> None:
-        """The timer thread: pass each timer to the policy when it is due."""
+        """Pass each timer to the policy when it is due, until the timers are stopped; the timer thread."""
         while True:
             with self._lock:
-                woken_queues = self._decide(self._timers.wait_for_expired())
+                expired = self._timers.wait_for_expired()
+                if not expired:
+                    return
+                woken_queues = self._decide(expired)
             self._wake_and_log(woken_queues)
 
     def record_discovery_call(self, *, failed: bool) -> None:
