--- a/tansyladder/policy/endpoint_draw.py
+++ b/tansyladder/policy/endpoint_draw.py
@@ -57,15 +57,15 @@
 
     def _weight_for(self, request: Request, endpoint: Endpoint, pool: EndpointPool) -> float:
         """Weigh an endpoint for a request; 0: it may not get the request, or takes nothing new."""
-        if not self._sampler.is_available(endpoint) or not self._may_execute_on(endpoint, request):
+        if not self._sampler.is_available(endpoint):
+            return FULL
+        if request.may_have_run_on is not None and not self._may_execute_on(endpoint, request):
             return FULL
         weight = self._weights.weigh(endpoint, pool)
         has_group = request.group_key and request.group_key in endpoint.group_counts
         return weight * GROUP_AFFINITY if has_group else weight
 
     def _may_execute_on(self, endpoint: Endpoint, request: Request) -> bool:
-        """Whether an attempt of a request at an endpoint can have no second effect."""
-        if request.may_have_run_on is None:
-            return True
+        """Whether a further attempt of a request at an endpoint can have no second effect."""
         terms = self._in_force.settings.classes[request.class_index]
         return may_execute_on(request, endpoint, terms, self._clock.now)
--- a/tansyladder/policy/endpoint_load.py
+++ b/tansyladder/policy/endpoint_load.py
@@ -26,6 +26,7 @@
 REPORT_LIFETIMES_PER_SLOW_START = 4
 TARGET_UTILIZATION = 0.75  # that migrations bring an overloaded endpoint down to
 MAX_GUESSED_EXCESS = 0.5  # of an endpoint's load, where its utilization is unknown
+NO_DELAY = 0.0
 MAX_REPORTED_UTILIZATION = 1e6  # a larger one makes no sense: full is 1
 
 
@@ -36,10 +37,6 @@
         self._clock = clock
         self._in_force = in_force
 
-    def has_valid_delay(self, endpoint: Endpoint) -> bool:
-        """Whether the last known message delay of an endpoint still counts."""
-        return self._clock.now < endpoint.delay_valid_until
-
     def is_delayed(self, endpoint: Endpoint) -> bool:
         """Whether messages at an endpoint are known to be late."""
         if self._clock.now >= endpoint.delay_valid_until:
@@ -69,7 +66,9 @@
         endpoint.pending_at = self._clock.now
 
     def relative_delay(self, endpoint: Endpoint) -> float:
-        """Return the message delay of an endpoint as a multiple of the objective."""
+        """Return the message delay of an endpoint as a multiple of the objective; 0 where none counts."""
+        if self._clock.now >= endpoint.delay_valid_until:
+            return NO_DELAY
         return endpoint.message_delay_us / self._in_force.limits.message_objective_us
 
     def record_load_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> None:
--- a/tansyladder/policy/endpoint_reports.py
+++ b/tansyladder/policy/endpoint_reports.py
@@ -14,6 +14,7 @@
 
 MAX_REPORTED_VALUE = 1e12  # a larger load or delay makes no sense
 MICROSECONDS_PER_MILLISECOND = 1000
+LOAD_REPORT_KIND = ReportKind.LOAD
 DELAY_REPORT_KINDS = (ReportKind.REPORTED_DELAY, ReportKind.MEASURED_DELAY)
 
 
@@ -38,7 +39,7 @@
         endpoint = self._endpoints.by_id.get(event.endpoint_id)
         if request is None or endpoint is None or not 0.0 <= event.value < MAX_REPORTED_VALUE:
             return
-        if event.kind == ReportKind.LOAD and request.endpoint is endpoint:
+        if event.kind == LOAD_REPORT_KIND and request.endpoint is endpoint:
             endpoint.replace_load(request.load, event.value)
             request.load = event.value
         elif event.kind in DELAY_REPORT_KINDS:
--- a/tansyladder/policy/endpoint_sampling.py
+++ b/tansyladder/policy/endpoint_sampling.py
@@ -11,6 +11,7 @@
 
 from __future__ import annotations
 
+from itertools import islice
 from random import Random
 
 from tansyladder.policy.clock import Clock
@@ -22,6 +23,7 @@
 from tansyladder.policy.weighted_draw import WeightedDraw
 
 SAMPLE_SIZE = 16  # endpoints looked at where no candidate has capacity, however many are listed
+READY = EndpointState.READY  # looked up once: the state of each endpoint of a sample is compared to it
 OVERSAMPLING_FACTOR = 4  # times the size that is drawn, as some of what is drawn is not available
 MAX_PENDING_AFTER_EJECTION = 1  # attempts at an endpoint whose last ejection no connection has disproved
 
@@ -38,7 +40,7 @@
     def is_available(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint may get an attempt: ready, not ejected, and with few attempts pending."""
         ejection = endpoint.ejection
-        if endpoint.state is not EndpointState.READY or ejection.retry_at > self._clock.now:
+        if endpoint.state is not READY or ejection.retry_at > self._clock.now:
             return False
         if ejection.attempt:
             return endpoint.pending_attempt_count < MAX_PENDING_AFTER_EJECTION
@@ -48,9 +50,8 @@
         """Return some available endpoints of a pool: at random, or the first ones of the key's own order."""
         if self._in_force.settings.pass_through and request.key:
             return self._first_by_key(pool, request, size)
-        is_available = self.is_available
         drawn = self._rng.sample(pool.endpoints, min(OVERSAMPLING_FACTOR * size, len(pool.endpoints)))
-        return [endpoint for endpoint in drawn if is_available(endpoint)][:size]
+        return list(islice(filter(self.is_available, drawn), size))
 
     def _first_by_key(self, pool: EndpointPool, request: Request, size: int) -> list[Endpoint]:
         """Return the first available endpoints of a pool in the order of the request's key."""
--- a/tansyladder/policy/endpoint_selection.py
+++ b/tansyladder/policy/endpoint_selection.py
@@ -83,7 +83,7 @@
     def _select_warming_up(self, pool: EndpointPool, request: Request) -> Endpoint | None:
         """Refresh the pool's figures, and select an endpoint that is warming up and has a permit."""
         self._pool_load.refresh(pool)
-        return self._draw.draw(pool.warming_up, pool, request)
+        return self._draw.draw(pool.warming_up, pool, request) if pool.warming_up else None
 
     def _select_warm(
         self, pool: EndpointPool, request: Request, candidates: list[Endpoint]
@@ -91,7 +91,7 @@
         """Select one of the candidates, else one of a sample; none from a pool that is full."""
         if pool.mean_utilization >= UTILIZATION_LIMIT:
             return None
-        selected = self._draw.draw(candidates, pool, request)
+        selected = self._draw.draw(candidates, pool, request) if candidates else None
         return selected or self._draw.draw(self._sampler.sample(pool, request), pool, request)
 
     def _select_from_guessed_full(self, home: EndpointPool, request: Request) -> Endpoint | None:
--- a/tansyladder/policy/endpoint_table.py
+++ b/tansyladder/policy/endpoint_table.py
@@ -28,7 +28,8 @@
 
     def refill_pools(self, home_zone: int) -> None:
         """Fill the pools anew with the endpoints that are ready, in the order of their ids."""
-        ready = [e for e in self.by_id.values() if e.state is EndpointState.READY]
+        ready_state = EndpointState.READY
+        ready = [e for e in self.by_id.values() if e.state is ready_state]
         ready.sort(key=lambda endpoint: endpoint.id)
         self.home_zone.replace([e for e in ready if e.zone == home_zone])
         self.other_zones.replace([e for e in ready if e.zone != home_zone])
--- a/tansyladder/policy/endpoint_weights.py
+++ b/tansyladder/policy/endpoint_weights.py
@@ -50,9 +50,7 @@
             utilization = load.known_utilization(endpoint)
         else:
             utilization = self._guessed_utilization(endpoint, pool, capacity)
-        if load.has_valid_delay(endpoint):
-            utilization = max(utilization, load.relative_delay(endpoint))
-        return utilization
+        return max(utilization, load.relative_delay(endpoint))
 
     def _guessed_utilization(self, endpoint: Endpoint, pool: EndpointPool, capacity: float) -> float:
         """Guess the utilization of an endpoint from this node's load there, relative to the pool's mean."""
--- a/tansyladder/policy/events.py
+++ b/tansyladder/policy/events.py
@@ -43,7 +43,10 @@
     @property
     def definitely_not_executed(self) -> bool:
         """Whether this end proves that the attempt did not run."""
-        return self in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_ATTEMPTED)
+        return self in _NOT_EXECUTED_STATUSES
+
+
+_NOT_EXECUTED_STATUSES = (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_ATTEMPTED)
 
 
 class EndpointUpdate(NamedTuple):
--- a/tansyladder/policy/excess_migration.py
+++ b/tansyladder/policy/excess_migration.py
@@ -45,7 +45,8 @@
         """Migrate the excess of an endpoint's load, the connections of the lowest priority first."""
         priority = self._priorities.priority
         excess = self._load.excess_share(endpoint) * endpoint.load
-        established = [c for c in endpoint.connections.values() if c.state is RequestState.ESTABLISHED]
+        established_state = RequestState.ESTABLISHED
+        established = [c for c in endpoint.connections.values() if c.state is established_state]
         for connection in sorted(established, key=lambda c: (priority(c), c.id)):
             if excess < connection.load * self._rng.random():
                 break
--- a/tansyladder/policy/outlier_detection.py
+++ b/tansyladder/policy/outlier_detection.py
@@ -38,8 +38,8 @@
 # Answers that are counted at most: three times as many too fast ones as make a best reliable replace it.
 MAX_SAMPLE_COUNT = 4 * RELIABLE_SAMPLE_COUNT
 NO_DELAY_US = 0.0
-NOT_EJECTING_STATUSES = {AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.NOT_ATTEMPTED}
-EJECTING_STATUSES = frozenset(AttemptStatus) - NOT_EJECTING_STATUSES
+NOT_EJECTING_STATUSES = (AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.NOT_ATTEMPTED)
+EJECTING_STATUSES = tuple(status for status in AttemptStatus if status not in NOT_EJECTING_STATUSES)
 TIMED_FAILURES = (AttemptStatus.ERROR, AttemptStatus.TIMEOUT)  # their latency is at least the answer's
 
 
--- a/tansyladder/policy/requests.py
+++ b/tansyladder/policy/requests.py
@@ -16,6 +16,7 @@
     RequestState,
 )
 
+PENDING: RequestState = RequestState.PENDING  # looked up once, for each new request
 DEFAULT_LOAD = 1.0  # of a connection without a load hint
 
 
@@ -50,7 +51,7 @@
         self.key = event.key
         self.group_key = event.group_key
         self.load = float(event.load_hint) if event.load_hint else DEFAULT_LOAD
-        self.state = RequestState.PENDING
+        self.state = PENDING
         self.attempt_count = 0
         self.endpoint: Endpoint | None = None  # of its attempt in flight, or of its connection
         self.backoff: Backoff | None = None
@@ -107,7 +108,7 @@
         endpoint = self.endpoint
         is_established = self.is_established
         self.endpoint = None
-        self.state = RequestState.PENDING
+        self.state = PENDING
         if endpoint is None or not endpoint.remove_connection(self):
             return
         if not is_established:
--- a/tansyladder/simulator/host.py
+++ b/tansyladder/simulator/host.py
@@ -8,7 +8,17 @@
 
 from tansyladder.policy.balancer import Balancer
 from tansyladder.policy.events import Event
-from tansyladder.simulator import wire
+from tansyladder.simulator.wire import (
+    BATCH_HEADER,
+    REPLY_HEADER,
+    InstanceRecord,
+    Start,
+    Stop,
+    WireError,
+    read_batch,
+    read_settings,
+    write_action,
+)
 
 
 class InstanceHost:
@@ -19,7 +29,7 @@
     def __init__(self) -> None:
         self._instances: dict[int, Balancer] = {}
 
-    def run_batch(self, now: int, records: Iterable[wire.InstanceRecord]) -> bytes:
+    def run_batch(self, now: int, records: Iterable[InstanceRecord]) -> bytes:
         """Hand each instance its events, in order, and encode what it decides.
 
         Args:
@@ -30,51 +40,55 @@
             The records of all actions, instance by instance.
 
         Raises:
-            wire.WireError: An event is for an instance that has not started.
+            WireError: An event is for an instance that has not started.
             SettingsError: An instance starts with settings that can't be used.
         """
         events_by_instance: dict[int, list[Event]] = {}
         reply: list[bytes] = []
         for instance, event in records:
-            if isinstance(event, wire.Start):
+            if isinstance(event, Start):
                 # Events that came before it are for the process that ran under this number until now.
                 reply += self._decide(instance, now, events_by_instance.pop(instance, []))
-                self._instances[instance] = Balancer(wire.read_settings(event.settings), event.seed, now)
-            elif isinstance(event, wire.Stop):
+                self._instances[instance] = Balancer(read_settings(event.settings), event.seed, now)
+            elif isinstance(event, Stop):
                 events_by_instance.pop(instance, None)
                 self._instances.pop(instance, None)
+            elif instance in events_by_instance:
+                events_by_instance[instance].append(event)
             else:
-                events_by_instance.setdefault(instance, []).append(event)
+                events_by_instance[instance] = [event]
         for instance, events in events_by_instance.items():
             reply += self._decide(instance, now, events)
         return b"".join(reply)
 
     def _decide(self, instance: int, now: int, events: list[Event]) -> list[bytes]:
+        """Hand an instance its events, and encode what it decides."""
         if not events:
             return []
         balancer = self._instances.get(instance)
         if balancer is None:
-            raise wire.WireError(f"events for instance {instance}, which has not started")
-        return [wire.write_action(instance, action) for action in balancer.handle(now, events)]
+            raise WireError(f"events for instance {instance}, which has not started")
+        return [write_action(instance, action) for action in balancer.handle(now, events)]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends.
 
     Raises:
-        wire.WireError: The input does not follow the wire.
+        WireError: The input does not follow the wire.
         SettingsError: An instance starts with settings that can't be used.
     """
     host = InstanceHost()
-    while header := source.read(wire.BATCH_HEADER.size):
-        if len(header) < wire.BATCH_HEADER.size:
-            raise wire.WireError("the input ends within a header")
-        size, count, now = wire.BATCH_HEADER.unpack(header)
+    header_size = BATCH_HEADER.size
+    while header := source.read(header_size):
+        if len(header) < header_size:
+            raise WireError("the input ends within a header")
+        size, count, now = BATCH_HEADER.unpack(header)
         body = source.read(size)
         if len(body) < size:
-            raise wire.WireError("the input ends within a batch")
-        reply = host.run_batch(now, wire.read_batch(count, body))
-        sink.write(wire.REPLY_HEADER.pack(len(reply)) + reply)
+            raise WireError("the input ends within a batch")
+        reply = host.run_batch(now, read_batch(count, body))
+        sink.write(REPLY_HEADER.pack(len(reply)) + reply)
         sink.flush()
 
 
@@ -86,7 +100,7 @@
     """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (wire.WireError, ValueError) as err:
+    except (WireError, ValueError) as err:
         print(f"tansyladder: {' '.join(str(err).split())}", file=sys.stderr)
         return 1
     return 0
--- a/tansyladder/simulator/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -105,13 +105,29 @@
 MAX_LOG_BYTES = 1000
 
 
+class _EndpointStates(dict[int, EndpointState]):
+    """The states of endpoints by their number on the wire.
+
+    A list names one for each endpoint, for which `EndpointState(number)` is slow.
+    """
+
+    def __missing__(self, number: int) -> EndpointState:
+        """Raise the enum's ValueError for a number that is no state."""
+        return EndpointState(number)
+
+
+ENDPOINT_STATES = _EndpointStates({state.value: state for state in EndpointState})
+
+
 def _unpack_exactly(form: struct.Struct, body: memoryview) -> tuple[Any, ...]:
+    """Unpack a body of exactly the length of its form."""
     if len(body) != form.size:
         raise WireError(f"a record of {len(body)} bytes where {form.size} are due")
     return form.unpack(body)
 
 
 def _read_start(body: memoryview) -> Start:
+    """Decode the start of an instance."""
     seed, size = START.unpack_from(body)
     if len(body) != START.size + size:
         raise WireError("the settings' length does not fit the record")
@@ -119,11 +135,12 @@
 
 
 def _read_list_update(body: memoryview) -> EndpointListUpdate:
+    """Decode discovery's list, or changes to it."""
     version, kind, count = LIST_UPDATE.unpack_from(body)
     if len(body) != LIST_UPDATE.size + count * ENDPOINT.size:
         raise WireError("the list's length does not fit the record")
     updates = tuple(
-        EndpointUpdate(endpoint_id, zone, cell, endpoint_kind, weight, EndpointState(state), ready_at)
+        EndpointUpdate(endpoint_id, zone, cell, endpoint_kind, weight, ENDPOINT_STATES[state], ready_at)
         for ready_at, cell, endpoint_id, weight, zone, endpoint_kind, state in ENDPOINT.iter_unpack(
             body[LIST_UPDATE.size :]
         )
@@ -132,6 +149,7 @@
 
 
 def _read_request(body: memoryview) -> RequestReceived:
+    """Decode a client's request."""
     request_id, class_index, tenant, deadline, flags, load_hint, group_key, key = _unpack_exactly(
         REQUEST, body
     )
@@ -150,6 +168,7 @@
 
 
 def _read_connection_adopted(body: memoryview) -> ConnectionAdopted:
+    """Decode a connection that was established before the start."""
     request_id, group_key, key, _deadline, endpoint_id, class_index, tenant, load_hint, flags = (
         _unpack_exactly(ADOPTED, body)
     )
@@ -158,21 +177,25 @@
 
 
 def _read_attempt_established(body: memoryview) -> AttemptEstablished:
+    """Decode that the connection of an attempt is established."""
     return AttemptEstablished(*_unpack_exactly(ESTABLISHED, body))
 
 
 def _read_connection_report(body: memoryview) -> ConnectionReport:
+    """Decode the report of a connection's load or delay."""
     request_id, kind, attempt, value, endpoint_id = _unpack_exactly(REPORT, body)
     return ConnectionReport(request_id, kind, attempt, endpoint_id, value)
 
 
 def _read_load_report(body: memoryview, start: int, count: int) -> tuple[float, ...]:
+    """Decode the figures of a load report, which end a body."""
     if len(body) != start + UTILIZATION_BYTES * count:
         raise WireError("the report's length does not fit the record")
     return struct.unpack_from(f">{count}f", body, start) if count else ()
 
 
 def _read_attempt_ended(body: memoryview) -> AttemptEnded:
+    """Decode how an attempt ended."""
     request_id, attempt, endpoint_id, status, latency, is_closed, count = ATTEMPT_ENDED.unpack_from(body)
     load = _read_load_report(body, ATTEMPT_ENDED.size, count)
     return AttemptEnded(
@@ -181,20 +204,24 @@
 
 
 def _read_client_disconnected(body: memoryview) -> ClientDisconnected:
+    """Decode that a client left."""
     return ClientDisconnected(*_unpack_exactly(DISCONNECTED, body))
 
 
 def _read_timer_expired(body: memoryview) -> TimerExpired:
+    """Decode that a timer has expired."""
     return TimerExpired(*_unpack_exactly(TIMER, body))
 
 
 def _read_health_check_result(body: memoryview) -> HealthCheckResult:
+    """Decode how a health check ended."""
     status, latency, endpoint_id, count = HEALTH_CHECK.unpack_from(body)
     load = _read_load_report(body, HEALTH_CHECK.size, count)
     return HealthCheckResult(endpoint_id, AttemptStatus(status), latency, load)
 
 
 def _read_peer_message(body: memoryview) -> PeerMessage:
+    """Decode another node's message."""
     sender, size = PEER_MESSAGE.unpack_from(body)
     if len(body) != PEER_MESSAGE.size + size:
         raise WireError("the payload's length does not fit the record")
@@ -202,6 +229,7 @@
 
 
 def _read_stop(body: memoryview) -> Stop:
+    """Decode that an instance was killed."""
     if len(body) != STOP_LENGTH:
         raise WireError("a stop record of the wrong length")
     return Stop()
@@ -231,13 +259,16 @@
     """
     records: list[InstanceRecord] = []
     view = memoryview(body)
+    length = len(body)
+    unpack_record_start = RECORD_START.unpack_from  # this loop runs once for each event of a simulation
+    header_size = RECORD_HEADER.size
     position = 0
     try:
         for _ in range(count):
-            code, size, instance = RECORD_START.unpack_from(view, position)
-            start = position + RECORD_HEADER.size
+            code, size, instance = unpack_record_start(body, position)
+            start = position + header_size
             position = start + size
-            if position > len(view):
+            if position > length:
                 raise WireError("a record runs past the batch")
             reader = READERS.get(code)
             if reader is None:
@@ -245,13 +276,13 @@
             records.append(InstanceRecord(instance, reader(view[start:position])))
     except (struct.error, ValueError) as err:
         raise WireError(f"malformed record: {err}") from err
-    if position != len(view):
-        raise WireError(f"{len(view) - position} bytes are left over after the last record")
+    if position != length:
+        raise WireError(f"{length - position} bytes are left over after the last record")
     return records
 
 
 def _action_packer(code: int, fields: str) -> Callable[..., bytes]:
-    """A function that encodes an action of fixed length from its instance and its fields."""
+    """Make a function that encodes an action of fixed length from its instance and its fields."""
     form = struct.Struct(RECORD_START.format + fields)
     return partial(form.pack, code, form.size - RECORD_HEADER.size)
 
@@ -267,45 +298,55 @@
 
 
 def _write_start_attempt(instance: int, action: StartAttempt) -> bytes:
+    """Encode the start of an attempt."""
     timeout = max(-1, min(action.timeout_us, MAX_INT32))
     return _pack_start_attempt(instance, action.request_id, action.endpoint_id, timeout)
 
 
 def _write_reject(instance: int, action: Reject) -> bytes:
+    """Encode a rejection."""
     return _pack_reject(instance, action.request_id, max(0, min(action.retry_after_us, MAX_UINT32)))
 
 
 def _write_fail(instance: int, action: Fail) -> bytes:
+    """Encode a failure."""
     return _pack_fail(instance, action.request_id)
 
 
 def _write_cancel_attempt(instance: int, action: CancelAttempt) -> bytes:
+    """Encode the cancellation of an attempt."""
     return _pack_cancel_attempt(instance, action.request_id, action.attempt)
 
 
 def _write_set_timer(instance: int, action: SetTimer) -> bytes:
+    """Encode the setting of a timer."""
     return _pack_set_timer(instance, action.due_at_us, action.timer_id)
 
 
 def _write_check_health(instance: int, action: CheckHealth) -> bytes:
+    """Encode the start of a health check."""
     return _pack_check_health(instance, action.endpoint_id)
 
 
 def _write_poll_discovery(instance: int, action: PollDiscovery) -> bytes:
+    """Encode the start or the end of polls of discovery."""
     return _pack_poll_discovery(instance, action.is_enabled)
 
 
 def _write_migrate(instance: int, action: Migrate) -> bytes:
+    """Encode the migration of a connection."""
     return _pack_migrate(instance, action.request_id)
 
 
 def _write_peer_message(instance: int, action: SendPeerMessage) -> bytes:
+    """Encode a message to one peer or to all."""
     peer = ALL_PEERS if action.peer_index is None else action.peer_index
     body = struct.pack(">HIH", instance, peer, len(action.data)) + action.data
     return RECORD_HEADER.pack(PEER_MESSAGE_CODE, len(body)) + body
 
 
 def _write_log(instance: int, action: Log) -> bytes:
+    """Encode a line for the log, cut to its greatest length."""
     text = action.text.encode()[:MAX_LOG_BYTES]
     body = struct.pack(">HH", instance, len(text)) + text
     return RECORD_HEADER.pack(LOG_CODE, len(body)) + body
