--- a/tansyladder/policy/actions.py
+++ b/tansyladder/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the decision module asks its caller to perform.
+"""Actions that the policy asks its caller to perform.
 
 Moments and spans are integer microseconds; moments are on one clock that never goes back.
 """
--- a/tansyladder/policy/attempt_sending.py
+++ b/tansyladder/policy/attempt_sending.py
@@ -1,10 +1,10 @@
-"""What starting an attempt at an endpoint takes there, and when the attempt times out.
+"""What an attempt adds to its endpoint's load, and when it times out.
 
     timeout = time left                                         for the last attempt, or with a shared cause
     timeout = max(time left / 2, min(objective, time left))     else
 
 so that there is time for another attempt. With most set-ups failing all endpoints wait for the same thing
-(`setup_failures`): a short timeout would only have the same question asked again.
+(`setup_failures`): a short timeout would only add attempts.
 
 An attempt uses up a slow-start permit of an endpoint that is warming up, and counts as load there until
 reports show it.
--- a/tansyladder/policy/discovery_polling.py
+++ b/tansyladder/policy/discovery_polling.py
@@ -2,13 +2,13 @@
 
 The first poll is due at a random moment of a spread, as all nodes may start together and would overload the
 one service. The spread is `FIRST_POLL_SPEEDUP` times shorter than the interval in which all nodes may call
-once each, or `FIRST_POLL_SHARE` of the poll interval where that is not configured: until its first poll a
-restarted node takes endpoints that started in the meantime for warm.
+once each, or 3/4 of the poll interval where that is not configured. It is short because a restarted node
+takes endpoints that started in the meantime for warm until its first poll.
 
 Polls after failures follow a truncated binary exponential backoff with two slots in each interval. Two
 intervals and a call are within the list's age limit. Intervals neither start shorter nor grow: where the
-calls of all nodes fail for their number, shorter ones would keep them failing. While a poll succeeds,
-discovery sends changes by itself; whether it does is the caller's to find out.
+calls of all nodes fail for their number, shorter ones would keep them failing. After a poll that succeeded
+the caller hands over changes as they come; whether it still gets any is not known here.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/endpoint_selection.py
+++ b/tansyladder/policy/endpoint_selection.py
@@ -2,21 +2,22 @@
 
 In each zone, first home and then all others, a request goes to
 
-1. an endpoint that is warming up and has a permit for this node, even in a full pool: it is the relief on
-its way, and permits pace what it gets; 2. else, unless the pool is full, one of the candidates whose load
-was just checked; 3. else one of a random sample.
+1. an endpoint that is warming up and has a permit for this node, even in a full pool: it is the new capacity
+   that the pool lacks, and permits pace what it gets;
+2. else, unless the pool is full, one of the candidates whose load was just checked;
+3. else, unless the pool is full, one of a random sample.
 
-A pool is full when its mean utilization reaches the limit. What capacity one endpoint has in such a pool is
-needed for the excess of the others; if it were used, the pool would be filled up to where every message is
-late.
+A pool is full when its mean utilization reaches the limit. Capacity that a single endpoint still has in such
+a pool is needed for the excess of the others; if it were used, messages would be late at all of them.
 
 The home zone may also be full by an estimate, where the connections that fill an endpoint are configured:
 if all nodes have as many connections as this one, and zones as many nodes each,
 
     connections x number of nodes / number of zones > UTILIZATION_LIMIT x connections per unit x capacity
 
-That sends requests to other zones, but as it is a guess it rejects none: what no other zone takes is drawn
-at home. How one is drawn among endpoints is in `endpoint_draw`.
+That sends requests to other zones, but as it is an estimate it rejects none: a request that no other zone
+takes gets an endpoint at home. What other nodes really have is not known. The draw among endpoints is in
+`endpoint_draw`.
 """
 
 from __future__ import annotations
@@ -52,11 +53,11 @@
     def select_endpoint(self, request: Request) -> Endpoint | None:
         """Select the endpoint for a request; None: no endpoint has capacity."""
         home = self._endpoints.home_zone
-        if self._is_home_zone_full():
+        if self._is_home_zone_estimated_full():
             return (
                 self._select_warming_up(home, request)
                 or self._select_from_other_zones(request)
-                or self._select_from_guessed_full(home, request)
+                or self._select_from_estimated_full(home, request)
             )
         return (
             self._select_warming_up(home, request)
@@ -64,7 +65,7 @@
             or self._select_from_other_zones(request)
         )
 
-    def _is_home_zone_full(self) -> bool:
+    def _is_home_zone_estimated_full(self) -> bool:
         """Whether the connections of the home zone's nodes fill it, if all nodes have as many as this one."""
         settings = self._in_force.settings
         if settings.connections_per_unit <= 0:
@@ -94,7 +95,7 @@
         selected = self._draw.draw(candidates, pool, request) if candidates else None
         return selected or self._draw.draw(self._sampler.sample(pool, request), pool, request)
 
-    def _select_from_guessed_full(self, home: EndpointPool, request: Request) -> Endpoint | None:
+    def _select_from_estimated_full(self, home: EndpointPool, request: Request) -> Endpoint | None:
         """Select from a home zone that is full only by an estimate, as that must reject no request."""
         if home.mean_utilization >= UTILIZATION_LIMIT:
             return None
--- a/tansyladder/policy/events.py
+++ b/tansyladder/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that the decision module handles, and the values they carry.
+"""Events that the policy handles, and the values they carry.
 
 Moments and spans are integer microseconds; moments are on one clock that never goes back.
 """
@@ -71,7 +71,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A client's request; one final answer is owed."""
+    """A client's request, which gets one final answer."""
 
     request_id: int
     class_index: int
@@ -137,7 +137,7 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client left; nothing is owed any more."""
+    """The client left and gets no answer."""
 
     request_id: int
 
--- a/tansyladder/policy/health_checks.py
+++ b/tansyladder/policy/health_checks.py
@@ -3,8 +3,8 @@
 A check starts on demand, where a decision needs an endpoint's load, and periodically: all endpoints in
 turn, each once in the configured interval, from a random moment of the first interval on, so that nodes
 that start together do not check together. Endpoints that report delays themselves are skipped. An endpoint
-has one check in flight at most. Checks of other nodes are not known; the interval grows with the number of
-nodes before it comes here.
+has one check in flight at most. Checks of other nodes are not known: the caller configures an interval that
+grows with the number of nodes.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/outlier_detection.py
+++ b/tansyladder/policy/outlier_detection.py
@@ -3,17 +3,17 @@
 - An attempt or a health check that ends in an error, in a timeout or without a connection ejects its
   endpoint. A health check that a full endpoint refuses does not: the endpoint answered.
 - A message delay over the limit ejects the endpoint, and a part of its connections is migrated.
-- Where an endpoint reports no delays, the latency of its health checks stands in for them. An answer is
-  slow when
+- Where an endpoint reports no delays, the latency of its health checks serves instead. An answer is slow when
 
       latency > best x SLOW_LATENCY_FACTOR  and  latency > best + LATENCY_JITTER_US
 
-where best is the lowest latency of its process. One slow answer may be chance and is checked again at once;
-a second one in a row counts as a message delay of message objective x latency / (best x
-SLOW_LATENCY_FACTOR). - An answer far faster than a well-known best is taken for that of an endpoint that
-hangs: one that does no work has nothing that holds up the answer. As a new best it would make the endpoint
-look slow for good once it works again. Each such answer takes away one confirmation of the best, so that a
-best that was measured in a bad time is replaced in the end.
+  where best is the lowest latency of its process. One slow answer may be chance and is checked again at once;
+  a second one in a row counts as a message delay of
+  message objective x latency / (best x SLOW_LATENCY_FACTOR).
+- An answer far faster than a well-known best is taken for that of an endpoint that hangs: one that does no
+  work has nothing that holds up the answer. As a new best it would make the endpoint look slow for good once
+  it works again. Each such answer takes away one confirmation of the best, so that a best that was measured
+  in a bad time is replaced in the end.
 
 Causes are not known: a slow network path looks like a slow endpoint. How other nodes judge is not known
 either.
--- a/tansyladder/policy/parts.py
+++ b/tansyladder/policy/parts.py
@@ -1,7 +1,7 @@
 """The parts of one balancer, each built with what it needs of the others. Nothing is decided here.
 
-The order is that of `docs/policy.md`: what the parts share, what is known of endpoints, how one is
-selected, how endpoints are judged, and how requests are handled.
+Parts that others need come first. There is one ring: a retry starts an attempt, and an attempt that finds no
+endpoint is retried.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/pool_load.py
+++ b/tansyladder/policy/pool_load.py
@@ -2,20 +2,18 @@
 
 - capacity = sum of weight x share of the capacity that the endpoint has by now
 - mean load = this node's load in the pool / capacity
-- mean utilization = the mean of what load reports tell, each capped at 1. Where endpoints report none, late
-  messages are all that is known: a delayed endpoint counts by its delay over the objective, between
-  `ASSUMED_MEAN_UTILIZATION` and 1, any other as `ASSUMED_MEAN_UTILIZATION`.
+- mean utilization = the mean of the utilizations in load reports, each capped at 1. Where endpoints report
+  none, late messages are all that is known: a delayed endpoint counts by its delay over the objective,
+  between `ASSUMED_MEAN_UTILIZATION` and 1, any other as `ASSUMED_MEAN_UTILIZATION`.
 
 Figures are cached for a part of the reaction time, as a burst of requests would otherwise compute them for
 each. Between two refreshes each assignment is added, or a burst would find all endpoints over the mean.
-Other nodes are taken to do as this one does, so its own mean load stands in for the load that all of them
-give.
+What other nodes send is not known: they are taken to do as this one does, so that its own mean load serves
+as a measure of the load of all.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_load import EndpointLoad
 from tansyladder.policy.endpoint_pools import EndpointPool
@@ -90,7 +88,6 @@
         self._load.add_pending_utilization(endpoint, added)
 
 
-def _mean(utilizations: Iterable[float]) -> float:
+def _mean(utilizations: list[float]) -> float:
     """Return the mean of utilizations; the assumed one where there are none."""
-    known = list(utilizations)
-    return sum(known) / len(known) if known else ASSUMED_MEAN_UTILIZATION
+    return sum(utilizations) / len(utilizations) if utilizations else ASSUMED_MEAN_UTILIZATION
--- a/tansyladder/policy/request_table.py
+++ b/tansyladder/policy/request_table.py
@@ -1,6 +1,6 @@
 """The table of requests and of the backoffs of keys. Nothing is decided here.
 
-A key stands for a client over its requests. Its backoff outlives a request, so that a client that sends a
+A key identifies a client over its requests. Its backoff outlives a request, so that a client that sends a
 new request right after a failure waits as long as one that leaves the retry to the node.
 """
 
--- a/tansyladder/policy/settings.py
+++ b/tansyladder/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decision module, checked when they are built.
+"""Settings of the policy, checked when they are built.
 
 Spans are integer microseconds. A value that can't be used raises `SettingsError`, which names the field.
 """
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of one node's decision module. Immutable, so safe to share between threads."""
+    """All settings of one node's policy. Immutable, so safe to share between threads."""
 
     classes: tuple[ClassSettings, ...]
     node_count: int = 1
@@ -117,9 +117,11 @@
             raise SettingsError("classes", "at least one is needed")
         for index, class_settings in enumerate(self.classes):
             class_settings.validate(f"classes.{index}")
-        self._validate_ranges()
+        self._validate_lower_bounds()
+        self._validate_factors()
 
-    def _validate_ranges(self) -> None:
+    def _validate_lower_bounds(self) -> None:
+        """Raise `SettingsError` for the first number that is under its lower bound."""
         if self.node_count < 1:
             raise SettingsError("node_count", "must be at least 1")
         for name in _NOT_NEGATIVE:
@@ -128,6 +130,9 @@
         for name in _AT_LEAST_ONE:
             if getattr(self, name) < 1:
                 raise SettingsError(name, "must be above 0")
+
+    def _validate_factors(self) -> None:
+        """Raise `SettingsError` for the first factor, share or quota that is out of range."""
         if not 0 < self.slow_start_initial_capacity <= 1:
             raise SettingsError("slow_start_initial_capacity", "must be above 0 and at most 1")
         if not self.overload_factor > 0:
--- a/tansyladder/policy/slow_start.py
+++ b/tansyladder/policy/slow_start.py
@@ -28,9 +28,8 @@
 FULL_CAPACITY = 1.0
 CONNECTIONS_PER_WEIGHT = 8.0  # that fill a unit of an endpoint's weight at least
 PERMIT_ROTATION_SIZE = 30  # nodes that take turns; of more, some share a permit, and chance keeps the sum
-CHANCE_DEVIATIONS = (
-    2  # standard deviations of a Poisson count that are allowed over what an endpoint withstands
-)
+# Standard deviations of a Poisson count that are allowed over what an endpoint withstands.
+CHANCE_DEVIATIONS = 2
 NO_PERMIT = 0  # permits are numbered from 1
 
 
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -62,7 +62,7 @@
 
 
 def make_settings(**changes: Any) -> Settings:
-    """Settings with one class; fields of the class are told from those of all by their names."""
+    """Settings with one class; fields of the class are recognized by their names."""
     class_changes = {name: changes.pop(name) for name in CLASS_FIELDS if name in changes}
     only_class = ClassSettings(**{**CLASS_DEFAULTS, **class_changes})
     return Settings(**{"classes": (only_class,), **SETTINGS_DEFAULTS, **changes})
@@ -75,7 +75,7 @@
     ready_at: int = 0,
     **changes: Any,
 ) -> EndpointUpdate:
-    """An endpoint as discovery lists it; its cell is the zone's number and its weight 1 unless told."""
+    """An endpoint as discovery lists it; its cell is the zone's number and its weight 1 by default."""
     cell = changes.get("cell", zone)
     weight = changes.get("weight", 1.0)
     return EndpointUpdate(
@@ -110,7 +110,7 @@
 
 
 def delay_report(request_id: int, endpoint_id: int, delay_ms: float) -> ConnectionReport:
-    """An endpoint's own report of how long messages of a connection take."""
+    """An endpoint's own report of the delay of a connection's messages."""
     return ConnectionReport(
         request_id=request_id,
         kind=ReportKind.REPORTED_DELAY,
@@ -184,7 +184,7 @@
         return self.balancer.parts.requests.backoffs[key]
 
     def deliver(self, *events: Event) -> list[Action]:
-        """Hand events over now; the actions that follow, timers aside."""
+        """Hand events over now, and return the actions that follow, timers aside."""
         actions: list[Action] = []
         for action in self.balancer.handle(self.now, list(events)):
             if isinstance(action, SetTimer):
@@ -195,7 +195,7 @@
         return actions
 
     def run_until(self, until: int) -> list[Action]:
-        """Play timers up to a time; all actions of that stretch."""
+        """Play timers up to a moment, and return the actions that follow."""
         logged_before = len(self.action_log)
         while self.pending_timers and min(self.pending_timers).due_at <= until:
             timer = min(self.pending_timers)
@@ -206,7 +206,7 @@
         return [logged.action for logged in self.action_log[logged_before:]]
 
     def run_to_next_action(self, limit: int = 10 * SECOND) -> list[Action]:
-        """Play timers until one of them does something."""
+        """Play timers until actions follow from one of them."""
         end = self.now + limit
         while self.pending_timers and min(self.pending_timers).due_at <= end:
             actions = self.run_until(min(self.pending_timers).due_at)
@@ -215,7 +215,7 @@
         return []
 
     def send_request(self, key: int = 7, left: int = DEADLINE, **changes: Any) -> SentRequest:
-        """Send a request with so much time left."""
+        """Send a request with so much time left until its deadline."""
         request_id = self.next_id
         self.next_id += 1
         tenant = changes.pop("tenant", 0)
--- a/tests/policy/test_deploy_list.py
+++ b/tests/policy/test_deploy_list.py
@@ -9,12 +9,8 @@
 
 POLICY_FOLDER = Path(tansyladder.policy.__file__).parent
 PROJECT_ROOT = POLICY_FOLDER.parent.parent
-INTERFACE_MODULES = {
-    "__init__",
-    "actions",
-    "events",
-    "settings",
-}  # what the policy is told, and what it answers
+# What callers give to the policy and get from it.
+INTERFACE_MODULES = {"__init__", "actions", "events", "settings"}
 
 
 def test_the_deploy_file_lists_each_module_that_decides() -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("nodes", [3, 10, 40, 100, 10**14])
 def test_failed_polls_leave_no_list_older_than_its_age_limit(nodes: int) -> None:
-    """A change of the list counts as told 6 s later, whatever calls failed before.
+    """A node counts as notified of a change of the list 6 s later, whatever calls failed before.
 
     The fleet's calls have a bound as well: those of one node are 2 s apart on the whole, and those of all are
     spread. At 1.5 s on the whole a fleet's calls kept each other failing.
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -143,7 +143,7 @@
     assert not node.balancer.parts.load.is_delayed(hanging)
     for _ in range(40):
         answer_check(node, MILLISECOND)
-    assert hanging.best_latency_us == MILLISECOND  # it goes on: the best was measured in a bad time
+    assert hanging.best_latency_us == MILLISECOND  # this continues: the best was measured in a bad time
 
 
 def test_a_short_latency_may_vary_by_some_milliseconds() -> None:
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -166,7 +166,7 @@
         node = BalancerDriver([endpoint(1)], seed, polls_discovery=True, poll_interval_us=10 * SECOND)
         node.run_until(START_TIME + 10 * SECOND)
         first_polls += poll_times(node)
-        for _ in range(3):  # a call may be told to have failed more than once
+        for _ in range(3):  # a failed call may be reported more than once
             node.deliver(list_update(ListUpdateKind.FAILED))
         node.run_until(node.now + 3 * SECOND)
         assert len(poll_times(node)) == 2
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -33,7 +33,7 @@
 def request_with_checks_answered(
     node: BalancerDriver, utilizations: dict[int, float], key: int
 ) -> list[Action]:
-    """Send a request and answer its health checks with the utilizations told; all actions."""
+    """Send a request, answer its health checks with utilizations, and return all actions."""
     _, actions = node.send_request(key=key)
     replies = [
         utilization_report(action.endpoint_id, utilizations[action.endpoint_id], connections=9.0)
