--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -27,7 +27,7 @@
 
 
 def override(site: Any, change: Any, path: str = "") -> Any:
-    """The site with the change in it; tables and lists of tables are gone into, all else is put in whole."""
+    """Return the site with the change: tables and lists of tables are merged, all else is replaced."""
     if isinstance(site, MutableMapping) and isinstance(change, MutableMapping):
         for key, value in change.items():
             at = f"{path}.{key}" if path else str(key)
--- a/tansyladder/__main__.py
+++ b/tansyladder/__main__.py
@@ -12,7 +12,7 @@
     if len(sys.argv) == 1:
         return serve()
     # Lazy: it loads click and the tools, which a node on the platform does without.
-    from tansyladder.cli import main as run_command
+    from tansyladder.cli import main as run_command  # noqa: PLC0415
 
     return run_command()
 
--- a/tansyladder/assembly.py
+++ b/tansyladder/assembly.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from tansyladder.config.errors import ConfigError
 from tansyladder.config.operator_settings import Options
 from tansyladder.config.platform import Address, Config
 from tansyladder.net.clock import Clock
@@ -55,8 +56,8 @@
             What reloads the configuration.
         """
         # The listener is open: clients that connect meanwhile wait in its queue.
-        from tansyladder.node.discovery_client import DiscoveryClient
-        from tansyladder.node.health_checker import HealthChecker
+        from tansyladder.node.discovery_client import DiscoveryClient  # noqa: PLC0415
+        from tansyladder.node.health_checker import HealthChecker  # noqa: PLC0415
 
         context = self.context
         configured = context.configuration.config.known_endpoints
@@ -67,7 +68,7 @@
         HealthChecker(context, self.work_queues).start()
         self.listener.start()
         # Only now, as clients are accepted meanwhile.
-        from tansyladder.node.reload import Reloader
+        from tansyladder.node.reload import Reloader  # noqa: PLC0415
 
         reloader = Reloader(environ, context, discovery, self.session_service, options_path)
         reloader.start()
@@ -120,7 +121,8 @@
     options = context.options
     store = None
     if options.store.enabled and not options.peers.enabled:
-        from tansyladder.sessions.session_store import open_session_store
+        # A node without a store does not load it.
+        from tansyladder.sessions.session_store import open_session_store  # noqa: PLC0415
 
         store = open_session_store(options.store.directory, context.configuration.config.name)
         if store is not None:
@@ -129,8 +131,8 @@
     if not options.resume.enabled:
         return None
     # Only now, as it loads the library of its cryptography.
-    from tansyladder.sessions.resumption_handler import ResumptionHandler
-    from tansyladder.sessions.session_registry import SessionRegistry
+    from tansyladder.sessions.resumption_handler import ResumptionHandler  # noqa: PLC0415
+    from tansyladder.sessions.session_registry import SessionRegistry  # noqa: PLC0415
 
     return ResumptionHandler(context, SessionRegistry(context, store))
 
@@ -150,7 +152,8 @@
 
 def _start_admin_server(node: Node, address: Address) -> None:
     """Open the operators' address, which is answered from now on."""
-    from tansyladder.node.admin_server import AdminServer
+    # A node without such an address does not load it.
+    from tansyladder.node.admin_server import AdminServer  # noqa: PLC0415
 
     try:
         AdminServer(node.context, node.decision_gate, node.listener, address).start()
@@ -160,8 +163,8 @@
 
 def _join_cluster(node: Node, state_directory: str | None) -> None:
     """Join the nodes that take over each other's sessions."""
-    from tansyladder.cluster.bootstrap import ClusterMember, join_cluster
-    from tansyladder.config.errors import ConfigError
+    # A node without peers does not load them.
+    from tansyladder.cluster.bootstrap import ClusterMember, join_cluster  # noqa: PLC0415
 
     if node.session_service is None:
         return  # the settings' check has made sure that peers have resumption
--- a/tansyladder/cluster/document_validators.py
+++ b/tansyladder/cluster/document_validators.py
@@ -13,7 +13,7 @@
 
 def validate_note(content: bytes) -> str:
     """Return the first fault of a note, which has the form (note "text") and configures nothing."""
-    import sexpdata  # only where an operator has enabled documents: a node without them starts faster
+    import sexpdata  # noqa: PLC0415 - a node without documents starts faster without it
 
     if len(content) > MAX_NOTE_BYTES:
         return f"note: {len(content)} bytes, {MAX_NOTE_BYTES} at most"
--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -155,7 +155,7 @@
 def parse_file(text: str) -> SettingsFile:
     """Parse the text of a settings file. OptionsError: names the path of the first fault."""
     # Lazy: a node without settings doesn't load the library that reads them.
-    from tansyladder.config.s_expressions import parse_sections
+    from tansyladder.config.s_expressions import parse_sections  # noqa: PLC0415
 
     sections = parse_sections(text, list_names=(TOKEN_KEYS,))
     deprecated_keys = rename_deprecated_keys(sections)
--- a/tansyladder/log.py
+++ b/tansyladder/log.py
@@ -27,7 +27,7 @@
 @functools.cache
 def _writer() -> WriteEvent:
     # Imported with the first line, as it loads structlog.
-    from tansyladder.log_writer import open_writer
+    from tansyladder.log_writer import open_writer  # noqa: PLC0415
 
     return open_writer(_render_line)
 
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -50,7 +50,7 @@
     def _serve_resumable(self, session_service: SessionService) -> None:
         """Place a request whose session can be resumed, then hand it to the session service."""
         # Loaded with the sessions already; a node without sessions starts faster.
-        from tansyladder.node.extension_points import ResumableRequest
+        from tansyladder.node.extension_points import ResumableRequest  # noqa: PLC0415
 
         stream = session_service.new_stream()
         connection = self._place(session_service.first_line_builder(self._opening, stream))
--- a/tansyladder/node_commands.py
+++ b/tansyladder/node_commands.py
@@ -9,8 +9,8 @@
 
 from tansyladder.config import operator_settings, platform
 from tansyladder.config.errors import ConfigurationError
-from tansyladder.serve import EXIT_BAD_CONFIGURATION
 from tansyladder.serve import serve as run_node
+from tansyladder.start_errors import EXIT_BAD_CONFIGURATION
 
 FILE = click.Path(path_type=Path)
 
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -49,7 +49,7 @@
 
     def join_peers(self, service: OwnershipService) -> None:
         """Claim and confirm sessions with the cluster from now on. Called once."""
-        from tansyladder.sessions.takeover import SessionTakeover  # for peers alone
+        from tansyladder.sessions.takeover import SessionTakeover  # noqa: PLC0415 - for peers alone
 
         ownership = self.registry.join_peers(service)
         self._takeover = SessionTakeover(self._context, self.registry, self._restorer, ownership)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -66,7 +66,7 @@
 
     def join_peers(self, service: OwnershipService) -> OwnershipClient:
         """Confirm sessions with the cluster from now on; return the client that claims them. Called once."""
-        from tansyladder.sessions.ownership_client import OwnershipClient  # for peers alone
+        from tansyladder.sessions.ownership_client import OwnershipClient  # noqa: PLC0415 - for peers alone
 
         ownership = OwnershipClient(service, self._context.clock, self.options.expires)
         self._ownership = ownership
--- a/tansyladder/start_errors.py
+++ b/tansyladder/start_errors.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+EXIT_BAD_CONFIGURATION = 2  # of a process that can't start with its files
+
 
 class StartError(Exception):
     """The node can't start with what it was given."""
--- a/tansyladder/store/index.py
+++ b/tansyladder/store/index.py
@@ -126,7 +126,7 @@
     def _rebuild_with_numpy(self, slot_count: int) -> None:
         """Rebuild a large table, whose keys would take too long one by one."""
         # Lazy: a small store never needs numpy.
-        import numpy as np
+        import numpy as np  # noqa: PLC0415
 
         hashes = np.frombuffer(self._hashes, np.uint64)
         is_live = hashes > DELETED_SLOT
@@ -149,7 +149,7 @@
     def _insert_all(self, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> None:
         """Fill an empty table: in each pass, hashes whose slot is empty take it; others try the next one."""
         # Lazy: a small store never needs numpy.
-        import numpy as np
+        import numpy as np  # noqa: PLC0415
 
         table_hashes = np.frombuffer(self._hashes, np.uint64)
         table_locations = np.frombuffer(self._locations, np.uint64)
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -167,7 +167,7 @@
     if not loaded:
         return RecoveredIndex(Index(), last_sequence=0, latest_time_us=0)
     # Lazy: an empty store never needs numpy.
-    import numpy as np
+    import numpy as np  # noqa: PLC0415
 
     def column(attribute: str, number_type: type) -> np.ndarray[Any, Any]:
         columns = [getattr(loaded_segment.hint, attribute) for loaded_segment in loaded]
@@ -198,7 +198,7 @@
 def _newest_of_each(hashes: np.ndarray[Any, Any], sequences: np.ndarray[Any, Any]) -> np.ndarray[Any, Any]:
     """Return the position of each hash's record with the highest sequence."""
     # Lazy: an empty store never needs numpy.
-    import numpy as np
+    import numpy as np  # noqa: PLC0415
 
     order = np.lexsort((sequences, hashes))
     ordered = hashes[order]
