--- a/tests/threads.py
+++ b/tests/threads.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-MAX_WAIT_SECONDS = 12.0  # until a thread counts as left running; scripts of the tests wait for up to 10 s
+MAX_WAIT_SECONDS = 5.0  # until a thread counts as left running
 
-_stops: list[Callable[[], None]] = []  # of what the running test has started
+_stops: list[Callable[[], None]] = []  # end what the running test has started
 
 
 def stop_at_end_of_test(stop: Callable[[], None]) -> None:
-    """Have a function called at the end of the running test, the one that was named last at first."""
+    """Have a function called at the end of the running test; the functions are called in reverse order."""
     _stops.append(stop)
 
 
@@ -35,10 +35,11 @@
 def stop_and_check_threads() -> Iterator[None]:
     """Stop what the test has started, and fail it where a thread runs that was not there before it."""
     threads_before = set(threading.enumerate())
-    with ExitStack() as at_end:
+    with ExitStack() as stops:
         yield
-        while _stops:
-            at_end.callback(_stops.pop(0))
+        for stop in _stops:
+            stops.callback(stop)
+        _stops.clear()
     leftover = wait_until_ended(set(threading.enumerate()) - threads_before)
     if leftover:
         pytest.fail(f"the test has left these threads running: {', '.join(leftover)}", pytrace=False)
