--- a/tansyladder/net/handover_sockets.py
+++ b/tansyladder/net/handover_sockets.py
@@ -61,7 +61,10 @@
 
 
 class PublishedAddress:
-    """The address while this process listens there. Owned by the handover's thread, but for `unpublish`."""
+    """The address while this process listens there.
+
+    Owned by the handover's thread, but for `unpublish` and `stop`, which are thread-safe.
+    """
 
     def __init__(self, address: HandoverAddress) -> None:
         """Publish it.
@@ -71,6 +74,7 @@
         """
         self._address = address
         self.listener = address.bind()
+        self.is_stopped = False
 
     def publish_again(self) -> None:
         """Take the name back from a process that has ended.
@@ -86,6 +90,12 @@
         """Remove the name."""
         self._address.remove()
 
+    def stop(self) -> None:
+        """Accept no process any more, and wake the thread that polls the listener."""
+        self.is_stopped = True
+        with contextlib.suppress(OSError):
+            self.listener.shutdown(socket.SHUT_RDWR)
+
 
 class SuccessorConnections:
     """The connections of new processes, each of which requests the listener and serves clients later.
