--- a/tansyladder/simulator/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -8,8 +8,9 @@
 
 import struct
 from collections.abc import Callable
+from enum import IntEnum
 from functools import partial
-from typing import Any, NamedTuple, Union
+from typing import Any, NamedTuple, TypeVar, Union
 
 from tansyladder.config.policy_settings import build_settings
 from tansyladder.policy.actions import (
@@ -105,18 +106,23 @@
 MAX_LOG_BYTES = 1000
 
 
-class _EndpointStates(dict[int, EndpointState]):
-    """The states of endpoints by their number on the wire.
+Member = TypeVar("Member", bound=IntEnum)
 
-    A list names one for each endpoint, for which `EndpointState(number)` is slow.
-    """
 
-    def __missing__(self, number: int) -> EndpointState:
-        """Raise the enum's ValueError for a number that is no state."""
-        return EndpointState(number)
+class _MembersByNumber(dict[int, Member]):
+    """The members of an enum by their number on the wire, as a call of the enum for each record is slow."""
+
+    def __init__(self, enum: type[Member]) -> None:
+        super().__init__((member.value, member) for member in enum)
+        self._enum = enum
+
+    def __missing__(self, number: int) -> Member:
+        """Raise the enum's ValueError for a number that is none of its members."""
+        return self._enum(number)
 
 
-ENDPOINT_STATES = _EndpointStates({state.value: state for state in EndpointState})
+ENDPOINT_STATES = _MembersByNumber(EndpointState)
+ATTEMPT_STATUSES = _MembersByNumber(AttemptStatus)
 
 
 def _unpack_exactly(form: struct.Struct, body: memoryview) -> tuple[Any, ...]:
@@ -199,7 +205,7 @@
     request_id, attempt, endpoint_id, status, latency, is_closed, count = ATTEMPT_ENDED.unpack_from(body)
     load = _read_load_report(body, ATTEMPT_ENDED.size, count)
     return AttemptEnded(
-        request_id, attempt, endpoint_id, AttemptStatus(status), latency, bool(is_closed), load
+        request_id, attempt, endpoint_id, ATTEMPT_STATUSES[status], latency, bool(is_closed), load
     )
 
 
@@ -217,7 +223,7 @@
     """Decode how a health check ended."""
     status, latency, endpoint_id, count = HEALTH_CHECK.unpack_from(body)
     load = _read_load_report(body, HEALTH_CHECK.size, count)
-    return HealthCheckResult(endpoint_id, AttemptStatus(status), latency, load)
+    return HealthCheckResult(endpoint_id, ATTEMPT_STATUSES[status], latency, load)
 
 
 def _read_peer_message(body: memoryview) -> PeerMessage:
