--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -159,7 +159,7 @@
             self._releasing_count += 1
         try:
             threading.Thread(
-                target=self._release_until_decided, args=(confirmation,), name="give-back", daemon=True
+                target=self._release_until_decided, args=(confirmation,), name="token-release", daemon=True
             ).start()
         except RuntimeError as error:
             log(LogEvent.SESSION_TAKEOVER_FAILED, error=error)
--- a/tansyladder/sessions/takeover.py
+++ b/tansyladder/sessions/takeover.py
@@ -79,7 +79,7 @@
             self._claimed_ids.add(session_id)
         try:
             release()
-            threading.Thread(target=self._run, args=(request,), name="take-over", daemon=True).start()
+            threading.Thread(target=self._run, args=(request,), name="takeover", daemon=True).start()
         except RuntimeError as error:
             log(LogEvent.SESSION_TAKEOVER_FAILED, error=error)
             self._finish(session_id)
