--- a/tests/test_page_names.py
+++ b/tests/test_page_names.py
@@ -52,7 +52,7 @@
 
 
 @functools.cache
-def test_names() -> frozenset[str]:
+def all_test_names() -> frozenset[str]:
     """The names of all tests, and of the modules that hold them."""
     modules = list((ROOT / "tests").rglob("test_*.py"))
     names = {name for module in modules for name in definitions_in(module) if name.startswith("test_")}
@@ -76,7 +76,7 @@
 
 
 @functools.cache
-def names_of_tests() -> frozenset[str]:
+def names_defined_in_tests() -> frozenset[str]:
     """The names that any module of the tests defines, as variants of our classes without a guard."""
     return frozenset(name for module in (ROOT / "tests").rglob("*.py") for name in definitions_in(module))
 
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=PAGE_IDS)
 def test_each_test_that_a_page_names_exists(page: Path) -> None:
-    assert set(TEST_NAME.findall(page.read_text())) - test_names() == set()
+    assert set(TEST_NAME.findall(page.read_text())) - all_test_names() == set()
 
 
 @pytest.mark.parametrize("page", PAGES, ids=PAGE_IDS)
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("page", [page for page in PAGES if page != GLOSSARY], ids=lambda page: page.stem)
 def test_each_name_of_the_code_on_a_page_exists(page: Path) -> None:
-    assert set(unknown_names(page)) - names_of_tests() - LIBRARY_NAMES == set()
+    assert set(unknown_names(page)) - names_defined_in_tests() - LIBRARY_NAMES == set()
 
 
 def test_each_name_of_the_code_in_the_glossary_exists(tmp_path: Path) -> None:
