--- a/tansyladder/node/event_counters.py
+++ b/tansyladder/node/event_counters.py
@@ -79,7 +79,7 @@
         metrics: Metrics,
     ) -> None:
         """`class_settings`: by class number; `endpoint_name`: the id of an endpoint's number."""
-        self.class_settings = class_settings
+        self._class_settings = class_settings
         self._endpoint_name = endpoint_name
         self._metrics = metrics
         self._reported_totals = metrics.total_counts()  # of the metrics, in the lines so far
@@ -91,6 +91,10 @@
         self._objective_deadlines: dict[int, int] = {}  # in microseconds, by request
         self._endpoint_of_request: dict[int, int] = {}  # of each established connection
 
+    def use_classes(self, class_settings: Sequence[ClassSettings]) -> None:
+        """Take the settings of new versions of classes, by class number; earlier numbers keep theirs."""
+        self._class_settings = class_settings
+
     def finish_second(self, now_us: int) -> SecondCounts | None:
         """Return the counts of the last second if it is over and anything was counted in it."""
         second = self._second
@@ -113,8 +117,8 @@
                 self._counts[Count.RECONNECTS if event.is_reconnect else Count.REQUESTS] += 1
                 self._objective_deadlines[request_id] = (
                     deadline
-                    - self.class_settings[class_number].deadline_us
-                    + self.class_settings[class_number].latency_objective_us
+                    - self._class_settings[class_number].deadline_us
+                    + self._class_settings[class_number].latency_objective_us
                 )
             case ConnectionAdopted(request_id, _, _, endpoint_id):
                 self._counts[Count.ADOPTED] += 1
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -82,7 +82,7 @@
         """Put a new configuration in force, in one step for the policy and for all readers."""
         with self._lock:
             settings = self._configuration.apply(config).settings
-            self._event_counters.class_settings = settings.classes
+            self._event_counters.use_classes(settings.classes)
             woken_queues = self._decide([settings])
         self._metrics.add_classes(self._configuration.class_numbers)
         self._wake_and_log(woken_queues)
