--- a/tansyladder/policy/__init__.py
+++ b/tansyladder/policy/__init__.py
@@ -1,39 +1,40 @@
-"""The policy: events in, actions out. It has no clock and does no I/O.
+"""The balancing policy: it takes events and returns actions. It reads no clock and does no I/O.
 
-`Balancer` (`balancer`) hands each event to the part that owns what it changes; `parts` builds the parts, each
-with what it needs of the others. `docs/policy.md` tells how they decide. The modules, lower ones first:
+`Balancer` (in `balancer`) passes each event to the component that handles it. `parts` builds the components
+and gives each one the others that it depends on. `docs/policy.md` describes their decisions. The modules,
+dependencies first:
 
-What callers give and get:
+Interface to the caller:
 
 - `events`, `actions`, `settings`
 
-What all parts share:
+Shared by all components:
 
-- `clock`, `action_sink`, `timers`: the moment of the events, the actions that follow, what is due later
-- `settings_in_force`: the settings and the limits derived from them
+- `clock`, `action_sink`, `timers`: the time of the current events, the resulting actions, scheduled callbacks
+- `settings_in_force`: the current settings and the limits derived from them
 - `hashing`, `backoff`: rendezvous hashing, truncated binary exponential backoff
 - `setup_failures`, `tenant_quotas`: whether set-ups fail everywhere, whether a tenant is over its quota
 
-Records, which decide nothing:
+Records, which make no decisions:
 
 - `endpoints`, `endpoint_pools`, `endpoint_table`
 - `requests`, `request_states`, `request_table`
 
-Which endpoint a request goes to:
+Selecting the endpoint of a request:
 
-- `slow_start`, `endpoint_load`, `pool_load`, `endpoint_weights`: what endpoints and pools of them can take
-- `weighted_draw`, `endpoint_sampling`, `endpoint_draw`, `endpoint_selection`: the draw among endpoints
-- `previous_endpoint`: where the connection of a midstream request is
+- `slow_start`, `endpoint_load`, `pool_load`, `endpoint_weights`: the capacity and load of endpoints and pools
+- `weighted_draw`, `endpoint_sampling`, `endpoint_draw`, `endpoint_selection`: the random draw among endpoints
+- `previous_endpoint`: the endpoint that already has the connection of a midstream request
 
-Which endpoints are left out, and which connections migrate:
+Ejecting endpoints and migrating connections:
 
 - `health_checks`, `ejection`, `outlier_detection`
 - `migration_priority`, `excess_migration`, `overload_migration`, `drain_migration`
-- `endpoint_list`, `discovery_polling`: discovery's list, and when discovery is polled
+- `endpoint_list`, `discovery_polling`: applying discovery's endpoint list, and polling discovery
 
-What happens to a request:
+Handling a request:
 
-- `request_arrival`, `candidate_checks`, `attempt_sending`, `attempts`: from its arrival to its attempts
-- `retry_safety`, `key_backoffs`, `retries`, `final_answers`: whether it is retried, or what answer it gets
-- `request_lifecycle`, `endpoint_reports`: established connections, ends, and reports
+- `request_arrival`, `candidate_checks`, `attempt_sending`, `attempts`: from its arrival to an attempt
+- `retry_safety`, `key_backoffs`, `retries`, `final_answers`: whether it is retried, or which answer it gets
+- `request_lifecycle`, `endpoint_reports`: established connections, ended attempts, and reports
 """
--- a/tansyladder/policy/action_sink.py
+++ b/tansyladder/policy/action_sink.py
@@ -1,6 +1,6 @@
-"""Collects the actions that follow from a batch of events; nothing is decided here.
+"""Collects the actions that result from a batch of events. It makes no decisions.
 
-The caller performs actions in the order in which the parts emitted them.
+The caller performs the actions in the order in which they were emitted.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class ActionSink:
-    """The actions of the current batch of events, in order. Owned by one `Balancer`."""
+    """The actions of the current batch of events, in order. Each `Balancer` has its own sink."""
 
     __slots__ = ("_actions",)
 
@@ -17,14 +17,14 @@
         self._actions: list[Action] = []
 
     def emit(self, action: Action) -> None:
-        """Add an action to those of the current batch."""
+        """Append an action to the current batch."""
         self._actions.append(action)
 
     def begin_batch(self) -> list[Action]:
-        """Begin a batch without actions.
+        """Begin a new, empty batch.
 
         Returns:
-            The list to which the actions of the batch are going to be added.
+            The list that `emit` appends the batch's actions to.
         """
         self._actions = []
         return self._actions
--- a/tansyladder/policy/actions.py
+++ b/tansyladder/policy/actions.py
@@ -1,6 +1,6 @@
 """Actions that the policy asks its caller to perform.
 
-Moments and spans are integer microseconds; moments are on one clock that never goes back.
+Times and durations are integer microseconds. Times are on one monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class StartAttempt(NamedTuple):
-    """Start an attempt, which times out so long from now."""
+    """Start an attempt that times out after `timeout_us`, counted from now."""
 
     request_id: int
     endpoint_id: int
@@ -17,34 +17,34 @@
 
 
 class Reject(NamedTuple):
-    """Give the final answer: not served, and a repetition does no harm."""
+    """Answer that the request was not served and may safely be repeated. This answer is final."""
 
     request_id: int
     retry_after_us: int = 0
 
 
 class Fail(NamedTuple):
-    """Give the final answer that the request failed; it may have run."""
+    """Answer that the request failed and may have been executed. This answer is final."""
 
     request_id: int
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting on one attempt."""
+    """Stop waiting for an attempt."""
 
     request_id: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Deliver `TimerExpired` at a moment."""
+    """Deliver `TimerExpired` at `due_at_us`."""
 
     due_at_us: int
     timer_id: int
 
 
 class CheckHealth(NamedTuple):
-    """Check the health of an endpoint; `HealthCheckResult` follows."""
+    """Check the health of an endpoint; the caller reports the outcome as `HealthCheckResult`."""
 
     endpoint_id: int
 
@@ -56,20 +56,20 @@
 
 
 class SendPeerMessage(NamedTuple):
-    """Send bytes to a peer, or to all (None)."""
+    """Send bytes to one peer, or to all peers if `peer_index` is None."""
 
     peer_index: int | None
     data: bytes
 
 
 class Log(NamedTuple):
-    """Log a line for the operators."""
+    """Log a line for operators."""
 
     text: str
 
 
 class PollDiscovery(NamedTuple):
-    """Poll discovery for changes from now on, or stop."""
+    """Start polling discovery for changes, or stop."""
 
     is_enabled: bool
 
--- a/tansyladder/policy/attempt_sending.py
+++ b/tansyladder/policy/attempt_sending.py
@@ -1,13 +1,15 @@
-"""What an attempt adds to its endpoint's load, and when it times out.
+"""Sending an attempt: its timeout, and the load that it adds to its endpoint.
 
-    timeout = time left                                         for the last attempt, or with a shared cause
-    timeout = max(time left / 2, min(objective, time left))     else
+    timeout = time left                                         for the last attempt, or if set-ups fail
+                                                                for a shared cause
+    timeout = max(time left / 2, min(objective, time left))     otherwise
 
-so that there is time for another attempt. With most set-ups failing all endpoints wait for the same thing
-(`setup_failures`): a short timeout would only add attempts.
+where the time left is until the request's deadline, and the objective is the latency objective of its class.
+An attempt that is not the last one leaves time for another. If most set-ups fail, all endpoints wait for the
+same cause (`setup_failures`), and a short timeout would only add attempts.
 
-An attempt uses up a slow-start permit of an endpoint that is warming up, and counts as load there until
-reports show it.
+An attempt uses up a slow-start permit if its endpoint is warming up. It counts as load of the endpoint until
+load reports include it.
 """
 
 from __future__ import annotations
@@ -23,12 +25,12 @@
 from tansyladder.policy.setup_failures import SetupFailureRate
 from tansyladder.policy.slow_start import SlowStart
 
-TIMEOUT_DIVISOR = 2  # of the time left: an attempt takes half of it and leaves half for another one
-MIN_TIMEOUT_US = 1  # 0 would be no timeout
+TIMEOUT_DIVISOR = 2  # divides the time left: half for this attempt, half for another one
+MIN_TIMEOUT_US = 1  # 0 would mean no timeout
 
 
 class AttemptTimeouts:
-    """Decides when attempts time out."""
+    """Computes the timeouts of attempts."""
 
     def __init__(self, clock: Clock, in_force: SettingsInForce, setup_failures: SetupFailureRate) -> None:
         self._clock = clock
@@ -36,7 +38,7 @@
         self._setup_failures = setup_failures
 
     def timeout_us(self, request: Request) -> int:
-        """Return the timeout of the next attempt, which leaves time for another one if there may be one."""
+        """Return the timeout of the next attempt; it leaves time for another attempt if one is allowed."""
         settings = self._in_force.settings
         time_left_us = max(MIN_TIMEOUT_US, request.deadline - self._clock.now)
         is_last = request.attempt_count + 1 >= settings.max_attempts
@@ -47,7 +49,7 @@
 
 
 class AttemptSender:
-    """Starts attempts at endpoints that were selected."""
+    """Starts attempts at selected endpoints."""
 
     def __init__(
         self,
@@ -67,7 +69,7 @@
         self._timeouts = timeouts
 
     def send(self, request: Request, endpoint: Endpoint) -> None:
-        """Start an attempt at an endpoint, and count what it adds there."""
+        """Start an attempt at an endpoint, and add the expected load to the endpoint and its pool."""
         timeout_us = self._timeouts.timeout_us(request)
         self._slow_start.use_permit(endpoint)
         is_home = endpoint.zone == self._in_force.settings.zone
--- a/tansyladder/policy/attempts.py
+++ b/tansyladder/policy/attempts.py
@@ -1,8 +1,8 @@
-"""How an attempt comes about: candidates are checked, an endpoint is selected, the attempt is sent.
+"""Starting an attempt: candidates are checked, an endpoint is selected, and the attempt is sent.
 
-A request whose deadline has passed is rejected; one for which no endpoint has capacity backs off as after a
-failed set-up. A request may leave or be retried while it waits for health checks: each step looks it up
-again.
+A request whose deadline has passed is rejected. A request for which no endpoint has capacity backs off as
+after a failed set-up. While a request waits for health checks, its client may leave or a retry may start, so
+each step looks the request up again.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
         self._answers = answers
 
     def assign(self, request_id: int) -> None:
-        """Select an endpoint and send the attempt; where none has capacity, the set-up has failed."""
+        """Select an endpoint and send the attempt; if no endpoint has capacity, handle a failed set-up."""
         now = self._clock.now
         request = self._requests.by_id.get(request_id)
         if request is None or request.endpoint or request.retry_at > now:
-            return  # its client left, or the wait for health checks outlived its attempt
+            return  # the client left, or another attempt was started or scheduled during the health checks
         request.pending_check_count = 0
         if request.deadline <= now:
             self._answers.reject(request, NO_RETRY_AFTER_US)
@@ -53,7 +53,7 @@
 
 
 class AttemptStarter:
-    """Starts the attempts of requests, after the health checks that they need."""
+    """Starts the attempts of requests, after the health checks that they wait for."""
 
     def __init__(
         self,
@@ -68,10 +68,10 @@
         self._assigner = assigner
 
     def start(self, request_id: int) -> None:
-        """Check the load of a few endpoints where it is not known, then assign one to the request."""
+        """Check the candidates whose load is not known, then assign an endpoint to the request."""
         request = self._requests.by_id.get(request_id)
         if request is None:
-            return  # its client left
+            return  # the client left
         self._candidates.check_candidates(request)
         if request.pending_check_count:
             wait_ends_at = self._candidates.wait_ends_at(request)
@@ -80,7 +80,7 @@
             self._assigner.assign(request_id)
 
     def finish_check(self, request_id: int) -> None:
-        """Note the end of a health check that a request waited for; after the last, assign an endpoint."""
+        """Record that a health check for a request has ended; after the last one, assign an endpoint."""
         request = self._requests.by_id.get(request_id)
         if request and request.pending_check_count:
             request.pending_check_count -= 1
--- a/tansyladder/policy/backoff.py
+++ b/tansyladder/policy/backoff.py
@@ -1,9 +1,9 @@
-"""Truncated binary exponential backoff, modified so that successive intervals never overlap.
+"""Truncated binary exponential backoff whose successive intervals never overlap.
 
-After the n-th failure in a row a retry is drawn evenly from an interval of 2^n slots, with n capped. The
-usual interval starts at the failure; here it starts where the last one ends, if that is later. So retries
-after one number of failures never fall together with those after another, and a burst of failures thins out
-with each round. Whether there may be a retry, and how long a slot is, is for the caller to decide.
+After the n-th failure in a row, the time of the retry is drawn uniformly from an interval of 2^n slots, with
+n capped. The usual algorithm starts the interval at the failure. Here it starts at the end of the previous
+interval if that is later. Retries after different numbers of failures therefore never coincide, and a burst
+of failures spreads out further with each round. The caller decides whether to retry and how long a slot is.
 """
 
 from __future__ import annotations
@@ -12,7 +12,10 @@
 
 
 class Backoff:
-    """The number of failures in a row, the interval that the last one opened, and the retry drawn in it."""
+    """The number of failures in a row, the end of the current interval, and the retry time drawn from it.
+
+    Times are in microseconds.
+    """
 
     __slots__ = ("attempt", "interval_end", "retry_at")
 
@@ -22,13 +25,13 @@
         self.retry_at = 0
 
     def record_failure(self, now: int, slot_us: int, max_attempt: int, rng: Random) -> None:
-        """Open the next interval after a failure, and draw the retry from it.
+        """Start the next interval after a failure, and draw the time of the retry from it.
 
         Args:
-            now: The moment of the failure, in microseconds.
-            slot_us: The slot: the interval after the n-th failure has 2^n of them.
-            max_attempt: The number of failures from which intervals grow no more.
-            rng: Where the retry is drawn from.
+            now: The time of the failure, in microseconds.
+            slot_us: The length of a slot; the interval after the n-th failure has 2^n slots.
+            max_attempt: The number of failures from which the interval stops growing.
+            rng: The source of the random draw.
         """
         start = max(now, self.interval_end)
         self.attempt = min(self.attempt + 1, max_attempt)
--- a/tansyladder/policy/balancer.py
+++ b/tansyladder/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The entry of the policy. It only dispatches: each event goes to the part that owns what it changes.
+"""The entry point of the policy: passes each event to the component that handles it.
 
-`docs/policy.md` tells how the parts decide. What a balancer knows comes from the events of its own node
-alone: nodes send each other no messages.
+`docs/policy.md` describes the decisions of the components. A balancer learns only from the events of its own
+node: nodes send each other no messages.
 """
 
 from __future__ import annotations
@@ -18,9 +18,10 @@
 
 
 class Balancer:
-    """One node's decisions.
+    """Makes the decisions of one node.
 
-    Not thread-safe: the caller serializes `handle`. `endpoint_counts` alone may be called from any thread.
+    Not thread-safe: the caller serializes calls of `handle`. Only `endpoint_counts` may be called from any
+    thread.
     """
 
     __slots__ = ("_begin_batch", "_clock", "_handlers", "parts")
@@ -32,11 +33,11 @@
         self._handlers = _handlers_by_event(self.parts)
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
-        """Decide what follows from events.
+        """Decide which actions a batch of events requires.
 
         Args:
-            now: The moment, in microseconds on the clock of all events and actions; it never goes back.
-            events: What happened, in order.
+            now: The current time in microseconds, on the monotonic clock of all events and actions.
+            events: The events since the last call, in order.
 
         Returns:
             The actions to perform, in order.
@@ -49,12 +50,12 @@
         return actions
 
     def endpoint_counts(self) -> EndpointCounts:
-        """Count the endpoints. Thread-safe without a lock: it reads a copy of the table."""
+        """Count the endpoints. Thread-safe without a lock, as it reads a copy of the table."""
         return self.parts.endpoints.counts(self._clock.now)
 
 
 def _handlers_by_event(parts: PolicyParts) -> dict[type, Callable[[Any], None]]:
-    """Name the handler of each type of event."""
+    """Map each event type to its handler."""
     return {
         Settings: parts.in_force.apply,
         event_types.TimerExpired: parts.timers.handle_timer_expired,
@@ -71,4 +72,4 @@
 
 
 def _ignore(event: event_types.PeerMessage) -> None:
-    """Ignore a message of another node: nodes send each other none yet."""
+    """Ignore a message from another node, as nodes do not send each other any yet."""
--- a/tansyladder/policy/candidate_checks.py
+++ b/tansyladder/policy/candidate_checks.py
@@ -1,13 +1,13 @@
-"""Which endpoints are checked before a request gets one, and how long it waits for that.
+"""Health checks of a request's candidates before it is assigned, and how long the request waits for them.
 
-Where a health check tells an endpoint's load, `CANDIDATE_COUNT` endpoints of the home zone are sampled (the
-power of random choices), and the warm ones whose last report is too old are checked. The request waits for
-the answers, but no longer than
+If health checks return an endpoint's load, `CANDIDATE_COUNT` endpoints of the home zone are sampled (the
+power of random choices). Each candidate that is warm and whose last load report is too old is checked. The
+request waits for the results for at most
 
     min(latency objective, time left) / CHECK_WAIT_DIVISOR
 
-How long an endpoint takes to answer is not known; a request whose wait has ended is assigned by what is
-known.
+How long an endpoint takes to answer is not known in advance. When the wait ends, the request is assigned by
+the load known at that time.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.slow_start import SlowStart
 
-CANDIDATE_COUNT = 3  # endpoints whose load is looked at first: one of them has capacity when most have
-REPORT_LIFETIMES_PER_REACTION = 2  # in a reaction time: an older report is asked for again
-CHECK_WAIT_DIVISOR = 4  # a request waits a quarter of its time at most: the rest is for the attempt
+CANDIDATE_COUNT = 3  # endpoints to check: if most endpoints have capacity, one of these very likely has it
+REPORT_LIFETIMES_PER_REACTION_TIME = 2  # a load report older than half a reaction time is renewed by a check
+CHECK_WAIT_DIVISOR = 4  # a request waits for at most a quarter of its time; the rest is for the attempt
 
 
 class CandidateChecker:
-    """Has the load of a request's candidates checked."""
+    """Starts health checks of a request's candidates."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._health_checks = health_checks
 
     def check_candidates(self, request: Request) -> None:
-        """Sample the candidates of a request, and check those whose load is not known."""
+        """Sample the candidates of a request, and check those whose load report is missing or too old."""
         request.candidates = []
         request.pending_check_count = 0
         if not self._in_force.limits.can_check_load:
@@ -60,13 +60,16 @@
                 self._health_checks.check(endpoint)
 
     def _needs_check(self, endpoint: Endpoint) -> bool:
-        """Whether the last load report of a warm endpoint is too old; permits pace one that is warming up."""
-        max_age_us = self._in_force.limits.reaction_time_us // REPORT_LIFETIMES_PER_REACTION
+        """Return whether an endpoint is warm and its last load report is too old.
+
+        An endpoint that is warming up needs no check, as slow-start permits limit what it gets.
+        """
+        max_age_us = self._in_force.limits.reaction_time_us // REPORT_LIFETIMES_PER_REACTION_TIME
         is_old = self._clock.now - endpoint.utilization_at > max_age_us
         return is_old and not self._slow_start.is_warming_up(endpoint)
 
     def wait_ends_at(self, request: Request) -> int:
-        """Return the moment (us) at which a request no longer waits for health checks."""
+        """Return the time (us) at which a request stops waiting for health checks."""
         now = self._clock.now
         objective_us = self._in_force.settings.classes[request.class_index].latency_objective_us
         time_left_us = max(0, request.deadline - now)
--- a/tansyladder/policy/clock.py
+++ b/tansyladder/policy/clock.py
@@ -1,16 +1,16 @@
-"""The moment at which the events in hand happened; nothing is decided here.
+"""The time of the current batch of events. It makes no decisions.
 
-The policy reads no system clock: the caller names the moment of each batch of events. All parts of one
-`Balancer` share one `Clock`, so that they decide about a batch by the same moment.
+The policy reads no system clock: the caller passes the time with each batch of events. All components of one
+`Balancer` share one `Clock`, so that all decisions about a batch use the same time.
 """
 
 from __future__ import annotations
 
 
 class Clock:
-    """The moment of the current batch of events. Set by the `Balancer` alone, read by all parts."""
+    """The time of the current batch of events. Only `Balancer` sets it; all components read it."""
 
     __slots__ = ("now",)
 
     def __init__(self, now: int) -> None:
-        self.now = now  # in microseconds; it never goes back
+        self.now = now  # in microseconds, never decreasing
--- a/tansyladder/policy/discovery_polling.py
+++ b/tansyladder/policy/discovery_polling.py
@@ -1,14 +1,15 @@
-"""When discovery is polled: once soon after the start, and again after each poll that failed.
+"""When discovery is polled: once soon after the start, and again after each failed poll.
 
-The first poll is due at a random moment of a spread, as all nodes may start together and would overload the
-one service. The spread is `FIRST_POLL_SPEEDUP` times shorter than the interval in which all nodes may call
-once each, or 3/4 of the poll interval where that is not configured. It is short because a restarted node
-takes endpoints that started in the meantime for warm until its first poll.
+The first poll happens at a random time within a spread, as all nodes may start together and would otherwise
+overload the discovery service. The spread is 1 / `FIRST_POLL_SPEEDUP` of the interval in which all nodes may
+call once each, or 3/4 of the poll interval if that call interval is not configured. The spread is short
+because, until its first poll, a restarted node treats endpoints that started in the meantime as warm.
 
 Polls after failures follow a truncated binary exponential backoff with two slots in each interval. Two
-intervals and a call are within the list's age limit. Intervals neither start shorter nor grow: where the
-calls of all nodes fail for their number, shorter ones would keep them failing. After a poll that succeeded
-the caller hands over changes as they come; whether it still gets any is not known here.
+intervals and one call fit into the maximum age of the list. The intervals neither start shorter nor grow: if
+calls fail because too many nodes call at once, shorter intervals would keep them failing. After a successful
+poll, the caller delivers changes as they arrive; this module cannot see whether the caller still receives
+any.
 """
 
 from __future__ import annotations
@@ -22,11 +23,12 @@
 from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.timers import TimerScheduler
 
-MAX_LIST_AGE_US = 6_000_000  # after which a node counts as notified of a change, whatever its calls came to
-SLOTS_PER_LIST_AGE = 6  # two intervals of two slots are two thirds of the age; a call has the rest
-MAX_POLL_ATTEMPT = 1  # failures from which intervals grow no more
-FIRST_POLL_SPEEDUP = 6  # times sooner than at the pace of calls; polls after failures keep to the pace
-FIRST_POLL_SHARE_NUMERATOR = 3  # of the poll interval, within which the first poll is due
+# A node counts as notified of a change after this time, whether or not its calls succeeded.
+MAX_LIST_AGE_US = 6_000_000
+SLOTS_PER_LIST_AGE = 6  # two intervals of two slots take two thirds of the age; the rest is for a call
+MAX_POLL_ATTEMPT = 1  # the interval stops growing at this number of failures
+FIRST_POLL_SPEEDUP = 6  # divides the call interval for the first poll; polls after failures are not sped up
+FIRST_POLL_SHARE_NUMERATOR = 3  # of the poll interval: the first poll is due within 3/4 of it
 FIRST_POLL_SHARE_DENOMINATOR = 4
 
 
@@ -46,11 +48,11 @@
         self._rng = rng
         self._actions = actions
         self._timers = timers
-        self._is_scheduled = False  # whether a poll after a failure is scheduled
-        self.backoff = Backoff()  # of polls that failed
+        self._is_scheduled = False  # whether a poll after a failed one is scheduled
+        self.backoff = Backoff()  # counts failed polls
 
     def start(self) -> None:
-        """Schedule the first poll, where discovery is polled at all."""
+        """Schedule the first poll if the settings enable polling."""
         settings = self._in_force.settings
         if settings.polls_discovery:
             spread_us = settings.discovery_call_interval_us // FIRST_POLL_SPEEDUP
@@ -61,7 +63,7 @@
             self._timers.schedule(self._clock.now + delay_us, self._poll)
 
     def poll_later(self) -> None:
-        """Schedule a poll after one that failed, unless one is scheduled."""
+        """Schedule another poll after a failed one, unless one is scheduled already."""
         if not self._is_scheduled:
             self._is_scheduled = True
             slot_us = min(MAX_LIST_AGE_US, self._in_force.settings.poll_interval_us) // SLOTS_PER_LIST_AGE
--- a/tansyladder/policy/drain_migration.py
+++ b/tansyladder/policy/drain_migration.py
@@ -1,8 +1,8 @@
-"""Migration of connections off endpoints that are draining or gone.
+"""Migration of connections away from endpoints that are draining or gone.
 
-Each connection is migrated at a random moment of the grace period, before the endpoint cuts it off. The
-moments are drawn evenly, so that clients do not all reconnect at once. An endpoint that becomes ready again
-in the meantime keeps what was not migrated yet.
+Each connection is migrated at a random time within the grace period, before the endpoint closes it. The times
+are drawn uniformly, so that the clients do not all reconnect at once. If the endpoint becomes ready again in
+the meantime, it keeps the connections that were not migrated yet.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         self._timers = timers
 
     def drain(self, endpoint: Endpoint) -> None:
-        """Schedule the migration of all connections of an endpoint, unless it is ready."""
+        """Schedule the migration of all connections of an endpoint, unless the endpoint is ready."""
         if endpoint.state is EndpointState.READY:
             return
         grace_us = self._in_force.settings.drain_grace_us
@@ -46,7 +46,7 @@
             self._timers.schedule(due_at, self._migrate, connection)
 
     def _migrate(self, connection: Connection) -> None:
-        """Migrate a connection that is still established at an endpoint that is not ready."""
+        """Migrate a connection if it is still established and its endpoint is still not ready."""
         endpoint = connection.endpoint
         is_leaving = endpoint is not None and endpoint.state is not EndpointState.READY
         if is_leaving and connection.state is RequestState.ESTABLISHED:
--- a/tansyladder/policy/ejection.py
+++ b/tansyladder/policy/ejection.py
@@ -1,10 +1,10 @@
-"""How long an endpoint that failed is left out (outlier ejection).
+"""How long a failed endpoint is ejected (outlier ejection).
 
-Each failure outside of an ejection opens an interval of a truncated binary exponential backoff with slots
-of half the reaction time; the ejection ends at a moment drawn in it, so that not all nodes return at once.
-Failures during an ejection do not lengthen it: attempts that were in flight together fail together, which
-is one failure of their endpoint. How many endpoints are ejected at once is not bounded here: with all of
-them ejected, requests back off, and each ejection ends by itself.
+Each failure outside of an ejection starts an interval of a truncated binary exponential backoff with slots of
+half the reaction time. The ejection ends at a time drawn from the interval, so that the nodes do not all
+return to the endpoint at once. Failures during an ejection do not lengthen it: attempts that were in flight
+at the same time fail together, which counts as one failure of the endpoint. There is no limit on the number
+of endpoints that are ejected at once: if all are, requests back off, and each ejection ends by itself.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.settings_in_force import SettingsInForce
 
-SLOTS_PER_REACTION = 2  # in a reaction time: the first interval, two slots, is one reaction time
-MAX_EJECTION_ATTEMPT = 4  # failures from which intervals grow no more: eight reaction times
+SLOTS_PER_REACTION_TIME = 2  # the first interval has two slots, which is one reaction time
+MAX_EJECTION_ATTEMPT = 4  # failures at which the interval stops growing, at eight reaction times
 
 
 class Ejector:
@@ -28,8 +28,8 @@
         self._rng = rng
 
     def eject(self, endpoint: Endpoint) -> None:
-        """Eject an endpoint for an interval that doubles with each failure, unless it is ejected already."""
+        """Eject an endpoint unless it is ejected already; the backoff interval doubles with each failure."""
         now = self._clock.now
         if endpoint.ejection.retry_at <= now:
-            slot = self._in_force.limits.reaction_time_us // SLOTS_PER_REACTION
-            endpoint.ejection.record_failure(now, slot, MAX_EJECTION_ATTEMPT, self._rng)
+            slot_us = self._in_force.limits.reaction_time_us // SLOTS_PER_REACTION_TIME
+            endpoint.ejection.record_failure(now, slot_us, MAX_EJECTION_ATTEMPT, self._rng)
--- a/tansyladder/policy/endpoint_list.py
+++ b/tansyladder/policy/endpoint_list.py
@@ -1,9 +1,10 @@
-"""How discovery's list of endpoints, and changes to it, change the table of endpoints.
+"""Applies discovery's endpoint list, and changes to it, to the table of endpoints.
 
-A snapshot or a cached list holds all endpoints: those that it does not name are gone. A delta holds
-changes. An endpoint whose `ready_at` is later than the one known runs in a new process: what was observed
-of the earlier one is forgotten. A cached list is the first one after the node's start, and begins periodic
-health checks and the polls of discovery. Versions are not compared: the caller hands lists over in order.
+A snapshot or a cached list contains all endpoints: an endpoint that is missing from it is gone. A delta
+contains only changes. If the `ready_at` of an endpoint is later than the known one, the endpoint runs in a
+new process, and the observations of the earlier process are discarded. A cached list is the first list after
+the node's start; it also starts periodic health checks and the polling of discovery. Versions are not
+compared: the caller must pass lists in order.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 from tansyladder.policy.health_checks import HealthCheckScheduler
 from tansyladder.policy.settings_in_force import SettingsInForce
 
-MAX_WEIGHT = 1e6  # an absurd weight must not draw all traffic, nor fail a division
-DEFAULT_WEIGHT = 1.0  # where weights are not configured, and for absurd ones
+MAX_WEIGHT = 1e6  # a weight from this on is invalid: it would attract all traffic or break a division
+DEFAULT_WEIGHT = 1.0  # used if weights are not configured, and instead of an invalid weight
 
 
 class EndpointListUpdater:
-    """Keeps the table of endpoints as discovery lists them."""
+    """Keeps the table of endpoints in line with discovery's list."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
         self._poller = poller
 
     def handle_list_update(self, event: EndpointListUpdate) -> None:
-        """Apply a list or changes of it; after a failed call, poll again later."""
+        """Apply a list, or changes to it; after a failed call, schedule another poll."""
         if event.kind is ListUpdateKind.FAILED:
             self._poller.poll_later()
             return
@@ -56,14 +57,14 @@
             self._poller.start()
 
     def _remove_unlisted(self, event: EndpointListUpdate) -> None:
-        """Take the endpoints that a complete list does not name for gone."""
+        """Mark the endpoints that are missing from a complete list as gone."""
         listed_ids = {update.endpoint_id for update in event.endpoints}
         for endpoint in self._endpoints.by_id.values():
             if endpoint.id not in listed_ids:
                 self._change_state(endpoint, EndpointState.GONE)
 
     def _apply_update(self, update: EndpointUpdate) -> None:
-        """Add or change one endpoint."""
+        """Add an endpoint, or apply a change to a known one."""
         weight = self._valid_weight(update.weight)
         endpoint = self._endpoints.by_id.get(update.endpoint_id)
         if endpoint is None:
@@ -75,12 +76,12 @@
         endpoint.update(update, weight)
 
     def _valid_weight(self, weight: float) -> float:
-        """Return a weight that makes sense, and the default one for any other."""
+        """Return the weight if weights are configured and it is in range, else the default weight."""
         is_valid = self._in_force.settings.has_weights and 0 < weight < MAX_WEIGHT
         return weight if is_valid else DEFAULT_WEIGHT
 
     def _change_state(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Change the state of an endpoint; its connections are migrated when it leaves."""
+        """Change the state of an endpoint; unless the new state is ready, its connections are migrated."""
         if endpoint.state is not state:
             endpoint.state = state
             endpoint.state_changed_at = self._clock.now
--- a/tansyladder/policy/endpoint_load.py
+++ b/tansyladder/policy/endpoint_load.py
@@ -1,17 +1,17 @@
-"""What is known of the load of one endpoint, and for how long it counts.
+"""The load of one endpoint, as far as this node knows it.
 
-From three sources, each with its age:
+It comes from three sources, each of which is valid for a limited time:
 
-- the utilization in the last load report, which counts for a part of the slow start's duration;
-- the delay of messages, reported by the endpoint or measured by this node, which counts until it expires;
-- the pending utilization: what requests of this node add until reports show it. It decays linearly over the
-  reaction time: pending x (1 - age / reaction time).
+- the utilization in the last load report, which is valid for a fraction of the slow start's duration;
+- the message delay, reported by the endpoint or measured by this node, which is valid until it expires;
+- the pending utilization: the expected utilization from this node's requests that no report includes yet. It
+  decays linearly over the reaction time: pending x (1 - age / reaction time).
 
-An endpoint whose messages are late has an excess share of its load, which is to be migrated:
+If messages at an endpoint are late, a share of its load is excess and is to be migrated:
 
-- utilization reported within the reaction time: 1 - TARGET_UTILIZATION / utilization, where it is over the
-  target;
-- else: 1 - delay limit / message delay, at most MAX_GUESSED_EXCESS.
+- if its utilization was reported within the reaction time: 1 - TARGET_UTILIZATION / utilization if the
+  utilization is over the target, else 0;
+- otherwise: 1 - delay limit / message delay, at most MAX_GUESSED_EXCESS.
 
 What other nodes have sent since the last report is not known.
 """
@@ -22,29 +22,29 @@
 from tansyladder.policy.endpoints import NEVER, Endpoint
 from tansyladder.policy.settings_in_force import SettingsInForce
 
-# A report counts for this part of the slow start: in that time an endpoint's load can change by as much.
+# A load report is valid for 1/4 of the slow start: in that time an endpoint's load can change by as much.
 REPORT_LIFETIMES_PER_SLOW_START = 4
-TARGET_UTILIZATION = 0.75  # that migrations bring an overloaded endpoint down to
-MAX_GUESSED_EXCESS = 0.5  # of an endpoint's load, where its utilization is unknown
+TARGET_UTILIZATION = 0.75  # migrations lower the utilization of an overloaded endpoint to this value
+MAX_GUESSED_EXCESS = 0.5  # share of an endpoint's load, if its utilization is not known
 NO_DELAY = 0.0
-MAX_REPORTED_UTILIZATION = 1e6  # a larger one makes no sense: full is 1
+MAX_REPORTED_UTILIZATION = 1e6  # a report from this on is invalid: a full endpoint reports 1
 
 
 class EndpointLoad:
-    """Knows the utilization and the message delay of endpoints."""
+    """Tracks the utilization and the message delay of endpoints."""
 
     def __init__(self, clock: Clock, in_force: SettingsInForce) -> None:
         self._clock = clock
         self._in_force = in_force
 
     def is_delayed(self, endpoint: Endpoint) -> bool:
-        """Whether messages at an endpoint are known to be late."""
+        """Return whether messages at an endpoint are late, by a delay that is still valid."""
         if self._clock.now >= endpoint.delay_valid_until:
             return False
         return endpoint.message_delay_us > self._in_force.limits.delay_limit_us
 
     def is_utilization_known(self, endpoint: Endpoint) -> bool:
-        """Whether the last load report of an endpoint still counts."""
+        """Return whether the last load report of an endpoint is still valid."""
         reported_at = endpoint.utilization_at
         if reported_at < 0:
             return False
@@ -52,34 +52,34 @@
         return self._clock.now - reported_at < lifetime
 
     def known_utilization(self, endpoint: Endpoint) -> float:
-        """Return the utilization by the last load report and by the requests that it does not show yet."""
+        """Return the last reported utilization plus that of requests which no report includes yet."""
         return endpoint.utilization + self._pending_utilization(endpoint)
 
     def _pending_utilization(self, endpoint: Endpoint) -> float:
-        """Return what requests of this node add to the utilization that no report shows yet."""
+        """Return the utilization from this node's requests that no load report includes yet."""
         age = self._clock.now - endpoint.pending_at
         return endpoint.pending_utilization * max(0.0, 1.0 - age / self._in_force.limits.reaction_time_us)
 
     def add_pending_utilization(self, endpoint: Endpoint, added: float) -> None:
-        """Add what a request of this node is going to add to an endpoint's utilization."""
+        """Add the expected utilization from a new request to the endpoint's pending utilization."""
         endpoint.pending_utilization = self._pending_utilization(endpoint) + added
         endpoint.pending_at = self._clock.now
 
     def relative_delay(self, endpoint: Endpoint) -> float:
-        """Return the message delay of an endpoint as a multiple of the objective; 0 where none counts."""
+        """Return the message delay as a multiple of the message objective; 0 if no delay is valid."""
         if self._clock.now >= endpoint.delay_valid_until:
             return NO_DELAY
         return endpoint.message_delay_us / self._in_force.limits.message_objective_us
 
     def record_load_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> None:
-        """Record the utilization in a load report; one that makes no sense is ignored."""
+        """Record the utilization in a load report; ignore a value that is out of range."""
         column = self._in_force.limits.utilization_column
         if 0 <= column < len(report) and 0.0 <= report[column] < MAX_REPORTED_UTILIZATION:
             endpoint.utilization = report[column]
             endpoint.utilization_at = self._clock.now
 
     def excess_share(self, endpoint: Endpoint) -> float:
-        """Return the share of the load that is too much, of an endpoint whose messages are late."""
+        """Return the share of an endpoint's load to migrate; its messages must be late."""
         limits = self._in_force.limits
         reported_at = endpoint.utilization_at
         if reported_at == NEVER or self._clock.now - reported_at >= limits.reaction_time_us:
--- a/tansyladder/policy/endpoint_reports.py
+++ b/tansyladder/policy/endpoint_reports.py
@@ -1,7 +1,7 @@
-"""What follows from reports about endpoints: of a connection's load or delay, and of a health check.
+"""Handles reports about endpoints: the load or message delay of a connection, and health check results.
 
-Reports that make no sense (not a number, negative, or absurdly large) are ignored, as are those of requests
-and endpoints that are not known.
+Invalid values (NaN, negative, or implausibly large) are ignored, as are reports about unknown requests and
+endpoints.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from tansyladder.policy.outlier_detection import OutlierDetector
 from tansyladder.policy.request_table import RequestTable
 
-MAX_REPORTED_VALUE = 1e12  # a larger load or delay makes no sense
+MAX_REPORTED_VALUE = 1e12  # a load or a delay from this on is invalid
 MICROSECONDS_PER_MILLISECOND = 1000
 LOAD_REPORT_KIND = ReportKind.LOAD
 DELAY_REPORT_KINDS = (ReportKind.REPORTED_DELAY, ReportKind.MEASURED_DELAY)
 
 
 class EndpointReportHandler:
-    """Records reports about endpoints, and has them judged."""
+    """Records reports about endpoints and passes them to outlier detection."""
 
     def __init__(
         self,
         requests: RequestTable,
         endpoints: EndpointTable,
-        attempts: AttemptStarter,
+        attempt_starter: AttemptStarter,
         outliers: OutlierDetector,
     ) -> None:
         self._requests = requests
         self._endpoints = endpoints
-        self._attempts = attempts
+        self._attempt_starter = attempt_starter
         self._outliers = outliers
 
     def handle_connection_report(self, event: ConnectionReport) -> None:
-        """Record the load of a connection (us a second) or the delay of its messages (ms)."""
+        """Record the load of a connection (us per second) or the delay of its messages (ms)."""
         request = self._requests.by_id.get(event.request_id)
         endpoint = self._endpoints.by_id.get(event.endpoint_id)
         if request is None or endpoint is None or not 0.0 <= event.value < MAX_REPORTED_VALUE:
@@ -47,11 +47,11 @@
             self._outliers.record_message_delay(endpoint, event.value * MICROSECONDS_PER_MILLISECOND)
 
     def handle_health_check_result(self, event: HealthCheckResult) -> None:
-        """Judge the endpoint, and continue the requests that waited for this check alone."""
+        """Evaluate the endpoint, and continue each request for which this was the last pending check."""
         endpoint = self._endpoints.by_id.get(event.endpoint_id)
         if endpoint is None:
             return
         waiting_ids = endpoint.finish_check()
-        self._outliers.judge_health_check(endpoint, event)
+        self._outliers.evaluate_health_check(endpoint, event)
         for request_id in waiting_ids:
-            self._attempts.finish_check(request_id)
+            self._attempt_starter.finish_check(request_id)
--- a/tansyladder/policy/endpoint_selection.py
+++ b/tansyladder/policy/endpoint_selection.py
@@ -1,23 +1,23 @@
 """Endpoint selection: a weighted draw among available endpoints, the home zone first.
 
-In each zone, first home and then all others, a request goes to
+In the home zone, and then in all other zones together, a request goes to
 
-1. an endpoint that is warming up and has a permit for this node, even in a full pool: it is the new capacity
-   that the pool lacks, and permits pace what it gets;
+1. an endpoint that is warming up and has a permit for this node, even if the pool is full: it is the new
+   capacity that the pool lacks, and permits limit how fast it is filled;
 2. else, unless the pool is full, one of the candidates whose load was just checked;
 3. else, unless the pool is full, one of a random sample.
 
-A pool is full when its mean utilization reaches the limit. Capacity that a single endpoint still has in such
-a pool is needed for the excess of the others; if it were used, messages would be late at all of them.
+A pool is full when its mean utilization reaches the limit. Capacity that a single endpoint still has in a
+full pool is needed for the excess load of the others; if it were used, messages would be late at all of them.
 
-The home zone may also be full by an estimate, where the connections that fill an endpoint are configured:
-if all nodes have as many connections as this one, and zones as many nodes each,
+If the number of connections that fill an endpoint is configured, the home zone may also be full by an
+estimate, which assumes that all nodes have as many connections as this one, and all zones as many nodes:
 
     connections x number of nodes / number of zones > UTILIZATION_LIMIT x connections per unit x capacity
 
-That sends requests to other zones, but as it is an estimate it rejects none: a request that no other zone
-takes gets an endpoint at home. What other nodes really have is not known. The draw among endpoints is in
-`endpoint_draw`.
+In that case requests go to other zones first. As this is only an estimate, it rejects no request: one that no
+other zone takes gets an endpoint in the home zone. The true numbers of other nodes are not known. The draw
+among endpoints is in `endpoint_draw`.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class EndpointSelector:
-    """Selects the endpoint that a request goes to."""
+    """Selects the endpoints of requests."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._draw = draw
 
     def select_endpoint(self, request: Request) -> Endpoint | None:
-        """Select the endpoint for a request; None: no endpoint has capacity."""
+        """Select the endpoint for a request; return None if no endpoint has capacity."""
         home = self._endpoints.home_zone
         if self._is_home_zone_estimated_full():
             return (
@@ -66,7 +66,7 @@
         )
 
     def _is_home_zone_estimated_full(self) -> bool:
-        """Whether the connections of the home zone's nodes fill it, if all nodes have as many as this one."""
+        """Return whether the home zone is full if all nodes have as many connections as this one."""
         settings = self._in_force.settings
         if settings.connections_per_unit <= 0:
             return False
@@ -77,7 +77,7 @@
         return 0 < limit < connection_count * settings.node_count / zone_count
 
     def _select_from_other_zones(self, request: Request) -> Endpoint | None:
-        """Select among the endpoints of all zones but the home zone."""
+        """Select an endpoint outside of the home zone."""
         others = self._endpoints.other_zones
         return self._select_warming_up(others, request) or self._select_warm(others, request, [])
 
@@ -89,14 +89,14 @@
     def _select_warm(
         self, pool: EndpointPool, request: Request, candidates: list[Endpoint]
     ) -> Endpoint | None:
-        """Select one of the candidates, else one of a sample; none from a pool that is full."""
+        """Select one of the candidates, else one of a sample; return None if the pool is full."""
         if pool.mean_utilization >= UTILIZATION_LIMIT:
             return None
         selected = self._draw.draw(candidates, pool, request) if candidates else None
         return selected or self._draw.draw(self._sampler.sample(pool, request), pool, request)
 
     def _select_from_estimated_full(self, home: EndpointPool, request: Request) -> Endpoint | None:
-        """Select from a home zone that is full only by an estimate, as that must reject no request."""
+        """Select from a home zone that is full only by the estimate, which must not reject a request."""
         if home.mean_utilization >= UTILIZATION_LIMIT:
             return None
         return self._draw.draw(self._sampler.sample(home, request), home, request)
--- a/tansyladder/policy/endpoint_table.py
+++ b/tansyladder/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The table of all endpoints and the pools of those that are ready. Nothing is decided here."""
+"""The table of all endpoints, and the pools of those that are ready. It makes no decisions."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class EndpointCounts(NamedTuple):
-    """How many endpoints a node knows of."""
+    """The numbers of endpoints that a node knows."""
 
     listed: int
-    ejected: int  # ready ones that get no connections for now, as connections to them failed or were slow
+    ejected: int  # ready endpoints that get no requests for now, as they failed or were slow
 
 
 class EndpointTable:
-    """All endpoints that were ever listed, and the pools of those that are ready."""
+    """All endpoints that were ever listed, and the pools of the ready ones."""
 
     __slots__ = ("by_id", "home_zone", "other_zones")
 
     def __init__(self) -> None:
         self.by_id: dict[int, Endpoint] = {}
-        self.home_zone = EndpointPool()  # in the node's own zone
-        self.other_zones = EndpointPool()
+        self.home_zone = EndpointPool()  # ready endpoints in the node's own zone
+        self.other_zones = EndpointPool()  # ready endpoints in all other zones
 
     def refill_pools(self, home_zone: int) -> None:
-        """Fill the pools anew with the endpoints that are ready, in the order of their ids."""
+        """Rebuild the pools from the endpoints that are ready, in the order of their ids."""
         ready_state = EndpointState.READY
         ready = [e for e in self.by_id.values() if e.state is ready_state]
         ready.sort(key=lambda endpoint: endpoint.id)
@@ -35,7 +35,7 @@
         self.other_zones.replace([e for e in ready if e.zone != home_zone])
 
     def counts(self, now: int) -> EndpointCounts:
-        """Count the endpoints at a moment. Thread-safe without a lock: it reads a copy of the table."""
+        """Count the endpoints at a time (us). Thread-safe without a lock, as it reads a copy of the table."""
         listed = [e for e in list(self.by_id.values()) if e.state is not EndpointState.GONE]
         ejected = sum(e.state is EndpointState.READY and e.ejection.retry_at > now for e in listed)
         return EndpointCounts(len(listed), ejected)
--- a/tansyladder/policy/endpoint_weights.py
+++ b/tansyladder/policy/endpoint_weights.py
@@ -1,14 +1,14 @@
-"""The weight of an endpoint in the random draw that selects one.
+"""The weight of an endpoint in the random draw among endpoints.
 
-    weight = capacity x (UTILIZATION_LIMIT - utilization)^2,  0 from the limit on
+    weight = capacity x (UTILIZATION_LIMIT - utilization)^2, or 0 if the utilization is at or over the limit
 
-where capacity = configured weight x share by slow start. The square sends clearly more to idle endpoints
-than to those near the limit, without sending all to the idlest. The utilization is that of the last load
-report with what was assigned since; where there is none it is guessed from this node's own load there,
-relative to the mean of the pool. A message delay that still counts raises it to delay / objective.
+where capacity = configured weight x share of it during slow start. The square clearly favours idle endpoints
+over those near the limit without sending everything to the idlest one. The utilization is that of the last
+load report plus that of requests assigned since. Without a valid report it is guessed from this node's own
+load at the endpoint, relative to the mean of the pool. A valid message delay raises it to delay / objective.
 
-The guess does not see what other nodes send. Where health checks watch the endpoint, a guess may therefore
-rank endpoints, but does not reach the limit: nobody is rejected for it.
+The guess does not include traffic from other nodes. If health checks watch the endpoint, the guess therefore
+influences the order of endpoints but stays below the limit, so that no request is rejected because of it.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.slow_start import FULL_CAPACITY, SlowStart
 
-UTILIZATION_LIMIT = 0.75  # from which an endpoint takes nothing new: its messages are late already
-MAX_GUESSED_UTILIZATION = 0.7  # under the limit, for an endpoint that health checks find nothing wrong with
-HEADROOM_EXPONENT = 2  # of the draw's odds by headroom: 1 fills busy endpoints, more sends all to the idlest
-MEAN_RELATIVE_LOAD = 1.0  # of an endpoint where this node has no load anywhere in the pool
-FULL = 0.0  # the weight of an endpoint that takes nothing new
+UTILIZATION_LIMIT = 0.75  # from here on an endpoint gets nothing new, as its messages are late already
+MAX_GUESSED_UTILIZATION = 0.7  # below the limit; for endpoints that health checks watch
+HEADROOM_EXPONENT = 2  # 1 would send too much to busy endpoints, more than 2 everything to the idlest ones
+MEAN_RELATIVE_LOAD = 1.0  # assumed for an endpoint if this node has no load in its pool
+NO_WEIGHT = 0.0  # the weight of an endpoint that gets nothing new
 
 
 class EndpointWeights:
@@ -35,16 +35,19 @@
         self._load = load
 
     def weigh(self, endpoint: Endpoint, pool: EndpointPool) -> float:
-        """Return the weight of an endpoint, by up-to-date figures of its pool; 0: it takes nothing new."""
+        """Return the weight of an endpoint, or 0 if it gets nothing new.
+
+        The figures of its pool must be up to date.
+        """
         share = self._slow_start.capacity_share(endpoint)
         if share < FULL_CAPACITY and not self._slow_start.available_permit(endpoint):
-            return FULL
+            return NO_WEIGHT
         capacity = endpoint.weight * share
         headroom = max(0.0, UTILIZATION_LIMIT - self._utilization(endpoint, pool, capacity))
         return float(capacity * headroom**HEADROOM_EXPONENT)
 
     def _utilization(self, endpoint: Endpoint, pool: EndpointPool, capacity: float) -> float:
-        """Estimate the utilization of an endpoint by the best that is known."""
+        """Estimate the utilization of an endpoint from reports if they are valid, else by a guess."""
         load = self._load
         if load.is_utilization_known(endpoint):
             utilization = load.known_utilization(endpoint)
--- a/tansyladder/policy/endpoints.py
+++ b/tansyladder/policy/endpoints.py
@@ -1,6 +1,6 @@
-"""The record of one endpoint: what this node knows of it. Nothing is decided here.
+"""The record of one endpoint: what this node knows about it. It makes no decisions.
 
-Moments and spans are integer microseconds.
+Times and durations are integer microseconds.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from tansyladder.policy.hashing import hash64
 from tansyladder.policy.request_states import RequestState
 
-NEVER = -1  # the moment of what has not happened yet
+NEVER = -1  # the time of an event that has not happened yet
 
 
 class Connection(Protocol):
-    """A request as its endpoint sees it: an attempt in flight, or an established connection."""
+    """An attempt in flight or an established connection, as its endpoint needs it (a `Request`)."""
 
     id: int
     class_index: int
@@ -27,11 +27,11 @@
     endpoint: Endpoint | None
 
     def close(self) -> None:
-        """Note that the client left, or was asked to reconnect."""
+        """Record that the client left or was asked to reconnect."""
 
 
 class Endpoint:
-    """What this node knows of one endpoint."""
+    """What this node knows about one endpoint."""
 
     __slots__ = (
         "best_latency_us",
@@ -44,7 +44,7 @@
         "id",
         "is_check_in_flight",
         "is_migration_scheduled",
-        "is_suspect",
+        "was_last_check_slow",
         "last_permit",
         "latency_sample_count",
         "load",
@@ -73,45 +73,45 @@
         self.hash_seed = hash64(update.endpoint_id)
         self.zone = update.zone
         self.cell = update.cell
-        self.weight = weight  # its capacity, in units that all endpoints share
+        self.weight = weight  # its capacity, in a unit that is common to all endpoints
         self.state: EndpointState = update.state
         self.state_changed_at = now
-        self.connections: dict[int, Connection] = {}  # by request id; attempts in flight are among them
-        self.group_counts: dict[int, int] = {}  # connections of each group key
+        self.connections: dict[int, Connection] = {}  # by request id, including attempts in flight
+        self.group_counts: dict[int, int] = {}  # number of connections by group key
         self.load = 0.0  # the sum of the connections' loads
-        self.pending_attempt_count = 0  # attempts that neither ended nor established their connection
+        self.pending_attempt_count = 0  # attempts that have neither ended nor established a connection
         self.is_check_in_flight = False
         self.waiting_request_ids: list[int] = []  # requests that wait for the health check in flight
         self.restart(update.ready_at_us, weight)
 
     def restart(self, ready_at: int, weight: float) -> None:
-        """Forget what was observed of an earlier process."""
+        """Discard what was observed about the endpoint's previous process."""
         self.ready_at = ready_at
-        self.start_weight = weight  # while the process is empty: some weights fall with the load
+        self.start_weight = weight  # the weight of the process when idle: some weights fall with the load
         self.ejection = Backoff()  # the endpoint gets no requests before `retry_at`
-        self.utilization = 0.0  # by its last load report
-        self.utilization_at = NEVER  # the moment of that report
+        self.utilization = 0.0  # in its last load report
+        self.utilization_at = NEVER  # the time of that report
         self.message_delay_us = 0.0
-        self.message_delay_at = NEVER  # the moment of the last report or measurement of a delay
+        self.message_delay_at = NEVER  # the time of the last report or measurement of a delay
         self.delay_valid_until = 0
-        self.pending_utilization = 0.0  # by requests of this node that no report shows yet
-        self.pending_at = 0
-        self.last_permit = 0  # the newest slow-start permit that this node has used
+        self.pending_utilization = 0.0  # from requests of this node that no report includes yet
+        self.pending_at = 0  # when the pending utilization was computed
+        self.last_permit = 0  # number of the newest slow-start permit that this node has used
         self.migration_backoff = Backoff()
         self.is_migration_scheduled = False
-        self.best_latency_us = 0  # of its health checks; 0: none yet
-        self.latency_sample_count = 0  # health checks that confirm the best latency
-        self.is_suspect = False  # whether the last health check was slow
-        self.reports_delay = False  # whether it has reported a delay itself, whatever the settings promise
+        self.best_latency_us = 0  # lowest latency of its health checks; 0 before the first one
+        self.latency_sample_count = 0  # number of health checks that confirm the best latency
+        self.was_last_check_slow = False  # whether its last timed health check was slow
+        self.reports_delay = False  # whether it has reported a delay itself, whatever the settings announce
 
     def update(self, update: EndpointUpdate, weight: float) -> None:
-        """Take over the attributes in discovery's list, except the state."""
+        """Copy the attributes in discovery's list, except the state."""
         self.zone = update.zone
         self.cell = update.cell
         self.weight = weight
 
     def finish_check(self) -> list[int]:
-        """Note that the health check in flight has ended.
+        """Record that the health check in flight has ended.
 
         Returns:
             The ids of the requests that waited for it.
@@ -122,16 +122,16 @@
         return waiting_ids
 
     def add_connection(self, connection: Connection) -> None:
-        """Add an attempt or an established connection, with its load."""
+        """Add an attempt or an established connection, and its load."""
         self.connections[connection.id] = connection
         self.group_counts[connection.group_key] = self.group_counts.get(connection.group_key, 0) + 1
         self.load += connection.load
 
     def remove_connection(self, connection: Connection) -> bool:
-        """Remove an attempt or a connection, but not its load.
+        """Remove an attempt or a connection, but keep its load (see `release_load`).
 
         Returns:
-            Whether it was here.
+            Whether it was found at this endpoint.
         """
         if self.connections.pop(connection.id, None) is None:
             return False
@@ -141,9 +141,9 @@
         return True
 
     def release_load(self, load: float) -> None:
-        """Take the load of a connection that was removed off the endpoint's; without any, it has none."""
+        """Subtract the load of a removed connection; without connections the load is 0."""
         self.load = max(0.0, self.load - load) if self.connections else 0.0
 
     def replace_load(self, old: float, new: float) -> None:
-        """Replace the load of one connection in the endpoint's load."""
+        """Update the endpoint's load after the load of one connection changed from `old` to `new`."""
         self.load = max(0.0, self.load + new - old)
--- a/tansyladder/policy/events.py
+++ b/tansyladder/policy/events.py
@@ -1,6 +1,6 @@
-"""Events that the policy handles, and the values they carry.
+"""Events that the policy handles, and the values in them.
 
-Moments and spans are integer microseconds; moments are on one clock that never goes back.
+Times and durations are integer microseconds. Times are on one monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class ListUpdateKind(IntEnum):
-    """What a message from discovery holds."""
+    """What an update from discovery contains."""
 
-    DELTA = 1
-    FAILED = 2
-    SNAPSHOT = 3
-    CACHED = 4
+    DELTA = 1  # changes to the list
+    FAILED = 2  # nothing: the call failed
+    SNAPSHOT = 3  # the complete list
+    CACHED = 4  # the complete list that the node knew at its start
 
 
 class AttemptStatus(IntEnum):
@@ -42,7 +42,7 @@
 
     @property
     def definitely_not_executed(self) -> bool:
-        """Whether this end proves that the attempt did not run."""
+        """Whether this status proves that the attempt was not executed."""
         return self in _NOT_EXECUTED_STATUSES
 
 
@@ -59,11 +59,12 @@
     weight: float
     state: EndpointState
     ready_at_us: int
-    stable_id: int = 0  # the same at every node, where the number is this node's own; 0: the number is it
+    # An id that is the same at every node, if `endpoint_id` is this node's own number; 0: `endpoint_id` is.
+    stable_id: int = 0
 
 
 class EndpointListUpdate(NamedTuple):
-    """Discovery's list, or changes to it."""
+    """Discovery's endpoint list, changes to it, or a failed call."""
 
     kind: ListUpdateKind
     endpoints: tuple[EndpointUpdate, ...]
@@ -71,7 +72,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A client's request, which gets one final answer."""
+    """A client's request; it gets exactly one final answer unless its client leaves."""
 
     request_id: int
     class_index: int
@@ -86,7 +87,7 @@
 
 
 class ConnectionAdopted(NamedTuple):
-    """A connection that was established before this node's start, by attempt 0."""
+    """A connection that attempt 0 of the request established before this node started."""
 
     request_id: int
     class_index: int
@@ -107,15 +108,15 @@
 
 
 class ReportKind(IntEnum):
-    """What a connection report is about."""
+    """The kind of value in a connection report."""
 
     LOAD = 1
-    REPORTED_DELAY = 2  # by the endpoint itself
-    MEASURED_DELAY = 3  # by the node: it does not show that the endpoint reports delays
+    REPORTED_DELAY = 2  # reported by the endpoint
+    MEASURED_DELAY = 3  # measured by the node; no evidence that the endpoint reports delays
 
 
 class ConnectionReport(NamedTuple):
-    """The load of an established connection (us a second), or the delay of its messages (ms)."""
+    """The load of an established connection (us per second), or the delay of its messages (ms)."""
 
     request_id: int
     kind: int
@@ -125,7 +126,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """How an attempt ended."""
+    """An attempt or its connection ended."""
 
     request_id: int
     attempt: int
@@ -137,19 +138,19 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client left and gets no answer."""
+    """The client left; it gets no answer."""
 
     request_id: int
 
 
 class TimerExpired(NamedTuple):
-    """A timer that was set has expired."""
+    """A timer set by `SetTimer` has expired."""
 
     timer_id: int
 
 
 class HealthCheckResult(NamedTuple):
-    """How a health check ended."""
+    """A health check ended."""
 
     endpoint_id: int
     status: AttemptStatus
@@ -158,7 +159,7 @@
 
 
 class PeerMessage(NamedTuple):
-    """Another node's message."""
+    """A message from another node."""
 
     sender_index: int
     data: bytes
--- a/tansyladder/policy/excess_migration.py
+++ b/tansyladder/policy/excess_migration.py
@@ -1,10 +1,10 @@
-"""How much is migrated off an endpoint whose messages are late, and which connections.
+"""Migration of the excess load of an endpoint whose messages are late.
 
-The excess of its load is migrated: the excess share (`endpoint_load`) x its load. The connections of the
-lowest priority go first (`migration_priority`); the one that straddles the end of the excess goes with the
-probability that the rest of the excess is of its load. A few heavy connections may be most of the load, so
-loads count, not connections. Nothing is migrated while set-ups fail everywhere: the clients would get no
-new connection. Where the clients are going to end up is not known.
+The load to migrate is the excess share (`endpoint_load`) x the endpoint's load. Connections with the lowest
+priority are migrated first (`migration_priority`). A connection with more load than what is left of the
+excess is migrated with probability remaining excess / its load. Loads are compared rather than numbers of
+connections, because a few heavy connections may make up most of the load. Nothing is migrated while set-ups
+fail everywhere, as the clients would get no new connection. Where clients reconnect to is not known.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ExcessMigration:
-    """Migrates the excess of endpoints whose messages are late."""
+    """Migrates the excess load of endpoints whose messages are late."""
 
     def __init__(
         self,
@@ -38,11 +38,11 @@
         self._priorities = priorities
 
     def may_migrate(self) -> bool:
-        """Whether clients that are migrated would get a new connection."""
+        """Return whether migrated clients can expect to get a new connection."""
         return not self._setup_failures.is_cause_shared
 
     def migrate(self, endpoint: Endpoint) -> None:
-        """Migrate the excess of an endpoint's load, the connections of the lowest priority first."""
+        """Migrate the excess load of an endpoint, connections with the lowest priority first."""
         priority = self._priorities.priority
         excess = self._load.excess_share(endpoint) * endpoint.load
         established_state = RequestState.ESTABLISHED
--- a/tansyladder/policy/final_answers.py
+++ b/tansyladder/policy/final_answers.py
@@ -1,8 +1,8 @@
-"""What final answer a request gets that is not served.
+"""The final answer to a request that is not served.
 
-A rejection tells the client that it may send the request again, and after how long: after the rest of the
-backoff's interval, within the limit that is configured. Where a repetition is not safe (`retry_safety`),
-the answer is that the request failed. Whether a client sends it again is not known.
+A rejection tells the client that it may repeat the request, and after what time: the rest of the backoff
+interval, up to the configured maximum. If a repetition is not safe (`retry_safety`), the answer is a failure.
+Whether a client actually repeats a rejected request is not known.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from tansyladder.policy.retry_safety import may_client_repeat
 from tansyladder.policy.settings_in_force import SettingsInForce
 
-NO_RETRY_AFTER_US = 0  # of a rejection that names no wait
+NO_RETRY_AFTER_US = 0  # a rejection without a Retry-After
 
 
 class FinalAnswers:
-    """Gives requests that are not served their final answer."""
+    """Sends the final answers to requests that are not served."""
 
     def __init__(self, in_force: SettingsInForce, actions: ActionSink, requests: RequestTable) -> None:
         self._in_force = in_force
@@ -26,7 +26,7 @@
         self._requests = requests
 
     def reject(self, request: Request, retry_after_us: int) -> None:
-        """Give the final answer: a rejection where the client may safely repeat it, else a failure."""
+        """Reject a request if its client may safely repeat it, else fail it; then remove it."""
         settings = self._in_force.settings
         if may_client_repeat(request, settings.classes[request.class_index]):
             wait_us = max(NO_RETRY_AFTER_US, min(retry_after_us, settings.max_retry_after_us))
--- a/tansyladder/policy/health_checks.py
+++ b/tansyladder/policy/health_checks.py
@@ -1,9 +1,9 @@
 """When the health of an endpoint is checked.
 
-A check starts on demand, where a decision needs an endpoint's load, and periodically: all endpoints in
-turn, each once in the configured interval, from a random moment of the first interval on, so that nodes
-that start together do not check together. Endpoints that report delays themselves are skipped. An endpoint
-has one check in flight at most. Checks of other nodes are not known: the caller configures an interval that
+A check starts on demand, if a decision needs the load of an endpoint. Periodic checks visit all endpoints in
+turn, each once per configured interval. They start at a random time in the first interval, so that nodes that
+start together do not check together. They skip endpoints that report delays themselves. An endpoint has at
+most one check in flight. Checks by other nodes are not known, so the caller must configure an interval that
 grows with the number of nodes.
 """
 
@@ -19,7 +19,7 @@
 from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.timers import TimerScheduler
 
-MIN_CHECK_GAP_US = 50_000  # between a node's periodic health checks, however many endpoints are listed
+MIN_CHECK_GAP_US = 50_000  # between periodic health checks of a node, however many endpoints are listed
 
 
 class HealthCheckScheduler:
@@ -43,20 +43,20 @@
         self._endpoints = endpoints
 
     def check(self, endpoint: Endpoint) -> None:
-        """Start a health check of an endpoint unless one is in flight."""
+        """Start a health check of an endpoint, unless one is in flight."""
         if not endpoint.is_check_in_flight:
             endpoint.is_check_in_flight = True
             self._actions.emit(CheckHealth(endpoint.id))
 
     def start_periodic_checks(self) -> None:
-        """Check all endpoints in turn, from a random moment of the first interval on, if configured."""
+        """Start periodic checks at a random time in the first interval, if they are configured."""
         settings = self._in_force.settings
         interval = settings.health_check_interval_us
         if interval and settings.can_check_health:
             self._timers.schedule(self._clock.now + self._rng.randint(0, interval), self._check_next, 0)
 
     def _check_next(self, turn: int) -> None:
-        """Check the endpoint whose turn it is, and schedule the next turn."""
+        """Check the endpoint whose turn it is, and schedule the next check."""
         ready = self._endpoints.home_zone.endpoints + self._endpoints.other_zones.endpoints
         if ready:
             endpoint = ready[turn % len(ready)]
--- a/tansyladder/policy/key_backoffs.py
+++ b/tansyladder/policy/key_backoffs.py
@@ -1,15 +1,16 @@
-"""How long the intervals are from which retries are drawn.
+"""The backoff of a request's key: the intervals from which the times of its retries are drawn.
 
 After a set-up that failed, or that found no endpoint with capacity, the retry follows a truncated binary
 exponential backoff (`backoff`) of the request's key, with
 
     slot = latency objective / SLOTS_PER_OBJECTIVE x (1 + (SLOTS_PER_OBJECTIVE - 1) x set-up failure rate)
 
-so that three failures in a row still fit the objective; when set-ups fail everywhere, the first intervals
-widen, as many clients share each of them. Intervals grow until one covers the deadline.
+so that three failures in a row still fit into the latency objective. When set-ups fail everywhere, the first
+intervals are wider, as many clients then retry within the same intervals. Intervals grow until one covers
+the deadline.
 
-An established connection clears the backoff once it has lasted for the deadline of its class: one that
-breaks sooner may break for the cause of the failures before it.
+A connection that has lasted for the deadline of its class clears the backoff. If it breaks sooner, the cause
+may be that of the failures before it.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 from tansyladder.policy.setup_failures import SetupFailureRate
 from tansyladder.policy.timers import TimerScheduler
 
-SLOTS_PER_OBJECTIVE = 8  # backoff slots in the latency objective: three failures in a row still fit it
-MIN_SLOT_US = 1  # an interval of no length would let retries fall together
+SLOTS_PER_OBJECTIVE = 8  # slots in the latency objective: three failures in a row still fit into it
+MIN_SLOT_US = 1  # with slots of length 0, all retries would coincide
 
 
 class KeyBackoffs:
-    """Opens the intervals of backoffs, and clears them."""
+    """Advances and clears the backoffs of keys."""
 
     def __init__(
         self,
@@ -49,23 +50,25 @@
         self._setup_failures = setup_failures
 
     def record_failure(self, request: Request) -> Backoff:
-        """Open the next interval of a request's backoff, and draw the retry from it."""
+        """Start the next interval of a request's backoff, and draw the time of the retry from it."""
         backoff = request.backoff or self._requests.begin_backoff(request)
-        terms = self._in_force.settings.classes[request.class_index]
-        widening = 1 + (SLOTS_PER_OBJECTIVE - 1) * self._setup_failures.rate
-        slot_us = max(MIN_SLOT_US, int(terms.latency_objective_us // SLOTS_PER_OBJECTIVE * widening))
-        max_attempt = (terms.deadline_us // slot_us).bit_length()
+        class_settings = self._in_force.settings.classes[request.class_index]
+        slot_factor = 1 + (SLOTS_PER_OBJECTIVE - 1) * self._setup_failures.rate
+        slot_us = max(
+            MIN_SLOT_US, int(class_settings.latency_objective_us // SLOTS_PER_OBJECTIVE * slot_factor)
+        )
+        max_attempt = (class_settings.deadline_us // slot_us).bit_length()
         backoff.record_failure(self._clock.now, slot_us, max_attempt, self._rng)
         return backoff
 
     def clear_if_lasting(self, request: Request) -> None:
-        """Clear the backoff of an established request's key once the connection has lasted."""
+        """Schedule that the key's backoff is cleared once the connection has lasted for the deadline."""
         if request.backoff:
             deadline_us = self._in_force.settings.classes[request.class_index].deadline_us
             self._timers.schedule(self._clock.now + deadline_us, self._clear, request.id)
 
     def _clear(self, request_id: int) -> None:
-        """Clear the backoff of a request's key, where its connection is established still."""
+        """Clear the backoff of a request's key if its connection is still established."""
         request = self._requests.by_id.get(request_id)
         if request and request.is_established:
             self._requests.forget_backoff(request.key)
--- a/tansyladder/policy/migration_priority.py
+++ b/tansyladder/policy/migration_priority.py
@@ -1,10 +1,10 @@
-"""In which order connections are migrated off an endpoint: the lowest priority for its load first.
+"""The order in which connections are migrated off an endpoint: lowest priority for its load first.
 
-    priority = priority weight of the class / load,  x over_quota_weight where its tenant is over its quota
+    priority = priority weight of the class / load, x over_quota_weight if its tenant is over its quota
 
-Where the priority weights are for a unit of load, the priority is not divided by the load. A connection
-that is migrated may find no capacity anywhere when its client reconnects; then the one with the lowest
-priority should be the one that is rejected. Whether capacity is left elsewhere is not known here.
+If the priority weights are configured per unit of load, the priority is not divided by the load. A migrated
+client may find no capacity when it reconnects, so the connection with the lowest priority should take that
+risk. Whether other endpoints have capacity left is not known here.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.tenant_quotas import TenantQuotas
 
-MIN_COUNTED_LOAD = 1.0  # a connection with less must not count as more worthy than any with some load
+MIN_COUNTED_LOAD = 1.0  # less counts as this, or a nearly idle connection would outrank all with some load
 
 
 class MigrationPriority:
@@ -26,7 +26,9 @@
     def priority(self, connection: Connection) -> float:
         """Return the priority of a connection; the lowest is migrated first."""
         settings = self._in_force.settings
-        by_load = 1.0 if settings.weight_scales_with_load else 1.0 / max(connection.load, MIN_COUNTED_LOAD)
-        priority = settings.classes[connection.class_index].priority_weight * by_load
+        load_factor = (
+            1.0 if settings.weight_scales_with_load else 1.0 / max(connection.load, MIN_COUNTED_LOAD)
+        )
+        priority = settings.classes[connection.class_index].priority_weight * load_factor
         is_over_quota = self._quotas.is_over_quota(connection.tenant)
         return priority * settings.over_quota_weight if is_over_quota else priority
--- a/tansyladder/policy/overload_migration.py
+++ b/tansyladder/policy/overload_migration.py
@@ -1,9 +1,9 @@
 """When connections are migrated off an endpoint whose messages are late.
 
-A migration is scheduled by a truncated binary exponential backoff of its endpoint, with slots of a quarter
-of the reaction time, so that nodes do not migrate in one moment. The next one waits until this one can
-show, or the lag of reports would empty the endpoint. When messages are no longer late, the backoff begins
-anew. How much is migrated is decided in `excess_migration`, by what is known then.
+Migrations are scheduled by a truncated binary exponential backoff of the endpoint, with slots of a quarter of
+the reaction time, so that the nodes do not all migrate at once. The next migration waits until the effect of
+the last one is visible, as the lag of reports would otherwise empty the endpoint. When messages are no longer
+late, the backoff restarts. `excess_migration` decides how much is migrated, by the load known at that time.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.timers import TimerScheduler
 
-SLOTS_PER_REACTION = 4  # in a reaction time: the first migration is within half of one
-MAX_MIGRATION_ATTEMPT = 3  # migrations in a row from which intervals grow no more: two reaction times
+SLOTS_PER_REACTION_TIME = 4  # the first migration is within two slots, which is half a reaction time
+MAX_MIGRATION_ATTEMPT = 3  # migrations at which the interval stops growing, at two reaction times
 
 
 class OverloadMigration:
@@ -32,39 +32,42 @@
         rng: Random,
         timers: TimerScheduler,
         load: EndpointLoad,
-        excess: ExcessMigration,
+        excess_migration: ExcessMigration,
     ) -> None:
         self._clock = clock
         self._in_force = in_force
         self._rng = rng
         self._timers = timers
         self._load = load
-        self._excess = excess
+        self._excess_migration = excess_migration
 
     def schedule(self, endpoint: Endpoint) -> bool:
-        """Schedule a migration of some connections of an endpoint, unless one is scheduled.
+        """Schedule a migration of some connections of an endpoint, unless one is scheduled already.
 
         Returns:
-            Whether one was scheduled now, for which the endpoint's utilization is of use.
+            Whether a migration was scheduled, so that a fresh report of the utilization is useful.
         """
         if endpoint.is_migration_scheduled or not endpoint.connections:
             return False
         endpoint.is_migration_scheduled = True
         backoff = endpoint.migration_backoff
-        slot_us = self._in_force.limits.reaction_time_us // SLOTS_PER_REACTION
+        slot_us = self._in_force.limits.reaction_time_us // SLOTS_PER_REACTION_TIME
         backoff.record_failure(self._clock.now, slot_us, MAX_MIGRATION_ATTEMPT, self._rng)
         self._timers.schedule(backoff.retry_at, self._migrate, endpoint)
         return True
 
     def _migrate(self, endpoint: Endpoint) -> None:
-        """Migrate the excess of an endpoint whose messages are still late; else begin the backoff anew."""
+        """Migrate the excess load if the endpoint's messages are still late; else restart the backoff.
+
+        Does neither while most set-ups fail.
+        """
         endpoint.is_migration_scheduled = False
-        if not self._excess.may_migrate():
+        if not self._excess_migration.may_migrate():
             return
         backoff = endpoint.migration_backoff
         if not self._load.is_delayed(endpoint):
             backoff.attempt = 0
             return
-        shows_at = self._clock.now + self._in_force.limits.reaction_time_us
-        backoff.interval_end = max(backoff.interval_end, shows_at)
-        self._excess.migrate(endpoint)
+        effect_visible_at = self._clock.now + self._in_force.limits.reaction_time_us
+        backoff.interval_end = max(backoff.interval_end, effect_visible_at)
+        self._excess_migration.migrate(endpoint)
--- a/tansyladder/policy/parts.py
+++ b/tansyladder/policy/parts.py
@@ -1,7 +1,7 @@
-"""The parts of one balancer, each built with what it needs of the others. Nothing is decided here.
+"""Builds the components of a `Balancer` and connects them. It makes no decisions.
 
-Parts that others need come first. There is one ring: a retry starts an attempt, and an attempt that finds no
-endpoint is retried.
+A component is built after those that it depends on. There is one cycle: a retry starts an attempt, and an
+attempt that finds no endpoint schedules a retry.
 """
 
 from __future__ import annotations
@@ -47,7 +47,10 @@
 
 
 class PolicyParts:
-    """All parts of one balancer. No part holds this: each gets the parts that it needs by its constructor."""
+    """All components of one balancer.
+
+    No component refers to this object: each gets its dependencies through its constructor.
+    """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.clock = Clock(now)
@@ -62,8 +65,8 @@
         self.slow_start = SlowStart(self.clock, self.in_force)
         self.load = EndpointLoad(self.clock, self.in_force)
         self.pool_load = PoolLoad(self.clock, self.in_force, self.slow_start, self.load)
-        self.scores = WeightedDraw(self.in_force, self.rng)
-        self.sampler = EndpointSampler(self.clock, self.in_force, self.rng, self.scores)
+        self.weighted_draw = WeightedDraw(self.in_force, self.rng)
+        self.sampler = EndpointSampler(self.clock, self.in_force, self.rng, self.weighted_draw)
         self.health_checks = self._build_health_checks()
         self.outliers = self._build_outlier_detector()
         self.poller = DiscoveryPoller(self.clock, self.in_force, self.rng, self.actions, self.timers)
@@ -71,19 +74,21 @@
         self.answers = FinalAnswers(self.in_force, self.actions, self.requests)
         self.retries = self._build_retry_scheduler()
         self.sender = self._build_attempt_sender()
-        self.attempts = self._build_attempt_starter()
+        self.attempt_starter = self._build_attempt_starter()
         self.arrivals = self._build_arrival_handler()
         self.lifecycle = self._build_lifecycle()
-        self.reports = EndpointReportHandler(self.requests, self.endpoints, self.attempts, self.outliers)
+        self.reports = EndpointReportHandler(
+            self.requests, self.endpoints, self.attempt_starter, self.outliers
+        )
 
     def _build_selector(self) -> EndpointSelector:
-        """Build the selection of endpoints."""
+        """Build the selector of endpoints and the draw that it uses."""
         weights = EndpointWeights(self.in_force, self.slow_start, self.load)
-        draw = EndpointDraw(self.clock, self.in_force, self.sampler, weights, self.scores)
+        draw = EndpointDraw(self.clock, self.in_force, self.sampler, weights, self.weighted_draw)
         return EndpointSelector(self.in_force, self.endpoints, self.pool_load, self.sampler, draw)
 
     def _build_health_checks(self) -> HealthCheckScheduler:
-        """Build what starts health checks."""
+        """Build the scheduler of health checks."""
         return HealthCheckScheduler(
             clock=self.clock,
             in_force=self.in_force,
@@ -94,15 +99,17 @@
         )
 
     def _build_outlier_detector(self) -> OutlierDetector:
-        """Build the judgement of endpoints, with the migration that follows from it."""
+        """Build the outlier detector, with the ejector and the migration that it triggers."""
         priorities = MigrationPriority(self.in_force, self.quotas)
-        migration = OverloadMigration(
+        overload_migration = OverloadMigration(
             clock=self.clock,
             in_force=self.in_force,
             rng=self.rng,
             timers=self.timers,
             load=self.load,
-            excess=ExcessMigration(self.rng, self.actions, self.load, self.setup_failures, priorities),
+            excess_migration=ExcessMigration(
+                self.rng, self.actions, self.load, self.setup_failures, priorities
+            ),
         )
         return OutlierDetector(
             clock=self.clock,
@@ -110,11 +117,11 @@
             load=self.load,
             ejector=Ejector(self.clock, self.in_force, self.rng),
             health_checks=self.health_checks,
-            migration=migration,
+            overload_migration=overload_migration,
         )
 
     def _build_list_updater(self) -> EndpointListUpdater:
-        """Build what applies discovery's lists."""
+        """Build the updater that applies discovery's lists."""
         return EndpointListUpdater(
             clock=self.clock,
             in_force=self.in_force,
@@ -125,7 +132,7 @@
         )
 
     def _build_retry_scheduler(self) -> RetryScheduler:
-        """Build the scheduling of retries, which start attempts when they are due."""
+        """Build the scheduler of retries, which starts an attempt when a retry is due."""
         backoffs = KeyBackoffs(
             clock=self.clock,
             in_force=self.in_force,
@@ -144,11 +151,14 @@
         )
 
     def _start_attempt(self, request_id: int) -> None:
-        """Start an attempt; the starter is built after the retries, which it needs as well."""
-        self.attempts.start(request_id)
+        """Start an attempt when a retry is due.
+
+        The retry scheduler calls this method because `attempt_starter` is built later and depends on it.
+        """
+        self.attempt_starter.start(request_id)
 
     def _build_attempt_sender(self) -> AttemptSender:
-        """Build what sends attempts to the endpoints that were selected."""
+        """Build the sender of attempts to selected endpoints."""
         return AttemptSender(
             in_force=self.in_force,
             actions=self.actions,
@@ -159,7 +169,7 @@
         )
 
     def _build_attempt_starter(self) -> AttemptStarter:
-        """Build the start of attempts: the checks of candidates, then the assignment of an endpoint."""
+        """Build the starter of attempts, which checks candidates and then assigns an endpoint."""
         candidates = CandidateChecker(
             clock=self.clock,
             in_force=self.in_force,
@@ -179,7 +189,7 @@
         return AttemptStarter(self.timers, self.requests, candidates, assigner)
 
     def _build_arrival_handler(self) -> RequestArrivalHandler:
-        """Build the handling of requests that arrive."""
+        """Build the handler of arriving requests."""
         previous_endpoints = PreviousEndpointFinder(
             self.clock, self.in_force, self.endpoints, self.slow_start
         )
@@ -188,12 +198,12 @@
             requests=self.requests,
             previous_endpoints=previous_endpoints,
             sender=self.sender,
-            attempts=self.attempts,
+            attempt_starter=self.attempt_starter,
             retries=self.retries,
         )
 
     def _build_lifecycle(self) -> RequestLifecycle:
-        """Build the handling of attempts and connections."""
+        """Build the handler of attempts and connections."""
         return RequestLifecycle(
             requests=self.requests,
             endpoints=self.endpoints,
--- a/tansyladder/policy/pool_load.py
+++ b/tansyladder/policy/pool_load.py
@@ -1,15 +1,15 @@
-"""How loaded a pool of endpoints is as a whole.
+"""The load of a pool of endpoints as a whole.
 
-- capacity = sum of weight x share of the capacity that the endpoint has by now
+- capacity = sum of weight x current share of full capacity, over all endpoints
 - mean load = this node's load in the pool / capacity
-- mean utilization = the mean of the utilizations in load reports, each capped at 1. Where endpoints report
-  none, late messages are all that is known: a delayed endpoint counts by its delay over the objective,
-  between `ASSUMED_MEAN_UTILIZATION` and 1, any other as `ASSUMED_MEAN_UTILIZATION`.
-
-Figures are cached for a part of the reaction time, as a burst of requests would otherwise compute them for
-each. Between two refreshes each assignment is added, or a burst would find all endpoints over the mean.
-What other nodes send is not known: they are taken to do as this one does, so that its own mean load serves
-as a measure of the load of all.
+- mean utilization = mean of the utilizations in valid load reports, each capped at 1. If endpoints report no
+  utilization, it is estimated from late messages: a delayed endpoint counts as its delay / objective, between
+  `ASSUMED_MEAN_UTILIZATION` and 1, and any other endpoint as `ASSUMED_MEAN_UTILIZATION`.
+
+The figures are cached for a fraction of the reaction time, as a burst of requests would otherwise compute
+them for each request. Each assignment between two refreshes is added, as a burst would otherwise find all
+endpoints above the mean. The load from other nodes is not known: they are assumed to behave like this one, so
+that this node's mean load serves as a measure of the total load.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from tansyladder.policy.settings_in_force import NO_UTILIZATION_COLUMN, SettingsInForce
 from tansyladder.policy.slow_start import FULL_CAPACITY, SlowStart
 
-ASSUMED_MEAN_UTILIZATION = 0.6  # of an endpoint that carries the mean load, where nobody reports
-MAX_COUNTED_UTILIZATION = 1.0  # one endpoint far over its capacity must not make a pool look full
-POOL_REFRESHES_PER_REACTION = 32  # in a reaction time: a burst is counted once, a change is seen in time
+ASSUMED_MEAN_UTILIZATION = 0.6  # of an endpoint with the mean load, if no endpoint reports its utilization
+MAX_COUNTED_UTILIZATION = 1.0  # one endpoint far over its capacity must not make the pool look full
+POOL_REFRESHES_PER_REACTION_TIME = 32  # rare enough for bursts, often enough to notice changes in time
 
 
 class PoolLoad:
-    """Keeps the figures of endpoint pools up to date."""
+    """Keeps the aggregate figures of endpoint pools up to date."""
 
     def __init__(
         self, clock: Clock, in_force: SettingsInForce, slow_start: SlowStart, load: EndpointLoad
@@ -39,9 +39,9 @@
         self._load = load
 
     def refresh(self, pool: EndpointPool) -> None:
-        """Compute a pool's figures anew where they are too old."""
+        """Recompute the figures of a pool if they are too old."""
         now = self._clock.now
-        max_age = self._in_force.limits.reaction_time_us // POOL_REFRESHES_PER_REACTION
+        max_age = self._in_force.limits.reaction_time_us // POOL_REFRESHES_PER_REACTION_TIME
         if pool.refreshed_at < 0 or now - pool.refreshed_at > max_age:
             pool.refreshed_at = now
             self._refresh_capacity(pool)
@@ -49,7 +49,7 @@
             pool.mean_utilization = self._mean_utilization(pool.endpoints)
 
     def _refresh_capacity(self, pool: EndpointPool) -> None:
-        """Compute the capacity of a pool, and which of its endpoints are warming up."""
+        """Compute the capacity of a pool, and list its endpoints that are warming up."""
         capacity_share = self._slow_start.capacity_share
         warming_up: list[Endpoint] = []
         capacity = 0.0
@@ -62,32 +62,34 @@
         pool.capacity = capacity
 
     def _mean_utilization(self, endpoints: list[Endpoint]) -> float:
-        """Return the mean utilization of endpoints, by reports where there are any, else by late messages."""
+        """Return the mean utilization of endpoints, from reports if they send any, else from delays."""
         if self._in_force.limits.utilization_column == NO_UTILIZATION_COLUMN:
             return _mean([self._utilization_by_delay(endpoint) for endpoint in endpoints])
         is_known = self._load.is_utilization_known
         return _mean([min(e.utilization, MAX_COUNTED_UTILIZATION) for e in endpoints if is_known(e)])
 
     def _utilization_by_delay(self, endpoint: Endpoint) -> float:
-        """Estimate the utilization of an endpoint that does not report it from its message delay."""
+        """Estimate from its message delay the utilization of an endpoint that does not report it."""
         if not self._load.is_delayed(endpoint):
             return ASSUMED_MEAN_UTILIZATION
         delay = self._load.relative_delay(endpoint)
         return max(ASSUMED_MEAN_UTILIZATION, min(MAX_COUNTED_UTILIZATION, delay))
 
     def record_assignment(self, pool: EndpointPool, endpoint: Endpoint, request: Request) -> None:
-        """Count a request until reports show it, so that a burst isn't all sent to one idle endpoint.
+        """Count the load of a request until reports include it.
 
-        Its utilization is estimated by its part of the load at which an endpoint has the assumed mean.
+        Otherwise a burst of requests would all go to the same idle endpoint. The added utilization is
+        `ASSUMED_MEAN_UTILIZATION` x the request's load / the load at which the endpoint is at the pool's
+        mean, and at most `ASSUMED_MEAN_UTILIZATION`.
         """
         self.refresh(pool)
-        mean_load = pool.mean_load * endpoint.weight
+        endpoint_mean_load = pool.mean_load * endpoint.weight
         if pool.capacity:
             pool.mean_load += request.load / pool.capacity
-        added = ASSUMED_MEAN_UTILIZATION * request.load / max(mean_load, request.load)
-        self._load.add_pending_utilization(endpoint, added)
+        added_utilization = ASSUMED_MEAN_UTILIZATION * request.load / max(endpoint_mean_load, request.load)
+        self._load.add_pending_utilization(endpoint, added_utilization)
 
 
 def _mean(utilizations: list[float]) -> float:
-    """Return the mean of utilizations; the assumed one where there are none."""
+    """Return the mean of utilizations, or the assumed mean if there are none."""
     return sum(utilizations) / len(utilizations) if utilizations else ASSUMED_MEAN_UTILIZATION
--- a/tansyladder/policy/previous_endpoint.py
+++ b/tansyladder/policy/previous_endpoint.py
@@ -1,10 +1,11 @@
-"""Where the connection of a midstream request most likely is (weighted rendezvous hashing).
-
-Where nodes pass packets through, a client's packets may reach another node in the middle of a connection.
-That node has no record of it, but any node would have drawn the endpoint by the same hash of the key. The
-best endpoint by that hash is taken, among those of the home zone that were warm: ready ones, and draining
-ones in the first part of their grace period, as their connections are not all migrated by then. Whether the
-connection is there is not known: load and ejections when it was drawn may have sent it elsewhere.
+"""Finds the endpoint that most likely has the connection of a midstream request.
+
+In pass-through mode, a client's packets may reach another node in the middle of a connection. That node has
+no record of the connection, but any node would have drawn its endpoint by the same hash of the key (weighted
+rendezvous hashing). The endpoint with the best score is taken among those of the home zone that were warm:
+ready ones, and draining ones in the first half of their grace period, as their connections are not all
+migrated by then. Whether the connection is really there is not known: load or ejections at the time of the
+draw may have sent it elsewhere.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from tansyladder.policy.slow_start import SlowStart
 from tansyladder.policy.weighted_draw import rendezvous_score
 
-# The part of the grace period in which a draining endpoint still has most connections: each is migrated at a
-# random moment of it.
-GRACE_DIVISOR = 2
+# In the first half of the grace period a draining endpoint still has most connections: each is migrated at a
+# random time within the period.
+DRAIN_GRACE_DIVISOR = 2
 
 
 class PreviousEndpointFinder:
@@ -34,18 +35,27 @@
         self._slow_start = slow_start
 
     def find(self, event: RequestReceived) -> Endpoint | None:
-        """Find the endpoint; None: the request is not midstream, is late already, or no endpoint serves."""
-        is_handed_over = event.is_midstream and self._in_force.settings.pass_through
-        if not is_handed_over or event.deadline_us <= self._clock.now:
+        """Find the endpoint of a midstream request.
+
+        Returns:
+            The endpoint; None if pass-through mode is off, if the request is not midstream or is past its
+            deadline, or if no endpoint qualifies.
+        """
+        needs_lookup = event.is_midstream and self._in_force.settings.pass_through
+        if not needs_lookup or event.deadline_us <= self._clock.now:
             return None
-        serving = [endpoint for endpoint in self._endpoints.by_id.values() if self._may_serve(endpoint)]
-        return min(serving, key=lambda endpoint: rendezvous_score(endpoint, event.key), default=None)
-
-    def _may_serve(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint may have connections of the home zone's nodes."""
+        possible_endpoints = [
+            endpoint for endpoint in self._endpoints.by_id.values() if self._may_have_connection(endpoint)
+        ]
+        return min(
+            possible_endpoints, key=lambda endpoint: rendezvous_score(endpoint, event.key), default=None
+        )
+
+    def _may_have_connection(self, endpoint: Endpoint) -> bool:
+        """Return whether an endpoint may have connections from nodes of the home zone."""
         if endpoint.state is EndpointState.DRAINING:
             draining_us = self._clock.now - endpoint.state_changed_at
-            if draining_us >= self._in_force.settings.drain_grace_us // GRACE_DIVISOR:
+            if draining_us >= self._in_force.settings.drain_grace_us // DRAIN_GRACE_DIVISOR:
                 return False
         elif endpoint.state is not EndpointState.READY:
             return False
--- a/tansyladder/policy/request_arrival.py
+++ b/tansyladder/policy/request_arrival.py
@@ -1,9 +1,9 @@
 """What happens to a request when it arrives.
 
 - A midstream request goes to the endpoint that most likely has its connection (`previous_endpoint`).
-- One whose key has a retry due later waits for that, as if the node had kept the key's earlier request: a
-  client that reconnects at once must not undo the backoff.
-- Any other gets an attempt at once.
+- If the request's key has a retry due later, the request waits for it, as if the node had kept the earlier
+  request of the key: a client that reconnects at once must not bypass the backoff.
+- Any other request gets an attempt at once.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RequestArrivalHandler:
-    """Handles requests that arrive."""
+    """Handles arriving requests."""
 
     def __init__(
         self,
@@ -27,18 +27,18 @@
         requests: RequestTable,
         previous_endpoints: PreviousEndpointFinder,
         sender: AttemptSender,
-        attempts: AttemptStarter,
+        attempt_starter: AttemptStarter,
         retries: RetryScheduler,
     ) -> None:
         self._clock = clock
         self._requests = requests
         self._previous_endpoints = previous_endpoints
         self._sender = sender
-        self._attempts = attempts
+        self._attempt_starter = attempt_starter
         self._retries = retries
 
     def handle_request(self, event: RequestReceived) -> None:
-        """Start an attempt, or wait for the key's retry where the client reconnects before that is due."""
+        """Start an attempt, or schedule a retry if the client reconnects during the backoff of its key."""
         request = self._requests.add(event)
         previous = self._previous_endpoints.find(event) if event.is_midstream else None
         if previous:
@@ -46,4 +46,4 @@
         elif request.backoff and request.backoff.retry_at > self._clock.now:
             self._retries.retry_or_reject(request, request.backoff)
         else:
-            self._attempts.start(request.id)
+            self._attempt_starter.start(request.id)
--- a/tansyladder/policy/request_lifecycle.py
+++ b/tansyladder/policy/request_lifecycle.py
@@ -1,13 +1,13 @@
-"""What follows from the end of an attempt, from an established connection, and from a client that leaves.
+"""What follows from the end of an attempt, an established connection, and a client that leaves.
 
-- An established connection lowers the set-up failure rate, counts for its tenant, ends the count of its
-  endpoint's ejections, and clears the backoff of its key if it lasts.
-- An attempt that ended without a connection is retried, while its client still waits. Ends in a timeout or
-  an error raise the set-up failure rate: a cause that endpoints share shows in these.
-- A connection that ends is over: its client reconnects by a new request.
+- An established connection lowers the set-up failure rate, counts towards its tenant's quota, may reset the
+  ejection backoff of its endpoint, and clears the backoff of its key if it lasts.
+- An attempt that ended without a connection is retried if its client still waits. A timeout or an error
+  raises the set-up failure rate, as a cause that endpoints share leads to these.
+- A connection that ends is not retried: its client reconnects with a new request.
 
-A node learns of a client by events alone: a request whose client left without one is retried until its
-deadline.
+A node learns about a client only through events: if a client leaves without one, its request is retried
+until the deadline.
 """
 
 from __future__ import annotations
@@ -27,11 +27,12 @@
 from tansyladder.policy.setup_failures import SetupFailureRate
 from tansyladder.policy.tenant_quotas import TenantQuotas
 
-SETUP_FAILURES = (AttemptStatus.TIMEOUT, AttemptStatus.ERROR)  # the ends in which a shared cause shows
+# How attempts end if endpoints fail for a shared cause.
+SETUP_FAILURE_STATUSES = (AttemptStatus.TIMEOUT, AttemptStatus.ERROR)
 
 
 class RequestLifecycle:
-    """Takes requests from their first attempt to the final answer or to the end of their connection."""
+    """Handles the events of a request from its first attempt to its final answer or connection end."""
 
     def __init__(
         self,
@@ -51,12 +52,12 @@
         self._quotas = quotas
 
     def handle_connection_adopted(self, event: ConnectionAdopted) -> None:
-        """Count a connection that was established before this node's start."""
+        """Add a connection that was established before this node started."""
         self._requests.adopt(event, self._endpoints.by_id.get(event.endpoint_id))
         self._quotas.add_connection(event.tenant)
 
     def handle_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Forget a request whose client left; one that has an endpoint ends there first."""
+        """Close a request whose client left; remove it unless an attempt or a connection has to end first."""
         request = self._requests.by_id.get(event.request_id)
         if request:
             request.close()
@@ -64,7 +65,7 @@
                 self._requests.remove(request)
 
     def handle_attempt_established(self, event: AttemptEstablished) -> None:
-        """Count the connection; if it lasts, clear the backoff of its key."""
+        """Count the connection, evaluate its endpoint, and clear the backoff of its key if it lasts."""
         request = self._requests.by_id.get(event.request_id)
         if request is None or request.endpoint is None:
             return
@@ -72,14 +73,14 @@
             request.establish()
             self._setup_failures.record_success()
             self._quotas.add_connection(request.tenant)
-        self._outliers.judge_established(request.endpoint)
+        self._outliers.evaluate_established(request.endpoint)
         self._retries.handle_connection_established(request)
 
     def handle_attempt_ended(self, event: AttemptEnded) -> None:
-        """Judge the endpoint; retry the request, if no connection came of it and its client still waits."""
+        """Evaluate the endpoint, and retry the request unless it had a connection or its client left."""
         endpoint = self._endpoints.by_id.get(event.endpoint_id)
         if endpoint:
-            self._outliers.judge_attempt_end(endpoint, event.status, event.load_report)
+            self._outliers.evaluate_attempt_end(endpoint, event.status, event.load_report)
         request = self._requests.by_id.get(event.request_id)
         if request is None:
             return
@@ -88,12 +89,12 @@
         if is_finished:
             self._requests.remove(request)
             return
-        if event.status in SETUP_FAILURES:
+        if event.status in SETUP_FAILURE_STATUSES:
             self._setup_failures.record_failure()
         self._retries.handle_failed_attempt(request, endpoint, event)
 
     def _detach(self, request: Request) -> None:
-        """Remove the attempt or the connection of a request from its endpoint."""
+        """Remove the attempt or the connection of a request from its endpoint and its tenant's count."""
         if request.is_established:
             self._quotas.remove_connection(request.tenant)
         request.detach()
--- a/tansyladder/policy/request_states.py
+++ b/tansyladder/policy/request_states.py
@@ -1,4 +1,4 @@
-"""The states of a request, and the transitions between them; nothing else is decided here."""
+"""The states of a request and the transitions between them. It makes no other decisions."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 class RequestState(IntEnum):
     """The state of a request, or of the connection that it became."""
 
-    PENDING = 0  # it waits for an attempt, or has one in flight
-    ABANDONED = 1  # its client left while an attempt was in flight
-    ESTABLISHED = 2  # its connection is established
-    CLOSING = 3  # its connection is established, but its client left or was asked to reconnect
+    PENDING = 0  # waits for an attempt, or has one in flight
+    ABANDONED = 1  # the client left before the connection was established
+    ESTABLISHED = 2  # the connection is established
+    CLOSING = 3  # the connection is established, but the client left or was asked to reconnect
 
 
-STATE_WHEN_ESTABLISHED = {  # the transitions when the connection of an attempt is established
+STATE_WHEN_ESTABLISHED = {  # transitions when the connection of an attempt is established
     RequestState.PENDING: RequestState.ESTABLISHED,
     RequestState.ABANDONED: RequestState.CLOSING,
     RequestState.ESTABLISHED: RequestState.ESTABLISHED,
     RequestState.CLOSING: RequestState.CLOSING,
 }
-STATE_WHEN_CLOSED = {  # the transitions when the client leaves or is asked to reconnect
+STATE_WHEN_CLOSED = {  # transitions when the client leaves or is asked to reconnect
     RequestState.PENDING: RequestState.ABANDONED,
     RequestState.ABANDONED: RequestState.ABANDONED,
     RequestState.ESTABLISHED: RequestState.CLOSING,
--- a/tansyladder/policy/requests.py
+++ b/tansyladder/policy/requests.py
@@ -1,6 +1,6 @@
-"""The record of one request, and of the connection that it became. Nothing is decided here.
+"""The record of a request, and of the connection that it became. It makes no decisions.
 
-Moments and spans are integer microseconds.
+Times and durations are integer microseconds.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
     RequestState,
 )
 
-PENDING: RequestState = RequestState.PENDING  # looked up once, for each new request
-DEFAULT_LOAD = 1.0  # of a connection without a load hint
+PENDING: RequestState = RequestState.PENDING  # avoids a lookup for each new request
+DEFAULT_LOAD = 1.0  # load of a connection without a load hint
 
 
 class Request:
@@ -53,14 +53,15 @@
         self.load = float(event.load_hint) if event.load_hint else DEFAULT_LOAD
         self.state = PENDING
         self.attempt_count = 0
-        self.endpoint: Endpoint | None = None  # of its attempt in flight, or of its connection
+        self.endpoint: Endpoint | None = None  # the endpoint of its attempt in flight or of its connection
         self.backoff: Backoff | None = None
-        self.retry_at = 0  # when its next attempt is due
+        self.retry_at = 0  # when its next attempt is due; 0 without a retry
         self.last_failed_endpoint: Endpoint | None = None
-        self.may_have_run_on: Endpoint | None = None  # of the first attempt that may have run
+        # The endpoint and the start time of the first attempt that may have been executed.
+        self.may_have_run_on: Endpoint | None = None
         self.may_have_run_at = 0
-        self.candidates: list[Endpoint] = []  # endpoints whose load was checked for it
-        self.pending_check_count = 0  # health checks that it waits for
+        self.candidates: list[Endpoint] = []  # endpoints sampled for it, whose load is checked first
+        self.pending_check_count = 0  # number of health checks that it waits for
 
     @property
     def is_established(self) -> bool:
@@ -69,24 +70,24 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether it is over when its attempt or its connection ends."""
+        """Whether it is removed when its attempt or its connection ends, instead of retried."""
         return self.state in CLOSED_STATES
 
     def start_attempt(self, endpoint: Endpoint) -> None:
-        """Note that an attempt is in flight at an endpoint."""
+        """Record that an attempt is in flight at an endpoint."""
         self.endpoint = endpoint
         self.attempt_count += 1
         endpoint.add_connection(self)
         endpoint.pending_attempt_count += 1
 
     def establish(self) -> None:
-        """Note that the connection of its attempt is established."""
+        """Record that the connection of its attempt is established."""
         self.state = STATE_WHEN_ESTABLISHED[self.state]
         if self.endpoint:
             self.endpoint.pending_attempt_count -= 1
 
     def adopt(self, endpoint: Endpoint | None) -> None:
-        """Note that its connection was established by its first attempt, before this node's start."""
+        """Record that its first attempt established its connection before this node started."""
         self.state = RequestState.ESTABLISHED
         self.attempt_count = 1
         self.endpoint = endpoint
@@ -94,17 +95,17 @@
             endpoint.add_connection(self)
 
     def close(self) -> None:
-        """Note that its client left, or was asked to reconnect."""
+        """Record that its client left or was asked to reconnect."""
         self.state = STATE_WHEN_CLOSED[self.state]
 
     def record_possible_execution(self, endpoint: Endpoint | None, started_at: int) -> None:
-        """Note that an attempt may have run; the first one of a request counts."""
+        """Record that an attempt may have been executed; only the first such attempt counts."""
         if self.may_have_run_on is None:
             self.may_have_run_on = endpoint
             self.may_have_run_at = started_at
 
     def detach(self) -> None:
-        """Remove the attempt or the connection from its endpoint; the request is pending again."""
+        """Remove the attempt or the connection from its endpoint; the request becomes pending again."""
         endpoint = self.endpoint
         is_established = self.is_established
         self.endpoint = None
--- a/tansyladder/policy/retries.py
+++ b/tansyladder/policy/retries.py
@@ -1,13 +1,12 @@
 """Whether and when a request is retried.
 
-The retry is due at the moment that the backoff has drawn. A request is not retried, but gets its final
-answer, where
+A retry is due at the time drawn by the backoff. A request gets its final answer instead if
 
-- the retry would start so late that a backoff slot later is past its deadline,
-- its attempts are used up, or
-- no further attempt is safe, as an earlier one may have run (`retry_safety`).
+- the retry would start less than one slot (latency objective / `SLOTS_PER_OBJECTIVE`) before its deadline,
+- the request has used up its attempts, or
+- no further attempt is safe, as an earlier one may have been executed (`retry_safety`).
 
-Whether an endpoint is going to have capacity at the moment drawn is not known.
+Whether an endpoint will have capacity when the retry is due is not known.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 
 
 class RetryScheduler:
-    """Decides whether a request gets a further attempt, and when."""
+    """Decides whether and when a request gets another attempt."""
 
     def __init__(
         self,
@@ -47,7 +46,7 @@
         self._start_attempt = start_attempt
 
     def handle_failed_attempt(self, request: Request, endpoint: Endpoint | None, event: AttemptEnded) -> None:
-        """Retry after an attempt that ended without a connection, or reject the request."""
+        """Schedule a retry after an attempt that ended without a connection, or give the final answer."""
         request.last_failed_endpoint = endpoint
         if not event.status.definitely_not_executed:
             request.record_possible_execution(endpoint, self._clock.now - event.latency_us)
@@ -57,25 +56,25 @@
             self.handle_setup_failure(request)
 
     def handle_connection_established(self, request: Request) -> None:
-        """Clear the backoff of a request's key if its connection lasts."""
+        """Clear the backoff of a request's key once its connection has lasted."""
         self._backoffs.clear_if_lasting(request)
 
     def handle_setup_failure(self, request: Request) -> None:
-        """Back off after a set-up that failed or found no endpoint."""
+        """Back off after a set-up that failed or found no endpoint with capacity."""
         self.retry_or_reject(request, self._backoffs.record_failure(request))
 
     def retry_or_reject(self, request: Request, backoff: Backoff) -> None:
-        """Retry at the moment drawn; reject where no further attempt may be made then."""
+        """Schedule a retry at the time drawn by the backoff; if none is allowed, give the final answer."""
         if self._may_retry(request, backoff.retry_at):
-            request.retry_at = backoff.retry_at  # its own: the key's changes with other requests
+            request.retry_at = backoff.retry_at  # a copy: the backoff changes with other requests of the key
             self._timers.schedule(request.retry_at, self._start_attempt, request.id)
         else:
             self._answers.reject(request, backoff.interval_end - self._clock.now)
 
     def _may_retry(self, request: Request, retry_at: int) -> bool:
-        """Whether a further attempt is safe, allowed, and in time when it starts at a moment."""
+        """Return whether another attempt is safe, is allowed, and is in time if it starts at `retry_at`."""
         settings = self._in_force.settings
-        terms = settings.classes[request.class_index]
-        is_in_time = retry_at + terms.latency_objective_us // SLOTS_PER_OBJECTIVE <= request.deadline
+        class_settings = settings.classes[request.class_index]
+        is_in_time = retry_at + class_settings.latency_objective_us // SLOTS_PER_OBJECTIVE <= request.deadline
         has_attempts_left = request.attempt_count < settings.max_attempts
-        return is_in_time and has_attempts_left and may_execute_anywhere(request, terms)
+        return is_in_time and has_attempts_left and may_execute_anywhere(request, class_settings)
--- a/tansyladder/policy/retry_safety.py
+++ b/tansyladder/policy/retry_safety.py
@@ -1,15 +1,15 @@
-"""Whether a request may run a second time: at most once, or once for each idempotency key.
+"""Whether a request may be executed a second time: at most once, or at most once per idempotency key.
 
-What a node knows is where and when the first attempt that may have run was started. Whether it ran is not
-known. By the idempotency of the request's class:
+A node knows where and when the first attempt that may have been executed was started, but not whether it was
+executed. The rule depends on the idempotency of the request's class:
 
 - idempotent: any further attempt is safe.
-- with an idempotency key: a further attempt is safe at the endpoints of the deduplication scope (all, the
-  same zone, the same cell), which drop the repetition, and within the deduplication window.
-- none: no further attempt once one may have run.
+- with an idempotency key: a further attempt is safe within the deduplication window, at the endpoints of the
+  deduplication scope (all, the same zone, the same cell), which drop the repetition.
+- none: no further attempt is safe once one may have been executed.
 
-A rejection asks the client to send its request again, to any endpoint and at any time. It is therefore safe
-for keyed requests only where all endpoints share their keys.
+A rejection asks the client to repeat its request, at any endpoint and at any time. For requests with an
+idempotency key it is therefore safe only if all endpoints share their keys.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 from tansyladder.policy.settings import ClassSettings, DeduplicationScope, Idempotency
 
 
-def may_execute_on(request: Request, endpoint: Endpoint, terms: ClassSettings, now: int) -> bool:
-    """Whether an attempt at an endpoint can have no second effect."""
-    first = request.may_have_run_on
-    if first is None or terms.idempotency is Idempotency.IDEMPOTENT:
+def may_execute_on(request: Request, endpoint: Endpoint, class_settings: ClassSettings, now: int) -> bool:
+    """Return whether an attempt at an endpoint cannot have a second effect."""
+    first_endpoint = request.may_have_run_on
+    if first_endpoint is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
         return True
-    is_window_over = now - request.may_have_run_at >= terms.deduplication_window_us
-    if terms.idempotency is Idempotency.NONE or is_window_over:
+    is_window_over = now - request.may_have_run_at >= class_settings.deduplication_window_us
+    if class_settings.idempotency is Idempotency.NONE or is_window_over:
         return False
-    return _is_in_scope(endpoint, first, terms.deduplication_scope)
+    return _is_in_scope(endpoint, first_endpoint, class_settings.deduplication_scope)
 
 
-def _is_in_scope(endpoint: Endpoint, first: Endpoint, scope: DeduplicationScope) -> bool:
-    """Whether an endpoint knows the idempotency keys that the first one has seen."""
+def _is_in_scope(endpoint: Endpoint, first_endpoint: Endpoint, scope: DeduplicationScope) -> bool:
+    """Return whether an endpoint knows the idempotency keys that `first_endpoint` has seen."""
     if scope is DeduplicationScope.CELL:
-        return endpoint.cell == first.cell
-    return scope is DeduplicationScope.ALL or endpoint.zone == first.zone
+        return endpoint.cell == first_endpoint.cell
+    return scope is DeduplicationScope.ALL or endpoint.zone == first_endpoint.zone
 
 
-def may_execute_anywhere(request: Request, terms: ClassSettings) -> bool:
-    """Whether any endpoint at all may get a further attempt."""
-    return request.may_have_run_on is None or terms.idempotency is not Idempotency.NONE
+def may_execute_anywhere(request: Request, class_settings: ClassSettings) -> bool:
+    """Return whether there can be an endpoint at which a further attempt is safe."""
+    return request.may_have_run_on is None or class_settings.idempotency is not Idempotency.NONE
 
 
-def may_client_repeat(request: Request, terms: ClassSettings) -> bool:
-    """Whether the client may safely send the request again, so that it may be rejected."""
-    if request.may_have_run_on is None or terms.idempotency is Idempotency.IDEMPOTENT:
+def may_client_repeat(request: Request, class_settings: ClassSettings) -> bool:
+    """Return whether the client may safely repeat the request, so that it may be rejected."""
+    if request.may_have_run_on is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
         return True
-    is_known_everywhere = terms.deduplication_scope is DeduplicationScope.ALL
-    return terms.idempotency is Idempotency.WITH_KEY and is_known_everywhere
+    is_known_everywhere = class_settings.deduplication_scope is DeduplicationScope.ALL
+    return class_settings.idempotency is Idempotency.WITH_KEY and is_known_everywhere
--- a/tansyladder/policy/settings_in_force.py
+++ b/tansyladder/policy/settings_in_force.py
@@ -1,17 +1,19 @@
-"""The settings in force, and the limits that are derived from them.
+"""The settings in force, and the limits derived from them.
 
-Limits are derived once, when settings are put in force, and replaced as a whole. They depend on the
-settings alone, not on what the node observes.
+The limits are derived once, when settings are put in force, and are replaced as a whole. They depend only on
+the settings, not on what the node observes.
 
 Formulas, over the classes that are not retired:
 
-- reaction time = the longest deadline. What an action changes shows in reports and clients within that
-  time.
-- message objective = the strictest objective for messages; without any, the strictest latency objective.
+- reaction time = the longest deadline. The effect of an action is visible in reports and at clients within
+  this time.
+- message objective = the strictest message latency objective or, if no class has one, the strictest latency
+  objective.
 - delay limit = message objective x `DELAYED_OBJECTIVE_SHARE`.
-- validity of a measured delay = the longer of the reaction time and 3/2 of the interval of health checks,
-  so that it lasts until the next check can correct it.
-- pending attempts at an endpoint = `MAX_PENDING_ATTEMPTS` over the number of nodes, at least 1.
+- validity of a measured delay = the longer of the reaction time and 3/2 of the health check interval, so that
+  the delay stays valid until the next check can correct it.
+- maximum of pending attempts at an endpoint = `MAX_PENDING_ATTEMPTS` / number of nodes, rounded down, but at
+  least 1. The number of nodes is taken as at least `MIN_NODES_FOR_PENDING_ATTEMPTS`.
 """
 
 from __future__ import annotations
@@ -21,13 +23,13 @@
 
 from tansyladder.policy.settings import Settings
 
-MAX_PENDING_ATTEMPTS = 24  # at an endpoint, from all nodes: more only wait there, and time out
-# Nodes between which the pending attempts are divided at least: a larger part would let a node that has just
-# started fill an endpoint's queue alone.
+MAX_PENDING_ATTEMPTS = 24  # at an endpoint, from all nodes: more would only wait there and time out
+# The pending attempts are divided between at least so many nodes: with a larger share, a node that has just
+# started could fill the queue of an endpoint alone.
 MIN_NODES_FOR_PENDING_ATTEMPTS = 3
-DELAYED_OBJECTIVE_SHARE = 0.5  # of the message objective, from which messages are late: delays vary
-# Of the interval between health checks, for which a measured delay is valid: half an interval more than it
-# takes until the next check, which may come late.
+DELAYED_OBJECTIVE_SHARE = 0.5  # of the message objective: messages are late from here on, as delays vary
+# A measured delay is valid for 3/2 of the health check interval: half an interval longer than until the next
+# check, as that may be late.
 DELAY_VALIDITY_NUMERATOR = 3
 DELAY_VALIDITY_DENOMINATOR = 2
 UTILIZATION_COLUMN_NAME = "x0"  # the column of load reports that holds the utilization
@@ -35,19 +37,19 @@
 
 
 class DerivedLimits(NamedTuple):
-    """What follows from settings. Spans are in microseconds."""
+    """Limits that are derived from the settings. Durations are in microseconds."""
 
-    max_pending_attempts: float  # of this node at one endpoint; infinite where the caller has no sockets
-    utilization_column: int  # in load reports; -1: endpoints report no utilization
-    can_check_load: bool  # whether a health check tells an endpoint's utilization
-    reaction_time_us: int  # after which what was changed shows
-    delay_validity_us: int  # of a delay that this node measured
+    max_pending_attempts: float  # of this node at one endpoint; infinite if the caller has no sockets
+    utilization_column: int  # index in load reports; -1: endpoints report no utilization
+    can_check_load: bool  # whether health checks return the utilization of an endpoint
+    reaction_time_us: int  # after which the effect of an action is visible
+    delay_validity_us: int  # how long a delay measured by this node is valid
     message_objective_us: int
-    delay_limit_us: float  # a longer delay of messages is late
+    delay_limit_us: float  # messages with a longer delay are late
 
 
 def derive_limits(settings: Settings) -> DerivedLimits:
-    """Derive the limits from settings; retired classes don't count."""
+    """Derive the limits from settings; retired classes are ignored."""
     classes = [c for index, c in enumerate(settings.classes) if index not in settings.retired_classes]
     reaction_time_us = max(c.deadline_us for c in classes)
     objectives = [c.message_latency_objective_us for c in classes if c.message_latency_objective_us]
@@ -68,7 +70,7 @@
 
 
 def _find_utilization_column(columns: tuple[str, ...]) -> int:
-    """Find the column of load reports that holds the utilization; -1: there is none."""
+    """Find the column of load reports that holds the utilization; return -1 if there is none."""
     return (
         columns.index(UTILIZATION_COLUMN_NAME)
         if UTILIZATION_COLUMN_NAME in columns
@@ -77,14 +79,14 @@
 
 
 def _max_pending_attempts(settings: Settings) -> float:
-    """Give each node its part of what an endpoint takes in in time; infinite where there are no sockets."""
+    """Return this node's share of the pending attempts at one endpoint; infinite without sockets."""
     if not settings.discovery_call_interval_us:
         return math.inf
     return max(1, MAX_PENDING_ATTEMPTS // max(MIN_NODES_FOR_PENDING_ATTEMPTS, settings.node_count))
 
 
 class SettingsInForce:
-    """The settings by which all parts of one `Balancer` decide, with the limits derived from them."""
+    """The settings that all components of one `Balancer` use, and the limits derived from them."""
 
     __slots__ = ("limits", "settings")
 
@@ -93,6 +95,9 @@
         self.limits = derive_limits(settings)
 
     def apply(self, settings: Settings) -> None:
-        """Put settings in force; classes keep their numbers, requests in flight the terms of their class."""
+        """Replace the settings and the derived limits.
+
+        The index of a class must not change, so that requests in flight keep the settings of their class.
+        """
         self.settings = settings
         self.limits = derive_limits(settings)
--- a/tansyladder/policy/setup_failures.py
+++ b/tansyladder/policy/setup_failures.py
@@ -1,22 +1,23 @@
-"""How many of the last set-ups of connections failed: an exponentially weighted moving average.
+"""The share of recent connection set-ups that failed, as an exponentially weighted moving average.
 
-With a weight of 1 / `SETUP_FAILURE_MEMORY` for the newest outcome, rate += (outcome - rate) / memory, where
-the outcome is 1 for a set-up that timed out or got an error, and 0 for an established connection.
+The newest outcome has the weight 1 / `SETUP_FAILURE_MEMORY`: rate += (outcome - rate) / memory, where the
+outcome is 1 for a set-up that timed out or got an error, and 0 for an established connection.
 
-Endpoints fail one by one; most set-ups fail only where they all wait for the same thing, such as a store
-that they share. From `SHARED_FAILURE_RATE` on the cause is taken to be shared: then attempts are not cut
-short, backoffs widen and nothing is migrated, as all of that would only add load. The estimator does not
-know which endpoints failed, and a node without traffic learns nothing.
+Endpoints usually fail one by one. Most set-ups fail only if all endpoints wait for the same cause, such as a
+store that they share. From `SHARED_FAILURE_RATE` on, the cause is assumed to be shared. Then attempts get
+their full time, backoffs are longer and nothing is migrated, as short timeouts, quick retries and migrations
+would only add load. The estimate does not show which endpoints failed, and a node without traffic learns
+nothing.
 """
 
 from __future__ import annotations
 
-SETUP_FAILURE_MEMORY = 8  # set-ups over which the rate is averaged: so many failures in a row are no chance
-SHARED_FAILURE_RATE = 0.5  # of set-ups, from which the cause is shared: no single endpoint fails most of them
+SETUP_FAILURE_MEMORY = 8  # set-ups in the average: so many failures in a row do not happen by chance
+SHARED_FAILURE_RATE = 0.5  # a single endpoint does not cause half of all set-ups to fail
 
 
 class SetupFailureRate:
-    """The share of the last set-ups of connections that failed, 0 to 1."""
+    """The share of recent connection set-ups that failed, from 0 to 1."""
 
     __slots__ = ("rate",)
 
@@ -25,7 +26,7 @@
 
     @property
     def is_cause_shared(self) -> bool:
-        """Whether so many set-ups fail that no single endpoint can be the cause."""
+        """Whether too many set-ups fail for a single endpoint to be the cause."""
         return self.rate >= SHARED_FAILURE_RATE
 
     def record_success(self) -> None:
--- a/tansyladder/policy/tenant_quotas.py
+++ b/tansyladder/policy/tenant_quotas.py
@@ -1,8 +1,8 @@
-"""Whether a tenant has more connections than its quota.
+"""Whether a tenant has more connections than its quota allows.
 
-A node knows its own connections alone. It takes them for the mean of all nodes: a tenant is over its quota
-when connections here x number of nodes > quota. Counts are kept as connections come and go, as counting
-anew for each decision costs too much. Tenants without a quota are never over it.
+A node knows only its own connections and takes their number as the mean of all nodes: a tenant is over its
+quota if connections at this node x number of nodes > quota. The counts are updated as connections start and
+end, as counting them for each decision would cost too much. A tenant without a quota is never over it.
 """
 
 from __future__ import annotations
@@ -14,22 +14,25 @@
 
 
 class TenantQuotas:
-    """The established connections of each tenant at this node, and the quotas of all nodes together."""
+    """Counts the established connections of each tenant at this node, and compares them to the quotas.
+
+    A quota is for all nodes together.
+    """
 
     def __init__(self, in_force: SettingsInForce) -> None:
         self._in_force = in_force
         self.connections_by_tenant: Counter[int] = Counter()
 
     def add_connection(self, tenant: int) -> None:
-        """Count a connection that was established."""
+        """Count an established connection."""
         self.connections_by_tenant[tenant] += 1
 
     def remove_connection(self, tenant: int) -> None:
-        """Discount an established connection that ended."""
+        """Subtract an established connection that ended."""
         self.connections_by_tenant[tenant] -= 1
 
     def is_over_quota(self, tenant: int) -> bool:
-        """Whether a tenant has more connections at all nodes, as estimated, than its quota."""
+        """Return whether the estimated connections of a tenant at all nodes are more than its quota."""
         settings = self._in_force.settings
         quotas = settings.tenant_quotas
         quota = quotas[tenant] if tenant < len(quotas) else math.inf
--- a/tansyladder/policy/weighted_draw.py
+++ b/tansyladder/policy/weighted_draw.py
@@ -1,11 +1,13 @@
 """The score of an endpoint in a weighted draw: weighted random sampling, or weighted rendezvous hashing.
 
-    score = -ln(u) / weight,  0 < u <= 1;  the least score wins, with odds by weight (Efraimidis and Spirakis)
+    score = -ln(u) / weight, with 0 < u <= 1
 
-u is drawn at random, or it is a hash of a key with the endpoint, so that all nodes draw alike:
+The endpoint with the lowest score wins, with a probability proportional to its weight (Efraimidis and
+Spirakis). u is random, or it is a hash of a key and the endpoint, so that all nodes draw the same endpoint:
 
-- where nodes pass packets through, of the request's key, as any node must find the connection again;
-- for connections of a group, of its key, as each endpoint with any of them does the group's work.
+- in pass-through mode, a hash of the request's key, as any node must be able to find the connection again;
+- for connections of a group, a hash of the group's key, as each endpoint with connections of the group does
+  the group's work again.
 """
 
 from __future__ import annotations
@@ -27,14 +29,14 @@
         self._rng = rng
 
     def score(self, endpoint: Endpoint, request: Request, weight: float) -> float:
-        """Return the score of an endpoint with a weight above 0; the least one wins."""
-        hashed = request.group_key
+        """Return the score of an endpoint with a weight above 0; the lowest score wins."""
+        hash_key = request.group_key
         if request.key and self._in_force.settings.pass_through:
-            hashed = request.key
-        uniform = unit_hash(hashed, endpoint.hash_seed) if hashed else 1.0 - self._rng.random()
+            hash_key = request.key
+        uniform = unit_hash(hash_key, endpoint.hash_seed) if hash_key else 1.0 - self._rng.random()
         return -math.log(uniform) / weight
 
 
 def rendezvous_score(endpoint: Endpoint, key: int) -> float:
-    """Return the score of an endpoint by a key and by its whole weight, alike at every node."""
+    """Return the score of an endpoint by a key and its full weight. It is the same at every node."""
     return -math.log(unit_hash(key, endpoint.hash_seed)) / endpoint.weight
