--- a/tansyladder/simulator/__init__.py
+++ b/tansyladder/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that runs the decision module on the simulator's wire format."""
+"""Adapter that runs the policy on the simulator's wire format."""
--- a/tansyladder/simulator/host.py
+++ b/tansyladder/simulator/host.py
@@ -1,4 +1,4 @@
-"""The loop that hosts isolated instances of the decision module on the simulator's wire."""
+"""Hosts isolated instances of the policy and serves them over the simulator's wire format."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class InstanceHost:
-    """The instances that have started and were not killed. Owned by one thread."""
+    """Holds the instances that have started and were not killed. Owned by one thread."""
 
     __slots__ = ("_instances",)
 
@@ -30,14 +30,14 @@
         self._instances: dict[int, Balancer] = {}
 
     def run_batch(self, now: int, records: Iterable[InstanceRecord]) -> bytes:
-        """Hand each instance its events, in order, and encode what it decides.
+        """Pass each instance its events, in order, and encode the actions it returns.
 
         Args:
-            now: The moment of the batch, in microseconds.
-            records: Events of any instances.
+            now: The time of the batch, in microseconds.
+            records: Events and the instances that they are for, which may be mixed.
 
         Returns:
-            The records of all actions, instance by instance.
+            The encoded records of all actions, grouped by instance.
 
         Raises:
             WireError: An event is for an instance that has not started.
@@ -47,7 +47,7 @@
         reply: list[bytes] = []
         for instance, event in records:
             if isinstance(event, Start):
-                # Events that came before it are for the process that ran under this number until now.
+                # Earlier events of this batch belong to the process that had this number before the start.
                 reply += self._decide(instance, now, events_by_instance.pop(instance, []))
                 self._instances[instance] = Balancer(read_settings(event.settings), event.seed, now)
             elif isinstance(event, Stop):
@@ -62,7 +62,7 @@
         return b"".join(reply)
 
     def _decide(self, instance: int, now: int, events: list[Event]) -> list[bytes]:
-        """Hand an instance its events, and encode what it decides."""
+        """Pass an instance its events and encode the actions it returns."""
         if not events:
             return []
         balancer = self._instances.get(instance)
@@ -72,28 +72,30 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Reply to batches until the input ends.
 
     Raises:
-        WireError: The input does not follow the wire.
+        WireError: The input does not conform to the wire format.
         SettingsError: An instance starts with settings that can't be used.
     """
     host = InstanceHost()
     header_size = BATCH_HEADER.size
     while header := source.read(header_size):
         if len(header) < header_size:
-            raise WireError("the input ends within a header")
+            raise WireError(
+                f"the input ended within a batch header, after {len(header)} of {header_size} bytes"
+            )
         size, count, now = BATCH_HEADER.unpack(header)
         body = source.read(size)
         if len(body) < size:
-            raise WireError("the input ends within a batch")
+            raise WireError(f"the input ended within a batch, after {len(body)} of {size} bytes of records")
         reply = host.run_batch(now, read_batch(count, body))
         sink.write(REPLY_HEADER.pack(len(reply)) + reply)
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input; print in one line what is wrong with it.
+    """Serve standard input; if it can't be used, print the error as one line on standard error.
 
     Returns:
         The exit code: 0 when the input ended, 1 when it could not be used.
--- a/tansyladder/simulator/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -1,7 +1,8 @@
-"""Codec of the simulator's wire: bytes to events, actions to bytes. No decision is made here.
+"""Codec of the simulator's wire format: decodes events and encodes actions. It makes no decisions.
 
-A batch is a row of records. Each has a code and the length of its body; a body begins with the number of the
-instance that it is for. All numbers are big-endian; moments and spans are in microseconds.
+A batch is a sequence of records. The header of a record holds its code and the length of its body. Each body
+begins with the number of the instance that the record belongs to. All numbers are big-endian; timestamps and
+durations are in microseconds.
 """
 
 from __future__ import annotations
@@ -47,36 +48,36 @@
 
 
 class WireError(Exception):
-    """A batch that does not follow the wire."""
+    """Input that does not conform to the wire format."""
 
 
 class Start(NamedTuple):
-    """An instance starts."""
+    """The start of an instance."""
 
     seed: int
-    settings: str  # as `read_settings` takes them
+    settings: str  # in the format that `read_settings` parses
 
 
 class Stop(NamedTuple):
-    """An instance was killed."""
+    """The end of an instance, which was killed."""
 
 
 InstanceEvent = Union[Start, Stop, Event]
 
 
 class InstanceRecord(NamedTuple):
-    """An event and the instance that it is for."""
+    """An event and the number of the instance that it is for."""
 
     instance: int
     event: InstanceEvent
 
 
-BATCH_HEADER = struct.Struct(">IIQ")  # length of the records, their number, the moment
-REPLY_HEADER = struct.Struct(">I")  # length of the records
-RECORD_HEADER = struct.Struct(">HI")  # code, length of the body
-RECORD_START = struct.Struct(">HIH")  # the header, and the instance that each body begins with
+BATCH_HEADER = struct.Struct(">IIQ")  # length of the records in bytes, number of records, time
+REPLY_HEADER = struct.Struct(">I")  # length of the records in bytes
+RECORD_HEADER = struct.Struct(">HI")  # code, length of the body in bytes
+RECORD_START = struct.Struct(">HIH")  # the header and the instance number that begins each body
 
-# Bodies of events; the instance that they begin with is skipped, as `read_batch` has it already.
+# Bodies of events. `2x` skips the instance number, which `read_batch` has read already.
 START = struct.Struct(">2xQI")
 LIST_UPDATE = struct.Struct(">2xQBI")
 ENDPOINT = struct.Struct(">QHIfBHB")
@@ -89,10 +90,10 @@
 TIMER = struct.Struct(">2xI")
 HEALTH_CHECK = struct.Struct(">2xHIIB")
 PEER_MESSAGE = struct.Struct(">2xIH")
-STOP_LENGTH = 2
-UTILIZATION_BYTES = 4  # of each figure of a load report
+STOP_BODY_BYTES = 2
+LOAD_VALUE_BYTES = 4  # of each value in a load report
 
-# Bits of the flags of requests and adopted connections.
+# Bits in the flags of requests and of adopted connections.
 HAS_LOAD_HINT = 1
 IS_RETRY = 2
 IS_MIDSTREAM = 8
@@ -110,14 +111,14 @@
 
 
 class _MembersByNumber(dict[int, Member]):
-    """The members of an enum by their number on the wire, as a call of the enum for each record is slow."""
+    """Maps wire numbers to members of an enum, as calling the enum for each record is slow."""
 
     def __init__(self, enum: type[Member]) -> None:
         super().__init__((member.value, member) for member in enum)
         self._enum = enum
 
     def __missing__(self, number: int) -> Member:
-        """Raise the enum's ValueError for a number that is none of its members."""
+        """Raise the enum's ValueError for a number that belongs to no member."""
         return self._enum(number)
 
 
@@ -125,26 +126,32 @@
 ATTEMPT_STATUSES = _MembersByNumber(AttemptStatus)
 
 
-def _unpack_exactly(form: struct.Struct, body: memoryview) -> tuple[Any, ...]:
-    """Unpack a body of exactly the length of its form."""
-    if len(body) != form.size:
-        raise WireError(f"a record of {len(body)} bytes where {form.size} are due")
-    return form.unpack(body)
+def _unpack_exactly(layout: struct.Struct, body: memoryview) -> tuple[Any, ...]:
+    """Unpack a body that must have exactly the length of its layout."""
+    if len(body) != layout.size:
+        raise WireError(f"record body is {len(body)} bytes, expected {layout.size}")
+    return layout.unpack(body)
 
 
 def _read_start(body: memoryview) -> Start:
     """Decode the start of an instance."""
     seed, size = START.unpack_from(body)
     if len(body) != START.size + size:
-        raise WireError("the settings' length does not fit the record")
+        raise WireError(
+            f"start record body is {len(body)} bytes, "
+            f"expected {START.size + size} with {size} bytes of settings"
+        )
     return Start(seed, bytes(body[START.size :]).decode())
 
 
 def _read_list_update(body: memoryview) -> EndpointListUpdate:
-    """Decode discovery's list, or changes to it."""
+    """Decode the endpoint list of discovery, or changes to it."""
     version, kind, count = LIST_UPDATE.unpack_from(body)
     if len(body) != LIST_UPDATE.size + count * ENDPOINT.size:
-        raise WireError("the list's length does not fit the record")
+        raise WireError(
+            f"endpoint list record body is {len(body)} bytes, "
+            f"expected {LIST_UPDATE.size + count * ENDPOINT.size} with {count} endpoints"
+        )
     updates = tuple(
         EndpointUpdate(endpoint_id, zone, cell, endpoint_kind, weight, ENDPOINT_STATES[state], ready_at)
         for ready_at, cell, endpoint_id, weight, zone, endpoint_kind, state in ENDPOINT.iter_unpack(
@@ -174,7 +181,7 @@
 
 
 def _read_connection_adopted(body: memoryview) -> ConnectionAdopted:
-    """Decode a connection that was established before the start."""
+    """Decode a connection that was established before the instance's start."""
     request_id, group_key, key, _deadline, endpoint_id, class_index, tenant, load_hint, flags = (
         _unpack_exactly(ADOPTED, body)
     )
@@ -183,25 +190,28 @@
 
 
 def _read_attempt_established(body: memoryview) -> AttemptEstablished:
-    """Decode that the connection of an attempt is established."""
+    """Decode the establishment of an attempt's connection."""
     return AttemptEstablished(*_unpack_exactly(ESTABLISHED, body))
 
 
 def _read_connection_report(body: memoryview) -> ConnectionReport:
-    """Decode the report of a connection's load or delay."""
+    """Decode a report of a connection's load or delay."""
     request_id, kind, attempt, value, endpoint_id = _unpack_exactly(REPORT, body)
     return ConnectionReport(request_id, kind, attempt, endpoint_id, value)
 
 
 def _read_load_report(body: memoryview, start: int, count: int) -> tuple[float, ...]:
-    """Decode the figures of a load report, which end a body."""
-    if len(body) != start + UTILIZATION_BYTES * count:
-        raise WireError("the report's length does not fit the record")
+    """Decode the values of a load report, which are the last part of a body."""
+    if len(body) != start + LOAD_VALUE_BYTES * count:
+        raise WireError(
+            f"record body is {len(body)} bytes, "
+            f"expected {start + LOAD_VALUE_BYTES * count} with a load report of {count} values"
+        )
     return struct.unpack_from(f">{count}f", body, start) if count else ()
 
 
 def _read_attempt_ended(body: memoryview) -> AttemptEnded:
-    """Decode how an attempt ended."""
+    """Decode the end of an attempt."""
     request_id, attempt, endpoint_id, status, latency, is_closed, count = ATTEMPT_ENDED.unpack_from(body)
     load = _read_load_report(body, ATTEMPT_ENDED.size, count)
     return AttemptEnded(
@@ -210,38 +220,41 @@
 
 
 def _read_client_disconnected(body: memoryview) -> ClientDisconnected:
-    """Decode that a client left."""
+    """Decode the disconnection of a client."""
     return ClientDisconnected(*_unpack_exactly(DISCONNECTED, body))
 
 
 def _read_timer_expired(body: memoryview) -> TimerExpired:
-    """Decode that a timer has expired."""
+    """Decode the expiry of a timer."""
     return TimerExpired(*_unpack_exactly(TIMER, body))
 
 
 def _read_health_check_result(body: memoryview) -> HealthCheckResult:
-    """Decode how a health check ended."""
+    """Decode the result of a health check."""
     status, latency, endpoint_id, count = HEALTH_CHECK.unpack_from(body)
     load = _read_load_report(body, HEALTH_CHECK.size, count)
     return HealthCheckResult(endpoint_id, ATTEMPT_STATUSES[status], latency, load)
 
 
 def _read_peer_message(body: memoryview) -> PeerMessage:
-    """Decode another node's message."""
+    """Decode a message from another node."""
     sender, size = PEER_MESSAGE.unpack_from(body)
     if len(body) != PEER_MESSAGE.size + size:
-        raise WireError("the payload's length does not fit the record")
+        raise WireError(
+            f"peer message record body is {len(body)} bytes, "
+            f"expected {PEER_MESSAGE.size + size} with a payload of {size} bytes"
+        )
     return PeerMessage(sender, bytes(body[PEER_MESSAGE.size :]))
 
 
 def _read_stop(body: memoryview) -> Stop:
-    """Decode that an instance was killed."""
-    if len(body) != STOP_LENGTH:
-        raise WireError("a stop record of the wrong length")
+    """Decode the end of an instance."""
+    if len(body) != STOP_BODY_BYTES:
+        raise WireError(f"stop record body is {len(body)} bytes, expected {STOP_BODY_BYTES}")
     return Stop()
 
 
-READERS: dict[int, Callable[[memoryview], InstanceEvent]] = {  # by the code of the record
+READERS: dict[int, Callable[[memoryview], InstanceEvent]] = {  # by record code
     1: _read_start,
     2: _read_list_update,
     3: _read_request,
@@ -261,12 +274,12 @@
     """Decode the records of one batch.
 
     Raises:
-        WireError: The batch does not hold just so many well-formed records.
+        WireError: The batch does not consist of exactly `count` well-formed records.
     """
     records: list[InstanceRecord] = []
     view = memoryview(body)
     length = len(body)
-    unpack_record_start = RECORD_START.unpack_from  # this loop runs once for each event of a simulation
+    unpack_record_start = RECORD_START.unpack_from  # bound once: the loop runs for each event of a simulation
     header_size = RECORD_HEADER.size
     position = 0
     try:
@@ -275,22 +288,25 @@
             start = position + header_size
             position = start + size
             if position > length:
-                raise WireError("a record runs past the batch")
+                raise WireError(
+                    f"record {len(records) + 1} of {count} ends at byte {position}, "
+                    f"after the end of the batch at byte {length}"
+                )
             reader = READERS.get(code)
             if reader is None:
-                raise WireError(f"unknown record code {code}")
+                raise WireError(f"record {len(records) + 1} of {count} has the unknown code {code}")
             records.append(InstanceRecord(instance, reader(view[start:position])))
     except (struct.error, ValueError) as err:
-        raise WireError(f"malformed record: {err}") from err
+        raise WireError(f"record {len(records) + 1} of {count} is malformed: {err}") from err
     if position != length:
-        raise WireError(f"{length - position} bytes are left over after the last record")
+        raise WireError(f"batch has {length - position} bytes left after its {count} records, expected none")
     return records
 
 
 def _action_packer(code: int, fields: str) -> Callable[..., bytes]:
-    """Make a function that encodes an action of fixed length from its instance and its fields."""
-    form = struct.Struct(RECORD_START.format + fields)
-    return partial(form.pack, code, form.size - RECORD_HEADER.size)
+    """Return a function that encodes a record of fixed length from its instance and the action's fields."""
+    layout = struct.Struct(RECORD_START.format + fields)
+    return partial(layout.pack, code, layout.size - RECORD_HEADER.size)
 
 
 _pack_start_attempt = _action_packer(65, "QIi")
@@ -310,12 +326,12 @@
 
 
 def _write_reject(instance: int, action: Reject) -> bytes:
-    """Encode a rejection."""
+    """Encode the rejection of a request."""
     return _pack_reject(instance, action.request_id, max(0, min(action.retry_after_us, MAX_UINT32)))
 
 
 def _write_fail(instance: int, action: Fail) -> bytes:
-    """Encode a failure."""
+    """Encode the failure of a request."""
     return _pack_fail(instance, action.request_id)
 
 
@@ -335,7 +351,7 @@
 
 
 def _write_poll_discovery(instance: int, action: PollDiscovery) -> bytes:
-    """Encode the start or the end of polls of discovery."""
+    """Encode whether discovery is to be polled."""
     return _pack_poll_discovery(instance, action.is_enabled)
 
 
@@ -345,14 +361,14 @@
 
 
 def _write_peer_message(instance: int, action: SendPeerMessage) -> bytes:
-    """Encode a message to one peer or to all."""
+    """Encode a message to one peer or to all peers."""
     peer = ALL_PEERS if action.peer_index is None else action.peer_index
     body = struct.pack(">HIH", instance, peer, len(action.data)) + action.data
     return RECORD_HEADER.pack(PEER_MESSAGE_CODE, len(body)) + body
 
 
 def _write_log(instance: int, action: Log) -> bytes:
-    """Encode a line for the log, cut to its greatest length."""
+    """Encode a log line, cut to `MAX_LOG_BYTES`."""
     text = action.text.encode()[:MAX_LOG_BYTES]
     body = struct.pack(">HH", instance, len(text)) + text
     return RECORD_HEADER.pack(LOG_CODE, len(body)) + body
@@ -378,7 +394,7 @@
 
 
 def read_settings(text: str) -> Settings:
-    """Build settings from lines of a path and a value, as in `classes.0.slo=300000`.
+    """Build settings from lines of the form `path=value`, such as `classes.0.slo=300000`.
 
     Raises:
         SettingsError: A value is missing or can't be used.
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -1,4 +1,4 @@
-"""Builders of settings, endpoints and reports, and a driver that plays events to a `Balancer`."""
+"""Builders of settings, endpoints and events, and a driver that runs a `Balancer` on a simulated clock."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 )
 from tansyladder.policy.settings import ClassSettings, Settings
 
-MILLISECOND = 1000  # us, as all spans and moments here
+MILLISECOND = 1000  # in microseconds, as are all times and durations here
 SECOND = 1_000_000
 START_TIME = 1000 * SECOND
 LATENCY_OBJECTIVE = 400 * MILLISECOND
@@ -39,7 +39,7 @@
     "deduplication_window_us": 5 * SECOND,
     "message_latency_objective_us": 150 * MILLISECOND,
 }
-CLASS_FIELDS = (  # what `make_settings` takes for the one class; the rest is of all classes
+CLASS_FIELDS = (  # that `make_settings` passes to the one class; all others go to `Settings`
     "idempotency",
     "deduplication_scope",
     "deduplication_window_us",
@@ -56,13 +56,13 @@
     "can_send_retry_after": True,
     "max_retry_after_us": 10 * SECOND,
 }
-LOAD_REPORTS: dict[str, Any] = {"can_check_health": True, "report_columns": ("active", "x0")}
+LOAD_REPORT_SETTINGS: dict[str, Any] = {"can_check_health": True, "report_columns": ("active", "x0")}
 
 ActionType = TypeVar("ActionType", bound=Action)
 
 
 def make_settings(**changes: Any) -> Settings:
-    """Settings with one class; fields of the class are recognized by their names."""
+    """Return settings with one class; changes that are named in `CLASS_FIELDS` are made to the class."""
     class_changes = {name: changes.pop(name) for name in CLASS_FIELDS if name in changes}
     only_class = ClassSettings(**{**CLASS_DEFAULTS, **class_changes})
     return Settings(**{"classes": (only_class,), **SETTINGS_DEFAULTS, **changes})
@@ -75,7 +75,7 @@
     ready_at: int = 0,
     **changes: Any,
 ) -> EndpointUpdate:
-    """An endpoint as discovery lists it; its cell is the zone's number and its weight 1 by default."""
+    """Return an endpoint as discovery lists it; by default its cell is the zone's number, its weight 1."""
     cell = changes.get("cell", zone)
     weight = changes.get("weight", 1.0)
     return EndpointUpdate(
@@ -90,14 +90,14 @@
 
 
 def endpoints(first: int, last: int, **changes: Any) -> list[EndpointUpdate]:
-    """Endpoints with the numbers from the first to the last."""
+    """Return endpoints numbered from the first to the last, both included."""
     return [endpoint(number, **changes) for number in range(first, last + 1)]
 
 
 def adopted(
     request_id: int, endpoint_id: int, load_hint: int | None = None, tenant: int = 0, group_key: int = 0
 ) -> ConnectionAdopted:
-    """A connection that was established before the balancer's start."""
+    """Return the event of a connection that was established before the balancer's start."""
     return ConnectionAdopted(
         request_id=request_id,
         class_index=0,
@@ -110,7 +110,7 @@
 
 
 def delay_report(request_id: int, endpoint_id: int, delay_ms: float) -> ConnectionReport:
-    """An endpoint's own report of the delay of a connection's messages."""
+    """Return an endpoint's own report of the delay of a connection's messages."""
     return ConnectionReport(
         request_id=request_id,
         kind=ReportKind.REPORTED_DELAY,
@@ -121,19 +121,19 @@
 
 
 def list_update(kind: ListUpdateKind, *updates: EndpointUpdate) -> EndpointListUpdate:
-    """Discovery's list of endpoints, or changes to it."""
+    """Return discovery's list of endpoints, or changes to it."""
     return EndpointListUpdate(kind=kind, endpoints=updates)
 
 
 def established(start: StartAttempt, attempt: int = 0, latency_us: int = MILLISECOND) -> AttemptEstablished:
-    """The connection of an attempt is established, by default of a request's first attempt."""
+    """Return the event of an established connection, by default of a request's first attempt."""
     return AttemptEstablished(
         request_id=start.request_id, attempt=attempt, endpoint_id=start.endpoint_id, latency_us=latency_us
     )
 
 
 def utilization_report(endpoint_id: int, utilization: float, connections: float = 1.0) -> HealthCheckResult:
-    """The answer to a health check, with the load report of `LOAD_REPORTS`."""
+    """Return the result of a health check with the load report columns of `LOAD_REPORT_SETTINGS`."""
     return HealthCheckResult(
         endpoint_id=endpoint_id,
         status=AttemptStatus.OK,
@@ -143,14 +143,14 @@
 
 
 class SentRequest(NamedTuple):
-    """A request that was sent, and what the balancer did at once."""
+    """A request that was sent, and the actions that the balancer returned for it."""
 
     request_id: int
     actions: list[Action]
 
 
 class LoggedAction(NamedTuple):
-    """An action and its moment."""
+    """An action and its time."""
 
     at: int
     action: Action
@@ -164,7 +164,7 @@
 
 
 class BalancerDriver:
-    """A Balancer with a clock that plays due timers in order."""
+    """A `Balancer` with a simulated clock, which delivers due timers in order."""
 
     def __init__(self, endpoints: list[EndpointUpdate], seed: int = 1, **changes: Any) -> None:
         self.settings = make_settings(**changes)
@@ -172,19 +172,23 @@
         self.balancer = Balancer(settings=self.settings, seed=seed, now=self.now)
         self.pending_timers: list[PendingTimer] = []
         self.action_log: list[LoggedAction] = []
-        self.next_id = 1
+        self.next_request_id = 1
         self.deliver(EndpointListUpdate(kind=ListUpdateKind.CACHED, endpoints=tuple(endpoints)))
 
     def endpoint(self, endpoint_id: int) -> Endpoint:
-        """The balancer's record of an endpoint."""
+        """Return the balancer's record of an endpoint."""
         return self.balancer.parts.endpoints.by_id[endpoint_id]
 
     def backoff(self, key: int) -> Backoff:
-        """The backoff of a key; KeyError where it has none."""
+        """Return the backoff of a key.
+
+        Raises:
+            KeyError: The key has no backoff.
+        """
         return self.balancer.parts.requests.backoffs[key]
 
     def deliver(self, *events: Event) -> list[Action]:
-        """Hand events over now, and return the actions that follow, timers aside."""
+        """Deliver events at the current time, and return the actions that follow except timers."""
         actions: list[Action] = []
         for action in self.balancer.handle(self.now, list(events)):
             if isinstance(action, SetTimer):
@@ -195,7 +199,7 @@
         return actions
 
     def run_until(self, until: int) -> list[Action]:
-        """Play timers up to a moment, and return the actions that follow."""
+        """Deliver the timers due up to a time, and return the actions that follow."""
         logged_before = len(self.action_log)
         while self.pending_timers and min(self.pending_timers).due_at <= until:
             timer = min(self.pending_timers)
@@ -206,7 +210,7 @@
         return [logged.action for logged in self.action_log[logged_before:]]
 
     def run_to_next_action(self, limit: int = 10 * SECOND) -> list[Action]:
-        """Play timers until actions follow from one of them."""
+        """Deliver timers until actions follow or a time limit is reached, and return the actions."""
         end = self.now + limit
         while self.pending_timers and min(self.pending_timers).due_at <= end:
             actions = self.run_until(min(self.pending_timers).due_at)
@@ -214,16 +218,16 @@
                 return actions
         return []
 
-    def send_request(self, key: int = 7, left: int = DEADLINE, **changes: Any) -> SentRequest:
-        """Send a request with so much time left until its deadline."""
-        request_id = self.next_id
-        self.next_id += 1
+    def send_request(self, key: int = 7, time_left: int = DEADLINE, **changes: Any) -> SentRequest:
+        """Send a request whose deadline is `time_left` from now."""
+        request_id = self.next_request_id
+        self.next_request_id += 1
         tenant = changes.pop("tenant", 0)
         request = RequestReceived(
             request_id=request_id,
             class_index=0,
             tenant=tenant,
-            deadline_us=self.now + left,
+            deadline_us=self.now + time_left,
             key=key,
             **changes,
         )
@@ -236,7 +240,7 @@
         status: AttemptStatus = AttemptStatus.CONNECT_FAILED,
         after: int = MILLISECOND,
     ) -> list[Action]:
-        """Let an attempt fail some time after now."""
+        """Advance the clock and let an attempt fail then."""
         self.now += after
         return self.deliver(
             AttemptEnded(
@@ -251,12 +255,12 @@
 
 
 def of_type(actions: Iterable[Action], action_type: type[ActionType]) -> list[ActionType]:
-    """The actions of a type, in order."""
+    """Return the actions of a type, in order."""
     return [action for action in actions if isinstance(action, action_type)]
 
 
 def only_attempt(actions: list[Action]) -> StartAttempt:
-    """The one attempt that is started among actions."""
+    """Return the attempt among actions, and check that there is exactly one."""
     starts = of_type(actions, StartAttempt)
     assert len(starts) == 1, actions
     return starts[0]
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -1,4 +1,4 @@
-"""The mechanism: spans, no overlap of generations, the count's life, refusals."""
+"""The backoff of retries: its intervals, its attempt count, and rejections when no retry is possible."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     only_attempt,
 )
 
-FLEET = endpoints(1, 8)
+ENDPOINTS = endpoints(1, 8)
 
 
 def test_delays_span_the_whole_interval() -> None:
@@ -37,17 +37,17 @@
         assert 0.45 < sum(delays) / len(delays) < 0.55
 
 
-def test_retries_of_successive_failures_never_overlap() -> None:
+def test_intervals_of_successive_failures_never_overlap() -> None:
     for seed in range(200):
         rng = Random(seed)
         backoff = Backoff()
-        last_end = START_TIME
+        previous_end = START_TIME
         for attempt in range(1, 8):
             failed_at = backoff.retry_at or START_TIME
             backoff.record_failure(failed_at, 1000, 10, rng)
-            assert last_end <= backoff.retry_at <= backoff.interval_end
-            assert backoff.interval_end == last_end + (1000 << attempt)
-            last_end = backoff.interval_end
+            assert previous_end <= backoff.retry_at <= backoff.interval_end
+            assert backoff.interval_end == previous_end + (1000 << attempt)
+            previous_end = backoff.interval_end
 
 
 def test_the_attempt_number_is_capped() -> None:
@@ -57,18 +57,18 @@
     assert backoff.attempt == 4
 
 
-def test_retries_keep_to_their_intervals() -> None:
+def test_retries_start_at_the_time_drawn_from_their_interval() -> None:
     for seed in range(60):
-        node = BalancerDriver(FLEET, seed)
+        node = BalancerDriver(ENDPOINTS, seed)
         _, actions = node.send_request()
         start = only_attempt(actions)
         attempt = 0
-        last_end = 0
+        previous_end = 0
         while True:
             actions = node.fail_attempt(start, attempt)
             backoff = node.backoff(7)
-            assert backoff.retry_at >= last_end
-            last_end = backoff.interval_end
+            assert backoff.retry_at >= previous_end
+            previous_end = backoff.interval_end
             actions = actions or node.run_to_next_action()
             if isinstance(actions[-1], Reject):
                 break
@@ -77,8 +77,8 @@
             assert node.now == backoff.retry_at
 
 
-def test_the_backoff_survives_a_drop_and_is_cleared_by_a_lasting_connection() -> None:
-    node = BalancerDriver(FLEET)
+def test_a_lost_connection_keeps_the_backoff_and_a_lasting_one_clears_it() -> None:
+    node = BalancerDriver(ENDPOINTS)
     request_id, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
     start = only_attempt(node.run_to_next_action())
@@ -114,8 +114,8 @@
     assert 7 not in node.balancer.parts.requests.backoffs
 
 
-def test_a_client_that_comes_again_within_its_interval_waits_for_its_retry() -> None:
-    node = BalancerDriver(FLEET)
+def test_a_request_within_the_backoff_of_its_key_waits_for_the_retry_time() -> None:
+    node = BalancerDriver(ENDPOINTS)
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
     retry_at = node.backoff(7).retry_at
@@ -126,8 +126,8 @@
 
 
 def test_two_requests_of_one_key_are_both_answered() -> None:
-    """The key's interval moves on with the second; the first must still be tried at its own time."""
-    node = BalancerDriver(FLEET)
+    """The second failure moves the key's interval; the first request must still be retried at its time."""
+    node = BalancerDriver(ENDPOINTS)
     first, actions = node.send_request()
     second, second_actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
@@ -139,23 +139,23 @@
     assert {first, second} <= answered
 
 
-def test_a_retry_after_the_deadline_is_rejected_with_the_rest_of_the_interval() -> None:
-    node = BalancerDriver(FLEET)
-    request_id, actions = node.send_request(left=30 * MILLISECOND)
+def test_a_request_that_cannot_be_retried_in_time_is_rejected_until_the_interval_ends() -> None:
+    node = BalancerDriver(ENDPOINTS)
+    request_id, actions = node.send_request(time_left=30 * MILLISECOND)
     last_actions = node.fail_attempt(only_attempt(actions), 0)
     for _ in range(4):
         if last_actions and isinstance(last_actions[0], Reject):
             break
         last_actions = node.run_to_next_action()
     else:
-        raise AssertionError("no refusal")
+        raise AssertionError("the request was not rejected within 5 attempts")
     assert last_actions[0] == Reject(
         request_id=request_id, retry_after_us=node.backoff(7).interval_end - node.now
     )
 
 
-def test_attempts_run_out() -> None:
-    node = BalancerDriver(FLEET, max_attempts=2)
+def test_a_request_is_rejected_after_its_last_attempt() -> None:
+    node = BalancerDriver(ENDPOINTS, max_attempts=2)
     request_id, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
     actions = node.fail_attempt(only_attempt(node.run_to_next_action()), 1)
@@ -163,8 +163,8 @@
     assert actions[0].request_id == request_id
 
 
-def test_without_a_key_the_backoff_is_the_requests_own() -> None:
-    node = BalancerDriver(FLEET)
+def test_a_request_without_a_key_has_its_own_backoff() -> None:
+    node = BalancerDriver(ENDPOINTS)
     _, actions = node.send_request(key=0)
     node.fail_attempt(only_attempt(actions), 0)
     assert only_attempt(node.run_to_next_action())
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Where no delays are reported, the latency of health checks stands in for them."""
+"""Health checks, and how their latency reveals delays at endpoints that report none."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def checked_node() -> BalancerDriver:
-    """A node of two endpoints with forty connections on the first, which answers a health check in 5 ms."""
+    """Return a node of two endpoints; the first has 40 connections and answered a health check in 5 ms."""
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     for request_id in range(1, 41):
         node.deliver(adopted(request_id, 1))
@@ -44,7 +44,7 @@
 def answer_check(
     node: BalancerDriver, latency: int, status: AttemptStatus = AttemptStatus.OK
 ) -> list[Action]:
-    """Let the node check the first endpoint, which answers so slowly; what else the node does at once."""
+    """Answer the next health check of the first endpoint, and return the actions that follow at once."""
     while not node.endpoint(1).is_check_in_flight:
         node.run_to_next_action()
     node.now += latency
@@ -59,7 +59,7 @@
 
 
 def selected_endpoints(node: BalancerDriver, first_key: int, last_key: int) -> set[int]:
-    """The endpoints that requests with these keys are sent to at once."""
+    """Return the endpoints at which requests with these keys are attempted at once."""
     actions = [
         action for key in range(first_key, last_key + 1) for action in node.send_request(key=key).actions
     ]
@@ -82,14 +82,14 @@
 
 
 @pytest.mark.parametrize(
-    ("nodes", "endpoint_count", "max_checks_per_second"),
+    ("node_count", "endpoint_count", "max_checks_per_second"),
     [(3, 12, 3.3), (10, 12, 7.4), (40, 60, 7.4), (66, 60, 7.4), (40, 2000, 7.4)],
 )
 def test_health_checks_of_all_nodes_at_an_endpoint_are_bounded(
-    nodes: int, endpoint_count: int, max_checks_per_second: float
+    node_count: int, endpoint_count: int, max_checks_per_second: float
 ) -> None:
-    """Forty nodes that each check once a second keep endpoints so busy with it that they look slow."""
-    interval = health_check_interval(nodes).total_seconds()
+    """Forty nodes that each checked an endpoint once a second kept it so busy that it looked slow."""
+    interval = health_check_interval(node_count).total_seconds()
     assert interval <= 60
     node = BalancerDriver(
         [endpoint(number) for number in range(endpoint_count)],
@@ -109,15 +109,14 @@
                 if isinstance(action, CheckHealth)
             )
         )
-    assert 0 < check_count <= 30 * 20 + 1  # of one node, at any size of the list
-    assert check_count / 30 / endpoint_count * nodes <= max_checks_per_second
+    assert 0 < check_count <= 30 * 20 + 1  # by one node, however long the list is
+    assert check_count / 30 / endpoint_count * node_count <= max_checks_per_second
 
 
 def test_answers_far_slower_than_the_best_migrate_connections() -> None:
     node = checked_node()
-    assert answer_check(node, 40 * MILLISECOND) == [
-        CheckHealth(endpoint_id=1)
-    ]  # once may be chance: checked again
+    # One slow answer may be chance, so the endpoint is checked again.
+    assert answer_check(node, 40 * MILLISECOND) == [CheckHealth(endpoint_id=1)]
     answer_check(node, 40 * MILLISECOND)
     assert node.endpoint(1).ejection.attempt == 1
     migrations = of_type(node.run_until(node.now + 3 * SECOND), Migrate)
@@ -127,8 +126,8 @@
     assert actions[0].endpoint_id == 2
 
 
-def test_an_endpoint_that_answers_far_too_soon_hangs_and_keeps_its_best_latency() -> None:
-    """Taken for its best, the quick answer of a hanging endpoint makes it count as slow ever after."""
+def test_an_answer_far_faster_than_the_best_ejects_and_keeps_the_best() -> None:
+    """If the quick answer of an endpoint that hangs became its best, it would look slow for good."""
     node = checked_node()
     for _ in range(10):
         answer_check(node, 5 * MILLISECOND)
@@ -143,11 +142,11 @@
     assert not node.balancer.parts.load.is_delayed(hanging)
     for _ in range(40):
         answer_check(node, MILLISECOND)
-    assert hanging.best_latency_us == MILLISECOND  # this continues: the best was measured in a bad time
+    assert hanging.best_latency_us == MILLISECOND  # it stays fast: the old best was measured under load
 
 
-def test_a_short_latency_may_vary_by_some_milliseconds() -> None:
-    """Three times a best of 1 ms is still within what chance adds."""
+def test_a_short_latency_may_vary_by_a_few_milliseconds() -> None:
+    """Where the best is 1 ms, three times as much is still within normal variation."""
     node = checked_node()
     for latency in (MILLISECOND, 3 * MILLISECOND, 3 * MILLISECOND):
         answer_check(node, latency)
@@ -165,7 +164,7 @@
 
 
 def test_a_delay_counts_until_the_next_health_check() -> None:
-    """Checked every six seconds, an endpoint must not count as sound after two, and be filled again."""
+    """With a check each 6 s, a slow endpoint must not count as healthy after 2 s and be filled again."""
     node = BalancerDriver(endpoints(1, 4), can_check_health=True, health_check_interval_us=6 * SECOND)
     for latency in (5 * MILLISECOND, 90 * MILLISECOND, 90 * MILLISECOND):
         answer_check(node, latency)
@@ -176,21 +175,21 @@
     assert 1 in selected_endpoints(node, 99, 114)
 
 
-def test_few_samples_tell_an_outlier_from_a_sound_endpoint() -> None:
-    """Of many nodes each checks an endpoint once in six seconds, and has a handful of answers to go by."""
+def test_few_samples_distinguish_an_outlier_from_a_healthy_endpoint() -> None:
+    """In a large cluster a node checks an endpoint once in 6 s and must judge it by a few answers."""
     ejections = 0
     for seed in range(100):
         rng = random.Random(seed)
         node = BalancerDriver(
             [endpoint(1), endpoint(2)], seed, can_check_health=True, health_check_interval_us=6 * SECOND
         )
-        sound_answers = 1 + seed % 5
-        for _ in range(sound_answers):  # one in twenty is late by chance
+        healthy_answer_count = 1 + seed % 5
+        for _ in range(healthy_answer_count):  # one answer in twenty is late by chance
             latency = 5 * MILLISECOND * rng.uniform(1, 1.5) * (8 if rng.random() < 0.05 else 1)
             answer_check(node, int(latency))
         ejections += node.endpoint(1).ejection.attempt
         end_ejection(node, 1)
-        for _ in range(2):  # it has become slow: the second answer, asked for at once, decides
+        for _ in range(2):  # the endpoint has become slow; the second check follows at once and decides
             answer_check(node, int(5 * MILLISECOND * rng.uniform(3.2, 8.4)))
         assert node.endpoint(1).ejection.attempt == 1 or node.endpoint(1).best_latency_us > 8 * MILLISECOND
     assert ejections <= 2
@@ -211,11 +210,14 @@
     assert not of_type(node.run_until(node.now + 3 * SECOND), Migrate)
 
 
-@pytest.mark.parametrize(("nodes", "max_pending"), [(3, 8), (10, 2), (40, 1), (100, 1)])
-def test_a_burst_waits_at_the_node_and_not_at_an_endpoint(nodes: int, max_pending: int) -> None:
-    """After a restart all clients come at once; what times out in an endpoint's queue costs it its work."""
+@pytest.mark.parametrize(("node_count", "max_pending"), [(3, 8), (10, 2), (40, 1), (100, 1)])
+def test_a_burst_waits_at_the_node_and_not_at_an_endpoint(node_count: int, max_pending: int) -> None:
+    """After a restart all clients connect at once; an attempt that times out in a queue wastes work."""
     node = BalancerDriver(
-        [endpoint(1), endpoint(2)], can_check_health=True, discovery_call_interval_us=SECOND, node_count=nodes
+        [endpoint(1), endpoint(2)],
+        can_check_health=True,
+        discovery_call_interval_us=SECOND,
+        node_count=node_count,
     )
     for key in range(1, 61):
         node.send_request(key=key)
@@ -225,11 +227,11 @@
     for start in first_starts:
         node.deliver(established(start))
     later_starts = of_type(node.run_until(node.now + 100 * MILLISECOND), StartAttempt)
-    assert len(later_starts) == len(first_starts)  # of requests that waited
+    assert len(later_starts) == len(first_starts)  # requests that waited at the node
 
 
-def test_a_guess_at_the_load_rejects_nobody() -> None:
-    """With one endpoint late and emptied the others look overloaded beside the mean: none may be rejected."""
+def test_an_estimated_load_alone_rejects_no_request() -> None:
+    """With one endpoint late and empty the others are over the mean load; that alone rejects no request."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2), endpoint(3)], can_check_health=True, health_check_interval_us=SECOND
     )
@@ -244,11 +246,11 @@
     node.endpoint(2).ejection.retry_at = node.now + 10 * SECOND
     node.endpoint(1).ejection.retry_at = 0
     _, actions = node.send_request(key=10)
-    assert only_attempt(actions).endpoint_id == 1  # twice the mean, but nothing bad is known
+    assert only_attempt(actions).endpoint_id == 1  # at twice the mean load, but with no known fault
 
 
 def test_a_retry_goes_to_another_endpoint_of_the_zone() -> None:
-    """A group's hash draws the same endpoint again once its ejection has ended."""
+    """The group's hash alone would select the same endpoint again once its ejection has ended."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2), endpoint(3, zone=1)],
         can_check_health=True,
@@ -265,11 +267,11 @@
         node.deliver(established(retry, attempt=1))
 
 
-def test_periodic_checks_leave_out_only_endpoints_that_reported_a_delay() -> None:
-    """What counts is that an endpoint reports delays, not that the settings promise reports."""
+def test_periodic_checks_skip_only_endpoints_that_reported_a_delay() -> None:
+    """Settings may announce reports that an endpoint never sends, so only a received report counts."""
     node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
     node.deliver(adopted(1, 1), adopted(2, 2))
-    # The first reports a delay; the second's was measured by the node.
+    # Endpoint 1 reports a delay; the delay of endpoint 2 was measured by the node.
     node.deliver(
         delay_report(1, 1, 20.0),
         ConnectionReport(request_id=2, kind=ReportKind.MEASURED_DELAY, attempt=0, endpoint_id=2, value=20.0),
@@ -289,7 +291,7 @@
         return checked
 
     assert checked_within(5 * SECOND) == {2}
-    node.deliver(list_update(ListUpdateKind.DELTA, endpoint(1, ready_at=node.now)))  # a new process
+    node.deliver(list_update(ListUpdateKind.DELTA, endpoint(1, ready_at=node.now)))  # restarted
     assert checked_within(5 * SECOND) == {1, 2}
 
 
@@ -297,7 +299,7 @@
     ("kind", "is_still_delayed"), [(ReportKind.REPORTED_DELAY, False), (ReportKind.MEASURED_DELAY, True)]
 )
 def test_a_reported_delay_ends_when_no_report_repeats_it(kind: ReportKind, *, is_still_delayed: bool) -> None:
-    """Health checks of a large fleet come each half minute; reports are repeated each second."""
+    """In a large cluster health checks may be 30 s apart, while reports are repeated each second."""
     node = BalancerDriver(
         [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=30 * SECOND
     )
@@ -309,14 +311,14 @@
     assert node.balancer.parts.load.is_delayed(node.endpoint(1)) is is_still_delayed
 
 
-@pytest.mark.parametrize("nodes", [67, 200, 10**14])
-def test_where_a_turn_comes_too_rarely_no_endpoint_is_checked(nodes: int) -> None:
-    """With 200 nodes one check would count for 45 s, and keep sound endpoints out."""
-    interval_us = health_check_interval(nodes) // timedelta(microseconds=1)
+@pytest.mark.parametrize("node_count", [67, 200, 10**14])
+def test_no_endpoint_is_checked_where_checks_would_be_too_rare(node_count: int) -> None:
+    """With 200 nodes one result would count for 45 s, and exclude endpoints that have recovered."""
+    interval_us = health_check_interval(node_count) // timedelta(microseconds=1)
     node = BalancerDriver(
         [endpoint(1), endpoint(2)],
         can_check_health=True,
         health_check_interval_us=interval_us,
-        node_count=nodes,
+        node_count=node_count,
     )
     assert not of_type(node.run_until(node.now + 60 * SECOND), CheckHealth)
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -1,4 +1,4 @@
-"""Guards that only show in an odd order of events."""
+"""Guards against unusual orders of events and against invalid values in them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     ReportKind,
 )
 from tests.policy.harness import (
-    LOAD_REPORTS,
+    LOAD_REPORT_SETTINGS,
     MILLISECOND,
     SECOND,
     START_TIME,
@@ -34,17 +34,17 @@
 
 
 def checked_endpoints(actions: list[Action]) -> list[int]:
-    """The endpoints that health checks are started of."""
+    """Return the endpoints whose health checks are started."""
     return [check.endpoint_id for check in of_type(actions, CheckHealth)]
 
 
 def answer_checks(node: BalancerDriver, endpoint_ids: list[int], utilization: float) -> list[Action]:
-    """Answer health checks with a utilization; what the node does then."""
+    """Answer health checks with a utilization, and return the actions that follow."""
     return node.deliver(*(utilization_report(endpoint_id, utilization) for endpoint_id in endpoint_ids))
 
 
-def test_an_endpoint_that_drains_during_a_health_check_gets_nothing() -> None:
-    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
+def test_an_endpoint_that_drains_during_a_health_check_gets_no_attempt() -> None:
+    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORT_SETTINGS)
     _, actions = node.send_request()
     checked = checked_endpoints(actions)
     assert checked
@@ -59,7 +59,7 @@
     assert not of_type(actions, StartAttempt)
 
 
-def test_an_ejected_endpoint_is_left_out_until_its_time() -> None:
+def test_an_ejected_endpoint_gets_no_attempt_during_its_ejection() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
     _, actions = node.send_request(key=1)
     failed_id = only_attempt(actions).endpoint_id
@@ -76,7 +76,7 @@
 
 
 def test_failures_during_an_ejection_do_not_lengthen_it() -> None:
-    """Attempts that were out together fail together; that is one failure of their endpoint."""
+    """Attempts that were in flight together fail together; they count as one failure of their endpoint."""
     node = BalancerDriver([endpoint(1)])
     starts = [only_attempt(node.send_request(key=key).actions) for key in range(1, 9)]
     for start in starts:
@@ -95,11 +95,11 @@
     assert sum(isinstance(action, StartAttempt) for _, action in node.action_log) - starts_before <= 2 * 3
 
 
-def test_an_old_wait_for_health_checks_does_not_start_a_retry_early() -> None:
+def test_an_earlier_wait_for_health_checks_does_not_start_a_retry_early() -> None:
     late_retry_count = 0
     for seed in range(60):
-        node = BalancerDriver(endpoints(1, 8), seed, **LOAD_REPORTS)
-        _, actions = node.send_request(left=200 * MILLISECOND)
+        node = BalancerDriver(endpoints(1, 8), seed, **LOAD_REPORT_SETTINGS)
+        _, actions = node.send_request(time_left=200 * MILLISECOND)
         start = only_attempt(answer_checks(node, checked_endpoints(actions), 0.1))
         node.fail_attempt(start, 0)
         retry_at = node.backoff(7).retry_at
@@ -107,10 +107,10 @@
         node.run_until(retry_at - 1)
         starts = [logged for logged in node.action_log if isinstance(logged.action, StartAttempt)]
         assert len(starts) == 1
-    assert late_retry_count > 5  # the case was met
+    assert late_retry_count > 5  # some retries are later than the wait would end
 
 
-def test_absurd_reports_of_an_established_connection_are_ignored() -> None:
+def test_invalid_reports_of_an_established_connection_are_ignored() -> None:
     node = BalancerDriver([endpoint(1)])
     request_id, actions = node.send_request(load_hint=500)
     node.deliver(AttemptEstablished(request_id=request_id, attempt=0, endpoint_id=1, latency_us=MILLISECOND))
@@ -138,16 +138,16 @@
 
 
 def test_without_slow_start_an_endpoint_that_is_ready_later_is_warm() -> None:
-    """Clocks differ: discovery may name a moment that is still to come here."""
+    """Clocks differ: the ready time that discovery lists may be in the future of this node."""
     node = BalancerDriver([endpoint(1, ready_at=START_TIME + SECOND)], slow_start_duration_us=0)
     assert node.balancer.parts.slow_start.capacity_share(node.endpoint(1)) == 1.0
     assert only_attempt(node.send_request().actions).endpoint_id == 1
 
 
-def test_absurd_weights_count_as_one() -> None:
-    absurd_weights = [math.nan, 0.0, -3.0, 1e30, math.inf]
+def test_invalid_weights_count_as_one() -> None:
+    invalid_weights = [math.nan, 0.0, -3.0, 1e30, math.inf]
     node = BalancerDriver(
-        [endpoint(number, weight=weight) for number, weight in enumerate(absurd_weights, 1)]
+        [endpoint(number, weight=weight) for number, weight in enumerate(invalid_weights, 1)]
         + [endpoint(9, weight=2.0)],
         has_weights=True,
     )
@@ -156,7 +156,7 @@
 
 
 def poll_times(node: BalancerDriver) -> list[int]:
-    """The moments of all polls so far, from the start on."""
+    """Return the times of all polls so far, relative to the start."""
     return [logged.at - START_TIME for logged in node.action_log if isinstance(logged.action, PollDiscovery)]
 
 
@@ -176,10 +176,10 @@
     assert 5 * SECOND < sorted_polls[-1] < 10 * SECOND
 
 
-def test_a_request_just_assigned_sends_the_next_elsewhere() -> None:
+def test_the_request_after_an_assignment_goes_to_another_endpoint() -> None:
     same_endpoint_count = 0
     for seed in range(40):
-        node = BalancerDriver([endpoint(1), endpoint(2)], seed, **LOAD_REPORTS)
+        node = BalancerDriver([endpoint(1), endpoint(2)], seed, **LOAD_REPORT_SETTINGS)
         _, actions = node.send_request(key=1)
         first = only_attempt(answer_checks(node, checked_endpoints(actions), 0.4))
         same_endpoint_count += only_attempt(node.send_request(key=2).actions).endpoint_id == first.endpoint_id
@@ -203,7 +203,7 @@
     assert not of_type(node.run_until(node.now + 5 * SECOND), StartAttempt)
 
 
-def test_the_next_migration_waits_its_time() -> None:
+def test_migrations_are_at_least_two_seconds_apart() -> None:
     node = BalancerDriver(endpoints(1, 8))
     node.deliver(*(adopted(1000 + number, 1, 1000) for number in range(60)))
     migrated_at = []
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -1,4 +1,4 @@
-"""Load: reports, late messages, a pool short of capacity, migrations."""
+"""Load: reports, late messages, pools without capacity, migrations, and groups."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     ReportKind,
 )
 from tests.policy.harness import (
-    LOAD_REPORTS,
+    LOAD_REPORT_SETTINGS,
     MILLISECOND,
     SECOND,
     START_TIME,
@@ -43,11 +43,11 @@
     return actions + node.deliver(*replies) if replies else actions
 
 
-def test_a_loaded_endpoint_gets_less_and_a_full_one_nothing() -> None:
+def test_a_loaded_endpoint_gets_fewer_requests_and_a_full_one_none() -> None:
     selections: Counter[int] = Counter()
     utilizations = {1: 0.2, 2: 0.5, 3: 1.2}
     for seed in range(200):
-        node = BalancerDriver([endpoint(1), endpoint(2), endpoint(3)], seed, **LOAD_REPORTS)
+        node = BalancerDriver([endpoint(1), endpoint(2), endpoint(3)], seed, **LOAD_REPORT_SETTINGS)
         actions = request_with_checks_answered(node, utilizations, 5)
         selections[of_type(actions, StartAttempt)[0].endpoint_id] += 1
     assert selections[3] == 0
@@ -55,54 +55,54 @@
 
 
 def test_a_pool_over_the_limit_takes_nothing_though_one_endpoint_has_capacity() -> None:
-    """A fleet short of capacity is otherwise filled up to where every message is late."""
-    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORTS)
+    """Otherwise a pool short of capacity is filled until messages are late at every endpoint."""
+    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     loads = {1: 0.95, 2: 1.3, 3: 0.6}
     assert not of_type(request_with_checks_answered(node, loads, 5), StartAttempt)
-    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORTS)
+    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     assert of_type(request_with_checks_answered(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5), StartAttempt)
 
 
 def test_an_unanswered_health_check_does_not_delay_the_request() -> None:
-    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORTS)
+    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     request_id, actions = node.send_request()
     assert not of_type(actions, StartAttempt)
     assert only_attempt(node.run_until(node.now + 100 * MILLISECOND)).request_id == request_id
 
 
 def test_an_endpoint_has_one_health_check_in_flight() -> None:
-    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORTS)
+    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     actions = [action for key in (1, 2) for action in node.send_request(key=key).actions]
     assert sorted(check.endpoint_id for check in of_type(actions, CheckHealth)) == [1, 2, 3]
 
 
 def test_other_zones_get_requests_when_the_home_zone_has_no_capacity() -> None:
-    fleet = [endpoint(1), endpoint(2), endpoint(11, zone=1), endpoint(12, zone=1)]
-    node = BalancerDriver(fleet, **LOAD_REPORTS)
+    listed = [endpoint(1), endpoint(2), endpoint(11, zone=1), endpoint(12, zone=1)]
+    node = BalancerDriver(listed, **LOAD_REPORT_SETTINGS)
     assert {
         of_type(request_with_checks_answered(node, {1: 0.1, 2: 0.2}, key), StartAttempt)[0].endpoint_id < 10
         for key in range(1, 3)
     } == {True}
-    node = BalancerDriver(fleet, **LOAD_REPORTS)
+    node = BalancerDriver(listed, **LOAD_REPORT_SETTINGS)
     assert of_type(request_with_checks_answered(node, {1: 1.1, 2: 0.9}, 5), StartAttempt)[0].endpoint_id > 10
 
 
 def test_an_assignment_counts_until_reports_can_show_it() -> None:
-    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
+    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORT_SETTINGS)
     first = of_type(request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 5), StartAttempt)[0]
     second = of_type(request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 6), StartAttempt)[0]
     assert second.endpoint_id != first.endpoint_id
 
 
 def node_with_connections(count: int, load: int, **changes: Any) -> BalancerDriver:
-    """A node of eight endpoints with connections on the first, of one, two and three times the load."""
+    """Return a node of 8 endpoints with connections on the first, whose loads are 1, 2 and 3 times `load`."""
     node = BalancerDriver(endpoints(1, 8), **changes)
     node.deliver(*(adopted(1000 + number, 1, load * (1 + number % 3)) for number in range(count)))
     return node
 
 
 def report_delay(node: BalancerDriver, delay_ms: float, request_id: int = 1000) -> None:
-    """Let the first endpoint report that the messages of a connection are late."""
+    """Let the first endpoint report the delay of the messages of a connection."""
     node.deliver(delay_report(request_id, 1, delay_ms))
 
 
@@ -116,7 +116,7 @@
     assert 0.3 < share <= 0.6
 
 
-def test_migrations_wait_until_the_last_one_can_show() -> None:
+def test_migrations_wait_until_the_last_one_has_taken_effect() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 300.0)
     node.run_until(node.now + SECOND)
@@ -137,15 +137,15 @@
     assert not of_type(node.run_until(node.now + 5 * SECOND), Migrate)
 
 
-def test_a_report_under_the_target_stops_the_migration() -> None:
-    """The messages are still late because work is piled up, not because there is too much."""
-    node = node_with_connections(30, 1000, **LOAD_REPORTS)
+def test_a_utilization_under_the_target_stops_the_migration() -> None:
+    """With a low utilization messages are still late because of a backlog, not because of too much load."""
+    node = node_with_connections(30, 1000, **LOAD_REPORT_SETTINGS)
     report_delay(node, 300.0)
     node.deliver(utilization_report(1, 0.5, connections=30.0))
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
 
 
-def test_the_lowest_priority_for_its_load_migrates_first() -> None:
+def test_connections_with_the_lowest_priority_for_their_load_migrate_first() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 100.0)
     migrated = [
@@ -155,7 +155,7 @@
     assert all((number - 1000) % 3 == 2 for number in migrated)
 
 
-def test_a_tenant_above_its_quota_migrates_first() -> None:
+def test_connections_of_a_tenant_over_its_quota_migrate_first() -> None:
     node = BalancerDriver(endpoints(1, 8), tenant_quotas=(5.0, 50.0), over_quota_weight=0.1)
     node.deliver(*(adopted(1000 + number, 1, 1000, tenant=number % 2) for number in range(30)))
     report_delay(node, 120.0)
@@ -166,8 +166,8 @@
     assert all(number % 2 == 0 for number in migrated)
 
 
-def test_absurd_load_and_connection_reports_are_ignored() -> None:
-    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORTS)
+def test_invalid_load_and_connection_reports_are_ignored() -> None:
+    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORT_SETTINGS)
     for value in (-1.0, float("nan"), float("inf"), 1e30):
         node.deliver(
             utilization_report(1, value),
@@ -227,7 +227,7 @@
     assert all(only_attempt(node.send_request(key=key).actions) for key in range(2, 6))
 
 
-def test_a_drop_leaves_no_load_behind() -> None:
+def test_a_closed_connection_leaves_no_load() -> None:
     node = BalancerDriver([endpoint(1)])
     request_id, actions = node.send_request(load_hint=500)
     node.deliver(AttemptEstablished(request_id=request_id, attempt=0, endpoint_id=1, latency_us=MILLISECOND))
@@ -250,8 +250,8 @@
     assert only_attempt(actions).endpoint_id == 1
 
 
-def test_tenants_are_counted_as_they_come_and_go() -> None:
-    """Counting anew for each connection cost a minute of CPU on a fleet of a few thousand connections."""
+def test_connections_are_counted_by_tenant_as_they_open_and_close() -> None:
+    """Counting all of a few thousand connections again for each new one cost a minute of CPU."""
     node = BalancerDriver([endpoint(1)])
     request_id, _ = node.send_request(tenant=2)
     node.deliver(
@@ -290,7 +290,7 @@
 
 
 def test_set_ups_that_fail_everywhere_widen_the_backoff_and_stop_migrations() -> None:
-    """A slow shared store: more attempts and more migrations would only add to it."""
+    """The cause may be a slow shared store; more attempts and migrations would only add to its load."""
     node = BalancerDriver(endpoints(1, 29))
     node.deliver(*(adopted(1000 + number, 1, 1000) for number in range(30)))
     time_out_requests(node, 1)
@@ -308,8 +308,8 @@
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
 
 
-def test_a_large_fleet_is_not_counted_for_each_request() -> None:
-    """At over 200 endpoints a storm of retries spent a minute of CPU on counting them anew."""
+def test_load_of_a_large_pool_is_not_computed_for_each_request() -> None:
+    """With over 200 endpoints a burst of retries spent a minute of CPU on summing up their load again."""
     for changes in ({}, {"pass_through": True}):
         node = BalancerDriver(endpoints(1, 400), **changes)
         request_id, _ = node.send_request()
@@ -330,12 +330,12 @@
     assert all(only_attempt(node.send_request(key=key).actions) for key in range(1, 100))
 
 
-def test_pass_through_samples_the_keys_own_order_at_every_node() -> None:
-    fleet = endpoints(1, 40)
+def test_pass_through_samples_the_same_endpoints_for_a_key_at_every_node() -> None:
+    listed = endpoints(1, 40)
     for key in range(1, 20):
         checked_by_node = []
         for seed in (1, 2, 3):
-            node = BalancerDriver(fleet, seed, pass_through=True, park_us=5 * SECOND, **LOAD_REPORTS)
+            node = BalancerDriver(listed, seed, pass_through=True, park_us=5 * SECOND, **LOAD_REPORT_SETTINGS)
             _, actions = node.send_request(key=key)
             checked_by_node.append(
                 [action.endpoint_id for action in actions if isinstance(action, CheckHealth)]
@@ -345,8 +345,8 @@
         assert only_attempt(actions).endpoint_id == checked_by_node[0][0]
 
 
-def test_where_nobody_reports_delayed_endpoints_fill_the_pool() -> None:
-    """Waves over the capacity: with most endpoints late, requests are rejected until they recover."""
+def test_without_utilization_reports_delayed_endpoints_make_a_pool_full() -> None:
+    """When load over the capacity makes most endpoints late, requests are rejected until these recover."""
     node = BalancerDriver(endpoints(1, 4))
     node.deliver(*(adopted(1000 + number, 1 + number % 4, 1000) for number in range(40)))
     node.deliver(*(delay_report(1000 + number, 1 + number, 600.0) for number in range(3)))
@@ -370,29 +370,29 @@
 
 
 def test_a_groups_connections_share_endpoints_at_every_node() -> None:
-    """Each endpoint with connections of a group does its work: at random, all do that of all groups."""
-    fleet = endpoints(1, 8) + [endpoint(number, zone=1) for number in range(11, 19)]
+    """An endpoint does the work of each group that it has connections of: at random, that of all groups."""
+    listed = endpoints(1, 8) + [endpoint(number, zone=1) for number in range(11, 19)]
     used_by_groups = set()
     for group in range(1, 11):
         used_by_group = set()
         for seed in (1, 2, 3):
-            node = BalancerDriver(fleet, seed)
+            node = BalancerDriver(listed, seed)
             used_by_group |= {
                 only_attempt(node.send_request(key=key, group_key=group).actions).endpoint_id
                 for key in range(1, 4)
             }
-        assert len(used_by_group) <= 3  # at random five to seven
-        assert max(used_by_group) < 10  # the home zone first
+        assert len(used_by_group) <= 3  # a random assignment uses five to seven
+        assert max(used_by_group) < 10  # the home zone is used first
         used_by_groups |= used_by_group
     assert len(used_by_groups) > 4  # groups differ in their endpoints
 
 
 def test_a_group_returns_to_an_endpoint_that_has_its_connections() -> None:
-    """Drawn by its hash alone, a group with connections elsewhere costs the fleet its work once more."""
+    """Assigned by hash alone, a group with connections elsewhere adds its work to one more endpoint."""
     node = BalancerDriver(endpoints(1, 8))
     node.deliver(*(adopted(1000 + group, 1 + group % 8, group_key=group) for group in range(1, 33)))
     returned_count = sum(
         only_attempt(node.send_request(key=group, group_key=group).actions).endpoint_id == 1 + group % 8
         for group in range(1, 33)
     )
-    assert returned_count > 12  # by the hash alone one in eight, some four of them
+    assert returned_count > 12  # the hash alone would return one in eight, about four
--- a/tests/policy/test_parts.py
+++ b/tests/policy/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the policy on their own: hashes, the set-up failure rate, timers, quotas, derived limits."""
+"""Single parts of the policy: hashes, the set-up failure rate, timers, quotas and derived limits."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.policy.harness import DEADLINE, MILLISECOND, SECOND, make_settings
 
 
-def test_the_hash_is_that_of_splitmix64() -> None:
+def test_hash64_matches_splitmix64() -> None:
     assert hash64(0) == 0xE220A8397B1DCDAF  # the first output for a seed of 0
 
 
@@ -26,7 +26,7 @@
     assert math.log(unit_hash(value, seed=hash64(7))) <= 0
 
 
-def test_the_set_up_failure_rate_tells_a_shared_cause_from_chance() -> None:
+def test_the_set_up_failure_rate_distinguishes_a_shared_cause_from_chance() -> None:
     failures = SetupFailureRate()
     for _ in range(5):
         assert not failures.is_cause_shared
@@ -38,7 +38,7 @@
     assert not failures.is_cause_shared
 
 
-def test_a_timer_calls_back_once() -> None:
+def test_a_timer_runs_its_callback_once() -> None:
     actions = ActionSink()
     batch = actions.begin_batch()
     timers = TimerScheduler(actions)
@@ -54,7 +54,7 @@
     ("tenant", "connection_count", "is_over"),
     [(0, 2, False), (0, 3, True), (1, 100, False)],  # the second tenant has no quota
 )
-def test_a_quota_is_for_all_nodes(tenant: int, connection_count: int, *, is_over: bool) -> None:
+def test_a_quota_is_shared_by_all_nodes(tenant: int, connection_count: int, *, is_over: bool) -> None:
     quotas = TenantQuotas(SettingsInForce(make_settings(node_count=4, tenant_quotas=(8.0,))))
     for _ in range(connection_count):
         quotas.add_connection(tenant)
@@ -80,7 +80,7 @@
     assert rare.delay_limit_us == 75 * MILLISECOND
 
 
-def test_settings_put_in_force_replace_the_limits_as_a_whole() -> None:
+def test_applying_settings_replaces_all_limits() -> None:
     in_force = SettingsInForce(make_settings(report_columns=("active", "x0"), can_check_health=True))
     before = in_force.limits
     in_force.apply(make_settings())
--- a/tests/policy/test_policy_page.py
+++ b/tests/policy/test_policy_page.py
@@ -1,4 +1,4 @@
-"""The page `docs/policy.md` names only what exists, and each module that decides."""
+"""`docs/policy.md` names only modules and attributes that exist, and every module that takes decisions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 POLICY_FOLDER = Path(tansyladder.policy.__file__).parent
 PAGE = POLICY_FOLDER.parent.parent / "docs" / "policy.md"
 QUALIFIED_NAME = re.compile(r"`([a-z_]+(?:\.[A-Za-z_]+)+)`")
-NOT_ON_THE_PAGE = {  # the interface, the entry's helpers, and records
+NOT_ON_THE_PAGE = {  # interface types, helpers of `balancer`, and records
     "__init__",
     "action_sink",
     "actions",
@@ -33,7 +33,7 @@
 
 
 def names_on_page() -> list[str]:
-    """The qualified names in code font: a module of the policy, and what it holds."""
+    """Return the qualified names in code font: a module of the policy and an attribute in it."""
     return sorted(set(QUALIFIED_NAME.findall(PAGE.read_text())))
 
 
@@ -42,9 +42,9 @@
     module_name, *attributes = name.split(".")
     found: object = importlib.import_module(f"tansyladder.policy.{module_name}")
     for attribute in attributes:
-        found = getattr(found, attribute)  # AttributeError names what does not exist
+        found = getattr(found, attribute)  # an AttributeError names the missing attribute
 
 
-def test_the_page_names_each_module_that_decides() -> None:
+def test_the_page_names_each_decision_module() -> None:
     modules = {path.stem for path in POLICY_FOLDER.glob("*.py")}
     assert {name.split(".")[0] for name in names_on_page()} == modules - NOT_ON_THE_PAGE
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences: the rules hold on every one of them."""
+"""Property test: the policy's rules hold for random valid sequences of events."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class PendingAttempt(NamedTuple):
-    """An attempt that is out, or the connection that it became."""
+    """An attempt in flight, or the connection that it established."""
 
     attempt: int
     endpoint_id: int
@@ -49,14 +49,14 @@
 
 
 class PossibleExecution(NamedTuple):
-    """Where and when a request may have run first."""
+    """Where and when a request may have run for the first time."""
 
     endpoint_id: int
     at: int
 
 
 class RuleChecker:
-    """What endpoints and clients know; each action of the balancer is checked against it as it comes."""
+    """A model of endpoints and clients, against which each action of the balancer is checked."""
 
     def __init__(
         self,
@@ -81,17 +81,17 @@
             can_check_health=can_check_health,
             report_columns=("active", "x0") if can_check_health else (),
         )
-        self.deadlines: dict[int, int] = {}  # by request, while an answer is owed
+        self.deadlines: dict[int, int] = {}  # by request, until its final answer
         self.pending: dict[int, PendingAttempt] = {}  # by request
         self.attempt_numbers: dict[int, int] = {}  # of the last attempt of each request
         self.executions: dict[int, PossibleExecution] = {}  # by request
         self.established: set[int] = set()
-        self.health_checks: list[int] = []  # endpoints whose answer is still owed
+        self.health_checks: list[int] = []  # endpoints with a check in flight
         self.midstream: set[int] = set()
         self.state_changed_at: dict[int, int] = {}  # by endpoint
 
     def check(self, actions: list[Action]) -> None:
-        """Check that actions follow the rules, and let them take effect."""
+        """Check that actions follow the rules, and apply them to the model."""
         for action in actions:
             if isinstance(action, StartAttempt):
                 self._check_start(action)
@@ -105,12 +105,12 @@
     def _check_start(self, start: StartAttempt) -> None:
         now = self.node.now
         request_id = start.request_id
-        assert request_id in self.deadlines, "sent after the end"
-        assert request_id not in self.pending, "two attempts pending"
+        assert request_id in self.deadlines, "attempt started after the final answer"
+        assert request_id not in self.pending, "attempt started while another one is pending"
         state = self.state[start.endpoint_id]
         if state is not EndpointState.READY:
-            assert state is EndpointState.DRAINING, "sent to an endpoint that is gone"
-            assert request_id in self.midstream, "sent to an endpoint that drains"
+            assert state is EndpointState.DRAINING, "attempt started at an endpoint that is gone"
+            assert request_id in self.midstream, "attempt started at a draining endpoint"
             changed_at = self.state_changed_at[start.endpoint_id]
             assert now - changed_at <= self.node.settings.drain_grace_us
         assert now < self.deadlines[request_id]
@@ -123,27 +123,29 @@
         )
 
     def _check_repetition(self, start: StartAttempt) -> None:
-        assert self.idempotency is Idempotency.WITH_KEY, "a request without idempotency ran twice"
+        assert self.idempotency is Idempotency.WITH_KEY, (
+            "request without idempotency attempted again after it may have run"
+        )
         first = self.executions[start.request_id]
         zone_and_cell = self.zone_and_cell[start.endpoint_id]
         first_zone_and_cell = self.zone_and_cell[first.endpoint_id]
-        part_index = self.scope is DeduplicationScope.CELL
+        scope_index = self.scope is DeduplicationScope.CELL
         assert (
             self.scope is DeduplicationScope.ALL
-            or zone_and_cell[part_index] == first_zone_and_cell[part_index]
+            or zone_and_cell[scope_index] == first_zone_and_cell[scope_index]
         )
         window = self.node.settings.classes[0].deduplication_window_us
         assert self.node.now - first.at < window
 
     def _check_answer(self, answer: Reject | Fail) -> None:
         request_id = answer.request_id
-        assert request_id in self.deadlines, "answered twice"
+        assert request_id in self.deadlines, "final answer to a request that needs none"
         assert self.node.now <= self.deadlines[request_id] + self.node.settings.answer_grace_us
         if isinstance(answer, Reject) and request_id in self.executions:
             is_deduplicated = self.scope is DeduplicationScope.ALL
             assert self.idempotency is Idempotency.IDEMPOTENT or (
                 self.idempotency is Idempotency.WITH_KEY and is_deduplicated
-            ), "rejected what may have run"
+            ), "request rejected that may have run and is not deduplicated everywhere"
         del self.deadlines[request_id]
 
     def end_attempt(self, request_id: int, status: AttemptStatus, latency: int) -> None:
@@ -169,7 +171,7 @@
         self.check(self.node.deliver(ended))
 
     def advance(self, until: int) -> None:
-        """Play timers up to a time, one moment after another, to check each at its own."""
+        """Deliver the timers due up to a time, and check the actions at the time of each timer."""
         node = self.node
         while node.pending_timers and min(node.pending_timers).due_at <= until:
             self.check(node.run_until(min(node.pending_timers).due_at))
@@ -178,7 +180,7 @@
         self.expire()
 
     def expire(self) -> None:
-        """Let attempts time out at the deadlines of their requests."""
+        """Time out the attempts of requests that have reached their deadlines."""
         node = self.node
         expired = [
             request
@@ -193,21 +195,21 @@
 
 
 class RandomTraffic(RuleChecker):
-    """Endpoints and clients that act at random."""
+    """Random events of endpoints and clients."""
 
     def step(self, request_id: int) -> None:
-        """Let some time pass, then something happen; a request that comes then has this number."""
+        """Let a random time pass, then deliver a random event; a new request gets this number."""
         pause = self.rng.choice([0, MILLISECOND, 20 * MILLISECOND, 300 * MILLISECOND])
         self.advance(self.node.now + pause)
         match self.rng.randrange(9):
             case 0 | 1 | 2:
                 self.send_request(request_id)
             case 3 | 4 if self.pending:
-                self.end_some_attempt()
+                self.end_random_attempt()
             case 5 if set(self.pending) - self.established:
-                self.establish_some_attempt()
+                self.establish_random_attempt()
             case 6:
-                self.update_some_endpoint()
+                self.update_random_endpoint()
             case 7 if self.deadlines:
                 request_id = self.rng.choice(sorted(self.deadlines))
                 del self.deadlines[request_id]
@@ -238,15 +240,15 @@
             )
         )
 
-    def end_some_attempt(self) -> None:
-        """End one of the pending attempts; a connection that is established breaks."""
+    def end_random_attempt(self) -> None:
+        """End a random pending attempt with a random status, or reset an established connection."""
         request_id = self.rng.choice(sorted(self.pending))
         is_established = request_id in self.established
         status = AttemptStatus.RESET if is_established else self.rng.choice((*FAILURES, AttemptStatus.OK))
         self.end_attempt(request_id, status, self.node.now - self.pending[request_id].started_at)
 
-    def establish_some_attempt(self) -> None:
-        """Establish the connection of a pending attempt whose client still waits."""
+    def establish_random_attempt(self) -> None:
+        """Establish the connection of a random pending attempt, if its client still waits."""
         request_id = self.rng.choice(sorted(set(self.pending) - self.established))
         if request_id in self.deadlines:
             self.established.add(request_id)
@@ -261,8 +263,8 @@
             )
             self.check(self.node.deliver(event))
 
-    def update_some_endpoint(self) -> None:
-        """Change the state of an endpoint, or restart it."""
+    def update_random_endpoint(self) -> None:
+        """Change the state of a random endpoint, or restart it."""
         endpoint_id = self.rng.choice(sorted(self.zone_and_cell))
         state = self.rng.choice(
             [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE]
@@ -276,7 +278,7 @@
         self.check(self.node.deliver(list_update(ListUpdateKind.DELTA, update)))
 
     def answer_health_checks(self) -> None:
-        """Answer all health checks in flight, some with nonsense."""
+        """Answer all health checks in flight, some with invalid values."""
         for endpoint_id in self.health_checks:
             utilization = self.rng.choice([0.2, 0.9, 3.0, -1.0, float("nan"), float("inf")])
             status = self.rng.choice([AttemptStatus.OK, AttemptStatus.OK, AttemptStatus.TIMEOUT])
@@ -287,7 +289,7 @@
         self.health_checks = []
 
     def report_connections(self) -> None:
-        """Report the load or the delay of all established connections, some with nonsense."""
+        """Report the load or the delay of all established connections, some with invalid values."""
         for request_id in sorted(self.established):
             pending = self.pending[request_id]
             value = self.rng.choice([20.0, 400.0, float("nan"), -3.0])
@@ -309,7 +311,7 @@
     pass_through=st.booleans(),
     can_check_health=st.booleans(),
 )
-def test_the_rules_hold(
+def test_the_rules_hold_for_random_events(
     *,
     seed: int,
     idempotency: tuple[Idempotency, DeduplicationScope],
@@ -321,4 +323,4 @@
         checker.step(request_id)
     for _ in range(200):
         checker.advance(checker.node.now + 20 * MILLISECOND)
-    assert not checker.deadlines, "no final answer"
+    assert not checker.deadlines, f"requests without a final answer: {sorted(checker.deadlines)}"
--- a/tests/policy/test_request_states.py
+++ b/tests/policy/test_request_states.py
@@ -1,4 +1,4 @@
-"""The states of a request, and their transitions."""
+"""The states of a request and their transitions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def request_in(state: RequestState) -> Request:
-    """A request in a state."""
+    """Return a request in a state."""
     request = Request(
         event=RequestReceived(request_id=1, class_index=0, tenant=0, deadline_us=START_TIME),
         deadline=START_TIME,
@@ -24,7 +24,7 @@
     ("before", "after"),
     [
         (RequestState.PENDING, RequestState.ESTABLISHED),
-        (RequestState.ABANDONED, RequestState.CLOSING),  # its client had left already
+        (RequestState.ABANDONED, RequestState.CLOSING),  # its client left before
         (RequestState.ESTABLISHED, RequestState.ESTABLISHED),
         (RequestState.CLOSING, RequestState.CLOSING),
     ],
--- a/tests/policy/test_retry_safety.py
+++ b/tests/policy/test_retry_safety.py
@@ -1,4 +1,4 @@
-"""Which endpoints may get a request again that may have run, and whether its client may repeat it."""
+"""Where a request that may have run may be attempted again, and whether its client may repeat it."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 ENDPOINTS = (SAME_CELL, SAME_ZONE, OTHER_ZONE)
 
 
-def terms_of(idempotency: Idempotency, scope: DeduplicationScope) -> ClassSettings:
-    """A class of requests with a deduplication window."""
+def make_class_settings(idempotency: Idempotency, scope: DeduplicationScope) -> ClassSettings:
+    """Return a class of requests with a deduplication window."""
     return ClassSettings(
         latency_objective_us=LATENCY_OBJECTIVE,
         deadline_us=DEADLINE,
@@ -31,7 +31,7 @@
 
 
 def request_that_may_have_run() -> Request:
-    """A request whose first attempt may have run."""
+    """Return a request whose first attempt may have run."""
     event = RequestReceived(request_id=1, class_index=0, tenant=0, deadline_us=START_TIME + DEADLINE)
     request = Request(event=event, deadline=event.deadline_us)
     request.record_possible_execution(FIRST, START_TIME)
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("idempotency", "scope", "safe"),
+    ("idempotency", "scope", "allowed"),
     [
         (Idempotency.IDEMPOTENT, DeduplicationScope.CELL, {SAME_CELL, SAME_ZONE, OTHER_ZONE}),
         (Idempotency.WITH_KEY, DeduplicationScope.ALL, {SAME_CELL, SAME_ZONE, OTHER_ZONE}),
@@ -48,22 +48,24 @@
         (Idempotency.NONE, DeduplicationScope.ALL, set()),
     ],
 )
-def test_a_further_attempt_stays_in_the_deduplication_scope(
-    idempotency: Idempotency, scope: DeduplicationScope, safe: set[Endpoint]
+def test_a_retry_stays_in_the_deduplication_scope(
+    idempotency: Idempotency, scope: DeduplicationScope, allowed: set[Endpoint]
 ) -> None:
     request = request_that_may_have_run()
-    terms = terms_of(idempotency, scope)
-    last_moment = START_TIME + WINDOW_US - 1
-    assert {e for e in ENDPOINTS if may_execute_on(request, e, terms, last_moment)} == safe
+    class_settings = make_class_settings(idempotency, scope)
+    last_time_in_window = START_TIME + WINDOW_US - 1
+    assert {
+        e for e in ENDPOINTS if may_execute_on(request, e, class_settings, last_time_in_window)
+    } == allowed
 
 
 @pytest.mark.parametrize(
     ("idempotency", "is_safe"), [(Idempotency.IDEMPOTENT, True), (Idempotency.WITH_KEY, False)]
 )
-def test_a_key_counts_within_the_window_alone(idempotency: Idempotency, *, is_safe: bool) -> None:
+def test_a_key_deduplicates_only_within_the_window(idempotency: Idempotency, *, is_safe: bool) -> None:
     request = request_that_may_have_run()
-    terms = terms_of(idempotency, DeduplicationScope.ALL)
-    assert may_execute_on(request, SAME_CELL, terms, START_TIME + WINDOW_US) is is_safe
+    class_settings = make_class_settings(idempotency, DeduplicationScope.ALL)
+    assert may_execute_on(request, SAME_CELL, class_settings, START_TIME + WINDOW_US) is is_safe
 
 
 @pytest.mark.parametrize(
@@ -79,6 +81,6 @@
     idempotency: Idempotency, scope: DeduplicationScope, *, may_retry: bool, may_reject: bool
 ) -> None:
     request = request_that_may_have_run()
-    terms = terms_of(idempotency, scope)
-    assert may_execute_anywhere(request, terms) is may_retry
-    assert may_client_repeat(request, terms) is may_reject
+    class_settings = make_class_settings(idempotency, scope)
+    assert may_execute_anywhere(request, class_settings) is may_retry
+    assert may_client_repeat(request, class_settings) is may_reject
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, each kept by a node alone."""
+"""The four rules of the policy, each as a single node keeps it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     only_attempt,
 )
 
-FLEET = endpoints(1, 8)
+ENDPOINTS = endpoints(1, 8)
 
 
 # --- rule 1: one final answer in time
@@ -42,14 +42,14 @@
     assert [action.request_id for action in actions if isinstance(action, Reject)] == [request_id]
 
 
-def test_a_deadline_already_past_is_rejected_at_once() -> None:
-    node = BalancerDriver(FLEET)
-    request_id, actions = node.send_request(left=-5)
+def test_a_request_past_its_deadline_is_rejected_at_once() -> None:
+    node = BalancerDriver(ENDPOINTS)
+    request_id, actions = node.send_request(time_left=-5)
     assert actions == [Reject(request_id=request_id, retry_after_us=0)]
 
 
 def test_no_attempt_starts_after_the_client_left() -> None:
-    node = BalancerDriver(FLEET)
+    node = BalancerDriver(ENDPOINTS)
     request_id, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
     node.deliver(ClientDisconnected(request_id=request_id))
@@ -60,8 +60,8 @@
     ]
 
 
-def test_an_attempt_that_ends_after_the_client_left_is_no_failure() -> None:
-    node = BalancerDriver(FLEET)
+def test_an_attempt_that_ends_after_the_client_left_gets_no_answer() -> None:
+    node = BalancerDriver(ENDPOINTS)
     request_id, actions = node.send_request()
     start = only_attempt(actions)
     node.deliver(ClientDisconnected(request_id=request_id))
@@ -81,8 +81,8 @@
     assert request_id not in node.balancer.parts.requests.by_id
 
 
-def test_the_time_out_at_the_deadline_gets_the_final_answer() -> None:
-    node = BalancerDriver(FLEET, max_attempts=1)
+def test_a_timeout_at_the_deadline_leads_to_the_final_answer() -> None:
+    node = BalancerDriver(ENDPOINTS, max_attempts=1)
     request_id, actions = node.send_request()
     start = only_attempt(actions)
     assert start.timeout_us == DEADLINE
@@ -92,19 +92,19 @@
     assert actions[0].request_id == request_id
 
 
-# --- rule 2: no request runs twice where that does harm
+# --- rule 2: no request runs twice unless that is harmless
 
 
 def test_a_request_without_idempotency_that_may_have_run_fails() -> None:
     for status in (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.ERROR, AttemptStatus.CANCELLED):
-        node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
+        node = BalancerDriver(ENDPOINTS, idempotency=Idempotency.NONE)
         request_id, actions = node.send_request()
         assert node.fail_attempt(only_attempt(actions), 0, status) == [Fail(request_id=request_id)]
 
 
 def test_a_request_without_idempotency_that_did_not_run_is_retried() -> None:
     for status in (AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED):
-        node = BalancerDriver(FLEET, idempotency=Idempotency.NONE)
+        node = BalancerDriver(ENDPOINTS, idempotency=Idempotency.NONE)
         _, actions = node.send_request()
         node.fail_attempt(only_attempt(actions), 0, status)
         assert only_attempt(node.run_to_next_action())
@@ -114,14 +114,14 @@
 def test_a_keyed_request_that_may_have_run_stays_in_its_deduplication_scope(
     scope: DeduplicationScope,
 ) -> None:
-    fleet = [endpoint(number, zone=number % 2, cell=number % 4) for number in range(1, 17)]
+    listed = [endpoint(number, zone=number % 2, cell=number % 4) for number in range(1, 17)]
     scope_by_endpoint = {
-        endpoint_id.endpoint_id: (endpoint_id.zone if scope is DeduplicationScope.ZONE else endpoint_id.cell)
-        for endpoint_id in fleet
+        update.endpoint_id: (update.zone if scope is DeduplicationScope.ZONE else update.cell)
+        for update in listed
     }
     retry_count = 0
     for seed in range(40):
-        node = BalancerDriver(fleet, seed, idempotency=Idempotency.WITH_KEY, deduplication_scope=scope)
+        node = BalancerDriver(listed, seed, idempotency=Idempotency.WITH_KEY, deduplication_scope=scope)
         _, actions = node.send_request()
         first = only_attempt(actions)
         actions = node.fail_attempt(first, 0, AttemptStatus.RESET) or node.run_to_next_action()
@@ -134,7 +134,10 @@
 
 def test_a_keyed_request_deduplicated_everywhere_may_go_anywhere_and_be_rejected() -> None:
     node = BalancerDriver(
-        FLEET, idempotency=Idempotency.WITH_KEY, deduplication_scope=DeduplicationScope.ALL, max_attempts=2
+        ENDPOINTS,
+        idempotency=Idempotency.WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        max_attempts=2,
     )
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0, AttemptStatus.RESET)
@@ -144,7 +147,7 @@
 
 def test_a_keyed_request_is_not_repeated_after_the_deduplication_window() -> None:
     node = BalancerDriver(
-        FLEET,
+        ENDPOINTS,
         idempotency=Idempotency.WITH_KEY,
         deduplication_scope=DeduplicationScope.ALL,
         deduplication_window_us=10 * MILLISECOND,
@@ -156,19 +159,19 @@
     assert [action.request_id for action in actions if isinstance(action, Reject)] == [request_id]
 
 
-def test_never_two_attempts_pending() -> None:
-    node = BalancerDriver(FLEET)
+def test_a_request_has_at_most_one_pending_attempt() -> None:
+    node = BalancerDriver(ENDPOINTS)
     _, actions = node.send_request()
     only_attempt(actions)
     assert not of_type(node.run_until(node.now + 10 * DEADLINE), StartAttempt)
 
 
-# --- rule 3: drains are kept
+# --- rule 3: drains are respected
 
 
-def test_nothing_new_to_a_draining_or_removed_endpoint() -> None:
+def test_draining_and_removed_endpoints_get_no_requests() -> None:
     for state in (EndpointState.DRAINING, EndpointState.GONE):
-        node = BalancerDriver(FLEET)
+        node = BalancerDriver(ENDPOINTS)
         node.deliver(
             list_update(ListUpdateKind.DELTA, *(endpoint(number, state=state) for number in range(1, 8)))
         )
@@ -176,8 +179,8 @@
 
 
 def test_connections_migrate_before_their_endpoint_leaves() -> None:
-    """An endpoint that drains need not send its clients away itself: it may cut them off."""
-    node = BalancerDriver(FLEET)
+    """A draining endpoint may cut off its clients instead of closing their connections gracefully."""
+    node = BalancerDriver(ENDPOINTS)
     for request_id in range(101, 121):
         node.deliver(adopted(request_id, 1))
     node.deliver(adopted(121, 2))
@@ -198,12 +201,12 @@
 
 
 def test_an_endpoint_absent_from_a_complete_list_gets_nothing() -> None:
-    node = BalancerDriver(FLEET)
+    node = BalancerDriver(ENDPOINTS)
     node.deliver(list_update(ListUpdateKind.SNAPSHOT, endpoint(3)))
     assert {only_attempt(node.send_request(key=key).actions).endpoint_id for key in range(1, 30)} == {3}
 
 
-def test_a_retry_is_assigned_by_the_list_of_its_own_time() -> None:
+def test_a_retry_uses_the_current_endpoint_list() -> None:
     node = BalancerDriver([endpoint(1), endpoint(2)])
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
@@ -221,16 +224,18 @@
 # --- rule 4: no endpoint in slow start is overloaded
 
 
-@pytest.mark.parametrize("nodes", [1, 12, 190])
-def test_all_nodes_together_fill_an_endpoint_in_slow_start_slowly(nodes: int) -> None:
-    """Every node has its part of the fleet's connections and gets a burst; one endpoint in ten starts."""
+@pytest.mark.parametrize("node_count", [1, 12, 190])
+def test_all_nodes_together_fill_an_endpoint_in_slow_start_slowly(node_count: int) -> None:
+    """Each node has its share of all connections and gets a burst; one endpoint in ten is in slow start."""
     connections_each = 40
     endpoint_count = 10
     warm_endpoints = endpoints(1, endpoint_count - 1)
     attempt_count = 0
-    for seed in range(nodes):
-        node = BalancerDriver([*warm_endpoints, endpoint(99, ready_at=START_TIME)], seed, node_count=nodes)
-        established = max(1, connections_each * endpoint_count // nodes)
+    for seed in range(node_count):
+        node = BalancerDriver(
+            [*warm_endpoints, endpoint(99, ready_at=START_TIME)], seed, node_count=node_count
+        )
+        established = max(1, connections_each * endpoint_count // node_count)
         node.deliver(
             *(adopted(10_000 + number, 1 + number % (endpoint_count - 1)) for number in range(established))
         )
@@ -243,8 +248,9 @@
                     request_id=request_id, attempt=0, endpoint_id=start.endpoint_id, latency_us=MILLISECOND
                 )
             )
-    # At first it may take overload_factor x its capacity of the rate that fills it over its slow start.
-    assert attempt_count <= 3.0 * 0.15 * connections_each / 20 * 1 + 8 + nodes * 0.05
+    # At first the endpoint withstands overload_factor x its initial capacity x the rate that fills it over
+    # its slow start.
+    assert attempt_count <= 3.0 * 0.15 * connections_each / 20 * 1 + 8 + node_count * 0.05
 
 
 def test_slow_start_paces_requests_where_no_other_endpoint_is_left() -> None:
@@ -268,8 +274,8 @@
         ("node_index", -1),
     ],
 )
-def test_senseless_settings_name_their_field(field: str, value: float) -> None:
-    valid = BalancerDriver(FLEET).settings
+def test_invalid_settings_name_their_field(field: str, value: float) -> None:
+    valid = BalancerDriver(ENDPOINTS).settings
     with pytest.raises(ValueError, match=field):
         Settings(
             **{**{field_name: getattr(valid, field_name) for field_name in Settings.__slots__}, field: value}
@@ -277,7 +283,7 @@
 
 
 def test_a_request_whose_attempt_was_not_made_is_answered() -> None:
-    node = BalancerDriver(FLEET)
+    node = BalancerDriver(ENDPOINTS)
     node.deliver(
         RequestReceived(
             request_id=5, class_index=0, tenant=0, deadline_us=node.now + 100 * MILLISECOND, key=3
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against the wire's worked examples, bad input, and isolation of instances."""
+"""The simulator's wire format: worked examples, invalid input and isolation of instances."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     return bytes.fromhex("".join(text.split()))
 
 
-def test_the_request_example() -> None:
+def test_the_request_example_is_decoded() -> None:
     body = from_hex(
         """0003 0000002b 0003 0009f71f5d3a91c4 0000 0000 00000000008405da 01 00002ee0
         2b8e6401d9f37c10 91f03b7c55d20a64 0007 00000006 0003 0000004d 0006 0000000a 0005 000d7f9a0e6f2b19"""
@@ -86,7 +86,7 @@
     ]
 
 
-def test_the_endpoint_list_example() -> None:
+def test_the_endpoint_list_example_is_decoded() -> None:
     body = from_hex(
         """0002 0000003b 0003 0000000000000029 04 00000002
         0000000000000000 0000 03124a07 3f800000 00 0000 03
@@ -120,7 +120,7 @@
     )
 
 
-def test_the_attempt_ended_example() -> None:
+def test_the_attempt_ended_example_is_decoded() -> None:
     body = from_hex("0005 00000018 0003 0009f71f5d3a91c4 0000 03124a07 0000 00004844 01 00")
     assert wire.read_batch(1, body) == [
         (
@@ -138,7 +138,7 @@
     ]
 
 
-def test_the_action_examples() -> None:
+def test_the_action_examples_are_encoded() -> None:
     assert wire.write_action(
         3, StartAttempt(request_id=0x9F71F5D3A91C4, endpoint_id=0x03124A07, timeout_us=80000)
     ) == from_hex("0041 00000012 0003 0009f71f5d3a91c4 03124a07 00013880")
@@ -164,15 +164,15 @@
         (Migrate(request_id=9), 77, struct.pack(">HQ", 1, 9)),
     ],
 )
-def test_the_other_actions(action: Action, code: int, body: bytes) -> None:
+def test_the_other_actions_are_encoded(action: Action, code: int, body: bytes) -> None:
     assert wire.write_action(1, action) == struct.pack(">HI", code, len(body)) + body
 
 
-def test_each_action_has_a_record() -> None:
+def test_each_action_has_an_encoder() -> None:
     assert set(wire.WRITERS) == set(get_args(Action))
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
+def test_settings_are_read_and_unknown_keys_ignored() -> None:
     settings = wire.read_settings(SETTINGS)
     assert settings.node_count == 3
     assert settings.max_attempts == 4
@@ -199,7 +199,7 @@
         ("connections=10.0,20.0", "connections=10.0,x", "tenant_quota"),
     ],
 )
-def test_senseless_settings_name_the_key(old: str, new: str, named: str) -> None:
+def test_invalid_settings_name_the_key(old: str, new: str, named: str) -> None:
     with pytest.raises(ValueError, match=named):
         wire.read_settings(SETTINGS.replace(old, new))
 
@@ -219,7 +219,7 @@
 
 
 class HostRun(NamedTuple):
-    """What a run of the host's program gave."""
+    """The outcome of a run of the host program."""
 
     exit_code: int
     replies: bytes
@@ -227,7 +227,7 @@
 
 
 def run_host(data: bytes) -> HostRun:
-    """Run the host's program on an input."""
+    """Run the host program on an input."""
     completed = subprocess.run(
         [sys.executable, "-m", "tansyladder.simulator.host"],
         input=data,
@@ -240,7 +240,7 @@
     )
 
 
-def test_the_end_of_input_is_a_clean_end() -> None:
+def test_the_end_of_input_gives_exit_code_0() -> None:
     assert run_host(batch(5)) == (0, b"\0\0\0\0", "")
 
 
@@ -258,7 +258,7 @@
         batch(5, record(1, struct.pack(">HQI", 1, 1, 4) + b"x=1\n")),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(data: bytes) -> None:
+def test_invalid_input_gives_exit_code_1_and_one_line(data: bytes) -> None:
     run = run_host(data)
     assert run.exit_code == 1
     assert run.message.startswith("tansyladder: ")
@@ -266,7 +266,7 @@
 
 
 def batches(instances: list[int]) -> list[bytes]:
-    """Forty batches: a start and an endpoint list, then a request each, whose last attempt failed."""
+    """Return 40 batches: a start with an endpoint list, then a request each and the last one's failure."""
     endpoint = struct.Struct(">QHIfBHB")
     endpoints = b"".join(endpoint.pack(0, 0, 1 + number, 1.0, 0, 0, 3) for number in range(9))
     encoded_batches = []
@@ -289,14 +289,14 @@
 
 
 def serve(data: bytes) -> bytes:
-    """What the host replies to an input."""
+    """Return the host's replies to an input."""
     sink = io.BytesIO()
     host.serve(io.BytesIO(data), sink)
     return sink.getvalue()
 
 
 def action_records(instances: list[int]) -> dict[int, list[bytes]]:
-    """Each instance's action records, from one host of them all."""
+    """Return the action records of each instance when one host runs all of them."""
     replies = serve(b"".join(batches(instances)))
     records_by_instance: dict[int, list[bytes]] = {instance: [] for instance in instances}
     position = 0
@@ -311,14 +311,14 @@
     return records_by_instance
 
 
-def test_instances_are_isolated_and_determined_by_their_events() -> None:
+def test_actions_of_an_instance_depend_only_on_its_own_events() -> None:
     together = action_records([1, 2, 3])
     assert all(len(records) > 30 for records in together.values())
     for instance in (1, 2, 3):
         assert action_records([instance])[instance] == together[instance]
 
 
-def test_a_killed_instance_starts_afresh() -> None:
+def test_a_killed_instance_restarts_without_state() -> None:
     stop = batch(2 * 10**6, record(10, struct.pack(">H", 1)))
     data = b"".join(batches([1]))
     replies = serve(data + stop + data)
