--- a/tansyladder/node/acceptor_state.py
+++ b/tansyladder/node/acceptor_state.py
@@ -7,16 +7,16 @@
 
 
 class AcceptorState(Enum):
-    """Whether connections are accepted, and whose connections are in the listener's queue."""
+    """Whether this process accepts connections, and whether another one serves the listener's queue."""
 
     ACCEPTING = "accepting"
-    YIELDED = "yielded"  # another process accepts from the queue
-    STOPPING = "stopping"  # what is in the queue is still accepted and answered
-    STOPPING_YIELDED = "stopping, yielded"  # another process answers what is in the queue
+    YIELDED = "yielded"  # another process accepts the connections in the queue
+    STOPPING = "stopping"  # connections in the queue are still accepted and answered
+    STOPPING_YIELDED = "stopping, yielded"  # another process accepts the connections in the queue
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the acceptor ends."""
+        """Whether the acceptor is stopping."""
         return self in (AcceptorState.STOPPING, AcceptorState.STOPPING_YIELDED)
 
     @property
@@ -26,14 +26,14 @@
 
 
 class AcceptorEvent(Enum):
-    """What changes the state of the acceptor."""
+    """An event that changes the state of the acceptor."""
 
     QUEUE_YIELDED = "queue yielded"
     QUEUE_RECLAIMED = "queue reclaimed"  # the other process has ended
-    STOPPED = "stopped"  # by `stop`, or as the listener was shut down
+    STOPPED = "stopped"  # `stop` was called, or the listener was shut down
 
 
-# Complete: each event is possible in each state, as a successor can appear or end while the acceptor stops.
+# Defines every event in every state, because a successor can appear or end while the acceptor stops.
 TRANSITIONS: dict[AcceptorState, dict[AcceptorEvent, AcceptorState]] = {
     AcceptorState.ACCEPTING: {
         AcceptorEvent.QUEUE_YIELDED: AcceptorState.YIELDED,
@@ -59,7 +59,7 @@
 
 
 class AcceptorLifecycle:
-    """The state of one acceptor. Thread-safe: the lock guards transitions, and `state` is one reference."""
+    """Holds the state of one acceptor. Thread-safe: a lock guards transitions, and reads are atomic."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -67,10 +67,10 @@
 
     @property
     def state(self) -> AcceptorState:
-        """The state at this moment."""
+        """The current state."""
         return self._state
 
     def apply(self, event: AcceptorEvent) -> None:
-        """Change the state as TRANSITIONS says."""
+        """Change the state according to `TRANSITIONS`."""
         with self._lock:
             self._state = TRANSITIONS[self._state][event]
--- a/tansyladder/node/active_configuration.py
+++ b/tansyladder/node/active_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: one immutable snapshot that is replaced as a whole."""
+"""The active configuration: one immutable snapshot that is replaced as a whole."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tansyladder.node.class_numbers import ClassNumbers
 from tansyladder.policy.settings import Settings
 
-# A message counts as slow from this part of the shortest latency objective for messages.
+# Delays are reported while their median exceeds the shortest message latency objective divided by this.
 DELAY_THRESHOLD_DIVISOR = 3
 
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
-    """What one configuration comes to; never changed after it was made."""
+    """A configuration and the values derived from it. Immutable."""
 
     config: Config
     class_numbers: Mapping[str, int]
@@ -27,8 +27,8 @@
 class ActiveConfiguration:
     """The configuration that the node runs with.
 
-    Any thread may read; each property belongs to the newest snapshot. `apply` is called by the policy runner
-    alone, under its lock, so that the policy's settings and the configuration change in one step.
+    Any thread may read; each property reads the newest snapshot. Only the policy runner calls `apply`, under
+    its lock, so that the policy's settings and the configuration change in one step.
     """
 
     def __init__(self, config: Config) -> None:
@@ -42,26 +42,26 @@
 
     @property
     def settings(self) -> Settings:
-        """The policy's settings, which are a part of the configuration."""
+        """The part of the configuration that holds the policy's settings."""
         return self._snapshot.config.settings
 
     @property
     def class_numbers(self) -> Mapping[str, int]:
-        """The policy's number of each class, by name."""
+        """The policy's number for each class, by class name."""
         return self._snapshot.class_numbers
 
     @property
     def delay_meter(self) -> DelayMeter | None:
-        """The meter of message delays; None where the platform reports none."""
+        """The meter of message delays; None if delays are not reported or have no objective."""
         return self._snapshot.delay_meter
 
     def apply(self, config: Config) -> Config:
-        """Put a configuration in force.
+        """Make a configuration the active one.
 
         A class whose settings changed gets a new number; requests in flight keep their number and settings.
 
         Returns:
-            The configuration as it is in force, with the settings of earlier versions of its classes.
+            The configuration that is now active, including the settings of earlier versions of its classes.
         """
         applied = replace(config, settings=self._classes.apply(config))
         self._snapshot = _Snapshot(applied, self._classes.in_force, build_delay_meter(config))
@@ -69,7 +69,7 @@
 
 
 def build_delay_meter(config: Config) -> DelayMeter | None:
-    """Build the meter of message delays; None where the platform reports none."""
+    """Build the meter of message delays; None if delays are not reported or have no objective."""
     objectives = [
         settings.message_latency_objective_us
         for settings in config.settings.classes
--- a/tansyladder/node/admin_commands.py
+++ b/tansyladder/node/admin_commands.py
@@ -12,20 +12,20 @@
 from tansyladder.node.decision_gate import DecisionGate
 from tansyladder.node.lifecycle import NodeState
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import DecisionPermit
 
-MAX_SHOWN_CHARACTERS = 40  # of an unknown call, in its answer
+MAX_SHOWN_CHARACTERS = 40  # of an unknown call that its answer repeats
 EXPECTED_CALLS = "status, stats, standby or active expected"
-LAST_LINE = "."  # of an answer of several lines
+LAST_LINE = "."  # ends an answer of several lines
 
 
 class CallError(Exception):
-    """A call that can't be made; the message is its answer."""
+    """Raised when a call can't be made; the message is the answer to the operator."""
 
 
 class AdminCommands:
-    """Makes operators' calls. Thread-safe, as everything is that the calls use."""
+    """Executes operators' calls. Thread-safe, because everything that the calls use is thread-safe."""
 
     def __init__(
         self, context: NodeContext, decision_gate: DecisionGate, client_listener: ClientListener
@@ -41,7 +41,7 @@
             "standby": lambda: self._change_state(self._lifecycle.enter_standby),
             "active": lambda: self._change_state(self._lifecycle.activate),
         }
-        # Where documents are replicated: by name and number of arguments.
+        # By name and number of arguments; available only if documents are replicated.
         self._document_commands: dict[tuple[str, int], Callable[..., list[str]]] = {
             ("documents", 0): lambda: [self._decision_permit.describe(), LAST_LINE],
             ("publish", 3): lambda *arguments: [self._decision_permit.publish(*arguments)],
@@ -49,19 +49,19 @@
         }
 
     def answer(self, line: bytes) -> bytes:
-        """Make the call that a line names, and return the answer with its line ends."""
+        """Execute the call that a line names, and return the answer with its line ends."""
         try:
-            first, *more = self._call(line)
-            lines = [first if more else f"+OK {first}", *more]
+            first, *following = self._call(line)
+            lines = [first if following else f"+OK {first}", *following]
         except (CallError, ValueError) as err:
             lines = [f"-ERR {err}"]
         return "".join(f"{line}\r\n" for line in lines).encode()
 
     def _call(self, line: bytes) -> list[str]:
-        """Make a call, and return the lines of its result.
+        """Execute a call, and return the lines of its result.
 
         Raises:
-            CallError, ValueError: It can't be made.
+            CallError, ValueError: The call can't be made.
         """
         try:
             text = line.decode("ascii").strip()
@@ -107,4 +107,4 @@
         state = self._lifecycle.state
         if not is_changed:
             raise CallError(state.value)
-        return [state.value]  # the log has the change itself
+        return [state.value]  # the lifecycle logs the change
--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server: operators' connections, one call on each, served by a thread of its own."""
+"""The admin server: one thread that serves operators' connections, with one call on each."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from tansyladder.node.context import NodeContext
 from tansyladder.node.decision_gate import DecisionGate
 
-MAX_CALLERS = ADMIN_DESCRIPTORS - 2  # one is the listener's, and one is accepted before another is closed
-CALLER_TIMEOUT = timedelta(seconds=10)  # for a complete line, and for reading the answer
-MAX_LINE_BYTES = 512  # of a call, whose longest part is a path
-ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)  # after an accept that found no descriptor
+MAX_CALLERS = ADMIN_DESCRIPTORS - 2  # less the listener's, and one to accept a caller before closing another
+CALLER_TIMEOUT = timedelta(seconds=10)  # from the accept until the caller has read the answer
+MAX_LINE_BYTES = 512  # of a call; its longest part is a path
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)  # after an accept failed for lack of descriptors
 EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=250)  # between two checks of the callers' deadlines
 EXPIRY_CHECK_INTERVAL_MS = EXPIRY_CHECK_INTERVAL / timedelta(milliseconds=1)
 LISTEN_BACKLOG = 128
-SHUT_DOWN_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL  # of the listener
+LISTENER_CLOSED_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class Caller:
@@ -38,16 +38,16 @@
         self.sock = sock
         self.accepted_at = now()
         self.received = b""
-        self.unsent: bytes | None = None  # the rest of the answer; None: the call is not complete
+        self.unsent: bytes | None = None  # the rest of the answer; None until the call is complete
 
     @property
     def is_finished(self) -> bool:
-        """Whether the answer was sent, and only the caller's own end is awaited."""
+        """Whether the whole answer was sent, and the caller only has to disconnect."""
         return self.unsent == b""
 
 
 class AdminServer:
-    """Answers operators' calls, each on a connection of its own, on one thread that blocks on no caller."""
+    """Answers operators' calls, each on its own connection, on one thread that never blocks on a caller."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._commands = AdminCommands(context, decision_gate, client_listener)
         self._run_standby_drains = client_listener.drainer.run_standby_drains
         self._listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
-        self._listener.settimeout(0)  # it does not block
+        self._listener.settimeout(0)  # non-blocking
         self._callers: dict[int, Caller] = {}  # by descriptor, the oldest first
         self._poll = select.poll()
         self._poll.register(self._listener, select.POLLIN)
@@ -75,12 +75,12 @@
         return len(self._callers)
 
     def start(self) -> None:
-        """Start the threads of the calls and of the drains that `standby` begins."""
+        """Start the thread that answers calls, and the one that drains the node after `standby`."""
         threading.Thread(target=self._run, name="operator", daemon=True).start()
         threading.Thread(target=self._run_standby_drains, name="standby", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop listening, which ends the thread of the calls. Thread-safe."""
+        """Stop listening, which ends the thread that answers calls. Thread-safe."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
 
@@ -92,7 +92,7 @@
                 caller = self._callers.get(descriptor)
                 if caller is not None:
                     self._handle_ready(caller)
-                elif events & SHUT_DOWN_EVENTS and descriptor == self._listener.fileno():
+                elif events & LISTENER_CLOSED_EVENTS and descriptor == self._listener.fileno():
                     return
                 elif descriptor == self._listener.fileno():
                     self._accept()
@@ -101,7 +101,7 @@
                 self._close_expired(last_check)
 
     def _close_expired(self, moment: timedelta) -> None:
-        """Close the callers whose time is over."""
+        """Close the callers that have been connected for `CALLER_TIMEOUT`."""
         for caller in list(self._callers.values()):
             if moment - caller.accepted_at >= CALLER_TIMEOUT:
                 self._close(caller)
@@ -115,23 +115,23 @@
             return
         if len(self._callers) >= MAX_CALLERS:
             self._close_oldest()
-        sock.settimeout(0)  # it does not block
+        sock.settimeout(0)  # non-blocking
         caller = self._callers[sock.fileno()] = Caller(sock)
         self._poll.register(sock, select.POLLIN)
-        self._handle_ready(caller)  # most calls have arrived by now
+        self._handle_ready(caller)  # most calls have already arrived
 
     def _free_descriptor(self) -> None:
-        """Close a caller; where there is none, wait briefly, as the next accept must not spin."""
+        """Close the oldest caller; if there is none, wait briefly so that accepting does not spin."""
         if self._callers:
             self._close_oldest()
-        else:  # the machine has fewer descriptors than it granted
+        else:  # the system has fewer descriptors left than the node's limit
             threading.Event().wait(ACCEPT_RETRY_DELAY.total_seconds())
 
     def _close_oldest(self) -> None:
         self._close(next(iter(self._callers.values())))
 
     def _handle_ready(self, caller: Caller) -> None:
-        """Serve a caller; no fault of it affects another one."""
+        """Serve a caller whose socket is ready; an error on its connection affects no other caller."""
         try:
             if caller.unsent is None:
                 self._read(caller)
@@ -157,15 +157,15 @@
             return
         if len(line) > MAX_LINE_BYTES:
             caller.unsent = b"-ERR too long: a call is one word\r\n"
-        elif line_end or not data:  # a caller may end its side in place of the line
+        elif line_end or not data:  # a caller may shut down its side instead of ending the line
             caller.unsent = self._commands.answer(line)
         else:
             return
-        self._poll.modify(caller.sock, select.POLLOUT)  # what it sends further must not keep the thread busy
+        self._poll.modify(caller.sock, select.POLLOUT)  # input after the line must not keep the thread busy
         self._send(caller)
 
     def _send(self, caller: Caller) -> None:
-        """Send as much of the answer as possible, and end our side after the last byte."""
+        """Send as much of the answer as possible, and shut down the sending side after the last byte."""
         unsent = caller.unsent or b""
         caller.unsent = unsent[caller.sock.send(unsent) :]
         if caller.is_finished:
@@ -173,7 +173,7 @@
             self._poll.modify(caller.sock, select.POLLIN)
 
     def _discard(self, caller: Caller) -> None:
-        """Discard what the caller sends until it ends its side: closing over unread bytes is a reset."""
+        """Discard input until the caller disconnects: closing with unread input would send a reset."""
         data = caller.sock.recv(protocol.MAX_LINE_BYTES)
         if not data or now() - caller.accepted_at > sockets.DRAIN_TIMEOUT:
             self._close(caller)
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -1,4 +1,4 @@
-"""Makes the attempts of one request that the policy starts, until a connection is established."""
+"""Makes the attempts that the policy starts for one request, until a connection is established."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     RequestReceived,
 )
 
-ANSWER_GRACE = timedelta(milliseconds=25)  # past the deadline, for the policy's final answer to arrive
+ANSWER_GRACE = timedelta(milliseconds=25)  # after the deadline, for the policy's final answer to arrive
 
 AttemptLoopResult = UpstreamConnection | Reject | Fail | ClientEnd
 
@@ -43,13 +43,13 @@
     request_id: int
     class_name: str
     deadline: timedelta
-    first_line: Callable[[timedelta], bytes]  # formats the endpoint's line, by how long the node waits
-    client: socket.socket | None = None  # whose disconnect ends the loop; None: no client is watched
-    answer_line_count: int = 1  # lines of an endpoint's complete answer
-    is_acceptable: Callable[[ConnectResult], bool] = lambda _: True  # checks an established connection
+    format_first_line: Callable[[timedelta], bytes]  # for an endpoint, given how long the node waits
+    client: socket.socket | None = None  # its disconnect ends the loop; None: no client is watched
+    answer_line_count: int = 1  # number of lines in an endpoint's complete answer
+    is_acceptable: Callable[[ConnectResult], bool] = lambda _: True  # else the connection is closed again
 
     def run(self, request: RequestReceived) -> AttemptLoopResult:
-        """Pass the request to the policy, and make attempts until a connection is established or it ends."""
+        """Pass the request to the policy; make attempts until a connection is established or it ends."""
         self.context.policy.handle_events(request)
         attempt = 0
         while True:
@@ -69,13 +69,13 @@
                     pass  # the attempt has ended already, or no connection is established yet
 
     def _make_attempt(self, action: StartAttempt, attempt: int) -> UpstreamConnection | ClientEnd | None:
-        """Make one attempt; return None where it failed and the policy decides what follows."""
+        """Make one attempt; return None if it failed and the policy decides what to do next."""
         policy = self.context.policy
         endpoint = policy.endpoint(action.endpoint_id)
         started = now()
         connector = UpstreamConnector(
             endpoint,
-            self.first_line,
+            self.format_first_line,
             min(started + action.timeout_us * MICROSECOND, self.deadline),
             self.context.configuration.settings.connect_timeout_us * MICROSECOND,
             self._record_attempt,
@@ -98,7 +98,7 @@
     def _report_failure(
         self, endpoint: EndpointAddress, attempt: int, result: ConnectResult, duration_us: int
     ) -> None:
-        """Notify the policy that an attempt has ended, after the client's disconnect where that ended it."""
+        """Notify the policy that an attempt has ended; report a disconnect that ended it first."""
         has_client_left = result.client_end is not None
         ended = AttemptEnded(
             self.request_id,
@@ -117,7 +117,7 @@
         self.context.metrics.record_attempt(self.class_name)
 
     def _next_action(self) -> QueuedAction | ClientEnd:
-        """Wait for the policy's next action, or for the client's end."""
+        """Wait for the policy's next action, or for the client to end its request."""
         deadline = self.deadline + ANSWER_GRACE
         descriptors = [self.action_queue.fileno()]
         if self.client is not None:
@@ -135,19 +135,19 @@
                 return Reject(self.request_id, 0)
 
     def _check_client(self, ready: set[int]) -> ClientEnd | None:
-        """Return how the client ended its request, if it did; an action that has arrived takes precedence."""
+        """Return how the client ended its request, if it did; an action in the queue takes precedence."""
         if self.client is None or self.client.fileno() not in ready or self.action_queue.peek() is not None:
             return None
         return CLIENT_END_BY_PEEK.get(sockets.peek(self.client))
 
 
 def load_hint_of(opening: protocol.Opening) -> int | None:
-    """Return the client's hint of its load in the policy's unit; None where the line has none."""
+    """Return the client's hint of its load in the policy's unit; None if the first line has no hint."""
     return None if opening.load_hint is None else int(opening.load_hint)
 
 
 def tenant_of(context: NodeContext, opening: protocol.Opening) -> int:
-    """Return the number of the tenant that a first line names; 0 where the settings have no such tenant."""
+    """Return the number of the tenant that a first line names; 0 if it is not in the settings."""
     return context.configuration.config.tenant_number(opening.field_values.get(protocol.TENANT_FIELD, ""))
 
 
@@ -160,7 +160,7 @@
     *,
     is_reconnect: bool,
 ) -> RequestReceived:
-    """Build the policy's event of a request; `is_reconnect`: its connection broke or was migrated."""
+    """Build the policy's event for a request; `is_reconnect`: an earlier connection broke or was migrated."""
     return RequestReceived(
         request_id,
         class_number,
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -1,4 +1,4 @@
-"""The clients' listener: admits requests within the node's limits, and drains the node at its end."""
+"""The listener for clients: admits requests within the node's limits, and drains the node at shutdown."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from tansyladder.node.lifecycle import NodeState
 from tansyladder.node.metrics import RequestOutcome
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import SessionService
 
 LISTEN_BACKLOG = 1024
-CLOSE_TIMEOUT = timedelta(milliseconds=300)  # at the end, for a notified client to end its side
+CLOSE_TIMEOUT = timedelta(milliseconds=300)  # at shutdown, for notified clients to disconnect
 
 
 class ClientListener:
     """Accepts and admits clients on the acceptor's thread, then has each served on a thread of its own.
 
-    It has no lock: what its threads share is in `AdmissionControl`, the acceptor and the policy runner.
-    `start`, `drain` and `stop_listening` belong to the main thread; the methods of a `ConnectionOwner` to the
-    handover's thread; `admit` and the `record_` methods to the acceptor's.
+    It has no lock: the state that its threads share is in `AdmissionControl`, the acceptor and the policy
+    runner. The main thread calls `start`, `drain` and `stop_listening`; the handover's thread calls the
+    methods of `ConnectionOwner`; the acceptor's thread calls `admit` and the `record_` methods.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
         """Take over the predecessor's listener, or open one.
 
         Args:
-            context: Of the node.
+            context: The context of the node.
             handover: Between the predecessor, this process and its successor.
-            session_service: Where sessions can be resumed.
-            decision_gate: Says whether requests may be decided here.
+            session_service: None if sessions can't be resumed.
+            decision_gate: Tells whether this node may decide requests.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: The node can't listen on the address.
         """
         self._policy = context.policy
         self._lifecycle = context.lifecycle
@@ -67,8 +67,8 @@
         self._admission = AdmissionControl(context, handover, session_service)
         services = ConnectionServices(context, handover, session_service)
         self._threads = ConnectionThreads(services, self._admission)
-        self._is_rejecting_all = False  # True: requests arrive too late to be served before the end
-        # The port can be shared, for a new process that the old one does not answer.
+        self._is_rejecting_all = False  # True: requests arrive too late to be served before the exit
+        # The port can be shared, so that a new process can listen if the old one does not answer it.
         self._listener = self._handover.request_listener() or socket.create_server(
             context.configuration.config.listen, backlog=LISTEN_BACKLOG, reuse_port=True
         )
@@ -83,26 +83,26 @@
 
     @property
     def retry_after(self) -> timedelta:
-        """After which time a rejected client may retry; zero where the platform sends no Retry-After."""
+        """How long a rejected client has to wait before a retry; zero if no Retry-After is sent."""
         return self._admission.retry_after
 
     @property
     def is_ready(self) -> bool:
-        """Whether a front end's PING is answered PONG."""
+        """Whether a front end's PING is answered with PONG."""
         return self._lifecycle.is_ready and self._decision_gate.may_decide()
 
     @property
     def active_count(self) -> int:
-        """Connections that are served at the moment. Thread-safe."""
+        """The number of connections that are served. Thread-safe."""
         return self._admission.active_count
 
     @property
     def pending_count(self) -> int:
-        """Connections that have not sent a valid first line yet. Thread-safe."""
+        """The number of connections that have not sent a valid first line yet. Thread-safe."""
         return self._acceptor.pending_count
 
     def start(self) -> None:
-        """Accept clients, and take over from the predecessor where there is one."""
+        """Accept clients, and take over from the predecessor if there is one."""
         self._acceptor_thread.start()
         self._lifecycle.mark_started()
         self._handover.serve(self._listener, self)
@@ -125,7 +125,7 @@
     def admit(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Call `release` and have the connection served, or return the answer that rejects it."""
+        """Call `release` and have the connection served, or return the answer that rejects the client."""
         try:
             answer = self._try_admit(sock, opening, arrived, release)
         except protocol.LineError as err:
@@ -138,7 +138,7 @@
     def _try_admit(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Check the first line, the node's state and its limits, in this order; return the answer if any."""
+        """Check the first line, the node's state and its limits, in this order; return any rejection."""
         self._admission.check_fields(opening)
         if self._is_rejecting_all or not self._decision_gate.may_decide(opening.connection_id):
             return protocol.format_reject(self.retry_after)
@@ -151,7 +151,7 @@
             return protocol.format_reject(self.retry_after)
         try:
             self._threads.serve(sock, opening, arrived, release)
-        except RuntimeError as err:  # the system has no thread left
+        except RuntimeError as err:  # the system can't start another thread
             self._admission.release(opening.connection_id)
             log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.THREAD_LIMIT, error=err)
             return protocol.format_reject(self.retry_after)
@@ -170,10 +170,10 @@
     def adopt_connection(
         self, state: ConnectionState, client: socket.socket, upstream: socket.socket
     ) -> None:
-        """Have a connection of the predecessor served, or end it where that fails."""
+        """Have a connection of the predecessor served, or end it if that fails."""
         try:
             self._threads.adopt(state, client, upstream)
-        except (protocol.LineError, RuntimeError) as err:  # RuntimeError: the system has no thread left
+        except (protocol.LineError, RuntimeError) as err:  # RuntimeError: no thread could be started
             log(LogEvent.CONNECTION_ADOPTION_FAILED, error=err)
             upstream.close()
             with contextlib.suppress(OSError):
@@ -190,15 +190,16 @@
         if self._lifecycle.state is NodeState.DRAINING:
             self._acceptor.reclaim_queue()
 
-    # --- the end
+    # --- shutdown
 
     def drain(self) -> None:
-        """Shut down gracefully: serve late requests, migrate connections, and reject the rest in time."""
-        # Before the state changes, as clients that connect once it is visible are the successor's; and again
-        # after it, as `on_successor_lost` ignores a successor's end in between.
-        self._share_queue()
+        """Shut down gracefully: serve late requests, migrate connections, and reject what remains in time."""
+        # Clients that connect once the new state is visible belong to the successor, so the queue is yielded
+        # before the state changes. It is checked again afterwards, as `on_successor_lost` ignores a successor
+        # that ends in between.
+        self._yield_or_reclaim_queue()
         self._lifecycle.begin_drain()
-        self._share_queue()
+        self._yield_or_reclaim_queue()
         self._handover.begin_migration()
         end = self.drainer.shutdown_deadline()
         notified = self.drainer.migrate_gradually(self._lifecycle.state_since, end, self._is_idle)
@@ -206,11 +207,11 @@
         self._acceptor.stop()
         self.drainer.evict_remaining(notified, end + CLOSE_TIMEOUT)
         self.stop_listening()
-        left = self.drainer.remaining()
-        log(LogEvent.DRAINED, established=left.established, pending=left.waiting)
+        remaining = self.drainer.remaining()
+        log(LogEvent.DRAINED, established=remaining.established, pending=remaining.waiting)
 
-    def _share_queue(self) -> None:
-        """Leave the listener's queue to a successor where there is one."""
+    def _yield_or_reclaim_queue(self) -> None:
+        """Leave the listener's queue to a successor if there is one, else accept from it."""
         if self._handover.has_successor:
             self._acceptor.yield_queue()
         else:
--- a/tansyladder/node/connection_acceptor.py
+++ b/tansyladder/node/connection_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections and waits for their first lines; one thread, which blocks on no client."""
+"""Accepts connections and waits for their first lines, on one thread that never blocks on a client."""
 
 from __future__ import annotations
 
@@ -20,52 +20,52 @@
 EXPIRY_CHECK_INTERVAL = timedelta(milliseconds=20)  # between two checks of the pending connections' deadlines
 EXPIRY_CHECK_INTERVAL_MS = EXPIRY_CHECK_INTERVAL / timedelta(milliseconds=1)
 ACCEPT_BATCH_SIZE = 16  # connections accepted in a row before pending ones are read again
-PENDING_CLOSE_TIMEOUT = timedelta(milliseconds=150)  # at the end, for clients to end their sides
-ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)  # after an accept that found no descriptor
-CLOSED_LISTENER_ERRORS = (errno.EBADF, errno.EINVAL)  # of an accept, once the listener was shut down
+PENDING_CLOSE_TIMEOUT = timedelta(milliseconds=150)  # at shutdown, for clients to disconnect
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)  # after an accept failed for lack of descriptors
+CLOSED_LISTENER_ERRORS = (errno.EBADF, errno.EINVAL)  # raised by accept after the listener was shut down
 DESCRIPTOR_LIMIT_ERRORS = (errno.EMFILE, errno.ENFILE)
 NO_DESCRIPTOR = -1
-# What the poll watches the listener for.
+# The events for which the poll watches the listener.
 NEW_CONNECTIONS = select.POLLIN
-NOTHING = 0
+NO_EVENTS = 0
 
 
 class ConnectionAcceptor:
     """Accepts connections and holds them until their first line is valid.
 
-    Pending connections have a limit of their own and cost one descriptor each and no thread: hundreds of
-    clients that send nothing, or are being answered an error, take nothing from the clients that are served.
+    Pending connections have their own limit, and each uses one descriptor and no thread: hundreds of clients
+    that send nothing, or that are being sent an error, take no resources from the clients that are served.
 
-    `run` owns everything on its own thread. Other threads may call `yield_queue`, `reclaim_queue`, `stop` and
-    the properties: each changes the lifecycle, which has a lock, and wakes the poll.
+    The thread of `run` owns all state. Other threads may read the properties, and may call `yield_queue`,
+    `reclaim_queue` and `stop`, which change the lifecycle under its lock and wake the poll.
     """
 
     def __init__(self, listener: socket.socket, max_pending: int, admitter: RequestAdmitter) -> None:
-        """`max_pending`: how many connections may be without a valid first line at once."""
+        """`max_pending`: how many connections may wait for a valid first line at the same time."""
         self._listener = listener
         self._max_pending = max_pending
         self._admitter = admitter
         self._lifecycle = AcceptorLifecycle()
-        # Independent of the lifecycle, and written by the acceptor's thread alone: the poll also leaves the
-        # listener out while the table of pending connections is full.
+        # Not derived from the lifecycle alone: the poll also ignores the listener while the table of pending
+        # connections is full. Only the acceptor's thread writes it.
         self._listener_events = NEW_CONNECTIONS
         self._wakeup = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._poll = select.poll()
         self._pending = PendingConnections(self._poll, admitter)
-        # Closed when no descriptor is left, so that a client can still be accepted and rejected.
+        # Closed when no other descriptor is left, so that a client can still be accepted and rejected.
         self._reserve_descriptor = os.open(os.devnull, os.O_RDONLY)
-        listener.settimeout(0)  # it does not block
+        listener.settimeout(0)  # non-blocking
         self._poll.register(listener, self._listener_events)
         self._poll.register(self._wakeup, select.POLLIN)
 
     @property
     def pending_count(self) -> int:
-        """How many connections have not sent a valid first line. Thread-safe."""
+        """The number of connections that have not sent a valid first line. Thread-safe."""
         return self._pending.count
 
     @property
     def is_expecting_lines(self) -> bool:
-        """Whether some connection's first line may be on its way. Thread-safe."""
+        """Whether a first line may still arrive on a pending connection. Thread-safe."""
         return self._pending.is_expecting_lines
 
     def yield_queue(self) -> None:
@@ -77,7 +77,7 @@
         self._apply(AcceptorEvent.QUEUE_RECLAIMED)
 
     def stop(self) -> None:
-        """End `run`: pending clients are answered or closed, no other is accepted. Thread-safe."""
+        """Make `run` answer or close the clients that have arrived, and return. Thread-safe."""
         self._apply(AcceptorEvent.STOPPED)
 
     def run(self) -> None:
@@ -89,7 +89,7 @@
             if now() - last_check >= EXPIRY_CHECK_INTERVAL:
                 last_check = now()
                 self._pending.check_all_deadlines(last_check)
-                self._watch_own_queue()  # again, where the table was full
+                self._update_listener_watch()  # resumes accepting after the table was full
         self._finish()
 
     def _apply(self, event: AcceptorEvent) -> None:
@@ -103,28 +103,28 @@
             self._pending.handle_readable(connection)
         elif descriptor == self._wakeup:
             os.eventfd_read(self._wakeup)
-            self._watch_own_queue()
+            self._update_listener_watch()
         elif descriptor == self._listener.fileno() and not self._lifecycle.state.is_yielded:
             self._accept_batch()
 
     def _finish(self) -> None:
-        """Answer what has arrived until now, and cut no client off in the middle of a line.
+        """Answer what has arrived so far, and close no connection in the middle of a client's line.
 
-        Our sending sides are ended first, and what still arrives is read to its end, within a limit: closing
-        over unread bytes would send a reset. What is read after our end must not be served.
+        The sending sides are shut down first, and further input is read until the deadline: closing a socket
+        with unread input would send a reset. Input that is read after the shutdown must not be served.
         """
         deadline = now() + PENDING_CLOSE_TIMEOUT
         while not self._lifecycle.state.is_yielded and now() < deadline and self._accept_batch():
             pass
         self._pending.shutdown_unanswered()
-        self._poll.unregister(self._wakeup)  # it may be readable still, and would spin the poll
+        self._poll.unregister(self._wakeup)  # it may still be readable, and the poll would spin
         with contextlib.suppress(OSError, KeyError):  # the listener was shut down
             self._poll.unregister(self._listener)
         self._discard_until(deadline)
         self._pending.close_all()
 
     def _discard_until(self, deadline: timedelta) -> None:
-        """Read what answered clients still send, until all have ended their sides or the deadline."""
+        """Read what answered clients still send, until all have disconnected or the deadline has passed."""
         while self._pending.count and now() < deadline:
             for descriptor in sockets.poll_until(self._poll, deadline):
                 if (connection := self._pending.get(descriptor)) is not None:
@@ -134,7 +134,7 @@
         """Accept a batch of connections; return whether more may be in the queue."""
         for _ in range(ACCEPT_BATCH_SIZE):
             if self._pending.count >= self._max_pending and not self._pending.evict_one():
-                self._watch_listener(NOTHING)
+                self._set_listener_events(NO_EVENTS)
                 return False
             try:
                 sock, _ = self._listener.accept()
@@ -146,12 +146,12 @@
             self._pending.add(sock)
         return True
 
-    def _watch_own_queue(self) -> None:
-        """Have the poll watch the listener, unless another process accepts from its queue."""
-        self._watch_listener(NOTHING if self._lifecycle.state.is_yielded else NEW_CONNECTIONS)
+    def _update_listener_watch(self) -> None:
+        """Make the poll watch the listener, unless another process accepts from its queue."""
+        self._set_listener_events(NO_EVENTS if self._lifecycle.state.is_yielded else NEW_CONNECTIONS)
 
-    def _watch_listener(self, events: int) -> None:
-        """Have the poll watch the listener for these events; NOTHING leaves new connections in its queue."""
+    def _set_listener_events(self, events: int) -> None:
+        """Make the poll watch the listener for events; NO_EVENTS leaves new connections in its queue."""
         if events != self._listener_events:
             self._listener_events = events
             with contextlib.suppress(OSError):  # the listener was shut down
@@ -166,16 +166,16 @@
             self._handle_descriptor_exhaustion()
 
     def _handle_descriptor_exhaustion(self) -> None:
-        """Close a pending connection; where there is none, reject a client with the reserve descriptor."""
+        """Close a pending connection; if there is none, use the reserve descriptor to reject a client."""
         if self._pending.count and self._pending.evict_one():
             return
         if self._reserve_descriptor != NO_DESCRIPTOR:
             os.close(self._reserve_descriptor)
-            self._reserve_descriptor = NO_DESCRIPTOR  # the number may be reused: it must not be closed twice
+            self._reserve_descriptor = NO_DESCRIPTOR  # it must not be closed twice: the number may be reused
         try:
             self._reject_next()
         except OSError:
-            # No client could be accepted: the next attempt must not spin.
+            # No client could be accepted; without a pause the accept loop would spin.
             threading.Event().wait(ACCEPT_RETRY_DELAY.total_seconds())
         finally:
             with contextlib.suppress(OSError):
--- a/tansyladder/node/connection_drainer.py
+++ b/tansyladder/node/connection_drainer.py
@@ -1,4 +1,4 @@
-"""Drains a node: migrates established connections and rejects waiting requests, each of them once."""
+"""Drains a node: migrates established connections and rejects waiting requests, each one once."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 from tansyladder.policy.actions import Migrate, Reject
 
 LATE_ARRIVAL_WINDOW = timedelta(milliseconds=450)  # after SIGTERM new connections arrive for up to 0.4 s
-LONGEST_REQUEST_WAIT = timedelta(seconds=3)  # that a shutdown grants, however long the deadlines are
-KILL_MARGIN = timedelta(milliseconds=700)  # SIGKILL is sent no earlier than the longest deadline and this
-EXIT_MARGIN = timedelta(milliseconds=400)  # of that margin, for the end of the process
-# 4 s after `standby` every client has to have left; this is less, by a margin.
+LONGEST_REQUEST_WAIT = timedelta(seconds=3)  # the most that a shutdown grants, whatever the deadlines are
+KILL_MARGIN = timedelta(milliseconds=700)  # SIGKILL is sent no earlier than the longest deadline plus this
+EXIT_MARGIN = timedelta(milliseconds=400)  # the part of KILL_MARGIN in which the process exits
+# Every client has to have left within 4 s after `standby`; the difference is a margin.
 STANDBY_DRAIN_DURATION = timedelta(seconds=3.4)
 LAST_MIGRATION_MARGIN = timedelta(milliseconds=500)  # from the last client's MOVE to the end of the drain
 DRAIN_STEP_INTERVAL = timedelta(milliseconds=10)
 
 
 class RemainingRequests(NamedTuple):
-    """Counts of the requests that a drain has not ended."""
+    """The numbers of requests that a drain has not ended."""
 
     established: int
     waiting: int
 
 
 class ConnectionDrainer:
-    """Migrates connections and rejects requests. Thread-safe, as no state of its own changes."""
+    """Migrates connections and rejects requests. Thread-safe: it has no mutable state."""
 
     def __init__(self, context: NodeContext, active_count: Callable[[], int]) -> None:
-        """`active_count`: how many connections are served at the moment."""
+        """`active_count`: returns how many connections are served."""
         self._configuration = context.configuration
         self._lifecycle = context.lifecycle
         self._policy = context.policy
         self._active_count = active_count
 
     def shutdown_deadline(self) -> timedelta:
-        """Return until when the shutdown that has begun may spread its migrations."""
+        """Return the end of the time over which the current shutdown may spread its migrations."""
         longest_wait = min(self._configuration.config.longest_deadline, LONGEST_REQUEST_WAIT)
         return self._lifecycle.state_since + longest_wait + KILL_MARGIN - EXIT_MARGIN
 
     def run_standby_drains(self) -> None:
-        """Drain whenever the node goes to standby, until it shuts down; for a thread of its own."""
+        """Drain the node each time it enters standby, until it shuts down; runs on a thread of its own."""
         while (since := self._lifecycle.wait_for_standby()) is not None:
             notified = self.migrate_gradually(since, since + STANDBY_DRAIN_DURATION)
             if not self._lifecycle.wait_for_change(since, now()):
                 self.evict_remaining(notified, now())
-                left = self.remaining()
-                log(LogEvent.STANDBY_ENTERED, established=left.established, pending=left.waiting)
+                remaining = self.remaining()
+                log(LogEvent.STANDBY_ENTERED, established=remaining.established, pending=remaining.waiting)
             self._lifecycle.wait_for_change(since)
 
     def migrate_gradually(
@@ -60,15 +60,15 @@
     ) -> set[int]:
         """Migrate established connections, spread until `end`; return the ids of their requests.
 
-        If all clients reconnected at once to the other nodes, they would fail together. It ends early once
-        the lifecycle's state, which began at `since`, changes, or `is_finished` returns True.
+        If all clients reconnected to the other nodes at once, they would fail together. The migration ends
+        early if the lifecycle state that began at `since` changes, or if `is_finished` returns True.
         """
         notified = set[int]()
         while True:
             step_end = max(since + LATE_ARRIVAL_WINDOW, now() + DRAIN_STEP_INTERVAL)
             if self._lifecycle.wait_for_change(since, step_end) or now() >= end:
                 return notified
-            established = _without(notified, self._policy.established_request_ids())
+            established = _exclude_notified(notified, self._policy.established_request_ids())
             if is_finished():
                 return notified
             steps_left = max(1, (end - LAST_MIGRATION_MARGIN - now()) // DRAIN_STEP_INTERVAL)
@@ -78,15 +78,16 @@
             self._policy.dispatch([Migrate(request_id) for request_id in migrated])
 
     def evict_remaining(self, notified: set[int], until: timedelta) -> None:
-        """Reject waiting requests and migrate established ones, until all have ended or the deadline.
+        """Reject waiting requests and migrate established ones, until all have ended or `until` has passed.
 
-        Each is notified once: a rejection whose connection is established by then becomes a migration. A
-        request that has just been admitted may not be registered yet, so this checks repeatedly.
+        Each request is notified once: if its connection is established before it handles a rejection, the
+        rejection acts as a migration. A request that has just been admitted may not be registered yet, so
+        the requests are checked repeatedly.
         """
         while True:
-            waiting = _without(notified, self._policy.waiting_request_ids())
+            waiting = _exclude_notified(notified, self._policy.waiting_request_ids())
             notified.update(waiting)
-            established = _without(notified, self._policy.established_request_ids())
+            established = _exclude_notified(notified, self._policy.established_request_ids())
             notified.update(established)
             rejections = [Reject(request_id) for request_id in waiting]
             migrations = [Migrate(request_id) for request_id in established]
@@ -96,12 +97,12 @@
             threading.Event().wait(DRAIN_STEP_INTERVAL.total_seconds())
 
     def remaining(self) -> RemainingRequests:
-        """Count the requests that this node still has."""
+        """Count the established and the waiting requests of this node."""
         established_count = len(self._policy.established_request_ids())
         waiting_count = len(self._policy.waiting_request_ids())
         return RemainingRequests(established_count, waiting_count)
 
 
-def _without(notified: set[int], request_ids: list[int]) -> list[int]:
+def _exclude_notified(notified: set[int], request_ids: list[int]) -> list[int]:
     """Return the requests that have not been notified."""
     return [request_id for request_id in request_ids if request_id not in notified]
--- a/tansyladder/node/connection_handler.py
+++ b/tansyladder/node/connection_handler.py
@@ -1,4 +1,4 @@
-"""What the handlers of all served connections have in common: their request's registration and their end."""
+"""The base class of the handlers of served connections: it registers the request and ends the connection."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.policy.events import AttemptStatus
 
-# Of a client that was admitted and is rejected by its handler, without an answer of the policy.
+# For a client that was admitted and is rejected by its handler, without a decision of the policy.
 RETRY_AFTER = timedelta(milliseconds=100)
 
 
 class ConnectionHandler(ABC):
     """Serves one client's connection to its end. Owned by the connection's own thread.
 
-    A subclass establishes the connection to an endpoint, and runs what `_build_relay` returns for it.
+    A subclass establishes the connection to an endpoint, and runs the relay that `_build_relay` returns.
     """
 
     def __init__(self, services: ConnectionServices, client: socket.socket, opening: Opening) -> None:
@@ -35,7 +35,7 @@
         self._context = context
         self._client = client
         self._opening = opening
-        # The request keeps its class's number, and so its settings; 0 where the settings know no such class.
+        # The request keeps this number, and so its class's settings; 0 if the class is not in the settings.
         self._class_number = context.configuration.class_numbers.get(opening.class_name, 0)
         self._action_queue = ActionQueue()
         self._request_id = 0  # until the request is registered
@@ -46,7 +46,7 @@
         """Serve the connection, whose request is registered with the policy runner."""
 
     def run(self) -> None:
-        """Serve the connection to its end; raises nothing and closes the client's socket."""
+        """Serve the connection to its end and close the client's socket; raises nothing."""
         try:
             sockets.configure_stream(self._client)
             self._serve_registered()
@@ -54,7 +54,7 @@
             log(LogEvent.CLIENT_CONNECTION_FAILED, error=err)
             if not self._is_answered:
                 self._record_outcome(RequestOutcome.CLIENT_LEFT)
-        except Exception as err:  # noqa: BLE001 - the thread's top: one connection's fault ends only that one
+        except Exception as err:  # noqa: BLE001 - an error must end only this connection
             log(LogEvent.INTERNAL_ERROR, error=repr(err))
             if not self._is_answered:
                 self._record_outcome(RequestOutcome.FAILED)
@@ -67,7 +67,7 @@
         """Serve the connection while its request is registered with the policy runner."""
         try:
             self._action_queue.open()
-        except OSError as err:  # no descriptor is left: a retry does no harm
+        except OSError as err:  # no descriptor is left; the client may retry
             log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.DESCRIPTOR_LIMIT, error=err)
             self._answer(RequestOutcome.REJECTED, format_reject(RETRY_AFTER))
             return
@@ -80,7 +80,7 @@
             self._client.close()
 
     def _answer(self, outcome: RequestOutcome, line: bytes = b"") -> None:
-        """Record the final answer; send `line` and end our side where the answer is the node's own."""
+        """Record the final answer; if it is the node's own, send `line` and shut down the sending side."""
         self._is_answered = True
         self._record_outcome(outcome)
         if line:
@@ -90,7 +90,7 @@
         self._context.metrics.record_outcome(self._opening.class_name, outcome)
 
     def _build_relay(self, connection: UpstreamConnection) -> Relay:
-        """Return the relay of an established connection; from now on the policy's actions wake it."""
+        """Build the relay of an established connection; from now on the policy's actions wake it."""
         delay_reports = build_delay_reports(
             self._context, self._request_id, connection.attempt, connection.endpoint.number
         )
--- a/tansyladder/node/connection_threads.py
+++ b/tansyladder/node/connection_threads.py
@@ -18,9 +18,9 @@
 
 
 class ConnectionThreads:
-    """Starts a thread for each connection; its admission is released when the connection has ended.
+    """Starts a thread for each connection, which releases the admission when the connection has ended.
 
-    Thread-safe: nothing here changes after the start.
+    Thread-safe: it has no mutable state.
     """
 
     def __init__(self, services: ConnectionServices, admission: AdmissionControl) -> None:
@@ -33,17 +33,17 @@
         """Serve an admitted connection.
 
         Args:
-            sock: The client's, which the thread does not use before `release` has returned.
+            sock: The client's socket, which the thread uses only after `release` has returned.
             opening: The client's first line.
             arrived: When the line arrived.
-            release: Makes the caller forget the socket.
+            release: Removes the socket from the caller's table.
 
         Raises:
-            RuntimeError: The system has no thread left; `release` was not called.
+            RuntimeError: The system can't start another thread; `release` was not called.
         """
-        released = threading.Lock()
-        with released:
-            self._start(self._serve_when_released, released, sock, opening, arrived)
+        release_lock = threading.Lock()
+        with release_lock:
+            self._start(self._serve_when_released, release_lock, sock, opening, arrived)
             release()
 
     def adopt(self, state: ConnectionState, client: socket.socket, upstream: socket.socket) -> None:
@@ -52,7 +52,7 @@
         Raises:
             LineError: The client's first line is invalid.
             OSError: The connection is broken.
-            RuntimeError: The system has no thread left.
+            RuntimeError: The system can't start another thread.
         """
         opening = protocol.parse_opening(state.opening.encode() + b"\r\n")
         sockets.configure_stream(upstream)
@@ -65,14 +65,14 @@
         threading.Thread(target=target, args=args, name="connection", daemon=True).start()
 
     def _serve_when_released(
-        self, released: threading.Lock, sock: socket.socket, opening: Opening, arrived: timedelta
+        self, release_lock: threading.Lock, sock: socket.socket, opening: Opening, arrived: timedelta
     ) -> None:
-        with released:
+        with release_lock:
             pass
         self._serve(self._build_handler(sock, opening, arrived), opening.connection_id)
 
     def _build_handler(self, sock: socket.socket, opening: Opening, arrived: timedelta) -> ConnectionHandler:
-        """Return the handler of an admitted connection: a new request, or one from before the run."""
+        """Build the handler of an admitted connection: for a new request, or one from before this run."""
         deadline = arrived + opening.wait
         if opening.endpoint_id is None:
             return RequestHandler(self._services, sock, opening, deadline)
--- a/tansyladder/node/context.py
+++ b/tansyladder/node/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one node share."""
+"""The objects that the parts of one node share."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tansyladder.node.metrics import Metrics
 from tansyladder.node.policy_runner import PolicyRunner
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import SessionService
 
 
 @dataclass(frozen=True, slots=True)
 class NodeContext:
-    """What most parts of one node use. Complete when it is made; every field is thread-safe."""
+    """The objects that most parts of one node use. Immutable, and every field is thread-safe."""
 
     configuration: ActiveConfiguration
     options: Options  # the operator's settings at the start
@@ -31,8 +31,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionServices:
-    """What the threads of served connections use. Complete when it is made; every field is thread-safe."""
+    """The objects that the threads of served connections use. Immutable, and every field is thread-safe."""
 
     context: NodeContext
     handover: ListenerHandover  # to the next process of this node
-    session_service: SessionService | None  # where sessions can be resumed
+    session_service: SessionService | None  # None if sessions can't be resumed
--- a/tansyladder/node/decision_gate.py
+++ b/tansyladder/node/decision_gate.py
@@ -1,18 +1,18 @@
-"""Whether this node may make decisions: always, or only under a lease of the cluster's documents."""
+"""Tells whether this node may decide requests: always, or only under a lease of the cluster's documents."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import DecisionPermit
 
 
 class DecisionGate:
-    """Answers whether a request may be decided now.
+    """Tells whether a request may be decided now.
 
-    Thread-safe. It has one transition, `join`: until then a node whose documents are replicated decides
-    nothing.
+    Thread-safe. Its only transition is `join`: before it, a node whose documents are replicated may decide no
+    request.
     """
 
     def __init__(self, *, requires_lease: bool) -> None:
@@ -27,15 +27,15 @@
 
     @property
     def permit(self) -> DecisionPermit | None:
-        """The cluster's documents; None: the node has not joined the cluster."""
+        """The permit of the cluster's documents; None until the node has joined the cluster."""
         return self._permit
 
     def join(self, permit: DecisionPermit) -> None:
-        """Decide by the cluster's documents from now on."""
+        """Use the permit of the cluster's documents from now on."""
         self._permit = permit
 
     def may_decide(self, connection_id: str = "") -> bool:
-        """Return whether the node may decide now; `connection_id`: of the request in question."""
+        """Return whether the node may decide now; `connection_id`: of the request to decide."""
         if not self._requires_lease:
             return True
         return self._permit is not None and self._permit.may_decide(connection_id)
--- a/tansyladder/node/delay_reporting.py
+++ b/tansyladder/node/delay_reporting.py
@@ -1,4 +1,4 @@
-"""Connects the delay and load reports of a connection with the policy."""
+"""Passes the delay and load reports of a connection to the policy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def build_delay_reports(
     context: NodeContext, request_id: int, attempt: int, endpoint_number: int
 ) -> DelayReports:
-    """Build what measures an established connection's message delays and reports them to the policy."""
+    """Build the object that measures an established connection's delays and reports them to the policy."""
     configuration = context.configuration
 
     def report(kind: ReportKind, value: float) -> None:
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -1,4 +1,4 @@
-"""Polls discovery for the endpoint list at the policy's request, and follows a change of its address."""
+"""Polls discovery for the endpoint list when the policy requests it, and follows a change of its address."""
 
 from __future__ import annotations
 
@@ -20,46 +20,45 @@
 from tansyladder.node.work_queues import WorkQueues
 from tansyladder.policy.events import ListUpdateKind
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import EndpointListCache
 
-# Nodes have to know a change 6 s after discovery has it and is reachable, even where their calls failed. A
-# poll without an answer times out after POLL_TIMEOUT + ANSWER_MARGIN, and the poll in its place has the rest.
-# A poll after a failure may be left unanswered as well, while discovery is still down, and the policy's
-# backoff (up to 4 s) is added to that: so its timeout is short.
-POLL_TIMEOUT = timedelta(seconds=4.5)  # that a poll asks discovery to wait for a change
-POLL_TIMEOUT_AFTER_FAILURE = timedelta(milliseconds=500)  # the same, after a failure until the next answer
+# A node has to know a change within 6 s after discovery has it and is reachable, even if the node's calls
+# failed. A poll without an answer times out after POLL_TIMEOUT + ANSWER_MARGIN, which leaves the rest of the
+# 6 s to the poll that replaces it. While discovery is still down, a poll after a failure may get no answer
+# either, and the policy's backoff (up to 4 s) is added to its timeout, which is therefore short.
+POLL_TIMEOUT = timedelta(seconds=4.5)  # how long a poll asks discovery to wait for a change
+POLL_TIMEOUT_AFTER_FAILURE = timedelta(milliseconds=500)  # the same, from a failure to the next answer
 ANSWER_MARGIN = timedelta(milliseconds=750)  # for an answer to arrive, beyond the poll's timeout
-IMMEDIATE_ANSWER_TIMEOUT = timedelta(seconds=2)  # of a call that does not poll: discovery queues calls
-# Nodes whose call interval is at most this may call at the same time: discovery answers all of them in time.
+IMMEDIATE_ANSWER_TIMEOUT = timedelta(seconds=2)  # of a call that does not poll; discovery queues calls
+# If the call interval is at most this, all nodes may call at the same time: discovery answers them in time.
 SIMULTANEOUS_CALL_INTERVAL = timedelta(seconds=1)
 CONNECT_TIMEOUT = timedelta(seconds=1)
 # All nodes learn of a new address at once, so their first calls to it are spread over at least this.
 MIN_FIRST_CALL_SPREAD = timedelta(milliseconds=250)
 MAX_RETRY_SPREAD = timedelta(seconds=1)  # the longest interval between two calls to a new address
 POLL_AGAIN_SPREAD = timedelta(milliseconds=150)  # from an answer with changes to the next poll
-AGENT_RETRY_INTERVAL = timedelta(
-    milliseconds=50
-)  # between calls to an agent on this machine, which are cheap
-FIRST_LIST_TIMEOUT = timedelta(
-    milliseconds=300
-)  # of a start: lists that an agent has by then have to be known
-PATH = "/v1/servers"
+# Between calls to an agent on this machine, which are cheap.
+AGENT_RETRY_INTERVAL = timedelta(milliseconds=50)
+# How long a start waits for an agent's list: lists that the agent has by then have to be known.
+FIRST_LIST_TIMEOUT = timedelta(milliseconds=300)
+ENDPOINT_LIST_PATH = "/v1/servers"
 MILLISECOND = timedelta(milliseconds=1)
 
 
 class PollState(Enum):
-    """How the last calls ended; this decides on the next poll's timeout and on what a timeout means."""
+    """How the last calls ended, which determines the next poll's timeout and how a timeout is handled."""
 
     ANSWERING = "answering"
     SILENT = "silent"  # the last call had no answer in time, or a call to an agent failed
-    REFUSED = "refused"  # failed otherwise since a timeout: something answers there, but has sent no list
+    # After a timeout, a call failed in another way: the address responds, but has not sent a list yet.
+    REFUSED = "refused"
 
 
-# The state after a call that had no answer in time, and after one that failed in another way. A list leads
-# to ANSWERING from every state.
+# The next state, by the current one: after a call that had no answer in time, and after a call that failed in
+# another way. A list leads to ANSWERING from every state.
 STATE_AFTER_TIMEOUT = dict.fromkeys(PollState, PollState.SILENT)
-STATE_AFTER_REFUSAL = {
+STATE_AFTER_OTHER_FAILURE = {
     PollState.ANSWERING: PollState.ANSWERING,
     PollState.SILENT: PollState.REFUSED,
     PollState.REFUSED: PollState.REFUSED,
@@ -71,14 +70,14 @@
 
     error: str
     is_timeout: bool = False
-    is_stale: bool = False  # the list is older than what is known
+    is_stale: bool = False  # the list that was sent is older than the known one
 
 
 class DiscoveryClient:
-    """Polls discovery on one thread, from a request of the policy until a call fails.
+    """Polls discovery on one thread, from when the policy requests it until a call fails.
 
-    `_lock` guards the address, its client and what is known of it; nothing else is called under it. The
-    polling thread alone writes `_state`. `switch_address` is thread-safe.
+    `_lock` guards the address, its HTTP client and their state; no other object is called while it is held.
+    Only the polling thread writes `_state`. `switch_address` is thread-safe.
     """
 
     def __init__(
@@ -87,8 +86,8 @@
         """Poll the address that the configuration names.
 
         Args:
-            context: Of the node.
-            work_queues: The policy's requests to poll.
+            context: The context of the node.
+            work_queues: Contain the policy's requests to poll.
             endpoint_cache: Stores the list for the next process.
         """
         config = context.configuration.config
@@ -99,8 +98,8 @@
         self._lock = threading.Lock()
         self._address = config.discovery
         self._http = HttpClient(config.discovery)
-        # Whether this address has yet to send its complete list. At a start the changes since the known list
-        # are enough, unless an agent answers.
+        # Whether the next call requests the complete list, which this address has not sent yet. At a start
+        # the changes since the known list are enough, except from an agent.
         self._needs_snapshot = self._is_agent or not config.known_endpoints.endpoints
         self._retry_spread = self._first_call_spread
         self._state = PollState.ANSWERING
@@ -115,19 +114,19 @@
 
     @property
     def _is_agent(self) -> bool:
-        """Whether an agent on this machine receives the lists, and answers at once with the newest one."""
+        """Whether discovery is an agent on this machine, which receives all lists and answers at once."""
         return not self._configuration.settings.polls_discovery
 
     @property
     def _first_call_spread(self) -> timedelta:
-        """The time over which nodes' first calls to a new address are spread; 4 s are allowed for them."""
+        """The time over which the nodes' first calls to a new address are spread; up to 4 s are allowed."""
         is_large_cluster = self._call_interval > SIMULTANEOUS_CALL_INTERVAL
         return MAX_RETRY_SPREAD if is_large_cluster else MIN_FIRST_CALL_SPREAD
 
     def start(self) -> None:
-        """Start the polling thread; where an agent answers, wait briefly for its first list."""
+        """Start the polling thread; if discovery is an agent, wait briefly for its first list."""
         self._thread.start()
-        if self._is_agent:  # else the policy decides when to poll
+        if self._is_agent:  # otherwise the policy decides when to poll
             self._work_queues.request_discovery_poll()
             self._first_answer.wait(FIRST_LIST_TIMEOUT.total_seconds())
 
@@ -142,9 +141,9 @@
             self._thread.join()
 
     def switch_address(self, address: Address) -> bool:
-        """Poll another address from now on; return False where it is polled already.
+        """Poll another address from now on; return False if it is polled already.
 
-        The known list stays in force until the new address has sent its complete one. The call to the old
+        The known list stays in force until the new address has sent its complete list. A call to the old
         address is aborted.
         """
         with self._lock:
@@ -173,17 +172,17 @@
                         is_polling = self._work_queues.discovery_polls.get_nowait()
 
     def poll_once(self) -> bool:
-        """Make one call; return False where it failed, and the policy decides when to make the next one."""
+        """Make one call; return False if it failed and the policy decides when to make the next one."""
         with self._lock:
             http = self._http
             needs_snapshot = self._needs_snapshot
             retry_spread = self._retry_spread
         if needs_snapshot and not self._is_agent:
-            # All nodes call at once, and discovery answers calls one after another.
+            # All nodes would call at once, and discovery answers calls one after another.
             self._stopped.wait((random.uniform(0, 1) * retry_spread).total_seconds())
         started = now()
         result = self._call(http, needs_snapshot=needs_snapshot)
-        if http is not self._http:  # the address was switched: the old one's answer is ignored
+        if http is not self._http:  # the address was switched: an answer from the old one is ignored
             http.close()
             return True
         if isinstance(result, CallFailure):
@@ -201,13 +200,13 @@
         return True
 
     def _call(self, http: HttpClient, *, needs_snapshot: bool) -> EndpointList | CallFailure:
-        """Request the complete list, or poll for the changes since the known one."""
+        """Request the complete list, or poll for the changes since the known list."""
         known_revision = self._policy.revision
         poll_timeout = POLL_TIMEOUT_AFTER_FAILURE if self._state is PollState.SILENT else POLL_TIMEOUT
-        path = f"{PATH}?since={known_revision}&timeout_ms={poll_timeout // MILLISECOND}"
+        path = f"{ENDPOINT_LIST_PATH}?since={known_revision}&timeout_ms={poll_timeout // MILLISECOND}"
         answer_timeout = poll_timeout + ANSWER_MARGIN
         if needs_snapshot:
-            path = PATH
+            path = ENDPOINT_LIST_PATH
             answer_timeout = IMMEDIATE_ANSWER_TIMEOUT
         try:
             listed = self._decoder.decode(http.get(path, CONNECT_TIMEOUT, answer_timeout))
@@ -216,11 +215,13 @@
             return CallFailure(str(err), is_timeout=isinstance(err, HttpTimeoutError))
         if not listed.complete and listed.revision < known_revision:
             http.close()
-            return CallFailure(f"older than what is known: {listed.revision}", is_stale=True)
+            return CallFailure(
+                f"revision {listed.revision} is older than the known revision {known_revision}", is_stale=True
+            )
         return listed
 
     def _handle_list(self, http: HttpClient, listed: EndpointList) -> None:
-        """Give a list to the policy, unless the address has been switched meanwhile."""
+        """Pass a list to the policy, unless the address has been switched meanwhile."""
         with self._lock:
             if http is not self._http:
                 http.close()
@@ -233,17 +234,18 @@
         self._first_answer.set()
         self._endpoint_cache.save_endpoints(listed)
         if not self._is_agent and listed.endpoints and self._call_interval > SIMULTANEOUS_CALL_INTERVAL:
-            # A change answers the polls of all nodes at once, so the next ones are spread. Nodes have to know
-            # what changes within 200 ms of an answer: one that polls later may use an endpoint that has gone.
+            # A change answers the polls of all nodes at once, so their next polls are spread. The spread is
+            # below 200 ms, because nodes have to know what changes within that time of an answer: a node that
+            # polls later may use an endpoint that has gone.
             self._work_queues.wait_for_poll_request(random.uniform(0, 1) * POLL_AGAIN_SPREAD)
 
     def _handle_failure(self, http: HttpClient, failure: CallFailure) -> bool:
-        """Record a failed call; return True where polling continues, False where the policy decides when."""
+        """Record a failed call; return True if polling continues, False if the policy decides when."""
         with self._lock:
             if http is not self._http:
                 return True
             if failure.is_stale and not self._needs_snapshot:
-                # The answer was late, or discovery has begun new revisions: the complete list decides.
+                # The answer was late, or discovery has restarted its revisions: request the complete list.
                 self._require_snapshot()
                 return True
             if self._needs_snapshot:
@@ -251,8 +253,8 @@
                 is_polling = True
             else:
                 is_polling = self._is_poll_repeated(failure)
-                is_silence = failure.is_timeout or self._is_agent
-                transitions = STATE_AFTER_TIMEOUT if is_silence else STATE_AFTER_REFUSAL
+                counts_as_timeout = failure.is_timeout or self._is_agent
+                transitions = STATE_AFTER_TIMEOUT if counts_as_timeout else STATE_AFTER_OTHER_FAILURE
                 self._state = transitions[self._state]
         if self._is_agent:
             self._work_queues.wait_for_poll_request(AGENT_RETRY_INTERVAL)
@@ -262,5 +264,5 @@
         return is_polling
 
     def _is_poll_repeated(self, failure: CallFailure) -> bool:
-        """Return whether a failed poll is repeated at once: any of an agent, or the first to time out."""
+        """Return whether to repeat a failed poll at once: any poll of an agent, otherwise a first timeout."""
         return self._is_agent or (failure.is_timeout and self._state is PollState.ANSWERING)
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery wrote it, and the numbers by which the policy knows its endpoints."""
+"""The endpoint list as discovery sent it, and the numbers that the policy uses for its endpoints."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.policy.events import EndpointState, EndpointUpdate, ListUpdateKind
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import EndpointListCache
 
 ENDPOINT_STATES = {
@@ -23,7 +23,7 @@
     "removed": EndpointState.GONE,
 }
 REMOVED = "removed"
-MAX_STARTED_AT_MS = 10**14  # Unix time in the year 5138: an endpoint's clock beyond it is out of range
+MAX_STARTED_AT_MS = 10**14  # Unix time in the year 5138; a later start of an endpoint is out of range
 
 
 class ValidEntry(NamedTuple):
@@ -43,9 +43,9 @@
     address = parse_address(entry.address, "host_port")
     state = ENDPOINT_STATES.get(entry.state)
     if state is None:
-        raise ConfigError("phase", f"unknown: {entry.state[:40]}")
+        raise ConfigError("phase", f"unknown state {entry.state[:40]!r}; expected up, draining or removed")
     if not 0 <= entry.started_at_ms < MAX_STARTED_AT_MS:
-        raise ConfigError("up_since_ms", "out of range")
+        raise ConfigError("up_since_ms", f"out of range: {entry.started_at_ms}")
     return ValidEntry(entry, address, state)
 
 
@@ -66,7 +66,7 @@
     predecessor_list: EndpointList | None,
     clock: Clock,
 ) -> EndpointList:
-    """Return the newest of the lists that a start may know: configured, cached, or the predecessor's."""
+    """Return the newest list known at a start: the configured one, the cached one or the predecessor's."""
     newest = configured
     cached = cache.cached_endpoints() if cache is not None else None
     if cached is not None and cached.endpoints.revision > newest.revision:
@@ -86,7 +86,7 @@
     """
 
     def __init__(self, config: Config, clock: Clock) -> None:
-        """`clock`: translates the wall-clock times of the list."""
+        """`clock`: converts the wall-clock times of the list."""
         self._clock = clock
         self._numbers: dict[str, int] = {}
         self._zone_numbers = {name: number for number, name in enumerate(config.zones)}
@@ -96,14 +96,14 @@
         self.revision = config.known_endpoints.revision
 
     def find(self, endpoint_id: str) -> EndpointAddress | None:
-        """Return the endpoint with an id; None where it has never been on this node's list."""
+        """Return the endpoint with an id; None if it has never been on this node's list."""
         number = self._numbers.get(endpoint_id)
         return self.by_number.get(number) if number is not None else None
 
     def apply(
         self, listed: EndpointList, valid: Iterable[ValidEntry], kind: ListUpdateKind
     ) -> tuple[EndpointUpdate, ...]:
-        """Apply a list, or changes of it; return the updates of its valid entries for the policy."""
+        """Apply a complete list, or changes to it; return the policy's updates for its valid entries."""
         updates = tuple(self._update(entry, address, state) for entry, address, state in valid)
         self.revision = listed.revision
         if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
@@ -135,6 +135,6 @@
             entry.capacity,
             state,
             started_at_us,
-            # Nodes number endpoints differently: what they have to agree on is derived from the id.
+            # Nodes number endpoints differently; a value on which they have to agree is derived from the id.
             zlib.crc32(entry.id.encode()),
         )
--- a/tansyladder/node/event_counters.py
+++ b/tansyladder/node/event_counters.py
@@ -1,7 +1,8 @@
-"""Counts what a node did in each second, for the log event `counts`; the lines of all nodes add up.
+"""Counts what a node did in each second, for the log event `counts`; the counts of all nodes can be added up.
 
-No I/O and no clock. There is one line a second at most, and none for a second in which nothing was counted. A
-line names only endpoints that have connections or had attempts, so the endpoint list bounds its length.
+This module does no I/O and reads no clock. There is at most one line per second, and none for a second in
+which nothing was counted. A line names only endpoints that have connections or had attempts, so the endpoint
+list bounds its length.
 """
 
 from __future__ import annotations
@@ -33,9 +34,9 @@
 
 
 class Count(StrEnum):
-    """What is counted, as a line names it; ends of attempts are counted by the names of `AttemptStatus`."""
+    """The names of the counts in a log line; ended attempts are counted by the names of `AttemptStatus`."""
 
-    ADOPTED = "adopted"  # connections of an earlier process
+    ADOPTED = "adopted"  # connections that were established by an earlier process
     ATTEMPTS = "attempts"
     CONNECTION_REPORTS = "connection_reports"  # of delays
     DISCOVERY_CALLS = "discovery_calls"
@@ -59,11 +60,11 @@
 
 
 class SecondCounts(NamedTuple):
-    """What a node did in one second, as the log has it."""
+    """The counts of one second, as they are logged."""
 
     timestamp: int  # Unix time in seconds
     counts: Mapping[str, int]
-    endpoints: str  # a list of NAME:connections/attempts/failed attempts
+    endpoints: str  # NAME:connections/attempts/failed attempts, separated by commas
 
 
 class EventCounters:
@@ -78,28 +79,28 @@
         endpoint_name: Callable[[int], str],
         metrics: Metrics,
     ) -> None:
-        """`class_settings`: by class number; `endpoint_name`: the id of an endpoint's number."""
+        """`class_settings`: by class number; `endpoint_name`: returns an endpoint's id, by its number."""
         self._class_settings = class_settings
         self._endpoint_name = endpoint_name
         self._metrics = metrics
-        self._reported_totals = metrics.total_counts()  # of the metrics, in the lines so far
-        self._second = 0
+        self._reported_totals = metrics.total_counts()  # of the metrics, at the last log line
+        self._current_second = 0
         self._counts: Counter[str] = Counter()
         self._connections: Counter[int] = Counter()  # established ones, by endpoint
         self._attempts: Counter[int] = Counter()  # of this second, by endpoint
         self._failures: Counter[int] = Counter()  # attempts of this second that were not established
         self._objective_deadlines: dict[int, int] = {}  # in microseconds, by request
-        self._endpoint_of_request: dict[int, int] = {}  # of each established connection
+        self._endpoint_of_request: dict[int, int] = {}  # for each established connection
 
     def use_classes(self, class_settings: Sequence[ClassSettings]) -> None:
-        """Take the settings of new versions of classes, by class number; earlier numbers keep theirs."""
+        """Use new class settings, by class number; the settings of earlier numbers do not change."""
         self._class_settings = class_settings
 
     def finish_second(self, now_us: int) -> SecondCounts | None:
-        """Return the counts of the last second if it is over and anything was counted in it."""
-        second = self._second
-        self._second = now_us // MICROSECONDS_PER_SECOND
-        if second == self._second:
+        """Return the counts of the second in progress, if it is over and anything was counted in it."""
+        second = self._current_second
+        self._current_second = now_us // MICROSECONDS_PER_SECOND
+        if second == self._current_second:
             return None
         self._count_outcomes()
         if not any(self._counts.values()):
@@ -111,7 +112,7 @@
         return finished
 
     def count_event(self, event: Event, now_us: int) -> None:
-        """Count an event that the policy gets."""
+        """Count an event that is passed to the policy."""
         match event:
             case RequestReceived(request_id, class_number, _, deadline):
                 self._counts[Count.RECONNECTS if event.is_reconnect else Count.REQUESTS] += 1
@@ -155,7 +156,7 @@
                 pass
 
     def count_discovery_call(self, *, has_failed: bool) -> None:
-        """Count a call to discovery that is over."""
+        """Count a call to discovery that has ended."""
         self._counts[Count.DISCOVERY_CALLS_FAILED if has_failed else Count.DISCOVERY_CALLS] += 1
 
     def _count_outcomes(self) -> None:
--- a/tansyladder/node/existing_connections.py
+++ b/tansyladder/node/existing_connections.py
@@ -1,6 +1,7 @@
 """Serves connections that were established before this process: adopted from its predecessor, or restored.
 
-The policy of this process has placed none of them: it is notified of each one once it is established here.
+The policy of this process did not choose their endpoints. It is notified of each connection once this process
+has established it.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class ExistingConnectionHandler(ConnectionHandler):
-    """Base of the handlers of connections that this process's policy has not placed."""
+    """Base of the handlers of connections whose endpoints this process's policy did not choose."""
 
     def _report_adopted(self, endpoint: EndpointAddress) -> None:
         """Notify the policy of a connection that is established at an endpoint."""
@@ -75,7 +76,7 @@
 
 
 class RestoredConnectionHandler(ExistingConnectionHandler):
-    """Connects a client again to the endpoint at which its connection was before the run."""
+    """Reconnects a client to the endpoint that its connection had before this run."""
 
     def __init__(
         self,
@@ -85,7 +86,7 @@
         deadline: timedelta,
         endpoint_id: str,
     ) -> None:
-        """`deadline`: until when attempts are made; `endpoint_id`: what the client's first line names."""
+        """`deadline`: until when attempts are made; `endpoint_id`: the endpoint that the first line names."""
         super().__init__(services, client, opening)
         self._deadline = deadline
         self._endpoint_id = endpoint_id
--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -1,4 +1,4 @@
-"""Interfaces of what the layers above the node add to it where the operator's settings say so.
+"""Interfaces that the layers above the node implement, for features that the operator's settings enable.
 
 Every method is thread-safe.
 """
@@ -17,7 +17,7 @@
 from tansyladder.net.protocol import Opening
 from tansyladder.net.upstream import UpstreamConnection
 
-if TYPE_CHECKING:  # a node without such sessions does not load what they are made of
+if TYPE_CHECKING:  # a node without resumable sessions does not load this module
     from tansyladder.resumption.stream import Stream
 
 
@@ -37,23 +37,23 @@
     """Stores the endpoint list for the next process; no method raises."""
 
     def cached_endpoints(self) -> CachedEndpointList | None:
-        """Return the list that an earlier process stored; None where there is none."""
+        """Return the list that an earlier process stored; None if there is none."""
 
     def save_endpoints(self, listed: EndpointList) -> None:
         """Apply a complete list, or changes, to the stored one."""
 
     def close(self) -> None:
-        """Write what is buffered to the disk, at a graceful shutdown."""
+        """Write buffered data to the disk, at a graceful shutdown."""
 
 
 class DecisionPermit(Protocol):
-    """Says whether this node holds a lease on the cluster's documents, and manages the documents."""
+    """Tells whether this node holds a lease on the cluster's documents, and manages the documents."""
 
     def may_decide(self, connection_id: str = "") -> bool:
-        """Return whether the node may decide now; `connection_id`: of the request in question."""
+        """Return whether the node may decide now; `connection_id`: of the request to decide."""
 
     def describe(self) -> str:
-        """Return the versions in force at this node, as JSON."""
+        """Return the versions of the documents in force at this node, as JSON."""
 
     def publish(self, document: str, idempotency_key: str, path: str) -> str:
         """Begin to publish a file as a document, on a thread of its own; return the outcome so far.
@@ -78,7 +78,7 @@
     """A request whose client has offered to resume its session."""
 
     action_queue: ActionQueue
-    class_number: int  # of its service class, as the policy numbers them
+    class_number: int  # the policy's number of its class
     opening: Opening
     stream: Stream
 
@@ -97,7 +97,7 @@
         """Return the positions and the replay buffer of a new session."""
 
     def first_line_builder(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """Return a function that formats the first line for an endpoint, by how long the node waits."""
+        """Return a function that formats the first line for an endpoint, given how long the node waits."""
 
     def serve(
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
@@ -107,7 +107,7 @@
     def resume(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Call `release` and hand a client with a token to its session, or return the rejecting answer."""
+        """Call `release` and pass a client with a token to its session, or return the rejecting answer."""
 
     def rotate_keys(self, options: ResumeOptions) -> None:
-        """Put the token keys of new settings in force."""
+        """Use the token keys of new settings from now on."""
--- a/tansyladder/node/health_checker.py
+++ b/tansyladder/node/health_checker.py
@@ -1,4 +1,4 @@
-"""Makes health checks: one short connection each, STATS where endpoints report their load, else PING."""
+"""Makes health checks on short connections: with STATS if endpoints report their load, else with PING."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class CheckResult(NamedTuple):
-    """How a health check ended; `load` is empty where the endpoint sent no valid report."""
+    """How a health check ended; `load` is empty if the endpoint sent no valid report."""
 
     status: AttemptStatus
     load: tuple[float, ...] = ()
 
 
 class HealthChecker:
-    """A few threads that take health checks off their queue, one connection for each check.
+    """Makes the queued health checks on a few threads, with one connection for each check.
 
-    Its attributes do not change after the start, so its threads share it without a lock.
+    The attributes that the threads use do not change after the start, so there is no lock.
     """
 
     def __init__(self, context: NodeContext, work_queues: WorkQueues) -> None:
@@ -43,7 +43,7 @@
         self._threads: list[threading.Thread] = []
 
     def start(self) -> None:
-        """Start the threads, where the platform lets nodes check endpoints."""
+        """Start the threads, if the platform lets nodes check endpoints."""
         if self._configuration.settings.can_check_health:
             for number in range(WORKER_COUNT):
                 thread = threading.Thread(target=self._run, name=f"health-check-{number}", daemon=True)
@@ -67,7 +67,7 @@
             )
 
     def _check(self, endpoint: EndpointAddress) -> CheckResult:
-        """Connect to an endpoint, send the request and read the answer, a report included."""
+        """Connect to an endpoint, send the request and read the answer with its load report."""
         deadline = now() + CHECK_TIMEOUT
         connect_timeout = min(self._configuration.settings.connect_timeout_us * MICROSECOND, CHECK_TIMEOUT)
         try:
@@ -86,7 +86,7 @@
         except TimeoutError:
             if not lines:
                 return CheckResult(AttemptStatus.TIMEOUT)
-            # It is healthy, and the load that it has reported before still counts.
+            # The endpoint is healthy, and the load that it reported before is still used.
             self._log_invalid_report(endpoint, lines[0])
             return CheckResult(AttemptStatus.OK)
         except OSError:
@@ -97,7 +97,7 @@
         return self._parse_report(endpoint, lines[-1])
 
     def _read_answer(self, sock: socket.socket, deadline: timedelta, lines: list[bytes]) -> bool:
-        """Read an answer into `lines`; return False where it does not begin with PONG.
+        """Read an answer into `lines`; return False if it does not begin with PONG.
 
         Raises:
             OSError: The connection ended, or the deadline passed, before the answer was complete.
@@ -107,14 +107,14 @@
         while not lines or not self._is_complete(lines):
             data = sockets.receive_by(sock, protocol.MAX_LINE_BYTES, deadline)
             if not data:
-                raise ConnectionResetError("the connection ended within an answer")
+                raise ConnectionResetError("the connection ended before the answer was complete")
             lines += buffer.feed(data)
             if lines and protocol.parse_keyword(lines[0]) != protocol.PONG:
                 return False
         return True
 
     def _is_complete(self, lines: list[bytes]) -> bool:
-        """Return whether the answer is complete: a report follows PONG, or is a line of its own."""
+        """Return whether the answer is complete: a report is part of the PONG line or a line of its own."""
         return not self._report_columns or len(lines) > 1 or b"=" in lines[0]
 
     def _parse_report(self, endpoint: EndpointAddress, line: bytes) -> CheckResult:
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -9,12 +9,12 @@
 from tansyladder.log import LogEvent, log
 from tansyladder.net.clock import now, seconds_left
 
-# The front end sends PING each 0.1 s, and new connections for up to 0.2 s after the first BUSY.
+# The front end sends PING every 0.1 s, and opens new connections for up to 0.2 s after the first BUSY.
 LATE_REQUEST_WINDOW = timedelta(seconds=1)
 
 
 class NodeState(Enum):
-    """What a node is doing; the value is the operators' word, as `status` answers it."""
+    """What a node is doing; the value is the word with which `status` answers operators."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -22,7 +22,7 @@
     DRAINING = "draining"  # after SIGTERM; the last state
 
 
-# The states from which each one can be reached; a transition from another state is ignored.
+# By state, the states from which it can be entered; a transition from another state is ignored.
 ALLOWED_FROM = {
     NodeState.STARTING: (),
     NodeState.SERVING: (NodeState.STARTING, NodeState.STANDBY),
@@ -32,7 +32,7 @@
 
 
 class Lifecycle:
-    """The state of a node. Thread-safe: the condition guards it, and changes are logged outside of it."""
+    """The state of a node. Thread-safe: a condition guards it; changes are logged after its release."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
@@ -41,27 +41,27 @@
 
     @property
     def state(self) -> NodeState:
-        """What the node is doing at the moment."""
+        """The current state."""
         return self._state
 
     @property
     def state_since(self) -> timedelta:
-        """When the state began."""
+        """When the current state began."""
         return self._state_since
 
     @property
     def is_draining(self) -> bool:
-        """Whether a client that has to leave its endpoint also has to leave this node."""
+        """Whether a client that has to leave its endpoint has to leave this node too."""
         return self._state in (NodeState.STANDBY, NodeState.DRAINING)
 
     @property
     def is_ready(self) -> bool:
-        """Whether PING is answered PONG, also after SIGTERM: then the platform stops sending by itself."""
+        """Whether PING is answered with PONG; also after SIGTERM, as then the platform stops by itself."""
         return self._state is not NodeState.STANDBY
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether requests are served: in standby only those that were already on their way."""
+        """Whether requests are served; in standby, only those that were already on their way."""
         return self._state is not NodeState.STANDBY or now() - self._state_since < LATE_REQUEST_WINDOW
 
     def mark_started(self) -> None:
@@ -69,21 +69,21 @@
         self._transition(NodeState.SERVING, only_from=NodeState.STARTING)
 
     def enter_standby(self) -> bool:
-        """Go to standby; return False where the node is draining. A second call changes nothing."""
+        """Enter standby; return False if the node shuts down. A second call changes nothing."""
         self._transition(NodeState.STANDBY)
         return self._state is NodeState.STANDBY
 
     def activate(self) -> bool:
-        """Serve again, also during the drain of a standby; return False where the node is draining."""
+        """Leave standby, even before its drain has ended; return False if the node shuts down."""
         self._transition(NodeState.SERVING, only_from=NodeState.STANDBY)
         return self._state in (NodeState.SERVING, NodeState.STARTING)
 
     def begin_drain(self) -> None:
-        """Go to the last state, from any other one: SIGTERM was received."""
+        """Enter the last state, from any other one, after SIGTERM."""
         self._transition(NodeState.DRAINING)
 
     def wait_for_change(self, since: timedelta, until: timedelta | None = None) -> bool:
-        """Wait until a deadline; return True as soon as the state that began at `since` is over."""
+        """Wait for the end of the state that began at `since`; return whether it ended by the deadline."""
         with self._changed:
             timeout = None if until is None else seconds_left(until)
             return self._changed.wait_for(lambda: self._state_since != since, timeout)
@@ -95,7 +95,7 @@
             return self._state_since if self._state is NodeState.STANDBY else None
 
     def _transition(self, state: NodeState, only_from: NodeState | None = None) -> None:
-        """Change to a state where the table allows it; `only_from` restricts it to one previous state."""
+        """Enter a state if `ALLOWED_FROM` permits it; `only_from` restricts that to one previous state."""
         with self._changed:
             previous = self._state
             if previous not in ALLOWED_FROM[state] or only_from not in (None, previous):
--- a/tansyladder/node/metrics.py
+++ b/tansyladder/node/metrics.py
@@ -1,7 +1,7 @@
 """Totals since the start: how requests ended for their clients, and how many attempts were made.
 
-Each final answer is counted once, where it is given. The lock is held for an addition or a copy, never for
-any I/O.
+Each final answer is counted once, where it is given. The lock is held for an addition or a copy, never
+during I/O.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
     """How a request ended for its client; the value is the key in the answer to `stats`."""
 
     OK = "ok"  # its connection was established
-    REJECTED = "shed"  # a retry does no harm
+    REJECTED = "shed"  # the client may retry
     FAILED = "errors"
-    CLIENT_LEFT = "left"  # it disconnected before it had an answer
+    CLIENT_LEFT = "left"  # the client disconnected before it had an answer
 
     @classmethod
     def of_answer(cls, answer: bytes) -> RequestOutcome:
-        """Return the outcome for a client that gets this final answer of the node's own."""
+        """Return the outcome of a request whose final answer, from the node itself, is this line."""
         return cls.REJECTED if parse_keyword(answer) == BUSY else cls.FAILED
 
 
 ATTEMPTS_KEY = "tries"
 OUTCOME_KEYS = tuple(outcome.value for outcome in RequestOutcome)
-MAX_CLASSES = 64  # including those that only clients' first lines name
+MAX_CLASSES = 64  # including unknown classes that clients' first lines name
 
 
 class Metrics:
-    """One node's totals by class, including removed classes and those that only clients name.
+    """One node's totals by class, including removed classes and unknown ones that clients name.
 
     Thread-safe.
     """
@@ -43,7 +43,7 @@
         self._lock = threading.Lock()
         self._classes: dict[str, Counter[str]] = {}
         self._reloads: Counter[str] = Counter()
-        self._invalid_line_count = 0  # of first lines that named no class
+        self._invalid_line_count = 0  # first lines without a class that is counted
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
@@ -66,12 +66,12 @@
             self._invalid_line_count += 1
 
     def record_reload(self, *, applied: bool) -> None:
-        """Count a configuration that was read at SIGHUP, and put in force or rejected."""
+        """Count a configuration that was read after SIGHUP, and was either applied or rejected."""
         with self._lock:
             self._reloads["config_applied" if applied else "config_rejected"] += 1
 
     def totals(self) -> dict[str, object]:
-        """Return all metrics, by the keys of `stats`."""
+        """Return all metrics, by their keys in the answer to `stats`."""
         with self._lock:
             classes = {name: dict(counter) for name, counter in self._classes.items()}
             return {
@@ -91,10 +91,10 @@
         """Add one to a count of a class; a class beyond MAX_CLASSES counts as an invalid line."""
         with self._lock:
             if class_name not in self._classes and len(self._classes) >= MAX_CLASSES:
-                self._invalid_line_count += 1  # clients that make up names must not fill the memory
+                self._invalid_line_count += 1  # class names invented by clients must not fill the memory
                 return
             self._class_counter(class_name)[key] += 1
 
     def _class_counter(self, class_name: str) -> Counter[str]:
-        """Return the counter of a class, adding it where it is new; called with the lock held."""
+        """Return the counter of a class, adding it if it is new; called with the lock held."""
         return self._classes.setdefault(class_name, Counter(dict.fromkeys((*OUTCOME_KEYS, ATTEMPTS_KEY), 0)))
--- a/tansyladder/node/pending_connections.py
+++ b/tansyladder/node/pending_connections.py
@@ -1,4 +1,4 @@
-"""Connections before their first valid request line: their deadlines, their lines and their end."""
+"""Connections that have not sent a valid first line yet: their deadlines, their lines and their end."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.clock import now
 
-# A client without a complete first line is answered ERR after the first and closed after the second: under
-# 3 s after the accept, however slowly its bytes arrive and however busy the node is.
+# A client without a complete first line is answered ERR after FIRST_LINE_TIMEOUT and closed after
+# PENDING_LIFETIME: within 3 s after the accept, however slowly its bytes arrive and however busy the node is.
 FIRST_LINE_TIMEOUT = timedelta(seconds=1.8)
 PENDING_LIFETIME = timedelta(seconds=2.3)
 PING_IDLE_TIMEOUT = timedelta(seconds=60)  # between two PINGs of the front end on one connection
-MAX_PINGS_PER_SECOND = 20  # a front end waits for each answer; more is a flood
-PING_WINDOW = timedelta(seconds=1)  # in which MAX_PINGS_PER_SECOND are counted
-# The first line of a younger connection is on its way. Where the table is full of young ones, new connections
-# wait in the listener's queue until one of the table has been silent for this long and can be evicted.
+MAX_PINGS_PER_SECOND = 20  # a front end waits for each answer; more PINGs are a flood
+PING_WINDOW = timedelta(seconds=1)  # over which MAX_PINGS_PER_SECOND applies
+# A connection can be evicted once it has been silent for this long; before, its first line may still arrive.
+# While the table is full of younger connections, new ones wait in the listener's queue.
 MIN_SILENCE = timedelta(milliseconds=50)
-DISCARD_BUFFER_BYTES = 1 << 16  # that are read at once of what an answered client still sends
+DISCARD_BUFFER_BYTES = 1 << 16  # read at once from an answered client that still sends
 
 
 class RequestAdmitter(Protocol):
-    """Decides on first lines. All of it is called on the acceptor's thread."""
+    """Decides on first lines. All of its members are used on the acceptor's thread."""
 
     @property
     def is_ready(self) -> bool:
-        """Whether a PING is answered PONG."""
+        """Whether a PING is answered with PONG."""
 
     @property
     def retry_after(self) -> timedelta:
-        """After which time a rejected client may retry."""
+        """How long a rejected client has to wait before a retry."""
 
     def admit(
         self,
@@ -45,7 +45,7 @@
         arrived: timedelta,
         release: Callable[[], None],
     ) -> bytes:
-        """Call `release` and take the connection over, or return the answer that rejects it."""
+        """Call `release` and take the connection over, or return the answer that rejects the client."""
 
     def record_invalid_line(self) -> None:
         """Count a first line that could not be parsed."""
@@ -55,11 +55,11 @@
 
 
 class PendingState(Enum):
-    """What a pending connection is waiting for; each state is reached from those above it only."""
+    """What a pending connection is waiting for; a state is entered only from those listed before it."""
 
     AWAITING_LINE = "awaiting line"  # its first line, or a front end's next PING
     ANSWERED = "answered"  # its final answer was sent; only the client's end is awaited
-    REMOVED = "removed"  # from the table: closed, or served by a thread of its own
+    REMOVED = "removed"  # no longer in the table: closed, or served by a thread of its own
 
 
 class PendingConnection:
@@ -82,7 +82,7 @@
         self.sock = sock
         self.state = PendingState.AWAITING_LINE
         self.buffer = protocol.LineBuffer()
-        # Only a complete PING extends the deadlines: a part of a line does not.
+        # Only a complete PING extends the deadlines; a part of a line does not.
         self.last_line_at = now()
         self.first_line_deadline = self.last_line_at + FIRST_LINE_TIMEOUT
         self.close_deadline = self.last_line_at + PENDING_LIFETIME
@@ -92,37 +92,37 @@
 
     @property
     def is_awaiting_line(self) -> bool:
-        """Whether it has no final answer, and is still in the table."""
+        """Whether it is in the table and has no final answer yet."""
         return self.state is PendingState.AWAITING_LINE
 
     @property
     def is_expecting_line(self) -> bool:
-        """Whether its first line may be on its way; a front end that only sends PING has none."""
+        """Whether its first line may still arrive; after a PING, only if a part of the line has arrived."""
         return self.is_awaiting_line and bool(self.buffer.partial_line or not self.ping_count)
 
     def count_ping(self, arrived: timedelta) -> None:
         """Count a PING.
 
         Raises:
-            LineError: There were too many within a second.
+            LineError: There were more than `MAX_PINGS_PER_SECOND`.
         """
         if arrived - self.ping_window_start >= PING_WINDOW:
             self.ping_count = 0
             self.ping_window_start = arrived
         self.ping_count += 1
         if self.ping_count > MAX_PINGS_PER_SECOND:
-            raise protocol.LineError("a flood of PINGs")
+            raise protocol.LineError(f"more than {MAX_PINGS_PER_SECOND} PINGs within a second")
 
     def extend_deadlines(self, arrived: timedelta) -> None:
-        """Wait for the front end's next line, after an answered PING."""
+        """Extend the deadlines to the front end's next line, after an answered PING."""
         self.last_line_at = arrived
         self.first_line_deadline = arrived + PING_IDLE_TIMEOUT
-        # A request may arrive just as the idle connection is shut down.
+        # The connection is closed later, as a request may arrive while our sending side is shut down.
         self.close_deadline = self.first_line_deadline + sockets.DRAIN_TIMEOUT
 
 
 def send_final_answer(sock: socket.socket, answer: bytes) -> None:
-    """Send an answer without blocking, and end our side; an empty answer only ends it.
+    """Send an answer without blocking, then shut down the sending side; an empty answer is not sent.
 
     Raises:
         OSError: The connection is broken, or its send buffer is full.
@@ -132,8 +132,8 @@
     sock.shutdown(socket.SHUT_WR)
 
 
-def _eviction_order(connection: PendingConnection) -> tuple[bool, timedelta]:
-    """Return the sort key of evictions: answered connections first, then the longest silent ones."""
+def _eviction_sort_key(connection: PendingConnection) -> tuple[bool, timedelta]:
+    """Return the sort key of evictions: answered connections first, then by the time of the last line."""
     return connection.is_awaiting_line, connection.last_line_at
 
 
@@ -144,7 +144,7 @@
     """
 
     def __init__(self, poll: select.poll, admitter: RequestAdmitter) -> None:
-        """`poll`: what the acceptor waits on; connections are registered with it while they are pending."""
+        """`poll`: the acceptor's; connections are registered with it while they are pending."""
         self._poll = poll
         self._admitter = admitter
         self._by_descriptor: dict[int, PendingConnection] = {}
@@ -152,30 +152,30 @@
 
     @property
     def count(self) -> int:
-        """How many connections are pending."""
+        """The number of pending connections."""
         return len(self._by_descriptor)
 
     @property
     def is_expecting_lines(self) -> bool:
-        """Whether some connection's first line may be on its way."""
+        """Whether a first line may still arrive on a pending connection."""
         return any(connection.is_expecting_line for connection in self.all())
 
     def all(self) -> list[PendingConnection]:
-        """Return the connections that are pending at this moment."""
+        """Return a list of the pending connections, which later changes do not affect."""
         return list(self._by_descriptor.values())
 
     def get(self, descriptor: int) -> PendingConnection | None:
-        """Return the connection with a descriptor; None where it is no longer pending."""
+        """Return the connection with a descriptor; None if it is no longer pending."""
         return self._by_descriptor.get(descriptor)
 
     def add(self, sock: socket.socket) -> None:
         """Add an accepted connection, and read what has already arrived on it."""
         connection = self._by_descriptor[sock.fileno()] = PendingConnection(sock)
         self._poll.register(sock, select.POLLIN)
-        self.handle_readable(connection)  # most first lines have arrived by now
+        self.handle_readable(connection)  # most first lines have already arrived
 
     def handle_readable(self, connection: PendingConnection) -> None:
-        """Read from a connection; no fault of it affects another one."""
+        """Read from a connection; an error on it affects no other connection."""
         try:
             self._read(connection)
         except BlockingIOError:
@@ -186,7 +186,7 @@
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
         except OSError:
             self.close(connection)
-        except Exception as err:  # noqa: BLE001 - a fault in one client's request must not end the acceptor
+        except Exception as err:  # noqa: BLE001 - an error in one client's request must not end the acceptor
             log(LogEvent.INTERNAL_ERROR, error=repr(err))
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
@@ -196,35 +196,35 @@
             self.check_deadlines(connection, moment)
 
     def check_deadlines(self, connection: PendingConnection, moment: timedelta) -> None:
-        """Answer a connection whose first line is overdue; close one whose lifetime is over."""
+        """Answer ERR on a connection whose first line is overdue; close one whose lifetime has ended."""
         if moment >= connection.close_deadline:
             self.close(connection)
         elif moment >= connection.first_line_deadline and connection.is_awaiting_line:
-            log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error="no first line")
+            log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error="no complete line before the deadline")
             self.answer_and_shutdown(connection, protocol.ERR + b"\r\n")
 
     def evict_one(self) -> bool:
-        """Make room in the table; return False where all connections are too young to be evicted.
+        """Make room in the table; return False if all connections are too young to be evicted.
 
         An answered connection is evicted first, then the one whose last line is the oldest. A client that
-        sent one PING or a part of a line and then nothing counts as silent too: where such clients fill the
-        table, each new client would otherwise be evicted, or have to wait.
+        sent one PING or a part of a line and then nothing counts as silent too: if such clients filled the
+        table, each new client would otherwise be evicted, or would have to wait.
         """
-        oldest = min(self._by_descriptor.values(), key=_eviction_order)
+        oldest = min(self._by_descriptor.values(), key=_eviction_sort_key)
         if oldest.is_awaiting_line:
             if now() - oldest.last_line_at < MIN_SILENCE:
                 return False
-            self.handle_readable(oldest)  # its line may have arrived unread
+            self.handle_readable(oldest)  # its first line may have arrived without being read
         if oldest.is_awaiting_line:
             log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.PENDING_EVICTED)
-            # This is also the answer to a line that arrives at this very moment.
+            # A first line that arrives at this moment gets the same answer.
             self.answer_and_shutdown(oldest, protocol.format_reject(self._admitter.retry_after))
-        if oldest.state is not PendingState.REMOVED:  # it may be served by now
+        if oldest.state is not PendingState.REMOVED:  # it may have been admitted meanwhile
             self.close(oldest)
         return True
 
     def answer_and_shutdown(self, connection: PendingConnection, answer: bytes) -> None:
-        """Send the final answer and end our side; closing at once might overtake the answer."""
+        """Send the final answer and shut down the sending side; closing at once might lose the answer."""
         if connection.is_awaiting_line:
             connection.state = PendingState.ANSWERED
         connection.close_deadline = min(connection.close_deadline, now() + sockets.DRAIN_TIMEOUT)
@@ -234,7 +234,7 @@
             self.close(connection)
 
     def shutdown_unanswered(self) -> None:
-        """Read what has arrived until now, and end our side of the connections that have no answer."""
+        """Read what has arrived so far, and shut down the sending side of connections without an answer."""
         for connection in self.all():
             if connection.is_awaiting_line:
                 self.handle_readable(connection)
@@ -266,14 +266,14 @@
         data = connection.sock.recv(2 * protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
         arrived = now()
         if not data:
-            self.close(connection)  # the client has disconnected; a part of a line is no request
+            self.close(connection)  # the client has disconnected; an incomplete line is no request
             return
         lines = connection.buffer.feed(data)
         for line in lines:
             if protocol.strip_line_end(line) == protocol.PING:
                 self._answer_ping(connection, arrived)
             elif len(lines) > 1 or connection.buffer.partial_line:
-                raise protocol.LineError("more than one line before UP")
+                raise protocol.LineError("more than one line was sent before UP")
             else:
                 self._admit(connection, protocol.parse_opening(line), arrived)
 
@@ -294,7 +294,7 @@
     def _answer_ping(self, connection: PendingConnection, arrived: timedelta) -> None:
         connection.count_ping(arrived)
         if not self._admitter.is_ready:
-            # The connection ends as well: a front end has none to a node in standby.
+            # The connection ends as well, because a front end keeps none to a node in standby.
             self.answer_and_shutdown(connection, protocol.BUSY + b"\r\n")
             return
         connection.sock.send(protocol.PONG + b"\r\n", socket.MSG_DONTWAIT)
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -1,7 +1,7 @@
-"""Runs the policy of a node: owns its Balancer and timers behind one lock, and dispatches its actions.
+"""Runs the policy of a node: guards its Balancer and timers with one lock, and dispatches its actions.
 
-Sockets are used outside the lock only: actions are put into the requests' queues under it, so that their
-order is the policy's, and the threads that wait for them are woken after it is released.
+Actions are put into the requests' queues while the lock is held, so that they keep the policy's order. The
+threads that wait for them are woken after the lock is released, and sockets are used only outside it.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
         self._event_counters = EventCounters(
             config.settings.classes, lambda number: self._endpoints[number].id, metrics
         )
-        self._pending_counts: deque[SecondCounts] = deque()  # log lines to be written outside the lock
+        self._unlogged_counts: deque[SecondCounts] = deque()  # to be logged outside the lock
         self._balancer = Balancer(config.settings, config.seed, clock.micros(now()))
 
     @property
@@ -83,17 +83,17 @@
         with self._lock:
             settings = self._configuration.apply(config).settings
             self._event_counters.use_classes(settings.classes)
-            woken_queues = self._decide([settings])
+            queues_to_wake = self._decide([settings])
         self._metrics.add_classes(self._configuration.class_numbers)
-        self._wake_and_log(woken_queues)
+        self._wake_and_log(queues_to_wake)
 
     def start(self, initial: EndpointList) -> None:
-        """Give the policy the newest endpoint list that is known at the start, and start the timers."""
+        """Pass the newest endpoint list that is known at the start to the policy, and start the timers."""
         self.update_endpoints(initial, ListUpdateKind.CACHED)
         self._timer_thread.start()
 
     def stop(self) -> None:
-        """End the timer thread, and wait for it; events are still passed to the policy."""
+        """End the timer thread, and wait for it; events can still be passed to the policy."""
         with self._lock:
             self._timers.stop()
         if self._timer_thread.ident is not None:
@@ -102,26 +102,26 @@
     # --- the policy's events and actions
 
     def handle_events(self, *events: Event) -> None:
-        """Pass events of this moment to the policy, in order, and dispatch its actions."""
+        """Pass events to the policy as having occurred now, in order, and dispatch its actions."""
         with self._lock:
-            woken_queues = self._decide(events)
-        self._wake_and_log(woken_queues)
+            queues_to_wake = self._decide(events)
+        self._wake_and_log(queues_to_wake)
 
-    def _wake_and_log(self, woken_queues: list[ActionQueue]) -> None:
+    def _wake_and_log(self, queues_to_wake: list[ActionQueue]) -> None:
         """Wake the threads that wait for actions, and write the log lines; called without the lock."""
-        for action_queue in woken_queues:
+        for action_queue in queues_to_wake:
             action_queue.wake()
-        while self._pending_counts:
+        while self._unlogged_counts:
             with contextlib.suppress(IndexError):  # another thread has just taken the last one
-                timestamp, counts, endpoints = self._pending_counts.popleft()
+                timestamp, counts, endpoints = self._unlogged_counts.popleft()
                 log(LogEvent.COUNTS, counts, timestamp=timestamp, endpoints=endpoints)
 
     def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
-        """Call the policy, under the lock; return the queues to wake once it is released."""
-        woken_queues: list[ActionQueue] = []
+        """Pass events to the policy, with the lock held; return the queues to wake once it is released."""
+        queues_to_wake: list[ActionQueue] = []
         now_us = self._clock.micros(now())
         if counts := self._event_counters.finish_second(now_us):
-            self._pending_counts.append(counts)
+            self._unlogged_counts.append(counts)
         for event in events:
             self._event_counters.count_event(event, now_us)
         for action in self._balancer.handle(now_us, events):
@@ -131,13 +131,13 @@
                     self._timers.set(self._clock.moment(at_us), token)
                 case StartAttempt() | Reject() | Fail() | CancelAttempt() | Migrate():
                     if (action_queue := self._post(action)) is not None:
-                        woken_queues.append(action_queue)
+                        queues_to_wake.append(action_queue)
                 case _:
                     self._perform(action)
-        return woken_queues
+        return queues_to_wake
 
     def _post(self, action: QueuedAction) -> ActionQueue | None:
-        """Post an action of the policy to its request; return the queue to wake, None where it is ignored."""
+        """Post an action of the policy to its request; return the queue to wake, or None if it is ignored."""
         action_queue = self._action_queues.get(action.request_id)
         if action_queue is None:
             return None
@@ -161,14 +161,14 @@
                 violate_invariant(Invariant.PEER_MESSAGE_UNSUPPORTED)
 
     def _run_timers(self) -> None:
-        """Pass each timer to the policy when it is due, until the timers are stopped; the timer thread."""
+        """Pass timers to the policy when they expire, until they are stopped; runs on the timer thread."""
         while True:
             with self._lock:
                 expired = self._timers.wait_for_expired()
                 if not expired:
                     return
-                woken_queues = self._decide(expired)
-            self._wake_and_log(woken_queues)
+                queues_to_wake = self._decide(expired)
+            self._wake_and_log(queues_to_wake)
 
     def record_discovery_call(self, *, failed: bool) -> None:
         """Count a call to discovery that has ended."""
@@ -190,51 +190,51 @@
             self._action_queues.pop(request_id, None)
 
     def dispatch(self, actions: Sequence[QueuedAction]) -> None:
-        """Dispatch actions of the node's own; those for requests that have ended are ignored."""
-        woken_queues = []
+        """Dispatch actions of the node itself; actions for requests that have ended are ignored."""
+        queues_to_wake = []
         with self._lock:
             for action in actions:
                 action_queue = self._action_queues.get(action.request_id)
                 if action_queue is not None:
                     action_queue.post(action)
-                    woken_queues.append(action_queue)
-        for action_queue in woken_queues:
+                    queues_to_wake.append(action_queue)
+        for action_queue in queues_to_wake:
             action_queue.wake()
 
     def established_request_ids(self) -> list[int]:
-        """Return the requests whose connections are established."""
+        """Return the ids of the requests whose connections are established."""
         with self._lock:
             return [number for number, queue in self._action_queues.items() if queue.is_established]
 
     def waiting_request_ids(self) -> list[int]:
-        """Return the requests that wait for a connection."""
+        """Return the ids of the requests that wait for a connection."""
         with self._lock:
             return [number for number, queue in self._action_queues.items() if not queue.is_established]
 
     def endpoint(self, number: int) -> EndpointAddress:
-        """Return the endpoint that the policy knows by a number."""
+        """Return the endpoint with a number of the policy."""
         with self._lock:
             return self._endpoints[number]
 
     def endpoint_by_id(self, endpoint_id: str) -> EndpointAddress | None:
-        """Return the endpoint with an id; None where it has never been on this node's list."""
+        """Return the endpoint with an id; None if it has never been on this node's list."""
         with self._lock:
             return self._registry.find(endpoint_id)
 
     def pool_metrics(self) -> dict[str, int]:
-        """Return the metrics of the endpoint list as the policy knows it."""
+        """Return the metrics of the policy's endpoint list."""
         counts = self._balancer.endpoint_counts()
         return {"pool_size": counts.listed, "pool_ejected": counts.ejected}
 
     def update_endpoints(self, listed: EndpointList, kind: ListUpdateKind) -> None:
-        """Apply the list or changes of it; invalid entries are logged and left out."""
+        """Apply a complete list, or changes to it; invalid entries are logged and left out."""
         valid = valid_entries(listed.endpoints)
         with self._lock:
             updates = self._registry.apply(listed, valid, kind)
-            woken_queues = self._decide([EndpointListUpdate(kind, updates, listed.revision)])
-        self._wake_and_log(woken_queues)
+            queues_to_wake = self._decide([EndpointListUpdate(kind, updates, listed.revision)])
+        self._wake_and_log(queues_to_wake)
 
     def endpoint_list(self) -> EndpointList:
-        """Return the complete list as it is known, for the next process."""
+        """Return the complete list as this node knows it, for the next process."""
         with self._lock:
             return self._registry.as_list()
--- a/tansyladder/node/policy_timers.py
+++ b/tansyladder/node/policy_timers.py
@@ -1,4 +1,4 @@
-"""The timers that the policy has set, as a heap behind the policy runner's lock."""
+"""The timers that the policy has set, in a heap that the policy runner's lock guards."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tansyladder.net.clock import now
 from tansyladder.policy.events import TimerExpired
 
-IDLE_WAIT_SECONDS = 60.0  # of the timer thread where no timer is set
+IDLE_WAIT_SECONDS = 60.0  # how long the timer thread waits at a time if no timer is set
 
 
 class PolicyTimers:
@@ -21,20 +21,20 @@
         self._is_stopped = False
 
     def set(self, moment: timedelta, token: int) -> None:
-        """Set a timer, and wake the timer thread where it is the next one to expire."""
+        """Set a timer, and wake the timer thread if this timer is the next one to expire."""
         heapq.heappush(self._heap, (moment, token))
         if self._heap[0][1] == token:
             self._changed.notify()
 
     def stop(self) -> None:
-        """Let no timer expire from now on, and wake the timer thread."""
+        """Prevent any timer from expiring from now on, and wake the timer thread."""
         self._is_stopped = True
         self._changed.notify()
 
     def wait_for_expired(self) -> list[TimerExpired]:
         """Wait, with the lock released, until timers have expired; remove and return them.
 
-        After `stop` it returns none.
+        Returns an empty list after `stop`.
         """
         while not self._is_stopped and (not self._heap or self._heap[0][0] > now()):
             seconds = (self._heap[0][0] - now()).total_seconds() if self._heap else IDLE_WAIT_SECONDS
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -15,14 +15,14 @@
 from tansyladder.node.discovery_client import DiscoveryClient
 from tansyladder.node.lifecycle import NodeState
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import SessionService
 
-MAX_LOGGED_KEYS_LENGTH = 300  # characters of the keys that changed
+MAX_LOGGED_KEYS_LENGTH = 300  # in characters, of the keys that changed
 
 
 class Reloader:
-    """Reads the configuration on request, on its own thread, which owns all but the request."""
+    """Reloads the configuration on request, on its own thread, which owns all state except the request."""
 
     def __init__(
         self,
@@ -32,14 +32,14 @@
         session_service: SessionService | None,
         options_path: str | Path | None = None,
     ) -> None:
-        """Prepare to read again what the start has read.
+        """Prepare to reload the files that were read at the start.
 
         Args:
-            environ: Names the platform's file.
-            context: Of the node.
-            discovery: Follows a change of discovery's address.
-            session_service: Gets the token keys, where sessions can be resumed.
-            options_path: Of the operator's settings file, where one was named at the start.
+            environ: The environment variables, which name the platform's file.
+            context: The context of the node.
+            discovery: The client to switch if discovery's address changes.
+            session_service: Gets the token keys; None if sessions can't be resumed.
+            options_path: The operator's settings file; None if none was named at the start.
         """
         self._environ = environ
         self._lifecycle = context.lifecycle
@@ -63,27 +63,27 @@
     def _run(self) -> None:
         while True:
             self._requested.wait()
-            self._requested.clear()  # before the file is read: a later signal may announce a newer one
+            self._requested.clear()  # before the files are read: a later signal may announce newer files
             if self._lifecycle.state is NodeState.DRAINING:
                 return  # the configuration no longer changes
             self.reload_now()
 
     def reload_now(self) -> None:
-        """Read the files now, and apply them; where one is invalid, nothing changes."""
+        """Read the files now, and apply them; if one is invalid, nothing changes."""
         try:
             reloaded = reload(self._environ, self._running_config)
             options = load(self._options_path)
         except (ConfigError, OptionsError) as err:
             log(LogEvent.RELOAD_FAILED, error=err)
             self._metrics.record_reload(applied=False)
-        except Exception as err:  # noqa: BLE001 - whatever is in a file, the next one must still be read
+        except Exception as err:  # noqa: BLE001 - an unexpected error must not end the thread
             log(LogEvent.INTERNAL_ERROR, error=repr(err))
             self._metrics.record_reload(applied=False)
         else:
             self._apply(reloaded, options)
 
     def _apply(self, reloaded: ReloadedConfig, options: Options) -> None:
-        """Put a valid configuration in force."""
+        """Apply a valid configuration."""
         config = reloaded.config
         ignored_keys = reloaded.restart_only_keys + restart_required_changes(self._running_options, options)
         if ignored_keys:
--- a/tansyladder/node/request_handler.py
+++ b/tansyladder/node/request_handler.py
@@ -1,4 +1,4 @@
-"""Serves a new request: attempts until a connection is established, then its relay or resumable session."""
+"""Serves a new request: makes attempts, then runs the relay or session of the established connection."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.policy.actions import Fail, Reject
 
-if TYPE_CHECKING:  # no type of it is made here, and a start is shorter without it
+if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import SessionService
 
 
@@ -29,7 +29,7 @@
     def __init__(
         self, services: ConnectionServices, client: socket.socket, opening: Opening, deadline: timedelta
     ) -> None:
-        """`deadline`: by when the client wants its answer."""
+        """`deadline`: when the client expects its answer at the latest."""
         super().__init__(services, client, opening)
         self._deadline = deadline
 
@@ -41,32 +41,32 @@
             self._serve_relayed()
 
     def _serve_relayed(self) -> None:
-        """Place the request at an endpoint, then relay its connection to the end."""
-        connection = self._place(self._opening.format_for_endpoint)
+        """Establish a connection to an endpoint, then relay it to its end."""
+        connection = self._establish(self._opening.format_for_endpoint)
         if connection is not None:
             status = self._build_relay(connection).run()
             self._report_end(connection, status)
 
     def _serve_resumable(self, session_service: SessionService) -> None:
-        """Place a request whose session can be resumed, then hand it to the session service."""
-        # Loaded with the sessions already; a node without sessions starts faster.
+        """Establish a connection whose session can be resumed, then pass it to the session service."""
+        # Imported here so that a node without sessions starts faster; with sessions it is loaded already.
         from tansyladder.node.extension_points import ResumableRequest  # noqa: PLC0415
 
         stream = session_service.new_stream()
-        connection = self._place(session_service.first_line_builder(self._opening, stream))
+        connection = self._establish(session_service.first_line_builder(self._opening, stream))
         if connection is not None:
             request = ResumableRequest(self._action_queue, self._class_number, self._opening, stream)
             session_service.serve(request, self._client, connection, self._request_id)
 
-    def _place(self, first_line: Callable[[timedelta], bytes]) -> UpstreamConnection | None:
-        """Follow the policy until a connection is established; else answer the client and return None."""
+    def _establish(self, format_first_line: Callable[[timedelta], bytes]) -> UpstreamConnection | None:
+        """Make attempts until a connection is established; if none is, answer the client and return None."""
         attempt_loop = AttemptLoop(
             self._context,
             self._action_queue,
             self._request_id,
             self._opening.class_name,
             self._deadline,
-            first_line,
+            format_first_line,
             self._client,
         )
         request = build_request(
@@ -81,10 +81,10 @@
         if isinstance(result, UpstreamConnection):
             self._answer(RequestOutcome.OK)  # the relay or the session sends the endpoint's UP
             return result
-        self._answer_unplaced(result)
+        self._answer_unestablished(result)
         return None
 
-    def _answer_unplaced(self, result: Reject | Fail | ClientEnd) -> None:
+    def _answer_unestablished(self, result: Reject | Fail | ClientEnd) -> None:
         """Give the final answer to a request for which no connection was established."""
         match result:
             case Reject():
@@ -93,7 +93,7 @@
             case Fail():
                 self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
             case ClientEnd.SENT_EARLY:
-                log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error="a second line before UP")
+                log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error="a second line was sent before UP")
                 self._answer(RequestOutcome.FAILED, protocol.ERR + b"\r\n")
             case ClientEnd.DISCONNECTED:
                 self._answer(RequestOutcome.CLIENT_LEFT)
--- a/tansyladder/node/work_queues.py
+++ b/tansyladder/node/work_queues.py
@@ -1,4 +1,4 @@
-"""Bounded queues of the work that the policy gives to other threads of the node."""
+"""Bounded queues of work that the policy requests from other threads of the node."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tansyladder.net.endpoint_address import EndpointAddress
 
 ItemT = TypeVar("ItemT")
-# Health checks or polls that may wait for their threads; more than a node has endpoints.
+# Health checks or polls that may wait for their threads; a node has fewer endpoints than this.
 QUEUE_CAPACITY = 256
 
 
@@ -24,16 +24,16 @@
 class WorkQueues:
     """Work for the threads of health checks and of discovery. Thread-safe."""
 
-    # None: a thread of the health checks is to end.
+    # None tells one health check thread to end.
     health_checks: queue.Queue[EndpointAddress | None] = field(default_factory=_new_queue)
-    discovery_polls: queue.Queue[bool] = field(default_factory=_new_queue)  # False: no poll for now
+    discovery_polls: queue.Queue[bool] = field(default_factory=_new_queue)  # False: stop polling
 
     def request_health_check(self, endpoint: EndpointAddress) -> None:
         """Have an endpoint checked by the next free thread."""
         _enqueue(self.health_checks, endpoint)
 
     def request_discovery_poll(self, *, is_polling: bool = True) -> None:
-        """Have discovery polled, or not polled any more until the next request."""
+        """Have discovery polled, or if `is_polling` is False, stop polling until the next request."""
         _enqueue(self.discovery_polls, is_polling)
 
     def wait_for_poll_request(self, timeout: timedelta) -> None:
@@ -43,7 +43,7 @@
 
 
 def _enqueue(target: queue.Queue[ItemT], item: ItemT) -> None:
-    """Append an item; where the queue is full an invariant is violated, and the item is dropped."""
+    """Append an item; if the queue is full, report a violated invariant and drop the item."""
     try:
         target.put_nowait(item)
     except queue.Full:
