--- a/tansyladder/raft/commits.py
+++ b/tansyladder/raft/commits.py
@@ -31,10 +31,11 @@
         return CommitPosition(self.commit_index, self._state.log.term_at(self.commit_index))
 
     def learn(self, position: CommitPosition) -> None:
-        """Commit up to an entry that another node knows to be committed, if this log has the same one.
+        """Commit up to an entry that another node knows to be committed, if this log holds that entry.
 
-        An admitted voter knows that its admission is committed; another voter may have that entry and not
-        know it yet.
+        The position arrives with votes, because voters may differ in the disk admissions that they know to
+        be committed. A voter whose new disk was admitted has seen the commit of its admission; another voter
+        may hold that entry without having seen its commit, and would not count the vote of the first one.
         """
         log = self._state.log
         is_new = self.commit_index < position.index <= log.last_index
@@ -42,7 +43,7 @@
             self.commit_to(position.index)
 
     def commit_to(self, index: int) -> None:
-        """Commit and apply all entries up to an index; without effect if they are committed already."""
+        """Commit and apply all entries up to an index; does nothing if they are committed already."""
         while self.commit_index < index:
             self.commit_index += 1
             result = self._apply(self._state.log.entry(self.commit_index))
--- a/tansyladder/raft/disk_admission.py
+++ b/tansyladder/raft/disk_admission.py
@@ -1,19 +1,27 @@
-"""Handshakes, and the admission of disks that may have lost votes or entries.
-
-Each disk has a name, drawn when its store is created. A voter votes and counts only on its admitted disk. The
-initial disks are admitted when the cluster is founded: the first voter records them once all other voters
-have replied to it. A voter on another disk has lost its record of votes. The leader replicates the log to it
-as to a learner, and once it has caught up, an entry of the log admits its new disk. Committing that entry
-takes a majority without this voter, and the voter counts only once the entry is committed. A voter of that
-majority knows any leader that a forgotten vote may have elected, and any entry that it may have committed.
-
-A disk may also be an older copy under its old name. If the caller can't show that it is the newest, it is
-suspected to be stale (`HardState.stale_disk_suspected`): the node grants no vote, and no entry that it holds
-counts. The suspicion ends in one of two ways. An entry of the log admits the disk, as above; or all other
-voters have reported, in reply to this start, their terms and the ends of their logs. In the second case no
-vote that the node may have granted is in a term above theirs, and no entry that it may have acknowledged is
-beyond the longest of their logs. So the node then votes only in later terms, and for no shorter log. Messages
-that it sent before its start may still arrive and count: they are covered by what the others reported.
+"""Handshakes, and the admission of disks that may have lost votes or log entries.
+
+Raft's safety depends on the votes and log entries that each voter has stored on its disk. A disk has a name,
+drawn when its store is created. A voter votes and counts towards majorities only on its admitted disk.
+
+Initial disks: when the cluster is founded, the first voter records the disk of each voter, once all other
+voters have replied to its handshake. These disks are admitted until the log admits others.
+
+New disks: a voter on a disk that isn't admitted has lost its record of votes. The leader replicates the log
+to it as to a learner. Once the voter has caught up, the leader appends an entry that admits its new disk. The
+entry is committed by a majority that doesn't include this voter, and the voter counts only after that commit.
+Any leader that a lost vote may have helped to elect, and any entry that the lost disk may have helped to
+commit, is known to at least one voter of that majority.
+
+Stale disks: a disk may also be an older copy of itself, with the same name. Unless the caller can show that
+it is the newest copy, it is suspected to be stale (`HardState.stale_disk_suspected`): the node grants no
+votes, and the entries that it holds don't count towards commits. The suspicion ends in one of two ways:
+
+1. An entry of the log admits the disk, as described above.
+2. All other voters have replied to a handshake of this start with their terms and the ends of their logs.
+   Then no vote that the node may have granted before is in a term above the highest of these terms, and no
+   entry that it may have acknowledged is beyond the most up-to-date of these logs. The node therefore votes
+   only in later terms, and only for candidates whose logs are at least as up to date as that log. Messages
+   that it sent before this start may still arrive and be counted; the same reports cover them.
 """
 
 from __future__ import annotations
@@ -31,7 +39,7 @@
 
     voter: str
     disk_id: str
-    incarnation: str  # the voter's start that is admitted; a later start may suspect its disk again
+    incarnation: str  # identifies the admitted start; a later start may suspect the disk again
 
     def to_entry(self, term: int) -> LogEntry:
         """Encode the admission as an entry of a term."""
@@ -48,13 +56,13 @@
     """Exchanges handshakes and decides when this node's own disk counts again. Owned by the node's thread."""
 
     def __init__(self, state: NodeState, disks: VoterDisks, incarnation: str) -> None:
-        """Begin without replies; `incarnation` identifies this start among all starts of all nodes."""
+        """Start without replies; `incarnation` identifies this start among all starts of all nodes."""
         self.incarnation = incarnation
         self.next_handshake_at = 0
         self._state = state
         self._disks = disks
         self._peer_incarnations: dict[str, str] = {}
-        self._replies: dict[str, Handshake] = {}  # the first reply of each node to this start
+        self._replies: dict[str, Handshake] = {}  # the first reply to this start, by node
 
     def tick(self) -> None:
         """Send handshakes that are due, and end the suspicion once all other voters have replied."""
@@ -69,7 +77,7 @@
             self._end_suspicion()
 
     def on_handshake(self, sender: str, handshake: Handshake) -> None:
-        """Record the sender's disk and incarnation, and reply if the sender lacks this node's."""
+        """Record the sender's disk and incarnation, and reply if the sender lacks this node's data."""
         state = self._state
         self._disks.observe(sender, handshake.disk_id)
         self._peer_incarnations[sender] = handshake.incarnation
@@ -78,7 +86,7 @@
         is_reply = handshake.recipient_incarnation == self.incarnation
         if is_reply:
             self._replies.setdefault(sender, handshake)
-        self._found_cluster()
+        self._record_initial_disks()
         lacks_initial_disks = bool(state.hard_state.initial_disks) and not handshake.initial_disks
         if handshake.wants_reply or not is_reply or lacks_initial_disks:
             self._send_handshake(sender)
@@ -97,11 +105,11 @@
         """Whether all other voters have replied to this start."""
         return self._replies.keys() >= set(self._state.other_voters)
 
-    def _found_cluster(self) -> None:
-        """As the first voter, record the initial disks once all other voters have replied to this start.
+    def _record_initial_disks(self) -> None:
+        """Record the initial disks if this node is the first voter and all other voters have replied.
 
-        A voter that replies to this start and knows no initial disks has never voted, so no cluster has been
-        founded with another disk.
+        A voter that replies to this start and knows no initial disks has never voted. If that holds for all
+        voters, the cluster has not been founded before with other disks.
         """
         state = self._state
         if state.name != state.voters[0] or state.hard_state.initial_disks or not self._has_all_replies():
@@ -110,7 +118,7 @@
         state.persist(state.hard_state.with_initial_disks(disks))
 
     def _send_handshake(self, peer: str) -> None:
-        """Send this node's handshake, which asks for a reply until the peer has replied to this start."""
+        """Send this node's handshake; it requests a reply until the peer has replied to this start."""
         hard_state = self._state.hard_state
         handshake = Handshake(
             disk_id=hard_state.disk_id,
@@ -124,7 +132,7 @@
         self._state.outbox.send(peer, handshake)
 
     def _end_suspicion(self) -> None:
-        """Trust the disk again: what it may have lost is covered by the replies of all other voters."""
+        """Trust the disk again: the replies of all other voters cover all that it may have lost."""
         state = self._state
         replies = [self._replies[name] for name in state.other_voters]
         term = max((state.term, *(reply.term for reply in replies)))
--- a/tansyladder/raft/effects.py
+++ b/tansyladder/raft/effects.py
@@ -1,4 +1,4 @@
-"""The effects of a step of a node, which its caller carries out."""
+"""The effects of one step of a node: disk writes, messages and results, which the caller carries out."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
     """The effects of one step.
 
     The caller syncs `writes`, in order, before it sends any of `messages` or delivers any of `results`. If
-    the sync fails, the caller must send and deliver nothing and must stop the node. Thus a loss of power
-    can't revoke a vote or an acknowledgment that another node has counted.
+    the sync fails, the caller must send and deliver nothing and must stop the node. This ensures that a loss
+    of power can't undo a vote or an acknowledgment that another node has counted.
     """
 
     writes: list[Write] = field(default_factory=list)
-    messages: list[SentMessage] = field(default_factory=list)  # in order
-    results: list[ProposalResult] = field(default_factory=list)  # of proposals that this node has made
+    messages: list[SentMessage] = field(default_factory=list)  # to send in this order
+    results: list[ProposalResult] = field(default_factory=list)  # for proposals that this node has made
 
 
 class Outbox:
     """Collects the effects of the current step. Owned by the node's thread."""
 
     def __init__(self, name: str) -> None:
-        """Begin with an empty step; `name` is the node's own name."""
+        """Start without effects; `name` is the node's own name."""
         self._name = name
         self._effects = Effects()
 
     def begin_step(self) -> Effects:
-        """Begin a step without effects, and return the object that collects them."""
+        """Begin a step, and return the object that collects its effects."""
         self._effects = Effects()
         return self._effects
 
--- a/tansyladder/raft/elections.py
+++ b/tansyladder/raft/elections.py
@@ -11,17 +11,17 @@
 
 
 class Elections:
-    """Grants votes, and starts an election once no leader has made contact. Owned by the node's thread."""
+    """Grants votes, and starts elections when the election timeout expires. Owned by the node's thread."""
 
     def __init__(
         self, state: NodeState, disks: VoterDisks, commits: CommittedLog, leader: LeaderReplication
     ) -> None:
-        """Begin without an election; `leader` begins a term once this node is elected."""
+        """Start without an election; `leader` begins a term once this node is elected."""
         self._state = state
         self._disks = disks
         self._commits = commits
         self._leader = leader
-        self._votes: set[str] = set()  # the nodes that have granted a vote in the present election
+        self._votes: set[str] = set()  # the nodes that have granted their vote in the current election
 
     @property
     def is_electable(self) -> bool:
@@ -30,7 +30,7 @@
         return self._disks.is_voting and state.log.last_position >= state.hard_state.vote_floor
 
     def tick(self) -> None:
-        """Request pre-votes once the election timeout has passed; a leader must not call this."""
+        """Request pre-votes once the election timeout has expired; a leader must not call this."""
         state = self._state
         if state.now >= state.election_at:
             state.reset_election_timer()
@@ -42,7 +42,8 @@
         """Grant or deny a vote."""
         state = self._state
         if request.term > state.term and self._has_leader_contact():
-            # A node that was partitioned must not depose a leader that the others are in contact with.
+            # A node that was partitioned must not depose a leader that the other nodes are in contact with
+            # (section 4.2.3 of the thesis).
             self._respond(sender, request, granted=False)
             return
         self._commits.learn(request.committed)
@@ -55,7 +56,7 @@
         self._respond(sender, request, granted=granted)
 
     def on_vote_response(self, sender: str, response: VoteResponse) -> None:
-        """Count a vote, or a pre-vote, in the present election."""
+        """Count a vote, or a pre-vote, of the current election."""
         state = self._state
         self._disks.observe(sender, response.disk_id)
         self._commits.learn(response.committed)
@@ -70,12 +71,12 @@
             self._count_votes()
 
     def _has_leader_contact(self) -> bool:
-        """Whether this node leads, or has had a message of a leader within the election timeout."""
+        """Whether this node leads, or has received a leader's message within the election timeout."""
         state = self._state
         return state.role is Role.LEADER or state.now - state.leader_contact_at < ELECTION_TIMEOUT
 
     def _may_grant(self, sender: str, request: RequestVote) -> bool:
-        """Whether the vote is not given yet, and the candidate's log holds all that may be committed."""
+        """Whether this node's vote is free, and the candidate's log has all entries that may be committed."""
         state = self._state
         if not self._disks.is_voting or request.term < state.term:
             return False
@@ -89,7 +90,7 @@
         )
 
     def _respond(self, candidate: str, request: RequestVote, *, granted: bool) -> None:
-        """Answer a vote request; a granted vote is in the request's term, a denial in this node's term."""
+        """Respond to a vote request; a granted vote has the request's term, a denial this node's term."""
         state = self._state
         response = VoteResponse(
             term=request.term if granted else state.term,
@@ -101,7 +102,7 @@
         state.outbox.send(candidate, response)
 
     def _start_pre_vote(self) -> None:
-        """Ask whether votes in the next term would be granted, without beginning that term (9.6)."""
+        """Request pre-votes for the next term, without beginning it (section 9.6 of the thesis)."""
         self._state.become_pre_candidate()
         self._request_votes(self._state.term + 1)
 
@@ -111,7 +112,7 @@
         self._request_votes(self._state.term)
 
     def _request_votes(self, term: int) -> None:
-        """Request a vote, or a pre-vote, of each other voter, and count this node's own."""
+        """Request a vote, or a pre-vote, from each other voter, and count this node's own."""
         state = self._state
         self._votes = {state.name}
         request = RequestVote(
@@ -126,7 +127,7 @@
         self._count_votes()
 
     def _count_votes(self) -> None:
-        """Begin the next stage of the election once a majority of voters has granted its votes."""
+        """Begin the election after a won pre-vote, or the term after a won election."""
         if not self._disks.has_majority(self._votes):
             return
         if self._state.role is Role.PRE_CANDIDATE:
--- a/tansyladder/raft/follower.py
+++ b/tansyladder/raft/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: accepts entries and snapshots of the leader."""
+"""The follower's side of replication: accepts entries and snapshots from the leader."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
     """Replicates the log of the term's leader. Owned by the node's thread."""
 
     def __init__(self, state: NodeState, commits: CommittedLog, incarnation: str) -> None:
-        """Begin without a leader; `incarnation` identifies this start of the node in its responses."""
+        """Start without a leader; `incarnation` identifies this start of the node in its responses."""
         self._state = state
         self._commits = commits
         self._incarnation = incarnation
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
-        """Append entries that match this log, and report the index up to which the logs agree."""
+        """Append the entries if the one before them matches, and report how far the logs agree."""
         if not self._accept_leader(sender, message.term):
             return
         log = self._state.log
         compacted_count = max(0, log.snapshot.index - message.prev_log_index)
-        prev_index = message.prev_log_index + compacted_count  # the snapshot includes the entries between
-        differs = not compacted_count and (
+        prev_index = message.prev_log_index + compacted_count  # skips the entries that the snapshot includes
+        terms_differ = not compacted_count and (
             prev_index <= log.last_index and log.term_at(prev_index) != message.prev_log_term
         )
-        if prev_index > log.last_index or differs:
-            retry_after = max(min(log.last_index, message.prev_log_index - 1), self._commits.commit_index)
-            self._respond(sender, success=False, index=retry_after)
+        if prev_index > log.last_index or terms_differ:
+            retry_index = max(min(log.last_index, message.prev_log_index - 1), self._commits.commit_index)
+            self._respond(sender, success=False, index=retry_index)
             return
         self._append(prev_index + 1, message.entries[compacted_count:])
         match_index = max(prev_index, message.prev_log_index + len(message.entries))
@@ -37,13 +37,13 @@
         self._respond(sender, success=True, index=match_index)
 
     def on_install_snapshot(self, sender: str, message: InstallSnapshot) -> None:
-        """Install a snapshot in place of entries that the leader has compacted."""
+        """Install a snapshot that replaces entries which the leader has compacted."""
         if self._accept_leader(sender, message.term):
             self._commits.install_snapshot(message)
             self._respond(sender, success=True, index=message.last_included_index)
 
     def _accept_leader(self, sender: str, term: int) -> bool:
-        """Follow the sender; if its term is over, respond with the present term and return False."""
+        """Follow the sender; if its term is outdated, respond with the current term and return False."""
         state = self._state
         if term < state.term:
             self._respond(sender, success=False, index=0)
@@ -53,7 +53,7 @@
         return True
 
     def _append(self, first_index: int, entries: tuple[LogEntry, ...]) -> None:
-        """Write the entries from the first one that this log lacks or holds from another term."""
+        """Replace this log's entries from the first one that is missing or has another term."""
         log = self._state.log
         for index, entry in enumerate(entries, first_index):
             if index > log.last_index or log.term_at(index) != entry.term:
@@ -63,7 +63,7 @@
                 return
 
     def _respond(self, leader: str, *, success: bool, index: int) -> None:
-        """Answer a message of the leader; `index` as in `AppendEntriesResponse`."""
+        """Respond to a leader's message; `index` has the meaning of `AppendEntriesResponse.index`."""
         hard_state = self._state.hard_state
         response = AppendEntriesResponse(
             term=hard_state.term,
--- a/tansyladder/raft/leader.py
+++ b/tansyladder/raft/leader.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication: sends entries, counts acknowledgments, commits."""
+"""The leader's side of replication: sends entries, counts acknowledgments and commits entries."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True)
 class PeerProgress:
-    """A leader's knowledge of another node's log."""
+    """The progress of replication to one other node, as the leader knows it."""
 
-    next_index: int  # the entry to send next
+    next_index: int  # index of the entry to send next
     last_contact_at: int  # when its last response arrived, or when the term began
-    match_index: int = 0  # up to this index its log is known to agree with the leader's
-    trusted_match_index: int = 0  # the same, but only as acknowledged by a disk that is not suspected
-    disk_id: str = ""  # the disk that holds the log
+    match_index: int = 0  # the node's log is known to agree with the leader's up to this index
+    trusted_match_index: int = 0  # like `match_index`, without acknowledgments from a suspected disk
+    disk_id: str = ""  # the disk that holds the node's log
 
     def observe(self, response: AppendEntriesResponse, now: int) -> None:
-        """Record the contact; a response from another disk invalidates what the earlier disk held."""
+        """Record the contact; a response from another disk invalidates the indexes of the earlier one."""
         if self.disk_id != response.disk_id:
             self.match_index = 0
             self.trusted_match_index = 0
@@ -40,8 +40,8 @@
             self.trusted_match_index = max(self.trusted_match_index, response.index)
         self.next_index = max(self.next_index, self.match_index + 1)
 
-    def retry_after(self, index: int) -> None:
-        """Send the entries after an index next, as the node's log doesn't agree with what was sent."""
+    def rewind_to(self, index: int) -> None:
+        """Continue after an index, because the entries that were sent don't match the node's log."""
         self.next_index = index + 1
 
     def record_sent(self, last_index: int) -> None:
@@ -55,15 +55,15 @@
     def __init__(
         self, state: NodeState, disks: VoterDisks, commits: CommittedLog, snapshots: Snapshots
     ) -> None:
-        """Begin idle; `begin_term` starts the replication."""
+        """Start idle; `begin_term` starts the replication."""
         self.heartbeat_at = 0
         self._state = state
         self._disks = disks
         self._commits = commits
         self._snapshots = snapshots
         self._progress: dict[str, PeerProgress] = {}
-        self._proposed_admissions: dict[str, str] = {}  # by voter: the incarnation that an entry admits
-        self._has_new_entries = False  # appended in this step, at whose end they are sent together
+        self._proposed_admissions: dict[str, str] = {}  # the incarnation that an entry admits, by voter
+        self._has_unsent_entries = False  # appended in this step; `end_step` sends them together
 
     def begin_term(self) -> None:
         """Lead the term that this node has been elected for."""
@@ -76,10 +76,10 @@
         self.append(LogEntry(state.term))
 
     def tick(self) -> None:
-        """Step down if no majority is in contact (6.2 of the paper); send heartbeats that are due."""
+        """Step down without contact to a majority (thesis, section 6.2); send heartbeats that are due."""
         state = self._state
         if not self.has_quorum_contact():
-            # Clients have to learn at once that this node can't commit: it may be partitioned.
+            # This node may be partitioned. Its clients must learn at once that it can't commit.
             state.become_follower(state.term, "")
         elif state.now >= self.heartbeat_at:
             self.heartbeat_at = state.now + HEARTBEAT_INTERVAL
@@ -88,27 +88,27 @@
 
     def has_quorum_contact(self) -> bool:
         """Whether a majority has responded within the election timeout."""
-        oldest = self._state.now - ELECTION_TIMEOUT
-        in_contact = {name for name, peer in self._progress.items() if peer.last_contact_at > oldest}
+        cutoff = self._state.now - ELECTION_TIMEOUT
+        in_contact = {name for name, peer in self._progress.items() if peer.last_contact_at > cutoff}
         return self._disks.has_majority(in_contact)
 
     def end_step(self, *, announces_commit: bool) -> None:
-        """Send the entries of the step; with `announces_commit`, send the commit index even without any."""
-        if not self._has_new_entries and not announces_commit:
+        """Send the step's entries; with `announces_commit`, send the commit index even if there are none."""
+        if not self._has_unsent_entries and not announces_commit:
             return
-        self._has_new_entries = False
+        self._has_unsent_entries = False
         if self._state.role is Role.LEADER:
             for peer in self._state.peers:
                 self._send_entries(peer, even_if_empty=announces_commit)
 
     def append(self, entry: LogEntry) -> None:
-        """Append an entry of the leader's own term."""
+        """Append an entry of the current term."""
         self._state.outbox.write(self._state.log.append((entry,)))
-        self._has_new_entries = True
+        self._has_unsent_entries = True
         self._advance_commit()
 
     def on_append_entries_response(self, sender: str, response: AppendEntriesResponse) -> None:
-        """Record how far a follower's log agrees; send more entries, or earlier ones where it doesn't."""
+        """Record how far a follower's log matches, and send the entries that it needs next."""
         state = self._state
         if response.term > state.term:
             state.become_follower(response.term, "")
@@ -119,7 +119,7 @@
         peer.observe(response, state.now)
         self._disks.observe(sender, response.disk_id)
         if not response.success:
-            peer.retry_after(min(response.index, state.log.last_index))
+            peer.rewind_to(min(response.index, state.log.last_index))
             self._send_entries(sender, even_if_empty=False)
             return
         peer.acknowledge(response)
@@ -129,7 +129,7 @@
             self._send_entries(sender, even_if_empty=False)
 
     def _propose_admission(self, sender: str, peer: PeerProgress, response: AppendEntriesResponse) -> None:
-        """Propose to admit a voter's disk that doesn't count, once it holds all committed entries."""
+        """Propose to admit a voter's disk that doesn't count yet, once it holds all committed entries."""
         if sender not in self._state.voters or peer.match_index < self._commits.commit_index:
             return
         if self._disks.is_admitted(sender, response.disk_id) and response.is_disk_trusted:
@@ -140,7 +140,11 @@
             self.append(admitted.to_entry(self._state.term))
 
     def _advance_commit(self) -> None:
-        """Commit what a majority holds; entries of earlier terms only with one of this term (5.4.2)."""
+        """Commit the entries that a majority holds.
+
+        Entries of earlier terms are committed only together with an entry of the current term (section 5.4.2
+        of the Raft paper by Ongaro and Ousterhout).
+        """
         match_indexes = [self._trusted_match_index(name) for name in self._disks.counted_voters()]
         majority = len(self._state.voters) // 2 + 1
         if len(match_indexes) < majority:
@@ -150,19 +154,19 @@
             self._commits.commit_to(index)
 
     def _trusted_match_index(self, voter: str) -> int:
-        """Return the index up to which a voter, which may be this node, durably holds the log."""
+        """Return the last index that a voter, which may be this node, durably holds."""
         if voter == self._state.name:
             return self._state.log.last_index
         return self._progress[voter].trusted_match_index
 
     def _is_of_own_term(self, index: int) -> bool:
-        """Whether the entry at an index is of the term that this node leads."""
+        """Whether the entry at an index is from the current term, in which this node leads."""
         return self._state.log.entry(index).term == self._state.term
 
     def _send_entries(self, recipient: str, *, even_if_empty: bool) -> None:
-        """Send the snapshot if the recipient lacks compacted entries, and the entries that it lacks next.
+        """Send the next entries that the recipient lacks, after the snapshot if it lacks compacted entries.
 
-        `even_if_empty`: send a heartbeat where it lacks no entry.
+        `even_if_empty`: send a heartbeat if the recipient lacks no entry.
         """
         state = self._state
         peer = self._progress[recipient]
--- a/tansyladder/raft/log.py
+++ b/tansyladder/raft/log.py
@@ -11,11 +11,11 @@
 class RaftLog:
     """The log in memory. Owned by the node's thread.
 
-    Methods that change the log return the record that the disk needs for the same change.
+    Methods that change the log return the record to write to the disk for the same change.
     """
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[LogEntry]) -> None:
-        """Hold a snapshot and the entries that follow it."""
+        """Start with a snapshot and the entries that follow it."""
         self._snapshot = snapshot
         self._entries = list(entries)
 
@@ -45,7 +45,7 @@
         return LogPosition(self.last_term, self.last_index)
 
     def entry(self, index: int) -> LogEntry:
-        """Return the entry at an index after the snapshot's. IndexError: the log ends before it."""
+        """Return the entry at an index after the snapshot's; raise IndexError beyond the log's end."""
         return self._entries[index - self._snapshot.index - 1]
 
     def term_at(self, index: int) -> int:
@@ -53,7 +53,7 @@
         return self._snapshot.term if index == self._snapshot.index else self.entry(index).term
 
     def entries_from(self, index: int, max_count: int) -> tuple[LogEntry, ...]:
-        """Return at most `max_count` entries from an index on, which must be after the snapshot's."""
+        """Return at most `max_count` entries, starting at an index that must be after the snapshot's."""
         start = index - self._snapshot.index - 1
         return tuple(self._entries[start : start + max_count])
 
@@ -64,7 +64,7 @@
         return suffix
 
     def replace_from(self, index: int, entries: Sequence[LogEntry]) -> LogSuffix:
-        """Replace all entries from an index on, which must be after the snapshot's."""
+        """Replace all entries, starting at an index that must be after the snapshot's."""
         del self._entries[index - self._snapshot.index - 1 :]
         return self.append(entries)
 
@@ -76,7 +76,7 @@
         return snapshot
 
     def install(self, snapshot: Snapshot) -> LogSuffix:
-        """Install a leader's snapshot; keep the entries after it if the log agrees with it."""
+        """Install a leader's snapshot; keep the entries after it if the log matches it at its last entry."""
         agrees = snapshot.index < self.last_index and self.term_at(snapshot.index) == snapshot.term
         remaining = self._entries[snapshot.index - self._snapshot.index :] if agrees else []
         self._snapshot = snapshot
--- a/tansyladder/raft/messages.py
+++ b/tansyladder/raft/messages.py
@@ -13,7 +13,7 @@
 
 
 class LogPosition(NamedTuple):
-    """The end of a log; of two logs the one with the higher position is more up to date."""
+    """The end of a log. Of two logs, the one with the higher position is more up to date."""
 
     term: int
     log_index: int
@@ -25,13 +25,13 @@
 class EntryKind(IntEnum):
     """The purpose of a log entry."""
 
-    NO_OP = 0  # the first entry of a new leader, which commits the entries of earlier terms
+    NO_OP = 0  # a new leader's first entry; its commit also commits the entries of earlier terms
     COMMAND = 1  # a command for the state machine
     ADMIT_DISK = 2  # `request_id` names a voter, `data` the disk and the incarnation with which it votes
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; the node that proposed it has chosen `request_id`."""
+    """One entry of the log; `request_id` is chosen by the node that proposed the entry."""
 
     term: int
     kind: EntryKind = EntryKind.NO_OP
@@ -44,10 +44,10 @@
 
     Attributes:
         disk_id: The name of the sender's disk.
-        incarnation: The sender's start; each start draws another one.
-        initial_disks: The disk with which each voter founded the cluster; empty if not known.
-        recipient_incarnation: The recipient's start, as far as the sender knows it.
-        wants_reply: Whether the sender lacks a handshake that names its own incarnation.
+        incarnation: Identifies this start of the sender; drawn anew at each start.
+        initial_disks: The disk that each voter had when the cluster was founded; empty if not known.
+        recipient_incarnation: The last incarnation of the recipient that the sender knows; empty if none.
+        wants_reply: Whether the sender hasn't yet received a handshake that names its own incarnation.
         term: The sender's term.
         last_position: The end of the sender's log.
     """
@@ -64,7 +64,7 @@
 class CommitPosition(msgspec.Struct, frozen=True, array_like=True):
     """The last entry that the sender knows to be committed.
 
-    A recipient that has the same entry then knows it to be committed as well.
+    A recipient whose log holds the same entry can therefore commit it too.
     """
 
     index: int
@@ -72,7 +72,7 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """Requests a vote in `term`; with `pre_vote`, asks whether it would be granted, which binds nobody."""
+    """Requests a vote in `term`; with `pre_vote`, asks whether it would be granted, which isn't binding."""
 
     term: int
     last_log_index: int
@@ -82,7 +82,7 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """The answer to `RequestVote`; the vote counts for the disk `disk_id`."""
+    """The response to `RequestVote`; `disk_id` is the disk on which the sender votes."""
 
     term: int
     granted: bool
@@ -92,7 +92,7 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="append"):
-    """Entries of the leader's log that follow `prev_log_index`; without entries, a heartbeat."""
+    """Sends the entries of the leader's log after `prev_log_index`; without entries, it is a heartbeat."""
 
     term: int
     prev_log_index: int
@@ -102,14 +102,14 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """The answer to `AppendEntries` and `InstallSnapshot`.
+    """The response to `AppendEntries` and `InstallSnapshot`.
 
     Attributes:
         term: The follower's term.
         success: Whether the follower's log agrees with the leader's up to `index`.
-        index: The index up to which the logs agree; without success, the index to retry after.
+        index: The index up to which the logs agree; without success, the index after which to retry.
         disk_id: The name of the follower's disk.
-        incarnation: The follower's start.
+        incarnation: Identifies this start of the follower.
         is_disk_trusted: Whether the disk is known to hold all entries that the follower acknowledged.
     """
 
@@ -122,7 +122,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="install"):
-    """The state up to an entry that the leader has compacted."""
+    """Sends a snapshot, which replaces entries that the leader has compacted."""
 
     term: int
     last_included_index: int
@@ -132,7 +132,7 @@
 
 
 class ProposalRequest(msgspec.Struct, frozen=True, array_like=True, tag="propose"):
-    """A command that another node forwards to the leader."""
+    """A proposed command, which other nodes forward to the leader."""
 
     request_id: str
     data: bytes
@@ -141,7 +141,7 @@
 class ProposalResult(msgspec.Struct, frozen=True, array_like=True, tag="decided"):
     """The state machine's result of a proposal.
 
-    `result` is None where the outcome is not known: the proposal may be lost, or may be committed later.
+    `result` is None if the outcome is unknown: the proposal may be lost, or may be committed later.
     """
 
     request_id: str
@@ -159,6 +159,6 @@
     | ProposalResult
 )
 
-# Bare pairs, as `RaftNode.handle` reads and makes them for each message.
-ReceivedMessage = tuple[str, Message]  # the sender, and what it sent
-SentMessage = tuple[str, Message]  # the recipient, and what to send
+# Plain tuples rather than classes, because `RaftNode.handle` reads or creates one for each message.
+ReceivedMessage = tuple[str, Message]  # the sender and its message
+SentMessage = tuple[str, Message]  # the recipient and the message to send
--- a/tansyladder/raft/node.py
+++ b/tansyladder/raft/node.py
@@ -1,12 +1,12 @@
 """One node of a Raft cluster (D. Ongaro, "Consensus: Bridging Theory and Practice", 2014).
 
 It implements the election restriction, pre-vote (9.6), votes withheld while a leader is in contact (4.2.3),
-check-quorum (6.2), snapshots (5) and learners (4.2.1) of that thesis. It has no I/O and no clock: the caller
-passes the time, in integer microseconds, and carries out the effects of each step in the order that `Effects`
-requires.
+check-quorum (6.2), snapshots (5) and learners (4.2.1); the numbers are sections of that thesis. It has no
+I/O and no clock: the caller passes the time, in integer microseconds, and carries out the effects of each
+step in the order that `Effects` requires.
 
 Each concern has a module: `elections`, `leader` and `follower` (replication), `commits`, `snapshots`,
-`proposals`, and `disk_admission`. The last one is an addition to Raft: it readmits a voter whose disk is new,
+`proposals`, and `disk_admission`. The last one is an addition to Raft: it readmits a voter whose disk is new
 or may be an older copy.
 """
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftComponents:
-    """The classes that a node is composed of; a test replaces one of them to remove a guard."""
+    """The classes that a node is composed of; tests replace one of them to remove a safety guard."""
 
     disks: type[VoterDisks] = VoterDisks
     admission: type[DiskAdmission] = DiskAdmission
@@ -60,7 +60,7 @@
 
 
 class RaftNode:
-    """Dispatches messages and the time to a node's components. Not thread-safe: one thread owns it."""
+    """Passes messages and the current time to a node's components. Not thread-safe: one thread owns it."""
 
     def __init__(
         self,
@@ -71,21 +71,23 @@
         now: int,
         components: RaftComponents = STANDARD_COMPONENTS,
     ) -> None:
-        """Begin as a follower in the state that the disk holds.
+        """Start as a follower with the state that the disk holds.
 
         Args:
             membership: The nodes of the cluster, as this node sees it.
-            persisted: The state on the disk, whose name must have been synced before.
-            state_machine: The replicated state, without any command applied.
+            persisted: The state on the disk; the disk's name in it must have been synced already.
+            state_machine: The replicated state in its initial form, without applied commands.
             rng: Draws election timeouts and the incarnation.
             now: The current time in microseconds.
-            components: The classes to compose the node of.
+            components: The classes of which to compose the node.
 
         Raises:
-            ValueError: The disk has no name.
+            ValueError: The disk has no name (`disk_id`).
         """
         if not persisted.hard_state.disk_id:
-            raise ValueError("disk_id: the disk has no name")
+            raise ValueError(
+                f"disk_id of node {membership.name}: expected the disk's name, found an empty text"
+            )
         incarnation = f"{rng.getrandbits(64):016x}"
         self._state = NodeState(membership, persisted, rng, now)
         self._disks = components.disks(self._state)
@@ -135,7 +137,7 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether this node votes and counts: a voter on the disk by which the cluster knows it."""
+        """Whether this node votes and counts: a voter on an admitted disk that is not suspected."""
         return self._disks.is_voting
 
     @property
@@ -145,12 +147,12 @@
 
     @property
     def stale_disk_suspected(self) -> bool:
-        """Whether this node's disk may be an older copy."""
+        """Whether this node's disk is suspected to be an older copy of itself."""
         return self._state.hard_state.stale_disk_suspected
 
     @property
     def next_deadline(self) -> int:
-        """The time by which `handle` has to be called even without a message, in microseconds."""
+        """When `handle` has to be called at the latest, even without a message, in microseconds."""
         timer = self._leader.heartbeat_at if self.role is Role.LEADER else self._state.election_at
         return min(timer, self._admission.next_handshake_at)
 
@@ -165,9 +167,9 @@
 
         Args:
             now: The current time in microseconds.
-            received: Messages with their senders; the sender of this node's own proposals is itself.
-            announces_commits_at_once: As a leader, send a new commit index at the end of the step, not with
-                the next entries or heartbeat.
+            received: Messages with their senders; for this node's own proposals, the sender is this node.
+            announces_commits_at_once: Whether a leader sends a new commit index at the end of the step, or
+                only with the next entries or heartbeat.
         """
         state = self._state
         state.advance_clock(now)
@@ -185,7 +187,7 @@
         return effects
 
     def _dispatch(self, sender: str, message: Message) -> None:
-        """Hand a message to the component for its type; there is one case for each type."""
+        """Pass a message to the component that handles its type."""
         match message:
             case Handshake():
                 self._admission.on_handshake(sender, message)
--- a/tansyladder/raft/node_state.py
+++ b/tansyladder/raft/node_state.py
@@ -15,15 +15,16 @@
 
 
 class Role(Enum):
-    """The role of a node in its term. The values are written to log lines."""
+    """The role of a node in its term. The values appear in log lines."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre_candidate"  # asks whether votes would be granted
+    PRE_CANDIDATE = "pre_candidate"  # asks the voters whether they would vote for it
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
-# A pre-vote or an election that times out begins with another pre-vote; any role ends in a higher term.
+# A pre-vote or an election that times out is followed by another pre-vote. A higher term makes a node in any
+# role a follower.
 ROLE_TRANSITIONS: Mapping[Role, frozenset[Role]] = {
     Role.FOLLOWER: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE}),
     Role.PRE_CANDIDATE: frozenset({Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE}),
@@ -33,16 +34,16 @@
 
 
 class RoleTransitionError(RuntimeError):
-    """The node tried to enter a role that can't follow its present one; the caller must stop the node."""
+    """The node tried to enter a role that must not follow its current one; the caller must stop the node."""
 
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The nodes of a cluster, as one of them sees it; voters and learners are the same at every node."""
+    """The nodes of a cluster, as one of them sees it; all nodes have the same voters and learners."""
 
-    name: str  # of the node itself
+    name: str  # the name of this node
     voters: Sequence[str]
-    learners: Sequence[str]  # nodes that have no vote
+    learners: Sequence[str]  # nodes that replicate the log without a vote
 
     @property
     def peers(self) -> tuple[str, ...]:
@@ -56,17 +57,17 @@
 
 
 class NodeState:
-    """Role, term, vote, log and election timer of one node. Owned by the node's thread.
+    """The role, term, vote, log and election timer of one node. Owned by the node's thread.
 
     Times are microseconds of the caller's monotonic clock.
     """
 
     def __init__(self, membership: Membership, persisted: PersistentState, rng: Random, now: int) -> None:
-        """Begin as a follower of no leader; call `reset_election_timer` before the first step.
+        """Start as a follower without a leader; call `reset_election_timer` before the first step.
 
         Args:
             membership: The nodes of the cluster, as this node sees it.
-            persisted: The state that was on the disk.
+            persisted: The state that was read from the disk.
             rng: Draws the election timeouts.
             now: The current time.
         """
@@ -79,8 +80,8 @@
         self.role = Role.FOLLOWER
         self.leader = ""  # the leader of the term; empty if none is known
         self.now = now
-        self.leader_contact_at = now - 2 * ELECTION_TIMEOUT  # when the last message of a leader arrived
-        self.election_at = 0  # when to start an election if no leader has made contact by then
+        self.leader_contact_at = now - 2 * ELECTION_TIMEOUT  # when a leader's last message arrived
+        self.election_at = 0  # when an election starts without a leader's contact
         self.outbox = Outbox(self.name)
         self.pending_proposals = PendingProposals(self.outbox)
         self._rng = rng
@@ -91,11 +92,11 @@
         return self.hard_state.term
 
     def advance_clock(self, now: int) -> None:
-        """Set the current time; a time before the known one is ignored."""
+        """Set the current time; a time earlier than the last one is ignored."""
         self.now = max(self.now, now)
 
     def persist(self, hard_state: HardState) -> None:
-        """Change the hard state, in memory and on disk."""
+        """Change the hard state in memory, and add it to the writes of this step."""
         self.hard_state = hard_state
         self.outbox.write(hard_state)
 
@@ -104,7 +105,7 @@
         self.election_at = self.now + ELECTION_TIMEOUT + self._rng.randrange(ELECTION_TIMEOUT)
 
     def become_follower(self, term: int, leader: str) -> None:
-        """Follow a leader, or none yet (""); a higher term than the node's own begins without a vote."""
+        """Follow a leader, or wait for one if `leader` is empty; a new term begins without a vote."""
         self.pending_proposals.abandon_all()
         if term > self.term:
             self.persist(self.hard_state.with_term(term))
@@ -113,7 +114,7 @@
         self.reset_election_timer()
 
     def become_pre_candidate(self) -> None:
-        """Begin a pre-vote for the next term; the present term and vote stay."""
+        """Begin a pre-vote for the next term; the current term and vote don't change."""
         self._enter(Role.PRE_CANDIDATE)
 
     def become_candidate(self) -> None:
@@ -122,23 +123,26 @@
         self.persist(self.hard_state.with_term(self.term + 1).with_vote(self.name))
 
     def become_leader(self) -> None:
-        """Lead the present term, for which a majority has elected this node."""
+        """Lead the current term after a majority has elected this node."""
         self._enter(Role.LEADER)
         self.leader = self.name
 
     def forget_leader(self) -> None:
-        """Record that no leader is known: the election timeout has passed without contact."""
+        """Record that no leader is known, after an election timeout without contact."""
         self.leader = ""
 
     def accept_leader(self, leader: str, term: int) -> None:
-        """Follow the sender of a leader's message, whose term is not below the node's own."""
+        """Follow the sender of a leader's message; its term must be at least this node's term."""
         if term > self.term or self.role is not Role.FOLLOWER or self.leader != leader:
             self.become_follower(term, leader)
         self.leader_contact_at = self.now
         self.reset_election_timer()
 
     def _enter(self, role: Role) -> None:
-        """Change the role. RoleTransitionError: `ROLE_TRANSITIONS` doesn't allow it."""
+        """Change the role; raise RoleTransitionError if `ROLE_TRANSITIONS` doesn't allow it."""
         if role not in ROLE_TRANSITIONS[self.role]:
-            raise RoleTransitionError(f"{self.role.name} to {role.name} in term {self.term}")
+            raise RoleTransitionError(
+                f"node {self.name} in term {self.term}: transition from {self.role.name} to {role.name}"
+                " is not in ROLE_TRANSITIONS"
+            )
         self.role = role
--- a/tansyladder/raft/pending_proposals.py
+++ b/tansyladder/raft/pending_proposals.py
@@ -1,4 +1,4 @@
-"""The proposals whose entries are not committed yet, and the nodes that wait for their results."""
+"""Proposals whose entries are not committed yet, and the nodes that wait for their results."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class PendingProposals:
-    """The proposals of a leader's term that are not committed yet, by index. Owned by the node's thread."""
+    """The uncommitted proposals of a leader's term, by log index. Owned by the node's thread."""
 
     def __init__(self, outbox: Outbox) -> None:
-        """Begin with none."""
+        """Start without proposals."""
         self._outbox = outbox
         self._by_index: dict[int, PendingProposal] = {}
 
     def add(self, index: int, proposal: PendingProposal) -> None:
-        """Register a proposal whose entry is at an index."""
+        """Register a proposal under the index of its entry."""
         self._by_index[index] = proposal
 
     def remove(self, index: int) -> PendingProposal | None:
@@ -39,7 +39,7 @@
             self._outbox.answer(proposal.proposer, ProposalResult(proposal.request_id, result))
 
     def abandon_all(self) -> None:
-        """Report an unknown outcome for all proposals: another leader decides on their entries."""
+        """Report an unknown outcome for all proposals, as another leader will decide on their entries."""
         for proposal in self._by_index.values():
             self._outbox.answer(proposal.proposer, ProposalResult(proposal.request_id, None))
         self._by_index.clear()
--- a/tansyladder/raft/persistent_state.py
+++ b/tansyladder/raft/persistent_state.py
@@ -1,6 +1,6 @@
 """The state of a node on its disk, and the writes that change it.
 
-The structs are stored as maps; `rename` maps fields to the keys of the stored form.
+The structs are stored as maps; `rename` gives the stored key of each field whose name differs from its key.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from tansyladder.raft.messages import START_OF_LOG, LogEntry, LogPosition
 
-UNKNOWN_CANDIDATE = "-"  # the candidate of a vote that may have been granted, and that the disk has lost
+UNKNOWN_CANDIDATE = "-"  # placeholder for the candidate of a vote that the disk may have lost
 
 
 class HardState(
@@ -27,19 +27,20 @@
 ):
     """Raft's current term and vote, and the identity of the disk itself. Immutable.
 
-    It must be synced before a message that depends on it is sent.
+    It must be synced before any message that depends on it is sent.
 
     Attributes:
         term: The latest term that the node has seen.
-        voted_for: The candidate that got this node's vote in `term`; empty if none did.
-        disk_id: The name of this disk, drawn when its store was created.
-        initial_disks: The disk with which each voter founded the cluster, by voter; empty until known.
-        committed_admission_index: The newest disk admission in the log that is known to be committed. Without
-            it a restart of all nodes could lose that knowledge, and with it the voter that was admitted.
-        stale_disk_suspected: Whether the disk may be an older copy of itself. Independent of the role: a
-            suspected node may follow a leader, but it neither votes nor counts.
-        vote_floor: The furthest log position that other voters reported when the suspicion ended; a candidate
-            whose log ends before it gets no vote.
+        voted_for: The candidate for which this node voted in `term`; empty if it hasn't voted.
+        disk_id: The name of this disk, generated when its store was created.
+        initial_disks: The disk that each voter had when the cluster was founded, by voter; empty until known.
+        committed_admission_index: The index of the newest disk admission that is known to be committed.
+            Without it, a restart of all nodes could lose that knowledge, and the admitted voter would no
+            longer count.
+        stale_disk_suspected: Whether the disk may be an older copy of itself. This doesn't depend on the
+            role: a node with a suspected disk may follow a leader, but neither votes nor counts.
+        vote_floor: The highest log position that the other voters had reported when the suspicion ended. A
+            candidate whose log ends before it gets no vote.
     """
 
     term: int = 0
@@ -51,7 +52,7 @@
     vote_floor: LogPosition = START_OF_LOG
 
     def with_term(self, term: int) -> HardState:
-        """Return the state in a new term, in which the node has granted no vote yet."""
+        """Return the state at the beginning of a term, without a vote."""
         return replace(self, term=term, voted_for="")
 
     def with_vote(self, candidate: str) -> HardState:
@@ -59,7 +60,7 @@
         return replace(self, voted_for=candidate)
 
     def with_initial_disks(self, disks: dict[str, str]) -> HardState:
-        """Return the state with the disks that founded the cluster, by voter."""
+        """Return the state with the disks that the voters had when the cluster was founded."""
         return replace(self, initial_disks=disks)
 
     def with_committed_admission(self, index: int) -> HardState:
@@ -69,17 +70,17 @@
     def with_trusted_disk(self) -> HardState:
         """Return the state of a disk that is no longer suspected to be stale.
 
-        The node may have voted in the current term without a record of it, so it grants no vote in this term.
+        The node may have voted in the current term and lost the record, so it grants no vote in this term.
         """
         return replace(self, stale_disk_suspected=False, voted_for=self.voted_for or UNKNOWN_CANDIDATE)
 
     def with_vote_floor(self, floor: LogPosition) -> HardState:
-        """Return the state that denies its vote to a candidate whose log ends before a position."""
+        """Return the state in which a candidate whose log ends before a position gets no vote."""
         return replace(self, vote_floor=floor)
 
 
 class Snapshot(msgspec.Struct, frozen=True, rename={"voter_disks": "voters"}):
-    """The state after the entry at `index`, which replaces all entries up to it. Immutable.
+    """The state after the entry at `index`; a snapshot replaces all entries up to that one. Immutable.
 
     Attributes:
         index: The last entry that the snapshot includes; 0 for an empty snapshot.
--- a/tansyladder/raft/proposals.py
+++ b/tansyladder/raft/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals, which the leader appends to the log and other nodes forward to it."""
+"""Proposals: the leader appends them to the log, and other nodes forward theirs to the leader."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from tansyladder.raft.node_state import NodeState, Role
 from tansyladder.raft.pending_proposals import PendingProposal
 
-MAX_UNCOMMITTED_ENTRIES = 2048  # in the leader's log; further proposals are rejected
+MAX_UNCOMMITTED_ENTRIES = 2048  # limit for the leader's log; further proposals are rejected
 
 
 class ProposalHandler:
     """Appends, forwards or rejects proposals. Owned by the node's thread."""
 
     def __init__(self, state: NodeState, commits: CommittedLog, leader: LeaderReplication) -> None:
-        """Begin without proposals; `leader` appends entries while this node leads."""
+        """Start without proposals; `leader` appends entries while this node leads."""
         self._state = state
         self._commits = commits
         self._leader = leader
 
     def on_proposal(self, sender: str, request: ProposalRequest) -> None:
-        """Append a proposal at the leader, forward this node's own, reject all others."""
+        """Append a proposal if this node leads; else forward it if it is this node's own, or reject it."""
         state = self._state
         if state.role is Role.LEADER:
             if state.log.last_index - self._commits.commit_index < MAX_UNCOMMITTED_ENTRIES:
--- a/tansyladder/raft/snapshots.py
+++ b/tansyladder/raft/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots, which replace applied entries and are installed at followers that are far behind."""
+"""Snapshots: they replace applied entries, and are sent to followers that lack compacted entries."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from tansyladder.raft.state_machine import StateMachine
 from tansyladder.raft.voter_disks import VoterDisks
 
-SNAPSHOT_THRESHOLD = 1024  # applied entries in the log that a snapshot then replaces
+SNAPSHOT_THRESHOLD = 1024  # applied entries in the log; once reached, a snapshot replaces them
 
 
 class Snapshots:
-    """Makes, sends and installs snapshots of the state machine. Owned by the node's thread."""
+    """Creates and installs snapshots of the state machine. Owned by the node's thread."""
 
     def __init__(self, state: NodeState, disks: VoterDisks, state_machine: StateMachine) -> None:
-        """Begin with the log's snapshot; `load` restores the state machine from it."""
+        """Start with the log's snapshot; `load` restores the state machine from it."""
         self._state = state
         self._disks = disks
         self._state_machine = state_machine
@@ -27,14 +27,14 @@
             self._state_machine.restore(snapshot.state)
 
     def compact_if_due(self, last_applied: int) -> None:
-        """Replace the applied entries by a snapshot once there are enough of them."""
+        """Replace the applied entries by a snapshot if there are at least `SNAPSHOT_THRESHOLD`."""
         log = self._state.log
         if last_applied - log.snapshot.index >= SNAPSHOT_THRESHOLD:
             snapshot = log.compact(last_applied, self._disks.admitted, self._state_machine.snapshot())
             self._state.outbox.write(snapshot)
 
     def install(self, message: InstallSnapshot) -> None:
-        """Replace the state and the entries that a leader's snapshot includes by that snapshot."""
+        """Replace the state, and the entries that a leader's snapshot includes, by that snapshot."""
         snapshot = Snapshot(
             message.last_included_index, message.last_included_term, message.voter_disks, message.state
         )
@@ -45,7 +45,7 @@
         self._state.outbox.write(suffix)
 
     def message(self) -> InstallSnapshot:
-        """Return the message that sends the log's snapshot to a follower."""
+        """Return the message that carries the log's snapshot to a follower."""
         snapshot = self._state.log.snapshot
         return InstallSnapshot(
             self._state.term, snapshot.index, snapshot.term, snapshot.voter_disks, snapshot.state
--- a/tansyladder/raft/state_machine.py
+++ b/tansyladder/raft/state_machine.py
@@ -1,4 +1,4 @@
-"""The interface of the state that the log replicates."""
+"""The interface of the replicated state machine."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StateMachine(Protocol):
-    """The replicated state; the same commands lead to the same state at each node.
+    """The replicated state; the same commands must lead to the same state at each node.
 
     Owned by the node's thread.
     """
@@ -18,4 +18,4 @@
         """Encode the whole state."""
 
     def restore(self, dumped: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the whole state by that of a snapshot, as `snapshot` has encoded it."""
--- a/tansyladder/raft/voter_disks.py
+++ b/tansyladder/raft/voter_disks.py
@@ -1,4 +1,4 @@
-"""The disk on which each voter counts, and the majority of voters on such disks."""
+"""The disk on which each voter counts, and majorities of voters on such disks."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 class VoterDisks:
     """The disks of the cluster's nodes. Owned by the node's thread.
 
-    A voter votes and counts only on its admitted disk: at first the disk with which it founded the cluster,
-    later the disk that the log admitted last.
+    A voter votes and counts only on its admitted disk: the last one that the log has admitted for it, or else
+    the disk that it had when the cluster was founded.
     """
 
     def __init__(self, state: NodeState) -> None:
-        """Begin with the admitted disks of the snapshot."""
+        """Start with the admitted disks of the snapshot."""
         self._state = state
         self._admitted = dict(state.log.snapshot.voter_disks)
-        self._current = {state.name: state.hard_state.disk_id}  # by node in contact since the start
+        self._current = {state.name: state.hard_state.disk_id}  # for each node seen since the start
 
     @property
     def admitted(self) -> dict[str, str]:
@@ -26,7 +26,7 @@
         return dict(self._admitted)
 
     def admit(self, voter: str, disk_id: str) -> None:
-        """Admit a disk in place of the one on which a voter has counted."""
+        """Admit a disk for a voter, in place of its earlier one."""
         self._admitted[voter] = disk_id
 
     def restore(self, admitted: dict[str, str]) -> None:
@@ -38,13 +38,13 @@
         self._current[node] = disk_id
 
     def current(self, node: str) -> str:
-        """Return the disk that a node uses now. KeyError: no message of it has arrived since the start."""
+        """Return the disk that a node uses now; raise KeyError if it has sent no message since the start."""
         return self._current[node]
 
     def is_admitted(self, voter: str, disk_id: str) -> bool:
-        """Whether a voter counts on a disk, as of the entries that this node knows to be committed."""
-        known = self._admitted.get(voter) or self._state.hard_state.initial_disks.get(voter)
-        return known == disk_id
+        """Whether a voter counts on a disk, according to the entries that this node knows to be committed."""
+        admitted_disk = self._admitted.get(voter) or self._state.hard_state.initial_disks.get(voter)
+        return admitted_disk == disk_id
 
     @property
     def is_voting(self) -> bool:
@@ -55,7 +55,7 @@
         return is_admitted and not hard_state.stale_disk_suspected
 
     def counted_voters(self) -> list[str]:
-        """Return the voters whose messages have come from admitted disks."""
+        """Return the voters that are known to run on their admitted disks; this node may be one of them."""
         return [
             name
             for name in self._state.voters
@@ -63,6 +63,6 @@
         ]
 
     def has_majority(self, names: Collection[str]) -> bool:
-        """Whether these nodes, with this one, are more than half of the voters, on admitted disks."""
+        """Whether these nodes and this one include more than half of all voters, on admitted disks."""
         count = sum(name in names or name == self._state.name for name in self.counted_voters())
         return count * 2 > len(self._state.voters)
--- a/tansyladder/replication/__init__.py
+++ b/tansyladder/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated state machines on the log: session ownership and documents; no I/O, no clock."""
+"""State machines that the Raft log replicates: session ownership and documents; no I/O, no clock."""
--- a/tansyladder/replication/content_transfer.py
+++ b/tansyladder/replication/content_transfer.py
@@ -1,8 +1,8 @@
-"""Transfer of the contents of documents between nodes, in chunks; no I/O, no clock.
+"""Transfer of document contents between nodes, in chunks; no I/O, no clock.
 
 A content is identified by its digest. A node that lacks a content requests its chunks from one peer after
-another, a few at a time. The caller writes a complete content whose digest matches to the disk; the content
-counts as stored once that write is synced. Times are microseconds of any one clock.
+another, a few at a time. Once a content is complete and its digest matches, the caller writes it to the disk;
+it counts as stored when that write is synced. Times are microseconds of any one clock.
 """
 
 from __future__ import annotations
@@ -20,12 +20,13 @@
 from tansyladder.replication.units import MILLISECOND_US, SECOND_US
 
 CHUNK_BYTES = 48 << 10  # fits into one frame between peers
-MAX_CHUNKS_IN_FLIGHT = 4  # of one content
-CHUNK_TIMEOUT_US = 400 * MILLISECOND_US  # after which the next peer gets the request
-MAX_CONCURRENT_FETCHES = 4  # contents; the caller fetches further ones at a later step
-MIN_RETRY_BACKOFF_US = 200 * MILLISECOND_US  # after the first round in which no peer had the content; doubles
+MAX_CHUNKS_IN_FLIGHT = 4  # per content
+CHUNK_TIMEOUT_US = 400 * MILLISECOND_US  # then the next peer gets the request
+MAX_CONCURRENT_FETCHES = 4  # the caller fetches further contents at a later step
+# After the first round in which no peer had the content; doubles with each further round.
+MIN_RETRY_BACKOFF_US = 200 * MILLISECOND_US
 MAX_RETRY_BACKOFF_US = 2 * SECOND_US
-MAX_BACKOFF_DOUBLINGS = 8
+MAX_BACKOFF_DOUBLINGS = 8  # bounds the shift; `MAX_RETRY_BACKOFF_US` applies earlier
 
 
 class ChunkRequest(msgspec.Struct, frozen=True, array_like=True, tag="want"):
@@ -36,7 +37,7 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
-    """A content's bytes from an offset on; without bytes and of size 0 if the sender lacks the content."""
+    """The bytes of a content from an offset; no bytes and size 0 if the sender lacks the content."""
 
     digest: bytes
     offset: int
@@ -67,15 +68,15 @@
     """A content that is being fetched."""
 
     size: int  # bytes
-    peers: list[str]  # that are left in this round, the current one last; empty: backing off
-    requested_at_us: dict[int, int] = field(default_factory=dict)  # by offset, of chunks in flight
-    chunks: dict[int, bytes] = field(default_factory=dict)  # by offset
-    retry_at_us: int = 0  # when the next round begins
+    peers: list[str]  # left in this round, the current one last; empty during the backoff
+    requested_at_us: dict[int, int] = field(default_factory=dict)  # offsets of the chunks in flight
+    chunks: dict[int, bytes] = field(default_factory=dict)  # the chunks that have arrived, by offset
+    retry_at_us: int = 0  # when the next round begins, during the backoff
     failed_rounds: int = 0
 
     @property
     def current_peer(self) -> str | None:
-        """The peer that gets the requests now; None during the backoff."""
+        """The peer to which requests go now; None during the backoff."""
         return self.peers[-1] if self.peers else None
 
     def is_complete(self) -> bool:
@@ -83,31 +84,31 @@
         return sum(map(len, self.chunks.values())) >= self.size
 
     def assembled(self) -> bytes:
-        """Return the chunks, joined."""
+        """Return the whole content."""
         return b"".join(data for _, data in sorted(self.chunks.items()))
 
     def is_overdue(self, now_us: int) -> bool:
-        """Whether a chunk in flight has not arrived in time."""
+        """Whether a chunk in flight hasn't arrived within `CHUNK_TIMEOUT_US`."""
         if not self.requested_at_us:
             return False
         return now_us - min(self.requested_at_us.values()) >= CHUNK_TIMEOUT_US
 
     def next_offsets(self) -> list[int]:
-        """Return the offsets of the chunks to request now."""
-        free = MAX_CHUNKS_IN_FLIGHT - len(self.requested_at_us)
+        """Return the offsets of the chunks to request now, within `MAX_CHUNKS_IN_FLIGHT`."""
+        free_slots = MAX_CHUNKS_IN_FLIGHT - len(self.requested_at_us)
         missing = [
             offset
             for offset in range(0, self.size, CHUNK_BYTES)
             if offset not in self.chunks and offset not in self.requested_at_us
         ]
-        return missing[:free]
+        return missing[:free_slots]
 
     def begin_round(self, peers: list[str]) -> None:
-        """Begin a round of requests to peers, the last of the list first."""
+        """Begin a round of requests to peers, starting with the last of the list."""
         self.peers = peers
 
     def drop_current_peer(self) -> None:
-        """Continue with the next peer, without the requests in flight to the current one."""
+        """Continue with the next peer, and forget the requests in flight to the current one."""
         if self.peers:
             self.peers.pop()
         self.requested_at_us.clear()
@@ -123,7 +124,7 @@
     """The contents that a node holds in memory, serves to peers and fetches. Not thread-safe."""
 
     def __init__(self, peers: Sequence[str], rng: Random) -> None:
-        """Begin without contents; `rng` draws the order of peers and the backoff."""
+        """Start without contents; `rng` draws the order of peers and the backoff."""
         self._peers = tuple(peers)
         self._rng = rng
         self._contents: dict[bytes, bytes] = {}  # by digest
@@ -132,7 +133,7 @@
         self._completed: list[bytes] = []
 
     def add(self, content: bytes) -> bytes:
-        """Serve a content that is on this node's disk from now on, and return its digest."""
+        """Add a content that is now stored on this node's disk, and return its digest."""
         digest = digest_of(content)
         self._contents[digest] = content
         self._fetches.pop(digest, None)
@@ -155,7 +156,7 @@
     def fetch(self, digest: bytes, size: int, now_us: int) -> None:
         """Begin to fetch a content of a size in bytes.
 
-        Without effect if this node has the content or is fetching it, if it is too large, or if
+        Do nothing if this node has the content or is fetching it, if its size is out of range, or if
         `MAX_CONCURRENT_FETCHES` are in progress.
         """
         is_known = digest in self._contents or digest in self._fetches
@@ -171,7 +172,7 @@
             self._receive(sender, message, now_us)
 
     def retry_overdue(self, now_us: int) -> None:
-        """Continue overdue fetches with the next peer, and begin rounds whose backoff has ended."""
+        """Continue overdue fetches with the next peer, and begin a new round where the backoff has ended."""
         for digest, fetch in list(self._fetches.items()):
             if fetch.current_peer is None:
                 if now_us >= fetch.retry_at_us:
@@ -187,7 +188,7 @@
         return outgoing
 
     def take_completed(self) -> list[bytes]:
-        """Return the contents completed since the last call; the caller writes each and then `add`s it."""
+        """Return the contents completed since the last call; the caller stores each and then calls `add`."""
         completed = self._completed
         self._completed = []
         return completed
@@ -195,15 +196,15 @@
     def _serve(self, peer: str, request: ChunkRequest) -> None:
         """Send the requested chunk, or one without bytes if this node lacks the content."""
         content = self._contents.get(request.digest, b"")
-        is_inside = 0 <= request.offset < len(content)
-        data = content[request.offset : request.offset + CHUNK_BYTES] if is_inside else b""
+        is_in_range = 0 <= request.offset < len(content)
+        data = content[request.offset : request.offset + CHUNK_BYTES] if is_in_range else b""
         self._send(peer, Chunk(request.digest, request.offset, len(content), data))
 
     def _receive(self, sender: str, chunk: Chunk, now_us: int) -> None:
-        """Add a chunk to its fetch; continue with the next peer if the chunk or the content is corrupt."""
+        """Add a chunk to its fetch; continue with the next peer if the chunk or the content is wrong."""
         fetch = self._fetches.get(chunk.digest)
         if fetch is None or sender != fetch.current_peer or chunk.offset not in fetch.requested_at_us:
-            return  # of an earlier round, or not requested
+            return  # the chunk belongs to an earlier round, or was not requested
         expected_size = min(CHUNK_BYTES, fetch.size - chunk.offset)
         if chunk.content_size != fetch.size or len(chunk.data) != expected_size:
             self._next_peer(chunk.digest, fetch, now_us)
@@ -216,12 +217,12 @@
         self._complete(chunk.digest, fetch, now_us)
 
     def _complete(self, digest: bytes, fetch: _Fetch, now_us: int) -> None:
-        """End a fetch whose chunks have all arrived, or fetch the content again if its digest differs."""
+        """End a fetch whose chunks have all arrived, or start it again if the content has another digest."""
         content = fetch.assembled()
         if digest_of(content) == digest:
             del self._fetches[digest]
             self._completed.append(content)
-        else:  # corrupted in transit, or on that peer's disk
+        else:  # the content was corrupted in transit or on a peer's disk
             fetch.chunks.clear()
             self._next_peer(digest, fetch, now_us)
 
@@ -238,7 +239,7 @@
             fetch.back_off(now_us, self._rng)
 
     def _request_chunks(self, digest: bytes, fetch: _Fetch, now_us: int) -> None:
-        """Request as many missing chunks from the current peer as may be in flight."""
+        """Request missing chunks from the current peer, up to the limit on chunks in flight."""
         if fetch.current_peer is None:
             return
         for offset in fetch.next_offsets():
--- a/tansyladder/replication/document_messages.py
+++ b/tansyladder/replication/document_messages.py
@@ -1,9 +1,9 @@
-"""Commands about documents and leases that the replicated log holds, and their results.
+"""The commands about documents and leases in the replicated log, and their results.
 
-The messages are encoded as arrays: the order of their fields and their tags are the encoded form, so a class
-or a field may be renamed while its position and its tag stay. In every message `node` is the incarnation
-(NAME/START) that proposed it, and `timestamp_us` is the Unix time of the proposal by that node's clock, in
-microseconds.
+The messages are encoded as arrays. A tag identifies the class and the position identifies the field, so a
+class or a field may be renamed as long as its tag or position stays the same. In every message `node` is the
+incarnation (NAME/START) that proposed it, and `timestamp_us` is the Unix time of the proposal by that node's
+clock, in microseconds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True, tag="offer"):
-    """Proposes to change a document to a new content, which its digest identifies.
+    """Proposes a new content for a document; `digest` identifies the content.
 
     Proposals with the same `idempotency_key` are one change: a repeated one gets the result of the first.
     """
@@ -29,7 +29,7 @@
 
 
 class ValidationVote(msgspec.Struct, frozen=True, array_like=True, tag="verdict"):
-    """A node's vote on a change: it has stored and accepts the content, or it rejects it with a fault."""
+    """A node's vote on a change: it has stored and accepted the content, or rejects it with a `fault`."""
 
     number: int
     node: str
@@ -38,7 +38,7 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="arm"):
-    """Begins a round in which all participants shorten their leases, as all have accepted the change."""
+    """Begins a round in which the participants shorten their leases, after all have accepted the change."""
 
     number: int
     node: str
@@ -47,7 +47,7 @@
 
 
 class Prepared(msgspec.Struct, frozen=True, array_like=True, tag="armed"):
-    """Reports that a node has shortened its lease in a round; the short lease counts from `timestamp_us`."""
+    """Reports that a node has shortened its lease in a round; the short lease starts at `timestamp_us`."""
 
     number: int
     round: int
@@ -56,7 +56,7 @@
 
 
 class Commit(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
-    """Puts the new version in force, as no participant holds a long lease any more."""
+    """Commits the change, after the long leases of all participants have been shortened or have ended."""
 
     number: int
     node: str
@@ -64,7 +64,7 @@
 
 
 class Abort(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """Ends the change for a reason; without one ends only its round, so that leases may be long again."""
+    """Aborts the change for a reason; without one, ends only its round, so that leases may be long again."""
 
     number: int
     node: str
@@ -73,7 +73,7 @@
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
-    """Grants a lease to each of the incarnations that have sent the leader a renewal in time."""
+    """Grants a lease to each incarnation that has recently sent the leader a renewal."""
 
     incarnations: tuple[str, ...]
     duration_us: int
@@ -82,13 +82,13 @@
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
-    """Releases a node's lease, as the node makes no decisions any more."""
+    """Releases a node's lease, because the node no longer makes decisions."""
 
     node: str
     timestamp_us: int
 
 
-ChangeCommand = ValidationVote | Prepare | Prepared | Commit | Abort  # about the change that is pending
+ChangeCommand = ValidationVote | Prepare | Prepared | Commit | Abort  # concern the pending change
 DocumentCommand = Proposal | ChangeCommand | LeaseGrant | LeaseRelease
 
 
@@ -99,21 +99,21 @@
 
 
 class ChangeOutcome(StrEnum):
-    """The outcome of a command. The values are the encoded form, and the words of the operators' answers."""
+    """The outcome of a command. The values are the encoded form, and appear in answers to operators."""
 
     DONE = "done"
     IN_PROGRESS = "under way"
     BUSY = "busy"  # another change is pending
-    REJECTED = "refused"  # by a node's validation, or because it exceeds a limit
-    ABORTED = "dropped"  # by the leader
-    STALE = "over"  # about a change or a round that has ended
-    TOO_EARLY = "early"  # a condition of this step is not met yet
+    REJECTED = "refused"  # a node's validation failed, or a limit was exceeded
+    ABORTED = "dropped"  # the leader has aborted the change
+    STALE = "over"  # the command concerns a change or a round that has ended
+    TOO_EARLY = "early"  # a condition for this command is not met yet
     LEASES_FROZEN = "armed"  # no leases are granted while a change is prepared
-    UNKNOWN = "not known"  # this node knows of no decision; never a result of the log
+    UNKNOWN = "not known"  # this node knows no decision; never the result of a command
 
 
 class ChangeResult(msgspec.Struct, frozen=True, array_like=True):
-    """The result of a command, and the number of the change that it concerns; 0 if it concerns none."""
+    """The result of a command; `number` is that of the change that it concerns, or 0 if it concerns none."""
 
     outcome: ChangeOutcome
     number: int = 0
@@ -121,7 +121,7 @@
 
 
 class ChangeStepName(StrEnum):
-    """What a node or the leader does in a change; `step` of the log event `document_change_step`."""
+    """A step of a node or the leader in a change; the field `step` of the event `document_change_step`."""
 
     VOTE = "vote"  # this node accepts the change or rejects it
     PREPARE = "prepare"
@@ -130,7 +130,7 @@
 
 
 class ChangeStep(NamedTuple):
-    """A step of a change, as it is logged."""
+    """A step of a change, as the log event reports it."""
 
     name: ChangeStepName
     number: int
@@ -138,9 +138,9 @@
 
 
 def change_step(command: object) -> ChangeStep | None:
-    """Return the step that a command takes in a change, or None if the command isn't logged.
+    """Return the step of a change that a command takes, or None if it isn't reported in the log.
 
-    `Prepared` isn't logged, as every participant proposes one in each round.
+    `Prepared` isn't reported, because every participant proposes one in each round.
     """
     match command:
         case ValidationVote():
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -1,25 +1,26 @@
-"""The replicated state machine of documents: named contents, and versions with increasing numbers.
+"""The replicated state machine of documents, which are named contents with numbered versions.
 
 A version is in force at all nodes or at none. This module applies the commands of the log; it has no I/O and
 no clock. Times are microseconds of Unix time by the clock of the node that proposed the command. The log
-holds digests only; nodes transfer contents outside the log (`content_transfer`).
+holds only digests; nodes transfer contents outside the log (`content_transfer`).
 
-A node makes decisions under a document only while it holds a lease, which the log grants to one incarnation
-of the node. So a node that is down, partitioned or paused can't act on an old version for longer than its
-lease, and a node that restarts has no lease, whatever its disk holds, until it has applied a grant that was
-made after its start.
+A node makes decisions under a document only while it holds a lease. The log grants the lease to one
+incarnation of the node. A node that is down, partitioned or paused therefore can't act on an old version for
+longer than its lease. A node that restarts has no lease, whatever is on its disk, until it has applied a
+grant that was made after its start.
 
 A change is a two-phase commit over the lease holders:
 
 1. Proposed: every lease holder fetches the content, stores it, validates it and votes. One rejection aborts
    the change.
-2. Prepared: once all lease holders have accepted, each of them shortens its own lease and reports that.
-3. Committed: once all of them have, the commit determines when the new version takes effect: at the end of
-   the last lease held under the previous version. A node that has applied the commit by then switches at that
-   moment; any other node has no lease any more, and can't get one without having applied the commit.
+2. Prepared: once all lease holders have accepted, each of them shortens its own lease and reports this.
+3. Committed: once all of them have reported, the change is committed. The new version takes effect when the
+   last lease that is held under the previous version ends. A node that has applied the commit by then
+   switches at that moment. Any other node no longer has a lease, and can't get one before it has applied the
+   commit.
 
 A node that doesn't respond delays a change until its lease has ended. Decisions are ordered by the clocks of
-the nodes that make them, so that order is as exact as those clocks are synchronized.
+the nodes that make them, so this order is only as exact as the synchronization of these clocks.
 """
 
 from __future__ import annotations
@@ -48,13 +49,13 @@
 
 MAX_CONTENT_BYTES = 1 << 20
 MAX_DOCUMENTS = 64
-MAX_LEASES = 1024  # running leases, and those that ended less than one lease duration ago
-MAX_RESULTS = 128  # finished changes whose results repeated proposals can still get
-MAX_PREVIOUS_VERSIONS = 8  # of one document, besides the newest
+MAX_LEASES = 1024  # including those that ended less than one lease duration ago
+MAX_RESULTS = 128  # results of finished changes, kept for repeated proposals
+MAX_PREVIOUS_VERSIONS = 8  # per document, in addition to the newest
 
 
 class ChangePhase(IntEnum):
-    """The phase of a change; the values of the first two are stored in snapshots."""
+    """The phase of a change; snapshots store the values of the first two."""
 
     PROPOSED = 1
     PREPARED = 2
@@ -62,7 +63,7 @@
     ABORTED = 4
 
 
-# A change may be aborted at any time; an aborted round brings it back to the first phase.
+# A change may be aborted in either of the first two phases; an aborted round returns it to the first one.
 _TRANSITIONS: Mapping[ChangePhase, frozenset[ChangePhase]] = {
     ChangePhase.PROPOSED: frozenset({ChangePhase.PROPOSED, ChangePhase.PREPARED, ChangePhase.ABORTED}),
     ChangePhase.PREPARED: frozenset({ChangePhase.PROPOSED, ChangePhase.COMMITTED, ChangePhase.ABORTED}),
@@ -81,12 +82,12 @@
 
 
 def version_in_force(versions: Sequence[Version], at_us: int) -> Version | None:
-    """Return the version in force at a moment; `versions` are those of one document, the newest last."""
+    """Return the version in force at a given time; `versions` are those of one document, the newest last."""
     return next((version for version in reversed(versions) if version.effective_at_us <= at_us), None)
 
 
 class PrepareRound(NamedTuple):
-    """A round of preparing, of one change."""
+    """Identifies a round of preparing a change."""
 
     change_number: int
     round: int
@@ -106,7 +107,7 @@
     round: int = 0  # counts the rounds of preparing
     prepare_started_at_us: int = 0
     short_lease_us: int = 0
-    participants: set[str] = msgspec.field(default_factory=set)  # that held a lease when the round began
+    participants: set[str] = msgspec.field(default_factory=set)  # lease holders when the round began
     prepared_by: set[str] = msgspec.field(default_factory=set)
 
     @property
@@ -119,7 +120,7 @@
         return phase in _TRANSITIONS[self.phase]
 
     def enter(self, phase: ChangePhase) -> None:
-        """Enter a phase, of which the caller knows that `can_enter` holds."""
+        """Enter a phase; the caller must have checked `can_enter`."""
         self.phase = phase
 
     def begin_round(self, participants: set[str], prepare: Prepare) -> None:
@@ -133,12 +134,12 @@
 
 
 class DocumentsSnapshot(msgspec.Struct, array_like=True):
-    """The whole state; the order of the fields is the encoded form."""
+    """The whole state. It is encoded as an array, so the order of the fields must not change."""
 
     change_count: int = 0
     versions: dict[str, list[Version]] = {}  # by document, the newest last
     change: PendingChange | None = None
-    leases: dict[str, int] = {}  # by incarnation: the end, in microseconds of Unix time
+    leases: dict[str, int] = {}  # end of the lease by incarnation, Unix time in microseconds
     results: list[tuple[str, ChangeResult]] = []  # by idempotency key, the oldest first
     latest_timestamp_us: int = 0
 
@@ -158,7 +159,7 @@
 
 
 def _extended_leases(leases: Mapping[str, int], grant: LeaseGrant) -> dict[str, int]:
-    """Return a copy of leases with those of a grant, as other threads read the present ones."""
+    """Return the leases extended by a grant, as a copy because other threads may be reading them."""
     extended = dict(leases)
     for incarnation in grant.incarnations:
         if incarnation in extended or len(extended) < MAX_LEASES:
@@ -170,12 +171,12 @@
 class Documents:
     """The replicated state machine of documents and leases.
 
-    The same commands give the same state at every node. Owned by the Raft thread; other threads may read
-    `results` and `leases`, and get the state before or after a command.
+    The same commands lead to the same state at every node. Owned by the Raft thread; other threads may read
+    `results` and `leases`, and see the state before or after a command.
     """
 
     def __init__(self, voters: Sequence[str]) -> None:
-        """Begin without documents; a majority of `voters` must store a content before its commit."""
+        """Start without documents; a majority of `voters` must have stored a content before its commit."""
         self._voters = frozenset(voters)
         self._change_count = 0
         self._versions: dict[str, list[Version]] = {}
@@ -187,11 +188,11 @@
     # --- queries
 
     def version_at(self, name: str, at_us: int) -> Version | None:
-        """Return the version of a document in force at a moment; None before its first one."""
+        """Return the version of a document in force at a given time; None before its first one."""
         return version_in_force(self._versions.get(name, ()), at_us)
 
     def versions(self, name: str) -> tuple[Version, ...]:
-        """Return a document's known versions, the newest last; that one may take effect later."""
+        """Return a document's known versions, the newest last; the newest may not be in force yet."""
         return tuple(self._versions.get(name, ()))
 
     def names(self) -> list[str]:
@@ -206,18 +207,21 @@
         return digests
 
     def lease_holders(self, at_us: int) -> set[str]:
-        """Return the incarnations that hold a lease at a moment."""
+        """Return the incarnations that hold a lease at a given time."""
         return {incarnation for incarnation, end_us in self.leases.items() if end_us > at_us}
 
     def missing_acceptances(self, change: PendingChange, holders: set[str]) -> set[str]:
-        """Return who has yet to accept a change: lease holders, and voters until a majority has accepted."""
-        voters = {node_name(incarnation) for incarnation in change.accepted_by} & self._voters
-        has_majority = len(voters) * 2 > len(self._voters)
-        missing_voters = set() if has_majority else self._voters - voters
+        """Return the nodes that still have to accept a change.
+
+        These are lease holders, and voters as long as no majority of the voters has accepted.
+        """
+        accepting_voters = {node_name(incarnation) for incarnation in change.accepted_by} & self._voters
+        has_majority = len(accepting_voters) * 2 > len(self._voters)
+        missing_voters = set() if has_majority else self._voters - accepting_voters
         return (holders - change.accepted_by) | missing_voters
 
     def unprepared_holders(self, change: PendingChange, at_us: int) -> set[str]:
-        """Return the participants that may still decide under the previous version on a long lease."""
+        """Return the unprepared participants, which may decide under the previous version on a long lease."""
         unprepared = change.participants - change.prepared_by
         return {incarnation for incarnation in unprepared if self.leases.get(incarnation, 0) > at_us}
 
@@ -237,7 +241,7 @@
         return self._apply_to_change(command)
 
     def _apply_to_change(self, command: ChangeCommand) -> ChangeResult:
-        """Apply a command about the pending change; `STALE` if it is about another one."""
+        """Apply a command about the pending change; return `STALE` if it concerns another change."""
         change = self.change
         if change is None or change.number != command.number:
             return ChangeResult(ChangeOutcome.STALE, command.number)
@@ -253,7 +257,7 @@
         return self._apply_abort(change, command)
 
     def _apply_proposal(self, proposal: Proposal) -> ChangeResult:
-        """Begin a change, unless another one is pending; a repeated proposal gets the change's own result."""
+        """Begin a change unless another one is pending; a repeated proposal gets the result of its change."""
         if proposal.idempotency_key in self.results:
             return self.results[proposal.idempotency_key]
         if self.change is not None:
@@ -277,8 +281,8 @@
     def _apply_lease_grant(self, grant: LeaseGrant) -> ChangeResult:
         """Extend leases, and forget those that ended long ago; `LEASES_FROZEN` in the prepared phase."""
         if self.change is not None and self.change.phase is ChangePhase.PREPARED:
-            return ChangeResult(ChangeOutcome.LEASES_FROZEN)  # the commit relies on the present ends
-        # A lease that ended one duration ago has ended by any node's clock.
+            return ChangeResult(ChangeOutcome.LEASES_FROZEN)  # the commit relies on the current lease ends
+        # A lease that ended one lease duration ago has ended by every node's clock.
         oldest_end_us = self.latest_timestamp_us - grant.duration_us
         leases = _extended_leases(self.leases, grant)
         self.leases = {
@@ -296,7 +300,7 @@
         return ChangeResult(ChangeOutcome.DONE, change.number)
 
     def _apply_prepare(self, change: PendingChange, prepare: Prepare) -> ChangeResult:
-        """Begin a round with all lease holders; `TOO_EARLY` until all of them have accepted the change."""
+        """Begin a round with all lease holders; return `TOO_EARLY` before all have accepted the change."""
         holders = self.lease_holders(prepare.timestamp_us)
         if not change.can_enter(ChangePhase.PREPARED) or self.missing_acceptances(change, holders):
             return ChangeResult(ChangeOutcome.TOO_EARLY, change.number)
@@ -304,18 +308,18 @@
         return ChangeResult(ChangeOutcome.DONE, change.number)
 
     def _apply_prepared(self, change: PendingChange, prepared: Prepared) -> ChangeResult:
-        """Shorten a participant's lease; `STALE` for another round or a node that is no participant."""
+        """Shorten a participant's lease; return `STALE` for another round or another node."""
         is_current = change.phase is ChangePhase.PREPARED and change.round == prepared.round
         if not is_current or prepared.node not in change.participants:
             return ChangeResult(ChangeOutcome.STALE, change.number)
-        # The node has shortened its lease itself; the end of an earlier grant is void from that moment.
+        # The node has already shortened its lease, so the end that was granted earlier no longer applies.
         short_end_us = prepared.timestamp_us + change.short_lease_us
         self.leases[prepared.node] = min(self.leases.get(prepared.node, 0), short_end_us)
         change.prepared_by.add(prepared.node)
         return ChangeResult(ChangeOutcome.DONE, change.number)
 
     def _apply_commit(self, change: PendingChange, commit: Commit) -> ChangeResult:
-        """Add the new version, in force once the last lease ends; `TOO_EARLY` before all are prepared."""
+        """Add the version, in force once the last lease ends; return `TOO_EARLY` before all are prepared."""
         if not change.can_enter(ChangePhase.COMMITTED) or self.unprepared_holders(
             change, commit.timestamp_us
         ):
@@ -336,7 +340,7 @@
         return ChangeResult(ChangeOutcome.DONE, change.number)
 
     def _finish_change(self, change: PendingChange, phase: ChangePhase, result: ChangeResult) -> ChangeResult:
-        """End the pending change, and remember its result for repeated proposals."""
+        """End the pending change, and keep its result for repeated proposals."""
         change.enter(phase)
         self.change = None
         self.results[change.idempotency_key] = result
@@ -347,7 +351,7 @@
     # --- snapshots
 
     def snapshot(self) -> DocumentsSnapshot:
-        """Return the whole state, which shares its parts with this object: encode it before `apply`."""
+        """Return the whole state. It shares objects with this instance: encode it before the next `apply`."""
         return DocumentsSnapshot(
             change_count=self._change_count,
             versions=self._versions,
--- a/tansyladder/replication/lease_holder.py
+++ b/tansyladder/replication/lease_holder.py
@@ -1,4 +1,4 @@
-"""The lease of one incarnation of a node, as of the entries that the node has applied."""
+"""The lease of one incarnation of a node, according to the entries that the node has applied."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class LeaseHolder:
-    """Determines how long a node may decide, and shortens its lease for the pending change.
+    """Determines how long a node may make decisions, and shortens its lease for the pending change.
 
     Owned by the Raft thread. Times are microseconds of Unix time by the node's own clock.
     """
 
     def __init__(self, incarnation: str, documents: Documents) -> None:
-        """Begin with a lease that isn't shortened; `documents` is the state that this node has applied."""
+        """Start with a lease that isn't shortened; `documents` is the state that this node has applied."""
         self.incarnation = incarnation
         self._documents = documents
-        self._prepared_round = PrepareRound(0, 0)  # the last round in which the lease was shortened
-        self._short_lease_end_us = 0  # in that round
+        self._prepared_round = PrepareRound(0, 0)  # the last round for which the lease was shortened
+        self._short_lease_end_us = 0  # the end of the shortened lease in that round
 
     def lease_end_us(self) -> int:
-        """Return when the lease ends; 0 without a lease.
+        """Return when the lease ends, or 0 without a lease.
 
-        The short end counts from the moment at which the lease is shortened, before the log has it.
+        A shortened end applies as soon as this node has shortened the lease, before the log has the command.
         """
         end_us = self._documents.leases.get(self.incarnation, 0)
         change = self._documents.change
@@ -33,7 +33,7 @@
         return min(end_us, self._short_lease_end_us)
 
     def has_lease(self, now_us: int) -> bool:
-        """Whether this incarnation may decide now."""
+        """Whether this incarnation may make decisions now."""
         return now_us < self.lease_end_us()
 
     def change_to_validate(self) -> PendingChange | None:
@@ -44,7 +44,7 @@
     def prepare(self, now_us: int) -> Prepared | None:
         """Shorten the lease if the pending change requires it, and return the command to propose.
 
-        Call this after each application of commands, before the node sends anything. Repeated calls return
+        Call this each time commands have been applied, before the node sends anything. Repeated calls return
         the same command until the log has it.
         """
         change = self._documents.change
--- a/tansyladder/replication/proposal_throttle.py
+++ b/tansyladder/replication/proposal_throttle.py
@@ -1,22 +1,22 @@
-"""A limit on how often a node proposes the same command, which takes a while to be committed."""
+"""A limit on how often a node repeats a proposal while its command is not committed yet."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
-MAX_REMEMBERED = 64  # proposals; beyond it those whose interval has passed are forgotten
+MAX_REMEMBERED = 64  # proposals; with more, those whose interval has passed are forgotten
 
 
 class ProposalThrottle:
-    """Allows a proposal once in an interval. Not thread-safe; times are microseconds of any one clock."""
+    """Allows a proposal once per interval. Not thread-safe; times are microseconds of any one clock."""
 
     def __init__(self, interval_us: int) -> None:
-        """Begin without proposals; `interval_us` must pass between two proposals of a command."""
+        """Start without proposals; `interval_us` must pass between two proposals with the same key."""
         self._interval_us = interval_us
         self._proposed_at_us: dict[Hashable, int] = {}
 
     def allows(self, key: Hashable, now_us: int) -> bool:
-        """Whether the proposal with a key may be made now; if so, record that it is made."""
+        """Whether the proposal with a key may be made now; if so, record it as made."""
         proposed_at_us = self._proposed_at_us.get(key)
         if proposed_at_us is not None and now_us - proposed_at_us < self._interval_us:
             return False
--- a/tansyladder/replication/replicated_state.py
+++ b/tansyladder/replication/replicated_state.py
@@ -1,7 +1,7 @@
 """The state that the nodes of a cluster replicate through one log: session ownership and documents.
 
-The tag of a command determines its state machine. A command that this version doesn't know stops the node's
-Raft thread, as the node's state would differ from that of the others from there on.
+The tag of a command determines the state machine that applies it. A command that this version doesn't know
+stops the node's Raft thread, because the node's state would differ from that of the other nodes afterwards.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class ReplicatedState:
-    """The log's state machine. Owned by the Raft thread."""
+    """The state machine of the Raft log. Owned by the Raft thread."""
 
     def __init__(self, voters: Sequence[str], on_owner_change: OwnerChangeCallback | None = None) -> None:
-        """Begin with an empty state.
+        """Start with an empty state.
 
         Args:
             voters: The names of the log's voters.
@@ -48,7 +48,8 @@
     def apply(self, data: bytes) -> bytes:
         """Apply an encoded command; return an encoded `ClaimResult` or `ChangeResult`.
 
-        msgspec.ValidationError: this version doesn't know the command.
+        Raises:
+            msgspec.ValidationError: This version doesn't know the command.
         """
         command = self._decoder.decode(data)
         if isinstance(command, OwnershipClaim | ClaimConfirmation | SessionOpened):
@@ -63,11 +64,12 @@
     def restore(self, snapshot: bytes) -> None:
         """Replace the whole state by that of a snapshot of this version or the previous one.
 
-        msgspec.ValidationError: the snapshot is of no known version.
+        Raises:
+            msgspec.ValidationError: The snapshot has the form of neither this version nor the previous one.
         """
         try:
             state = msgspec.msgpack.decode(snapshot, type=StateSnapshot)
-        except msgspec.ValidationError:  # of the previous version
+        except msgspec.ValidationError:  # the snapshot is of the previous version
             state = StateSnapshot(snapshot, DocumentsSnapshot())
         self.session_ownership.restore(state.session_ownership)
         self.documents.restore(state.documents)
--- a/tansyladder/replication/session_ownership.py
+++ b/tansyladder/replication/session_ownership.py
@@ -1,14 +1,14 @@
-"""The replicated state machine of session ownership: the owner of each session, and its spent tokens.
+"""The replicated state machine of session ownership: the owner and the spent tokens of each session.
 
-A session's epoch counts its owners, from 1. It is the upper part of the epochs that hosts see and of the
-generations of tokens. A claim makes its node the owner of the next epoch. The node then connects the session
-to a host, and before it answers the client it proposes a confirmation, which spends the tokens issued before.
-Of two nodes that claim with one token the later claim wins, and only its confirmation is accepted: one client
-gets UP.
+A session's epoch counts its owners, from 1. It forms the upper bits of the epochs that hosts see and of the
+generations of tokens. An accepted claim makes its node the owner of the next epoch. The node then connects
+the session to a host. Before it answers the client, it proposes a confirmation, which spends the tokens that
+were issued before. If two nodes claim a session with the same token, the later claim wins and only its
+confirmation is accepted, so only one client gets UP.
 
-The commands carry all times, in microseconds of Unix time, so all replicas forget the same records at the
-same command. Retention counts from the latest timestamp of any command, as the claim of a node whose clock is
-behind must not be forgotten early.
+All times come with the commands, in microseconds of Unix time, so all replicas forget the same records at the
+same command. Retention counts from the latest timestamp of any command. Otherwise the claim of a node whose
+clock is behind would be forgotten too early.
 """
 
 from __future__ import annotations
@@ -21,48 +21,48 @@
 
 from tansyladder.resumption.token_registry import GENERATION_COUNTER_BITS
 
-# After a confirmation its owner may still release the token, or report that it has answered the client.
+# The time after a confirmation in which its owner may release the token, or report that it has answered UP.
 CONFIRMATION_UNCERTAINTY_US = 15_000_000
-MAX_RECORDS = 16_384  # of sessions; claims of further sessions are rejected
+MAX_RECORDS = 16_384  # one per session; claims of further sessions are rejected
 
-OwnerChangeCallback = Callable[[int, int, str], None]  # session, epoch, the owner's incarnation
+OwnerChangeCallback = Callable[[int, int, str], None]  # arguments: session, epoch, the owner's incarnation
 
 
 class OwnershipClaim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
-    """Claims a session for a node to which a client has presented a token."""
+    """Claims a session for the node to which a client has presented one of its tokens."""
 
     session: int
     generation: int
     token_expiry_us: int
     node: str  # its incarnation
     timestamp_us: int
-    retain_until_us: int  # by then all tokens issued before have expired
-    idempotency_key: int  # the node's number of this takeover: a repeated claim is the same one
+    retain_until_us: int  # when all tokens issued before the claim have expired
+    idempotency_key: int  # the node's number of the takeover; a repeated claim has the same
 
 
 class ClaimConfirmation(msgspec.Struct, frozen=True, array_like=True, tag="confirm"):
-    """Spends the tokens of generations below the floor, as the owner is about to answer UP.
+    """Spends the tokens of generations below the floor, because the owner is about to answer UP.
 
-    With the earlier floor and a later sequence number it releases the token again: an owner that doesn't
-    learn in time whether its confirmation was accepted rejects its client and releases the token.
+    An owner that doesn't learn in time whether its confirmation was accepted rejects its client and releases
+    the token: it proposes another confirmation, with the earlier floor and a later sequence number.
     """
 
     session: int
     epoch: int
     generation_floor: int
-    token_expiry_us: int  # of the token that the client presented
+    token_expiry_us: int  # expiry of the token that the client presented
     node: str
     timestamp_us: int
     retain_until_us: int
     sequence: int  # counts the owner's confirmations of a session; a later one supersedes earlier ones
 
     def releasing(self, generation_floor: int, sequence: int) -> ClaimConfirmation:
-        """Return the confirmation that releases this one's token; the floor is the one before it."""
+        """Return the confirmation that releases the token again; the floor is the one before this one."""
         return msgspec.structs.replace(self, generation_floor=generation_floor, sequence=sequence)
 
 
 class SessionOpened(msgspec.Struct, frozen=True, array_like=True, tag="opened"):
-    """Reports that the owner has answered UP after a confirmation, so that the token stays spent."""
+    """Reports that the owner has answered UP after a confirmation, so the token remains spent."""
 
     session: int
     epoch: int
@@ -75,17 +75,17 @@
 
 
 class ClaimRejection(StrEnum):
-    """The reason for which a command about ownership was rejected. The values are the encoded form."""
+    """Why a command about ownership was rejected. The values are the encoded form."""
 
     NONE = ""  # the command was accepted
-    SPENT = "spent"  # the token has opened its session already
+    SPENT = "spent"  # the token has already opened its session
     EXPIRED = "expired"
-    CLAIMED = "claimed"  # by another node, or by a later claim or confirmation of this one
+    CLAIMED = "claimed"  # claimed by another node, or by a later claim or confirmation of this one
     FULL = "full"
 
 
 class ClaimResult(msgspec.Struct, frozen=True, array_like=True):
-    """The epoch that the node owns; 0 if the command was rejected."""
+    """The result of a command: the epoch that the node owns, or 0 if the command was rejected."""
 
     epoch: int = 0
     reason: ClaimRejection = ClaimRejection.NONE
@@ -98,23 +98,23 @@
     owner: str  # its incarnation
     generation_floor: int  # tokens of lower generations are spent
     retain_until_us: int
-    claimed_floor: int = 0  # the floor at the time of the claim, below which its owner can't release tokens
-    sequence: int = 0  # of the owner's last confirmation
+    claimed_floor: int = 0  # the floor at the claim; its owner can't release tokens below it
+    sequence: int = 0  # sequence of the owner's last confirmation
     confirmed_at_us: int = 0
-    idempotency_key: int = 0  # of the claim
+    idempotency_key: int = 0  # key of the claim
     is_opened: bool = False  # the owner has reported that it answered UP
 
-    def is_undecided(self, generation: int, now_us: int) -> bool:
-        """Whether the owner may still release the token of a generation below the floor."""
+    def is_token_releasable(self, generation: int, now_us: int) -> bool:
+        """Whether the owner may still release the spent token of a generation."""
         is_recent = now_us - self.confirmed_at_us < CONFIRMATION_UNCERTAINTY_US
         return not self.is_opened and is_recent and generation >= self.claimed_floor
 
-    def is_claim(self, claim: OwnershipClaim) -> bool:
-        """Whether a claim is the one that made this record: a repetition, or a copy that was delayed."""
+    def was_created_by(self, claim: OwnershipClaim) -> bool:
+        """Whether a claim created this record, so it is a repetition or a delayed copy."""
         return (self.owner, self.idempotency_key) == (claim.node, claim.idempotency_key)
 
     def mark_opened(self) -> None:
-        """Record that the owner has answered UP, so that it can't release the token any more."""
+        """Record that the owner has answered UP, so it can no longer release the token."""
         self.is_opened = True
 
     def retain_at_least_until(self, time_us: int) -> None:
@@ -125,18 +125,18 @@
 class SessionOwnership:
     """The replicated state machine of session ownership.
 
-    Owned by the Raft thread. `records` are in the order in which they are forgotten.
+    Owned by the Raft thread. `records` are sorted by the end of their retention.
     """
 
     def __init__(self, on_owner_change: OwnerChangeCallback | None = None) -> None:
-        """Begin without records; `on_owner_change` gets each accepted claim and must not block."""
+        """Start without records; `on_owner_change` is called with each accepted claim and must not block."""
         self._on_owner_change = on_owner_change
         self.records: OrderedDict[int, OwnershipRecord] = OrderedDict()  # by session
         self._latest_timestamp_us = 0
 
     def apply(self, command: OwnershipCommand) -> ClaimResult:
         """Apply a command of the log."""
-        # A node's clock may be behind; a record that an earlier command has expired stays forgotten.
+        # A node's clock may be behind, but the time must not go back: a forgotten record stays forgotten.
         self._latest_timestamp_us = max(self._latest_timestamp_us, command.timestamp_us)
         self._forget_expired()
         match command:
@@ -147,9 +147,9 @@
         return self._apply_opened(command)
 
     def _apply_claim(self, claim: OwnershipClaim) -> ClaimResult:
-        """Make a node the owner of the session's next epoch, or return why it can't be."""
+        """Make a node the owner of the session's next epoch, or return why the claim is rejected."""
         record = self.records.get(claim.session)
-        if record is not None and record.is_claim(claim):
+        if record is not None and record.was_created_by(claim):
             return ClaimResult(record.epoch)
         rejection = self._claim_rejection(claim, record)
         if rejection is not ClaimRejection.NONE:
@@ -162,9 +162,9 @@
     def _claim_rejection(self, claim: OwnershipClaim, record: OwnershipRecord | None) -> ClaimRejection:
         """Return why a claim is rejected; `NONE` if it is accepted."""
         if record is not None and claim.generation < record.generation_floor:
-            # While the token may be released, the claim isn't accepted, nor the token reported as spent.
-            is_undecided = record.is_undecided(claim.generation, claim.timestamp_us)
-            return ClaimRejection.CLAIMED if is_undecided else ClaimRejection.SPENT
+            # As long as the token may be released, reject the claim without reporting the token as spent.
+            is_token_releasable = record.is_token_releasable(claim.generation, claim.timestamp_us)
+            return ClaimRejection.CLAIMED if is_token_releasable else ClaimRejection.SPENT
         if claim.token_expiry_us <= self._latest_timestamp_us:
             return ClaimRejection.EXPIRED
         if record is None and len(self.records) >= MAX_RECORDS:
@@ -190,7 +190,7 @@
         return epoch
 
     def _apply_confirmation(self, confirmation: ClaimConfirmation) -> ClaimResult:
-        """Set the floor of spent tokens as the session's owner, or return why the node isn't the owner."""
+        """Set the floor of spent tokens as the session's owner, or return why the command is rejected."""
         record = self.records.get(confirmation.session)
         rejection = self._confirmation_rejection(confirmation, record)
         if rejection is not ClaimRejection.NONE:
@@ -216,11 +216,11 @@
     ) -> ClaimRejection:
         """Return why a confirmation is rejected; `NONE` if it is accepted.
 
-        A session without a record has had its owner since it began, or since a claim whose tokens have
-        expired.
+        A session without a record has had the same owner since it began, or since a claim whose tokens have
+        all expired.
         """
         if confirmation.token_expiry_us <= self._latest_timestamp_us:
-            return ClaimRejection.EXPIRED  # the record of a node that replaced this owner may be forgotten
+            return ClaimRejection.EXPIRED  # the record of a later owner may have been forgotten
         if record is None:
             return ClaimRejection.FULL if len(self.records) >= MAX_RECORDS else ClaimRejection.NONE
         is_owner = (record.epoch, record.owner) == (confirmation.epoch, confirmation.node)
@@ -233,8 +233,8 @@
         record = self.records.get(opened.session)
         if record is None:
             return _rejected(ClaimRejection.CLAIMED)
-        newest = (record.epoch, record.owner, record.sequence)
-        if newest != (opened.epoch, opened.node, opened.sequence):
+        current = (record.epoch, record.owner, record.sequence)
+        if current != (opened.epoch, opened.node, opened.sequence):
             return _rejected(ClaimRejection.CLAIMED)
         record.mark_opened()
         return ClaimResult(opened.epoch)
@@ -253,7 +253,7 @@
         return max(self._latest_timestamp_us + retention_us, command.token_expiry_us)
 
     def _store_record(self, session: int, record: OwnershipRecord) -> None:
-        """Put a record last; it is retained at least as long as the record before, which keeps the order."""
+        """Add a record at the end, and retain it at least as long as the one before, to keep the order."""
         if self.records:
             last = next(reversed(self.records.values()))
             record.retain_at_least_until(last.retain_until_us)
@@ -267,13 +267,14 @@
     def restore(self, snapshot: bytes) -> None:
         """Replace the whole state by that of a snapshot, and call `on_owner_change` for each record.
 
-        msgspec.ValidationError: the data is no snapshot.
+        Raises:
+            msgspec.ValidationError: The data is not a snapshot of session ownership.
         """
         self._latest_timestamp_us, items = msgspec.msgpack.decode(
             snapshot, type=tuple[int, list[tuple[int, OwnershipRecord]]]
         )
         self.records = OrderedDict(items)
-        if self._on_owner_change is not None:  # a node that was down learns of the claims that it has missed
+        if self._on_owner_change is not None:  # report the claims that a node has missed while it was down
             for session, record in items:
                 self._on_owner_change(session, record.epoch, record.owner)
 
--- a/tests/raft/test_log.py
+++ b/tests/raft/test_log.py
@@ -1,4 +1,4 @@
-"""The log in memory, and the records that it returns for the disk."""
+"""The log in memory, and the records that it returns to be written to the disk."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert RaftLog(Snapshot(7, 3), []).last_position == LogPosition(3, 7)
 
 
-def test_replacing_entries_removes_all_from_the_first_on() -> None:
+def test_replacing_entries_removes_all_later_entries() -> None:
     log = log_of_terms(1, 1, 2)
     assert log.replace_from(2, [LogEntry(3)]) == LogSuffix(2, (LogEntry(3),))
     assert log.entries == (LogEntry(1), LogEntry(3))
@@ -37,9 +37,9 @@
 @pytest.mark.parametrize(
     ("snapshot", "remaining"),
     [
-        (Snapshot(2, 1), (LogEntry(2),)),  # the log agrees with it
-        (Snapshot(2, 9), ()),  # another entry at its index
-        (Snapshot(5, 1), ()),  # beyond the log's end
+        (Snapshot(2, 1), (LogEntry(2),)),  # the log has the same entry at this index
+        (Snapshot(2, 9), ()),  # the log has another entry at this index
+        (Snapshot(5, 1), ()),  # the index is beyond the log's end
     ],
 )
 def test_an_installed_snapshot_keeps_later_entries_only_if_the_log_agrees(
--- a/tests/raft/test_role_transitions.py
+++ b/tests/raft/test_role_transitions.py
@@ -1,4 +1,4 @@
-"""The roles of a node, and the transitions that its state allows."""
+"""The roles of a node, and the transitions between them that its state allows."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tansyladder.raft.node_state import ROLE_TRANSITIONS, Membership, NodeState, Role, RoleTransitionError
 from tansyladder.raft.persistent_state import HardState, PersistentState
 
-PATHS: dict[Role, tuple[Role, ...]] = {  # from the first role of a node to each of the others
+PATHS_TO_ROLE: dict[Role, tuple[Role, ...]] = {  # from a node's initial role to each role
     Role.FOLLOWER: (),
     Role.PRE_CANDIDATE: (Role.PRE_CANDIDATE,),
     Role.CANDIDATE: (Role.PRE_CANDIDATE, Role.CANDIDATE),
@@ -18,8 +18,8 @@
 }
 
 
-def enter(state: NodeState, role: Role) -> None:
-    """Call the method of the state that enters a role."""
+def enter_role(state: NodeState, role: Role) -> None:
+    """Enter a role by the state's method for it."""
     methods: dict[Role, Callable[[], None]] = {
         Role.FOLLOWER: lambda: state.become_follower(state.term, ""),
         Role.PRE_CANDIDATE: state.become_pre_candidate,
@@ -29,31 +29,31 @@
     methods[role]()
 
 
-def state_in(role: Role) -> NodeState:
-    """Make a node's state and bring it to a role."""
+def state_with_role(role: Role) -> NodeState:
+    """Create a node's state, and let it enter a role by the allowed transitions."""
     persisted = PersistentState(HardState(disk_id="d1"))
     state = NodeState(Membership("n1", ["n1", "n2", "n3"], []), persisted, Random(1), 0)
-    for step in PATHS[role]:
-        enter(state, step)
+    for step in PATHS_TO_ROLE[role]:
+        enter_role(state, step)
     return state
 
 
-@pytest.mark.parametrize("following", Role, ids=lambda role: role.name)
-@pytest.mark.parametrize("present", Role, ids=lambda role: role.name)
-def test_a_role_is_entered_only_as_the_table_of_transitions_allows(present: Role, following: Role) -> None:
-    state = state_in(present)
-    assert state.role is present
-    if following in ROLE_TRANSITIONS[present]:
-        enter(state, following)
-        assert state.role is following
+@pytest.mark.parametrize("target", Role, ids=lambda role: role.name)
+@pytest.mark.parametrize("current", Role, ids=lambda role: role.name)
+def test_only_the_transitions_of_the_table_are_allowed(current: Role, target: Role) -> None:
+    state = state_with_role(current)
+    assert state.role is current
+    if target in ROLE_TRANSITIONS[current]:
+        enter_role(state, target)
+        assert state.role is target
     else:
         with pytest.raises(RoleTransitionError):
-            enter(state, following)
-        assert state.role is present
+            enter_role(state, target)
+        assert state.role is current
 
 
 def test_a_candidate_votes_for_itself_in_a_new_term_and_leads_that_term() -> None:
-    state = state_in(Role.CANDIDATE)
+    state = state_with_role(Role.CANDIDATE)
     assert (state.term, state.hard_state.voted_for) == (1, "n1")
     state.become_leader()
     assert (state.term, state.leader) == (1, "n1")
--- a/tests/raft/test_safety.py
+++ b/tests/raft/test_safety.py
@@ -1,4 +1,4 @@
-"""Raft's safety on a simulated network, and that the checker finds the removal of each guard."""
+"""Raft's safety on a simulated network, and the detection of removed safety guards by the checker."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tansyladder.simulation.simulated_node import CountedEvent
 from tests.simulation.without_guards import COMPONENTS_WITHOUT, Guard, UnsyncedDisk
 
-HARD_FAULTS = FaultRates(
+HEAVY_FAULTS = FaultRates(
     loss_rate=0.1,
     delay_range_us=(1 * MILLISECOND_US, 300 * MILLISECOND_US),
     mean_crash_interval_us=800 * MILLISECOND_US,
@@ -25,7 +25,7 @@
     mean_cut_interval_us=700 * MILLISECOND_US,
     cut_duration_range_us=(200 * MILLISECOND_US, 2 * SECOND_US),
 )
-DISK_ROLLBACKS = replace(HARD_FAULTS, disk_loss_rate=0.15, disk_rollback_rate=0.3, disk_suspicion_rate=0.1)
+DISK_ROLLBACKS = replace(HEAVY_FAULTS, disk_loss_rate=0.15, disk_rollback_rate=0.3, disk_suspicion_rate=0.1)
 RELIABLE_NETWORK = FaultRates(loss_rate=0.0, duplication_rate=0.0)
 
 
@@ -36,17 +36,17 @@
     components: RaftComponents = STANDARD_COMPONENTS,
     disk_type: type[SimulatedDisk] = SimulatedDisk,
 ) -> SimulatedCluster:
-    """Run 15 s of faults with one learner, and check the cluster to its end."""
+    """Run a cluster with one learner through 15 s of faults until it converges, and check it to its end."""
     return simulate(SimulatedCluster(seed, voters, 1, faults, components, disk_type), 15.0)
 
 
 def total_count(clusters: Iterable[SimulatedCluster], event: CountedEvent) -> int:
-    """How often all clusters together have counted an event."""
+    """Return how often all clusters together have counted an event."""
     return sum(cluster.counts[event] for cluster in clusters)
 
 
-def started_raft(cluster: SimulatedCluster, name: str) -> RaftNode:
-    """The Raft node of a simulated node that is up."""
+def running_raft(cluster: SimulatedCluster, name: str) -> RaftNode:
+    """Return the Raft node of a simulated node that is up."""
     raft = cluster.nodes[name].raft
     assert raft is not None
     return raft
@@ -54,17 +54,19 @@
 
 @pytest.mark.parametrize("voters", [1, 3, 5])
 def test_committed_entries_survive_crashes_lost_disks_and_cut_links(voters: int) -> None:
-    clusters = [run_history(seed, HARD_FAULTS, voters) for seed in range(12)]
+    clusters = [run_history(seed, HEAVY_FAULTS, voters) for seed in range(12)]
     assert total_count(clusters, CountedEvent.CRASH) > 100
     assert total_count(clusters, CountedEvent.DISK_LOSS) > 5 or voters == 1
     assert sum(len(cluster.results) for cluster in clusters) > 300
 
 
 def test_the_same_seed_gives_the_same_history() -> None:
-    one, same, other = (simulate(SimulatedCluster(seed, 3, 1, HARD_FAULTS), 8.0) for seed in (5, 5, 6))
-    assert one.committed_entries == same.committed_entries
-    assert one.counts == same.counts
-    assert one.committed_entries != other.committed_entries
+    first, repeated, different = (
+        simulate(SimulatedCluster(seed, 3, 1, HEAVY_FAULTS), 8.0) for seed in (5, 5, 6)
+    )
+    assert first.committed_entries == repeated.committed_entries
+    assert first.counts == repeated.counts
+    assert first.committed_entries != different.committed_entries
 
 
 @pytest.mark.parametrize(
@@ -77,16 +79,16 @@
         (Guard.COMMIT_BEFORE_RESULT, 4, "is in no log"),
     ],
 )
-def test_a_removed_guard_is_found(guard: Guard, seed: int, violation: str) -> None:
-    run_history(seed, HARD_FAULTS)
+def test_the_removal_of_a_guard_is_detected(guard: Guard, seed: int, violation: str) -> None:
+    run_history(seed, HEAVY_FAULTS)
     with pytest.raises(InvariantViolationError, match=violation):
-        run_history(seed, HARD_FAULTS, components=COMPONENTS_WITHOUT[guard])
+        run_history(seed, HEAVY_FAULTS, components=COMPONENTS_WITHOUT[guard])
 
 
-def test_messages_that_are_sent_before_writes_are_synced_are_found() -> None:
-    run_history(2, HARD_FAULTS)
+def test_sending_messages_before_writes_are_synced_is_detected() -> None:
+    run_history(2, HEAVY_FAULTS)
     with pytest.raises(InvariantViolationError, match="two leaders"):
-        run_history(2, HARD_FAULTS, disk_type=UnsyncedDisk)
+        run_history(2, HEAVY_FAULTS, disk_type=UnsyncedDisk)
 
 
 def test_committed_entries_survive_disks_that_are_rolled_back() -> None:
@@ -99,7 +101,7 @@
     ("guard", "seed"),
     [(Guard.STALE_DISK_SUSPICION, 26), (Guard.TERM_AND_VOTE_FLOOR, 29), (Guard.VOTE_FLOOR, 29)],
 )
-def test_a_removed_guard_against_rolled_back_disks_is_found(guard: Guard, seed: int) -> None:
+def test_the_removal_of_a_guard_against_disk_rollback_is_detected(guard: Guard, seed: int) -> None:
     run_history(seed, DISK_ROLLBACKS)
     with pytest.raises(InvariantViolationError, match="commits"):
         run_history(seed, DISK_ROLLBACKS, components=COMPONENTS_WITHOUT[guard])
@@ -114,8 +116,8 @@
     for name in cluster.names[:2]:
         cluster.start_node(name)
     cluster.run_until(10 * SECOND_US)
-    rafts = [started_raft(cluster, name) for name in cluster.voters[:2]]
-    assert not any(raft.is_voting for raft in rafts)  # the third voter may know of more votes and entries
+    rafts = [running_raft(cluster, name) for name in cluster.voters[:2]]
+    assert not any(raft.is_voting for raft in rafts)  # the third voter may hold later votes and entries
     cluster.start_node("n2")
     cluster.run_until(20 * SECOND_US)
     assert all(raft.is_electable for raft in rafts)
@@ -124,7 +126,7 @@
     assert request_id in cluster.results
 
 
-def test_without_a_majority_a_proposal_is_answered_at_once() -> None:
+def test_a_proposal_without_a_majority_gets_an_unknown_result_at_once() -> None:
     cluster = SimulatedCluster(1)
     cluster.run_until(5 * SECOND_US)
     for name in cluster.voters[1:]:
@@ -144,8 +146,8 @@
     cluster.crash("n1")
     cluster.start_node("n2")
     cluster.run_until(9 * SECOND_US)
-    raft = started_raft(cluster, "n2")
-    assert not raft.is_voting  # n0 alone is no majority, and n2 doesn't count
+    raft = running_raft(cluster, "n2")
+    assert not raft.is_voting  # n0 alone isn't a majority, and n2 doesn't count
     cluster.start_node("n1")
     cluster.run_until(15 * SECOND_US)
     assert raft.is_voting
--- a/tests/replication/test_content_transfer.py
+++ b/tests/replication/test_content_transfer.py
@@ -21,8 +21,8 @@
 KEY_PREFIX = b"documents/"
 
 
-def answer_of(peer: str, server: ContentStore, request: ChunkRequest, now_us: int) -> Chunk | None:
-    """Return a peer's answer to a request; the peer's name begins with the way in which it fails."""
+def peer_response(peer: str, server: ContentStore, request: ChunkRequest, now_us: int) -> Chunk | None:
+    """Return a peer's response to a request; the peer's name begins with its behavior."""
     server.handle("client", request, now_us)
     [(_, message)] = server.take_outgoing()
     chunk = message.body
@@ -38,17 +38,17 @@
     return chunk
 
 
-def fetched_contents(client: ContentStore, server: ContentStore) -> list[bytes]:
-    """Carry messages between a client and its peers, for which one server answers, until a fetch ends."""
+def run_fetch(client: ContentStore, server: ContentStore) -> list[bytes]:
+    """Pass messages between a client and its peers until a fetch ends; one server responds for all peers."""
     for step in range(1, 401):
         now_us = step * 20 * MILLISECOND_US
         requests = client.take_outgoing()
         assert len(requests) <= 8
         for peer, message in requests:
             assert isinstance(message.body, ChunkRequest)
-            answer = answer_of(peer, server, message.body, now_us)
-            if answer is not None:
-                client.handle(peer, answer, now_us)
+            response = peer_response(peer, server, message.body, now_us)
+            if response is not None:
+                client.handle(peer, response, now_us)
         client.retry_overdue(now_us)
         completed = client.take_completed()
         if completed:
@@ -59,21 +59,21 @@
 @settings(max_examples=60, deadline=None)
 @given(
     st.integers(1, 9 * CHUNK_BYTES),
-    st.lists(st.sampled_from(["sound", "lacking", "corrupt", "silent"]), min_size=1, max_size=4),
+    st.lists(st.sampled_from(["correct", "lacking", "corrupt", "silent"]), min_size=1, max_size=4),
     st.integers(0, 99),
 )
 def test_a_complete_content_is_fetched_from_the_one_peer_that_has_it(
-    size: int, kinds: Sequence[str], seed: int
+    size: int, behaviors: Sequence[str], seed: int
 ) -> None:
-    """The other peers lack the content, are silent, or have a corrupt byte in it."""
+    """The other peers lack the content, don't respond, or send it with a corrupt byte."""
     content = Random(seed).randbytes(size)
-    peers = [f"{kind}{number}" for number, kind in enumerate([*kinds, "sound"])]
+    peers = [f"{behavior}{number}" for number, behavior in enumerate([*behaviors, "correct"])]
     server = ContentStore([], Random(1))
     client = ContentStore(peers, Random(seed))
     digest = server.add(content)
     assert digest == hashlib.sha256(content).digest()
     client.fetch(digest, size, 0)
-    assert fetched_contents(client, server) == [content]
+    assert run_fetch(client, server) == [content]
     assert client.get(digest) is None
     client.add(content)
     assert client.get(digest) == content
@@ -82,14 +82,14 @@
 
 
 class ReplicaFactory:
-    """Makes the replica of each start of a node; all starts have the same store and clock."""
+    """Creates the replica of each start of a node; all starts share a store and a clock."""
 
     def __init__(self, store: Store) -> None:
         self.now_us = 1000 * SECOND_US
         self._store = store
 
     def make(self, incarnation: str) -> DocumentReplica:
-        """Make the replica of one start, in a cluster without documents."""
+        """Create the replica of one start, in a cluster without documents."""
         return DocumentReplica(
             incarnation,
             [],
@@ -100,13 +100,13 @@
         )
 
     def advance_clock(self, duration_us: int) -> None:
-        """Let time pass."""
+        """Advance the clock that all replicas read."""
         self.now_us += duration_us
 
 
 @contextmanager
 def opened_store(folder: Path) -> Iterator[Store]:
-    """A node's store, which is closed at the end."""
+    """Open a node's store, and close it at the end."""
     store = open_store(RealFiles(folder), "n0", lambda: 0)
     try:
         yield store
@@ -115,8 +115,8 @@
 
 
 @contextmanager
-def started(replica: DocumentReplica) -> Iterator[None]:
-    """Start a replica; its thread has ended afterwards."""
+def running(replica: DocumentReplica) -> Iterator[None]:
+    """Start a replica, and stop it at the end; its thread has ended then."""
     replica.start()
     try:
         yield
@@ -125,7 +125,7 @@
 
 
 def test_an_unreferenced_content_is_deleted_from_memory_and_disk(tmp_path: Path) -> None:
-    """The contents of changes that were not committed must not fill the disk; a start deletes them too."""
+    """The contents of changes that were not committed must not fill the disk; a start also deletes them."""
     with opened_store(tmp_path) as store:
         replicas = ReplicaFactory(store)
         replica = replicas.make("a/1")
@@ -138,7 +138,7 @@
         replica.step("", is_leader=False)
         assert replica.content(version) is None
         assert replica.waiting_task_count == 1
-        with started(replicas.make("a/2")):
+        with running(replicas.make("a/2")):
             assert not store.items(KEY_PREFIX)
 
 
@@ -146,7 +146,7 @@
     with opened_store(tmp_path) as store:
         replicas = ReplicaFactory(store)
         replica = replicas.make("a/1")
-        with started(replica):
+        with running(replica):
             replica.propose("note", b"x" * CHUNK_BYTES, "ask")
             assert len(store.items(KEY_PREFIX)) == 1
             replicas.advance_clock(100 * SECOND_US)
--- a/tests/replication/test_document_processes.py
+++ b/tests/replication/test_document_processes.py
@@ -1,4 +1,4 @@
-"""Replicated documents on real processes, and the checker of their history."""
+"""Replicated documents on real processes, and the checker of the recorded history."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def next_event(
     events: Sequence[history.Event], kind: str, after: history.Event | None = None
 ) -> history.Event:
-    """Return the first event of a kind, or the first one after another event of the same node."""
+    """Return the first event of a kind; with `after`, the first later one of the same node."""
     return next(
         event
         for event in events
@@ -22,7 +22,7 @@
 
 
 def answers_after(events: Sequence[history.Event], resumed: history.Event) -> list[str]:
-    """Return the answers of a node to first lines since it has resumed."""
+    """Return a node's answers to the first lines of clients since it was resumed."""
     return [
         event.label
         for event in events
@@ -39,7 +39,7 @@
     result = asyncio.run(documents.run_experiment(3, 1, tmp_path / "history.jsonl"))
     assert not result.cases
     assert not result.probes_rejected_when_calm
-    # On a busy machine a node may not vote in time, and the change is aborted: that is a result too.
+    # On a busy machine a node may not vote in time, so its change is aborted; that counts as a result too.
     assert result.changes == 13
     assert result.committed >= 5
     assert result.rejected >= 1
@@ -47,12 +47,12 @@
     events = history.load(tmp_path / "history.jsonl")
     resumed = next_event(events, "sound", after=next_event(events, "stopped"))
     answers = answers_after(events, resumed)
-    assert answers[0] in ("BUSY", "")  # its first lines had waited for long, and it had no lease
+    assert answers[0] in ("BUSY", "")  # the line had waited during the pause, and the node had no lease
     assert "UP" in answers
 
 
 def decision(at_us: int, node: int, number: int) -> history.Event:
-    """A decision of a node under a version."""
+    """Create the event of a node's decision under a version."""
     return history.Event(
         0,
         history.Party.NODE,
@@ -65,13 +65,13 @@
 
 
 def version_at_end(node: int, number: int) -> history.Event:
-    """The version in force at a node at the end of a history."""
+    """Create the event of the version in force at a node at the end of a history."""
     return history.Event(
         9, history.Party.NODE, history.EventKind.DOCUMENT_IN_FORCE, node=node, label="note", number=number
     )
 
 
-def test_the_checker_of_versions_finds_its_faults_and_no_other() -> None:
+def test_the_checker_reports_only_inconsistent_versions() -> None:
     consistent = [
         decision(2, 1, 2),
         decision(1, 0, 1),
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -30,7 +30,7 @@
 
 
 def state_with_change(*holders: str) -> Documents:
-    """Make the state of three voters, with leases until 30 s and a change that has been proposed."""
+    """Create the state of three voters, with leases until 30 s and a proposed change."""
     state = Documents(["a", "b", "c"])
     state.apply(LeaseGrant(holders, LEASE_DURATION_US, LEADER, 0))
     assert state.apply(proposal()) == ChangeResult(ChangeOutcome.IN_PROGRESS, 1)
@@ -38,7 +38,7 @@
 
 
 def proposal(*, node: str = LEADER, at_us: int = 0) -> Proposal:
-    """Make the proposal of the change, or a repetition of it by another node."""
+    """Create the proposal of the change, or its repetition by another node."""
     return Proposal("rules", b"d", 10, KEY, node, at_us)
 
 
@@ -48,18 +48,18 @@
         state.apply(ValidationVote(1, incarnation, at_us))
 
 
-def outcome_of_prepare(state: Documents, at_us: int) -> ChangeOutcome:
-    """Apply the leader's command to prepare the change."""
+def apply_prepare(state: Documents, at_us: int) -> ChangeOutcome:
+    """Apply the leader's command to prepare the change, and return the outcome."""
     return state.apply(Prepare(1, LEADER, at_us, SHORT_LEASE_US)).outcome
 
 
-def outcome_of_commit(state: Documents, at_us: int) -> ChangeOutcome:
-    """Apply the leader's command to commit the change."""
+def apply_commit(state: Documents, at_us: int) -> ChangeOutcome:
+    """Apply the leader's command to commit the change, and return the outcome."""
     return state.apply(Commit(1, LEADER, at_us)).outcome
 
 
-def test_the_outcomes_are_the_words_of_the_log_and_of_the_operators_answers() -> None:
-    """Snapshots, peers of other versions and the operators' scripts read them."""
+def test_the_encoded_outcomes_do_not_change() -> None:
+    """Snapshots contain them, and peers of other versions and operators' scripts read them."""
     words = ("done", "under way", "busy", "refused", "dropped", "over", "early", "armed", "not known")
     assert tuple(ChangeOutcome) == words
     encoded = msgspec.msgpack.encode(ChangeResult(ChangeOutcome.IN_PROGRESS, 3))
@@ -78,7 +78,7 @@
         (LeaseRelease("a/1", 0), "leave", None),
     ],
 )
-def test_the_log_names_a_step_by_its_command_whatever_the_tag(
+def test_a_logged_step_has_the_name_of_its_command_not_the_tag(
     command: DocumentCommand, tag: str, step: tuple[str, int, str] | None
 ) -> None:
     assert command.__struct_config__.tag == tag
@@ -89,14 +89,14 @@
     state = state_with_change(*INCARNATIONS)
     prepared_at_us = 2 * SECOND_US
     for incarnation in INCARNATIONS:
-        assert outcome_of_prepare(state, prepared_at_us) is ChangeOutcome.TOO_EARLY
+        assert apply_prepare(state, prepared_at_us) is ChangeOutcome.TOO_EARLY
         accept(state, incarnation)
-    assert outcome_of_commit(state, prepared_at_us) is ChangeOutcome.TOO_EARLY
-    assert outcome_of_prepare(state, prepared_at_us) is ChangeOutcome.DONE
+    assert apply_commit(state, prepared_at_us) is ChangeOutcome.TOO_EARLY
+    assert apply_prepare(state, prepared_at_us) is ChangeOutcome.DONE
     grant = LeaseGrant(INCARNATIONS, LEASE_DURATION_US, LEADER, prepared_at_us)
     assert state.apply(grant).outcome is ChangeOutcome.LEASES_FROZEN
     for offset_ms, incarnation in enumerate(INCARNATIONS):
-        assert outcome_of_commit(state, 3 * SECOND_US) is ChangeOutcome.TOO_EARLY
+        assert apply_commit(state, 3 * SECOND_US) is ChangeOutcome.TOO_EARLY
         state.apply(Prepared(1, 1, incarnation, prepared_at_us + offset_ms * MILLISECOND_US))
     commit = Commit(1, LEADER, prepared_at_us + 9 * MILLISECOND_US)
     assert state.apply(commit) == ChangeResult(ChangeOutcome.DONE, 1)
@@ -141,16 +141,14 @@
         ),
     ],
 )
-def test_the_last_of_the_commands_has_the_result(
-    commands: list[DocumentCommand], result: ChangeResult
-) -> None:
+def test_the_last_command_returns_the_result(commands: list[DocumentCommand], result: ChangeResult) -> None:
     state = state_with_change(*INCARNATIONS)
     assert [state.apply(command) for command in commands][-1] == result
     assert not state.versions("rules")
 
 
 def state_with_a_silent_node() -> Documents:
-    """Make a state in which `c/1` hasn't voted, and only the other leases are renewed at 20 s."""
+    """Create a state in which `c/1` hasn't voted, and only the other leases were renewed, at 20 s."""
     state = state_with_change(*INCARNATIONS)
     accept(state, *INCARNATIONS[:2])
     state.apply(LeaseGrant(INCARNATIONS[:2], LEASE_DURATION_US, LEADER, 20 * SECOND_US))
@@ -158,31 +156,31 @@
 
 
 def participants(state: Documents) -> set[str]:
-    """Return the participants of the round of the pending change."""
+    """Return the participants of the pending change's round."""
     assert state.change is not None
     return state.change.participants
 
 
 def test_a_silent_node_delays_a_change_until_its_lease_has_ended() -> None:
     state = state_with_a_silent_node()
-    assert outcome_of_prepare(state, 20 * SECOND_US) is ChangeOutcome.TOO_EARLY
-    assert outcome_of_prepare(state, LEASE_DURATION_US) is ChangeOutcome.DONE
+    assert apply_prepare(state, 20 * SECOND_US) is ChangeOutcome.TOO_EARLY
+    assert apply_prepare(state, LEASE_DURATION_US) is ChangeOutcome.DONE
     assert participants(state) == set(INCARNATIONS[:2])
 
 
 def test_a_silent_node_that_has_released_its_lease_does_not_delay_a_change() -> None:
     state = state_with_a_silent_node()
     state.apply(LeaseRelease("c/1", SECOND_US))
-    assert outcome_of_prepare(state, 20 * SECOND_US) is ChangeOutcome.DONE
+    assert apply_prepare(state, 20 * SECOND_US) is ChangeOutcome.DONE
     assert participants(state) == set(INCARNATIONS[:2])
 
 
 def test_a_majority_of_voters_accepts_a_change_before_it_is_prepared() -> None:
     state = state_with_change("a/1")
     accept(state, "a/1")
-    assert outcome_of_prepare(state, SECOND_US) is ChangeOutcome.TOO_EARLY
+    assert apply_prepare(state, SECOND_US) is ChangeOutcome.TOO_EARLY
     accept(state, "b/4")
-    assert outcome_of_prepare(state, SECOND_US) is ChangeOutcome.DONE
+    assert apply_prepare(state, SECOND_US) is ChangeOutcome.DONE
 
 
 def test_the_number_of_known_versions_is_bounded() -> None:
--- a/tests/replication/test_lease_holder.py
+++ b/tests/replication/test_lease_holder.py
@@ -1,4 +1,4 @@
-"""The lease of one incarnation: its shortening, and its end with the incarnation."""
+"""The lease of one incarnation: when it is shortened, and that a later incarnation doesn't have it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def prepared_documents() -> Documents:
-    """Make the state of one voter with a lease and a change in its first round."""
+    """Create the state of one voter with a lease and a change in its first round."""
     documents = Documents(["a"])
     documents.apply(LeaseGrant(("a/1",), LEASE_END_US, "a/1", 0))
     documents.apply(Proposal("rules", b"d", 10, "key", "a/1", 0))
@@ -35,7 +35,7 @@
 
 
 def shortened_end_us(holder_type: type[LeaseHolder]) -> int:
-    """Shorten a lease for a pending change, and return its end before the log has the `Prepared`."""
+    """Shorten a lease for a pending change, and return its end before the log holds the `Prepared`."""
     holder = holder_type("a/1", prepared_documents())
     assert holder.lease_end_us() == LEASE_END_US
     assert holder.prepare(NOW_US) == Prepared(1, 1, "a/1", NOW_US)
@@ -43,13 +43,13 @@
 
 
 def next_incarnations_end_us(holder_type: type[LeaseHolder]) -> int:
-    """Return the end of the lease of a process that starts while the previous one has a lease."""
+    """Return the lease end of a process that starts while the lease of the previous one still runs."""
     return holder_type("a/2", prepared_documents()).lease_end_us()
 
 
-def test_a_lease_is_short_from_the_moment_at_which_it_is_shortened() -> None:
+def test_a_shortened_lease_applies_at_once() -> None:
     assert shortened_end_us(LeaseHolder) == NOW_US + SHORT_LEASE_US
-    assert shortened_end_us(HolderWithoutLeaseShortening) == LEASE_END_US  # the removal is found
+    assert shortened_end_us(HolderWithoutLeaseShortening) == LEASE_END_US  # the removal is detected
 
 
 def test_a_new_incarnation_has_no_lease() -> None:
--- a/tests/replication/test_proposal_throttle.py
+++ b/tests/replication/test_proposal_throttle.py
@@ -5,7 +5,7 @@
 from tansyladder.replication.proposal_throttle import MAX_REMEMBERED, ProposalThrottle
 
 
-def test_a_proposal_is_allowed_once_in_an_interval() -> None:
+def test_a_proposal_is_allowed_once_per_interval() -> None:
     throttle = ProposalThrottle(100)
     times_us = (0, 99, 100, 150, 200)
     assert [now_us for now_us in times_us if throttle.allows("vote", now_us)] == [0, 100, 200]
--- a/tests/replication/test_session_ownership.py
+++ b/tests/replication/test_session_ownership.py
@@ -1,4 +1,4 @@
-"""The ownership of sessions: claims, confirmations, released tokens, and the forms of the results."""
+"""The ownership of sessions: claims, confirmations, released tokens, and encoded results."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 SESSION = 7
 TOKEN_EXPIRY_US = 30 * SECOND_US
 RETENTION_S = 40
-FIRST_TOKEN = 1 << GENERATION_COUNTER_BITS | 3  # a generation of the session's first owner
+FIRST_TOKEN = 1 << GENERATION_COUNTER_BITS | 3  # a generation that the session's first owner issued
 CLAIMED = ClaimResult(reason=ClaimRejection.CLAIMED)
 SPENT = ClaimResult(reason=ClaimRejection.SPENT)
 EXPIRED = ClaimResult(reason=ClaimRejection.EXPIRED)
@@ -39,7 +39,7 @@
 
 
 def claim(node: str, generation: int, at_s: int = 1, session: int = SESSION) -> OwnershipClaim:
-    """Make a node's next claim."""
+    """Create a node's next claim."""
     return OwnershipClaim(
         session=session,
         generation=generation,
@@ -54,7 +54,7 @@
 def confirmation(
     node: str, epoch: int, floor: int, at_s: int = 2, session: int = SESSION, sequence: int = 1
 ) -> ClaimConfirmation:
-    """Make an owner's confirmation."""
+    """Create an owner's confirmation."""
     return ClaimConfirmation(
         session=session,
         epoch=epoch,
@@ -68,7 +68,7 @@
 
 
 def opened(node: str, epoch: int, at_s: int, sequence: int) -> SessionOpened:
-    """Make an owner's report that it has answered its client."""
+    """Create an owner's report that it has answered its client."""
     return SessionOpened(SESSION, epoch, node, at_s * SECOND_US, sequence)
 
 
@@ -81,11 +81,11 @@
     ownership = SessionOwnership()
     floor = first_generation(3) | 1
     assert apply(ownership, claim("a", FIRST_TOKEN)) == ClaimResult(2)
-    # The first claim isn't confirmed yet, so its owner may be down as well.
+    # The first claim isn't confirmed yet, and its owner may be down, so a second claim is accepted.
     assert apply(ownership, claim("b", FIRST_TOKEN)) == ClaimResult(3)
     assert apply(ownership, confirmation("a", 2, first_generation(2) | 1)) == CLAIMED
     assert apply(ownership, confirmation("b", 3, floor)) == ClaimResult(3)
-    assert apply(ownership, confirmation("b", 3, floor)) == ClaimResult(3)  # a repetition, as after a loss
+    assert apply(ownership, confirmation("b", 3, floor)) == ClaimResult(3)  # repeated after a loss
 
 
 def test_a_token_is_spent_once_its_owner_has_opened_the_session() -> None:
@@ -93,8 +93,8 @@
     apply(ownership, claim("a", FIRST_TOKEN))
     apply(ownership, claim("b", FIRST_TOKEN))
     apply(ownership, confirmation("b", 3, first_generation(3) | 1))
-    assert apply(ownership, claim("c", FIRST_TOKEN, 9)) == CLAIMED  # the owner may still release it
-    assert apply(ownership, opened("b", 3, 9, sequence=2)) == CLAIMED  # not its newest confirmation
+    assert apply(ownership, claim("c", FIRST_TOKEN, 9)) == CLAIMED  # the owner may still release the token
+    assert apply(ownership, opened("b", 3, 9, sequence=2)) == CLAIMED  # not its last confirmation
     assert apply(ownership, claim("c", FIRST_TOKEN, 9)) == CLAIMED
     assert apply(ownership, opened("b", 3, 9, sequence=1)) == ClaimResult(3)
     assert apply(ownership, claim("c", FIRST_TOKEN, 9)) == SPENT
@@ -102,7 +102,7 @@
 
 
 def test_a_repeated_claim_is_the_same_claim() -> None:
-    """A delayed copy must not invalidate the epoch of its own node."""
+    """A delayed copy of a claim must not invalidate the epoch of the node that made it."""
     ownership = SessionOwnership()
     repeated = claim("a", FIRST_TOKEN)
     assert apply(ownership, repeated) == ClaimResult(2)
@@ -118,7 +118,7 @@
     apply(ownership, claim("a", FIRST_TOKEN))
     confirmed = confirmation("a", 2, first_generation(2) | 1)
     assert apply(ownership, confirmed) == ClaimResult(2)
-    assert apply(ownership, claim("b", FIRST_TOKEN, 3)) == CLAIMED  # it may be released
+    assert apply(ownership, claim("b", FIRST_TOKEN, 3)) == CLAIMED  # the owner may still release the token
     assert apply(ownership, confirmation("a", 2, FIRST_TOKEN, 3, sequence=2)) == ClaimResult(2)
     delayed = confirmation("a", 2, first_generation(2) | 1, 3)
     assert apply(ownership, delayed) == CLAIMED
@@ -134,16 +134,16 @@
     )
     apply(ownership, others_claim)
     assert apply(ownership, claim("a", FIRST_TOKEN, -60)) == ClaimResult(2)
-    assert apply(ownership, claim("b", FIRST_TOKEN, 26)) == ClaimResult(3)  # not the same epoch again
+    assert apply(ownership, claim("b", FIRST_TOKEN, 26)) == ClaimResult(3)  # a new epoch, not 2 again
     assert apply(ownership, confirmation("a", 2, 9, -59)) == CLAIMED
 
 
 def test_an_owner_that_was_replaced_long_ago_confirms_nothing() -> None:
-    """Its record is forgotten by then, but every token that it could get has expired as well."""
+    """The record is forgotten by then, but every token that the owner could get has expired as well."""
     ownership = SessionOwnership()
     apply(ownership, claim("b", FIRST_TOKEN))
     apply(ownership, claim("x", FIRST_TOKEN, 60, 8))
-    assert list(ownership.records) == []  # the token of the second claim had expired
+    assert list(ownership.records) == []  # the second claim was rejected, as its token had expired
     assert apply(ownership, confirmation("a", 1, 9, 61)) == EXPIRED
 
 
@@ -153,7 +153,7 @@
 @given(STEPS)
 @settings(max_examples=200, deadline=None)
 def test_only_the_newest_claim_of_a_session_is_confirmed(steps: list[tuple[int, str, bool]]) -> None:
-    """Three sessions and two nodes, commands in any order, all while the records are retained."""
+    """Commands of two nodes for three sessions, in any order, within the retention of the records."""
     ownership = SessionOwnership()
     epochs: dict[tuple[int, str], int] = {}  # by session and node
     floors = dict.fromkeys(range(3), first_generation(1))
@@ -179,7 +179,7 @@
     assert restored.snapshot() == ownership.snapshot()
 
 
-def test_the_rejections_are_the_words_of_the_log_and_of_the_clients_lines() -> None:
+def test_the_encoded_rejections_do_not_change() -> None:
     assert tuple(ClaimRejection) == ("", "spent", "expired", "claimed", "full")
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(ClaimResult(3))) == [3, ""]
     encoded = msgspec.msgpack.encode(SPENT)
--- a/tests/replication/test_simulated_documents.py
+++ b/tests/replication/test_simulated_documents.py
@@ -1,4 +1,4 @@
-"""Replicated documents on simulated clusters with faults, and with guards removed."""
+"""Replicated documents on simulated clusters with faults, and the detection of removed guards."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 
 def test_the_same_seed_gives_the_same_history() -> None:
     options = DocumentClusterOptions(faults=HEAVY_FAULTS)
-    one, same, other = (simulate_documents(seed, 8.0, options) for seed in (4, 4, 5))
-    assert one.history == same.history
-    assert one.committed_entries == same.committed_entries
-    assert one.history.decisions != other.history.decisions
+    first, repeated, different = (simulate_documents(seed, 8.0, options) for seed in (4, 4, 5))
+    assert first.history == repeated.history
+    assert first.committed_entries == repeated.committed_entries
+    assert first.history.decisions != different.history.decisions
 
 
 def violations(seed: int, components: DocumentComponents) -> list[str]:
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("guard", GUARDS_WITH_SEED)
-def test_a_removed_guard_is_found(guard: DocumentGuard) -> None:
+def test_the_removal_of_a_guard_is_detected(guard: DocumentGuard) -> None:
     removal = REMOVALS[guard]
     assert not violations_with_all_guards(removal.seed)
     assert any(removal.violation in violation for violation in violations(removal.seed, removal.components))
