--- a/tansyladder/cluster/__init__.py
+++ b/tansyladder/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The node's part in its cluster: peer connections, the Raft thread and its storage, documents."""
+"""Cluster membership of a node: peer connections, the Raft thread and its storage, replicated documents."""
--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -1,7 +1,7 @@
-"""Brings a process into its node's cluster: at once, or when the process before it has ended.
+"""Joins the node's cluster at startup, once a previous process of the same node has ended.
 
-Two processes of one node would be two voters under one name, and the store belongs to the earlier one as long
-as it runs. Until this process has joined, clients with tokens are asked to retry (BUSY).
+Two running processes of one node would be two voters with the same name, and the previous process owns the
+store for as long as it runs. Until this process has joined, clients with tokens are asked to retry (BUSY).
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterMember:
-    """What a process of a node needs to join its cluster."""
+    """The objects that a process needs to join its node's cluster."""
 
     context: NodeContext
     resumption_handler: ResumptionHandler
     endpoint_cache: AttachableEndpointCache
     decision_gate: DecisionGate
     handover: ListenerHandover
-    state_directory: str | None  # the node's own, which outlives its process
+    state_directory: str | None  # this node's directory, which outlives the process; None if there is none
 
 
 def join_cluster(member: ClusterMember) -> None:
-    """Join the cluster now, or in a thread of its own once the process before this one has ended.
+    """Join the cluster now, or in a background thread once the previous process of this node has ended.
 
-    In the thread errors are logged.
+    The background thread logs the errors listed below; they are not raised to the caller.
 
     Raises:
         OSError, ValueError, ConfigError: The settings can't be used.
@@ -55,7 +55,7 @@
 
 
 def _join_after_predecessor(member: ClusterMember) -> None:
-    """Wait for the end of the process before, then join."""
+    """Wait until the previous process has ended, then join; runs in the background thread."""
     member.handover.wait_until_predecessor_exits()
     try:
         _join(member)
@@ -64,7 +64,7 @@
 
 
 def _join(member: ClusterMember) -> None:
-    """Open the store, then start Raft on it."""
+    """Open the store, start Raft with it, and let the decision gate use the replicated documents."""
     context = member.context
     documents = context.options.documents
     store = _open_store(member)
@@ -85,7 +85,7 @@
 
 
 def _open_store(member: ClusterMember) -> Store | None:
-    """Open the node's store, if it has one that can be used, and start its maintenance."""
+    """Open the store and start its maintenance; return None if it is disabled or can't be used."""
     options = member.context.options.store
     if not options.enabled:
         return None
@@ -98,6 +98,7 @@
 
 
 def _document_settings(options: DocumentsOptions) -> DocumentReplicaSettings | None:
+    """Return the settings of the document replica, or None if documents are disabled."""
     if not options.enabled:
         return None
     return DocumentReplicaSettings(VALIDATORS, LeaseExpiryPolicy(options.on_lease_expiry), options.lease)
--- a/tansyladder/cluster/content_worker.py
+++ b/tansyladder/cluster/content_worker.py
@@ -1,4 +1,4 @@
-"""The thread that validates contents of documents, and writes them to and deletes them from the disk."""
+"""A worker thread that validates document contents, writes them to the disk and deletes them from it."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 from tansyladder.cluster.node_contents import NodeContents
 
-QUEUE_SIZE = 8  # waiting tasks; the caller submits further ones again at a later step
-MAX_FAULT_LENGTH = 200  # characters of a fault in the command for the log
+MAX_QUEUED_TASKS = 8  # when the queue is full, the caller submits the task again at a later step
+MAX_FAULT_LENGTH = 200  # characters; a longer fault is truncated, as the vote in the Raft log contains it
 STORAGE_FAULT = "disk: the content can't be kept"
 
-Validator = Callable[[bytes], str]  # returns the path and the description of a content's first fault, or ""
+Validator = Callable[[bytes], str]  # returns the path and description of the first fault, "" if there is none
 
 
 @dataclass(frozen=True, slots=True)
 class ValidateContent:
-    """Validate the content of a pending change, and write it if it is valid."""
+    """A task: validate the content of a pending change, and write it if it is valid."""
 
     name: str
     number: int
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteContent:
-    """Write a fetched content of a committed version."""
+    """A task: write the content of a committed version, which was fetched from a peer."""
 
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class DeleteContent:
-    """Delete a content, unless it is in memory again when the task runs."""
+    """A task: delete a content, unless it is in memory again when the task runs."""
 
     digest: bytes
 
@@ -44,8 +44,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Validation:
-    """The result of a `ValidateContent`; `fault` is empty if the content is valid and written."""
+class ValidationResult:
+    """The result of `ValidateContent`; `fault` is empty if the content is valid and has been written."""
 
     number: int
     content: bytes
@@ -53,28 +53,28 @@
 
 
 class ContentWorker:
-    """Runs tasks in the order of their submission, in a thread of its own. Thread-safe."""
+    """Runs tasks in the order of their submission, in a separate thread. Thread-safe."""
 
     def __init__(self, contents: NodeContents, validators: Mapping[str, Validator]) -> None:
-        """Begin without tasks; `validators` are by document."""
+        """Create a worker without tasks; `validators` maps document names to their validators."""
         self._contents = contents
         self._validators = validators
-        self._tasks: queue.Queue[Task | None] = queue.Queue(QUEUE_SIZE)  # None ends the thread
-        self._results: queue.Queue[Validation | WriteContent] = queue.Queue()
+        self._tasks: queue.Queue[Task | None] = queue.Queue(MAX_QUEUED_TASKS)  # None ends the thread
+        self._results: queue.Queue[ValidationResult | WriteContent] = queue.Queue()
         self._thread = threading.Thread(target=self._run, name="documents", daemon=True)
 
     def start(self) -> None:
-        """Start the thread, a daemon that ends with the process or at `stop`."""
+        """Start the thread. It is a daemon thread: it ends with the process, or at `stop`."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Run the tasks that wait, then end the thread and wait for it; without effect before `start`."""
+        """Run the queued tasks, then end the thread and wait for it; do nothing if it isn't running."""
         if self._thread.is_alive():
             self._tasks.put(None)
             self._thread.join()
 
     def submit(self, task: Task) -> bool:
-        """Queue a task; False if the queue is full."""
+        """Queue a task; return False if the queue is full."""
         try:
             self._tasks.put_nowait(task)
         except queue.Full:
@@ -83,24 +83,24 @@
 
     @property
     def waiting_count(self) -> int:
-        """The number of tasks that wait for the thread."""
+        """The number of queued tasks."""
         return self._tasks.qsize()
 
-    def take_results(self) -> list[Validation | WriteContent]:
-        """Return the validations and the successful writes since the last call."""
-        results: list[Validation | WriteContent] = []
+    def take_results(self) -> list[ValidationResult | WriteContent]:
+        """Return the results of validations, and the tasks of successful writes, since the last call."""
+        results: list[ValidationResult | WriteContent] = []
         with contextlib.suppress(queue.Empty):
             while True:
                 results.append(self._results.get_nowait())
         return results
 
     def _run(self) -> None:
-        """Run the tasks until `stop`; the thread's function."""
+        """Run tasks until `stop`; this is the thread's main function."""
         while (task := self._tasks.get()) is not None:
             self._run_task(task)
 
     def _run_task(self, task: Task) -> None:
-        """Run one task, and queue its result if it has one."""
+        """Run a task, and queue its result if it has one."""
         match task:
             case DeleteContent(digest):
                 self._contents.delete(digest)
@@ -109,15 +109,15 @@
                     self._results.put(task)
             case ValidateContent():
                 fault = self._validate(task)[:MAX_FAULT_LENGTH]
-                self._results.put(Validation(task.number, task.content, fault))
+                self._results.put(ValidationResult(task.number, task.content, fault))
 
     def _validate(self, task: ValidateContent) -> str:
-        """Validate a content, and write it if it is valid; return its fault, or an empty text."""
+        """Validate a content and write it if it is valid; return the fault, or "" if there is none."""
         if task.name not in self._validators:
             return f"{task.name}: no such document"
         try:
             fault = self._validators[task.name](task.content)
-        except Exception as err:  # noqa: BLE001 - a validator may raise anything: a rejection
+        except Exception as err:  # noqa: BLE001 - any error of a validator rejects the content
             return f"{task.name}: {err!r}"
         if fault:
             return fault
--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -1,4 +1,4 @@
-"""The interface of replicated documents to the client listener and the operators' calls."""
+"""The interface of replicated documents for the client listener and for the operators' calls."""
 
 from __future__ import annotations
 
@@ -18,37 +18,44 @@
 from tansyladder.replication.document_messages import ChangeOutcome, ChangeResult
 from tansyladder.replication.documents import MAX_CONTENT_BYTES, Version
 
-PUBLISH_TIMEOUT = timedelta(seconds=60)  # of a change with all attempts, as a lease may have to end first
+PUBLISH_TIMEOUT = timedelta(seconds=60)  # for all attempts of a change, which may wait for a lease to end
 ATTEMPT_TIMEOUT = timedelta(seconds=5)
-ATTEMPT_PAUSE_S = 0.2
+RETRY_DELAY_SECONDS = 0.2  # between two attempts
 LEASE_RELEASE_TIMEOUT = timedelta(milliseconds=200)
-MAX_PENDING_CHANGES = 4  # that this node publishes at once
-MAX_KNOWN_CHANGES = 64  # published by this node, whose results it remembers
+MAX_PENDING_CHANGES = 4  # changes that this node publishes at the same time
+MAX_KNOWN_CHANGES = 64  # changes published by this node that are pending or whose results it remembers
 
 
 class DocumentStatus(msgspec.Struct, frozen=True):
-    """The version of a document in force at this node, as the operators' call `documents` reports it."""
+    """The version of a document in force at this node, as returned by the operators' call `documents`."""
 
     number: int
-    digest: str  # in hexadecimal digits
+    digest: str  # hexadecimal
     size: int  # bytes
     effective_at_us: int = msgspec.field(name="since")  # Unix time
-    is_content_here: bool = msgspec.field(name="here")
+    has_content: bool = msgspec.field(name="here")
 
 
 class DocumentPublisher:
-    """Publishes changes of documents, and permits decisions while the lease lasts. Thread-safe."""
+    """Publishes document changes, and permits decisions while this node holds a lease. Thread-safe."""
 
     def __init__(self, raft_runner: RaftRunner, replica: DocumentReplica, decision_log_path: str) -> None:
-        """Begin without changes; `decision_log_path` is empty for no log. OSError: it can't be written."""
+        """Create a publisher without changes; an empty `decision_log_path` disables the decision log.
+
+        Raises:
+            OSError: The decision log can't be opened for writing.
+        """
         self._raft_runner = raft_runner
         self._replica = replica
         self._decision_log = DecisionLog(decision_log_path) if decision_log_path else None
-        self._lock = threading.Lock()  # guards the results
-        self._results: dict[str, ChangeResult | None] = {}  # by idempotency key; None: pending
+        self._lock = threading.Lock()  # guards _results
+        self._results: dict[str, ChangeResult | None] = {}  # by idempotency key; None while pending
 
     def may_decide(self, connection_id: str = "") -> bool:
-        """Whether the node may make a decision now; with a connection's id, the decision is logged."""
+        """Return whether the node may make a decision now.
+
+        If a connection id is given and the decision is permitted, it is written to the decision log.
+        """
         now_us = self._replica.now_us()
         lease = self._replica.lease
         is_allowed = self._replica.may_decide(lease, now_us)
@@ -59,7 +66,7 @@
         return is_allowed
 
     def describe(self) -> str:
-        """Return the lease and the versions in force at this node, as JSON."""
+        """Return the remaining lease time, the counters and the versions in force at this node, as JSON."""
         now_us = self._replica.now_us()
         lease = self._replica.lease
         remaining_ms = max(0, lease.end_us - now_us) // 1000
@@ -71,15 +78,19 @@
         return msgspec.json.encode(described).decode()
 
     def publish(self, document: str, idempotency_key: str, path: str) -> str:
-        """Begin to change a document to a file's content, in a separate thread; return the outcome so far.
+        """Start a thread that changes a document to the content of a file; return the present outcome.
 
-        DocumentChangeError: nothing has been proposed.
+        A key that this node has already published doesn't start another change.
+
+        Raises:
+            DocumentChangeError: The file can't be read, or too many changes are pending. Nothing has been
+                proposed.
         """
         content = _read_content(path)
         with self._lock:
             if idempotency_key in self._results:
                 return ChangeOutcome.IN_PROGRESS.value
-            self._make_room()
+            self._evict_old_results()
             self._results[idempotency_key] = None
         log(
             LogEvent.DOCUMENT_CHANGE_REQUESTED,
@@ -93,9 +104,10 @@
         return ChangeOutcome.IN_PROGRESS.value
 
     def change_result(self, idempotency_key: str) -> str:
-        """Return `done` and the version's number for a committed change.
+        """Return `done` and the version number of a committed change.
 
-        DocumentChangeError: the change is pending, was rejected or aborted, or isn't known to this node.
+        Raises:
+            DocumentChangeError: The change is pending, was rejected or aborted, or isn't known to this node.
         """
         with self._lock:
             is_known = idempotency_key in self._results
@@ -113,19 +125,20 @@
         self._raft_runner.release_lease(now() + LEASE_RELEASE_TIMEOUT)
 
     def _status(self, version: Version) -> DocumentStatus:
-        """Describe a version for the operators."""
+        """Return the status of a version for the operators."""
         return DocumentStatus(
             number=version.number,
             digest=version.digest.hex(),
             size=version.size,
             effective_at_us=version.effective_at_us,
-            is_content_here=self._replica.content(version) is not None,
+            has_content=self._replica.content(version) is not None,
         )
 
-    def _make_room(self) -> None:
-        """Forget the oldest results beyond the bound; the caller holds the lock.
+    def _evict_old_results(self) -> None:
+        """Remove the oldest results, so that one more change stays within the limit; the lock must be held.
 
-        DocumentChangeError: too many changes are pending.
+        Raises:
+            DocumentChangeError: Too many changes are pending.
         """
         pending_count = sum(result is None for result in self._results.values())
         if pending_count >= MAX_PENDING_CHANGES:
@@ -135,10 +148,10 @@
             del self._results[oldest]
 
     def _publish(self, document: str, content: bytes, idempotency_key: str) -> None:
-        """Publish a change and record its result; the thread's function."""
+        """Publish a change and record its result; this is the main function of the change's thread."""
         try:
-            result = self._attempt(document, content, idempotency_key)
-        except ValueError as err:  # this node itself rejects it
+            result = self._propose_until_decided(document, content, idempotency_key)
+        except ValueError as err:  # this node rejects the content before it proposes the change
             result = ChangeResult(ChangeOutcome.REJECTED, 0, str(err))
         log(
             LogEvent.DOCUMENT_CHANGE_ENDED,
@@ -151,8 +164,11 @@
         with self._lock:
             self._results[idempotency_key] = result
 
-    def _attempt(self, document: str, content: bytes, idempotency_key: str) -> ChangeResult:
-        """Propose a change repeatedly, until its result is known and no other change is pending."""
+    def _propose_until_decided(self, document: str, content: bytes, idempotency_key: str) -> ChangeResult:
+        """Propose a change until its result is known; retry also while another change is pending (BUSY).
+
+        After `PUBLISH_TIMEOUT`, return the last result, or `UNKNOWN` if there is none.
+        """
         deadline = now() + PUBLISH_TIMEOUT
         result: ChangeResult | None = None
         while now() < deadline:
@@ -160,14 +176,15 @@
             result = self._raft_runner.publish_document(document, content, idempotency_key, attempt_deadline)
             if result is not None and result.outcome is not ChangeOutcome.BUSY:
                 return result
-            threading.Event().wait(ATTEMPT_PAUSE_S)
-        return result or ChangeResult(ChangeOutcome.UNKNOWN)  # it may be committed later
+            threading.Event().wait(RETRY_DELAY_SECONDS)
+        return result or ChangeResult(ChangeOutcome.UNKNOWN)  # the change may be committed later
 
 
 def _read_content(path: str) -> bytes:
-    """Read a file, up to one byte more than the limit of a content.
+    """Read a file, up to one byte beyond the maximum size, so that a larger file is recognized as too large.
 
-    DocumentChangeError: the file can't be read.
+    Raises:
+        DocumentChangeError: The file can't be read.
     """
     try:
         with Path(path).open("rb") as file:
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -1,7 +1,7 @@
-"""A node's part in replicated documents: their contents on its disk, its lease, and its votes on changes.
+"""The replicated documents at one node: their contents on its disk, its lease, and its votes on changes.
 
-The Raft thread calls `step` after each step of the log, before it sends the messages of that step, so that a
-shortened lease is published first. A `ContentWorker` validates and writes contents in its own thread.
+The Raft thread calls `step` after each step of the Raft node, before it sends the messages of that step, so
+that a shortened lease is published first. A `ContentWorker` validates and writes contents in its own thread.
 """
 
 from __future__ import annotations
@@ -40,35 +40,37 @@
 from tansyladder.store import Store
 
 DEFAULT_LEASE_DURATION = timedelta(seconds=30)
-RENEWALS_PER_LEASE = 12  # sent to the leader during one lease
+RENEWALS_PER_LEASE = 12  # renewals that are sent to the leader during one lease duration
 URGENT_RENEWAL_INTERVAL_US = 150 * MILLISECOND_US  # while a change is pending, or the lease ends within 1 s
-BUSY_INTERVAL_US = 50 * MILLISECOND_US  # between two steps in those cases
-IDLE_INTERVAL_US = 1 * SECOND_US  # between two steps otherwise
-PROPOSED_RETENTION_US = 90 * SECOND_US  # of a content that this node proposed, until the log has its change
+BUSY_STEP_INTERVAL_US = 50 * MILLISECOND_US  # the maximum time between two steps in those cases
+IDLE_STEP_INTERVAL_US = 1 * SECOND_US  # the maximum time between two steps otherwise
+# How long a content proposed by this node is retained before the log contains its change.
+PROPOSED_CONTENT_RETENTION_US = 90 * SECOND_US
 RESULT_POLL_INTERVAL = timedelta(milliseconds=10)
-MAX_REPORTED_NAME = 40  # characters of a document's unknown name in the error
+MAX_REPORTED_NAME = 40  # characters of an unknown document name in an error message
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentReplicaSettings:
-    """Settings of the operator and of the build about documents; the same at all nodes."""
+    """Settings for documents, of the operator and of this version; they must be the same at all nodes."""
 
-    validators: Mapping[str, Validator]  # by document; only these documents are allowed
+    validators: Mapping[str, Validator]  # by document name; other documents are not allowed
     lease_expiry_policy: LeaseExpiryPolicy = LeaseExpiryPolicy.STOP
     lease_duration: timedelta = DEFAULT_LEASE_DURATION
 
 
 class StepOutput(NamedTuple):
-    """The commands and messages of a step, for the Raft thread."""
+    """The commands that the Raft thread proposes, and the messages that it sends, after a step."""
 
-    commands: list[Command]  # to propose
-    messages: list[AddressedMessage]  # to send
+    commands: list[Command]
+    messages: list[AddressedMessage]
 
 
 class DocumentReplica:
     """The replicated documents at one node.
 
-    The Raft thread alone calls `step`, `handle`, `is_urgent` and `next_step_in_us`; all else is thread-safe.
+    Only the Raft thread may call `step`, `handle`, `is_urgent` and `max_step_delay_us`; any thread may call
+    the other methods.
     """
 
     def __init__(
@@ -83,15 +85,15 @@
         """Load the contents of the documents from the store.
 
         Args:
-            incarnation: This start of the node (NAME/START).
+            incarnation: Identifies this start of the node (NAME/START).
             peers: The names of the other nodes.
-            documents: The replicated state, as this node has applied it.
+            documents: The replicated state machine, as of the entries that this node has applied.
             store: The node's store, or None.
-            settings: The same at all nodes.
-            now_us: Reads Unix time in microseconds.
+            settings: Must be the same at all nodes.
+            now_us: Returns Unix time in microseconds.
 
         Raises:
-            StoreError: The contents can't be read.
+            StoreError: The contents can't be read from the store.
         """
         self._incarnation = incarnation
         self._documents = documents
@@ -102,7 +104,7 @@
         self.counters: Counter[str] = Counter()
         self._lease_holder = LeaseHolder(incarnation, documents)
         self._coordinator = LeaseCoordinator(incarnation, documents, self._lease_duration_us)
-        self._lease = DocumentLease()  # replaced as a whole, so any thread reads it without a lock
+        self._lease = DocumentLease()  # replaced as a whole, so any thread may read it without a lock
         self._has_stopped_deciding = False
         self._throttle = ProposalThrottle(REPROPOSE_INTERVAL_US)
         self._next_renewal_at_us = 0
@@ -111,27 +113,31 @@
         self._validator = ChangeValidator(incarnation, documents, self._contents, settings.validators)
 
     def start(self) -> None:
-        """Delete the contents of changes that were not committed, and start the worker.
+        """Delete the stored contents of changes that were not committed, and start the worker thread.
 
-        StoreError: the store can't be read.
+        Raises:
+            StoreError: The store can't be read.
         """
         for digest in self._contents.storage.digests() - self._documents.referenced_digests():
             self._contents.delete(digest)
         self._validator.start()
 
     def stop(self) -> None:
-        """Stop the worker, and wait until its thread has ended."""
+        """Stop the worker thread and wait until it has ended."""
         self._validator.stop()
 
-    # --- for any thread
+    # --- may be called by any thread
 
     @property
     def lease(self) -> DocumentLease:
-        """The lease and the versions under which this node may decide, as of its last step."""
+        """This node's lease and the document versions known to it, as of its last step."""
         return self._lease
 
     def may_decide(self, lease: DocumentLease, now_us: int) -> bool:
-        """Whether the node may make decisions under a lease; with `SERVE` also after its end, counted."""
+        """Return whether the node may make decisions under a lease.
+
+        With `LeaseExpiryPolicy.SERVE` it may also decide after the lease has ended; those calls are counted.
+        """
         if self._has_stopped_deciding:
             return False
         if now_us < lease.end_us:
@@ -142,22 +148,23 @@
         return False
 
     def stop_deciding(self) -> None:
-        """Make no decisions from now on."""
+        """Permit no more decisions from now on."""
         self._has_stopped_deciding = True
 
     @property
     def waiting_task_count(self) -> int:
-        """The number of contents that wait to be validated, written or deleted."""
+        """The number of contents that are queued to be validated, written or deleted."""
         return self._validator.waiting_task_count
 
     def content(self, version: Version) -> bytes | None:
-        """Return the content of a version, or None if this node lacks it."""
+        """Return the content of a version, or None if this node doesn't have it in memory."""
         return self._contents.get(version.digest)
 
     def propose(self, name: str, content: bytes, idempotency_key: str) -> Proposal:
-        """Validate and store a content, serve it to peers from now on, and return the command to propose.
+        """Validate and store a content, make it available to peers, and return the command to propose.
 
-        DocumentRejectedError: the content can't become a version, or the disk can't store it.
+        Raises:
+            DocumentRejectedError: The document is unknown, the content is invalid, or it can't be stored.
         """
         if name not in self._validators:
             raise DocumentRejectedError(f"name: no such document: {name[:MAX_REPORTED_NAME]}")
@@ -166,36 +173,36 @@
         fault = self._validators[name](content)
         if fault:
             raise DocumentRejectedError(fault)
-        digest = self._contents.store_proposed(content, self.now_us() + PROPOSED_RETENTION_US)
+        digest = self._contents.store_proposed(content, self.now_us() + PROPOSED_CONTENT_RETENTION_US)
         if digest is None:
             raise DocumentRejectedError(STORAGE_FAULT)
         return Proposal(name, digest, len(content), idempotency_key, self._incarnation, self.now_us())
 
     def result(self, idempotency_key: str) -> ChangeResult | None:
-        """Return the result of a change, as of the entries that this node has applied."""
+        """Return the result of a change, or None if this node hasn't applied an entry that decides it."""
         return self._documents.results.get(idempotency_key)
 
     def wait_for_result(self, idempotency_key: str, until: timedelta) -> ChangeResult | None:
-        """Wait for the result of a change, at most until a moment of the node's clock."""
+        """Wait for the result of a change; return None if there is none at `until` (by `net.clock.now`)."""
         while True:
             result = self.result(idempotency_key)
             if result is not None or now() >= until:
                 return result
             threading.Event().wait(min(RESULT_POLL_INTERVAL.total_seconds(), seconds_left(until)))
 
-    # --- for the Raft thread
+    # --- called by the Raft thread only
 
     @property
     def is_urgent(self) -> bool:
-        """Whether followers have to learn of commits at once, not with the next heartbeat."""
+        """Whether the leader must announce commits to followers at once, not with the next heartbeat."""
         return self._coordinator.is_urgent(self.now_us())
 
-    def next_step_in_us(self) -> int:
-        """Return how long the next step may wait if nothing arrives."""
-        return BUSY_INTERVAL_US if self._is_busy(self.now_us()) else IDLE_INTERVAL_US
+    def max_step_delay_us(self) -> int:
+        """Return the time after which the next step is due even if no message arrives, in microseconds."""
+        return BUSY_STEP_INTERVAL_US if self._is_busy(self.now_us()) else IDLE_STEP_INTERVAL_US
 
     def handle(self, sender: str, message: DocumentMessage) -> list[AddressedMessage]:
-        """Process another node's message; return the messages to send."""
+        """Process a message of another node, and return the messages to send."""
         body = message.body
         if isinstance(body, LeaseRenewal):
             if node_name(body.incarnation) == sender:
@@ -204,9 +211,11 @@
         return self._contents.handle(sender, body, self.now_us())
 
     def step(self, leader: str, *, is_leader: bool) -> StepOutput:
-        """Process the entries that the log has applied; `leader` is empty if none is known.
+        """Act on the entries that this node has applied since the last step.
 
-        `is_leader`: whether this node is that leader.
+        Args:
+            leader: The name of the leader; empty if none is known.
+            is_leader: Whether this node is the leader.
         """
         now_us = self.now_us()
         commands: list[Command] = []
@@ -224,11 +233,11 @@
         return StepOutput(commands, messages + self._contents.take_outgoing())
 
     def _is_busy(self, now_us: int) -> bool:
-        """Whether a change is pending, or the lease has ended or ends within a second."""
+        """Return whether a change is pending, or the lease has ended or will end within one second."""
         return self._documents.change is not None or now_us >= self._lease.end_us - SECOND_US
 
     def _renew_lease(self, leader: str, now_us: int) -> list[AddressedMessage]:
-        """Return the renewal for the leader when it is due."""
+        """Return the lease renewal to send to the leader, or nothing if it isn't due yet."""
         if now_us < self._next_renewal_at_us:
             return []
         interval_us = self._lease_duration_us // RENEWALS_PER_LEASE
@@ -238,9 +247,9 @@
         return [AddressedMessage(leader, DocumentMessage(LeaseRenewal(self._incarnation)))]
 
     def _publish_lease(self, now_us: int) -> None:
-        """Publish the lease and the known versions; fetch missing contents of the newest versions."""
+        """Publish the lease and the known versions, and fetch missing contents of the newest versions."""
         versions = {name: self._documents.versions(name) for name in self._documents.names()}
         newest = [known[-1] for known in versions.values()]
         has_all = self._contents.has_all(newest, now_us)
-        # A node that lacks the content of a version that it knows can't decide under it.
+        # A node that lacks the content of a known version can't decide under it, so it publishes no lease.
         self._lease = DocumentLease(self._lease_holder.lease_end_us() if has_all else 0, versions)
--- a/tansyladder/cluster/inbox.py
+++ b/tansyladder/cluster/inbox.py
@@ -1,4 +1,4 @@
-"""The queue of messages for the Raft thread."""
+"""The queue of incoming messages for the Raft thread."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from tansyladder.cluster.peer_transport import PeerMessage
 
-INBOX_SIZE = 4096  # waiting messages; further ones are dropped, as an unreliable network does
-MAX_MESSAGES_PER_STEP = 256  # whose writes share a sync
-MIN_WAIT_SECONDS = 0.001  # between two steps without a message
+MAX_QUEUED_MESSAGES = 4096  # further messages are dropped, which Raft tolerates like loss on the network
+MAX_MESSAGES_PER_STEP = 256  # the writes of one step are synced together
+MIN_WAIT_SECONDS = 0.001  # the shortest wait for a message between two steps
 
-ReceivedMessage = tuple[str, PeerMessage]  # the sender, and what it sent; bare pairs as for `RaftNode.handle`
+ReceivedMessage = tuple[str, PeerMessage]  # sender and message; a plain tuple, as `RaftNode.handle` takes
 
 
 class Inbox:
-    """A bounded queue. Thread-safe; one thread alone calls `take`."""
+    """A bounded queue of messages. Thread-safe, but only one thread may call `take`."""
 
     def __init__(self) -> None:
-        """Begin empty."""
-        self._queue: queue.Queue[ReceivedMessage] = queue.Queue(INBOX_SIZE)
+        """Create an empty inbox."""
+        self._queue: queue.Queue[ReceivedMessage] = queue.Queue(MAX_QUEUED_MESSAGES)
 
     def put(self, sender: str, message: PeerMessage) -> bool:
-        """Add a message; False if the inbox is full."""
+        """Add a message; return False if the inbox is full."""
         try:
             self._queue.put_nowait((sender, message))
         except queue.Full:
@@ -30,7 +30,10 @@
         return True
 
     def take(self, timeout_seconds: float) -> list[ReceivedMessage]:
-        """Wait for a message, and return those that have arrived by then, up to `MAX_MESSAGES_PER_STEP`."""
+        """Wait for the first message, and return all that are queued then, up to `MAX_MESSAGES_PER_STEP`.
+
+        The list is empty if no message arrives within the timeout.
+        """
         received: list[ReceivedMessage] = []
         with contextlib.suppress(queue.Empty):
             received.append(self._queue.get(timeout=max(MIN_WAIT_SECONDS, timeout_seconds)))
--- a/tansyladder/cluster/node_contents.py
+++ b/tansyladder/cluster/node_contents.py
@@ -1,4 +1,4 @@
-"""The contents of documents at one node: in memory, on the disk, and in transfer from peers."""
+"""The document contents at one node: in memory, on the disk, and in transfer from peers."""
 
 from __future__ import annotations
 
@@ -18,38 +18,46 @@
 
 
 class NodeContents:
-    """Guards a node's contents with one lock. Thread-safe; times are microseconds of Unix time.
+    """The document contents of a node, guarded by one lock. Thread-safe; times are microseconds of Unix time.
 
-    A content that was proposed at this node is protected for a while, as no document refers to it before its
-    change is in the log.
+    A content that was proposed at this node is protected from deletion for a time, because no document refers
+    to it until the log contains its change.
     """
 
     def __init__(self, peers: Sequence[str], storage: ContentStorage, rng: Random) -> None:
-        """Begin without contents in memory; `rng` draws the order in which `peers` get the requests."""
+        """Begin without contents in memory; `rng` shuffles the peers that contents are requested from."""
         self.storage = storage
         self._lock = threading.Lock()
         self._contents = ContentStore(peers, rng)
         self._protected_until_us: dict[bytes, int] = {}  # by digest
 
     def load(self, digests: Iterable[bytes]) -> None:
-        """Read contents from the disk; the missing ones are fetched later. StoreError: it can't be read."""
+        """Read contents from the disk; those that are missing there are fetched from peers later.
+
+        Raises:
+            StoreError: The store can't be read.
+        """
         for digest in digests:
             content = self.storage.read(digest)
             if content is not None:
                 self.add(content)
 
     def get(self, digest: bytes) -> bytes | None:
-        """Return a content, or None if it is not in memory."""
+        """Return the content with a digest, or None if it is not in memory."""
         with self._lock:
             return self._contents.get(digest)
 
     def add(self, content: bytes) -> None:
-        """Serve a content that is on this node's disk from now on."""
+        """Keep a content in memory and make it available to peers; it must be on this node's disk already."""
         with self._lock:
             self._contents.add(content)
 
     def store_proposed(self, content: bytes, protected_until_us: int) -> bytes | None:
-        """Write and serve a content to propose; return its digest, or None if the disk has failed."""
+        """Write a content that is about to be proposed, and make it available to peers.
+
+        Returns the digest, or None if the content can't be written. The content is not deleted before
+        `protected_until_us`.
+        """
         digest = digest_of(content)
         with self._lock:
             self._protected_until_us[digest] = protected_until_us
@@ -59,13 +67,16 @@
         return digest
 
     def get_or_fetch(self, digest: bytes, size: int, now_us: int) -> bytes | None:
-        """Return a content of a size in bytes, or begin to fetch it and return None."""
+        """Return a content, or begin to fetch it and return None; `size` is in bytes."""
         with self._lock:
             self._contents.fetch(digest, size, now_us)
             return self._contents.get(digest)
 
     def has_all(self, versions: Sequence[Version], now_us: int) -> bool:
-        """Whether the contents of all versions are in memory; fetch the others, and retry overdue fetches."""
+        """Return whether the contents of all versions are in memory.
+
+        Begins to fetch the missing contents, and retries overdue fetches.
+        """
         with self._lock:
             for version in versions:
                 self._contents.fetch(version.digest, version.size, now_us)
@@ -73,23 +84,23 @@
             return all(self._contents.get(version.digest) is not None for version in versions)
 
     def handle(self, sender: str, message: ChunkRequest | Chunk, now_us: int) -> list[AddressedMessage]:
-        """Process a peer's message; return the messages to send."""
+        """Process a message of a peer, and return the messages to send."""
         with self._lock:
             self._contents.handle(sender, message, now_us)
             return self._contents.take_outgoing()
 
     def take_outgoing(self) -> list[AddressedMessage]:
-        """Return the messages to send, and remove them."""
+        """Remove and return the messages to send."""
         with self._lock:
             return self._contents.take_outgoing()
 
     def take_completed(self) -> list[bytes]:
-        """Return the contents fetched since the last call; the caller writes each and then `add`s it."""
+        """Return the contents fetched since the last call; the caller writes each one, then calls `add`."""
         with self._lock:
             return self._contents.take_completed()
 
     def discard_unreferenced(self, referenced: set[bytes], now_us: int) -> list[bytes]:
-        """Remove contents that are neither referenced nor protected from memory; return their digests."""
+        """Remove from memory the contents that are neither referenced nor protected; return their digests."""
         with self._lock:
             self._protected_until_us = {
                 digest: until_us for digest, until_us in self._protected_until_us.items() if until_us > now_us
@@ -97,7 +108,7 @@
             return self._contents.retain_only(referenced | self._protected_until_us.keys())
 
     def delete(self, digest: bytes) -> None:
-        """Delete a content from the disk, unless it is in memory again or protected."""
+        """Delete a content from the disk, unless it is in memory (again) or protected."""
         with self._lock:
             if self._contents.get(digest) is not None or digest in self._protected_until_us:
                 return
--- a/tansyladder/cluster/peer_transport.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -1,7 +1,7 @@
-"""One TCP connection for each pair of nodes, which carries the messages of Raft and of documents.
+"""Peer connections: one TCP connection between each pair of nodes, for messages of Raft and of documents.
 
-The node with the lower name dials. A message for a peer without a connection, or with a full queue, is
-dropped and counted: Raft sends it again, and no thread blocks on a peer.
+The node with the lower name dials. A message to a peer that has no connection, or whose queue is full, is
+dropped and counted: Raft sends its messages again, and so no thread blocks on a peer.
 """
 
 from __future__ import annotations
@@ -28,28 +28,29 @@
 from tansyladder.raft.messages import Message
 from tansyladder.replication.content_transfer import DocumentMessage
 
-IDLE_TIMEOUT = timedelta(seconds=10)  # a silent connection ends then: Raft's handshakes are more frequent
-SEND_TIMEOUT = timedelta(seconds=2)  # of one write to a peer that doesn't read
-MIN_REDIAL_SECONDS = 0.05  # between two dials; drawn, so that a starting cluster does not dial in step
+IDLE_TIMEOUT = timedelta(seconds=10)  # closes a silent connection; Raft sends handshakes more frequently
+SEND_TIMEOUT = timedelta(seconds=2)  # bounds a write to a peer that doesn't read
+# The delay between two dials is random, so that the nodes of a starting cluster don't dial at the same times.
+MIN_REDIAL_SECONDS = 0.05
 MAX_REDIAL_SECONDS = 0.5
-MAX_PENDING_HANDSHAKES = 64  # accepted connections that have not proved the key yet
-LISTEN_BACKLOG_RESERVE = 16  # beyond one connection of each peer
+MAX_PENDING_HANDSHAKES = 64  # accepted connections whose handshake has not finished
+LISTEN_BACKLOG_RESERVE = 16  # the listen backlog is one connection for each peer, and this many more
 
 PeerMessage = Message | DocumentMessage
 
 
 @dataclass(slots=True)
 class TransportCounters:
-    """Counts since the start. Threads count without a lock, so two at once may lose one count."""
+    """Counters since the start. They have no lock, so a count may be lost if two threads count at once."""
 
     messages_dropped: int = 0
-    connections_rejected: int = 0  # as too many handshakes were in progress
-    peers_rejected: int = 0  # in the handshake, or for an invalid message
+    connections_rejected: int = 0  # closed because too many handshakes were in progress
+    peers_rejected: int = 0  # failed handshakes and invalid messages on accepted connections
     bytes_received: int = 0
     bytes_sent: int = 0
 
     def count_dropped_message(self) -> None:
-        """Count a message that found no connection or a full queue."""
+        """Count a message that was dropped because there was no connection, or a queue was full."""
         self.messages_dropped += 1
 
     def count_rejected_connection(self) -> None:
@@ -57,7 +58,7 @@
         self.connections_rejected += 1
 
     def count_rejected_peer(self) -> None:
-        """Count a peer that was rejected."""
+        """Count a rejected peer."""
         self.peers_rejected += 1
 
     def count_received(self, message_bytes: int) -> None:
@@ -70,7 +71,7 @@
 
 
 class PeerTransport:
-    """All connections of one node to its peers. Thread-safe."""
+    """All connections of this node to its peers. Thread-safe."""
 
     def __init__(
         self,
@@ -84,8 +85,8 @@
         Args:
             name: This node's name.
             options: The settings of the cluster.
-            on_message: Gets the sender and each message, and must not block.
-            now_us: Reads Unix time in microseconds.
+            on_message: Called with the sender and the message for each received message; it must not block.
+            now_us: Returns Unix time in microseconds.
 
         Raises:
             OSError: The node can't listen at its address.
@@ -95,15 +96,17 @@
             member: parse_address(text, f"peers.members.{member}") for member, text in options.members.items()
         }
         if name not in addresses:
-            problem = f"this node's name is not among them: {name[:MAX_LOGGED_NAME]}"
+            problem = f"this node's name {name[:MAX_LOGGED_NAME]!r} is not one of the members"
             raise ClusterConfigurationError("members", problem)
         self._name = name
         self._on_message = on_message
-        self._peers: dict[str, Address] = {peer: at for peer, at in addresses.items() if peer != name}
+        self._peers: dict[str, Address] = {
+            peer: address for peer, address in addresses.items() if peer != name
+        }
         self.handshake = PeerHandshake(name, options.fleet, bytes.fromhex(options.key), self._peers, now_us)
         self.counters = TransportCounters()
         self._channels: dict[str, PeerChannel] = {}
-        self._lock = threading.Lock()  # guards _threads and changes of _channels; `send` reads without it
+        self._lock = threading.Lock()  # guards _threads and writes to _channels; `send` reads without it
         self._threads: set[threading.Thread] = set()
         self._stop_requested = threading.Event()
         self._handshake_slots = threading.BoundedSemaphore(MAX_PENDING_HANDSHAKES)
@@ -122,13 +125,13 @@
     def stop(self) -> None:
         """Close the listener and all connections, and wait until all threads have ended.
 
-        That takes as long as a pending handshake or write may: `HANDSHAKE_TIMEOUT` or `SEND_TIMEOUT`.
+        A pending handshake or write may delay this by up to `HANDSHAKE_TIMEOUT` or `SEND_TIMEOUT`.
         """
         self._stop_requested.set()
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)  # wakes up the accepting thread
         self._listener.close()
-        with self._lock:  # no further channel is registered from here on
+        with self._lock:  # no channel is registered after this
             channels = list(self._channels.values())
         for channel in channels:
             channel.close()
@@ -137,38 +140,42 @@
                 thread.join()
 
     def send(self, recipient: str, message: PeerMessage) -> None:
-        """Queue a message; it is dropped if there is no connection or its queue is full."""
+        """Queue a message; drop it if the recipient has no connection or its queue is full."""
         channel = self._channels.get(recipient)
         if channel is None or not channel.enqueue(msgspec.msgpack.encode(message)):
             self.counters.count_dropped_message()
 
     def _start_thread(self, name: str, function: Callable[[], None]) -> None:
-        """Start a daemon thread that `stop` waits for. RuntimeError: the system can't start a thread."""
+        """Start a daemon thread; `stop` waits for its end.
+
+        Raises:
+            RuntimeError: The system can't start a thread.
+        """
         thread = threading.Thread(target=function, name=name, daemon=True)
         thread.start()
         with self._lock:
             self._threads = {known for known in self._threads if known.is_alive()} | {thread}
 
     def _running_threads(self) -> list[threading.Thread]:
-        """Return the transport's threads that have not ended."""
+        """Return the threads of this transport that have not ended."""
         with self._lock:
             return [thread for thread in self._threads if thread.is_alive()]
 
     def _dial(self, peer: str) -> None:
-        """Keep a connection to a peer until `stop`; the function of the peer's thread."""
+        """Connect to a peer, and reconnect, until `stop`; the main function of the thread `peer-NAME`."""
         timeout = HANDSHAKE_TIMEOUT.total_seconds()
         while not self._stop_requested.is_set():
             try:
                 with socket.create_connection(self._peers[peer], timeout) as sock:
-                    self._run(self.handshake.dial(sock, peer))
+                    self._receive_until_closed(self.handshake.dial(sock, peer))
             except PeerError as err:
                 log(LogEvent.PEER_REJECTED, peer=peer, error=err)
             except OSError:
-                pass  # the peer is down or still starting; its own log shows which
+                pass  # not logged: the peer is down or still starting, and its own log shows which
             self._stop_requested.wait(random.uniform(MIN_REDIAL_SECONDS, MAX_REDIAL_SECONDS))
 
     def _accept_connections(self) -> None:
-        """Accept connections until `stop`; the function of the thread `peers`."""
+        """Accept connections until `stop`; the main function of the thread `peers`."""
         while True:
             try:
                 sock, _ = self._listener.accept()
@@ -181,7 +188,7 @@
             self._start_serving(sock)
 
     def _start_serving(self, sock: socket.socket) -> None:
-        """Serve an accepted connection in a thread of its own; close it if there are too many handshakes."""
+        """Serve an accepted connection in a new thread; close it if too many handshakes are in progress."""
         if not self._handshake_slots.acquire(blocking=False):
             sock.close()
             self.counters.count_rejected_connection()
@@ -194,22 +201,26 @@
             log(LogEvent.PEER_ACCEPT_FAILED, error=err)
 
     def _serve(self, sock: socket.socket) -> None:
-        """Run an accepted connection until it ends."""
+        """Perform the handshake of an accepted connection, then receive until the connection ends."""
         with sock:
             try:
                 try:
                     channel = self.handshake.accept(sock)
                 finally:
                     self._handshake_slots.release()
-                self._run(channel)
+                self._receive_until_closed(channel)
             except PeerError as err:
                 self.counters.count_rejected_peer()
                 log(LogEvent.PEER_REJECTED, error=err)
             except OSError:
-                pass  # the connection has ended, and the peer dials again
+                pass  # not logged: the connection has ended, and the peer dials again
 
-    def _run(self, channel: PeerChannel) -> None:
-        """Receive messages until the connection ends. OSError, PeerError: the cause of the end."""
+    def _receive_until_closed(self, channel: PeerChannel) -> None:
+        """Register a channel, start its sending thread, and receive messages until the connection ends.
+
+        Raises:
+            OSError, PeerError: The reason why the connection has ended.
+        """
         _set_socket_options(channel.sock)
         self._register(channel)
         log(LogEvent.PEER_CONNECTED, peer=channel.peer)
@@ -224,7 +235,11 @@
             log(LogEvent.PEER_DISCONNECTED, peer=channel.peer, dropped_messages=dropped)
 
     def _register(self, channel: PeerChannel) -> None:
-        """Replace and close an earlier channel of the same peer. OSError: the transport is stopping."""
+        """Use a channel for its peer, and close the earlier channel of the same peer if there is one.
+
+        Raises:
+            OSError: The transport is stopping.
+        """
         with self._lock:
             if self._stop_requested.is_set():
                 raise ConnectionAbortedError("the transport is stopping")
@@ -234,23 +249,28 @@
             replaced.close()
 
     def _unregister(self, channel: PeerChannel) -> None:
-        """Remove a channel, unless another one has replaced it."""
+        """Remove a channel, unless a later channel has replaced it."""
         with self._lock:
             if self._channels.get(channel.peer) is channel:
                 del self._channels[channel.peer]
 
     def _receive(self, channel: PeerChannel) -> None:
-        """Receive one message. OSError: the connection has ended. PeerError: the message is invalid."""
+        """Receive one message.
+
+        Raises:
+            OSError: The connection has ended.
+            PeerError: The message is invalid.
+        """
         data = channel.receive()
         self.counters.count_received(len(data))
         try:
             message = self._decoder.decode(data)
         except msgspec.MsgspecError as err:
-            raise PeerProtocolError("no message") from err
+            raise PeerProtocolError(f"invalid message from {channel.peer!r}: {err}") from err
         self._on_message(channel.peer, message)
 
     def _send_queued(self, channel: PeerChannel) -> None:
-        """Send queued messages until the channel is closed; the function of the thread `peer-out`."""
+        """Send queued messages until the channel is closed; the main function of the thread `peer-out`."""
         while (data := channel.next_queued()) is not None:
             try:
                 check_invariant(Invariant.PEER_FRAME_TOO_LARGE, holds=len(data) <= MAX_FRAME_BYTES)
@@ -262,9 +282,9 @@
 
 
 def _set_socket_options(sock: socket.socket) -> None:
-    """Bound the waits of a connection, and send small messages at once."""
+    """Set the timeouts of a connection, and disable the delay of small messages (TCP_NODELAY)."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.settimeout(IDLE_TIMEOUT.total_seconds())
-    # Writes have a shorter timeout: a peer that doesn't read must not block its queue for long.
+    # Writes have a shorter timeout than reads: a peer that doesn't read must not block its queue for long.
     send_timeout = struct.pack("ll", int(SEND_TIMEOUT.total_seconds()), 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, send_timeout)
--- a/tansyladder/cluster/pending_results.py
+++ b/tansyladder/cluster/pending_results.py
@@ -1,4 +1,4 @@
-"""The proposals of this node for whose results threads are waiting."""
+"""The results of this node's proposals that threads are waiting for."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 from tansyladder.raft.messages import ProposalResult
 
-MAX_WAITING_PROPOSALS = 1024  # of this node; further ones fail at once
+MAX_WAITING_PROPOSALS = 1024  # per node; further proposals fail at once
 
 
 class PendingResult:
-    """The future result of one proposal. Thread-safe."""
+    """The result of a proposal that a thread is waiting for. Thread-safe."""
 
     __slots__ = ("_is_set", "_result")
 
     def __init__(self) -> None:
-        """Begin without a result."""
+        """Create a pending result that is not resolved yet."""
         self._is_set = threading.Event()
         self._result: ProposalResult | None = None
 
     def wait(self, timeout: timedelta) -> ProposalResult | None:
-        """Wait for the result and return it; None at the timeout or after `wake_up`."""
+        """Wait for the result and return it; return None after the timeout or `wake_up`."""
         self._is_set.wait(timeout.total_seconds())
         return self._result
 
@@ -42,23 +42,23 @@
     """The results that threads wait for, by request id. Thread-safe: each change is one dict operation."""
 
     def __init__(self, incarnation: str) -> None:
-        """Begin without proposals; `incarnation` makes request ids unique in the cluster."""
+        """Create an empty collection; `incarnation` makes the request ids unique in the cluster."""
         self._incarnation = incarnation
         self._numbers = itertools.count(1)
         self._pending: dict[str, PendingResult] = {}
 
     @property
     def is_full(self) -> bool:
-        """Whether `MAX_WAITING_PROPOSALS` are waiting."""
+        """Whether `MAX_WAITING_PROPOSALS` proposals are waiting for their results."""
         return len(self._pending) >= MAX_WAITING_PROPOSALS
 
     def new_request_id(self) -> str:
-        """Return an id that no other proposal has."""
+        """Return an id that is unique among all proposals in the cluster."""
         return f"{self._incarnation}/{next(self._numbers)}"
 
     @contextmanager
     def expect(self, request_id: str) -> Iterator[PendingResult]:
-        """Register a proposal within the context, so that its result is delivered."""
+        """Register a proposal for the duration of the context, so that its result is delivered."""
         pending = PendingResult()
         self._pending[request_id] = pending
         try:
@@ -67,7 +67,7 @@
             self._pending.pop(request_id, None)
 
     def resolve(self, result: ProposalResult) -> None:
-        """Deliver a result to the thread that waits for it, if there is one."""
+        """Deliver a result to the thread that waits for it; drop it if there is none."""
         pending = self._pending.pop(result.request_id, None)
         if pending is not None:
             pending.resolve(result)
--- a/tansyladder/simulation/consensus_checker.py
+++ b/tansyladder/simulation/consensus_checker.py
@@ -1,4 +1,4 @@
-"""A checker of Raft's safety, which runs after each step of each node."""
+"""Checks Raft's safety properties after each step of each simulated node."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class InvariantViolationError(Exception):
-    """An invariant of the cluster was violated; the message names it, with the time in microseconds."""
+    """The simulated cluster has violated an invariant; the message begins with the virtual time."""
 
     def __init__(self, now: int, problem: str) -> None:
-        """Make the error for a virtual time, in microseconds."""
-        super().__init__(f"{now}: {problem}")
+        """Create the error; `now` is the virtual time of the violation in microseconds."""
+        super().__init__(f"at {now} us: {problem}")
         self.now = now
 
 
 @dataclass(frozen=True, slots=True)
 class LogBeforeStep:
-    """A node's log before a step, as a snapshot may replace its entries within the step."""
+    """A copy of a node's log from before a step, because a snapshot may replace its entries in the step."""
 
     commit_index: int
     snapshot_index: int
@@ -30,17 +30,18 @@
 
     @classmethod
     def of(cls, raft: RaftNode) -> LogBeforeStep:
-        """Copy the present log of a node."""
+        """Copy the node's present log."""
         return cls(raft.commit_index, raft.log.snapshot.index, raft.log.entries)
 
 
 class ConsensusChecker:
-    """Compares each step of a node with the history of all nodes."""
+    """Compares the leaders, commits and state of each node with those of all nodes so far."""
 
     def __init__(self) -> None:
         """Begin with an empty history."""
         self.leaders_by_term: dict[int, str] = {}
-        self.committed_entries: list[LogEntry] = []  # from index 1, as the first node committed each
+        # The entries from index 1 on, each as committed by the first node that committed that index.
+        self.committed_entries: list[LogEntry] = []
 
     def check_step(
         self,
@@ -56,7 +57,7 @@
             raft: The node.
             commands: All commands that its state machine has applied.
             before: The node's log before the step.
-            writes: The writes of the step.
+            writes: The writes to the disk in the step.
             now: The virtual time, in microseconds.
 
         Raises:
@@ -68,38 +69,57 @@
         applied = self.committed_entries[: raft.last_applied]
         expected = [entry.data for entry in applied if entry.kind is EntryKind.COMMAND]
         if commands != expected:
-            raise InvariantViolationError(now, f"{raft.name} has another state at {raft.last_applied}")
+            raise InvariantViolationError(
+                now,
+                f"{raft.name} has applied {len(commands)} commands up to index {raft.last_applied}, not "
+                f"the {len(expected)} committed ones",
+            )
+
+    def check_converged(
+        self, nodes: Iterable[RaftNode], request_ids_with_result: Iterable[str], now: int
+    ) -> None:
+        """Check that all nodes have committed the whole log, and that it has all proposals with a result.
 
-    def check_converged(self, nodes: Iterable[RaftNode], answered: Iterable[str], now: int) -> None:
-        """Check that all logs are the same, and hold all proposals that got a result."""
+        Raises:
+            InvariantViolationError: A proposal is missing in the log, or a node is behind.
+        """
         logged = {entry.request_id for entry in self.committed_entries}
-        for request_id in answered:
+        for request_id in request_ids_with_result:
             if request_id not in logged:
-                raise InvariantViolationError(now, f"{request_id} has a result and is in no log")
+                raise InvariantViolationError(now, f"proposal {request_id} has a result and is in no log")
         entry_count = len(self.committed_entries)
         for node in nodes:
             if node.commit_index != entry_count:
-                raise InvariantViolationError(now, f"{node.name} is at {node.commit_index} of {entry_count}")
+                raise InvariantViolationError(
+                    now, f"{node.name} has committed {node.commit_index} of {entry_count} entries"
+                )
 
     def _check_leader(self, raft: RaftNode, now: int) -> None:
-        """Check that no other node has led the term of a leader."""
+        """Check that a term has at most one leader."""
         if raft.role is Role.LEADER:
             first_leader = self.leaders_by_term.setdefault(raft.term, raft.name)
             if first_leader != raft.name:
-                raise InvariantViolationError(now, f"two leaders in term {raft.term}")
+                raise InvariantViolationError(
+                    now, f"two leaders in term {raft.term}: {first_leader} and {raft.name}"
+                )
 
     def _check_commits(
-        self, raft: RaftNode, before: LogBeforeStep, log_of_step: Sequence[LogEntry], now: int
+        self, raft: RaftNode, before: LogBeforeStep, entries_of_step: Sequence[LogEntry], now: int
     ) -> None:
-        """Compare the entries that the step has committed with those that other nodes have committed."""
+        """Check the entries committed in a step against those that other nodes have committed.
+
+        `entries_of_step`: the log before the step, and the entries that the step has appended.
+        """
         for index in range(before.commit_index + 1, raft.commit_index + 1):
             is_compacted = index <= raft.log.snapshot.index
             if index > len(self.committed_entries):
                 position = index - before.snapshot_index - 1
-                entry = log_of_step[position] if is_compacted else raft.log.entry(index)
+                entry = entries_of_step[position] if is_compacted else raft.log.entry(index)
                 self.committed_entries.append(entry)
             elif not is_compacted and index <= raft.log.last_index:
                 entry = raft.log.entry(index)
                 first = self.committed_entries[index - 1]
                 if entry != first:
-                    raise InvariantViolationError(now, f"{raft.name} commits {entry} at {index}, not {first}")
+                    raise InvariantViolationError(
+                        now, f"{raft.name} commits {entry} at index {index}, another node committed {first}"
+                    )
--- a/tansyladder/simulation/document_cluster.py
+++ b/tansyladder/simulation/document_cluster.py
@@ -1,9 +1,9 @@
-"""A simulated cluster with a replicated document, under whose versions the nodes make decisions.
+"""A simulated cluster whose nodes make decisions under the versions of a replicated document.
 
-Each node has a clock of its own with a small error, makes decisions for clients at regular intervals, and
-may be paused. A resumed node decides before it reads the messages that have arrived meanwhile. The history
-records the decisions, the validations and the results of changes; `document_invariants` checks it. The same
-seed gives the same history.
+Each node has its own clock with a small error, makes decisions for clients at regular intervals, and may be
+paused. A resumed node makes a decision before it reads the messages that have arrived during the pause. The
+history records the decisions, the validations and the results of changes, and `document_invariants` checks
+it. The same seed gives the same history.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 )
 from tansyladder.simulation.simulated_node import CountedEvent, SimulatedNode
 
-CONTENT_SIZE = 100  # bytes; stated only, as the simulation has no contents
-DECISION_INTERVAL_US = 15 * MILLISECOND_US  # between two clients of a node
-PROPOSAL_INTERVAL_US = 3 * SECOND_US  # mean, between two changes
+CONTENT_SIZE = 100  # bytes, as stated in proposals; the simulation has no actual contents
+DECISION_INTERVAL_US = 15 * MILLISECOND_US  # between two decisions of a node
+MEAN_CHANGE_INTERVAL_US = 3 * SECOND_US  # between two changes of the document
 PAUSE_RANGE_US = (SECOND_US // 5, 12 * SECOND_US)
-LOAD_INTERVAL_US = 500 * MILLISECOND_US  # mean, between two commands that aren't about documents
-LIVENESS_TIMEOUT_US = 60 * SECOND_US  # of a change, as leases have to end, and rounds may be aborted
+MEAN_LOAD_INTERVAL_US = 500 * MILLISECOND_US  # between two commands that aren't about documents
+LIVENESS_TIMEOUT_US = 60 * SECOND_US  # for a change: leases have to end, and rounds may be aborted
 
 
 class SimulatedDocumentCluster(DocumentReplicationCluster):
-    """Nodes that decide for clients under the version in force, while the document is changed."""
+    """Nodes that make decisions under the version in force, while the document is changed."""
 
     def __init__(self, seed: int, options: DocumentClusterOptions) -> None:
         """Start all nodes and their clients."""
@@ -41,16 +41,16 @@
     # --- faults and load
 
     def inject_document_faults(self, seconds: float) -> None:
-        """Inject faults, change the document and serve clients for a time."""
+        """Inject faults, change the document and make decisions for a time."""
         end = self.now + int(seconds * SECOND_US)
         self._call_randomly(self.options.mean_pause_interval_us, end, self._pause_random_node)
-        self._call_randomly(PROPOSAL_INTERVAL_US, end, self._propose_random_change)
-        self.inject_faults(seconds, LOAD_INTERVAL_US)
+        self._call_randomly(MEAN_CHANGE_INTERVAL_US, end, self._propose_random_change)
+        self.inject_faults(seconds, MEAN_LOAD_INTERVAL_US)
 
     def converge(self) -> None:
-        """End all faults, start all nodes, and change the document until one change is committed."""
+        """End all faults, start all nodes, and propose changes until one of them is committed."""
         self.end_faults()
-        self.run_until(self.now + PAUSE_RANGE_US[1] + SECOND_US)  # the last pause has ended
+        self.run_until(self.now + PAUSE_RANGE_US[1] + SECOND_US)  # until the last pause has ended
         deadline = self.now + 2 * LIVENESS_TIMEOUT_US
         key = ""
         while self.now < deadline and not (key and self.is_committed(key)):
@@ -61,30 +61,30 @@
         self.history.record_last_change(key)
 
     def is_committed(self, key: str) -> bool:
-        """Whether the change with an idempotency key is known to be committed."""
+        """Return whether the change with an idempotency key is known to be committed."""
         result = self.history.results.get(key)
         return result is not None and result.outcome is ChangeOutcome.DONE
 
     def propose_change(self, name: str, *, is_valid: bool = True) -> str:
-        """Begin to change the document at a node, and return the idempotency key.
+        """Begin to propose a change of the document at a node, and return its idempotency key.
 
-        `is_valid`: whether all nodes accept the content; else one of them rejects it.
+        `is_valid`: whether all nodes accept the content; if False, one of them rejects it.
         """
-        key = f"ask{len(self.history.is_valid)}"
-        self.history.is_valid[key] = is_valid
+        key = f"ask{len(self.history.is_valid_by_key)}"
+        self.history.is_valid_by_key[key] = is_valid
         self._propose_change_until(name, key, self.now + LIVENESS_TIMEOUT_US)
         return key
 
     def _pause_random_node(self) -> None:
-        name = self._random_name(self._fault_rng)
+        name = self._random_node_name(self._fault_rng)
         self.pause(name, int(self._fault_rng.integers(*PAUSE_RANGE_US)))
 
     def _propose_random_change(self) -> None:
-        name = self._random_name(self._load_rng)
+        name = self._random_node_name(self._load_rng)
         self.propose_change(name, is_valid=bool(self._load_rng.random() >= self.options.invalid_rate))
 
     def _propose_change_until(self, name: str, key: str, deadline: int) -> None:
-        """Propose a change until its result is known, as the result of an earlier proposal may be lost."""
+        """Propose a change repeatedly until its result is known, as a proposal or its result may be lost."""
         if key in self.history.results or self.now > deadline:
             return
         node = self.nodes[name]
@@ -102,13 +102,13 @@
         self._decide(node.name)
 
     def _decide_regularly(self, name: str) -> None:
-        """Decide for a client at each interval at which the node is running."""
+        """Make a decision at regular intervals while the node is running."""
         if self.is_running(name):
             self._decide(name)
         self.call_at(self.now + DECISION_INTERVAL_US, partial(self._decide_regularly, name))
 
     def _decide(self, name: str) -> None:
-        """Serve a client, or reject it if the node may make no decisions."""
+        """Serve a client, or reject it if the node has no lease or lacks the content of the version."""
         document_node = self.document_nodes[name]
         clock_us = self._clock_us(name)
         self.counts[CountedEvent.DECISION] += 1
@@ -124,7 +124,7 @@
 def simulate_documents(
     seed: int, seconds: float = 40.0, options: DocumentClusterOptions | None = None
 ) -> SimulatedDocumentCluster:
-    """Run one history to its end, with faults for a time."""
+    """Run a cluster with faults for a time, then without faults until it has converged."""
     cluster = SimulatedDocumentCluster(seed, options or DocumentClusterOptions())
     cluster.inject_document_faults(seconds)
     cluster.converge()
--- a/tansyladder/simulation/document_node.py
+++ b/tansyladder/simulation/document_node.py
@@ -1,4 +1,4 @@
-"""The documents of one simulated node, and the history that the invariants are checked on."""
+"""The documents of a simulated node, and the history of a simulated cluster with documents."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from tansyladder.replication.units import MILLISECOND_US
 from tansyladder.simulation.simulated_node import RecordingStateMachine
 
-REPROPOSE_INTERVAL_US = 150 * MILLISECOND_US  # after which a command that the log lacks is proposed again
+REPROPOSE_INTERVAL_US = 150 * MILLISECOND_US  # between proposals of a command until the log contains it
 
 
 class DocumentStateMachine(RecordingStateMachine):
-    """The documents, and the list of all commands, which shows any difference of order."""
+    """Applies commands to documents, and records all commands, so that a different order is detected."""
 
     def __init__(self, documents: Documents) -> None:
-        """Begin with documents to which no command has been applied."""
+        """Create the state machine; no command may have been applied to `documents` yet."""
         super().__init__()
         self.documents = documents
 
     def apply(self, data: bytes) -> bytes:
-        """Apply a command; the result is empty for commands of the load, which aren't about documents."""
+        """Apply a command; the result of a command that isn't about documents is empty."""
         super().apply(data)
         try:
             command = msgspec.msgpack.decode(data, type=DocumentCommand)
@@ -38,7 +38,7 @@
         return msgspec.msgpack.encode(self.documents.apply(command))
 
     def snapshot(self) -> bytes:
-        """Return the whole state, encoded."""
+        """Encode the whole state."""
         return msgspec.msgpack.encode((self.commands, self.documents.snapshot()))
 
     def restore(self, dumped: bytes) -> None:
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentComponents:
-    """The classes that a node is composed of; a test replaces one of them to remove a guard."""
+    """The classes that a node is composed of; tests replace them to remove a guard."""
 
     documents: Callable[[Sequence[str]], Documents] = Documents
     lease_holder: Callable[[str, Documents], LeaseHolder] = LeaseHolder
@@ -61,12 +61,13 @@
 
 @dataclass
 class DocumentNode:
-    """One incarnation of a node."""
+    """The documents of one incarnation of a node."""
 
     lease_holder: LeaseHolder
     coordinator: LeaseCoordinator
     documents: Documents
-    faults_by_number: dict[int, str | None] = field(default_factory=dict)  # by change; None: being fetched
+    # The fault found in each content, by change number: None while it is being fetched, "" if it is valid.
+    faults_by_number: dict[int, str | None] = field(default_factory=dict)
     throttle: ProposalThrottle = field(default_factory=partial(ProposalThrottle, REPROPOSE_INTERVAL_US))
 
     @property
@@ -77,33 +78,35 @@
 
 @dataclass(frozen=True)
 class Decision:
-    """A node served a client under the version `number`, which is 0 before the first one."""
+    """A node has served a client under the version `number`, which is 0 before the first version."""
 
-    at_us: int  # of the simulation
+    at_us: int  # virtual time
     node: str
     number: int
-    stamp_us: int  # by the node's own clock
+    node_clock_us: int  # the time of the node's own clock
 
 
 class RejectedClient(NamedTuple):
-    """A node rejected a client, as it had no lease or lacked the content."""
+    """A node has rejected a client, because it had no lease or lacked the content of the version."""
 
-    at_us: int  # of the simulation
+    at_us: int  # virtual time
     node: str
 
 
 @dataclass
 class DocumentHistory:
-    """The events that the invariants are checked on."""
+    """The events of a cluster that `document_invariants` checks."""
 
     decisions: list[Decision] = field(default_factory=list)
     rejected_clients: list[RejectedClient] = field(default_factory=list)
-    is_valid: dict[str, bool] = field(default_factory=dict)  # by idempotency key; else one node finds a fault
-    key_by_number: dict[int, str] = field(default_factory=dict)  # of each change that a node has seen
+    # Whether all nodes accept the content of a change, by idempotency key; if False, one node finds a fault.
+    is_valid_by_key: dict[str, bool] = field(default_factory=dict)
+    # The idempotency key of each change that a node has seen, by change number.
+    key_by_number: dict[int, str] = field(default_factory=dict)
     results: dict[str, ChangeResult] = field(default_factory=dict)  # by idempotency key
-    rejected_numbers: set[int] = field(default_factory=set)  # changes in which a node found a fault
-    last_key: str = ""  # of the last change that was proposed after the faults
+    rejected_numbers: set[int] = field(default_factory=set)  # the changes in which a node found a fault
+    last_key: str = ""  # the idempotency key of the last change, proposed after all faults had ended
 
     def record_last_change(self, key: str) -> None:
-        """Record the idempotency key of the change that must be committed, as there are no more faults."""
+        """Record the idempotency key of the last change; it must be committed, as all faults have ended."""
         self.last_key = key
--- a/tansyladder/simulation/fault_rates.py
+++ b/tansyladder/simulation/fault_rates.py
@@ -1,4 +1,4 @@
-"""The rates of faults of the simulated network, nodes and disks, and the draws of single faults."""
+"""Fault rates of the simulated network, nodes and disks, and functions that draw faults at random."""
 
 from __future__ import annotations
 
@@ -14,17 +14,22 @@
 
 @dataclass(frozen=True)
 class FaultRates:
-    """Rates of faults. Times are microseconds, rates are from 0 to 1, and ranges are drawn from evenly."""
+    """The rates of faults.
 
-    loss_rate: float = 0.05  # of messages
-    duplication_rate: float = 0.05  # of messages
+    Times are in microseconds, rates are from 0 to 1, and values are drawn uniformly from ranges.
+    """
+
+    loss_rate: float = 0.05  # the fraction of messages that are lost
+    duplication_rate: float = 0.05  # the fraction of messages that are duplicated
     delay_range_us: tuple[int, int] = (1 * MILLISECOND_US, 40 * MILLISECOND_US)
-    mean_crash_interval_us: int = 3 * SECOND_US  # between crashes of any nodes; 0: no crashes
+    mean_crash_interval_us: int = 3 * SECOND_US  # between crashes of any nodes; 0 disables crashes
     downtime_range_us: tuple[int, int] = (200 * MILLISECOND_US, 3 * SECOND_US)
-    disk_loss_rate: float = 0.2  # of crashes: the disk is lost with the node
-    disk_rollback_rate: float = 0.0  # of crashes: the node restarts with an older copy of its disk
-    disk_suspicion_rate: float = 0.0  # of other crashes: the next start can't show the disk to be the newest
-    mean_cut_interval_us: int = 3 * SECOND_US  # between cuts of links; 0: no cuts
+    disk_loss_rate: float = 0.2  # the fraction of crashes after which the node has a new, empty disk
+    disk_rollback_rate: float = 0.0  # the fraction of crashes after which the disk is an older copy of itself
+    # The fraction of crashes without a rollback after which the next start can't show that the disk is the
+    # newest.
+    disk_suspicion_rate: float = 0.0
+    mean_cut_interval_us: int = 3 * SECOND_US  # between cuts of links; 0 disables cuts
     cut_duration_range_us: tuple[int, int] = (300 * MILLISECOND_US, 4 * SECOND_US)
 
 
@@ -32,19 +37,19 @@
 
 
 class Link(NamedTuple):
-    """One direction between two nodes."""
+    """The network link from one node to another, in this direction only."""
 
     sender: str
     recipient: str
 
     @property
     def reverse(self) -> Link:
-        """The other direction between the nodes."""
+        """The link in the opposite direction."""
         return Link(self.recipient, self.sender)
 
 
 class DiskLoss(Enum):
-    """What the disk of a crashed node loses."""
+    """The data that the disk of a crashed node loses."""
 
     NONE = auto()
     LOST = auto()  # the disk is replaced by a new one
@@ -52,14 +57,14 @@
 
 
 class DiskFaults(NamedTuple):
-    """The faults of a disk at a crash of its node."""
+    """The faults of a disk when its node crashes."""
 
     loss: DiskLoss
-    is_suspected: bool  # although not rolled back; independent of a loss, as a new disk may be suspected too
+    is_suspected: bool  # although not rolled back; independent of a loss, so a new disk may be suspected
 
 
 def draw_delays(rng: numpy.random.Generator, rates: FaultRates) -> list[int]:
-    """Draw the delays of the copies of a message that arrive, in microseconds."""
+    """Draw the delays in microseconds of the copies of a message that arrive; there may be none."""
     copy_count = 1 + (rng.random() < rates.duplication_rate)
     return [
         int(rng.integers(*rates.delay_range_us)) for _ in range(copy_count) if rng.random() >= rates.loss_rate
@@ -67,7 +72,7 @@
 
 
 def draw_disk_faults(rng: numpy.random.Generator, rates: FaultRates, *, may_be_lost: bool) -> DiskFaults:
-    """Draw the faults of a disk; `may_be_lost`: whether the cluster keeps a majority without it."""
+    """Draw the faults of a disk; `may_be_lost`: whether a majority of voters keeps its disks without it."""
     loss = _draw_loss(rng, rates)
     if not may_be_lost:
         loss = DiskLoss.NONE
@@ -77,7 +82,7 @@
 
 
 def _draw_loss(rng: numpy.random.Generator, rates: FaultRates) -> DiskLoss:
-    """Draw what a disk loses."""
+    """Draw the data that a disk loses."""
     draw = rng.random()
     if draw < rates.disk_loss_rate:
         return DiskLoss.LOST
@@ -87,7 +92,7 @@
 
 
 def draw_links(rng: numpy.random.Generator, names: Sequence[str]) -> set[Link]:
-    """Draw one direction between two nodes, or both, or all links of a node."""
+    """Draw one link, both links between two nodes, or all links of a node."""
     one, other = (str(name) for name in rng.choice(names, 2, replace=False))
     link = Link(one, other)
     kind = rng.integers(3)
@@ -95,5 +100,5 @@
         return {link}
     if kind == 1:
         return {link, link.reverse}
-    links = {Link(one, peer) for peer in names if peer != one}
-    return links | {each.reverse for each in links}
+    outgoing_links = {Link(one, peer) for peer in names if peer != one}
+    return outgoing_links | {outgoing.reverse for outgoing in outgoing_links}
--- a/tansyladder/simulation/simulated_disk.py
+++ b/tansyladder/simulation/simulated_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory, whose writes are synced when they return."""
+"""A simulated disk in memory; a write is synced when it returns."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class SimulatedDisk:
-    """The synced state of a node, which outlives its crashes."""
+    """The synced state of a node, which survives its crashes."""
 
     def __init__(self, disk_id: str) -> None:
-        """Begin with nothing but the disk's name."""
+        """Create an empty disk with an id."""
         self.persisted = PersistentState(HardState(disk_id=disk_id))
 
     def write(self, writes: Sequence[Write]) -> None:
-        """Sync the writes of a step, in order."""
+        """Write and sync the changes of a step, in order."""
         for write in writes:
             match write:
                 case HardState():
@@ -28,24 +28,24 @@
                     self._write_log_suffix(write)
 
     def restore(self, persisted: PersistentState) -> None:
-        """Replace the whole state by that of a copy."""
+        """Replace the whole state with that of a copy."""
         self.persisted = persisted
 
     def suspect(self) -> None:
-        """Mark the disk as stale, as a start does that can't show it to be the newest."""
+        """Mark the disk as suspected to be stale, like a start that can't show the disk to be the newest."""
         self._write_hard_state(replace(self.persisted.hard_state, stale_disk_suspected=True))
 
     def _write_hard_state(self, hard_state: HardState) -> None:
         self.persisted = replace(self.persisted, hard_state=hard_state)
 
     def _write_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace the entries that the snapshot includes."""
+        """Replace the previous snapshot and the entries that the new one includes."""
         included_count = max(0, snapshot.index - self.persisted.snapshot.index)
         remaining = self.persisted.entries[included_count:]
         self.persisted = replace(self.persisted, snapshot=snapshot, entries=remaining)
 
     def _write_log_suffix(self, suffix: LogSuffix) -> None:
-        """Replace all entries from the first one of the suffix on."""
+        """Replace all entries from the suffix's first index on."""
         unchanged_count = suffix.index - self.persisted.snapshot.index - 1
         entries = (*self.persisted.entries[:unchanged_count], *suffix.entries)
         self.persisted = replace(self.persisted, entries=entries)
--- a/tansyladder/simulation/simulated_nodes.py
+++ b/tansyladder/simulation/simulated_nodes.py
@@ -1,8 +1,8 @@
-"""The nodes of a simulated Raft cluster, and the steps in which they run.
+"""The nodes of a simulated Raft cluster: how they are started, stepped and stopped.
 
-One event loop on a virtual clock runs all nodes; the same seed gives the same history, byte for byte.
-`ConsensusChecker` checks each step: a term has one leader, committed entries never change, and the same
-entries lead to the same state.
+One event loop with a virtual clock runs all nodes; the same seed gives the same history, byte for byte.
+`ConsensusChecker` checks after each step that a term has at most one leader, that committed entries never
+change, and that the same entries lead to the same state.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class SimulatedNodes:
-    """Starts, steps and stops nodes; `SimulatedCluster` adds random faults and proposals."""
+    """Starts, steps and stops simulated nodes; `SimulatedCluster` adds random faults and proposals."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         components: RaftComponents = STANDARD_COMPONENTS,
         disk_type: type[SimulatedDisk] = SimulatedDisk,
     ) -> None:
-        """Start all nodes; `voters` and `learners` are their numbers."""
+        """Start all nodes; `voters` and `learners` are the numbers of nodes of each kind."""
         generators = [numpy.random.default_rng(part) for part in numpy.random.SeedSequence(seed).spawn(4)]
         self._network_rng, self._fault_rng, self._load_rng, self._node_seed_rng = generators
         self._loop = EventLoop()
@@ -56,7 +56,7 @@
         self.names = [f"n{number}" for number in range(voters + learners)]
         self.voters = self.names[:voters]
         self.learners = self.names[voters:]
-        self.results: dict[str, bytes] = {}  # by request id; without the unknown ones
+        self.results: dict[str, bytes] = {}  # by request id; unknown results are not included
         self.counts: Counter[CountedEvent] = Counter()
         self.nodes = {name: SimulatedNode(name, self._make_disk()) for name in self.names}
         for name in self.names:
@@ -72,7 +72,11 @@
         self._loop.call_at(time_us, call)
 
     def run_until(self, time_us: int) -> None:
-        """Run all events that are due by a time. InvariantViolationError: the checker has found a fault."""
+        """Run all events that are due until a time, and advance the clock to that time.
+
+        Raises:
+            InvariantViolationError: A step has violated an invariant.
+        """
         self._loop.run_until(time_us)
 
     def start_node(self, name: str) -> None:
@@ -87,51 +91,51 @@
         self._step_node(node)
 
     def crash(self, name: str) -> None:
-        """Stop a node without warning; its disk stays."""
+        """Stop a node without warning; it keeps its disk."""
         self.nodes[name].crash()
         self.counts[CountedEvent.CRASH] += 1
 
     def lose_disk(self, name: str) -> None:
-        """Replace the disk of a node that is down by a new one."""
+        """Replace the disk of a node that is down with a new one."""
         self.counts[CountedEvent.DISK_LOSS] += 1
         self.nodes[name].replace_disk(self._make_disk())
 
     def roll_back_disk(self, name: str) -> None:
-        """Replace the disk of a node that is down by an older copy, which its next start suspects."""
+        """Replace the disk of a node that is down with its older copy, which the next start suspects."""
         node = self.nodes[name]
         if node.roll_back_disk():
             self.counts[CountedEvent.DISK_ROLLBACK] += 1
             self.suspect_disk(name)
 
     def suspect_disk(self, name: str) -> None:
-        """Mark a disk as one that the next start of its node can't show to be the newest."""
+        """Mark a node's disk as suspected to be stale: its next start can't show it to be the newest."""
         self.counts[CountedEvent.DISK_SUSPICION] += 1
         self.nodes[name].disk.suspect()
 
     def propose(self, name: str) -> str:
-        """Make a proposal at a node, and return its request id."""
+        """Propose a command at a node, and return the request id."""
         request_id = f"r{next(self._request_numbers)}"
         self.counts[CountedEvent.PROPOSAL] += 1
         self._step_node(self.nodes[name], (name, ProposalRequest(request_id, request_id.encode())))
         return request_id
 
     def _make_disk(self) -> SimulatedDisk:
-        """Make a disk with a name of its own."""
+        """Create a disk with a unique id."""
         return self._disk_type(f"d{next(self._disk_numbers)}")
 
     def _make_state_machine(self) -> RecordingStateMachine:
-        """Make the state machine of a node that starts; a subclass may make another one."""
+        """Create the state machine of a node that starts; a subclass may create another type."""
         return RecordingStateMachine()
 
     def _on_node_started(self, node: SimulatedNode) -> None:
-        """Start what a subclass adds to a node."""
+        """Start the components that a subclass adds to a node."""
 
     def _announces_commits_at_once(self, node: SimulatedNode) -> bool:  # noqa: ARG002 - for subclasses
-        """Whether a node that leads sends a new commit index at once; a subclass decides it by node."""
+        """Return whether a leader sends a new commit index at once; a subclass may decide this by node."""
         return False
 
     def _step_node(self, node: SimulatedNode, *received: ReceivedMessage) -> None:
-        """Step a node that is up, check the step, and carry out its effects."""
+        """Step a node if it is up, check the step, and apply its effects."""
         raft = node.raft
         if raft is None:
             return
@@ -145,12 +149,12 @@
         self.call_at(raft.next_deadline, on_timer)
 
     def _on_timer(self, node: SimulatedNode, timer_number: int, incarnation: int) -> None:
-        """Step a node, unless it has stepped or crashed since the timer was set."""
+        """Step a node, unless it has been stepped or restarted since the timer was set."""
         if (node.timer_number, node.incarnation) == (timer_number, incarnation):
             self._step_node(node)
 
     def _deliver(self, node: SimulatedNode, effects: Effects) -> None:
-        """Send messages over the network, and record results."""
+        """Send the messages of a step over the network, and record the results of proposals."""
         for recipient, message in effects.messages:
             self.counts[CountedEvent.MESSAGE] += 1
             on_arrival = partial(self._on_message, node.name, recipient, message)
@@ -162,5 +166,5 @@
                 self.results[result.request_id] = result.result
 
     def _on_message(self, sender: str, recipient: str, message: Message) -> None:
-        """Step a node with a message that has arrived."""
+        """Step the recipient with a message that has arrived."""
         self._step_node(self.nodes[recipient], (sender, message))
--- a/tests/cluster/test_cluster_page.py
+++ b/tests/cluster/test_cluster_page.py
@@ -1,4 +1,4 @@
-"""`docs/cluster.md` names types and functions that exist."""
+"""The types and functions named in `docs/cluster.md` exist."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.page_names import is_known, names_on, unknown_names
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "cluster.md"
-MIN_NAME_COUNT = 60  # fewer would mean that the names are not read from the page
+MIN_NAME_COUNT = 60  # a lower count would mean that the names are not read from the page correctly
 EXAMPLE_PAGE = """
 `raft.node.RaftNode` and `Role.LEADER`, `RaftNode.handle(now)`; not `UP`, `resume.keys` or `serve.py`.
 
--- a/tests/cluster/test_peer_transport.py
+++ b/tests/cluster/test_peer_transport.py
@@ -1,4 +1,4 @@
-"""Connections between two nodes: handshakes, proofs of the key, frames, and their end."""
+"""Peer connections between two nodes: handshakes, proofs of the key, messages, and the end of connections."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 @dataclass(frozen=True)
-class Peer:
-    """The settings in which the second node may differ from the first."""
+class PeerSettings:
+    """The settings of a node that may differ between the two nodes."""
 
     cluster: str = "f"
     key: str = KEY
@@ -36,10 +36,10 @@
 
 
 class TwoNodes:
-    """The transports of the nodes `a` and `b`, and what each has received."""
+    """The transports of the nodes `a` and `b`, and the messages that each has received."""
 
-    def __init__(self, peer: Peer) -> None:
-        """Let both listen; `peer` are the settings of the node `b`."""
+    def __init__(self, peer: PeerSettings) -> None:
+        """Create both transports, which listen; `peer` are the settings of node `b`."""
         listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
         self.addresses: list[tuple[str, int]] = [listener.getsockname() for listener in listeners]
         for listener in listeners:
@@ -47,10 +47,10 @@
         self.received: list[queue.Queue[tuple[str, PeerMessage]]] = [queue.Queue(), queue.Queue()]
         self.transports = [
             self._make_transport(number, name, settings)
-            for number, (name, settings) in enumerate((("a", Peer()), ("b", peer)))
+            for number, (name, settings) in enumerate((("a", PeerSettings()), ("b", peer)))
         ]
 
-    def _make_transport(self, number: int, name: str, settings: Peer) -> PeerTransport:
+    def _make_transport(self, number: int, name: str, settings: PeerSettings) -> PeerTransport:
         members = {name: f"{host}:{port}" for name, (host, port) in zip("ab", self.addresses, strict=True)}
         options = PeersOptions(
             enabled=True, fleet=settings.cluster, key=settings.key, members=members, voters="a"
@@ -65,27 +65,27 @@
         return PeerTransport(name, options, on_message, clock)
 
     def start(self) -> None:
-        """Let both connect."""
+        """Start both transports, which then connect to each other."""
         for transport in self.transports:
             transport.start()
 
     def stop(self) -> None:
-        """Stop both, and wait until their threads have ended."""
+        """Stop both transports and wait until their threads have ended."""
         for transport in self.transports:
             transport.stop()
 
     def send_until_received(self) -> tuple[str, PeerMessage]:
-        """Send from `a` until `b` has received something."""
+        """Send messages from `a` until `b` has received one, and return it with its sender."""
         for number in range(200):
             self.transports[0].send("b", Handshake(f"d{number}", "s", {}))
             with contextlib.suppress(queue.Empty):
                 return self.received[1].get(timeout=0.05)
-        raise AssertionError("no message was received")
+        raise AssertionError("node b has received none of 200 messages")
 
 
 @contextmanager
-def two_nodes(peer: Peer = Peer()) -> Iterator[TwoNodes]:
-    """The nodes `a` and `b`; the test starts them, and their threads have ended afterwards."""
+def two_nodes(peer: PeerSettings = PeerSettings()) -> Iterator[TwoNodes]:
+    """The nodes `a` and `b`, which the test starts; they are stopped at the end of the context."""
     nodes = TwoNodes(peer)
     try:
         yield nodes
@@ -94,7 +94,10 @@
 
 
 class GreetingResult(NamedTuple):
-    """A listener's greeting, and the first byte that it sent after the confirmation; empty at an end."""
+    """A listener's greeting, and the first byte that it sent after the dialler's proof.
+
+    `after_confirmation` is empty if the listener closed the connection.
+    """
 
     greeting: Greeting
     after_confirmation: bytes
@@ -132,15 +135,15 @@
 @pytest.mark.parametrize(
     "peer",
     [
-        Peer(key=OTHER_KEY),
-        Peer(cluster="other"),
-        Peer(clock_skew_us=-TOO_MUCH_SKEW_US),
-        Peer(clock_skew_us=TOO_MUCH_SKEW_US),
+        PeerSettings(key=OTHER_KEY),
+        PeerSettings(cluster="other"),
+        PeerSettings(clock_skew_us=-TOO_MUCH_SKEW_US),
+        PeerSettings(clock_skew_us=TOO_MUCH_SKEW_US),
     ],
     ids=["key", "cluster", "clock behind", "clock ahead"],
 )
 def test_a_peer_with_another_key_cluster_or_clock_is_rejected(
-    peer: Peer, capfd: pytest.CaptureFixture[str]
+    peer: PeerSettings, capfd: pytest.CaptureFixture[str]
 ) -> None:
     with two_nodes(peer) as nodes:
         nodes.start()
@@ -151,7 +154,7 @@
             with pytest.raises(queue.Empty):
                 nodes.received[1].get(timeout=0.05)
         else:
-            raise AssertionError("no peer was rejected")
+            raise AssertionError("no node has logged peer_rejected after 400 messages")
         assert nodes.received[1].empty()
 
 
@@ -168,17 +171,18 @@
         nodes.transports[1].start()
         with socket.create_connection(nodes.addresses[1], 5) as sock:
             sock.sendall(first_bytes)
-            with contextlib.suppress(ConnectionResetError):  # the listener closes with unread bytes
+            with contextlib.suppress(ConnectionResetError):  # the listener closes without reading all bytes
                 assert sock.recv(1) == b""
 
 
 def send_greeting(sock: socket.socket, greeting: Greeting) -> None:
+    """Send a greeting, preceded by its length."""
     data = msgspec.msgpack.encode(greeting)
     sock.sendall(struct.pack(">I", len(data)) + data)
 
 
-def greet(address: tuple[str, int], greeting: Greeting, proof: bytes) -> GreetingResult:
-    """Dial with a greeting, and confirm the listener's greeting with a proof."""
+def dial_with_proof(address: tuple[str, int], greeting: Greeting, proof: bytes) -> GreetingResult:
+    """Connect to a listener, send a greeting, and answer the listener's greeting with a given proof."""
     with socket.create_connection(address, 5) as sock:
         send_greeting(sock, greeting)
         (size,) = struct.unpack(">I", sock.recv(4, socket.MSG_WAITALL))
@@ -188,14 +192,14 @@
 
 
 def test_a_recorded_proof_opens_no_second_connection() -> None:
-    """The listener draws a new nonce for each connection, which a recorded proof doesn't authenticate."""
+    """The listener draws a new nonce for each connection, and a recorded proof doesn't cover that nonce."""
     greeting = Greeting(PROTOCOL_VERSION, "f", "a", "b", b"n" * 16, NOW_US)
     with two_nodes() as nodes:
         nodes.transports[1].start()
-        first = greet(nodes.addresses[1], greeting, b"?" * 32)
+        first = dial_with_proof(nodes.addresses[1], greeting, b"?" * 32)
         assert first.after_confirmation == b""
-        # The proof with which the node `a` would have confirmed that nonce.
+        # The proof that node `a` would have sent for the nonce of the first connection.
         proof = nodes.transports[1].handshake.proof(b"dialler", greeting, first.greeting)
-        second = greet(nodes.addresses[1], greeting, proof)
+        second = dial_with_proof(nodes.addresses[1], greeting, proof)
         assert second.after_confirmation == b""
         assert first.greeting.nonce != second.greeting.nonce
--- a/tests/cluster/test_pending_results.py
+++ b/tests/cluster/test_pending_results.py
@@ -1,4 +1,4 @@
-"""Threads that wait for the results of their proposals."""
+"""Delivery of the results of proposals to the threads that wait for them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @contextmanager
 def called_by_another_thread(function: Callable[[], None]) -> Iterator[None]:
-    """Call a function in a thread of its own, which has ended afterwards."""
+    """Call a function in another thread, which has ended when the context ends."""
     thread = threading.Thread(target=function, name="raft")
     thread.start()
     try:
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -1,4 +1,4 @@
-"""Raft's records in the store, and the suspicion that they are an older copy."""
+"""Raft's records in the store, and the detection of a store that may be an older copy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @contextmanager
 def opened_store(folder: Path) -> Iterator[Store]:
-    """The node's store, which is closed at the end."""
+    """The node's store, which is closed at the end of the context."""
     store = open_store(RealFiles(folder / "store"), "n", lambda: 1)
     try:
         yield store
@@ -29,14 +29,14 @@
 
 @contextmanager
 def opened_storage(folder: Path, detector_folder: str = "here") -> Iterator[RaftStorage]:
-    """The storage of one start of the node."""
+    """The Raft storage of one start of the node; `detector_folder` contains the rollback detector's file."""
     (folder / detector_folder).mkdir(exist_ok=True)
     with opened_store(folder) as store:
         yield RaftStorage(store, RollbackDetector(str(folder / detector_folder), "n"))
 
 
 def hard_state_after_start(folder: Path, detector_folder: str = "here") -> HardState:
-    """Start the node and return its hard state; the start itself is one more write."""
+    """Start the node and return its hard state; the start itself adds a write to the disk."""
     with opened_storage(folder, detector_folder) as storage:
         return storage.persisted.hard_state
 
@@ -47,13 +47,13 @@
 
 
 def overwrite(folder: Path, key: bytes, value: bytes | None) -> None:
-    """Change a record without the storage."""
+    """Change a record in the store directly, without the Raft storage; None deletes it."""
     with opened_store(folder) as store:
         store.write([WriteOperation(key, value)], Durability.SYNCED)
 
 
 def end_suspicion(folder: Path) -> None:
-    """Write the hard state that a node writes once its disk is admitted."""
+    """Write a hard state that isn't suspected, as a node does once its disk is admitted."""
     disk_id = hard_state_after_start(folder).disk_id
     overwrite(folder, HARD_STATE_KEY, msgspec.msgpack.encode(HardState(disk_id=disk_id)))
 
@@ -83,11 +83,11 @@
     shutil.rmtree(tmp_path / "store")
     (tmp_path / "copy").rename(tmp_path / "store")
     assert is_suspected_after_start(tmp_path)
-    assert is_suspected_after_start(tmp_path)  # until Raft ends the suspicion
+    assert is_suspected_after_start(tmp_path)  # the suspicion lasts until Raft ends it
     end_suspicion(tmp_path)
     assert not is_suspected_after_start(tmp_path)
     overwrite(tmp_path, log_entry_key(2), msgspec.msgpack.encode(LogEntry(1)))  # entry 1 is missing
     assert is_suspected_after_start(tmp_path)
     end_suspicion(tmp_path)
     overwrite(tmp_path, log_entry_key(2), None)
-    assert is_suspected_after_start(tmp_path, "elsewhere")  # as after a boot of the machine
+    assert is_suspected_after_start(tmp_path, "elsewhere")  # there is no valid file, as after a boot
--- a/tests/cluster/test_session_takeover.py
+++ b/tests/cluster/test_session_takeover.py
@@ -1,4 +1,4 @@
-"""Nodes that take over each other's sessions, as real processes."""
+"""Takeover of sessions between nodes that run as real processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def run_faults(tmp_path: Path, *faults: Fault) -> list[history.Event]:
-    """Run faults at three nodes with 24 sessions; no invariant is violated, and all clients end connected."""
+    """Run faults at three nodes with 24 sessions, and return the history.
+
+    Checks that no invariant was violated, and that all clients have reconnected.
+    """
     plan = schedule.Schedule(1, 3, 2, 24, faults)
     result = asyncio.run(experiments.run_schedule(plan, tmp_path / "history.jsonl"))
     assert result.all_reconnected
@@ -21,18 +24,18 @@
 
 
 def max_session_count(events: list[history.Event]) -> int:
-    """The most sessions that any client has begun."""
+    """The highest number of sessions that any client has begun."""
     return max(event.session_count for event in events if event.party == "client")
 
 
 def takeover_count(events: list[history.Event]) -> int:
-    """The number of sessions that a second owner has taken over."""
+    """The number of sessions that were taken over from their first owner."""
     return len({event.session_id for event in events if event.kind == "taken" and event.epoch >> 20 >= 2})
 
 
 def assert_taken_over(events: list[history.Event]) -> None:
-    """Check that other nodes have taken over the sessions of the node with the fault, a third of all."""
-    assert max_session_count(events) == 1  # no client has begun another session
+    """Check that other nodes have taken over the sessions of the faulty node, about a third of all 24."""
+    assert max_session_count(events) == 1  # each client has resumed its first session
     assert 6 <= takeover_count(events) <= 12
 
 
@@ -45,7 +48,7 @@
 
 
 def test_without_a_majority_tokens_are_answered_busy_and_stay_valid(tmp_path: Path) -> None:
-    """The first node loses its peers and its clients' connections break; each reconnects with its token."""
+    """All nodes lose contact with their peers, and the clients of one node reconnect with their tokens."""
     events = run_faults(
         tmp_path,
         Fault(0.3, FaultKind.CUT_PEERS, 0, 3.0),
@@ -67,7 +70,7 @@
             await running.connect_clients(12)
             await FaultInjector(running).inject(Fault(0, FaultKind.UPGRADE, 1, 0.0))
             log = running.nodes[1].process.log
-            while log.read_bytes().count(b"event=cluster_joined") < 2:  # of the old and of the new process
+            while log.read_bytes().count(b"event=cluster_joined") < 2:  # once by each of the two processes
                 await asyncio.sleep(0.02)
             await running.wait_until_all_connected(15)
             return sum(client.session_count for client in running.clients), log.read_bytes()
@@ -80,7 +83,7 @@
 
 
 async def final_answer(node: LabNode, open_parameters: str, connection_id: int) -> str:
-    """Open a session with a token until the answer is not BUSY, and return the answer's first word."""
+    """Open a session with a token, retry while the answer is BUSY, and return the answer's first word."""
     while True:
         reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
         writer.write(f"OPEN {connection_id:x} {open_parameters}\r\n".encode())
@@ -93,7 +96,7 @@
 
 
 async def send_and_disconnect(node: LabNode, first_line: str) -> None:
-    """Send a first line, and close the connection without waiting for the answer."""
+    """Send a first line and close the connection without waiting for the answer."""
     _, writer = await asyncio.open_connection("127.0.0.1", node.port)
     writer.write(f"{first_line}\r\n".encode())
     await writer.drain()
@@ -102,7 +105,7 @@
 
 
 async def wait_until_first_lines_are_read(node: LabNode) -> None:
-    """Wait for the answer to a PING, which the node reads after the connections before it."""
+    """Wait for the answer to a PING, which the node reads after the first lines of earlier connections."""
     reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
     writer.write(b"PING\r\n")
     assert await reader.readline() == b"PONG\r\n"
--- a/tests/simulation/documents_without_guards.py
+++ b/tests/simulation/documents_without_guards.py
@@ -1,4 +1,4 @@
-"""Components of replicated documents without one guard each, to show that the invariants find its removal."""
+"""Components of replicated documents that each lack one guard, to show that the invariants detect it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DocumentGuard(Enum):
-    """A guard of the rule that a version is in force at all nodes or at none."""
+    """The guards of the rule that a version is in force at all nodes or at none."""
 
     PREPARED_WAIT = auto()
     DELAYED_EFFECT = auto()
@@ -43,7 +43,7 @@
 
 
 class DocumentsWithoutDelayedEffect(Documents):
-    """Puts a version in force at the moment of its commit, not at the end of the last lease."""
+    """Puts a version in force at the time of its commit instead of the end of the last lease."""
 
     def _apply_commit(self, change: PendingChange, commit: Commit) -> ChangeResult:
         result = super()._apply_commit(change, commit)
@@ -68,7 +68,7 @@
 
 
 class DocumentsWithoutLeaseFreeze(Documents):
-    """Grants leases while a change is prepared."""
+    """Grants leases also while a change is prepared."""
 
     def _apply_lease_grant(self, grant: LeaseGrant) -> ChangeResult:
         change = self.change
@@ -80,21 +80,21 @@
 
 
 class CoordinatorWithoutLeaseFreeze(LeaseCoordinator):
-    """Proposes lease grants while a change is prepared; otherwise the state machine gets none to reject."""
+    """Proposes lease grants also while a change is prepared, so that there are grants to apply."""
 
     def next_commands(self, now_us: int) -> list[DocumentCommand]:
         return super().next_commands(now_us) + self._renew_leases(now_us)
 
 
 class DocumentsWithoutRoundCheck(Documents):
-    """Counts a lease that was shortened in an earlier round."""
+    """Counts a lease that was shortened in an earlier round as shortened in the present one."""
 
     def _apply_prepared(self, change: PendingChange, prepared: Prepared) -> ChangeResult:
         return super()._apply_prepared(change, msgspec.structs.replace(prepared, round=change.round))
 
 
 class HolderWithoutLeaseShortening(LeaseHolder):
-    """Reports a shortened lease, but continues to decide until the end of the long one."""
+    """Reports a shortened lease, but makes decisions until the end of the full lease."""
 
     _full_end_us = 0
 
@@ -107,7 +107,7 @@
 
 
 class HolderWithoutIncarnationCheck(LeaseHolder):
-    """Decides under a lease that was granted to an earlier incarnation of its node."""
+    """Makes decisions under a lease that was granted to an earlier incarnation of its node."""
 
     def lease_end_us(self) -> int:
         name = node_name(self.incarnation)
@@ -116,39 +116,39 @@
         return max(ends_us, default=0)
 
 
-class Removal(NamedTuple):
-    """The components without a guard, and how the removal is found."""
+class GuardRemoval(NamedTuple):
+    """The components without a guard, and the history and violation that reveal its removal."""
 
     components: DocumentComponents
-    seed: int  # of a history that finds it; 0: found in none of 40
-    violation: str  # part of the text
+    seed: int  # a seed whose history reveals the removal; 0 if none of 40 histories reveals it
+    violation: str  # a part of the violation's description
 
 
-REMOVALS: dict[DocumentGuard, Removal] = {
-    DocumentGuard.PREPARED_WAIT: Removal(
+REMOVALS: dict[DocumentGuard, GuardRemoval] = {
+    DocumentGuard.PREPARED_WAIT: GuardRemoval(
         DocumentComponents(documents=DocumentsWithoutPreparedWait), 5, "decides under"
     ),
-    DocumentGuard.DELAYED_EFFECT: Removal(
+    DocumentGuard.DELAYED_EFFECT: GuardRemoval(
         DocumentComponents(documents=DocumentsWithoutDelayedEffect), 1, "decides under"
     ),
-    DocumentGuard.REJECTION: Removal(
+    DocumentGuard.REJECTION: GuardRemoval(
         DocumentComponents(documents=DocumentsWithoutRejection), 1, "after a rejection"
     ),
-    DocumentGuard.ACCEPTANCE_WAIT: Removal(
+    DocumentGuard.ACCEPTANCE_WAIT: GuardRemoval(
         DocumentComponents(documents=DocumentsWithoutAcceptanceWait), 1, "after a rejection"
     ),
-    DocumentGuard.LEASE_FREEZE: Removal(
+    DocumentGuard.LEASE_FREEZE: GuardRemoval(
         DocumentComponents(documents=DocumentsWithoutLeaseFreeze, coordinator=CoordinatorWithoutLeaseFreeze),
         0,
         "decides under",
     ),
-    DocumentGuard.ROUND_CHECK: Removal(
+    DocumentGuard.ROUND_CHECK: GuardRemoval(
         DocumentComponents(documents=DocumentsWithoutRoundCheck), 0, "decides under"
     ),
-    DocumentGuard.LEASE_SHORTENING: Removal(
+    DocumentGuard.LEASE_SHORTENING: GuardRemoval(
         DocumentComponents(lease_holder=HolderWithoutLeaseShortening), 0, "decides under"
     ),
-    DocumentGuard.INCARNATION_CHECK: Removal(
+    DocumentGuard.INCARNATION_CHECK: GuardRemoval(
         DocumentComponents(lease_holder=HolderWithoutIncarnationCheck), 0, "decides under"
     ),
 }
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -1,4 +1,8 @@
-"""Raft components without one guard each, to show that the checker finds what each guard prevents."""
+"""Raft components that each lack one guard, to show that the checker finds the faults it prevents.
+
+Section numbers such as 5.4.1 refer to the Raft paper. "The suspicion" is that of a disk that may be stale
+(`HardState.stale_disk_suspected`).
+"""
 
 from __future__ import annotations
 
@@ -30,7 +34,7 @@
 
 
 class Guard(Enum):
-    """A guard of Raft's safety, or of its liveness."""
+    """The guards of Raft's safety or liveness."""
 
     ELECTION_RESTRICTION = auto()
     ONE_VOTE_PER_TERM = auto()
@@ -50,7 +54,7 @@
 
 
 class ElectionsWithoutRestriction(Elections):
-    """Votes for a candidate with any log (5.4.1)."""
+    """Votes for a candidate whatever its log contains, without the election restriction (5.4.1)."""
 
     def on_request_vote(self, sender: str, request: RequestVote) -> None:
         beyond_all = 1 << 60
@@ -59,7 +63,7 @@
 
 
 class ElectionsWithoutVoteRecord(Elections):
-    """Votes for several candidates in one term."""
+    """Forgets its vote, so that it may vote for several candidates in one term."""
 
     def on_request_vote(self, sender: str, request: RequestVote) -> None:
         if not request.pre_vote:
@@ -68,7 +72,7 @@
 
 
 class VoterDisksWithoutAdmission(VoterDisks):
-    """Lets a voter vote and count on any disk, so also after the loss of its disk."""
+    """Lets a voter vote and count on any disk, even on a new one after the loss of its disk."""
 
     @property
     def is_voting(self) -> bool:
@@ -91,7 +95,7 @@
 
 
 class AdmissionWithoutSuspicion(DiskAdmission):
-    """Trusts any disk, so a voter votes and counts on an older copy of its disk."""
+    """Trusts every disk, so that a voter votes and counts also on an older copy of its disk."""
 
     def __init__(self, state: NodeState, disks: VoterDisks, incarnation: str) -> None:
         state.hard_state = msgspec.structs.replace(state.hard_state, stale_disk_suspected=False)
@@ -99,7 +103,7 @@
 
 
 class AdmissionWithoutFloors(DiskAdmission):
-    """Ends the suspicion without the terms and the log positions that the other voters have reported."""
+    """Ends the suspicion without regard to the terms and log positions reported by the other voters."""
 
     def _end_suspicion(self) -> None:
         trusted = msgspec.structs.replace(self._state.hard_state, stale_disk_suspected=False)
@@ -107,7 +111,7 @@
 
 
 class AdmissionWithoutVoteFloor(DiskAdmission):
-    """Ends the suspicion without the log positions that the other voters have reported."""
+    """Ends the suspicion without regard to the log positions reported by the other voters."""
 
     def _end_suspicion(self) -> None:
         super()._end_suspicion()
@@ -115,7 +119,7 @@
 
 
 class AdmissionWithoutTermFloor(DiskAdmission):
-    """Ends the suspicion without the terms that the other voters have reported."""
+    """Ends the suspicion without regard to the terms reported by the other voters."""
 
     def _end_suspicion(self) -> None:
         before = self._state.hard_state
@@ -125,14 +129,14 @@
 
 
 class LeaderCommittingEarlierTerms(LeaderReplication):
-    """Commits entries of earlier terms without an entry of its own term (5.4.2)."""
+    """Commits entries of earlier terms directly, without an entry of its own term (5.4.2)."""
 
-    def _is_of_own_term(self, index: int) -> bool:  # noqa: ARG002 - of any term
+    def _is_of_own_term(self, index: int) -> bool:  # noqa: ARG002 - treats an entry of any term as its own
         return True
 
 
 class FollowerWithoutLogMatching(FollowerReplication):
-    """Appends entries whatever entry precedes them in its log."""
+    """Appends entries without checking the term of the entry that precedes them in its own log."""
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
         log = self._state.log
@@ -153,7 +157,7 @@
 
 
 class FollowerWithoutTermCheck(FollowerReplication):
-    """Accepts entries of a leader whose term is over."""
+    """Accepts entries from the leader of an earlier term."""
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
         state = self._state
@@ -163,7 +167,7 @@
 
 
 class LeaderWithoutTermCheck(LeaderReplication):
-    """Counts responses of earlier terms."""
+    """Counts responses from earlier terms."""
 
     def on_append_entries_response(self, sender: str, response: AppendEntriesResponse) -> None:
         if response.term < self._state.term:
@@ -172,7 +176,7 @@
 
 
 class LeaderWithoutCheckQuorum(LeaderReplication):
-    """Continues to lead without contact to a majority."""
+    """Remains the leader without contact to a majority."""
 
     def has_quorum_contact(self) -> bool:
         for peer in self._progress.values():
@@ -181,14 +185,14 @@
 
 
 class CommittedLogWithoutExchange(CommittedLog):
-    """Ignores the commit positions in votes, so an admitted voter may count at no other node."""
+    """Ignores the commit positions in votes, so that other nodes may never count an admitted voter."""
 
     def learn(self, position: CommitPosition) -> None:
         pass
 
 
 class UnsyncedDisk(SimulatedDisk):
-    """Never writes terms and votes, as if each crash came before their sync."""
+    """Never writes terms and votes, as if each crash happened before they were synced."""
 
     def write(self, writes: Sequence[Write]) -> None:
         initial_disks = self.persisted.hard_state.initial_disks
