--- a/tansyladder/__init__.py
+++ b/tansyladder/__init__.py
@@ -1,4 +1,4 @@
-"""tansyladder: the decisions of a balancer for long-lived connections."""
+"""A balancer for long-lived connections. This module exports its policy, which makes the decisions."""
 
 from tansyladder.policy.balancer import Balancer
 from tansyladder.policy.settings import Settings
--- a/tansyladder/assembly.py
+++ b/tansyladder/assembly.py
@@ -1,7 +1,7 @@
-"""Puts a node together: the one place that makes its parts and gives each of them what it uses.
+"""Builds a node: the only module that creates its parts and passes each of them its dependencies.
 
-What only an operator's settings switch on is imported where it is switched on, and what is not needed before
-clients can connect is imported after that: both keep the start short.
+Modules of optional features are imported only if the operator's settings enable the feature, and modules that
+are not needed before clients can connect are imported after that. Both keep the start short.
 """
 
 from __future__ import annotations
@@ -28,34 +28,34 @@
 from tansyladder.node.work_queues import WorkQueues
 from tansyladder.start_errors import BadConfigError, BadSettingsError
 
-if TYPE_CHECKING:  # a node without these layers does not load them
+if TYPE_CHECKING:  # imported late or not at all at run time
     from tansyladder.node.reload import Reloader
     from tansyladder.sessions.resumption_handler import ResumptionHandler
 
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """A complete node. Owned by the main thread: `start`, then `stop`."""
+    """A complete node. Owned by the main thread, which calls `start` once, then `stop`."""
 
     context: NodeContext
     work_queues: WorkQueues
     handover: ListenerHandover
     endpoint_cache: AttachableEndpointCache
     decision_gate: DecisionGate
-    session_service: ResumptionHandler | None  # where sessions can be resumed
+    session_service: ResumptionHandler | None  # None if sessions can't be resumed
     listener: ClientListener
 
     def start(self, environ: Mapping[str, str], options_path: str | Path | None) -> Reloader:
-        """Start the threads, clients last.
+        """Start the node's threads, and accept clients once the others run; the reloader starts last.
 
         Args:
-            environ: Names the platform's file, for reloads.
-            options_path: Of the operator's settings file, where one was named.
+            environ: The environment, which names the platform's configuration file for reloads.
+            options_path: The operator's settings file; None if there is none.
 
         Returns:
-            What reloads the configuration.
+            The reloader of the configuration.
         """
-        # The listener is open: clients that connect meanwhile wait in its queue.
+        # Imported here: the listener is open already, and clients that connect meanwhile wait in its queue.
         from tansyladder.node.discovery_client import DiscoveryClient  # noqa: PLC0415
         from tansyladder.node.health_checker import HealthChecker  # noqa: PLC0415
 
@@ -67,7 +67,7 @@
         discovery.start()
         HealthChecker(context, self.work_queues).start()
         self.listener.start()
-        # Only now, as clients are accepted meanwhile.
+        # Imported here, because clients are already accepted meanwhile.
         from tansyladder.node.reload import Reloader  # noqa: PLC0415
 
         reloader = Reloader(environ, context, discovery, self.session_service, options_path)
@@ -75,14 +75,14 @@
         return reloader
 
     def stop(self) -> None:
-        """Drain, then leave the cluster and close the store."""
+        """Drain the connections, then leave the cluster and close the store."""
         self.listener.drain()
         self.decision_gate.leave()
         self.endpoint_cache.close()
 
 
 def build_context(config: Config, options: Options, work_queues: WorkQueues) -> NodeContext:
-    """Build what the parts of a node share."""
+    """Build the context that the parts of a node share."""
     configuration = ActiveConfiguration(config)
     clock = Clock()
     metrics = Metrics(config.class_names)
@@ -91,13 +91,16 @@
 
 
 def build_node(config: Config, options: Options, state_directory: str | None) -> Node:
-    """Build a node whose listeners are open, and which takes part in its cluster where it has one.
+    """Build a node, open its listeners, and join its cluster if it has one.
 
-    `state_directory`: the node's own, which outlives its process; None: there is none.
+    Args:
+        config: The platform's configuration.
+        options: The operator's settings.
+        state_directory: A directory of this node that outlives its process; None if there is none.
 
     Raises:
-        BadConfigError: An address can't be listened on.
-        BadSettingsError: The operator's settings of peers can't be used.
+        BadConfigError: The node can't listen on a configured address.
+        BadSettingsError: The node can't join its cluster with the settings in `peers`.
     """
     work_queues = WorkQueues()
     context = build_context(config, options, work_queues)
@@ -117,11 +120,11 @@
 def _build_session_service(
     context: NodeContext, endpoint_cache: AttachableEndpointCache
 ) -> ResumptionHandler | None:
-    """Build what resumes sessions, and open the store that keeps them, where the settings ask for these."""
+    """Build the service that resumes sessions, and open its store, each if the settings enable it."""
     options = context.options
     store = None
     if options.store.enabled and not options.peers.enabled:
-        # A node without a store does not load it.
+        # Imported here, so that a node without a store does not load it.
         from tansyladder.sessions.session_store import open_session_store  # noqa: PLC0415
 
         store = open_session_store(options.store.directory, context.configuration.config.name)
@@ -130,7 +133,7 @@
             store.start()
     if not options.resume.enabled:
         return None
-    # Only now, as it loads the library of its cryptography.
+    # Imported here, because it loads the cryptography library.
     from tansyladder.sessions.resumption_handler import ResumptionHandler  # noqa: PLC0415
     from tansyladder.sessions.session_registry import SessionRegistry  # noqa: PLC0415
 
@@ -143,7 +146,7 @@
     session_service: ResumptionHandler | None,
     decision_gate: DecisionGate,
 ) -> ClientListener:
-    """Open the clients' listener, or take over that of the process before."""
+    """Open the clients' listener, or take over the predecessor's."""
     try:
         return ClientListener(context, handover, session_service, decision_gate)
     except OSError as err:
@@ -151,8 +154,8 @@
 
 
 def _start_admin_server(node: Node, address: Address) -> None:
-    """Open the operators' address, which is answered from now on."""
-    # A node without such an address does not load it.
+    """Start to answer the operators' calls on an address."""
+    # Imported here, so that a node without an operators' address does not load it.
     from tansyladder.node.admin_server import AdminServer  # noqa: PLC0415
 
     try:
@@ -162,12 +165,12 @@
 
 
 def _join_cluster(node: Node, state_directory: str | None) -> None:
-    """Join the nodes that take over each other's sessions."""
-    # A node without peers does not load them.
+    """Join the cluster, whose nodes take over each other's sessions."""
+    # Imported here, so that a node without peers does not load it.
     from tansyladder.cluster.bootstrap import ClusterMember, join_cluster  # noqa: PLC0415
 
     if node.session_service is None:
-        return  # the settings' check has made sure that peers have resumption
+        return  # excluded by the validation of the settings: peers require resumption
     member = ClusterMember(
         node.context,
         node.session_service,
--- a/tansyladder/cli.py
+++ b/tansyladder/cli.py
@@ -1,4 +1,4 @@
-"""The command line: the commands of the node, of the store and of the lab. Only `__main__` imports it."""
+"""The command line: all commands of the node, the store and the lab. Only `__main__` imports this module."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     context_settings={"help_option_names": ["-h", "--help"]},
 )
 def commands() -> None:
-    """Group all commands."""
+    """Collect all commands."""
 
 
 @commands.group()
 def lab() -> None:
-    """Stand-ins for all that a node meets, on loopback, and measurements among them."""
+    """Simulate a node's clients, hosts and services on loopback, and measure nodes among them."""
 
 
 lab_commands.add_to(lab)
@@ -28,6 +28,6 @@
 
 
 def main() -> int:
-    """Run the command that the process's arguments name; click ends it with 2 where they name none."""
+    """Run the command named in the process's arguments; click exits with 2 if they name none."""
     commands(prog_name="tansyladder")
     return 0
--- a/tansyladder/invariants.py
+++ b/tansyladder/invariants.py
@@ -1,4 +1,7 @@
-"""Checked invariants: an error in debug builds, a count and a log line under `python -O`."""
+"""Invariants that are checked at run time.
+
+A violation raises AssertionError; under `python -O` it is counted and logged instead.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +12,10 @@
 
 
 class Invariant(StrEnum):
-    """What must never happen; `invariant` of the log event `invariant_violated`."""
+    """Conditions that must never occur; the field `invariant` of the log event `invariant_violated`."""
 
     ACTION_QUEUE_TRANSITION_INVALID = "action_queue_transition_invalid"
-    CHANGE_RESULT_CONFLICT = "change_result_conflict"  # in the simulation alone
+    CHANGE_RESULT_CONFLICT = "change_result_conflict"  # checked only in the simulation
     DECISION_OVERDUE = "decision_overdue"
     HANDOVER_TRANSITION_INVALID = "handover_transition_invalid"
     PEER_FRAME_TOO_LARGE = "peer_frame_too_large"
@@ -32,15 +35,15 @@
 
 
 def check_invariant(invariant: Invariant, *, holds: bool) -> None:
-    """Report that an invariant is violated unless it holds; see `violate_invariant`."""
+    """Report a violation unless `holds` is true; see `violate_invariant`."""
     if not holds:
         violate_invariant(invariant)
 
 
 def violate_invariant(invariant: Invariant) -> None:
-    """Raise AssertionError; under `python -O` count and log the violation instead.
+    """Raise AssertionError; under `python -O`, count and log the violation instead.
 
-    Thread-safe, but of two threads that count the same invariant at once one may lose its count.
+    Thread-safe, but if two threads count the same invariant at the same time, one count may be lost.
     """
     if __debug__:
         raise AssertionError(invariant)
--- a/tansyladder/log.py
+++ b/tansyladder/log.py
@@ -1,7 +1,7 @@
-"""The log: one line for an event, on standard error. `docs/on-call.md` explains the events and their fields.
+"""The log: one line per event, on standard error. `docs/on-call.md` explains the events and their fields.
 
-Loading this module loads neither structlog nor the types of fields, as that would add to the time that a
-restart takes: a node writes its first line when it listens already.
+Importing this module imports neither structlog nor the types of the fields, because that would make a restart
+take longer: a node listens before it writes its first line.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 
 @functools.cache
 def _writer() -> WriteEvent:
-    # Imported with the first line, as it loads structlog.
+    # Imported when the first line is written, because it imports structlog.
     from tansyladder.log_writer import open_writer  # noqa: PLC0415
 
     return open_writer(_render_line)
 
 
 def set_line_format(line_format: LineFormat) -> None:
-    """Write all further lines in a format."""
+    """Set the format of all further lines."""
     _render_line.line_format = line_format
 
 
 def log(event: LogEvent, counts: Mapping[str, int] | None = None, /, **fields: Unpack[LogFields]) -> None:
-    """Write one line with an event and its fields, unless the event has had its lines of this second.
+    """Write one line with an event and its fields, unless the event has reached its limit of lines.
 
-    Thread-safe. `counts`: further fields, whose names depend on what was counted. A `timedelta` is written as
-    a number of milliseconds.
+    Thread-safe. `counts` holds further fields, whose names depend on what was counted. A `timedelta` is
+    written as a number of milliseconds. The limit is `log_writer.MAX_LINES_PER_WINDOW` lines per second.
     """
     _writer()(event.value, {**fields, **(counts or {})})
--- a/tansyladder/log_events.py
+++ b/tansyladder/log_events.py
@@ -1,4 +1,4 @@
-"""The events of the log, each with the fields that its lines may have; `docs/on-call.md` explains them."""
+"""The events of the log, with the fields that each may have; `docs/on-call.md` explains them."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class LogEvent(StrEnum):
-    """An event of the log. Each member is the event's name, followed by the names of its fields."""
+    """An event of the log. Each member is defined by the event's name and the names of its fields."""
 
     fields: tuple[str, ...]
 
     def __new__(cls, name: str, *fields: str) -> LogEvent:
-        """Make a member of its value; the fields are beside it."""
+        """Create a member whose value is the event's name; the field names become its `fields`."""
         event = str.__new__(cls, name)
         event._value_ = name
         event.fields = fields
@@ -26,7 +26,7 @@
     CONNECT_FAILED = "connect_failed", "endpoint", "error"
     CONNECTION_ADOPTION_FAILED = "connection_adoption_failed", "endpoint", "error"
     CONNECTION_RESTORE_FAILED = "connection_restore_failed", "endpoint", "status"
-    COUNTS = "counts", "timestamp", "endpoints"  # and what was counted
+    COUNTS = "counts", "timestamp", "endpoints"  # and one field per count
     DISCOVERY_FAILED = "discovery_failed", "error", "duration_ms"
     DISK_WITNESS_FAILED = "disk_witness_failed", "error"
     DOCUMENT_CHANGE_ENDED = (
@@ -95,24 +95,24 @@
 
 
 class ClientRejectionReason(StrEnum):
-    """Why the node itself rejected a client; `reason` of `client_rejected`."""
+    """Why the node rejected a client without asking the policy; `reason` of `client_rejected`."""
 
-    CONNECTION_LIMIT = "connection_limit"  # the node serves as many connections as it may
-    DESCRIPTOR_LIMIT = "descriptor_limit"  # the process has no file descriptor left
-    THREAD_LIMIT = "thread_limit"  # the system starts no thread
-    PENDING_EVICTED = "pending_evicted"  # the client had sent nothing, and a newer one needed its place
+    CONNECTION_LIMIT = "connection_limit"  # the node serves the largest number of connections that it may
+    DESCRIPTOR_LIMIT = "descriptor_limit"  # the process has no free file descriptor
+    THREAD_LIMIT = "thread_limit"  # the system could not start a thread
+    PENDING_EVICTED = "pending_evicted"  # the client had sent nothing, and a newer one needed the slot
 
 
 class LineSource(StrEnum):
-    """Which part of the node found a line of a client invalid; `source` of `invalid_line`."""
+    """Which part of the node received an invalid line; `source` of `invalid_line`."""
 
-    CLIENT = "client"  # the first line
+    CLIENT = "client"  # a client's first line
     RELAY = "relay"  # a line of an established connection
     SESSION = "session"  # a line of a resumable session
 
 
 class HandoverStep(StrEnum):
-    """How far the handover of the listener to a new process has come; `step` of `listener_handover`."""
+    """The last completed step of a handover of the listener; `step` of `listener_handover`."""
 
     LISTENER_SENT = "listener_sent"
     LISTENER_RECEIVED = "listener_received"
--- a/tansyladder/log_fields.py
+++ b/tansyladder/log_fields.py
@@ -1,7 +1,7 @@
-"""The types of the log's fields, by which mypy checks each call of `log`. No process loads this module.
+"""The types of the log's fields, which mypy uses to check each call of `log`. Not imported at run time.
 
-Which events have a field is in `log_events`. A count is a plural noun, a boolean begins with a verb, and a
-span ends in its unit: a `timedelta` is written as a number of milliseconds.
+`log_events` says which events have which fields. The name of a count is a plural noun, that of a boolean
+begins with a verb, and that of a duration ends in its unit: a `timedelta` is written in milliseconds.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
     """All fields that a line may have."""
 
     age_ms: timedelta
-    change_number: int  # of a change of a document
-    changed_keys: str  # of the settings, separated by commas
-    code: str  # of an error of the store
-    detail: str  # what is wrong with a change; "none" where nothing is
+    change_number: int  # the number of a document's change
+    changed_keys: str  # keys of the settings, separated by commas
+    code: str  # the code of a store error
+    detail: str  # what is wrong with a change; "none" if nothing is
     digest: str  # in hexadecimal digits
     discovery: str  # the address of the discovery service
     document: str
@@ -25,9 +25,9 @@
     duration_ms: timedelta
     endpoint: str
     endpoints: str  # a list of NAME:connections/attempts/failed attempts
-    entries: int  # of an endpoint list, or of changes to it
+    entries: int  # in an endpoint list, or in the changes to it
     error: Exception | str
-    established: int  # connections
+    established: int  # established connections
     features: str  # separated by commas
     has_all_entries: bool
     has_store: bool
@@ -47,7 +47,7 @@
     outcome: str
     ownership_epoch: int
     peer: str
-    pending: int  # requests without an answer
+    pending: int  # unanswered requests
     previous_state: str
     reason: str
     rebuilt_hints: int
--- a/tansyladder/log_rendering.py
+++ b/tansyladder/log_rendering.py
@@ -1,6 +1,6 @@
-"""How an event of the log becomes a line: its secrets redacted, as key=value or as JSON.
+"""Renders log events as lines, in key=value form or as JSON, and redacts secrets.
 
-The functions are structlog processors, which get an event as a dictionary of its fields, `event` among them.
+The functions are structlog processors. They get an event as a dictionary of its fields, including `event`.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 if TYPE_CHECKING:
     from structlog.typing import EventDict, WrappedLogger
 
-MAX_VALUE_LENGTH = 300  # characters of a quoted value, and of any but a number in JSON: lines stay readable
+MAX_VALUE_LENGTH = 300  # characters of a quoted value, or in JSON of any but a number; for readability
 MILLISECOND = timedelta(milliseconds=1)
-SECRET_FIELDS = frozenset({"token", "rt", "key_bytes"})  # whose length alone is written
+SECRET_FIELDS = frozenset({"token", "rt", "key_bytes"})  # only their length is written
 
 
 class LineFormat(Enum):
-    """How lines are written."""
+    """The format of the log's lines."""
 
     KEY_VALUE = auto()
     JSON = auto()
 
 
 class LineRenderer:
-    """The last structlog processor: renders an event as one line without its end, `event` first."""
+    """The last structlog processor: renders an event as one line, `event` first, without a line end."""
 
     def __init__(self, line_format: LineFormat = LineFormat.KEY_VALUE) -> None:
         self.line_format = line_format
 
     def __call__(self, _logger: WrappedLogger, _method: str, event: EventDict) -> str:
-        """Return the line."""
+        """Return the line of an event."""
         fields = {"event": event["event"], **event}
         if self.line_format is LineFormat.JSON:
             return json.dumps({name: _json_value(value) for name, value in fields.items()})
@@ -40,7 +40,7 @@
 
 
 def redact_secrets(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
-    """Replace the fields in `SECRET_FIELDS` by their length, as a structlog processor."""
+    """Replace the values of `SECRET_FIELDS` by their lengths, as a structlog processor."""
     for name in SECRET_FIELDS & event.keys():
         event[name] = f"hidden:{len(str(event[name]))}"
     return event
--- a/tansyladder/log_writer.py
+++ b/tansyladder/log_writer.py
@@ -1,6 +1,6 @@
-"""Writes the events of the log to standard error through structlog, with a limit for each event.
+"""Writes log events to standard error through structlog, with a rate limit per event.
 
-structlog takes some 60 ms to import. `log` loads this module with the first line that it writes.
+Importing structlog takes about 60 ms, so `log` imports this module only when it writes the first line.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
     from structlog.typing import EventDict, WrappedLogger
 
 RATE_WINDOW = timedelta(seconds=1)
-MAX_LINES_PER_WINDOW = 20  # of one event: a storm of bad input must fill neither the disk nor the processor
+MAX_LINES_PER_WINDOW = 20  # per event: a flood of bad input must not fill the disk or use up the processor
 DROPPED_LINES_FIELD = "dropped_lines"
 
-WriteEvent = Callable[[str, Mapping[str, object]], None]  # with the name of an event and its fields
+WriteEvent = Callable[[str, Mapping[str, object]], None]  # called with an event's name and its fields
 
 
 class _EventWindow(NamedTuple):
-    """What was written of one event since a window began."""
+    """How many lines of one event were written and dropped since a window began."""
 
     start: timedelta
     line_count: int = 0
@@ -37,20 +37,20 @@
 
 
 class RateLimiter:
-    """A structlog processor that bounds the lines of each event in a window. Thread-safe.
+    """A structlog processor that limits the lines of each event per time window. Thread-safe.
 
-    The next line that is written has the number of lines that were dropped before it.
+    The first line after dropped ones says how many were dropped.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._windows: dict[str, _EventWindow] = {}  # by event
+        self._windows: dict[str, _EventWindow] = {}  # by event name
 
     def __call__(self, _logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
-        """Return the event, with `dropped_lines` where lines were dropped before it.
+        """Return the event, with the field `dropped_lines` if lines were dropped before it.
 
         Raises:
-            DropEvent: The event has had its lines of this window.
+            DropEvent: The event has reached its limit in this window.
         """
         now = timedelta(seconds=time.monotonic())
         name = event["event"]
@@ -68,25 +68,25 @@
 
 
 class _StandardError:
-    """What structlog writes to; looked up at each line, as tests put another stream there."""
+    """The output of structlog. It looks up `sys.stderr` for each line, because tests replace that stream."""
 
     def msg(self, message: str) -> None:
-        """Write a line; where nobody reads the log any more the node continues without it."""
+        """Write a line; ignore errors, so that the node continues if nothing reads its log any more."""
         with contextlib.suppress(OSError, ValueError):
             sys.stderr.write(message + "\n")
             sys.stderr.flush()
 
 
 class _EventLogger(structlog.BoundLoggerBase):
-    """A logger of events without levels."""
+    """A structlog logger for events, which have no levels."""
 
     def write(self, event: str, fields: Mapping[str, object]) -> None:
-        """Pass an event through the processors, unless one of them drops it."""
+        """Pass an event through the processors and write the result, unless one of them drops the event."""
         self._proxy_to_logger("msg", event, **fields)
 
 
 def open_writer(render_line: LineRenderer) -> WriteEvent:
-    """Return the function that writes an event with its fields. It is thread-safe."""
+    """Return a thread-safe function that writes an event with its fields."""
     logger: _EventLogger = structlog.wrap_logger(
         _StandardError(), processors=[RateLimiter(), redact_secrets, render_line], wrapper_class=_EventLogger
     )
--- a/tansyladder/net/__init__.py
+++ b/tansyladder/net/__init__.py
@@ -1,1 +1,4 @@
-"""Sockets, lines, upstream connections and the relay; no decision of the node is made here."""
+"""Network input and output: sockets, protocol lines, HTTP, upstream connections, the relay and the handover.
+
+The policy makes the decisions; this package carries them out.
+"""
--- a/tansyladder/net/action_queue.py
+++ b/tansyladder/net/action_queue.py
@@ -1,4 +1,4 @@
-"""The policy's actions for one request, on their way to the thread that serves it."""
+"""A queue that passes the policy's actions for one request to the thread that serves the request."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 
 class ActionQueue:
-    """The policy's actions for one request, on which its thread can poll beside its sockets.
+    """The policy's actions for one request, in a queue that can be polled together with sockets.
 
-    Thread-safe: any thread may post, wake and supersede; one thread, the request's, takes and changes the
-    state. Until the connection is established the queue is pollable and costs a descriptor. After that the
-    request's thread can have a callback wake it instead, so that a node of many connections needs no
-    descriptor for each queue.
+    Any thread may call `post`, `add_client`, `supersede` and `wake`. Only the request's own thread takes
+    actions and changes the state. Until the connection is established the queue is pollable and uses a
+    descriptor. After that the thread can be woken by a callback instead, so that a node with many
+    connections does not need a descriptor for each queue.
     """
 
     def __init__(self) -> None:
         self._actions: deque[QueuedAction] = deque()
         self._clients: deque[ResumingClient] = deque()
-        # Guards the descriptor and the callback: neither may be closed and reused while a wake uses it.
+        # Guards the descriptor and the callback: neither may be released while `wake` uses it.
         self._lock = threading.Lock()
-        self._event = -1  # an eventfd, readable while the thread is to be woken; -1: none
+        self._event = -1  # an eventfd, readable while a wake is pending; -1 if there is none
         self._callback: Callable[[], None] | None = None
         self._state = QueueState.NEW
-        # Independent of the state: the cluster decides it on a thread of its own, at any moment and for good.
+        # Separate from the state: a thread of the cluster sets it, in any state, and it is never reset.
         self._is_superseded = False
 
     @property
@@ -42,31 +42,31 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether another node owns the session of this queue now."""
+        """Whether another node now owns the session that this queue serves."""
         return self._is_superseded
 
     def open(self) -> None:
         """Open the descriptor that makes the queue pollable.
 
         Raises:
-            OSError: No descriptor is left.
+            OSError: The process has no free descriptor.
         """
         self._event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._state = next_state(self._state, QueueEvent.OPENED)
 
     def fileno(self) -> int:
-        """Return the descriptor to poll on; -1 where the queue is not open."""
+        """Return the descriptor to poll; -1 if the queue has none."""
         return self._event
 
     def post(self, action: QueuedAction) -> None:
-        """Append an action; the caller wakes the thread when all its actions are posted."""
+        """Append an action without waking the thread; the caller calls `wake` after its last action."""
         self._actions.append(action)
 
     def take(self) -> QueuedAction | None:
         """Remove and return the next action, if there is one."""
         with self._lock:
             if self._event >= 0:
-                # Read even if there is no action: else a late wake would make the poll spin.
+                # Reset it even if there is no action: otherwise a late wake would make the poll spin.
                 with contextlib.suppress(BlockingIOError):
                     os.eventfd_read(self._event)
                 if len(self._actions) > 1:
@@ -78,7 +78,7 @@
         return self._actions[0] if self._actions else None
 
     def add_client(self, client: ResumingClient) -> None:
-        """Hand a client that resumes this session over, and wake the session's thread."""
+        """Append a client that resumes this session, and wake the session's thread."""
         self._clients.append(client)
         self.wake()
 
@@ -87,12 +87,12 @@
         return self._clients.popleft() if self._clients else None
 
     def supersede(self) -> None:
-        """Note that another node owns the session, and wake the session's thread, which ends it."""
+        """Record that another node owns the session, and wake the session's thread to end it."""
         self._is_superseded = True
         self.wake()
 
     def wake(self) -> None:
-        """Wake the request's thread; without effect once the queue is closed."""
+        """Wake the request's thread; does nothing once the queue is closed."""
         with self._lock:
             if self._event >= 0:
                 os.eventfd_write(self._event, 1)
@@ -100,10 +100,10 @@
                 self._callback()
 
     def use_callback(self, callback: Callable[[], None]) -> None:
-        """Mark the connection established; from now on a wake is a call, and no descriptor is open.
+        """Mark the connection as established, close the descriptor, and wake by a callback from now on.
 
-        The callback runs in the waking thread, under the queue's lock: it must neither block nor use
-        the queue. It is called at once where actions are waiting.
+        The callback runs in the thread that calls `wake`, under the queue's lock: it must neither block nor
+        use the queue. It is called immediately if actions are queued already.
         """
         self._state = next_state(self._state, QueueEvent.CALLBACK_SET)
         with self._lock:
@@ -113,15 +113,15 @@
                 callback()
 
     def mark_established(self) -> None:
-        """Mark the connection established, for a thread that continues to poll the descriptor."""
+        """Mark the connection as established for a thread that continues to poll the descriptor."""
         self._state = next_state(self._state, QueueEvent.ESTABLISHED)
 
     def mark_lost(self) -> None:
-        """Mark the connection as no longer established; its thread may be about to place it anew."""
+        """Mark the connection as no longer established; its thread may connect to another endpoint next."""
         self._state = next_state(self._state, QueueEvent.LOST)
 
     def close(self) -> None:
-        """Release the descriptor and the callback; actions that are posted later wake nobody."""
+        """Release the descriptor and the callback; later calls of `wake` do nothing."""
         self._state = next_state(self._state, QueueEvent.CLOSED)
         with self._lock:
             self._close_event()
--- a/tansyladder/net/action_queue_state.py
+++ b/tansyladder/net/action_queue_state.py
@@ -8,22 +8,22 @@
 
 
 class QueueState(Enum):
-    """How a request's thread is woken, and whether the request's connection is established."""
+    """How the request's thread is woken, and whether the request's connection is established."""
 
-    NEW = "new"  # a wake has no effect
-    POLLED = "polled"  # by a descriptor; no connection is established
-    POLLED_ESTABLISHED = "polled, established"  # by a descriptor still, as a session may be placed again
-    CALLBACK = "callback"  # by a call; the connection is established
+    NEW = "new"  # not opened yet; a wake has no effect
+    POLLED = "polled"  # woken through a descriptor; no connection is established
+    POLLED_ESTABLISHED = "polled, established"  # descriptor kept, as a session can move again
+    CALLBACK = "callback"  # woken by a callback; the connection is established
     CLOSED = "closed"  # a wake has no effect
 
 
 class QueueEvent(Enum):
-    """What changes the state of an action queue."""
+    """The events that change the state of an action queue."""
 
     OPENED = "opened"
     ESTABLISHED = "established"
-    LOST = "lost"  # the connection, or one that was about to be established
-    CALLBACK_SET = "callback set"  # which implies that the connection is established
+    LOST = "lost"  # the connection was lost, or was not established after all
+    CALLBACK_SET = "callback set"  # implies that the connection is established
     CLOSED = "closed"
 
 
@@ -47,14 +47,17 @@
         QueueEvent.CLOSED: QueueState.CLOSED,
     },
     QueueState.CLOSED: {
-        QueueEvent.CLOSED: QueueState.CLOSED,  # by the relay or session, and by the request's thread
+        QueueEvent.CLOSED: QueueState.CLOSED,  # closed by the relay or session, and again by the thread
     },
 }
 ESTABLISHED_STATES = (QueueState.CALLBACK, QueueState.POLLED_ESTABLISHED)
 
 
 def next_state(state: QueueState, event: QueueEvent) -> QueueState:
-    """Return the state after an event; an event that TRANSITIONS does not allow violates an invariant."""
-    following = TRANSITIONS[state].get(event)
-    check_invariant(Invariant.ACTION_QUEUE_TRANSITION_INVALID, holds=following is not None)
-    return following or state
+    """Return the state after an event.
+
+    An event that `TRANSITIONS` does not allow violates an invariant, and leaves the state unchanged.
+    """
+    new_state = TRANSITIONS[state].get(event)
+    check_invariant(Invariant.ACTION_QUEUE_TRANSITION_INVALID, holds=new_state is not None)
+    return new_state or state
--- a/tansyladder/net/buffered_socket.py
+++ b/tansyladder/net/buffered_socket.py
@@ -1,4 +1,4 @@
-"""A socket that is written without blocking, with the bytes that it has not accepted yet."""
+"""A socket with non-blocking writes and a buffer for the bytes that are not sent yet."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class BufferedSocket:
-    """A socket with its unsent bytes and its buffer of received lines. Owned by one thread."""
+    """A socket with its unsent bytes and its buffer of received data. Owned by one thread."""
 
     __slots__ = ("last_progress", "line_buffer", "sock", "unsent")
 
     def __init__(self, sock: socket.socket, line_buffer: protocol.LineBuffer | None = None) -> None:
-        """`line_buffer`: with what was received before; a new one where nothing was."""
-        sock.settimeout(None)  # with a timeout Python polls before each call, even with MSG_DONTWAIT
+        """`line_buffer` holds data that was received earlier; None creates an empty one."""
+        sock.settimeout(None)  # with a timeout, Python polls before each call, even with MSG_DONTWAIT
         self.sock = sock
         self.line_buffer = line_buffer or protocol.LineBuffer()
         self.unsent = b""
         self.last_progress = now()
 
     def send(self, data: bytes = b"") -> None:
-        """Send what the socket accepts now and buffer the rest; without data, send what is buffered.
+        """Send as much as the socket accepts now, and buffer the rest; without `data`, send what is buffered.
 
         Raises:
             OSError: The connection is broken.
@@ -40,5 +40,5 @@
 
     @property
     def is_stalled(self) -> bool:
-        """Whether the socket has accepted none of its unsent bytes for longer than SEND_TIMEOUT."""
+        """Whether bytes are unsent and the socket has accepted none for longer than `SEND_TIMEOUT`."""
         return bool(self.unsent) and now() - self.last_progress > sockets.SEND_TIMEOUT
--- a/tansyladder/net/clock.py
+++ b/tansyladder/net/clock.py
@@ -1,4 +1,7 @@
-"""The node's clock: moments are spans since the monotonic clock's zero, and wall times are mapped to them."""
+"""The node's clocks: monotonic times, and their conversion from and to wall times and Unix times.
+
+A moment is a time of the monotonic clock, as a `timedelta` since the zero of that clock.
+"""
 
 from __future__ import annotations
 
@@ -7,46 +10,46 @@
 
 MICROSECOND = timedelta(microseconds=1)
 MILLISECOND = timedelta(milliseconds=1)
-EPOCH = datetime(1970, 1, 1, tzinfo=UTC)  # of Unix time
+EPOCH = datetime(1970, 1, 1, tzinfo=UTC)  # the zero of Unix time
 
 
 def now() -> timedelta:
-    """Return this moment on the monotonic clock, to the microsecond."""
+    """Return the current time of the monotonic clock, in whole microseconds."""
     return timedelta(microseconds=time.monotonic_ns() // 1000)
 
 
 def seconds_left(moment: timedelta) -> float:
-    """Return the seconds until a moment, for the timeout of a blocking call; 0 once it has passed."""
+    """Return the seconds until a moment, as the timeout of a blocking call; 0 once it has passed."""
     return max(0.0, (moment - now()).total_seconds())
 
 
 def milliseconds_left(moment: timedelta) -> int:
-    """Return the milliseconds until a moment, for `poll`; 0 once it has passed.
+    """Return the milliseconds until a moment, as the timeout of `poll`; 0 once it has passed.
 
-    Rounded up: a wait that was rounded down would end before the moment, and its caller would spin.
+    The result is rounded up: rounded down, the wait would end before the moment and the caller would spin.
     """
     return max(0, -((now() - moment) // MILLISECOND))
 
 
 class Clock:
-    """Maps wall times onto the monotonic clock, and moments to the policy's integer microseconds.
+    """Converts between moments, wall times and the policy's times (integer microseconds of Unix time).
 
-    Both clocks are read once, at construction, so that no later step of the wall clock moves a deadline.
+    Both clocks are read once, at construction, so that a later step of the wall clock moves no deadline.
     Immutable, thus thread-safe.
     """
 
     def __init__(self) -> None:
-        self._zero = datetime.now(UTC) - now()  # the wall time at the monotonic clock's zero
-        self._base = (self._zero - EPOCH) // MICROSECOND
+        self._wall_time_at_zero = datetime.now(UTC) - now()  # when the monotonic clock was zero
+        self._unix_us_at_zero = (self._wall_time_at_zero - EPOCH) // MICROSECOND
 
     def micros(self, moment: timedelta) -> int:
-        """Return a moment in the policy's time: microseconds of Unix time."""
-        return moment // MICROSECOND + self._base
+        """Convert a moment to the policy's time: microseconds of Unix time."""
+        return moment // MICROSECOND + self._unix_us_at_zero
 
     def moment(self, micros: int) -> timedelta:
-        """Return the moment of a time of the policy, in microseconds of Unix time."""
-        return timedelta(microseconds=micros - self._base)
+        """Convert the policy's time, in microseconds of Unix time, to a moment."""
+        return timedelta(microseconds=micros - self._unix_us_at_zero)
 
     def of_wall(self, wall: datetime) -> timedelta:
-        """Return the moment of a wall time; it may lie before the monotonic clock's zero."""
-        return wall - self._zero
+        """Convert a wall time to a moment, which is negative for a time before the monotonic clock's zero."""
+        return wall - self._wall_time_at_zero
--- a/tansyladder/net/delay_reports.py
+++ b/tansyladder/net/delay_reports.py
@@ -1,8 +1,8 @@
-"""Reports to the policy of the message latency and the load of each endpoint, in the simulator's form.
+"""Reports each endpoint's message latency and load to the policy, in the form that the simulator defines.
 
-By the settings endpoints report either latencies or loads: `LOAD X` is a latency in milliseconds, or the load
-of the connection in microseconds of work per second. In both cases the node itself also measures how long
-lines wait for an answer, since an endpoint that hangs reports nothing.
+The settings say whether endpoints report latencies or loads: in `LOAD X`, X is a latency in milliseconds, or
+the load of the connection in microseconds of work per second. In both cases the node also measures how long
+lines wait for an answer, because an endpoint that hangs reports nothing.
 """
 
 from __future__ import annotations
@@ -16,37 +16,38 @@
 from tansyladder.net.clock import now
 from tansyladder.policy.events import ReportKind
 
-REPORT_INTERVAL = timedelta(seconds=1)  # between two reports of an endpoint whose latency is high
-SAMPLE_WINDOW = timedelta(seconds=1)  # of the median
-MAX_SAMPLES = 64  # of an endpoint; bounds the sorting done under the lock
-MAX_LOAD = 1e9  # microseconds of work per second: a thousand cores
-MAX_DELAY_MS = 600_000  # of a message; a greater value is no plausible latency
+REPORT_INTERVAL = timedelta(seconds=1)  # between reports while an endpoint's latency stays high
+SAMPLE_WINDOW = timedelta(seconds=1)  # age of the oldest sample that the median includes
+MAX_SAMPLES = 64  # per endpoint; bounds the sorting under the lock
+MAX_LOAD = 1e9  # exclusive, in microseconds of work per second: a thousand cores
+MAX_DELAY_MS = 600_000  # exclusive; a reported latency of ten minutes or more is implausible
 
 
 class _EndpointDelays:
-    """The latest delays at one endpoint, and what has been reported of them. Guarded by the meter's lock."""
+    """The latest delays of one endpoint, and the state of their reports. Guarded by the meter's lock."""
 
     __slots__ = ("is_above_threshold", "last_report_at", "samples")
 
     def __init__(self) -> None:
-        # Time and delay; a bare tuple, as one is allocated for each forwarded line.
+        # Time of the sample and delay; plain tuples, because one is allocated for each forwarded line.
         self.samples: deque[tuple[timedelta, timedelta]] = deque(maxlen=MAX_SAMPLES)
         self.last_report_at = timedelta(0)
-        self.is_above_threshold = False  # as last reported
+        self.is_above_threshold = False  # whether the last reported median was above it
 
 
 class DelayMeter:
     """Collects the delays of all connections to each endpoint and says when a report is due. Thread-safe."""
 
     def __init__(self, threshold: timedelta) -> None:
-        self._threshold = threshold  # for the median delay of the window
+        self._threshold = threshold  # of the median delay
         self._endpoints: dict[int, _EndpointDelays] = {}
         self._lock = threading.Lock()
 
     def record(self, endpoint_number: int, delay: timedelta) -> timedelta | None:
-        """Record a message's delay; return the median delay if a report is due.
+        """Record a message's delay; return the endpoint's median delay if a report is due.
 
-        A report is due once per interval while the median exceeds the threshold, and once when that ends.
+        A report is due once per `REPORT_INTERVAL` while the median exceeds the threshold, and once when it
+        no longer does.
         """
         time = now()
         with self._lock:
@@ -68,7 +69,7 @@
 
 
 class DelayReports:
-    """The delay and load reports of one connection. Owned by the connection's thread."""
+    """Sends the delay and load reports of one connection. Owned by the connection's thread."""
 
     __slots__ = ("_current_meter", "_endpoint_number", "_reports_load", "_send_report")
 
@@ -83,9 +84,10 @@
 
         Args:
             endpoint_number: The policy's number for the endpoint.
-            current_meter: Returns the meter of the active settings; None if delays are not reported.
-            send_report: Called with a delay in milliseconds, or a load in microseconds of work per second.
-            reports_load: Returns whether endpoints report loads by the active settings.
+            current_meter: Returns the meter of the active settings, or None if delays are not reported.
+            send_report: Called with the kind of a report and its value: a delay in milliseconds, or a load in
+                microseconds of work per second.
+            reports_load: Returns whether, by the active settings, endpoints report loads rather than delays.
         """
         self._endpoint_number = endpoint_number
         self._current_meter = current_meter
@@ -93,14 +95,14 @@
         self._reports_load = reports_load
 
     def record_delay(self, delay: timedelta) -> None:
-        """Record how long a line waited for its answer, or has waited until now."""
+        """Record how long a line waited for its answer, or has been waiting if there is none yet."""
         meter = self._current_meter()
         median = meter.record(self._endpoint_number, delay) if meter is not None else None
         if median is not None:
             self._send_report(ReportKind.MEASURED_DELAY, median.total_seconds() * 1000)
 
     def record_load_line(self, line: bytes) -> None:
-        """Report what the endpoint's LOAD line says; a malformed or implausible one is ignored."""
+        """Report the value of the endpoint's LOAD line; ignore a malformed or implausible line."""
         values = protocol.parse_load_line(line)
         if self._reports_load():
             if len(values) == 1 and 0 <= values[0] < MAX_LOAD:
--- a/tansyladder/net/endpoint_address.py
+++ b/tansyladder/net/endpoint_address.py
@@ -1,4 +1,4 @@
-"""An endpoint's network address, with the number that the policy knows the endpoint by."""
+"""An endpoint's network address, and the number by which the policy identifies the endpoint."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """How this node reaches an endpoint; what the policy knows of it is `policy.endpoints.Endpoint`."""
+    """How this node reaches an endpoint. The policy's own record of it is `policy.endpoints.Endpoint`."""
 
-    number: int  # the policy's number for it
+    number: int  # identifies the endpoint in the policy's events and actions
     id: str
     address: Address
     state: EndpointState
--- a/tansyladder/net/errors.py
+++ b/tansyladder/net/errors.py
@@ -1,11 +1,11 @@
-"""The base of the network package's errors.
+"""The base class of the network package's errors.
 
-Modules define theirs under it: `protocol.LineError`, `http.HttpError`.
-What the operating system reports stays an `OSError`.
+Modules derive their own errors from it, such as `protocol.LineError` and `http.HttpError`.
+Errors of the operating system stay an `OSError`.
 """
 
 from __future__ import annotations
 
 
 class NetworkError(Exception):
-    """The other side of a connection does not follow its protocol, or does not answer."""
+    """The other side of a connection broke the protocol, did not answer or disconnected."""
--- a/tansyladder/net/handover_messages.py
+++ b/tansyladder/net/handover_messages.py
@@ -1,8 +1,8 @@
-"""The messages between two processes of a node, of which the new one takes the place of the running one.
+"""The messages between the running process of a node and the new process that replaces it.
 
-Messages are JSON, sent over a socket that preserves their boundaries, with descriptors as ancillary data.
-Another build may run on the other side: the names given to `msgspec.field`, and the constants, are the
-encoded form and don't change.
+Messages are JSON, sent over a socket that preserves message boundaries, with descriptors as ancillary data.
+The two processes may run different builds: the names given to `msgspec.field`, and the constants, are part of
+the message format and must not change.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 REQUEST_LISTENER = b"TAKE 1"  # the new process asks for the clients' listener
 SERVING = b"SERVING"  # the new process takes clients
-MAX_MESSAGE_BYTES = 1 << 18  # far over what an endpoint list or a connection's unsent bytes take
+MAX_MESSAGE_BYTES = 1 << 18  # far more than an endpoint list or a connection's unsent bytes need
 
 
 class DescriptorTransfer(msgspec.Struct, frozen=True):
     """The message that accompanies the listener's descriptor."""
 
-    retained_descriptor_count: int = msgspec.field(name="kept")  # by the old process
+    retained_descriptor_count: int = msgspec.field(name="kept")  # that the old process may still use
     endpoints: EndpointList = msgspec.field(name="members")
 
 
 class BytesByDirection(NamedTuple):
-    """Bytes of a connection in transit, encoded as an array in this order."""
+    """Bytes of a connection that are not forwarded yet, encoded as an array in this order."""
 
     to_client: bytes
     to_upstream: bytes
@@ -38,37 +38,37 @@
 
     opening: str  # the client's first line, without its line end
     endpoint_id: str = msgspec.field(name="member")
-    last_upstream_keyword: str = msgspec.field(name="last_word")  # of the endpoint's last line
+    last_upstream_keyword: str = msgspec.field(name="last_word")  # the keyword of the endpoint's last line
     # When the oldest unanswered line was sent to the endpoint, in microseconds of the machine's monotonic
-    # clock, which both processes share; None: no line is unanswered.
+    # clock, which both processes share; None if no line is unanswered.
     waiting_since_us: int | None = msgspec.field(name="asked")
-    partial_lines: BytesByDirection = msgspec.field(name="rests")  # received without a line end so far
-    pending_lines: BytesByDirection = msgspec.field(name="waiting")  # complete, not written yet
+    partial_lines: BytesByDirection = msgspec.field(name="rests")  # received without their line ends so far
+    pending_lines: BytesByDirection = msgspec.field(name="waiting")  # complete, but not sent yet
 
 
 class DescriptorSplit(NamedTuple):
-    """How two processes of a node share its descriptors."""
+    """How the old and the new process of a node divide its descriptors."""
 
-    retained_count: int  # by the old process
-    released_count: int  # to the new one
+    retained_count: int  # for the old process
+    released_count: int  # for the new process
 
 
 class ConnectionOwner(Protocol):
-    """The owner of this process's listener and connections; called on the handover's thread."""
+    """The owner of this process's listener and connections; called from the handover's thread."""
 
     def split_descriptors(self) -> DescriptorSplit:
-        """Return how this process splits its descriptors with a new one."""
+        """Return how this process divides its descriptors between itself and a new process."""
 
     def known_endpoints(self) -> EndpointList:
-        """Return the endpoint list as this process knows it."""
+        """Return the endpoint list that this process has."""
 
     def on_successor_serving(self) -> None:
-        """Leave the listener's queue to another process, which accepts clients from it."""
+        """Leave the listener's queue to the successor, which accepts clients from it now."""
 
     def on_successor_lost(self) -> None:
-        """Accept clients from the listener's queue again: no other process does."""
+        """Accept clients from the listener's queue again, because no other process does."""
 
     def adopt_connection(
         self, state: ConnectionState, client: socket.socket, upstream: socket.socket
     ) -> None:
-        """Continue a connection of the process before; both sockets belong to the callee."""
+        """Continue a connection of the predecessor, and take ownership of both sockets."""
--- a/tansyladder/net/handover_thread.py
+++ b/tansyladder/net/handover_thread.py
@@ -1,4 +1,4 @@
-"""The thread that talks to the other processes of the node: the one before, and those that come next."""
+"""The thread that communicates with the other processes of the node: its predecessor and its successors."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 )
 from tansyladder.net.handover_sockets import PublishedAddress, SuccessorConnections
 
-MAX_REQUEST_BYTES = 64  # of a message from a new process
+MAX_REQUEST_BYTES = 64  # of a message from a successor
 
 
 class HandoverThread:
-    """Takes connections from the process before, and gives the listener to the next. Owned by its thread."""
+    """Takes connections over from the predecessor, and sends successors the listener. Owned by its thread."""
 
     def __init__(
         self,
@@ -35,14 +35,14 @@
         listener: socket.socket,
         owner: ConnectionOwner,
     ) -> None:
-        """Prepare the thread; `run` runs in it.
+        """Prepare the object; `run` is the thread's function.
 
         Args:
             lifecycle: Changed by this thread from now on.
-            address: Where new processes connect.
-            predecessor: To the process before this one, where there is one.
-            successors: Gets the connections of new processes.
-            listener: The clients' listener, for new processes.
+            address: Where successors connect.
+            predecessor: The connection to the predecessor; None if there is none.
+            successors: Holds the connections of successors.
+            listener: The clients' listener, which is sent to successors.
             owner: Is notified of what the other processes do.
         """
         self._lifecycle = lifecycle
@@ -53,14 +53,14 @@
         self._owner = owner
 
     def run(self) -> None:
-        """Handle what the other processes send, until the address is stopped."""
+        """Handle the messages of other processes until the address is stopped."""
         while not self._address.is_stopped:
             for descriptor in self._wait_readable():
                 if not self._address.is_stopped:
                     self._handle_and_log_errors(descriptor)
 
     def _wait_readable(self) -> list[int]:
-        """Wait until another process sends or connects; return the readable descriptors."""
+        """Wait until another process sends a message or connects; return the readable descriptors."""
         poll = select.poll()
         for sock in (self._address.listener, self._predecessor, *self._successors.sockets()):
             if sock is not None:
@@ -74,7 +74,7 @@
             pass
         except OSError as err:
             log(LogEvent.LISTENER_HANDOVER_FAILED, error=err)
-        # The top of the thread: after any fault the next version must still get the listener.
+        # The outermost handler of the thread: after any error a successor must still get the listener.
         except Exception as err:  # noqa: BLE001
             log(LogEvent.INTERNAL_ERROR, error=repr(err))
 
@@ -83,13 +83,13 @@
             self._successors.accept(self._address.listener)
         elif self._predecessor is not None and descriptor == self._predecessor.fileno():
             self._receive_from_predecessor(self._predecessor)
-        elif (successor := self._successors.find(descriptor)) is not None:  # else it has just been closed
+        elif (successor := self._successors.find(descriptor)) is not None:  # None: closed in this round
             self._receive_from_successor(successor)
 
-    # --- the process before
+    # --- the predecessor
 
     def _receive_from_predecessor(self, predecessor: socket.socket) -> None:
-        """Take an established connection, or note that the process before this one has ended."""
+        """Take over an established connection, or record that the predecessor has ended."""
         try:
             message, descriptors, _, _ = socket.recv_fds(
                 predecessor, MAX_MESSAGE_BYTES, DESCRIPTORS_PER_CONNECTION
@@ -109,7 +109,7 @@
         self._lifecycle.connection_received()
         self._owner.adopt_connection(msgspec.json.decode(message, type=ConnectionState), client, upstream)
 
-    # --- new processes
+    # --- the successors
 
     def _receive_from_successor(self, successor: socket.socket) -> None:
         try:
@@ -125,7 +125,7 @@
             self._lifecycle.successor_serving()
             log(LogEvent.LISTENER_HANDOVER, step=HandoverStep.SUCCESSOR_SERVING)
             self._owner.on_successor_serving()
-        else:  # the end of its process, or not one of this node
+        else:  # its process has ended, or is not one of this program
             self._drop_successor(successor)
 
     def _share_listener(self, successor: socket.socket) -> None:
@@ -140,7 +140,7 @@
             log(LogEvent.LISTENER_HANDOVER, step=HandoverStep.SUCCESSOR_EXITED)
             if not self._successors.has_serving:
                 self._lifecycle.successor_lost()
-                self._address.publish_again()  # the successor had taken the name
+                self._address.publish_again()  # the successor had replaced this process's socket
                 self._owner.on_successor_lost()
         if not self._successors.sockets():
             self._lifecycle.successors_disconnected()
--- a/tansyladder/net/http.py
+++ b/tansyladder/net/http.py
@@ -1,4 +1,4 @@
-"""The subset of HTTP/1.1 that discovery needs: one GET at a time on a persistent connection."""
+"""An HTTP/1.1 client with what discovery needs: one GET request at a time on a persistent connection."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from tansyladder.net.clock import now
 from tansyladder.net.errors import NetworkError
 
-MAX_HEAD_BYTES = 16 * 1024  # far over what the platform's front end sends
-MAX_BODY_BYTES = 4 * 1024 * 1024  # far over any list of endpoints; it bounds the node's memory
-READ_SIZE_BYTES = 64 * 1024  # of one read: a list of endpoints takes few reads
+MAX_HEAD_BYTES = 16 * 1024  # of a response's head; far more than the platform's front end sends
+MAX_BODY_BYTES = 4 * 1024 * 1024  # far more than any endpoint list; bounds the node's memory
+READ_SIZE_BYTES = 64 * 1024  # of one read; an endpoint list takes few reads
 _STATUS_OK = 200
-_STATUS = re.compile("[0-9]{3}")
+_STATUS_PATTERN = re.compile("[0-9]{3}")
 
 
 class HttpError(NetworkError):
-    """A response that is malformed, or not the one requested."""
+    """The response is malformed, too long, incomplete, or not the one requested."""
 
 
 class HttpStatusError(HttpError):
-    """A complete response whose status, in `status`, is not 200."""
+    """The response is complete, but its status is not 200."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"status {status}")
+        super().__init__(f"expected HTTP status 200, got {status}")
         self.status = status
 
 
 class HttpTimeoutError(HttpError):
-    """No complete response in time: the server may be running and not have received the request."""
+    """No complete response arrived in time; the server may be running and not have received the request."""
 
 
 class ResponseHead(NamedTuple):
@@ -47,18 +47,18 @@
 class HttpClient:
     """A blocking client of one server.
 
-    `get` and `close` are called by one thread; `abort` is thread-safe.
+    One thread calls `get` and `close`; `abort` is thread-safe.
     """
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._sock: socket.socket | None = None
-        self._received = b""  # received, and not parsed yet
+        self._received = b""  # bytes that are not parsed yet
         self._is_aborted = False
-        self._lock = threading.Lock()  # the descriptor must not be closed and reused during a shutdown
+        self._lock = threading.Lock()  # the descriptor must not be closed and reused during `abort`
 
     def close(self) -> None:
-        """Close the connection; the next call makes a new one."""
+        """Close the connection; the next `get` opens a new one."""
         with self._lock:
             if self._sock is not None:
                 self._sock.close()
@@ -66,23 +66,26 @@
             self._received = b""
 
     def abort(self) -> None:
-        """Make the call that another thread is waiting in fail now, and every later call as well."""
+        """Make a `get` that another thread waits in fail immediately, and every later `get` as well."""
         with self._lock:
             self._is_aborted = True
             if self._sock is not None:
                 with contextlib.suppress(OSError):
-                    self._sock.shutdown(socket.SHUT_RDWR)  # wakes a blocked recv, which a close does not
+                    self._sock.shutdown(socket.SHUT_RDWR)  # wakes a blocked recv, which close() does not
 
     def get(self, path: str, connect_timeout: timedelta, timeout: timedelta) -> bytes:
-        """Return the body of a response with status 200; after any error the connection is closed.
+        """Request a path, and return the body of the response; after any error the connection is closed.
 
-        `timeout` bounds the whole call; `connect_timeout` the connect, and the sending of the request.
+        Args:
+            path: The path, with its query.
+            connect_timeout: Bounds the connect, and the sending of the request.
+            timeout: Bounds the wait for the complete response, counted from the start of the call.
 
         Raises:
-            HttpStatusError: The status is another.
+            HttpStatusError: The status of the response is not 200.
             HttpTimeoutError: The response is not complete in time.
             HttpError: The response is malformed or too long, or the client was aborted.
-            OSError: The connection can't be established, or it broke.
+            OSError: The connection could not be established, or it broke.
         """
         try:
             return self._get(path, connect_timeout, now() + timeout)
@@ -112,33 +115,37 @@
             with self._lock:
                 self._sock = sock
         if self._is_aborted:
-            raise HttpError("ended")
+            raise HttpError("the HTTP client was aborted")
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return self._sock
 
     def _receive(self, deadline: timedelta) -> None:
-        """Append the next received bytes to those that are not parsed yet."""
+        """Wait for data, and append it to the bytes that are not parsed yet."""
         assert self._sock is not None
         try:
             data = sockets.receive_by(self._sock, READ_SIZE_BYTES, deadline)
         except TimeoutError as err:
-            raise HttpTimeoutError("no answer in time") from err
+            raise HttpTimeoutError(
+                f"no complete response from {self._address[0]}:{self._address[1]} in time"
+            ) from err
         if not data:
-            raise HttpError("the connection ended within an answer")
+            raise HttpError("the server closed the connection before the response was complete")
         self._received += data
 
     def _read_until(self, delimiter: bytes, deadline: timedelta, max_bytes: int) -> bytes:
-        """Read up to a delimiter, and return what precedes it."""
+        """Read up to a delimiter, and return the bytes before it."""
         while delimiter not in self._received:
             if len(self._received) > max_bytes:
-                raise HttpError("a part of the answer is too long")
+                raise HttpError(
+                    f"expected {delimiter!r} within {max_bytes} bytes, got {len(self._received)} without it"
+                )
             self._receive(deadline)
         part, self._received = self._received.split(delimiter, 1)
         return part
 
     def _read_exactly(self, size: int, deadline: timedelta) -> bytes:
         if not 0 <= size <= MAX_BODY_BYTES:
-            raise HttpError("the body is too long")
+            raise HttpError(f"expected at most {MAX_BODY_BYTES} bytes of body, got a length of {size}")
         while len(self._received) < size:
             self._receive(deadline)
         part = self._received[:size]
@@ -152,49 +159,51 @@
             return self._read_exactly(
                 _parse_number(headers["content-length"], 10, "content-length"), deadline
             )
-        raise HttpError("an answer without a length")
+        raise HttpError("the response has neither a Content-Length nor chunked encoding")
 
     def _read_chunks(self, deadline: timedelta) -> bytes:
         chunks: list[bytes] = []
         body_size = 0
         while True:
             size_line = self._read_until(b"\r\n", deadline, MAX_HEAD_BYTES)
-            size_text = size_line.split(b";", 1)[0].strip()  # an extension may follow the size
+            size_text = size_line.split(b";", 1)[0].strip()  # a chunk extension may follow the size
             size = _parse_number(size_text.decode("latin-1"), 16, "chunk size")
             if size == 0:
                 while self._read_until(b"\r\n", deadline, MAX_HEAD_BYTES):
-                    pass  # trailers, up to an empty line
+                    pass  # skip trailers, up to the empty line
                 return b"".join(chunks)
             chunks.append(self._read_exactly(size, deadline))
             body_size += size
             if body_size > MAX_BODY_BYTES or self._read_exactly(2, deadline) != b"\r\n":
-                raise HttpError("a broken chunk")
+                raise HttpError(
+                    f"a chunk without CRLF at its end, or more than {MAX_BODY_BYTES} bytes of body"
+                )
 
 
 def _parse_number(text: str, base: int, name: str) -> int:
-    if not text.isascii() or not text.isalnum():  # `int` would take signs, spaces and underscores
-        raise HttpError(f"{name}: not a number")
+    if not text.isascii() or not text.isalnum():  # `int` accepts signs, spaces and underscores
+        raise HttpError(f"{name}: expected a number in base {base}, got {text!r}")
     try:
         return int(text, base)
     except ValueError as err:
-        raise HttpError(f"{name}: not a number") from err
+        raise HttpError(f"{name}: expected a number in base {base}, got {text!r}") from err
 
 
 def parse_head(head: bytes) -> ResponseHead:
-    """Parse a response's head, without the empty line that ends it.
+    """Parse the head of a response, given without the empty line that ends it.
 
     Raises:
-        HttpError: It is not the head of an HTTP/1.x response.
+        HttpError: The bytes are not the head of an HTTP/1.x response.
     """
     status_line, *header_lines = head.decode("latin-1").split("\r\n")
     version, _, status_and_reason = status_line.partition(" ")
     status = status_and_reason.partition(" ")[0]
-    if not version.startswith("HTTP/1.") or not _STATUS.fullmatch(status):
-        raise HttpError("not an HTTP/1.1 answer")
+    if not version.startswith("HTTP/1.") or not _STATUS_PATTERN.fullmatch(status):
+        raise HttpError(f"expected an HTTP/1.x status line, got {status_line!r}")
     headers = {}
     for line in header_lines:
         name, colon, value = line.partition(":")
         if not colon:
-            raise HttpError("a broken header")
+            raise HttpError(f"expected a header NAME: VALUE, got {line!r}")
         headers[name.strip().lower()] = value.strip()
     return ResponseHead(int(status), headers)
--- a/tansyladder/net/listener_handover.py
+++ b/tansyladder/net/listener_handover.py
@@ -1,12 +1,13 @@
-"""A new process takes the place of a running one: it gets the clients' listener, and later the connections.
+"""Handover from a running process to its successor: the clients' listener, then the established connections.
 
-The running process listens on a Unix socket in $TMPDIR. A process that connects there and sends a request
-gets the descriptor of the clients' listener, and stays connected; it sends another message once it serves.
-From then on a SIGTERM of the old process leaves the listener's queue to the new one, and hands each
-established connection over: both its sockets, and what has not been forwarded. If the new process ends first,
-the old one continues.
+The running process listens on a Unix socket in $TMPDIR. A new process connects there, requests the clients'
+listener, gets its descriptor and stays connected; it sends another message once it serves clients. If the old
+process then receives SIGTERM, it leaves the listener's queue to the new process and hands each established
+connection over: both sockets, and the bytes that are not forwarded yet. If the new process ends before
+the old one, the old one accepts clients again.
 
-Both processes share the node's descriptors: the old one says how many it keeps, the new one has the others.
+Both processes share the node's descriptors: the old one says how many it retains, the new one may use the
+others.
 """
 
 from __future__ import annotations
@@ -42,32 +43,32 @@
 
 
 class HandoverError(NetworkError):
-    """A process of this node answered, but not with what was requested."""
+    """The predecessor answered, but not with what was requested."""
 
 
 class ListenerHandover:
-    """Both ends of the handover: from the process before to this one, and from this one to the next.
+    """Both sides of the handover: from the predecessor to this process, and from it to a successor.
 
     Thread-safe after `serve`, which starts the thread that talks to the other processes.
     """
 
     def __init__(self, listen: Address, folder: str | None) -> None:
-        """`folder`: private to the node and shared by its processes; None: there is no handover."""
+        """`folder` is private to the node and shared by its processes; None disables the handover."""
         self._address = None if folder is None else HandoverAddress(listen, folder)
-        self._published: PublishedAddress | None = None  # from `serve` on
-        self._thread: threading.Thread | None = None  # likewise
-        self._predecessor: socket.socket | None = None  # given to the handover's thread by `serve`
+        self._published: PublishedAddress | None = None  # set by `serve`
+        self._thread: threading.Thread | None = None  # set by `serve`
+        self._predecessor: socket.socket | None = None  # `serve` passes it to the handover's thread
         self._successors = SuccessorConnections()
         self._lifecycle = HandoverLifecycle()
-        # An eventfd, readable while established connections are to be handed over. Independent of the states:
-        # the main thread begins the migration, and a relay whose connection nobody took ends it.
+        # An eventfd, readable while established connections are to be handed over. Separate from the
+        # lifecycle: the main thread sets it, and a relay clears it if no successor took its connection.
         self._migration_event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
-        self.endpoints: EndpointList | None = None  # the list of the process before
+        self.endpoints: EndpointList | None = None  # the predecessor's list
 
-    # --- from the process before
+    # --- from the predecessor
 
     def request_listener(self) -> socket.socket | None:
-        """Return the clients' listener of the running process; None if there is no process or no answer."""
+        """Return the running process's listener; None if there is no process or it does not answer."""
         if self._address is None:
             return None
         predecessor = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)  # preserves message boundaries
@@ -75,7 +76,7 @@
         try:
             self._address.connect(predecessor)
             transfer, listener = _exchange_request(predecessor)
-        # No process is there, it hangs, or it is another kind of program.
+        # No process listens there, it hangs, or it is another program.
         except (OSError, HandoverError, msgspec.MsgspecError) as err:
             predecessor.close()
             if not isinstance(err, FileNotFoundError):
@@ -89,24 +90,24 @@
 
     @property
     def is_predecessor_running(self) -> bool:
-        """Whether the process before this one still runs."""
+        """Whether the predecessor still runs."""
         return self._lifecycle.is_predecessor_running
 
     def wait_until_predecessor_exits(self) -> None:
-        """Return at once where no process before this one runs, else when it has ended."""
+        """Wait until the predecessor has ended; return at once if none runs."""
         self._lifecycle.wait_until_predecessor_exits()
 
     @property
     def remote_descriptor_count(self) -> int:
-        """How many of the node's descriptors another process has."""
+        """How many of the node's descriptors other processes may use."""
         return self._lifecycle.remote_descriptor_count
 
-    # --- to the next process
+    # --- to the successor
 
     def serve(self, listener: socket.socket, owner: ConnectionOwner) -> None:
-        """Notify the process before that this one serves clients, and wait for the next one in a thread."""
+        """Notify the predecessor that this process serves, and start the thread that awaits successors."""
         if self._predecessor is not None:
-            with contextlib.suppress(OSError):  # it has ended already
+            with contextlib.suppress(OSError):  # the predecessor has ended already
                 self._predecessor.sendall(SERVING)
         if self._address is None:
             return
@@ -117,21 +118,21 @@
             )
             self._thread = threading.Thread(target=handover_thread.run, name="listener-handover", daemon=True)
             self._thread.start()
-        except (OSError, RuntimeError) as err:  # no folder or thread: a successor opens its own listener
+        except (OSError, RuntimeError) as err:  # without folder or thread, a successor opens a new listener
             log(LogEvent.LISTENER_HANDOVER_FAILED, error=err)
 
     @property
     def has_successor(self) -> bool:
-        """Whether another process serves the clients."""
+        """Whether a successor serves clients."""
         return self._lifecycle.has_successor
 
     @property
     def is_listener_shared(self) -> bool:
-        """Whether another process may have the listener too: it must not be shut down then."""
+        """Whether another process may have the listener as well; it must not be shut down then."""
         return self._lifecycle.is_listener_shared
 
     def begin_migration(self) -> None:
-        """Make the relays hand their connections to the successor, where there is one."""
+        """Have the relays hand their connections over to the successor, if there is one."""
         if self.has_successor:
             os.eventfd_write(self._migration_event, 1)
 
@@ -140,23 +141,23 @@
         return self._migration_event
 
     def hand_over(self, state: ConnectionState, client: socket.socket, upstream: socket.socket) -> bool:
-        """Send a connection to the successor; return whether it was sent, else it remains the caller's.
+        """Send a connection to the successor; return whether it was sent.
 
-        Once it is sent the caller closes its sockets and does not shut them down.
+        If it was, the caller closes its own copies of the sockets, without a shutdown; if not, it keeps them.
         """
         if self._successors.send_connection(msgspec.json.encode(state), [client.fileno(), upstream.fileno()]):
             return True
         with contextlib.suppress(BlockingIOError):
-            os.eventfd_read(self._migration_event)  # it must not wake another relay
+            os.eventfd_read(self._migration_event)  # no other relay must try
         return False
 
     def unpublish(self) -> None:
-        """Remove the name at the end of the process, unless a successor has taken it."""
+        """Remove the socket's path at the end of the process, unless a successor has replaced the socket."""
         if self._published is not None and not self.has_successor:
             self._published.unpublish()
 
     def stop(self) -> None:
-        """End the handover's thread, and wait for it: other processes get no answer from then on."""
+        """End the handover's thread, and wait for it; other processes get no answer from then on."""
         if self._published is not None:
             self._published.stop()
         if self._thread is not None and self._thread.is_alive():
@@ -172,12 +173,12 @@
     """Request the clients' listener of the running process.
 
     Raises:
-        OSError: It does not answer.
-        HandoverError, msgspec.MsgspecError: It answers with something else.
+        OSError: The process does not answer.
+        HandoverError, msgspec.MsgspecError: Its answer is not a listener.
     """
     predecessor.sendall(REQUEST_LISTENER)
     message, descriptors, _, _ = socket.recv_fds(predecessor, MAX_MESSAGE_BYTES, 1)
     transfer = msgspec.json.decode(message, type=DescriptorTransfer)
     if not descriptors:
-        raise HandoverError("no descriptor came")
+        raise HandoverError("expected the listener's descriptor with the answer, got none")
     return _ReceivedListener(transfer, socket.socket(fileno=descriptors[0]))
--- a/tansyladder/net/protocol.py
+++ b/tansyladder/net/protocol.py
@@ -1,7 +1,7 @@
-"""The platform's line protocol between clients, nodes and endpoints: parsing and formatting, no sockets.
+"""The platform's line protocol between clients, nodes and endpoints: parsing and formatting, without I/O.
 
-A line ends in CRLF and consists of words with one space between them; the first word is its keyword. A client
-opens a connection with `OPEN ID KEY FIELDS`, where the fields are `name=value` pairs with commas between.
+A line ends in CRLF and consists of words separated by single spaces; the first word is its keyword. A client
+opens a connection with `OPEN ID KEY FIELDS`, where the fields are `name=value` pairs separated by commas.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from tansyladder.net.clock import MILLISECOND
 from tansyladder.net.errors import NetworkError
 
-MAX_LINE_BYTES = 4096  # without the line end; the platform's own limit
-MAX_WAIT = timedelta(seconds=60)  # that a client may ask for
-# Of a connection that was open before the node started: nobody waits for an answer to its `d`.
+MAX_LINE_BYTES = 4096  # the platform's limit for a line, including its line feed
+MAX_WAIT = timedelta(seconds=60)  # the longest wait that a client may request
+# The longest wait of a connection that was open before the node started; its client waits for no answer.
 MAX_ADOPTED_WAIT = timedelta(hours=2)
-MAX_LOAD_HINT = 4e9  # exclusive; far over any load of one connection, and whole numbers fit 32 bits
+MAX_LOAD_HINT = 4e9  # exclusive; far more than one connection's load, and below 2**32
 
 # Keywords of lines.
 PING = b"PING"
@@ -42,19 +42,19 @@
 RECONNECT_FIELD = "again"
 ENDPOINT_FIELD = "at"
 TENANT_FIELD = "t"
-# Fields of sessions that can be resumed; they mean nothing where resumption is off.
+# Fields for sessions that can be resumed; they have no effect if resumption is disabled.
 RESUME_OFFER_FIELD = "rs"
 RESUME_TOKEN_FIELD = "rt"
 RESUME_POSITION_FIELD = "rp"
 
 _ID = re.compile(r"[0-9a-f]{1,16}\Z", re.I | re.A)
-_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?\Z", re.A)  # no sign, no exponent, no inf, no huge one
+_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?\Z", re.A)  # no sign, exponent, infinity or huge value
 _FIELD_NAME = re.compile(r"[a-z][a-z0-9_]{0,31}\Z", re.A)
-_FIELD_VALUE = re.compile(r"[!-~]{1,128}\Z", re.A)  # forwarded unchanged: printable, of bounded length
+_FIELD_VALUE = re.compile(r"[!-~]{1,128}\Z", re.A)  # printable and of bounded length: forwarded unchanged
 
 
 class LineError(NetworkError):
-    """A line that violates the protocol; the text says how."""
+    """A line violates the protocol; the message says how."""
 
 
 class LineBuffer:
@@ -63,33 +63,33 @@
     __slots__ = ("partial_line",)
 
     def __init__(self) -> None:
-        self.partial_line = b""  # received without its line end so far; under `MAX_LINE_BYTES`
+        self.partial_line = b""  # received without its line end so far; shorter than `MAX_LINE_BYTES`
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that are complete now, each with its line end.
+        """Append received data, and return the lines that are complete now, each with its line end.
 
         Raises:
-            LineError: A line is too long; the buffer is of no further use.
+            LineError: A line is too long; the buffer must not be used any more.
         """
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         if len(self.partial_line) >= MAX_LINE_BYTES or any(len(line) >= MAX_LINE_BYTES for line in lines):
-            raise LineError(f"a line longer than {MAX_LINE_BYTES} bytes")
+            raise LineError(f"expected a line of at most {MAX_LINE_BYTES} bytes, got a longer one")
         return [line + b"\n" for line in lines]
 
 
 def strip_line_end(line: bytes) -> bytes:
-    """Return a line without its end.
+    """Return a line without its CRLF.
 
     Raises:
         LineError: The line does not end in CRLF.
     """
     if not line.endswith(b"\r\n"):
-        raise LineError("a line that does not end in CRLF")
+        raise LineError("expected a line that ends in CRLF")
     return line[:-2]
 
 
 def parse_keyword(line: bytes) -> bytes:
-    """Return the keyword of a line: its first word."""
+    """Return the keyword of a line, which is its first word."""
     return line.rstrip(b"\r\n").split(b" ", 1)[0]
 
 
@@ -102,39 +102,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """A client's first line, validated."""
+    """A client's parsed and validated first line."""
 
     connection_id: str  # in lower case
-    key: int  # by which connections are distributed
+    key: int  # the connection's key for the choice of an endpoint
     class_name: str
-    wait: timedelta  # from the line's arrival, in which the client wants its answer
+    wait: timedelta  # how long the client waits for its answer, from the arrival of this line
     group_key: int
     is_retry: bool
     is_reconnect: bool
-    endpoint_id: str | None  # to which the connection was open before the node started
+    endpoint_id: str | None  # where the connection was open before the node started; None for a new one
     load_hint: float | None
     fields: tuple[Field, ...]
     prefix: str  # the words before the fields, as received
 
     @property
     def line(self) -> str:
-        """The complete line as received, without its end."""
+        """The complete line as received, without its CRLF."""
         return f"{self.prefix} {','.join(f'{name}={value}' for name, value in self.fields)}"
 
     @property
     def field_values(self) -> dict[str, str]:
-        """The fields' values by name."""
+        """The values of the fields, by name."""
         return dict(self.fields)
 
     def format_for_endpoint(
         self, wait: timedelta, omitted: Collection[str] = (), added: tuple[tuple[str, str], ...] = ()
     ) -> bytes:
-        """Return the line for an endpoint: as received, except that `d` says how long the node waits.
+        """Return the line to send to an endpoint: as received, with the node's own wait in the field `d`.
 
         Args:
-            wait: How long the node waits for the endpoint's answer.
-            omitted: Names of fields that are meant for the node alone.
-            added: Fields of the node's own.
+            wait: How long the node waits for the endpoint's answer; sent as at least 1 ms.
+            omitted: Names of fields that are only for the node.
+            added: Fields that the node adds at the end.
         """
         wait_ms = str(max(1, wait // MILLISECOND))
         fields = [field for field in self.fields if field.name not in omitted]
@@ -145,21 +145,21 @@
 
 
 def parse_opening(line: bytes) -> Opening:
-    """Parse a client's OPEN line with its line end.
+    """Parse a client's OPEN line, given with its line end.
 
     Raises:
-        LineError: The line is no OPEN, or a word or field of it is malformed or out of range.
+        LineError: The line is not an OPEN line, or one of its words or fields is malformed or out of range.
     """
     connection_id, key, fields = _split_opening(line)
     values = dict(fields)
     if len(values) != len(fields):
-        raise LineError("a name stands twice")
+        raise LineError("expected each field name once, got one twice")
     if CLASS_FIELD not in values:
-        raise LineError("c: missing")
+        raise LineError("c: required field is missing")
     wait = _parse_wait(values)
     group_key = values.get(GROUP_FIELD, "0")
     if not _ID.match(group_key):
-        raise LineError("g: up to 16 hexadecimal digits expected")
+        raise LineError(f"g: expected up to 16 hexadecimal digits, got {group_key!r}")
     return Opening(
         connection_id=connection_id.lower(),
         key=int(key, 16),
@@ -176,7 +176,7 @@
 
 
 class _OpeningWords(NamedTuple):
-    """The words of an OPEN line; the fields are parsed, but not checked yet."""
+    """The words of an OPEN line, with the fields split into pairs but their values not parsed yet."""
 
     connection_id: str
     key: str
@@ -187,23 +187,23 @@
     try:
         words = strip_line_end(line).decode("utf-8").split(" ")
     except UnicodeDecodeError as err:
-        raise LineError("a line that is not UTF-8") from err
+        raise LineError("expected a line in UTF-8") from err
     match words:
         case ["OPEN", connection_id, key, fields]:
             pass
         case _:
-            raise LineError("not OPEN ID KEY VALUES")
+            raise LineError(f"expected OPEN ID KEY FIELDS, got {len(words)} words, the first {words[0]!r}")
     if not _ID.match(connection_id):
-        raise LineError("id: up to 16 hexadecimal digits expected")
+        raise LineError(f"id: expected up to 16 hexadecimal digits, got {connection_id!r}")
     if not _ID.match(key):
-        raise LineError("key: up to 16 hexadecimal digits expected")
+        raise LineError(f"key: expected up to 16 hexadecimal digits, got {key!r}")
     return _OpeningWords(connection_id, key, tuple(_parse_field(text) for text in fields.split(",")))
 
 
 def _parse_field(text: str) -> Field:
     name, _, value = text.partition("=")
     if not _FIELD_NAME.match(name) or not _FIELD_VALUE.match(value):
-        raise LineError("NAME=VALUE expected")
+        raise LineError("expected fields NAME=VALUE, separated by commas, got a field of another form")
     return Field(name, value)
 
 
@@ -211,7 +211,9 @@
     wait = _parse_number(values, WAIT_FIELD) * MILLISECOND
     longest = MAX_ADOPTED_WAIT if ENDPOINT_FIELD in values else MAX_WAIT
     if not timedelta(0) < wait <= longest:
-        raise LineError(f"d: out of range: {values[WAIT_FIELD]}")
+        raise LineError(
+            f"d: expected more than 0 and at most {longest // MILLISECOND} ms, got {values[WAIT_FIELD]}"
+        )
     return wait
 
 
@@ -220,33 +222,33 @@
         return None
     hint = _parse_number(values, LOAD_HINT_FIELD)
     if hint >= MAX_LOAD_HINT:
-        raise LineError("h: out of range")
+        raise LineError(f"h: expected less than {MAX_LOAD_HINT:.0f}, got {values[LOAD_HINT_FIELD]}")
     return hint
 
 
 def _parse_flag(values: Mapping[str, str], name: str) -> bool:
     value = values.get(name, "0")
     if value not in ("0", "1"):
-        raise LineError(f"{name}: 0 or 1 expected")
+        raise LineError(f"{name}: expected 0 or 1, got {value!r}")
     return value == "1"
 
 
 def _parse_number(values: Mapping[str, str], name: str) -> float:
     if not _NUMBER.match(values.get(name, "")):
-        raise LineError(f"{name}: a number expected")
+        raise LineError(f"{name}: expected an unsigned decimal number, got {values.get(name)!r}")
     return float(values[name])
 
 
 def format_reject(retry_after: timedelta) -> bytes:
-    """Return the line that rejects a client; `retry_after` is rounded up to milliseconds."""
+    """Return the line that rejects a client; `retry_after` is rounded up to whole milliseconds."""
     milliseconds = -(-retry_after // MILLISECOND)
     return b"BUSY %d\r\n" % milliseconds if milliseconds > 0 else b"BUSY\r\n"
 
 
 def parse_load_report(line: bytes, columns: Sequence[str]) -> tuple[float, ...]:
-    """Return the load report that a line ends with (`x0=0.4,qps=12`), in the order of the settings' columns.
+    """Return the load report at the end of a line (`x0=0.4,qps=12`) as values in the order of `columns`.
 
-    Empty where there is none, or where a column is missing or no finite number.
+    The result is empty if there is no report, or if a column is missing or not a finite number.
     """
     fields = line.decode("ascii", "replace").strip().rpartition(" ")[2].split(",")
     texts = {name: text for name, _, text in (field.partition("=") for field in fields)}
@@ -258,7 +260,7 @@
 
 
 def parse_load_line(line: bytes) -> tuple[float, ...]:
-    """Return the values of a LOAD line; empty where one of them is no finite number."""
+    """Return the values of a LOAD line, or none if one of them is not a finite number."""
     try:
         values = tuple(float(text) for text in line.decode("ascii").replace(",", " ").split()[1:])
     except ValueError:
--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -1,4 +1,4 @@
-"""The relay: forwards complete lines between a client and its endpoint, until one of them ends."""
+"""The relay: forwards complete lines between a client and its endpoint until the connection ends."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.policy.events import AttemptStatus
 
-IDLE_INTERVAL = timedelta(seconds=30)  # of a wait while no line is unanswered; any event ends it sooner
-HALF_CLOSED_TIMEOUT = timedelta(milliseconds=800)  # the platform allows a second to close both sides
+IDLE_INTERVAL = timedelta(seconds=30)  # longest wait while no line is unanswered; any event ends it sooner
+HALF_CLOSED_TIMEOUT = timedelta(milliseconds=800)  # the platform allows 1 s to close both sides
 
 
 class Relay:
@@ -47,12 +47,12 @@
         """Prepare the relay of a connection; `run` or `resume` forwards its lines.
 
         Args:
-            client: Closed by the relay.
+            client: The connection to the client; closed by the relay.
             upstream: The connection to the endpoint; closed by the relay.
-            opening: The client's first line, for a process to which the connection is handed over.
-            actions: Any action of the policy ends the connection with MOVE.
-            delay_reports: Of this connection.
-            handover: To the next process of this node.
+            opening: The client's first line, which a successor needs if the connection is handed over.
+            actions: The policy's actions for this request; any of them ends the connection with MOVE.
+            delay_reports: Reports the delays and loads of this connection.
+            handover: Hands the connection over to this process's successor.
         """
         self._client = RelaySide(client, protocol.LineBuffer())
         self._upstream = RelaySide(upstream.sock, upstream.buffer)
@@ -64,41 +64,41 @@
         self._actions = actions
         self._handover = handover
         self._response_timeout = self._monitor.response_timeout
-        self._half_closed_deadline: timedelta | None = None  # set with the first end of a side
-        self._final_status: AttemptStatus | None = None  # set once nothing more is to be forwarded
+        self._half_closed_deadline: timedelta | None = None  # set when the first side ends
+        self._final_status: AttemptStatus | None = None  # set once no more lines are forwarded
 
     def wake(self) -> None:
-        """Wake the relay from another thread, by a shutdown; a close would not wake it."""
+        """Wake the relay from another thread, by a shutdown, because closing the socket would not wake it."""
         with contextlib.suppress(OSError):
             self._upstream.sock.shutdown(socket.SHUT_RD)
 
     def run(self) -> AttemptStatus:
-        """Forward lines until the connection ends; return how it ended, with both sockets closed.
+        """Forward lines until the connection ends; close both sockets, and return how it ended.
 
-        The lines that the endpoint sent with its UP are forwarded first.
+        The endpoint's UP, and the lines received with it, are forwarded first.
         """
         try:
             if self._initial_lines:
                 self._monitor.lines_received(self._initial_lines)  # UP and BYE may arrive in one read
-                with contextlib.suppress(OSError):  # a broken connection is noticed at the first read
+                with contextlib.suppress(OSError):  # the first read detects a broken connection
                     self._client.send(b"".join(self._initial_lines))
             return self._relay_until_end()
         except protocol.LineError as err:
             log(LogEvent.INVALID_LINE, source=LineSource.RELAY, error=err)
             return self._end_with_move(AttemptStatus.CANCELLED)
         finally:
-            self._actions.close()  # no wake later, when the descriptor may be another connection's
+            self._actions.close()  # a later wake could shut down a reused descriptor
             self._upstream.sock.close()
             self._client.sock.close()
 
     def resume(self, state: ConnectionState) -> AttemptStatus:
-        """Continue from the state of another process; otherwise as `run`."""
+        """Continue a connection from the state that another process exported; otherwise the same as `run`."""
         self._connection.import_state(state)
         return self.run()
 
     def _relay_until_end(self) -> AttemptStatus:
         while self._final_status is None and (self._client.is_open or self._upstream.is_open):
-            if self._end_if_due():
+            if self._end_if_needed():
                 break
             ready = self._wait()
             if self._handover.fileno() in ready and self._connection.outcome is None and self._hand_over():
@@ -106,17 +106,17 @@
             for source, destination in self._connection.directions:
                 if not self._relay_direction(source, destination, ready):
                     break
-        # No `or` here: the status OK is 0, and `or` would discard it.
+        # Compared with None, not by `or`: the status OK is 0, which `or` would discard.
         if self._final_status is not None:
             return self._final_status
         outcome = self._connection.outcome
         return AttemptStatus.CANCELLED if outcome is None else outcome
 
-    def _end_if_due(self) -> bool:
-        """End the connection if it has to end; return whether the relay has ended.
+    def _end_if_needed(self) -> bool:
+        """End the connection if there is a reason to; return whether there was.
 
-        That is: the policy migrates it, the endpoint does not answer, a side accepts no data, or one side has
-        closed and HALF_CLOSED_TIMEOUT is over.
+        The reasons are: the policy has posted an action, the endpoint does not answer, one side accepts no
+        data, or `HALF_CLOSED_TIMEOUT` has passed since one side closed.
         """
         action = self._actions.take()
         if action is not None and self._connection.outcome is None:
@@ -136,9 +136,9 @@
         return True
 
     def _wait(self) -> set[int]:
-        """Wait until something can be read or written; return the descriptors that are ready.
+        """Wait until a descriptor can be read or written; return the descriptors that are ready.
 
-        A side is read only while the other has no unsent bytes, which applies backpressure to a fast sender.
+        A side is read only while the other side has no unsent bytes: a fast sender gets backpressure.
         """
         poll = select.poll()
         if self._connection.outcome is None:
@@ -152,7 +152,7 @@
         return sockets.poll_until(poll, self._half_closed_deadline or now() + interval)
 
     def _relay_direction(self, source: RelaySide, destination: RelaySide, ready: set[int]) -> bool:
-        """Flush what is pending towards `source`, then forward what it sent; return whether to continue."""
+        """Flush the bytes pending for `source`, then forward what it sent; return whether to continue."""
         is_source_ready = source.descriptor in ready
         try:
             if source.unsent and is_source_ready:
@@ -180,7 +180,10 @@
             self._monitor.lines_received(lines)
 
     def _forward_end(self, source: RelaySide, destination: RelaySide) -> bool:
-        """Forward the end of a side, of which the other may still send for a moment; False: it was a wake."""
+        """Forward the end of one side, after which the other may still send until the deadline.
+
+        Return False if the upstream's end was only the shutdown by which `wake` wakes this thread.
+        """
         if source is self._upstream and self._actions.peek() is not None:
             return False
         source.is_open = False
@@ -191,21 +194,21 @@
         return True
 
     def _end_with_reset(self, broken: RelaySide) -> None:
-        """End the connection after a side broke or stalled: reset the other one."""
+        """End the connection after one side broke or stalled, by a reset of the other side."""
         self._connection.record_end(broken)
         sockets.reset(self._connection.other(broken).sock)
         self._final_status = self._connection.outcome
 
     def _end_with_move(self, status: AttemptStatus) -> AttemptStatus:
-        """Send the client MOVE, after its unsent bytes, and close the endpoint's side."""
+        """Close the endpoint's side, and send the client its unsent bytes and MOVE."""
         self._upstream.sock.close()
         sockets.configure_stream(self._client.sock)
         sockets.shutdown_and_drain(self._client.sock, self._client.unsent + protocol.MOVE + b"\r\n")
         return status
 
     def _hand_over(self) -> bool:
-        """Hand the connection over to the next process; return whether it was, else it remains here."""
-        self._actions.use_callback(lambda: None)  # a wake shuts the socket down, for the other process too
+        """Hand the connection over to the successor; return whether it was sent, else it remains here."""
+        self._actions.use_callback(lambda: None)  # `wake` would shut the socket down for the successor too
         if self._actions.peek() is not None:
             return False
         state = self._connection.export_state(self._opening, self._endpoint_id)
--- a/tansyladder/net/relayed_connection.py
+++ b/tansyladder/net/relayed_connection.py
@@ -1,6 +1,6 @@
 """The state of a relayed connection: its two sides, the endpoint's last line, and how the connection ended.
 
-All of it is owned by the thread of the connection's relay.
+Everything here is owned by the thread of the connection's relay.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from tansyladder.net.response_timeout import ResponseTimeout
 from tansyladder.policy.events import AttemptStatus
 
-# The outcome of a connection that the endpoint ends, by the keyword of its last line; any other is a reset.
+# The outcome of a connection that the endpoint ended, by the keyword of its last line; otherwise RESET.
 OUTCOME_BY_LAST_KEYWORD = {protocol.BYE: AttemptStatus.OK, protocol.MOVE: AttemptStatus.CANCELLED}
 
 
 class RelaySide(BufferedSocket):
-    """One side of a relayed connection, with its partial line and its unsent bytes."""
+    """One side of a relayed connection: its socket, its partial line and its unsent bytes."""
 
     __slots__ = ("descriptor", "is_open")
 
     def __init__(self, sock: socket.socket, line_buffer: protocol.LineBuffer) -> None:
         super().__init__(sock, line_buffer)
         self.descriptor = sock.fileno()
-        self.is_open = True  # until it ends its half of the connection
+        self.is_open = True  # False once it has ended its half of the connection
 
     def send_from(self, other: RelaySide, data: bytes = b"") -> None:
-        """Send the other side's data as `send` does; once all is sent, forward the other side's end.
+        """Send data of the other side, as `send` does; once all is sent, forward the other side's end.
 
         Raises:
             SideBrokenError: The connection of this side broke.
@@ -44,7 +44,7 @@
             raise SideBrokenError(self) from err
 
     def receive(self) -> bytes | None:
-        """Return the next received bytes, nothing at this side's end, or None if there are none yet.
+        """Return the next received bytes, empty bytes at this side's end, or None if no data is available.
 
         Raises:
             SideBrokenError: The connection of this side broke.
@@ -58,25 +58,25 @@
 
 
 class SideBrokenError(NetworkError):
-    """The connection of one side of a relayed connection broke."""
+    """The socket of one side of a relayed connection broke."""
 
     def __init__(self, side: RelaySide) -> None:
-        super().__init__("the connection of a side broke")
+        super().__init__("the socket of one side of a relayed connection broke")
         self.side = side
 
 
 class UpstreamMonitor:
-    """Evaluates the endpoint's lines for the node itself: answers, loads, and the last one's keyword."""
+    """Evaluates the endpoint's lines for the node: answers to lines, load reports, and the last keyword."""
 
     __slots__ = ("_delay_reports", "last_keyword", "response_timeout")
 
     def __init__(self, delay_reports: DelayReports) -> None:
         self._delay_reports = delay_reports
         self.response_timeout = ResponseTimeout(delay_reports.record_delay)
-        self.last_keyword = b""  # of the endpoint's last line
+        self.last_keyword = b""  # the keyword of the endpoint's last line
 
     def lines_received(self, lines: Sequence[bytes]) -> None:
-        """Evaluate complete lines that the endpoint sent."""
+        """Evaluate complete lines from the endpoint."""
         for line in lines:
             keyword = protocol.parse_keyword(line)
             self.last_keyword = keyword
@@ -86,24 +86,24 @@
 
 
 class RelayedConnection:
-    """Both sides of a connection, and its outcome."""
+    """Both sides of a relayed connection, and its outcome."""
 
     __slots__ = ("client", "directions", "monitor", "outcome", "upstream")
 
     def __init__(self, client: RelaySide, upstream: RelaySide, monitor: UpstreamMonitor) -> None:
         self.client = client
         self.upstream = upstream
-        # Source and destination; the upstream is first, as its end may be a wake for an action of the policy.
+        # Pairs of source and destination. The upstream comes first, because its end may be a `Relay.wake`.
         self.directions = ((upstream, client), (client, upstream))
         self.monitor = monitor
-        self.outcome: AttemptStatus | None = None  # None: no side has ended
+        self.outcome: AttemptStatus | None = None  # None while neither side has ended
 
     def other(self, side: RelaySide) -> RelaySide:
         """Return the other side."""
         return self.client if side is self.upstream else self.upstream
 
     def record_end(self, side: RelaySide) -> None:
-        """Set the outcome at the end of a side; that of the first end is final."""
+        """Set the outcome when a side ends; the first end determines it."""
         if self.outcome is not None:
             return
         if side is self.client:
@@ -112,13 +112,13 @@
             self.outcome = OUTCOME_BY_LAST_KEYWORD.get(self.monitor.last_keyword, AttemptStatus.RESET)
 
     def find_stalled(self) -> RelaySide | None:
-        """Return a side that has accepted none of its unsent bytes within `SEND_TIMEOUT`."""
+        """Return a side that has accepted no unsent bytes for longer than `SEND_TIMEOUT`, or None."""
         if not self.upstream.is_stalled and not self.client.is_stalled:
             return None
         return self.upstream if self.upstream.unsent else self.client
 
     def export_state(self, opening: protocol.Opening, endpoint_id: str) -> ConnectionState:
-        """Return what another process needs to continue the connection."""
+        """Return the state that another process needs to continue the connection."""
         return ConnectionState(
             opening.line,
             endpoint_id,
@@ -129,7 +129,7 @@
         )
 
     def import_state(self, state: ConnectionState) -> None:
-        """Continue from the state that another process exported."""
+        """Restore the state that another process exported."""
         self.monitor.last_keyword = state.last_upstream_keyword.encode()
         self.upstream.line_buffer.partial_line = state.partial_lines.to_client
         self.client.line_buffer.partial_line = state.partial_lines.to_upstream
--- a/tansyladder/net/response_timeout.py
+++ b/tansyladder/net/response_timeout.py
@@ -8,14 +8,16 @@
 from tansyladder.net import protocol
 from tansyladder.net.clock import MICROSECOND, now
 
-SILENCE_TIMEOUT = timedelta(seconds=4.5)  # of an unanswered line; with 2 s between lines, under 7 s in all
-# A line that waits for this long is recorded as a delay, and again after each such interval.
+# After which an endpoint that leaves a line unanswered counts as silent. With 2 s between lines, a silent
+# endpoint is detected in under 7 s.
+SILENCE_TIMEOUT = timedelta(seconds=4.5)
+# While a line is unanswered, its wait so far is recorded as a delay at each such interval.
 OVERDUE_INTERVAL = timedelta(milliseconds=250)
-UNSOLICITED_KEYWORDS = (protocol.LOAD, protocol.BYE, protocol.MOVE)  # of lines that are no answers
+UNSOLICITED_KEYWORDS = (protocol.LOAD, protocol.BYE, protocol.MOVE)  # of lines that are not answers
 
 
 class ResponseTimeout:
-    """The oldest line to an endpoint that the endpoint has not answered.
+    """Tracks the oldest line that the endpoint has not answered.
 
     Owned by the connection's thread.
     """
@@ -23,7 +25,7 @@
     __slots__ = ("_last_overdue_at", "_record_delay", "_waiting_since")
 
     def __init__(self, record_delay: Callable[[timedelta], None]) -> None:
-        """`record_delay` is called with the delay of each answered line, and repeatedly of an overdue one."""
+        """`record_delay` gets the delay of each answered line, and repeatedly the wait of an overdue line."""
         self._record_delay = record_delay
         self._waiting_since: timedelta | None = None
         self._last_overdue_at = timedelta(0)
@@ -39,18 +41,18 @@
         return None if self._waiting_since is None else self._waiting_since // MICROSECOND
 
     def restore(self, waiting_since_us: int | None) -> None:
-        """Continue the wait of another process of this machine, which handed the connection over."""
+        """Continue the wait that the process on this machine which handed the connection over had begun."""
         self._waiting_since = None if waiting_since_us is None else waiting_since_us * MICROSECOND
 
     def line_sent(self) -> None:
-        """Start the wait for an answer to a line, unless an earlier one is unanswered."""
+        """Start the wait for an answer, unless an earlier line is still unanswered."""
         if self._waiting_since is None:
             self._waiting_since = now()
 
     def line_received(self, keyword: bytes) -> None:
-        """End the wait if a line with this keyword, which the endpoint sent, is an answer.
+        """End the wait if a line from the endpoint with this keyword is an answer.
 
-        All lines count as answered then: one lost answer must not make all later ones late.
+        All earlier lines then count as answered: one lost answer must not make all later ones late.
         """
         waiting_since = self._waiting_since
         if waiting_since is not None and keyword not in UNSOLICITED_KEYWORDS:
@@ -58,7 +60,7 @@
             self._record_delay(now() - waiting_since)
 
     def check_silent(self) -> bool:
-        """Record the wait of an overdue line as a delay; return whether the endpoint counts as silent."""
+        """Record the wait of an overdue line as a delay; return whether `SILENCE_TIMEOUT` has passed."""
         if self._waiting_since is None:
             return False
         age = now() - self._waiting_since
--- a/tansyladder/net/resuming_client.py
+++ b/tansyladder/net/resuming_client.py
@@ -1,4 +1,4 @@
-"""A client that reconnects with a token, on its way to the thread of its session."""
+"""A client that resumes a session, as it is passed to the session's thread."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumingClient:
-    """A client that reconnected with a token of the session that it resumes."""
+    """A client that reconnected with a token of the session, which it resumes."""
 
     sock: socket.socket
-    received_line_count: int  # of the endpoint's lines, since the session began
-    deadline: timedelta  # by when it wants its answer
+    received_line_count: int  # how many of the endpoint's lines the client has, since the session began
+    deadline: timedelta  # by when the client wants its answer
     token_expiry_us: int = 0  # in microseconds of Unix time
--- a/tansyladder/net/sockets.py
+++ b/tansyladder/net/sockets.py
@@ -1,6 +1,6 @@
-"""Functions for blocking sockets; every wait has a deadline, which is a moment of `clock.now`.
+"""Functions for blocking sockets. Every wait has a deadline, which is a time of `clock.now`.
 
-The functions have no state: a socket is owned by the thread that uses it.
+The functions have no state of their own; a socket is owned by the thread that uses it.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 
 from tansyladder.net.clock import milliseconds_left, now, seconds_left
 
-SEND_TIMEOUT = timedelta(seconds=5)  # after which a peer that accepts nothing is given up
-DRAIN_TIMEOUT = timedelta(milliseconds=500)  # for a peer to end its half after this side has
-READ_SIZE_BYTES = 8192  # of one read; lines are short, and a read seldom returns two
-MAX_DRAIN_BYTES = 1 << 20  # discarded before a close, as a close with unread input would be a reset
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # `struct linger`: on, 0 s
+SEND_TIMEOUT = timedelta(seconds=5)  # after which a connection whose other side accepts no data is closed
+DRAIN_TIMEOUT = timedelta(milliseconds=500)  # for the other side to end its half after this side has ended
+READ_SIZE_BYTES = 8192  # of one read; lines are short, and a read seldom returns two of them
+MAX_DRAIN_BYTES = 1 << 20  # input discarded before a close, as closing with unread input sends a reset
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # `struct linger`: enabled, 0 s
 _LAST_DATA_RECEIVED = struct.Struct("52xI")  # `tcpi_last_data_recv` of `struct tcp_info`, tcp(7)
 
 
 def disable_send_delay(sock: socket.socket) -> None:
-    """Send small writes at once: what Nagle's algorithm delays is lost when the connection is reset."""
+    """Disable Nagle's algorithm: the data that it delays is lost when the connection is reset."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def configure_stream(sock: socket.socket) -> None:
-    """Have lines sent at once, and let each send and receive time out after `SEND_TIMEOUT`."""
+    """Send small writes without delay, and have each send and receive time out after `SEND_TIMEOUT`."""
     disable_send_delay(sock)
     sock.settimeout(SEND_TIMEOUT.total_seconds())
 
 
 def poll_until(poll: select.poll, deadline: timedelta) -> set[int]:
-    """Wait on registered descriptors; return those that are ready, or none once the deadline has passed."""
+    """Wait on the registered descriptors; return those that are ready, none if the deadline passes."""
     return {fd for fd, _ in poll.poll(milliseconds_left(deadline))}
 
 
 def wait_readable(deadline: timedelta, *fds: int) -> set[int]:
-    """Return which of these descriptors can be read, or have ended, by a deadline."""
+    """Wait until a descriptor is readable or at its end, or the deadline passes; return those that are."""
     poll = select.poll()
     for fd in fds:
         poll.register(fd, select.POLLIN)
@@ -48,9 +48,11 @@
 
 
 def wait_connected(sock: socket.socket, deadline: timedelta, *fds: int) -> set[int]:
-    """Wait for a connect in progress; return which descriptors are ready by a deadline.
+    """Wait until a connect in progress ends, a descriptor is readable or the deadline passes.
 
-    `sock` is ready once it is connected or the connect has failed, the others once they can be read.
+    Returns the descriptors that are ready.
+
+    `sock` is ready once the connect has succeeded or failed, each of `fds` once it is readable.
     """
     poll = select.poll()
     poll.register(sock, select.POLLOUT)
@@ -60,12 +62,12 @@
 
 
 def receive_by(sock: socket.socket, max_bytes: int, deadline: timedelta) -> bytes:
-    """Return the next received bytes, or nothing if the other side has ended, by a deadline.
+    """Wait for data until a deadline, and return it; empty bytes mean that the other side has ended.
 
-    A caller that reads repeatedly with one deadline ends by it, however often bytes arrive.
+    A caller that reads repeatedly with the same deadline ends by it, however slowly the bytes arrive.
 
     Raises:
-        TimeoutError: Nothing arrived in time.
+        TimeoutError: No data arrived by the deadline.
         OSError: The connection broke.
     """
     remaining_seconds = seconds_left(deadline)
@@ -76,7 +78,7 @@
 
 
 class PeekResult(Enum):
-    """What the next read of a socket would find."""
+    """What the next read of a socket would return."""
 
     NOTHING = 0
     DATA = 1
@@ -84,8 +86,8 @@
 
 
 def peek(sock: socket.socket) -> PeekResult:
-    """Return what the next read would find, without waiting or reading."""
-    # Polled first, as on a socket with a timeout Python waits before each call, even with MSG_DONTWAIT.
+    """Return what the next read would return, without waiting or consuming data."""
+    # Polled first: on a socket with a timeout, Python waits before each call, even with MSG_DONTWAIT.
     if not wait_readable(timedelta(0), sock.fileno()):
         return PeekResult.NOTHING
     try:
@@ -95,17 +97,17 @@
 
 
 def is_disconnected(sock: socket.socket) -> bool:
-    """Return whether the other side has ended the connection, even if data from before that is unread."""
+    """Return whether the other side has ended the connection, even if earlier data is still unread."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def time_since_last_data(sock: socket.socket) -> timedelta:
-    """Return how long ago the system received the last data, to the millisecond.
+    """Return how long ago the kernel received the last data, to the millisecond.
 
-    A process that was stopped or starved sees what arrived meanwhile only when it runs again; the system's
-    `tcpi_last_data_recv` tells when it arrived.
+    A process that was stopped or got no processor time reads data only when it runs again; the kernel's
+    `tcpi_last_data_recv` says when the data arrived.
 
     Raises:
         OSError: The connection is broken.
@@ -115,17 +117,18 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Close a connection with a reset, so that its other side sees that it broke."""
+    """Close a connection with a reset, so that the other side sees it as broken."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     sock.close()
 
 
 def shutdown_and_drain(sock: socket.socket, last_data: bytes = b"") -> None:
-    """Send the last data and close a connection without a reset, within `DRAIN_TIMEOUT` after the send.
+    """Send the last data, and close a connection without a reset, within `DRAIN_TIMEOUT` after the send.
 
-    A close with unread input becomes a reset, which may overtake the last data: so the sending side is ended
-    first, and further input is read and discarded. A broken connection is closed silently.
+    Closing a socket with unread input sends a reset, which may destroy the last data before the other side
+    reads it. The sending half is therefore shut down first, and further input is read and discarded. Errors
+    of a broken connection are ignored.
     """
     with contextlib.suppress(OSError):
         if last_data:
@@ -134,7 +137,7 @@
         deadline = now() + DRAIN_TIMEOUT
         remaining_bytes = MAX_DRAIN_BYTES
         while remaining_bytes > 0 and now() < deadline and wait_readable(deadline, sock.fileno()):
-            size = sock.recv_into(bytearray(READ_SIZE_BYTES), 0, socket.MSG_TRUNC)  # discarded without a copy
+            size = sock.recv_into(bytearray(READ_SIZE_BYTES), 0, socket.MSG_TRUNC)  # discards without copying
             if not size:
                 break
             remaining_bytes -= size
--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -1,4 +1,4 @@
-"""One attempt at an endpoint: the connect, the first line, and the status of its answer."""
+"""One attempt at an endpoint: it connects, sends the first line, and evaluates the answer."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from tansyladder.policy.actions import CancelAttempt, Reject
 from tansyladder.policy.events import AttemptEnded, AttemptStatus
 
-# The status of an attempt, by the keyword of the answer; UP is not among them.
+# The status of an attempt by the keyword of an answer that is not UP; other keywords mean ERROR.
 STATUS_BY_KEYWORD = {
     protocol.BUSY: AttemptStatus.FULL,
     protocol.ERR: AttemptStatus.ERROR,
     protocol.MOVE: AttemptStatus.CANCELLED,
     protocol.BYE: AttemptStatus.OK,
 }
-MAX_LOGGED_BYTES = 80  # of an invalid answer
+MAX_LOGGED_BYTES = 80  # of the line of an invalid answer
 
 
 class ClientEnd(Enum):
-    """How a client ended its request before it was answered."""
+    """How a client ended its request before the node answered it."""
 
     DISCONNECTED = "disconnected"
     SENT_EARLY = "sent a line before UP, which the protocol does not allow"
@@ -41,24 +41,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectResult:
-    """The result of an attempt; it has a socket only if the connection is established."""
+    """The result of an attempt; `sock` and `buffer` are set only if the connection is established."""
 
     status: AttemptStatus
     up_line: bytes = b""
     sock: socket.socket | None = None
     buffer: protocol.LineBuffer | None = None
-    following_lines: tuple[bytes, ...] = ()  # received with UP
-    client_end: ClientEnd | None = None  # how the client ended its request meanwhile; None: it waits
+    following_lines: tuple[bytes, ...] = ()  # received together with UP
+    client_end: ClientEnd | None = None  # how the client ended its request; None if it still waits
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamConnection:
-    """An established connection to an endpoint, which `AttemptEstablished` has reported to the policy."""
+    """An established connection to an endpoint, already reported to the policy by `AttemptEstablished`."""
 
     endpoint: EndpointAddress
     sock: socket.socket
     buffer: protocol.LineBuffer
-    initial_lines: tuple[bytes, ...]  # UP, and the lines received with it
+    initial_lines: tuple[bytes, ...]  # UP and the lines received together with it
     attempt: int
     setup_duration_us: int
 
@@ -70,7 +70,7 @@
 
 
 class UpstreamConnector:
-    """One attempt of a request at an endpoint. Owned by the request's thread."""
+    """Makes one attempt of a request at an endpoint. Owned by the request's thread."""
 
     def __init__(
         self,
@@ -84,12 +84,12 @@
         """Prepare an attempt; `open` makes it.
 
         Args:
-            endpoint: To which the attempt is made.
-            format_first_line: Returns the line for the endpoint, by how long the node will wait.
-            deadline: Of the answer.
-            connect_timeout: Of the connect and the first line, within the deadline.
-            on_written: Called once the line is sent: from then on the attempt counts.
-            response_line_count: How many lines an answer that begins with UP has.
+            endpoint: The endpoint to connect to.
+            format_first_line: Returns the line for the endpoint, given how long the node will wait.
+            deadline: By when the endpoint must have answered.
+            connect_timeout: Bounds the connect and the sending of the line; the deadline applies as well.
+            on_written: Called when the line has been sent; from then on the attempt counts as sent.
+            response_line_count: The number of lines in an answer that begins with UP.
         """
         self._endpoint = endpoint
         self._format_first_line = format_first_line
@@ -101,7 +101,8 @@
     def open(self, client: socket.socket | None, actions: ActionQueue) -> ConnectResult:
         """Connect, send the first line and wait for the answer; close the socket unless the answer is UP.
 
-        The client is monitored meanwhile; None for a client that is already established, or has disconnected.
+        The attempt ends if `client` ends its request meanwhile. With None no client is monitored, as it is
+        already established or has disconnected.
         """
         connected = self._connect_and_send(client, actions)
         if isinstance(connected, ConnectResult):
@@ -110,7 +111,7 @@
         try:
             result = self._wait_for_response(sock, client, actions)
         except OSError as err:
-            # The complete line may have been sent: the endpoint may have executed it.
+            # The line has been sent, so the endpoint may have executed it.
             log(LogEvent.ENDPOINT_CONNECTION_RESET, endpoint=self._endpoint.id, error=err)
             result = ConnectResult(AttemptStatus.RESET)
         if result.sock is None:
@@ -120,17 +121,17 @@
     def _connect_and_send(
         self, client: socket.socket | None, actions: ActionQueue
     ) -> socket.socket | ConnectResult:
-        """Connect and send the line; an attempt that fails before the complete line is sent was not executed.
+        """Connect and send the first line; if this fails, the endpoint has not executed the request.
 
         No line is sent for a client that has disconnected, however long the connect takes: the client is
-        monitored meanwhile, and checked once more immediately before the line is sent.
+        monitored during the connect, and checked again immediately before the line is sent.
         """
         deadline = min(now() + self._connect_timeout, self._deadline)
         if now() >= deadline:
             return ConnectResult(AttemptStatus.CONNECT_FAILED)
         sock: socket.socket | None = None
         try:
-            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # fails if no descriptor is left
+            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # fails if no descriptor is free
             result = self._wait_until_connected(sock, deadline, client, actions) or _result_of_client(client)
             if result is None:
                 sockets.configure_stream(sock)
@@ -148,15 +149,15 @@
     def _wait_until_connected(
         self, sock: socket.socket, deadline: timedelta, client: socket.socket | None, actions: ActionQueue
     ) -> ConnectResult | None:
-        """Wait until the socket is connected; return the result of whatever ends the wait sooner.
+        """Connect the socket; return a result only if the client or the policy ends the attempt first.
 
         Raises:
-            OSError: The connect fails, or is not complete by the deadline.
+            OSError: The connect failed, or did not complete by the deadline.
         """
         sock.settimeout(0)  # non-blocking
         error = sock.connect_ex(self._endpoint.address)
         if error != errno.EINPROGRESS:
-            _raise_error(error)
+            _raise_os_error(error)
         watched = [actions.fileno()] + ([client.fileno()] if client else [])
         while not (ready := sockets.wait_connected(sock, deadline, *watched)) & {sock.fileno()}:
             if result := _result_of_client(client):
@@ -164,8 +165,8 @@
             if _is_ended_by_policy(actions, ready):
                 return ConnectResult(AttemptStatus.CANCELLED)
             if not ready and now() >= deadline:
-                raise TimeoutError("timed out")
-        _raise_error(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
+                raise TimeoutError("the connect timed out")
+        _raise_os_error(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
         return None
 
     def _wait_for_response(
@@ -176,7 +177,7 @@
         watched = [sock.fileno(), actions.fileno()] + ([client.fileno()] if client else [])
         while True:
             ready = sockets.wait_readable(self._deadline, *watched)
-            # Before the answer is read: a client that sent a line before UP is not served as if it had not.
+            # Checked before the answer is read: a client that sent a line before UP must not be served.
             if client and client.fileno() in ready and (result := _result_of_client(client)):
                 return result
             if sock.fileno() in ready:
@@ -191,7 +192,7 @@
     def _read_response(
         self, sock: socket.socket, buffer: protocol.LineBuffer, lines: list[bytes]
     ) -> ConnectResult | None:
-        """Read once and append to the answer's lines; None: the answer is not complete yet."""
+        """Read once, and append to the answer's lines; return None while the answer is not complete."""
         data = sock.recv(sockets.READ_SIZE_BYTES)
         if not data:
             return ConnectResult(AttemptStatus.RESET)
@@ -216,16 +217,17 @@
         return ConnectResult(STATUS_BY_KEYWORD.get(keyword, AttemptStatus.ERROR))
 
 
-def _raise_error(code: int) -> None:
-    """Raise the OSError of an error number, unless it is 0."""
+def _raise_os_error(code: int) -> None:
+    """Raise the OSError for an error number, unless the number is 0."""
     if code:
         raise OSError(code, os.strerror(code))
 
 
 def _is_ended_by_policy(actions: ActionQueue, ready: set[int]) -> bool:
-    """Return whether the policy ends the attempt; any other action is discarded if the queue is ready.
+    """Return whether the policy ends the attempt; discard any other action if the queue is ready.
 
-    A rejection ends the request as well: it remains in the queue, from which the request's thread answers.
+    A rejection ends the attempt and the request. It remains in the queue, where the request's thread takes it
+    to answer the client.
     """
     if isinstance(actions.peek(), Reject):
         return True
@@ -233,9 +235,9 @@
 
 
 def _result_of_client(client: socket.socket | None) -> ConnectResult | None:
-    """Return the result of an attempt whose client did not wait for UP; None: the client waits.
+    """Return the result of an attempt whose client did not wait for UP, or None if the client waits.
 
-    A client that ends its side, or whose connection broke, has disconnected.
+    A client that has ended its half, or whose connection broke, counts as disconnected.
     """
     client_end = None if client is None else CLIENT_END_BY_PEEK.get(sockets.peek(client))
     return None if client_end is None else ConnectResult(AttemptStatus.CANCELLED, client_end=client_end)
--- a/tansyladder/node_commands.py
+++ b/tansyladder/node_commands.py
@@ -1,4 +1,4 @@
-"""The commands of the node itself, `serve` and `check`; a node without arguments does not load click."""
+"""The node's own commands, `serve` and `check`. A node started without arguments does not import click."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @click.group()
 def node_commands() -> None:
-    """Run a balancer node, or check its files."""
+    """Run a balancer node, or check its configuration files."""
 
 
 @node_commands.command()
@@ -30,7 +30,10 @@
 @node_commands.command()
 @click.argument("file", type=FILE)
 def check(file: Path) -> None:
-    """Read a configuration (.json) or an operator's settings (else); exit code 2 names the fault."""
+    """Check a configuration (.json) or an operator's settings (any other file).
+
+    With an invalid file the exit code is 2, and standard error names the error.
+    """
     try:
         if file.suffix == ".json":
             _check_configuration(file)
@@ -43,19 +46,19 @@
 
 def _check_configuration(file: Path) -> None:
     config = platform.load({"GW_CONFIG": str(file)})
-    known_count = len(config.known_endpoints.endpoints)
-    click.echo(f"{file}: sound: node {config.name}, {known_count} members known")
+    known_endpoint_count = len(config.known_endpoints.endpoints)
+    click.echo(f"{file}: sound: node {config.name}, {known_endpoint_count} members known")
 
 
 def _check_settings(file: Path) -> None:
-    """Check settings, and report deprecated keys on standard error; they are no fault."""
+    """Check settings; report deprecated keys on standard error, which are not errors."""
     for deprecated in operator_settings.load_file(file).deprecated_keys:
         click.echo(f"{file}: {deprecated.path}: deprecated; use {deprecated.replacement_path}", err=True)
     click.echo(f"{file}: sound")
 
 
 def main() -> int:
-    """Run the node if the process has no arguments, else the command that they name; return the exit code."""
+    """Run the node if the process has no arguments, else the command they name; return the exit code."""
     if len(sys.argv) == 1:
         return run_node()
     node_commands(prog_name="tansyladder")
--- a/tansyladder/node_process.py
+++ b/tansyladder/node_process.py
@@ -1,6 +1,6 @@
-"""The node as a process: reads what it is to run with, builds it, serves until a signal ends it.
+"""The node's process: reads its configuration, builds the node, and serves until a signal ends it.
 
-The main thread's signals are blocked when this module is imported (`serve.py`).
+The signals are blocked in the main thread before this module is imported (`serve.py`).
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from tansyladder.log import LineFormat, LogEvent, log, set_line_format
 from tansyladder.start_errors import EXIT_BAD_CONFIGURATION, BadConfigError, BadSettingsError
 
-# Bytes of each thread's stack. Little of it is touched: on days of 37 and of 330 descriptors the node took
-# 9 and 13 MB, so an established connection with its thread costs some 27 KB.
+# Size of each thread's stack, of which little is touched: with 37 and 330 descriptors the node used 9 and
+# 13 MB, so an established connection with its thread costs about 27 KB.
 THREAD_STACK_BYTES = 256 * 1024
-SWITCH_INTERVAL_SECONDS = 0.001  # that a busy thread may hold the interpreter while another one waits
+SWITCH_INTERVAL_SECONDS = 0.001  # how long a busy thread keeps the GIL while another one waits
 
 
 def run(options_path: str | Path | None, signals: Collection[signal.Signals]) -> int:
     """Run a node until a signal other than SIGHUP ends it.
 
     Args:
-        options_path: Of the operator's settings, where a file was named.
-        signals: The blocked signals, of which SIGHUP reloads the files.
+        options_path: The operator's settings file; None if none was named.
+        signals: The blocked signals to wait for; SIGHUP reloads the files, each other one ends the node.
 
     Returns:
         The exit code.
@@ -49,11 +49,11 @@
 
 
 def _build_node(options_path: str | Path | None) -> Node:
-    """Read what the node is to run with, and build it.
+    """Read the configuration and the settings, and build the node.
 
     Raises:
-        BadConfigError: The fault is in the platform's configuration.
-        BadSettingsError: The fault is in the operator's settings.
+        BadConfigError: The node can't run with the platform's configuration.
+        BadSettingsError: The node can't run with the operator's settings.
     """
     config = _load_config()
     options = _load_options(options_path)
@@ -78,7 +78,7 @@
 
 
 def _prepare_process(options: Options) -> None:
-    """Set what applies to all threads, before the first one starts."""
+    """Apply the settings that concern all threads, before the first one starts."""
     set_line_format(LineFormat.JSON if options.log.json else LineFormat.KEY_VALUE)
     threading.stack_size(THREAD_STACK_BYTES)
     sys.setswitchinterval(SWITCH_INTERVAL_SECONDS)
@@ -91,14 +91,19 @@
     """Start the node, reload at each SIGHUP, and shut down gracefully at the first other signal."""
     reloader = node.start(os.environ, options_path)
     _log_started(node.context.configuration.config)
-    while (received := signal.sigwait(signals)) == signal.SIGHUP:
-        reloader.request_reload()  # read elsewhere: a SIGTERM meanwhile must not wait for a slow disk
-    log(LogEvent.STOPPING, signal=signal.Signals(received).name)
+    while (received_signal := signal.sigwait(signals)) == signal.SIGHUP:
+        reloader.request_reload()  # in another thread, so that a SIGTERM does not wait for a slow disk
+    log(LogEvent.STOPPING, signal=signal.Signals(received_signal).name)
     node.stop()
 
 
 def _log_started(config: Config) -> None:
-    """Log that the node listens, and what its configuration does not give."""
-    known_count = len(config.known_endpoints.endpoints)
-    log(LogEvent.STARTED, node=config.name, known_endpoints=known_count, socket_limit=config.limits.sockets)
+    """Log that the node has started, and which features its configuration leaves out."""
+    known_endpoint_count = len(config.known_endpoints.endpoints)
+    log(
+        LogEvent.STARTED,
+        node=config.name,
+        known_endpoints=known_endpoint_count,
+        socket_limit=config.limits.sockets,
+    )
     log(LogEvent.SETTINGS_ABSENT, features=",".join(absent_features(config)))
--- a/tansyladder/serve.py
+++ b/tansyladder/serve.py
@@ -1,7 +1,7 @@
-"""The entry of the node: blocks signals, then imports and runs all else.
+"""The entry point of the node: blocks signals, then imports and runs the rest.
 
-The imports take a while, and the default action of a SIGHUP is to end the program. Until signals are blocked
-here the shell's trap of `run` ignores it.
+The imports take a while, and the default action of SIGHUP would end the process during them. Before signals
+are blocked here, SIGHUP is ignored, by the shell's trap in the command `run` of `deploy/balancer.toml`.
 """
 
 from __future__ import annotations
@@ -13,17 +13,19 @@
 
 
 def serve(options_path: str | Path | None = None) -> int:
-    """Run a node until a signal ends it, then drain.
+    """Run a node until a signal ends it, then drain its connections.
 
     Args:
-        options_path: Of the operator's settings, where there are.
+        options_path: The operator's settings file; None if none was named.
 
     Returns:
         The exit code.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # every thread inherits it; this one waits for them
-    signal.signal(signal.SIGHUP, lambda *_: None)  # an ignored one might not even wait
-    # Only now, as it imports the node.
+    # Every thread inherits the mask; this thread waits for the signals.
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+    # Without a handler SIGHUP would stay ignored, and an ignored signal may be discarded while it is blocked.
+    signal.signal(signal.SIGHUP, lambda *_: None)
+    # Imported here, because it imports the whole node, which takes a while.
     from tansyladder.node_process import run  # noqa: PLC0415
 
     return run(options_path, SIGNALS)
--- a/tests/net/test_action_queue.py
+++ b/tests/net/test_action_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a request's actions: pollable at first, woken by a callback once that is established."""
+"""The queue of a request's actions: pollable at first, with a callback once the connection is established."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return bool(sockets.wait_readable(timedelta(0), queue.fileno()))
 
 
-def test_an_open_queue_is_readable_while_actions_wait() -> None:
+def test_an_open_queue_is_readable_while_it_has_actions() -> None:
     queue = ActionQueue()
     queue.open()
     assert not is_readable(queue)
@@ -61,7 +61,7 @@
     queue.post(Fail(1))
     queue.wake()
     assert calls == [1]
-    queue.use_callback(lambda: calls.append(2))  # at once, as an action waits
+    queue.use_callback(lambda: calls.append(2))  # called immediately, as an action is queued
     assert calls == [1, 2]
     queue.close()
     queue.wake()
@@ -84,7 +84,7 @@
     queue.close()
 
 
-def test_superseding_a_session_wakes_its_thread_and_leaves_the_state() -> None:
+def test_superseding_a_session_wakes_its_thread_and_keeps_the_state() -> None:
     queue = ActionQueue()
     queue.open()
     queue.mark_established()
--- a/tests/net/test_delay_reports.py
+++ b/tests/net/test_delay_reports.py
@@ -1,4 +1,4 @@
-"""Delays: when a line is overdue, when an endpoint counts as silent, and when a report is due."""
+"""Delays: when a line counts as overdue, when an endpoint counts as silent, and when a report is due."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ManualClock:
-    """A clock that a test sets."""
+    """A clock that a test advances."""
 
     def __init__(self) -> None:
         self.time = timedelta(seconds=100)
@@ -41,7 +41,7 @@
     clock.advance(30)
     timeout.line_sent()
     clock.advance(10)
-    timeout.line_received(b"LOAD")  # it is no answer
+    timeout.line_received(b"LOAD")  # not an answer
     assert timeout.is_waiting
     timeout.line_received(b"PONG")
     assert not timeout.is_waiting
@@ -50,7 +50,7 @@
     assert delays == [40 * MILLISECOND]
 
 
-def test_a_line_that_waits_is_a_delay_in_each_interval_until_its_endpoint_is_silent(
+def test_an_unanswered_line_is_recorded_in_each_interval_until_the_endpoint_is_silent(
     clock: ManualClock,
 ) -> None:
     delays: list[timedelta] = []
@@ -88,10 +88,10 @@
     assert meter.record(1, 200 * MILLISECOND) == 200 * MILLISECOND
     assert meter.record(2, 50 * MILLISECOND) is None  # another endpoint
     clock.advance(900)
-    assert meter.record(1, 300 * MILLISECOND) is None  # the last report is not a second old
+    assert meter.record(1, 300 * MILLISECOND) is None  # the last report is less than 1 s old
     clock.advance(200)
     assert meter.record(1, 300 * MILLISECOND) == 300 * MILLISECOND
-    clock.advance(1100)  # earlier delays are outside of the window
+    clock.advance(1100)  # earlier samples are outside the window
     assert meter.record(1, 20 * MILLISECOND) == 20 * MILLISECOND
     assert meter.record(1, 20 * MILLISECOND) is None
 
@@ -111,21 +111,23 @@
         (b"LOAD 250\r\n", False, False, None),
     ],
 )
-def test_a_load_line_is_a_load_or_a_delay_by_the_settings(
+def test_the_settings_say_whether_a_load_line_is_a_load_or_a_delay(
     line: bytes, *, reports_load: bool, has_meter: bool, report: tuple[ReportKind, float] | None
 ) -> None:
     reports: list[tuple[ReportKind, float]] = []
     meter = DelayMeter(100 * MILLISECOND) if has_meter else None
-    delay_reporter = DelayReports(1, lambda: meter, lambda *args: reports.append(args), lambda: reports_load)
-    delay_reporter.record_load_line(line)
+    delay_reports_of_connection = DelayReports(
+        1, lambda: meter, lambda *args: reports.append(args), lambda: reports_load
+    )
+    delay_reports_of_connection.record_load_line(line)
     assert reports == ([] if report is None else [report])
 
 
-def test_a_timed_delay_is_reported_in_milliseconds(clock: ManualClock) -> None:
+def test_a_measured_delay_is_reported_in_milliseconds(clock: ManualClock) -> None:
     reports: list[tuple[ReportKind, float]] = []
     meter = DelayMeter(100 * MILLISECOND)
-    delay_reporter = DelayReports(1, lambda: meter, lambda *args: reports.append(args))
-    delay_reporter.record_delay(150 * MILLISECOND)
+    delay_reports_of_connection = DelayReports(1, lambda: meter, lambda *args: reports.append(args))
+    delay_reports_of_connection.record_delay(150 * MILLISECOND)
     clock.advance(10)
-    delay_reporter.record_delay(160 * MILLISECOND)
+    delay_reports_of_connection.record_delay(160 * MILLISECOND)
     assert reports == [(ReportKind.MEASURED_DELAY, 150.0)]
--- a/tests/net/test_handover_lifecycle.py
+++ b/tests/net/test_handover_lifecycle.py
@@ -1,4 +1,4 @@
-"""The states of a process between the process before it and the next, and what others read of them."""
+"""The handover states of a process, and the values that are derived from them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 )
 
 
-def test_every_state_has_its_transitions() -> None:
+def test_every_state_has_transitions() -> None:
     assert set(PREDECESSOR_TRANSITIONS) == set(PredecessorState)
     assert set(SUCCESSOR_TRANSITIONS) == set(SuccessorState)
 
 
-def test_the_end_of_the_process_before_wakes_those_that_wait_for_it() -> None:
+def test_the_end_of_the_predecessor_wakes_the_threads_that_wait_for_it() -> None:
     lifecycle = HandoverLifecycle()
-    lifecycle.wait_until_predecessor_exits()  # there is none
+    lifecycle.wait_until_predecessor_exits()  # returns at once: there is no predecessor
     lifecycle.listener_received(150)
     assert lifecycle.is_predecessor_running
     waiting = threading.Thread(target=lifecycle.wait_until_predecessor_exits, daemon=True)
@@ -35,7 +35,7 @@
     assert not lifecycle.is_predecessor_running
 
 
-def test_descriptors_return_with_the_connections_and_with_the_end_of_the_process_before() -> None:
+def test_each_connection_and_the_end_of_the_predecessor_return_descriptors() -> None:
     lifecycle = HandoverLifecycle()
     lifecycle.listener_received(3)
     assert lifecycle.remote_descriptor_count == 3
@@ -43,7 +43,7 @@
     assert lifecycle.remote_descriptor_count == 1
     lifecycle.connection_received()
     assert lifecycle.remote_descriptor_count == 0
-    lifecycle.listener_sent(40)  # to the next process, while the one before drains
+    lifecycle.listener_sent(40)  # to a successor, while the predecessor drains
     lifecycle.predecessor_exited()
     assert lifecycle.remote_descriptor_count == 0
 
@@ -55,7 +55,7 @@
     assert lifecycle.is_listener_shared
     assert not lifecycle.has_successor
     lifecycle.successor_serving()
-    lifecycle.listener_sent(30)  # a second process asks
+    lifecycle.listener_sent(30)  # a second process requests it
     assert lifecycle.has_successor
     lifecycle.successor_lost()
     assert not lifecycle.has_successor
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -1,4 +1,4 @@
-"""A new process takes the place of a running one; at each step a client is in the listener's queue."""
+"""The handover of the listener to a new process, with a client in the listener's queue at each step."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 def echo_lines(peer: Peer) -> None:
-    """Send each line back in two parts, which the relay joins."""
+    """Send each line back in two parts, which the relay must forward as one line."""
     for line in iter(peer.read_line, ""):
         peer.sock.sendall(line[:2].encode())
         peer.send_lines(line[2:])
 
 
 def socket_path(tmp_path: Path, port: int = 1) -> Path:
-    """Return the name of the running process's Unix socket, by the port of the clients' listener."""
+    """Return the path of the running process's Unix socket, given the port of the clients' listener."""
     return tmp_path / f"tansyladder-127.0.0.1-{port}.sock"
 
 
@@ -50,7 +50,7 @@
 def successor_of(
     process: subprocess.Popen[bytes], tmp_path: Path, port: int
 ) -> Iterator[subprocess.Popen[bytes]]:
-    """Run the real program beside a running process, which it has taken the place of."""
+    """Run the program as the successor of a running process, and yield it once it serves clients."""
     env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_LISTEN": f"127.0.0.1:{port}"}
     with subprocess.Popen(
         [sys.executable, "-O", "-m", "tansyladder"], env=env, stderr=subprocess.PIPE
@@ -64,19 +64,19 @@
 
 
 def handover(tmp_path: Path, port: int) -> ListenerHandover:
-    """Return the handover of a new process, which runs in this one."""
+    """Return the handover of a new process, for use in the test's own process."""
     return ListenerHandover(Address("127.0.0.1", port), str(tmp_path))
 
 
 def request_listener(new_handover: ListenerHandover) -> socket.socket:
-    """Return the listener of the running process, which has to send it."""
+    """Return the listener that the running process sends; fail if it sends none."""
     listener = new_handover.request_listener()
     assert listener is not None
     return listener
 
 
 class ScriptedSuccessor:
-    """A new process that has the listener, and whose further messages a test sends."""
+    """Stands in for a new process that has received the listener; the test sends its further messages."""
 
     def __init__(self, tmp_path: Path, port: int) -> None:
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -93,7 +93,7 @@
         self._sock.sendall(handover_messages.SERVING)
 
     def die(self) -> None:
-        """Close everything, as the end of a killed process does."""
+        """Close both sockets, as the kernel does when a process is killed."""
         self._listener.close()
         self._sock.close()
 
@@ -110,18 +110,18 @@
             established.sock.sendall(b"M ")  # a partial line
             old.send_signal(signal.SIGTERM)
             until_line(old, b"event=state_changed state=draining")
-            queued = client_of(port, "81")  # not accepted yet: the old process leaves it to the new one
+            queued = client_of(port, "81")  # not accepted: the old process leaves the queue to the new one
             assert old.wait(10) == 0
             assert select.select([queued.sock], [], [], 0)[0] == []
             new.send_signal(signal.SIGCONT)
             assert queued.read_line() == "UP r1"
-            # The connection continues, unnoticed by its client and its endpoint.
+            # The connection continues; its client and its endpoint notice nothing.
             established.send_lines("1", "M 2")
             assert [established.read_line(), established.read_line()] == ["M 1", "M 2"]
             established.close()
             new.send_signal(signal.SIGHUP)
             until_line(new, b"event=reloaded")
-            # The name is that of the new process: a third one finds it.
+            # The new process listens on the handover socket, where a third one finds it.
             listener = request_listener(handover(tmp_path, port))
             assert listener.getsockname() == ("127.0.0.1", port)
             listener.close()
@@ -147,7 +147,7 @@
         assert list(tmp_path.glob("*.sock")) == []
 
 
-def test_an_old_process_that_ends_before_the_new_one_serves_leaves_it_the_queue(
+def test_the_queue_survives_an_old_process_that_ends_before_the_new_one_serves(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
@@ -182,7 +182,7 @@
         STAY_CONNECTED(peer)
 
     with program(tmp_path, ScriptedServer(answer_late, STAY_CONNECTED)) as (old, port):
-        waiting = client_of(port)  # without its answer the drain of the old process does not end
+        waiting = client_of(port)  # the old process drains until this request is answered
         assert connected.wait(10)
         successor = ScriptedSuccessor(tmp_path, port)
         successor.announce_serving()
@@ -203,13 +203,13 @@
 def test_a_process_that_does_not_answer_is_ignored_and_the_port_is_shared(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With a stale file, a process that hangs, or no folder, a node opens a listener of its own."""
+    """With a stale socket file, a process that hangs, or no folder, a node opens its own listener."""
     monkeypatch.setattr(listener_handover, "MESSAGE_TIMEOUT", timedelta(milliseconds=50))
     first = NodeParts(load_test_config(tmp_path)).new_listener()
     port = first.address[1]
     hanging = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     hanging.bind(str(socket_path(tmp_path, port)))
-    assert handover(tmp_path, port).request_listener() is None  # no process listens there
+    assert handover(tmp_path, port).request_listener() is None  # the file exists, but no process listens
     hanging.listen(1)
     assert handover(tmp_path, port).request_listener() is None
     assert ListenerHandover(Address("127.0.0.1", port), None).request_listener() is None
@@ -220,22 +220,25 @@
     assert second.address == first.address
     second.start()
     hanging.close()
-    listener = request_listener(handover(tmp_path, port))  # the stale name is replaced
+    listener = request_listener(handover(tmp_path, port))  # the stale socket file was replaced
     listener.close()
     second.stop_listening()
     first.stop_listening()
 
 
 def test_both_processes_share_the_nodes_descriptors(tmp_path: Path) -> None:
-    """The old one retains what it uses and half of what is free; a waiting client counts three times."""
+    """The old process retains the descriptors it uses and half of the free ones.
+
+    A client that waits for its answer counts as three descriptors.
+    """
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
     parts = NodeParts(load_test_config(tmp_path, limits=limits))
     old = parts.new_listener(ListenerHandover(Address("127.0.0.1", 1), str(tmp_path)))
     idle = old.split_descriptors()
-    # Neither gets those that are reserved for pending connections.
+    # Neither process gets the descriptors that are reserved for pending connections.
     assert 0 < idle.released_count < idle.retained_count < 200 - idle.released_count
     for number in range(30):
-        old._admission.add(str(number))  # noqa: SLF001 - in place of 30 clients that wait for their answers
+        old._admission.add(str(number))  # noqa: SLF001 - instead of 30 clients that wait for answers
     busy = old.split_descriptors()
     released_less = idle.released_count - busy.released_count
     assert busy.retained_count - idle.retained_count == 90 - released_less
--- a/tests/net/test_protocol.py
+++ b/tests/net/test_protocol.py
@@ -24,7 +24,7 @@
 def test_a_line_over_4_kib_is_an_error(end: bytes) -> None:
     longest = b"x" * (protocol.MAX_LINE_BYTES - 1)
     assert b"".join(LineBuffer().feed(longest + b"\n")) == longest + b"\n"
-    with pytest.raises(LineError, match="a line longer than 4096 bytes"):
+    with pytest.raises(LineError, match="expected a line of at most 4096 bytes, got a longer one"):
         LineBuffer().feed(longest + b"x" + end)
 
 
@@ -49,24 +49,30 @@
 @pytest.mark.parametrize(
     ("line", "message"),
     [
-        (b"OPEN 1 2 c=a,d=1\n", "a line that does not end in CRLF"),
-        (b"OPEN 1 2 c=\xff,d=1\r\n", "a line that is not UTF-8"),
-        (b"OPEN 1 c=a,d=1\r\n", "not OPEN ID KEY VALUES"),
-        (b"PING 1 2 c=a,d=1\r\n", "not OPEN ID KEY VALUES"),
-        (b"OPEN x 2 c=a,d=1\r\n", "id: up to 16 hexadecimal digits expected"),
-        (b"OPEN 1 12345678901234567 c=a,d=1\r\n", "key: up to 16 hexadecimal digits expected"),
-        (b"OPEN 1 2 c=a,d\r\n", "NAME=VALUE expected"),
-        (b"OPEN 1 2 c=a,c=b,d=1\r\n", "a name stands twice"),
-        (b"OPEN 1 2 d=1\r\n", "c: missing"),
-        (b"OPEN 1 2 c=a\r\n", "d: a number expected"),
-        (b"OPEN 1 2 c=a,d=1e3\r\n", "d: a number expected"),
-        (b"OPEN 1 2 c=a,d=0\r\n", "d: out of range: 0"),
-        (b"OPEN 1 2 c=a,d=60001\r\n", "d: out of range: 60001"),
-        (b"OPEN 1 2 c=a,d=7200001,at=s1\r\n", "d: out of range: 7200001"),
-        (b"OPEN 1 2 c=a,d=1,g=x\r\n", "g: up to 16 hexadecimal digits expected"),
-        (b"OPEN 1 2 c=a,d=1,h=4000000000\r\n", "h: out of range"),
-        (b"OPEN 1 2 c=a,d=1,r=2\r\n", "r: 0 or 1 expected"),
-        (b"OPEN 1 2 c=a,d=1,again=yes\r\n", "again: 0 or 1 expected"),
+        (b"OPEN 1 2 c=a,d=1\n", "expected a line that ends in CRLF"),
+        (b"OPEN 1 2 c=\xff,d=1\r\n", "expected a line in UTF-8"),
+        (b"OPEN 1 c=a,d=1\r\n", "expected OPEN ID KEY FIELDS, got 3 words, the first 'OPEN'"),
+        (b"PING 1 2 c=a,d=1\r\n", "expected OPEN ID KEY FIELDS, got 4 words, the first 'PING'"),
+        (b"OPEN x 2 c=a,d=1\r\n", "id: expected up to 16 hexadecimal digits, got 'x'"),
+        (
+            b"OPEN 1 12345678901234567 c=a,d=1\r\n",
+            "key: expected up to 16 hexadecimal digits, got '12345678901234567'",
+        ),
+        (
+            b"OPEN 1 2 c=a,d\r\n",
+            "expected fields NAME=VALUE, separated by commas, got a field of another form",
+        ),
+        (b"OPEN 1 2 c=a,c=b,d=1\r\n", "expected each field name once, got one twice"),
+        (b"OPEN 1 2 d=1\r\n", "c: required field is missing"),
+        (b"OPEN 1 2 c=a\r\n", "d: expected an unsigned decimal number, got None"),
+        (b"OPEN 1 2 c=a,d=1e3\r\n", "d: expected an unsigned decimal number, got '1e3'"),
+        (b"OPEN 1 2 c=a,d=0\r\n", "d: expected more than 0 and at most 60000 ms, got 0"),
+        (b"OPEN 1 2 c=a,d=60001\r\n", "d: expected more than 0 and at most 60000 ms, got 60001"),
+        (b"OPEN 1 2 c=a,d=7200001,at=s1\r\n", "d: expected more than 0 and at most 7200000 ms, got 7200001"),
+        (b"OPEN 1 2 c=a,d=1,g=x\r\n", "g: expected up to 16 hexadecimal digits, got 'x'"),
+        (b"OPEN 1 2 c=a,d=1,h=4000000000\r\n", "h: expected less than 4000000000, got 4000000000"),
+        (b"OPEN 1 2 c=a,d=1,r=2\r\n", "r: expected 0 or 1, got '2'"),
+        (b"OPEN 1 2 c=a,d=1,again=yes\r\n", "again: expected 0 or 1, got 'yes'"),
     ],
 )
 def test_a_first_line_that_violates_the_protocol_is_an_error_that_says_how(line: bytes, message: str) -> None:
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay between two connections: complete lines both ways, how it ends, and the policy's MOVE."""
+"""The relay: complete lines in both directions, the outcomes of a connection, and the policy's MOVE."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ConnectionEnds(NamedTuple):
-    """Both ends of a TCP connection; reads of the test's end time out."""
+    """Both ends of a TCP connection; reads of the test's end have a timeout."""
 
     test_end: socket.socket
     relay_end: socket.socket
@@ -44,7 +44,7 @@
 
 
 class RunningRelay:
-    """A relay in a thread of its own, and the test's ends of its two connections."""
+    """A relay that runs in its own thread, and the test's ends of its two connections."""
 
     def __init__(self, initial_lines: tuple[bytes, ...] = (), state: ConnectionState | None = None) -> None:
         self.client, client = connect()
@@ -65,7 +65,7 @@
         self.status = relay.run() if state is None else relay.resume(state)
 
     def wait_for_end(self) -> AttemptStatus | None:
-        """Return how the connection ended."""
+        """Wait for the relay to end; return how the connection ended."""
         self._thread.join(10)
         return self.status
 
@@ -108,7 +108,7 @@
         (b"BYE\r\nM 1\r\n", AttemptStatus.RESET),
     ],
 )
-def test_the_endpoints_last_line_says_what_its_end_means(
+def test_the_endpoints_last_line_determines_the_outcome(
     relay: RunningRelay, last_lines: bytes, status: AttemptStatus
 ) -> None:
     relay.upstream.sendall(last_lines)
@@ -160,7 +160,7 @@
 
 def test_a_slow_client_applies_backpressure_to_the_endpoint_and_gets_every_line(relay: RunningRelay) -> None:
     line = b"M " + b"x" * 1000 + b"\r\n"
-    line_count = 20_000  # far more than fits the buffers of the sockets
+    line_count = 20_000  # far more than the sockets' buffers hold
     relay.upstream.settimeout(60)
     sender = threading.Thread(target=relay.upstream.sendall, args=(line * line_count,), daemon=True)
     sender.start()
@@ -173,7 +173,7 @@
     assert not sender.is_alive()
 
 
-def test_a_connection_continues_where_another_process_left_it() -> None:
+def test_a_connection_continues_from_the_state_of_another_process() -> None:
     state = ConnectionState(
         OPENING.line,
         "s1",
@@ -187,7 +187,7 @@
     assert relay.upstream.recv(64) == b"M 9\r\n"
     relay.client.sendall(b"NG\r\n")
     assert relay.upstream.recv(64) == b"PING\r\n"
-    relay.upstream.close()  # after BYE, as the other process had read it
+    relay.upstream.close()  # the other process has already read its BYE
     assert read_to_end(relay.client) == b"M "
     relay.client.close()
     assert relay.wait_for_end() is AttemptStatus.OK
