--- a/tansyladder/resumption/__init__.py
+++ b/tansyladder/resumption/__init__.py
@@ -1,1 +1,1 @@
-"""Resumable sessions, without I/O or clocks: control messages, tokens, replay buffers and positions."""
+"""The logic of resumable sessions without I/O or clocks: control messages, tokens, buffers and positions."""
--- a/tansyladder/resumption/errors.py
+++ b/tansyladder/resumption/errors.py
@@ -1,4 +1,4 @@
-"""The errors of this package, and the reasons that clients and operators get."""
+"""The errors of this package, with the reasons that are sent to clients and logged."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 class ResumeRejection(StrEnum):
     """Why a token was rejected. The value is sent after `ERR resume` and written to the log."""
 
-    MALFORMED = "malformed"  # no token of this version
-    ELSEWHERE = "elsewhere"  # sealed by another issuer: another node, or an earlier start of this one
-    FORGED = "forged"  # the authentication of the token, its key or the client's claims fails
+    MALFORMED = "malformed"  # not a token of this version
+    ELSEWHERE = "elsewhere"  # sealed by another issuer: another node, or an earlier start of this node
+    FORGED = "forged"  # the key is unknown, or the token or the client's claims fail authentication
     EXPIRED = "expired"
-    SPENT = "spent"  # redeemed, or older than a redeemed one
+    SPENT = "spent"  # redeemed, or older than a redeemed token
     CLAIMED = "claimed"  # another resume of the session is in progress
-    AHEAD = "ahead"  # the client has lines that were never sent
-    BEHIND = "behind"  # the client lacks lines that it acknowledged
-    ENDED = "ended"
+    AHEAD = "ahead"  # the client claims to have received lines that were never sent
+    BEHIND = "behind"  # the client lacks lines that can no longer be replayed
+    ENDED = "ended"  # the client or the stream host ended the session
     MOVED = "moved"  # the client was redirected to open a new session
-    LOST = "lost"  # a buffer overflowed
+    LOST = "lost"  # a replay buffer overflowed
     NO_CAPACITY = "room"  # too many sessions were suspended
     DRAINING = "draining"  # the node is shutting down
     STORE = "store"  # the store could not record that the token is redeemed
@@ -27,8 +27,8 @@
 class PositionMismatch(StrEnum):
     """Why a session can't continue from a position."""
 
-    AHEAD = "ahead"  # it is ahead of the newest line
-    BEHIND = "behind"  # it is behind the oldest line that can be replayed
+    AHEAD = "ahead"  # the position is ahead of the newest line
+    BEHIND = "behind"  # the position is behind the oldest line that can be replayed
     NO_POSITION = "no_position"  # the stream host sent no position
 
 
@@ -37,11 +37,11 @@
 
 
 class ControlMessageError(ResumptionError):
-    """A control line that is malformed, or that its sender may not send."""
+    """A control line is malformed, or its sender may not send it."""
 
 
 class PositionError(ResumptionError):
-    """A position from which the session can't continue, for `reason`."""
+    """The session can't continue from a position; `reason` says why."""
 
     def __init__(self, reason: PositionMismatch) -> None:
         super().__init__(reason)
@@ -49,7 +49,7 @@
 
 
 class TokenError(ResumptionError):
-    """A token that is rejected; the client gets `reason`."""
+    """A token is rejected; `reason` is sent to the client."""
 
     def __init__(self, reason: ResumeRejection) -> None:
         super().__init__(reason)
--- a/tansyladder/resumption/replay_buffer.py
+++ b/tansyladder/resumption/replay_buffer.py
@@ -1,4 +1,4 @@
-"""Replay buffers: the unacknowledged lines of one direction of a session, bounded in bytes."""
+"""Replay buffers, which hold the unacknowledged lines of one direction of a session, bounded in bytes."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from tansyladder.invariants import Invariant, check_invariant
 from tansyladder.resumption.errors import PositionError, PositionMismatch
 
-LINE_OVERHEAD_BYTES = 64  # of a buffered line beside its text: the object's header and its entry in the queue
+LINE_OVERHEAD_BYTES = 64  # of each buffered line: the header of the bytes object and the entry in the deque
 
 
 class MemoryBudget:
-    """The memory in bytes that all replay buffers of a node share. Thread-safe."""
+    """The memory, in bytes, that all replay buffers of a node share. Thread-safe."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
@@ -22,11 +22,11 @@
 
     @property
     def used_bytes(self) -> int:
-        """Bytes that are reserved."""
+        """The number of reserved bytes."""
         return self._used_bytes
 
     def reserve(self, size_bytes: int) -> bool:
-        """Reserve bytes, and return whether that stays within the limit; else nothing is reserved."""
+        """Reserve bytes and return True; if that exceeds the limit, reserve nothing and return False."""
         with self._lock:
             if self._used_bytes + size_bytes > self.limit_bytes:
                 return False
@@ -34,16 +34,16 @@
             return True
 
     def release(self, size_bytes: int) -> None:
-        """Return reserved bytes."""
+        """Release reserved bytes."""
         with self._lock:
             self._used_bytes -= size_bytes
             check_invariant(Invariant.REPLAY_BUDGET_NEGATIVE, holds=self._used_bytes >= 0)
 
 
 class ReplayBuffer:
-    """The lines after `acknowledged_position` up to `end_position`, counted from 1.
+    """The lines after `acknowledged_position` up to `end_position`, which are counted from 1.
 
-    Once a limit is exceeded the buffer discards its lines and buffers no more; it still counts positions.
+    Once a limit is exceeded, the buffer discards its lines and stores no further ones, but still counts them.
     Owned by the session's thread.
     """
 
@@ -58,7 +58,7 @@
     )
 
     def __init__(self, budget: MemoryBudget, limit_bytes: int) -> None:
-        """`limit_bytes`: of this buffer; `budget`: shared with the other buffers of the node."""
+        """Create a buffer of at most `limit_bytes`, within the `budget` of all buffers of the node."""
         self._budget = budget
         self._limit_bytes = limit_bytes
         self._lines: deque[bytes] = deque()
@@ -69,11 +69,11 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the buffered lines, with LINE_OVERHEAD_BYTES for each."""
+        """The size of the buffered lines, including LINE_OVERHEAD_BYTES for each."""
         return self._size_bytes
 
     def append(self, line: bytes) -> None:
-        """Count a complete line and buffer it; where it exceeds a limit, all buffered lines are discarded."""
+        """Count a complete line and buffer it; if it exceeds a limit, all buffered lines are discarded."""
         self.end_position += 1
         if not self.can_replay:
             return
@@ -85,9 +85,10 @@
         self._lines.append(line)
 
     def acknowledge(self, position: int) -> None:
-        """Drop the lines up to a position; an earlier position changes nothing.
+        """Drop the lines up to a position; a position that is already acknowledged changes nothing.
 
-        PositionError: the position is ahead of the newest line.
+        Raises:
+            PositionError: The position is ahead of the newest line.
         """
         if position > self.end_position:
             raise PositionError(PositionMismatch.AHEAD)
@@ -103,7 +104,11 @@
             self._budget.release(released_bytes)
 
     def lines_after(self, position: int) -> Iterable[bytes]:
-        """Return the lines after a position, oldest first. PositionError: not all of them are buffered."""
+        """Return the lines after a position, oldest first.
+
+        Raises:
+            PositionError: The position is ahead of the newest line, or not all lines after it are buffered.
+        """
         if position > self.end_position:
             raise PositionError(PositionMismatch.AHEAD)
         if position < self.acknowledged_position or not self.can_replay:
@@ -114,12 +119,12 @@
         return lines
 
     def restart_at(self, position: int) -> None:
-        """Continue an empty buffer from the position that the other side sent."""
+        """Set the position of an empty buffer to the one that the receiver of the lines has sent."""
         self.acknowledged_position = position
         self.end_position = position
 
     def discard(self) -> None:
-        """Discard the buffered lines and buffer no more; positions are still counted."""
+        """Discard the buffered lines and buffer no further ones; lines are still counted."""
         self.can_replay = False
         self._lines.clear()
         self._budget.release(self._size_bytes)
--- a/tansyladder/resumption/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -1,8 +1,8 @@
-"""The stream of one session: forwards, counts, acknowledges and replays its lines in both directions.
+"""The stream of one session, which counts, acknowledges and replays its lines in both directions.
 
-It has no sockets: its methods take lines and return bytes for either side. A session that loses its stream
-host continues at another one, from the positions of the client and that host. A client that resumes continues
-from its own position.
+A stream has no sockets: its methods take lines and return the bytes to send to either side. A session that
+loses its stream host continues at another one, from the positions of the client and that host. A client that
+resumes continues from its own position.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 from tansyladder.resumption.host_state import HostState
 from tansyladder.resumption.replay_buffer import MemoryBudget, ReplayBuffer
 
-LINES_PER_ACKNOWLEDGEMENT = 16  # of a client, which keeps both traffic and the client's buffer small
-EPOCH_COUNTER_BITS = 20  # of an epoch; the bits above are the node's start number or the ownership epoch
+LINES_PER_ACKNOWLEDGEMENT = 16  # of a client's lines; keeps both the traffic and the client's buffer small
+# The high bits of an epoch are the node's start number or the ownership epoch; the low bits count placements.
+EPOCH_COUNTER_BITS = 20
 BYE_LINE = b"BYE\r\n"
 MOVE_LINE = b"MOVE\r\n"
 
@@ -33,7 +34,7 @@
 
 @dataclass(slots=True)
 class StreamOutput:
-    """Bytes to send to either side, and the effect of the line on the session."""
+    """The bytes to send to either side, and the effect of the line on the session."""
 
     to_client: bytes = b""
     to_host: bytes = b""
@@ -60,39 +61,45 @@
         session_id: int,
         budget: MemoryBudget,
         buffer_limit_bytes: int,
-        node_start: int = 0,
+        epoch_prefix: int = 0,
         *,
         is_durable: bool = False,
     ) -> None:
-        """`buffer_limit_bytes`: of each direction, with a fixed cost for each line.
-
-        `node_start`: the node's start number or the ownership epoch; epochs of a later one are higher.
-        `is_durable`: the session may outlive the node, so only lines that the stream host has acknowledged
-        are acknowledged to the client.
+        """Create the stream of a new session.
+
+        Args:
+            session_id: The id of the session.
+            budget: The memory budget of all streams of the node.
+            buffer_limit_bytes: The limit of each direction's buffer, with a fixed overhead for each line.
+            epoch_prefix: The node's start number or the ownership epoch, as the high bits of each epoch. A
+                later start or owner has higher epochs.
+            is_durable: Whether the session may outlive the node, so that only lines that the stream host has
+                acknowledged are acknowledged to the client.
         """
         self.session_id = session_id
         self._is_durable = is_durable
         self._host_state = HostState.NEW
-        self._duplicate_lines_expected = 0  # that a client resends after it resumed, though the node has them
-        self.from_client = ReplayBuffer(budget, buffer_limit_bytes)  # until the stream host has the lines
-        self.from_host = ReplayBuffer(budget, buffer_limit_bytes)  # until the client has the lines
-        self.epoch = node_start << EPOCH_COUNTER_BITS  # incremented by each placement
-        self._acknowledged_to_client = 0  # position of the last acknowledgement to the client
-        self._has_reported_loss = False  # whether the client knows that it can't resume any more
+        # After a resume: the number of lines that the client resends although the node has received them.
+        self._duplicate_lines_expected = 0
+        self.from_client = ReplayBuffer(budget, buffer_limit_bytes)  # lines not yet acknowledged by the host
+        self.from_host = ReplayBuffer(budget, buffer_limit_bytes)  # lines not yet acknowledged by the client
+        self.epoch = epoch_prefix << EPOCH_COUNTER_BITS  # incremented by each placement
+        self._acknowledged_to_client = 0  # the position of the last acknowledgement to the client
+        self._has_reported_loss = False  # whether the client was notified that it can no longer resume
 
     @classmethod
     def restored(
-        cls, session_id: int, budget: MemoryBudget, buffer_limit_bytes: int, node_start: int
+        cls, session_id: int, budget: MemoryBudget, buffer_limit_bytes: int, epoch_prefix: int
     ) -> Stream:
-        """Restore a session of an earlier start or another node.
+        """Restore the stream of a session of an earlier start of this node, or of another node.
 
-        Its positions are unknown until its client and the next stream host have sent theirs.
+        The positions are unknown until the client and the next stream host have sent theirs.
         """
-        stream = cls(session_id, budget, buffer_limit_bytes, node_start, is_durable=True)
+        stream = cls(session_id, budget, buffer_limit_bytes, epoch_prefix, is_durable=True)
         stream._host_state = HostState.RESTORED
         return stream
 
-    # --- what is still possible
+    # --- whether the session can continue
 
     @property
     def can_migrate(self) -> bool:
@@ -107,9 +114,12 @@
     # --- the stream host
 
     def begin_placement(self) -> tuple[tuple[str, str], ...]:
-        """Return the fields of the first line to the next stream host; its epoch fences off earlier hosts."""
+        """Begin a placement and return the fields of the first line to the next stream host.
+
+        The new epoch in these fields is a fencing token against earlier placements.
+        """
         self.epoch += 1
-        self._host_state = self._host_state.after_opening()
+        self._host_state = self._host_state.after_placement_began()
         are_positions_unknown = self._host_state is HostState.RESTORED
         first = self.from_client.acknowledged_position
         last = control_messages.MAX_POSITION if are_positions_unknown else self.from_client.end_position
@@ -119,8 +129,10 @@
     def complete_placement(self, line: bytes) -> bytes:
         """Process the new stream host's first line after UP; return the client's lines that the host lacks.
 
-        PositionError: the line has no position (`silent`), the host lacks acknowledged lines (`behind`), or
-        has received or sent more lines than the node knows of (`ahead`).
+        Raises:
+            PositionError: The line has no position (`no_position`), the host lacks acknowledged lines
+                or has sent fewer lines than the node has received (`behind`), or it has received or sent
+                more lines than the node knows of (`ahead`).
         """
         resume_position = _parse_resume_position(line)
         sent = self.from_host.end_position
@@ -140,14 +152,16 @@
     def receive_from_host(self, line: bytes) -> StreamOutput:
         """Process a complete line of the stream host.
 
-        ControlMessageError, PositionError: the session can't continue with this host.
+        Raises:
+            ControlMessageError: The host may not send this control line.
+            PositionError: The host acknowledges lines that the client has not sent.
         """
         if self._host_state.expects_first_line:
             if line == control_messages.FIRST_POSITION_LINE:
                 self._host_state = HostState.RESUMABLE
                 return StreamOutput()
             self._host_state = self._host_state.after_line_without_position()
-            self.from_client.discard()  # such a host never acknowledges, so no other one can continue
+            self.from_client.discard()  # this host never acknowledges lines, so no other host can continue
         if self._host_state.supports_resumption and control_messages.is_control(line):
             self._receive_host_control(line)
             return StreamOutput()
@@ -159,16 +173,23 @@
         return StreamOutput(to_client=line)
 
     def _receive_host_control(self, line: bytes) -> None:
-        """Process an acknowledgement of the stream host, which may send no other control line here."""
+        """Process an acknowledgement of the stream host; other control lines are not allowed here.
+
+        Raises:
+            ControlMessageError: The line is not an acknowledgement.
+            PositionError: The host acknowledges lines that the client has not sent.
+        """
         message = control_messages.parse_host(line)
         if not isinstance(message, control_messages.Acknowledgement):
-            raise ControlMessageError("RS AT stands behind UP only")
+            raise ControlMessageError(
+                "expected RS ACK N, got RS AT, which is allowed only as the first line after UP"
+            )
         self.from_client.acknowledge(message.position)
 
     # --- the client
 
     def adopt_client_position(self, position: int) -> None:
-        """Use the client's count of the host's lines that it has received, if this node has none."""
+        """In a restored session, use the client's count of the host's lines as the host's position."""
         if self._host_state is HostState.RESTORED:
             self.from_host.restart_at(position)
 
@@ -185,7 +206,12 @@
         return self._acknowledged_to_client < self.from_client.end_position
 
     def receive_from_client(self, line: bytes) -> StreamOutput:
-        """Process a complete line of the client. ControlMessageError, PositionError: the client's error."""
+        """Process a complete line of the client.
+
+        Raises:
+            ControlMessageError: The client may not send this control line.
+            PositionError: The client acknowledges lines that were never sent to it.
+        """
         if control_messages.is_control(line):
             return self._receive_client_control(line)
         if self._duplicate_lines_expected:
@@ -198,7 +224,7 @@
         return StreamOutput(to_host=line)
 
     def _receive_client_control(self, line: bytes) -> StreamOutput:
-        """Process a control line of the client; the host gets it if it supports resumption."""
+        """Process a control line of the client, and forward it if the host supports resumption."""
         message = control_messages.parse_client(line)
         if isinstance(message, control_messages.EndOfSession):
             to_host = control_messages.END_LINE if self._host_state.supports_resumption else b""
@@ -209,7 +235,7 @@
         return StreamOutput(to_host=control_messages.format_acknowledgement(message.position))
 
     def acknowledge_client(self) -> bytes:
-        """Return the line that acknowledges the client's lines; empty where there is nothing new."""
+        """Return the line that acknowledges the client's lines; empty if there is nothing new."""
         position = self.durable_position
         if self._acknowledged_to_client >= position:
             return b""
@@ -217,9 +243,13 @@
         return control_messages.format_acknowledgement(position)
 
     def resume_client(self, position: int) -> Iterable[bytes]:
-        """Resume a client that has so many of the host's lines; return the node's position and further lines.
+        """Resume a client that has received the host's lines up to a position.
+
+        Returns:
+            The line with the node's position, followed by the host's lines after `position`.
 
-        PositionError: `ahead` or `behind`; nothing has changed.
+        Raises:
+            PositionError: The position is `ahead` or `behind`; the stream is unchanged.
         """
         lines = list(self.from_host.lines_after(position))
         self.from_host.acknowledge(position)
@@ -228,7 +258,10 @@
         return (control_messages.format_resume_position(self._acknowledged_to_client), *lines)
 
     def report_lost_resumption(self) -> bytes:
-        """Return the line that notifies the client that it can no longer resume; empty unless that is new."""
+        """Return the line that notifies the client that it can no longer resume.
+
+        The result is empty if the client can resume, or was notified before.
+        """
         if self.can_resume_client or self._has_reported_loss:
             return b""
         self._has_reported_loss = True
@@ -241,7 +274,11 @@
 
 
 def _parse_resume_position(line: bytes) -> control_messages.ResumePosition:
-    """Parse the position that a stream host sends after UP. PositionError (`silent`): the line has none."""
+    """Parse the position that a stream host sends after UP.
+
+    Raises:
+        PositionError: The line has no position (`no_position`).
+    """
     try:
         message = control_messages.parse_host(line) if control_messages.is_control(line) else None
     except ControlMessageError as error:
--- a/tansyladder/resumption/tokens.py
+++ b/tansyladder/resumption/tokens.py
@@ -1,8 +1,8 @@
-"""Resumption tokens: opaque, authenticated text that is bound to its issuer and to the claims of its client.
+"""Resumption tokens: opaque, authenticated text that is bound to its issuer and to the client's claims.
 
 A token is sealed with AES-256-GCM of the `cryptography` library (RFC 5116), which compares tags in constant
 time. The session's service class, group and key are associated data: the token doesn't contain them, and the
-client has to send the same ones with it.
+client has to send the same values with it.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 _PAYLOAD = struct.Struct(">QQQ")  # session id, generation, expiry in microseconds
 _HEADER_BYTES = 1 + ISSUER_ID_BYTES  # key id, issuer id
 TOKEN_BYTES = _HEADER_BYTES + NONCE_BYTES + _PAYLOAD.size + TAG_BYTES
-TOKEN_LENGTH = -(-TOKEN_BYTES * 4 // 3)  # 82 characters of unpadded base64; a value in OPEN has up to 128
+TOKEN_LENGTH = -(-TOKEN_BYTES * 4 // 3)  # 82 characters of unpadded base64; a value in OPEN has at most 128
 
 
 class SealingKey(NamedTuple):
-    """A key that seals and opens tokens; tokens contain its id."""
+    """A key that seals and opens tokens, which contain its id."""
 
     key_id: int  # 0 to 255
     secret: bytes  # KEY_BYTES
@@ -40,23 +40,23 @@
 
     session_id: int
     generation: int
-    expires_at_us: int  # on the clock of the issuer
+    expires_at_us: int  # by the clock of the issuer
 
 
 class TokenClaims(NamedTuple):
-    """What a client has to send with a token, as it did when the session began."""
+    """The fields that a client has to send with a token, with the values that began the session."""
 
     service_class: str
     group: int
     key: int
 
     def encode(self) -> bytes:
-        """Encode unambiguously: the numbers have fixed sizes and come first."""
+        """Encode the claims; numbers of fixed sizes come first, so that the encoding is unambiguous."""
         return struct.pack(">QQ", self.group, self.key) + self.service_class.encode()
 
 
 class Keyring:
-    """The keys of one issuer, the sealing one first. Thread-safe: keys may be rotated at any time."""
+    """The keys of one issuer; the first one seals. Thread-safe: keys may be rotated at any time."""
 
     def __init__(
         self,
@@ -65,12 +65,19 @@
         random_bytes: Callable[[int], bytes],
         default_secret: bytes | None = None,
     ) -> None:
-        """`issuer_id`: ISSUER_ID_BYTES that no other node uses; `random_bytes`: os.urandom.
+        """Create a keyring.
 
-        `default_secret`: of the key that is used while `keys` is empty; random if it is None.
+        Args:
+            issuer_id: ISSUER_ID_BYTES that no other issuer uses.
+            keys: The keys, of which the first one seals new tokens.
+            random_bytes: Returns that many bytes for secrets and nonces, as os.urandom does.
+            default_secret: The secret of the key that is used while `keys` is empty; random if it is None.
+
+        Raises:
+            ValueError: The issuer id has the wrong size, or two keys have the same id.
         """
         if len(issuer_id) != ISSUER_ID_BYTES:
-            raise ValueError(f"issuer_id: {ISSUER_ID_BYTES} bytes expected")
+            raise ValueError(f"issuer_id: expected {ISSUER_ID_BYTES} bytes, got {len(issuer_id)}")
         self._issuer_id = issuer_id
         self._random_bytes = random_bytes
         self._default_keys = (SealingKey(0, default_secret or random_bytes(KEY_BYTES)),)
@@ -79,16 +86,17 @@
     def rotate(self, keys: Sequence[SealingKey]) -> None:
         """Replace the keys: the first one seals new tokens, and only tokens of these keys are opened.
 
-        ValueError: two keys have one id.
+        Raises:
+            ValueError: Two keys have the same id.
         """
         keys = tuple(keys) or self._default_keys
         if len({key.key_id for key in keys}) != len(keys):
-            raise ValueError("keys: an id stands twice")
+            raise ValueError(f"keys: expected unique key ids, got {[key.key_id for key in keys]}")
         # One assignment, so that other threads see either the old set or the new one.
         self._ciphers = {key.key_id: AESGCM(key.secret) for key in keys}
 
     def seal(self, payload: TokenPayload, claims: TokenClaims) -> str:
-        """Seal a payload, and return the text of its token, TOKEN_LENGTH characters."""
+        """Seal a payload and return its token, a text of TOKEN_LENGTH characters."""
         key_id, cipher = next(iter(self._ciphers.items()))
         header = bytes((key_id,)) + self._issuer_id
         nonce = self._random_bytes(NONCE_BYTES)
@@ -96,7 +104,11 @@
         return base64.urlsafe_b64encode(header + nonce + sealed).rstrip(b"=").decode()
 
     def open(self, text: str, claims: TokenClaims) -> TokenPayload:
-        """Open a token. TokenError: it is malformed, elsewhere (of another issuer) or forged."""
+        """Open a token.
+
+        Raises:
+            TokenError: The token is malformed, of another issuer (`elsewhere`) or forged.
+        """
         if len(text) != TOKEN_LENGTH:
             raise TokenError(ResumeRejection.MALFORMED)
         try:
@@ -106,7 +118,8 @@
         header = token[:_HEADER_BYTES]
         nonce = token[_HEADER_BYTES : _HEADER_BYTES + NONCE_BYTES]
         sealed = token[_HEADER_BYTES + NONCE_BYTES :]
-        if header[1:] != self._issuer_id:  # not secret: distinguishes another node's token from a forged one
+        # The issuer id is not secret; it distinguishes another issuer's token from a forged one.
+        if header[1:] != self._issuer_id:
             raise TokenError(ResumeRejection.ELSEWHERE)
         cipher = self._ciphers.get(header[0])
         if cipher is None:  # forged, or sealed with a key that was removed
--- a/tansyladder/sessions/__init__.py
+++ b/tansyladder/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Resumable sessions: they migrate between stream hosts, and clients resume them at this or another node."""
+"""Resumable sessions, which migrate between stream hosts and which clients resume at this or another node."""
--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -1,4 +1,4 @@
-"""The client of a session: its connection, its tokens, its suspension and its resumption."""
+"""The client side of a session: the client's connection, tokens, suspension and resumption."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
 
-ACKNOWLEDGEMENT_INTERVAL = timedelta(seconds=4)  # after which a client's lines are acknowledged at the latest
-CLOSING_TIMEOUT = timedelta(milliseconds=800)  # the platform allows a second to close both sides
+ACKNOWLEDGEMENT_INTERVAL = timedelta(seconds=4)  # longest time until a client's line is acknowledged
+CLOSING_TIMEOUT = timedelta(milliseconds=800)  # the platform allows 1 s to close both sides
 
 
 class ClientConnection:
-    """The client of one session, connected or awaited. Owned by the session's thread."""
+    """The client of one session, which is connected or may still resume. Owned by the session's thread."""
 
     def __init__(
         self,
@@ -35,27 +35,28 @@
         opening: Opening,
         stream: Stream,
     ) -> None:
-        """Prepare a client that is not connected yet; `connect` sets its socket."""
+        """Create the connection without a socket, which `connect` or `resume` sets."""
         self._registry = registry
         self._metrics = metrics
         self._lifecycle = lifecycle
         self._opening = opening
         self._stream = stream
         self.socket: BufferedSocket | None = None
-        self._up_line = b""  # of the stream host; sent again to a client that resumes
-        self._expires_at = now()  # until when the client may resume
-        self._closing_deadline: timedelta | None = None  # of the host's last lines, once the client has left
-        self._renew_at = now()  # when the next token is due
-        self._acknowledge_at: timedelta | None = None
+        self._up_line = b""  # the stream host's UP line, which a client that resumes gets again
+        self._expires_at = now()  # a disconnected client can resume until this time
+        # Set once the client has left: the host's last lines are forwarded until this time.
+        self._closing_deadline: timedelta | None = None
+        self._next_token_at = now()
+        self._acknowledge_at: timedelta | None = None  # None while no acknowledgement is scheduled
 
     @property
     def expires_at(self) -> timedelta:
-        """Until when the client may resume."""
+        """The time until which a disconnected client can resume."""
         return self._expires_at
 
     @property
     def closing_deadline(self) -> timedelta | None:
-        """By when the host's last lines have to arrive, once the client has left; None before that."""
+        """The time until which the host's last lines are forwarded to a client that has left; else None."""
         return self._closing_deadline
 
     def connect(self, sock: socket.socket) -> None:
@@ -63,17 +64,21 @@
         self.socket = BufferedSocket(sock)
 
     def set_up_line(self, up_line: bytes) -> None:
-        """Set the line with which the stream host accepted the session."""
+        """Set the UP line with which the stream host accepted the session."""
         self._up_line = up_line
 
-    def set_expiry(self, moment: timedelta) -> None:
-        """Set the time by which the client has to resume."""
-        self._expires_at = moment
+    def set_expiry(self, expires_at: timedelta) -> None:
+        """Set the time until which the client can resume."""
+        self._expires_at = expires_at
 
     # --- sending
 
     def send(self, data: bytes) -> None:
-        """Send to the client if it is connected; a broken connection suspends the session."""
+        """Send data if the client is connected; suspend the session if the connection is broken.
+
+        Raises:
+            SessionEndedError: The connection is broken and the session can't be suspended.
+        """
         if self.socket is not None and data:
             try:
                 self.socket.send(data)
@@ -81,38 +86,38 @@
                 self.suspend(SuspendReason.CONNECTION_LOST)
 
     def issue_token(self) -> bytes:
-        """Return the line of a new token, empty if the session can't be resumed any more.
+        """Issue a token and return its control line, or nothing if the session can no longer be resumed.
 
-        The next token is due after half the lifetime of this one.
+        The next token is due after half of this token's lifetime.
         """
         lifetime = self._registry.options.expires
-        moment = now()
-        self._renew_at = moment + lifetime / 2
-        self._expires_at = moment + lifetime
+        current_time = now()
+        self._next_token_at = current_time + lifetime / 2
+        self._expires_at = current_time + lifetime
         if not self._stream.can_resume_client:
             return b""
         return self._registry.issue_token_line(self._stream.session_id, self._opening)
 
-    def answer(self) -> None:
-        """Answer the client that began the session, with its first token."""
+    def send_first_answer(self) -> None:
+        """Send the UP line and the first token to the client that began the session."""
         self.send(self._up_line + self.issue_token())
 
-    def lines_forwarded(self) -> None:
-        """Schedule the acknowledgement of lines that were forwarded."""
+    def schedule_acknowledgement(self) -> None:
+        """Schedule the acknowledgement of forwarded lines unless one is scheduled already."""
         self._acknowledge_at = self._acknowledge_at or now() + ACKNOWLEDGEMENT_INTERVAL
 
-    def send_due_lines(self, moment: timedelta) -> None:
-        """Send the acknowledgement and the token that are due by now."""
-        if self._acknowledge_at is not None and moment >= self._acknowledge_at:
+    def send_due_lines(self, current_time: timedelta) -> None:
+        """Send the acknowledgement and the token if they are due at `current_time`."""
+        if self._acknowledge_at is not None and current_time >= self._acknowledge_at:
             self.send(self._stream.acknowledge_client())
             has_more = self._stream.has_unacknowledged_lines
-            self._acknowledge_at = moment + ACKNOWLEDGEMENT_INTERVAL if has_more else None
-        if moment >= self._renew_at:
+            self._acknowledge_at = current_time + ACKNOWLEDGEMENT_INTERVAL if has_more else None
+        if current_time >= self._next_token_at:
             self.send(self.issue_token())
 
     def next_deadline(self) -> timedelta:
-        """Return when a line is due for the client, or its time to resume is over."""
-        deadline = self._expires_at if self.socket is None else self._renew_at
+        """Return the next time at which a line is due, or at which the time to resume or to close ends."""
+        deadline = self._expires_at if self.socket is None else self._next_token_at
         if self._acknowledge_at is not None:
             deadline = min(deadline, self._acknowledge_at)
         if self._closing_deadline is not None:
@@ -122,10 +127,10 @@
     # --- suspension and resumption
 
     def suspend(self, reason: SuspendReason) -> None:
-        """Disconnect the client, and wait for it to resume.
+        """Reset the client's connection and suspend the session until the client resumes.
 
         Raises:
-            SessionEndedError: The client had left, can't resume any more, or too many sessions are suspended.
+            SessionEndedError: The client has left, can no longer resume, or too many sessions are suspended.
         """
         if self._closing_deadline is not None:
             raise SessionEndedError(SessionEnd.ENDED)
@@ -141,10 +146,13 @@
         log(LogEvent.SESSION_SUSPENDED, reason=reason)
 
     def resume(self, client: ResumingClient) -> None:
-        """Connect a client that reconnected, or reject it.
+        """Connect a client that has reconnected, or reject it.
 
-        The old connection is reset first and gets no further line. The new one gets the session's positions,
-        a new token and the lines that the client lacks.
+        The old connection is reset first, so that it gets no further line. The new connection gets the UP
+        line, the node's position, a new token and the lines that the client has not received.
+
+        Raises:
+            SessionEndedError: The new connection is broken and the session can't be suspended.
         """
         try:
             position_line, *lines = self._stream.resume_client(client.received_line_count)
@@ -165,11 +173,12 @@
         self._metrics.record_outcome(self._opening.class_name, RequestOutcome.OK)
         log(LogEvent.SESSION_RESUMED, received_lines=client.received_line_count)
         self.send(self._up_line + position_line + self.issue_token() + b"".join(lines))
-        if self.socket is not None:  # else the client may not know that its token is redeemed
+        # If the send failed, the client may not know that its token is spent.
+        if self.socket is not None:
             self._registry.confirm_opened(self._stream.session_id)
 
     def accepts_position(self, client: ResumingClient) -> bool:
-        """Return whether a client of a detached session can resume from its position; reject it otherwise."""
+        """Return whether a client of a detached session can resume from its position; reject it if not."""
         self._stream.adopt_client_position(client.received_line_count)
         try:
             self._stream.from_host.lines_after(client.received_line_count)
@@ -179,12 +188,12 @@
         return True
 
     def cancel_resume(self, client: ResumingClient, answer: bytes) -> None:
-        """Reject a client that reconnected; its token remains valid."""
+        """Reject a client that has reconnected and cancel its resume; its token remains valid."""
         self._registry.token_registry.cancel_resume(self._stream.session_id)
         self.reject(client, answer)
 
     def reject(self, client: ResumingClient, answer: bytes) -> None:
-        """Send a client that reconnected its final answer and close its connection."""
+        """Send the final answer to a client that has reconnected, and close its connection."""
         self._metrics.record_outcome(self._opening.class_name, RequestOutcome.of_answer(answer))
         sockets.configure_stream(client.sock)
         sockets.shutdown_and_drain(client.sock, answer)
@@ -192,11 +201,11 @@
     # --- the end
 
     def start_closing(self) -> None:
-        """Start the time in which a client that has left still gets the host's last lines."""
+        """Set the deadline until which a client that has left still gets the host's last lines."""
         self._closing_deadline = now() + CLOSING_TIMEOUT
 
     def close(self, last_line: bytes) -> None:
-        """Send the unsent bytes and a last line, and close the connection."""
+        """Send the unsent bytes and `last_line`, and close the connection if there is one."""
         if self.socket is not None:
             sockets.configure_stream(self.socket.sock)
             sockets.shutdown_and_drain(self.socket.sock, self.socket.unsent + last_line)
--- a/tansyladder/sessions/errors.py
+++ b/tansyladder/sessions/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a connection of a session or the session itself, and their reasons in the log."""
+"""Errors that end a session or one of its connections, and the reasons that are logged for them."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption.token_registry import SessionEnd
 
-RETRY_SOON = protocol.format_reject(timedelta(milliseconds=200))  # to a token that may soon be valid
+# The answer to a client whose token is rejected now, but may be accepted after this time.
+RETRY_SOON_LINE = protocol.format_reject(timedelta(milliseconds=200))
 
 
 class UpstreamLossReason(StrEnum):
-    """Why a session left its stream host; the value is `reason` of `session_moved` and `session_rejected`."""
+    """Why a session lost its stream host; logged as `reason` of `session_moved` and `session_rejected`."""
 
-    RESTART = "restart"  # the session was restored here and has no stream host yet
+    RESTART = "restart"  # the session was restored and has no stream host yet
     MIGRATED_BY_POLICY = "migrated_by_policy"
-    STALLED = "stalled"  # the host accepts no bytes
-    RESPONSE_TIMEOUT = "response_timeout"  # the host does not answer
+    STALLED = "stalled"  # the host does not accept any bytes
+    RESPONSE_TIMEOUT = "response_timeout"  # the host did not answer in time
     CONNECTION_RESET = "connection_reset"
     CONNECTION_CLOSED = "connection_closed"  # the host closed its connection without BYE
     INVALID_LINE = "invalid_line"
@@ -28,10 +29,10 @@
 
 
 class SuspendReason(StrEnum):
-    """Why a session lost its client; the value is `reason` of `session_suspended`."""
+    """Why a session lost its client; logged as `reason` of `session_suspended`."""
 
     CONNECTION_LOST = "connection_lost"
-    STALLED = "stalled"  # the client accepts no bytes
+    STALLED = "stalled"  # the client does not accept any bytes
 
 
 class SessionError(Exception):
@@ -39,7 +40,7 @@
 
 
 class UpstreamLostError(SessionError):
-    """The connection to the stream host has ended; the session may continue at another host.
+    """The session has lost its stream host and may continue at another one.
 
     `status` is reported to the policy as the status of the attempt.
     """
@@ -53,7 +54,7 @@
 class SessionEndedError(SessionError):
     """The session ends.
 
-    `status` is reported to the policy as the status of the attempt, `last_line` is sent to the client before
+    `status` is reported to the policy as the status of the attempt. `last_line` is sent to the client before
     its connection is closed.
     """
 
@@ -70,7 +71,7 @@
 
 
 class ResumeRejectedError(SessionError):
-    """A resumption was rejected without effect on the session; `answer` is the line for the client."""
+    """A resume was rejected, which leaves the session unchanged; `answer` is the line for the client."""
 
     def __init__(self, answer: bytes) -> None:
         super().__init__(answer.decode().strip())
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -1,4 +1,4 @@
-"""Forwarding of lines between a session's client and one stream host."""
+"""Forwards lines between a session's client and one stream host."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 from tansyladder.sessions.host_connection import HostConnection
 from tansyladder.sessions.upstream_placement import PlacedUpstream
 
-MOVE_LINE = protocol.MOVE + b"\r\n"  # to a client that is to open a new session
+MOVE_LINE = protocol.MOVE + b"\r\n"  # redirects a client, which then opens a new session
 
 
 class Forwarder:
     """Forwards the lines of a session at one stream host, with or without a connected client.
 
-    Owned by the session's thread. While a side has unsent bytes the other side is not read, which applies
-    backpressure to its sender.
+    Owned by the session's thread. While there are unsent bytes for one side, the other side is not read,
+    which applies backpressure to it.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         client: ClientConnection,
         upstream: PlacedUpstream,
     ) -> None:
-        """Prepare to forward at the stream host `upstream`; `run` forwards."""
+        """Prepare to forward between `client` and the stream host `upstream`; call `run` to start."""
         self._queue = queue
         self._stream = stream
         self._client = client
@@ -56,26 +56,31 @@
         self._response_timeout = self._host.response_timeout
 
     @property
-    def has_host_sent(self) -> bool:
-        """Whether the host sent a line to the client."""
+    def has_host_sent_lines(self) -> bool:
+        """Whether the host has sent a line for the client."""
         return self._host.has_sent_lines
 
     def run(self) -> NoReturn:
-        """Forward until UpstreamLostError or SessionEndedError is raised."""
+        """Forward lines until the stream host is lost or the session ends.
+
+        Raises:
+            UpstreamLostError: The stream host is lost; the session may continue at another one.
+            SessionEndedError: The session has ended.
+        """
         try:
             self._start()
             while True:
                 self._resume_clients()
                 self._check_deadlines()
                 self._handle_ready(self._wait_ready())
-        except UpstreamLostError as lost:
-            # The client has left: a connection that ended or broke is the end of the session.
-            if lost.status is AttemptStatus.RESET and self._client.closing_deadline is not None:
-                raise SessionEndedError(SessionEnd.ENDED) from lost
+        except UpstreamLostError as error:
+            # If the client has left, the session ends with the host's connection.
+            if error.status is AttemptStatus.RESET and self._client.closing_deadline is not None:
+                raise SessionEndedError(SessionEnd.ENDED) from error
             raise
 
     def _start(self) -> None:
-        """Send the stream host the lines that it lacks, and forward those that it sent with its answer."""
+        """Replay the lines that the stream host lacks, and forward the lines that followed its UP."""
         self._queue.mark_established()
         if self._upstream.replay:
             self._response_timeout.line_sent()
@@ -83,14 +88,19 @@
         self._forward_host_lines(self._upstream.connection.initial_lines[1:])
 
     def _resume_clients(self) -> None:
-        """Connect clients that have reconnected; SessionEndedError: another node owns the session."""
+        """Connect clients that have reconnected.
+
+        Raises:
+            SessionEndedError: Another node has claimed the session, or a new connection is broken and the
+                session can't be suspended.
+        """
         if self._queue.is_superseded:
             raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
         while resuming_client := self._queue.take_client():
             self._client.resume(resuming_client)
 
     def _handle_ready(self, ready: set[int]) -> None:
-        """Handle what the queue's and the sockets' descriptors are ready for."""
+        """Process the action queue and the sockets whose descriptors are ready."""
         client = self._client
         if self._queue.fileno() in ready:
             self._apply_policy_actions()
@@ -102,37 +112,50 @@
             raise SessionEndedError(SessionEnd.BUFFER_OVERFLOW)
 
     def _apply_policy_actions(self) -> None:
-        """Take the policy's actions; for an established connection it is always to migrate the session."""
+        """Take the policy's actions; the only action for an established connection is a migration.
+
+        Raises:
+            UpstreamLostError: The policy migrates the session.
+        """
         while (action := self._queue.take()) is not None:
-            if action.request_id == self._upstream.request_id:  # else of an earlier placement
+            if action.request_id == self._upstream.request_id:  # other actions belong to an earlier placement
                 raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MIGRATED_BY_POLICY)
 
     def _check_deadlines(self) -> None:
-        """Send the tokens and acknowledgements that are due, and check the deadlines of both sides."""
-        moment = now()
+        """Send due tokens and acknowledgements, and check the deadlines of both sides.
+
+        Raises:
+            UpstreamLostError: The stream host is stalled, or has not answered in time.
+            SessionEndedError: The time of the client to resume or to close is over.
+        """
+        current_time = now()
         client = self._client
         if client.socket is None:
-            if moment >= client.expires_at:
+            if current_time >= client.expires_at:
                 raise SessionEndedError(SessionEnd.EXPIRED)
             return
-        if client.closing_deadline is not None and moment >= client.closing_deadline:
+        if client.closing_deadline is not None and current_time >= client.closing_deadline:
             raise SessionEndedError(SessionEnd.ENDED)
         if self._host.socket.is_stalled:
             raise UpstreamLostError(AttemptStatus.TIMEOUT, UpstreamLossReason.STALLED)
-        self._check_connected(client.socket, moment)
+        self._check_connected_client(client.socket, current_time)
 
-    def _check_connected(self, connected: BufferedSocket, moment: timedelta) -> None:
-        """Suspend a client that is stalled; UpstreamLostError: the stream host does not answer it."""
+    def _check_connected_client(self, client_socket: BufferedSocket, current_time: timedelta) -> None:
+        """Suspend the client if it is stalled; else check the response timeout and send due lines.
+
+        Raises:
+            UpstreamLostError: The stream host has not answered the client in time.
+        """
         client = self._client
-        if connected.is_stalled:
+        if client_socket.is_stalled:
             client.suspend(SuspendReason.STALLED)
-        elif not connected.unsent and self._response_timeout.check_silent():
+        elif not client_socket.unsent and self._response_timeout.check_silent():
             raise UpstreamLostError(AttemptStatus.TIMEOUT, UpstreamLossReason.RESPONSE_TIMEOUT)
         elif client.closing_deadline is None:
-            client.send_due_lines(moment)
+            client.send_due_lines(current_time)
 
     def _wait_ready(self) -> set[int]:
-        """Wait until a descriptor is ready or a deadline has passed; return the ready descriptors."""
+        """Wait until a descriptor is ready or the next deadline; return the ready descriptors."""
         client = self._client
         host = self._host
         poll = select.poll()
@@ -152,33 +175,33 @@
 
     # --- from the client
 
-    def _read_client(self, connected: BufferedSocket) -> None:
-        """Send the client its unsent bytes, read it once and forward its lines."""
-        data = self._receive_from_client(connected)
+    def _read_client(self, client_socket: BufferedSocket) -> None:
+        """Send unsent bytes to the client, read from it once and forward its lines."""
+        data = self._receive_from_client(client_socket)
         if data is None:
             return
         if not data:
             self._client.suspend(SuspendReason.CONNECTION_LOST)
             return
         previous_position = self._stream.from_client.end_position
-        output = _receive_client_lines(self._stream, connected, data)
-        if self._stream.from_client.end_position > previous_position:  # an acknowledgement gets no answer
+        output = _receive_client_lines(self._stream, client_socket, data)
+        if self._stream.from_client.end_position > previous_position:  # control lines get no answer
             self._response_timeout.line_sent()
-            self._client.lines_forwarded()
+            self._client.schedule_acknowledgement()
         self._host.send(output.to_host)
         self._client.send(output.to_client)
         if output.signal is StreamSignal.CLIENT_LEFT:
             self._client.start_closing()
             if not self._host.has_unsent:
-                self._host.end_sending()
+                self._host.shutdown_write()
 
-    def _receive_from_client(self, connected: BufferedSocket) -> bytes | None:
-        """Return the next received bytes, nothing if the connection broke, or None if none are to be read."""
+    def _receive_from_client(self, client_socket: BufferedSocket) -> bytes | None:
+        """Send unsent bytes and read once; return None if nothing is read, empty bytes if disconnected."""
         try:
-            connected.send()
+            client_socket.send()
             if self._host.has_unsent or self._client.closing_deadline is not None:
                 return None
-            return connected.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
+            return client_socket.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return None
         except OSError:
@@ -187,17 +210,22 @@
     # --- from the stream host
 
     def _read_host(self) -> None:
-        """Send the stream host its unsent bytes, read it once and forward its lines."""
+        """Send unsent bytes to the stream host, read from it once and forward its lines."""
         self._host.send()
-        connected = self._client.socket
-        if connected is not None and connected.unsent:
+        client_socket = self._client.socket
+        if client_socket is not None and client_socket.unsent:
             return
         lines = self._host.receive_lines()
         if lines is not None:
             self._forward_host_lines(lines)
 
     def _forward_host_lines(self, lines: tuple[bytes, ...]) -> None:
-        """Count the stream host's lines and forward them; after MOVE or BYE raise what follows from it."""
+        """Count the stream host's lines and forward them, up to a MOVE or BYE.
+
+        Raises:
+            UpstreamLostError: A line is invalid, or the host has redirected or finished the session.
+            SessionEndedError: The host has finished the session.
+        """
         to_client = b""
         signal = StreamSignal.NONE
         for line in lines:
@@ -210,7 +238,7 @@
                 break
         self._client.send(to_client)
         self._client.send(self._stream.report_lost_resumption())
-        self._check_signal(signal)
+        self._raise_for_signal(signal)
 
     def _receive_host_line(self, line: bytes) -> StreamOutput:
         try:
@@ -221,30 +249,35 @@
                 AttemptStatus.ERROR, UpstreamLossReason.INVALID_CONTROL_MESSAGE
             ) from error
 
-    def _check_signal(self, signal: StreamSignal) -> None:
-        """Raise UpstreamLostError or SessionEndedError for a signal that ends the host's connection."""
+    def _raise_for_signal(self, signal: StreamSignal) -> None:
+        """Raise UpstreamLostError or SessionEndedError if a signal ends the connection to the host."""
         if signal is StreamSignal.HOST_REDIRECTED:
             raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MOVED_BY_ENDPOINT)
         if signal is StreamSignal.HOST_FINISHED:
-            if self._client.socket is None and self._stream.can_resume_client:  # its last lines are buffered
+            # The host's last lines are buffered until the client resumes.
+            if self._client.socket is None and self._stream.can_resume_client:
                 raise UpstreamLostError(AttemptStatus.OK, UpstreamLossReason.FINISHED)
             raise SessionEndedError(SessionEnd.ENDED, AttemptStatus.OK)
 
 
-def _register(poll: select.poll, side: BufferedSocket, *, may_read: bool) -> None:
-    """Register what to wait for at one side, if anything."""
+def _register(poll: select.poll, buffered_socket: BufferedSocket, *, may_read: bool) -> None:
+    """Register a socket to wait for received bytes and for space to send, as far as either is needed."""
     events = select.POLLIN if may_read else 0
-    if side.unsent:
+    if buffered_socket.unsent:
         events |= select.POLLOUT
     if events:
-        poll.register(side.sock, events)
+        poll.register(buffered_socket.sock, events)
 
 
-def _receive_client_lines(stream: Stream, connected: BufferedSocket, data: bytes) -> StreamOutput:
-    """Return what to do for the lines in a client's data. SessionEndedError: one of them is invalid."""
+def _receive_client_lines(stream: Stream, client_socket: BufferedSocket, data: bytes) -> StreamOutput:
+    """Process the complete lines in a client's data and return the combined output.
+
+    Raises:
+        SessionEndedError: A line is invalid; the client is redirected.
+    """
     output = StreamOutput()
     try:
-        for line in connected.line_buffer.feed(data):
+        for line in client_socket.line_buffer.feed(data):
             line_output = stream.receive_from_client(line)
             output.to_host += line_output.to_host
             output.to_client += line_output.to_client
--- a/tansyladder/sessions/host_connection.py
+++ b/tansyladder/sessions/host_connection.py
@@ -1,4 +1,4 @@
-"""The connection of a session to one stream host: lines both ways, and how long the host takes to answer."""
+"""A session's connection to one stream host, with a measurement of the host's response times."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class HostConnection:
-    """A session's connection to the stream host at which it is placed. Owned by the session's thread."""
+    """The connection to the stream host at which a session is placed. Owned by the session's thread."""
 
     def __init__(self, context: NodeContext, upstream: PlacedUpstream) -> None:
-        """`upstream`: the host, whose socket the session closes."""
+        """Wrap the connection to `upstream`, whose socket the session closes."""
         attempt = upstream.connection.attempt
         self.endpoint: EndpointAddress = upstream.connection.endpoint
         self.socket = upstream.socket
         self._reports = build_delay_reports(context, upstream.request_id, attempt, self.endpoint.number)
         self.response_timeout = ResponseTimeout(self._reports.record_delay)
-        self.has_sent_lines = False  # whether the host sent a line to the client
+        self.has_sent_lines = False  # whether the host has sent a line for the client
 
     @property
     def has_unsent(self) -> bool:
-        """Whether the host has not accepted all bytes that were sent to it."""
+        """Whether bytes for the host are still buffered here because its socket did not accept them."""
         return bool(self.socket.unsent)
 
     def fileno(self) -> int:
@@ -38,22 +38,26 @@
         return self.socket.sock.fileno()
 
     def send(self, data: bytes = b"") -> None:
-        """Send data, or only unsent bytes of earlier calls. UpstreamLostError: the connection broke."""
+        """Send the unsent bytes of earlier calls, followed by `data`.
+
+        Raises:
+            UpstreamLostError: The connection is broken.
+        """
         try:
             self.socket.send(data)
         except OSError as error:
             raise UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.CONNECTION_RESET) from error
 
-    def end_sending(self) -> None:
-        """End this side of the connection; the host may still send lines."""
+    def shutdown_write(self) -> None:
+        """Shut down the sending side of the connection; the host can still send lines."""
         with contextlib.suppress(OSError):
             self.socket.sock.shutdown(socket.SHUT_WR)
 
     def receive_lines(self) -> tuple[bytes, ...] | None:
-        """Read once; return the lines that are complete now, or None if nothing has arrived.
+        """Read once; return the lines that are now complete, or None if no bytes have arrived.
 
         Raises:
-            UpstreamLostError: The connection broke or ended, or a line is too long.
+            UpstreamLostError: The connection is broken or closed, or a line is malformed.
         """
         try:
             data = self.socket.sock.recv(sockets.READ_SIZE_BYTES, socket.MSG_DONTWAIT)
@@ -70,7 +74,7 @@
             raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_LINE) from error
 
     def record_response(self, line: bytes) -> None:
-        """Record a line to the client: when the host answered, and the load that it reports."""
+        """Record the arrival time of a host's line for the client, and the load if the line reports it."""
         self.has_sent_lines = True
         keyword = protocol.parse_keyword(line)
         self.response_timeout.line_received(keyword)
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -1,4 +1,4 @@
-"""The node's session service: serves new sessions, and resumes those whose clients reconnect with a token."""
+"""The node's session service, which serves new sessions and clients that reconnect with a token."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from tansyladder.resumption.errors import ResumeRejection, TokenError
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import TokenRegistry
-from tansyladder.sessions.errors import RETRY_SOON, ResumeRejectedError
+from tansyladder.sessions.errors import RETRY_SOON_LINE, ResumeRejectedError
 from tansyladder.sessions.session import Session
 from tansyladder.sessions.session_registry import SessionRegistry, sealing_keys, token_claims
 from tansyladder.sessions.session_restorer import SessionRestorer
 
-if TYPE_CHECKING:  # a node without peers does not load what they need
+if TYPE_CHECKING:  # these modules are loaded only if the node has peers
     from tansyladder.sessions.ownership_client import OwnershipService
     from tansyladder.sessions.takeover import SessionTakeover
 
@@ -37,19 +37,19 @@
 class ResumptionHandler:
     """Serves the sessions of one node, and the clients that reconnect to them. Thread-safe.
 
-    Each session runs in a thread: that of its first request, or one of its own where it is restored.
+    A new session runs in the thread of its first request, a restored one in a thread of its own.
     """
 
     def __init__(self, context: NodeContext, registry: SessionRegistry) -> None:
-        """`registry`: the sessions of this node."""
+        """Create the handler of the sessions in `registry`."""
         self._context = context
         self.registry = registry
         self._restorer = SessionRestorer(context, registry)
-        self._takeover: SessionTakeover | None = None  # set once this process has joined its peers
+        self._takeover: SessionTakeover | None = None  # None until this process has joined its peers
 
     def join_peers(self, service: OwnershipService) -> None:
-        """Claim and confirm sessions with the cluster from now on. Called once."""
-        from tansyladder.sessions.takeover import SessionTakeover  # noqa: PLC0415 - for peers alone
+        """Start to claim and confirm sessions with the cluster. Called once."""
+        from tansyladder.sessions.takeover import SessionTakeover  # noqa: PLC0415 - only with peers
 
         ownership = self.registry.join_peers(service)
         self._takeover = SessionTakeover(self._context, self.registry, self._restorer, ownership)
@@ -62,26 +62,26 @@
         return self.registry.token_registry
 
     def offers_resumption(self, opening: Opening) -> bool:
-        """Whether a client's first line asks for a new session that can be resumed."""
+        """Return whether a client's first line begins a new session that the client offers to resume."""
         fields = opening.field_values
         return fields.get(RESUME_OFFER_FIELD) == "1" and RESUME_TOKEN_FIELD not in fields
 
     def new_stream(self) -> Stream:
-        """Return the positions and the replay buffer of a new session."""
+        """Return the positions and the replay buffers of a new session."""
         return self.registry.new_stream()
 
     def first_line_builder(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """Return a function that formats the first line to a stream host, by how long the node waits."""
+        """Return a function that formats the first line to a stream host from how long the node waits."""
         return self.registry.first_line_builder(opening, stream)
 
     def serve(
         self, request: ResumableRequest, client: socket.socket, upstream: UpstreamConnection, request_id: int
     ) -> None:
-        """Serve a session from its first UP to its end; the client's socket is closed then."""
+        """Serve a session from its first UP to its end, and close the client's socket."""
         Session(self._context, self.registry, request, client).run(upstream, request_id)
 
     def rotate_keys(self, options: ResumeOptions) -> None:
-        """Put the keys of new settings in force."""
+        """Use the token keys of new settings."""
         self.registry.keyring.rotate(sealing_keys(options))
 
     # --- clients that reconnect
@@ -91,11 +91,11 @@
     ) -> bytes:
         """Hand a client with a token over to its session's thread, without waiting.
 
-        `release` is called before the client is handed over, after which its socket is not the caller's any
-        more. A rejection has no effect on the session.
+        `release` is called just before the client is handed over; from then on its socket no longer belongs
+        to the caller. A rejection leaves the session unchanged.
 
         Returns:
-            Nothing if the client is handed over, else the answer that rejects it.
+            The answer that rejects the client; empty if the client is handed over.
 
         Raises:
             LineError: The first line has no valid position.
@@ -107,20 +107,25 @@
             return error.answer
         except TokenError as error:
             log(LogEvent.RESUME_REJECTED, reason=error.reason)
-            # The client may have given up on an answer that is on its way, and show the token again.
+            # The client may have timed out before its earlier resume was answered, and retry with the token.
             if self._takeover is not None and error.reason is ResumeRejection.CLAIMED:
-                return RETRY_SOON
+                return RETRY_SOON_LINE
             return control_messages.format_rejection(error.reason)
 
     def _check_is_available(self) -> None:
-        """ResumeRejectedError, TokenError: this node resumes no session now."""
+        """Check that this node can resume sessions now.
+
+        Raises:
+            ResumeRejectedError: It can't, but another node or a later attempt may resume the session.
+            TokenError: It can't, as it is draining and no other node can resume its sessions.
+        """
         resumes_on_any_node = self.registry.resumes_on_any_node
         if self._context.lifecycle.is_draining:
             if resumes_on_any_node:
-                raise ResumeRejectedError(RETRY_SOON)  # another node claims the session
+                raise ResumeRejectedError(RETRY_SOON_LINE)  # another node can claim the session
             raise TokenError(ResumeRejection.DRAINING)
         if resumes_on_any_node and self._takeover is None:
-            raise ResumeRejectedError(RETRY_SOON)
+            raise ResumeRejectedError(RETRY_SOON_LINE)
 
     def _resume(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
@@ -128,7 +133,7 @@
         registry = self.registry
         position = _parse_position(opening)
         payload = registry.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
-        if self._takeover is not None:  # a process that was stopped may read old clients' lines now
+        if self._takeover is not None:  # the line may have arrived while the process was paused
             arrived = min(arrived, now() - sockets.time_since_last_data(sock))
         client = ResumingClient(sock, position, arrived + opening.wait, payload.expires_at_us)
         if not registry.token_registry.is_known(payload.session_id):
@@ -148,13 +153,19 @@
     # --- sessions of other nodes
 
     def on_ownership_claimed(self, session_id: int, ownership_epoch: int, owner: str) -> None:
-        """End a session here that another node owns by a decision of the cluster."""
+        """End this node's copy of a session if the cluster has assigned the session to another node."""
         self.registry.end_superseded(session_id, ownership_epoch, owner)
 
 
 def _parse_position(opening: Opening) -> int:
-    """Return how many lines of the endpoint a client has received. LineError: its first line does not say."""
+    """Parse the number of the host's lines that a client has received.
+
+    Raises:
+        LineError: The position is missing or malformed.
+    """
     position = opening.field_values.get(RESUME_POSITION_FIELD, "")
     if not _POSITION.match(position):
-        raise protocol.LineError(f"{RESUME_POSITION_FIELD}: a position expected")
+        raise protocol.LineError(
+            f"{RESUME_POSITION_FIELD}: expected a position of 1 to 15 digits, got {position!r}"
+        )
     return int(position)
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -1,4 +1,4 @@
-"""One resumable session from start to end: placement at stream hosts, forwarding, suspension, resumption.
+"""Runs one resumable session: placement at stream hosts, forwarding, suspension and resumption.
 
 The states and their transitions are in `session_state`. A client that reconnects is handed over through the
 session's action queue; its old connection is reset before the new one gets a line.
@@ -20,22 +20,28 @@
 from tansyladder.resumption import control_messages
 from tansyladder.resumption.token_registry import SessionEnd
 from tansyladder.sessions.client_connection import ClientConnection
-from tansyladder.sessions.errors import RETRY_SOON, SessionEndedError, UpstreamLossReason, UpstreamLostError
+from tansyladder.sessions.errors import (
+    RETRY_SOON_LINE,
+    SessionEndedError,
+    UpstreamLossReason,
+    UpstreamLostError,
+)
 from tansyladder.sessions.forwarder import MOVE_LINE, Forwarder
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
 from tansyladder.sessions.upstream_placement import PlacedUpstream, PlacementRejected, UpstreamPlacer
 
-MIGRATION_TIMEOUT = timedelta(milliseconds=900)  # no line of a client may be delayed by over a second
-DRAIN_CHECK_INTERVAL = timedelta(seconds=1)  # of a detached session, which a drain of the node does not wake
-MAX_MIGRATIONS_WITHOUT_PROGRESS = 3  # in a row, without a line of any host: the session may be the fault
+MIGRATION_TIMEOUT = timedelta(milliseconds=900)  # a client's line may be delayed by at most 1 s
+DRAIN_CHECK_INTERVAL = timedelta(seconds=1)  # a drain does not wake the thread of a detached session
+# Consecutive migrations without a line from any host; beyond this the session itself may cause the failures.
+MAX_MIGRATIONS_WITHOUT_PROGRESS = 3
 
 
 class Session:
     """One resumable session, from the first UP to its end.
 
-    Owned by its thread, which alone uses its sockets and runs `run`; there are no locks. Other threads reach
-    it through the thread-safe action queue.
+    Owned by the thread that calls `run`, which alone uses the sockets, so there are no locks. Other threads
+    communicate with it through the thread-safe action queue.
     """
 
     def __init__(
@@ -45,7 +51,7 @@
         request: ResumableRequest,
         client: socket.socket | None = None,
     ) -> None:
-        """`client`: its socket; None for a restored session, which waits for its client to resume."""
+        """Create a session; `client` is the client's socket, or None if the session is restored."""
         self._context = context
         self._registry = registry
         self._queue = request.action_queue
@@ -60,23 +66,23 @@
         self._upstream: PlacedUpstream | None = None
         self._migrations_without_progress = 0
 
-    def set_expiry(self, moment: timedelta) -> None:
-        """Set the time by which the client of a restored session has to resume."""
-        self._client.set_expiry(moment)
+    def set_expiry(self, expires_at: timedelta) -> None:
+        """Set the time until which the client of a restored session can resume."""
+        self._client.set_expiry(expires_at)
 
     def run(self, connection: UpstreamConnection | None = None, request_id: int = 0) -> None:
-        """Serve the session to its end, and close all of its sockets.
+        """Serve the session to its end, and close all its sockets.
 
         Args:
-            connection: To the first stream host; a restored session has none.
-            request_id: Of the request that established the connection.
+            connection: The connection to the first stream host; None for a restored session.
+            request_id: The id of the request that established the connection.
         """
         end = SessionEndedError(SessionEnd.ENDED)
         try:
             if connection is None:
                 upstream = self._restore()
             else:
-                upstream = self._begin(PlacedUpstream.of(connection, request_id))
+                upstream = self._begin(PlacedUpstream.from_connection(connection, request_id))
             while True:
                 upstream = self._forward(upstream)
         except SessionEndedError as error:
@@ -85,34 +91,43 @@
             self._close(end)
 
     def _begin(self, upstream: PlacedUpstream) -> PlacedUpstream:
-        """Answer the client of a new session."""
+        """Register a new session, and answer its client."""
         self._client.set_up_line(upstream.connection.initial_lines[0])
         self._connect_upstream(upstream)
         self._registry.token_registry.add(self._stream.session_id, self._queue)
-        self._client.answer()
+        self._client.send_first_answer()
         return upstream
 
     def _restore(self) -> PlacedUpstream:
-        """Wait for the client of a restored session, and place the session."""
+        """Wait for the client of a restored session, and place the session.
+
+        Raises:
+            SessionEndedError: Too many sessions are suspended, the session can't be placed, or its client
+                does not resume in time.
+        """
         if not self._registry.reserve_suspended():
             raise SessionEndedError(SessionEnd.NO_CAPACITY)
         self._lifecycle.apply(SessionEvent.RESTORED)
         return self._next_upstream(UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.RESTART))
 
     def _forward(self, upstream: PlacedUpstream) -> PlacedUpstream:
-        """Forward until the stream host is lost; return the next one."""
+        """Forward until the stream host is lost; return the next one.
+
+        Raises:
+            SessionEndedError: The session has ended.
+        """
         forwarder = Forwarder(self._context, self._queue, self._stream, self._client, upstream)
         try:
             forwarder.run()
-        except UpstreamLostError as lost:
+        except UpstreamLostError as loss:
             lost_at = now()
-            if forwarder.has_host_sent:
+            if forwarder.has_host_sent_lines:
                 self._migrations_without_progress = 0
-            self._leave_upstream(upstream, lost.status)
-            next_upstream = self._next_upstream(lost)
+            self._leave_upstream(upstream, loss.status)
+            next_upstream = self._next_upstream(loss)
             endpoint_id = next_upstream.connection.endpoint.id
             duration = now() - lost_at
-            log(LogEvent.SESSION_MOVED, endpoint=endpoint_id, reason=lost.reason, duration_ms=duration)
+            log(LogEvent.SESSION_MOVED, endpoint=endpoint_id, reason=loss.reason, duration_ms=duration)
             return next_upstream
 
     # --- the next stream host
@@ -122,7 +137,7 @@
         self._lifecycle.apply(SessionEvent.UPSTREAM_CONNECTED)
 
     def _leave_upstream(self, upstream: PlacedUpstream, status: AttemptStatus) -> None:
-        """Close the connection, then report its end to the policy; the next one is opened later."""
+        """Close the connection and report its end to the policy, before any next host is connected."""
         upstream.socket.sock.close()
         self._upstream = None
         self._lifecycle.apply(SessionEvent.UPSTREAM_LOST)
@@ -130,24 +145,29 @@
         self._context.policy.handle_events(upstream.connection.attempt_ended(upstream.request_id, status))
         self._context.policy.unregister_request(upstream.request_id)
 
-    def _next_upstream(self, lost: UpstreamLostError) -> PlacedUpstream:
-        """Place the session again, once its client is connected.
+    def _next_upstream(self, loss: UpstreamLostError) -> PlacedUpstream:
+        """Place the session at the next stream host; wait for its client first if it is disconnected.
 
         Raises:
             SessionEndedError: The session can't be placed, or its client does not resume in time.
         """
         while True:
-            self._check_can_be_placed(lost)
+            self._check_can_be_placed(loss)
             if self._client.socket is not None:
-                return self._migrate(lost)
-            upstream = self._place_for(self._await_client(), lost)
+                return self._migrate(loss)
+            upstream = self._place_for_client(self._await_client(), loss)
             if upstream is not None:
                 return upstream
 
-    def _check_can_be_placed(self, lost: UpstreamLostError) -> None:
-        """SessionEndedError: no other stream host can continue the session."""
+    def _check_can_be_placed(self, loss: UpstreamLostError) -> None:
+        """Check that another stream host may continue the session.
+
+        Raises:
+            SessionEndedError: The host has finished, the session can't migrate or has migrated too often
+                without progress, or the node is draining.
+        """
         is_connected = self._client.socket is not None
-        is_finished = lost.status is AttemptStatus.OK
+        is_finished = loss.status is AttemptStatus.OK
         if is_connected and (is_finished or not self._stream.can_migrate):
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE)
         if not is_connected and not is_finished and not self._stream.can_migrate:
@@ -158,18 +178,27 @@
         if self._context.lifecycle.is_draining:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
 
-    def _migrate(self, lost: UpstreamLostError) -> PlacedUpstream:
-        """Place a session whose client is connected."""
+    def _migrate(self, loss: UpstreamLostError) -> PlacedUpstream:
+        """Place a session whose client is connected.
+
+        Raises:
+            SessionEndedError: No stream host accepts the session in time; the client is redirected.
+        """
         placed = self._placer.place(now() + MIGRATION_TIMEOUT)
         if isinstance(placed, PlacementRejected):
-            log(LogEvent.SESSION_REJECTED, reason=lost.reason)
+            log(LogEvent.SESSION_REJECTED, reason=loss.reason)
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
         self._connect_upstream(placed)
         return placed
 
-    def _place_for(self, client: ResumingClient, lost: UpstreamLostError) -> PlacedUpstream | None:
-        """Place a session whose client reconnected; reject the client if no host accepts the session."""
-        if lost.status is AttemptStatus.OK:  # the host has finished: only buffered lines are left to send
+    def _place_for_client(self, client: ResumingClient, loss: UpstreamLostError) -> PlacedUpstream | None:
+        """Place a session whose client has reconnected; reject the client if no host accepts the session.
+
+        Raises:
+            SessionEndedError: The session needs no further host, or its client is lost again and can't
+                resume.
+        """
+        if loss.status is AttemptStatus.OK:  # the host has finished, and only buffered lines remain to send
             self._client.resume(client)
             raise SessionEndedError(SessionEnd.ENDED)
         placed = self._placer.place(client.deadline)
@@ -183,7 +212,11 @@
         return placed
 
     def _await_client(self) -> ResumingClient:
-        """Wait for a client that resumes a detached session. SessionEndedError: none can any more."""
+        """Wait for a client that resumes a detached session.
+
+        Raises:
+            SessionEndedError: No client can resume the session at this node any more.
+        """
         while True:
             client = self._queue.take_client()
             if client is None:
@@ -195,7 +228,12 @@
                 return client
 
     def _check_can_wait(self) -> None:
-        """SessionEndedError: no client can resume the session here any more."""
+        """Check that a client can still resume the session at this node.
+
+        Raises:
+            SessionEndedError: Another node owns the session, this node is draining, or the session has
+                expired.
+        """
         if self._queue.is_superseded:
             raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
         if self._context.lifecycle.is_draining:
@@ -206,22 +244,22 @@
     # --- the end
 
     def _redirect_line(self) -> bytes:
-        """Return the last line to a client that this node can't serve any more.
+        """Return the last line to a client that this node can no longer serve.
 
-        MOVE has the client open a new session. If another node can continue this one the line is empty: after
-        a connection that ends without MOVE the client reconnects with its token.
+        After MOVE the client opens a new session. If another node can continue this session, the result is
+        empty instead: a client whose connection ends without MOVE reconnects with its token.
         """
         can_resume_elsewhere = self._registry.resumes_on_any_node and self._stream.can_resume_client
         return b"" if can_resume_elsewhere else MOVE_LINE
 
     def _close(self, end: SessionEndedError) -> None:
-        """Release all resources, and answer the clients that reconnected too late."""
+        """Release all resources, and reject clients that reconnected too late."""
         if self._upstream is not None:
             self._leave_upstream(self._upstream, end.status)
-        # First: once the session has ended in the registry no further client is handed over.
+        # Must come first: once the session has ended in the registry, no further client is handed over.
         self._registry.end(self._stream.session_id, end.session_end)
         while client := self._queue.take_client():
-            self._client.reject(client, _late_answer(end.session_end))
+            self._client.reject(client, _answer_after_end(end.session_end))
         self._queue.close()
         self._stream.close()
         if self._lifecycle.state.awaits_client:
@@ -230,8 +268,8 @@
         self._client.close(end.last_line)
 
 
-def _late_answer(session_end: SessionEnd) -> bytes:
-    """Return the answer to a client that reconnects to a session that has just ended."""
-    if session_end is SessionEnd.CLAIMED_BY_OTHER_NODE:  # this node may claim it back in a moment
-        return RETRY_SOON
+def _answer_after_end(session_end: SessionEnd) -> bytes:
+    """Return the answer to a client that reconnected just before its session ended."""
+    if session_end is SessionEnd.CLAIMED_BY_OTHER_NODE:  # this node may soon claim it again
+        return RETRY_SOON_LINE
     return control_messages.format_rejection(session_end.value)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -1,4 +1,4 @@
-"""What the resumable sessions of a node share: keys, tokens, memory, and slots for suspended sessions."""
+"""Resources shared by a node's resumable sessions: keys, tokens, memory and the count of suspended ones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from tansyladder.sessions.errors import ResumeRejectedError
 from tansyladder.sessions.session_store import NodeIdentity, SessionStore
 
-if TYPE_CHECKING:  # a node without peers does not load what they need
+if TYPE_CHECKING:  # this module is loaded only if the node has peers
     from tansyladder.sessions.ownership_client import OwnershipClient, OwnershipService
 
 # Fields of a client's first line that are not forwarded to a stream host.
@@ -42,38 +42,38 @@
     """The resumable sessions of one node. Thread-safe."""
 
     def __init__(self, context: NodeContext, session_store: SessionStore | None = None) -> None:
-        """`session_store`: persists sessions; unused with peers, which take sessions over instead."""
+        """Create the registry; `session_store` persists sessions if there are no peers to take them over."""
         options = context.options.resume
         has_peers = context.options.peers.enabled
         self._context = context
         self.options: ResumeOptions = options
         self.resumes_on_any_node = has_peers
-        self._ownership: OwnershipClient | None = None  # set once this process has joined its peers
+        self._ownership: OwnershipClient | None = None  # None until this process has joined its peers
         self.session_store = None if has_peers else session_store
         identity = self.session_store.identity if self.session_store else None
         self.keyring = _new_keyring(context, identity)
-        self.node_start = 1 if has_peers else identity.start_count if identity else 0
+        self.start_number = 1 if has_peers else identity.start_count if identity else 0
         self._is_durable = has_peers or self.session_store is not None
         self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(
-            options.retained_end_reasons, self.node_start
+            options.retained_end_reasons, self.start_number
         )
         memory_limit = context.configuration.config.limits.memory_mb * MEBIBYTE
         self.memory_budget = MemoryBudget(int(memory_limit * options.memory_share))
         self._suspended_count = 0
-        self._lock = threading.Lock()  # of `_suspended_count`
+        self._lock = threading.Lock()  # guards `_suspended_count`
 
     # --- ownership among peers
 
     def join_peers(self, service: OwnershipService) -> OwnershipClient:
-        """Confirm sessions with the cluster from now on; return the client that claims them. Called once."""
-        from tansyladder.sessions.ownership_client import OwnershipClient  # noqa: PLC0415 - for peers alone
+        """Start to confirm sessions with the cluster; return the client that claims them. Called once."""
+        from tansyladder.sessions.ownership_client import OwnershipClient  # noqa: PLC0415 - only with peers
 
         ownership = OwnershipClient(service, self._context.clock, self.options.expires)
         self._ownership = ownership
         return ownership
 
     def end_superseded(self, session_id: int, ownership_epoch: int, owner: str) -> None:
-        """End a session that another node owns as of an epoch; without effect if this node is the owner."""
+        """End a session that `owner` owns since an epoch; without effect if `owner` is this node."""
         if self._ownership is not None and owner != self._ownership.node:
             queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
             if queue is not None:
@@ -82,19 +82,19 @@
     # --- new sessions
 
     def new_stream(self) -> Stream:
-        """Create the stream of a new session; its random id is the secret by which stream hosts know it."""
+        """Create the stream of a new session, whose random id is a secret shared with the stream hosts."""
         session_id = int.from_bytes(os.urandom(SESSION_ID_BYTES), "big")
         return Stream(
             session_id,
             self.memory_budget,
             self.options.buffer,
-            self.node_start,
+            self.start_number,
             is_durable=self._is_durable,
         )
 
     @staticmethod
     def first_line_builder(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """Return a function that formats the first line to a stream host, by how long the node waits.
+        """Return a function that formats the first line to a stream host from how long the node waits.
 
         Each call of that function begins another placement of the stream.
         """
@@ -103,7 +103,7 @@
     # --- tokens
 
     def issue_token_line(self, session_id: int, opening: Opening) -> bytes:
-        """Issue a token for the session's client; return its control line."""
+        """Issue a token for the session's client, and return its control line."""
         expires_at_us = self._token_expiry_us()
         payload = self.token_registry.issue(session_id, expires_at_us)
         text = self.keyring.seal(payload, token_claims(opening))
@@ -113,7 +113,11 @@
         return control_messages.format_token(text, self.options.expires // MILLISECOND)
 
     def redeem(self, session_id: int, opening: Opening, client: ResumingClient) -> None:
-        """Redeem the token of a client that resumes. ResumeRejectedError: it is not redeemed."""
+        """Redeem the token of a client that resumes.
+
+        Raises:
+            ResumeRejectedError: The redemption could not be stored, or the cluster has not confirmed it.
+        """
         next_floor = self.token_registry.next_generation_floor(session_id)
         if self.session_store is not None and not self.session_store.redeem_session(
             session_id, opening.line, next_floor, self._token_expiry_us()
@@ -125,12 +129,12 @@
         self.token_registry.redeem(session_id)
 
     def confirm_opened(self, session_id: int) -> None:
-        """Report to the peers that a client that resumed was answered, so that its token is spent."""
+        """Report to the peers that a resumed client was answered, so that its token stays spent."""
         if self._ownership is not None:
             self._ownership.report_opened(session_id)
 
     def end(self, session_id: int, session_end: SessionEnd) -> None:
-        """Remove a session: it can't be resumed any more."""
+        """Remove a session, which can no longer be resumed."""
         self.token_registry.end(session_id, session_end)
         if self._ownership is not None:
             self._ownership.forget(session_id)
@@ -144,11 +148,11 @@
 
     @property
     def suspended_count(self) -> int:
-        """Sessions that wait for their clients."""
+        """The number of sessions that wait for their clients."""
         return self._suspended_count
 
     def reserve_suspended(self) -> bool:
-        """Count a session that has lost its client; False if too many are suspended already."""
+        """Count a session that has lost its client; return False if too many are suspended already."""
         with self._lock:
             if self._suspended_count >= self.options.max_suspended:
                 return False
@@ -162,10 +166,10 @@
 
 
 def _new_keyring(context: NodeContext, identity: NodeIdentity | None) -> Keyring:
-    """Build the keyring of this node's tokens, or of its fleet's, whose tokens are valid at all its nodes.
+    """Build the keyring of this node, or with peers that of its fleet, whose nodes accept the same tokens.
 
-    The issuer is bound to the name as well: a folder that was copied to another node does not make that node
-    an issuer of this one's tokens.
+    The issuer id also depends on the name, so that a node that gets a copy of another node's folder does not
+    accept that node's tokens.
     """
     peers = context.options.peers
     issuer_name = peers.fleet if peers.enabled else context.configuration.config.name
@@ -178,10 +182,10 @@
 
 
 def sealing_keys(options: ResumeOptions) -> list[SealingKey]:
-    """Return the keys of the operator's settings; the first one seals."""
+    """Return the keys of the operator's settings; the first one seals new tokens."""
     return [SealingKey(key.id, key.secret) for key in options.keys]
 
 
 def token_claims(opening: Opening) -> TokenClaims:
-    """Return the fields that a client has to repeat when it resumes."""
+    """Return the fields of the first line that a client has to repeat when it resumes."""
     return TokenClaims(opening.class_name, opening.group_key, opening.key)
--- a/tansyladder/sessions/session_restorer.py
+++ b/tansyladder/sessions/session_restorer.py
@@ -1,4 +1,4 @@
-"""Restores sessions of an earlier start or of another node, each in a thread of its own."""
+"""Restores sessions of an earlier start of this node or of another node, each in a thread of its own."""
 
 from __future__ import annotations
 
@@ -21,15 +21,19 @@
 
 
 class SessionRestorer:
-    """Starts sessions that have neither a client nor a stream host yet. Thread-safe."""
+    """Starts restored sessions, which have neither a client nor a stream host yet. Thread-safe."""
 
     def __init__(self, context: NodeContext, registry: SessionRegistry) -> None:
-        """`registry`: gets the restored sessions."""
+        """Create a restorer that adds the sessions to `registry`."""
         self._context = context
         self._registry = registry
 
     def restore_stored(self, session_store: SessionStore, payload: TokenPayload) -> None:
-        """Restore the session of a token, if it is stored. TokenError: spent, or no capacity."""
+        """Restore the session of a token if it is stored.
+
+        Raises:
+            TokenError: The token is spent, or there is no capacity for the session.
+        """
         stored = session_store.load_session(payload.session_id)
         if stored is None:
             return
@@ -48,17 +52,25 @@
     ) -> None:
         """Start a session without a client or a stream host.
 
-        `ownership_epoch`: of the claim, where the session was another node's.
+        Args:
+            session_id: The id of the session.
+            opening: The first line of its client.
+            generation_floor: The lowest generation of its tokens that is not spent.
+            expires_at_us: The time until which the client can resume, in microseconds of Unix time.
+            ownership_epoch: The epoch of the claim if another node owned the session, else 0.
 
-        TokenError: there is no capacity for it.
+        Raises:
+            TokenError: There is no capacity for the session.
         """
         registry = self._registry
         queue = ActionQueue()
         expires_at = self._context.clock.moment(expires_at_us)
         try:
             queue.open()
-            node_start = ownership_epoch or registry.node_start
-            stream = Stream.restored(session_id, registry.memory_budget, registry.options.buffer, node_start)
+            epoch_prefix = ownership_epoch or registry.start_number
+            stream = Stream.restored(
+                session_id, registry.memory_budget, registry.options.buffer, epoch_prefix
+            )
             class_number = self._context.configuration.class_numbers[opening.class_name]
             request = ResumableRequest(queue, class_number, opening, stream)
             session = Session(self._context, registry, request)
--- a/tansyladder/sessions/session_state.py
+++ b/tansyladder/sessions/session_state.py
@@ -1,4 +1,4 @@
-"""The states of a session and the transitions between them."""
+"""The states of a session, and the transitions between them."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 class SessionState(Enum):
-    """Which connections a session has."""
+    """The state of a session, by the connections that it has."""
 
     NEW = "new"
-    CONNECTED = "connected"  # to its client and a stream host
-    SUSPENDED = "suspended"  # to a stream host; the client may resume
-    MIGRATING = "migrating"  # to its client; the next stream host is being chosen
-    DETACHED = "detached"  # to nobody; the client may resume, and a stream host is chosen then
+    CONNECTED = "connected"  # connected to its client and a stream host
+    SUSPENDED = "suspended"  # connected to a stream host only; the client can resume
+    MIGRATING = "migrating"  # connected to its client only; the next stream host is being chosen
+    DETACHED = "detached"  # not connected; a stream host is chosen when the client resumes
     ENDED = "ended"
 
     @property
     def awaits_client(self) -> bool:
-        """Whether the session counts among those that wait for their clients."""
+        """Whether the session is counted as one that waits for its client."""
         return self in (SessionState.SUSPENDED, SessionState.DETACHED)
 
 
 class SessionEvent(Enum):
-    """What changes the state of a session."""
+    """An event that changes the state of a session."""
 
     UPSTREAM_CONNECTED = "upstream connected"
     UPSTREAM_LOST = "upstream lost"
     CLIENT_CONNECTED = "client connected"
     CLIENT_LOST = "client lost"
-    RESTORED = "restored"  # from an earlier start or another node
+    RESTORED = "restored"  # from an earlier start of this node, or from another node
     ENDED = "ended"
 
 
@@ -41,7 +41,7 @@
         SessionEvent.ENDED: SessionState.ENDED,
     },
     SessionState.CONNECTED: {
-        SessionEvent.CLIENT_CONNECTED: SessionState.CONNECTED,  # in place of a half-open connection
+        SessionEvent.CLIENT_CONNECTED: SessionState.CONNECTED,  # replaces a half-open connection
         SessionEvent.CLIENT_LOST: SessionState.SUSPENDED,
         SessionEvent.UPSTREAM_LOST: SessionState.MIGRATING,
         SessionEvent.ENDED: SessionState.ENDED,
@@ -72,7 +72,7 @@
         self.state = SessionState.NEW
 
     def apply(self, event: SessionEvent) -> None:
-        """Change the state as TRANSITIONS says; an event that it does not allow violates an invariant."""
+        """Change the state according to TRANSITIONS; an event not allowed there violates an invariant."""
         next_state = TRANSITIONS[self.state].get(event)
         check_invariant(Invariant.SESSION_TRANSITION_INVALID, holds=next_state is not None)
         if next_state is not None:
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -1,7 +1,7 @@
-"""The records that outlive a node's process: its identity, its sessions and the last endpoint list.
+"""The records that survive a restart of the node: its identity, its sessions and the last endpoint list.
 
-If the store fails the node continues without it: the failure is logged once, and only what needs the store is
-rejected.
+If the store fails, the node continues without it: the failure is logged once, and only operations that need
+the store are rejected.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAINTENANCE_INTERVAL = timedelta(milliseconds=100)  # buffered writes are synced within it
+MAINTENANCE_INTERVAL = timedelta(milliseconds=100)  # buffered writes are synced within this time
 IDENTITY_KEY = b"life"
 ENDPOINTS_KEY = b"members"
 SESSION_KEY_PREFIX = b"session/"
 
 
 class NodeIdentity(msgspec.Struct, frozen=True):
-    """The issuer of a node's tokens: the folder, not the process, so that tokens survive a restart."""
+    """The identity that issues a node's tokens; it is stored, so that the tokens survive a restart."""
 
     issuer_id: bytes = msgspec.field(name="ident")
     token_key: bytes = msgspec.field(name="key")
@@ -40,15 +40,15 @@
 
 
 class StoredSession(msgspec.Struct, frozen=True):
-    """What a restarted node needs to restore a session."""
+    """The data from which a restarted node restores a session."""
 
-    first_line: str = msgspec.field(name="line")  # of the client
+    first_line: str = msgspec.field(name="line")  # the first line that the client sent
     generation_floor: int = msgspec.field(name="floor")  # tokens of lower generations are spent
     expires_at_us: int = msgspec.field(name="expiry")  # Unix time
 
 
 class StoredEndpointList(msgspec.Struct, frozen=True):
-    """The last endpoint list, and when it was saved."""
+    """The last endpoint list, and the time at which it was saved."""
 
     saved_at_us: int = msgspec.field(name="at")  # Unix time
     endpoints: EndpointList = msgspec.field(name="members")
@@ -59,13 +59,21 @@
 
 
 class SessionStore:
-    """The node's records in an open store, with the store's maintenance thread. Thread-safe.
+    """Reads and writes the node's records, and runs the store's maintenance thread. Thread-safe.
 
-    Only the constructor raises errors of the store.
+    Only the constructor raises errors of the store; other methods log them.
     """
 
     def __init__(self, store: Store, now_us: Callable[[], int]) -> None:
-        """Count this start. `now_us` returns microseconds of Unix time. StoreError: the store failed."""
+        """Load the node's identity, or create it, and increment its start count.
+
+        Args:
+            store: The open store.
+            now_us: Returns the time in microseconds of Unix time.
+
+        Raises:
+            StoreError: The store failed.
+        """
         self.store = store
         self._now_us = now_us
         self._has_failed = False
@@ -77,7 +85,7 @@
         else:
             previous = NodeIdentity(os.urandom(ISSUER_ID_BYTES), os.urandom(KEY_BYTES), 0)
         self.identity = NodeIdentity(previous.issuer_id, previous.token_key, previous.start_count + 1)
-        # Synced before any token of this start is sealed.
+        # Synced before any token of this start is sealed, so that no later start has the same count.
         store.put(IDENTITY_KEY, msgspec.msgpack.encode(self.identity))
 
     def start(self) -> None:
@@ -101,7 +109,7 @@
                 self._report_failure(error)
 
     def _report_failure(self, error: StoreError) -> None:
-        """Log a failure unless one was logged; a store that is merely full may work again."""
+        """Log a failure unless an earlier one was final; a full store is not final, as it may work again."""
         if not self._has_failed and not self._stop.is_set():
             self._has_failed = error.code != "full"
             log(LogEvent.STORE_FAILED, code=error.code, error=error)
@@ -137,7 +145,7 @@
         self._write(WriteOperation(ENDPOINTS_KEY, record))
 
     def cached_endpoints(self) -> StoredEndpointList | None:
-        """Return the last list of an earlier start, if one was saved."""
+        """Return the endpoint list that an earlier start of the node saved, or None."""
         record = self._read(ENDPOINTS_KEY)
         if not record:
             return None
@@ -150,14 +158,14 @@
     def save_session(
         self, session_id: int, first_line: str, generation_floor: int, expires_at_us: int
     ) -> None:
-        """Save a session, or its later expiry; synced within MAINTENANCE_INTERVAL."""
+        """Save a session or extend its expiry; the write is synced within MAINTENANCE_INTERVAL."""
         record = msgspec.msgpack.encode(StoredSession(first_line, generation_floor, expires_at_us))
         self._write(WriteOperation(_session_key(session_id), record, expires_at_us))
 
     def redeem_session(
         self, session_id: int, first_line: str, generation_floor: int, expires_at_us: int
     ) -> bool:
-        """Save that tokens below a generation are spent; synced if this returns True."""
+        """Save that tokens below `generation_floor` are spent; return whether the write was synced."""
         record = msgspec.msgpack.encode(StoredSession(first_line, generation_floor, expires_at_us))
         operation = WriteOperation(_session_key(session_id), record, expires_at_us)
         return self._write(operation, Durability.SYNCED)
@@ -167,13 +175,13 @@
         self._write(WriteOperation(_session_key(session_id), None))
 
     def load_session(self, session_id: int) -> StoredSession | None:
-        """Return a session of an earlier start, if it was saved."""
+        """Return a session that an earlier start of the node saved, or None."""
         record = self._read(_session_key(session_id))
         return msgspec.msgpack.decode(record, type=StoredSession) if record else None
 
 
 def open_session_store(directory: str, node_name: str) -> SessionStore | None:
-    """Open the node's records; None, with a log line, if the store can't be used."""
+    """Open the node's records; log an error and return None if the store can't be used."""
     clock = Clock()
 
     def now_us() -> int:
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -1,4 +1,4 @@
-"""Placement of a session at a stream host: one request to the policy, with the session's positions."""
+"""Placement of a session at a stream host, as one request to the policy with the session's positions."""
 
 from __future__ import annotations
 
@@ -16,34 +16,36 @@
 from tansyladder.resumption.errors import PositionError
 from tansyladder.sessions.session_registry import SessionRegistry
 
-MAX_LOGGED_LINE = 80  # characters of a stream host's UP line
-ANSWER_LINE_COUNT = 2  # UP, and the position at which the host continues
+MAX_LOGGED_CHARACTERS = 80  # of a stream host's UP line
+ANSWER_LINE_COUNT = 2  # UP, and the position from which the host continues
 
 
 @dataclass(frozen=True, slots=True)
 class PlacedUpstream:
-    """The stream host that a session is connected to."""
+    """The stream host to which a session is connected."""
 
     connection: UpstreamConnection
     request_id: int
     socket: BufferedSocket
-    replay: bytes = b""  # the client's lines that the host lacks
+    replay: bytes = b""  # the client's lines that the host has not received
 
     @classmethod
-    def of(cls, connection: UpstreamConnection, request_id: int, replay: bytes = b"") -> PlacedUpstream:
-        """Wrap an established connection, whose socket is used by the result alone from now on."""
+    def from_connection(
+        cls, connection: UpstreamConnection, request_id: int, replay: bytes = b""
+    ) -> PlacedUpstream:
+        """Wrap an established connection, whose socket must be used only through the result from now on."""
         return cls(connection, request_id, BufferedSocket(connection.sock, connection.buffer), replay)
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRejected:
-    """No stream host accepted the session; a retry makes sense after `retry_after`."""
+    """No stream host accepted the session; the client should retry after `retry_after`."""
 
     retry_after: timedelta
 
 
 class UpstreamPlacer:
-    """Places one session. Owned by the session's thread."""
+    """Places one session at stream hosts. Owned by the session's thread."""
 
     def __init__(self, context: NodeContext, registry: SessionRegistry, request: ResumableRequest) -> None:
         self._context = context
@@ -52,7 +54,7 @@
         self._replay = b""
 
     def place(self, deadline: timedelta) -> PlacedUpstream | PlacementRejected:
-        """Make the policy's attempts until a stream host continues the session or the request is rejected."""
+        """Make the attempts that the policy chooses until a stream host accepts the session or none does."""
         context = self._context
         request = self._request
         queue = request.action_queue
@@ -69,16 +71,16 @@
             ANSWER_LINE_COUNT,
             self._accept,
         )
-        answer = loop.run(
+        result = loop.run(
             build_request(context, request_id, request.class_number, opening, deadline, is_reconnect=True)
         )
-        if isinstance(answer, UpstreamConnection):
-            up_line, _position, *following_lines = answer.initial_lines
-            connection = replace(answer, initial_lines=(up_line, *following_lines))
-            return PlacedUpstream.of(connection, request_id, self._replay)
+        if isinstance(result, UpstreamConnection):
+            up_line, _position, *following_lines = result.initial_lines
+            connection = replace(result, initial_lines=(up_line, *following_lines))
+            return PlacedUpstream.from_connection(connection, request_id, self._replay)
         context.policy.unregister_request(request_id)
-        if isinstance(answer, Reject):
-            return PlacementRejected(answer.retry_after_us * MICROSECOND)
+        if isinstance(result, Reject):
+            return PlacementRejected(result.retry_after_us * MICROSECOND)
         return PlacementRejected(timedelta(0))
 
     def _accept(self, result: ConnectResult) -> bool:
@@ -87,6 +89,6 @@
             self._replay = self._request.stream.complete_placement(result.following_lines[0])
         except PositionError as error:
             up_line = result.up_line.decode(errors="replace").strip()
-            log(LogEvent.REPLAY_MISMATCH, reason=error.reason, up_line=up_line[:MAX_LOGGED_LINE])
+            log(LogEvent.REPLAY_MISMATCH, reason=error.reason, up_line=up_line[:MAX_LOGGED_CHARACTERS])
             return False
         return True
--- a/tests/resumption/test_tokens.py
+++ b/tests/resumption/test_tokens.py
@@ -79,7 +79,7 @@
     assert keyring.open(new_text, CLAIMS).generation == 2
     with pytest.raises(TokenError, match="forged"):
         keyring.open(old_text, CLAIMS)
-    with pytest.raises(ValueError, match="twice"):
+    with pytest.raises(ValueError, match=r"unique key ids, got \[2, 2\]"):
         keyring.rotate([new_key, new_key])
 
 
