--- a/tests/resumption/test_control_messages.py
+++ b/tests/resumption/test_control_messages.py
@@ -1,4 +1,4 @@
-"""Parsing of control lines."""
+"""Parsing of the control lines of clients and stream hosts."""
 
 from __future__ import annotations
 
@@ -22,6 +22,6 @@
 
 
 @pytest.mark.parametrize("position", [b"9" * 16, b"9" * 400, b"-1", b"1.0", "٣".encode()])
-def test_a_position_that_is_out_of_range_or_no_number_is_rejected(position: bytes) -> None:
+def test_a_position_that_is_out_of_range_or_not_a_number_is_rejected(position: bytes) -> None:
     with pytest.raises(ControlMessageError):
         control_messages.parse_client(b"RS ACK " + position + b"\r\n")
--- a/tests/resumption/test_host_positions.py
+++ b/tests/resumption/test_host_positions.py
@@ -1,4 +1,4 @@
-"""The first line of a stream host after UP, and hosts without resumption."""
+"""The position in a stream host's first line after UP, and hosts that do not support resumption."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     [b"RS AT 3 2\r\n", b"RS AT 0 2\r\n", b"RS AT 1 1\r\n", b"RS AT 1 3\r\n", b"F 1\r\n", b"RS ACK 1\r\n"],
 )
 def test_a_host_whose_position_does_not_fit_is_rejected(first_line: bytes) -> None:
-    """The session has two lines of the client, one of them acknowledged, and two of the host."""
+    """The session has two lines from the client, one of them acknowledged, and two lines from the host."""
     stream = Stream(7, MemoryBudget(10_000), 5000)
     stream.begin_placement()
     for line in (b"RS AT 0 0\r\n", b"F 1\r\n", b"F 2\r\n"):
@@ -33,7 +33,8 @@
         stream.complete_placement(first_line)
     assert stream.complete_placement(b"RS AT 1 2\r\n") == b"M 2\r\n"
     assert stream.complete_placement(b"RS AT 2 2\r\n") == b""
-    assert dict(stream.begin_placement())["ra"] == "2"  # lines that a host has are not replayed to the next
+    # Lines that one host has received are not replayed to the next one.
+    assert dict(stream.begin_placement())["ra"] == "2"
 
 
 def test_lines_of_a_host_without_resumption_pass_unchanged() -> None:
--- a/tests/resumption/test_replay_buffer.py
+++ b/tests/resumption/test_replay_buffer.py
@@ -1,4 +1,4 @@
-"""The bounds of a replay buffer."""
+"""The limits of a replay buffer."""
 
 from __future__ import annotations
 
--- a/tests/resumption/test_stream.py
+++ b/tests/resumption/test_stream.py
@@ -1,4 +1,4 @@
-"""A session's stream against a simple model of a client, stream hosts and a node that may fail."""
+"""Compares a session's stream with a simple model of a client, stream hosts and a node that may fail."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class StreamMachine(RuleBasedStateMachine):
-    """A client, a node's Stream, and stream hosts with a common store; any of them may lose its connection.
+    """A client, a node's Stream, and stream hosts with a common store; any connection may be lost.
 
-    Lines are numbered from 1 in each direction. The model counts what each end has sent and received, and
-    each end must receive the lines of the other in order and without a gap. A session that no host can
-    continue ends, and a new one begins.
+    Lines are numbered from 1 in each direction. The model counts the lines that each end has sent and
+    received. Each end must receive the other end's lines in order and without gaps. A session that no host
+    can continue ends, and a new one begins.
     """
 
     is_durable = False
@@ -31,27 +31,27 @@
     def __init__(self) -> None:
         super().__init__()
         self.budget = MemoryBudget(BUDGET_BYTES)
-        self.other_buffer = ReplayBuffer(self.budget, BUDGET_BYTES)  # of another session of the same node
-        self.node_start = 0
+        self.other_buffer = ReplayBuffer(self.budget, BUDGET_BYTES)  # belongs to another session of the node
+        self.start_number = 0
         self.session_id = 0
         self.begin_session()
 
     def begin_session(self) -> None:
         self.session_id += 1
         self.stream = Stream(
-            self.session_id, self.budget, BUFFER_LIMIT_BYTES, self.node_start, is_durable=self.is_durable
+            self.session_id, self.budget, BUFFER_LIMIT_BYTES, self.start_number, is_durable=self.is_durable
         )
         self.stream.begin_placement()
         self.stream.receive_from_host(b"RS AT 0 0\r\n")
         self.client_sent_count = 0
         self.client_received_count = 0
         self.host_sent_count = 0
-        self.host_received_count = 0  # in the hosts' common store
+        self.host_received_count = 0  # according to the hosts' common store
         self.unacknowledged: deque[int] = deque()  # lines that the client may have to resend
         self.to_client: deque[bytes] = deque()
         self.to_host: deque[bytes] = deque()
         self.is_connected = True
-        self.knows_of_loss = False  # whether the client knows that it can't resume any more
+        self.was_notified_of_loss = False  # whether the client was notified that it can no longer resume
 
     def end_session(self) -> None:
         self.stream.close()
@@ -105,7 +105,7 @@
                 case [b"RS", b"ACK", position]:
                     self.acknowledge_client_lines(int(position))
                 case [b"RS", b"OFF", _]:
-                    self.knows_of_loss = True
+                    self.was_notified_of_loss = True
 
     @rule()
     def host_acknowledges(self) -> None:
@@ -121,7 +121,7 @@
     @precondition(lambda self: self.is_connected)
     @rule(lost_count=st.integers(0, 3))
     def client_connection_breaks(self, lost_count: int) -> None:
-        """Lines in transit to the client are lost, and so are the last ones that it sent."""
+        """Lose the lines in transit to the client, and the last `lost_count` lines that it sent."""
         self.is_connected = False
         self.to_client.clear()
         for _ in range(lost_count):
@@ -130,7 +130,7 @@
 
     @rule()
     def client_resumes(self) -> None:
-        """Resume, also while the old connection seems intact; lines in transit on that one are lost."""
+        """Resume, even while the old connection seems intact; the lines in transit on it are lost."""
         if not self.stream.can_resume_client:
             with pytest.raises(PositionError, match="behind"):
                 self.stream.resume_client(self.client_received_count)
@@ -144,7 +144,7 @@
 
     @rule()
     def host_is_lost(self) -> None:
-        """Lines in transit to and from the host are lost; another host continues from the common store."""
+        """Lose the lines in transit to the host; another host continues from the common store."""
         self.to_host.clear()
         if not self.stream.can_migrate:
             self.end_session()
@@ -159,7 +159,7 @@
 
     @rule(excess=st.integers(1, 9))
     def positions_ahead_are_rejected(self, excess: int) -> None:
-        """Positions of lines that don't exist are rejected and change nothing."""
+        """Check that positions of lines that don't exist are rejected and change nothing."""
         from_client = self.stream.from_client
         from_host = self.stream.from_host
         positions_before = (from_host.acknowledged_position, from_client.acknowledged_position)
@@ -197,21 +197,21 @@
         assert from_client.acknowledged_position <= self.host_received_count
         assert from_host.acknowledged_position <= self.client_received_count
         if not from_host.can_replay and self.is_connected and not self.to_client:
-            assert self.knows_of_loss or self.stream.report_lost_resumption()
+            assert self.was_notified_of_loss or self.stream.report_lost_resumption()
 
 
 class DurableStreamMachine(StreamMachine):
-    """The same where the node may fail and lose all its state; its next start restores the session."""
+    """Like StreamMachine, but the node may fail and lose its state; its next start restores the session."""
 
     is_durable = True
 
     @precondition(lambda self: self.stream.can_migrate)
     @rule()
     def node_fails(self) -> None:
-        """The client resumes at the next start, which asks a host for the position of the client's lines."""
-        self.node_start += 1
+        """Restart the node, which asks a host how many client lines it has; then resume the client."""
+        self.start_number += 1
         self.stream.close()
-        self.stream = Stream.restored(self.session_id, self.budget, BUFFER_LIMIT_BYTES, self.node_start)
+        self.stream = Stream.restored(self.session_id, self.budget, BUFFER_LIMIT_BYTES, self.start_number)
         self.to_client.clear()
         self.to_host.clear()
         client_position = self.client_received_count
@@ -219,12 +219,12 @@
         fields = dict(self.stream.begin_placement())
         assert int(fields["re"]) > 1 << 20
         assert int(fields["ro"]) == client_position
-        self.host_sent_count = client_position  # later lines of the host reached nobody
+        self.host_sent_count = client_position  # no one received later lines of the host
         host_position = self.host_received_count
         with pytest.raises(PositionError, match="ahead"):
             self.stream.complete_placement(b"RS AT %d %d\r\n" % (host_position, client_position + 1))
         assert self.stream.complete_placement(b"RS AT %d %d\r\n" % (host_position, client_position)) == b""
-        self.knows_of_loss = False
+        self.was_notified_of_loss = False
         self.client_resumes()
 
 
--- a/tests/resumption/test_token_registry.py
+++ b/tests/resumption/test_token_registry.py
@@ -1,4 +1,4 @@
-"""The token registry against a simple model of one session's tokens."""
+"""Compares the token registry with a simple model of one session's tokens."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class IssuedToken(NamedTuple):
-    """A token, and when it expires in microseconds."""
+    """A token and its expiry time in microseconds."""
 
     text: str
     expires_at_us: int
 
 
 class RedemptionMachine(RuleBasedStateMachine):
-    """One session's tokens against a model of them: which one resumes it, and why the others are rejected."""
+    """Compares which tokens of a session are accepted, and why the others are rejected, with a model."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,7 +36,7 @@
         self.registry.add(SESSION_ID, HANDLE)
         self.now_us = 0
         self.tokens: list[IssuedToken] = []
-        self.spent_count = 0  # of the tokens, the oldest first
+        self.spent_count = 0  # the oldest tokens, as many as this, are spent
         self.is_resume_in_progress = False
         self.session_end: SessionEnd | None = None
 
@@ -68,7 +68,7 @@
             self.is_resume_in_progress = True
 
     def _expected_rejection(self, number: int) -> str:
-        """The reason why a token is rejected; empty where it resumes the session."""
+        """Return the reason why a token is rejected; empty if it resumes the session."""
         if self.session_end:
             return self.session_end.value
         if number < self.spent_count:
@@ -94,7 +94,7 @@
     @rule(session_end=st.sampled_from(SessionEnd))
     def end(self, session_end: SessionEnd) -> None:
         self.registry.end(SESSION_ID, session_end)
-        # The end of a session that another node claimed is not retained: this node may claim it again.
+        # The reason is not retained if another node claimed the session, as this node may claim it again.
         is_claimed = session_end is SessionEnd.CLAIMED_BY_OTHER_NODE
         self.session_end = SessionEnd.EXPIRED if is_claimed else session_end
 
--- a/tests/resumption/test_tokens.py
+++ b/tests/resumption/test_tokens.py
@@ -1,4 +1,4 @@
-"""Sealing and opening of tokens, and rotation of keys."""
+"""Sealing and opening of tokens, and rotation of their keys."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
         keyring.open(text, claims)
 
 
-def test_tokens_stay_valid_while_their_key_is_in_the_ring() -> None:
+def test_tokens_stay_valid_while_their_key_is_in_the_keyring() -> None:
     keyring = new_keyring()
     new_key = SealingKey(2, b"n" * 32)
     old_text = keyring.seal(TokenPayload(5, 1, 1000), CLAIMS)
--- a/tests/sessions/harness.py
+++ b/tests/sessions/harness.py
@@ -1,4 +1,4 @@
-"""Scripted stream hosts that support resumption, and clients that offer to resume."""
+"""Scripted stream hosts that support resumption, and test clients that offer to resume their sessions."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 def break_connection(peer: Peer) -> None:
-    """Break a connection: it ends with a reset, without a last line."""
+    """Break a connection, so that it ends with a reset and without a last line."""
     peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     peer.close()
 
 
 class ScriptedHost:
-    """A scripted stream host; the script of each connection gets the fields of its first line."""
+    """A scripted stream host; each connection's script receives the fields of the connection's first line."""
 
     def __init__(self, *scripts: HostScript) -> None:
-        self.first_line_fields: list[dict[str, str]] = []  # of each connection
+        self.first_line_fields: list[dict[str, str]] = []  # one entry for each connection
         self.first_lines: list[str] = []
         self.ended = threading.Semaphore(0)  # released at the end of each connection
         self.listener = ScriptedServer(*map(self._script, scripts))
@@ -52,12 +52,12 @@
 
 
 def start_session(peer: Peer, *following_lines: str) -> None:
-    """Answer the first line of a new session."""
+    """Answer the first line of a new session with UP, position 0 and further lines."""
     peer.send_lines("UP r1", "RS AT 0 0", *following_lines)
 
 
 def echo_lines(peer: Peer, fields: dict[str, str]) -> None:
-    """Continue a session at its positions; answer each line with a frame, and acknowledge it at once."""
+    """Continue a session from its positions; answer each line with an F line, and acknowledge it at once."""
     sent_count = int(fields.get("ro", 0))
     received_count = int(fields.get("ra", 0))
     peer.send_lines(f"UP r{fields.get('re', 0)}", f"RS AT {received_count} {sent_count}")
@@ -87,7 +87,7 @@
         return line
 
     def open_session(self) -> None:
-        """Open a session at a host that echoes lines, and exchange one."""
+        """Wait for UP from a host that echoes lines, and exchange one line."""
         assert self.read_line().startswith("UP ")
         self.send_lines("M 1")
         assert self.read_line() == "F 1 M 1"
@@ -98,7 +98,7 @@
         return [self.read_line() for _ in range(count)]
 
     def send_lines(self, *lines: str) -> None:
-        """Send lines, each with its end."""
+        """Send lines, each with its line ending."""
         self.peer.send_lines(*lines)
 
     def lose_connection(self) -> None:
@@ -111,18 +111,18 @@
             time.sleep(0.002)
 
     def reconnect(self, fields: str = "", key: str = "", token: str = "") -> Peer:
-        """Return a new connection that has sent a first line with the token."""
+        """Open a new connection whose first line contains the token, and return it."""
         fields = fields or f"{OFFER_FIELDS},rp={self.frame_count}"
         return self.node.open(f"{fields},rt={token or self.token},again=1", key or self.key)
 
     def wait_for_new_token(self, previous_token: str) -> None:
-        """Read from the connection until its next token has arrived."""
+        """Read from the connection until a token other than `previous_token` arrives."""
         while self.token == previous_token:
             self.token = self.peer.read_line().split()[2]
 
 
 def migrating_hosts(first_placement: HostScript, later_placement: HostScript) -> list[ScriptedHost]:
-    """Return two hosts, each of which follows one script for the first placement and another one later."""
+    """Return two hosts that run one script for a session's first placement and another for later ones."""
 
     def script(peer: Peer, fields: dict[str, str]) -> None:
         (first_placement if fields["re"] == "1" else later_placement)(peer, fields)
@@ -137,7 +137,7 @@
     resume: ResumeOptions = RESUMPTION_OPTIONS,
     store: Path | None = None,
 ) -> Iterator[Node]:
-    """A node that knows these hosts and whose sessions can be resumed, with time for slow machines."""
+    """Run a node with these hosts and resumable sessions; its time limits suit slow machines."""
     servers = (host.listener for host in hosts)
     with running_node(tmp_path, *servers, resume=resume, store=store, settings=LONG_WAIT_SETTINGS) as node:
         yield node
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -29,7 +29,7 @@
 
 
 def test_a_client_resumes_where_it_was(tmp_path: Path) -> None:
-    """Frames that it lacks are sent, and its own lines are delivered once; its old token is spent."""
+    """The client gets the lines that it lacks, its lines are delivered once, and its old token is spent."""
     sent = threading.Event()
 
     def host(peer: Peer, _fields: dict[str, str]) -> None:
@@ -54,13 +54,13 @@
         rejected = client.reconnect(token=spent_token)
         assert [rejected.read_line(), rejected.read_line()] == ["ERR resume spent", ""]
         client.send_lines("M 2")
-        assert client.read_line() == "F 4"  # the second use had no effect on the session
+        assert client.read_line() == "F 4"  # the second use of the token had no effect on the session
         counted = node.metrics.total_counts()
         assert (counted["ok"], counted["errors"], counted["shed"], counted["tries"]) == (2, 1, 0, 1)
 
 
 def test_invalid_tokens_are_rejected_at_once(tmp_path: Path) -> None:
-    """Each rejection names its reason, and the connected session continues."""
+    """Each rejection contains its reason, and the connected session continues."""
     with (
         resuming_node(tmp_path, ScriptedHost(echo_lines)) as node,
         resuming_node(tmp_path, ScriptedHost(echo_lines)) as other_node,
@@ -137,7 +137,7 @@
 
 
 def test_a_detached_session_is_placed_when_its_client_resumes(tmp_path: Path) -> None:
-    """Its host ends while the client is away; a client that no host accepts is told when to retry."""
+    """The host ends while the client is disconnected. A client that no host accepts gets BUSY and a delay."""
     has_capacity = threading.Event()
     may_end = threading.Event()
 
@@ -171,7 +171,7 @@
 
 
 def resume_with_retries(client: SessionClient) -> str:
-    """Reconnect until the answer is not BUSY, as the hosts are ejected for a while; return the answer."""
+    """Reconnect until the answer is not BUSY, and return it; the hosts may be ejected for some time."""
     for _ in range(30):
         client.peer = client.reconnect()
         answer = client.read_line()
@@ -200,7 +200,7 @@
 
 
 def test_a_suspended_session_expires(tmp_path: Path) -> None:
-    """Its host is disconnected then; before that, tokens are renewed while the client is connected."""
+    """Tokens are renewed while the client is connected; at the session's expiry its host is disconnected."""
     short_lived = msgspec.structs.replace(RESUMPTION_OPTIONS)
     msgspec.structs.force_setattr(short_lived, "expires", timedelta(milliseconds=200))
     host = ScriptedHost(echo_lines)
@@ -226,7 +226,7 @@
             client.open_session()
         break_connection(first.peer)
         break_connection(second.peer)
-        assert host.ended.acquire(timeout=5)  # of one of the sessions
+        assert host.ended.acquire(timeout=5)  # one of the two sessions ends
         answers = [first.reconnect().read_line(), second.reconnect().read_line()]
         assert sorted(answers) == ["ERR resume room", "UP r1"]
 
@@ -234,7 +234,7 @@
 def test_a_host_is_disconnected_when_the_resuming_client_breaks_and_cant_be_suspended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the attempt is reported to the policy, and no connection remains open."""
+    """The end of the attempt is reported to the policy, and no connection to the host remains open."""
     is_client_lost = threading.Event()
     is_client_broken = threading.Event()
 
--- a/tests/sessions/test_compatibility.py
+++ b/tests/sessions/test_compatibility.py
@@ -1,4 +1,4 @@
-"""Hosts, clients and nodes of which one does not support resumption."""
+"""Sessions in which the host, the client or the node does not support resumption."""
 
 from __future__ import annotations
 
--- a/tests/sessions/test_migration.py
+++ b/tests/sessions/test_migration.py
@@ -1,4 +1,4 @@
-"""Sessions that continue at another stream host, and those that no host accepts."""
+"""Sessions that migrate to another stream host, and sessions that no host accepts."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 def test_unacknowledged_lines_are_replayed_once(tmp_path: Path) -> None:
-    """The client gets each frame once, and the old connection has ended before the new one begins."""
-    has_ended = threading.Event()
+    """The client gets each line once, and the old connection ends before the new one begins."""
+    has_first_connection_ended = threading.Event()
 
     def first_placement(peer: Peer, _fields: dict[str, str]) -> None:
         start_session(peer, "F 1", "F 2")
         assert [peer.read_line() for _ in range(3)] == ["M 1", "M 2", "M 3"]
         peer.send_lines("RS ACK 1", "F 3", "MOVE")
         assert peer.read_line() == ""
-        has_ended.set()
+        has_first_connection_ended.set()
 
     def second_placement(peer: Peer, fields: dict[str, str]) -> None:
-        assert has_ended.wait(5)
+        assert has_first_connection_ended.wait(5)
         assert (fields["ra"], fields["ri"], fields["ro"]) == ("1", "3", "3")
         peer.send_lines("UP r2", "RS AT 2 3", "F 4")
         assert [peer.read_line(), peer.read_line()] == ["M 3", "M 4"]
@@ -51,7 +51,7 @@
 
 
 def test_a_failing_next_host_is_skipped_for_another_one(tmp_path: Path) -> None:
-    """A host that answers UP without positions is disconnected before the next attempt."""
+    """A host that answers UP without a position is disconnected before the next attempt."""
     lock = threading.Lock()
     epochs = list[int]()
 
@@ -120,7 +120,7 @@
 
 
 def test_a_draining_host_migrates_connected_and_later_suspended_sessions(tmp_path: Path) -> None:
-    """A connected session migrates at once, a suspended one when its client resumes."""
+    """A connected session migrates at once, and a suspended one when its client resumes."""
     hosts = [ScriptedHost(echo_lines), ScriptedHost(echo_lines)]
     entries = [
         EndpointEntry(f"s{index}", host.listener.address, "up", zone="a", kind="m")
--- a/tests/sessions/test_session_limits.py
+++ b/tests/sessions/test_session_limits.py
@@ -1,4 +1,4 @@
-"""Overflowing buffers, invalid control lines, and the end of a session."""
+"""Overflow of replay buffers, invalid control lines, and the end of a session."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     start_session,
 )
 
-LATE_READ_S = 0.3  # in which the host fills all buffers in between; well under the node's SEND_TIMEOUT
+LATE_READ_S = 0.3  # long enough for the host to fill all buffers, and well below the node's SEND_TIMEOUT
 
 
 @pytest.mark.parametrize("slow_client", ["reads late", "acknowledges nothing"])
 def test_a_buffer_overflow_ends_resumption_but_not_the_session(tmp_path: Path, slow_client: str) -> None:
-    """With the longest lines, of 4 KiB, the replay buffers stay within their bound and no line is lost."""
+    """With lines of the maximum length, 4 KiB, replay buffers stay within their limit and no line is lost."""
     line_count = 400
     longest_line = "F" * 4094
 
@@ -59,7 +59,7 @@
         client.open_session()
         other_client.open_session()
         client.send_lines(line)
-        if line == "RS":  # without a space it is no control line, and is forwarded like any other line
+        if line == "RS":  # without a space this is not a control line, so it is forwarded
             client.send_lines("RS END")
             assert client.read_line() == ""
         else:
--- a/tests/sessions/test_session_state.py
+++ b/tests/sessions/test_session_state.py
@@ -1,4 +1,4 @@
-"""The transitions of a session's state."""
+"""The transitions between the states of a session."""
 
 from __future__ import annotations
 
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -1,4 +1,4 @@
-"""A node that restarts with a store: its sessions, spent tokens and endpoint list; and a store that fails."""
+"""Restarts with a store, which keeps sessions, spent tokens and the endpoint list; and stores that fail."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     start_session,
 )
 
-FIRST_EPOCH_OF_SECOND_START = 1 << 21  # of a node; epochs have the number of the start in their upper bits
+FIRST_EPOCH_OF_SECOND_START = 1 << 21  # the high bits of an epoch are the number of the node's start
 
 
 def echo_or_continue(peer: Peer, fields: dict[str, str]) -> None:
-    """Echo lines at the node's first start; later continue a session that has one line of the client."""
+    """Echo lines at the node's first start; later continue a session with one line from the client."""
     if int(fields["re"]) < FIRST_EPOCH_OF_SECOND_START:
         echo_lines(peer, fields)
         return
@@ -35,13 +35,13 @@
 
 
 def resume_session(client: SessionClient) -> None:
-    """Reconnect a client whose host has one line of it."""
+    """Reconnect a client, and expect that one of its lines is acknowledged."""
     client.peer = client.reconnect()
     assert [client.read_line()[:4], client.read_line()] == ["UP r", "RS AT 1"]
 
 
-def test_a_session_and_its_spent_tokens_outlive_the_node(tmp_path: Path) -> None:
-    """The next node starts on a copy of the folder of a running node, which is as a SIGKILL leaves it."""
+def test_a_session_and_its_spent_tokens_survive_a_crash_of_the_node(tmp_path: Path) -> None:
+    """The next node starts with a copy of a running node's folder, which is in the state after a SIGKILL."""
     host = ScriptedHost(echo_or_continue)
     with resuming_node(tmp_path, host, store=tmp_path / "a") as first:
         client = SessionClient(first)
@@ -93,7 +93,7 @@
 
 
 def test_only_lines_that_the_host_has_are_acknowledged_to_the_client(tmp_path: Path) -> None:
-    """The client repeats lines that a crash of the node would lose, and the host gets no line twice."""
+    """The client resends the lines that a crash of the node would lose, and the host gets each line once."""
 
     def host_with_one_line(peer: Peer, _fields: dict[str, str]) -> None:
         start_session(peer)
@@ -152,7 +152,7 @@
 
 
 def test_a_token_is_rejected_where_its_redemption_cant_be_stored(tmp_path: Path) -> None:
-    """Else it would resume the session once more after a restart. Connected clients are still served."""
+    """Else the token could resume the session again after a restart. Connected clients are still served."""
     with resuming_node(tmp_path, ScriptedHost(echo_lines), store=tmp_path / "a") as node:
         client = SessionClient(node)
         client.open_session()
