--- a/tansyladder/config/deprecated_keys.py
+++ b/tansyladder/config/deprecated_keys.py
@@ -1,4 +1,4 @@
-"""Earlier names of the operator's settings keys: still accepted, and reported by `tansyladder check`."""
+"""Deprecated names of the operator's settings keys: accepted, and reported by `tansyladder check`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DeprecatedKey(NamedTuple):
-    """An earlier name of a key, and the name that replaced it in the same section."""
+    """A deprecated name of a key, and the name that replaces it in the same section."""
 
     section: str
     name: str
@@ -17,12 +17,12 @@
 
     @property
     def path(self) -> str:
-        """The earlier name with its section."""
+        """The section and the deprecated name, as in `resume.parked`."""
         return f"{self.section}.{self.name}"
 
     @property
     def replacement_path(self) -> str:
-        """The present name with its section."""
+        """The section and the current name, as in `resume.max_suspended`."""
         return f"{self.section}.{self.replacement}"
 
 
@@ -35,10 +35,10 @@
 
 
 def rename_deprecated_keys(sections: dict[str, Any]) -> tuple[DeprecatedKey, ...]:
-    """Rename the deprecated keys of parsed settings in place, and return those that were found.
+    """Rename the deprecated keys of parsed settings in place, and return the ones that were found.
 
     Raises:
-        OptionsError: a section gives both the earlier and the present name.
+        OptionsError: a section contains both the deprecated and the current name.
     """
     found = []
     for deprecated in DEPRECATED_KEYS:
@@ -55,9 +55,12 @@
 
 
 def error_with_written_key(key: str, problem: str, found: Iterable[DeprecatedKey]) -> OptionsError:
-    """Return the error of an invalid value, with the key as the file writes it.
+    """Return the error for an invalid value, with the key's name as it is written in the file.
 
-    `problem` begins with the key's name where `key` is the whole section.
+    Args:
+        key: the path of the key, or of the whole section.
+        problem: the description; it begins with the key's name if `key` is the section.
+        found: the deprecated keys that the file uses.
     """
     for deprecated in found:
         if key == deprecated.replacement_path:
--- a/tansyladder/config/errors.py
+++ b/tansyladder/config/errors.py
@@ -1,21 +1,26 @@
-"""The errors of configurations: one hierarchy for the platform's file and the operator's settings."""
+"""The errors of the platform's configuration and the operator's settings, in one hierarchy."""
 
 from __future__ import annotations
 
 
 class ConfigurationError(Exception):
-    """A configuration that can't be used; the message begins with the key at fault, if there is one."""
+    """An invalid or unreadable configuration; the message begins with the invalid key, if there is one."""
 
     def __init__(self, key: str, problem: str) -> None:
-        """`key`: its name in the file, or the variable that names the file; empty: the whole file."""
+        """Build the message.
+
+        Args:
+            key: the key's path, or the environment variable that names the file; empty for the whole file.
+            problem: what is wrong.
+        """
         super().__init__(f"{key}: {problem}" if key else problem)
         self.key = key
         self.problem = problem
 
 
 class ConfigError(ConfigurationError):
-    """A platform's configuration that can't be used."""
+    """The platform's configuration is invalid or unreadable."""
 
 
 class OptionsError(ConfigurationError):
-    """An operator's settings that can't be used."""
+    """The operator's settings are invalid or unreadable."""
--- a/tansyladder/config/json_paths.py
+++ b/tansyladder/config/json_paths.py
@@ -1,10 +1,14 @@
-"""Nested JSON as the flat `path=value` pairs in which the simulator writes settings."""
+"""Converts nested JSON to flat `path=value` pairs, the form in which the simulator sends settings."""
 
 from __future__ import annotations
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Flatten decoded JSON. A list of objects gets its length at `path.count`; other lists are one value."""
+    """Flatten decoded JSON.
+
+    A list with objects becomes its length at `path.count` and its items at `path.0` and so on. Any other list
+    becomes one value with commas.
+    """
     if isinstance(value, dict):
         return _flatten_object(value, path)
     if isinstance(value, list):
@@ -29,7 +33,7 @@
 
 
 def _format(value: object) -> str:
-    """Format a plain value; null is empty."""
+    """Format a plain value; null becomes an empty text."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return "" if value is None else str(value)
--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -1,7 +1,7 @@
-"""The operator's own settings: their keys, defaults and bounds, in a file of S-expressions.
+"""The operator's settings: their keys, defaults and bounds. They are read from a file of S-expressions.
 
-The platform needs no such file: without it, all features that it can enable are disabled. An error names the
-path of its key, as in `resume.expires: …`.
+The file is optional; without it, all features that it can enable are disabled. An error names the path of its
+key, as in `resume.expires: …`.
 """
 
 from __future__ import annotations
@@ -21,106 +21,110 @@
 from tansyladder.config.errors import OptionsError
 
 MAX_SHOWN_NAME = 40  # characters of an invalid name in an error message
-TOKEN_KEYS = "keys"  # the only name with a list of values, and the only one that a reload may change
-TOKEN_KEY_ID_MAX = 255  # one byte of a token
+TOKEN_KEYS = "keys"  # the only key whose value is a list, and the only one that a reload may change
+TOKEN_KEY_ID_MAX = 255  # a token stores the id in one byte
 SECRET_PATTERN = re.compile(r"[0-9a-fA-F]{64}\Z")  # 32 bytes
 VOTER_COUNTS = (1, 3, 5)
 LEASE_EXPIRY_POLICIES = ("stop", "serve")
-SHORTEST_EXPIRY = timedelta(seconds=1)
-LONGEST_EXPIRY = timedelta(hours=1)
-SHORTEST_LEASE = timedelta(seconds=2)
-LONGEST_LEASE = timedelta(minutes=10)
+MIN_EXPIRY = timedelta(seconds=1)
+MAX_EXPIRY = timedelta(hours=1)
+MIN_LEASE = timedelta(seconds=2)
+MAX_LEASE = timedelta(minutes=10)
 
 
 class KeyEntry(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A key that seals tokens: its id and 32 bytes in hexadecimal digits."""
+    """A key that seals tokens: its id, and its 32 bytes in hexadecimal digits."""
 
     id: Annotated[int, msgspec.Meta(ge=0, le=TOKEN_KEY_ID_MAX)]
     digits: str
 
     def __post_init__(self) -> None:
         if not SECRET_PATTERN.match(self.digits):
-            raise ValueError("32 bytes in hexadecimal digits expected")
+            raise ValueError("expected 32 bytes as 64 hexadecimal digits")
 
     @property
     def secret(self) -> bytes:
-        """The 32 bytes."""
+        """The 32 bytes of the key."""
         return bytes.fromhex(self.digits)
 
 
 class ResumeOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Resumable sessions. A reload may change `keys`; all else needs a restart."""
+    """Resumable sessions. A reload may change `keys`; the other options need a restart."""
 
     enabled: bool = False
-    expires: timedelta = timedelta(seconds=30)  # of a token and of a suspended session
+    expires: timedelta = timedelta(seconds=30)  # lifetime of a token and of a suspended session
     buffer: Annotated[int, msgspec.Meta(ge=4096, le=16 << 20)] = (
         64 << 10
-    )  # bytes of each direction of a session
+    )  # bytes for each direction of a session
     memory_share: Annotated[float, msgspec.Meta(gt=0, le=0.5)] = 0.125  # of limits.memory_mb, for all buffers
     max_suspended: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 256  # sessions without a client
-    # Ended sessions whose reason is retained, so that the rejection of a late client names it.
+    # Ended sessions whose end reason is retained, so that the rejection of a late client can state it.
     retained_end_reasons: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 4096
-    keys: tuple[KeyEntry, ...] = ()  # the first one seals; empty: a random one is generated at the start
+    # The first key seals new tokens. If there is none, a random key is generated when the node starts.
+    keys: tuple[KeyEntry, ...] = ()
 
     def __post_init__(self) -> None:
-        if not SHORTEST_EXPIRY <= self.expires <= LONGEST_EXPIRY:
-            raise ValueError("expires: from 1 s to 1 h expected")
+        if not MIN_EXPIRY <= self.expires <= MAX_EXPIRY:
+            raise ValueError("expires: expected 1 s to 1 h")
         if len({key.id for key in self.keys}) != len(self.keys):
-            raise ValueError("keys: an id stands twice")
+            raise ValueError("keys: two keys have the same id")
 
 
 class StoreOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The embedded store, which needs a persistent disk."""
+    """The embedded store. It needs a persistent disk."""
 
     enabled: bool = False
     directory: str = ""
 
     def __post_init__(self) -> None:
         if self.enabled and not self.directory:
-            raise ValueError("directory: missing")
+            raise ValueError("directory: missing; store.enabled needs it")
 
 
 class PeersOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Nodes that take over each other's sessions; equal at all of them, except for `listen`."""
+    """Nodes that take over each other's sessions. All but `listen` must be equal at all nodes."""
 
     enabled: bool = False
-    fleet: str = ""  # the name of the cluster; nodes of another one are rejected
-    key: str = ""  # 32 bytes in hexadecimal digits, by which nodes authenticate each other
-    members: dict[str, str] = {}  # the nodes' addresses for peers by their names
-    voters: str = ""  # the names of one, three or five members
-    listen: str = ""  # this node's address for peers; empty: the one among the members
+    fleet: str = ""  # name of the cluster; nodes with another name are rejected
+    key: str = ""  # 32 bytes in hexadecimal digits, with which nodes authenticate each other
+    members: dict[str, str] = {}  # node name -> its address for peers
+    voters: str = ""  # names of one, three or five members, separated by spaces
+    listen: str = ""  # address at which this node accepts peers; if empty, its address in `members`
 
     def __post_init__(self) -> None:
         if self.enabled:
             self._check()
 
     def _check(self) -> None:
-        """Raise ValueError where a value that peers need is missing or invalid."""
+        """Raise ValueError if a value that peers need is missing or invalid."""
         if not self.fleet:
-            raise ValueError("fleet: missing")
+            raise ValueError("fleet: missing; peers.enabled needs it")
         if not SECRET_PATTERN.match(self.key):
-            raise ValueError("key: 32 bytes in hexadecimal digits expected")
+            raise ValueError("key: expected 32 bytes as 64 hexadecimal digits")
         names = self.voters.split()
         voters = set(names)
         if len(voters) not in VOTER_COUNTS or len(voters) != len(names):
-            raise ValueError("voters: one, three or five names expected")
+            raise ValueError(
+                f"voters: expected 1, 3 or 5 different names, found {len(names)} ({len(voters)} different)"
+            )
         if missing := sorted(voters - set(self.members)):
-            raise ValueError(f"voters: not among the members: {missing[0][:MAX_SHOWN_NAME]}")
+            raise ValueError(f"voters: {missing[0][:MAX_SHOWN_NAME]} is not one of the members")
 
 
 class DocumentsOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Documents that are in force at all nodes or at none; equal at all nodes."""
+    """Documents that are in force at all nodes or at none. The options must be equal at all nodes."""
 
     enabled: bool = False
-    lease: timedelta = timedelta(seconds=30)  # for which a node without contact to the others decides
-    on_lease_expiry: str = "stop"  # or `serve`: it decides under the versions it knows, and counts that
-    decision_log: str = ""  # a file with the time and the versions that each first line is decided under
+    lease: timedelta = timedelta(seconds=30)  # for which a node may decide without contact to the others
+    # With `serve`, the node decides under the versions it knows, and counts these decisions.
+    on_lease_expiry: str = "stop"
+    decision_log: str = ""  # file for the time and the document versions of the decision on each first line
 
     def __post_init__(self) -> None:
-        if not SHORTEST_LEASE <= self.lease <= LONGEST_LEASE:
-            raise ValueError("lease: from 2 s to 10 min expected")
+        if not MIN_LEASE <= self.lease <= MAX_LEASE:
+            raise ValueError("lease: expected 2 s to 10 min")
         if self.on_lease_expiry not in LEASE_EXPIRY_POLICIES:
-            raise ValueError("on_lease_expiry: stop or serve expected")
+            raise ValueError("on_lease_expiry: expected stop or serve")
 
 
 class LogOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -140,7 +144,9 @@
 
     def __post_init__(self) -> None:
         if self.peers.enabled and not (self.resume.enabled and self.resume.keys):
-            raise ValueError("peers.enabled: needs resume.enabled, and resume.keys that all nodes share")
+            raise ValueError(
+                "peers.enabled: needs resume.enabled, and resume.keys that are equal at all nodes"
+            )
         if self.documents.enabled and not self.peers.enabled:
             raise ValueError("documents.enabled: needs peers.enabled")
 
@@ -149,31 +155,35 @@
     """The content of a settings file."""
 
     options: Options
-    deprecated_keys: tuple[DeprecatedKey, ...]  # earlier names of keys that the file uses
+    deprecated_keys: tuple[DeprecatedKey, ...]  # the ones that the file uses
 
 
 def parse_file(text: str) -> SettingsFile:
-    """Parse the text of a settings file. OptionsError: names the path of the first fault."""
-    # Lazy: a node without settings doesn't load the library that reads them.
+    """Parse the text of a settings file. Raises OptionsError with the path of the first fault."""
+    # Imported here so that a node without settings doesn't load the library that reads them.
     from tansyladder.config.s_expressions import parse_sections  # noqa: PLC0415
 
     sections = parse_sections(text, list_names=(TOKEN_KEYS,))
     deprecated_keys = rename_deprecated_keys(sections)
     try:
         return SettingsFile(msgspec.convert(sections, Options), deprecated_keys)
-    except msgspec.ValidationError as err:  # "why - at `$.resume.expires`"
+    except msgspec.ValidationError as err:  # "<problem> - at `$.resume.expires`"
         problem, _, location = str(err).partition(" - at `$")
         key = location.rstrip("`").lstrip(".")
         raise error_with_written_key(key, problem, deprecated_keys) from err
 
 
 def parse(text: str) -> Options:
-    """Parse the settings in the text of a file. OptionsError: names the path of the first fault."""
+    """Parse the text of a settings file, without its deprecated keys.
+
+    Raises:
+        OptionsError: the text is invalid; the error has the path of the first fault.
+    """
     return parse_file(text).options
 
 
 def load_file(path: str | Path) -> SettingsFile:
-    """Read a settings file. OptionsError: it can't be read, or has a fault, whose path is named."""
+    """Read a settings file. Raises OptionsError if it can't be read or has a fault, with the fault's path."""
     try:
         return parse_file(Path(path).read_text(encoding="utf-8"))
     except OSError as err:
@@ -183,12 +193,12 @@
 
 
 def load(path: str | Path | None) -> Options:
-    """Read settings from a file; return the defaults, with all features off, where none is named."""
+    """Read settings from a file; return the defaults, with all features off, if `path` is None."""
     return Options() if path is None else load_file(path).options
 
 
 def restart_required_changes(running: Options, reloaded: Options) -> list[str]:
-    """Return the paths of changes that need a restart, which are all but those of the tokens' keys."""
+    """Return the paths of changed settings that need a restart: all but the keys of tokens."""
     changed = []
     for section, before in msgspec.structs.asdict(running).items():
         old = msgspec.structs.asdict(before)
--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -1,6 +1,7 @@
-"""Reads and validates the platform's configuration, and adds its defaults.
+"""Reads and validates the platform's configuration, and adds defaults.
 
-`GW_CONFIG` names a JSON file; `GW_NAME`, `GW_LISTEN`, `GW_OPERATOR` and `GW_DISCOVERY` override its keys.
+The environment variable `GW_CONFIG` is the path of a JSON file. `GW_NAME`, `GW_LISTEN`, `GW_OPERATOR` and
+`GW_DISCOVERY` override its keys.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 MAX_SHOWN_NUMBER = 40  # characters of an invalid number in an error message
 MICROSECOND = timedelta(microseconds=1)
 POSITIVE_CLASS_KEYS = ("slo", "hard_limit")
-# Names of settings in the error messages of the policy, and in the file.
-FILE_KEYS = {".deadline:": ".hard_limit:", ".aim:": ".slo:"}
+# Names of settings in the policy's error messages, with the keys of the file that replace them.
+POLICY_NAMES_TO_FILE_KEYS = {".deadline:": ".hard_limit:", ".aim:": ".slo:"}
 
 
 class Address(NamedTuple):
-    """A TCP address, in the form that sockets take."""
+    """A TCP address, in the form that socket functions take."""
 
     host: str
     port: int
@@ -46,7 +47,7 @@
 
 
 class EndpointEntry(msgspec.Struct):
-    """One endpoint, in discovery's form."""
+    """One endpoint, as discovery describes it."""
 
     id: str
     address: str = msgspec.field(name="host_port")
@@ -55,19 +56,19 @@
     kind: str = msgspec.field(default="", name="flavor")
     cell: int = 0
     capacity: float = msgspec.field(default=1.0, name="size")
-    started_at_ms: int = msgspec.field(default=0, name="up_since_ms")  # Unix time; 0: unknown
+    started_at_ms: int = msgspec.field(default=0, name="up_since_ms")  # Unix time; 0 if unknown
 
 
 class EndpointList(msgspec.Struct):
-    """Discovery's endpoint list, or changes to it."""
+    """The endpoint list of discovery, or changes to it."""
 
     revision: int = 0
     complete: bool = True
     endpoints: list[EndpointEntry] = msgspec.field(default_factory=list, name="members")
 
 
-class _File(msgspec.Struct):
-    """The JSON file; other keys are ignored."""
+class _ConfigFile(msgspec.Struct):
+    """The keys of the JSON file; other keys are ignored."""
 
     name: str = ""
     listen: str = ""
@@ -85,7 +86,7 @@
 
     name: str
     listen: Address
-    operator: Address | None  # of the admin server; None: there is none
+    operator: Address | None  # address of the admin server; None if there is none
     discovery: Address
     seed: int
     limits: Limits
@@ -98,15 +99,15 @@
     reports_delay: bool
     reports_load: bool
     longest_deadline: timedelta
-    written_values: Mapping[str, str]  # the values of the file by the paths of its keys
+    written_values: Mapping[str, str]  # the values in the file, by the paths of their keys
 
     def tenant_number(self, name: str) -> int:
-        """Return the number of a tenant; 0 where the settings have no tenant of that name."""
+        """Return the number of a tenant; 0 if the settings have no tenant of that name."""
         return self.tenants.index(name) if name in self.tenants else 0
 
 
 def absent_features(config: Config) -> list[str]:
-    """Return the features that are disabled because the settings don't provide them."""
+    """Return the names of the features that are disabled because the settings don't provide them."""
     is_given = {
         "delays": config.reports_delay,
         "loads": config.reports_load,
@@ -120,7 +121,13 @@
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Parse HOST:PORT. Names are rejected: the platform has no DNS, and a lookup would block. ConfigError."""
+    """Parse HOST:PORT, where HOST is an IPv4 address or `localhost`.
+
+    Other names are rejected: the platform has no DNS, and a lookup would block.
+
+    Raises:
+        ConfigError: the text is not such an address; the error names `key`.
+    """
     host, _, port = text.rpartition(":")
     try:
         if host != "localhost":
@@ -131,14 +138,14 @@
 
 
 def _parse_port(text: str) -> int:
-    """Parse a port. ValueError: the text is none."""
+    """Parse a port. Raises ValueError if the text is not one."""
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_PORT_DIGITS or int(text) > MAX_PORT:
         raise ValueError(text)
     return int(text)
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the configuration from the environment and the file that it names. ConfigError: it is invalid."""
+    """Read the configuration from the environment and its file. Raises ConfigError if it is invalid."""
     text = _read_file(environ)
     file = _decode(text)
     seed = _parse_seed(file.seed)
@@ -150,7 +157,7 @@
     try:
         settings = build_settings(flat)
         longest_deadline = _longest_deadline(settings)
-    except (ValueError, OverflowError) as err:  # also of numbers with thousands of digits
+    except (ValueError, OverflowError) as err:  # also for a number with thousands of digits
         raise _settings_error(err) from err
     has_operator = bool(environ.get("GW_OPERATOR") or file.operator)
     return Config(
@@ -174,7 +181,7 @@
 
 
 def _read_file(environ: Mapping[str, str]) -> bytes:
-    """Read the file that GW_CONFIG names. ConfigError: there is none, or it can't be read."""
+    """Read the file that GW_CONFIG names. Raises ConfigError if there is none or it can't be read."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG", "not set; it names the JSON file with the settings")
@@ -184,10 +191,10 @@
         raise ConfigError("GW_CONFIG", f"{err.strerror or err}: {path}") from err
 
 
-def _decode(text: bytes) -> _File:
-    """Decode the JSON file. ConfigError: it is invalid."""
+def _decode(text: bytes) -> _ConfigFile:
+    """Decode the JSON file. Raises ConfigError if it is invalid."""
     try:
-        return msgspec.json.decode(text, type=_File)
+        return msgspec.json.decode(text, type=_ConfigFile)
     except msgspec.ValidationError as err:  # its message ends in the key: "... - at `$.limits.sockets`"
         raise ConfigError("GW_CONFIG", str(err)) from err
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
@@ -195,26 +202,26 @@
 
 
 def _parse_seed(text: str) -> int:
-    """Parse the hexadecimal seed. ConfigError."""
+    """Parse the hexadecimal seed. Raises ConfigError."""
     try:
         return int(text, 16)
     except ValueError as err:
-        raise ConfigError("seed", f"hexadecimal digits expected, not {text!r}") from err
+        raise ConfigError("seed", f"expected hexadecimal digits, not {text!r}") from err
 
 
 def _check_limits(limits: Limits) -> None:
-    """Raise ConfigError where the machine's resources are not above 0."""
+    """Raise ConfigError if a limit is not above 0."""
     for key, value in (("memory_mb", limits.memory_mb), ("sockets", limits.sockets)):
         if value < 1:
-            raise ConfigError(f"limits.{key}", "must be above 0")
+            raise ConfigError(f"limits.{key}", f"must be above 0, not {value}")
     if not limits.cores > 0:
-        raise ConfigError("limits.cores", "must be above 0")
+        raise ConfigError("limits.cores", f"must be above 0, not {limits.cores}")
 
 
 def _settings_error(err: Exception) -> ConfigError:
-    """Convert the error of a value that the policy rejects, with the keys of the file."""
+    """Convert the error for a value that the policy rejects, and name it by its key in the file."""
     problem = str(err)
-    for policy_name, key in FILE_KEYS.items():
+    for policy_name, key in POLICY_NAMES_TO_FILE_KEYS.items():
         problem = problem.replace(policy_name, key)
     return ConfigError("", f"settings.{problem}")
 
@@ -224,7 +231,7 @@
 
 
 def _with_rates(settings: Settings) -> Settings:
-    """Add the rates for a cluster of this size to the settings."""
+    """Add the rates that depend on the number of nodes to the settings."""
     node_count = settings.node_count
     return replace(
         settings,
@@ -235,18 +242,18 @@
 
 
 def _names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    """Return the list of names behind a key. ConfigError: it is none."""
+    """Return the list of names at a key. Raises ConfigError if the value is not a list of names."""
     names = settings.get(key, [])
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise ConfigError(f"settings.{key}", "a list of names expected")
+        raise ConfigError(f"settings.{key}", "expected a list of names")
     return tuple(names)
 
 
 def _class_names(settings: Mapping[str, Any]) -> tuple[str, ...]:
-    """Check the classes and return their names. ConfigError: a class is invalid, or there is none."""
+    """Check the classes and return their names. Raises ConfigError if one is invalid or there is none."""
     classes = settings.get("classes", [])
     if not isinstance(classes, list) or not classes:
-        raise ConfigError("settings.classes", "a list with at least one class expected")
+        raise ConfigError("settings.classes", "expected a list with at least one class")
     for index, entry in enumerate(classes):
         path = f"settings.classes.{index}"
         _check_name(entry, path)
@@ -256,31 +263,31 @@
 
 
 def _tenant_names(settings: Mapping[str, Any]) -> tuple[str, ...]:
-    """Check the tenants and return their names. ConfigError."""
+    """Check the tenants and return their names. Raises ConfigError if one is invalid."""
     tenants = settings.get("tenants", [])
     if not isinstance(tenants, list):
-        raise ConfigError("settings.tenants", "a list expected")
+        raise ConfigError("settings.tenants", "expected a list")
     for index, entry in enumerate(tenants):
         _check_name(entry, f"settings.tenants.{index}")
     return _unique_names(tenants, "settings.tenants")
 
 
 def _check_name(entry: object, path: str) -> None:
-    """Raise ConfigError where an entry has no name."""
+    """Raise ConfigError if an entry has no name."""
     if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
-        raise ConfigError(f"{path}.name", "a name expected")
+        raise ConfigError(f"{path}.name", "expected a name")
 
 
 def _unique_names(entries: list[dict[str, Any]], path: str) -> tuple[str, ...]:
-    """Return the entries' names. ConfigError: two entries have the same name."""
+    """Return the names of the entries. Raises ConfigError if two entries have the same name."""
     names = tuple(entry["name"] for entry in entries)
     if len(set(names)) != len(names):
-        raise ConfigError(path, "a name stands twice")
+        raise ConfigError(path, "two entries have the same name")
     return names
 
 
 def _check_positive(values: Mapping[str, Any], key: str, path: str) -> None:
-    """Check that a value, if present, is a number above 0, and not a string with a number. ConfigError."""
+    """Raise ConfigError if a value is present and is not a number above 0; a string is not a number."""
     value = values.get(key, 1)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
         shown = str(value)[:MAX_SHOWN_NUMBER]
@@ -288,14 +295,21 @@
 
 
 def _address(environ: Mapping[str, str], variable: str, in_file: str) -> Address:
-    """Parse the environment's address, or else the file's; an error names the one that was used."""
+    """Parse the address in the environment, or else the one in the file.
+
+    Raises:
+        ConfigError: the address is invalid; the error names the variable or the key that contains it.
+    """
     if environ.get(variable):
         return parse_address(environ[variable], variable)
     return parse_address(in_file, variable.removeprefix("GW_").lower())
 
 
 def _written_values(text: bytes, known_endpoints: EndpointList) -> dict[str, str]:
-    """Return the file's values by path; the known endpoints are one value, as only a start uses them."""
+    """Return the values in the file by path.
+
+    The known endpoints are one value, as they are only used when the node starts.
+    """
     document = msgspec.json.decode(text)
     if "known" in document:
         document["known"] = msgspec.json.encode(known_endpoints).decode()
--- a/tansyladder/config/policy_settings.py
+++ b/tansyladder/config/policy_settings.py
@@ -1,6 +1,6 @@
 """Builds the policy's settings from the platform's keys, for the simulator and for the node.
 
-This module maps the platform's names to the fields of `policy.settings`.
+It maps the platform's names to the fields of `policy.settings`.
 """
 
 from __future__ import annotations
@@ -20,9 +20,10 @@
     "idempotency_key": Idempotency.WITH_KEY,
     "non_idempotent": Idempotency.NONE,
 }
-LARGEST_NUMBER = 1e15  # thirty years in microseconds, longer than any duration
+MAX_NUMBER = 1e15  # in microseconds about thirty years, which is longer than any duration
 
-# Names of fields in error messages for operators; the node's configuration maps two of them to its keys.
+# The names of policy fields in error messages for operators. `platform` replaces two of them by keys of its
+# file.
 _REPORTED_NAMES = {
     "latency_objective_us": "aim",
     "deadline_us": "deadline",
@@ -49,36 +50,41 @@
 }
 
 
-class _Keys:
-    """Typed access to the platform's flat `path=value` pairs; a ValueError names the path of a bad value."""
+class _FlatSettings:
+    """Typed access to the platform's flat `path=value` pairs.
+
+    The methods raise ValueError with the path of a value that they can't convert.
+    """
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self._pairs = pairs
 
     def text(self, key: str, default: str = "") -> str:
-        """Return a text as it is written."""
+        """Return a text, unchanged."""
         return self._pairs.get(key, default)
 
     def number(self, key: str, default: float) -> float:
-        """Return a finite number."""
+        """Return a number whose absolute value is below MAX_NUMBER."""
         try:
             value = float(self._pairs.get(key, default))
         except ValueError as err:
             raise ValueError(f"{key}: not a number: {self._pairs[key]!r}") from err
-        if not abs(value) < LARGEST_NUMBER:
-            raise ValueError(f"{key}: not a finite number in range")
+        if not abs(value) < MAX_NUMBER:
+            raise ValueError(
+                f"{key}: expected a number between -{MAX_NUMBER:g} and {MAX_NUMBER:g}, not {value}"
+            )
         return value
 
     def integer(self, key: str, default: int) -> int:
-        """Return a number without its fraction."""
+        """Return a number truncated to an integer."""
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
-        """Return a boolean; False where it is absent."""
+        """Return a boolean; False if it is absent."""
         return self._pairs.get(key) == "true"
 
     def numbers(self, key: str) -> tuple[float, ...]:
-        """Return the numbers of a list, without null values; empty where it is absent."""
+        """Return the numbers of a list, without nulls; empty if the list is absent."""
         texts = self._pairs.get(key, "").split(",")
         try:
             return tuple(float(text) for text in texts if text not in ("", "null"))
@@ -89,11 +95,13 @@
 def build_settings(pairs: Mapping[str, str]) -> Settings:
     """Build settings from the platform's paths and values.
 
-    Unknown keys are ignored and absent ones have defaults. ValueError: a value is invalid; the message names
-    its path.
+    Unknown keys are ignored, and absent ones have defaults.
+
+    Raises:
+        ValueError: a value is invalid; the message names its path.
     """
     try:
-        return _settings(_Keys(pairs))
+        return _build_from_keys(_FlatSettings(pairs))
     except SettingsError as err:
         path, _, name = err.field.rpartition(".")
         reported = _REPORTED_NAMES.get(name, name)
@@ -102,12 +110,14 @@
         ) from err
 
 
-def _class_settings(keys: _Keys, index: int, message_objectives: tuple[float, ...]) -> ClassSettings:
-    """Build the settings of one class; `message_objectives` has one for each class, or fewer."""
+def _build_class_settings(
+    keys: _FlatSettings, index: int, message_objectives: tuple[float, ...]
+) -> ClassSettings:
+    """Build the settings of one class; `message_objectives` may have fewer items than there are classes."""
     path = f"classes.{index}."
     idempotency = keys.text(path + "effect", "read_like")
     if idempotency not in IDEMPOTENCY:
-        raise ValueError(f"{path}effect: unknown: {idempotency!r}")
+        raise ValueError(f"{path}effect: expected one of {', '.join(IDEMPOTENCY)}, not {idempotency!r}")
     return ClassSettings(
         latency_objective_us=keys.integer(path + "slo", 0),
         deadline_us=keys.integer(path + "hard_limit", 0),
@@ -119,12 +129,12 @@
     )
 
 
-def _settings(keys: _Keys) -> Settings:
-    """Build the settings; SettingsError names a field, ValueError a path."""
+def _build_from_keys(keys: _FlatSettings) -> Settings:
+    """Build the settings. Raises SettingsError with a field, or ValueError with a path."""
     message_objectives = keys.numbers("extra.message_aim")
     class_indices = range(keys.integer("classes.count", 0))
     return Settings(
-        classes=tuple(_class_settings(keys, index, message_objectives) for index in class_indices),
+        classes=tuple(_build_class_settings(keys, index, message_objectives) for index in class_indices),
         node_count=keys.integer("balancers", 1),
         node_index=keys.integer("me", 0),
         zone=keys.integer("locality", 0),
--- a/tansyladder/store/__init__.py
+++ b/tansyladder/store/__init__.py
@@ -1,4 +1,4 @@
-"""A small embedded store: a log in segments, an index in memory, compaction and recovery."""
+"""An embedded key-value store: a log of segment files, an index in memory, compaction and recovery."""
 
 from tansyladder.store.engine import Store
 from tansyladder.store.errors import StoreError
--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -20,8 +20,8 @@
 
 EXIT_FAULTS = 1
 EXIT_ERROR = 3
-COMPACTION_BUDGET_BYTES = 8 << 20  # between two reports of the progress
-FOLDER = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
+COMPACTION_BUDGET_BYTES = 8 << 20  # compacted between two updates of the progress line
+FOLDER_ARGUMENT = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 
 
 def _clock_us() -> int:
@@ -30,7 +30,7 @@
 
 
 def _show_progress(unit: str, done: int, total: int) -> None:
-    """Overwrite a line on standard error, if that is a terminal."""
+    """Overwrite the progress line on standard error if that is a terminal."""
     if sys.stderr.isatty():
         line_end = "" if done < total else "\n"
         print(f"\r{unit}: {done} of {total}  ", end=line_end, file=sys.stderr, flush=True)
@@ -38,7 +38,7 @@
 
 @contextlib.contextmanager
 def _reporting_errors() -> Iterator[None]:
-    """Print an error with its code in place of a traceback, and exit."""
+    """Print a store error with its code instead of a traceback, and exit with EXIT_ERROR."""
     try:
         yield
     except (StoreError, OSError) as err:
@@ -49,7 +49,7 @@
 
 @contextlib.contextmanager
 def _open_folder(folder: Path) -> Iterator[Store]:
-    """Open the store in a folder, whichever node owns it."""
+    """Open the store in a folder under the node name in its manifest, and close it afterwards."""
     node = manifest.read_manifest(RealFiles(folder)).node
     with contextlib.closing(open_store(RealFiles(folder), node, _clock_us)) as current:
         yield current
@@ -61,7 +61,7 @@
 
 
 @store.command()
-@FOLDER
+@FOLDER_ARGUMENT
 def inspect(folder: Path) -> None:
     """Show the manifest and the segments; changes nothing, and works beside a running node."""
     with _reporting_errors():
@@ -88,7 +88,7 @@
 
 
 @store.command()
-@FOLDER
+@FOLDER_ARGUMENT
 def verify(folder: Path) -> None:
     """Read every byte; exit code 1 where something is not as it should be."""
     with _reporting_errors():
@@ -100,7 +100,7 @@
 
 
 @store.command()
-@FOLDER
+@FOLDER_ARGUMENT
 def compact(folder: Path) -> None:
     """Do all the maintenance that is due; the node must not run."""
     with _reporting_errors(), _open_folder(folder) as current:
@@ -111,7 +111,7 @@
 
 
 @store.command()
-@FOLDER
+@FOLDER_ARGUMENT
 def dump(folder: Path) -> None:
     """Write every live key as a line of JSON with hexadecimal digits; the node must not run."""
     with _reporting_errors(), _open_folder(folder) as current, current.snapshot() as snapshot:
@@ -120,7 +120,7 @@
 
 
 @store.command("repair")
-@FOLDER
+@FOLDER_ARGUMENT
 @click.argument("target", type=click.Path(path_type=Path))
 def repair_command(folder: Path, target: Path) -> None:
     """Save what can be read into TARGET, a new folder; the damaged one stays as it is."""
@@ -128,5 +128,5 @@
         result = repairing.repair(RealFiles(folder), RealFiles(target), _clock_us, _show_progress)
     for fault in result.faults:
         click.echo(fault, err=True)
-    lost = f"{result.lost_sequences} changes not found (compacted ones among them)"
-    click.echo(f"{result.saved_keys} keys kept; {lost}")
+    lost = f"{result.lost_sequence_count} changes not found (compacted ones among them)"
+    click.echo(f"{result.saved_key_count} keys kept; {lost}")
--- a/tansyladder/store/commit_queue.py
+++ b/tansyladder/store/commit_queue.py
@@ -1,4 +1,4 @@
-"""Group commit: of the threads that write concurrently, one writes and syncs for all that wait."""
+"""Group commit: one of the threads that write concurrently writes and syncs the batches of all of them."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from tansyladder.store.lifecycle import StoreLifecycle
 from tansyladder.store.operations import WriteOperation
 
-MAX_GROUP_BYTES = 4 << 20  # of one write to the log: bounds how long the last of a group waits
+MAX_GROUP_BYTES = 4 << 20  # in one write to the log; bounds how long the callers of a group wait
 
 
 @dataclass(slots=True, eq=False)
 class PendingBatch:
-    """The operations of one caller, which waits until they are written."""
+    """The operations of one caller, whose thread waits until they are written."""
 
     operations: Sequence[WriteOperation]
     size: int  # bytes in the log
     needs_sync: bool
-    # Held while the caller waits, and released to wake it up. No other primitive is cheaper to block on.
+    # A waiting caller blocks on this lock until the leader releases it. No primitive is cheaper to block on.
     wakeup: threading.Lock = field(default_factory=threading.Lock)
     is_leader: bool = False
     error: StoreError | None = None
 
 
 class CommitQueue:
-    """The batches that wait to be written, and the leadership, which at most one thread has.
+    """The batches that wait to be written, and the commit leadership, which at most one thread has.
 
-    Only the leader may use the log and the maintenance, and change the record table.
+    Only the leader may use the log, run maintenance and change the record table.
 
-    Thread-safe: `_lock` guards the queue and the leadership; it isn't held while a group is written.
+    Thread-safe: `_lock` guards the queue and the leadership; it is not held while a group is written.
     """
 
     def __init__(self, commit: Callable[[Sequence[PendingBatch]], None], lifecycle: StoreLifecycle) -> None:
@@ -46,11 +46,11 @@
         return len(self._waiting)
 
     def submit(self, batch: PendingBatch) -> None:
-        """Have a batch written, by this thread or by another one; return once it is.
+        """Add a batch to the queue, and return once this thread or another one has written it.
 
         Raises:
-            StoreError: the batch is not written, or it is not known whether it is.
-            Exception: any other error of the commit, where this thread is the leader; the store is broken.
+            StoreError: the batch was not written, or it is not known whether it was.
+            Exception: any other error of the commit, if this thread is the leader; the store is then broken.
         """
         with self._lock:
             self._lifecycle.check_open()
@@ -60,7 +60,7 @@
             else:
                 self._has_leader = batch.is_leader = True
         if not batch.is_leader:
-            batch.wakeup.acquire()  # until it is written, or this thread becomes the leader
+            batch.wakeup.acquire()  # blocks until the batch is written or this thread becomes the leader
         if batch.is_leader:
             self._lead()
         if batch.error is not None:
@@ -68,7 +68,11 @@
 
     @contextmanager
     def leadership(self) -> Iterator[bool]:
-        """Become the leader for a block of work; yield False where another thread is. StoreBrokenError."""
+        """Become the leader for a block of work; yield False if another thread is.
+
+        Raises:
+            StoreBrokenError: the store accepts no writes.
+        """
         with self._lock:
             self._lifecycle.check_open()
             is_leader = not self._has_leader
@@ -80,7 +84,7 @@
                 self._finish((), None)
 
     def _lead(self) -> None:
-        """Write a group of the waiting batches, this thread's own first, and hand the leadership on."""
+        """Write a group of waiting batches, this thread's own first, and pass the leadership on."""
         group = self._take_group()
         error: StoreError | None = None
         try:
@@ -88,13 +92,14 @@
         except StoreError as err:
             error = err
         except BaseException as err:
-            # It isn't known what was written: no other batch may follow it in the log, or wait for it.
-            self._finish(group, self._lifecycle.fail(f"commit: {err!r}"))
+            # It is not known what was written. No other batch may follow it in the log or wait for it, so all
+            # waiting batches fail as well.
+            self._finish(group, self._lifecycle.mark_broken(f"commit failed: {err!r}"))
             raise
         self._finish(group, error)
 
     def _take_group(self) -> list[PendingBatch]:
-        """Remove from the queue the oldest batches that fit into one group, at least one."""
+        """Remove the oldest batches that fit into one group from the queue, and at least one."""
         with self._lock:
             count = 0
             size = 0
@@ -108,7 +113,10 @@
         return group
 
     def _finish(self, group: Sequence[PendingBatch], error: StoreError | None) -> None:
-        """Wake up the group and hand the leadership on; if the store is broken, fail all waiting batches."""
+        """Wake the group's callers and pass the leadership on.
+
+        If the store is broken, all waiting batches fail with the same error.
+        """
         with self._lock:
             if error is not None and self._lifecycle.is_broken:
                 group = [*group, *self._waiting]
--- a/tansyladder/store/errors.py
+++ b/tansyladder/store/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the store, in one hierarchy. docs/store.md says what an operator does about each."""
+"""The errors of the store, in one hierarchy. docs/store.md describes what an operator does about each."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
     Attributes:
         code: names the error in logs and exit messages; docs/store.md lists it.
-        path: the affected file, relative to the store's directory; empty where there is none.
-        key: the affected key; None where there is none.
+        path: the affected file, relative to the store's directory; empty if there is none.
+        key: the affected key, or None.
     """
 
     code: ClassVar[str] = "store"
@@ -47,7 +47,7 @@
 
 
 class StoreCorruptError(StoreError):
-    """Data that had been on disk is missing or changed; `repair` saves the rest into another directory."""
+    """Data that was on disk is missing or corrupt; `repair` copies the rest into another directory."""
 
     code = "damaged"
 
@@ -59,18 +59,18 @@
 
 
 class StoreBrokenError(StoreError):
-    """The store rejects writes: one failed and the state on disk is unknown, or the store is closed."""
+    """The store rejects writes: it is closed, or a write failed and the state on disk is unknown."""
 
     code = "broken"
 
 
 class KeyCollisionError(StoreError):
-    """The 64-bit hash of the key is that of another key: once in 37 million stores of a million keys."""
+    """Another key has the same 64-bit hash, as happens in one of 37 million stores of a million keys."""
 
     code = "collision"
 
 
 class RecordTooLargeError(StoreError):
-    """A key, a value or a batch exceeds its bound."""
+    """A key, a value, an expiry or a batch is outside its bounds."""
 
     code = "too_large"
--- a/tansyladder/store/files.py
+++ b/tansyladder/store/files.py
@@ -1,7 +1,7 @@
-"""The interface of the file system that the store uses, and its implementation by the operating system.
+"""The file system interface that the store uses, and its implementation with the operating system's calls.
 
-The store relies on nothing beyond what the docstrings of `File` and `Files` promise; the lab has an
-implementation that loses everything else at a power loss. Each call raises OSError where it fails.
+The store relies only on the guarantees in the docstrings of `File` and `Files`. The lab has an implementation
+that, at a simulated power loss, loses everything these do not guarantee. A call that fails raises OSError.
 """
 
 from __future__ import annotations
@@ -17,53 +17,53 @@
 
 
 class File(Protocol):
-    """An open file. Thread-safe: reads and writes name their offset."""
+    """An open file. Thread-safe, as each read and write is given its offset."""
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """Write all of the data; after an OSError any part of it is written. On disk only after `sync`."""
+        """Write all of the data, which is on disk only after `sync`; after an OSError any part may be."""
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Read so many bytes; fewer only at the end of the file."""
+        """Read `size` bytes; fewer only at the end of the file."""
 
     def sync(self) -> None:
-        """Put all written data on disk, but not the file's name. After an OSError any part may be on disk."""
+        """Flush all written data to disk, without the file's name. After an OSError any part may be there."""
 
     def truncate(self, size: int) -> None:
-        """Shorten the file; on disk only after `sync`."""
+        """Shorten the file; the change is on disk only after `sync`."""
 
     def size(self) -> int:
         """Return the file's size in bytes."""
 
     def close(self) -> None:
-        """Close the file; does nothing the second time."""
+        """Close the file; a second call does nothing."""
 
 
 class Files(Protocol):
-    """One directory. Thread-safe, but for `lock` and `unlock`, which belong to the owner of the store."""
+    """One directory. Thread-safe except for `lock` and `unlock`, which only the store's owner calls."""
 
     def create(self, name: str) -> File:
-        """Create an empty file, replacing any other; its name is on disk only after `sync_directory`."""
+        """Create an empty file or empty an existing one; its name is on disk only after `sync_directory`."""
 
     def open(self, name: str) -> File:
-        """Open an existing file for reading and writing. FileNotFoundError."""
+        """Open an existing file for reading and writing. Raises FileNotFoundError."""
 
     def rename(self, old: str, new: str) -> None:
-        """Replace `new` atomically: after a power loss before `sync_directory` it is either of the two."""
+        """Replace `new` by `old` atomically; a power loss before `sync_directory` leaves either file."""
 
     def remove(self, name: str) -> None:
-        """Remove a file; it is gone from the disk only after `sync_directory`. FileNotFoundError."""
+        """Remove a file; the removal is on disk only after `sync_directory`. Raises FileNotFoundError."""
 
     def list_names(self) -> list[str]:
         """Return the names of all files, sorted."""
 
     def sync_directory(self) -> None:
-        """Put all names that were created, changed or removed on disk."""
+        """Flush all created, changed and removed names to disk."""
 
     def lock(self) -> None:
-        """Own the directory until `unlock` or the process's end. BlockingIOError: it has another owner."""
+        """Lock the directory until `unlock` or the process's end. Raises BlockingIOError if it is locked."""
 
     def unlock(self) -> None:
-        """Release the directory; does nothing where it isn't owned."""
+        """Release the lock; does nothing if it isn't held."""
 
 
 class RealFile:
@@ -73,7 +73,7 @@
         self._descriptor = descriptor
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """Write all of the data; after an OSError any part of it is written."""
+        """Write all of the data; after an OSError any part of it may be written."""
         view = memoryview(data)
         while view:
             written = os.pwrite(self._descriptor, view, offset)
@@ -81,7 +81,7 @@
             view = view[written:]
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Read so many bytes; fewer only at the end of the file."""
+        """Read `size` bytes; fewer only at the end of the file."""
         data = os.pread(self._descriptor, size, offset)
         while 0 < len(data) < size:
             more = os.pread(self._descriptor, size - len(data), offset + len(data))
@@ -91,8 +91,8 @@
         return data
 
     def sync(self) -> None:
-        """Put all data written so far, and the size, on disk."""
-        os.fdatasync(self._descriptor)  # syncs the size as well, without which the data could not be read
+        """Flush all data written so far, and the file's size, to disk."""
+        os.fdatasync(self._descriptor)  # also flushes the size, which reading the data requires
 
     def truncate(self, size: int) -> None:
         """Shorten the file."""
@@ -103,38 +103,38 @@
         return os.fstat(self._descriptor).st_size
 
     def close(self) -> None:
-        """Close the file; does nothing the second time."""
+        """Close the file; a second call does nothing."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
 
 
 class RealFiles:
-    """A directory of the operating system, created where it is missing. Thread rule: that of `Files`."""
+    """A directory of the operating system, created if it is missing. Thread-safe like `Files`."""
 
     def __init__(self, path: Path) -> None:
-        """OSError: the directory can't be created, read or written."""
+        """Create a missing directory. Raises OSError if it can't be created, read or written."""
         path.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._path = path
         self._lock_descriptor = -1
         if not os.access(path, os.R_OK | os.W_OK | os.X_OK):
-            raise PermissionError(errno.EACCES, "not readable and writable", str(path))
+            raise PermissionError(errno.EACCES, "the directory is not readable and writable", str(path))
 
     def create(self, name: str) -> File:
-        """Create an empty file, replacing any other."""
+        """Create an empty file, or empty an existing one."""
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         return RealFile(os.open(self._path / name, flags, 0o600))
 
     def open(self, name: str) -> File:
-        """Open an existing file. FileNotFoundError."""
+        """Open an existing file. Raises FileNotFoundError."""
         return RealFile(os.open(self._path / name, os.O_RDWR | os.O_CLOEXEC))
 
     def rename(self, old: str, new: str) -> None:
-        """Replace `new` atomically."""
+        """Replace `new` by `old` atomically."""
         os.rename(self._path / old, self._path / new)
 
     def remove(self, name: str) -> None:
-        """Remove a file. FileNotFoundError."""
+        """Remove a file. Raises FileNotFoundError."""
         os.unlink(self._path / name)
 
     def list_names(self) -> list[str]:
@@ -142,7 +142,7 @@
         return sorted(os.listdir(self._path))
 
     def sync_directory(self) -> None:
-        """Put all changes of names on disk."""
+        """Flush all changes of names to disk."""
         descriptor = os.open(self._path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -150,7 +150,11 @@
             os.close(descriptor)
 
     def lock(self) -> None:
-        """Own the directory until `unlock` or the process's end. BlockingIOError: another process owns it."""
+        """Lock the directory until `unlock` or the process's end.
+
+        Raises:
+            BlockingIOError: another process has locked it.
+        """
         descriptor = os.open(self._path / LOCK_FILE_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -160,7 +164,7 @@
         self._lock_descriptor = descriptor
 
     def unlock(self) -> None:
-        """Release the directory; does nothing where it isn't owned."""
+        """Release the lock; does nothing if it isn't held."""
         if self._lock_descriptor >= 0:
             with contextlib.suppress(OSError):
                 os.close(self._lock_descriptor)
--- a/tansyladder/store/forward_clock.py
+++ b/tansyladder/store/forward_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock that never steps back, so that expired values never become valid again."""
+"""A wall clock that does not step back, so that expired values do not become valid again."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ForwardClock:
-    """The latest Unix time that a store has seen, in microseconds.
+    """Returns the latest Unix time that a store has read from the system clock, in microseconds.
 
-    Thread-safe without a lock: two threads that read at once may set the latest time back by what lies
-    between their two readings, and no further.
+    Thread-safe without a lock: two threads that call `now_us` concurrently may set the latest time back, but
+    by no more than the difference between their two readings.
     """
 
     def __init__(self, read_clock: Callable[[], int], latest_us: int) -> None:
@@ -18,10 +18,10 @@
 
     @property
     def latest_us(self) -> int:
-        """The latest time that was read."""
+        """The latest time so far, without reading the clock."""
         return self._latest_us
 
     def now_us(self) -> int:
-        """Read the clock; return the latest time where the clock has stepped back."""
+        """Read the clock, and return its time, or the latest one if the clock has stepped back."""
         self._latest_us = max(self._read_clock(), self._latest_us)
         return self._latest_us
--- a/tansyladder/store/frames.py
+++ b/tansyladder/store/frames.py
@@ -1,10 +1,10 @@
-"""Encoding and decoding of a segment's bytes: a header, then frames, each one batch of records.
+"""Encoding and decoding of segment files: a header, then frames, each with one batch of records.
 
-docs/store-format.md specifies the format byte by byte; all numbers are little endian. Every checksum is an
-XXH3-64 seeded with the position of the bytes that it covers, so that neither bytes of an earlier write nor a
-frame inside a value are valid at another position.
+docs/store-format.md specifies the format byte by byte; all numbers are little-endian. Every checksum is an
+XXH3-64 hash whose seed is the position of the bytes that it covers. Leftover bytes of an earlier write, or a
+frame inside a value, are therefore not valid at another position.
 
-No I/O. The functions are pure, and a `SegmentScan` is owned by one thread.
+This module does no I/O. The functions are pure, and a `SegmentScan` is owned by one thread.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 VERSION = 1
 MAGIC = b"TLSEG\x00"
 CHECKSUM_BYTES = 8
-# Magic, version, segment, hash of the node's name; a checksum follows.
+# Magic, version, segment id, hash of the node's name; a checksum follows.
 SEGMENT_HEADER = struct.Struct("<6sHQQ")
 SEGMENT_HEADER_BYTES = SEGMENT_HEADER.size + CHECKSUM_BYTES
 FRAME_MAGIC = b"\xa7\x5e"
-# Magic, records, bytes of the body, synced bytes, latest time; a checksum follows.
+# Magic, number of records, bytes of the body, synced bytes, latest time; a checksum follows.
 FRAME_HEADER = struct.Struct("<2sHIQQ")
 FRAME_HEADER_BYTES = FRAME_HEADER.size + CHECKSUM_BYTES
 # Checksum, kind, bytes of the key, bytes of the value, sequence, expiry; key and value follow.
@@ -31,7 +31,7 @@
 RECORD_CHECKSUM_BYTES = 4
 RECORD_CHECKSUM_MASK = 0xFFFFFFFF  # a record's checksum is the low half of the hash
 
-# Kinds of records. Plain integers: they are compared for every record that is written.
+# Kinds of records. These are plain integers for speed, as they are compared for every record written.
 PUT = 1
 DELETE = 2
 
@@ -39,12 +39,12 @@
 MAX_VALUE_BYTES = 1 << 20
 MAX_RECORDS_PER_FRAME = 65_535
 MAX_FRAME_BODY_BYTES = 16 << 20
-OFFSET_BITS = 32  # a segment is smaller than 4 GiB
+OFFSET_BITS = 32  # of an offset in a segment, which is smaller than 4 GiB
 SEED_MASK = (1 << 64) - 1
 
 
 class SegmentHeader(NamedTuple):
-    """The content of a segment's header."""
+    """The contents of a segment's header that callers need."""
 
     version: int
     node_hash: int
@@ -55,7 +55,7 @@
 
     offset: int  # of the record in its segment
     kind: int  # PUT or DELETE
-    sequence: int
+    sequence: int  # increases with each record of the store
     expiry_us: int  # Unix time in microseconds; 0: never
     key: bytes
     value: bytes
@@ -85,12 +85,12 @@
 
 
 def _checksum(data: bytes, segment_id: int, offset: int) -> int:
-    """Return the checksum of bytes at an offset of a segment."""
+    """Return the checksum of bytes for their offset in a segment."""
     return xxhash.xxh3_64_intdigest(data, seed=(segment_id << OFFSET_BITS | offset) & SEED_MASK)
 
 
 def hash_node_name(name: str) -> int:
-    """Return the hash of a node's name that the header of each segment contains."""
+    """Return the hash of a node's name, which each segment header contains."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
@@ -101,19 +101,19 @@
 
 
 def decode_segment_header(data: bytes, segment_id: int) -> SegmentHeader | None:
-    """Decode the header at the start of a segment; None where there is no valid header of this segment."""
+    """Decode the header at the start of a segment; None if it is not a valid header of this segment."""
     if len(data) < SEGMENT_HEADER_BYTES:
         return None
-    magic, version, number, node_hash = SEGMENT_HEADER.unpack_from(data)
+    magic, version, stored_segment_id, node_hash = SEGMENT_HEADER.unpack_from(data)
     checksum = int.from_bytes(data[SEGMENT_HEADER.size : SEGMENT_HEADER_BYTES], "little")
     has_valid_checksum = checksum == _checksum(data[: SEGMENT_HEADER.size], segment_id, 0)
-    if magic != MAGIC or number != segment_id or not has_valid_checksum:
+    if magic != MAGIC or stored_segment_id != segment_id or not has_valid_checksum:
         return None
     return SegmentHeader(version, node_hash)
 
 
 def encode_record(record: Record, segment_id: int) -> bytes:
-    """Encode a record for its offset. It has a checksum of its own, as it is also read without its frame."""
+    """Encode a record for its offset. It has its own checksum, as it is also read without its frame."""
     offset, kind, sequence, expiry_us, key, value = record
     header = RECORD_HEADER.pack(0, kind, len(key), len(value), sequence, expiry_us)
     checked = header[RECORD_CHECKSUM_BYTES:] + key + value
@@ -134,7 +134,7 @@
 ) -> Record | None:
     """Decode the record at `data[start:limit]`, whose offset in its segment is `offset`.
 
-    Returns None where it is incomplete or its checksum is wrong.
+    Returns None if it is incomplete or its checksum is wrong.
     """
     limit = len(data) if limit is None else limit
     if limit - start < RECORD_HEADER.size:
@@ -152,20 +152,20 @@
 
 
 def encoded_record_bytes(header: bytes) -> int:
-    """Return the size of a record in bytes according to its header, which isn't verified."""
+    """Return the size of a record in bytes according to its header, without verifying the header."""
     _, _, key_bytes, value_bytes, _, _ = RECORD_HEADER.unpack_from(header)
     return int(RECORD_HEADER.size + key_bytes + value_bytes)
 
 
 def encoded_key_bytes(header: bytes) -> int:
-    """Return the size of a record's key in bytes according to its header, which isn't verified."""
+    """Return the size of a record's key in bytes according to its header, without verifying the header."""
     return int(RECORD_HEADER.unpack_from(header)[2])
 
 
 def decode_frame(data: bytes, segment_id: int, offset: int, start: int) -> Frame | None:
     """Decode the frame at `data[start:]`, whose offset in its segment is `offset`.
 
-    Returns None where it is incomplete or a checksum is wrong.
+    Returns None if it is incomplete or a checksum is wrong.
     """
     if len(data) - start < FRAME_HEADER_BYTES or data[start : start + len(FRAME_MAGIC)] != FRAME_MAGIC:
         return None
@@ -190,7 +190,7 @@
 ) -> tuple[Record, ...] | None:
     """Decode the records that fill `body` of `data`, whose offset in its segment is `data_offset`.
 
-    Returns None where a checksum is wrong, or the records don't end at the end of the body.
+    Returns None if a checksum is wrong or the records don't end at the end of the body.
     """
     records = []
     position = body.start
@@ -207,8 +207,8 @@
     """A scan of the bytes of one segment.
 
     Attributes, complete once `frames` is exhausted:
-        valid_end: the end of the last frame before the first hole.
-        holes: broken bytes that are followed by a valid frame.
+        valid_end: the end of the last valid frame before the first corrupt byte.
+        corrupt_ranges: ranges of corrupt bytes that are followed by a valid frame.
         synced_bytes: the highest number of synced bytes in any frame's header.
     """
 
@@ -216,20 +216,21 @@
         self._data = data
         self._segment_id = segment_id
         self.valid_end = SEGMENT_HEADER_BYTES
-        self.holes: list[ByteRange] = []
+        self.corrupt_ranges: list[ByteRange] = []
         self.synced_bytes = 0
 
     def first_damage(self, *, is_sealed: bool) -> ByteRange | None:
-        """Return the first damaged bytes; None where there are none.
+        """Return the first damaged range; None if there is none.
 
-        Any hole of a sealed segment is damage. In the active segment only a hole that had been synced is.
+        In a sealed segment any corrupt range is damage. In the active segment only a range that had been
+        synced is, as a crash may corrupt bytes that had not been synced.
         """
-        if self.holes and (is_sealed or self.holes[0].start < self.synced_bytes):
-            return self.holes[0]
+        if self.corrupt_ranges and (is_sealed or self.corrupt_ranges[0].start < self.synced_bytes):
+            return self.corrupt_ranges[0]
         return None
 
     def frames(self) -> Iterator[Frame]:
-        """Yield the valid frames in their order, including those behind a hole."""
+        """Yield the valid frames in order, including those after a corrupt range."""
         position = SEGMENT_HEADER_BYTES
         while position < len(self._data):
             frame = decode_frame(self._data, self._segment_id, position, position)
@@ -237,15 +238,15 @@
                 frame = self._find_frame(position + 1)
                 if frame is None:
                     return
-                self.holes.append(ByteRange(position, frame.offset))
-            if not self.holes:
+                self.corrupt_ranges.append(ByteRange(position, frame.offset))
+            if not self.corrupt_ranges:
                 self.valid_end = frame.end
             self.synced_bytes = max(self.synced_bytes, frame.synced_bytes)
             position = frame.end
             yield frame
 
     def _find_frame(self, start: int) -> Frame | None:
-        """Find the first valid frame from `start` on. Slow; only called where bytes are broken."""
+        """Find the first valid frame at or after `start`. Slow; only called after corrupt bytes."""
         position = self._data.find(FRAME_MAGIC, start)
         while position >= 0:
             frame = decode_frame(self._data, self._segment_id, position, position)
--- a/tansyladder/store/group_writer.py
+++ b/tansyladder/store/group_writer.py
@@ -1,4 +1,4 @@
-"""The write path behind the commit queue: a group of batches is encoded as frames and appended to the log."""
+"""The write path behind the commit queue: encodes a group of batches as frames and appends it to the log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class GroupWriter:
-    """Writes groups of batches. Owned by the commit leader: no lock."""
+    """Writes groups of batches. Only the commit leader uses it, so it has no lock."""
 
     def __init__(
         self,
@@ -33,17 +33,17 @@
 
     @property
     def last_sequence(self) -> int:
-        """The sequence of the newest record; any thread may read it."""
+        """The sequence number of the newest record; any thread may read it."""
         return self._last_sequence
 
     def commit(self, group: Sequence[PendingBatch]) -> None:
-        """Write all batches at once, sync once if one of them requires it, and make them visible.
+        """Write all batches at once, sync once if any of them requires it, and make them visible to readers.
 
         Raises:
             StoreFullError, KeyCollisionError: nothing of the group was written.
             StoreBrokenError: it is not known what was written.
         """
-        self._lifecycle.check_open()  # a step of maintenance may have failed while the batches waited
+        self._lifecycle.check_open()  # a maintenance step may have broken the store while the batches waited
         self._log.roll_if_full(sum(batch.size for batch in group))
         written = Hint()
         data = self._encode(group, written)
@@ -54,10 +54,10 @@
         self._last_sequence += len(written)
 
     def _encode(self, group: Sequence[PendingBatch], written: Hint) -> bytes:
-        """Encode a group as frames for the end of the active segment, and add its records to `written`."""
+        """Encode a group as frames at the end of the active segment, and add its records to `written`."""
         active = self._log.active
         synced_bytes = self._log.synced_bytes
-        written.note_time(self._clock.now_us())
+        written.update_latest_time(self._clock.now_us())
         encoded = []
         offset = active.size
         for batch in group:
@@ -71,7 +71,12 @@
         return b"".join(encoded)
 
     def _encode_body(self, operations: Sequence[WriteOperation], offset: int, written: Hint) -> bytes:
-        """Encode the records of a batch for an offset of the active segment, and add them to `written`."""
+        """Encode a batch's records at an offset of the active segment, and add them to `written`.
+
+        Raises:
+            KeyCollisionError: a key has the same hash as another stored key.
+            OSError: a stored key can't be read for the comparison.
+        """
         segment_id = self._log.active.id
         hash_secret = self._log.hash_secret
         sequence = self._last_sequence + len(written)
--- a/tansyladder/store/hints.py
+++ b/tansyladder/store/hints.py
@@ -1,6 +1,7 @@
-"""Hint files: the data of a sealed segment that the index is built from, without keys and values.
+"""Hint files: what the index needs to know of each record in a sealed segment, without keys and values.
 
-A hint only saves time: it is rebuilt from its segment where it is missing, damaged or of another size.
+Hints only make opening the store faster. A hint that is missing, invalid or of a segment of another size is
+rebuilt from the segment.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 MAGIC = b"TLHNT\x00"
 VERSION = 1
-HEADER = struct.Struct("<6sHQQIQ")  # magic, version, segment, its size, entries, latest time
+HEADER = struct.Struct("<6sHQQIQ")  # magic, version, segment id, segment size, number of records, latest time
 CHECKSUM_BYTES = 8
 
 
 class Column(NamedTuple):
-    """One column of a hint: the attribute that holds it, and its type code for `array`."""
+    """One column of a hint: its attribute in `Hint`, and its type code for `array`."""
 
     attribute: str
     type_code: str
@@ -41,12 +42,12 @@
 
 
 class Hint:
-    """The records of one segment as columns, in the order of the segment. Not thread-safe.
+    """The records of one segment as columns, in the segment's order. Not thread-safe.
 
     Attributes:
         hashes: hashes of the keys.
-        sequences: sequences of the records.
-        expiries: Unix times in microseconds, 0 for never.
+        sequences: sequence numbers of the records.
+        expiries: Unix times in microseconds at which the values expire, 0 for never.
         offsets: offsets of the records in the segment.
         sizes: sizes of the records in bytes.
         kinds: PUT or DELETE.
@@ -74,13 +75,13 @@
         self.sizes.append(record.size)
         self.kinds.append(record.kind)
 
-    def note_time(self, time_us: int) -> None:
-        """Record that the store has seen this time."""
+    def update_latest_time(self, time_us: int) -> None:
+        """Raise `latest_time_us` to this time, if it is later."""
         self.latest_time_us = max(self.latest_time_us, time_us)
 
     def extend(self, later: Hint) -> None:
         """Append the records of a later part of the same segment."""
-        self.note_time(later.latest_time_us)
+        self.update_latest_time(later.latest_time_us)
         self.hashes.extend(later.hashes)
         self.sequences.extend(later.sequences)
         self.expiries.extend(later.expiries)
@@ -89,7 +90,7 @@
         self.kinds.extend(later.kinds)
 
     def encode(self, segment_id: int, segment_size: int) -> bytes:
-        """Encode the content of the hint file."""
+        """Encode the contents of the hint file."""
         columns = [getattr(self, column.attribute).tobytes() for column in COLUMNS]
         header = HEADER.pack(MAGIC, VERSION, segment_id, segment_size, len(self), self.latest_time_us)
         content = header + b"".join(columns)
@@ -97,7 +98,7 @@
 
     @classmethod
     def decode(cls, data: bytes, segment_id: int, segment_size: int) -> Hint | None:
-        """Decode the content of a hint file; None where it is no valid hint of this segment at this size."""
+        """Decode a hint file; None if it is not a valid hint for this segment at this size."""
         content_end = len(data) - CHECKSUM_BYTES
         if content_end < HEADER.size or xxhash.xxh3_64_digest(data[:content_end]) != data[content_end:]:
             return None
@@ -105,7 +106,7 @@
         if identity != [MAGIC, VERSION, segment_id, segment_size]:
             return None
         hint = cls()
-        hint.note_time(latest_time_us)
+        hint.update_latest_time(latest_time_us)
         start = HEADER.size
         for column in COLUMNS:
             values: array[Any] = getattr(hint, column.attribute)
@@ -121,7 +122,7 @@
 
 
 def write_hint(files: Files, hint: Hint, segment_id: int, segment_size: int) -> None:
-    """Write a hint file. Its directory entry is never synced, as the hint can be rebuilt. OSError."""
+    """Write a hint file. Its directory entry is not synced, as the hint can be rebuilt. Raises OSError."""
     new_name = hint_file_name(segment_id) + ".new"
     with contextlib.closing(files.create(new_name)) as file:
         file.write_at(0, hint.encode(segment_id, segment_size))
@@ -130,7 +131,7 @@
 
 
 def read_hint(files: Files, segment_id: int, segment_size: int) -> Hint | None:
-    """Read a segment's hint; None where there is no valid one."""
+    """Read the hint of a segment; None if there is no valid one."""
     try:
         with contextlib.closing(files.open(hint_file_name(segment_id))) as file:
             return Hint.decode(file.read_at(0, file.size()), segment_id, segment_size)
@@ -147,5 +148,5 @@
 
 
 def hash_key(key: bytes, hash_secret: int) -> int:
-    """Return a key's hash in the index."""
+    """Return the hash of a key for the index; `hash_secret` is the seed."""
     return avoid_reserved_hashes(xxhash.xxh3_64_intdigest(key, seed=hash_secret))
--- a/tansyladder/store/index.py
+++ b/tansyladder/store/index.py
@@ -1,8 +1,8 @@
-"""The index: a hash table from each key's hash to the location of its newest record, 16 bytes a slot.
+"""The index: a hash table that maps each key's hash to the location of its newest record; 16 bytes per slot.
 
-A location is `segment << 32 | offset`. Two keys with the same hash can't both be stored: the store compares
-keys and rejects the second one. The hash has 64 bits and is seeded with a secret of the store, so a collision
-happens in one of 37 million stores of a million keys, and can't be provoked.
+A location is `segment_id << 32 | offset`. Two keys with the same hash can't both be stored: the store
+compares the keys and rejects the second one. The hash has 64 bits, so one of 37 million stores of a million
+keys has a collision. Its seed is a secret of the store, so a collision can't be provoked.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 if TYPE_CHECKING:
     import numpy as np
 
-# Two values that are reserved: no key's hash has them.
+# Reserved values, which no key's hash has.
 EMPTY_SLOT = 0
 DELETED_SLOT = 1
 SLOT_BYTES = 16
-MAX_LOAD_FACTOR = 0.7  # of occupied slots, including those of deleted keys; above it probing becomes slow
+MAX_LOAD_FACTOR = 0.7  # share of occupied slots, including those of deleted keys; probing is slow above it
 MIN_SLOTS = 64
-MAX_SLOTS_WITHOUT_NUMPY = 1 << 14  # larger tables are rebuilt with numpy; this one takes some milliseconds
+MAX_SLOTS_WITHOUT_NUMPY = 1 << 14  # rebuilt in some milliseconds; larger tables are rebuilt with numpy
 
 
 def avoid_reserved_hashes(key_hash: int) -> int:
-    """Return the hash, or another one where it is a reserved value."""
+    """Return the hash, or another value if it is a reserved one."""
     return key_hash if key_hash > DELETED_SLOT else key_hash + 2
 
 
@@ -38,23 +38,23 @@
         self._allocate(slot_count)
 
     def _allocate(self, slot_count: int) -> None:
-        """Replace the table by an empty one; `slot_count` is a power of two."""
+        """Replace the table by an empty one; `slot_count` must be a power of two."""
         self._mask = slot_count - 1
         self._hashes = array("Q", bytes(8 * slot_count))
         self._locations = array("Q", bytes(8 * slot_count))
         self._key_count = 0
-        self._occupied_slots = 0  # those of deleted keys included
+        self._occupied_slots = 0  # including those of deleted keys
 
     def __len__(self) -> int:
         return self._key_count
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of memory that the slots take."""
+        """The memory of all slots in bytes."""
         return SLOT_BYTES * len(self._hashes)
 
     def _find_slot(self, key_hash: int) -> int:
-        """Return the slot of a hash, or -1 where there is none."""
+        """Return the slot of a hash, or -1 if there is none."""
         hashes = self._hashes
         mask = self._mask
         slot = key_hash & mask
@@ -65,7 +65,7 @@
         return -1
 
     def get(self, key_hash: int) -> int:
-        """Return the location of a hash; 0 where there is none."""
+        """Return the location of a hash, or 0 if there is none."""
         slot = self._find_slot(key_hash)
         return self._locations[slot] if slot >= 0 else 0
 
@@ -86,7 +86,7 @@
         self._locations[slot] = location
 
     def remove(self, key_hash: int) -> None:
-        """Remove a hash; one that doesn't exist is no error."""
+        """Remove a hash, if it exists."""
         slot = self._find_slot(key_hash)
         if slot >= 0:
             self._hashes[slot] = DELETED_SLOT
@@ -94,12 +94,12 @@
             self._key_count -= 1
 
     def items(self) -> Iterator[tuple[int, int]]:
-        """Return hashes and locations; the table must not change while they are read."""
+        """Return pairs of hash and location; the table must not change during the iteration."""
         pairs = zip(self._hashes, self._locations, strict=True)
         return ((key_hash, location) for key_hash, location in pairs if key_hash > DELETED_SLOT)
 
     def _grow(self) -> None:
-        """Rebuild the table without deleted slots, at most half as full as its maximum."""
+        """Rebuild the table without deleted slots, with at most half the maximum load."""
         slot_count = len(self._hashes)
         while self._key_count + 1 > MAX_LOAD_FACTOR / 2 * slot_count:
             slot_count *= 2
@@ -109,7 +109,7 @@
             self._rebuild_with_numpy(slot_count)
 
     def _rebuild_key_by_key(self, slot_count: int) -> None:
-        """Rebuild without numpy, whose import would take longer while the record table's lock is held."""
+        """Rebuild without numpy, as importing it with the record table's lock held would take longer."""
         live = list(self.items())
         self._allocate(slot_count)
         hashes = self._hashes
@@ -124,7 +124,7 @@
         self._key_count = self._occupied_slots = len(live)
 
     def _rebuild_with_numpy(self, slot_count: int) -> None:
-        """Rebuild a large table, whose keys would take too long one by one."""
+        """Rebuild a large table with numpy, as inserting the keys one by one would take too long."""
         # Lazy: a small store never needs numpy.
         import numpy as np  # noqa: PLC0415
 
@@ -132,13 +132,13 @@
         is_live = hashes > DELETED_SLOT
         live_hashes = hashes[is_live]
         live_locations = np.frombuffer(self._locations, np.uint64)[is_live]
-        del hashes  # which keeps the old table in memory
+        del hashes  # it refers to the old table, which would otherwise stay in memory
         self._allocate(slot_count)
         self._insert_all(live_hashes, live_locations)
 
     @classmethod
     def build(cls, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> Index:
-        """Build a table from distinct hashes, in a few passes over arrays."""
+        """Build a table from distinct hashes in a few passes over the arrays."""
         slot_count = MIN_SLOTS
         while len(hashes) + 1 > MAX_LOAD_FACTOR * slot_count:
             slot_count *= 2
@@ -147,7 +147,7 @@
         return index
 
     def _insert_all(self, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> None:
-        """Fill an empty table: in each pass, hashes whose slot is empty take it; others try the next one."""
+        """Fill an empty table in passes: hashes whose slot is empty take it, others try the next slot."""
         # Lazy: a small store never needs numpy.
         import numpy as np  # noqa: PLC0415
 
@@ -157,7 +157,9 @@
         slots = hashes & mask
         while len(hashes):
             is_empty = table_hashes[slots] == EMPTY_SLOT
-            table_hashes[slots[is_empty]] = hashes[is_empty]  # the last of several at one slot takes it
+            table_hashes[slots[is_empty]] = hashes[
+                is_empty
+            ]  # of several hashes at a slot, the last one is stored
             is_placed = table_hashes[slots] == hashes
             table_locations[slots[is_placed]] = locations[is_placed]
             remaining = ~is_placed
--- a/tansyladder/store/lifecycle.py
+++ b/tansyladder/store/lifecycle.py
@@ -1,4 +1,4 @@
-"""The state of a store, which says whether it accepts writes, and the effect of a failed file system call."""
+"""The state of a store, which determines whether it accepts writes, and how failed file calls change it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """The state of a store."""
 
     OPEN = "open"
-    BROKEN = "broken"  # the state on disk is unknown: the store rejects writes, and can still be read
+    BROKEN = "broken"  # the state on disk is unknown: the store rejects writes, but can still be read
     CLOSED = "closed"
 
 
@@ -33,38 +33,41 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._state = StoreState.OPEN
-        self._reason = ""  # why it isn't open
+        self._reason = ""  # why the store is not open
 
     @property
     def is_broken(self) -> bool:
-        """Whether a failure has made the store reject writes, and it is not closed yet."""
+        """Whether the store rejects writes because of a failure, and is not closed yet."""
         return self._state is StoreState.BROKEN
 
     def check_open(self) -> None:
-        """Raise StoreBrokenError, with the reason, unless the store accepts writes."""
+        """Raise StoreBrokenError with the reason if the store does not accept writes."""
         if self._state is not StoreState.OPEN:
             raise StoreBrokenError(self._reason)
 
     def close(self) -> StoreState | None:
-        """Enter CLOSED, and return the state before; None where the store was closed already."""
+        """Enter CLOSED, and return the previous state, or None if the store was already closed."""
         with self._lock:
             previous = self._state
-            return previous if self._enter(StoreState.CLOSED, "closed") else None
+            return previous if self._enter(StoreState.CLOSED, "the store is closed") else None
 
-    def fail(self, reason: str) -> StoreBrokenError:
-        """Enter BROKEN, unless the store is closed, and return the error to raise."""
+    def mark_broken(self, reason: str) -> StoreBrokenError:
+        """Enter BROKEN unless the store is closed, and return the error to raise."""
         with self._lock:
             self._enter(StoreState.BROKEN, reason)
         return StoreBrokenError(reason)
 
-    def error_for(self, err: OSError, action: str) -> StoreError:
-        """Return the error to raise for a failed action. All but a lack of space break the store."""
+    def handle_os_error(self, err: OSError, action: str) -> StoreError:
+        """Return the error to raise for a failed action, which breaks the store unless disk space is lacking.
+
+        A lack of space breaks it as well if it leaves the manifest uncertain.
+        """
         if err.errno in NO_SPACE_ERRNOS and not isinstance(err, UncertainWriteError):
-            return StoreFullError(f"{action}: {err}")
-        return self.fail(f"{action}: {err}")
+            return StoreFullError(f"{action} failed: {err}")
+        return self.mark_broken(f"{action} failed: {err}")
 
     def _enter(self, state: StoreState, reason: str) -> bool:
-        """Enter a state if the transition is allowed, and return whether it is. Called under the lock."""
+        """Enter a state if the transition is allowed, and return whether it is. Called with the lock held."""
         if state not in TRANSITIONS[self._state]:
             return False
         self._reason = reason
--- a/tansyladder/store/manifest.py
+++ b/tansyladder/store/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: lists the segments of the store in the order of their age. It is replaced atomically."""
+"""The manifest file: lists the store's segments in the order of their age, and is replaced atomically."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 VERSION = 1
 CHECKSUM_DIGITS = 16  # hexadecimal digits of the checksum, followed by a line feed
 MAX_BYTES = 16 << 20
-ACTIVE_SIZE = -1  # in place of the size of the active segment, which grows
+ACTIVE_SIZE = -1  # the size listed for the active segment, which still grows
 
 
 class UncertainWriteError(OSError):
-    """Either the old or the new manifest is on disk; only what both name can be relied on."""
+    """Either the old or the new manifest is on disk, so only what both list can be relied on."""
 
 
 class SegmentEntry(msgspec.Struct, frozen=True):
-    """One segment; `size` in bytes, or ACTIVE_SIZE."""
+    """A segment in the manifest; `size` is in bytes, or ACTIVE_SIZE."""
 
     id: int
     size: int
 
     @property
     def is_sealed(self) -> bool:
-        """Whether the segment is complete, so that its size is final."""
+        """Whether the segment is complete and its size is final."""
         return self.size != ACTIVE_SIZE
 
 
 class Manifest(msgspec.Struct, frozen=True):
-    """The content of the manifest, whose JSON fields docs/store-format.md specifies."""
+    """The contents of the manifest. docs/store-format.md specifies its JSON fields."""
 
     version: int
     node: str  # the name of the node that owns the store
-    hash_secret_hex: str = msgspec.field(name="secret")  # seeds the hashes of the index
+    hash_secret_hex: str = msgspec.field(name="secret")  # seed of the keys' hashes in the index
     next_segment_id: int = msgspec.field(name="next")
     segments: tuple[SegmentEntry, ...]
 
@@ -51,10 +51,10 @@
 
 
 def write_manifest(files: Files, manifest: Manifest) -> None:
-    """Replace the manifest, and return once the new one is on disk.
+    """Replace the manifest; return once the new one is on disk.
 
     Raises:
-        UncertainWriteError: the old or the new one is on disk.
+        UncertainWriteError: either the old or the new one is on disk.
         OSError: the old one is on disk.
     """
     body = msgspec.json.encode(manifest)
@@ -73,7 +73,7 @@
     """Read and verify the manifest.
 
     Raises:
-        StoreCorruptError: its checksum or its content is invalid.
+        StoreCorruptError: its magic, its checksum or its contents are invalid.
         StoreVersionError: a later version of the program wrote it.
         OSError: it can't be read.
     """
@@ -84,11 +84,13 @@
     checksum = data[len(MAGIC) : checksum_end]
     body = data[checksum_end + 1 :]
     if magic != MAGIC or checksum != xxhash.xxh3_64_hexdigest(body).encode():
-        raise StoreCorruptError("not as it was written", path=FILE_NAME)
+        raise StoreCorruptError("invalid magic or checksum", path=FILE_NAME)
     try:
         version = msgspec.json.decode(body, type=dict[str, object]).get("version")
         if not isinstance(version, int) or version <= VERSION:
             return msgspec.json.decode(body, type=Manifest)
     except msgspec.MsgspecError as err:
         raise StoreCorruptError(str(err), path=FILE_NAME) from err
-    raise StoreVersionError(f"version {version}, and this program knows up to {VERSION}", path=FILE_NAME)
+    raise StoreVersionError(
+        f"format version {version}; this program supports versions up to {VERSION}", path=FILE_NAME
+    )
--- a/tansyladder/store/opening.py
+++ b/tansyladder/store/opening.py
@@ -15,18 +15,24 @@
 
 FIRST_SEGMENT_ID = 1
 HASH_SECRET_BYTES = 8
-TRIM_MIN_KEYS = 10_000  # from which on the memory that opening used is returned to the system
+TRIM_MIN_KEYS = 10_000  # with more keys, the memory that opening has freed is returned to the system
 
 
 def open_store(
     files: Files, node: str, read_clock: Callable[[], int], max_segment_bytes: int = DEFAULT_SEGMENT_BYTES
 ) -> Store:
-    """Open a node's store, or create it. `read_clock`: Unix time in microseconds.
+    """Open a node's store, or create it.
+
+    Args:
+        files: the store's directory.
+        node: the name of the node that owns the store.
+        read_clock: returns the Unix time in microseconds.
+        max_segment_bytes: size above which a new segment is started.
 
     Raises:
         StoreLockedError: another process owns the directory.
         StoreUnusableError: the directory can't be read or written.
-        StoreVersionError, NotAStoreError, StoreCorruptError: the store can't be opened, and was not changed.
+        StoreVersionError, NotAStoreError, StoreCorruptError: the store can't be opened; it was not changed.
     """
     try:
         files.lock()
@@ -44,7 +50,7 @@
 
 
 def _open_locked(files: Files, node: str, read_clock: Callable[[], int], max_segment_bytes: int) -> Store:
-    """Open a store whose directory is locked; an error leaves no file open."""
+    """Open a store whose directory is locked; no file stays open after an error."""
     if manifest.FILE_NAME not in files.list_names():
         _create_manifest(files, node)
     recovered = recovery.recover(files, node, read_clock())
@@ -62,15 +68,19 @@
 
 
 def _create_manifest(files: Files, node: str) -> None:
-    """Create the manifest of an empty store. StoreCorruptError: there are segments, so it was lost."""
+    """Create the manifest of an empty store.
+
+    Raises:
+        StoreCorruptError: there are segment files, so the manifest was lost.
+    """
     if any(name.endswith(LOG_SUFFIX) for name in files.list_names()):
-        raise StoreCorruptError("missing, and there are segments", path=manifest.FILE_NAME)
+        raise StoreCorruptError("missing, but the directory contains segment files", path=manifest.FILE_NAME)
     hash_secret_hex = os.urandom(HASH_SECRET_BYTES).hex()
     created = manifest.Manifest(manifest.VERSION, node, hash_secret_hex, FIRST_SEGMENT_ID, ())
     manifest.write_manifest(files, created)
 
 
 def _trim_memory() -> None:
-    """Return free memory to the system: the allocator would keep that of the columns of all records."""
+    """Return freed memory to the system; the allocator would keep that of the columns used by recovery."""
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None).malloc_trim(0)
--- a/tansyladder/store/record_table.py
+++ b/tansyladder/store/record_table.py
@@ -1,4 +1,4 @@
-"""The record table: the index of each key's newest record, and the segments that it points into."""
+"""The record table: the index of each key's newest record, and the segments that contain these records."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tansyladder.store.segment import OFFSET_MASK, Segment, read_record
 from tansyladder.store.snapshot import Snapshot
 
-KEY_EXCERPT_BYTES = 40  # of a key in an error message
+KEY_EXCERPT_BYTES = 40  # maximum of a key that an error message shows
 
 
 class MovedRecord(NamedTuple):
@@ -22,7 +22,7 @@
 
     key_hash: int
     old_location: int
-    new_location: int  # 0: it has expired
+    new_location: int  # 0 if it has expired
     size: int  # in bytes
 
 
@@ -34,22 +34,22 @@
 
 
 class StoreStats(NamedTuple):
-    """Statistics of the whole store, named like the fields of the log."""
+    """Statistics of the whole store."""
 
     keys: int  # including expired ones that are not compacted yet
     segments: int
     bytes: int  # of all segments
     live: int  # bytes of records that the index points to
     index_bytes: int  # of memory
-    sequence: int  # of the newest record
+    sequence: int  # sequence number of the newest record
 
 
 class RecordTable:
-    """The index and the segments of an open store, in the order of their age.
+    """The index and the segments of an open store, which are ordered by age.
 
-    Thread-safe: `_lock` guards the index, the segments' dictionary and order, and their live bytes, fixed
-    bytes and references. A record is read under it, so that its file stays open; no file is written under it.
-    Only the commit leader calls the methods that change the table.
+    Thread-safe: `_lock` guards the index, the dictionary and the order of the segments, and their live
+    bytes, unreclaimable bytes and references. Records are read with the lock held, so that their files stay
+    open; no file is written with it held. Only the commit leader calls the methods that change the table.
     """
 
     def __init__(self, index: Index, segments: Sequence[Segment], hash_secret: int) -> None:
@@ -68,7 +68,7 @@
             return [self._segments[segment_id] for segment_id in self._ids_by_age]
 
     def read(self, key: bytes) -> frames.Record | None:
-        """Read the newest record of a key; None where there is none. StoreCorruptError, OSError."""
+        """Read the newest record of a key; None if there is none. Raises StoreCorruptError or OSError."""
         with self._lock:
             location = self._index.get(hash_key(key, self._hash_secret))
             if not location:
@@ -77,7 +77,7 @@
         return record if record.key == key else None
 
     def snapshot(self) -> Snapshot:
-        """Return the present content of the table, independent of later writes and compactions."""
+        """Return a snapshot of the current content, which later writes and compactions do not change."""
         with self._lock:
             locations = [location for _, location in self._index.items()]
             segments = dict(self._segments)
@@ -92,12 +92,15 @@
                 segment.release()
 
     def find_location(self, key_hash: int) -> int:
-        """Return where the newest record of a key is; 0 where it is deleted, or had expired at the start."""
+        """Return the location of a key's newest record.
+
+        Returns 0 if there is none, or it is a deletion, or it had expired when the store was opened.
+        """
         with self._lock:
             return self._index.get(key_hash)
 
     def check_collision(self, key_hash: int, key: bytes) -> None:
-        """Raise KeyCollisionError where another stored key has this hash, as both can't be stored."""
+        """Raise KeyCollisionError if another stored key has this hash, as both can't be stored."""
         with self._lock:
             location = self._index.get(key_hash)
             if not location:
@@ -107,7 +110,9 @@
         if len(data) < frames.RECORD_HEADER.size:
             return
         if frames.encoded_key_bytes(data) != len(key) or not data.endswith(key):
-            raise KeyCollisionError(f"{key[:KEY_EXCERPT_BYTES]!r} has the hash of another key", key=key)
+            raise KeyCollisionError(
+                f"{key[:KEY_EXCERPT_BYTES]!r} has the same hash as another stored key", key=key
+            )
 
     def add_segment(self, segment: Segment) -> None:
         """Add a segment that is newer than all others."""
@@ -116,11 +121,11 @@
             self._ids_by_age = [*self._ids_by_age, segment.id]
 
     def apply(self, segment: Segment, written: Hint, frame_count: int) -> None:
-        """Make records visible that were appended to a segment in so many frames."""
+        """Make records that were appended to a segment in `frame_count` frames visible to readers."""
         segment_bits = segment.id << frames.OFFSET_BITS
         columns = zip(written.hashes, written.kinds, written.offsets, written.sizes, strict=True)
         with self._lock:
-            segment.note_appended(written, frame_count)
+            segment.add_appended_records(written, frame_count)
             for key_hash, kind, offset, size in columns:
                 self._count_dead(key_hash)
                 if kind == frames.PUT:
@@ -130,12 +135,12 @@
                     self._index.remove(key_hash)
 
     def _count_dead(self, key_hash: int) -> None:
-        """Count the record that a hash points to, if there is one, as dead. Called under the lock."""
+        """Count the indexed record of a hash, if there is one, as dead. Called with the lock held."""
         location = self._index.get(key_hash)
         if not location:
             return
         segment = self._segments[location >> frames.OFFSET_BITS]
-        with contextlib.suppress(OSError):  # the number only determines what is compacted
+        with contextlib.suppress(OSError):  # the count is only used to choose what to compact
             header = segment.file.read_at(location & OFFSET_MASK, frames.RECORD_HEADER.size)
             if len(header) == frames.RECORD_HEADER.size:
                 segment.remove_live_bytes(frames.encoded_record_bytes(header))
@@ -146,7 +151,7 @@
             self._segments[segment.id] = segment
 
     def move_records(self, moved: Sequence[MovedRecord], target: Segment) -> None:
-        """Change the index to the copies of records in the target; skip records overwritten meanwhile."""
+        """Point the index to the copied records in the target; skip records overwritten in the meantime."""
         with self._lock:
             for record in moved:
                 if self._index.get(record.key_hash) != record.old_location:
@@ -157,25 +162,32 @@
                 else:
                     self._index.remove(record.key_hash)
 
-    def replace_segments(self, old: Sequence[Segment], compacted: Segment, order: list[Segment]) -> None:
-        """Drop segments that were compacted, and the new one as well where the order doesn't contain it."""
+    def replace_segments(self, old: Sequence[Segment], compacted: Segment, remaining: list[Segment]) -> None:
+        """Drop the compacted segments, and the new one as well if it is not among the remaining ones.
+
+        Args:
+            old: the segments that were compacted.
+            compacted: the new segment.
+            remaining: all segments that the store has now, oldest first.
+        """
         with self._lock:
-            # What is dead in the new segment can't be freed; otherwise it would be compacted again and again.
-            compacted.fix_dead_bytes()
-            self._ids_by_age = [segment.id for segment in order]
+            # Bytes that are dead in the new segment can't be freed. If they were counted as reclaimable, the
+            # segment would be compacted again and again.
+            compacted.mark_dead_bytes_unreclaimable()
+            self._ids_by_age = [segment.id for segment in remaining]
             for segment in (*old, compacted):
-                if segment not in order:
+                if segment not in remaining:
                     del self._segments[segment.id]
                     segment.release()
 
     def close(self) -> None:
-        """Release all segments; files that a snapshot uses stay open for it."""
+        """Release all segments; files that a snapshot uses stay open until it is closed."""
         with self._lock:
             for segment in self._segments.values():
                 segment.release()
 
     def stats(self, sequence: int) -> StoreStats:
-        """Return statistics for logs and tools; `sequence` is that of the newest record."""
+        """Return statistics for logs and tools; `sequence` is the sequence number of the newest record."""
         with self._lock:
             segments = [self._segments[segment_id] for segment_id in self._ids_by_age]
             return StoreStats(
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: rebuilds the index from the files, and drops an incomplete tail that a crash left.
+"""Recovery: rebuilds the index from the files, and drops an incomplete tail that a crash has left.
 
-Only the active segment may have such a tail, as writes after its last sync were never acknowledged. Damage to
-synced bytes is a StoreCorruptError, and they are never dropped.
+Only the active segment may have such a tail: bytes after its last sync belong to writes that were never
+acknowledged as synced. Synced bytes are never dropped; if they are damaged, StoreCorruptError is raised.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 if TYPE_CHECKING:
     import numpy as np
 
-SEGMENT_ID_DIGITS = 16  # hexadecimal digits of a segment's number in the names of its files
+SEGMENT_ID_DIGITS = 16  # hexadecimal digits of the segment id in the names of a segment's files
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredIndex:
-    """The index of a store at its start."""
+    """The index of a store as it is opened."""
 
     index: Index
-    last_sequence: int  # the highest of any record
-    latest_time_us: int  # the highest Unix time that the store has seen
+    last_sequence: int  # the highest sequence number of any record
+    latest_time_us: int  # the latest Unix time that the store has read from its clock
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryResult:
-    """The content of a store at its start; sizes in bytes."""
+    """The content of a store as it is opened; sizes in bytes."""
 
     manifest: Manifest
-    segments: tuple[Segment, ...]  # oldest first, without those that have no frame
+    segments: tuple[Segment, ...]  # oldest first, without segments that have no frame
     recovered_index: RecoveredIndex
     dropped_bytes: int  # of an incomplete tail
-    rebuilt_hint_count: int  # sealed segments whose hint was missing or invalid
+    rebuilt_hint_count: int  # number of sealed segments whose hint was missing or invalid
 
 
 class LoadedSegment(NamedTuple):
@@ -54,31 +54,31 @@
 
 
 class ScannedSegment(NamedTuple):
-    """The valid size of a segment, and a hint built from its records."""
+    """The size of a segment up to its last valid frame, and a hint built from its records."""
 
     size: int
     hint: Hint
 
 
 def recover(files: Files, node: str, now_us: int) -> RecoveryResult:
-    """Read the whole store, except for an incomplete tail; change nothing on disk.
+    """Read the whole store, and ignore an incomplete tail; change nothing on disk.
 
     Raises:
         StoreCorruptError, StoreVersionError: this program can't open the store.
-        NotAStoreError: it belongs to another node.
-        OSError: it can't be read.
+        NotAStoreError: the store belongs to another node.
+        OSError: a file can't be read.
     """
     current = manifest.read_manifest(files)
     if current.node != node:
-        raise NotAStoreError(f"the store is of node {current.node!r}, not {node!r}")
+        raise NotAStoreError(f"the store belongs to node {current.node!r}, not to {node!r}")
     loaded: list[LoadedSegment] = []
-    with contextlib.ExitStack() as undo:
+    with contextlib.ExitStack() as cleanup:
         for entry in current.segments:
             loaded_segment = _load_segment(files, entry, current)
-            undo.callback(loaded_segment.segment.release)
+            cleanup.callback(loaded_segment.segment.release)
             loaded.append(loaded_segment)
         recovered_index = _build_index(loaded, now_us)
-        undo.pop_all()
+        cleanup.pop_all()
     return RecoveryResult(
         current,
         _release_empty(loaded),
@@ -89,7 +89,7 @@
 
 
 def _release_empty(loaded: list[LoadedSegment]) -> tuple[Segment, ...]:
-    """Release segments without a frame, of which each start without a write leaves one; return the others."""
+    """Release segments without a frame, and return the others. Each start without a write leaves one."""
     used = []
     for loaded_segment in loaded:
         if loaded_segment.segment.size > frames.SEGMENT_HEADER_BYTES:
@@ -100,12 +100,12 @@
 
 
 def _load_segment(files: Files, entry: SegmentEntry, current: Manifest) -> LoadedSegment:
-    """Open, verify and read one segment; an error leaves no file open."""
+    """Open, verify and read one segment; no file stays open after an error."""
     path = segment_file_name(entry.id)
     try:
         file = files.open(path)
     except FileNotFoundError as err:
-        raise StoreCorruptError("missing", path=path) from err
+        raise StoreCorruptError("missing, but the manifest lists it", path=path) from err
     try:
         _check_header(file, entry, current.node)
         return _read_segment(files, file, entry, current.hash_secret)
@@ -115,53 +115,70 @@
 
 
 def _check_header(file: File, entry: SegmentEntry, node: str) -> None:
-    """Check a segment's header and size. StoreCorruptError, NotAStoreError, OSError."""
+    """Check the header and the size of a segment.
+
+    Raises:
+        StoreCorruptError: the header is invalid, or a sealed segment is shorter than the manifest lists.
+        NotAStoreError: the segment belongs to another node.
+        OSError: the file can't be read.
+    """
     path = segment_file_name(entry.id)
     header = frames.decode_segment_header(file.read_at(0, frames.SEGMENT_HEADER_BYTES), entry.id)
     if header is None:
-        raise StoreCorruptError("its head is broken", path=path)
+        raise StoreCorruptError("invalid segment header", path=path)
     if header.node_hash != frames.hash_node_name(node):
-        raise NotAStoreError("of another node", path=path)
+        raise NotAStoreError(f"the segment does not belong to node {node!r}", path=path)
     if entry.is_sealed and file.size() < entry.size:
-        raise StoreCorruptError(f"{file.size()} bytes, and {entry.size} had been written", path=path)
+        raise StoreCorruptError(
+            f"the file has {file.size()} bytes, expected at least {entry.size}", path=path
+        )
 
 
 def _read_segment(files: Files, file: File, entry: SegmentEntry, hash_secret: int) -> LoadedSegment:
-    """Read the hint of a sealed segment, or scan the segment where there is no valid hint."""
+    """Read the hint of a sealed segment, or scan the segment if it is active or has no valid hint."""
     if entry.is_sealed:
         hint = hints.read_hint(files, entry.id, entry.size)
         if hint is not None:
-            fixed_bytes = entry.size - sum(hint.sizes)
-            return LoadedSegment(Segment(entry.id, file, entry.size, fixed_bytes=fixed_bytes), hint)
+            unreclaimable_bytes = entry.size - sum(hint.sizes)
+            return LoadedSegment(
+                Segment(entry.id, file, entry.size, unreclaimable_bytes=unreclaimable_bytes), hint
+            )
     size, hint = _scan_segment(file, entry, hash_secret)
-    segment = Segment(entry.id, file, size, fixed_bytes=size - sum(hint.sizes), pending_hint=hint)
+    segment = Segment(entry.id, file, size, unreclaimable_bytes=size - sum(hint.sizes), pending_hint=hint)
     if entry.is_sealed:
         return LoadedSegment(segment, hint, is_hint_rebuilt=True)
-    return LoadedSegment(segment, hint, dropped_bytes=file.size() - size)  # the next manifest has the size
+    # The next manifest seals the segment at this size.
+    return LoadedSegment(segment, hint, dropped_bytes=file.size() - size)
 
 
 def _scan_segment(file: File, entry: SegmentEntry, hash_secret: int) -> ScannedSegment:
-    """Read all frames of a segment up to an incomplete tail. StoreCorruptError: synced bytes are damaged."""
+    """Read all frames of a segment up to an incomplete tail.
+
+    Raises:
+        StoreCorruptError: synced bytes are damaged.
+        OSError: the file can't be read.
+    """
     path = segment_file_name(entry.id)
     scan = frames.SegmentScan(file.read_at(0, entry.size if entry.is_sealed else file.size()), entry.id)
     valid_frames = list(scan.frames())
     damage = scan.first_damage(is_sealed=entry.is_sealed)
     if damage is not None:
-        message = f"bytes {damage.start} to {damage.end} are broken, with sound ones behind them"
+        message = f"bytes {damage.start} to {damage.end} are corrupt, but a valid frame follows"
         raise StoreCorruptError(message, path=path)
     if entry.is_sealed and scan.valid_end != entry.size:
-        raise StoreCorruptError(f"broken from byte {scan.valid_end} of {entry.size} on", path=path)
-    # Frames after an unsynced hole were never acknowledged, and are later than the lost ones: drop them too.
+        raise StoreCorruptError(f"corrupt from byte {scan.valid_end} of {entry.size} to the end", path=path)
+    # Frames after an unsynced corrupt range are dropped too: they were never acknowledged as synced, and they
+    # are later than the lost ones.
     recovered = [frame for frame in valid_frames if frame.end <= scan.valid_end]
     hint = hints.build_hint((record for frame in recovered for record in frame.records), hash_secret)
-    hint.note_time(max((frame.latest_time_us for frame in recovered), default=0))
+    hint.update_latest_time(max((frame.latest_time_us for frame in recovered), default=0))
     return ScannedSegment(scan.valid_end, hint)
 
 
 def _build_index(all_loaded: list[LoadedSegment], now_us: int) -> RecoveredIndex:
-    """Index the record of each key with the highest sequence, unless it is a deletion or has expired.
+    """Index the record with the highest sequence number of each key, unless it is a deletion or has expired.
 
-    Counts the live bytes of the segments as well.
+    This also adds the live bytes to the segments.
     """
     loaded = [loaded_segment for loaded_segment in all_loaded if len(loaded_segment.hint)]
     if not loaded:
@@ -177,26 +194,28 @@
     sequences = column("sequences", np.uint64)
     last_sequence = int(sequences.max())
     hashes = column("hashes", np.uint64)
-    newest = _newest_of_each(hashes, sequences)
-    del sequences  # each column is as long as the store has records: none is kept for longer than needed
+    newest = _newest_record_positions(hashes, sequences)
+    del sequences  # a column has an entry for every record of the store, so it is freed as soon as possible
     hashes = hashes[newest]
     expiries = column("expiries", np.uint64)[newest]
     is_put = column("kinds", np.uint8)[newest] == frames.PUT
     is_live = is_put & ((expiries == 0) | (expiries > max(now_us, latest_time_us)))
     newest = newest[is_live]
     record_counts = [len(loaded_segment.hint) for loaded_segment in loaded]
-    segment_numbers = np.repeat(np.arange(len(loaded)), record_counts)[newest]
+    segment_indices = np.repeat(np.arange(len(loaded)), record_counts)[newest]
     segment_ids = np.array([loaded_segment.segment.id for loaded_segment in loaded], np.uint64)
-    segment_bits = segment_ids[segment_numbers] << np.uint64(frames.OFFSET_BITS)
+    segment_bits = segment_ids[segment_indices] << np.uint64(frames.OFFSET_BITS)
     locations = segment_bits | column("offsets", np.uint32)[newest]
-    live_bytes = np.bincount(segment_numbers, column("sizes", np.uint32)[newest], len(loaded))
+    live_bytes = np.bincount(segment_indices, column("sizes", np.uint32)[newest], len(loaded))
     for loaded_segment, segment_live_bytes in zip(loaded, live_bytes, strict=True):
         loaded_segment.segment.add_live_bytes(int(segment_live_bytes))
     return RecoveredIndex(Index.build(hashes[is_live], locations), last_sequence, latest_time_us)
 
 
-def _newest_of_each(hashes: np.ndarray[Any, Any], sequences: np.ndarray[Any, Any]) -> np.ndarray[Any, Any]:
-    """Return the position of each hash's record with the highest sequence."""
+def _newest_record_positions(
+    hashes: np.ndarray[Any, Any], sequences: np.ndarray[Any, Any]
+) -> np.ndarray[Any, Any]:
+    """Return the position of the record with the highest sequence number for each hash."""
     # Lazy: an empty store never needs numpy.
     import numpy as np  # noqa: PLC0415
 
@@ -208,7 +227,10 @@
 
 
 def remove_unused_files(files: Files, used_ids: set[int]) -> None:
-    """Remove files that no manifest names: those of a compaction or a new segment before a crash. OSError."""
+    """Remove temporary files, and the files of segments that are not in use. Raises OSError.
+
+    They are left by a compaction, or by the creation of a segment, that a crash interrupted.
+    """
     for name in files.list_names():
         stem, _, suffix = name.partition(".")
         is_segment_file = suffix in ("log", "hint")
@@ -219,7 +241,7 @@
 
 
 def _parse_hex(digits: str) -> int:
-    """Parse a hexadecimal number; -1 where the text is none."""
+    """Parse a hexadecimal number; -1 if the text is not one."""
     try:
         return int(digits, 16)
     except ValueError:
--- a/tansyladder/store/repair.py
+++ b/tansyladder/store/repair.py
@@ -1,4 +1,4 @@
-"""Examining a store without changing it, and copying the readable records of a damaged one to a new store."""
+"""Examines a store without changing it, and copies the readable records of a damaged one to a new store."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from tansyladder.store.recovery import SEGMENT_ID_DIGITS
 from tansyladder.store.segment import LOG_SUFFIX, segment_file_name
 
-RECORDS_PER_BATCH = 1000  # that `repair` writes at once
-NODE_WITHOUT_MANIFEST = "repaired"
-Progress = Callable[[str, int, int], None]  # unit, number done, total number
+RECORDS_PER_BATCH = 1000  # in one write of `repair`
+NODE_NAME_WITHOUT_MANIFEST = "repaired"  # owner of the new store if the manifest can't be read
+ProgressCallback = Callable[[str, int, int], None]  # called with the unit, the number done and the total
 
 
 def _no_progress(_unit: str, _done: int, _total: int) -> None:
@@ -29,26 +29,26 @@
     """One segment as it is on disk; sizes in bytes."""
 
     id: int
-    entry: SegmentEntry | None  # None where the manifest doesn't list the segment
+    entry: SegmentEntry | None  # None if the manifest doesn't list the segment
     size: int = 0
     frame_count: int = 0
     record_count: int = 0
     has_hint: bool = False
-    fault: str = ""  # empty where the segment is valid
-    tail_bytes: int = 0  # after the last frame of the active segment: left by a crash, and no fault
+    fault: str = ""  # empty if the segment is valid
+    tail_bytes: int = 0  # after the last valid frame of the active segment; left by a crash, and not a fault
 
 
 @dataclass(frozen=True, slots=True)
 class Examination:
     """The result of reading a whole store."""
 
-    manifest: Manifest | None  # None: it can't be read
+    manifest: Manifest | None  # None if it can't be read
     manifest_fault: str
     segments: tuple[SegmentReport, ...]
 
     @property
     def faults(self) -> list[str]:
-        """A line for each fault; empty for a valid store."""
+        """One line for each fault; empty if the store is valid."""
         segment_faults = [
             f"{segment_file_name(segment.id)}: {segment.fault}" for segment in self.segments if segment.fault
         ]
@@ -60,12 +60,15 @@
     """The result of a repair."""
 
     faults: list[str]
-    saved_keys: int
-    lost_sequences: int  # missing changes between the first and the last one, including compacted ones
+    saved_key_count: int
+    lost_sequence_count: int  # missing changes between the first and the last one, including compacted ones
 
 
-def examine(files: Files, progress: Progress = _no_progress) -> Examination:
-    """Read every byte and change none; a store that is in use may seem to have a torn tail. OSError."""
+def examine(files: Files, progress: ProgressCallback = _no_progress) -> Examination:
+    """Read every byte and change none. Raises OSError.
+
+    A store that is in use may seem to have an incomplete tail.
+    """
     current = None
     manifest_fault = ""
     try:
@@ -102,7 +105,7 @@
     scan = frames.SegmentScan(listed, segment_id)
     record_counts = [len(frame.records) for frame in scan.frames()]
     if frames.decode_segment_header(listed, segment_id) is None:
-        fault = "its head is broken"
+        fault = "invalid segment header"
     else:
         fault = _frame_fault(scan, entry)
     is_valid = entry is not None and not fault
@@ -126,25 +129,25 @@
 
 
 def _frame_fault(scan: frames.SegmentScan, entry: SegmentEntry | None) -> str:
-    """Describe the fault of a listed segment's frames; empty where they are valid, or it isn't listed."""
+    """Describe the fault of a listed segment's frames; empty if they are valid or it isn't listed."""
     if entry is None:
         return ""
     damage = scan.first_damage(is_sealed=entry.is_sealed)
     if damage is not None:
-        return f"bytes {damage.start} to {damage.end} are broken"
+        return f"bytes {damage.start} to {damage.end} are corrupt"
     if entry.is_sealed and scan.valid_end != entry.size:
-        return f"broken from byte {scan.valid_end} of {entry.size} on"
+        return f"corrupt from byte {scan.valid_end} of {entry.size} to the end"
     return ""
 
 
 def _read_segment(files: Files, segment_id: int) -> bytes:
-    """Read all bytes of a segment. OSError."""
+    """Read all bytes of a segment. Raises OSError."""
     with contextlib.closing(files.open(segment_file_name(segment_id))) as file:
         return file.read_at(0, file.size())
 
 
 def _listed_bytes(data: bytes, entry: SegmentEntry | None) -> bytes:
-    """Cut a segment's bytes to the size that the manifest lists, if it does."""
+    """Cut a segment's bytes to the size that the manifest lists, if the segment is sealed."""
     return data[: entry.size] if entry is not None and entry.is_sealed else data
 
 
@@ -152,7 +155,7 @@
     """Yield every readable record, including those after damaged bytes."""
     for report in examination.segments:
         if report.entry is None and examination.manifest is not None:
-            continue  # an interrupted compaction, whose records are in other segments as well
+            continue  # left by an interrupted compaction, whose records are in other segments as well
         try:
             data = _read_segment(files, report.id)
         except OSError:
@@ -162,12 +165,17 @@
 
 
 def repair(
-    source: Files, target: Files, read_clock: Callable[[], int], progress: Progress = _no_progress
+    source: Files, target: Files, read_clock: Callable[[], int], progress: ProgressCallback = _no_progress
 ) -> RepairResult:
     """Copy the newest readable record of each key to a new, empty store; the damaged one is not changed.
 
-    If the newest change of a key is lost, the copy has an older value. `read_clock`: Unix time in
-    microseconds.
+    If the newest change of a key is lost, the new store has an older value of it.
+
+    Args:
+        source: the directory of the damaged store.
+        target: the directory of the new store.
+        read_clock: returns the Unix time in microseconds.
+        progress: is called before each segment that is read and each batch that is written.
 
     Raises:
         StoreError: the target is not empty, or can't be written.
@@ -184,8 +192,8 @@
     by_sequence = sorted(newest.values(), key=lambda record: record.sequence)
     live = [record for record in by_sequence if record.kind == frames.PUT]
     if any(name != LOCK_FILE_NAME for name in target.list_names()):
-        raise StoreError("the target is not empty")
-    node = examination.manifest.node if examination.manifest else NODE_WITHOUT_MANIFEST
+        raise StoreError("the target directory is not empty")
+    node = examination.manifest.node if examination.manifest else NODE_NAME_WITHOUT_MANIFEST
     with contextlib.closing(open_store(target, node, read_clock)) as store:
         for start in range(0, len(live), RECORDS_PER_BATCH):
             progress("records", start, len(live))
@@ -196,5 +204,5 @@
 
 
 def _count_missing(sequences: set[int]) -> int:
-    """Count the missing numbers between the lowest and the highest one."""
+    """Count the missing numbers between the lowest and the highest sequence number."""
     return max(sequences) - min(sequences) + 1 - len(sequences) if sequences else 0
--- a/tansyladder/store/segment.py
+++ b/tansyladder/store/segment.py
@@ -1,4 +1,4 @@
-"""A segment of an open store: its file, its byte counts, and reading one of its records."""
+"""A segment of an open store: its file, its byte counts, and the reading of a single record."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tansyladder.store.hints import Hint
 
 OFFSET_MASK = (1 << frames.OFFSET_BITS) - 1
-FIRST_READ_BYTES = 512  # read at first for a record of unknown size; most records fit
+FIRST_READ_BYTES = 512  # of the first read for a record of unknown size; most records are not larger
 MAX_RECORD_BYTES = frames.RECORD_HEADER.size + frames.MAX_KEY_BYTES + frames.MAX_VALUE_BYTES
 LOG_SUFFIX = ".log"
 
@@ -24,52 +24,52 @@
 class Segment:
     """One segment; sizes in bytes.
 
-    The record table's lock guards `live_bytes`, `fixed_bytes` and the references; the commit leader owns the
-    rest.
+    The record table's lock guards `live_bytes`, `unreclaimable_bytes` and `reference_count`; the other
+    attributes belong to the commit leader.
     """
 
     id: int
     file: File
     size: int
     live_bytes: int = 0  # of records that the index points to
-    fixed_bytes: int = 0  # that no compaction can free: headers, and deletions that must be kept
-    reference_count: int = 1  # of the store and each snapshot; the file is closed at 0
-    pending_hint: Hint | None = None  # of a segment whose hint file is not written yet
+    unreclaimable_bytes: int = 0  # that no compaction can free: headers, and deletions that must be kept
+    reference_count: int = 1  # one for the store and one for each snapshot; the file is closed at 0
+    pending_hint: Hint | None = None  # until the segment's hint file is written
 
     @property
     def dead_bytes(self) -> int:
         """Bytes that a compaction may free."""
-        return self.size - self.fixed_bytes - self.live_bytes
+        return self.size - self.unreclaimable_bytes - self.live_bytes
 
     def grow(self, size: int) -> None:
-        """Count bytes that were appended."""
+        """Add appended bytes to the size."""
         self.size += size
 
-    def note_appended(self, written: Hint, frame_count: int) -> None:
-        """Add the records that were appended in so many frames to the pending hint."""
+    def add_appended_records(self, written: Hint, frame_count: int) -> None:
+        """Add the records that were appended in `frame_count` frames to the pending hint."""
         if self.pending_hint is None:
             self.pending_hint = Hint()
         self.pending_hint.extend(written)
-        self.fixed_bytes += frame_count * frames.FRAME_HEADER_BYTES
+        self.unreclaimable_bytes += frame_count * frames.FRAME_HEADER_BYTES
 
     def drop_pending_hint(self) -> None:
-        """Forget the pending hint, once its file is written or could not be."""
+        """Discard the pending hint after its file was written, or could not be written."""
         self.pending_hint = None
 
     def add_live_bytes(self, size: int) -> None:
-        """Count bytes of records that the index points to from now on."""
+        """Add bytes of records that the index now points to."""
         self.live_bytes += size
 
     def remove_live_bytes(self, size: int) -> None:
-        """Count bytes of a record that the index no longer points to."""
+        """Subtract bytes of a record that the index no longer points to."""
         self.live_bytes -= min(self.live_bytes, size)
 
-    def fix_dead_bytes(self) -> None:
-        """Count the bytes that are dead now as bytes that no compaction can free."""
-        self.fixed_bytes = self.size - self.live_bytes
+    def mark_dead_bytes_unreclaimable(self) -> None:
+        """Treat all bytes that are dead now as bytes that no compaction can free."""
+        self.unreclaimable_bytes = self.size - self.live_bytes
 
     def acquire(self) -> None:
-        """Add a reference, which keeps the file open until a further `release`."""
+        """Add a reference, which keeps the file open until the matching `release`."""
         self.reference_count += 1
 
     def release(self) -> None:
@@ -83,8 +83,8 @@
     """Read the record at an offset of a segment.
 
     Raises:
-        StoreCorruptError: its checksum is wrong.
-        OSError: it can't be read.
+        StoreCorruptError: the record is incomplete or its checksum is wrong.
+        OSError: the file can't be read.
     """
     data = segment.file.read_at(offset, FIRST_READ_BYTES)
     record = frames.decode_record(data, segment.id, offset)
@@ -94,5 +94,5 @@
             data = segment.file.read_at(offset, min(size, MAX_RECORD_BYTES))
             record = frames.decode_record(data, segment.id, offset)
     if record is None:
-        raise StoreCorruptError(f"the record at byte {offset} is broken", path=segment_file_name(segment.id))
+        raise StoreCorruptError(f"the record at byte {offset} is corrupt", path=segment_file_name(segment.id))
     return record
--- a/tansyladder/store/segment_log.py
+++ b/tansyladder/store/segment_log.py
@@ -1,4 +1,4 @@
-"""The log: appends to the active segment, creates new segments, and lists them in the manifest."""
+"""The log of segments: appends to the active segment, creates new ones, and lists them in the manifest."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class SegmentLog:
-    """The segments as files. Owned by the commit leader: no lock.
+    """The files of the segments. Only the commit leader uses it, so it has no lock.
 
-    The constructor begins a new segment, so that nothing is appended to bytes that a crash may have left.
+    The constructor begins a new segment, so that nothing is appended after bytes that a crash may have left.
 
     Attributes:
         files: the store's directory.
-        active: the segment that is written to.
+        active: the segment that writes are appended to.
         synced_bytes: bytes of the active segment that are on disk.
-        written_bytes: bytes written to all segments, compaction included.
+        written_bytes: bytes written to all segments since the store was opened, including compactions.
     """
 
     def __init__(
@@ -45,13 +45,15 @@
 
     @property
     def has_unsynced_bytes(self) -> bool:
-        """Whether bytes of the active segment may not be on disk."""
+        """Whether the active segment has bytes that may not be on disk yet."""
         return self.synced_bytes < self.active.size
 
     def roll_if_full(self, size: int) -> None:
-        """Seal the active segment and begin another if so many further bytes would exceed the bound.
+        """Seal the active segment and begin a new one if `size` more bytes would exceed the maximum.
 
-        StoreFullError, StoreBrokenError.
+        Raises:
+            StoreFullError: there is no space for a new segment; the active one is unchanged.
+            StoreBrokenError: any other failure; the store no longer accepts writes.
         """
         if (
             self.active.size + size <= self._max_segment_bytes
@@ -62,10 +64,15 @@
         try:
             self._begin_segment()
         except OSError as err:
-            raise self._lifecycle.error_for(err, "new segment") from err
+            raise self._lifecycle.handle_os_error(err, "creating a segment") from err
 
     def append(self, data: bytes) -> None:
-        """Append to the active segment. StoreFullError: the segment is unchanged. StoreBrokenError."""
+        """Append to the active segment.
+
+        Raises:
+            StoreFullError: there is no space; the segment is unchanged.
+            StoreBrokenError: the write failed for another reason, or a partial write could not be undone.
+        """
         active = self.active
         try:
             active.file.write_at(active.size, data)
@@ -73,39 +80,48 @@
             try:
                 active.file.truncate(active.size)
             except OSError as second:
-                raise self._lifecycle.fail(f"after a failed write: {second}") from second
-            raise self._lifecycle.error_for(err, "write") from err
+                raise self._lifecycle.mark_broken(
+                    f"truncation after a failed write failed: {second}"
+                ) from second
+            raise self._lifecycle.handle_os_error(err, "write") from err
         active.grow(len(data))
         self.written_bytes += len(data)
 
     def count_compacted_bytes(self, size: int) -> None:
-        """Count bytes that a compaction wrote to a segment of its own."""
+        """Add bytes that a compaction wrote to its new segment to `written_bytes`."""
         self.written_bytes += size
 
     def sync(self) -> None:
-        """Sync the active segment. StoreBrokenError: it is not known which bytes are on disk.
+        """Sync the active segment.
+
+        A failed sync is not retried: the operating system drops pages that it failed to write, and reports
+        success the next time.
 
-        A retry would not help: the system drops pages that it failed to write, and then reports success.
+        Raises:
+            StoreBrokenError: the sync failed, so it is not known which bytes are on disk.
         """
         try:
             self.active.file.sync()
         except OSError as err:
-            raise self._lifecycle.fail(f"sync: {err}") from err
+            raise self._lifecycle.mark_broken(f"sync failed: {err}") from err
         self.synced_bytes = self.active.size
 
     def reserve_segment_id(self) -> int:
-        """Return an id for a segment that a compaction writes."""
+        """Reserve and return the id of a segment that a compaction will write."""
         segment_id = self._next_segment_id
         self._next_segment_id += 1
         return segment_id
 
-    def replace_segments(self, order: Sequence[Segment]) -> None:
-        """List these segments in the manifest, and return once it is on disk. OSError."""
+    def replace_segments(self, segments: Sequence[Segment]) -> None:
+        """List these segments in the manifest; return once it is on disk. Raises OSError."""
         self.files.sync_directory()
-        self._write_manifest(order, self.active, self._next_segment_id)
+        self._write_manifest(segments, self.active, self._next_segment_id)
 
     def _begin_segment(self) -> None:
-        """Create the next active segment: sync its header and name, then list it in the manifest. OSError."""
+        """Create the next active segment.
+
+        Its header and its name are synced before the manifest lists it. Raises OSError.
+        """
         segment_id = self._next_segment_id
         file = self.files.create(segment_file_name(segment_id))
         try:
@@ -113,9 +129,9 @@
             file.sync()
             self.files.sync_directory()
             size = frames.SEGMENT_HEADER_BYTES
-            segment = Segment(segment_id, file, size, fixed_bytes=size)
-            order = [*self._records.segments_by_age(), segment]
-            self._write_manifest(order, segment, segment_id + 1)
+            segment = Segment(segment_id, file, size, unreclaimable_bytes=size)
+            segments = [*self._records.segments_by_age(), segment]
+            self._write_manifest(segments, segment, segment_id + 1)
         except OSError:
             file.close()
             raise
@@ -124,11 +140,11 @@
         self.active = segment
         self.synced_bytes = size
 
-    def _write_manifest(self, order: Sequence[Segment], active: Segment, next_segment_id: int) -> None:
-        """Replace the manifest by one that lists these segments, oldest first. OSError."""
+    def _write_manifest(self, segments: Sequence[Segment], active: Segment, next_segment_id: int) -> None:
+        """Replace the manifest by one that lists these segments, oldest first. Raises OSError."""
         entries = tuple(
             SegmentEntry(segment.id, manifest.ACTIVE_SIZE if segment is active else segment.size)
-            for segment in order
+            for segment in segments
         )
         changed = Manifest(
             version=manifest.VERSION,
--- a/tansyladder/store/snapshot.py
+++ b/tansyladder/store/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: the content of the store at one moment."""
+"""Snapshots: the content of the store at one point in time."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class Snapshot:
-    """The content of the store at one moment. It keeps the files of its segments open until it is closed.
+    """The content of the store at one point in time. It keeps the segments' files open until it is closed.
 
-    Owned by the thread that took it. A context manager that closes itself.
+    Only the thread that created it may use it. As a context manager, it closes itself on exit.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
                 yield SnapshotEntry(record.key, record.value, record.expiry_us)
 
     def close(self) -> None:
-        """Release the segments; does nothing the second time."""
+        """Release the segments; a second call does nothing."""
         segments = list(self._segments.values())
         self._segments = {}
         self._release(segments)
--- a/tests/config/test_deprecated_keys.py
+++ b/tests/config/test_deprecated_keys.py
@@ -1,4 +1,4 @@
-"""Earlier names of settings keys: they mean what the present ones do, and `check` reports them."""
+"""Deprecated names of settings keys have the effect of the current ones, and `check` reports them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tansyladder.config.operator_settings import Options, parse, parse_file
 from tests.answers.program import command_line
 
-# By the earlier name, a value that is not the default.
+# Deprecated name -> a value that is not the default.
 VALUES = {
     "resume.parked": "7",
     "resume.remembered": "8",
@@ -27,25 +27,25 @@
 each_deprecated_key = pytest.mark.parametrize("deprecated", DEPRECATED_KEYS, ids=lambda key: key.path)
 
 
-def with_earlier_name(deprecated: DeprecatedKey) -> str:
+def with_deprecated_name(deprecated: DeprecatedKey) -> str:
     return f"({deprecated.section} ({deprecated.name} {VALUES[deprecated.path]}))"
 
 
-def with_present_name(deprecated: DeprecatedKey) -> str:
+def with_current_name(deprecated: DeprecatedKey) -> str:
     return f"({deprecated.section} ({deprecated.replacement} {VALUES[deprecated.path]}))"
 
 
-def test_all_earlier_names_are_accepted() -> None:
+def test_all_deprecated_names_are_accepted() -> None:
     assert {deprecated.path: deprecated.replacement_path for deprecated in DEPRECATED_KEYS} == REPLACEMENTS
 
 
 @each_deprecated_key
-def test_an_earlier_name_means_what_the_present_one_does(deprecated: DeprecatedKey) -> None:
-    earlier = parse_file(with_earlier_name(deprecated))
-    present = parse_file(with_present_name(deprecated))
-    assert earlier.options == present.options != Options()
-    assert earlier.deprecated_keys == (deprecated,)
-    assert present.deprecated_keys == ()
+def test_a_deprecated_name_has_the_effect_of_the_current_one(deprecated: DeprecatedKey) -> None:
+    with_deprecated = parse_file(with_deprecated_name(deprecated))
+    with_current = parse_file(with_current_name(deprecated))
+    assert with_deprecated.options == with_current.options != Options()
+    assert with_deprecated.deprecated_keys == (deprecated,)
+    assert with_current.deprecated_keys == ()
 
 
 @each_deprecated_key
@@ -59,14 +59,14 @@
 
 
 @each_deprecated_key
-def test_a_fault_behind_an_earlier_name_is_named_by_it(deprecated: DeprecatedKey) -> None:
+def test_the_error_for_a_value_has_the_deprecated_name_that_was_written(deprecated: DeprecatedKey) -> None:
     with pytest.raises(OptionsError) as raised:
         parse(f"({deprecated.section} ({deprecated.name} (colour 1)))")
     assert raised.value.key == deprecated.path
 
 
 @pytest.mark.parametrize("text", ["(resume 5)", "(resume)", "(parked 5)"])
-def test_a_file_without_the_section_is_checked_as_before(text: str) -> None:
+def test_a_deprecated_key_does_not_hide_an_invalid_section(text: str) -> None:
     with pytest.raises(OptionsError):
         parse(text + '(documents (cut_off "never"))')
 
--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -1,4 +1,4 @@
-"""The operator's settings: faults, units, defaults, and a reload of the tokens' keys."""
+"""The operator's settings: errors, units, defaults, and a reload of the token keys."""
 
 from __future__ import annotations
 
@@ -76,13 +76,13 @@
 
 @given(st.text(alphabet="()\"';#. \\\n09azresumenabled", max_size=60))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_any_text_is_settings_or_an_error(text: str) -> None:
+def test_any_text_is_either_parsed_or_rejected(text: str) -> None:
     with contextlib.suppress(OptionsError):
         parse(text)
 
 
-def test_a_new_set_of_keys_is_put_in_force_by_a_signal(tmp_path: Path) -> None:
-    """A broken file changes nothing; restart-only changes are named, and no key is written to the log."""
+def test_a_signal_reloads_the_token_keys(tmp_path: Path) -> None:
+    """An invalid file changes nothing, restart-only changes are logged, and no key is written to the log."""
     file = tmp_path / "settings.sexp"
     file.write_text(f'(resume (enabled true) (keys (1 "{KEY}")))')
     host = ScriptedServer(answer_up(lambda peer: peer.send_lines(peer.read_line())))
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -1,4 +1,4 @@
-"""Configuration: each fault names its key, and the program ends with 2 and no traceback."""
+"""The platform's configuration: each error names its key, and the program exits with 2 and no traceback."""
 
 from __future__ import annotations
 
--- a/tests/store/harness.py
+++ b/tests/store/harness.py
@@ -1,4 +1,4 @@
-"""Stores on the fault-injecting files, for the tests of this package."""
+"""Opens stores on fault-injecting files, for the tests of this package."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tansyladder.store import Store, open_store
 
 NODE = "n1"
-SMALL_SEGMENT_BYTES = 400  # a few records fill one
-KEY_COUNT = 40  # of `closed_store_files`
+SMALL_SEGMENT_BYTES = 400  # filled by a few records
+KEY_COUNT = 40  # in the store of `closed_store_files`
 
 
 class OpenedStore(NamedTuple):
-    """A store with the files that it is on."""
+    """An open store and its files."""
 
     files: FaultInjectingFiles
     store: Store
@@ -25,7 +25,7 @@
     max_segment_bytes: int = SMALL_SEGMENT_BYTES,
     clock: ManualClock | None = None,
 ) -> OpenedStore:
-    """Open a store on these files, or on new ones."""
+    """Open a store on these files, or on new ones if there are none."""
     files = files or FaultInjectingFiles()
     return OpenedStore(files, open_store(files, NODE, clock or ManualClock(), max_segment_bytes))
 
@@ -48,5 +48,5 @@
 
 
 def contents_of(files: FaultInjectingFiles) -> dict[str, bytes]:
-    """Return the bytes of each file by name."""
+    """Return the contents of each file by its name."""
     return {name: bytes(inode.visible) for name, inode in files.visible.items()}
--- a/tests/store/test_against_dictionary.py
+++ b/tests/store/test_against_dictionary.py
@@ -1,4 +1,4 @@
-"""A stateful property: after any sequence of operations and faults a store has a dictionary's content."""
+"""A stateful property test: after any sequence of operations and faults, a store equals a dictionary."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 
 class ModelEntry(NamedTuple):
-    """A value with its expiry in microseconds, 0 for never."""
+    """A value with its expiry as a Unix time in microseconds, 0 for never."""
 
     value: bytes
     expiry_us: int
 
 
 class ExpectedSnapshot(NamedTuple):
-    """A snapshot, with the content of the store when it was taken."""
+    """A snapshot, and the content that the store had when it was taken."""
 
     snapshot: Snapshot
     expected: dict[bytes, bytes]
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """A store on fault-injecting files: restarts, power losses, maintenance, a clock that steps back."""
+    """A store with restarts, power losses, maintenance and a clock that steps back."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/store/test_compaction.py
+++ b/tests/store/test_compaction.py
@@ -1,4 +1,4 @@
-"""Compaction keeps the deletions that are still needed, and expired values stay expired."""
+"""Compaction keeps deletions that are still needed, and does not make expired values valid again."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
 
 
 def test_a_value_that_had_expired_at_the_start_still_hides_an_older_one() -> None:
-    """The index has no entry for it, but its record is kept as long as the older value's segment."""
+    """The index has no entry for it, but compaction must keep a deletion that hides the older value."""
     clock = ManualClock()
     files, store = open_in_memory(clock=clock)
     store.put(b"k", b"old")
-    store.put(b"live", b"x" * 200)  # so that the other segment is compacted alone
+    store.put(b"live", b"x" * 200)  # keeps enough of this segment live that the other one is compacted alone
     files, store = open_in_memory(files.after_power_loss(random.Random(5), 0.0), clock=clock)
     store.put(b"k", b"y" * 100, expiry_us=clock.now_us)
     files, store = open_in_memory(files.after_power_loss(random.Random(5), 0.0), clock=clock)
@@ -65,7 +65,7 @@
 
 
 def test_a_snapshot_keeps_the_files_of_compacted_segments_open(tmp_path: Path) -> None:
-    """On a real directory, where a closed file can't be read; the store stays usable after the snapshot."""
+    """Use a real directory, where a closed file can't be read; the store must stay usable afterwards."""
     store = open_store(RealFiles(tmp_path), NODE, ManualClock(), SMALL_SEGMENT_BYTES)
     for number in range(40):
         store.put(b"k%d" % (number % 4), b"old%d" % number)
--- a/tests/store/test_crash_consistency.py
+++ b/tests/store/test_crash_consistency.py
@@ -1,4 +1,4 @@
-"""No fault of the files and no kill of the process loses an acknowledged write."""
+"""No file system fault and no kill of the process loses an acknowledged write."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_no_fault_of_the_files_loses_an_acknowledged_write() -> None:
-    """Power losses in a store's lifetime and recovery, failing calls, truncated files and flipped bits."""
+    """Power losses during operation and recovery, failing calls, truncated files and flipped bits."""
     report = crash_consistency.run(seed=1, full=False)
     assert not report.cases, report
     assert (report.lost, report.partial_batches, report.resurrected) == (0, 0, 0)
--- a/tests/store/test_index.py
+++ b/tests/store/test_index.py
@@ -7,8 +7,8 @@
 from tansyladder.store.index import MAX_SLOTS_WITHOUT_NUMPY, Index, avoid_reserved_hashes
 
 
-def test_an_index_keeps_all_keys_while_it_grows_small_and_large() -> None:
-    """It is rebuilt key by key up to `MAX_SLOTS_WITHOUT_NUMPY` slots, and with numpy beyond that."""
+def test_an_index_keeps_all_keys_while_it_grows_with_and_without_numpy() -> None:
+    """The table is rebuilt key by key up to `MAX_SLOTS_WITHOUT_NUMPY` slots, and with numpy above that."""
     index = Index()
     rng = random.Random(5)
     locations = range(1, 2 * MAX_SLOTS_WITHOUT_NUMPY)
--- a/tests/store/test_opening.py
+++ b/tests/store/test_opening.py
@@ -1,4 +1,4 @@
-"""Opening a store: what it rejects, and how it treats expired, damaged, torn and missing data."""
+"""Opening a store: what is rejected, and how expired, damaged, incomplete and missing data is treated."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tansyladder.store.files import RealFiles
 from tests.store.harness import KEY_COUNT, closed_store_files, compacted_store_files, open_in_memory
 
-LARGE_SEGMENT_BYTES = 1 << 16  # so that all stays in the active one
+LARGE_SEGMENT_BYTES = 1 << 16  # all records of a test fit into the active segment
 
 
 def test_the_store_of_another_node_is_rejected() -> None:
@@ -76,8 +76,8 @@
     assert store.get(b"k") is None
 
 
-def test_a_frame_inside_a_value_is_no_frame() -> None:
-    """Nor is one that an earlier write left: each checksum is valid only at its own offset."""
+def test_a_frame_inside_a_value_is_ignored() -> None:
+    """Its checksum is only valid at the offset that it was encoded for, as with frames of earlier writes."""
     offset = 40
     record = frames.Record(offset + frames.FRAME_HEADER_BYTES, frames.PUT, 99, 0, b"evil", b"x")
     body = frames.encode_record(record, segment_id=1)
@@ -86,14 +86,15 @@
     store.put(b"a", b"x")
     store.put(b"b", fake * 2 + b"y", durability=Durability.BUFFERED)
     inode = files.visible[f"{store.active_segment_id:016x}.log"]
-    inode.visible = inode.visible[:-1]  # the last record is torn, and the frames inside its value are intact
+    # The last record is cut off, but the frames inside its value are intact.
+    inode.visible = inode.visible[:-1]
     _, store = open_in_memory(files.after_process_kill())
     assert dict(store.items()) == {b"a": b"x"}
     assert store.dropped_bytes > 0
 
 
-def test_broken_bytes_that_had_been_synced_are_damage_and_no_tail() -> None:
-    """Two synced batches after it prove that the first one had been on disk; else all would be dropped."""
+def test_corrupt_bytes_that_had_been_synced_are_damage_and_not_a_tail() -> None:
+    """The later frames record that the first had been synced; otherwise recovery would drop them all."""
     files, store = open_in_memory(max_segment_bytes=LARGE_SEGMENT_BYTES)
     for key in (b"a", b"b", b"c"):
         store.put(key, key * 20)
@@ -105,16 +106,16 @@
     for offset in (in_first_frame, in_first_record):
         inode.visible = bytearray(intact)
         inode.visible[offset] ^= 1
-        with pytest.raises(errors.StoreCorruptError, match="broken") as raised:
+        with pytest.raises(errors.StoreCorruptError, match="corrupt") as raised:
             open_in_memory(files.after_process_kill())
         assert raised.value.path == name
     inode.visible = bytearray(intact)
-    inode.visible[-1] ^= 1  # the last one can't be distinguished from a crash
+    inode.visible[-1] ^= 1  # damage to the last frame can't be distinguished from a crash
     _, store = open_in_memory(files.after_process_kill())
     assert set(dict(store.items())) == {b"a", b"b"}
 
 
-def test_a_broken_hint_is_rebuilt() -> None:
+def test_a_corrupt_hint_is_rebuilt() -> None:
     files = compacted_store_files()
     _, store = open_in_memory(files)
     assert store.rebuilt_hint_count == 0
--- a/tests/store/test_repair.py
+++ b/tests/store/test_repair.py
@@ -1,4 +1,4 @@
-"""Repair, and the commands `tansyladder store ...`."""
+"""Repairing a store, and the commands `tansyladder store ...`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_repair_saves_what_can_be_read_and_changes_nothing() -> None:
+def test_repair_saves_readable_records_and_does_not_change_the_source() -> None:
     intact = contents_of(closed_store_files())
     assert not examine(FaultInjectingFiles(intact)).faults
     damaged_name = sorted(name for name in intact if name.endswith(".log"))[1]
@@ -36,8 +36,8 @@
     target = FaultInjectingFiles()
     result = repair(source, target, ManualClock())
     assert contents_of(source) == damaged
-    assert result.saved_keys == KEY_COUNT - 1
-    assert result.lost_sequences == 1
+    assert result.saved_key_count == KEY_COUNT - 1
+    assert result.lost_sequence_count == 1
     assert damaged_name in result.faults[0]
     _, store = open_in_memory(target)
     assert len(store) == KEY_COUNT - 1
@@ -57,7 +57,7 @@
 
 
 def damage(folder: Path) -> None:
-    """Flip a bit of the largest segment, and remove the hints, so that the segment is read."""
+    """Flip a bit in the largest segment, and remove the hints, so that opening reads the segment."""
     log = max(folder.glob("*.log"), key=lambda path: path.stat().st_size)
     data = bytearray(log.read_bytes())
     data[60] ^= 1
@@ -80,7 +80,7 @@
     damage(store_folder)
     verified = run("store", "verify", str(store_folder))
     assert verified.returncode == 1
-    assert "broken" in verified.stderr
+    assert "corrupt" in verified.stderr
     dumped = run("store", "dump", str(store_folder))
     assert dumped.returncode == 3
     assert dumped.stderr.startswith("damaged:")
--- a/tests/store/test_writing.py
+++ b/tests/store/test_writing.py
@@ -1,4 +1,4 @@
-"""The write path: bounds, group commit, and failures after which the store rejects writes."""
+"""The write path: bounds, group commit, and failures after which a store rejects writes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ConcurrentPut:
-    """A thread that puts one key, and the error that it gets."""
+    """A thread that puts one key, and the errors that it gets."""
 
     def __init__(self, store: Store, key: bytes) -> None:
         self._store = store
@@ -73,7 +73,7 @@
 
 
 def put_until_rejected(store: Store, writer: int, acknowledged: dict[bytes, bytes]) -> None:
-    """Put sixty keys of one writer, and record each that the store has acknowledged."""
+    """Put up to sixty keys of one writer, and record each acknowledged one."""
     for number in range(60):
         key = b"%d-%d" % (writer, number)
         value = b"%d" % number
@@ -85,7 +85,7 @@
 
 
 def test_many_writers_share_a_sync_and_each_gets_its_own_result() -> None:
-    """Also where the disk fails in the middle: each acknowledged record exists after a power loss."""
+    """The disk fails in the middle, and each acknowledged record must exist after a power loss."""
     files, store = open_in_memory(max_segment_bytes=1 << 20)
     acknowledged: dict[bytes, bytes] = {}
     files.call_before_sync(lambda: wait_until(lambda: store.waiting_write_count >= 8, seconds=0.1))
@@ -108,7 +108,7 @@
 
 
 def test_a_write_that_waits_while_maintenance_breaks_the_store_is_rejected() -> None:
-    """The failed sync has lost earlier records of the log: a recovery would not reach this write."""
+    """The failed sync has lost earlier records of the log, so a recovery would not reach this write."""
     files, store = open_in_memory(max_segment_bytes=1 << 16)
     store.put(b"before", b"x", durability=Durability.BUFFERED)
     late_put = ConcurrentPut(store, b"late")
@@ -136,7 +136,7 @@
         self.is_unreadable = False
 
     def create(self, name: str) -> UnreadableOnceFile:
-        """Create an empty file. OSError."""
+        """Create an empty file. Raises OSError."""
         super().create(name)
         return UnreadableOnceFile(self, self.visible[name])
 
@@ -149,7 +149,7 @@
         self._unreadable_files = files
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Read as any file does, or fail once with OSError."""
+        """Read like any file, or raise OSError once."""
         if self._unreadable_files.is_unreadable:
             self._unreadable_files.is_unreadable = False
             raise OSError(errno.EIO, "made to fail: read")
@@ -157,7 +157,7 @@
 
 
 def test_a_commit_that_fails_unexpectedly_breaks_the_store_and_no_writer_waits_for_it() -> None:
-    """The leader compares the key with the stored one of the same hash, and can't read that."""
+    """The leader can't read the stored key of the same hash, which it compares with the new one."""
     files = UnreadableOnceFiles()
     _, store = open_in_memory(files)
     store.put(b"k", b"old")
@@ -172,7 +172,10 @@
 
 
 class UncertainManifestFiles(FaultInjectingFiles):
-    """Files whose second sync of the directory fails for lack of space; the first is for a segment's name."""
+    """Files whose second directory sync fails for lack of space.
+
+    The first sync is that of a new segment's name, the second one that of the manifest.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -180,7 +183,7 @@
         self.sync_count = 0
 
     def sync_directory(self) -> None:
-        """Put all changes of names on disk, but fail the second time."""
+        """Flush all changes of names to disk, but raise OSError the second time."""
         if self.is_failing:
             self.sync_count += 1
             if self.sync_count == 2:
@@ -193,8 +196,8 @@
         store.put(b"k%d" % number, b"v" * 40)
 
 
-def test_an_uncertain_manifest_breaks_the_store() -> None:
-    """Its rename may be on disk and seal the segment: records after the sealed size would be lost."""
+def test_a_manifest_of_unknown_state_breaks_the_store() -> None:
+    """If the rename is on disk, the manifest seals the segment, and later records in it would be lost."""
     files = UncertainManifestFiles()
     _, store = open_in_memory(files)
     files.is_failing = True
