--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -57,13 +57,13 @@
 
 @click.group()
 def store() -> None:
-    """Look after a store's folder while no node runs on it."""
+    """Maintain the folder of a store that no node is using."""
 
 
 @store.command()
 @FOLDER_ARGUMENT
 def inspect(folder: Path) -> None:
-    """Show the manifest and the segments; changes nothing, and works beside a running node."""
+    """Show the manifest and the segments; changes nothing, and also works while the node is running."""
     with _reporting_errors():
         examination = repairing.examine(RealFiles(folder), _show_progress)
     current = examination.manifest
@@ -90,7 +90,7 @@
 @store.command()
 @FOLDER_ARGUMENT
 def verify(folder: Path) -> None:
-    """Read every byte; exit code 1 where something is not as it should be."""
+    """Read every byte; exits with code 1 if anything is damaged."""
     with _reporting_errors():
         examination = repairing.examine(RealFiles(folder), _show_progress)
     for fault in examination.faults:
@@ -102,7 +102,7 @@
 @store.command()
 @FOLDER_ARGUMENT
 def compact(folder: Path) -> None:
-    """Do all the maintenance that is due; the node must not run."""
+    """Do all maintenance that is due; the node must not be running."""
     with _reporting_errors(), _open_folder(folder) as current:
         bytes_before = current.stats.bytes
         while current.maintain(COMPACTION_BUDGET_BYTES):
@@ -113,7 +113,7 @@
 @store.command()
 @FOLDER_ARGUMENT
 def dump(folder: Path) -> None:
-    """Write every live key as a line of JSON with hexadecimal digits; the node must not run."""
+    """Write every live key as a line of JSON with hexadecimal digits; the node must not be running."""
     with _reporting_errors(), _open_folder(folder) as current, current.snapshot() as snapshot:
         for key, value, expiry_us in snapshot.items():
             click.echo(json.dumps({"key": key.hex(), "value": value.hex(), "expiry": expiry_us}))
@@ -123,10 +123,10 @@
 @FOLDER_ARGUMENT
 @click.argument("target", type=click.Path(path_type=Path))
 def repair_command(folder: Path, target: Path) -> None:
-    """Save what can be read into TARGET, a new folder; the damaged one stays as it is."""
+    """Copy all readable records into TARGET, a new folder; the damaged one is not changed."""
     with _reporting_errors():
         result = repairing.repair(RealFiles(folder), RealFiles(target), _clock_us, _show_progress)
     for fault in result.faults:
         click.echo(fault, err=True)
-    lost = f"{result.lost_sequence_count} changes not found (compacted ones among them)"
+    lost = f"{result.lost_sequence_count} changes not found (including compacted ones)"
     click.echo(f"{result.saved_key_count} keys kept; {lost}")
--- a/tansyladder/store/index.py
+++ b/tansyladder/store/index.py
@@ -18,7 +18,7 @@
 EMPTY_SLOT = 0
 DELETED_SLOT = 1
 SLOT_BYTES = 16
-MAX_LOAD_FACTOR = 0.7  # share of occupied slots, including those of deleted keys; probing is slow above it
+MAX_LOAD_FACTOR = 0.7  # of occupied slots, including those of deleted keys; above it probing becomes slow
 MIN_SLOTS = 64
 MAX_SLOTS_WITHOUT_NUMPY = 1 << 14  # rebuilt in some milliseconds; larger tables are rebuilt with numpy
 
@@ -125,7 +125,7 @@
 
     def _rebuild_with_numpy(self, slot_count: int) -> None:
         """Rebuild a large table with numpy, as inserting the keys one by one would take too long."""
-        # Lazy: a small store never needs numpy.
+        # Imported here, as a small store never needs numpy.
         import numpy as np  # noqa: PLC0415
 
         hashes = np.frombuffer(self._hashes, np.uint64)
@@ -148,7 +148,7 @@
 
     def _insert_all(self, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> None:
         """Fill an empty table in passes: hashes whose slot is empty take it, others try the next slot."""
-        # Lazy: a small store never needs numpy.
+        # Imported here, as a small store never needs numpy.
         import numpy as np  # noqa: PLC0415
 
         table_hashes = np.frombuffer(self._hashes, np.uint64)
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -183,7 +183,7 @@
     loaded = [loaded_segment for loaded_segment in all_loaded if len(loaded_segment.hint)]
     if not loaded:
         return RecoveredIndex(Index(), last_sequence=0, latest_time_us=0)
-    # Lazy: an empty store never needs numpy.
+    # Imported here, as an empty store never needs numpy.
     import numpy as np  # noqa: PLC0415
 
     def column(attribute: str, number_type: type) -> np.ndarray[Any, Any]:
@@ -216,7 +216,7 @@
     hashes: np.ndarray[Any, Any], sequences: np.ndarray[Any, Any]
 ) -> np.ndarray[Any, Any]:
     """Return the position of the record with the highest sequence number for each hash."""
-    # Lazy: an empty store never needs numpy.
+    # Imported here, as an empty store never needs numpy.
     import numpy as np  # noqa: PLC0415
 
     order = np.lexsort((sequences, hashes))
