--- a/tansyladder/lab/__init__.py
+++ b/tansyladder/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: scripted stream hosts, discovery and clients on loopback, a real node among them, and reports."""
+"""The lab: real nodes among scripted stream hosts, discovery and clients on loopback, and reports."""
--- a/tansyladder/lab/client_line_exchange.py
+++ b/tansyladder/lab/client_line_exchange.py
@@ -1,4 +1,4 @@
-"""The lines of one session on one of its client's connections."""
+"""Exchange of a session's lines on one connection of its client."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ClientLineExchange:
-    """Sends and receives a session's lines. Owned by one event loop; not thread-safe."""
+    """Sends and receives a session's lines on one connection. Owned by one event loop; not thread-safe."""
 
     def __init__(
         self,
@@ -22,15 +22,16 @@
         silence_timeout: float | None,
         is_sending: Callable[[], bool],
     ) -> None:
-        """Make an exchange that has not started.
+        """Create an exchange; `run` starts it.
 
         Args:
-            session: whose lines are exchanged.
-            connection: on which the first line was answered UP.
-            first_delay: seconds until the first line is sent.
+            session: the session whose lines are exchanged.
+            connection: the connection, whose first line was answered with UP.
+            first_delay: seconds before the first line is sent.
             line_interval: seconds between two lines.
-            silence_timeout: seconds without a line after which the connection counts as dead; None for none.
-            is_sending: whether the client still sends lines.
+            silence_timeout: seconds without a received line after which the connection counts as dead; None
+                disables it.
+            is_sending: returns whether the client still sends lines.
         """
         self._session = session
         self._connection = connection
@@ -40,17 +41,17 @@
         self._is_sending = is_sending
 
     async def run(self) -> None:
-        """Exchange lines until the connection ends, breaks or is silent, or the session migrates."""
+        """Exchange lines until the connection ends, fails or is silent too long, or the session migrates."""
         sender = asyncio.ensure_future(self._send_lines())
         try:
             await self._receive_lines()
         except (OSError, ValueError, asyncio.IncompleteReadError):
-            pass  # the node, or the link to it, is gone or silent (TimeoutError is an OSError)
+            pass  # the node or the link to it failed, or was silent (TimeoutError is an OSError)
         finally:
             sender.cancel()
 
     async def _send_lines(self) -> None:
-        """Send lines at a constant rate; the clients' phases differ."""
+        """Send lines at a constant rate, after an initial delay that differs between clients."""
         writer = self._connection.writer
         await asyncio.sleep(self._first_delay)
         while not writer.transport.is_closing() and self._is_sending():
--- a/tansyladder/lab/client_session.py
+++ b/tansyladder/lab/client_session.py
@@ -1,6 +1,7 @@
-"""One resumable session as its client sees it: its token, and the numbers of both parties' lines; no I/O.
+"""A resumable session as its client sees it: its token and the line numbers of both sides. No I/O.
 
-A client's lines are `M n`; the host's are `F n h`, where h is the last client line that the host received.
+The client's n-th line is `M n`. The host's n-th line is `F n h`, where h is the number of the last client
+line that the host has received.
 """
 
 from __future__ import annotations
@@ -13,33 +14,33 @@
 
 
 class SessionObserver:
-    """Is notified of a client's events; subclasses record them, and this class does nothing."""
+    """Receives a client's events. The methods do nothing here; subclasses override them to record events."""
 
     def on_open_sent(self, connection_id: str, token: str) -> None:
-        """Observe that a first line was sent; `token` is empty where it shows none."""
+        """Observe that a first line was sent; `token` is empty if the line has none."""
 
     def on_answered(self, connection_id: str, status: str, line: str) -> None:
-        """Observe an answer, or the end of a connection without one (both are empty then)."""
+        """Observe the answer to a first line; both texts are empty if the connection ended without one."""
 
     def on_line_sent(self, number: int) -> None:
-        """Observe that a line of the client is sent for the first time."""
+        """Observe that a client line is sent for the first time."""
 
     def on_line_received(self, number: int, confirmed: int) -> None:
-        """Observe a host line that confirms the client's lines up to `confirmed`."""
+        """Observe a host line, which confirms the client lines up to number `confirmed`."""
 
     def on_migration_requested(self) -> None:
-        """Observe a MOVE line; the session still has its token."""
+        """Observe a MOVE line, before the session drops its token."""
 
 
 class GapMeter:
-    """Measures the longest time between two frames. Owned by one event loop; not thread-safe."""
+    """Measures the longest time between two received frames. Owned by one event loop; not thread-safe."""
 
     def __init__(self) -> None:
         self.longest = timedelta(0)  # since the last reset
         self._last_frame_at: timedelta | None = None
 
     def reset(self) -> None:
-        """Reset the longest gap, but not the time of the last frame."""
+        """Reset the longest gap; the next gap still begins at the last frame."""
         self.longest = timedelta(0)
 
     def record_frame(self) -> None:
@@ -51,16 +52,16 @@
 
 
 class ClientSession:
-    """One session over all of its connections. Owned by one event loop; not thread-safe."""
+    """One session across all of its connections. Owned by one event loop; not thread-safe."""
 
     def __init__(self, report: Report, observer: SessionObserver, gaps: GapMeter, *, resumes: bool) -> None:
-        self.token = ""  # the one that resumes it; empty while there is none to show
-        self.received = 0  # the last host line
-        self.is_migrating = False  # MOVE was received: the client has to open another session
-        self._acknowledged = 0  # the last host line that was acknowledged
-        self._sent = 0  # the client's last line
-        self._confirmed = 0  # the client's last line that a host has confirmed
-        self._unacknowledged: list[int] = []  # the client's lines that may have to be sent again
+        self.token = ""  # resumes the session; empty while the client has none
+        self.received = 0  # number of the last host line
+        self.is_migrating = False  # MOVE was received: the client has to open a new session
+        self._acknowledged = 0  # number of the last host line that was acknowledged
+        self._sent = 0  # number of the last client line
+        self._confirmed = 0  # number of the last client line that a host has confirmed
+        self._unacknowledged: list[int] = []  # numbers of client lines that may have to be resent
         self._report = report
         self._observer = observer
         self._gaps = gaps
@@ -68,28 +69,31 @@
 
     @property
     def unconfirmed_line_count(self) -> int:
-        """How many of its lines no host has confirmed."""
+        """The number of client lines that no host has confirmed."""
         return self._sent - self._confirmed
 
     def take_token(self) -> str:
-        """Return the token and forget it, as it may be shown once; empty where there is none."""
+        """Return the token and clear it, as it may be used only once; return "" if there is none."""
         token = self.token
         self.token = ""
         return token
 
-    def return_token(self, token: str) -> None:
-        """Store a token again that was shown and may still be valid."""
+    def restore_token(self, token: str) -> None:
+        """Store a token again that was sent but may still be valid."""
         self.token = token
 
     def next_line(self) -> str:
-        """Return the client's next line."""
+        """Return the client's next line and count it as sent."""
         self._sent += 1
         self._unacknowledged.append(self._sent)
         self._observer.on_line_sent(self._sent)
         return f"M {self._sent}"
 
     def receive(self, line: bytes) -> list[str]:
-        """Handle a line from the node; return the lines that answer it. Raises ValueError, IndexError."""
+        """Handle a line from the node; return the lines to send in reply.
+
+        Raises ValueError or IndexError if the line is malformed.
+        """
         line_fields = line.decode().split()
         match line_fields[0]:
             case "RS":
@@ -102,11 +106,13 @@
                 self.token = ""
                 self.is_migrating = True
             case _:
-                self._report.record_violation(Invariant.FINAL_ANSWER, f"{line[:60]!r} after UP")
+                self._report.record_violation(
+                    Invariant.FINAL_ANSWER, f"unexpected line {line[:60]!r} after UP"
+                )
         return []
 
     def _receive_control_message(self, line_fields: list[str]) -> list[str]:
-        """Handle an RS line; return the lines that have to be sent again."""
+        """Handle an RS line; return the client lines to resend."""
         match line_fields:
             case ["RS", "TOKEN", token, _]:
                 self.token = token
@@ -122,20 +128,26 @@
         return []
 
     def _acknowledge_up_to(self, position: int) -> None:
-        """Drop the lines up to a position, which need not be sent again."""
+        """Drop the client lines up to a position, which need not be resent."""
         self._unacknowledged = [number for number in self._unacknowledged if number > position]
 
     def _receive_frame(self, number: int, confirmed: int) -> list[str]:
-        """Check a host line's number and what it confirms; return an acknowledgement where one is due."""
+        """Check a host line's number and confirmation; return an acknowledgement if one is due."""
         self._observer.on_line_received(number, confirmed)
         self._gaps.record_frame()
         if number > self.received + 1:
-            self._report.record_violation(Invariant.NO_LINE_LOST, f"host line {number} after {self.received}")
+            self._report.record_violation(
+                Invariant.NO_LINE_LOST, f"received host line {number} after line {self.received}"
+            )
         elif number <= self.received:
-            self._report.record_violation(Invariant.NO_LINE_DUPLICATED, f"host line {number}")
+            self._report.record_violation(
+                Invariant.NO_LINE_DUPLICATED,
+                f"received host line {number} again; the last one was {self.received}",
+            )
         if confirmed > self._sent:
             self._report.record_violation(
-                Invariant.NO_LINE_DUPLICATED, f"{confirmed} lines confirmed, {self._sent} sent"
+                Invariant.NO_LINE_DUPLICATED,
+                f"the host confirmed client line {confirmed}, but only {self._sent} were sent",
             )
         self.received = max(self.received, number)
         self._confirmed = max(self._confirmed, confirmed)
--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -17,50 +17,50 @@
 from tansyladder.lab.report import Invariant, Report, clock
 from tansyladder.lab.waiting import DelayRange
 
-RECONNECT_DELAY = DelayRange(0.11, 0.82)  # before a client connects again
+RECONNECT_DELAY = DelayRange(0.11, 0.82)  # seconds before a client reconnects
 LINE_INTERVAL = 1.0  # seconds between two lines of a client
-ANSWER_TIMEOUT = 5.0  # seconds beyond the client's deadline until an answer counts as missing
-ANSWER_TIMEOUT_OF_IMPATIENT = 0.7  # the same for a client that reconnects when the node is silent
-MAX_ATTEMPTS = 8  # unserved connections in a row after which a client leaves
+ANSWER_TIMEOUT = 5.0  # seconds after the client's deadline at which an answer counts as missing
+SHORT_ANSWER_TIMEOUT = 0.7  # the same for clients that reconnect when the node is silent
+MAX_ATTEMPTS = 8  # consecutive connections without a session after which a client leaves
 
 FINAL_ANSWERS = ("UP", "BUSY", "ERR")
 
 
 @dataclass(frozen=True, slots=True)
 class ClientSettings:
-    """What all clients of a run have in common."""
+    """Settings that all clients of a run share."""
 
     seed: int
     _: KW_ONLY
-    resumes: bool  # whether they offer to resume their session on another connection
+    resumes: bool  # whether clients resume their session on a new connection
     line_interval: float = LINE_INTERVAL  # seconds
-    silence_timeout: float | None = None  # seconds without a line after which a connection counts as dead
+    silence_timeout: float | None = None  # seconds without a line; then the connection counts as dead
 
     @property
     def answer_timeout(self) -> float:
-        """Seconds beyond the client's deadline until an answer counts as missing."""
-        return ANSWER_TIMEOUT if self.silence_timeout is None else ANSWER_TIMEOUT_OF_IMPATIENT
+        """Seconds after the client's deadline at which an answer counts as missing."""
+        return ANSWER_TIMEOUT if self.silence_timeout is None else SHORT_ANSWER_TIMEOUT
 
 
 class AbandonedSession(NamedTuple):
-    """What it takes to show an abandoned session's token on another connection."""
+    """What is needed to resume an abandoned session on another connection."""
 
     token: str
-    open_parameters: str  # the first line after the connection's id
+    open_parameters: str  # the part of the first line after the connection id
 
 
 class ClientState(Enum):
-    """What a client does; it goes through these states in their order, and may skip QUIET."""
+    """A client's state. A client goes through the states in this order, and may skip QUIET."""
 
     ACTIVE = auto()  # sends lines, and reconnects when its connection ends
-    QUIET = auto()  # reconnects, and sends no lines
-    LEAVING = auto()  # its connection has ended or is closed, and it does not reconnect
+    QUIET = auto()  # sends no lines, but still reconnects
+    LEAVING = auto()  # its connection has ended or is closing, and it does not reconnect
 
 
 class Client(SessionObserver):
-    """One client with one session at a time. Owned by one event loop; not thread-safe.
+    """One client, which has one session at a time. Owned by one event loop; not thread-safe.
 
-    Subclasses observe it through the methods of `SessionObserver`, which do nothing here.
+    Subclasses observe the client by overriding the methods of `SessionObserver`, which do nothing here.
     """
 
     max_attempts = MAX_ATTEMPTS
@@ -68,36 +68,39 @@
     def __init__(self, report: Report, port: int, number: int, settings: ClientSettings) -> None:
         self.report = report
         self.number = number
-        self.session_count = 0  # begun so far
-        self.used_token = ""  # the last one that was shown
+        self.session_count = 0  # sessions begun so far
+        self.used_token = ""  # the last token that was sent
         self.served_at = timedelta(0)
-        self.gaps = GapMeter()  # measures since `start_measurement`
+        self.gaps = GapMeter()  # since `start_measurement`
         self._address = f"{LOOPBACK}:{port}"
         self._settings = settings
         self._rng = random.Random(settings.seed * 1_000_003 + number)
         self.session = self._new_session()
         self._state = ClientState.ACTIVE
-        self._served = asyncio.Event()  # set while a session is served; independent of the client's state
-        self._connection_count = 0  # opened so far
-        self._count_at_measurement = 0  # connections that were opened before the measurement
+        self._served = asyncio.Event()  # set while a session is served; independent of `_state`
+        self._connection_count = 0  # connections opened so far
+        self._connection_count_at_start = 0  # when the measurement was started
         self._profile = ClientProfile.generate(self._rng, number)
         self._writer: asyncio.StreamWriter | None = None
 
-    # --- for the run
+    # Methods that the run calls.
 
     @property
     def is_served(self) -> bool:
-        """Whether it has a session that is served on its connection."""
+        """Whether the client has a session that is served on its connection."""
         return self._served.is_set()
 
     @property
     def has_same_connection(self) -> bool:
-        """Whether it is served on the connection that it had when the measurement was started."""
-        return self.is_served and self._connection_count == self._count_at_measurement
+        """Whether the client is served on the connection that it had at the start of the measurement."""
+        return self.is_served and self._connection_count == self._connection_count_at_start
 
     @property
     def unconfirmed_line_count(self) -> int:
-        """How many of its lines no host has confirmed; 0 a moment after it stops sending."""
+        """The number of client lines that no host has confirmed; 0 if the client is not served.
+
+        Unless lines are lost, it falls to 0 soon after the client stops sending.
+        """
         return self.session.unconfirmed_line_count if self.is_served else 0
 
     @property
@@ -105,16 +108,16 @@
         return self._state is ClientState.LEAVING
 
     async def wait_until_served(self) -> None:
-        """Wait until it has a session that is served."""
+        """Wait until the client has a session that is served."""
         await self._served.wait()
 
     def start_measurement(self) -> None:
-        """Measure gaps, and whether its connection stays the same, from now on."""
+        """Start to measure gaps, and whether the client keeps its connection."""
         self.gaps.reset()
-        self._count_at_measurement = self._connection_count
+        self._connection_count_at_start = self._connection_count
 
     async def run(self) -> None:
-        """Connect, and reconnect after each end, until `leave` or too many attempts in a row fail."""
+        """Connect, and reconnect after each end, until `leave` or `max_attempts` consecutive failures."""
         failed_attempts = 0
         while not self._is_leaving and failed_attempts < self.max_attempts:
             was_served = await self._use_one_connection()
@@ -125,12 +128,12 @@
             self.report.counts["left_unserved"] += 1
 
     def stop_sending(self) -> None:
-        """Send no more lines; the session stays."""
+        """Stop sending lines, but keep the session."""
         if self._state is ClientState.ACTIVE:
             self._state = ClientState.QUIET
 
     async def leave(self) -> None:
-        """End the session and close the connection, for good."""
+        """End the session and close the connection, without reconnecting."""
         self._state = ClientState.LEAVING
         if self._writer is not None:
             with contextlib.suppress(OSError):
@@ -139,28 +142,28 @@
                 self._writer.close()
 
     async def replay_token(self) -> str:
-        """Show the used token again; return the answer's first word. The session must not be affected."""
+        """Send the used token again and return the answer's first word; this must not affect the session."""
         async with connection(self._address) as established:
             line = f"OPEN {self._rng.getrandbits(60):x} {self._resume_parameters(self.used_token)}"
             return answer_status(await established.exchange_line(line, ANSWER_TIMEOUT))
 
     def abandon(self) -> AbandonedSession:
-        """Reset the connection and do not reconnect."""
+        """Reset the connection without reconnecting; return what can resume the session."""
         self._state = ClientState.LEAVING
         self.reset_connection()
         return AbandonedSession(self.session.token, self._resume_parameters(self.session.token))
 
     def expect_disconnect(self) -> None:
-        """Count as not served until the next UP: the run is about to end the node."""
+        """Count as not served until the next UP answer, as the run is about to kill the node."""
         self._served.clear()
 
     def reset_connection(self) -> None:
-        """Reset the connection, as when a network is gone."""
+        """Reset the connection, as when the network fails."""
         self._served.clear()
         if self._writer is not None:
             self._writer.transport.abort()
 
-    # --- one connection
+    # The use of one connection.
 
     async def _use_one_connection(self) -> bool:
         """Open a connection and use it until it ends; return whether it was served."""
@@ -182,63 +185,63 @@
 
     async def _open_session(self, established: Connection) -> bool:
         """Send the first line and read its answer; return whether a session is served."""
-        shown_token = self.session.take_token() if self._settings.resumes else ""
-        if shown_token:
-            self.used_token = shown_token
+        sent_token = self.session.take_token() if self._settings.resumes else ""
+        if sent_token:
+            self.used_token = sent_token
         connection_id = f"{self._rng.getrandbits(60):x}"
         sent_at = clock()
         try:
-            self.on_open_sent(connection_id, shown_token)
+            self.on_open_sent(connection_id, sent_token)
             answer = await established.exchange_line(
-                f"OPEN {connection_id} {self._open_parameters(shown_token)}",
+                f"OPEN {connection_id} {self._open_parameters(sent_token)}",
                 self._profile.deadline_ms / 1000 + self._settings.answer_timeout,
             )
             status = answer_status(answer)
             text = answer.decode().strip()
         except (OSError, ValueError, asyncio.IncompleteReadError) as err:
-            self.session.return_token(shown_token)
+            self.session.restore_token(sent_token)
             if isinstance(err, TimeoutError):
                 self._record_wrong_answer("no answer")
             return False
         self.on_answered(connection_id, status, text)
-        if status in ("BUSY", ""):  # rejected for now, or not answered: the token may still be valid
-            self.session.return_token(shown_token)
+        if status in ("BUSY", ""):  # rejected for now or not answered: the token may still be valid
+            self.session.restore_token(sent_token)
         self._check_answer(answer, status)
         if status != "UP":
             return False
-        self._start_serving(shown_token, sent_at)
+        self._start_serving(sent_token, sent_at)
         return True
 
     def _check_answer(self, answer: bytes, status: str) -> None:
-        """Count an answer, and check that it is a final one."""
+        """Count an answer, and check that it is one of `FINAL_ANSWERS`."""
         self.report.counts[f"answer_{status or 'none'}"] += 1
         if status not in FINAL_ANSWERS and not self._is_leaving:
-            self._record_wrong_answer(f"{answer[:60]!r}")
+            self._record_wrong_answer(f"answer {answer[:60]!r}")
 
     def _record_wrong_answer(self, answer: str) -> None:
-        case = f"{answer} on connection {self._connection_count}"
+        case = f"client {self.number}: {answer} on connection {self._connection_count}"
         self.report.record_violation(Invariant.FINAL_ANSWER, case)
 
-    def _start_serving(self, shown_token: str, sent_at: timedelta) -> None:
-        """Record that the answer is UP, and begin a session where no token resumed the one before."""
+    def _start_serving(self, sent_token: str, sent_at: timedelta) -> None:
+        """Record an UP answer, and begin a new session unless a token has resumed the previous one."""
         self.served_at = clock()
-        self.report.record_delay("resume" if shown_token else "set_up", self.served_at - sent_at)
-        if not shown_token:
+        self.report.record_delay("resume" if sent_token else "set_up", self.served_at - sent_at)
+        if not sent_token:
             self.session_count += 1
             self.session = self._new_session()
         self._served.set()
 
-    def _open_parameters(self, shown_token: str) -> str:
-        """Return the first line after the connection's id."""
-        if shown_token:
-            parameters = self._resume_parameters(shown_token)
+    def _open_parameters(self, sent_token: str) -> str:
+        """Return the part of the first line after the connection id."""
+        if sent_token:
+            parameters = self._resume_parameters(sent_token)
         else:
-            parameters = self._profile.new_session(resumes=self._settings.resumes)
+            parameters = self._profile.new_session_parameters(resumes=self._settings.resumes)
         return parameters + (",again=1" if self._connection_count > 1 else "")
 
     def _resume_parameters(self, token: str) -> str:
-        """Return the same for a first line that shows a token."""
-        return self._profile.resumed_session(token, self.session.received)
+        """Return the same part for a first line that resumes the session by a token."""
+        return self._profile.resumed_session_parameters(token, self.session.received)
 
     async def _exchange_lines(self, established: Connection) -> None:
         """Send and receive lines until the connection ends or the session migrates."""
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -25,7 +25,7 @@
 
 
 class FleetReport(JsonReport, frozen=True, kw_only=True):
-    """The counts of all nodes; seconds count from the earliest line."""
+    """The counts of all nodes; seconds are numbered from the earliest line."""
 
     nodes: int
     unread_lines: int = msgspec.field(name="unread")
@@ -37,7 +37,7 @@
 def _run_and_exit(
     experiment: Coroutine[Any, Any, DrainReport | ReconnectReport | RestartReport], *, as_json: bool
 ) -> None:
-    """Run an experiment, show its report, and exit with 1 where an invariant was violated."""
+    """Run an experiment, print its report, and exit with 1 if an invariant was violated."""
     report = asyncio.run(experiment)
     show(report, as_json=as_json)
     sys.exit(1 if report.violations.has_any else 0)
@@ -78,7 +78,7 @@
 @host_count_option
 @seed_option
 def cost_command(sessions: tuple[int, ...], hosts: int, seed: int) -> None:
-    """Measure what a session costs the node, with resumption and without; one JSON object a line."""
+    """Measure what a session costs the node, with and without resumption; print one JSON object per line."""
     for count in sessions:
         click.echo(json.dumps(asyncio.run(cost.run(count, hosts, seed)).json_object()))
 
@@ -91,7 +91,7 @@
     default=1,
     show_default=True,
     type=click.IntRange(1, 9),
-    help="more than one: they are peers, behind a load balancer",
+    help="number of nodes; two or more are peers behind a load balancer",
 )
 def up_command(hosts: int, resume: str, nodes: int) -> None:
     """Run stand-in hosts, a discovery service and nodes until Ctrl-C, and print how to talk to them."""
@@ -116,16 +116,16 @@
     "--members",
     "by_endpoint",
     is_flag=True,
-    help="connections/attempts/failures by endpoint, not what nodes did; --members is the earlier name",
+    help="connections/attempts/failures by endpoint, not the nodes' counts; --members is the earlier name",
 )
 @json_option
 def fleet_command(folder: Path, *, by_endpoint: bool, as_json: bool) -> None:
-    """Add up the `counts` lines of a fleet's logs, a file for each node, by second."""
+    """Add up the `counts` lines of a fleet's logs by second. FOLDER has one log file for each node."""
     counts = fleet_counts.read_folder(folder)
     if as_json:
         report = FleetReport(
             nodes=counts.nodes,
-            unread_lines=counts.unread,
+            unread_lines=counts.unread_lines,
             totals=counts.totals,
             seconds=counts.seconds,
             connections=counts.connections,
@@ -138,10 +138,10 @@
 
 @click.command("store-faults")
 @seed_option
-@click.option("--full", is_flag=True, help="every step and every offset")
+@click.option("--full", is_flag=True, help="inject faults at every step and every offset")
 @json_option
 def store_faults_command(seed: int, *, full: bool, as_json: bool) -> None:
-    """Lose power, fail calls and corrupt files of a store, and check the state that it recovers to."""
+    """Simulate power losses, failing calls and corrupted files of a store, and check what it recovers."""
     report = crash_consistency.run(seed, full=full)
     show(report, as_json=as_json)
     sys.exit(1 if report.violation_count else 0)
@@ -152,7 +152,7 @@
 @click.option("--rounds", default=200, show_default=True, type=click.IntRange(1, 10_000))
 @json_option
 def store_kill_command(seed: int, rounds: int, *, as_json: bool) -> None:
-    """Kill a writing process again and again, and check that all it had acknowledged is stored."""
+    """Kill a writing process repeatedly, and check that every write it acknowledged is stored."""
     with tempfile.TemporaryDirectory(prefix="tansyladder-kill-") as folder:
         report = store_kill.run(Path(folder), seed, rounds)
     show(report, as_json=as_json)
@@ -163,15 +163,15 @@
 @click.option(
     "--folder",
     type=click.Path(path_type=Path, exists=True),
-    help="folder to write in; without it a temporary one",
+    help="folder to write in; by default a temporary one",
 )
 @click.option(
-    "--records", default=1_000_000, show_default=True, help="small records of the memory measurement"
+    "--records", default=1_000_000, show_default=True, help="small records in the memory measurement"
 )
 @json_option
 def store_bench_command(folder: Path | None, records: int, *, as_json: bool) -> None:
-    """Measure the store beside sqlite3 and lmdb, in one run on one folder."""
-    # Loads sqlite3 and lmdb, which no other command needs.
+    """Measure the store, sqlite3 and lmdb, in one run on one folder."""
+    # Imported here because it loads sqlite3 and lmdb, which no other command needs.
     from tansyladder.lab import store_benchmark  # noqa: PLC0415
 
     show(store_benchmark.run(folder, records), as_json=as_json)
@@ -196,7 +196,7 @@
 
 
 def add_to(group: click.Group) -> None:
-    """Add the lab's commands to their group, with hidden ones under earlier names."""
+    """Add the lab's commands to a group, and hidden aliases for earlier names."""
     commands = (
         drain_command,
         reconnect_command,
--- a/tansyladder/lab/connections.py
+++ b/tansyladder/lab/connections.py
@@ -1,4 +1,4 @@
-"""Connections of the stand-ins to an address on loopback."""
+"""TCP connections of the stand-ins to addresses on loopback."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Connection(NamedTuple):
-    """Both directions of one TCP connection."""
+    """The reader and the writer of one TCP connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     async def exchange_line(self, line: str, timeout: float) -> bytes:
-        """Send a line and return the next one that is received, or what was received before the end.
+        """Send a line and return the next received line, or what was received before the connection ended.
 
-        Raises OSError, and TimeoutError where nothing is received in `timeout` seconds.
+        Raises OSError, and TimeoutError if no line is received within `timeout` seconds.
         """
         self.writer.write(f"{line}\r\n".encode())
         return await asyncio.wait_for(self.reader.readline(), timeout)
@@ -43,5 +43,5 @@
 
 
 def answer_status(answer: bytes) -> str:
-    """Return the first word of an answer; empty where none was received. Raises ValueError."""
+    """Return an answer's first word, or "" if there was no answer. Raises ValueError if it is not UTF-8."""
     return answer.partition(b" ")[0].strip().decode()
--- a/tansyladder/lab/cost.py
+++ b/tansyladder/lab/cost.py
@@ -1,4 +1,4 @@
-"""What a session costs the node in memory and CPU time, with resumption and without, in one run."""
+"""Measures what a session costs the node in memory and CPU time, with and without resumption."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from tansyladder.lab.report import MICROSECOND
 from tansyladder.lab.topology import TopologySettings, running_topology
 
-LINE_INTERVAL = 2.0  # seconds between two lines of a client, as of the platform's clients
-FRAME_INTERVAL = 4.0  # seconds between two frames of a session beside the answers to lines
-WARM_UP_TIME = 2.0  # seconds that all sessions are served before the measurement
+LINE_INTERVAL = 2.0  # seconds between two lines of a client, as the platform's clients send them
+FRAME_INTERVAL = 4.0  # seconds between two frames of a session, apart from frames that answer lines
+WARM_UP_TIME = 2.0  # seconds for which all sessions are served before the measurement
 MEASUREMENT_TIME = 6.0  # seconds over which CPU time is counted
 KIBIBYTE = 1 << 10
 MEBIBYTE = 1 << 20
 
 
 class SessionCost(msgspec.Struct, frozen=True):
-    """What an idle node takes, and what each session adds."""
+    """The memory of an idle node, and the memory and CPU time that each session adds."""
 
     idle_mb: float
     kb_per_session: float = msgspec.field(name="kb_a_session")
     cpu_us_per_session_second: float = msgspec.field(name="cpu_us_a_session_second")
 
     def ratios_to(self, other: SessionCost) -> SessionCostRatios:
-        """Return how many times as much as another this is."""
+        """Return each cost as a multiple of another configuration's."""
         return SessionCostRatios(
             idle_mb=_ratio(self.idle_mb, other.idle_mb),
             kb_per_session=_ratio(self.kb_per_session, other.kb_per_session),
@@ -35,7 +35,7 @@
 
 
 class SessionCostRatios(msgspec.Struct, frozen=True):
-    """Each cost with resumption as a multiple of the one without; None where that is 0."""
+    """Each cost with resumption as a multiple of the cost without; None if the latter is 0."""
 
     idle_mb: float | None
     kb_per_session: float | None = msgspec.field(name="kb_a_session")
@@ -43,7 +43,7 @@
 
 
 class CostReport(JsonReport, frozen=True, kw_only=True):
-    """The costs of so many sessions."""
+    """The costs measured with one number of sessions."""
 
     sessions: int
     without_resumption: SessionCost = msgspec.field(name="off")
@@ -52,7 +52,10 @@
 
 
 async def run(sessions: int, hosts: int, seed: int) -> CostReport:
-    """Measure memory (RssAnon beyond an idle node's) and CPU time of a session, both ways."""
+    """Measure the memory and CPU time of a session, with and without resumption.
+
+    The memory is the node's RssAnon beyond that of the idle node, divided by the number of sessions.
+    """
     without_resumption = await _measure(sessions, hosts, seed, resumes=False)
     with_resumption = await _measure(sessions, hosts, seed, resumes=True)
     return CostReport(
--- a/tansyladder/lab/discovery_server.py
+++ b/tansyladder/lab/discovery_server.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery service: the complete endpoint list, and long polls for changes, over HTTP/1.1."""
+"""A stand-in discovery service: it serves the endpoint list and long polls for changes over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Phase(Enum):
-    """An endpoint's phase in the list, as discovery writes it."""
+    """An endpoint's phase, as written in the list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -32,11 +32,11 @@
     address: str
 
     def record_drain_announcement(self) -> None:
-        """Record that a poll was answered with the host as draining or removed."""
+        """Record that an answer was sent while the host was listed as draining or removed."""
 
 
 class EndpointEntry(msgspec.Struct, frozen=True):
-    """An endpoint in discovery's JSON form."""
+    """An endpoint in discovery's JSON format."""
 
     ident: str = msgspec.field(name="id")
     address: str = msgspec.field(name="host_port")
@@ -46,7 +46,7 @@
 
 
 class EndpointList(msgspec.Struct, frozen=True):
-    """The endpoint list, or what has changed in it, in discovery's JSON form."""
+    """The endpoint list, or the changes to it, in discovery's JSON format."""
 
     revision: int = 0
     is_complete: bool = msgspec.field(name="complete", default=True)
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """An endpoint in the list, and the revision that changed it last."""
+    """An endpoint in the list, and the revision that last changed it."""
 
     endpoint: ListedEndpoint
     phase: Phase
@@ -63,7 +63,7 @@
 
 
 class DiscoveryServer:
-    """The endpoint list; each change answers all polls. Owned by one event loop; not thread-safe."""
+    """Serves the endpoint list; a change answers all polls. Owned by one event loop; not thread-safe."""
 
     def __init__(self) -> None:
         self.address = ""
@@ -91,7 +91,7 @@
             self._changed.notify_all()
 
     def listed(self, since: int | None = None) -> EndpointList:
-        """Return the complete list, or what has changed after a revision."""
+        """Return the complete list, or the entries that changed after revision `since`."""
         endpoints = tuple(
             EndpointEntry(ident, entry.endpoint.address, ZONE, KIND, entry.phase)
             for ident, entry in self._entries.items()
@@ -104,7 +104,7 @@
         try:
             while line := await reader.readline():
                 while (await reader.readline()).strip():
-                    pass  # header fields
+                    pass  # skip the header fields
                 await self._answer(line.split()[1].decode(), writer)
         except (OSError, ValueError, KeyError, IndexError, asyncio.CancelledError):
             pass  # cancelled: the run has ended, and nothing waits for this connection
@@ -112,7 +112,7 @@
             writer.close()
 
     async def _answer(self, target: str, writer: asyncio.StreamWriter) -> None:
-        """Answer a request for the list, or for its changes once there are any."""
+        """Answer a request for the list at once, and a poll after the next change or its timeout."""
         query = parse_qs(urlsplit(target).query)
         since = int(query["since"][0]) if "since" in query else None
         if since is not None:
@@ -125,7 +125,7 @@
                 entry.endpoint.record_drain_announcement()
 
     async def _wait_for_change(self, since: int, timeout: float) -> None:
-        """Wait until the list is newer than a revision, but no longer than so many seconds."""
+        """Wait until the list is newer than revision `since`, but at most `timeout` seconds."""
         async with self._changed:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._changed.wait_for(lambda: self.revision > since), timeout)
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -1,4 +1,4 @@
-"""What a drain costs: all sessions are on one host when it drains, and have to migrate to the others."""
+"""Measures a drain: all sessions are on one host when it drains, and have to migrate to the others."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 from tansyladder.lab.topology import Topology, TopologySettings, running_topology
 from tansyladder.lab.waiting import wait_until
 
-LATENCY_OBJECTIVE = timedelta(milliseconds=300)  # of a viewport's setup
-SETTLE_TIME = 5.0  # seconds for the drain's grace period and for what follows it
-LISTING_TIME = 1.5  # seconds until the node knows the other hosts and has checked their health
+LATENCY_OBJECTIVE = timedelta(milliseconds=300)  # for the setup of a session of class `viewport`
+SETTLE_TIME = 5.0  # seconds for the drain's grace period and the migrations after it
+LISTING_TIME = 1.5  # seconds in which the node learns of the other hosts and checks their health
 DISCOVERY_DELAY = 1.0  # seconds until discovery learns that a host has died
 
 
 class DrainStyle(Enum):
-    """How a host drains; the values are the command line's."""
+    """How a host drains; the values are those of the option `--style`."""
 
     ANNOUNCED = "told"  # it waits for its sessions to migrate
-    AT_ONCE = "at-once"  # it migrates all of them at once
+    AT_ONCE = "at-once"  # it migrates all of its sessions at once
     DIES = "dies"  # it does not drain: its process ends, and discovery learns of it later
 
 
 class DrainReport(JsonReport, frozen=True, kw_only=True):
-    """What became of the sessions on a host that drained."""
+    """What happened to the sessions on a host that drained."""
 
     INLINED: ClassVar[frozenset[str]] = frozenset({"violations"})
 
     sessions: int
-    sessions_on_host: int = msgspec.field(name="on_the_host")  # as the drain began
+    sessions_on_host: int = msgspec.field(name="on_the_host")  # when the drain began
     resumed: int
     resumed_within_objective: float = msgspec.field(name="resumed_within_aim")  # share of all sessions
     violations: InvariantViolations
-    gap_ms: Percentiles  # by how much the latest frame of each client was late
+    gap_ms: Percentiles  # by how much each client's most delayed frame was late
     set_up_ms: Percentiles  # from the first line to UP
     host_empty_after_ms: int
-    fenced: int  # sessions that a host rejected, as a newer epoch had them
+    fenced: int  # owners that a host rejected because a newer epoch had the session
     migration_requests: int = msgspec.field(name="moved")  # MOVE lines that clients received
     resumes: bool = msgspec.field(name="resume")
     style: DrainStyle
@@ -53,7 +53,7 @@
 
 
 async def run(sessions: int, hosts: int, seed: int, style: DrainStyle, *, resumes: bool) -> DrainReport:
-    """Drain the host that has all sessions, and report what became of them."""
+    """Drain the host that has all sessions, and report what happened to them."""
     started_at = time.monotonic()
     async with running_topology(TopologySettings(seed, hosts, resumes=resumes, listed_count=1)) as topology:
         drained_host = topology.hosts[0]
@@ -89,7 +89,7 @@
 
 
 async def _drain(topology: Topology, host: StreamHost, style: DrainStyle) -> timedelta:
-    """Start the drain, or let the host die; return when that was."""
+    """Start the drain, or let the host die; return the time at which it began."""
     now = clock()
     if style is DrainStyle.DIES:
         await host.die()
@@ -104,7 +104,10 @@
 
 
 def _measure_gaps(topology: Topology) -> list[timedelta]:
-    """Record by how much each client's latest frame was late; return the gaps of the resumed sessions."""
+    """Record by how much each client's most delayed frame was late; return this for the resumed sessions.
+
+    A session counts as resumed if its client has kept its connection.
+    """
     resumed = []
     for client in topology.clients:
         gap = max(timedelta(0), client.gaps.longest - timedelta(seconds=topology.settings.frame_interval))
--- a/tansyladder/lab/fault_injecting_files.py
+++ b/tansyladder/lab/fault_injecting_files.py
@@ -1,9 +1,9 @@
-"""A directory in memory that keeps synced and unsynced data apart, and loses, tears and fails on request.
+"""An in-memory directory that distinguishes synced from unsynced data and injects faults.
 
-At a loss of power any set of the unsynced writes may be on disk, each of them complete or in part, in any
-order; so may any set of unsynced changes of names. A sync that fails drops the unsynced writes, and the next
-one reports success all the same, as real systems do. Calls that may fail are numbered as steps, so that a
-fault can be injected at each of them.
+After a loss of power, any subset of the unsynced writes may be on disk, in any order, each of them complete
+or in part; so may any subset of the unsynced name changes. A sync that fails drops the unsynced writes, and
+the next sync nevertheless reports success, as on real systems. Calls that may fail are numbered as steps, so
+that a fault can be injected at each of them.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from typing import NamedTuple
 
 NO_STEP = -1
-TORN_WRITE_SHARE = 0.3  # of the writes that are on disk after a loss of power
+TORN_WRITE_SHARE = 0.3  # of the writes on disk after a loss of power; these are incomplete
 
 
 class SimulatedPowerLoss(BaseException):
-    """The machine loses power at this step. It is no Exception, so that no error handler catches it."""
+    """The machine loses power at this step. Not an Exception, so that no error handler catches it."""
 
 
 class ContentChange(NamedTuple):
-    """A change of a file's bytes: data at an offset, or None where the file is cut there."""
+    """A change of a file's bytes: a write of `data` at `offset`, or a truncation there if `data` is None."""
 
     offset: int
     data: bytes | None
@@ -34,8 +34,8 @@
 
     Attributes:
         visible: the bytes as programs see them.
-        durable: the bytes as they are on disk.
-        unsynced: the changes between the two, in their order.
+        durable: the bytes on disk.
+        unsynced: the changes that are visible and not durable, in order.
     """
 
     def __init__(self, data: bytes = b"") -> None:
@@ -44,7 +44,7 @@
         self.unsynced: list[ContentChange] = []
 
     def change(self, offset: int, data: bytes | None) -> None:
-        """Change the visible bytes; the change is unsynced."""
+        """Change the visible bytes; the change is not durable until the next sync."""
         change = ContentChange(offset, data)
         apply_change(self.visible, change)
         self.unsynced.append(change)
@@ -55,7 +55,7 @@
         self.unsynced = []
 
     def durable_with(self, changes: Sequence[ContentChange]) -> bytes:
-        """Return the durable bytes with these changes applied to them."""
+        """Return the durable bytes with these changes applied."""
         data = bytearray(self.durable)
         for change in changes:
             apply_change(data, change)
@@ -63,13 +63,13 @@
 
 
 class NameChange(NamedTuple):
-    """A name that now refers to another file, or to none."""
+    """A name that now refers to another file, or to no file if `inode` is None."""
 
     name: str
     inode: Inode | None
 
     def apply(self, names: dict[str, Inode]) -> None:
-        """Apply the change to a directory."""
+        """Apply the change to a directory, given as files by name."""
         if self.inode is None:
             names.pop(self.name, None)
         else:
@@ -77,14 +77,14 @@
 
 
 class UnsyncedChange(NamedTuple):
-    """One of the unsynced changes of a file."""
+    """Identifies one of the unsynced changes of a file."""
 
     inode: Inode
-    number: int
+    position: int  # in `inode.unsynced`
 
 
 def apply_change(data: bytearray, change: ContentChange) -> None:
-    """Apply a change to a file's bytes; a gap between their end and the offset is filled with zeros."""
+    """Apply a change to a file's bytes; a gap between the end of the file and the offset is zero-filled."""
     offset, new_data = change
     if new_data is None:
         del data[offset:]
@@ -94,13 +94,13 @@
 
 
 class FaultInjectingFiles:
-    """One directory in memory. Not thread-safe, but for what the store's own locks order.
+    """An in-memory directory. Not thread-safe, except for calls that the store's own locks serialize.
 
     Attributes:
         visible: the files by name, as programs see them.
-        durable: the files by name, as the directory is on disk.
-        unsynced: the changes of names between the two.
-        step_count: calls that could have failed.
+        durable: the files by name, as in the directory on disk.
+        unsynced: the name changes that are visible and not durable, in order.
+        step_count: the number of calls so far that could have failed.
         step_kinds: the kind of each of these calls.
     """
 
@@ -127,21 +127,21 @@
         """Call a function at the start of each sync from now on, in the thread that syncs."""
         self._before_sync = callback
 
-    def start_sync(self) -> None:
-        """Call the function that `call_before_sync` has set."""
+    def run_sync_callback(self) -> None:
+        """Call the function that `call_before_sync` set."""
         self._before_sync()
 
     def count_step(self, kind: str) -> None:
-        """Count a call that may fail. Raises SimulatedPowerLoss or OSError where the run injects a fault."""
+        """Count a call that may fail. Raises SimulatedPowerLoss or OSError if a fault is set for it."""
         number = self.step_count
         self.step_count += 1
         self.step_kinds.append(kind)
         if number == self._power_loss_step:
             raise SimulatedPowerLoss
         if number in self._failing_steps:
-            raise OSError(self._failing_steps[number], f"made to fail: {kind}")
+            raise OSError(self._failing_steps[number], f"injected fault at step {number}: {kind}")
 
-    # What the store calls: see `tansyladder.store.files.Files`.
+    # The interface that the store uses: see `tansyladder.store.files.Files`.
 
     def create(self, name: str) -> FaultInjectingFile:
         """Create an empty file. Raises OSError."""
@@ -158,11 +158,11 @@
         return FaultInjectingFile(self, self.visible[name])
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file to `new`, which is replaced. Raises OSError."""
+        """Rename a file, replacing an existing file named `new`. Raises OSError."""
         self.count_step("rename")
         inode = self.visible.pop(old)
         self.visible[new] = inode
-        # These are two changes: after a loss of power either may be on disk without the other.
+        # Two separate changes: after a loss of power, either may be on disk without the other.
         self.unsynced += [NameChange(new, inode), NameChange(old, None)]
 
     def remove(self, name: str) -> None:
@@ -178,42 +178,46 @@
         return sorted(self.visible)
 
     def sync_directory(self) -> None:
-        """Make all changes of names so far durable. Raises OSError."""
+        """Make all name changes so far durable. Raises OSError."""
         self.count_step("sync_directory")
         self.durable = dict(self.visible)
         self.unsynced = []
 
     def lock(self) -> None:
-        """Lock the directory. Raises BlockingIOError where it is locked."""
+        """Lock the directory. Raises BlockingIOError if it is already locked."""
         if self._is_locked:
-            raise BlockingIOError(errno.EAGAIN, "locked")
+            raise BlockingIOError(errno.EAGAIN, "the directory is already locked")
         self._is_locked = True
 
     def unlock(self) -> None:
         """Unlock the directory."""
         self._is_locked = False
 
-    # The directory after a crash.
+    # The directory as it may be after a crash.
 
     def after_process_kill(self) -> FaultInjectingFiles:
-        """Return the directory after the process was killed: all writes are visible to the next process."""
+        """Return the directory as after a kill of the process: the next process sees all writes."""
         return FaultInjectingFiles({name: bytes(inode.visible) for name, inode in self.visible.items()})
 
     def after_power_loss(
         self, rng: random.Random, keep_share: float, *, tears_writes: bool = True
     ) -> FaultInjectingFiles:
-        """Return a random directory: each unsynced change is on disk with this probability, some torn."""
+        """Return the directory as after a loss of power, chosen at random.
+
+        Each unsynced change is on disk with probability `keep_share`. With `tears_writes`, some of the writes
+        on disk are there only in part.
+        """
         contents: dict[Inode, bytes] = {}
         for inode in self._all_inodes():
             retained = [change for change in inode.unsynced if rng.random() < keep_share]
             contents[inode] = inode.durable_with(
-                [_maybe_torn(change, rng) if tears_writes else change for change in retained]
+                [_tear_at_random(change, rng) if tears_writes else change for change in retained]
             )
         retained_names = [change for change in self.unsynced if rng.random() < keep_share]
         return self._with_contents(contents, retained_names)
 
     def every_power_loss(self, max_changes: int) -> Iterator[FaultInjectingFiles]:
-        """Yield a directory for each set of unsynced changes; none if there are more than `max_changes`."""
+        """Yield a directory for each subset of the unsynced changes; none if there are over `max_changes`."""
         inodes = self._all_inodes()
         writes = [UnsyncedChange(inode, n) for inode in inodes for n in range(len(inode.unsynced))]
         change_count = len(writes) + len(self.unsynced)
@@ -226,22 +230,22 @@
             yield self._with_contents(contents, retained_names)
 
     def _all_inodes(self) -> list[Inode]:
-        """Return every file that a name refers to, referred to, or may refer to after a loss of power."""
+        """Return every file that a name refers to now, or may refer to after a loss of power."""
         from_changes = [change.inode for change in self.unsynced if change.inode is not None]
         return list(dict.fromkeys([*self.visible.values(), *self.durable.values(), *from_changes]))
 
     def _with_contents(
         self, contents: dict[Inode, bytes], retained_names: Sequence[NameChange]
     ) -> FaultInjectingFiles:
-        """Return the durable directory with these changes of names, and files with these bytes."""
+        """Return the durable directory with these name changes applied and files with these bytes."""
         names = dict(self.durable)
         for change in retained_names:
             change.apply(names)
         return FaultInjectingFiles({name: contents[inode] for name, inode in names.items()})
 
 
-def _maybe_torn(change: ContentChange, rng: random.Random) -> ContentChange:
-    """Return a write, or a random part of it."""
+def _tear_at_random(change: ContentChange, rng: random.Random) -> ContentChange:
+    """Return a change as it is, or, for a random share of the writes, only a part of it."""
     offset, data = change
     if data is None or rng.random() >= TORN_WRITE_SHARE:
         return change
@@ -251,7 +255,7 @@
 
 
 def _with_retained_writes(inode: Inode, retained: set[UnsyncedChange]) -> bytes:
-    """Return a file's durable bytes with those unsynced changes that are on disk."""
+    """Return a file's durable bytes with the retained unsynced changes applied."""
     changes = [change for n, change in enumerate(inode.unsynced) if UnsyncedChange(inode, n) in retained]
     return inode.durable_with(changes)
 
@@ -264,7 +268,7 @@
         self._inode = inode
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """Write all of the data, or half of it where the step fails. Raises OSError."""
+        """Write all of the data, or half of it if the step fails. Raises OSError."""
         try:
             self._files.count_step("write")
         except OSError:
@@ -276,16 +280,16 @@
         self._inode.change(offset, data)
 
     def read_at(self, offset: int, size: int) -> bytes:
-        """Return up to so many bytes; fewer at the end of the file only."""
+        """Return up to `size` bytes; fewer only at the end of the file."""
         return bytes(self._inode.visible[offset : offset + size])
 
     def sync(self) -> None:
-        """Make all writes so far durable. Raises OSError."""
-        self._files.start_sync()
+        """Make all writes so far durable. Raises OSError, and then drops the unsynced writes."""
+        self._files.run_sync_callback()
         try:
             self._files.count_step("sync")
         except OSError:
-            self._inode.unsynced.clear()  # dropped: the next sync has nothing to write and reports success
+            self._inode.unsynced.clear()  # the next sync has nothing to write and reports success
             raise
         self._inode.sync()
 
@@ -299,4 +303,4 @@
         return len(self._inode.visible)
 
     def close(self) -> None:
-        """Do nothing: an open file has no resources."""
+        """Do nothing, as an open file holds no resources."""
--- a/tansyladder/lab/first_lines.py
+++ b/tansyladder/lab/first_lines.py
@@ -1,4 +1,4 @@
-"""First lines of connections, `OPEN ID KEY NAME=VALUE,...`, as clients send and stand-in hosts parse them."""
+"""First lines of connections, `OPEN ID KEY NAME=VALUE,...`: clients send them, stand-in hosts parse them."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 PREVIEW_SHARE = 0.17  # of the clients
 CLIENTS_PER_GROUP = 8
-FIELD_COUNT = 4  # of a first line
+FIELD_COUNT = 4  # in a first line
 
 
 @dataclass(frozen=True, slots=True)
 class ClientProfile:
-    """What all first lines of one client have in common."""
+    """The values that all first lines of one client share."""
 
     key: str
     class_name: str
@@ -22,7 +22,7 @@
 
     @classmethod
     def generate(cls, rng: random.Random, number: int) -> ClientProfile:
-        """Generate the profile of the client with this number."""
+        """Generate the profile of client `number`."""
         is_preview = rng.random() < PREVIEW_SHARE
         return cls(
             key=f"{rng.getrandbits(64):016x}",
@@ -31,12 +31,15 @@
             group=f"{number // CLIENTS_PER_GROUP + 1:x}",
         )
 
-    def new_session(self, *, resumes: bool) -> str:
-        """Return a first line after the connection's id; with `resumes` it asks for a token."""
+    def new_session_parameters(self, *, resumes: bool) -> str:
+        """Return the part of a first line after the connection id; with `resumes`, it asks for a token."""
         return self._common_parameters() + (",rs=1" if resumes else "")
 
-    def resumed_session(self, token: str, received: int) -> str:
-        """Return the same for a session that a token resumes; `received`: the last host line."""
+    def resumed_session_parameters(self, token: str, received: int) -> str:
+        """Return the same part for resuming a session by its token.
+
+        `received` is the number of the last host line that the client has received.
+        """
         return f"{self._common_parameters()},rt={token},rp={received}"
 
     def _common_parameters(self) -> str:
@@ -44,24 +47,27 @@
 
 
 class ResumptionRequest(NamedTuple):
-    """What a node asks for when it places a resumable session at a host."""
+    """What a node sends to a host in the first line of a resumable session."""
 
     session_id: str
     epoch: int  # of the session's owner
-    acknowledged: int  # the last client line that the node was sent an acknowledgement for
-    received: int  # the last client line that the node has received
-    sent: int  # the last host line that the node has received
+    acknowledged: int  # number of the last client line whose acknowledgement the node received
+    received: int  # number of the last client line that the node has received
+    sent: int  # number of the last host line that the node has received
 
 
 class FirstLine(NamedTuple):
-    """A valid first line."""
+    """The contents of a valid first line."""
 
     connection_id: str
-    resumption: ResumptionRequest | None  # None where the session cannot be resumed
+    resumption: ResumptionRequest | None  # None if the session cannot be resumed
 
 
 def parse_first_line(line: str) -> FirstLine | None:
-    """Return a first line's contents; None where it is no OPEN line. Raises ValueError, KeyError."""
+    """Return a first line's contents, or None if it is not an OPEN line.
+
+    Raises ValueError or KeyError if its parameters are malformed or incomplete.
+    """
     line_fields = line.split()
     if len(line_fields) != FIELD_COUNT or line_fields[0] != "OPEN":
         return None
--- a/tansyladder/lab/host_cluster.py
+++ b/tansyladder/lab/host_cluster.py
@@ -1,4 +1,4 @@
-"""What the stand-in hosts of a run share: the session store, and the check of attempts in flight."""
+"""The state that the stand-in hosts of a run share: the session store and the attempts in flight."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from tansyladder.lab.hosted_stream import HostedStream, StreamStore
 from tansyladder.lab.report import Invariant, Report
 
-STALE_ATTEMPT_GRACE = 0.05  # seconds in which the end of an earlier attempt, already in its socket, is read
+STALE_ATTEMPT_GRACE = 0.05  # seconds for a host to read the end of an earlier attempt
 
 
 class StreamHostCluster:
-    """What all hosts of a run share. Owned by one event loop; not thread-safe.
+    """The state that all hosts of a run share. Owned by one event loop; not thread-safe.
 
-    Subclasses observe the hosts through the `on_...` methods, which do nothing here.
+    Subclasses observe the hosts by overriding the `on_...` methods, which do nothing here.
     """
 
     def __init__(self, report: Report, seed: int) -> None:
@@ -27,24 +27,27 @@
         """Observe that a host has begun or resumed a session."""
 
     def on_session_fenced(self, stream: HostedStream) -> None:
-        """Observe that an owner was rejected, as a newer epoch has its session."""
+        """Observe that a host rejected an owner because a newer epoch has its session."""
 
     def on_line_received(self, stream: HostedStream, number: int) -> None:
         """Observe a client's line."""
 
     def register(self, stream: HostedStream) -> None:
-        """Record an attempt; no earlier one of the same connection may be in flight a moment later."""
+        """Record an attempt. Earlier attempts of the same connection must end within STALE_ATTEMPT_GRACE.
+
+        The grace covers an end of the earlier attempt that is in its socket and not yet read.
+        """
         earlier = set(self._open_streams.get(stream.connection_id, ()))
         self._open_streams.setdefault(stream.connection_id, set()).add(stream)
         if earlier:
             loop = asyncio.get_running_loop()
-            loop.call_later(STALE_ATTEMPT_GRACE, self._check_ended, stream.connection_id, earlier)
+            loop.call_later(STALE_ATTEMPT_GRACE, self._check_attempts_ended, stream.connection_id, earlier)
 
     def unregister(self, stream: HostedStream) -> None:
         """Record that an attempt has ended."""
         self._open_streams.get(stream.connection_id, set()).discard(stream)
 
-    def _check_ended(self, connection_id: str, earlier: set[HostedStream]) -> None:
-        """Check that none of the earlier attempts is still in flight."""
+    def _check_attempts_ended(self, connection_id: str, earlier: set[HostedStream]) -> None:
+        """Check that none of a connection's earlier attempts is still in flight."""
         if self._open_streams.get(connection_id, set()) & earlier:
             self.report.record_violation(Invariant.SINGLE_ATTEMPT, connection_id)
--- a/tansyladder/lab/host_line_exchange.py
+++ b/tansyladder/lab/host_line_exchange.py
@@ -1,4 +1,4 @@
-"""The lines of one session at a stand-in host: frames for the client, and checks of the client's lines."""
+"""Exchange of a session's lines at a stand-in host, which sends frames and checks the client's lines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tansyladder.lab.report import Invariant, clock
 
 ACK_LINES = 8  # client lines between two acknowledgements
-ACK_INTERVAL = 2.0  # seconds between two acknowledgements where fewer lines arrive
+ACK_INTERVAL = 2.0  # seconds between two acknowledgements if fewer lines arrive
 
 
 class HostLineExchange:
     """Serves a stream whose first line is answered. Owned by one event loop; not thread-safe."""
 
     def __init__(self, cluster: StreamHostCluster, stream: HostedStream, frame_interval: float) -> None:
-        """Make an exchange that sends a frame every `frame_interval` seconds, and one for each line."""
+        """Create an exchange that sends a frame every `frame_interval` seconds, and one for each line."""
         self._cluster = cluster
         self._stream = stream
         self._frame_interval = frame_interval
@@ -33,15 +33,15 @@
             sender.cancel()
 
     async def _send_frames(self) -> None:
-        """Send frames at a constant rate; the sessions' phases differ."""
+        """Send frames at a constant rate, after an initial delay that differs between sessions."""
         stream = self._stream
         stream.send_frame()
         await asyncio.sleep(self._cluster.rng.random() * self._frame_interval)
-        acknowledged_at = clock()
+        last_acknowledgement_at = clock()
         while not stream.writer.transport.is_closing():
             stream.send_frame()
-            if (clock() - acknowledged_at).total_seconds() >= ACK_INTERVAL:
-                acknowledged_at = clock()
+            if (clock() - last_acknowledgement_at).total_seconds() >= ACK_INTERVAL:
+                last_acknowledgement_at = clock()
                 stream.send_acknowledgement()
             await asyncio.sleep(self._frame_interval)
 
@@ -65,9 +65,14 @@
         report = self._cluster.report
         self._cluster.on_line_received(stream, number)
         if number > stored.received + 1:
-            report.record_violation(Invariant.NO_LINE_LOST, f"client line {number} after {stored.received}")
+            report.record_violation(
+                Invariant.NO_LINE_LOST, f"received client line {number} after line {stored.received}"
+            )
         elif number <= stored.received:
-            report.record_violation(Invariant.NO_LINE_DUPLICATED, f"client line {number}")
+            report.record_violation(
+                Invariant.NO_LINE_DUPLICATED,
+                f"received client line {number} again; the last one was {stored.received}",
+            )
         stored.record_received(number)
         stream.send_frame()
         if stored.received - stream.acknowledged >= ACK_LINES:
--- a/tansyladder/lab/hosted_stream.py
+++ b/tansyladder/lab/hosted_stream.py
@@ -1,7 +1,7 @@
-"""The sessions of stand-in hosts: their store, and their connections at a host.
+"""The sessions of stand-in hosts: the store of the sessions, and their connections at a host.
 
-The lines of a session are numbered: `F n h` is the host's n-th line and confirms the client's lines up to h;
-the client's are `M n`. The store has both counts, so that any host can resume a session.
+The lines of a session are numbered. The client's n-th line is `M n`. The host's n-th line is `F n h`, which
+confirms the client lines up to h. The store has both counts, so that any host can resume a session.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 class StoredStream:
     """One session in the store."""
 
-    received: int = 0  # the last client line
-    sent: int = 0  # the last host line
+    received: int = 0  # number of the last client line
+    sent: int = 0  # number of the last host line
     epoch: int = 0  # of the session's owner
 
     def next_frame(self) -> str:
-        """Return the host's next line, which confirms the client's lines."""
+        """Return the host's next line, which confirms the received client lines."""
         self.sent += 1
         return f"F {self.sent} {self.received}"
 
@@ -28,11 +28,11 @@
         self.received = max(self.received, number)
 
     def change_owner(self, epoch: int) -> None:
-        """Record a newer epoch, which fences off all older ones."""
+        """Record a newer epoch; it fences off the owners of older ones."""
         self.epoch = epoch
 
     def rewind(self, sent: int) -> None:
-        """Forget the host lines after a number: a lost host has sent them, and they never arrived."""
+        """Discard the host lines after number `sent`: a lost host sent them, and they never arrived."""
         self.sent = sent
 
 
@@ -44,7 +44,7 @@
         self.fenced_count = 0
 
     def acquire(self, session_id: str, epoch: int) -> StoredStream | None:
-        """Return the session for its newest owner, or None where it has one of this epoch or a newer one."""
+        """Return the session for a new owner, or None if it has an owner of this epoch or a newer one."""
         stored = self.sessions.setdefault(session_id, StoredStream())
         if epoch <= stored.epoch:
             self.count_fenced()
@@ -53,7 +53,7 @@
         return stored
 
     def count_fenced(self) -> None:
-        """Count an owner that was rejected, as a newer epoch has its session."""
+        """Count an owner that was rejected because a newer epoch has its session."""
         self.fenced_count += 1
 
 
@@ -64,16 +64,16 @@
     host_id: str
     connection_id: str  # from the first line
     writer: asyncio.StreamWriter
-    listener_index: int = 0  # which of the host's listeners accepted it
+    listener_index: int = 0  # of the host's listener that accepted the connection
     stored: StoredStream = field(default_factory=StoredStream)
     session_id: str = ""
     epoch: int = 0
     is_resumable: bool = False
-    acknowledged: int = 0  # the last client line that the client was sent an acknowledgement for
+    acknowledged: int = 0  # number of the last client line that was acknowledged to the client
 
     @property
     def is_fenced(self) -> bool:
-        """Whether another owner has the session by now."""
+        """Whether another owner now has the session."""
         return self.stored.epoch != self.epoch
 
     def claim(self, session_id: str, epoch: int) -> None:
@@ -82,7 +82,7 @@
         self.epoch = epoch
 
     def resume(self, stored: StoredStream, sent: int) -> None:
-        """Serve a stored session from here on; `sent` is the last host line that has arrived."""
+        """Serve a stored session from now on; `sent` is the number of the last host line that arrived."""
         stored.rewind(sent)
         self.stored = stored
         self.is_resumable = True
@@ -94,14 +94,14 @@
             self.writer.write(f"{line}\r\n".encode())
 
     def send_frame(self) -> None:
-        """Send the session's next line, or end the connection where another owner has the session."""
+        """Send the session's next line, or end the connection if another owner has the session."""
         if self.is_resumable and self.is_fenced:
             self.writer.close()
             return
         self.send(self.stored.next_frame())
 
     def send_acknowledgement(self) -> None:
-        """Acknowledge the client's lines, where there are new ones and the session can be resumed."""
+        """Acknowledge the client's lines if there are new ones and the session can be resumed."""
         if self.is_resumable and self.acknowledged < self.stored.received:
             self.acknowledged = self.stored.received
             self.send(f"RS ACK {self.acknowledged}")
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in stream hosts, as many as a run asks for in one event loop."""
+"""Stand-in stream hosts; all hosts of a run share one event loop."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tansyladder.lab.report import Invariant, clock
 from tansyladder.lab.waiting import wait_until
 
-HEALTH_CHECK_TIME = 0.003  # seconds until a health check is answered
-SETUP_TIME = 0.004  # seconds of work for the setup of a session
+HEALTH_CHECK_TIME = 0.003  # seconds before a health check is answered
+SETUP_TIME = 0.004  # seconds that the setup of a session occupies a core
 FRAME_INTERVAL = 0.5  # seconds between two frames of a session
-DRAIN_GRACE = timedelta(seconds=2.55)  # no new attempt arrives at a draining or removed host after this
-CLOSE_TIMEOUT = 2.0  # seconds in which a host's connections end
-PARALLEL_SETUPS = 2  # cores of a host
+DRAIN_GRACE = timedelta(seconds=2.55)  # after a drain is announced; from then on no new attempt may arrive
+CLOSE_TIMEOUT = 2.0  # seconds within which a host's connections end
+PARALLEL_SETUPS = 2  # cores of a host, one for each setup at a time
 BACKLOG = 1024
 MAX_LINE_BYTES = 8192
 MAX_CASE_LENGTH = 80  # characters of a violation's case
@@ -34,21 +34,21 @@
         ident: str,
         frame_interval: float = FRAME_INTERVAL,
     ) -> None:
-        """Make a host that does not listen yet; `frame_interval` is in seconds."""
+        """Create a host that does not listen yet; `frame_interval` is in seconds."""
         self.cluster = cluster
         self.ident = ident
         self._frame_interval = frame_interval
         self.streams: set[HostedStream] = set()
         self.address = ""
         self.addresses: list[str] = []  # of all its listeners
-        # Independent: a host may start its drain before discovery announces it, or die without a drain.
+        # These two are independent: a host may drain before discovery announces it, or die without a drain.
         self._is_draining = False
         self._drain_announced_at: timedelta | None = None
         self._servers: list[asyncio.Server] = []
         self._cores = asyncio.Semaphore(PARALLEL_SETUPS)
 
     async def start(self, listener_count: int = 1) -> None:
-        """Listen; a listener for each link shows which one was used. A restart keeps the addresses."""
+        """Listen on `listener_count` ports, one per link, to tell links apart. A restart keeps the ports."""
         ports = [int(address.rpartition(":")[2]) for address in self.addresses] or [0] * listener_count
         self.addresses = []
         for index, port in enumerate(ports):
@@ -59,11 +59,11 @@
         self.address = self.addresses[0]
 
     def start_drain(self) -> None:
-        """Answer BUSY to new sessions from now on."""
+        """Answer new sessions with BUSY from now on."""
         self._is_draining = True
 
     def record_drain_announcement(self) -> None:
-        """Record that discovery has listed the host as draining or removed; the first time counts."""
+        """Record when discovery first listed the host as draining or removed."""
         if self._drain_announced_at is None:
             self._drain_announced_at = clock()
 
@@ -74,7 +74,7 @@
             stream.writer.close()
 
     async def die(self) -> None:
-        """Reset all connections and reject new ones, as when the process is gone."""
+        """Reset all connections and reject new ones, as when the process has died."""
         for stream in list(self.streams):
             stream.writer.transport.abort()
         await self.close()
@@ -118,7 +118,7 @@
     async def _open(
         self, listener_index: int, line: str, writer: asyncio.StreamWriter
     ) -> HostedStream | None:
-        """Handle a first line; return its stream where a session is served on it."""
+        """Handle a first line; return its stream if a session is served on it, else None."""
         first_line = parse_first_line(line)
         if first_line is None:
             case = " ".join(line.split())[:MAX_CASE_LENGTH]
@@ -138,7 +138,7 @@
                 self.cluster.unregister(stream)
 
     def _check_drain_grace(self) -> None:
-        """Check that a new attempt does not arrive too late in a drain."""
+        """Check that no new attempt arrives more than DRAIN_GRACE after a drain was announced."""
         announced_at = self._drain_announced_at
         if announced_at is not None and clock() - announced_at > DRAIN_GRACE:
             self.cluster.report.record_violation(Invariant.NO_ATTEMPT_AFTER_DRAIN, self.ident)
@@ -156,7 +156,7 @@
         return True
 
     def _acquire_session(self, stream: HostedStream, request: ResumptionRequest) -> bool:
-        """Begin or resume a session that the store has; return whether the node may have it."""
+        """Begin or resume a session in the store; return whether the node now owns it."""
         stream.claim(request.session_id, request.epoch)
         stored = self.cluster.store.acquire(request.session_id, request.epoch)
         if stored is None:
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -1,4 +1,4 @@
-"""A real node in a process of its own, with a configuration written for the stand-ins around it."""
+"""A real node in its own process, configured to use the lab's stand-ins."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from tansyladder.lab.errors import NodeError, NoFreePortError, NotStartedError
 from tansyladder.lab.waiting import wait_until
 
-START_TIMEOUT = 20.0  # seconds in which a node must have started
-STOP_TIMEOUT = 10.0  # seconds from SIGTERM to its end
+START_TIMEOUT = 20.0  # seconds within which a node must start
+STOP_TIMEOUT = 10.0  # seconds from SIGTERM within which a node must end
 LOG_TAIL_LINES = 15
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # of the CPU times in /proc
-FOLDER_PLACEHOLDER = "FOLDER"  # in an operator's settings: replaced by the node's folder
+FOLDER_PLACEHOLDER = "FOLDER"  # in operator settings; replaced by the node's folder
 POLICY_SETTINGS: dict[str, Any] = {
     "family": "conn",
     "discovery": "on_request",
@@ -37,7 +37,7 @@
         {"name": "viewport", "slo": 300_000, "hard_limit": 1_200_000, "worth": 5.0},
         {"name": "preview", "slo": 500_000, "hard_limit": 2_000_000, "worth": 1.0},
     ],
-    # One event loop runs all hosts: its lag would count as message delay, and in health checks as slow hosts.
+    # All hosts share one event loop. Its lag would count as message delay, and as slowness in health checks.
     "extra": {"message_aim": [250_000, 50_000], "tells_delay": False},
     "ceilings": {
         "attempts_cap": 4,
@@ -56,18 +56,18 @@
     },
 }
 
-PORTS = range(10_000, 32_000)  # below those that the system gives to outgoing connections
-_next_ports = itertools.cycle(PORTS)
-for _ in range(os.getpid() * 97 % len(PORTS)):  # concurrent runs begin at different ports
+PORT_RANGE = range(10_000, 32_000)  # below those that the system uses for outgoing connections
+_next_ports = itertools.cycle(PORT_RANGE)
+for _ in range(os.getpid() * 97 % len(PORT_RANGE)):  # so that concurrent runs begin at different ports
     next(_next_ports)
 
 
 def spare_port() -> int:
-    """Return a port without a listener, which no outgoing connection takes before it is used.
+    """Return a port that has no listener and that no outgoing connection takes in the meantime.
 
-    Raises NoFreePortError.
+    Raises NoFreePortError if there is none.
     """
-    for port in itertools.islice(_next_ports, len(PORTS)):
+    for port in itertools.islice(_next_ports, len(PORT_RANGE)):
         try:
             with socket.create_server((LOOPBACK, port)):
                 return port
@@ -77,7 +77,7 @@
 
 
 class LabNode:
-    """One node's process; its configuration and log are in a folder of the run. Owned by one event loop."""
+    """The process of one node, with its configuration and log in a folder. Owned by one event loop."""
 
     def __init__(
         self,
@@ -91,12 +91,13 @@
         """Write the node's configuration.
 
         Args:
-            folder: of the node alone.
-            discovery_address: where it polls the endpoint list.
-            known_endpoints: the endpoint list that it starts with.
-            operator_settings: S-expressions, empty for none; FOLDER is replaced by the node's folder.
-            name: of the node.
-            node_count: of all nodes that share the hosts.
+            folder: the folder, which no other node uses.
+            discovery_address: the address at which the node polls the endpoint list.
+            known_endpoints: the endpoint list with which the node starts.
+            operator_settings: the operator's settings as S-expressions; empty for none. FOLDER is replaced by
+                the node's folder.
+            name: the name of the node.
+            node_count: the number of nodes that share the hosts.
         """
         self.folder = folder
         self.port = spare_port()
@@ -120,14 +121,15 @@
             self._settings_file.write_text(operator_settings.replace(FOLDER_PLACEHOLDER, str(folder)))
 
     async def start(self, clock_offset: float = 0.0) -> None:
-        """Start a process and wait until it listens; `clock_offset`: error of its wall clock in seconds.
+        """Start a process and wait until it listens.
 
-        Raises NodeError where it does not start in time.
+        `clock_offset` is the error of its wall clock in seconds. Raises NodeError if it does not start in
+        time.
         """
         log_size = self.log.stat().st_size if self.log.exists() else 0
-        with self.log.open("ab") as out:
+        with self.log.open("ab") as log_file:
             self._process = await asyncio.create_subprocess_exec(
-                *self._command(clock_offset), env=self._environment(), stderr=out, stdout=out
+                *self._command(clock_offset), env=self._environment(), stderr=log_file, stdout=log_file
             )
         process = self._process
 
@@ -136,7 +138,11 @@
 
         await wait_until(lambda: has_started() or process.returncode is not None, START_TIMEOUT)
         if process.returncode is not None or not has_started():
-            raise NodeError("the node did not start", self.log_tail())
+            raise NodeError(
+                f"the node on port {self.port} did not start within {START_TIMEOUT:g} s "
+                f"(exit code: {process.returncode})",
+                self.log_tail(),
+            )
 
     def _command(self, clock_offset: float) -> list[str]:
         """Return the command line of a new process."""
@@ -150,7 +156,7 @@
         return command
 
     def _environment(self) -> dict[str, str]:
-        """Return this process's environment with the variables of this node alone."""
+        """Return this process's environment with the node's own variables in place of any inherited ones."""
         environment = {
             **os.environ,
             "GW_OPERATOR": f"{LOOPBACK}:{self.admin_port}",
@@ -163,10 +169,10 @@
         return environment
 
     async def upgrade(self) -> asyncio.subprocess.Process:
-        """Start a new process beside the running one, which gets SIGTERM once its listener is handed over.
+        """Start a new process beside the running one, and send SIGTERM to the old one after the handover.
 
-        Returns the old process, which is draining. Raises NodeError, with the old process killed, where the
-        new one does not take over in time.
+        Returns the old process, which is draining. If the new process does not take over the listener in
+        time, the old one is killed and NodeError is raised.
         """
         old = self._running_process()
         log_size = self.log.stat().st_size
@@ -175,18 +181,21 @@
             await self.start()
             await self._wait_for_handover(log_size)
         except NodeError:
-            old.kill()  # the caller can end the new process only
+            old.kill()  # the caller has a reference to the new process only
             await old.wait()
             raise
         old.terminate()
         return old
 
     async def _wait_for_handover(self, log_size: int) -> None:
-        """Wait until the log says, after so many bytes, that the old process has a successor."""
+        """Wait until the log, after its first `log_size` bytes, says that the old process has a successor."""
         if not await wait_until(
             lambda: b"step=successor_serving" in self.log.read_bytes()[log_size:], START_TIMEOUT
         ):
-            raise NodeError("the old process has no successor", self.log_tail())
+            raise NodeError(
+                f"no new process took over the listener on port {self.port} within {START_TIMEOUT:g} s",
+                self.log_tail(),
+            )
 
     async def kill(self) -> None:
         """End the process with SIGKILL, as a crash would."""
@@ -199,11 +208,11 @@
         self._running_process().send_signal(number)
 
     def limit_file_size(self) -> None:
-        """Let all writes that extend a file fail from now on, as on a full disk (with EFBIG for ENOSPC)."""
+        """Make writes that extend a file fail from now on, as on a full disk, but with EFBIG, not ENOSPC."""
         resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (0, 0))
 
     async def stop(self) -> int:
-        """End the process with SIGTERM, or SIGKILL where that takes too long; return its exit code."""
+        """End the process with SIGTERM, or SIGKILL if that takes too long; return its exit code."""
         if self._process is None:
             return 0
         if self._process.returncode is None:
@@ -216,7 +225,7 @@
         return self._process.returncode if self._process.returncode is not None else -1
 
     def log_tail(self) -> str:
-        """Return the last lines of its log."""
+        """Return the last lines of the node's log."""
         return "\n".join(self.log.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:])
 
     @property
@@ -225,14 +234,14 @@
         return self._running_process().pid
 
     def memory_bytes(self) -> int:
-        """Return its resident anonymous memory (RssAnon) in bytes."""
+        """Return the process's resident anonymous memory (RssAnon) in bytes."""
         for line in self._read_proc("status").splitlines():
             if line.startswith("RssAnon:"):
                 return int(line.split()[1]) * 1024
         return 0
 
     def cpu_time(self) -> timedelta:
-        """Return the CPU time that it has used."""
+        """Return the CPU time that the process has used."""
         fields = self._read_proc("stat").rpartition(")")[2].split()
         user_ticks = int(fields[11])
         system_ticks = int(fields[12])
--- a/tansyladder/lab/output.py
+++ b/tansyladder/lab/output.py
@@ -1,4 +1,4 @@
-"""The report of an experiment, and how it is printed."""
+"""The base class of reports of experiments, and their output."""
 
 from __future__ import annotations
 
@@ -13,13 +13,11 @@
 class JsonReport(msgspec.Struct, frozen=True, kw_only=True):
     """A report that is printed as one JSON object.
 
-    Fields are encoded in their order, under the names that `msgspec.field` gives them. A field that is UNSET
-    is left out.
+    Fields are encoded in their order, under the names that `msgspec.field` gives them. Fields that are UNSET
+    are omitted.
     """
 
-    INLINED: ClassVar[frozenset[str]] = (
-        frozenset()
-    )  # fields that are structs and whose own fields take their place
+    INLINED: ClassVar[frozenset[str]] = frozenset()  # struct fields that are replaced by their own fields
 
     def json_object(self) -> dict[str, Any]:
         """Return the JSON object, with the keys in the order of the fields."""
@@ -34,11 +32,11 @@
 
 
 def show(report: JsonReport | Mapping[str, JsonReport], *, as_json: bool) -> None:
-    """Print a report, or several by their names, as one JSON object or a field a line."""
+    """Print a report, or several by name, as one JSON object or with one field per line."""
     if isinstance(report, JsonReport):
         fields = report.json_object()
     else:
-        fields = {name: each.json_object() for name, each in report.items()}
+        fields = {name: named_report.json_object() for name, named_report in report.items()}
     if as_json:
         click.echo(json.dumps(fields))
         return
--- a/tansyladder/lab/reconnect.py
+++ b/tansyladder/lab/reconnect.py
@@ -1,4 +1,4 @@
-"""Clients whose connections break: they reconnect by token, or with a new session where none resumes."""
+"""Measures how clients reconnect after a reset: by token, or with a new session without resumption."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tansyladder.lab.topology import TopologySettings, running_topology
 from tansyladder.lab.waiting import wait_until
 
-RECONNECT_TIMEOUT = RECONNECT_DELAY.longest + 8  # seconds in which all clients must be served again
-SETTLE_TIME = 0.5  # seconds that all sessions are served before and after the break
+RECONNECT_TIMEOUT = RECONNECT_DELAY.longest + 8  # seconds within which all clients must be served again
+SETTLE_TIME = 0.5  # seconds for which all sessions are served before and after the reset
 
 
 class ReconnectReport(JsonReport, frozen=True, kw_only=True):
-    """What became of the clients whose connections were reset."""
+    """What happened to the clients whose connections were reset."""
 
     INLINED: ClassVar[frozenset[str]] = frozenset({"violations"})
 
@@ -28,7 +28,7 @@
     all_reconnected: bool = msgspec.field(name="all_back")  # in time
     resumed: int = msgspec.field(name="kept")
     violations: InvariantViolations
-    gap_ms: Percentiles  # between two frames
+    gap_ms: Percentiles  # longest time between two frames of a client
     resume_ms: Percentiles = msgspec.field(name="come_back_ms")  # from the first line to UP
     set_up_ms: Percentiles  # the same for a new session
     resumes: bool = msgspec.field(name="resume")
@@ -36,7 +36,7 @@
 
 
 async def run(sessions: int, hosts: int, seed: int, share: float, *, resumes: bool) -> ReconnectReport:
-    """Reset a share of the connections at one moment; measure how soon their clients are served again."""
+    """Reset a share of the connections at once, and measure how soon their clients are served again."""
     async with running_topology(TopologySettings(seed, hosts, resumes=resumes)) as topology:
         await topology.connect_clients(sessions)
         await asyncio.sleep(SETTLE_TIME)
--- a/tansyladder/lab/report.py
+++ b/tansyladder/lab/report.py
@@ -1,4 +1,4 @@
-"""What a run showed: counts, delays in HDR histograms, and violated invariants with their first few cases."""
+"""Results of a run: counts, delays in HDR histograms, and violated invariants with their first cases."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 MICROSECOND = timedelta(microseconds=1)
 MILLISECOND = timedelta(milliseconds=1)
-MAX_DELAY_US = 120_000_000  # the longest that a histogram can hold
+MAX_DELAY_US = 120_000_000  # the longest that a histogram records
 SIGNIFICANT_DIGITS = 3  # of a histogram's values
-CASES_PER_INVARIANT = 5  # that are stored
+CASES_PER_INVARIANT = 5  # descriptions stored for each invariant
 
 
 def clock() -> timedelta:
@@ -51,7 +51,7 @@
 
 
 class Percentiles(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Percentiles of delays in ms; all None, and left out of the JSON, where there was no delay."""
+    """Percentiles of delays in ms; if no delay was recorded, all are None and omitted from the JSON."""
 
     p50: float | None = None
     p99: float | None = None
@@ -63,23 +63,23 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.cases: dict[str, list[str]] = {}  # by violated invariant
+        self.cases: dict[str, list[str]] = {}  # descriptions of violations, by invariant
         self._histograms: dict[str, HdrHistogram] = {}
 
     def record_violation(self, invariant: Invariant, case: str) -> None:
-        """Count a violated invariant, and store its first cases, so that the cause can be found."""
+        """Count a violation of an invariant, and store the first cases to help to find the cause."""
         self.counts[invariant] += 1
         cases = self.cases.setdefault(invariant.value, [])
         if len(cases) < CASES_PER_INVARIANT:
             cases.append(case)
 
     def record_delay(self, name: str, delay: timedelta) -> None:
-        """Add a delay to the histogram of a name."""
+        """Add a delay to the histogram `name`; one above MAX_DELAY_US counts as MAX_DELAY_US."""
         histogram = self._histograms.setdefault(name, HdrHistogram(1, MAX_DELAY_US, SIGNIFICANT_DIGITS))
         histogram.record_value(min(MAX_DELAY_US, max(1, delay // MICROSECOND)))
 
     def violations(self) -> InvariantViolations:
-        """Return how often each invariant was violated that decides the exit code."""
+        """Return the number of violations of each invariant that decides the exit code."""
         return InvariantViolations(
             wrong_final_answers=self.counts[Invariant.FINAL_ANSWER],
             lost_lines=self.counts[Invariant.NO_LINE_LOST],
@@ -89,7 +89,7 @@
         )
 
     def percentiles(self, name: str) -> Percentiles:
-        """Return percentiles of the delays of a name."""
+        """Return percentiles of the histogram `name`."""
         histogram = self._histograms.get(name)
         if histogram is None:
             return Percentiles()
@@ -100,12 +100,12 @@
         )
 
     def as_text(self) -> str:
-        """Return everything, a line each."""
+        """Return all counts, percentiles and cases, one per line."""
         lines = [f"{name:32} {count}" for name, count in sorted(self.counts.items())]
         for name in sorted(self._histograms):
             percentiles = msgspec.structs.asdict(self.percentiles(name))
-            shown = " ".join(f"{key} {value} ms" for key, value in percentiles.items())
-            lines.append(f"{name:32} {shown}")
+            formatted = " ".join(f"{key} {value} ms" for key, value in percentiles.items())
+            lines.append(f"{name:32} {formatted}")
         lines += [f"  {invariant}: {case}" for invariant, cases in self.cases.items() for case in cases]
         return "\n".join(lines)
 
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -1,4 +1,4 @@
-"""A node that is killed and started again: which sessions are resumed, and whether used tokens open any."""
+"""Kills a node and starts it again: counts resumed sessions, and checks that used tokens are rejected."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tansyladder.lab.waiting import wait_until
 
 STORE_SETTINGS = '(store (enabled true) (directory "FOLDER/store"))\n'
-RECONNECT_TIMEOUT = 20.0  # seconds in which all clients must be served again
-SETTLE_TIME = 1.0  # seconds that all sessions are served before the kill and before the replays
-REPLAY_TIME = 0.5  # seconds in which a replayed token would harm its session
+RECONNECT_TIMEOUT = 20.0  # seconds within which all clients must be served again
+SETTLE_TIME = 1.0  # seconds for which sessions are served before the kill and before the replays
+REPLAY_TIME = 0.5  # seconds in which a replayed token would affect its session
 
 
 class RestartReport(JsonReport, frozen=True, kw_only=True):
-    """What became of the sessions of a node that was killed, and of their tokens."""
+    """What happened to the sessions of a node that was killed, and to their tokens."""
 
     INLINED: ClassVar[frozenset[str]] = frozenset({"violations"})
 
@@ -40,7 +40,7 @@
 
 
 class _Recovery(NamedTuple):
-    """What became of the clients of a node that was killed."""
+    """How soon the clients of a node that was killed were served again."""
 
     first_placement: timedelta  # from the kill until the first client was served again
     all_reconnected: bool  # in time
--- a/tansyladder/lab/store_benchmark.py
+++ b/tansyladder/lab/store_benchmark.py
@@ -25,29 +25,29 @@
 NODE = "bench"
 VALUE = bytes(range(100))
 WRITER_COUNTS = (1, 8, 64)
-MOST_WRITERS = str(WRITER_COUNTS[-1])
-KEYS_OF_A_WRITER = 1000
-PUT_SECONDS = 2.0  # of each run of puts
+MOST_WRITERS = str(WRITER_COUNTS[-1])  # the key of its results in a report
+KEYS_PER_WRITER = 1000
+PUT_SECONDS = 2.0  # duration of each measurement of puts
 GET_COUNT = 20_000
 LOG_BYTES = 100 << 20  # of the log whose recovery is timed
-LOG_BATCH = 500  # records of a batch in it
+LOG_BATCH_RECORDS = 500
 AMPLIFICATION_SEGMENT_BYTES = 1 << 20
-AMPLIFICATION_BUDGET_BYTES = 1 << 18  # of a step of maintenance
+AMPLIFICATION_BUDGET_BYTES = 1 << 18  # for each step of maintenance
 AMPLIFICATION_BATCHES = 600
-AMPLIFICATION_BATCH = 100  # records of a batch
+AMPLIFICATION_BATCH_RECORDS = 100
 AMPLIFICATION_KEYS = 20_000
 SUBPROCESS_TIMEOUT_S = 300
 
 
 class Throughput(NamedTuple):
-    """What one engine does in a second."""
+    """The operations per second of one engine."""
 
     puts: dict[str, float]  # by the number of writing threads
     gets: float
 
 
 class RecoveryTimes(msgspec.Struct, frozen=True):
-    """How long a store takes to open."""
+    """How long a store takes to open, with hint files and without."""
 
     records: int
     bytes: int
@@ -68,7 +68,7 @@
 
     puts_per_second: dict[str, dict[str, float]] = msgspec.field(name="puts_a_second")  # by engine
     gets_per_second: dict[str, float] = msgspec.field(name="gets_a_second")  # by engine
-    put_ratio_to_best_other: float = msgspec.field(name="ratio_64_to_best_other")  # with the most writers
+    put_ratio_to_best_other: float = msgspec.field(name="ratio_64_to_best_other")  # with MOST_WRITERS
     recovery: RecoveryTimes
     write_amplification: float = msgspec.field(name="written_for_a_byte")
     memory: MemoryUse
@@ -81,7 +81,7 @@
         """Set a key; return when it is on disk."""
 
     def get(self, key: bytes) -> bytes | None:
-        """Return a key's value; None where there is none."""
+        """Return a key's value, or None if there is none."""
 
     def close(self) -> None:
         """Close the files."""
@@ -113,7 +113,7 @@
         self._connection().execute("insert or replace into t values (?, ?)", (key, value))
 
     def get(self, key: bytes) -> bytes | None:
-        """Return a key's value; None where there is none."""
+        """Return a key's value, or None if there is none."""
         row = self._connection().execute("select v from t where k = ?", (key,)).fetchone()
         return row[0] if row else None
 
@@ -124,7 +124,7 @@
 
 
 class LmdbEngine:
-    """lmdb with its default, a sync for each transaction. Thread-safe; it has one writer at a time."""
+    """lmdb with its default of a sync for each transaction. Thread-safe; it allows one writer at a time."""
 
     def __init__(self, folder: Path) -> None:
         self._environment = lmdb.open(str(folder / "lmdb"), map_size=1 << 32, max_readers=256)
@@ -135,7 +135,7 @@
             transaction.put(key, value)
 
     def get(self, key: bytes) -> bytes | None:
-        """Return a key's value; None where there is none."""
+        """Return a key's value, or None if there is none."""
         with self._environment.begin() as transaction:
             found = transaction.get(key)
         return bytes(found) if found is not None else None
@@ -150,7 +150,7 @@
 
 
 def open_own(folder: Path) -> Engine:
-    """Open the store of this package."""
+    """Open tansyladder's own store."""
     return open_store(RealFiles(folder / "own"), NODE, _clock_us)
 
 
@@ -162,14 +162,14 @@
 
 
 def measure_puts(engine: Engine, writers: int) -> float:
-    """Return the acknowledged puts per second with so many threads."""
+    """Return the acknowledged puts per second with `writers` threads."""
     counts = [0] * writers
     started = time.monotonic()
     end = started + PUT_SECONDS
 
     def put_until_end(writer: int) -> None:
         while time.monotonic() < end:
-            engine.put(b"%d-%d" % (writer, counts[writer] % KEYS_OF_A_WRITER), VALUE)
+            engine.put(b"%d-%d" % (writer, counts[writer] % KEYS_PER_WRITER), VALUE)
             counts[writer] += 1
 
     threads = [threading.Thread(target=put_until_end, args=(writer,)) for writer in range(writers)]
@@ -181,9 +181,9 @@
 
 
 def measure_gets(engine: Engine) -> float:
-    """Return the gets per second by one thread, of keys that exist."""
+    """Return the gets per second of one thread, for keys that exist."""
     rng = random.Random(1)
-    candidates = [b"0-%d" % number for number in range(KEYS_OF_A_WRITER)]
+    candidates = [b"0-%d" % number for number in range(KEYS_PER_WRITER)]
     keys = [key for key in candidates if engine.get(key)]
     started = time.monotonic()
     for _ in range(GET_COUNT):
@@ -197,9 +197,9 @@
     record_count = 0
     with contextlib.closing(open_store(RealFiles(log_folder), NODE, _clock_us)) as store:
         while store.written_bytes < LOG_BYTES:
-            keys = [b"key-%09d" % (record_count + number) for number in range(LOG_BATCH)]
+            keys = [b"key-%09d" % (record_count + number) for number in range(LOG_BATCH_RECORDS)]
             store.write([WriteOperation(key, VALUE) for key in keys], Durability.BUFFERED)
-            record_count += LOG_BATCH
+            record_count += LOG_BATCH_RECORDS
         while store.maintain():
             pass
     with_hints_s = _time_opening(log_folder)
@@ -216,13 +216,13 @@
 
 
 def measure_write_amplification(folder: Path) -> float:
-    """Return the bytes written for each byte of requested writes, while everything is overwritten."""
+    """Return the bytes written for each byte of requested writes, with keys overwritten repeatedly."""
     rng = random.Random(2)
     requested_bytes = 0
     files = RealFiles(folder / "amp")
     with contextlib.closing(open_store(files, NODE, _clock_us, AMPLIFICATION_SEGMENT_BYTES)) as store:
         for _ in range(AMPLIFICATION_BATCHES):
-            keys = [b"key-%d" % rng.randrange(AMPLIFICATION_KEYS) for _ in range(AMPLIFICATION_BATCH)]
+            keys = [b"key-%d" % rng.randrange(AMPLIFICATION_KEYS) for _ in range(AMPLIFICATION_BATCH_RECORDS)]
             written_before = store.written_bytes
             store.write([WriteOperation(key, VALUE) for key in keys], Durability.BUFFERED)
             requested_bytes += store.written_bytes - written_before
@@ -231,8 +231,8 @@
         return round(store.written_bytes / requested_bytes, 2)
 
 
-# Run in a process of its own, as FOLDER COUNT fill and then as FOLDER COUNT open. The second prints the
-# memory that the store takes, and the peak of the process, in kB.
+# Runs in a process of its own, first with the arguments FOLDER COUNT fill and then with FOLDER COUNT open.
+# The second run prints the memory of the store and the peak memory of the process, both in kB.
 MEMORY_SCRIPT = """
 import sys, time
 from pathlib import Path
@@ -258,26 +258,26 @@
     before = status_kb("RssAnon")
     store = open_store(RealFiles(folder), "bench", clock)
     if len(store) != count or store.get(b"k7") != b"v":
-        sys.exit("the store does not hold what was written")
+        sys.exit(f"the store has {len(store)} records and k7={store.get(b'k7')}; expected {count}, k7=b'v'")
     print(status_kb("RssAnon") - before, status_kb("VmHWM"))
 """
 
 
 def measure_memory(folder: Path, record_count: int) -> MemoryUse:
-    """Measure the memory of an open store with so many small records, in a process of its own."""
+    """Measure the memory of an open store with `record_count` small records, in a process of its own."""
     output = ""
     for action in ("fill", "open"):
         command = [sys.executable, "-c", MEMORY_SCRIPT, str(folder / "small"), str(record_count), action]
-        done = subprocess.run(
+        completed = subprocess.run(
             command, check=True, capture_output=True, text=True, timeout=SUBPROCESS_TIMEOUT_S
         )
-        output = done.stdout
+        output = completed.stdout
     store_mb, peak_mb = (int(kilobytes) / 1024 for kilobytes in output.split())
     return MemoryUse(record_count, round(store_mb, 1), round(peak_mb, 1))
 
 
 def run(folder: Path | None, records: int) -> StoreBenchmarkReport:
-    """Measure everything in `folder`, or in a temporary one if it is None."""
+    """Run all measurements in a temporary folder, which is created in `folder` if that is given."""
     with tempfile.TemporaryDirectory(prefix="tansyladder-bench-", dir=folder) as name:
         work_folder = Path(name)
         throughputs = {engine: _measure_engine(work_folder, engine) for engine in ENGINES}
--- a/tansyladder/lab/store_kill.py
+++ b/tansyladder/lab/store_kill.py
@@ -1,4 +1,4 @@
-"""A writing process that is killed at random moments, and a check of the writes it had acknowledged."""
+"""Kills a writing process at random moments, and checks that the writes it acknowledged are stored."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tansyladder.store.files import RealFiles
 
 NODE = "kill"
-MAX_SEGMENT_BYTES = 20_000  # so that one process of the writer fills several
-MAX_LINES = 60  # of the writer that are read before it is killed
-PAUSED_SHARE = 0.5  # of the rounds, in which a pause precedes the kill
-MAX_PAUSE_S = 0.002  # before the kill: longer than most of the writer's steps
-LAST_KEY = b"last"  # whose value is the number of the newest batch
-WRITER = """
+MAX_SEGMENT_BYTES = 20_000  # small, so that one writer fills several segments
+MAX_LINES_BEFORE_KILL = 60  # of output read from a writer before it is killed
+PAUSED_SHARE = 0.5  # of the rounds; in these, a pause precedes the kill
+MAX_PAUSE_S = 0.002  # before the kill; longer than most steps of the writer
+LAST_KEY = b"last"  # its value is the number of the newest batch
+WRITER_SCRIPT = """
 import random, sys, time
 from pathlib import Path
 from tansyladder.store import WriteOperation, open_store
@@ -51,27 +51,27 @@
     rounds: int
     acknowledged: int  # batches
     lost: int  # rounds after which an acknowledged value was missing
-    invalid_states: int = msgspec.field(name="wrong")  # rounds after which the store had no valid state
+    invalid_states: int = msgspec.field(name="wrong")  # rounds after which the store's state was not valid
     max_recovery_ms: float
 
 
 class RecoveredState(Enum):
-    """How the state after a recovery compares with the valid ones."""
+    """How the state after a recovery compares with the valid states."""
 
     VALID = auto()
-    INVALID = auto()  # it has all that was acknowledged, and something else
+    INVALID = auto()  # all acknowledged values are there, and others that are not valid
     LOSSY = auto()  # an acknowledged value is missing
 
 
 @dataclass(slots=True)
 class ExpectedState:
-    """The valid states of the store: the acknowledged one, with or without the pending batch."""
+    """The valid states of the store: the acknowledged state, with or without the pending batch."""
 
     acknowledged: State = field(default_factory=dict)
     pending: State | None = None
 
     def read_lines(self, lines: list[str]) -> int:
-        """Apply the output of a writer; return how many batches were acknowledged."""
+        """Apply the output lines of a writer; return how many batches it acknowledged."""
         count = 0
         for line in lines:
             match line.split():
@@ -101,21 +101,21 @@
 
 
 def _parse_pairs(pairs: list[str]) -> State:
-    """Return the keys and values of a line that announces a batch."""
+    """Return the keys and values from a line that announces a batch."""
     split = (pair.encode().partition(b"=") for pair in pairs)
     return {key: value for key, _, value in split}
 
 
 def _run_writer(folder: Path, first_number: int, seed: int, rng: random.Random) -> list[str]:
-    """Run a writer for a while and kill it; return the lines that it wrote."""
-    code = WRITER.format(max_segment_bytes=MAX_SEGMENT_BYTES)
+    """Run a writer for a while and kill it; return the lines of its output."""
+    code = WRITER_SCRIPT.format(max_segment_bytes=MAX_SEGMENT_BYTES)
     command = [sys.executable, "-c", code, str(folder), str(first_number), str(seed)]
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as writer:
         if writer.stdout is None:
-            raise RuntimeError("the writer has no output")
+            raise RuntimeError("the writer's standard output is not a pipe")
         lines = [writer.stdout.readline()]
-        # After so many lines and not after a time: the kill may fall into any step of the writer.
-        lines += [writer.stdout.readline() for _ in range(rng.randrange(MAX_LINES))]
+        # Killed after a number of lines, not after a time, so that the kill may fall into any step.
+        lines += [writer.stdout.readline() for _ in range(rng.randrange(MAX_LINES_BEFORE_KILL))]
         if rng.random() < PAUSED_SHARE:
             time.sleep(rng.random() * MAX_PAUSE_S)
         writer.kill()
@@ -128,7 +128,7 @@
 
 
 def run(folder: Path, seed: int, rounds: int) -> StoreKillReport:
-    """Kill so many writers of one store; after each, check that all acknowledged batches are complete."""
+    """Kill `rounds` writers of one store in turn; after each, check that no acknowledged batch is missing."""
     rng = random.Random(seed)
     expected = ExpectedState()
     results: Counter[RecoveredState] = Counter()
--- a/tansyladder/lab/topology.py
+++ b/tansyladder/lab/topology.py
@@ -1,4 +1,4 @@
-"""One node among stand-in hosts, a discovery service and clients, all set up and closed here."""
+"""Sets up and closes one node with stand-in hosts, a discovery service and clients."""
 
 from __future__ import annotations
 
@@ -19,36 +19,37 @@
 from tansyladder.lab.waiting import wait_until
 
 RESUME_SETTINGS = '(resume (enabled true) (expires "30 s") (max_suspended 2000))\n'
-CONCURRENT_CONNECTS = 24  # clients that connect at the same time, so that a start is no burst
-CONNECT_TIMEOUT = 30.0  # seconds in which a client must have a session
-QUIET_TIMEOUT = 3.0  # seconds in which lines that were sent arrive, and connections end
+CONCURRENT_CONNECTS = 24  # clients that connect at the same time; limits the burst at the start
+CONNECT_TIMEOUT = 30.0  # seconds within which a client must have a session
+QUIET_TIMEOUT = 3.0  # seconds within which sent lines must arrive and connections must end
 
 
 @dataclass(frozen=True, slots=True)
 class TopologySettings:
-    """What a run sets up."""
+    """The settings of a run."""
 
     seed: int
     host_count: int
     _: KW_ONLY
     resumes: bool  # whether the node and its clients resume sessions
-    listed_count: int | None = None  # how many hosts the node knows at its start; None: all
+    listed_count: int | None = None  # how many hosts the node knows at its start; None for all
     frame_interval: float = FRAME_INTERVAL  # seconds between two frames of a session
     line_interval: float = LINE_INTERVAL  # seconds between two lines of a client
-    operator_settings: str | None = None  # of the node; None: those that `resumes` asks for
+    operator_settings: str | None = None  # of the node; None for those that `resumes` requires
 
 
 async def connect_all(
     clients: Sequence[Client], tasks: list[asyncio.Task[None]], client_timeout: float | None = None
 ) -> None:
-    """Run clients, a few at a time, until each is served; their tasks are appended to `tasks`.
+    """Start clients, at most CONCURRENT_CONNECTS at a time, and wait until each of them is served.
 
-    Raises TimeoutError where one is not served in `client_timeout` seconds.
+    Their tasks are appended to `tasks`. Raises TimeoutError if a client is not served in `client_timeout`
+    seconds.
     """
-    gate = asyncio.Semaphore(CONCURRENT_CONNECTS)
+    semaphore = asyncio.Semaphore(CONCURRENT_CONNECTS)
 
     async def connect(client: Client) -> None:
-        async with gate:
+        async with semaphore:
             tasks.append(asyncio.ensure_future(client.run()))
             await asyncio.wait_for(client.wait_until_served(), client_timeout)
 
@@ -56,7 +57,7 @@
 
 
 class Topology:
-    """All parties of one run. Owned by one event loop; not thread-safe."""
+    """The node and the stand-ins of one run. Owned by one event loop; not thread-safe."""
 
     node: LabNode
 
@@ -73,7 +74,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, folder: Path) -> None:
-        """Start hosts and discovery, and write the node's configuration into a folder."""
+        """Start the hosts and discovery, and write the node's configuration to a folder."""
         settings = self.settings
         for host in self.hosts:
             await host.start()
@@ -85,24 +86,26 @@
         self.node = LabNode(folder, self.discovery.address, self.discovery.listed(), operator_settings)
 
     async def connect_clients(self, count: int) -> None:
-        """Add clients, each with a session that is served. Raises LabTimeoutError."""
+        """Add clients, and wait until each has a session that is served. Raises LabTimeoutError."""
         client_settings = ClientSettings(
             self.settings.seed, resumes=self.settings.resumes, line_interval=self.settings.line_interval
         )
-        first = len(self.clients)
-        new = [
+        first_number = len(self.clients)
+        new_clients = [
             Client(self.report, self.node.port, number, client_settings)
-            for number in range(first, first + count)
+            for number in range(first_number, first_number + count)
         ]
-        self.clients += new
+        self.clients += new_clients
         try:
-            await connect_all(new, self._tasks, CONNECT_TIMEOUT)
+            await connect_all(new_clients, self._tasks, CONNECT_TIMEOUT)
         except TimeoutError as err:
             state = f"{self.node.log_tail()}\n{self.report.as_text()}"
-            raise LabTimeoutError("not all clients are served", state) from err
+            raise LabTimeoutError(
+                f"not all of {count} new clients are served within {CONNECT_TIMEOUT:g} s", state
+            ) from err
 
     async def quiesce(self) -> None:
-        """Let all clients stop sending; lines that no host has confirmed a moment later are lost."""
+        """Stop all clients from sending; count lines that are unconfirmed after QUIET_TIMEOUT as lost."""
         for client in self.clients:
             client.stop_sending()
         if await wait_until(
@@ -116,14 +119,14 @@
                 )
 
     async def close(self) -> None:
-        """End all clients, and check that hosts have no connections then."""
+        """End all clients, and check that the hosts have no connections afterwards."""
         for client in self.clients:
             await client.leave()
         await wait_until(lambda: not any(host.streams for host in self.hosts), QUIET_TIMEOUT)
         for host in self.hosts:
             if host.streams:
                 self.report.record_violation(
-                    Invariant.NO_ORPHANED_CONNECTION, f"{host.ident}: {len(host.streams)}"
+                    Invariant.NO_ORPHANED_CONNECTION, f"{host.ident}: {len(host.streams)} connections left"
                 )
         for task in self._tasks:
             task.cancel()
@@ -131,7 +134,7 @@
 
 @contextlib.asynccontextmanager
 async def running_topology(settings: TopologySettings) -> AsyncIterator[Topology]:
-    """Set up a node among stand-ins, and close everything at the end of the block."""
+    """Start a node with stand-ins, and close everything at the end of the block."""
     topology = Topology(settings)
     with tempfile.TemporaryDirectory(prefix="tansyladder-lab-") as folder:
         await topology.start(Path(folder))
--- a/tansyladder/lab/waiting.py
+++ b/tansyladder/lab/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting: for a condition that depends on other parties of a run, and for random delays."""
+"""Waiting for a condition that other parts of a run fulfil, and the range of random delays."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class DelayRange(NamedTuple):
-    """The shortest and the longest time that may be drawn at random, in seconds."""
+    """The shortest and the longest random delay, in seconds."""
 
     shortest: float
     longest: float
 
 
 async def wait_until(condition: Callable[[], bool], timeout: float, interval: float = POLL_INTERVAL) -> bool:
-    """Wait until a condition holds, but no longer than `timeout` seconds; return whether it does."""
+    """Wait until a condition holds, but at most `timeout` seconds; return whether it holds."""
     deadline = clock() + timedelta(seconds=timeout)
     while not condition():
         if clock() >= deadline:
--- a/tests/lab/test_client_session.py
+++ b/tests/lab/test_client_session.py
@@ -1,4 +1,4 @@
-"""A client's session: which lines it sends, and which of the host's lines violate the numbering."""
+"""A client's session: which lines it sends, and which host lines are violations."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     [
         ([b"F 1 0\r\n", b"F 3 0\r\n"], "lines_lost"),
         ([b"F 1 0\r\n", b"F 1 0\r\n"], "lines_doubled"),
-        ([b"F 1 1\r\n"], "lines_doubled"),  # it has sent none that could be confirmed
+        ([b"F 1 1\r\n"], "lines_doubled"),  # the client has sent no line that could be confirmed
         ([b"BUSY\r\n"], "final_answers_wrong"),
         ([b"RS WHAT\r\n"], "bad_words"),
     ],
@@ -53,7 +53,7 @@
     assert dict(report.counts) == {violation: 1}
 
 
-def test_a_migration_ends_the_session_and_takes_its_token() -> None:
+def test_a_migration_ends_the_session_and_clears_its_token() -> None:
     report = Report()
     session = make_session(report)
     session.receive(b"RS TOKEN abc 30\r\n")
--- a/tests/lab/test_first_lines.py
+++ b/tests/lab/test_first_lines.py
@@ -1,4 +1,4 @@
-"""First lines: what clients send, and what a stand-in host reads of those that a node sends."""
+"""First lines: those that clients send, and what a stand-in host parses from those that a node sends."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 def test_a_profile_is_the_same_for_a_seed() -> None:
     profiles = [ClientProfile.generate(random.Random(3), number=9) for _ in range(2)]
     assert profiles[0] == profiles[1]
-    assert profiles[0].group == "2"  # eight clients have a group in common
+    assert profiles[0].group == "2"  # eight clients share a group
 
 
 def test_the_parameters_of_a_new_and_of_a_resumed_session() -> None:
-    assert PROFILE.new_session(resumes=False) == "7f c=viewport,d=1200,g=5c"
-    assert PROFILE.new_session(resumes=True) == "7f c=viewport,d=1200,g=5c,rs=1"
-    assert PROFILE.resumed_session("TOKEN", 4) == "7f c=viewport,d=1200,g=5c,rt=TOKEN,rp=4"
+    assert PROFILE.new_session_parameters(resumes=False) == "7f c=viewport,d=1200,g=5c"
+    assert PROFILE.new_session_parameters(resumes=True) == "7f c=viewport,d=1200,g=5c,rs=1"
+    assert PROFILE.resumed_session_parameters("TOKEN", 4) == "7f c=viewport,d=1200,g=5c,rt=TOKEN,rp=4"
 
 
 def test_a_host_reads_the_id_and_the_resumption_of_a_first_line() -> None:
--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -1,4 +1,4 @@
-"""The counts that a node writes each second, and the reader that adds up a fleet's."""
+"""The counts that a node writes each second, and the reader that adds up the counts of a fleet."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Step(NamedTuple):
-    """A moment of a node, in microseconds, with the policy's events and actions."""
+    """The events and actions of a node's policy at one time, in microseconds."""
 
     now_us: int
     events: Sequence[Event] = ()
@@ -34,7 +34,10 @@
 
 
 def steps_from(second: int, *, rejects_request_2: bool) -> list[Step]:
-    """Return a node's steps: it adopts 9, establishes 1 late at its second attempt, and 9 ends."""
+    """Return a node's steps.
+
+    It adopts connection 9, establishes request 1 late at the second attempt, and connection 9 ends.
+    """
     start_us = second * SECOND
     return [
         Step(
@@ -82,10 +85,10 @@
 
 def test_a_fleets_lines_add_up_by_second_and_by_endpoint() -> None:
     first = lines_from(100, rejects_request_2=True)
-    assert len(first) == 4  # a second in which nothing was done has no line
+    assert len(first) == 4  # a second without events and actions has no line
     other = [*lines_from(101, rejects_request_2=False), "event=counts timestamp=105 established=", "else"]
     fleet = fleet_counts.read({"n0": first, "n1": other})
-    assert (fleet.nodes, fleet.unread) == (2, 1)
+    assert (fleet.nodes, fleet.unread_lines) == (2, 1)
     assert fleet.totals == {
         "adopted": 2,
         "attempts": 4,
@@ -102,7 +105,7 @@
     }
     assert [fleet.seconds[at]["requests"] for at in range(5)] == [1, 1, 0, 0, 0]
     assert [fleet.connections[at]["s-4"] for at in range(5)] == [1, 1, 0, 0, 0]
-    assert [fleet.connections[at]["s-5"] for at in range(5)] == [1, 2, 2, 2, 2]  # quiet seconds too
+    assert [fleet.connections[at]["s-5"] for at in range(5)] == [1, 2, 2, 2, 2]  # seconds without a line too
     assert fleet.failures[0]["s-4"] == 1
 
 
@@ -115,11 +118,11 @@
 
 def test_the_command_prints_both_tables(tmp_path: Path) -> None:
     (tmp_path / "n0.log").write_text("\n".join(lines_from(100, rejects_request_2=True)))
-    # Standard output alone: threads of earlier tests' nodes may log to standard error.
+    # Only standard output is read: threads of nodes of earlier tests may log to standard error.
     counts = CliRunner().invoke(commands, ["lab", "fleet", str(tmp_path)]).stdout.splitlines()
     assert counts[0] == "1 nodes, 0 lines unread"
     assert counts[-1].startswith(" all")
-    for option in ("--endpoints", "--members"):  # the earlier name
+    for option in ("--endpoints", "--members"):  # --members is the earlier name
         by_endpoint = (
             CliRunner().invoke(commands, ["lab", "fleet", option, str(tmp_path)]).stdout.splitlines()
         )
@@ -135,7 +138,7 @@
     earlier_json = '{"at": 8, "new": 1, "members": "s-1:2/0/0", "event": "counts"}'
     current = "event=counts timestamp=9 endpoints=s-1:3/1/1 requests=2 health_check_error=1 dropped_lines=1"
     fleet = fleet_counts.read({"n0": [earlier, earlier_json, current]})
-    assert fleet.unread == 0
+    assert fleet.unread_lines == 0
     assert fleet.totals == {
         "adopted": 15,
         "attempts": 14,
--- a/tests/lab/test_output.py
+++ b/tests/lab/test_output.py
@@ -1,4 +1,4 @@
-"""How a report is printed: one JSON object, or a field a line."""
+"""How a report is printed: as one JSON object, or with one field per line."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SampleReport(JsonReport, frozen=True, kw_only=True):
-    """A report with a field of each sort."""
+    """A report with a field of each kind."""
 
     INLINED: ClassVar[frozenset[str]] = frozenset({"violations"})
 
@@ -64,6 +64,6 @@
     assert lines[-1] == "cases                    {'lines_lost': ['client 1']}"
 
 
-def test_a_violation_of_an_invariant_is_known() -> None:
+def test_a_report_shows_whether_an_invariant_was_violated() -> None:
     assert sample_report().violations.has_any
     assert not Report().violations().has_any
--- a/tests/lab/test_stream_store.py
+++ b/tests/lab/test_stream_store.py
@@ -1,4 +1,4 @@
-"""The session store of the stand-in hosts fences off the owners of older epochs."""
+"""The session store of the stand-in hosts, which fences off the owners of older epochs."""
 
 from __future__ import annotations
 
