--- a/tests/answers/__init__.py
+++ b/tests/answers/__init__.py
@@ -1,5 +1,5 @@
-"""The software's contract with operators, with the platform, and with scripts that read logs and reports.
+"""Tests of the interface to operators, the platform, and scripts that read logs and reports.
 
-The names in these tests are literals on purpose: calls of the admin server, keys of settings files, exit
-codes and fields of JSON reports stay as they are, whatever the code behind them is called.
+These tests write the interface's names as literals on purpose: calls of the admin server, keys of settings
+files, exit codes and fields of JSON reports must not change when identifiers in the code are renamed.
 """
--- a/tests/answers/own_output.py
+++ b/tests/answers/own_output.py
@@ -1,6 +1,6 @@
-"""Runs the command line in this process and captures what it prints, and nothing else.
+"""Runs the command line in this process and captures only the output of the command.
 
-Nodes of earlier tests may still have threads that log to standard error.
+Other threads are excluded, because nodes of earlier tests may still log to standard error.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ThreadOutput(io.TextIOWrapper):
-    """A text stream that stores what the thread that made it writes, and drops what others do."""
+    """A text stream that stores what the thread that created it writes, and drops all other texts."""
 
     def __init__(self) -> None:
         self._bytes = io.BytesIO()
@@ -24,16 +24,16 @@
         super().__init__(self._bytes, encoding="utf-8", write_through=True)
 
     def write(self, text: str) -> int:
-        """Store a text of the owner."""
+        """Store a text if the owner writes it."""
         return super().write(text) if threading.get_ident() == self._owner else len(text)
 
     def text(self) -> str:
-        """Return all that was stored."""
+        """Return everything stored so far."""
         return self._bytes.getvalue().decode()
 
 
 class CommandResult(NamedTuple):
-    """How a command has ended, and what it has printed."""
+    """The exit code and the output of a command."""
 
     exit_code: object
     stdout: str
@@ -41,7 +41,7 @@
 
 
 def run_command(arguments: list[str], monkeypatch: pytest.MonkeyPatch) -> CommandResult:
-    """Run the command line to its end, in this process."""
+    """Run a command in this process until it exits."""
     stdout = ThreadOutput()
     stderr = ThreadOutput()
     with monkeypatch.context() as context:
--- a/tests/answers/test_counts_line.py
+++ b/tests/answers/test_counts_line.py
@@ -1,6 +1,6 @@
-"""The fields of the `counts` line, by which operators and `lab fleet` see what a fleet does.
+"""The fields of the log event `counts`, which operators and `lab fleet` read.
 
-Held elsewhere: how the fields are counted and added up (`tests/lab/test_fleet_counts.py`).
+Tested elsewhere: how the fields are counted and added up (`tests/lab/test_fleet_counts.py`).
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
     "requests",
     "retries",
 }
-# How an attempt, a connection (with `ended_` before it) or a health check (with `health_check_`) ended.
+# Outcomes of attempts; with the prefix `ended_` of connections, with `health_check_` of health checks.
 OUTCOMES = {"ok", "timeout", "reset", "full", "error", "cancelled", "connect_failed", "not_attempted"}
-# Of a client that the only endpoint does not accept, and that is rejected; discovery answers nobody.
+# The only endpoint and discovery refuse connections, so that the one client is rejected.
 WITHOUT_A_USABLE_ENDPOINT = {
     "timestamp",
     "endpoints",
@@ -43,26 +43,26 @@
 
 
 def names_on_the_page(heading: str) -> set[str]:
-    """The names in the first column of the table under a heading of its first column."""
+    """Return the names in the first column of the page's table whose first column has this heading."""
     _, _, table = (ROOT / "docs" / "on-call.md").read_text().partition(f"| {heading} |")
     rows = table.partition("\n\n")[0].splitlines()[2:]
     return {name for row in rows for name in re.findall(r"`([a-z_]+)`", row.split("|")[1])}
 
 
 def test_the_page_names_every_count_and_no_other() -> None:
-    ends = {
+    outcome_counts = {
         f"{prefix}{outcome}" for outcome in OUTCOMES - {"ok"} for prefix in ("", "ended_", "health_check_")
     }
     assert {count.value for count in Count} == COUNTS
-    assert names_on_the_page("count") == COUNTS | ends | {"ended_ok"}
+    assert names_on_the_page("count") == COUNTS | outcome_counts | {"ended_ok"}
 
 
-def test_an_outcome_has_its_name_in_the_line() -> None:
-    """The names of these members are written to the log."""
+def test_each_outcome_is_the_name_of_an_attempt_status() -> None:
+    """The names of the enum's members are written to the log."""
     assert {status.name.lower() for status in AttemptStatus} == OUTCOMES
 
 
-def test_a_node_without_a_usable_endpoint_counts_in_these_fields(tmp_path: Path) -> None:
+def test_the_fields_of_a_node_without_a_usable_endpoint(tmp_path: Path) -> None:
     found: set[str] = set()
     with running_node(tmp_path, platform_config("127.0.0.1:1")) as node:
         assert node.first_answer("OPEN 5e 7f c=chat,d=300").startswith("BUSY")
--- a/tests/answers/test_exit_codes.py
+++ b/tests/answers/test_exit_codes.py
@@ -1,7 +1,7 @@
-"""The exit codes of the program and of its commands, and that none of them ends in a traceback.
+"""The exit codes of the program and of its commands; no command ends in a traceback.
 
-Held elsewhere: 0 after SIGTERM (`tests/node/test_program.py`, a planned restart), 2 for a configuration of
-the wrong type (`tests/config/test_platform.py`), 2 for faulty settings at the start and for faulty files at
+Tested elsewhere: 0 after SIGTERM (`tests/node/test_program.py`, a planned restart), 2 for a configuration of
+the wrong type (`tests/config/test_platform.py`), 2 for invalid settings at the start and for invalid files at
 `check` (`tests/test_node_commands.py`), 0, 1 and 3 of the store's commands
 (`tests/store/test_repair.py`), 0 and 1 of the simulator's host (`tests/simulator/test_wire.py`).
 """
@@ -67,12 +67,12 @@
     assert finished.stderr.splitlines()[-1].startswith("event=bad_settings error=peers: ")
 
 
-def test_check_says_that_sound_files_are_sound(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_accepts_valid_files(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     config_file = tmp_path / "config.json"
     config_file.write_text(json.dumps(platform_config("127.0.0.1:9")))
     example = ROOT / "deploy" / "settings.example.sexp"
-    sound_configuration = CommandResult(0, f"{config_file}: sound: node n0, 1 members known\n", "")
-    assert run_command(["check", str(config_file)], monkeypatch) == sound_configuration
+    valid_configuration = CommandResult(0, f"{config_file}: sound: node n0, 1 members known\n", "")
+    assert run_command(["check", str(config_file)], monkeypatch) == valid_configuration
     assert run_command(["check", str(example)], monkeypatch) == CommandResult(0, f"{example}: sound\n", "")
 
 
--- a/tests/answers/test_lab_reports.py
+++ b/tests/answers/test_lab_reports.py
@@ -1,7 +1,7 @@
 """The names of the lab's commands, and the JSON fields of their reports and files.
 
-The keys of reports of runs that take many seconds are read from the classes of these reports. Held elsewhere,
-by whole runs that read some of the fields: `documents` (`tests/replication/test_document_processes.py`),
+For runs that take many seconds, the keys are read from the report's class. Tested elsewhere, by complete runs
+that read some of the fields: `documents` (`tests/replication/test_document_processes.py`),
 `chaos` (`tests/lab/chaos/test_experiments.py`), `store-faults` and `store-kill`
 (`tests/store/test_crash_consistency.py`); the tables of `fleet` (`tests/lab/test_fleet_counts.py`); how a
 report is printed (`tests/lab/test_output.py`).
@@ -80,7 +80,7 @@
     "full_disk skew"
 )
 HISTORY = "at who what client life ident token word text node host session epoch number of_own moment"
-# By the class of the report; `INVARIANTS` and `CHECKERS` stand for the names above.
+# The keys of each report, by its class; `INVARIANTS` and `CHECKERS` stand for the names above.
 REPORTS: dict[type[msgspec.Struct], str] = {
     DrainReport: "sessions on_the_host resumed resumed_within_aim INVARIANTS gap_ms set_up_ms "
     "host_empty_after_ms fenced moved resume style took_s cases",
@@ -113,7 +113,7 @@
 
 
 def keys_of(report: type[msgspec.Struct]) -> list[str]:
-    """Return the keys of a report's JSON object, in their order."""
+    """Return the keys of a report's JSON object, in order."""
     inlined = report.INLINED if issubclass(report, JsonReport) else frozenset()
     keys: list[str] = []
     for field in msgspec.structs.fields(report):
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize(("earlier", "name"), EARLIER_NAMES.items())
-def test_an_earlier_name_is_hidden_says_the_new_one_and_does_the_same(
+def test_an_earlier_name_is_hidden_prints_the_new_one_and_runs_the_same_command(
     earlier: str, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     calls: list[dict[str, object]] = []
@@ -148,7 +148,7 @@
     "line",
     [
         "event=counts timestamp=7 endpoints=s-1:1/2/0 established=1 requests=2",
-        "event=counts at=7 new=2 up=1 members=s-1:1/2/0",  # of an earlier version
+        "event=counts at=7 new=2 up=1 members=s-1:1/2/0",  # as an earlier version wrote it
     ],
 )
 def test_the_report_of_fleet(line: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/answers/test_log_page.py
+++ b/tests/answers/test_log_page.py
@@ -1,8 +1,8 @@
-"""`docs/on-call.md` and the package have the same log events, fields, values and invariants, both ways.
+"""`docs/on-call.md` lists exactly the log events, fields, values and invariants of the package.
 
-The package is read as source text: every call of the log function and of the checks of invariants. mypy
-checks the names and types of fields at each call against `log_fields.LogFields`. Held elsewhere: the names of
-counts (`test_counts_line.py`) and their sums (`tests/lab/test_fleet_counts.py`), the form of a line
+The package's source is parsed for calls of the log function and of the checks of invariants. mypy checks the
+names and types of fields at each call against `log_fields.LogFields`. Tested elsewhere: the names of counts
+(`test_counts_line.py`) and their sums (`tests/lab/test_fleet_counts.py`), the format of a line
 (`tests/test_log.py`).
 """
 
@@ -36,21 +36,21 @@
 PAGE = ROOT / "docs" / "on-call.md"
 LOG_FUNCTIONS = {"log"}
 INVARIANT_FUNCTIONS = {"check_invariant", "violate_invariant"}
-INVARIANTS_MODULE = PACKAGE / "invariants.py"  # which passes on what its callers name
+INVARIANTS_MODULE = PACKAGE / "invariants.py"  # its own calls only pass on a parameter
 
-# Printed at a start that fails, before there is a log, as `event=... error=...`.
+# Printed as `event=... error=...` when a start fails before the log is set up.
 PRINTED_EVENTS = {"bad_config", "bad_settings"}
 PRINTED = re.compile(r'print\(f"event=([a-z_]+) ([a-z_]+)=')
-INVARIANTS_NOT_ON_THE_PAGE = {Invariant.CHANGE_RESULT_CONFLICT}  # of the simulation, which no node runs
-# Their values are a closed set wherever they occur.
+INVARIANTS_NOT_ON_THE_PAGE = {Invariant.CHANGE_RESULT_CONFLICT}  # checked only in the simulation
+# Fields whose values are a closed set in every event.
 CLOSED_FIELDS = {"code", "outcome", "previous_state", "reason", "role", "source", "state", "status", "step"}
 
 
 class LoggedEvent(NamedTuple):
-    """One event, over all places that write it."""
+    """An event, with the fields of all calls that log it."""
 
     fields: frozenset[str]
-    is_open: bool  # it has counts, whose names come out of a mapping
+    is_open: bool  # whether it also has counts, whose names come from a mapping
 
 
 def values_of(enum: type[Enum]) -> set[str]:
@@ -65,9 +65,9 @@
     return {error.code for error in StoreError.__subclasses__()}
 
 
-NOT_OF_TOKENS = {ResumeRejection.AHEAD, ResumeRejection.BEHIND}  # of positions; only the client gets them
-# A restored session leaves no endpoint, and one that has finished gets no other.
-NOT_OF_MIGRATIONS = {UpstreamLossReason.RESTART, UpstreamLossReason.FINISHED}
+NOT_LOGGED = {ResumeRejection.AHEAD, ResumeRejection.BEHIND}  # about positions; only sent to the client
+# A restored session did not lose an endpoint, and a finished one gets no other endpoint.
+NOT_MIGRATION_REASONS = {UpstreamLossReason.RESTART, UpstreamLossReason.FINISHED}
 CLOSED_VALUES = {
     (LogEvent.CLIENT_REJECTED, "reason"): values_of(ClientRejectionReason),
     (LogEvent.CONNECTION_RESTORE_FAILED, "status"): names_of(*set(AttemptStatus) - {AttemptStatus.OK}),
@@ -83,9 +83,9 @@
     (LogEvent.LISTENER_HANDOVER, "step"): values_of(HandoverStep),
     (LogEvent.RAFT_STATE, "role"): values_of(Role),
     (LogEvent.REPLAY_MISMATCH, "reason"): values_of(PositionMismatch),
-    (LogEvent.RESUME_REJECTED, "reason"): values_of(ResumeRejection) - NOT_OF_TOKENS,
-    (LogEvent.SESSION_MOVED, "reason"): values_of(UpstreamLossReason) - NOT_OF_MIGRATIONS,
-    (LogEvent.SESSION_REJECTED, "reason"): values_of(UpstreamLossReason) - NOT_OF_MIGRATIONS,
+    (LogEvent.RESUME_REJECTED, "reason"): values_of(ResumeRejection) - NOT_LOGGED,
+    (LogEvent.SESSION_MOVED, "reason"): values_of(UpstreamLossReason) - NOT_MIGRATION_REASONS,
+    (LogEvent.SESSION_REJECTED, "reason"): values_of(UpstreamLossReason) - NOT_MIGRATION_REASONS,
     (LogEvent.SESSION_SUSPENDED, "reason"): values_of(SuspendReason),
     (LogEvent.STATE_CHANGED, "previous_state"): values_of(NodeState),
     (LogEvent.STATE_CHANGED, "state"): values_of(NodeState),
@@ -120,7 +120,7 @@
 
 
 def members_used(enum: type[Enum]) -> set[str]:
-    """The names of the members of an enum that the package names."""
+    """Return the names of the members of an enum that the package's source uses."""
     return {
         node.attr
         for nodes in package_nodes().values()
@@ -130,7 +130,7 @@
 
 
 def member_in(enum: type[StrEnum], argument: ast.expr) -> str:
-    """The value of the member of an enum that a call is given; nothing else may stand there."""
+    """Return the value of the enum member that is a call's argument; any other argument is an error."""
     assert isinstance(argument, ast.Attribute), ast.unparse(argument)
     assert ast.unparse(argument.value) == enum.__name__, ast.unparse(argument)
     return enum[argument.attr].value
@@ -138,16 +138,16 @@
 
 def logged_events() -> dict[str, LoggedEvent]:
     fields: dict[str, set[str | None]] = defaultdict(set)
-    with_counts: set[str] = set()
+    events_with_counts: set[str] = set()
     for call in calls_of(LOG_FUNCTIONS):
         event = member_in(LogEvent, call.args[0])
         fields[event] |= {keyword.arg for keyword in call.keywords}
         if len(call.args) > 1:
-            with_counts.add(event)
+            events_with_counts.add(event)
     return {
-        event: LoggedEvent(frozenset(name for name in names if name is not None), event in with_counts)
+        event: LoggedEvent(frozenset(name for name in names if name is not None), event in events_with_counts)
         for event, names in fields.items()
-        if None not in names  # a mapping in place of fields: then the event counts as not written
+        if None not in names  # an event whose fields come from a `**` mapping is left out
     }
 
 
@@ -155,7 +155,7 @@
 
 
 def table_rows(heading: str) -> list[list[str]]:
-    """The cells of each row of the page's table under a heading, which is the first cell."""
+    """Return the cells of each row of the page's table whose header begins with this heading."""
     _, found, table = PAGE.read_text().partition(f"\n| {heading} |")
     assert found, heading
     rows = table.partition("\n\n")[0].splitlines()[2:]
@@ -163,7 +163,7 @@
 
 
 def names_in(cell: str) -> list[str]:
-    """The names of events, fields, values or invariants in a cell; a field's `name=value` is none."""
+    """Return the names of events, fields, values or invariants in a cell, without any `name=value`."""
     return re.findall(r"`([a-z_]+)`", cell)
 
 
@@ -179,7 +179,7 @@
 
 
 def page_values() -> dict[tuple[str, str], list[str]]:
-    """The values of each field that has a closed set; the page names each of them once."""
+    """Return the values that the page lists for each field with a closed set; it lists each field once."""
     values: dict[tuple[str, str], list[str]] = {}
     for events_cell, fields_cell, values_cell in table_rows("event | field | values"):
         for event in names_in(events_cell):
@@ -189,7 +189,7 @@
     return values
 
 
-# --- both
+# --- the package and the page
 
 
 def test_the_page_has_every_event_once_and_no_other() -> None:
@@ -217,19 +217,19 @@
             assert on_the_page == logged[event], event
 
 
-def test_what_is_printed_before_there_is_a_log_is_on_the_page() -> None:
+def test_events_printed_before_the_log_is_set_up_are_on_the_page() -> None:
     printed = [found for path in PACKAGE.rglob("*.py") for found in PRINTED.findall(path.read_text())]
     page = page_events()
     assert {event for event, _ in printed} == PRINTED_EVENTS
     assert all(page[event].fields == {field} for event, field in printed)
 
 
-def test_each_closed_field_of_an_event_has_its_values_here() -> None:
+def test_the_values_of_each_closed_field_are_listed_in_this_module() -> None:
     closed = {(event, field) for event in LogEvent for field in event.fields if field in CLOSED_FIELDS}
     assert closed == CLOSED_VALUES.keys()
 
 
-def test_a_closed_field_is_never_given_as_text() -> None:
+def test_no_call_passes_a_literal_text_for_a_closed_field() -> None:
     for call in calls_of(LOG_FUNCTIONS):
         for keyword in call.keywords:
             if keyword.arg in CLOSED_FIELDS:
--- a/tests/answers/test_operator_calls.py
+++ b/tests/answers/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""The calls of the admin server and the names in their answers, with and without operator's settings.
+"""The calls of the admin server and the names in their answers, with and without an operator's settings file.
 
 Tested elsewhere: `status`, `standby`, `active` and their errors, invalid calls, and what the metrics of
 `stats` count (`tests/node/test_admin_server.py`); the request `STATS` for an endpoint's load report
@@ -37,13 +37,13 @@
 
 @pytest.fixture(scope="module")
 def plain_node(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RunningNode]:
-    """A node without operator's settings, as on the platform."""
+    """A node without an operator's settings file, as on the platform."""
     with running_node(tmp_path_factory.mktemp("plain"), platform_config("127.0.0.1:1")) as node:
         yield node
 
 
 def fleet_settings(folder: Path, members: dict[str, int]) -> str:
-    """Settings of a cluster with documents, whose first member is the only voter."""
+    """Return settings of a cluster with documents, in which only the node `n0` is a voter."""
     addresses = " ".join(f'({name} "127.0.0.1:{port}")' for name, port in members.items())
     return f"""
     (resume (enabled true) (keys (1 "{"ab" * 32}")))
@@ -55,7 +55,7 @@
 
 @pytest.fixture(scope="module")
 def document_nodes(tmp_path_factory: pytest.TempPathFactory) -> Iterator[list[RunningNode]]:
-    """Two nodes with resumable sessions, peers and documents, each of which has a lease."""
+    """Two nodes with resumable sessions, peers and documents; each of them holds a lease."""
     members = {"n0": spare_port(), "n1": spare_port()}
     with ExitStack() as stack:
         nodes = []
@@ -70,7 +70,7 @@
 
 @pytest.fixture
 def document_node(document_nodes: list[RunningNode]) -> RunningNode:
-    """The node of the two that is the voter."""
+    """The voter of the two nodes."""
     return document_nodes[0]
 
 
@@ -115,10 +115,10 @@
     note.write_text('(note "no releases before Monday")')
     assert document_node.call(f"publish note first {note}") == ["+OK under way"]
     assert document_node.call_until("change first", is_ended) == ["+OK done 1"]
-    assert document_node.call(f"publish note first {note}") == ["+OK under way"]  # the same change
+    assert document_node.call(f"publish note first {note}") == ["+OK under way"]  # the same change again
     line, _ = document_node.call_until(
         "documents", lambda line: '"note":' in line
-    )  # once a Raft step has applied it
+    )  # once Raft has applied the change on this node
     described = json.loads(line)
     assert list(described) == ["lease_ms", "note"]
     assert list(described["note"]) == DOCUMENT
@@ -126,7 +126,7 @@
     assert described["note"]["here"] is True
 
 
-def test_the_answer_to_a_rejected_change_names_its_fault(document_node: RunningNode) -> None:
+def test_the_answer_to_a_rejected_change_gives_the_reason(document_node: RunningNode) -> None:
     faulty = document_node.folder / "faulty.sexp"
     faulty.write_text("(note")
     assert document_node.call(f"publish note faulty {faulty}") == ["+OK under way"]
--- a/tests/answers/test_operator_settings.py
+++ b/tests/answers/test_operator_settings.py
@@ -1,4 +1,4 @@
-"""The keys of the operator's settings, an S-expression file, their defaults, and the errors that name a key.
+"""The keys of the operator's settings file (an S-expression), their defaults, and errors that name a key.
 
 Tested elsewhere: units, invalid values and brackets, an unknown key of `resume` and an unknown section
 (`tests/config/test_operator_settings.py`); which keys a SIGHUP puts in force (there, and in
@@ -35,8 +35,8 @@
     "documents": {"enabled": False, "lease": "PT30S", "on_lease_expiry": "stop", "decision_log": ""},
     "log": {"json": False},
 }
-ONLY_IN_A_COMMENT = {"resume.keys"}  # as everybody would know the example's keys
-# Another value than the default of each key that is valid without other keys, by the key's path.
+ONLY_IN_A_COMMENT = {"resume.keys"}  # keys from a published example would not be secret
+# By the path of each key that is valid without other keys, a value other than the default.
 ACCEPTED = {
     "resume.enabled": "true",
     "resume.expires": '"1 min"',
@@ -65,7 +65,7 @@
 
 
 def as_written(text: str) -> dict[str, Any]:
-    """The settings that a file's text gives, by the keys of the file."""
+    """Parse the text of a settings file, and return the settings by the keys of the file."""
     read: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(operator_settings.parse(text)))
     return read
 
--- a/tests/answers/test_platform_configuration.py
+++ b/tests/answers/test_platform_configuration.py
@@ -1,6 +1,6 @@
 """The keys of the platform's configuration file and environment: all are read, and errors name them.
 
-A key counts as read if another value of it changes the `Config`, in any field. Tested elsewhere: errors of
+A key counts as read if a different value changes any field of the `Config`. Tested elsewhere: errors of
 `listen`, `discovery`, `seed`, `limits.memory_mb`, `settings.classes`, `settings.localities`,
 `settings.balancers`, `settings.rules.cold`, and that GW_NAME and GW_LISTEN take precedence over the file
 (`tests/config/test_platform.py`); which keys wait for a restart (`tests/node/test_reload.py`); the values
@@ -24,7 +24,7 @@
 
 ENDPOINT = "known.members.0"
 CLASS = "settings.classes.0"
-# For each key another value than in BASE, by the key's path.
+# By the path of each key, a value that differs from the one in BASE.
 OTHER_VALUES = {
     "name": "n7",
     "listen": "127.0.0.2:1",
@@ -124,7 +124,7 @@
 
 
 def with_value(path: str, value: object) -> dict[str, Any]:
-    """BASE with another value at a path, whose missing sections are added."""
+    """Return BASE with another value at a path; missing sections of the path are added."""
     changed: Any = copy.deepcopy(BASE)
     *section_keys, last_key = path.split(".")
     section = changed
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize("path", OTHER_VALUES)
 def test_each_key_is_read(tmp_path: Path, path: str) -> None:
     base = load_config(tmp_path, BASE)
-    # One field has the values as written, and differs with any key: that alone does not count as read.
+    # One field keeps all values as written, so that it differs even for a key that is not read.
     as_written = differing_fields(base, load_config(tmp_path, with_value("settings.colour", 1)))
     assert len(as_written) == 1
     assert differing_fields(base, load_config(tmp_path, with_value(path, OTHER_VALUES[path]))) - as_written
--- a/tests/formats/test_handover_formats.py
+++ b/tests/formats/test_handover_formats.py
@@ -1,7 +1,7 @@
-"""Two processes of different builds hand a listener over: the messages are those of build 05b45c5.
+"""The listener handover between processes of different builds uses the messages of build 05b45c5.
 
-The messages go over a socket that keeps them apart, with descriptors beside them. Each side is played once by
-the test with the committed bytes, against the build under test on the other.
+The messages are sent with descriptors over a socket that preserves message boundaries. The test plays each
+side once with the committed bytes, against the build under test on the other side.
 """
 
 from __future__ import annotations
@@ -70,14 +70,14 @@
 
 
 def test_a_decision_stamp_decodes_to_its_values_and_encodes_to_the_same_bytes() -> None:
-    """A line of the decision log."""
+    """A decision stamp is one line of the decision log."""
     assert msgspec.json.decode(written("stamp"), type=DecisionStamp) == STAMP
     assert msgspec.json.encode(STAMP) == written("stamp")
 
 
 @contextmanager
 def background(run: Callable[[], None]) -> Iterator[None]:
-    """Run a function in a thread that ends with the block."""
+    """Run a function in a thread, and wait up to 10 s for its end at the end of the block."""
     thread = threading.Thread(target=run)
     thread.start()
     try:
@@ -86,7 +86,7 @@
         thread.join(10)
 
 
-def test_a_new_process_takes_the_listener_of_the_build_before(tmp_path: Path) -> None:
+def test_a_new_process_receives_the_listener_of_an_earlier_build(tmp_path: Path) -> None:
     successor = ListenerHandover(ADDRESS, str(tmp_path))
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
@@ -114,7 +114,7 @@
 
 
 class RunningProcess:
-    """A process that gives its listener away, and its connections once the successor serves."""
+    """A process that hands over its listener, and its connections once the successor is serving."""
 
     def __init__(self, folder: Path, listener: socket.socket) -> None:
         self.has_successor = threading.Event()
@@ -138,11 +138,13 @@
     def adopt_connection(
         self, state: ConnectionState, client: socket.socket, upstream: socket.socket
     ) -> None:
-        raise AssertionError(f"nothing runs before this process: {state}, {client}, {upstream}")
+        raise AssertionError(
+            f"no process hands over to this one, but it received {state}, {client}, {upstream}"
+        )
 
 
-def test_the_build_before_takes_listener_and_connections_of_a_running_process(tmp_path: Path) -> None:
-    """As in a rollback to the build before: it requests the listener, serves, and gets the connections."""
+def test_an_earlier_build_receives_the_listener_and_connections_of_a_running_process(tmp_path: Path) -> None:
+    """As in a rollback, the earlier build requests the listener, serves, and receives the connections."""
     client, endpoint = socket.socketpair()
     with socket.create_server(("127.0.0.1", 0)) as listener, client, endpoint:
         running = RunningProcess(tmp_path, listener)
--- a/tests/formats/test_message_formats.py
+++ b/tests/formats/test_message_formats.py
@@ -1,8 +1,8 @@
-"""Every message, log command and result is decoded and encoded as build 05b45c5 encoded it.
+"""Every message, log command and result has the same encoding as in build 05b45c5.
 
-The files under `data/messages` hold one encoded object each. Tags and the order of the fields are the format:
-a class may change its name, and so may its fields. Objects are made by keyword, so that a class whose fields
-change places no longer encodes to the same bytes; a field that is left out has the default of the format.
+The files under `data/messages` hold one encoded object each. The format consists of tags and the order of
+fields: classes and fields may be renamed. Objects are created with keyword arguments, so that a class whose
+fields are reordered no longer encodes to the same bytes. A field that is left out has the format's default.
 """
 
 from __future__ import annotations
@@ -168,37 +168,37 @@
         proof=b"\xfe" * 32,
     )
 }
-GROUPS: list[tuple[typing.Any, dict[str, typing.Any]]] = [  # a type to decode as, and values by their file
+GROUPS: list[tuple[typing.Any, dict[str, typing.Any]]] = [  # the type to decode as, and values by file name
     (PeerMessage, PEER_MESSAGES),
     (Command, LOG_COMMANDS),
     (ClaimResult, CLAIM_RESULTS),
     (ChangeResult, CHANGE_RESULTS),
     (Greeting, GREETINGS),
 ]
-CASES = {name: (value, kind) for kind, values in GROUPS for name, value in values.items()}
+CASES = {name: (value, message_type) for message_type, values in GROUPS for name, value in values.items()}
 
 
 @pytest.mark.parametrize("name", CASES)
 def test_a_message_decodes_to_its_values_and_encodes_to_the_same_bytes(name: str) -> None:
-    value, kind = CASES[name]
+    value, message_type = CASES[name]
     written = (DATA / f"{name}.msgpack").read_bytes()
-    decoded = msgspec.msgpack.decode(written, type=kind)
+    decoded = msgspec.msgpack.decode(written, type=message_type)
     assert decoded == value
     assert msgspec.msgpack.encode(value) == written
     assert msgspec.msgpack.encode(decoded) == written
 
 
-def test_every_file_has_its_test() -> None:
+def test_every_file_has_a_test() -> None:
     assert {file.stem for file in DATA.iterdir()} == set(CASES)
 
 
-def tags(kinds: object) -> set[str]:
-    """The tags of all messages in a union."""
-    return {str(kind.__struct_config__.tag) for kind in typing.get_args(kinds)}
+def tags(union: object) -> set[str]:
+    """Return the tags of all message types in a union."""
+    return {str(message_type.__struct_config__.tag) for message_type in typing.get_args(union)}
 
 
-def test_every_kind_of_message_has_a_file() -> None:
-    """A kind that is added later needs a file by then; build 05b45c5 had these."""
+def test_the_message_types_are_those_of_build_05b45c5() -> None:
+    """A type that is added to a union also needs a file with its encoding."""
     raft_tags = {"hello", "ask", "vote", "append", "appended", "install", "propose", "decided"}
     assert tags(PeerMessage) == raft_tags | {"spoken"}
     assert tags(typing.get_type_hints(DocumentMessage)["body"]) == {"here", "want", "piece"}
--- a/tests/formats/test_outer_names.py
+++ b/tests/formats/test_outer_names.py
@@ -1,9 +1,10 @@
-"""Names that leave the process are still written in the code, letter for letter.
+"""Names that are visible outside the process are still in the code, letter for letter.
 
-`outer_names.txt` lists, one a line, the words of lines and messages to clients, stream hosts, operators,
-peers and the simulator, stored fields and file names, keys of the settings and of the deploy file, flags,
-environment variables, metrics, and the log's events, fields and values. A renamed identifier or a reworded
-text must not change one of them. A name that is withdrawn on purpose comes off the list in the same commit.
+`outer_names.txt` lists, one per line, the words of lines and messages to clients, stream hosts, operators,
+peers and the simulator; stored fields and file names; keys of the settings and of the deploy file; flags;
+environment variables; metrics; and the log's events, fields and values. Renaming an identifier or rewording a
+text must not change one of them. A name that is withdrawn on purpose is removed from the list in the same
+commit.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def code_without_prose(path: Path) -> str:
-    """The code of a module without comments and docstrings."""
+    """Return the code of a module without comments and docstrings."""
     tree = ast.parse(path.read_text())
     for node in ast.walk(tree):
         if isinstance(node, DOCUMENTED) and ast.get_docstring(node) is not None:
@@ -29,14 +30,14 @@
 
 
 def written_words() -> set[str]:
-    """The words of the package's code and of the deploy files, whole and split at punctuation."""
+    """Return the words of the package's code and of the deploy files, both whole and split at punctuation."""
     texts = [code_without_prose(path) for path in (ROOT / "tansyladder").rglob("*.py")]
     texts += [path.read_text() for path in (ROOT / "deploy").glob("*.*")]
     text = "\n".join(texts).replace("\\n", " ").replace("\\r", " ")
     return set(WORDS.findall(text)) | set(PARTS.findall(text))
 
 
-def test_every_outer_name_is_still_written_in_the_code() -> None:
+def test_every_outer_name_is_still_in_the_code() -> None:
     assert sorted(set(NAMES) - written_words()) == []
 
 
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -1,6 +1,6 @@
-"""Folders, snapshots and tokens that build 05b45c5 wrote are read, and written once more byte for byte.
+"""Folders, snapshots and tokens of build 05b45c5 can be read, and are written again with the same bytes.
 
-`writers` holds the calls that made the folders. The committed files are copied before they are opened.
+The functions of `writers` wrote the folders. The committed files are copied before they are opened.
 """
 
 from __future__ import annotations
@@ -47,13 +47,13 @@
 
 
 def contents_of(folder: Path) -> dict[str, bytes]:
-    """The files by name; without the lock, which is empty."""
+    """Return the content of each file by name, except the lock file, which is empty."""
     return {file.name: file.read_bytes() for file in sorted(folder.iterdir()) if file.name != "LOCK"}
 
 
 @pytest.fixture
 def boot_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """The file of the machine's boot id; at first it holds that of the machine that wrote the data."""
+    """A file in place of the machine's boot id file, with the boot id under which the data was written."""
     file = tmp_path / "boot_id"
     file.write_text("3f0c1d2e-0b5a-4a57-9c3e-6d1f0e2b7a90\n")
     monkeypatch.setattr(rollback_detector, "BOOT_ID_FILE", file)
@@ -92,7 +92,7 @@
     snapshot = store.snapshot()
     assert set(snapshot.items()) == STORE_RECORDS
     snapshot.close()
-    # Segments sealed after the last maintenance have no hint.
+    # Two segments were sealed after the last maintenance, and had no hint.
     assert (store.rebuilt_hint_count, store.dropped_bytes) == (2, 0)
     assert store.get(b"beta") is None
     assert store.get(b"gamma") is None
@@ -199,7 +199,7 @@
         b"session/\xff\xff\xff\xff\xff\xff\xff\xff",
     }
     sessions = SessionStore(store, lambda: NOW)
-    assert sessions.identity == IDENTITY  # this is the second start
+    assert sessions.identity == IDENTITY  # opening the store counts as the second start
     assert sessions.load_session(0x0123456789ABCDEF) == StoredSession(
         first_line=FIRST_LINE, generation_floor=4_294_967_297, expires_at_us=NOW + 35_000_000
     )
@@ -211,7 +211,7 @@
     sessions.close()
 
 
-def test_sessions_expire_by_what_is_stored(tmp_path: Path) -> None:
+def test_sessions_expire_at_their_stored_expiry(tmp_path: Path) -> None:
     store = writers.open_folder(copied("sessions", tmp_path), NOW + 30_000_007)
     assert {key for key, _ in store.items(b"session/")} == {b"session/\x01\x23\x45\x67\x89\xab\xcd\xef"}
     store.close()
@@ -222,7 +222,7 @@
     assert contents_of(tmp_path / "sessions") == contents_of(DATA / "sessions")
 
 
-# --- documents, and the whole replicated state
+# --- documents and the complete replicated state
 
 OWNERS = {
     0xFEDCBA9876543210: OwnershipRecord(
@@ -262,7 +262,7 @@
 
 
 def restored(file_name: str) -> ReplicatedState:
-    """The state of a committed snapshot."""
+    """Return the state that a committed snapshot restores."""
     state = ReplicatedState(["n1"])
     state.restore((DATA / "state" / file_name).read_bytes())
     return state
@@ -309,8 +309,8 @@
     assert replayed.snapshot() == written
 
 
-def test_a_state_from_before_there_were_documents_is_read() -> None:
-    """Such a snapshot holds the owners alone."""
+def test_a_snapshot_without_documents_is_read() -> None:
+    """Builds before documents were added wrote snapshots that hold only the ownership records."""
     state = restored("owners.msgpack")
     assert state.session_ownership.records == OWNERS
     assert state.documents.change is None
@@ -334,14 +334,14 @@
 
 
 def fleet_keyring(folder: Path, *keys: KeyEntry) -> Keyring:
-    """The keyring of any node of the fleet `f1`; its tokens open at all others."""
+    """Return the keyring of a node of the fleet `f1`; all its nodes can open each other's tokens."""
     peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
     options = Options(resume=ResumeOptions(enabled=True, keys=keys), peers=peers)
     return SessionRegistry(NodeParts(load_test_config(folder), options).context, None).keyring
 
 
 def test_a_token_of_a_node_with_a_store_opens_and_is_sealed_to_the_same_text(tmp_path: Path) -> None:
-    """The identity and the key that the node's store holds, and the node's name, decide the text."""
+    """The text depends on the identity and the key in the node's store, and on the node's name."""
     sessions = SessionStore(writers.open_folder(copied("sessions", tmp_path)), lambda: NOW)
     with writers.fixed_random_bytes():
         keyring = SessionRegistry(NodeParts(load_test_config(tmp_path)).context, sessions).keyring
@@ -353,7 +353,7 @@
 
 
 def test_a_token_of_a_fleet_opens_and_is_sealed_to_the_same_text(tmp_path: Path) -> None:
-    """The fleet's name and keys decide the text; the first key seals, and all open."""
+    """The text depends on the fleet's name and keys; the first key seals, and every key opens."""
     with writers.fixed_random_bytes():
         keyring = fleet_keyring(tmp_path, *FLEET_KEYS)
         assert keyring.seal(PAYLOAD, CLAIMS) == FLEET_TOKEN
--- a/tests/formats/test_transport_formats.py
+++ b/tests/formats/test_transport_formats.py
@@ -1,7 +1,7 @@
-"""The build under test and a peer of build 05b45c5 greet each other and read each other's frames.
+"""The build under test and a peer of build 05b45c5 accept each other's greetings and frames.
 
 The files hold all bytes that the dialling and the listening side of one connection sent: the greetings with
-their proofs of the key, then two frames each. The nonces, which are random, were fixed, and the clock too.
+their proofs of the key, then two frames each. The nonces, which are usually random, and the clock were fixed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from tests.threads import stop_at_end_of_test
 
 DATA = Path(__file__).parent / "data" / "transport"
-NODES = {"dialler": "n1", "listener": "n2"}  # by the side of the connection
+NODES = {"dialler": "n1", "listener": "n2"}  # the node on each side of the connection
 NONCES = {"dialler": bytes(range(0x01, 0x11)), "listener": bytes(range(0x80, 0x90))}
 MESSAGES: dict[str, list[PeerMessage]] = {
     "dialler": [
@@ -44,12 +44,12 @@
 
 
 def sent_bytes(side: str) -> bytes:
-    """All that one side of the connection sent."""
+    """Return all bytes that one side of the connection sent."""
     return (DATA / f"{side}.bin").read_bytes()
 
 
 def new_transport(name: str) -> PeerTransport:
-    """A node of the cluster `f1` of two nodes."""
+    """Return the transport of one of the two nodes of the cluster `f1`."""
     members = {"n1": "127.0.0.1:1", "n2": "127.0.0.1:2"}
     options = PeersOptions(
         enabled=True, fleet="f1", key="5c" * 32, members=members, voters="n1", listen="127.0.0.1:0"
@@ -58,12 +58,12 @@
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """All that arrives until the other end shuts down."""
+    """Return all bytes that arrive until the other side shuts down."""
     return b"".join(iter(lambda: sock.recv(1 << 16), b""))
 
 
 @pytest.mark.parametrize(("side", "peer_side"), [("dialler", "listener"), ("listener", "dialler")])
-def test_one_side_of_a_connection_with_a_peer_of_the_build_before(side: str, peer_side: str) -> None:
+def test_each_side_of_a_connection_with_a_peer_of_build_05b45c5(side: str, peer_side: str) -> None:
     transport = new_transport(NODES[side])
     stop_at_end_of_test(transport.stop)
     own_sock, peer_sock = socket.socketpair()
@@ -89,7 +89,7 @@
     return msgspec.msgpack.decode(data[4 : 4 + size], type=Greeting)
 
 
-def test_the_first_greetings_hold_their_values() -> None:
+def test_the_first_greetings_decode_to_their_values() -> None:
     assert first_greeting("dialler") == Greeting(
         version=2, cluster="f1", sender="n1", recipient="n2", nonce=NONCES["dialler"], sent_at_us=NOW
     )
--- a/tests/formats/writers.py
+++ b/tests/formats/writers.py
@@ -1,8 +1,8 @@
-"""The calls that wrote the folders under `data/`, so that the build under test can write them once more.
+"""The functions that wrote the folders under `data/`, so that the build under test can write them again.
 
-Build 05b45c5 wrote the committed files: this folder's modules were laid into its tree and run there. Messages
-were encoded from the values in the tests, and the bytes of a connection between two peers were recorded as
-the two sent them. Clock and random bytes are fixed.
+Build 05b45c5 wrote the committed files: the modules of this folder were copied into its tree and run there.
+Messages were encoded from the values in the tests, and the bytes of a connection between two peers were
+recorded as the peers sent them. The clock and the random bytes are fixed.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 
 @contextmanager
 def fixed_random_bytes(first_byte: int = 1) -> Iterator[None]:
-    """Let random bytes count up from a first one at each call."""
+    """Replace random bytes with bytes that count up from `first_byte`, starting anew at each call."""
 
     def count_up(size: int) -> bytes:
         return bytes((first_byte + number) % 256 for number in range(size))
@@ -81,19 +81,19 @@
 
 
 def open_raft_storage(store: Store, record_folder: Path) -> RaftStorage:
-    """Open the Raft log in a store; `record_folder` has the record of its write count."""
+    """Open the Raft log in a store; its write count record is in `record_folder`."""
     return RaftStorage(store, RollbackDetector(str(record_folder), "n1"))
 
 
 def open_documents(store: Store, state: ReplicatedState) -> DocumentReplica:
-    """Open a node's document replica, with the content that its store holds."""
+    """Open a node's document replica with the contents in its store; it accepts every `note`."""
     accept_all: dict[str, Callable[[bytes], str]] = {"note": lambda _: ""}
     settings = DocumentReplicaSettings(accept_all)
     return DocumentReplica("n1/aa", ["n2"], state.documents, store, settings, lambda: NOW)
 
 
 def write_store(folder: Path) -> None:
-    """Several segments: keys set, overwritten, deleted and with an expiry; hints; then more writes."""
+    """Write several segments: keys set, overwritten, deleted and with an expiry; hints; then more writes."""
     with fixed_random_bytes():
         store = open_folder(folder, NOW, SMALL_SEGMENT)
     put(store, b"alpha", b"first")
@@ -121,7 +121,7 @@
 
 
 def write_raft(folder: Path, record_folder: Path) -> None:
-    """A log whose end was replaced, a snapshot of two records in place of its beginning, the hard state."""
+    """Write the hard state, a log whose end was replaced, and a snapshot in two records for its beginning."""
     with fixed_random_bytes():
         store = open_folder(folder)
         storage = open_raft_storage(store, record_folder)
@@ -153,7 +153,7 @@
 
 
 def write_sessions(folder: Path) -> None:
-    """A node's identity, two sessions that last and one that ended, and the endpoint list."""
+    """Write a node's identity, two sessions that are kept, one that is deleted, and the endpoint list."""
     with fixed_random_bytes():
         sessions = SessionStore(open_folder(folder), lambda: NOW)
     expiry = NOW + MINUTE // 2
@@ -174,7 +174,7 @@
 
 
 def write_documents(folder: Path) -> None:
-    """Two contents by their digests, one of them in two records."""
+    """Write two contents under their digests, one of them in two records."""
     with fixed_random_bytes():
         store = open_folder(folder)
     replica = open_documents(store, ReplicatedState(["n1"]))
@@ -198,7 +198,7 @@
     Prepare(number=1, node="n1/aa", timestamp_us=NOW + 3, short_lease_us=300_000),
     Prepared(number=1, round=1, node="n1/aa", timestamp_us=NOW + 4),
     Commit(number=1, node="n1/aa", timestamp_us=NOW + 5),
-    # A change that is rejected, and one that is prepared.
+    # A change that is rejected, and one that has been prepared.
     LeaseGrant(incarnations=("n1/aa",), duration_us=30_000_000, node="n1/aa", timestamp_us=NOW + 6),
     Proposal(
         name="other",
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -1,4 +1,4 @@
-"""Shared by the node's tests: a node in this process, and peers that follow a script."""
+"""Shared helpers of the node's tests: a node in this process, and scripted clients and servers."""
 
 from __future__ import annotations
 
@@ -51,59 +51,59 @@
 }
 
 
-STOP_TIMEOUT = timedelta(seconds=5)  # for the connections of a node to end
+STOP_TIMEOUT = timedelta(seconds=5)  # how long a stopping node may take to end its connections
 
-_ids = itertools.count(0x9B1F)
+_connection_ids = itertools.count(0x9B1F)
 
 
 def unique_id() -> str:
-    """Return an id that no other connection of these tests has."""
-    return f"{next(_ids):x}"
+    """Return a connection id that no other connection of these tests has."""
+    return f"{next(_connection_ids):x}"
 
 
 EventT = TypeVar("EventT")
 
 
 class Peer:
-    """One end of a connection, line by line; every read has its end."""
+    """One end of a connection, used line by line. Reads time out after 10 s."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         sock.settimeout(10)
-        self._file = sock.makefile("rb")
+        self._reader = sock.makefile("rb")
 
     def send_lines(self, *lines: str) -> None:
-        """Send lines, each with its end."""
+        """Send lines, each followed by CRLF."""
         self.sock.sendall("".join(f"{line}\r\n" for line in lines).encode())
 
     def read_line(self) -> str:
-        """The next line without its end; empty at the end of the connection."""
-        return self._file.readline().decode().removesuffix("\r\n")
+        """Return the next line without its CRLF, or an empty text if the connection has ended."""
+        return self._reader.readline().decode().removesuffix("\r\n")
 
     def close(self) -> None:
         """Close the connection."""
-        self._file.close()
+        self._reader.close()
         self.sock.close()
 
 
 def read_until_closed(peer: Peer) -> None:
-    """A script that sends nothing, and ends with the other side's end."""
+    """A script that sends nothing, and reads until the other side closes or sends an empty line."""
     while peer.read_line():
         pass
 
 
 def echo_lines(peer: Peer) -> None:
-    """A script that sends each line back, until the other side's end."""
+    """A script that sends each line back, until the other side closes or sends an empty line."""
     while line := peer.read_line():
         peer.send_lines(line)
 
 
 def do_nothing(_: Peer) -> None:
-    """A script that ends at once, which closes the connection."""
+    """A script that returns immediately, which closes the connection."""
 
 
 def answer_up(then: Script = do_nothing) -> Script:
-    """Return an endpoint's script that answers the first line with UP."""
+    """Return a script that answers the first line with UP and then runs the script `then`."""
 
     def script(peer: Peer) -> None:
         peer.read_line()
@@ -114,7 +114,7 @@
 
 
 class ScriptedServer:
-    """A scripted server: its n-th connection follows the n-th script, further ones the last script."""
+    """A server that runs the n-th script on its n-th connection, and the last script on all later ones."""
 
     def __init__(self, *scripts: Script) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -125,7 +125,7 @@
         stop_at_end_of_test(self.close)
 
     def close(self) -> None:
-        """End the listener and all connections, and so the scripts that read from them."""
+        """Close the listener and shut down all connections, which ends the scripts that read from them."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
@@ -149,7 +149,7 @@
         try:
             script(peer)
         except (OSError, ValueError):
-            pass  # the node ended the connection first
+            pass  # the node closed the connection before the script had ended
         finally:
             peer.close()
 
@@ -168,22 +168,24 @@
         return super()._decide(events)
 
     def events_of(self, kind: type[EventT]) -> list[EventT]:
-        """Return the events of a kind so far."""
+        """Return the events of one type that the policy has handled so far."""
         return [event for event in self.events if isinstance(event, kind)]
 
     def wait_for(self, kind: type[EventT], count: int = 1) -> EventT:
-        """Wait until there are `count` events of a kind, and return the last of these."""
+        """Wait until the policy has handled `count` events of one type, and return the last of these."""
         deadline = time.monotonic() + 10
         while time.monotonic() < deadline:
             events = self.events_of(kind)
             if len(events) >= count:
                 return events[count - 1]
             time.sleep(0.005)
-        raise AssertionError(f"no {kind.__name__}: {self.events}")
+        raise AssertionError(
+            f"expected {count} {kind.__name__} within 10 s, found {len(events)} in {self.events}"
+        )
 
 
 class NodeParts:
-    """A node's parts below its listener, with a policy runner that records its events."""
+    """The parts of a node except its listener, with a policy runner that records its events."""
 
     def __init__(self, config: platform.Config, options: Options | None = None) -> None:
         self._stops: list[Callable[[], None]] = [self._stop_policy]
@@ -199,7 +201,7 @@
         stop_at_end_of_test(self.stop)
 
     def start(self) -> None:
-        """Give the policy the newest list that is known, and start its timers."""
+        """Pass the newest known endpoint list to the policy, and start its timers."""
         context = self.context
         configured = context.configuration.config.known_endpoints
         self.runner.start(newest_list(configured, self.endpoint_cache, None, context.clock))
@@ -207,7 +209,7 @@
     def new_listener(
         self, handover: ListenerHandover | None = None, session_service: ResumptionHandler | None = None
     ) -> ClientListener:
-        """A listener for clients; without `handover` no other process of the node is looked for."""
+        """Return a listener for clients; without `handover` it looks for no other process of the node."""
         listen = self.context.configuration.config.listen
         gate = DecisionGate(requires_lease=False)
         handover = handover or ListenerHandover(listen, None)
@@ -217,21 +219,21 @@
         return listener
 
     def new_discovery_client(self) -> DiscoveryClient:
-        """A client of the discovery that the configuration names."""
+        """Return a client of the discovery service that the configuration names."""
         client = DiscoveryClient(self.context, self.work_queues, self.endpoint_cache)
         self._stops.append(client.stop)
         return client
 
     def new_health_checker(self) -> HealthChecker:
-        """What checks endpoints for the policy."""
+        """Return a checker that runs the policy's health checks of endpoints."""
         checker = HealthChecker(self.context, self.work_queues)
         self._stops.append(checker.stop)
         return checker
 
     def stop(self) -> None:
-        """End all connections and threads; without effect the second time."""
+        """End all connections and threads; a second call has no effect."""
         if self._stops:
-            self.context.lifecycle.begin_drain()  # sessions end with their connections
+            self.context.lifecycle.begin_drain()  # so that sessions end with their connections
         while self._stops:
             self._stops.pop()()
 
@@ -241,7 +243,7 @@
 
 
 class Node:
-    """A node on loopback, to which clients can connect."""
+    """A node that listens on loopback, and the clients that a test connects to it."""
 
     def __init__(
         self,
@@ -262,7 +264,7 @@
 
     @property
     def session_service(self) -> ResumptionHandler:
-        """The node's resumable sessions; only a node with resumption has them."""
+        """The handler of the node's resumable sessions; the node must have resumption enabled."""
         assert self._session_service is not None
         return self._session_service
 
@@ -273,7 +275,7 @@
         return client
 
     def stop(self) -> None:
-        """Close the clients' connections and end the node."""
+        """Close the clients' connections and stop the node."""
         for client in self._clients:
             client.close()
         self.parts.stop()
@@ -285,13 +287,20 @@
         return client
 
 
-def endpoint_entry(ident: str, address: str, **overrides: Any) -> dict[str, Any]:
-    """Return an entry of the endpoint list as discovery writes it."""
-    return {"id": ident, "host_port": address, "locality": "a", "flavor": "m", "phase": "up", **overrides}
+def endpoint_entry(endpoint_id: str, address: str, **overrides: Any) -> dict[str, Any]:
+    """Return an entry of the endpoint list in the form that discovery sends."""
+    return {
+        "id": endpoint_id,
+        "host_port": address,
+        "locality": "a",
+        "flavor": "m",
+        "phase": "up",
+        **overrides,
+    }
 
 
-def load_test_config(tmp_path: Path, *members: dict[str, Any], **overrides: Any) -> platform.Config:
-    """Write and load a configuration as the platform writes it."""
+def load_test_config(tmp_path: Path, *entries: dict[str, Any], **overrides: Any) -> platform.Config:
+    """Write a configuration file in the platform's format with these known endpoints, and load it."""
     file = tmp_path / "config.json"
     document = {
         "name": "n0",
@@ -299,7 +308,7 @@
         "discovery": "127.0.0.1:1",
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"revision": 1, "complete": True, "members": list(members)},
+        "known": {"revision": 1, "complete": True, "members": list(entries)},
         "settings": SETTINGS,
         **overrides,
     }
@@ -308,23 +317,23 @@
 
 
 class ScriptedDiscovery:
-    """A scripted discovery that answers each call with one list, and records the calls."""
+    """A discovery service that answers calls with one fixed list, and records the calls."""
 
-    def __init__(self, revision: int, *members: dict[str, object]) -> None:
+    def __init__(self, revision: int, *entries: dict[str, object]) -> None:
         self.calls: list[str] = []
         self.ended = threading.Event()
-        self.body = json.dumps({"revision": revision, "complete": True, "members": members})
+        self.body = json.dumps({"revision": revision, "complete": True, "members": entries})
         self.listener = ScriptedServer(self.serve)
         self.address = self.listener.address
 
     def serve(self, peer: Peer) -> None:
-        """Answer the calls of a connection; a poll that is not its first call is left unanswered."""
+        """Answer the calls of one connection, but not a poll that follows another call."""
         is_first_call = True
         while call := peer.read_line():
             self.calls.append(call)
             read_until_closed(peer)  # the headers, up to the empty line
             if "since" in call and not is_first_call:
-                break  # only the node ends this poll
+                break  # left unanswered, so that only the node can end this poll
             is_first_call = False
             peer.sock.sendall(
                 f"HTTP/1.1 200 OK\r\nContent-Length: {len(self.body)}\r\n\r\n{self.body}".encode()
@@ -336,15 +345,15 @@
 @contextmanager
 def running_node(
     tmp_path: Path,
-    *members: ScriptedServer,
+    *endpoint_servers: ScriptedServer,
     resume: ResumeOptions | None = None,
     store: Path | None = None,
     **overrides: Any,
 ) -> Iterator[Node]:
-    """A node that knows these endpoints; with `resume` its sessions can be resumed."""
+    """Run a node whose list has these endpoints; with `resume` its sessions can be resumed."""
     config = load_test_config(
         tmp_path,
-        *(endpoint_entry(f"s{index}", server.address) for index, server in enumerate(members)),
+        *(endpoint_entry(f"s{index}", server.address) for index, server in enumerate(endpoint_servers)),
         **overrides,
     )
     parts = NodeParts(config, Options(resume=resume) if resume else None)
--- a/tests/node/program.py
+++ b/tests/node/program.py
@@ -1,4 +1,4 @@
-"""The real program as a process of its own, for tests that start it."""
+"""Runs the real program as a separate process."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 )
 
 
-def until_line(run: subprocess.Popen[bytes], start: bytes) -> None:
+def until_line(process: subprocess.Popen[bytes], start: bytes) -> None:
     """Read the program's log up to a line that begins with `start`."""
-    assert run.stderr is not None
-    for line in run.stderr:
+    assert process.stderr is not None
+    for line in process.stderr:
         if line.startswith(start):
             return
-    raise AssertionError(f"the log ended without {start!r}")
+    raise AssertionError(f"the program's log ended before a line that begins with {start!r}")
 
 
 @contextmanager
@@ -36,14 +36,14 @@
     words: tuple[str, ...] = (),
     **overrides: object,
 ) -> Iterator[tuple[subprocess.Popen[bytes], int]]:
-    """Run the real program in its release build; yield its process and its port.
+    """Run the real program with assertions disabled (`-O`), as in production; yield its process and its port.
 
     Args:
-        tmp_path: Where its configuration is written.
-        hosts: The endpoints that it knows.
-        before: The command that runs the program's command.
-        words: The program's arguments.
-        overrides: Of the configuration.
+        tmp_path: The directory to which the configuration is written.
+        hosts: The stream hosts behind the endpoints of the known list.
+        before: A command that is put in front of the program's, and executes it.
+        words: The program's command-line arguments.
+        overrides: Keys of the configuration that get other values.
     """
     hosts = hosts if isinstance(hosts, list) else [hosts]
     with socket.create_server(("127.0.0.1", 0)) as spare:
@@ -58,17 +58,17 @@
         "GW_DISCOVERY": discovery,
     }
     command = [*before, sys.executable, "-O", "-m", "tansyladder", *words]
-    run = subprocess.Popen(command, env=env, stderr=subprocess.PIPE)
-    with run:
+    process = subprocess.Popen(command, env=env, stderr=subprocess.PIPE)
+    with process:
         try:
-            until_line(run, b"event=started")
-            yield run, port
+            until_line(process, b"event=started")
+            yield process, port
         finally:
-            run.kill()  # a test that fails must not wait for the program's end
+            process.kill()  # so that a failing test does not wait until the program exits
 
 
 def client_of(port: int, key: str = "7f") -> Peer:
-    """Connect a client to the program and send its first line."""
+    """Connect a client to the program and send a valid first line."""
     client = Peer(socket.create_connection(("127.0.0.1", port), 5))
     client.send_lines(f"OPEN {unique_id()} {key} c=chat,d=1200,g=5c")
     return client
--- a/tests/node/test_acceptor_state.py
+++ b/tests/node/test_acceptor_state.py
@@ -1,4 +1,4 @@
-"""The acceptor's states: a stop is final, and the listener's queue can change hands in any state."""
+"""The acceptor's states: a stop is final, and the queue can be yielded and reclaimed in any state."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 @pytest.mark.parametrize("state", [state for state in AcceptorState if state.is_stopping])
 @pytest.mark.parametrize("event", list(AcceptorEvent))
-def test_no_event_ends_a_stop(state: AcceptorState, event: AcceptorEvent) -> None:
+def test_no_event_leaves_a_stopping_state(state: AcceptorState, event: AcceptorEvent) -> None:
     assert TRANSITIONS[state][event].is_stopping
 
 
 @pytest.mark.parametrize("state", list(AcceptorState))
-def test_a_stop_leaves_the_queue_with_the_process_that_has_it(state: AcceptorState) -> None:
+def test_stopping_does_not_change_whether_the_queue_is_yielded(state: AcceptorState) -> None:
     stopped = TRANSITIONS[state][AcceptorEvent.STOPPED]
     assert stopped.is_stopping
     assert stopped.is_yielded == state.is_yielded
 
 
 @pytest.mark.parametrize("state", list(AcceptorState))
-def test_the_queue_changes_hands_in_every_state(state: AcceptorState) -> None:
+def test_the_queue_can_be_yielded_and_reclaimed_in_every_state(state: AcceptorState) -> None:
     yielded = TRANSITIONS[state][AcceptorEvent.QUEUE_YIELDED]
     reclaimed = TRANSITIONS[state][AcceptorEvent.QUEUE_RECLAIMED]
     assert (yielded.is_yielded, reclaimed.is_yielded) == (True, False)
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server over loopback: its calls, the node's metrics, standby and the return from it."""
+"""The admin server over loopback: its calls, the node's metrics, entering and leaving standby."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class AdministeredNode(Node):
-    """A node with an admin server."""
+    """A node with an admin server, and the operator's calls to it."""
 
     admin_server: AdminServer
 
@@ -44,7 +44,7 @@
         return Peer(socket.create_connection(self.admin_server.address, 5))
 
     def call(self, line: bytes) -> list[str]:
-        """Make a call, and return the lines of its answer."""
+        """Make a call to the admin server, and return the lines of its answer."""
         caller = self.connect_operator()
         caller.sock.sendall(line)
         lines = list(iter(caller.read_line, ""))
@@ -52,7 +52,7 @@
         return lines
 
     def stats(self) -> dict[str, Any]:
-        """Return the metrics that the call `stats` answers."""
+        """Return the metrics in the answer to the call `stats`."""
         metrics, last_line = self.call(b"stats\r\n")
         assert last_line == "."
         parsed: dict[str, Any] = json.loads(metrics)
@@ -61,10 +61,10 @@
 
 @contextmanager
 def administered_node(
-    tmp_path: Path, *members: ScriptedServer, **overrides: Any
+    tmp_path: Path, *endpoint_servers: ScriptedServer, **overrides: Any
 ) -> Iterator[AdministeredNode]:
-    """Run a node that knows these endpoints, with an admin server."""
-    with running_node(tmp_path, *members, **overrides) as node:
+    """Run a node with these endpoints and an admin server."""
+    with running_node(tmp_path, *endpoint_servers, **overrides) as node:
         administered = AdministeredNode(node.parts, node.listener)
         administered.admin_server = AdminServer(
             node.context, DecisionGate(requires_lease=False), node.listener, Address("127.0.0.1", 0)
@@ -75,7 +75,7 @@
 
 
 def ping(node: Node) -> str:
-    """Send a PING on a connection of its own, and return the answer."""
+    """Send a PING on a new connection, and return the answer."""
     front_end = node.connect()
     front_end.send_lines("PING")
     answer = front_end.read_line()
@@ -84,7 +84,7 @@
 
 
 def shorten_drains(monkeypatch: pytest.MonkeyPatch, **seconds: float) -> None:
-    """Set spans of drains, by the names of their constants."""
+    """Set durations of drains, given by the names of their constants."""
     for name, value in seconds.items():
         monkeypatch.setattr(connection_drainer, name, timedelta(seconds=value))
 
@@ -102,20 +102,22 @@
         (b"s" * (MAX_LINE_BYTES + 1), "-ERR too long"),
     ],
 )
-def test_each_call_has_its_answer_and_a_fault_its_reason(tmp_path: Path, line: bytes, answer: str) -> None:
+def test_each_call_is_answered_and_an_invalid_one_with_the_reason(
+    tmp_path: Path, line: bytes, answer: str
+) -> None:
     with administered_node(tmp_path, ScriptedServer(answer_up(read_until_closed))) as node:
         (received,) = node.call(line)
         assert received.startswith(answer)
         assert ping(node) == "PONG"
 
 
-def test_callers_that_finish_no_call_delay_no_other(tmp_path: Path) -> None:
+def test_callers_that_never_finish_a_call_do_not_delay_others(tmp_path: Path) -> None:
     with administered_node(tmp_path, ScriptedServer(answer_up(read_until_closed))) as node:
         idle = [node.connect_operator() for _ in range(2 * MAX_CALLERS)]
         for caller in idle[MAX_CALLERS:]:
             caller.sock.sendall(b"stat")
         assert node.call(b"status\r\n") == ["+OK serving"]
-        # The first callers have been closed.
+        # The oldest callers' connections have been closed.
         assert node.admin_server.caller_count <= MAX_CALLERS
         assert [caller.read_line() for caller in idle[:MAX_CALLERS]] == [""] * MAX_CALLERS
         for caller in idle:
@@ -123,7 +125,7 @@
 
 
 class OutcomeServer(ScriptedServer):
-    """An endpoint that answers ERR to the keys `f` and `e` and UP to all others, and counts first lines."""
+    """A stream host that answers ERR to the keys `f` and `e`, and UP to others, and records first lines."""
 
     def __init__(self) -> None:
         self.received_lines: list[str] = []
@@ -139,14 +141,14 @@
 
 
 def open_with_id(node: Node, connection_id: str) -> Peer:
-    """Connect a client that names its connection's id."""
+    """Connect a client and send a first line with this connection id."""
     client = node.connect()
     client.send_lines(f"OPEN {connection_id} 7 c=chat,d=1200")
     return client
 
 
 def test_every_outcome_is_counted_once(tmp_path: Path) -> None:
-    """Established, rejected by the policy and at the limit, failed, disconnected: as the clients saw it."""
+    """Counts match what clients saw: established, failed, disconnected, rejected by policy or limit."""
     endpoint = OutcomeServer()
     not_idempotent = CHAT | {"name": "once", "effect": "non_idempotent"}
     settings = SETTINGS | {"classes": [CHAT, not_idempotent]}
@@ -155,7 +157,7 @@
         established = [node.open(key="7") for _ in range(3)]
         assert [client.read_line() for client in established] == ["UP r1"] * 3
         failed = node.open("c=once,d=1200", key="f")
-        assert failed.read_line() == "ERR"  # it may have run, and must not run again
+        assert failed.read_line() == "ERR"  # not retried: it may have run, and is not idempotent
         rejected = node.open("c=chat,d=300", key="e")
         assert rejected.read_line().startswith("BUSY")
         first = open_with_id(node, "ab")
@@ -173,18 +175,18 @@
 
 
 def check_outcomes(metrics: dict[str, Any], endpoint: OutcomeServer, answers: Counter[str]) -> None:
-    """Compare the metrics with what the clients and the endpoint saw; `answers`: of the crowd."""
+    """Compare the metrics with what clients and endpoint saw; `answers` are the crowd's, by first word."""
     chat, once = metrics["responses"]["chat"], metrics["responses"]["once"]
     assert (chat["ok"], chat["shed"], chat["errors"]) == (4, 1, 1)
     assert (once["ok"], once["shed"], once["errors"]) == (answers["UP"], answers["BUSY"], 1)
     assert metrics["tries"] == chat["tries"] + once["tries"] == len(endpoint.received_lines) > 4
     assert metrics["responses"]["gone"]["errors"] == 1
     assert metrics["pool_size"] == 1
-    # The connections of the two that have failed may still be counted.
+    # The connections of the two failed requests may still be counted.
     assert 0 <= metrics["active"] - (4 + answers["UP"]) <= 2
 
 
-def test_clients_that_left_and_that_a_drain_rejected_are_counted(
+def test_clients_that_disconnected_or_were_rejected_by_a_drain_are_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten_drains(monkeypatch, LATE_ARRIVAL_WINDOW=0.01, STANDBY_DRAIN_DURATION=0.05)
@@ -212,7 +214,7 @@
 @pytest.mark.parametrize(
     ("steps", "phase", "answers"),
     [
-        # Requested during the start: the node is in standby once it has started.
+        # Standby was requested during the start: the node enters it once it has started.
         (["enter_standby", "mark_started"], "standby", [True, None]),
         (["activate", "mark_started"], "serving", [True, None]),
         (["mark_started", "enter_standby", "enter_standby", "activate"], "serving", [None, True, True, True]),
@@ -242,7 +244,7 @@
         assert node.call(b"active\r\n") == ["-ERR draining"]
 
 
-def test_standby_migrates_all_answers_busy_and_comes_back(
+def test_standby_migrates_all_connections_answers_busy_and_can_be_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     shorten_drains(
@@ -256,10 +258,10 @@
         assert idle_front_end.read_line() == "PONG"
         assert node.call(b"standby\r\n") == node.call(b"standby\r\n") == ["+OK standby"]
         idle_front_end.send_lines("PING")
-        # A front end has no connection to a node in standby.
+        # A node in standby closes the connections of front ends.
         assert [idle_front_end.read_line(), idle_front_end.read_line()] == ["BUSY", ""]
         late = node.open()
-        assert late.read_line() == "UP r1"  # a request that was on its way is served, then migrated
+        assert late.read_line() == "UP r1"  # a request that was already on its way is served, then migrated
         assert [client.read_line() for client in (*clients, late)] == ["MOVE"] * 7
         assert node.call(b"status\r\n") == ["-ERR standby"]
         assert ping(node) == "BUSY"
@@ -274,10 +276,10 @@
             client.close()
 
 
-def test_active_in_the_middle_of_a_drain_keeps_the_other_connections(
+def test_active_during_a_drain_keeps_the_connections_that_were_not_migrated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Migrations would begin after that time.
+    # Migrations begin only after this window, which is longer than the test.
     monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(seconds=30))
     with administered_node(tmp_path, ScriptedServer(answer_up(echo_lines))) as node:
         client = node.open()
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: limits of descriptors, clients that send nothing, too much or too slowly."""
+"""Admission: descriptor limits, and clients that send nothing, too much or too slowly."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 SMALL_LIMITS = {"cores": 1, "memory_mb": 32, "sockets": 256}
 
 
-def test_over_its_limit_the_node_rejects(tmp_path: Path) -> None:
+def test_the_node_rejects_clients_over_its_limit(tmp_path: Path) -> None:
     limits = {"cores": 1, "memory_mb": 192, "sockets": 34}
     with running_node(tmp_path, ScriptedServer(answer_up(Peer.read_line)), limits=limits) as node:
         clients = [node.open() for _ in range(3)]
         assert sorted(client.read_line().split()[0] for client in clients) == ["BUSY", "UP", "UP"]
 
 
-def test_out_of_descriptors_clients_are_rejected_and_the_node_goes_on(tmp_path: Path) -> None:
+def test_out_of_descriptors_clients_are_rejected_and_the_node_keeps_running(tmp_path: Path) -> None:
     host = ScriptedServer(answer_up(read_until_closed))
-    with program(tmp_path, host, "sh", "-c", 'ulimit -n 32; exec "$@"', "sh") as (run, port):
+    with program(tmp_path, host, "sh", "-c", 'ulimit -n 32; exec "$@"', "sh") as (process, port):
         clients = [client_of(port) for _ in range(40)]
         words = [client.read_line().split()[0] for client in clients]
         assert 4 < words.count("UP") < 16
@@ -53,31 +53,31 @@
         again = client_of(port)
         assert again.read_line().split()[0] in ("UP", "BUSY")
         again.close()
-        run.send_signal(signal.SIGTERM)
-        assert run.wait(5) == 0
-        assert run.stderr is not None
-        assert b"Traceback" not in run.stderr.read()
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(5) == 0
+        assert process.stderr is not None
+        assert b"Traceback" not in process.stderr.read()
 
 
-def test_idle_clients_leave_discovery_and_attempts_their_descriptors(tmp_path: Path) -> None:
-    """They may fill the table while discovery is down; its new list must arrive all the same."""
+def test_idle_clients_do_not_use_up_the_descriptors_of_discovery_and_attempts(tmp_path: Path) -> None:
+    """Clients may fill the table while discovery is down; its new list must still be fetched afterwards."""
     host = ScriptedServer(answer_up(read_until_closed))
     service = ScriptedDiscovery(9, endpoint_entry("s0", host.address))
     discovery = socket.socket()
-    discovery.bind(("127.0.0.1", 0))  # connects are refused until it listens
+    discovery.bind(("127.0.0.1", 0))  # connections are refused until it listens
     overrides: dict[str, Any] = {
         "discovery": f"127.0.0.1:{discovery.getsockname()[1]}",
         "limits": {"cores": 1, "memory_mb": 32, "sockets": 96},
     }
-    with program(tmp_path, host, "sh", "-c", 'ulimit -n 96; exec "$@"', "sh", **overrides) as (run, port):
-        until_line(run, b"event=discovery_failed")
+    with program(tmp_path, host, "sh", "-c", 'ulimit -n 96; exec "$@"', "sh", **overrides) as (process, port):
+        until_line(process, b"event=discovery_failed")
         clients = [client_of(port, unique_id()) for _ in range(30)]
         assert {client.read_line().split()[0] for client in clients} == {"UP", "BUSY"}  # the table is full
         idle = [socket.create_connection(("127.0.0.1", port), 5) for _ in range(60)]
         discovery.listen()
         sock, _ = discovery.accept()
         threading.Thread(target=service.serve, args=(Peer(sock),), daemon=True).start()
-        until_line(run, b"event=endpoints_updated revision=9")
+        until_line(process, b"event=endpoints_updated revision=9")
         for client in clients:
             client.close()
         for silent in idle:
@@ -85,21 +85,21 @@
 
 
 class ExhaustedListener(socket.socket):
-    """A listener that finds no descriptor for a connection; some attempts later its acceptor is stopped."""
+    """A listener whose `accept` fails for want of descriptors, and stops its acceptor at the fourth call."""
 
     accept_count = 0
     acceptor: ConnectionAcceptor
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Fail, as where the process has used up its descriptors."""
+        """Fail as if the process had used up its descriptors."""
         self.accept_count += 1
-        if self.accept_count == 4:  # two for each client: one to serve it, one to reject it
+        if self.accept_count == 4:  # each client costs two calls: one to serve it, one to reject it
             self.acceptor.stop()
         raise OSError(errno.EMFILE, "no descriptor")
 
 
 def test_the_reserve_descriptor_is_closed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Where it could not be opened again, its number was closed twice: by then it may be a client's."""
+    """If the reserve cannot be reopened, closing its number again may close a client's descriptor."""
     admitter = NodeParts(load_test_config(tmp_path)).new_listener()
     listener = ExhaustedListener(fileno=socket.create_server(("127.0.0.1", 0)).detach())
     listener.acceptor = ConnectionAcceptor(listener, 1, admitter)
@@ -112,7 +112,7 @@
     def record_close(descriptor: int) -> None:
         if threading.current_thread() is threading.main_thread():
             closed.append(descriptor)
-        else:  # of an earlier test's node
+        else:  # a thread of an earlier test's node
             close(descriptor)
 
     with socket.create_connection(listener.getsockname()), monkeypatch.context() as patch:
@@ -126,8 +126,8 @@
     admitter.stop_listening()
 
 
-def test_an_id_that_is_open_is_not_opened_again(tmp_path: Path) -> None:
-    """A second client with it would share its registration; the first one must not notice."""
+def test_a_connection_id_in_use_is_rejected(tmp_path: Path) -> None:
+    """A second client with the same id would share the first one's registration, and must not affect it."""
     with running_node(
         tmp_path,
         ScriptedServer(answer_up(echo_lines)),
@@ -143,11 +143,14 @@
         node.runner.wait_for(AttemptEnded)
         again = node.connect()
         again.send_lines("OPEN ab 7f c=chat,d=1200")
-        assert again.read_line() in ("UP r1", "ERR")  # the first one's thread may not have ended yet
+        assert again.read_line() in ("UP r1", "ERR")  # the first client's thread may not have ended yet
 
 
-def test_a_dripping_first_line_is_answered_with_an_error_in_time(tmp_path: Path) -> None:
-    """Each byte used to restart the wait of 5 s; an answer is due 3 s after the accept."""
+def test_a_first_line_sent_byte_by_byte_is_answered_with_an_error_in_time(tmp_path: Path) -> None:
+    """A byte must not restart the wait for the line: the answer is due 3 s after the accept.
+
+    Each byte used to restart a wait of 5 s.
+    """
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
         slow, silent, partial = node.connect(), node.connect(), node.connect()
         start = time.monotonic()
@@ -169,25 +172,25 @@
         assert complete.read_line() == "UP r1"
 
 
-def test_hundreds_of_silent_connections_take_nothing_from_a_client(tmp_path: Path) -> None:
-    """Each had a thread and descriptors for 5 s, and clients were rejected for want of them."""
+def test_hundreds_of_silent_connections_do_not_prevent_clients_from_being_served(tmp_path: Path) -> None:
+    """If each silent connection held a thread and descriptors for 5 s, clients would be rejected."""
     with running_node(tmp_path, ScriptedServer(answer_up(Peer.read_line)), limits=SMALL_LIMITS) as node:
         before = threading.active_count()
         silent = [node.connect() for _ in range(60)]
-        for start in (b"OPEN 1 7f c=", b"PING\r\n"):  # they count as silent too
+        for start in (b"OPEN 1 7f c=", b"PING\r\n"):  # a partial line or a PING counts as silent too
             for _ in range(60):
                 silent.append(node.connect())
                 silent[-1].sock.sendall(start)
         clients = [node.open() for _ in range(20)]
         assert [client.read_line() for client in clients] == ["UP r1"] * 20
-        assert threading.active_count() - before <= 2 * 20 + 2  # of these clients, and of their endpoints
-        # The oldest one was evicted with an answer, as its line might have arrived just then.
+        assert threading.active_count() - before <= 2 * 20 + 2  # for these clients and their endpoints
+        # The oldest one was evicted with an answer, because its line might have been arriving just then.
         assert [silent[0].read_line() for _ in range(2)] == ["BUSY 200", ""]
         assert node.listener.pending_count <= 256 // 6
 
 
-def test_a_crowd_that_connects_before_it_sends_is_served(tmp_path: Path) -> None:
-    """The first ones counted as silent within milliseconds, and were closed for those behind them."""
+def test_many_clients_that_connect_before_they_send_are_served(tmp_path: Path) -> None:
+    """The first clients must not count as silent within milliseconds and be evicted for later ones."""
     with running_node(tmp_path, ScriptedServer(answer_up(Peer.read_line)), limits=SMALL_LIMITS) as node:
         clients = [node.connect() for _ in range(60)]
         for client in clients:
@@ -195,8 +198,8 @@
         assert [client.read_line() for client in clients] == ["UP r1"] * 60
 
 
-def test_a_flood_is_cut_off_and_delays_no_other(tmp_path: Path) -> None:
-    """A line without an end was discarded for as long as its sender went on."""
+def test_an_endless_first_line_is_cut_off_and_delays_no_other_client(tmp_path: Path) -> None:
+    """A line without an end must not be read and discarded for as long as its sender keeps sending."""
     with running_node(
         tmp_path,
         ScriptedServer(answer_up(echo_lines)),
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -1,4 +1,4 @@
-"""A connection from its first line to its end, against scripted endpoints."""
+"""Client connections from the first line to the end, with scripted endpoints."""
 
 from __future__ import annotations
 
@@ -30,8 +30,11 @@
 )
 
 
-def test_a_connection_that_ends_with_bye_is_no_failure(tmp_path: Path) -> None:
-    """BYE and the end counted as a reset, as success is 0; the policy ejected a healthy endpoint."""
+def test_a_connection_that_ends_with_bye_is_not_a_failure(tmp_path: Path) -> None:
+    """The end after BYE must not be reported as a reset, for which the policy ejects a healthy endpoint.
+
+    That happened because the status for success is 0, which is false in a condition.
+    """
 
     def send_up_and_bye(peer: Peer) -> None:
         peer.read_line()
@@ -39,7 +42,7 @@
 
     endpoint = ScriptedServer(answer_up(lambda peer: peer.send_lines("BYE")), send_up_and_bye)
     with running_node(tmp_path, endpoint) as node:
-        for count in (1, 2):  # all of the second connection's lines arrive in one read
+        for count in (1, 2):  # on the second connection all lines arrive in one read
             client = node.open()
             assert [client.read_line() for _ in range(3)] == ["UP r1", "BYE", ""]
             assert node.runner.wait_for(AttemptEstablished, count).endpoint_id == 1
@@ -91,7 +94,7 @@
         b"HELLO\r\n",
     ],
 )
-def test_bad_first_lines_get_an_answer_and_the_node_goes_on(tmp_path: Path, line: bytes) -> None:
+def test_invalid_first_lines_get_an_error_and_the_node_keeps_running(tmp_path: Path, line: bytes) -> None:
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
         client = node.connect()
         client.sock.sendall(line)
@@ -105,7 +108,7 @@
             assert front_end.read_line() == "PONG"
 
 
-def test_the_first_line_is_forwarded_unchanged_but_for_the_time(tmp_path: Path) -> None:
+def test_the_first_line_is_forwarded_unchanged_except_for_the_remaining_time(tmp_path: Path) -> None:
     lines: list[str] = []
 
     def record_line(peer: Peer) -> None:
@@ -120,8 +123,8 @@
     assert 400 < int(wait) <= 1200
 
 
-def test_an_endpoint_that_rejects_is_closed_before_the_next_attempt(tmp_path: Path) -> None:
-    """A request must never have two attempts in flight, and BUSY has its Retry-After."""
+def test_the_connection_to_an_endpoint_that_rejects_is_closed_before_the_next_attempt(tmp_path: Path) -> None:
+    """A request must never have two attempts in flight, and the final BUSY carries a Retry-After."""
     peers: list[Peer] = []
     received_after_end: list[bytes] = []
 
@@ -132,7 +135,7 @@
         )
         peers.append(peer)
         peer.send_lines("BUSY")
-        time.sleep(2)  # open at this end, so that only the node can have closed it
+        time.sleep(2)  # stays open on this side, so that only the node can have closed it
 
     with running_node(tmp_path, ScriptedServer(answer_busy)) as node:
         client = node.open()
@@ -172,7 +175,7 @@
         assert node.runner.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
 
 
-def test_resets_and_half_closes_are_relayed_in_kind(tmp_path: Path) -> None:
+def test_resets_and_half_closes_are_relayed_as_such(tmp_path: Path) -> None:
     def reset(peer: Peer) -> None:
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
@@ -193,7 +196,7 @@
         assert node.runner.wait_for(AttemptEnded, 2).status is AttemptStatus.RESET
 
 
-def test_a_connection_from_before_the_run_is_restored_at_its_endpoint(tmp_path: Path) -> None:
+def test_a_connection_from_before_the_start_is_restored_at_its_endpoint(tmp_path: Path) -> None:
     with running_node(
         tmp_path, ScriptedServer(answer_up()), ScriptedServer(answer_up(Peer.read_line))
     ) as node:
@@ -202,7 +205,7 @@
         assert node.open("c=chat,d=5000,at=nobody").read_line().startswith("BUSY")
 
 
-def test_a_client_that_does_not_read_delays_no_other(tmp_path: Path) -> None:
+def test_a_client_that_does_not_read_does_not_delay_others(tmp_path: Path) -> None:
     def flood(peer: Peer) -> None:
         while True:
             peer.send_lines("F" * 4000)
@@ -217,12 +220,12 @@
         stuck.close()
 
 
-def test_a_flood_after_up_delays_no_line(tmp_path: Path) -> None:
-    """While the relay wrote a flood to an endpoint that answers first, it read nothing from it."""
+def test_a_flood_after_up_blocks_neither_direction(tmp_path: Path) -> None:
+    """While the relay writes a flood to an endpoint it must also read from it, or each blocks the other."""
     size = 20_000_000
 
     def answer_first(peer: Peer) -> None:
-        for _ in range(size // 4000):  # it reads once its own lines are sent
+        for _ in range(size // 4000):  # sends all its lines before it reads any
             peer.send_lines("F" * 3998)
         peer.send_lines("LAST")
         for _ in range(size // 4000):
@@ -253,8 +256,8 @@
         assert not sender.is_alive()
 
 
-def test_a_second_command_behind_the_first_one_is_an_error(tmp_path: Path) -> None:
-    """It may arrive in a read of its own after admission; if UP was there by then, it was forwarded."""
+def test_a_second_command_after_the_first_line_is_an_error(tmp_path: Path) -> None:
+    """It may arrive separately after admission, and must not be forwarded even if UP has arrived by then."""
     sent = threading.Event()
 
     def answer_late(peer: Peer) -> None:
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -1,6 +1,6 @@
-"""Where two events meet: each test forces a crossing by delaying one event until the other has happened.
+"""Races between two events: each test forces an order by delaying one event until the other has happened.
 
-`docs/design/crossings.md` has the table; each of its rows names a test.
+`docs/design/crossings.md` has a table of these races, and each of its rows names a test.
 """
 
 from __future__ import annotations
@@ -36,16 +36,16 @@
 )
 
 TEST_TIMEOUT = timedelta(seconds=10)
-LINGER_ZERO = struct.pack("ii", 1, 0)  # of SO_LINGER: a close is a reset
+LINGER_ZERO = struct.pack("ii", 1, 0)  # a value for SO_LINGER with which a close sends a reset
 LONG_CONNECT_TIMEOUT: dict[str, Any] = SETTINGS | {
     "ceilings": {"attempts_cap": 3, "connect_timeout": 9_000_000}
 }
-# Of discovery: the policy makes no calls of its own during the test.
+# With this interval the policy requests no calls to discovery during the test.
 RARE_DISCOVERY_CALLS: dict[str, Any] = SETTINGS | {"rules": {"ask_within": 10**12}}
 
 
-def wait_until_served(node: Node) -> None:
-    """Wait until the node serves no connection any more."""
+def wait_until_idle(node: Node) -> None:
+    """Wait until the node serves no connections."""
     deadline = now() + TEST_TIMEOUT
     while node.listener.active_count:
         assert now() < deadline
@@ -53,7 +53,7 @@
 
 
 class FullEndpoint:
-    """An endpoint whose listen queue is full: no further connection to it is established."""
+    """An endpoint whose listen queue is full, so that no further connection to it is established."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -61,7 +61,10 @@
         self._queued = socket.create_connection(self.sock.getsockname())
 
     def received_data(self) -> list[bytes]:
-        """Return what arrived on each connection that has been established until now, then its end."""
+        """Free the queue, and return what was received first on each connection established until now.
+
+        An empty value stands for a connection that was closed without any data.
+        """
         self._queued.close()
         self.sock.settimeout(0)
         received: list[bytes] = []
@@ -85,10 +88,10 @@
 
 
 @pytest.mark.parametrize("end", ["close", "reset", "half"])
-def test_no_attempt_starts_for_a_client_that_disconnected_while_connecting(
+def test_no_attempt_starts_for_a_client_that_disconnects_during_the_connect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, end: str
 ) -> None:
-    """A connection that was established late got the first line of a client that had left long before."""
+    """If the connect succeeds late, the first line of a client that has disconnected must not be sent."""
     connecting = threading.Event()
     wait_connected = sockets.wait_connected
 
@@ -102,17 +105,17 @@
         client = node.open("c=chat,d=9000")
         assert connecting.wait(10)
         end_client(client, end)
-        node.runner.wait_for(ClientDisconnected)  # not after 9 s: the wait for the connection has ended
+        node.runner.wait_for(ClientDisconnected)  # at once: it ends the connect, which may take 9 s
         assert node.runner.wait_for(AttemptEnded).is_closed
         assert node.metrics.total_counts()["tries"] == 0
-    # Beside the connection that fills the queue there is none, or one without a line.
+    # Besides the connection that fills the queue there is at most one more, on which nothing was sent.
     assert set(endpoint.received_data()) == {b""}
 
 
-def test_no_line_is_sent_for_a_client_that_disconnected_as_the_connection_was_up(
+def test_no_line_is_sent_for_a_client_that_disconnects_as_the_upstream_connects(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client was not checked again between an established connection and its first line."""
+    """The client must be checked again between the upstream connect and the sending of the first line."""
     wait_connected = sockets.wait_connected
     clients: list[Peer] = []
     opened = threading.Event()
@@ -122,7 +125,7 @@
         assert opened.wait(10)
         clients[0].close()
         *_, client = descriptors
-        sockets.wait_readable(now() + TEST_TIMEOUT, client)  # until its end has arrived at the node
+        sockets.wait_readable(now() + TEST_TIMEOUT, client)  # waits until the close has arrived at the node
         return ready
 
     monkeypatch.setattr(sockets, "wait_connected", disconnect_client_after)
@@ -142,7 +145,7 @@
 
 
 @pytest.mark.parametrize("word", ["BUSY", "ERR", "UP r1"])
-def test_an_answer_that_crosses_the_clients_end_starts_no_further_attempt(tmp_path: Path, word: str) -> None:
+def test_an_answer_that_crosses_the_clients_disconnect_causes_no_retry(tmp_path: Path, word: str) -> None:
     lines: list[str] = []
     received, disconnected = threading.Event(), threading.Event()
 
@@ -159,12 +162,12 @@
         client.close()
         disconnected.set()
         node.runner.wait_for(AttemptEnded)
-        wait_until_served(node)
+        wait_until_idle(node)
         assert len(lines) == 1
 
 
 def test_a_client_that_disconnects_in_the_backoff_is_not_forwarded(tmp_path: Path) -> None:
-    """The retry's action and the client's end are there together: the end is checked first."""
+    """If the retry is due when the client has already disconnected, the disconnect is checked first."""
     lines: list[str] = []
     long_deadline = {"classes": [{"name": "chat", "slo": 4_000_000, "hard_limit": 9_000_000, "worth": 5.0}]}
 
@@ -179,12 +182,12 @@
         assert not rejected.is_closed
         client.close()
         node.runner.wait_for(ClientDisconnected)
-        wait_until_served(node)
+        wait_until_idle(node)
         assert len(lines) == 1
 
 
 def test_an_answer_that_never_ends_times_out_at_the_deadline(tmp_path: Path) -> None:
-    """Each byte begins a new wait, but does not extend the attempt's deadline."""
+    """Each byte starts a new wait for the next one, but does not extend the attempt's deadline."""
     sent: list[bytes] = []
     answered = threading.Event()
 
@@ -199,11 +202,11 @@
         assert client.read_line().startswith("BUSY")
         answered.set()
         assert node.runner.wait_for(AttemptEnded).status is AttemptStatus.TIMEOUT
-        assert len(sent) < 1000  # it ends before the line is too long
+        assert len(sent) < 1000  # the attempt ended by its timeout, before the line was too long
 
 
 def answer_calls(peer: Peer, bodies: list[dict[str, Any]], calls: list[str]) -> None:
-    """Answer each call to discovery with the next body, until there is none; record the calls."""
+    """Record the calls to discovery, and answer each with the next body until none is left."""
     while call := peer.read_line():
         calls.append(call)
         read_until_closed(peer)  # the headers, up to the empty line
@@ -213,8 +216,8 @@
         peer.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(text)}\r\n\r\n{text}".encode())
 
 
-def test_an_older_change_is_ignored(tmp_path: Path) -> None:
-    """A delayed answer to a poll must not undo a newer one."""
+def test_an_older_list_change_is_ignored(tmp_path: Path) -> None:
+    """A delayed answer to a poll must not undo the changes of a newer one."""
     ready = endpoint_entry("s9", "127.0.0.1:9")
     draining = endpoint_entry("s9", "127.0.0.1:9", phase="draining")
     bodies: list[dict[str, Any]] = [
@@ -236,7 +239,7 @@
             (ListUpdateKind.DELTA, 7),
             (ListUpdateKind.SNAPSHOT, 8),
         ]
-        assert calls[2] == "GET /v1/servers HTTP/1.1"  # discovery may have begun new revisions
+        assert calls[2] == "GET /v1/servers HTTP/1.1"  # discovery may have started new revisions
         endpoint = node.runner.endpoint_by_id("s9")
         assert endpoint is not None
         assert endpoint.state is EndpointState.DRAINING
--- a/tests/node/test_discovery_client.py
+++ b/tests/node/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Polls of discovery: endpoint lists, failures, a new address, an agent on the machine."""
+"""Calls to discovery: endpoint lists, failures, a new address, an agent on the same machine."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     running_node,
 )
 
-# The policy makes no calls of its own during the test.
+# With this interval the policy requests no calls to discovery during the test.
 RARE_DISCOVERY_CALLS: dict[str, Any] = SETTINGS | {"rules": {"ask_within": 10**12}}
 
 
@@ -43,14 +43,14 @@
 
 
 def failed_updates(node: Node) -> list[EndpointListUpdate]:
-    """Return the failures of discovery that the policy was notified of."""
+    """Return the failed calls to discovery that were reported to the policy."""
     return [
         update for update in node.runner.events_of(EndpointListUpdate) if update.kind is ListUpdateKind.FAILED
     ]
 
 
 def test_discovery_is_polled_and_a_failure_is_reported(tmp_path: Path) -> None:
-    """An invalid answer of any kind is one FAILED for the policy, and the next call has a new connection."""
+    """Each invalid answer is one FAILED for the policy, and the next call uses a new connection."""
     calls: list[tuple[float, str]] = []
 
     def answer(peer: Peer, body: str, status: str = "200 OK") -> None:
@@ -71,12 +71,12 @@
     with running_node(tmp_path, discovery=service.address, settings=RARE_DISCOVERY_CALLS) as node:
         discovery = node.parts.new_discovery_client()
         discovery.start()
-        for count in (4, 5, 6):  # the known list, the complete one, changes, and then only failures
+        for count in (4, 5, 6):  # updates so far: known list, complete list, change, then failures only
             node.runner.wait_for(EndpointListUpdate, count)
             node.parts.work_queues.request_discovery_poll()
         kinds = [update.kind for update in node.runner.events_of(EndpointListUpdate)][1:6]
         assert kinds == [ListUpdateKind.SNAPSHOT, ListUpdateKind.DELTA, *[ListUpdateKind.FAILED] * 3]
-        assert calls[0][1] == "GET /v1/servers HTTP/1.1"  # a restarted node has an old list
+        assert calls[0][1] == "GET /v1/servers HTTP/1.1"  # complete: the known list may be old
         assert calls[1][1].startswith("GET /v1/servers?since=3&timeout_ms=")
         assert calls[2][1].startswith("GET /v1/servers?since=7&")
         assert calls[2][0] - calls[1][0] < 0.2
@@ -85,8 +85,8 @@
         assert endpoint.state is EndpointState.DRAINING
 
 
-def test_a_new_address_of_discovery_is_asked_for_its_complete_list(tmp_path: Path) -> None:
-    """The poll of the old one waits up to 6.5 s; it must end at once, and connections must stay."""
+def test_a_new_discovery_address_is_asked_for_the_complete_list(tmp_path: Path) -> None:
+    """The poll at the old address, which may wait 6.5 s, must end at once, and connections must stay."""
     host = ScriptedServer(answer_up(echo_lines))
     old = ScriptedDiscovery(5, endpoint_entry("s0", host.address))
     new = ScriptedDiscovery(2, endpoint_entry("s0", host.address), endpoint_entry("s7", host.address))
@@ -109,10 +109,13 @@
         assert not failed_updates(node)
 
 
-def test_a_poll_that_fell_silent_is_repeated_at_once_and_once(
+def test_an_unanswered_poll_is_repeated_once_without_delay(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The policy's next call after a failed one is too late; two that are silent in a row are a failure."""
+    """The policy's next call after a failure would be too late, so the client repeats the poll itself.
+
+    Two unanswered polls in a row are reported as a failure.
+    """
     monkeypatch.setattr(discovery_client, "POLL_TIMEOUT", timedelta(milliseconds=100))
     monkeypatch.setattr(discovery_client, "ANSWER_MARGIN", timedelta(milliseconds=100))
     calls: list[str] = []
@@ -124,7 +127,7 @@
 
     answering = ScriptedDiscovery(6, endpoint_entry("s4", "127.0.0.1:9"))
     service = ScriptedServer(never_answer, answering.serve, never_answer, never_answer)
-    # A known list: its changes are polled for, not the complete list.
+    # With a known list the client polls for changes instead of the complete list.
     known = {"revision": 1, "members": [endpoint_entry("s0", "127.0.0.1:9")]}
     with running_node(
         tmp_path, discovery=service.address, known=known, settings=RARE_DISCOVERY_CALLS
@@ -132,22 +135,24 @@
         discovery = node.parts.new_discovery_client()
         discovery.start()
         node.parts.work_queues.request_discovery_poll()
-        # The known list, that of the repeated poll, and a failure.
+        # The updates are the known list, the list from the repeated poll, and a failure.
         node.runner.wait_for(EndpointListUpdate, 3)
         kinds = [update.kind for update in node.runner.events_of(EndpointListUpdate)][1:]
         assert kinds == [ListUpdateKind.SNAPSHOT, ListUpdateKind.FAILED]
         poll = re.compile(r"GET /v1/servers\?since=1&timeout_ms=(\d+) HTTP/1.1")
         polls = [poll.fullmatch(call) for call in (calls[0], *answering.calls[:1])]
-        # The second poll may be left unanswered as well, and has a short timeout.
+        # The repeated poll may be left unanswered as well, so its timeout is short.
         assert [int(found[1]) for found in polls if found] == [100, 500]
         assert len(calls) == 2
 
 
-def test_an_agents_list_is_known_before_clients_come(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Where lists are pushed nothing was polled: the node kept the list of its start."""
+def test_a_local_agents_list_is_known_before_clients_connect(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Pushed lists must be polled for too, or the node keeps the list that it was started with."""
     monkeypatch.setattr(discovery_client, "FIRST_LIST_TIMEOUT", timedelta(seconds=10))
     agent = ScriptedDiscovery(5, endpoint_entry("s7", "127.0.0.1:9"))
-    flaky = ScriptedServer(do_nothing, agent.serve)  # its list counts at once, after a failed call
+    flaky = ScriptedServer(do_nothing, agent.serve)  # the first call fails, the second gets the list
     pushed = SETTINGS | {"discovery": "pushed"}
     with running_node(
         tmp_path, ScriptedServer(answer_up()), discovery=flaky.address, settings=pushed
@@ -159,7 +164,7 @@
 
 
 def test_a_failed_first_call_to_a_new_address_is_retried(tmp_path: Path) -> None:
-    """The policy would poll again after seconds; the first call to a new address must succeed within 4 s."""
+    """The policy would call again only after seconds, but a new address's list must be known within 4 s."""
     new = ScriptedDiscovery(9, endpoint_entry("s1", "127.0.0.1:9"))
     failures = iter([True, True])
 
--- a/tests/node/test_discovery_polls.py
+++ b/tests/node/test_discovery_polls.py
@@ -1,4 +1,4 @@
-"""When the discovery client polls again: at a new address, and after a change of the list."""
+"""When the discovery client polls again: after a change of the address, and after a change of the list."""
 
 from __future__ import annotations
 
@@ -24,19 +24,22 @@
 
 
 @pytest.mark.parametrize("nodes", [3, 40, 10**9])
-def test_after_a_change_polling_goes_on_in_time_but_not_at_once(
+def test_polls_after_a_change_are_spread_in_large_clusters_but_not_late(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, nodes: int
 ) -> None:
-    """A change answers all nodes' polls at once; what changes within 200 ms of an answer has to be known.
+    """A change answers the polls of all nodes at once, so that large clusters spread the next polls.
 
-    Polls of large clusters waited up to 45 s: where one was not answered, its node's list was older than 6 s.
+    What changes within 200 ms of an answer has to be known, so the spread is shorter than that.
+
+    Polls in large clusters once waited up to 45 s, and a node whose poll was not answered had a list older
+    than 6 s.
     """
     paths: list[str] = []
     waits: list[timedelta] = []
 
     def get(_self: object, path: str, *_timeouts: timedelta) -> bytes:
         if threading.current_thread() is not threading.main_thread():
-            raise OSError("a discovery thread of an earlier test's node")
+            raise OSError("called by the discovery thread of an earlier test's node")
         paths.append(path)
         return b'{"revision":8,"complete":false,"members":[%s]}' % (
             b'{"id":"s1","host_port":"127.0.0.1:9","phase":"up"}' if len(paths) == 1 else b""
@@ -51,8 +54,8 @@
         discovery = node.parts.new_discovery_client()
         assert discovery.poll_once()
         assert discovery.poll_once()
-    assert paths[0] == "/v1/servers?since=7&timeout_ms=4500"  # the changes since the known list
-    # The rest of the 6 s is for the poll in its place.
+    assert paths[0] == "/v1/servers?since=7&timeout_ms=4500"  # asks for the changes since the known list
+    # The rest of the 6 s is left to the poll that replaces an unanswered one.
     assert timedelta(seconds=5.5) > discovery_client.POLL_TIMEOUT + discovery_client.ANSWER_MARGIN
     assert waits == ([discovery_client.POLL_AGAIN_SPREAD] if nodes > 6 else [])
     assert timedelta(0) < discovery_client.POLL_AGAIN_SPREAD < timedelta(milliseconds=200)
--- a/tests/node/test_drain_crossings.py
+++ b/tests/node/test_drain_crossings.py
@@ -1,4 +1,4 @@
-"""Where two events meet at the end of a node; see `docs/design/crossings.md`, whose rows name the tests."""
+"""Races between two events while a node shuts down; the rows of `docs/design/crossings.md` name the tests."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 
 def start_drain(node: Node) -> threading.Thread:
-    """Begin the drain of SIGTERM in a thread of its own."""
+    """Start the drain that follows SIGTERM, in a new thread."""
     drain = threading.Thread(target=node.listener.drain, daemon=True)
     drain.start()
     return drain
 
 
 def wait_until_drained(drain: threading.Thread) -> None:
-    """Wait for the end of a drain."""
+    """Wait until a drain has ended."""
     drain.join(10)
     assert not drain.is_alive()
 
@@ -59,9 +59,9 @@
 
 
 def run_when_stopping(monkeypatch: pytest.MonkeyPatch, action: Callable[[], None]) -> None:
-    """Run an action in the acceptor's thread, once it sees that it has been stopped.
+    """Run an action on the acceptor's thread when the acceptor finds that it was stopped.
 
-    From there on the acceptor accepts what is in the listener's queue, and reads what has arrived.
+    Afterwards the acceptor still accepts the connections in the listener's queue and reads what has arrived.
     """
     is_stopping: property = vars(AcceptorState)["is_stopping"]
 
@@ -74,10 +74,10 @@
 
 
 @pytest.mark.parametrize("connection", ["idle", "queued"])
-def test_a_request_that_comes_as_the_node_ends_is_answered(
+def test_a_request_that_arrives_as_the_node_stops_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, connection: str
 ) -> None:
-    """A client in the listener's queue, or one that sent on an idle connection just then, was reset."""
+    """Neither a client in the listener's queue nor one that sends on an idle connection may be reset."""
     clients: list[Peer] = []
 
     def send_request() -> None:
@@ -95,10 +95,10 @@
         assert not node.runner.events_of(RequestReceived)  # it came too late to be served
 
 
-def test_what_is_read_after_our_end_is_neither_served_nor_reset(
+def test_a_request_received_after_the_shutdown_is_neither_served_nor_reset(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A close over bytes that have just arrived is a reset, which may discard what was sent before."""
+    """Closing a socket with unread bytes resets it, which may discard the answer sent before."""
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
         client = node.connect()
         send_ping(client)
@@ -108,7 +108,7 @@
             self: PendingConnections, connection: PendingConnection, answer: bytes
         ) -> None:
             answer_and_shutdown(self, connection, answer)
-            assert client.read_line() == ""  # the node's end has arrived; now a request crosses it
+            assert client.read_line() == ""  # the node has shut down its side; now a request crosses that
             send_opening(client)
 
         monkeypatch.setattr(PendingConnections, "answer_and_shutdown", answer_and_receive_request)
@@ -117,8 +117,13 @@
         assert not node.runner.events_of(RequestReceived)
 
 
-def test_a_half_line_at_sigterm_is_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A node that served no other client ended within half a second, in the middle of a slow one's line."""
+def test_the_rest_of_a_partial_line_at_sigterm_is_waited_for(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A node without other clients must not exit while a slow client is still sending its line.
+
+    Such a node used to exit within half a second.
+    """
     monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(0))
     expecting = threading.Event()
     is_expecting_lines: property = vars(ConnectionAcceptor)["is_expecting_lines"]
@@ -141,9 +146,9 @@
 
 
 def hold_connections_until_first_round(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hold connections' threads until a drain's last phase has looked for requests once.
+    """Hold the connections' threads until a drain's last phase has rejected the waiting requests once.
 
-    The last phase has 10 s, whatever the drain's deadline is.
+    The last phase gets 10 s, whatever the drain's deadline is.
     """
     evicting, dispatched = threading.Event(), threading.Event()
     run = ConnectionHandler.run
@@ -172,7 +177,7 @@
 def test_a_request_admitted_in_the_drains_last_round_is_rejected_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was not registered yet when the waiting requests were rejected, and was cut off at the exit."""
+    """A request that is registered only after waiting ones were rejected must not be cut off at the exit."""
     monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(0))
     monkeypatch.setattr(
         connection_drainer, "KILL_MARGIN", connection_drainer.EXIT_MARGIN - timedelta(seconds=1)
@@ -181,14 +186,14 @@
     with running_node(tmp_path, ScriptedServer(read_until_closed)) as node:
         client = node.open("c=chat,d=9000")
         wait_until_drained(start_drain(node))
-        assert not node.listener.active_count  # at the exit it would have been cut off
+        assert not node.listener.active_count  # otherwise the exit would cut it off
         assert client.read_line().startswith("BUSY")
 
 
 def test_out_of_threads_a_client_is_rejected_at_admission(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The socket was closed right after the answer, over whatever had arrived meanwhile."""
+    """The socket must not be closed right after the answer, which resets it if unread bytes have arrived."""
     start = threading.Thread.start
 
     def start_unless_connection(self: threading.Thread) -> None:
@@ -207,16 +212,16 @@
 def test_an_idle_front_end_is_shut_down_before_the_close(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a minute without a PING its connection was closed in one step, over a request that came then."""
+    """Closing a connection at once after a minute without a PING would reset a request that crosses."""
     monkeypatch.setattr(pending_connections, "PING_IDLE_TIMEOUT", timedelta(milliseconds=100))
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
         client = node.connect()
         send_ping(client)
-        assert [client.read_line(), client.read_line()] == ["ERR", ""]  # the time is over
+        assert [client.read_line(), client.read_line()] == ["ERR", ""]  # the idle timeout has expired
         send_opening(client)
         client.sock.shutdown(socket.SHUT_WR)
         deadline = now() + TEST_TIMEOUT
-        while node.listener.pending_count and now() < deadline:  # until the node has read that
+        while node.listener.pending_count and now() < deadline:  # until the node has read the request
             threading.Event().wait(0.005)
         assert client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         assert not node.runner.events_of(RequestReceived)
--- a/tests/node/test_endpoint_reports.py
+++ b/tests/node/test_endpoint_reports.py
@@ -1,4 +1,4 @@
-"""What endpoints report of their delays and load, and what health checks find."""
+"""Reports of endpoints' delays and load, and the results of health checks."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         report = node.runner.wait_for(ConnectionReport)
         assert (report.kind, report.endpoint_id) == (ReportKind.MEASURED_DELAY, 1)
         assert 110 <= report.value < 300
-        time.sleep(1.05)  # the delays of one second are one report
+        time.sleep(1.05)  # the delays measured within one second are combined in one report
         client.send_lines("M 2")
         assert node.runner.wait_for(ConnectionReport, 2).value < 100
 
@@ -69,12 +69,12 @@
         ]
         expected = [(ReportKind.REPORTED_DELAY, 1, 40.5), (ReportKind.REPORTED_DELAY, 1, 3.0)]
         assert reports == (expected if reports_delay else [])
-        # That endpoints report delays does not end health checks by itself.
+        # Reports of delays alone do not disable health checks.
         assert node.configuration.settings.health_check_interval_us > 0
         client.close()
 
 
-def test_a_health_check_is_timed(tmp_path: Path) -> None:
+def test_a_health_check_reports_its_status_and_latency(tmp_path: Path) -> None:
     def answer_pong(peer: Peer) -> None:
         assert peer.read_line() == "PING"
         time.sleep(0.02)
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -1,4 +1,4 @@
-"""New settings while the node runs: all or nothing, and requests in flight keep their class's settings."""
+"""Reloads of the settings: all or nothing, and requests in flight keep the settings of their class."""
 
 from __future__ import annotations
 
@@ -52,11 +52,11 @@
 
 
 class ReloadableNode:
-    """A node and its configuration file, which a test reloads directly instead of by a signal."""
+    """A node and its configuration file, which a test reloads by a direct call instead of a signal."""
 
-    def __init__(self, tmp_path: Path, *members: ScriptedServer) -> None:
+    def __init__(self, tmp_path: Path, *endpoint_servers: ScriptedServer) -> None:
         self.file = tmp_path / "config.json"
-        self._running = running_node(tmp_path, *members)
+        self._running = running_node(tmp_path, *endpoint_servers)
 
     def __enter__(self) -> ReloadableNode:
         self.node: Node = self._running.__enter__()
@@ -74,14 +74,14 @@
         return self.node.configuration
 
     def edit(self, *edits: Edit) -> None:
-        """Change the file."""
+        """Apply edits to the configuration file."""
         document = json.loads(self.file.read_text())
         for edit in edits:
             edit(document)
         self.file.write_text(json.dumps(document))
 
     def rejection(self) -> str:
-        """Reload the file, which has to be rejected; return why."""
+        """Reload the file, check that it is rejected, and return the error."""
         with pytest.raises(ConfigError) as err:
             reload(self.environ, self.configuration.config)
         count = self.node.metrics.totals()["config_rejected"]
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(
-    ("edit", "named"),
+    ("edit", "path_in_error"),
     [
         (setting("settings.classes.0.hard_limit", 0), "settings.classes.0.hard_limit"),
         (setting("settings.classes.0.hard_limit", -5), "settings.classes.0.hard_limit"),
@@ -116,22 +116,24 @@
         (setting("discovery", "nowhere"), "discovery"),
     ],
 )
-def test_a_broken_file_changes_nothing_and_names_its_key(tmp_path: Path, edit: Edit, named: str) -> None:
+def test_an_invalid_file_changes_nothing_and_the_error_names_the_key(
+    tmp_path: Path, edit: Edit, path_in_error: str
+) -> None:
     with ReloadableNode(tmp_path) as node:
         before = (node.configuration.config, dict(node.configuration.class_numbers))
         node.edit(edit)
-        assert named in node.rejection()
+        assert path_in_error in node.rejection()
         assert (node.configuration.config, dict(node.configuration.class_numbers)) == before
 
 
 @pytest.mark.parametrize("text", ["", " ", "{", "[]", "null", "\xff", '{"settings": {"classes": [NaN]}}'])
-def test_a_file_that_is_no_configuration_changes_nothing(tmp_path: Path, text: str) -> None:
+def test_a_file_that_is_not_a_configuration_changes_nothing(tmp_path: Path, text: str) -> None:
     with ReloadableNode(tmp_path) as node:
         node.file.write_bytes(text.encode("latin-1"))
         assert node.rejection()
 
 
-def test_classes_come_and_go_and_established_connections_stay(tmp_path: Path) -> None:
+def test_classes_are_added_and_removed_while_established_connections_stay(tmp_path: Path) -> None:
     with ReloadableNode(tmp_path, ScriptedServer(answer_up(echo_lines))) as node:
         runner = node.node.runner
         configuration = node.configuration
@@ -148,14 +150,14 @@
         assert (gone.read_line(), new.read_line()) == ("ERR", "UP r1")
         for client in (old, new):
             client.send_lines("M 1")
-            assert client.read_line() == "M 1"  # established connections keep their class
+            assert client.read_line() == "M 1"  # an established connection keeps its class
         assert runner.wait_for(Settings).retired_classes == {0}
         shorter = draw | {"hard_limit": 700_000}
         node.edit(setting("settings.classes", [chat, shorter]))
-        assert "settings.classes.0.effect: missing" in node.rejection()  # its default would be less strict
+        assert "settings.classes.0.effect: missing" in node.rejection()  # the default would be less strict
         node.edit(setting("settings.classes", [chat | {"effect": "read_like"}, shorter]))
         node.reloader.reload_now()
-        # Earlier settings keep their number, new ones get a new one.
+        # Unchanged class settings keep their number, changed ones get a new number.
         assert configuration.class_numbers == {"chat": 0, "draw": 2}
         deadlines = [each.deadline_us for each in configuration.settings.classes]
         assert deadlines == [1_200_000, 900_000, 700_000]
@@ -163,7 +165,7 @@
             client.close()
 
 
-def test_keys_that_wait_for_a_restart_are_named(tmp_path: Path) -> None:
+def test_changed_keys_that_need_a_restart_are_reported(tmp_path: Path) -> None:
     with ReloadableNode(tmp_path) as node:
         node.edit(setting("limits.sockets", 99), setting("settings.localities", ["b", "a"]))
         node.edit(setting("settings.rules.ask_within", 5_000_000))
@@ -174,7 +176,7 @@
 
 
 class RequestUnderReloads:
-    """One request of a policy that gets new settings between its attempts; each attempt finds BUSY."""
+    """One request of a policy whose settings change between its attempts; each attempt ends with BUSY."""
 
     def __init__(self, seed: int, max_attempts: int, deadline_us: int) -> None:
         settings = make_settings(max_attempts=max_attempts)
@@ -190,7 +192,7 @@
         self._actions = self._balancer.handle(0, [RequestReceived(1, 0, 0, deadline_us, key=7)])
 
     def reconfigure(self, deadline_ms: int, max_attempts: int) -> None:
-        """Give the policy settings whose only class in force is a new one."""
+        """Pass settings to the policy in which a new class is the only one in force."""
         new_class = ClassSettings(
             latency_objective_us=50 * MILLISECOND,
             deadline_us=deadline_ms * MILLISECOND,
@@ -204,11 +206,11 @@
         )
         self._max_attempts = max_attempts
         self._actions = self._balancer.handle(self._now_us, [settings])
-        # Intervals depend on the classes in force alone.
+        # Intervals depend only on the classes in force.
         assert self._balancer.parts.in_force.limits.reaction_time_us == deadline_ms * MILLISECOND
 
     def run_one_attempt(self) -> bool:
-        """Let time pass until an attempt has ended; False: the request has its final answer."""
+        """Advance the time until an attempt has ended; return False if the request got its final answer."""
         while self._actions or self._timers:
             self._timers += [action for action in self._actions if isinstance(action, SetTimer)]
             for action in self._actions:
@@ -243,10 +245,10 @@
     st.lists(st.tuples(st.integers(50, 900), st.integers(1, 5)), min_size=1, max_size=4),
     st.integers(0, 2**16),
 )
-def test_a_request_under_way_keeps_its_deadline_and_attempts_only_shrink(
+def test_a_request_in_flight_keeps_its_deadline_and_obeys_the_attempts_cap_in_force(
     changes: list[tuple[int, int]], seed: int
 ) -> None:
-    """However the settings change, a request's attempts end by its own deadline, and none exceeds the cap."""
+    """Whatever the new settings are, attempts end by the request's own deadline and obey the cap in force."""
     request = RequestUnderReloads(seed, max_attempts=5, deadline_us=2 * SECOND)
     has_answer = not request.run_one_attempt()
     for deadline_ms, max_attempts in changes:
--- a/tests/node/test_second_deployment.py
+++ b/tests/node/test_second_deployment.py
@@ -1,4 +1,4 @@
-"""Settings of two deployments: polled lists and no reports, or pushed lists, tenants, reports and loads."""
+"""Settings of two deployments: one polls lists; one has pushed lists, tenants, reports and loads."""
 
 from __future__ import annotations
 
@@ -47,15 +47,15 @@
 
 @pytest.fixture(params=[POLLED, PUSHED], ids=["polled", "pushed"])
 def deployment(request: pytest.FixtureRequest) -> dict[str, Any]:
-    """The settings of one customer."""
+    """The settings of one of the two deployments."""
     settings: dict[str, Any] = request.param
     return settings
 
 
-def test_a_load_line_is_a_delay_or_a_load_as_the_settings_say(
+def test_a_load_line_is_a_delay_or_a_load_according_to_the_settings(
     tmp_path: Path, deployment: dict[str, Any]
 ) -> None:
-    """A load, taken for a delay in milliseconds, had all connections migrated and the endpoint ejected."""
+    """A load that is read as a delay in ms makes all connections migrate and ejects the endpoint."""
     lines = ("LOAD 40500", "LOAD -1", "LOAD x", "LOAD 1e300", "LOAD 30")
     host = ScriptedServer(answer_up(lambda peer: peer.send_lines(*lines)))
     with running_node(tmp_path, host, settings=deployment) as node:
@@ -94,10 +94,10 @@
         (["PONG"], ()),
     ],
 )
-def test_a_load_report_is_parsed_by_its_names_and_a_bad_one_changes_nothing(
+def test_a_load_report_is_parsed_by_column_names_and_an_invalid_one_is_ignored(
     tmp_path: Path, answer: list[str], load: tuple[float, ...]
 ) -> None:
-    """Each health check waited for a line that never came, timed out, and had a healthy endpoint ejected."""
+    """A health check that waits for a line which is never sent times out, and ejects a healthy endpoint."""
 
     def report(peer: Peer) -> None:
         assert peer.read_line() == "STATS"
@@ -116,13 +116,13 @@
     assert absent == ([] if deployment is PUSHED else all_features)
 
 
-def test_reports_name_their_columns() -> None:
+def test_the_values_of_a_load_report_are_in_the_order_of_the_configured_columns() -> None:
     assert parse_load_report(b"BYE inflight=7,queue=2,util=0.61\r\n", ("util", "queue")) == (0.61, 2.0)
     assert parse_load_report(b"BYE\r\n", ("util",)) == ()
 
 
 @pytest.mark.parametrize(
-    ("overrides", "named"),
+    ("overrides", "path_in_error"),
     [
         ({"tenants": "north"}, "settings.tenants"),
         ({"tenants": [{"share": 1}]}, "settings.tenants.0.name"),
@@ -131,15 +131,15 @@
         ({"rules": {"cold": "long"}}, "settings.rules.cold"),
     ],
 )
-def test_a_bad_setting_of_either_shape_is_named_by_its_path(
-    tmp_path: Path, deployment: dict[str, Any], overrides: dict[str, Any], named: str
+def test_an_invalid_setting_of_either_deployment_is_reported_by_its_path(
+    tmp_path: Path, deployment: dict[str, Any], overrides: dict[str, Any], path_in_error: str
 ) -> None:
-    with pytest.raises(ConfigError, match=f"^{named}"):
+    with pytest.raises(ConfigError, match=f"^{path_in_error}"):
         load_test_config(tmp_path, endpoint_entry("s0", "127.0.0.1:9"), settings=deployment | overrides)
 
 
-def test_no_name_of_these_settings_is_in_the_program() -> None:
-    """Classes, tenants and zones come from the settings alone."""
+def test_no_name_from_the_settings_of_a_deployment_is_in_the_code() -> None:
+    """The names of classes, tenants and zones come only from the settings."""
     root = Path(__file__).parent.parent.parent
     files = [*(root / "tansyladder").rglob("*.py"), root / "deploy" / "balancer.toml"]
     texts = [path.read_text() for path in files]
