--- a/tansyladder/lab/chaos/checkers.py
+++ b/tansyladder/lab/chaos/checkers.py
@@ -1,18 +1,19 @@
-"""The invariants of resumable sessions, each checked on the history of one run; pure functions.
+"""Checkers of the invariants of resumable sessions; each is a pure function of the history of one run.
 
-Each checker has the name of its invariant and returns the cases that violate it. Reports have them under the
-keys of CHECKERS, which stay as they are:
+Each checker is named after its invariant and returns the violations that it finds. Reports list these under
+the keys of CHECKERS, which must not change:
 
-lost_lines, doubled_lines   the lines of a session arrive each once and in order, in both directions.
-two_owners                  a host accepts a session's lines from the newest epoch only, which one node has.
+lost_lines, doubled_lines   each line of a session arrives once and in order, in both directions.
+two_owners                  a host accepts a session's lines only under the newest epoch, and one node has it.
 token_twice                 a token opens one connection in the whole cluster.
-answers_wrong               a connection gets one final answer in time, unless a fault excuses it.
+answers_wrong               a connection gets one final answer in time, unless a fault excuses a missing one.
 sessions_lost               a client that shows the token of a live session resumes that session.
-rules_broken                hosts had one attempt of a request at a time, none after a drain, and no invalid
-                            first line.
-documents_mixed             no request is decided under a version after one was under a later version, and
-                            in the end all nodes have the same version in force.
-orphans                     once clients are quiet, hosts have no more connections than clients are served.
+rules_broken                hosts get one attempt of a request at a time, none after announcing a drain, and
+                            no invalid first line.
+documents_mixed             once a request was decided under a version of a document, none is decided under an
+                            earlier version; at the end all nodes have the same version in force.
+orphans                     once clients have stopped sending, hosts have no more connections than there are
+                            served clients.
 """
 
 from __future__ import annotations
@@ -29,47 +30,49 @@
 from tansyladder.lab.clients import FINAL_ANSWERS
 from tansyladder.lab.report import MICROSECOND
 
-ANSWER_DEADLINE_US = timedelta(milliseconds=2600) // MICROSECOND  # the longest deadline, 500 ms and 100 ms
+# The longest deadline of a client, which is 2000 ms, plus 500 ms and 100 ms.
+ANSWER_DEADLINE_US = timedelta(milliseconds=2600) // MICROSECOND
+# Faults of a node during which an answer from it may be missing.
 EXCUSING_FAULTS = (EventKind.KILLED, EventKind.PAUSED, EventKind.LINK_CUT, EventKind.CONNECTIONS_RESET)
-CASES_IN_REPORT = 3  # of each checker
+MAX_REPORTED_CASES = 3  # of each checker
 
 Findings = list[str]
 
 
 class LineFindings(NamedTuple):
-    """Gaps between the lines of a session, and lines that arrived more than once."""
+    """Gaps in the line numbers of sessions, and lines that arrived more than once."""
 
     lost: Findings
     duplicated: Findings
 
 
 class Outage(NamedTuple):
-    """A time in which a node could not be reached, in microseconds."""
+    """A period in which a node could not be reached."""
 
     start_us: int
     end_us: int
 
 
 class _ClientSession(NamedTuple):
-    """One of the sessions that a client has begun."""
+    """One session of a client: the client's number, and how many sessions it has begun so far."""
 
     client: int
     session_count: int
 
 
 class _SessionEpoch(NamedTuple):
-    """A session under one of its epochs."""
+    """A session during one of its ownership epochs."""
 
     session_id: str
     epoch: int
 
 
 class _LineSequence(NamedTuple):
-    """Lines that are numbered from 1: a host's in a client's session, or a client's in a session at hosts."""
+    """A sequence of lines numbered from 1: a session's lines in one direction, as one side receives them."""
 
     receiver: str
     sender: str
-    session_count: int = 0  # of a client: each of its sessions is numbered from 1
+    session_count: int = 0  # of a receiving client; each of its sessions starts at 1
 
 
 def _session_of(event: Event) -> _ClientSession:
@@ -77,7 +80,7 @@
 
 
 def no_line_lost(history: Sequence[Event]) -> Findings:
-    """Find gaps in the numbers of received lines, and lines that no host confirmed."""
+    """Find gaps in the numbers of received lines, and lines that no host has confirmed."""
     return _check_line_numbers(history).lost + _unconfirmed_lines(history)
 
 
@@ -87,7 +90,7 @@
 
 
 def _check_line_numbers(history: Sequence[Event]) -> LineFindings:
-    """Compare each received line's number with the last one before it."""
+    """Compare the number of each received line with the highest one before it in its sequence."""
     findings = LineFindings([], [])
     last_numbers: Counter[_LineSequence] = Counter()
     for event in history:
@@ -98,15 +101,15 @@
         last = last_numbers[sequence]
         line = f"{sequence.receiver}: {sequence.sender} line {number}"
         if number > last + 1:
-            findings.lost.append(f"{line} after {last}")
+            findings.lost.append(f"{line} received after line {last}")
         elif number <= last:
-            findings.duplicated.append(f"{line} again")
+            findings.duplicated.append(f"{line} received again")
         last_numbers[sequence] = max(last, number)
     return findings
 
 
 def _sequence_of(event: Event) -> _LineSequence | None:
-    """Return the sequence of a received line; None for other events and for sessions without an id."""
+    """Return the sequence of a received line; None for other events, and for sessions without an id."""
     if event.kind != EventKind.LINE_RECEIVED:
         return None
     if event.party == Party.CLIENT:
@@ -117,10 +120,10 @@
 
 
 def _unconfirmed_lines(history: Sequence[Event]) -> Findings:
-    """Find clients that were served at the end with lines that no host had confirmed."""
+    """Find lines that no host has confirmed, of clients that were served at the end."""
     sent: Counter[_ClientSession] = Counter()
     confirmed: Counter[_ClientSession] = Counter()
-    served: dict[int, _ClientSession] = {}
+    served_sessions: dict[int, _ClientSession] = {}
     for event in history:
         session = _session_of(event)
         if event.party == Party.CLIENT and event.kind == EventKind.LINE_SENT:
@@ -128,26 +131,26 @@
         elif event.party == Party.CLIENT and event.kind == EventKind.LINE_RECEIVED:
             confirmed[session] = max(confirmed[session], event.acknowledged_line)
         elif event.party == Party.CONTROLLER and event.kind == EventKind.CLIENT_CONNECTED:
-            served[event.client] = session
+            served_sessions[event.client] = session
     return [
         f"client {client}: {sent[session] - confirmed[session]} lines unconfirmed at the end"
-        for client, session in served.items()
+        for client, session in served_sessions.items()
         if sent[session] > confirmed[session]
     ]
 
 
 def single_owner(history: Sequence[Event]) -> Findings:
-    """Find lines accepted from a superseded owner, and epochs that two nodes used."""
+    """Find lines that hosts accepted from a superseded owner, and epochs that two nodes used."""
     findings: Findings = []
     newest_epochs: Counter[str] = Counter()  # by session id
-    epoch_users: dict[_SessionEpoch, int] = {}  # nodes
+    epoch_owners: dict[_SessionEpoch, int] = {}  # the node that first used each epoch
     for event in history:
         if event.party != Party.HOST or not event.session_id:
             continue
         newest = newest_epochs[event.session_id]
         if event.kind == EventKind.SESSION_ACQUIRED:
-            user = epoch_users.setdefault(_SessionEpoch(event.session_id, event.epoch), event.node)
-            findings += _check_acquisition(event, user, newest)
+            owner = epoch_owners.setdefault(_SessionEpoch(event.session_id, event.epoch), event.node)
+            findings += _check_acquisition(event, owner, newest)
             newest_epochs[event.session_id] = max(newest, event.epoch)
         elif event.kind == EventKind.LINE_RECEIVED and event.epoch < newest:
             findings.append(
@@ -156,19 +159,19 @@
     return findings
 
 
-def _check_acquisition(event: Event, epoch_user: int, newest_epoch: int) -> Findings:
-    """Find what is wrong with the epoch under which a session was acquired."""
+def _check_acquisition(event: Event, epoch_owner: int, newest_epoch: int) -> Findings:
+    """Find an epoch that another node has used, or that is older than the newest one."""
     findings: Findings = []
     session = f"session {event.session_id}"
-    if epoch_user != event.node:
-        findings.append(f"{session}: epoch {event.epoch} of nodes {epoch_user} and {event.node}")
+    if epoch_owner != event.node:
+        findings.append(f"{session}: epoch {event.epoch} used by nodes {epoch_owner} and {event.node}")
     if event.epoch < newest_epoch:
-        findings.append(f"{session}: epoch {event.epoch} acquired after {newest_epoch}")
+        findings.append(f"{session}: epoch {event.epoch} acquired after epoch {newest_epoch}")
     return findings
 
 
 def token_used_once(history: Sequence[Event]) -> Findings:
-    """Find tokens that were answered UP on more than one connection."""
+    """Find tokens that opened more than one connection (answer UP)."""
     first_lines = _first_lines_with_token(history)
     use_counts = Counter(
         first_lines[event.connection_id].token
@@ -179,14 +182,18 @@
 
 
 def one_answer_in_time(history: Sequence[Event]) -> Findings:
-    """Find answers that are not final, late, repeated, or missing without a fault that excuses it."""
+    """Find answers that are no final answer, late or repeated, and missing ones that no fault excuses."""
     answer_counts = Counter(event.connection_id for event in history if event.kind == EventKind.ANSWERED)
-    repeated = [f"connection {ident}: {count} answers" for ident, count in answer_counts.items() if count > 1]
+    repeated = [
+        f"connection {connection_id}: {count} answers"
+        for connection_id, count in answer_counts.items()
+        if count > 1
+    ]
     return _wrong_answers(history) + _missing_answers(history) + repeated
 
 
 def _wrong_answers(history: Sequence[Event]) -> Findings:
-    """Find answers that are not final or late."""
+    """Find answers that are no final answer, and late ones."""
     findings: Findings = []
     sent_at_us: dict[str, int] = {}  # by connection id
     for event in history:
@@ -195,14 +202,14 @@
         elif event.kind == EventKind.ANSWERED and event.label:
             delay_us = event.timestamp_us - sent_at_us[event.connection_id]
             if event.label not in FINAL_ANSWERS:
-                findings.append(f"connection {event.connection_id}: {event.detail[:60]!r}")
+                findings.append(f"connection {event.connection_id}: no final answer: {event.detail[:60]!r}")
             elif delay_us > ANSWER_DEADLINE_US:
-                findings.append(f"connection {event.connection_id}: after {delay_us} us")
+                findings.append(f"connection {event.connection_id}: answered after {delay_us} us")
     return findings
 
 
 def _missing_answers(history: Sequence[Event]) -> Findings:
-    """Find connections without an answer that no outage of their node excuses."""
+    """Find connections that got no answer although their node had no outage in that time."""
     findings: Findings = []
     nodes = {event.connection_id: event.node for event in history if event.kind == EventKind.FORWARDED}
     outages = _outages(history)
@@ -221,7 +228,7 @@
 
 
 def _outages(history: Sequence[Event]) -> defaultdict[int, list[Outage]]:
-    """Return the outages of each node; one that does not end lasts as long as the history."""
+    """Return the outages of each node; one without a recorded end lasts until the history ends."""
     outages: defaultdict[int, list[Outage]] = defaultdict(list)
     starts_us: dict[int, int] = {}
     for event in history:
@@ -237,28 +244,28 @@
 
 
 def no_session_lost(history: Sequence[Event]) -> Findings:
-    """Find clients with a valid token whose session was rejected, or ended with MOVE."""
+    """Find clients whose valid token was rejected, or whose session a MOVE line ended."""
     first_lines = _first_lines_with_token(history)
     findings: Findings = []
     for event in history:
         if event.kind == EventKind.MIGRATION_REQUESTED and event.token:
-            findings.append(f"client {event.client}: MOVE")
+            findings.append(f"client {event.client}: session ended with MOVE")
         elif event.kind == EventKind.ANSWERED and event.label == "ERR" and event.connection_id in first_lines:
             first_line = first_lines[event.connection_id]
-            if not first_line.detail:  # the controller's own replays of a token have a detail
+            if not first_line.detail:  # has a detail if the controller showed a used token
                 findings.append(f"client {first_line.client}: {event.detail[:60]}")
     return findings
 
 
 def _first_lines_with_token(history: Sequence[Event]) -> dict[str, Event]:
-    """Return the first lines that show a token, by connection id."""
+    """Return the OPEN_SENT events that have a token, by connection id."""
     return {
         event.connection_id: event for event in history if event.kind == EventKind.OPEN_SENT and event.token
     }
 
 
 def no_host_rule_broken(history: Sequence[Event]) -> Findings:
-    """Find the violations that the hosts themselves have recorded."""
+    """Return the violations that the hosts themselves have recorded."""
     return [
         f"{event.label}: {event.detail[:80]}"
         for event in history
@@ -267,7 +274,7 @@
 
 
 def no_orphaned_connection(history: Sequence[Event]) -> Findings:
-    """Find connections at hosts that are for no client at the end."""
+    """Compare the number of connections at hosts with the number of served clients at the end."""
     from_controller = [event for event in history if event.party == Party.CONTROLLER]
     served = sum(event.kind == EventKind.CLIENT_CONNECTED for event in from_controller)
     at_hosts = sum(event.number for event in from_controller if event.kind == EventKind.HOST_CONNECTION_COUNT)
@@ -275,12 +282,12 @@
 
 
 def documents_consistent(history: Sequence[Event]) -> Findings:
-    """Find requests decided under an outdated version, and versions that differ at the end."""
+    """Find requests decided under an outdated version, and documents whose versions differ at the end."""
     return _outdated_decisions(history) + _differing_versions(history)
 
 
 def _outdated_decisions(history: Sequence[Event]) -> Findings:
-    """Find requests decided under a version after another request was under a later one."""
+    """Find requests that were decided under an earlier version than a request before them."""
     findings: Findings = []
     newest: dict[str, Event] = {}  # the first decision under the newest version, by document
     decisions = [event for event in history if event.kind == EventKind.REQUEST_DECIDED]
@@ -298,7 +305,7 @@
 
 
 def _differing_versions(history: Sequence[Event]) -> Findings:
-    """Find documents that do not have the same version in force at all nodes at the end."""
+    """Find documents of which nodes have different versions in force at the end."""
     versions: dict[str, set[int]] = defaultdict(set)  # by document
     for event in history:
         if event.kind == EventKind.DOCUMENT_IN_FORCE:
@@ -320,15 +327,15 @@
 
 
 def check(history: Sequence[Event]) -> dict[str, Findings]:
-    """Run every checker on a history that is in the order of its timestamps; return their findings by key."""
+    """Run all checkers on a history that is sorted by timestamp; return the findings by checker key."""
     return {name: checker(history) for name, checker in CHECKERS.items()}
 
 
 def violation_counts(findings: dict[str, Findings]) -> ViolationCounts:
-    """Return how many cases each checker has found."""
+    """Return how many violations each checker has found."""
     return msgspec.convert({name: len(cases) for name, cases in findings.items()}, ViolationCounts)
 
 
 def first_cases(findings: dict[str, Findings]) -> Cases:
-    """Return the first few cases of the checkers that have found any."""
-    return {name: cases[:CASES_IN_REPORT] for name, cases in findings.items() if cases}
+    """Return the first few violations of each checker that has found any."""
+    return {name: cases[:MAX_REPORTED_CASES] for name, cases in findings.items() if cases}
--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -1,4 +1,4 @@
-"""A cluster under test: real nodes, hosts in a process of their own, clients, and the links between all."""
+"""A cluster under test: nodes and hosts as real processes, clients, and the links between them."""
 
 from __future__ import annotations
 
@@ -27,12 +27,13 @@
 from tansyladder.lab.topology import connect_all
 from tansyladder.lab.waiting import wait_until
 
-START_TIMEOUT = 30.0  # seconds in which all clients are served, and nodes have a leader
-QUIET_TIMEOUT = 3.0  # seconds in which lines that were sent arrive
-ORPHAN_TIMEOUT = 3.0  # seconds in which connections at hosts that are for no client end, without faults
-LEADER_POLL_INTERVAL = 0.05  # seconds between two reads of all logs
-HOST_POLL_INTERVAL = 0.1  # seconds between two requests to the hosts' process
+START_TIMEOUT = 30.0  # seconds in which all clients must be served, and all nodes must know a leader
+QUIET_TIMEOUT = 3.0  # seconds to wait for the last lines to be confirmed
+ORPHAN_TIMEOUT = 3.0  # seconds to wait until hosts have closed connections without a client
+LEADER_POLL_INTERVAL = 0.05  # seconds between two reads of the nodes' logs
+HOST_POLL_INTERVAL = 0.1  # seconds between two requests for the hosts' connection counts
 KEY_BYTES = 32
+# Operator settings of every node; LabNode replaces FOLDER by the node's folder.
 SETTINGS = """(resume (enabled true) (expires "30 s") (max_suspended 2000) (keys (1 "{key}")))
 (store (enabled true) (directory "FOLDER/store"))
 """
@@ -40,29 +41,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSettings:
-    """What a cluster consists of."""
+    """The size of a cluster, and what all of its nodes have in common."""
 
     node_count: int
     host_count: int
     seed: int
     _: KW_ONLY
-    has_peers: bool = True  # whether the nodes are peers
-    operator_settings: str = ""  # added to those of every node
+    has_peers: bool = True  # whether the nodes form a cluster or know nothing of each other
+    operator_settings: str = ""  # added to SETTINGS for every node
 
 
 @dataclass
 class ClusterEndpoint:
-    """A host with the address of its link to one node, as the node's discovery service lists it."""
+    """A host as one node's discovery service lists it: under the address of the link from that node to it."""
 
     ident: str
     address: str
 
     def record_drain_announcement(self) -> None:
-        """Do nothing: the hosts run in another process, and no run drains them."""
+        """Do nothing: the hosts run in another process, and chaos runs do not drain them."""
 
 
 class ChaosCluster:
-    """All parties of one run. Owned by one event loop; not thread-safe."""
+    """The nodes, hosts, clients and links of one run. Owned by one event loop; not thread-safe."""
 
     def __init__(
         self,
@@ -72,12 +73,12 @@
         hosts: HostProcess | None = None,
         peers: PeerNetwork | None = None,
     ) -> None:
-        """Make a cluster that is not started; hosts and links of its own where none are given."""
+        """Create a cluster without starting it; `hosts` and `peers` are created where they are not given."""
         self.folder = folder
         self.settings = settings
         self.report = Report()
         self.history = History()
-        self.full_history: list[Event] = []  # of all processes, once the cluster is closed
+        self.full_history: list[Event] = []  # the merged history of all processes; empty until `close`
         self.hosts = hosts or HostProcess(
             settings.host_count, settings.node_count, settings.seed, folder / "hosts.jsonl"
         )
@@ -90,10 +91,10 @@
         self._discovery_servers: list[DiscoveryServer] = []
         self._client_tasks: list[asyncio.Task[None]] = []
 
-    # --- start and end
+    # --- start and shutdown
 
     async def start(self) -> None:
-        """Start all parties but the clients, and wait until all nodes listen and know their leader."""
+        """Start hosts, nodes and links, and wait until all nodes listen and, as peers, know a leader."""
         await self.hosts.start()
         settings = self.settings
         common_settings = SETTINGS.format(key=secrets.token_hex(KEY_BYTES)) + settings.operator_settings
@@ -107,7 +108,7 @@
         await self.load_balancer.start()
 
     async def _add_node(self, number: int, operator_settings: str) -> None:
-        """Set up a node, its discovery service, and its links to hosts and clients."""
+        """Create a node, and start its discovery service and its links to hosts and clients."""
         host_links = [Link(addresses[number]) for addresses in self.hosts.addresses]
         for link in host_links:
             await link.start()
@@ -129,7 +130,7 @@
         self.client_links.append(client_link)
 
     async def _wait_for_leader(self) -> None:
-        """Wait until every node's log names a leader. Raises LabTimeoutError."""
+        """Wait until the log of each node names a leader. Raises LabTimeoutError."""
 
         def knows_leader(node: ChaosNode) -> bool:
             return b" leader=n" in node.process.log.read_bytes().replace(b"=none", b"")
@@ -137,12 +138,12 @@
         if not await wait_until(
             lambda: all(knows_leader(node) for node in self.nodes), START_TIMEOUT, LEADER_POLL_INTERVAL
         ):
-            raise LabTimeoutError("the nodes did not agree on a leader")
+            raise LabTimeoutError(f"not every node's log names a leader after {START_TIMEOUT:g} s")
 
     async def close(self) -> None:
-        """End all parties, each process by its own id, and merge their histories to `full_history`."""
+        """Shut everything down, each process by its own id, and merge all histories into `full_history`."""
         for node in self.nodes:
-            node.wake_up()
+            node.continue_if_paused()
         await self._close_clients()
         await self.load_balancer.close()
         await asyncio.gather(*(node.close() for node in self.nodes))
@@ -155,7 +156,7 @@
         self.full_history = merge(self.history.events, self.hosts.load_history())
 
     async def _close_clients(self) -> None:
-        """End all sessions, and wait until the clients' tasks have ended."""
+        """Close all clients, and wait until their tasks have ended."""
         for client in self.clients:
             await client.leave()
         for task in self._client_tasks:
@@ -165,30 +166,32 @@
     # --- clients
 
     async def connect_clients(self, count: int) -> None:
-        """Add clients, each with a session that is served. Raises LabTimeoutError."""
-        first = len(self.clients)
-        new: list[Client] = [
+        """Add clients, and wait until all of them have a served session. Raises LabTimeoutError."""
+        first_number = len(self.clients)
+        new_clients: list[Client] = [
             RecordingClient(self.history, self.report, self.load_balancer.port, number, self.settings.seed)
-            for number in range(first, first + count)
+            for number in range(first_number, first_number + count)
         ]
-        self.clients += new
+        self.clients += new_clients
         try:
-            await asyncio.wait_for(connect_all(new, self._client_tasks), START_TIMEOUT)
+            await asyncio.wait_for(connect_all(new_clients, self._client_tasks), START_TIMEOUT)
         except TimeoutError as err:
-            raise LabTimeoutError("not all clients are served") from err
+            raise LabTimeoutError(
+                f"{self._served_count()} of {len(self.clients)} clients are served after {START_TIMEOUT:g} s"
+            ) from err
 
     async def wait_until_all_connected(self, timeout: float) -> bool:
-        """Wait until all clients are served, but no longer than so many seconds; return whether they are."""
+        """Wait until all clients are served, for at most `timeout` seconds; return whether they are."""
         return await wait_until(lambda: self._served_count() == len(self.clients), timeout)
 
     async def quiesce(self) -> None:
-        """Let all clients stop sending, wait for their last lines, and record what is connected then."""
+        """Stop all clients from sending, wait until their lines are confirmed, and record all connections."""
         for client in self.clients:
             client.stop_sending()
         await wait_until(
             lambda: not any(client.unconfirmed_line_count for client in self.clients), QUIET_TIMEOUT
         )
-        connection_counts = await self._wait_for_orphans()
+        connection_counts = await self._wait_until_orphans_are_closed()
         for client in self.clients:
             if client.is_served:
                 self.history.record(
@@ -202,8 +205,11 @@
                 Party.CONTROLLER, EventKind.HOST_CONNECTION_COUNT, host=f"s{host}", number=count
             )
 
-    async def _wait_for_orphans(self) -> list[int]:
-        """Wait until hosts have no more connections than clients are served; return their counts."""
+    async def _wait_until_orphans_are_closed(self) -> list[int]:
+        """Wait until hosts have at most one connection per served client; return the count of each host.
+
+        Gives up after ORPHAN_TIMEOUT.
+        """
         deadline = clock() + timedelta(seconds=ORPHAN_TIMEOUT)
         while True:
             counts = await self.hosts.connection_counts()
@@ -226,7 +232,7 @@
 async def running_cluster(
     node_count: int, host_count: int, seed: int, *, has_peers: bool = True, operator_settings: str = ""
 ) -> AsyncIterator[ChaosCluster]:
-    """Start a cluster, and close it at the end of the block; it has its `full_history` then."""
+    """Start a cluster, and close it at the end of the block; its `full_history` is complete then."""
     settings = ClusterSettings(
         node_count, host_count, seed, has_peers=has_peers, operator_settings=operator_settings
     )
--- a/tansyladder/lab/chaos/commands.py
+++ b/tansyladder/lab/chaos/commands.py
@@ -1,7 +1,7 @@
-"""The commands that run experiments with a cluster.
+"""The commands of `tansyladder lab` that run experiments with a cluster.
 
-The experiments are imported in the commands that run them: they load NumPy, which takes 100 ms or so, and
-this module is loaded for each command of `tansyladder`.
+Each command imports its experiment when it runs: the experiments load NumPy, which takes about 100 ms, and
+this module is loaded for every command of `tansyladder`.
 """
 
 from __future__ import annotations
@@ -97,7 +97,7 @@
 @cluster_host_count_option
 @click.option("--sessions", default=60, show_default=True, type=click.IntRange(1, 3000))
 @click.option("--seconds", default=12.0, show_default=True, type=click.FloatRange(1, 600))
-@click.option("--seed", default=1, show_default=True, help="of the first run; each further run adds one")
+@click.option("--seed", default=1, show_default=True, help="seed of the first run; each further run adds one")
 @click.option("--runs", default=1, show_default=True, type=click.IntRange(1, 10_000))
 @click.option(
     "--schedule",
@@ -127,7 +127,7 @@
 
 
 def _run_schedules(schedules: Sequence[Schedule], keep: Path | None) -> ChaosReport:
-    """Run schedules one after the other; report all violations, and the first run with any."""
+    """Run schedules one after the other; report the sum of violations, and the first run with any."""
     from tansyladder.lab.chaos.reports import ChaosReport, FailedRun  # noqa: PLC0415 - loads NumPy
 
     reports = [_run_schedule(schedule, keep) for schedule in schedules]
@@ -151,7 +151,7 @@
 
 
 def _run_schedule(plan: Schedule, keep: Path | None) -> ScheduleReport:
-    """Run a schedule; write it, and its history, into a folder where one is given."""
+    """Run a schedule; write it and its history to the folder `keep` where one is given."""
     from tansyladder.lab.chaos import experiments, schedule  # noqa: PLC0415 - loads NumPy
 
     if keep is None:
@@ -162,7 +162,7 @@
 
 
 @click.command("scenarios")
-@click.option("--only", multiple=True, help="scenarios by name; without it all")
+@click.option("--only", multiple=True, help="name of a scenario to run; may be repeated; default: all")
 @cluster_host_count_option
 @click.option("--sessions", default=60, show_default=True, type=click.IntRange(5, 3000))
 @seed_option
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -1,4 +1,4 @@
-"""An experiment: a document is changed under faults, while probes are sent to every node."""
+"""The documents experiment: a document is changed during faults, while all nodes get probe requests."""
 
 from __future__ import annotations
 
@@ -25,68 +25,69 @@
 from tansyladder.lab.report import Report, clock
 from tansyladder.replication.document_messages import ChangeOutcome
 
-DOCUMENT = "note"
+DOCUMENT = "note"  # the name of the document
 LEASE_DURATION = 3.0  # seconds
+# Operator settings added for every node; LabNode replaces FOLDER by the node's folder.
 SETTINGS = f'(documents (enabled true) (lease "{LEASE_DURATION:.0f} s") (decision_log "FOLDER/stamps"))\n'
 HOST_COUNT = 2
-PROBE_INTERVAL = 0.03  # seconds between two first lines to a node
-PROBE_TIMEOUT = 3.0  # seconds until an answer counts as missing
-CALL_TIMEOUT = 1.0  # seconds until an answer of the operators' address counts as missing
+PROBE_INTERVAL = 0.03  # seconds between two probes of a node
+PROBE_TIMEOUT = 3.0  # seconds until the answer to a probe counts as missing
+CALL_TIMEOUT = 1.0  # seconds until an answer of an admin server counts as missing
 CHANGE_TIMEOUT = 25.0  # seconds in which the outcome of a change must be known
 CHANGE_POLL_INTERVAL = 0.02  # seconds between two polls of a change
-CHANGE_POLLS = 40  # until the change is requested at the next node
+MAX_CHANGE_POLLS = 40  # polls without an outcome, after which the next node gets the request
 LEASE_TIMEOUT = 15.0  # seconds in which all nodes must have a lease
-LEASE_POLL_INTERVAL = 0.05  # seconds between two polls of leases
-FAULT_LEAD_TIME = 0.3  # seconds that a fault lasts before a change is requested
-CALM_TIME = 2.0  # seconds without faults at the end
+LEASE_POLL_INTERVAL = 0.05  # seconds between two polls of all nodes' leases
+FAULT_LEAD_TIME = 0.3  # seconds from the start of a fault to the request for a change
+FAULT_FREE_TIME = 2.0  # seconds at the end in which nodes are probed without faults
 CHANGES_BEFORE_FAULTS = 5
 MAX_DOCUMENT_BYTES = 50_000
 PENDING_OUTCOMES = (ChangeOutcome.IN_PROGRESS.value, ChangeOutcome.UNKNOWN.value)
-MAX_LABEL_LENGTH = 60  # characters of an answer in the history
+MAX_LABEL_LENGTH = 60  # characters of a change's answer that the history keeps
 
 
 class DocumentVersion(msgspec.Struct, frozen=True):
-    """A version of a document as a node's admin server describes it."""
+    """A version of a document, as a node's admin server describes it."""
 
     number: int
 
 
 class DocumentsStatus(msgspec.Struct, frozen=True):
-    """What a node's admin server answers about its documents."""
+    """The answer of a node's admin server to `documents`."""
 
     lease_ms: float = 0
     document: DocumentVersion | None = msgspec.field(name=DOCUMENT, default=None)
 
 
 class ChangeAnswer(NamedTuple):
-    """What a node answers about a change, such as `done VERSION` or `refused: REASON`."""
+    """A node's answer about the state of a change, such as `done VERSION` or `refused: REASON`."""
 
     text: str
 
     @property
     def is_final(self) -> bool:
-        """Whether the change has ended."""
+        """Whether the change has ended, so that the answer will not change any more."""
         return bool(self.text) and not self.text.startswith(PENDING_OUTCOMES)
 
     @property
     def outcome(self) -> str:
-        """The first word of the answer."""
+        """The first word of the answer, usually a value of ChangeOutcome."""
         return self.text.partition(" ")[0].rstrip(":")
 
     @property
     def committed_version(self) -> int | None:
-        """The new version of the document; None where the change was not committed."""
+        """The number of the new version; None where the change was not committed."""
         return int(self.text.split()[1]) if self.outcome == ChangeOutcome.DONE else None
 
 
 class FaultDuration(NamedTuple):
-    """A kind of fault, and how long it lasts."""
+    """A kind of fault and its duration."""
 
     kind: FaultKind
     duration_s: float
 
 
-CHANGE_FAULTS = (  # under each of which the document is changed
+CHANGE_FAULTS = (  # the document is changed once during each of these
     FaultDuration(FaultKind.PAUSE, 2 * LEASE_DURATION),
     FaultDuration(FaultKind.CUT_PEERS, 2 * LEASE_DURATION),
     FaultDuration(FaultKind.KILL, 1.0),
@@ -95,15 +96,16 @@
 
 
 class DocumentExperiment:
-    """Probes all nodes with first lines, and requests changes of a document.
+    """Sends probes to all nodes, and requests changes of a document.
 
-    A context manager: probes are sent within its block. Owned by one event loop; not thread-safe.
+    As an async context manager it sends probes for as long as its block runs. Owned by one event loop; not
+    thread-safe.
     """
 
     def __init__(self, cluster: ChaosCluster, seed: int) -> None:
         self.cluster = cluster
         self.report = Report()
-        self.outcomes: list[str] = []  # of the changes, mostly values of ChangeOutcome
+        self.outcomes: list[str] = []  # of the changes; mostly values of ChangeOutcome
         self._rng = numpy.random.default_rng(seed)
         self._injector = FaultInjector(cluster)
         self._change_count = 0
@@ -123,7 +125,7 @@
     # --- probes
 
     def _start(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine until it ends or the block does."""
+        """Start a coroutine as a task that is cancelled at the end of the block."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -137,7 +139,7 @@
             await asyncio.sleep(PROBE_INTERVAL)
 
     async def _send_probe(self, node: int, connection_id: str) -> None:
-        """Send one first line on a connection of its own, and record the first word of the answer."""
+        """Send one first line on a new connection, and record the first word of the answer, if any."""
         history = self.cluster.history
         history.record(Party.CLIENT, EventKind.PROBE_SENT, connection_id=connection_id, node=node)
         status = ""
@@ -149,10 +151,10 @@
             Party.CLIENT, EventKind.PROBE_ANSWERED, connection_id=connection_id, node=node, label=status
         )
 
-    # --- the operators' address
+    # --- admin servers
 
     async def call(self, node: int, line: str) -> list[str]:
-        """Return the lines that a node's admin server answers; none where it does not answer."""
+        """Send a line to a node's admin server; return the lines of the answer, none if there is none."""
         with contextlib.suppress(OSError, TimeoutError):
             async with connection(f"{LOOPBACK}:{self.cluster.nodes[node].process.admin_port}") as established:
                 established.writer.write(f"{line}\n".encode())
@@ -161,29 +163,36 @@
         return []
 
     async def publish(self, node: int, text: str = "") -> None:
-        """Request a change at a node, and at others while it does not answer, until the outcome is known.
+        """Request a change of the document, and poll it until its outcome is known.
 
-        `text` is the document; a valid one is generated where it is empty. Raises LabTimeoutError.
+        Where a node does not answer or does not know the outcome, the next node gets the same request.
+
+        Args:
+            node: that gets the request first.
+            text: the new document; empty for a generated valid one.
+
+        Raises:
+            LabTimeoutError: the outcome is not known in time.
         """
         self._change_count += 1
-        change = f"ask{self._change_count}"
+        change_id = f"ask{self._change_count}"
         filler = "" if text else "x" * int(self._rng.integers(1, MAX_DOCUMENT_BYTES))
-        path = self.cluster.folder / f"{change}.sexp"
-        path.write_text(text or f'({DOCUMENT} "{change}, {filler}")')
+        path = self.cluster.folder / f"{change_id}.sexp"
+        path.write_text(text or f'({DOCUMENT} "{change_id}, {filler}")')
         started_at = clock()
-        self.cluster.history.record(Party.CONTROLLER, EventKind.CHANGE_REQUESTED, node=node, detail=change)
+        self.cluster.history.record(Party.CONTROLLER, EventKind.CHANGE_REQUESTED, node=node, detail=change_id)
         while clock() - started_at < timedelta(seconds=CHANGE_TIMEOUT):
-            await self.call(node, f"publish {DOCUMENT} {change} {path}")
-            if answer := await self._poll_change(node, change):
-                self._record_outcome(change, answer, clock() - started_at)
+            await self.call(node, f"publish {DOCUMENT} {change_id} {path}")
+            if answer := await self._poll_change(node, change_id):
+                self._record_outcome(change_id, answer, clock() - started_at)
                 return
             node = (node + 1) % self.cluster.settings.node_count
-        raise LabTimeoutError(f"{change}: the outcome is not known")
+        raise LabTimeoutError(f"change {change_id} of {DOCUMENT}: outcome unknown after {CHANGE_TIMEOUT:g} s")
 
-    async def _poll_change(self, node: int, change: str) -> ChangeAnswer | None:
-        """Return how a change ended; None where the node does not answer, or does not know it in time."""
-        for _ in range(CHANGE_POLLS):
-            lines = await self.call(node, f"change {change}")
+    async def _poll_change(self, node: int, change_id: str) -> ChangeAnswer | None:
+        """Return a node's final answer about a change; None if it has none after MAX_CHANGE_POLLS polls."""
+        for _ in range(MAX_CHANGE_POLLS):
+            lines = await self.call(node, f"change {change_id}")
             if not lines or not lines[0]:
                 return None
             answer = ChangeAnswer(lines[0].partition(" ")[2])
@@ -192,13 +201,13 @@
             await asyncio.sleep(CHANGE_POLL_INTERVAL)
         return None
 
-    def _record_outcome(self, change: str, answer: ChangeAnswer, duration: timedelta) -> None:
-        """Record how a change ended, and its duration where it was committed."""
+    def _record_outcome(self, change_id: str, answer: ChangeAnswer, duration: timedelta) -> None:
+        """Record the outcome of a change, and its duration where it was committed."""
         self.outcomes.append(answer.outcome)
         self.cluster.history.record(
             Party.CONTROLLER,
             EventKind.CHANGE_ENDED,
-            detail=change,
+            detail=change_id,
             label=answer.text[:MAX_LABEL_LENGTH],
             number=answer.committed_version or 0,
         )
@@ -206,31 +215,31 @@
             self.report.record_delay("publish", duration)
 
     async def _documents(self, node: int) -> DocumentsStatus:
-        """Return a node's answer about its documents; an empty one where it does not answer."""
+        """Return the status of a node's documents; one with defaults where the node does not answer."""
         lines = await self.call(node, "documents")
         if not lines or not lines[0].startswith("{"):
             return DocumentsStatus()
         return msgspec.json.decode(lines[0], type=DocumentsStatus)
 
     async def _has_lease(self, node: int) -> bool:
-        """Return whether a node may decide under its documents now."""
+        """Return whether a node has a lease, which it needs to serve requests."""
         return (await self._documents(node)).lease_ms != 0
 
     async def wait_for_leases(self) -> None:
-        """Wait until every node has a lease. Raises LabTimeoutError."""
+        """Wait until all nodes have a lease. Raises LabTimeoutError."""
         deadline = clock() + timedelta(seconds=LEASE_TIMEOUT)
         while clock() < deadline:
             if all([await self._has_lease(node) for node in range(self.cluster.settings.node_count)]):
                 return
             await asyncio.sleep(LEASE_POLL_INTERVAL)
-        raise LabTimeoutError("not all nodes have a lease")
+        raise LabTimeoutError(f"not all nodes have a lease after {LEASE_TIMEOUT:g} s")
 
     async def record_versions(self) -> None:
-        """Record which version of the document each node has in force. Raises LabError."""
+        """Record the version of the document that each node has in force. Raises LabError."""
         for node in range(self.cluster.settings.node_count):
             version = (await self._documents(node)).document
             if version is None:
-                raise LabError(f"node {node} does not say which version of {DOCUMENT} is in force")
+                raise LabError(f"node {node} did not report which version of {DOCUMENT} is in force")
             self.cluster.history.record(
                 Party.NODE, EventKind.DOCUMENT_IN_FORCE, node=node, label=DOCUMENT, number=version.number
             )
@@ -238,7 +247,7 @@
     # --- the experiment
 
     async def run(self) -> None:
-        """Change the document without faults, under each fault, twice at once, and to an invalid text."""
+        """Change the document without faults, during each fault, twice at once, and to an invalid text."""
         node_count = self.cluster.settings.node_count
         await self.wait_for_leases()
         for _ in range(CHANGES_BEFORE_FAULTS):
@@ -246,13 +255,13 @@
         for index in self._rng.permutation(len(CHANGE_FAULTS)):
             kind, duration_s = CHANGE_FAULTS[index]
             node = int(self._rng.integers(node_count))
-            await self._publish_under(Fault(0.0, kind, node, duration_s), (node + 1) % node_count)
+            await self._publish_during(Fault(0.0, kind, node, duration_s), (node + 1) % node_count)
         await asyncio.gather(self.publish(0), self.publish(node_count - 1))
         await self.publish(1, f"({DOCUMENT}")
         await self.wait_for_leases()
 
-    async def _publish_under(self, fault: Fault, node: int) -> None:
-        """Inject a fault, and request a change at a node while it lasts."""
+    async def _publish_during(self, fault: Fault, node: int) -> None:
+        """Inject a fault, and request a change at a node during the fault."""
         injection = asyncio.ensure_future(self._injector.inject(fault))
         await asyncio.sleep(0.0 if fault.kind is FaultKind.KILL_LEADER else FAULT_LEAD_TIME)
         try:
@@ -263,19 +272,19 @@
 
 
 async def run_experiment(nodes: int, seed: int, history_path: Path | None = None) -> DocumentsReport:
-    """Run the experiment with a new cluster; write the history where a path is given."""
+    """Run the experiment with a new cluster; write the history to a file where a path is given."""
     async with running_cluster(nodes, HOST_COUNT, seed, operator_settings=SETTINGS) as cluster:
         async with DocumentExperiment(cluster, seed) as experiment:
             await experiment.run()
-            calm_from = len(cluster.history.events)
+            fault_free_from = len(cluster.history.events)
             await experiment.publish(0)
-            await asyncio.sleep(CALM_TIME)
-            answers_when_calm = _probe_answers(cluster.history.events[calm_from:])
+            await asyncio.sleep(FAULT_FREE_TIME)
+            fault_free_answers = _probe_answers(cluster.history.events[fault_free_from:])
             await experiment.record_versions()
         decisions = [
             event
             for node in cluster.nodes
-            for event in _load_stamps(node.process.folder / "stamps", node.number)
+            for event in _load_decisions(node.process.folder / "stamps", node.number)
         ]
     history = cluster.full_history + decisions
     if history_path is not None:
@@ -291,8 +300,8 @@
         probes=len(answers),
         served=answers.count("UP"),
         decisions=len(decisions),
-        probes_rejected_when_calm=answers_when_calm.count("BUSY"),
-        probes_when_calm=len(answers_when_calm),
+        probes_rejected_when_calm=fault_free_answers.count("BUSY"),
+        probes_when_calm=len(fault_free_answers),
         publish_ms=experiment.report.percentiles("publish"),
         violations=checkers.violation_counts(findings),
         cases=checkers.first_cases(findings),
@@ -300,12 +309,12 @@
 
 
 def _probe_answers(history: list[Event]) -> list[str]:
-    """Return the first words of all answers to probes; empty ones where there was no answer."""
+    """Return the first word of the answer to each probe; empty for a probe without an answer."""
     return [event.label for event in history if event.kind == EventKind.PROBE_ANSWERED]
 
 
-def _load_stamps(path: Path, node: int) -> list[Event]:
-    """Return the decisions that a node has logged, with the versions in force at each."""
+def _load_decisions(path: Path, node: int) -> list[Event]:
+    """Return an event for each logged decision of a node, and each document whose version it names."""
     if not path.exists():
         return []
     lines = path.read_bytes().split(b"\n")[:-1]
--- a/tansyladder/lab/chaos/experiments.py
+++ b/tansyladder/lab/chaos/experiments.py
@@ -1,4 +1,4 @@
-"""Experiments with a cluster: lost nodes, schedules of faults, duplicate tokens, and costs."""
+"""Experiments with a cluster: takeover, schedules of faults, duplicate tokens, and the cost of peers."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 from tansyladder.lab.connections import answer_status, connection
 from tansyladder.lab.report import MICROSECOND, Percentiles, Report
 
-PAUSE = 5.0  # seconds that a node is paused
-RECONNECT_TIMEOUT = 15.0  # seconds in which all clients must be served again
+PAUSE_TIME = 5.0  # seconds that a node is paused
+RECONNECT_TIMEOUT = 15.0  # seconds after the faults in which all clients must be served again
 ANSWER_TIMEOUT = 5.0  # seconds until an answer counts as missing
-WARM_UP_TIME = 1.0  # seconds that all sessions are served before the first fault
+WARM_UP_TIME = 1.0  # seconds that all sessions are served before the first fault or measurement
 MEBIBYTE = 2**20
 
 
@@ -36,13 +36,13 @@
 
     cpu_ms_per_second: float
     memory_mb: float
-    bytes_per_second: int  # to peers and from them
+    bytes_per_second: int  # sent to peers and received from them
 
 
 async def takeover(
     nodes: int, hosts: int, sessions: int, seed: int, *, has_peers: bool = True
 ) -> TakeoverReport:
-    """Kill one node and pause another; report which of their sessions are resumed at the others."""
+    """Kill one node and pause another; report how many of their sessions are resumed at other nodes."""
     async with running_cluster(nodes, hosts, seed, has_peers=has_peers) as cluster:
         await cluster.connect_clients(sessions)
         await asyncio.sleep(WARM_UP_TIME)
@@ -50,7 +50,7 @@
         sessions_before = {client.number: client.session_count for client in cluster.clients}
         await cluster.nodes[0].kill()
         cluster.nodes[1].pause()
-        await asyncio.sleep(PAUSE)
+        await asyncio.sleep(PAUSE_TIME)
         cluster.nodes[1].resume()
         all_reconnected = await cluster.wait_until_all_connected(RECONNECT_TIMEOUT)
         resumed = sum(
@@ -82,7 +82,7 @@
 
 
 async def measure_cost(nodes: int, hosts: int, sessions: int, seed: int, seconds: float) -> PeersCostReport:
-    """Report what a cluster without faults costs, first without peers and then with them."""
+    """Measure the nodes of a cluster without faults, first without peers and then with them."""
     async with running_cluster(nodes, hosts, seed, has_peers=False) as cluster:
         without_peers = await _measure_node_cost(cluster, sessions, seconds)
     async with running_cluster(nodes, hosts, seed, has_peers=True) as cluster:
@@ -101,7 +101,7 @@
 
 
 async def _measure_node_cost(cluster: ChaosCluster, sessions: int, seconds: float) -> _NodeCost:
-    """Connect clients, and measure the nodes of a cluster for so many seconds."""
+    """Connect clients, and measure the nodes of a cluster for a number of seconds."""
     processes = [node.process for node in cluster.nodes]
     await cluster.connect_clients(sessions)
     await asyncio.sleep(WARM_UP_TIME)
@@ -122,13 +122,13 @@
 
 
 async def duplicate_tokens(nodes: int, hosts: int, sessions: int, seed: int) -> DuplicateTokensReport:
-    """Show each client's token at two nodes at one moment, and a third time after that."""
-    token_counts: Counter[int] = Counter()  # tokens, by how often they were answered UP
+    """Show each client's token at two nodes at once and then a third time; count how often it is accepted."""
+    token_counts: Counter[int] = Counter()  # tokens, by how many of their answers were UP
     async with running_cluster(nodes, hosts, seed) as cluster:
         await cluster.connect_clients(sessions)
         await asyncio.sleep(WARM_UP_TIME)
         for client in cluster.clients:
-            answers = await _show_three_times(cluster, client)
+            answers = await _show_token_three_times(cluster, client)
             token_counts[answers.count("UP")] += 1
     findings = checkers.check(cluster.full_history)
     violations = checkers.violation_counts(findings)
@@ -144,8 +144,8 @@
     )
 
 
-async def _show_three_times(cluster: ChaosCluster, client: Client) -> list[str]:
-    """Show an abandoned session's token at two nodes at once and then at one; return the answers."""
+async def _show_token_three_times(cluster: ChaosCluster, client: Client) -> list[str]:
+    """Show the token of a client's session at two nodes at once and then at one; return the three answers."""
     session = client.abandon()
     node_count = cluster.settings.node_count
     first = client.number % node_count
@@ -161,7 +161,7 @@
 async def _show_token(
     cluster: ChaosCluster, session: AbandonedSession, client: int, node: int, attempt: int
 ) -> str:
-    """Show a token at a node; return the first word of the answer. The connection ends with it."""
+    """Show a token at a node on a new connection, and close it; return the first word of the answer."""
     connection_id = f"{client:x}0{attempt}"
     history = cluster.history
     async with connection(cluster.client_links[node].address) as established:
@@ -190,7 +190,7 @@
 
 
 async def run_schedule(schedule: Schedule, history_path: Path | None = None) -> ScheduleReport:
-    """Inject a schedule's faults and check the history, which is written where a path is given."""
+    """Inject a schedule's faults and check the history; write it to a file where a path is given."""
     async with running_cluster(schedule.nodes, schedule.hosts, schedule.seed) as cluster:
         await cluster.connect_clients(schedule.sessions)
         await asyncio.gather(
@@ -216,13 +216,13 @@
 
 
 async def _inject_faults(injector: FaultInjector, faults: Sequence[Fault]) -> None:
-    """Inject each fault at its start, and wait until all have ended."""
+    """Inject each fault at its scheduled time, and wait until all have ended."""
 
-    async def inject_in_time(fault: Fault) -> None:
+    async def inject_at_start(fault: Fault) -> None:
         await asyncio.sleep(fault.start_s)
         await injector.inject(fault)
 
-    await asyncio.gather(*(inject_in_time(fault) for fault in faults))
+    await asyncio.gather(*(inject_at_start(fault) for fault in faults))
 
 
 def _count_clients_with_new_session(history: Sequence[Event]) -> int:
@@ -232,7 +232,7 @@
 
 
 def _resumption_gaps(history: Sequence[Event]) -> Percentiles:
-    """Return percentiles of the time from showing a token to UP."""
+    """Return percentiles of the time from when a client shows a token until it is answered UP."""
     report = Report()
     shown_at_us: dict[str, int] = {}  # by connection id
     for event in history:
@@ -245,7 +245,7 @@
 
 
 def _rejections(history: Sequence[Event]) -> dict[str, int]:
-    """Return the answers that rejected tokens, with their counts."""
+    """Return how often each answer that rejects a token was given, by the answer's text."""
     with_token = {
         event.connection_id for event in history if event.kind == EventKind.OPEN_SENT and event.token
     }
--- a/tansyladder/lab/chaos/faults.py
+++ b/tansyladder/lab/chaos/faults.py
@@ -1,4 +1,4 @@
-"""Injects faults into a cluster: each from its start to its end."""
+"""Injects faults into a cluster, and ends them after their duration."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from tansyladder.lab.report import clock
 
 FLAP_INTERVAL = 0.1  # seconds between two changes of a flapping link
-TOKEN_POLL_INTERVAL = 0.001  # seconds between two checks for a client that shows a token
+TOKEN_POLL_INTERVAL = 0.001  # seconds between two checks for a forwarded token
 LEADER_LOG_LINE = re.compile(rb"event=raft_state role=\w+ term=(\d+) leader=(\w+)")
-NEEDS_RUNNING_NODE = frozenset(  # without effect on a node that another fault has killed
+NEEDS_RUNNING_NODE = frozenset(  # kinds that are skipped if another fault has killed their node
     {
         FaultKind.PAUSE,
         FaultKind.RESTART,
@@ -67,7 +67,7 @@
         }
 
     async def inject(self, fault: Fault) -> None:
-        """Inject a fault; return once it has ended."""
+        """Inject a fault, and return once it has ended."""
         if fault.kind in NEEDS_RUNNING_NODE and self._node(fault).is_down:
             return
         await self._handlers[fault.kind](fault)
@@ -111,7 +111,7 @@
         old_process = await self._node(fault).upgrade()
         if fault.kind is FaultKind.UPGRADE_KILL:
             await asyncio.sleep(fault.duration_s)
-            with contextlib.suppress(ProcessLookupError):  # it has ended already
+            with contextlib.suppress(ProcessLookupError):  # the old process has ended already
                 old_process.kill()
         await old_process.wait()
 
@@ -155,20 +155,20 @@
     # --- links
 
     async def _cut_hosts(self, fault: Fault) -> None:
-        await self._cut(
+        await self._cut_links(
             fault, self._cluster.host_links[fault.node], EventKind.LINK_CUT, *CUT_DIRECTIONS[fault.kind]
         )
 
     async def _cut_clients(self, fault: Fault) -> None:
-        await self._cut(fault, [self._cluster.client_links[fault.node]], EventKind.LINK_CUT)
+        await self._cut_links(fault, [self._cluster.client_links[fault.node]], EventKind.LINK_CUT)
 
     async def _cut_peers(self, fault: Fault) -> None:
-        await self._cut(fault, self._cluster.peers.links_of(fault.node), EventKind.PEER_LINKS_CUT)
+        await self._cut_links(fault, self._cluster.peers.links_of(fault.node), EventKind.PEER_LINKS_CUT)
 
-    async def _cut(
+    async def _cut_links(
         self, fault: Fault, links: Sequence[Link], kind: EventKind, *directions: Direction
     ) -> None:
-        """Cut links in these directions, or in both, for the duration of a fault."""
+        """Cut links in the given directions, or in both if none is given, for the duration of a fault."""
         self._node(fault).record(kind)
         for link in links:
             link.cut(*directions)
@@ -182,13 +182,13 @@
         self._recover(fault, [])
 
     async def _delay_hosts(self, fault: Fault) -> None:
-        await self._delay(fault, self._cluster.host_links[fault.node])
+        await self._delay_links(fault, self._cluster.host_links[fault.node])
 
     async def _delay_peers(self, fault: Fault) -> None:
-        await self._delay(fault, self._cluster.peers.links_of(fault.node))
+        await self._delay_links(fault, self._cluster.peers.links_of(fault.node))
 
-    async def _delay(self, fault: Fault, links: Sequence[Link]) -> None:
-        """Delay links for the duration of a fault."""
+    async def _delay_links(self, fault: Fault, links: Sequence[Link]) -> None:
+        """Delay the bytes on links for the duration of a fault."""
         self._node(fault).record(EventKind.LINK_DELAYED)
         for link in links:
             link.delay_by(fault.value)
@@ -212,21 +212,21 @@
         self._recover(fault, links)
 
     def _recover(self, fault: Fault, links: Sequence[Link]) -> None:
-        """End the faults of links, and record that."""
+        """End all faults of links, and record that the node has recovered."""
         for link in links:
             link.recover()
         self._node(fault).record(EventKind.RECOVERED)
 
 
 async def _kill_for(seconds: float, nodes: Sequence[ChaosNode]) -> None:
-    """Kill nodes at one moment, and start them again after so many seconds."""
+    """Kill nodes at the same time, and restart them after a number of seconds."""
     await asyncio.gather(*(node.kill() for node in nodes))
     await asyncio.sleep(seconds)
     await asyncio.gather(*(node.restart() for node in nodes))
 
 
 def find_leader(cluster: ChaosCluster) -> ChaosNode:
-    """Return the running node whose log names it as the leader of the newest term; else any running node."""
+    """Return the running node that is the leader of the newest term by its own log; else any running node."""
 
     def leader_term(node: ChaosNode) -> int:
         states = LEADER_LOG_LINE.findall(node.process.log.read_bytes())
@@ -239,7 +239,7 @@
 
 
 async def _next_token_recipient(cluster: ChaosCluster, timeout: float) -> ChaosNode | None:
-    """Return the next running node that a token is forwarded to; None where none is in so many seconds."""
+    """Wait until a token is forwarded to a running node, and return that node; None after the timeout."""
     deadline = clock() + timedelta(seconds=timeout)
     events = cluster.history.events
     first_unseen = len(events)
--- a/tansyladder/lab/chaos/host_process.py
+++ b/tansyladder/lab/chaos/host_process.py
@@ -1,4 +1,4 @@
-"""The controller's end of the process that runs the stand-in hosts (see `hosts.py`)."""
+"""Starts and controls the process that runs the stand-in hosts of a run (`hosts.py`)."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tansyladder.lab.chaos.history import Event, load
 from tansyladder.lab.errors import NotStartedError
 
-ANSWER_TIMEOUT = 30.0  # seconds in which it must answer
-END_TIMEOUT = 5.0  # seconds in which it must end
+ANSWER_TIMEOUT = 30.0  # seconds in which the process must answer
+EXIT_TIMEOUT = 5.0  # seconds in which the process must end once its input is closed
 
 
 class HostProcess:
-    """All stand-in hosts of a run, in one process. Owned by one event loop; not thread-safe."""
+    """The process with all stand-in hosts of a run. Owned by one event loop; not thread-safe."""
 
     def __init__(self, host_count: int, node_count: int, seed: int, history_path: Path) -> None:
         self.addresses: list[list[str]] = []  # by host, and then by node
@@ -38,42 +38,42 @@
         self.addresses = await self._read_json()
 
     def kill_host(self, host: int) -> None:
-        """Let a host die: its connections are reset, and new ones rejected."""
+        """Make a host fail: its connections are reset, and new ones are refused."""
         self._send(f"kill {host}")
 
     def restart_host(self, host: int) -> None:
-        """Let a host that has died listen again, at the same addresses."""
+        """Make a host that was killed listen again, at the same addresses."""
         self._send(f"restart {host}")
 
     async def connection_counts(self) -> list[int]:
-        """Return how many connections each host has."""
+        """Return the number of connections of each host."""
         self._send("count")
         counts: list[int] = await self._read_json()
         return counts
 
     async def close(self) -> None:
-        """End the process, with SIGKILL where it does not end in time."""
+        """Close the input of the process, which ends it; kill it where it does not end in time."""
         if self._process is None or self._process.stdin is None:
             return
         self._process.stdin.close()
         with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(self._process.wait(), END_TIMEOUT)
+            await asyncio.wait_for(self._process.wait(), EXIT_TIMEOUT)
         if self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
 
     def load_history(self) -> list[Event]:
-        """Return what the hosts have recorded, once the process has ended."""
+        """Return the events that the hosts have recorded; complete once the process has ended."""
         return load(self._history_path) if self._history_path.exists() else []
 
     def _send(self, command: str) -> None:
-        """Send a command line to the process. Raises NotStartedError."""
+        """Send one command to the process. Raises NotStartedError."""
         if self._process is None or self._process.stdin is None:
             raise NotStartedError("the hosts' process")
         self._process.stdin.write(f"{command}\n".encode())
 
     async def _read_json(self) -> Any:
-        """Return the next JSON line of the process. Raises TimeoutError, NotStartedError."""
+        """Return the next JSON line that the process prints. Raises TimeoutError, NotStartedError."""
         if self._process is None or self._process.stdout is None:
             raise NotStartedError("the hosts' process")
         return json.loads(await asyncio.wait_for(self._process.stdout.readline(), ANSWER_TIMEOUT))
--- a/tansyladder/lab/chaos/hosts.py
+++ b/tansyladder/lab/chaos/hosts.py
@@ -1,10 +1,11 @@
-"""Stand-in hosts and their session store in a process of their own; each host has a listener for each node.
+"""Runs stand-in hosts and the session store that they share, as a process of its own.
 
     python -m tansyladder.lab.chaos.hosts HOSTS NODES SEED HISTORY
 
-It prints the listeners' addresses as one JSON line, and ends when its standard input does. Until then it
-reads commands there: `kill N`, `restart N`, and `count`, which it answers with the connections at each host
-as a JSON line. `host_process.py` is the other end.
+Each host has one listener for each node. The process prints the addresses of all listeners as one JSON line.
+It then reads commands from standard input, and exits when that ends: `kill N` and `restart N` for host N, and
+`count`, which it answers with a JSON line of the number of connections at each host. `host_process.py` starts
+this process and sends the commands.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class RecordingHostCluster(StreamHostCluster):
-    """Hosts that record which sessions they acquire and reject, and which lines they receive."""
+    """Records which sessions hosts acquire, which owners they reject, and which lines they receive."""
 
     def __init__(self, seed: int, history: History) -> None:
         super().__init__(Report(), seed)
@@ -44,20 +45,20 @@
         )
 
     def on_session_acquired(self, stream: HostedStream) -> None:
-        """Record the session's owner."""
+        """Record that a node has acquired a session."""
         self._record(EventKind.SESSION_ACQUIRED, stream)
 
     def on_session_fenced(self, stream: HostedStream) -> None:
-        """Record the owner that was rejected."""
+        """Record that a superseded owner was rejected."""
         self._record(EventKind.SESSION_FENCED, stream)
 
     def on_line_received(self, stream: HostedStream, number: int) -> None:
-        """Record a client's line."""
+        """Record a line from a client."""
         self._record(EventKind.LINE_RECEIVED, stream, number)
 
 
 async def serve(host_count: int, node_count: int, seed: int, history_path: Path) -> None:
-    """Serve until standard input ends, then write the rest of the history."""
+    """Run hosts until standard input ends; write the history to a file meanwhile and at the end."""
     with history_path.open("wb") as out:
         history = History(out)
         cluster = RecordingHostCluster(seed, history)
@@ -82,7 +83,7 @@
 
 
 async def _run_commands(hosts: list[StreamHost]) -> None:
-    """Run the commands on standard input until it ends."""
+    """Run commands from standard input until it ends."""
     loop = asyncio.get_running_loop()
     while command := (await loop.run_in_executor(None, sys.stdin.readline)).split():
         match command:
--- a/tansyladder/lab/chaos/links.py
+++ b/tansyladder/lab/chaos/links.py
@@ -1,4 +1,4 @@
-"""Links whose faults a run controls, and the load balancer that spreads clients over the nodes."""
+"""Links that can be cut, delayed and reset, and the load balancer that spreads clients over the nodes."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 CHUNK_BYTES = 1 << 16
 BACKLOG = 1024
 HEALTH_CHECK_INTERVAL = 0.1  # seconds between two health checks of a node
-HEALTH_CHECK_TIMEOUT = 1.0  # seconds until a health check has failed
-UNHEALTHY_AFTER = timedelta(seconds=2)  # a node that fails its health checks still gets clients for so long
+HEALTH_CHECK_TIMEOUT = 1.0  # seconds until a health check without an answer has failed
+UNHEALTHY_AFTER = timedelta(seconds=2)  # a node gets clients for so long after its last passed health check
 
 
 class Direction(Enum):
-    """In which direction bytes pass through a proxy."""
+    """The direction in which bytes pass through a proxy."""
 
     TO_TARGET = auto()
     FROM_TARGET = auto()
 
 
 class _Proxy:
-    """Forwards each of its connections to a target. Owned by one event loop; not thread-safe."""
+    """Forwards each accepted connection to a target. Owned by one event loop; not thread-safe."""
 
     def __init__(self) -> None:
         self.address = ""
@@ -74,22 +74,22 @@
                 self._writers.discard(target.writer)
                 target.writer.close()
         except (OSError, IndexError, asyncio.CancelledError):
-            writer.transport.abort()  # the target is gone, there was no first line, or the run has ended
+            writer.transport.abort()  # the target is unreachable, the first line invalid, or the run over
         finally:
             self._writers.discard(writer)
             writer.close()
 
     async def _connect_target(self, reader: asyncio.StreamReader, /) -> Connection:
-        """Connect to the target of a client's connection. Raises OSError."""
+        """Connect to the target of a client's connection. Raises OSError, IndexError (invalid line)."""
         raise NotImplementedError
 
     async def _wait_until_open(self, direction: Direction) -> None:
-        """Wait until bytes may pass in a direction."""
+        """Wait until bytes may pass in a direction; this class does not wait, links do."""
 
     async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
     ) -> None:
-        """Forward bytes in one direction, and the end of the stream."""
+        """Forward bytes in one direction until the stream ends, and then forward its end."""
         try:
             while data := await reader.read(CHUNK_BYTES):
                 await self._wait_until_open(direction)
@@ -103,7 +103,7 @@
 
 
 class Link(_Proxy):
-    """The link between two parties; all of its connections share its faults."""
+    """The link between two parties; a fault of the link affects all of its connections."""
 
     def __init__(self, target_address: str) -> None:
         super().__init__()
@@ -117,12 +117,12 @@
         self.delay = seconds
 
     def cut(self, *directions: Direction) -> None:
-        """Hold back all bytes in these directions, or in both; all connections stay open."""
+        """Hold back all bytes in the given directions, or in both if none is given; connections stay open."""
         for direction in directions or Direction:
             self._is_open[direction].clear()
 
     def recover(self) -> None:
-        """End all faults; bytes that were held back arrive now."""
+        """End all faults; bytes that were held back are forwarded now."""
         self.delay = 0.0
         for is_open in self._is_open.values():
             is_open.set()
@@ -138,15 +138,15 @@
 
 
 class LoadBalancer(_Proxy):
-    """Forwards clients' connections round robin to the nodes that pass their health checks."""
+    """Forwards each client connection to the next healthy node, round robin."""
 
     def __init__(self, history: History, node_addresses: list[str]) -> None:
         super().__init__()
         self._history = history
         self._node_addresses = node_addresses
-        self._healthy_at = [timedelta(0)] * len(node_addresses)  # when each answered last
-        self._turn_count = 0
-        self._health_checks: list[asyncio.Task[None]] = []
+        self._healthy_at = [timedelta(0)] * len(node_addresses)  # when each node last passed a health check
+        self._forwarded_count = 0
+        self._health_check_tasks: list[asyncio.Task[None]] = []
 
     @property
     def port(self) -> int:
@@ -154,22 +154,22 @@
         return int(self.address.rpartition(":")[2])
 
     async def start(self) -> None:
-        """Listen on a free port, and begin to check the nodes' health."""
-        self._health_checks = [
+        """Start the health checks of all nodes, and listen on a free port."""
+        self._health_check_tasks = [
             asyncio.ensure_future(self._check_health(node)) for node in range(len(self._node_addresses))
         ]
         await super().start()
 
     async def close(self) -> None:
-        """Stop listening, and reset all connections."""
-        for task in self._health_checks:
+        """Stop the health checks, stop listening, and reset all connections."""
+        for task in self._health_check_tasks:
             task.cancel()
         await super().close()
 
     async def _check_health(self, node: int) -> None:
-        """Check a node's health at intervals until the task is cancelled."""
+        """Check a node's health at regular intervals until the task is cancelled."""
         while True:
-            with contextlib.suppress(OSError):  # TimeoutError is one
+            with contextlib.suppress(OSError):  # includes TimeoutError
                 async with (
                     asyncio.timeout(HEALTH_CHECK_TIMEOUT),
                     connection(self._node_addresses[node]) as established,
@@ -180,15 +180,15 @@
             await asyncio.sleep(HEALTH_CHECK_INTERVAL)
 
     def _next_node(self) -> int:
-        """Return the next healthy node, round robin; any node where none is healthy."""
+        """Return the next healthy node, round robin; if none is healthy, the next of all nodes."""
         now = clock()
         healthy = [node for node, at in enumerate(self._healthy_at) if now - at < UNHEALTHY_AFTER]
         candidates = healthy or list(range(len(self._node_addresses)))
-        self._turn_count += 1
-        return candidates[self._turn_count % len(candidates)]
+        self._forwarded_count += 1
+        return candidates[self._forwarded_count % len(candidates)]
 
     async def _connect_target(self, reader: asyncio.StreamReader, /) -> Connection:
-        """Connect to a node, and forward the first line, which has the connection's id."""
+        """Read the first line, and forward it to a node, which is recorded under the connection's id."""
         line = await reader.readline()
         node = self._next_node()
         connection_id = line.split(b" ")[1].decode()
--- a/tansyladder/lab/chaos/node.py
+++ b/tansyladder/lab/chaos/node.py
@@ -1,4 +1,4 @@
-"""A node of a chaos run: its process, and the state that faults have left it in."""
+"""A node of a chaos run: its process, and whether that runs, is paused or is down."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class NodeState(Enum):
-    """What a node's process does."""
+    """The state of a node's process."""
 
     RUNNING = auto()
-    PAUSED = auto()  # by SIGSTOP: it exists, and answers nothing
+    PAUSED = auto()  # stopped by SIGSTOP: it exists but does not respond
     DOWN = auto()  # killed, or sent SIGTERM; only a restart leaves this state
 
 
 class ChaosNode:
-    """One node whose faults are recorded. Owned by one event loop; not thread-safe.
+    """A node that records the faults injected into it. Owned by one event loop; not thread-safe.
 
-    Faults may overlap: one at a time starts or ends the process, and the others leave a node that is down so.
+    Faults may overlap. One at a time starts or ends the process; only `restart` starts it when it is down.
     """
 
     def __init__(self, number: int, process: LabNode, history: History) -> None:
@@ -29,15 +29,15 @@
         self.process = process
         self.state = NodeState.RUNNING
         self._history = history
-        self._lock = asyncio.Lock()  # held while the process is started or ended
+        self._lock = asyncio.Lock()  # held while the process is being started or ended
 
     @property
     def is_down(self) -> bool:
-        """Whether it has no process that serves."""
+        """Whether the process was killed or shut down, and not restarted."""
         return self.state is NodeState.DOWN
 
     def record(self, kind: EventKind) -> None:
-        """Record a fault of this node, or its end."""
+        """Record the start or the end of a fault of this node."""
         self._history.record(Party.CONTROLLER, kind, node=self.number)
 
     async def kill(self) -> None:
@@ -56,21 +56,21 @@
             await self.process.stop()
 
     async def restart(self, clock_offset: float = 0.0) -> None:
-        """Start a node that is down, on its disk; `clock_offset`: seconds by which its clock is wrong."""
+        """Start a node that is down with its store; its wall clock is wrong by `clock_offset` seconds."""
         async with self._lock:
-            if self.is_down:  # else the end of another fault has started it
+            if self.is_down:  # else the end of another fault has restarted it
                 await self.process.start(clock_offset)
                 self.state = NodeState.RUNNING
                 self.record(EventKind.RECOVERED)
 
     def pause(self) -> None:
-        """Stop the process with SIGSTOP."""
+        """Pause the process with SIGSTOP."""
         self.record(EventKind.PAUSED)
         self.state = NodeState.PAUSED
         self.process.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Continue the process with SIGCONT; what it was sent meanwhile is in its buffers."""
+        """Continue the process with SIGCONT; it then reads what arrived in its socket buffers meanwhile."""
         if not self.is_down:  # else another fault has killed it meanwhile
             self.state = NodeState.RUNNING
             self.process.signal(signal.SIGCONT)
@@ -83,12 +83,12 @@
             return await self.process.upgrade()
 
     async def close(self) -> None:
-        """End the process for good."""
+        """End the process at the end of the run."""
         if not self.is_down:
             await self.process.stop()
 
-    def wake_up(self) -> None:
-        """Continue a paused process before it is ended, without a record."""
+    def continue_if_paused(self) -> None:
+        """Continue a paused process so that it can be ended; nothing is recorded."""
         if self.state is NodeState.PAUSED:
             self.process.signal(signal.SIGCONT)
             self.state = NodeState.RUNNING
--- a/tansyladder/lab/chaos/peer_network.py
+++ b/tansyladder/lab/chaos/peer_network.py
@@ -1,4 +1,4 @@
-"""The links between the nodes of a chaos run, and the settings that lead each node through its links."""
+"""The links between the nodes of a chaos run, and the peer settings that make the nodes use these links."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _NodePair(NamedTuple):
-    """The numbers of two nodes with a link between them; the lower one connects."""
+    """The numbers of two nodes with a link between them; the node with the lower number connects."""
 
     low: int
     high: int
@@ -33,7 +33,7 @@
 
     @property
     def forwarded_bytes(self) -> int:
-        """Bytes that all peers have sent to each other."""
+        """The bytes that all links have forwarded, in both directions."""
         return sum(link.forwarded_bytes for link in self._links.values())
 
     def links_of(self, node: int) -> list[Link]:
@@ -41,31 +41,30 @@
         return [link for pair, link in self._links.items() if node in pair]
 
     async def start(self) -> list[str]:
-        """Start the links; return the operator's settings of each node for its peers."""
+        """Start the links; return the `peers` section of each node's operator settings."""
         listen_addresses = [f"{LOOPBACK}:{spare_port()}" for _ in range(self._node_count)]
         for low, high in itertools.combinations(range(self._node_count), 2):
             link = Link(listen_addresses[high])
             self._links[_NodePair(low, high)] = link
             await link.start()
         key = secrets.token_hex(KEY_BYTES)
-        odd_count = (
-            self._node_count - 1 + self._node_count % 2
-        )  # an even number of voters tolerates no more faults
+        # The largest odd number of nodes: one voter more would not tolerate more faults.
+        odd_count = self._node_count - 1 + self._node_count % 2
         voters = " ".join(f"n{number}" for number in range(min(MAX_VOTERS, odd_count)))
         return [
             SETTINGS.format(
                 key=key,
                 voters=voters,
                 listen=listen_addresses[node],
-                members=self._members_as_seen_by(node, listen_addresses),
+                members=self._member_addresses(node, listen_addresses),
             )
             for node in range(self._node_count)
         ]
 
-    def _members_as_seen_by(self, node: int, listen_addresses: list[str]) -> str:
-        """Return the peers' addresses for one node: links to higher numbers, and the others directly.
+    def _member_addresses(self, node: int, listen_addresses: list[str]) -> str:
+        """Return a node's `members` setting: peers with higher numbers by their link, all others directly.
 
-        The lower number of a pair connects, so that every connection goes through the pair's link.
+        In each pair the node with the lower number connects, so all connections use the pair's link.
         """
         addresses = [
             self._links[_NodePair(node, peer)].address if peer > node else listen_addresses[peer]
@@ -74,6 +73,6 @@
         return " ".join(f'(n{peer} "{address}")' for peer, address in enumerate(addresses))
 
     async def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         for link in self._links.values():
             await link.close()
--- a/tansyladder/lab/chaos/recording_client.py
+++ b/tansyladder/lab/chaos/recording_client.py
@@ -1,4 +1,4 @@
-"""A client that records what it sends and receives in the run's history."""
+"""A client that records in the run's history what it sends and receives."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tansyladder.lab.report import Report
 
 SILENCE_TIMEOUT = 2.0  # seconds without a line after which a connection counts as dead
-MAX_ATTEMPTS = 60  # unserved connections in a row: no node may answer for as long as faults last
+MAX_ATTEMPTS = 60  # unserved connections in a row; high, as a fault can keep all nodes from answering
 
 
 class RecordingClient(Client):
-    """A client with a history, which makes more attempts, as faults may last."""
+    """A client that records its events, and makes more attempts than others, as faults last for seconds."""
 
     max_attempts = MAX_ATTEMPTS
 
@@ -21,7 +21,7 @@
         self._history = history
 
     def _record(self, kind: EventKind, fields: EventFields) -> None:
-        """Record an event of the client's present session."""
+        """Record an event of the client's current session."""
         fields["client"] = self.number
         fields["session_count"] = self.session_count
         self._history.record(Party.CLIENT, kind, **fields)
@@ -39,9 +39,9 @@
         self._record(EventKind.LINE_SENT, {"number": number})
 
     def on_line_received(self, number: int, confirmed: int) -> None:
-        """Record a host line, and how many client lines it confirms."""
+        """Record a host line, and the last client line that it confirms."""
         self._record(EventKind.LINE_RECEIVED, {"number": number, "acknowledged_line": confirmed})
 
     def on_migration_requested(self) -> None:
-        """Record a MOVE line, with the token that the client had."""
+        """Record a MOVE line, with the token that the client has at that time."""
         self._record(EventKind.MIGRATION_REQUESTED, {"token": self.session.token})
--- a/tansyladder/lab/chaos/reports.py
+++ b/tansyladder/lab/chaos/reports.py
@@ -1,4 +1,7 @@
-"""The reports of experiments with a cluster; the names given to fields are the keys of their JSON objects."""
+"""The reports of experiments with a cluster.
+
+The name given to a field by `msgspec.field` is its key in the JSON object.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,11 @@
 from tansyladder.lab.output import JsonReport
 from tansyladder.lab.report import Percentiles
 
-Cases = dict[str, list[str]]  # the first violations, by the key of the checker that found them
+Cases = dict[str, list[str]]  # the first violations of each checker, by its key
 
 
 class ViolationCounts(msgspec.Struct, frozen=True):
-    """How many violations each checker has found; the keys are those of `checkers.CHECKERS`."""
+    """The number of violations that each checker has found; the JSON keys are those of `CHECKERS`."""
 
     lost_lines: int
     duplicated_lines: int = msgspec.field(name="doubled_lines")
@@ -28,7 +31,7 @@
 
 
 class TakeoverReport(JsonReport, frozen=True, kw_only=True):
-    """What became of the sessions of a node that was killed and of one that was paused."""
+    """How many sessions of a killed and of a paused node were resumed, and how fast."""
 
     INLINED: ClassVar[frozenset[str]] = frozenset({"violations"})
 
@@ -42,9 +45,9 @@
     resumed: int
     resumed_share: float  # of the affected sessions
     violations: ViolationCounts
-    gap_p50_ms: float | None  # from showing a token to UP
+    gap_p50_ms: float | None  # from when a client shows a token until the answer UP
     gap_p99_ms: float | None
-    fenced: int  # owners that hosts rejected, as a newer epoch had their session
+    fenced: int  # owners that hosts rejected because of a newer epoch
     rejections: dict[str, int] = msgspec.field(name="refused")  # of tokens, by the answer
     cases: Cases
     resumed_share_without_peers: float | msgspec.UnsetType = msgspec.field(
@@ -53,7 +56,7 @@
 
 
 class DuplicateTokensReport(JsonReport, frozen=True, kw_only=True):
-    """How often tokens were accepted that were shown at two nodes at once."""
+    """How often tokens were accepted that were shown at two nodes at once and then a third time."""
 
     nodes: int
     tokens: int
@@ -66,7 +69,7 @@
 
 
 class PeersCostReport(JsonReport, frozen=True, kw_only=True):
-    """What a node costs on average, without peers and with them."""
+    """The average CPU time, memory and peer traffic of a node, without peers and with them."""
 
     nodes: int
     sessions: int
@@ -80,21 +83,21 @@
 
 
 class ScheduleReport(JsonReport, frozen=True, kw_only=True):
-    """What a schedule of faults led to."""
+    """The outcome of a run with a schedule of faults."""
 
     seed: int
     faults: int
     sessions: int
     all_reconnected: bool = msgspec.field(name="all_back")  # in time
     clients_with_new_session: int = msgspec.field(name="begun_anew")
-    gaps_ms: Percentiles  # from showing a token to UP
+    gaps_ms: Percentiles  # from when a client shows a token until the answer UP
     violations: ViolationCounts
     rejections: dict[str, int] = msgspec.field(name="refused")  # of tokens, by the answer
     cases: Cases
 
 
 class FailedRun(msgspec.Struct, frozen=True, kw_only=True):
-    """A run with violations, and all that it takes to repeat it."""
+    """A run with violations, with the seed and the faults that repeat it."""
 
     seed: int
     cases: Cases
@@ -103,17 +106,17 @@
 
 
 class ChaosReport(JsonReport, frozen=True, kw_only=True):
-    """The sums over several runs, and the first one that violated an invariant."""
+    """The sums over several runs, and the first run that violated an invariant."""
 
     runs: int = msgspec.field(name="histories")
     faults: int
     sessions: int
-    violations: dict[str, int]  # by the key of the checker, without those that found none
+    violations: dict[str, int]  # by checker key; only checkers that found any
     first_failed_run: FailedRun | None = msgspec.field(name="first")
 
 
 class DocumentsReport(JsonReport, frozen=True, kw_only=True):
-    """How the changes of a document ended, and how probes were answered meanwhile."""
+    """The outcomes of the changes of a document, and the answers to probes in that time."""
 
     nodes: int
     seed: int
@@ -122,9 +125,9 @@
     rejected: int = msgspec.field(name="refused")
     probes: int = msgspec.field(name="knocks")
     served: int  # probes that were answered UP
-    decisions: int = msgspec.field(name="stamped")  # requests whose decision a node has logged
-    probes_rejected_when_calm: int = msgspec.field(name="turned_away_when_calm")
+    decisions: int = msgspec.field(name="stamped")  # entries of the decision logs, for each document
+    probes_rejected_when_calm: int = msgspec.field(name="turned_away_when_calm")  # without faults
     probes_when_calm: int = msgspec.field(name="knocks_when_calm")
-    publish_ms: Percentiles  # from the request for a change to its commit
+    publish_ms: Percentiles  # from a change's request to its commit
     violations: ViolationCounts
     cases: Cases
--- a/tansyladder/lab/chaos/scenarios.py
+++ b/tansyladder/lab/chaos/scenarios.py
@@ -1,4 +1,4 @@
-"""The difficult fault scenarios by name, each a schedule for five nodes that are all voters."""
+"""Named fault scenarios that are hard to handle; each has five nodes, which are all voters."""
 
 from __future__ import annotations
 
@@ -66,11 +66,11 @@
     "clock off": (Fault(0.3, FaultKind.SKEW_CLOCK, 0, 3.0, 0.2), Fault(1.5, FaultKind.KILL, 1, 3.0)),
     "set-ups in hand": (Fault(0.02, FaultKind.KILL, 0, 3.0), Fault(0.05, FaultKind.KILL, 1, 3.0)),
 }
-MINIMUM_SESSIONS = {"200 of one node at once": 1000}  # by scenario; fewer are too few for it
+MINIMUM_SESSIONS = {"200 of one node at once": 1000}  # by scenario; 200 for each of the five nodes
 LATE_CLIENTS = {"set-ups in hand": 120}  # by scenario: clients that connect during the faults
 
 
 def scenario_schedule(name: str, seed: int, sessions: int, hosts: int) -> Schedule:
-    """Return a scenario's schedule. Raises KeyError where none has the name."""
+    """Return the schedule of a scenario. Raises KeyError for an unknown name."""
     sessions = max(sessions, MINIMUM_SESSIONS.get(name, 0))
     return Schedule(seed, len(NODES), hosts, sessions, SCENARIOS[name], LATE_CLIENTS.get(name, 0))
--- a/tansyladder/lab/chaos/schedule.py
+++ b/tansyladder/lab/chaos/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults: generated from a seed, written to a file and read from it."""
+"""Schedules of faults: generated from a seed, and stored in files."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 from tansyladder.lab.waiting import DelayRange
 
-FIRST_START = 0.5  # seconds
-FAULT_INTERVAL = DelayRange(1.2, 2.5)  # between the starts of two faults
+FIRST_FAULT_START = 0.5  # seconds from the start of a schedule
+FAULT_INTERVAL = DelayRange(1.2, 2.5)  # between the starts of two generated faults
 FAULT_DURATION = DelayRange(0.4, 3.0)
 LINK_DELAY = DelayRange(0.02, 0.4)
-CLOCK_OFFSETS = (-1.8, -0.2, 0.2, 1.8)  # seconds; peers accept up to 2
-NODE_REST = 0.5  # seconds without a fault after one of the same node
-DISK_RECOVERY = 3.0  # seconds without another fault after a disk fault: its voter has to be admitted again
+CLOCK_OFFSETS = (-1.8, -0.2, 0.2, 1.8)  # seconds; peers accept offsets of up to 2 s
+NODE_RECOVERY_TIME = 0.5  # seconds from the end of a fault of a node to the next one of that node
+DISK_RECOVERY_TIME = 3.0  # seconds without any fault after a disk fault, in which the voter is readmitted
 
 
 class FaultKind(Enum):
-    """What happens to a node, or to the links of one."""
+    """What a fault does to a node or to its links."""
 
-    KILL = "kill"  # SIGKILL; it is started again when the fault ends
-    PAUSE = "stop"  # SIGSTOP, and SIGCONT when it ends
+    KILL = "kill"  # SIGKILL; the node is restarted when the fault ends
+    PAUSE = "stop"  # SIGSTOP; SIGCONT when the fault ends
     CUT_HOSTS = "cut_hosts"  # nothing passes between the node and the hosts
     CUT_TO_HOSTS = "cut_up"  # nothing passes from the node to the hosts
     CUT_FROM_HOSTS = "cut_down"  # nothing passes from the hosts to the node
@@ -33,18 +33,18 @@
     CUT_PEERS = "cut_peers"  # nothing passes between the node and its peers
     DELAY_PEERS = "delay_peers"  # bytes between the node and its peers are delayed, in each direction
     DELAY_HOSTS = "delay"  # bytes between the node and the hosts are delayed, in each direction
-    FLAP_PEERS = "flap_peers"  # the links to its peers fail and recover each 100 ms
-    KILL_WITH_HOST = "kill_with_host"  # the host of the same number dies as well, and is restarted at the end
-    KILL_LEADER = "kill_leader"  # the leader is killed, and started again at the end
-    KILL_TOKEN_RECIPIENT = "kill_taker"  # the next node that a token is forwarded to is killed at that moment
-    RESTART = "restart"  # SIGTERM, and started again once it has ended
-    UPGRADE = "upgrade"  # a new process takes the listener over; the old one gets SIGTERM
-    UPGRADE_KILL = "upgrade_kill"  # the same, and the old one is killed during its drain
-    KILL_ALL = "kill_all"  # every node is killed, and restarted on its disk
+    FLAP_PEERS = "flap_peers"  # the links to its peers are cut and recover in turn every 100 ms
+    KILL_WITH_HOST = "kill_with_host"  # the host of the same number is killed too, and restarted at the end
+    KILL_LEADER = "kill_leader"  # the leader is killed, and restarted at the end
+    KILL_TOKEN_RECIPIENT = "kill_taker"  # the next node that gets a token is killed when it gets it
+    RESTART = "restart"  # SIGTERM, and a restart once the process has ended
+    UPGRADE = "upgrade"  # a new process takes over the listener; the old one gets SIGTERM
+    UPGRADE_KILL = "upgrade_kill"  # as UPGRADE, but the old process is killed during its drain
+    KILL_ALL = "kill_all"  # all nodes are killed, and restarted with their stores
     LOSE_DISK = "lose_disk"  # killed, and restarted with an empty store
-    ROLL_BACK_DISK = "old_disk"  # killed halfway, and restarted with a copy of its store from the start
-    FILL_DISK = "full_disk"  # writes fail; killed at the end, and restarted with free space
-    SKEW_CLOCK = "skew"  # restarted with a clock that is wrong by `value`, and at the end with a correct one
+    ROLL_BACK_DISK = "old_disk"  # killed halfway, and restarted with its store as of the fault's start
+    FILL_DISK = "full_disk"  # writes fail; at the end the node is killed, and restarted with free space
+    SKEW_CLOCK = "skew"  # restarted with a clock wrong by `value`, and at the end with a correct one
 
 
 NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
@@ -57,17 +57,17 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault; it starts so many seconds after the schedule does."""
+    """One fault of a schedule."""
 
-    start_s: NonNegativeFloat = msgspec.field(name="at")
+    start_s: NonNegativeFloat = msgspec.field(name="at")  # from the start of the schedule
     kind: FaultKind
     node: NonNegativeInt
     duration_s: NonNegativeFloat = msgspec.field(name="length")
-    value: float = 0.0  # seconds, of delay or of the clock
+    value: float = 0.0  # seconds: the delay of links, or the offset of the clock
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A run's faults in the order of their starts, and all parameters that repeat the run."""
+    """The faults of a run, ordered by their start, and the other parameters that repeat the run."""
 
     seed: int
     nodes: PositiveInt
@@ -78,28 +78,30 @@
 
 
 def generate(seed: int, nodes: int, hosts: int, sessions: int, seconds: float) -> Schedule:
-    """Generate faults for so many seconds; a node has one at a time, and a minority of the nodes has any."""
+    """Generate faults that start within `seconds`; a node has one at a time, and only a minority has any."""
     rng = numpy.random.default_rng(seed)
     kinds = list(FaultKind)
     faults: list[Fault] = []
-    now = FIRST_START
+    now = FIRST_FAULT_START
     while now < seconds:
         kind = kinds[rng.integers(len(kinds))]
         duration_s = round(float(rng.uniform(*FAULT_DURATION)), 3)
-        busy = {fault.node for fault in faults if fault.start_s + fault.duration_s + NODE_REST > now}
-        free = [node for node in range(nodes) if node not in busy]
-        max_busy = 1 if kind in DISK_FAULTS else max(1, (nodes - 1) // 2)
-        if len(busy) < max_busy and free:
-            node = int(free[rng.integers(len(free))])
+        faulty = {
+            fault.node for fault in faults if fault.start_s + fault.duration_s + NODE_RECOVERY_TIME > now
+        }
+        healthy = [node for node in range(nodes) if node not in faulty]
+        max_faulty = 1 if kind in DISK_FAULTS else max(1, (nodes - 1) // 2)
+        if len(faulty) < max_faulty and healthy:
+            node = int(healthy[rng.integers(len(healthy))])
             faults.append(Fault(round(now, 3), kind, node, duration_s, _generate_value(kind, rng)))
             if kind in DISK_FAULTS:
-                now += duration_s + DISK_RECOVERY
+                now += duration_s + DISK_RECOVERY_TIME
         now += float(rng.uniform(*FAULT_INTERVAL))
     return Schedule(seed, nodes, hosts, sessions, tuple(faults))
 
 
 def _generate_value(kind: FaultKind, rng: numpy.random.Generator) -> float:
-    """Generate a fault's delay or clock offset, in seconds."""
+    """Generate the delay or clock offset of a fault in seconds; 0 for kinds that have neither."""
     if kind in (FaultKind.DELAY_HOSTS, FaultKind.DELAY_PEERS):
         return round(float(rng.uniform(*LINK_DELAY)), 3)
     if kind is FaultKind.SKEW_CLOCK:
@@ -108,14 +110,16 @@
 
 
 def load(path: Path) -> Schedule:
-    """Read a schedule from its file. Raises ValueError, which names what is wrong with it."""
+    """Read a schedule from a file. Raises ValueError if it is invalid."""
     schedule = msgspec.json.decode(path.read_bytes(), type=Schedule)
     for number, fault in enumerate(schedule.faults):
         if fault.node >= schedule.nodes:
-            raise ValueError(f"faults.{number}.node: there are {schedule.nodes} nodes, from 0")
+            raise ValueError(
+                f"{path}: faults.{number}.node: expected less than {schedule.nodes}, found {fault.node}"
+            )
     return schedule
 
 
 def save(path: Path, schedule: Schedule) -> None:
-    """Write a schedule, so that `load` returns the same."""
+    """Write a schedule to a file, from which `load` reads it."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(schedule), indent=1) + b"\n")
--- a/tansyladder/lab/chaos/skewed_clock.py
+++ b/tansyladder/lab/chaos/skewed_clock.py
@@ -1,7 +1,7 @@
-"""Runs a node whose wall clock is wrong by some seconds.
+"""Runs a node whose wall clock is wrong by a number of seconds.
 
-Usage: `python -m tansyladder.lab.chaos.skewed_clock SECONDS …`; the rest is as for `python -m tansyladder`
-with the commands of the node.
+Usage: `python -m tansyladder.lab.chaos.skewed_clock SECONDS …`; the arguments after SECONDS are a command of
+the node, as for `python -m tansyladder`.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class SkewedDatetime(datetime):
-    """The wall clock with an offset; a node reads it once, at its start."""
+    """A wall clock with an offset; a node reads the wall clock only once, when it starts."""
 
     @classmethod
     def now(cls, tz: tzinfo | None = None) -> SkewedDatetime:
-        """Return the present time with the offset."""
+        """Return the current time plus the offset."""
         true_time = super().now(tz)
         return true_time + CLOCK_OFFSET
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What applies to all tests: known failures, the check for threads, and seeds that make runs repeatable."""
+"""Settings for all tests: known failures, the check for leftover threads, and repeatable runs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.known_red import pytest_collection_modifyitems
 from tests.threads import stop_and_check_threads
 
-# The same examples in each run; a test that sets its own `derandomize` goes by that.
+# Hypothesis generates the same examples in each run, unless a test sets its own `derandomize`.
 settings.register_profile("repeatable", derandomize=True)
 settings.load_profile("repeatable")
 
@@ -17,6 +17,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print the known failures, and the option that runs the tests in this order once more."""
+    """Print the known failures, and the option that repeats the run in the same order."""
     known_red.pytest_terminal_summary(terminalreporter, config)
     terminalreporter.write_line(f"order of the tests: --randomly-seed={config.getoption('randomly_seed')}")
--- a/tests/lab/chaos/test_experiments.py
+++ b/tests/lab/chaos/test_experiments.py
@@ -1,4 +1,4 @@
-"""A small cluster of real processes runs a schedule of faults."""
+"""A schedule of faults on a small cluster of real processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_a_cluster_violates_no_invariant_while_nodes_are_killed_paused_and_cut_off(tmp_path: Path) -> None:
-    """Sessions of a killed node may be lost; no checker but the one for that may find a violation."""
+    """Sessions of a killed node may be lost, so only the checker for lost sessions may find violations."""
     kinds = schedule.FaultKind
     faults = (
         schedule.Fault(0.1, kinds.KILL, 0, 1.0),
--- a/tests/lab/chaos/test_faults.py
+++ b/tests/lab/chaos/test_faults.py
@@ -1,4 +1,4 @@
-"""Each kind of fault does what its name says to its node's processes and links, and undoes it at its end."""
+"""Each kind of fault has its effect on the node's processes and links, and ends it after its duration."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from tansyladder.lab.discovery_server import EndpointList
 from tansyladder.lab.node import LabNode
 
-NODE = 1  # that the faults are of; node 0 leads
+NODE = 1  # that faults are injected into; node 0 is the leader
 DURATION = 0.15  # seconds
 DELAY = 0.2  # seconds, of links and clocks
 
 
-class FakeProcess(LabNode):
-    """A node without a process, which records the calls of its methods."""
+class FakeNode(LabNode):
+    """A node without a process that records the calls of its methods."""
 
     def __init__(self, folder: Path, name: str, calls: list[str]) -> None:
         folder.mkdir()
@@ -71,11 +71,11 @@
         self.name = name
         self.calls = calls
         super().__init__("127.0.0.1:1")
-        calls.clear()  # a link recovers when it is made
+        calls.clear()  # the constructor calls `recover`
 
     def cut(self, *directions: Direction) -> None:
-        shown = "".join(f" {direction.name}" for direction in directions or Direction)
-        self.calls.append(f"{self.name} cut{shown}")
+        names = "".join(f" {direction.name}" for direction in directions or Direction)
+        self.calls.append(f"{self.name} cut{names}")
 
     def recover(self) -> None:
         self.calls.append(f"{self.name} recover" + (f" from {self.delay}" if self.delay else ""))
@@ -99,7 +99,7 @@
 
 
 class FakePeers(PeerNetwork):
-    """Two nodes with one link between them."""
+    """The network of two nodes, with one given link between them."""
 
     def __init__(self, link: FakeLink) -> None:
         super().__init__(2)
@@ -111,7 +111,7 @@
 
 
 def fake_cluster(folder: Path, calls: list[str]) -> ChaosCluster:
-    """Return two nodes, two hosts and the links between them, none of which runs."""
+    """Return a cluster of two nodes, two hosts and the links between them, all of them fakes."""
     cluster = ChaosCluster(
         folder,
         ClusterSettings(node_count=2, host_count=2, seed=1),
@@ -121,18 +121,18 @@
     for number in range(2):
         cluster.host_links.append([FakeLink(f"n{number}-s{host}", calls) for host in range(2)])
         cluster.client_links.append(FakeLink(f"clients-n{number}", calls))
-        process = FakeProcess(folder / f"n{number}", f"n{number}", calls)
+        process = FakeNode(folder / f"n{number}", f"n{number}", calls)
         cluster.nodes.append(ChaosNode(number, process, cluster.history))
     return cluster
 
 
-BOTH = "TO_TARGET FROM_TARGET"
-RESTARTED = "n1 start 0.0 on new"  # with what was written during the fault
-EXPECTED: dict[FaultKind, list[str]] = {
+BOTH_DIRECTIONS = "TO_TARGET FROM_TARGET"
+RESTARTED = "n1 start 0.0 on new"  # "new" was written to the store during the fault
+EXPECTED_CALLS: dict[FaultKind, list[str]] = {
     FaultKind.KILL: ["n1 kill", RESTARTED],
     FaultKind.KILL_ALL: ["n0 kill", "n1 kill", "n0 start 0.0 on old", RESTARTED],
     FaultKind.KILL_LEADER: ["n0 kill", "n0 start 0.0 on old"],
-    FaultKind.KILL_TOKEN_RECIPIENT: [],  # no client shows a token
+    FaultKind.KILL_TOKEN_RECIPIENT: [],  # no token is shown
     FaultKind.KILL_WITH_HOST: ["s1 kill", "n1 kill", RESTARTED, "s1 restart"],
     FaultKind.PAUSE: ["n1 SIGSTOP", "n1 SIGCONT"],
     FaultKind.RESTART: ["n1 stop", "n1 start 0.0 on old"],
@@ -142,7 +142,12 @@
     FaultKind.LOSE_DISK: ["n1 kill", "n1 start 0.0 on nothing"],
     FaultKind.ROLL_BACK_DISK: ["n1 kill", "n1 start 0.0 on old"],
     FaultKind.FILL_DISK: ["n1 full", "n1 kill", RESTARTED],
-    FaultKind.CUT_HOSTS: [f"n1-s0 cut {BOTH}", f"n1-s1 cut {BOTH}", "n1-s0 recover", "n1-s1 recover"],
+    FaultKind.CUT_HOSTS: [
+        f"n1-s0 cut {BOTH_DIRECTIONS}",
+        f"n1-s1 cut {BOTH_DIRECTIONS}",
+        "n1-s0 recover",
+        "n1-s1 recover",
+    ],
     FaultKind.CUT_TO_HOSTS: ["n1-s0 cut TO_TARGET", "n1-s1 cut TO_TARGET", "n1-s0 recover", "n1-s1 recover"],
     FaultKind.CUT_FROM_HOSTS: [
         "n1-s0 cut FROM_TARGET",
@@ -150,20 +155,20 @@
         "n1-s0 recover",
         "n1-s1 recover",
     ],
-    FaultKind.CUT_CLIENTS: [f"clients-n1 cut {BOTH}", "clients-n1 recover"],
-    FaultKind.CUT_PEERS: [f"n0-n1 cut {BOTH}", "n0-n1 recover"],
+    FaultKind.CUT_CLIENTS: [f"clients-n1 cut {BOTH_DIRECTIONS}", "clients-n1 recover"],
+    FaultKind.CUT_PEERS: [f"n0-n1 cut {BOTH_DIRECTIONS}", "n0-n1 recover"],
     FaultKind.RESET_CLIENTS: ["clients-n1 reset"],
     FaultKind.DELAY_HOSTS: [f"n1-s0 recover from {DELAY}", f"n1-s1 recover from {DELAY}"],
     FaultKind.DELAY_PEERS: [f"n0-n1 recover from {DELAY}"],
     FaultKind.FLAP_PEERS: [
-        f"n0-n1 cut {BOTH}",
+        f"n0-n1 cut {BOTH_DIRECTIONS}",
         "n0-n1 recover",
         "n0-n1 reset",
-        f"n0-n1 cut {BOTH}",
+        f"n0-n1 cut {BOTH_DIRECTIONS}",
         "n0-n1 recover",
     ],
 }
-RECORDED: dict[FaultKind, list[EventKind]] = {
+EXPECTED_EVENTS: dict[FaultKind, list[EventKind]] = {
     FaultKind.KILL_ALL: [EventKind.KILLED, EventKind.KILLED, EventKind.RECOVERED, EventKind.RECOVERED],
     FaultKind.KILL_TOKEN_RECIPIENT: [],
     FaultKind.PAUSE: [EventKind.PAUSED, EventKind.RECOVERED],
@@ -181,11 +186,11 @@
     FaultKind.DELAY_PEERS: [EventKind.LINK_DELAYED, EventKind.RECOVERED],
     FaultKind.FLAP_PEERS: [EventKind.PEER_LINKS_FLAPPING, EventKind.RECOVERED],
 }
-KILLED_AND_RECOVERED = [EventKind.KILLED, EventKind.RECOVERED]  # of all others
+KILLED_AND_RECOVERED = [EventKind.KILLED, EventKind.RECOVERED]  # for all other kinds
 
 
 async def inject(cluster: ChaosCluster, kind: FaultKind) -> None:
-    """Inject a fault, and write into its node's store shortly after its start."""
+    """Inject a fault into NODE, and write to that node's store file during the fault."""
     injection = asyncio.ensure_future(FaultInjector(cluster).inject(Fault(0.0, kind, NODE, DURATION, DELAY)))
     await asyncio.sleep(DURATION / 3)
     store_file = cluster.nodes[NODE].process.folder / "store" / "log"
@@ -195,12 +200,12 @@
 
 
 @pytest.mark.parametrize("kind", FaultKind)
-def test_a_fault_does_and_records_what_its_name_says(kind: FaultKind, tmp_path: Path) -> None:
+def test_each_fault_makes_the_expected_calls_and_events(kind: FaultKind, tmp_path: Path) -> None:
     calls: list[str] = []
     cluster = fake_cluster(tmp_path, calls)
     asyncio.run(inject(cluster, kind))
-    assert calls == EXPECTED[kind]
-    assert [event.kind for event in cluster.history.events] == RECORDED.get(kind, KILLED_AND_RECOVERED)
+    assert calls == EXPECTED_CALLS[kind]
+    assert [event.kind for event in cluster.history.events] == EXPECTED_EVENTS.get(kind, KILLED_AND_RECOVERED)
 
 
 @pytest.mark.parametrize(
@@ -212,13 +217,13 @@
     cluster = fake_cluster(tmp_path, [])
     asyncio.run(inject(cluster, kind))
     process = cluster.nodes[NODE].process
-    assert isinstance(process, FakeProcess)
+    assert isinstance(process, FakeNode)
     assert process.old_process is not None
     assert process.old_process.returncode == exit_code
 
 
 @pytest.mark.parametrize("kind", [kind for kind in FaultKind if kind in NEEDS_RUNNING_NODE])
-def test_a_fault_that_needs_a_running_node_leaves_one_that_is_down_alone(
+def test_a_fault_that_needs_a_running_node_is_skipped_while_the_node_is_down(
     kind: FaultKind, tmp_path: Path
 ) -> None:
     async def run() -> None:
@@ -247,11 +252,11 @@
     assert calls == ["n0 kill", "n0 start 0.0 on old"]
 
 
-def test_the_leader_is_the_running_node_whose_log_names_itself_in_the_newest_term(tmp_path: Path) -> None:
+def test_the_leader_is_found_by_the_logs_of_running_nodes(tmp_path: Path) -> None:
     async def run() -> None:
         assert find_leader(cluster).number == 0
         await cluster.nodes[0].kill()
-        assert find_leader(cluster).number == 1  # any that runs
+        assert find_leader(cluster).number == 1  # no running node is the leader: any running node
 
     cluster = fake_cluster(tmp_path, [])
     asyncio.run(run())
--- a/tests/lab/chaos/test_history.py
+++ b/tests/lab/chaos/test_history.py
@@ -1,4 +1,4 @@
-"""Histories: what is stored, and how it is written, read and merged."""
+"""The stored form of histories, and how they are written, read and merged."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
     assert msgspec.json.encode(event) == STORED_LINE
 
 
-def test_a_history_in_a_file_is_written_in_parts_and_read_without_a_cut_line(tmp_path: Path) -> None:
+def test_a_history_file_is_written_in_parts_and_read_without_an_incomplete_last_line(tmp_path: Path) -> None:
     path = tmp_path / "history.jsonl"
     with path.open("wb") as out:
         recorded = History(out)
         for number in range(history.FLUSH_EVERY):
             recorded.record(Party.HOST, EventKind.LINE_RECEIVED, number=number)
-        assert not recorded.events  # enough for a write
+        assert not recorded.events  # flushed
         recorded.record(Party.HOST, EventKind.SESSION_FENCED)
         assert [event.kind for event in recorded.events] == [EventKind.SESSION_FENCED]
         out.write(b'{"at":1,"who":"ho')
--- a/tests/lab/chaos/test_links.py
+++ b/tests/lab/chaos/test_links.py
@@ -1,4 +1,4 @@
-"""Links hold back and delay bytes, and the load balancer leaves out nodes that do not answer."""
+"""Links hold back and delay bytes, and the load balancer skips nodes that fail their health checks."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tansyladder.lab.chaos.links import Direction, Link, LoadBalancer
 from tansyladder.lab.connections import LOOPBACK, Connection, connection
 
-BLOCKED_TIME = 0.1  # seconds in which bytes that are held back must not arrive
-ARRIVAL_TIMEOUT = 5.0  # seconds in which all others must arrive
+BLOCKED_TIME = 0.1  # seconds in which blocked bytes must not arrive
+ARRIVAL_TIMEOUT = 5.0  # seconds in which bytes that are not blocked must arrive
 
 
 @asynccontextmanager
@@ -41,7 +41,7 @@
 
 
 async def receives_line(established: Connection, timeout: float) -> bool:
-    """Return whether a line is received in time."""
+    """Return whether a line is received within the timeout."""
     try:
         return bool(await asyncio.wait_for(established.reader.readline(), timeout))
     except TimeoutError:
@@ -58,7 +58,7 @@
             assert not await receives_line(established, BLOCKED_TIME)
             link.recover()
             assert await receives_line(established, ARRIVAL_TIMEOUT)
-            # "one" both ways, and "two" both ways
+            # Both lines have the same length, and each passed in both directions.
             assert link.forwarded_bytes == 4 * len(b"one\r\n")
 
     for direction in Direction:
@@ -98,10 +98,10 @@
     async def run() -> list[int]:
         history = History()
         async with echo_server() as address:
-            balancer = LoadBalancer(history, [f"{LOOPBACK}:1", address])  # nobody listens at the first
+            balancer = LoadBalancer(history, [f"{LOOPBACK}:1", address])  # nothing listens at the first
             await balancer.start()
             try:
-                await asyncio.sleep(BLOCKED_TIME)  # the first health check is answered
+                await asyncio.sleep(BLOCKED_TIME)  # the first health checks end
                 for number in range(4):
                     async with connection(balancer.address) as established:
                         established.writer.write(b"OPEN %d key a=b\r\n" % number)
--- a/tests/lab/chaos/test_schedule.py
+++ b/tests/lab/chaos/test_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults: generated, written and read."""
+"""Generating, writing and reading schedules of faults."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tansyladder.lab.chaos import schedule
 
 
-def test_a_schedule_is_the_same_for_a_seed_and_from_its_file(tmp_path: Path) -> None:
+def test_a_schedule_depends_only_on_its_seed_and_is_read_from_a_file(tmp_path: Path) -> None:
     generated = schedule.generate(3, 5, 4, 60, 30.0)
     assert generated == schedule.generate(3, 5, 4, 60, 30.0) != schedule.generate(4, 5, 4, 60, 30.0)
     schedule.save(tmp_path / "schedule.json", generated)
     assert schedule.load(tmp_path / "schedule.json") == generated
 
 
-def test_a_minority_of_the_nodes_has_a_fault_at_a_time() -> None:
+def test_only_a_minority_of_nodes_has_a_fault_at_the_same_time() -> None:
     faults = schedule.generate(3, 5, 4, 60, 30.0).faults
     for fault in faults:
         assert sum(other.start_s <= fault.start_s < other.start_s + other.duration_s for other in faults) <= 2
--- a/tests/page_names.py
+++ b/tests/page_names.py
@@ -1,13 +1,13 @@
-"""The names of our code that a page uses, and a check that the package has each of them.
+"""Finds the names from the package's code on a documentation page, and checks that they exist.
 
-Checked are, in backticks:
+In backticks these are:
 
-- dotted names that begin with a package or a module of ours (`raft.node.RaftNode.handle`),
+- dotted names that begin with a package or a module of `tansyladder` (`raft.node.RaftNode.handle`),
 - members of classes (`Role.LEADER`),
-- names of classes (`RaftNode`);
+- names of classes (`RaftNode`).
 
-and in fenced blocks, which hold the diagrams: dotted names that begin with a package of ours, and class names
-of two words or more. Settings, files and the words of the wire are not checked.
+In fenced blocks, which are used for diagrams, they are dotted names as above, and class names of two words or
+more. Names of settings, of files and of the wire protocol are not checked.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 
 def unknown_names(page: Path) -> list[str]:
-    """Return the names on a page that the package doesn't have, sorted."""
+    """Return the names on a page that do not exist in the package, sorted."""
     return sorted(name for name in names_on(page.read_text()) if not is_known(name))
 
 
 def names_on(text: str) -> set[str]:
-    """Return the names of our code that a text uses."""
+    """Return the names from the package's code in the text of a page."""
     blocks = "\n".join(FENCED_BLOCK.findall(text))
     prose = FENCED_BLOCK.sub("", text)
     names = {name for name in IN_BACKTICKS.findall(prose) if _is_of_code(name)}
@@ -46,7 +46,7 @@
 
 
 def is_known(name: str) -> bool:
-    """Whether the package has a module, a class, a function or a member of that name."""
+    """Return whether a name leads to a module, class, function or member in the package."""
     first = name.split(".")[0]
     if not CLASS_NAME.fullmatch(first):
         return _has_path(name)
@@ -54,7 +54,7 @@
 
 
 def _is_of_code(name: str) -> bool:
-    """Whether a name can only be one of our code: it begins with a package, a module or a class."""
+    """Return whether a name begins as one from the package does: with a package, a module or a class."""
     first, _, rest = name.partition(".")
     if CLASS_NAME.fullmatch(first):
         return True
@@ -62,7 +62,7 @@
 
 
 def _has_path(name: str) -> bool:
-    """Whether a dotted name, relative to the package, leads to a module or to something in one."""
+    """Return whether a dotted name, relative to the package, is that of a module or of something in one."""
     parts = name.split(".")
     for length in range(len(parts), 0, -1):
         path = PACKAGE.joinpath(*parts[:length])
@@ -73,18 +73,18 @@
 
 
 def _has_member(owner: object, path: list[str]) -> bool:
-    """Whether a module or a class has an attribute or a declared field, and that one the rest of a path."""
+    """Return whether a path of attributes or declared fields exists, starting at a module or a class."""
     if not path:
         return True
     if hasattr(owner, path[0]):
         return _has_member(getattr(owner, path[0]), path[1:])
     classes = owner.__mro__ if isinstance(owner, type) else ()
-    return len(path) == 1 and any(path[0] in vars(each).get("__annotations__", {}) for each in classes)
+    return len(path) == 1 and any(path[0] in vars(base).get("__annotations__", {}) for base in classes)
 
 
 @functools.cache
 def _modules_with_name() -> dict[str, list[str]]:
-    """Return the modules that define a class or a function at their top level, by its name."""
+    """Return, by name, the modules that define that name at their top level."""
     modules: dict[str, list[str]] = defaultdict(list)
     for path in sorted(PACKAGE.rglob("*.py")):
         module = ".".join(path.relative_to(PACKAGE).with_suffix("").parts)
@@ -105,5 +105,5 @@
 
 @functools.cache
 def _top_level_names() -> frozenset[str]:
-    """Return the names of our packages and of the modules beside them."""
+    """Return the names of the modules and packages directly in `tansyladder`."""
     return frozenset(path.stem for path in PACKAGE.iterdir() if path.is_dir() or path.suffix == ".py")
--- a/tests/suite.py
+++ b/tests/suite.py
@@ -1,4 +1,4 @@
-"""Runs pytest as another process, with one of our plugins, on a suite that a test writes."""
+"""Runs pytest in another process on a generated test suite, with one module of `tests` as its conftest.py."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_suite(root: Path, plugin: ModuleType, suite: str) -> subprocess.CompletedProcess[str]:
-    """Run a suite, `tests/test_suite.py` under a folder, with one of our modules as its conftest.py."""
+    """Write `suite` to `tests/test_suite.py` under `root`, with `plugin` as its conftest.py, and run it."""
     tests = root / "tests"
     tests.mkdir()
     (tests / "__init__.py").touch()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Checked invariants in debug and release builds."""
+"""A violated invariant raises in debug runs, and is counted and logged with `python -O`."""
 
 from __future__ import annotations
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Only failures that `KNOWN-RED.txt` lists are tolerated, and an invalid list fails the run."""
+"""Only tests that `KNOWN-RED.txt` lists may fail, and an invalid list fails the run."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 def test_only_listed_failures_are_tolerated(
     tmp_path: Path, lines: list[str] | None, exit_code: int, expected_output: str
 ) -> None:
-    """Run pytest on a suite of a failing and a passing test, with a list of these lines."""
+    """Run pytest on one failing and one passing test, with a KNOWN-RED.txt of these lines."""
     if lines is not None:
         (tmp_path / "KNOWN-RED.txt").write_text("\n".join(lines))
     run = run_suite(tmp_path, known_red, SUITE)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The package's imports go down from layer to layer and form no cycle; imports for types count as well."""
+"""Packages import only lower layers, and modules form no import cycle; imports for type checks count too."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 def module_name(path: Path) -> str:
-    """The dotted name of the module in a file."""
+    """Return the dotted name of the module in a file."""
     return ".".join(("tansyladder", *path.relative_to(ROOT).with_suffix("").parts))
 
 
 def imported_names(path: Path) -> set[str]:
-    """The dotted names that a file imports anywhere, inside of functions too."""
+    """Return the dotted names that a file imports, including imports inside functions."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -41,18 +41,18 @@
 
 
 def import_graph() -> dict[str, set[str]]:
-    """The modules of the package that each of them imports."""
+    """Return the modules of the package that each module imports."""
     files = {module_name(path): path for path in ROOT.rglob("*.py")}
     return {module: imported_names(path) & files.keys() for module, path in files.items()}
 
 
 def package_of(module: str) -> str:
-    """The package that a module belongs to; empty for a module beside the packages."""
+    """Return the package of a module; empty for a module directly in `tansyladder`."""
     return module.split(".")[1] if module.count(".") > 1 else ""
 
 
 def is_upward(importer: str, imported: str) -> bool:
-    """Whether a layer imports a higher layer or a tool."""
+    """Return whether an import leads from a layer to a higher layer or to a tool."""
     own_package = package_of(importer)
     if own_package not in LAYERS:
         return False
@@ -61,7 +61,7 @@
 
 
 def test_imports_form_no_cycle() -> None:
-    order = list(TopologicalSorter(import_graph()).static_order())  # CycleError names the cycle
+    order = list(TopologicalSorter(import_graph()).static_order())  # raises CycleError, which names the cycle
     assert order.index("tansyladder.net.clock") < order.index("tansyladder.cluster.bootstrap")
 
 
@@ -71,8 +71,10 @@
 
 
 def test_only_the_entry_imports_the_command_line() -> None:
-    """`__main__` and `cli` are the top: tools that start a node use `serve` or `node_commands`."""
+    """Tools that start a node use `serve` or `node_commands` instead of `__main__` and `cli`."""
     graph = import_graph()
-    top = ("tansyladder.__main__", "tansyladder.cli")
-    importers = {module: {name for name, imported in graph.items() if module in imported} for module in top}
+    entry_points = ("tansyladder.__main__", "tansyladder.cli")
+    importers = {
+        module: {name for name, imported in graph.items() if module in imported} for module in entry_points
+    }
     assert importers == {"tansyladder.__main__": set(), "tansyladder.cli": {"tansyladder.__main__"}}
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The format of the log's lines, and the limit of their rate."""
+"""The format of log lines, and the limit on their rate."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tansyladder.log_writer import MAX_LINES_PER_WINDOW, RATE_WINDOW, RateLimiter
 
 
-def test_the_log_keeps_its_lines_and_no_secret(capsys: pytest.CaptureFixture[str]) -> None:
-    secrets: dict[str, Any] = {"token": "s3cret"}  # no field of the log has a secret by its type
+def test_log_lines_have_their_format_and_hide_secrets(capsys: pytest.CaptureFixture[str]) -> None:
+    secrets: dict[str, Any] = {"token": "s3cret"}  # not a declared field, as none may hold a secret
     duration = timedelta(milliseconds=1.5)
     log(LogEvent.STARTED, error="two words", duration_ms=duration, node="x", **secrets)
     set_line_format(LineFormat.JSON)
@@ -39,14 +39,14 @@
     assert rate_limiter(None, "msg", {"event": "other"}) == {"event": "other"}
 
 
-def test_the_next_line_of_an_event_has_the_number_of_dropped_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_next_line_of_an_event_tells_how_many_were_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     rate_limiter = RateLimiter()
-    moment = 0.0
-    monkeypatch.setattr("tansyladder.log_writer.time.monotonic", lambda: moment)
+    now = 0.0
+    monkeypatch.setattr("tansyladder.log_writer.time.monotonic", lambda: now)
     for _ in range(MAX_LINES_PER_WINDOW):
         rate_limiter(None, "msg", {"event": "flood"})
     with pytest.raises(DropEvent):
         rate_limiter(None, "msg", {"event": "flood"})
-    moment = RATE_WINDOW.total_seconds()
+    now = RATE_WINDOW.total_seconds()
     assert rate_limiter(None, "msg", {"event": "flood"}) == {"event": "flood", "dropped_lines": 1}
     assert rate_limiter(None, "msg", {"event": "flood"}) == {"event": "flood"}
--- a/tests/test_node_commands.py
+++ b/tests/test_node_commands.py
@@ -1,4 +1,4 @@
-"""The commands `check` and `serve`, and the start without arguments."""
+"""The commands `check` and `serve`, and a start without arguments."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
     assert "resume.expires" in result.stderr
 
 
-def test_the_platforms_command_loads_no_tool(tmp_path: Path) -> None:
-    """Started without arguments the node must not load what only tools and other installations need."""
+def test_a_start_without_arguments_imports_no_optional_package(tmp_path: Path) -> None:
+    """Started without arguments, the node must not import packages that only tools and extras need."""
     load_test_config(tmp_path)
     code = (
         "import signal, sys;"
--- a/tests/test_page_names.py
+++ b/tests/test_page_names.py
@@ -1,6 +1,7 @@
-"""Each test, file and name of the code that a page gives in backticks exists today.
+"""Each test, file and name of the code that a page has in backticks exists.
 
-`CHANGELOG.md` and the journal speak of earlier versions and are left out, as is the glossary's first column.
+`CHANGELOG.md` and the journal are not checked, as they describe earlier versions, nor is the first column of
+the glossary's tables, which has earlier names.
 """
 
 from __future__ import annotations
@@ -22,25 +23,25 @@
 TEST_NAME = re.compile(r"`(test_[a-z0-9_]+)`")
 FILE_NAME = re.compile(r"`((?:[\w.-]+/)*[\w.-]+\.(?:py|md|toml|txt|sexp))`")
 EVENT_NAME = re.compile(r"\bevent=([a-z_]+)")
-# A function that a table gives for the module before it: `net/upstream.py`: `_connect_and_send`.
+# Functions listed after their module: `net/upstream.py`: `_connect_and_send`.
 FUNCTION_OF_FILE = re.compile(r"`((?:\w+/)*\w+\.py)`: ((?:`\w+`(?:, )?)+)")
-# A class and the module that has it: `Balancer` (`policy/balancer.py`).
+# A class and the module that defines it: `Balancer` (`policy/balancer.py`).
 CLASS_AND_FILE = re.compile(r"`([A-Z]\w+)` \(`((?:\w+/)*\w+\.py)`\)")
-# Names of a library, `pysyncobj`, that a page compares with ours.
-LIBRARY_NAMES = frozenset({"SyncObj", "SyncObjConf"})
+# Classes of the library `pysyncobj`, with which a page compares the project.
+PYSYNCOBJ_CLASSES = frozenset({"SyncObj", "SyncObjConf"})
 CONSTANT_NAME = re.compile(r"`([A-Z][A-Z0-9]*(?:_[A-Z0-9]+)+)`")
-# Of the operating system and the environment.
-CONSTANTS_ELSEWHERE = re.compile(r"GW_[A-Z]+|SO_[A-Z]+|MALLOC_ARENA_MAX")
-# `event field=value other=`: a line of the log, or a part of it.
+# Constants of the operating system, and environment variables.
+EXTERNAL_CONSTANT = re.compile(r"GW_[A-Z]+|SO_[A-Z]+|MALLOC_ARENA_MAX")
+# A log line or a part of one: `event field=value other=`.
 LOG_LINE = re.compile(r"`(?:event=)?([a-z_]+)((?: [a-z_]+=[^`\s]*)+)")
-# Printed at a start that fails, before there is a log.
+# Printed by a start that fails before logging is set up.
 PRINTED_EVENTS = frozenset({"bad_config", "bad_settings"})
 FIELD_NAME = re.compile(r" ([a-z_]+)=")
 
 
 @functools.cache
 def definitions_in(path: Path) -> frozenset[str]:
-    """The names that a module or its classes define: functions, classes, constants and attributes."""
+    """Return the functions, classes, constants and attributes that a module and its classes define."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
@@ -53,14 +54,14 @@
 
 @functools.cache
 def all_test_names() -> frozenset[str]:
-    """The names of all tests, and of the modules that hold them."""
+    """Return the names of all tests and of their modules."""
     modules = list((ROOT / "tests").rglob("test_*.py"))
     names = {name for module in modules for name in definitions_in(module) if name.startswith("test_")}
     return frozenset(names | {module.stem for module in modules})
 
 
 def candidates_for(page: Path, name: str) -> list[Path]:
-    """The files that a page can mean: from the root, the package, the page's folder, or by the name alone."""
+    """Return the files a page may refer to: relative to root, package or page, or else by name anywhere."""
     folders = (ROOT, ROOT / "tansyladder", page.parent)
     found = [folder / name for folder in folders if (folder / name).exists()]
     if found or "/" in name:
@@ -70,19 +71,19 @@
 
 @functools.cache
 def constant_names() -> frozenset[str]:
-    """The names of all constants of the package, members of enums included."""
+    """Return the names of all constants in the package, including enum members."""
     modules = (ROOT / "tansyladder").rglob("*.py")
     return frozenset(name for module in modules for name in definitions_in(module) if name.isupper())
 
 
 @functools.cache
 def names_defined_in_tests() -> frozenset[str]:
-    """The names that any module of the tests defines, as variants of our classes without a guard."""
+    """Return all names that test modules define, such as test variants of the package's classes."""
     return frozenset(name for module in (ROOT / "tests").rglob("*.py") for name in definitions_in(module))
 
 
 def text_of(page: Path) -> str:
-    """The text of a page; of the glossary's tables without the first column, which has earlier words."""
+    """Return the text of a page; without the first column of the glossary's tables, which has old names."""
     text = page.read_text()
     if page != GLOSSARY:
         return text
@@ -101,7 +102,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=PAGE_IDS)
-def test_each_function_that_a_page_gives_for_a_file_is_defined_there(page: Path) -> None:
+def test_each_function_that_a_page_lists_for_a_file_is_defined_there(page: Path) -> None:
     missing = [
         f"{file}: {name}"
         for file, functions in FUNCTION_OF_FILE.findall(page.read_text())
@@ -124,19 +125,19 @@
 
 @pytest.mark.parametrize("page", [page for page in PAGES if page != GLOSSARY], ids=lambda page: page.stem)
 def test_each_name_of_the_code_on_a_page_exists(page: Path) -> None:
-    assert set(unknown_names(page)) - names_defined_in_tests() - LIBRARY_NAMES == set()
+    assert set(unknown_names(page)) - names_defined_in_tests() - PYSYNCOBJ_CLASSES == set()
 
 
 def test_each_name_of_the_code_in_the_glossary_exists(tmp_path: Path) -> None:
-    without_earlier_words = tmp_path / "glossary.md"
-    without_earlier_words.write_text(text_of(GLOSSARY))
-    assert unknown_names(without_earlier_words) == []
+    without_earlier_names = tmp_path / "glossary.md"
+    without_earlier_names.write_text(text_of(GLOSSARY))
+    assert unknown_names(without_earlier_names) == []
 
 
 @pytest.mark.parametrize("page", PAGES, ids=PAGE_IDS)
 def test_each_constant_that_a_page_names_exists(page: Path) -> None:
     names = set(CONSTANT_NAME.findall(text_of(page))) - constant_names()
-    assert {name for name in names if not CONSTANTS_ELSEWHERE.fullmatch(name)} == set()
+    assert {name for name in names if not EXTERNAL_CONSTANT.fullmatch(name)} == set()
 
 
 @pytest.mark.parametrize("page", PAGES, ids=PAGE_IDS)
@@ -159,7 +160,7 @@
 
 
 def test_names_are_found_on_the_pages() -> None:
-    """The checks above are not met by finding nothing."""
+    """The patterns match something, so the checks above do not pass for lack of matches."""
     text = (ROOT / "docs" / "architecture.md").read_text()
     crossings = (ROOT / "docs" / "design" / "crossings.md").read_text()
     runbook = (ROOT / "docs" / "runbook.md").read_text()
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README runs as it is printed there."""
+"""The code example in the README runs unchanged."""
 
 from __future__ import annotations
 
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,4 +1,4 @@
-"""A test that leaves a thread running fails, and what it has started is stopped before that is checked."""
+"""A test fails if it leaves a thread running after its registered stop functions were called."""
 
 from __future__ import annotations
 
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -1,6 +1,6 @@
-"""Pages and docstrings use the field's terms: the words that `docs/glossary.md` withdraws appear in neither.
+"""Pages and docstrings use established terms, and none of the words that `docs/glossary.md` withdraws.
 
-Many of those words have harmless senses in English ("place", "hold"); the unambiguous ones are tested.
+Many of the withdrawn words are also ordinary English ("place", "hold"), so only unambiguous ones are checked.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).parent.parent
 GLOSSARY = ROOT / "docs" / "glossary.md"
-# A pattern for a word and its inflections, and what to write in its place.
+# For each withdrawn word: a pattern that matches its inflections, and what to write instead.
 WITHDRAWN = {
     "adrift": "detached",
     "bad servers?": "outlier",
@@ -48,14 +48,14 @@
     "twins": "duplicate tokens",
     "visitors?": "resuming client",
 }
-# The wire's and the log's own words, and quotations, which keep their form.
+# Quotations that contain withdrawn words.
 ALLOWED = ("the commit 'Go on",)
-# Files that still have withdrawn words, a line each. The list only shrinks: a rewritten file comes off it.
-NOT_REACHED = (ROOT / "tests" / "vocabulary-not-reached.txt").read_text().split()
+# Files that still have withdrawn words. Remove a file once it has none; add no files.
+UNREVISED_FILES = (ROOT / "tests" / "vocabulary-not-reached.txt").read_text().split()
 
 
 def prose_of(path: Path) -> str:
-    """The text of a page, or the docstrings of a module."""
+    """Return the text of a page, or the docstrings of a module."""
     text = path.read_text()
     if path.suffix != ".py":
         return text
@@ -65,8 +65,8 @@
 
 
 def withdrawn_words(prose: str) -> list[str]:
-    """Each withdrawn word of a text, as it is written there, and what to write in its place."""
-    prose = " ".join(prose.split())  # a phrase may be broken over two lines
+    """Return each withdrawn word as the text has it, with what to write instead."""
+    prose = " ".join(prose.split())  # a phrase may be split by a line break
     for words in ALLOWED:
         prose = prose.replace(words, "")
     return [
@@ -76,25 +76,25 @@
     ]
 
 
-def readable_files() -> list[str]:
-    """All pages and all modules of the package, relative to the root."""
+def checked_files() -> list[str]:
+    """Return the paths of all pages and modules of the package, relative to the root."""
     pages = [path for path in (ROOT / "docs").rglob("*.md") if path != GLOSSARY]
     return sorted(str(path.relative_to(ROOT)) for path in [*pages, *(ROOT / "tansyladder").rglob("*.py")])
 
 
 def words_by_file() -> dict[str, list[str]]:
-    """The withdrawn words of each file that has any."""
-    words = {name: withdrawn_words(prose_of(ROOT / name)) for name in readable_files()}
+    """Return the withdrawn words of each file that has any."""
+    words = {name: withdrawn_words(prose_of(ROOT / name)) for name in checked_files()}
     return {name: found for name, found in words.items() if found}
 
 
 def test_no_file_but_the_listed_ones_has_withdrawn_words() -> None:
-    assert {name: words for name, words in words_by_file().items() if name not in NOT_REACHED} == {}
+    assert {name: words for name, words in words_by_file().items() if name not in UNREVISED_FILES} == {}
 
 
 def test_each_listed_file_has_withdrawn_words() -> None:
-    """Where this fails, the files named are rewritten or gone: take them out of the list."""
-    assert set(NOT_REACHED) - words_by_file().keys() == set()
+    """If this fails, remove the reported files from the list: they are gone or have no withdrawn words."""
+    assert set(UNREVISED_FILES) - words_by_file().keys() == set()
 
 
 @pytest.mark.parametrize(
--- a/tests/threads.py
+++ b/tests/threads.py
@@ -1,7 +1,7 @@
-"""Stops what a test has started, waits for its threads, and fails a test that leaves some of them running.
+"""Calls the stop functions that a test has registered, and fails the test if threads of it still run then.
 
-A thread that outlives its test writes its log lines while pytest captures nothing, or into the output of
-another test, and takes processor time from it.
+A thread that outlives its test writes log lines that are not captured or appear in another test's output, and
+takes CPU time from other tests.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 import pytest
 
-MAX_WAIT_SECONDS = 5.0  # until a thread counts as left running
+MAX_WAIT_SECONDS = 5.0  # for threads to end after a test
 
-_stops: list[Callable[[], None]] = []  # end what the running test has started
+_stops: list[Callable[[], None]] = []  # the stop functions that the running test has registered
 
 
 def stop_at_end_of_test(stop: Callable[[], None]) -> None:
-    """Have a function called at the end of the running test; the functions are called in reverse order."""
+    """Register a function to call at the end of the running test; the last registered one is called first."""
     _stops.append(stop)
 
 
 def wait_until_ended(threads: Collection[threading.Thread]) -> list[str]:
-    """Wait until threads have ended; the names of those that still run after MAX_WAIT_SECONDS."""
+    """Wait for threads to end; return the names of those that still run after MAX_WAIT_SECONDS."""
     deadline = time.monotonic() + MAX_WAIT_SECONDS
     for thread in threads:
         thread.join(max(0.0, deadline - time.monotonic()))
@@ -33,7 +33,7 @@
 
 @pytest.fixture(autouse=True)
 def stop_and_check_threads() -> Iterator[None]:
-    """Stop what the test has started, and fail it where a thread runs that was not there before it."""
+    """Call the registered stop functions, and fail the test if a thread that it started still runs."""
     threads_before = set(threading.enumerate())
     with ExitStack() as stops:
         yield
