--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -47,7 +47,7 @@
     host_count: int
     seed: int
     _: KW_ONLY
-    has_peers: bool = True  # whether the nodes form a cluster or know nothing of each other
+    has_peers: bool = True  # whether the nodes are peers of each other; else each is on its own
     operator_settings: str = ""  # added to SETTINGS for every node
 
 
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -35,7 +35,7 @@
 CALL_TIMEOUT = 1.0  # seconds until an answer of an admin server counts as missing
 CHANGE_TIMEOUT = 25.0  # seconds in which the outcome of a change must be known
 CHANGE_POLL_INTERVAL = 0.02  # seconds between two polls of a change
-MAX_CHANGE_POLLS = 40  # polls without an outcome, after which the next node gets the request
+MAX_CHANGE_POLLS = 40  # polls without a final answer, after which the next node gets the request
 LEASE_TIMEOUT = 15.0  # seconds in which all nodes must have a lease
 LEASE_POLL_INTERVAL = 0.05  # seconds between two polls of all nodes' leases
 FAULT_LEAD_TIME = 0.3  # seconds from the start of a fault to the request for a change
@@ -190,7 +190,7 @@
         raise LabTimeoutError(f"change {change_id} of {DOCUMENT}: outcome unknown after {CHANGE_TIMEOUT:g} s")
 
     async def _poll_change(self, node: int, change_id: str) -> ChangeAnswer | None:
-        """Return a node's final answer about a change; None if it has none after MAX_CHANGE_POLLS polls."""
+        """Return a node's final answer about a change; None without an answer or after MAX_CHANGE_POLLS."""
         for _ in range(MAX_CHANGE_POLLS):
             lines = await self.call(node, f"change {change_id}")
             if not lines or not lines[0]:
--- a/tansyladder/lab/chaos/links.py
+++ b/tansyladder/lab/chaos/links.py
@@ -15,7 +15,7 @@
 BACKLOG = 1024
 HEALTH_CHECK_INTERVAL = 0.1  # seconds between two health checks of a node
 HEALTH_CHECK_TIMEOUT = 1.0  # seconds until a health check without an answer has failed
-UNHEALTHY_AFTER = timedelta(seconds=2)  # a node gets clients for so long after its last passed health check
+UNHEALTHY_AFTER = timedelta(seconds=2)  # since the last health check that a node passed
 
 
 class Direction(Enum):
--- a/tests/lab/chaos/test_schedule.py
+++ b/tests/lab/chaos/test_schedule.py
@@ -9,7 +9,7 @@
 from tansyladder.lab.chaos import schedule
 
 
-def test_a_schedule_depends_only_on_its_seed_and_is_read_from_a_file(tmp_path: Path) -> None:
+def test_a_seed_repeats_its_schedule_which_is_read_back_from_a_file(tmp_path: Path) -> None:
     generated = schedule.generate(3, 5, 4, 60, 30.0)
     assert generated == schedule.generate(3, 5, 4, 60, 30.0) != schedule.generate(4, 5, 4, 60, 30.0)
     schedule.save(tmp_path / "schedule.json", generated)
