--- a/tansyladder/log_events.py
+++ b/tansyladder/log_events.py
@@ -8,7 +8,7 @@
 class LogEvent(StrEnum):
     """An event of the log. Each member is defined by the event's name and the names of its fields."""
 
-    fields: tuple[str, ...]
+    fields: tuple[str, ...]  # an annotation without a value, which defines no member
 
     def __new__(cls, name: str, *fields: str) -> LogEvent:
         """Create a member whose value is the event's name; the field names become its `fields`."""
@@ -26,7 +26,7 @@
     CONNECT_FAILED = "connect_failed", "endpoint", "error"
     CONNECTION_ADOPTION_FAILED = "connection_adoption_failed", "endpoint", "error"
     CONNECTION_RESTORE_FAILED = "connection_restore_failed", "endpoint", "status"
-    COUNTS = "counts", "timestamp", "endpoints"  # and one field per count
+    COUNTS = "counts", "timestamp", "endpoints"  # and a field for each count above 0
     DISCOVERY_FAILED = "discovery_failed", "error", "duration_ms"
     DISK_WITNESS_FAILED = "disk_witness_failed", "error"
     DOCUMENT_CHANGE_ENDED = (
@@ -97,25 +97,28 @@
 class ClientRejectionReason(StrEnum):
     """Why the node rejected a client without asking the policy; `reason` of `client_rejected`."""
 
-    CONNECTION_LIMIT = "connection_limit"  # the node serves the largest number of connections that it may
+    CONNECTION_LIMIT = "connection_limit"  # the node already serves its maximum number of connections
     DESCRIPTOR_LIMIT = "descriptor_limit"  # the process has no free file descriptor
     THREAD_LIMIT = "thread_limit"  # the system could not start a thread
-    PENDING_EVICTED = "pending_evicted"  # the client had sent nothing, and a newer one needed the slot
+    PENDING_EVICTED = "pending_evicted"  # no first line had arrived, and a newer client needed the place
 
 
 class LineSource(StrEnum):
-    """Which part of the node received an invalid line; `source` of `invalid_line`."""
+    """Which input of the node an invalid line was part of; `source` of `invalid_line`."""
 
-    CLIENT = "client"  # a client's first line
-    RELAY = "relay"  # a line of an established connection
-    SESSION = "session"  # a line of a resumable session
+    CLIENT = "client"  # what a client sent before its connection was established
+    RELAY = "relay"  # a line of an established connection that can't be resumed
+    SESSION = "session"  # a line that the client of a resumable session sent
 
 
 class HandoverStep(StrEnum):
-    """The last completed step of a handover of the listener; `step` of `listener_handover`."""
+    """A completed step in the handover of the clients' listener to the next process of the node.
 
-    LISTENER_SENT = "listener_sent"
-    LISTENER_RECEIVED = "listener_received"
-    SUCCESSOR_SERVING = "successor_serving"
-    SUCCESSOR_EXITED = "successor_exited"
+    It is the `step` of `listener_handover`. Predecessor and successor are those of the process that logs it.
+    """
+
+    LISTENER_SENT = "listener_sent"  # to a successor
+    LISTENER_RECEIVED = "listener_received"  # from the predecessor
+    SUCCESSOR_SERVING = "successor_serving"  # a successor has reported that it serves clients
+    SUCCESSOR_EXITED = "successor_exited"  # its process has ended, or it sent an unknown message
     PREDECESSOR_EXITED = "predecessor_exited"
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sent it, and the numbers that the policy uses for its endpoints."""
+"""The node's copy of the endpoint list, and the numbers by which the policy identifies endpoints."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import EndpointListCache
 
-ENDPOINT_STATES = {
+ENDPOINT_STATES = {  # by the value of the key `phase` of an entry
     "up": EndpointState.READY,
     "draining": EndpointState.DRAINING,
     "removed": EndpointState.GONE,
 }
 REMOVED = "removed"
-MAX_STARTED_AT_MS = 10**14  # Unix time in the year 5138; a later start of an endpoint is out of range
+MAX_STARTED_AT_MS = 10**14  # exclusive bound of the start time of an endpoint: Unix time in the year 5138
 
 
 class ValidEntry(NamedTuple):
@@ -38,14 +38,16 @@
     """Parse and check an entry.
 
     Raises:
-        ConfigError: The value of a JSON key is invalid; the error names the key.
+        ConfigError: A value is invalid; the error names its JSON key, which is not the attribute's name.
     """
     address = parse_address(entry.address, "host_port")
     state = ENDPOINT_STATES.get(entry.state)
     if state is None:
         raise ConfigError("phase", f"unknown state {entry.state[:40]!r}; expected up, draining or removed")
     if not 0 <= entry.started_at_ms < MAX_STARTED_AT_MS:
-        raise ConfigError("up_since_ms", f"out of range: {entry.started_at_ms}")
+        raise ConfigError(
+            "up_since_ms", f"must be at least 0 and below {MAX_STARTED_AT_MS}, not {entry.started_at_ms}"
+        )
     return ValidEntry(entry, address, state)
 
 
@@ -66,7 +68,17 @@
     predecessor_list: EndpointList | None,
     clock: Clock,
 ) -> EndpointList:
-    """Return the newest list known at a start: the configured one, the cached one or the predecessor's."""
+    """Return the newest endpoint list that is known when the process starts.
+
+    Of lists with the same revision, the predecessor's is preferred to the configured one, and that to the
+    cached one.
+
+    Args:
+        configured: The list in the platform's configuration.
+        cache: Holds the list that an earlier process stored; None if there is no cache.
+        predecessor_list: The list of the process that handed over its listener; None if there is none.
+        clock: Converts the current time to Unix time.
+    """
     newest = configured
     cached = cache.cached_endpoints() if cache is not None else None
     if cached is not None and cached.endpoints.revision > newest.revision:
@@ -80,31 +92,45 @@
 
 
 class EndpointRegistry:
-    """Numbers endpoints, zones and kinds in the order in which this node learns of them.
+    """Holds the endpoint list and the numbers of its endpoints, zones and kinds.
 
+    Numbers are assigned in the order in which this node learns of the names, so nodes may differ in them.
     Not thread-safe: the policy runner owns it and calls it under its own lock.
     """
 
     def __init__(self, config: Config, clock: Clock) -> None:
-        """`clock`: converts the wall-clock times of the list."""
+        """Create a registry without endpoints.
+
+        The zones and kinds of `config` get the first numbers. `clock` converts the wall-clock times of lists.
+        """
         self._clock = clock
-        self._numbers: dict[str, int] = {}
+        self._endpoint_numbers: dict[str, int] = {}
         self._zone_numbers = {name: number for number, name in enumerate(config.zones)}
         self._kind_numbers = {name: number for number, name in enumerate(config.kinds)}
         self._entries: dict[str, EndpointEntry] = {}
-        self.by_number: dict[int, EndpointAddress] = {}
+        self.by_number: dict[int, EndpointAddress] = {}  # includes endpoints that were removed from the list
         self.revision = config.known_endpoints.revision
 
     def find(self, endpoint_id: str) -> EndpointAddress | None:
-        """Return the endpoint with an id; None if it has never been on this node's list."""
-        number = self._numbers.get(endpoint_id)
+        """Return the endpoint with an id, even a removed one; None if no valid entry has had this id."""
+        number = self._endpoint_numbers.get(endpoint_id)
         return self.by_number.get(number) if number is not None else None
 
     def apply(
         self, listed: EndpointList, valid: Iterable[ValidEntry], kind: ListUpdateKind
     ) -> tuple[EndpointUpdate, ...]:
-        """Apply a complete list, or changes to it; return the policy's updates for its valid entries."""
-        updates = tuple(self._update(entry, address, state) for entry, address, state in valid)
+        """Apply a complete list, or changes to the list.
+
+        Args:
+            listed: The list or the changes, including invalid entries. These are part of `as_list` too: the
+                process that receives the list validates it again.
+            valid: The valid entries of `listed`.
+            kind: What `listed` contains; a complete list replaces the known one.
+
+        Returns:
+            The updates of the valid entries, to be passed to the policy.
+        """
+        updates = tuple(self._register(entry, address, state) for entry, address, state in valid)
         self.revision = listed.revision
         if kind in (ListUpdateKind.SNAPSHOT, ListUpdateKind.CACHED):
             self._entries.clear()
@@ -116,12 +142,12 @@
         return updates
 
     def as_list(self) -> EndpointList:
-        """Return the complete list as this node knows it."""
+        """Return the complete list as this node knows it, with the entries that it found invalid."""
         return EndpointList(self.revision, complete=True, endpoints=list(self._entries.values()))
 
-    def _update(self, entry: EndpointEntry, address: Address, state: EndpointState) -> EndpointUpdate:
-        """Store the address of an endpoint under its number; return the update for the policy."""
-        number = self._numbers.setdefault(entry.id, len(self._numbers) + 1)
+    def _register(self, entry: EndpointEntry, address: Address, state: EndpointState) -> EndpointUpdate:
+        """Assign a number to a new endpoint, store its address, and return the update for the policy."""
+        number = self._endpoint_numbers.setdefault(entry.id, len(self._endpoint_numbers) + 1)
         self.by_number[number] = EndpointAddress(number, entry.id, address, state)
         started_at_us = 0
         if entry.started_at_ms:
@@ -135,6 +161,6 @@
             entry.capacity,
             state,
             started_at_us,
-            # Nodes number endpoints differently; a value on which they have to agree is derived from the id.
+            # The stable id: it must be the same at all nodes, which number the endpoints differently.
             zlib.crc32(entry.id.encode()),
         )
--- a/tansyladder/policy/settings_in_force.py
+++ b/tansyladder/policy/settings_in_force.py
@@ -3,17 +3,17 @@
 The limits are derived once, when settings are put in force, and are replaced as a whole. They depend only on
 the settings, not on what the node observes.
 
-Formulas, over the classes that are not retired:
+The limits are computed as follows; "longest" and "strictest" refer to the classes that are not retired:
 
-- reaction time = the longest deadline. The effect of an action is visible in reports and at clients within
-  this time.
+- reaction time = the longest deadline. The effect of an action of the policy is visible in load reports and
+  at clients within this time.
 - message objective = the strictest message latency objective or, if no class has one, the strictest latency
-  objective.
+  objective. It applies to each message on an established connection.
 - delay limit = message objective x `DELAYED_OBJECTIVE_SHARE`.
-- validity of a measured delay = the longer of the reaction time and 3/2 of the health check interval, so that
-  the delay stays valid until the next check can correct it.
-- maximum of pending attempts at an endpoint = `MAX_PENDING_ATTEMPTS` / number of nodes, rounded down, but at
-  least 1. The number of nodes is taken as at least `MIN_NODES_FOR_PENDING_ATTEMPTS`.
+- validity of a delay that a health check measured = the reaction time or 3/2 of the health check interval,
+  whichever is longer. The delay thus stays valid until the next check measures it again.
+- maximum of this node's pending attempts at an endpoint = `MAX_PENDING_ATTEMPTS` / number of nodes, rounded
+  down, but at least 1. The number of nodes is taken as at least `MIN_NODES_FOR_PENDING_ATTEMPTS`.
 """
 
 from __future__ import annotations
@@ -23,13 +23,15 @@
 
 from tansyladder.policy.settings import Settings
 
-MAX_PENDING_ATTEMPTS = 24  # at an endpoint, from all nodes: more would only wait there and time out
-# The pending attempts are divided between at least so many nodes: with a larger share, a node that has just
-# started could fill the queue of an endpoint alone.
+# The maximum at one endpoint from all nodes together. More attempts would only wait there and time out.
+MAX_PENDING_ATTEMPTS = 24
+# `MAX_PENDING_ATTEMPTS` is divided by at least this number, even if there are fewer nodes. With a larger
+# share, a node that has just started could fill the queue of an endpoint alone.
 MIN_NODES_FOR_PENDING_ATTEMPTS = 3
-DELAYED_OBJECTIVE_SHARE = 0.5  # of the message objective: messages are late from here on, as delays vary
-# A measured delay is valid for 3/2 of the health check interval: half an interval longer than until the next
-# check, as that may be late.
+# Messages are late if their delay is above this share of the message objective. It is below 1 as delays vary.
+DELAYED_OBJECTIVE_SHARE = 0.5
+# A measured delay is valid for at least 3/2 of the health check interval. The next check is due after one
+# interval; the other half allows for a check that is late.
 DELAY_VALIDITY_NUMERATOR = 3
 DELAY_VALIDITY_DENOMINATOR = 2
 UTILIZATION_COLUMN_NAME = "x0"  # the column of load reports that holds the utilization
@@ -39,11 +41,11 @@
 class DerivedLimits(NamedTuple):
     """Limits that are derived from the settings. Durations are in microseconds."""
 
-    max_pending_attempts: float  # of this node at one endpoint; infinite if the caller has no sockets
-    utilization_column: int  # index in load reports; -1: endpoints report no utilization
-    can_check_load: bool  # whether health checks return the utilization of an endpoint
-    reaction_time_us: int  # after which the effect of an action is visible
-    delay_validity_us: int  # how long a delay measured by this node is valid
+    max_pending_attempts: float  # of this node at one endpoint; infinite in the simulator
+    utilization_column: int  # index in load reports, or `NO_UTILIZATION_COLUMN`
+    can_check_load: bool  # whether a health check can return the utilization of an endpoint
+    reaction_time_us: int  # after which the effect of an action of the policy is visible
+    delay_validity_us: int  # how long a delay is valid that a health check of this node measured
     message_objective_us: int
     delay_limit_us: float  # messages with a longer delay are late
 
@@ -79,7 +81,11 @@
 
 
 def _max_pending_attempts(settings: Settings) -> float:
-    """Return this node's share of the pending attempts at one endpoint; infinite without sockets."""
+    """Return this node's maximum of pending attempts at one endpoint.
+
+    It is infinite if the settings have no discovery call interval. This is the case in the simulator,
+    which has no sockets.
+    """
     if not settings.discovery_call_interval_us:
         return math.inf
     return max(1, MAX_PENDING_ATTEMPTS // max(MIN_NODES_FOR_PENDING_ATTEMPTS, settings.node_count))
@@ -97,7 +103,7 @@
     def apply(self, settings: Settings) -> None:
         """Replace the settings and the derived limits.
 
-        The index of a class must not change, so that requests in flight keep the settings of their class.
+        A class must have the same index as before, because requests in flight refer to their class by index.
         """
         self.settings = settings
         self.limits = derive_limits(settings)
--- a/tansyladder/sessions/takeover.py
+++ b/tansyladder/sessions/takeover.py
@@ -1,4 +1,7 @@
-"""Takes over sessions of other nodes. This module is loaded only if the node has peers."""
+"""Takes over the sessions of other nodes whose clients reconnect to this node.
+
+This module is loaded only if the node has peers.
+"""
 
 from __future__ import annotations
 
@@ -34,13 +37,15 @@
     client: ResumingClient
     opening: Opening
     payload: TokenPayload
-    arrived: timedelta
+    arrived: timedelta  # when its first line arrived
 
 
 class SessionTakeover:
-    """Claims sessions of other nodes with the cluster, restores them and hands their clients over.
+    """Claims sessions of other nodes, restores them at this node and passes their clients to them.
+
+    A claim blocks until the cluster has decided, so each takeover runs in a thread of its own.
 
-    Thread-safe: `_lock` guards `_claiming_ids`, and nothing else is called while it is held.
+    Thread-safe: `_lock` guards `_ids_being_claimed`, and nothing else is called while it is held.
     """
 
     def __init__(
@@ -50,13 +55,13 @@
         restorer: SessionRestorer,
         ownership: OwnershipClient,
     ) -> None:
-        """Prepare takeovers; `ownership` submits the claims to the cluster."""
+        """Create an object without takeovers in progress; `ownership` submits the claims to the cluster."""
         self._context = context
         self._registry = registry
         self._restorer = restorer
         self._ownership = ownership
         self._lock = threading.Lock()
-        self._claiming_ids: set[int] = set()  # ids of the sessions that are being claimed
+        self._ids_being_claimed: set[int] = set()  # session ids
 
     def start(
         self,
@@ -66,24 +71,33 @@
         arrived: timedelta,
         release: Callable[[], None],
     ) -> None:
-        """Call `release`, then take over the session of a client's token in a thread of its own.
+        """Begin to take over the session of a client's token, in a thread of its own.
+
+        Args:
+            client: The client; its socket belongs to the takeover from the call of `release` on.
+            opening: The first line of the client.
+            payload: The content of the token.
+            arrived: When the first line arrived.
+            release: Is called before the thread starts, and makes the caller give up the socket. It is not
+                called if this method raises `ResumeRejectedError`.
 
         Raises:
             ResumeRejectedError: Too many sessions are being claimed, or this one is being claimed already.
-                Two claims of one node for one session would leave it with the epoch of the earlier one.
+                With two claims at once, this node could restore the session with the epoch of the earlier
+                claim, which the later one has replaced in the cluster.
         """
         request = _TakeoverRequest(client, opening, payload, arrived)
         session_id = payload.session_id
         with self._lock:
-            if len(self._claiming_ids) >= MAX_CONCURRENT_CLAIMS or session_id in self._claiming_ids:
+            if len(self._ids_being_claimed) >= MAX_CONCURRENT_CLAIMS or session_id in self._ids_being_claimed:
                 raise ResumeRejectedError(RETRY_SOON_LINE)
-            self._claiming_ids.add(session_id)
+            self._ids_being_claimed.add(session_id)
         try:
             release()
             threading.Thread(target=self._run, args=(request,), name="takeover", daemon=True).start()
-        except RuntimeError as error:
+        except RuntimeError as error:  # no thread can be started; the caller has given up the socket
             log(LogEvent.SESSION_TAKEOVER_FAILED, error=error)
-            self._finish(session_id)
+            self._end_claim(session_id)
             self._reject(request, RETRY_SOON_LINE)
 
     def _run(self, request: _TakeoverRequest) -> None:
@@ -92,24 +106,24 @@
             self._take_over(request)
         except ResumeRejectedError as error:
             self._reject(request, error.answer)
-        except TokenError as error:  # no capacity, or two clients with one token at the same time
+        except TokenError as error:  # for example: no capacity, or another client uses the same token
             rejection = control_messages.format_rejection(error.reason)
             self._reject(request, RETRY_SOON_LINE if error.reason in TEMPORARY_REJECTIONS else rejection)
         finally:
-            self._finish(request.payload.session_id)
+            self._end_claim(request.payload.session_id)
 
     def _take_over(self, request: _TakeoverRequest) -> None:
-        """Claim a session, restore it and hand its client over.
+        """Claim a session, restore it and pass the client to its thread.
 
         Raises:
-            ResumeRejectedError: The session is owned here already, the client has disconnected, or the claim
-                is rejected.
+            ResumeRejectedError: This node knows the session already, the client has disconnected, or the
+                claim is rejected.
             TokenError: The session can't be restored, or its token is rejected.
         """
         client = request.client
         payload = request.payload
         token_registry = self._registry.token_registry
-        if token_registry.is_known(payload.session_id):  # an earlier claim has just succeeded
+        if token_registry.is_known(payload.session_id):  # taken over since the caller looked it up
             raise ResumeRejectedError(RETRY_SOON_LINE)
         if sockets.is_disconnected(client.sock):
             raise ResumeRejectedError(RETRY_SOON_LINE)
@@ -117,16 +131,19 @@
         self._restorer.restore(
             payload.session_id, request.opening, payload.generation, payload.expires_at_us, epoch
         )
+        # Whether the token has expired is judged here by the time at which the client's line arrived.
         arrived_us = self._context.clock.micros(request.arrived)
         token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
         log(LogEvent.SESSION_TAKEN_OVER, ownership_epoch=epoch, duration_ms=now() - request.arrived)
 
-    def _finish(self, session_id: int) -> None:
+    def _end_claim(self, session_id: int) -> None:
+        """Record that a session is no longer being claimed, so that it can be claimed again."""
         with self._lock:
-            self._claiming_ids.discard(session_id)
+            self._ids_being_claimed.discard(session_id)
 
     def _reject(self, request: _TakeoverRequest, answer: bytes) -> None:
+        """Send the answer that rejects a client, and end its connection."""
         sock = request.client.sock
         self._context.metrics.record_outcome(request.opening.class_name, RequestOutcome.of_answer(answer))
-        sockets.configure_stream(sock)
+        sockets.configure_stream(sock)  # lets the send below time out
         sockets.shutdown_and_drain(sock, answer)
