--- a/tansyladder/node/active_configuration.py
+++ b/tansyladder/node/active_configuration.py
@@ -33,7 +33,7 @@
 
     def __init__(self, config: Config) -> None:
         self._classes = ClassNumbers(config)
-        self._snapshot = _Snapshot(config, self._classes.in_force, build_delay_meter(config))
+        self._snapshot = _Snapshot(config, self._classes.numbers_by_class, build_delay_meter(config))
 
     @property
     def config(self) -> Config:
@@ -64,7 +64,7 @@
             The configuration that is now active, including the settings of earlier versions of its classes.
         """
         applied = replace(config, settings=self._classes.apply(config))
-        self._snapshot = _Snapshot(applied, self._classes.in_force, build_delay_meter(config))
+        self._snapshot = _Snapshot(applied, self._classes.numbers_by_class, build_delay_meter(config))
         return applied
 
 
--- a/tansyladder/node/class_numbers.py
+++ b/tansyladder/node/class_numbers.py
@@ -16,12 +16,12 @@
 
     def __init__(self, config: Config) -> None:
         self._versions: dict[tuple[str, ClassSettings], int] = {}
-        self.in_force = self._assign_numbers(config)
+        self.numbers_by_class = self._assign_numbers(config)
 
     def apply(self, config: Config) -> Settings:
-        """Put a configuration's classes in force; return its settings with all versions, by number."""
-        self.in_force = self._assign_numbers(config)
-        retired = frozenset(self._versions.values()) - set(self.in_force.values())
+        """Activate a configuration's classes; return its settings with all versions, by number."""
+        self.numbers_by_class = self._assign_numbers(config)
+        retired = frozenset(self._versions.values()) - set(self.numbers_by_class.values())
         versions = tuple(settings for _, settings in self._versions)  # in the order of their numbers
         return replace(config.settings, classes=versions, retired_classes=retired)
 
--- a/tansyladder/policy/__init__.py
+++ b/tansyladder/policy/__init__.py
@@ -1,7 +1,7 @@
 """The balancing policy: it takes events and returns actions. It reads no clock and does no I/O.
 
-`Balancer` (in `balancer`) passes each event to the component that handles it. `parts` builds the components
-and gives each one the others that it depends on. `docs/policy.md` describes their decisions. The modules,
+`Balancer` (in `balancer`) passes each event to the component that handles it. `components` builds them and
+gives each one the others that it depends on. `docs/policy.md` describes their decisions. The modules,
 dependencies first:
 
 Interface to the caller:
@@ -11,7 +11,7 @@
 Shared by all components:
 
 - `clock`, `action_sink`, `timers`: the time of the current events, the resulting actions, scheduled callbacks
-- `settings_in_force`: the current settings and the limits derived from them
+- `active_settings`: the current settings and the limits derived from them
 - `hashing`, `backoff`: rendezvous hashing, truncated binary exponential backoff
 - `setup_failures`, `tenant_quotas`: whether set-ups fail everywhere, whether a tenant is over its quota
 
--- a/tansyladder/policy/settings_in_force.py
+++ b/tansyladder/policy/active_settings.py
@@ -1,6 +1,6 @@
-"""The settings in force, and the limits derived from them.
+"""The active settings, and the limits derived from them.
 
-The limits are derived once, when settings are put in force, and are replaced as a whole. They depend only on
+The limits are derived once, when settings are made active, and are replaced as a whole. They depend only on
 the settings, not on what the node observes.
 
 Formulas, over the classes that are not retired:
@@ -85,7 +85,7 @@
     return max(1, MAX_PENDING_ATTEMPTS // max(MIN_NODES_FOR_PENDING_ATTEMPTS, settings.node_count))
 
 
-class SettingsInForce:
+class ActiveSettings:
     """The settings that all components of one `Balancer` use, and the limits derived from them."""
 
     __slots__ = ("limits", "settings")
--- a/tansyladder/policy/attempt_sending.py
+++ b/tansyladder/policy/attempt_sending.py
@@ -16,12 +16,12 @@
 
 from tansyladder.policy.action_sink import ActionSink
 from tansyladder.policy.actions import StartAttempt
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_table import EndpointTable
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.pool_load import PoolLoad
 from tansyladder.policy.requests import Request
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.setup_failures import SetupFailureRate
 from tansyladder.policy.slow_start import SlowStart
 
@@ -32,17 +32,19 @@
 class AttemptTimeouts:
     """Computes the timeouts of attempts."""
 
-    def __init__(self, clock: Clock, in_force: SettingsInForce, setup_failures: SetupFailureRate) -> None:
+    def __init__(
+        self, clock: Clock, active_settings: ActiveSettings, setup_failures: SetupFailureRate
+    ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._setup_failures = setup_failures
 
     def timeout_us(self, request: Request) -> int:
         """Return the timeout of the next attempt; it leaves time for another attempt if one is allowed."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         time_left_us = max(MIN_TIMEOUT_US, request.deadline - self._clock.now)
         is_last = request.attempt_count + 1 >= settings.max_attempts
-        if is_last or self._setup_failures.is_cause_shared:
+        if is_last or self._setup_failures.has_shared_cause:
             return time_left_us
         objective_us = settings.classes[request.class_index].latency_objective_us
         return max(time_left_us // TIMEOUT_DIVISOR, min(objective_us, time_left_us))
@@ -54,14 +56,14 @@
     def __init__(
         self,
         *,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         actions: ActionSink,
         endpoints: EndpointTable,
         slow_start: SlowStart,
         pool_load: PoolLoad,
         timeouts: AttemptTimeouts,
     ) -> None:
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._actions = actions
         self._endpoints = endpoints
         self._slow_start = slow_start
@@ -72,7 +74,7 @@
         """Start an attempt at an endpoint, and add the expected load to the endpoint and its pool."""
         timeout_us = self._timeouts.timeout_us(request)
         self._slow_start.use_permit(endpoint)
-        is_home = endpoint.zone == self._in_force.settings.zone
+        is_home = endpoint.zone == self._active_settings.settings.zone
         pool = self._endpoints.home_zone if is_home else self._endpoints.other_zones
         self._pool_load.record_assignment(pool, endpoint, request)
         request.start_attempt(endpoint)
--- a/tansyladder/policy/balancer.py
+++ b/tansyladder/policy/balancer.py
@@ -11,9 +11,9 @@
 
 from tansyladder.policy import events as event_types
 from tansyladder.policy.actions import Action
+from tansyladder.policy.components import PolicyComponents
 from tansyladder.policy.endpoint_table import EndpointCounts
 from tansyladder.policy.events import Event
-from tansyladder.policy.parts import PolicyParts
 from tansyladder.policy.settings import Settings
 
 
@@ -24,13 +24,13 @@
     thread.
     """
 
-    __slots__ = ("_begin_batch", "_clock", "_handlers", "parts")
+    __slots__ = ("_begin_batch", "_clock", "_handlers", "components")
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        self.parts = PolicyParts(settings, seed, now)
-        self._clock = self.parts.clock
-        self._begin_batch = self.parts.actions.begin_batch
-        self._handlers = _handlers_by_event(self.parts)
+        self.components = PolicyComponents(settings, seed, now)
+        self._clock = self.components.clock
+        self._begin_batch = self.components.actions.begin_batch
+        self._handlers = _handlers_by_event(self.components)
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
         """Decide which actions a batch of events requires.
@@ -51,22 +51,22 @@
 
     def endpoint_counts(self) -> EndpointCounts:
         """Count the endpoints. Thread-safe without a lock, as it reads a copy of the table."""
-        return self.parts.endpoints.counts(self._clock.now)
+        return self.components.endpoints.counts(self._clock.now)
 
 
-def _handlers_by_event(parts: PolicyParts) -> dict[type, Callable[[Any], None]]:
+def _handlers_by_event(components: PolicyComponents) -> dict[type, Callable[[Any], None]]:
     """Map each event type to its handler."""
     return {
-        Settings: parts.in_force.apply,
-        event_types.TimerExpired: parts.timers.handle_timer_expired,
-        event_types.EndpointListUpdate: parts.list_updater.handle_list_update,
-        event_types.RequestReceived: parts.arrivals.handle_request,
-        event_types.AttemptEstablished: parts.lifecycle.handle_attempt_established,
-        event_types.AttemptEnded: parts.lifecycle.handle_attempt_ended,
-        event_types.ClientDisconnected: parts.lifecycle.handle_client_disconnected,
-        event_types.ConnectionAdopted: parts.lifecycle.handle_connection_adopted,
-        event_types.ConnectionReport: parts.reports.handle_connection_report,
-        event_types.HealthCheckResult: parts.reports.handle_health_check_result,
+        Settings: components.active_settings.apply,
+        event_types.TimerExpired: components.timers.handle_timer_expired,
+        event_types.EndpointListUpdate: components.list_updater.handle_list_update,
+        event_types.RequestReceived: components.arrivals.handle_request,
+        event_types.AttemptEstablished: components.lifecycle.handle_attempt_established,
+        event_types.AttemptEnded: components.lifecycle.handle_attempt_ended,
+        event_types.ClientDisconnected: components.lifecycle.handle_client_disconnected,
+        event_types.ConnectionAdopted: components.lifecycle.handle_connection_adopted,
+        event_types.ConnectionReport: components.reports.handle_connection_report,
+        event_types.HealthCheckResult: components.reports.handle_health_check_result,
         event_types.PeerMessage: _ignore,
     }
 
--- a/tansyladder/policy/candidate_checks.py
+++ b/tansyladder/policy/candidate_checks.py
@@ -12,13 +12,13 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_sampling import EndpointSampler
 from tansyladder.policy.endpoint_table import EndpointTable
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.health_checks import HealthCheckScheduler
 from tansyladder.policy.requests import Request
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.slow_start import SlowStart
 
 CANDIDATE_COUNT = 3  # endpoints to check: if most endpoints have capacity, one of these very likely has it
@@ -33,14 +33,14 @@
         self,
         *,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         endpoints: EndpointTable,
         sampler: EndpointSampler,
         slow_start: SlowStart,
         health_checks: HealthCheckScheduler,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._endpoints = endpoints
         self._sampler = sampler
         self._slow_start = slow_start
@@ -50,7 +50,7 @@
         """Sample the candidates of a request, and check those whose load report is missing or too old."""
         request.candidates = []
         request.pending_check_count = 0
-        if not self._in_force.limits.can_check_load:
+        if not self._active_settings.limits.can_check_load:
             return
         request.candidates = self._sampler.sample(self._endpoints.home_zone, request, CANDIDATE_COUNT)
         for endpoint in request.candidates:
@@ -64,13 +64,13 @@
 
         An endpoint that is warming up needs no check, as slow-start permits limit what it gets.
         """
-        max_age_us = self._in_force.limits.reaction_time_us // REPORT_LIFETIMES_PER_REACTION_TIME
+        max_age_us = self._active_settings.limits.reaction_time_us // REPORT_LIFETIMES_PER_REACTION_TIME
         is_old = self._clock.now - endpoint.utilization_at > max_age_us
         return is_old and not self._slow_start.is_warming_up(endpoint)
 
     def wait_ends_at(self, request: Request) -> int:
         """Return the time (us) at which a request stops waiting for health checks."""
         now = self._clock.now
-        objective_us = self._in_force.settings.classes[request.class_index].latency_objective_us
+        objective_us = self._active_settings.settings.classes[request.class_index].latency_objective_us
         time_left_us = max(0, request.deadline - now)
         return now + min(objective_us // CHECK_WAIT_DIVISOR, time_left_us // CHECK_WAIT_DIVISOR)
--- a/tansyladder/policy/parts.py
+++ b/tansyladder/policy/components.py
@@ -9,6 +9,7 @@
 from random import Random
 
 from tansyladder.policy.action_sink import ActionSink
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.attempt_sending import AttemptSender, AttemptTimeouts
 from tansyladder.policy.attempts import AttemptStarter, EndpointAssigner
 from tansyladder.policy.candidate_checks import CandidateChecker
@@ -38,7 +39,6 @@
 from tansyladder.policy.request_table import RequestTable
 from tansyladder.policy.retries import RetryScheduler
 from tansyladder.policy.settings import Settings
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.setup_failures import SetupFailureRate
 from tansyladder.policy.slow_start import SlowStart
 from tansyladder.policy.tenant_quotas import TenantQuotas
@@ -46,7 +46,7 @@
 from tansyladder.policy.weighted_draw import WeightedDraw
 
 
-class PolicyParts:
+class PolicyComponents:
     """All components of one balancer.
 
     No component refers to this object: each gets its dependencies through its constructor.
@@ -54,24 +54,24 @@
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.clock = Clock(now)
-        self.in_force = SettingsInForce(settings)
+        self.active_settings = ActiveSettings(settings)
         self.rng = Random(seed)
         self.actions = ActionSink()
         self.timers = TimerScheduler(self.actions)
         self.endpoints = EndpointTable()
         self.requests = RequestTable()
         self.setup_failures = SetupFailureRate()
-        self.quotas = TenantQuotas(self.in_force)
-        self.slow_start = SlowStart(self.clock, self.in_force)
-        self.load = EndpointLoad(self.clock, self.in_force)
-        self.pool_load = PoolLoad(self.clock, self.in_force, self.slow_start, self.load)
-        self.weighted_draw = WeightedDraw(self.in_force, self.rng)
-        self.sampler = EndpointSampler(self.clock, self.in_force, self.rng, self.weighted_draw)
+        self.quotas = TenantQuotas(self.active_settings)
+        self.slow_start = SlowStart(self.clock, self.active_settings)
+        self.load = EndpointLoad(self.clock, self.active_settings)
+        self.pool_load = PoolLoad(self.clock, self.active_settings, self.slow_start, self.load)
+        self.weighted_draw = WeightedDraw(self.active_settings, self.rng)
+        self.sampler = EndpointSampler(self.clock, self.active_settings, self.rng, self.weighted_draw)
         self.health_checks = self._build_health_checks()
         self.outliers = self._build_outlier_detector()
-        self.poller = DiscoveryPoller(self.clock, self.in_force, self.rng, self.actions, self.timers)
+        self.poller = DiscoveryPoller(self.clock, self.active_settings, self.rng, self.actions, self.timers)
         self.list_updater = self._build_list_updater()
-        self.answers = FinalAnswers(self.in_force, self.actions, self.requests)
+        self.answers = FinalAnswers(self.active_settings, self.actions, self.requests)
         self.retries = self._build_retry_scheduler()
         self.sender = self._build_attempt_sender()
         self.attempt_starter = self._build_attempt_starter()
@@ -83,15 +83,15 @@
 
     def _build_selector(self) -> EndpointSelector:
         """Build the selector of endpoints and the draw that it uses."""
-        weights = EndpointWeights(self.in_force, self.slow_start, self.load)
-        draw = EndpointDraw(self.clock, self.in_force, self.sampler, weights, self.weighted_draw)
-        return EndpointSelector(self.in_force, self.endpoints, self.pool_load, self.sampler, draw)
+        weights = EndpointWeights(self.active_settings, self.slow_start, self.load)
+        draw = EndpointDraw(self.clock, self.active_settings, self.sampler, weights, self.weighted_draw)
+        return EndpointSelector(self.active_settings, self.endpoints, self.pool_load, self.sampler, draw)
 
     def _build_health_checks(self) -> HealthCheckScheduler:
         """Build the scheduler of health checks."""
         return HealthCheckScheduler(
             clock=self.clock,
-            in_force=self.in_force,
+            active_settings=self.active_settings,
             rng=self.rng,
             actions=self.actions,
             timers=self.timers,
@@ -100,10 +100,10 @@
 
     def _build_outlier_detector(self) -> OutlierDetector:
         """Build the outlier detector, with the ejector and the migration that it triggers."""
-        priorities = MigrationPriority(self.in_force, self.quotas)
+        priorities = MigrationPriority(self.active_settings, self.quotas)
         overload_migration = OverloadMigration(
             clock=self.clock,
-            in_force=self.in_force,
+            active_settings=self.active_settings,
             rng=self.rng,
             timers=self.timers,
             load=self.load,
@@ -113,9 +113,9 @@
         )
         return OutlierDetector(
             clock=self.clock,
-            in_force=self.in_force,
+            active_settings=self.active_settings,
             load=self.load,
-            ejector=Ejector(self.clock, self.in_force, self.rng),
+            ejector=Ejector(self.clock, self.active_settings, self.rng),
             health_checks=self.health_checks,
             overload_migration=overload_migration,
         )
@@ -124,10 +124,12 @@
         """Build the updater that applies discovery's lists."""
         return EndpointListUpdater(
             clock=self.clock,
-            in_force=self.in_force,
+            active_settings=self.active_settings,
             endpoints=self.endpoints,
             health_checks=self.health_checks,
-            drain_migration=DrainMigration(self.clock, self.in_force, self.rng, self.actions, self.timers),
+            drain_migration=DrainMigration(
+                self.clock, self.active_settings, self.rng, self.actions, self.timers
+            ),
             poller=self.poller,
         )
 
@@ -135,7 +137,7 @@
         """Build the scheduler of retries, which starts an attempt when a retry is due."""
         backoffs = KeyBackoffs(
             clock=self.clock,
-            in_force=self.in_force,
+            active_settings=self.active_settings,
             rng=self.rng,
             timers=self.timers,
             requests=self.requests,
@@ -143,7 +145,7 @@
         )
         return RetryScheduler(
             clock=self.clock,
-            in_force=self.in_force,
+            active_settings=self.active_settings,
             timers=self.timers,
             backoffs=backoffs,
             answers=self.answers,
@@ -160,19 +162,19 @@
     def _build_attempt_sender(self) -> AttemptSender:
         """Build the sender of attempts to selected endpoints."""
         return AttemptSender(
-            in_force=self.in_force,
+            active_settings=self.active_settings,
             actions=self.actions,
             endpoints=self.endpoints,
             slow_start=self.slow_start,
             pool_load=self.pool_load,
-            timeouts=AttemptTimeouts(self.clock, self.in_force, self.setup_failures),
+            timeouts=AttemptTimeouts(self.clock, self.active_settings, self.setup_failures),
         )
 
     def _build_attempt_starter(self) -> AttemptStarter:
         """Build the starter of attempts, which checks candidates and then assigns an endpoint."""
         candidates = CandidateChecker(
             clock=self.clock,
-            in_force=self.in_force,
+            active_settings=self.active_settings,
             endpoints=self.endpoints,
             sampler=self.sampler,
             slow_start=self.slow_start,
@@ -191,7 +193,7 @@
     def _build_arrival_handler(self) -> RequestArrivalHandler:
         """Build the handler of arriving requests."""
         previous_endpoints = PreviousEndpointFinder(
-            self.clock, self.in_force, self.endpoints, self.slow_start
+            self.clock, self.active_settings, self.endpoints, self.slow_start
         )
         return RequestArrivalHandler(
             clock=self.clock,
--- a/tansyladder/policy/discovery_polling.py
+++ b/tansyladder/policy/discovery_polling.py
@@ -18,9 +18,9 @@
 
 from tansyladder.policy.action_sink import ActionSink
 from tansyladder.policy.actions import PollDiscovery
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.clock import Clock
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.timers import TimerScheduler
 
 # A node counts as notified of a change after this time, whether or not its calls succeeded.
@@ -38,13 +38,13 @@
     def __init__(
         self,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         rng: Random,
         actions: ActionSink,
         timers: TimerScheduler,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._rng = rng
         self._actions = actions
         self._timers = timers
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         """Schedule the first poll if the settings enable polling."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         if settings.polls_discovery:
             spread_us = settings.discovery_call_interval_us // FIRST_POLL_SPEEDUP
             poll_share_us = (
@@ -66,7 +66,9 @@
         """Schedule another poll after a failed one, unless one is scheduled already."""
         if not self._is_scheduled:
             self._is_scheduled = True
-            slot_us = min(MAX_LIST_AGE_US, self._in_force.settings.poll_interval_us) // SLOTS_PER_LIST_AGE
+            slot_us = (
+                min(MAX_LIST_AGE_US, self._active_settings.settings.poll_interval_us) // SLOTS_PER_LIST_AGE
+            )
             self.backoff.record_failure(self._clock.now, slot_us, MAX_POLL_ATTEMPT, self._rng)
             self._timers.schedule(self.backoff.retry_at, self._poll)
 
--- a/tansyladder/policy/drain_migration.py
+++ b/tansyladder/policy/drain_migration.py
@@ -11,11 +11,11 @@
 
 from tansyladder.policy.action_sink import ActionSink
 from tansyladder.policy.actions import Migrate
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoints import Connection, Endpoint
 from tansyladder.policy.events import EndpointState
 from tansyladder.policy.request_states import RequestState
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.timers import TimerScheduler
 
 
@@ -25,13 +25,13 @@
     def __init__(
         self,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         rng: Random,
         actions: ActionSink,
         timers: TimerScheduler,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._rng = rng
         self._actions = actions
         self._timers = timers
@@ -40,7 +40,7 @@
         """Schedule the migration of all connections of an endpoint, unless the endpoint is ready."""
         if endpoint.state is EndpointState.READY:
             return
-        grace_us = self._in_force.settings.drain_grace_us
+        grace_us = self._active_settings.settings.drain_grace_us
         for connection in endpoint.connections.values():
             due_at = self._clock.now + self._rng.randint(0, grace_us)
             self._timers.schedule(due_at, self._migrate, connection)
--- a/tansyladder/policy/ejection.py
+++ b/tansyladder/policy/ejection.py
@@ -11,9 +11,9 @@
 
 from random import Random
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoints import Endpoint
-from tansyladder.policy.settings_in_force import SettingsInForce
 
 SLOTS_PER_REACTION_TIME = 2  # the first interval has two slots, which is one reaction time
 MAX_EJECTION_ATTEMPT = 4  # failures at which the interval stops growing, at eight reaction times
@@ -22,14 +22,14 @@
 class Ejector:
     """Ejects endpoints."""
 
-    def __init__(self, clock: Clock, in_force: SettingsInForce, rng: Random) -> None:
+    def __init__(self, clock: Clock, active_settings: ActiveSettings, rng: Random) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._rng = rng
 
     def eject(self, endpoint: Endpoint) -> None:
         """Eject an endpoint unless it is ejected already; the backoff interval doubles with each failure."""
         now = self._clock.now
         if endpoint.ejection.retry_at <= now:
-            slot_us = self._in_force.limits.reaction_time_us // SLOTS_PER_REACTION_TIME
+            slot_us = self._active_settings.limits.reaction_time_us // SLOTS_PER_REACTION_TIME
             endpoint.ejection.record_failure(now, slot_us, MAX_EJECTION_ATTEMPT, self._rng)
--- a/tansyladder/policy/endpoint_draw.py
+++ b/tansyladder/policy/endpoint_draw.py
@@ -10,6 +10,7 @@
 
 import math
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_pools import EndpointPool
 from tansyladder.policy.endpoint_sampling import EndpointSampler
@@ -17,7 +18,6 @@
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.requests import Request
 from tansyladder.policy.retry_safety import may_execute_on
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.weighted_draw import WeightedDraw
 
 GROUP_AFFINITY = 8.0  # multiplies the weight of an endpoint that has connections of the same group
@@ -29,13 +29,13 @@
     def __init__(
         self,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         sampler: EndpointSampler,
         weights: EndpointWeights,
         weighted_draw: WeightedDraw,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._sampler = sampler
         self._weights = weights
         self._weighted_draw = weighted_draw
@@ -71,5 +71,5 @@
 
     def _may_execute_on(self, endpoint: Endpoint, request: Request) -> bool:
         """Return whether an attempt of the request at an endpoint cannot have a second effect."""
-        class_settings = self._in_force.settings.classes[request.class_index]
+        class_settings = self._active_settings.settings.classes[request.class_index]
         return may_execute_on(request, endpoint, class_settings, self._clock.now)
--- a/tansyladder/policy/endpoint_list.py
+++ b/tansyladder/policy/endpoint_list.py
@@ -9,6 +9,7 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.discovery_polling import DiscoveryPoller
 from tansyladder.policy.drain_migration import DrainMigration
@@ -16,7 +17,6 @@
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.events import EndpointListUpdate, EndpointState, EndpointUpdate, ListUpdateKind
 from tansyladder.policy.health_checks import HealthCheckScheduler
-from tansyladder.policy.settings_in_force import SettingsInForce
 
 MAX_WEIGHT = 1e6  # a weight from this on is invalid: it would attract all traffic or break a division
 DEFAULT_WEIGHT = 1.0  # used if weights are not configured, and instead of an invalid weight
@@ -29,14 +29,14 @@
         self,
         *,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         endpoints: EndpointTable,
         health_checks: HealthCheckScheduler,
         drain_migration: DrainMigration,
         poller: DiscoveryPoller,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._endpoints = endpoints
         self._health_checks = health_checks
         self._drain_migration = drain_migration
@@ -51,7 +51,7 @@
             self._remove_unlisted(event)
         for update in event.endpoints:
             self._apply_update(update)
-        self._endpoints.refill_pools(self._in_force.settings.zone)
+        self._endpoints.refill_pools(self._active_settings.settings.zone)
         if event.kind is ListUpdateKind.CACHED:
             self._health_checks.start_periodic_checks()
             self._poller.start()
@@ -77,7 +77,7 @@
 
     def _valid_weight(self, weight: float) -> float:
         """Return the weight if weights are configured and it is in range, else the default weight."""
-        is_valid = self._in_force.settings.has_weights and 0 < weight < MAX_WEIGHT
+        is_valid = self._active_settings.settings.has_weights and 0 < weight < MAX_WEIGHT
         return weight if is_valid else DEFAULT_WEIGHT
 
     def _change_state(self, endpoint: Endpoint, state: EndpointState) -> None:
--- a/tansyladder/policy/endpoint_load.py
+++ b/tansyladder/policy/endpoint_load.py
@@ -18,9 +18,9 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoints import NEVER, Endpoint
-from tansyladder.policy.settings_in_force import SettingsInForce
 
 # A load report is valid for 1/4 of the slow start: in that time an endpoint's load can change by as much.
 REPORT_LIFETIMES_PER_SLOW_START = 4
@@ -33,22 +33,22 @@
 class EndpointLoad:
     """Tracks the utilization and the message delay of endpoints."""
 
-    def __init__(self, clock: Clock, in_force: SettingsInForce) -> None:
+    def __init__(self, clock: Clock, active_settings: ActiveSettings) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
 
     def is_delayed(self, endpoint: Endpoint) -> bool:
         """Return whether messages at an endpoint are late, by a delay that is still valid."""
         if self._clock.now >= endpoint.delay_valid_until:
             return False
-        return endpoint.message_delay_us > self._in_force.limits.delay_limit_us
+        return endpoint.message_delay_us > self._active_settings.limits.delay_limit_us
 
     def is_utilization_known(self, endpoint: Endpoint) -> bool:
         """Return whether the last load report of an endpoint is still valid."""
         reported_at = endpoint.utilization_at
         if reported_at < 0:
             return False
-        lifetime = self._in_force.settings.slow_start_duration_us // REPORT_LIFETIMES_PER_SLOW_START
+        lifetime = self._active_settings.settings.slow_start_duration_us // REPORT_LIFETIMES_PER_SLOW_START
         return self._clock.now - reported_at < lifetime
 
     def known_utilization(self, endpoint: Endpoint) -> float:
@@ -58,7 +58,9 @@
     def _pending_utilization(self, endpoint: Endpoint) -> float:
         """Return the utilization from this node's requests that no load report includes yet."""
         age = self._clock.now - endpoint.pending_at
-        return endpoint.pending_utilization * max(0.0, 1.0 - age / self._in_force.limits.reaction_time_us)
+        return endpoint.pending_utilization * max(
+            0.0, 1.0 - age / self._active_settings.limits.reaction_time_us
+        )
 
     def add_pending_utilization(self, endpoint: Endpoint, added: float) -> None:
         """Add the expected utilization from a new request to the endpoint's pending utilization."""
@@ -69,18 +71,18 @@
         """Return the message delay as a multiple of the message objective; 0 if no delay is valid."""
         if self._clock.now >= endpoint.delay_valid_until:
             return NO_DELAY
-        return endpoint.message_delay_us / self._in_force.limits.message_objective_us
+        return endpoint.message_delay_us / self._active_settings.limits.message_objective_us
 
     def record_load_report(self, endpoint: Endpoint, report: tuple[float, ...]) -> None:
         """Record the utilization in a load report; ignore a value that is out of range."""
-        column = self._in_force.limits.utilization_column
+        column = self._active_settings.limits.utilization_column
         if 0 <= column < len(report) and 0.0 <= report[column] < MAX_REPORTED_UTILIZATION:
             endpoint.utilization = report[column]
             endpoint.utilization_at = self._clock.now
 
     def excess_share(self, endpoint: Endpoint) -> float:
         """Return the share of an endpoint's load to migrate; its messages must be late."""
-        limits = self._in_force.limits
+        limits = self._active_settings.limits
         reported_at = endpoint.utilization_at
         if reported_at == NEVER or self._clock.now - reported_at >= limits.reaction_time_us:
             return min(MAX_GUESSED_EXCESS, 1.0 - limits.delay_limit_us / endpoint.message_delay_us)
--- a/tansyladder/policy/endpoint_sampling.py
+++ b/tansyladder/policy/endpoint_sampling.py
@@ -14,12 +14,12 @@
 from itertools import islice
 from random import Random
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_pools import EndpointPool
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.events import EndpointState
 from tansyladder.policy.requests import Request
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.weighted_draw import WeightedDraw
 
 SAMPLE_SIZE = 16  # endpoints considered if no candidate has capacity, however many are listed
@@ -32,10 +32,10 @@
     """Samples available endpoints of a pool."""
 
     def __init__(
-        self, clock: Clock, in_force: SettingsInForce, rng: Random, weighted_draw: WeightedDraw
+        self, clock: Clock, active_settings: ActiveSettings, rng: Random, weighted_draw: WeightedDraw
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._rng = rng
         self._weighted_draw = weighted_draw
 
@@ -46,11 +46,11 @@
             return False
         if ejection.attempt:
             return endpoint.pending_attempt_count < MAX_PENDING_AFTER_EJECTION
-        return endpoint.pending_attempt_count < self._in_force.limits.max_pending_attempts
+        return endpoint.pending_attempt_count < self._active_settings.limits.max_pending_attempts
 
     def sample(self, pool: EndpointPool, request: Request, size: int = SAMPLE_SIZE) -> list[Endpoint]:
         """Return up to `size` available endpoints, random ones or the first ones in the order of the key."""
-        if self._in_force.settings.pass_through and request.key:
+        if self._active_settings.settings.pass_through and request.key:
             return self._first_by_key(pool, request, size)
         drawn = self._rng.sample(pool.endpoints, min(OVERSAMPLING_FACTOR * size, len(pool.endpoints)))
         return list(islice(filter(self.is_available, drawn), size))
--- a/tansyladder/policy/endpoint_selection.py
+++ b/tansyladder/policy/endpoint_selection.py
@@ -22,6 +22,7 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.endpoint_draw import EndpointDraw
 from tansyladder.policy.endpoint_pools import EndpointPool
 from tansyladder.policy.endpoint_sampling import EndpointSampler
@@ -30,7 +31,6 @@
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.pool_load import PoolLoad
 from tansyladder.policy.requests import Request
-from tansyladder.policy.settings_in_force import SettingsInForce
 
 
 class EndpointSelector:
@@ -38,13 +38,13 @@
 
     def __init__(
         self,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         endpoints: EndpointTable,
         pool_load: PoolLoad,
         sampler: EndpointSampler,
         draw: EndpointDraw,
     ) -> None:
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._endpoints = endpoints
         self._pool_load = pool_load
         self._sampler = sampler
@@ -67,7 +67,7 @@
 
     def _is_home_zone_estimated_full(self) -> bool:
         """Return whether the home zone is full if all nodes have as many connections as this one."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         if settings.connections_per_unit <= 0:
             return False
         home = self._endpoints.home_zone
--- a/tansyladder/policy/endpoint_weights.py
+++ b/tansyladder/policy/endpoint_weights.py
@@ -13,10 +13,10 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.endpoint_load import EndpointLoad
 from tansyladder.policy.endpoint_pools import EndpointPool
 from tansyladder.policy.endpoints import Endpoint
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.slow_start import FULL_CAPACITY, SlowStart
 
 UTILIZATION_LIMIT = 0.75  # from here on an endpoint gets nothing new, as its messages are late already
@@ -29,8 +29,8 @@
 class EndpointWeights:
     """Computes the weights of endpoints in the draw."""
 
-    def __init__(self, in_force: SettingsInForce, slow_start: SlowStart, load: EndpointLoad) -> None:
-        self._in_force = in_force
+    def __init__(self, active_settings: ActiveSettings, slow_start: SlowStart, load: EndpointLoad) -> None:
+        self._active_settings = active_settings
         self._slow_start = slow_start
         self._load = load
 
@@ -59,6 +59,6 @@
         """Guess the utilization of an endpoint from this node's load there, relative to the pool's mean."""
         relative_load = endpoint.load / capacity / pool.mean_load if pool.mean_load else MEAN_RELATIVE_LOAD
         utilization = pool.mean_utilization * relative_load
-        if self._in_force.settings.health_check_interval_us and not endpoint.reports_delay:
+        if self._active_settings.settings.health_check_interval_us and not endpoint.reports_delay:
             return min(utilization, MAX_GUESSED_UTILIZATION)
         return utilization
--- a/tansyladder/policy/events.py
+++ b/tansyladder/policy/events.py
@@ -41,7 +41,7 @@
     NOT_ATTEMPTED = 7
 
     @property
-    def definitely_not_executed(self) -> bool:
+    def proves_not_executed(self) -> bool:
         """Whether this status proves that the attempt was not executed."""
         return self in _NOT_EXECUTED_STATUSES
 
--- a/tansyladder/policy/excess_migration.py
+++ b/tansyladder/policy/excess_migration.py
@@ -39,7 +39,7 @@
 
     def may_migrate(self) -> bool:
         """Return whether migrated clients can expect to get a new connection."""
-        return not self._setup_failures.is_cause_shared
+        return not self._setup_failures.has_shared_cause
 
     def migrate(self, endpoint: Endpoint) -> None:
         """Migrate the excess load of an endpoint, connections with the lowest priority first."""
--- a/tansyladder/policy/final_answers.py
+++ b/tansyladder/policy/final_answers.py
@@ -9,10 +9,10 @@
 
 from tansyladder.policy.action_sink import ActionSink
 from tansyladder.policy.actions import Fail, Reject
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.request_table import RequestTable
 from tansyladder.policy.requests import Request
 from tansyladder.policy.retry_safety import may_client_repeat
-from tansyladder.policy.settings_in_force import SettingsInForce
 
 NO_RETRY_AFTER_US = 0  # a rejection without a Retry-After
 
@@ -20,14 +20,14 @@
 class FinalAnswers:
     """Sends the final answers to requests that are not served."""
 
-    def __init__(self, in_force: SettingsInForce, actions: ActionSink, requests: RequestTable) -> None:
-        self._in_force = in_force
+    def __init__(self, active_settings: ActiveSettings, actions: ActionSink, requests: RequestTable) -> None:
+        self._active_settings = active_settings
         self._actions = actions
         self._requests = requests
 
     def reject(self, request: Request, retry_after_us: int) -> None:
         """Reject a request if its client may safely repeat it, else fail it; then remove it."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         if may_client_repeat(request, settings.classes[request.class_index]):
             wait_us = max(NO_RETRY_AFTER_US, min(retry_after_us, settings.max_retry_after_us))
             self._actions.emit(
--- a/tansyladder/policy/health_checks.py
+++ b/tansyladder/policy/health_checks.py
@@ -13,10 +13,10 @@
 
 from tansyladder.policy.action_sink import ActionSink
 from tansyladder.policy.actions import CheckHealth
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_table import EndpointTable
 from tansyladder.policy.endpoints import Endpoint
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.timers import TimerScheduler
 
 MIN_CHECK_GAP_US = 50_000  # between periodic health checks of a node, however many endpoints are listed
@@ -29,14 +29,14 @@
         self,
         *,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         rng: Random,
         actions: ActionSink,
         timers: TimerScheduler,
         endpoints: EndpointTable,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._rng = rng
         self._actions = actions
         self._timers = timers
@@ -50,7 +50,7 @@
 
     def start_periodic_checks(self) -> None:
         """Start periodic checks at a random time in the first interval, if they are configured."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         interval = settings.health_check_interval_us
         if interval and settings.can_check_health:
             self._timers.schedule(self._clock.now + self._rng.randint(0, interval), self._check_next, 0)
@@ -62,6 +62,6 @@
             endpoint = ready[turn % len(ready)]
             if not endpoint.reports_delay:
                 self.check(endpoint)
-        interval_us = self._in_force.settings.health_check_interval_us
+        interval_us = self._active_settings.settings.health_check_interval_us
         gap_us = max(MIN_CHECK_GAP_US, interval_us // max(1, len(ready)))
         self._timers.schedule(self._clock.now + gap_us, self._check_next, turn + 1)
--- a/tansyladder/policy/key_backoffs.py
+++ b/tansyladder/policy/key_backoffs.py
@@ -17,11 +17,11 @@
 
 from random import Random
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.request_table import RequestTable
 from tansyladder.policy.requests import Request
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.setup_failures import SetupFailureRate
 from tansyladder.policy.timers import TimerScheduler
 
@@ -36,14 +36,14 @@
         self,
         *,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         rng: Random,
         timers: TimerScheduler,
         requests: RequestTable,
         setup_failures: SetupFailureRate,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._rng = rng
         self._timers = timers
         self._requests = requests
@@ -52,7 +52,7 @@
     def record_failure(self, request: Request) -> Backoff:
         """Start the next interval of a request's backoff, and draw the time of the retry from it."""
         backoff = request.backoff or self._requests.begin_backoff(request)
-        class_settings = self._in_force.settings.classes[request.class_index]
+        class_settings = self._active_settings.settings.classes[request.class_index]
         slot_factor = 1 + (SLOTS_PER_OBJECTIVE - 1) * self._setup_failures.rate
         slot_us = max(
             MIN_SLOT_US, int(class_settings.latency_objective_us // SLOTS_PER_OBJECTIVE * slot_factor)
@@ -64,7 +64,7 @@
     def clear_if_lasting(self, request: Request) -> None:
         """Schedule that the key's backoff is cleared once the connection has lasted for the deadline."""
         if request.backoff:
-            deadline_us = self._in_force.settings.classes[request.class_index].deadline_us
+            deadline_us = self._active_settings.settings.classes[request.class_index].deadline_us
             self._timers.schedule(self._clock.now + deadline_us, self._clear, request.id)
 
     def _clear(self, request_id: int) -> None:
--- a/tansyladder/policy/migration_priority.py
+++ b/tansyladder/policy/migration_priority.py
@@ -9,8 +9,8 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.endpoints import Connection
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.tenant_quotas import TenantQuotas
 
 MIN_COUNTED_LOAD = 1.0  # less counts as this, or a nearly idle connection would outrank all with some load
@@ -19,13 +19,13 @@
 class MigrationPriority:
     """Ranks the connections of an endpoint."""
 
-    def __init__(self, in_force: SettingsInForce, quotas: TenantQuotas) -> None:
-        self._in_force = in_force
+    def __init__(self, active_settings: ActiveSettings, quotas: TenantQuotas) -> None:
+        self._active_settings = active_settings
         self._quotas = quotas
 
     def priority(self, connection: Connection) -> float:
         """Return the priority of a connection; the lowest is migrated first."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         load_factor = (
             1.0 if settings.weight_scales_with_load else 1.0 / max(connection.load, MIN_COUNTED_LOAD)
         )
--- a/tansyladder/policy/outlier_detection.py
+++ b/tansyladder/policy/outlier_detection.py
@@ -21,6 +21,7 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.ejection import Ejector
 from tansyladder.policy.endpoint_load import EndpointLoad
@@ -28,7 +29,6 @@
 from tansyladder.policy.events import AttemptStatus, HealthCheckResult
 from tansyladder.policy.health_checks import HealthCheckScheduler
 from tansyladder.policy.overload_migration import OverloadMigration
-from tansyladder.policy.settings_in_force import SettingsInForce
 
 SLOW_LATENCY_FACTOR = 1.7  # x the best: a response over this is slow; normal load takes up to 1.3 x best
 LATENCY_JITTER_US = 3_000  # by which a response may exceed the best by chance; matters if the best is low
@@ -54,14 +54,14 @@
         self,
         *,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         load: EndpointLoad,
         ejector: Ejector,
         health_checks: HealthCheckScheduler,
         overload_migration: OverloadMigration,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._load = load
         self._ejector = ejector
         self._health_checks = health_checks
@@ -81,12 +81,12 @@
 
         It is not reset if a message delay was recorded within the reaction time.
         """
-        if endpoint.message_delay_at < self._clock.now - self._in_force.limits.reaction_time_us:
+        if endpoint.message_delay_at < self._clock.now - self._active_settings.limits.reaction_time_us:
             endpoint.ejection.attempt = 0
 
     def evaluate_health_check(self, endpoint: Endpoint, result: HealthCheckResult) -> None:
         """Evaluate the latency, the status and the load report of a health check."""
-        if self._in_force.settings.health_check_interval_us and not endpoint.reports_delay:
+        if self._active_settings.settings.health_check_interval_us and not endpoint.reports_delay:
             self._evaluate_latency(endpoint, result)
         if result.status is AttemptStatus.OK:
             self._load.record_load_report(endpoint, result.load_report)
@@ -95,7 +95,7 @@
 
     def record_message_delay(self, endpoint: Endpoint, delay_us: float) -> None:
         """Record the message delay of an endpoint; if it is too long, eject it and schedule a migration."""
-        limits = self._in_force.limits
+        limits = self._active_settings.limits
         now = self._clock.now
         endpoint.message_delay_us = delay_us
         endpoint.message_delay_at = now
@@ -131,7 +131,7 @@
             self._health_checks.check(endpoint)
         elif is_slow:
             slow_threshold_us = endpoint.best_latency_us * SLOW_LATENCY_FACTOR
-            message_objective_us = self._in_force.limits.message_objective_us
+            message_objective_us = self._active_settings.limits.message_objective_us
             self.record_message_delay(endpoint, message_objective_us * latency_us / slow_threshold_us)
         elif self._load.is_delayed(endpoint):
             self.record_message_delay(endpoint, NO_DELAY_US)
--- a/tansyladder/policy/overload_migration.py
+++ b/tansyladder/policy/overload_migration.py
@@ -10,11 +10,11 @@
 
 from random import Random
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_load import EndpointLoad
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.excess_migration import ExcessMigration
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.timers import TimerScheduler
 
 SLOTS_PER_REACTION_TIME = 4  # the first migration is within two slots, which is half a reaction time
@@ -28,14 +28,14 @@
         self,
         *,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         rng: Random,
         timers: TimerScheduler,
         load: EndpointLoad,
         excess_migration: ExcessMigration,
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._rng = rng
         self._timers = timers
         self._load = load
@@ -51,7 +51,7 @@
             return False
         endpoint.is_migration_scheduled = True
         backoff = endpoint.migration_backoff
-        slot_us = self._in_force.limits.reaction_time_us // SLOTS_PER_REACTION_TIME
+        slot_us = self._active_settings.limits.reaction_time_us // SLOTS_PER_REACTION_TIME
         backoff.record_failure(self._clock.now, slot_us, MAX_MIGRATION_ATTEMPT, self._rng)
         self._timers.schedule(backoff.retry_at, self._migrate, endpoint)
         return True
@@ -68,6 +68,6 @@
         if not self._load.is_delayed(endpoint):
             backoff.attempt = 0
             return
-        effect_visible_at = self._clock.now + self._in_force.limits.reaction_time_us
+        effect_visible_at = self._clock.now + self._active_settings.limits.reaction_time_us
         backoff.interval_end = max(backoff.interval_end, effect_visible_at)
         self._excess_migration.migrate(endpoint)
--- a/tansyladder/policy/pool_load.py
+++ b/tansyladder/policy/pool_load.py
@@ -14,12 +14,12 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import NO_UTILIZATION_COLUMN, ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_load import EndpointLoad
 from tansyladder.policy.endpoint_pools import EndpointPool
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.requests import Request
-from tansyladder.policy.settings_in_force import NO_UTILIZATION_COLUMN, SettingsInForce
 from tansyladder.policy.slow_start import FULL_CAPACITY, SlowStart
 
 ASSUMED_MEAN_UTILIZATION = 0.6  # of an endpoint with the mean load, if no endpoint reports its utilization
@@ -31,17 +31,17 @@
     """Keeps the aggregate figures of endpoint pools up to date."""
 
     def __init__(
-        self, clock: Clock, in_force: SettingsInForce, slow_start: SlowStart, load: EndpointLoad
+        self, clock: Clock, active_settings: ActiveSettings, slow_start: SlowStart, load: EndpointLoad
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._slow_start = slow_start
         self._load = load
 
     def refresh(self, pool: EndpointPool) -> None:
         """Recompute the figures of a pool if they are too old."""
         now = self._clock.now
-        max_age = self._in_force.limits.reaction_time_us // POOL_REFRESHES_PER_REACTION_TIME
+        max_age = self._active_settings.limits.reaction_time_us // POOL_REFRESHES_PER_REACTION_TIME
         if pool.refreshed_at < 0 or now - pool.refreshed_at > max_age:
             pool.refreshed_at = now
             self._refresh_capacity(pool)
@@ -63,7 +63,7 @@
 
     def _mean_utilization(self, endpoints: list[Endpoint]) -> float:
         """Return the mean utilization of endpoints, from reports if they send any, else from delays."""
-        if self._in_force.limits.utilization_column == NO_UTILIZATION_COLUMN:
+        if self._active_settings.limits.utilization_column == NO_UTILIZATION_COLUMN:
             return _mean([self._utilization_by_delay(endpoint) for endpoint in endpoints])
         is_known = self._load.is_utilization_known
         return _mean([min(e.utilization, MAX_COUNTED_UTILIZATION) for e in endpoints if is_known(e)])
--- a/tansyladder/policy/previous_endpoint.py
+++ b/tansyladder/policy/previous_endpoint.py
@@ -10,11 +10,11 @@
 
 from __future__ import annotations
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoint_table import EndpointTable
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.events import EndpointState, RequestReceived
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.slow_start import SlowStart
 from tansyladder.policy.weighted_draw import rendezvous_score
 
@@ -27,10 +27,10 @@
     """Finds the endpoint that any node would have drawn for a midstream request."""
 
     def __init__(
-        self, clock: Clock, in_force: SettingsInForce, endpoints: EndpointTable, slow_start: SlowStart
+        self, clock: Clock, active_settings: ActiveSettings, endpoints: EndpointTable, slow_start: SlowStart
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._endpoints = endpoints
         self._slow_start = slow_start
 
@@ -41,7 +41,7 @@
             The endpoint; None if pass-through mode is off, if the request is not midstream or is past its
             deadline, or if no endpoint qualifies.
         """
-        needs_lookup = event.is_midstream and self._in_force.settings.pass_through
+        needs_lookup = event.is_midstream and self._active_settings.settings.pass_through
         if not needs_lookup or event.deadline_us <= self._clock.now:
             return None
         possible_endpoints = [
@@ -55,9 +55,9 @@
         """Return whether an endpoint may have connections from nodes of the home zone."""
         if endpoint.state is EndpointState.DRAINING:
             draining_us = self._clock.now - endpoint.state_changed_at
-            if draining_us >= self._in_force.settings.drain_grace_us // DRAIN_GRACE_DIVISOR:
+            if draining_us >= self._active_settings.settings.drain_grace_us // DRAIN_GRACE_DIVISOR:
                 return False
         elif endpoint.state is not EndpointState.READY:
             return False
-        is_home = endpoint.zone == self._in_force.settings.zone
+        is_home = endpoint.zone == self._active_settings.settings.zone
         return is_home and not self._slow_start.is_warming_up(endpoint)
--- a/tansyladder/policy/retries.py
+++ b/tansyladder/policy/retries.py
@@ -13,6 +13,7 @@
 
 from collections.abc import Callable
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.backoff import Backoff
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoints import Endpoint
@@ -21,7 +22,6 @@
 from tansyladder.policy.key_backoffs import SLOTS_PER_OBJECTIVE, KeyBackoffs
 from tansyladder.policy.requests import Request
 from tansyladder.policy.retry_safety import may_execute_anywhere
-from tansyladder.policy.settings_in_force import SettingsInForce
 from tansyladder.policy.timers import TimerScheduler
 
 
@@ -32,14 +32,14 @@
         self,
         *,
         clock: Clock,
-        in_force: SettingsInForce,
+        active_settings: ActiveSettings,
         timers: TimerScheduler,
         backoffs: KeyBackoffs,
         answers: FinalAnswers,
         start_attempt: Callable[[int], None],
     ) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
         self._timers = timers
         self._backoffs = backoffs
         self._answers = answers
@@ -48,7 +48,7 @@
     def handle_failed_attempt(self, request: Request, endpoint: Endpoint | None, event: AttemptEnded) -> None:
         """Schedule a retry after an attempt that ended without a connection, or give the final answer."""
         request.last_failed_endpoint = endpoint
-        if not event.status.definitely_not_executed:
+        if not event.status.proves_not_executed:
             request.record_possible_execution(endpoint, self._clock.now - event.latency_us)
         if event.status is AttemptStatus.NOT_ATTEMPTED:
             self._answers.reject(request, NO_RETRY_AFTER_US)
@@ -73,7 +73,7 @@
 
     def _may_retry(self, request: Request, retry_at: int) -> bool:
         """Return whether another attempt is safe, is allowed, and is in time if it starts at `retry_at`."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         class_settings = settings.classes[request.class_index]
         is_in_time = retry_at + class_settings.latency_objective_us // SLOTS_PER_OBJECTIVE <= request.deadline
         has_attempts_left = request.attempt_count < settings.max_attempts
--- a/tansyladder/policy/setup_failures.py
+++ b/tansyladder/policy/setup_failures.py
@@ -25,7 +25,7 @@
         self.rate = 0.0
 
     @property
-    def is_cause_shared(self) -> bool:
+    def has_shared_cause(self) -> bool:
         """Whether too many set-ups fail for a single endpoint to be the cause."""
         return self.rate >= SHARED_FAILURE_RATE
 
--- a/tansyladder/policy/slow_start.py
+++ b/tansyladder/policy/slow_start.py
@@ -26,9 +26,9 @@
 
 import math
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoints import Endpoint
-from tansyladder.policy.settings_in_force import SettingsInForce
 
 FULL_CAPACITY = 1.0
 CONNECTIONS_PER_WEIGHT = 8.0  # at least so many connections fill one unit of an endpoint's weight
@@ -48,15 +48,15 @@
 class SlowStart:
     """Limits what endpoints get while they are warming up."""
 
-    def __init__(self, clock: Clock, in_force: SettingsInForce) -> None:
+    def __init__(self, clock: Clock, active_settings: ActiveSettings) -> None:
         self._clock = clock
-        self._in_force = in_force
+        self._active_settings = active_settings
 
     def capacity_share(self, endpoint: Endpoint) -> float:
         """Return the share of its full capacity that an endpoint has now; 1 if it is warm."""
         if not endpoint.ready_at:
             return FULL_CAPACITY
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         age = self._clock.now - endpoint.ready_at
         duration = settings.slow_start_duration_us
         if not duration or age >= duration:
@@ -68,12 +68,12 @@
         """Return whether an endpoint has not reached its full capacity yet."""
         return self.capacity_share(endpoint) < FULL_CAPACITY
 
-    def permits_issued(self, endpoint: Endpoint, until: int) -> float:
-        """Return how many permits for an endpoint were issued to all nodes until a time (us).
+    def permits_issued(self, endpoint: Endpoint, at: int) -> float:
+        """Return how many permits for an endpoint were issued to all nodes by a given time (us).
 
         The result is the same at every node.
         """
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         duration = settings.slow_start_duration_us
         overload_duration = settings.overload_duration_us
         full_attempts = (
@@ -85,14 +85,14 @@
         )
         initial_budget = _permit_budget(full_attempts * settings.slow_start_initial_capacity)
         final_budget = _permit_budget(full_attempts)
-        age = max(0, until - endpoint.ready_at)
+        age = max(0, at - endpoint.ready_at)
         return (initial_budget * age + (final_budget - initial_budget) * age * age / (2 * duration)) / (
             2 * overload_duration
         )
 
     def available_permit(self, endpoint: Endpoint) -> int:
         """Return the oldest permit for an endpoint that this node may use now, or 0 if there is none."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         now = self._clock.now
         expired = int(self.permits_issued(endpoint, now - settings.overload_duration_us))
         oldest_permit = max(endpoint.last_permit, expired) + 1
--- a/tansyladder/policy/tenant_quotas.py
+++ b/tansyladder/policy/tenant_quotas.py
@@ -10,7 +10,7 @@
 import math
 from collections import Counter
 
-from tansyladder.policy.settings_in_force import SettingsInForce
+from tansyladder.policy.active_settings import ActiveSettings
 
 
 class TenantQuotas:
@@ -19,8 +19,8 @@
     A quota is for all nodes together.
     """
 
-    def __init__(self, in_force: SettingsInForce) -> None:
-        self._in_force = in_force
+    def __init__(self, active_settings: ActiveSettings) -> None:
+        self._active_settings = active_settings
         self.connections_by_tenant: Counter[int] = Counter()
 
     def add_connection(self, tenant: int) -> None:
@@ -33,7 +33,7 @@
 
     def is_over_quota(self, tenant: int) -> bool:
         """Return whether the estimated connections of a tenant at all nodes are more than its quota."""
-        settings = self._in_force.settings
+        settings = self._active_settings.settings
         quotas = settings.tenant_quotas
         quota = quotas[tenant] if tenant < len(quotas) else math.inf
         return self.connections_by_tenant[tenant] * settings.node_count > quota
--- a/tansyladder/policy/weighted_draw.py
+++ b/tansyladder/policy/weighted_draw.py
@@ -15,23 +15,23 @@
 import math
 from random import Random
 
+from tansyladder.policy.active_settings import ActiveSettings
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.hashing import unit_hash
 from tansyladder.policy.requests import Request
-from tansyladder.policy.settings_in_force import SettingsInForce
 
 
 class WeightedDraw:
     """Computes the scores of endpoints in a draw."""
 
-    def __init__(self, in_force: SettingsInForce, rng: Random) -> None:
-        self._in_force = in_force
+    def __init__(self, active_settings: ActiveSettings, rng: Random) -> None:
+        self._active_settings = active_settings
         self._rng = rng
 
     def score(self, endpoint: Endpoint, request: Request, weight: float) -> float:
         """Return the score of an endpoint with a weight above 0; the lowest score wins."""
         hash_key = request.group_key
-        if request.key and self._in_force.settings.pass_through:
+        if request.key and self._active_settings.settings.pass_through:
             hash_key = request.key
         uniform = unit_hash(hash_key, endpoint.hash_seed) if hash_key else 1.0 - self._rng.random()
         return -math.log(uniform) / weight
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -30,7 +30,7 @@
 )
 from tansyladder.policy.settings import ClassSettings, Settings
 from tests.node.harness import Node, ScriptedServer, answer_up, echo_lines, running_node
-from tests.policy.harness import MILLISECOND, SECOND, endpoint, make_settings
+from tests.policy.harness import MILLISECOND, SECOND, make_endpoint, make_settings
 
 Edit = Callable[[dict[str, Any]], None]
 
@@ -70,7 +70,7 @@
 
     @property
     def configuration(self) -> ActiveConfiguration:
-        """The configuration in force."""
+        """The active configuration."""
         return self.node.configuration
 
     def edit(self, *edits: Edit) -> None:
@@ -187,7 +187,7 @@
         self._now_us = 0
         self._attempt_count = 0
         self._timers: list[SetTimer] = []
-        listed = tuple(endpoint(number) for number in range(4))
+        listed = tuple(make_endpoint(number) for number in range(4))
         self._balancer.handle(0, [EndpointListUpdate(ListUpdateKind.CACHED, listed)])
         self._actions = self._balancer.handle(0, [RequestReceived(1, 0, 0, deadline_us, key=7)])
 
@@ -207,7 +207,7 @@
         self._max_attempts = max_attempts
         self._actions = self._balancer.handle(self._now_us, [settings])
         # Intervals depend only on the classes in force.
-        assert self._balancer.parts.in_force.limits.reaction_time_us == deadline_ms * MILLISECOND
+        assert self._balancer.components.active_settings.limits.reaction_time_us == deadline_ms * MILLISECOND
 
     def run_one_attempt(self) -> bool:
         """Advance the time until an attempt has ended; return False if the request got its final answer."""
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -68,7 +68,7 @@
     return Settings(**{"classes": (only_class,), **SETTINGS_DEFAULTS, **changes})
 
 
-def endpoint(
+def make_endpoint(
     endpoint_id: int,
     zone: int = 0,
     state: EndpointState = EndpointState.READY,
@@ -89,12 +89,12 @@
     )
 
 
-def endpoints(first: int, last: int, **changes: Any) -> list[EndpointUpdate]:
+def make_endpoints(first: int, last: int, **changes: Any) -> list[EndpointUpdate]:
     """Return endpoints numbered from the first to the last, both included."""
-    return [endpoint(number, **changes) for number in range(first, last + 1)]
+    return [make_endpoint(number, **changes) for number in range(first, last + 1)]
 
 
-def adopted(
+def make_adopted_event(
     request_id: int, endpoint_id: int, load_hint: int | None = None, tenant: int = 0, group_key: int = 0
 ) -> ConnectionAdopted:
     """Return the event of a connection that was established before the balancer's start."""
@@ -125,7 +125,9 @@
     return EndpointListUpdate(kind=kind, endpoints=updates)
 
 
-def established(start: StartAttempt, attempt: int = 0, latency_us: int = MILLISECOND) -> AttemptEstablished:
+def make_established_event(
+    start: StartAttempt, attempt: int = 0, latency_us: int = MILLISECOND
+) -> AttemptEstablished:
     """Return the event of an established connection, by default of a request's first attempt."""
     return AttemptEstablished(
         request_id=start.request_id, attempt=attempt, endpoint_id=start.endpoint_id, latency_us=latency_us
@@ -177,7 +179,7 @@
 
     def endpoint(self, endpoint_id: int) -> Endpoint:
         """Return the balancer's record of an endpoint."""
-        return self.balancer.parts.endpoints.by_id[endpoint_id]
+        return self.balancer.components.endpoints.by_id[endpoint_id]
 
     def backoff(self, key: int) -> Backoff:
         """Return the backoff of a key.
@@ -185,7 +187,7 @@
         Raises:
             KeyError: The key has no backoff.
         """
-        return self.balancer.parts.requests.backoffs[key]
+        return self.balancer.components.requests.backoffs[key]
 
     def deliver(self, *events: Event) -> list[Action]:
         """Deliver events at the current time, and return the actions that follow except timers."""
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -13,12 +13,12 @@
     SECOND,
     START_TIME,
     BalancerDriver,
-    endpoints,
+    make_endpoints,
     of_type,
     only_attempt,
 )
 
-ENDPOINTS = endpoints(1, 8)
+ENDPOINTS = make_endpoints(1, 8)
 
 
 def test_delays_span_the_whole_interval() -> None:
@@ -111,7 +111,7 @@
         )
     )
     node.run_until(node.now + DEADLINE + 1)
-    assert 7 not in node.balancer.parts.requests.backoffs
+    assert 7 not in node.balancer.components.requests.backoffs
 
 
 def test_a_request_within_the_backoff_of_its_key_waits_for_the_retry_time() -> None:
@@ -168,11 +168,11 @@
     _, actions = node.send_request(key=0)
     node.fail_attempt(only_attempt(actions), 0)
     assert only_attempt(node.run_to_next_action())
-    assert not node.balancer.parts.requests.backoffs
+    assert not node.balancer.components.requests.backoffs
 
 
 def test_the_number_of_backoffs_is_bounded() -> None:
     node = BalancerDriver([], max_attempts=1)
     for key in range(1, 5000):
         node.send_request(key=key)
-    assert len(node.balancer.parts.requests.backoffs) <= 4096
+    assert len(node.balancer.components.requests.backoffs) <= 4096
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_cluster.py
@@ -22,10 +22,10 @@
     SECOND,
     START_TIME,
     BalancerDriver,
-    adopted,
-    endpoint,
-    established,
     list_update,
+    make_adopted_event,
+    make_endpoint,
+    make_established_event,
     of_type,
 )
 
@@ -33,7 +33,7 @@
 def polling_node(seed: int, node_count: int) -> BalancerDriver:
     """Return a node that polls discovery at the interval for a cluster of this size."""
     interval = discovery_call_interval(node_count) // MICROSECOND
-    return BalancerDriver([endpoint(1)], seed, polls_discovery=True, discovery_call_interval_us=interval)
+    return BalancerDriver([make_endpoint(1)], seed, polls_discovery=True, discovery_call_interval_us=interval)
 
 
 def poll_times(seed: int, node_count: int, span: int) -> list[int]:
@@ -84,22 +84,22 @@
 
 
 def test_a_successful_poll_resets_the_backoff() -> None:
-    node = BalancerDriver([endpoint(1)], 1, polls_discovery=True, discovery_call_interval_us=6 * SECOND)
+    node = BalancerDriver([make_endpoint(1)], 1, polls_discovery=True, discovery_call_interval_us=6 * SECOND)
     for _ in range(4):
         node.run_to_next_action(60 * SECOND)
         node.deliver(list_update(ListUpdateKind.FAILED))
     node.run_to_next_action(60 * SECOND)
     node.deliver(list_update(ListUpdateKind.DELTA))
-    start = node.now = max(node.now, node.balancer.parts.poller.backoff.interval_end)
+    start = node.now = max(node.now, node.balancer.components.poller.backoff.interval_end)
     node.deliver(list_update(ListUpdateKind.FAILED))
-    assert node.balancer.parts.poller.backoff.interval_end - start == 2 * SECOND
+    assert node.balancer.components.poller.backoff.interval_end - start == 2 * SECOND
 
 
 @pytest.mark.parametrize("node_count", [3, 10, 40])
 def test_an_endpoint_in_slow_start_gets_as_much_from_many_nodes_as_from_few(node_count: int) -> None:
     """Permits of nodes that have no client for them must not leave a new endpoint without connections."""
     # The capacity of an endpoint is estimated from its weight.
-    listed = [endpoint(number, weight=8.0) for number in range(1, 6)]
+    listed = [make_endpoint(number, weight=8.0) for number in range(1, 6)]
     cluster = [
         BalancerDriver(
             listed,
@@ -114,12 +114,12 @@
     for node in cluster:  # 40 connections on each of the four warm endpoints, spread over all nodes
         node.deliver(
             *(
-                adopted(100 * endpoint_id + number, endpoint_id)
+                make_adopted_event(100 * endpoint_id + number, endpoint_id)
                 for endpoint_id in range(1, 5)
                 for number in range(40 // node_count)
             )
         )
-        starting = endpoint(5, weight=8.0, ready_at=START_TIME)
+        starting = make_endpoint(5, weight=8.0, ready_at=START_TIME)
         node.deliver(list_update(ListUpdateKind.SNAPSHOT, *listed[:4], starting))
         node.next_request_id = 10_000
     rng = random.Random(7)
@@ -130,7 +130,7 @@
             node.run_until(START_TIME + tick * 50 * MILLISECOND) + node.send_request(key=tick + 1).actions
         )
         for start in (action for action in actions if isinstance(action, StartAttempt)):
-            node.deliver(established(start))
+            node.deliver(make_established_event(start))
             attempt_count += start.endpoint_id == 5
     assert 6 <= attempt_count <= 20
 
@@ -144,7 +144,7 @@
     """Return nodes with connections on endpoint 1, which is warm and not full; endpoint 2 just started."""
     cluster = [
         BalancerDriver(
-            [endpoint(1), endpoint(2)],
+            [make_endpoint(1), make_endpoint(2)],
             index,
             node_count=node_count,
             node_index=index,
@@ -153,9 +153,9 @@
         for index in range(node_count)
     ]
     for node in cluster:
-        node.deliver(*(adopted(1000 + number, 1) for number in range(connections_each)))
+        node.deliver(*(make_adopted_event(1000 + number, 1) for number in range(connections_each)))
         node.deliver(
-            list_update(ListUpdateKind.SNAPSHOT, endpoint(1), endpoint(2, ready_at=START_TIME)),
+            list_update(ListUpdateKind.SNAPSHOT, make_endpoint(1), make_endpoint(2, ready_at=START_TIME)),
         )
         node.next_request_id = 10_000
     return cluster
@@ -190,7 +190,7 @@
             key += 1
             actions = node.run_until(START_TIME + tick * TICK) + node.send_request(key=key).actions
             for start in of_type(actions, StartAttempt):
-                node.deliver(established(start))
+                node.deliver(make_established_event(start))
                 attempted_at += [tick * TICK] * (start.endpoint_id == 2)
     return attempted_at
 
@@ -233,9 +233,9 @@
 ) -> None:
     """After the loss of a zone the next zone must not be filled while others have capacity."""
     listed = [
-        endpoint(1),
-        endpoint(2),
-        *(endpoint(10 + number, zone=1) for number in range(2 * other_zone_pairs)),
+        make_endpoint(1),
+        make_endpoint(2),
+        *(make_endpoint(10 + number, zone=1) for number in range(2 * other_zone_pairs)),
     ]
     node = BalancerDriver(
         listed,
@@ -247,9 +247,11 @@
     for key in range(1, 9):  # its 8 connections imply 160 from the zone's 20 nodes, on two endpoints
         _, actions = node.send_request(key=key)
         [start] = of_type(actions, StartAttempt)
-        node.deliver(established(start))
+        node.deliver(make_established_event(start))
         if key == 1:
             assert start.endpoint_id in (1, 2)  # the home zone is used first
     assert {
-        int(record.id >= 10) for record in node.balancer.parts.endpoints.by_id.values() if record.connections
+        int(record.id >= 10)
+        for record in node.balancer.components.endpoints.by_id.values()
+        if record.connections
     } == zones
--- a/tests/policy/test_parts.py
+++ b/tests/policy/test_components.py
@@ -1,4 +1,4 @@
-"""Single parts of the policy: hashes, the set-up failure rate, timers, quotas and derived limits."""
+"""Single components of the policy: hashes, the set-up failure rate, timers, quotas and derived limits."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from tansyladder.policy.action_sink import ActionSink
 from tansyladder.policy.actions import SetTimer
+from tansyladder.policy.active_settings import ActiveSettings, derive_limits
 from tansyladder.policy.events import TimerExpired
 from tansyladder.policy.hashing import hash64, unit_hash
-from tansyladder.policy.settings_in_force import SettingsInForce, derive_limits
 from tansyladder.policy.setup_failures import SetupFailureRate
 from tansyladder.policy.tenant_quotas import TenantQuotas
 from tansyladder.policy.timers import TimerScheduler
@@ -29,13 +29,13 @@
 def test_the_set_up_failure_rate_distinguishes_a_shared_cause_from_chance() -> None:
     failures = SetupFailureRate()
     for _ in range(5):
-        assert not failures.is_cause_shared
+        assert not failures.has_shared_cause
         failures.record_failure()
     failures.record_failure()
-    assert failures.is_cause_shared
+    assert failures.has_shared_cause
     failures.record_success()
     failures.record_success()
-    assert not failures.is_cause_shared
+    assert not failures.has_shared_cause
 
 
 def test_a_timer_runs_its_callback_once() -> None:
@@ -55,7 +55,7 @@
     [(0, 2, False), (0, 3, True), (1, 100, False)],  # the second tenant has no quota
 )
 def test_a_quota_is_shared_by_all_nodes(tenant: int, connection_count: int, *, is_over: bool) -> None:
-    quotas = TenantQuotas(SettingsInForce(make_settings(node_count=4, tenant_quotas=(8.0,))))
+    quotas = TenantQuotas(ActiveSettings(make_settings(node_count=4, tenant_quotas=(8.0,))))
     for _ in range(connection_count):
         quotas.add_connection(tenant)
     assert quotas.is_over_quota(tenant) is is_over
@@ -81,8 +81,8 @@
 
 
 def test_applying_settings_replaces_all_limits() -> None:
-    in_force = SettingsInForce(make_settings(report_columns=("active", "x0"), can_check_health=True))
-    before = in_force.limits
-    in_force.apply(make_settings())
+    active_settings = ActiveSettings(make_settings(report_columns=("active", "x0"), can_check_health=True))
+    before = active_settings.limits
+    active_settings.apply(make_settings())
     assert (before.utilization_column, before.can_check_load) == (1, True)
-    assert (in_force.limits.utilization_column, in_force.limits.can_check_load) == (-1, False)
+    assert (active_settings.limits.utilization_column, active_settings.limits.can_check_load) == (-1, False)
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -21,12 +21,12 @@
     SECOND,
     START_TIME,
     BalancerDriver,
-    adopted,
     delay_report,
-    endpoint,
-    endpoints,
-    established,
     list_update,
+    make_adopted_event,
+    make_endpoint,
+    make_endpoints,
+    make_established_event,
     of_type,
     only_attempt,
 )
@@ -34,9 +34,11 @@
 
 def checked_node() -> BalancerDriver:
     """Return a node of two endpoints; the first has 40 connections and answered a health check in 5 ms."""
-    node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
+    node = BalancerDriver(
+        [make_endpoint(1), make_endpoint(2)], can_check_health=True, health_check_interval_us=SECOND
+    )
     for request_id in range(1, 41):
-        node.deliver(adopted(request_id, 1))
+        node.deliver(make_adopted_event(request_id, 1))
     answer_check(node, 5 * MILLISECOND)
     return node
 
@@ -67,7 +69,9 @@
 
 
 def test_each_endpoint_is_checked_in_turn() -> None:
-    node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
+    node = BalancerDriver(
+        [make_endpoint(1), make_endpoint(2)], can_check_health=True, health_check_interval_us=SECOND
+    )
     checked = []
     while node.now < START_TIME + 4 * SECOND:
         for check in of_type(node.run_to_next_action(), CheckHealth):
@@ -92,7 +96,7 @@
     interval = health_check_interval(node_count).total_seconds()
     assert interval <= 60
     node = BalancerDriver(
-        [endpoint(number) for number in range(endpoint_count)],
+        [make_endpoint(number) for number in range(endpoint_count)],
         can_check_health=True,
         health_check_interval_us=int(interval * SECOND),
     )
@@ -139,7 +143,7 @@
     assert of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     for _ in range(3):
         answer_check(node, 5 * MILLISECOND)
-    assert not node.balancer.parts.load.is_delayed(hanging)
+    assert not node.balancer.components.load.is_delayed(hanging)
     for _ in range(40):
         answer_check(node, MILLISECOND)
     assert hanging.best_latency_us == MILLISECOND  # it stays fast: the old best was measured under load
@@ -165,7 +169,7 @@
 
 def test_a_delay_counts_until_the_next_health_check() -> None:
     """With a check each 6 s, a slow endpoint must not count as healthy after 2 s and be filled again."""
-    node = BalancerDriver(endpoints(1, 4), can_check_health=True, health_check_interval_us=6 * SECOND)
+    node = BalancerDriver(make_endpoints(1, 4), can_check_health=True, health_check_interval_us=6 * SECOND)
     for latency in (5 * MILLISECOND, 90 * MILLISECOND, 90 * MILLISECOND):
         answer_check(node, latency)
     node.run_until(node.now + 4 * SECOND)
@@ -181,7 +185,10 @@
     for seed in range(100):
         rng = random.Random(seed)
         node = BalancerDriver(
-            [endpoint(1), endpoint(2)], seed, can_check_health=True, health_check_interval_us=6 * SECOND
+            [make_endpoint(1), make_endpoint(2)],
+            seed,
+            can_check_health=True,
+            health_check_interval_us=6 * SECOND,
         )
         healthy_answer_count = 1 + seed % 5
         for _ in range(healthy_answer_count):  # one answer in twenty is late by chance
@@ -214,7 +221,7 @@
 def test_a_burst_waits_at_the_node_and_not_at_an_endpoint(node_count: int, max_pending: int) -> None:
     """After a restart all clients connect at once; an attempt that times out in a queue wastes work."""
     node = BalancerDriver(
-        [endpoint(1), endpoint(2)],
+        [make_endpoint(1), make_endpoint(2)],
         can_check_health=True,
         discovery_call_interval_us=SECOND,
         node_count=node_count,
@@ -225,7 +232,7 @@
     starts = of_type([logged.action for logged in node.action_log], StartAttempt)
     first_starts = starts[: min(4, 2 * max_pending)]
     for start in first_starts:
-        node.deliver(established(start))
+        node.deliver(make_established_event(start))
     later_starts = of_type(node.run_until(node.now + 100 * MILLISECOND), StartAttempt)
     assert len(later_starts) == len(first_starts)  # requests that waited at the node
 
@@ -233,11 +240,13 @@
 def test_an_estimated_load_alone_rejects_no_request() -> None:
     """With one endpoint late and empty the others are over the mean load; that alone rejects no request."""
     node = BalancerDriver(
-        [endpoint(1), endpoint(2), endpoint(3)], can_check_health=True, health_check_interval_us=SECOND
+        [make_endpoint(1), make_endpoint(2), make_endpoint(3)],
+        can_check_health=True,
+        health_check_interval_us=SECOND,
     )
     node.deliver(
-        *(adopted(100 + number, 1) for number in range(30)),
-        *(adopted(200 + number, 2) for number in range(9)),
+        *(make_adopted_event(100 + number, 1) for number in range(30)),
+        *(make_adopted_event(200 + number, 2) for number in range(9)),
     )
     node.endpoint(3).ejection.retry_at = node.now + 10 * SECOND
     node.endpoint(1).ejection.retry_at = node.now + 10 * SECOND
@@ -252,7 +261,7 @@
 def test_a_retry_goes_to_another_endpoint_of_the_zone() -> None:
     """The group's hash alone would select the same endpoint again once its ejection has ended."""
     node = BalancerDriver(
-        [endpoint(1), endpoint(2), endpoint(3, zone=1)],
+        [make_endpoint(1), make_endpoint(2), make_endpoint(3, zone=1)],
         can_check_health=True,
         health_check_interval_us=SECOND,
     )
@@ -264,13 +273,15 @@
         starts = of_type(node.run_to_next_action(), StartAttempt)
         retry = (starts or of_type(node.run_until(node.now + SECOND), StartAttempt))[0]
         assert retry.endpoint_id == 3 - first.endpoint_id
-        node.deliver(established(retry, attempt=1))
+        node.deliver(make_established_event(retry, attempt=1))
 
 
 def test_periodic_checks_skip_only_endpoints_that_reported_a_delay() -> None:
     """Settings may announce reports that an endpoint never sends, so only a received report counts."""
-    node = BalancerDriver([endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=SECOND)
-    node.deliver(adopted(1, 1), adopted(2, 2))
+    node = BalancerDriver(
+        [make_endpoint(1), make_endpoint(2)], can_check_health=True, health_check_interval_us=SECOND
+    )
+    node.deliver(make_adopted_event(1, 1), make_adopted_event(2, 2))
     # Endpoint 1 reports a delay; the delay of endpoint 2 was measured by the node.
     node.deliver(
         delay_report(1, 1, 20.0),
@@ -291,7 +302,7 @@
         return checked
 
     assert checked_within(5 * SECOND) == {2}
-    node.deliver(list_update(ListUpdateKind.DELTA, endpoint(1, ready_at=node.now)))  # restarted
+    node.deliver(list_update(ListUpdateKind.DELTA, make_endpoint(1, ready_at=node.now)))  # restarted
     assert checked_within(5 * SECOND) == {1, 2}
 
 
@@ -301,14 +312,15 @@
 def test_a_reported_delay_ends_when_no_report_repeats_it(kind: ReportKind, *, is_still_delayed: bool) -> None:
     """In a large cluster health checks may be 30 s apart, while reports are repeated each second."""
     node = BalancerDriver(
-        [endpoint(1), endpoint(2)], can_check_health=True, health_check_interval_us=30 * SECOND
+        [make_endpoint(1), make_endpoint(2)], can_check_health=True, health_check_interval_us=30 * SECOND
     )
     node.deliver(
-        adopted(1, 1), ConnectionReport(request_id=1, kind=kind, attempt=0, endpoint_id=1, value=300.0)
+        make_adopted_event(1, 1),
+        ConnectionReport(request_id=1, kind=kind, attempt=0, endpoint_id=1, value=300.0),
     )
     node.run_until(node.now + 3 * SECOND)
     node.deliver()
-    assert node.balancer.parts.load.is_delayed(node.endpoint(1)) is is_still_delayed
+    assert node.balancer.components.load.is_delayed(node.endpoint(1)) is is_still_delayed
 
 
 @pytest.mark.parametrize("node_count", [67, 200, 10**14])
@@ -316,7 +328,7 @@
     """With 200 nodes one result would count for 45 s, and exclude endpoints that have recovered."""
     interval_us = health_check_interval(node_count) // timedelta(microseconds=1)
     node = BalancerDriver(
-        [endpoint(1), endpoint(2)],
+        [make_endpoint(1), make_endpoint(2)],
         can_check_health=True,
         health_check_interval_us=interval_us,
         node_count=node_count,
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -20,10 +20,10 @@
     SECOND,
     START_TIME,
     BalancerDriver,
-    adopted,
     delay_report,
-    endpoint,
-    endpoints,
+    make_adopted_event,
+    make_endpoint,
+    make_endpoints,
     of_type,
     only_attempt,
     utilization_report,
@@ -47,7 +47,9 @@
     selections: Counter[int] = Counter()
     utilizations = {1: 0.2, 2: 0.5, 3: 1.2}
     for seed in range(200):
-        node = BalancerDriver([endpoint(1), endpoint(2), endpoint(3)], seed, **LOAD_REPORT_SETTINGS)
+        node = BalancerDriver(
+            [make_endpoint(1), make_endpoint(2), make_endpoint(3)], seed, **LOAD_REPORT_SETTINGS
+        )
         actions = request_with_checks_answered(node, utilizations, 5)
         selections[of_type(actions, StartAttempt)[0].endpoint_id] += 1
     assert selections[3] == 0
@@ -56,28 +58,28 @@
 
 def test_a_pool_over_the_limit_takes_nothing_though_one_endpoint_has_capacity() -> None:
     """Otherwise a pool short of capacity is filled until messages are late at every endpoint."""
-    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORT_SETTINGS)
+    node = BalancerDriver(make_endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     loads = {1: 0.95, 2: 1.3, 3: 0.6}
     assert not of_type(request_with_checks_answered(node, loads, 5), StartAttempt)
-    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORT_SETTINGS)
+    node = BalancerDriver(make_endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     assert of_type(request_with_checks_answered(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5), StartAttempt)
 
 
 def test_an_unanswered_health_check_does_not_delay_the_request() -> None:
-    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORT_SETTINGS)
+    node = BalancerDriver(make_endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     request_id, actions = node.send_request()
     assert not of_type(actions, StartAttempt)
     assert only_attempt(node.run_until(node.now + 100 * MILLISECOND)).request_id == request_id
 
 
 def test_an_endpoint_has_one_health_check_in_flight() -> None:
-    node = BalancerDriver(endpoints(1, 3), **LOAD_REPORT_SETTINGS)
+    node = BalancerDriver(make_endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     actions = [action for key in (1, 2) for action in node.send_request(key=key).actions]
     assert sorted(check.endpoint_id for check in of_type(actions, CheckHealth)) == [1, 2, 3]
 
 
 def test_other_zones_get_requests_when_the_home_zone_has_no_capacity() -> None:
-    listed = [endpoint(1), endpoint(2), endpoint(11, zone=1), endpoint(12, zone=1)]
+    listed = [make_endpoint(1), make_endpoint(2), make_endpoint(11, zone=1), make_endpoint(12, zone=1)]
     node = BalancerDriver(listed, **LOAD_REPORT_SETTINGS)
     assert {
         of_type(request_with_checks_answered(node, {1: 0.1, 2: 0.2}, key), StartAttempt)[0].endpoint_id < 10
@@ -88,7 +90,7 @@
 
 
 def test_an_assignment_counts_until_reports_can_show_it() -> None:
-    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORT_SETTINGS)
+    node = BalancerDriver([make_endpoint(1), make_endpoint(2)], **LOAD_REPORT_SETTINGS)
     first = of_type(request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 5), StartAttempt)[0]
     second = of_type(request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 6), StartAttempt)[0]
     assert second.endpoint_id != first.endpoint_id
@@ -96,8 +98,8 @@
 
 def node_with_connections(count: int, load: int, **changes: Any) -> BalancerDriver:
     """Return a node of 8 endpoints with connections on the first, whose loads are 1, 2 and 3 times `load`."""
-    node = BalancerDriver(endpoints(1, 8), **changes)
-    node.deliver(*(adopted(1000 + number, 1, load * (1 + number % 3)) for number in range(count)))
+    node = BalancerDriver(make_endpoints(1, 8), **changes)
+    node.deliver(*(make_adopted_event(1000 + number, 1, load * (1 + number % 3)) for number in range(count)))
     return node
 
 
@@ -156,8 +158,8 @@
 
 
 def test_connections_of_a_tenant_over_its_quota_migrate_first() -> None:
-    node = BalancerDriver(endpoints(1, 8), tenant_quotas=(5.0, 50.0), over_quota_weight=0.1)
-    node.deliver(*(adopted(1000 + number, 1, 1000, tenant=number % 2) for number in range(30)))
+    node = BalancerDriver(make_endpoints(1, 8), tenant_quotas=(5.0, 50.0), over_quota_weight=0.1)
+    node.deliver(*(make_adopted_event(1000 + number, 1, 1000, tenant=number % 2) for number in range(30)))
     report_delay(node, 120.0)
     migrated = [
         action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)
@@ -167,7 +169,7 @@
 
 
 def test_invalid_load_and_connection_reports_are_ignored() -> None:
-    node = BalancerDriver([endpoint(1), endpoint(2)], **LOAD_REPORT_SETTINGS)
+    node = BalancerDriver([make_endpoint(1), make_endpoint(2)], **LOAD_REPORT_SETTINGS)
     for value in (-1.0, float("nan"), float("inf"), 1e30):
         node.deliver(
             utilization_report(1, value),
@@ -188,7 +190,7 @@
 
 
 def test_one_attempt_at_a_time_after_an_ejection() -> None:
-    node = BalancerDriver([endpoint(1)])
+    node = BalancerDriver([make_endpoint(1)])
     _, actions = node.send_request(key=1)
     node.fail_attempt(only_attempt(actions), 0)
     node.run_until(node.endpoint(1).ejection.interval_end)
@@ -198,7 +200,7 @@
         for action in node.send_request(key=key).actions
         if isinstance(action, StartAttempt)
     ]
-    in_flight = [request for request in node.balancer.parts.requests.by_id.values() if request.endpoint]
+    in_flight = [request for request in node.balancer.components.requests.by_id.values() if request.endpoint]
     assert len(in_flight) == 1
     assert len(starts) <= 1
     node.deliver(
@@ -213,7 +215,7 @@
 
 
 def test_an_established_connection_makes_an_endpoint_fully_available_again() -> None:
-    node = BalancerDriver([endpoint(1)])
+    node = BalancerDriver([make_endpoint(1)])
     request_id, actions = node.send_request(key=1)
     node.fail_attempt(only_attempt(actions), 0)
     assert node.endpoint(1).ejection.attempt == 1
@@ -228,7 +230,7 @@
 
 
 def test_a_closed_connection_leaves_no_load() -> None:
-    node = BalancerDriver([endpoint(1)])
+    node = BalancerDriver([make_endpoint(1)])
     request_id, actions = node.send_request(load_hint=500)
     node.deliver(AttemptEstablished(request_id=request_id, attempt=0, endpoint_id=1, latency_us=MILLISECOND))
     node.deliver(
@@ -252,13 +254,13 @@
 
 def test_connections_are_counted_by_tenant_as_they_open_and_close() -> None:
     """Counting all of a few thousand connections again for each new one cost a minute of CPU."""
-    node = BalancerDriver([endpoint(1)])
+    node = BalancerDriver([make_endpoint(1)])
     request_id, _ = node.send_request(tenant=2)
     node.deliver(
         AttemptEstablished(request_id=request_id, attempt=0, endpoint_id=1, latency_us=MILLISECOND),
-        adopted(900, 1, tenant=2),
+        make_adopted_event(900, 1, tenant=2),
     )
-    assert node.balancer.parts.quotas.connections_by_tenant == {2: 2}
+    assert node.balancer.components.quotas.connections_by_tenant == {2: 2}
     node.deliver(
         AttemptEnded(
             request_id=request_id,
@@ -277,7 +279,7 @@
             is_closed=True,
         ),
     )
-    assert node.balancer.parts.quotas.connections_by_tenant == {2: 0}
+    assert node.balancer.components.quotas.connections_by_tenant == {2: 0}
 
 
 def time_out_requests(node: BalancerDriver, times: int) -> None:
@@ -291,12 +293,12 @@
 
 def test_set_ups_that_fail_everywhere_widen_the_backoff_and_stop_migrations() -> None:
     """The cause may be a slow shared store; more attempts and migrations would only add to its load."""
-    node = BalancerDriver(endpoints(1, 29))
-    node.deliver(*(adopted(1000 + number, 1, 1000) for number in range(30)))
+    node = BalancerDriver(make_endpoints(1, 29))
+    node.deliver(*(make_adopted_event(1000 + number, 1, 1000) for number in range(30)))
     time_out_requests(node, 1)
     narrow_interval_us = node.backoff(100).interval_end - START_TIME - MILLISECOND
     time_out_requests(node, 12)
-    assert node.balancer.parts.setup_failures.rate > 0.5
+    assert node.balancer.components.setup_failures.rate > 0.5
     sent_at = node.now
     _, actions = node.send_request(key=300)
     start = only_attempt(actions)
@@ -311,12 +313,12 @@
 def test_load_of_a_large_pool_is_not_computed_for_each_request() -> None:
     """With over 200 endpoints a burst of retries spent a minute of CPU on summing up their load again."""
     for changes in ({}, {"pass_through": True}):
-        node = BalancerDriver(endpoints(1, 400), **changes)
+        node = BalancerDriver(make_endpoints(1, 400), **changes)
         request_id, _ = node.send_request()
-        home = node.balancer.parts.endpoints.home_zone
+        home = node.balancer.components.endpoints.home_zone
         refreshed_at = home.refreshed_at
-        request = node.balancer.parts.requests.by_id[request_id]
-        assert len(node.balancer.parts.sampler.sample(home, request, 16)) == 16
+        request = node.balancer.components.requests.by_id[request_id]
+        assert len(node.balancer.components.sampler.sample(home, request, 16)) == 16
         node.now += MILLISECOND
         node.send_request()
         assert home.refreshed_at == refreshed_at
@@ -326,12 +328,12 @@
 
 
 def test_a_burst_between_two_refreshes_finds_capacity() -> None:
-    node = BalancerDriver(endpoints(1, 8))
+    node = BalancerDriver(make_endpoints(1, 8))
     assert all(only_attempt(node.send_request(key=key).actions) for key in range(1, 100))
 
 
 def test_pass_through_samples_the_same_endpoints_for_a_key_at_every_node() -> None:
-    listed = endpoints(1, 40)
+    listed = make_endpoints(1, 40)
     for key in range(1, 20):
         checked_by_node = []
         for seed in (1, 2, 3):
@@ -347,8 +349,8 @@
 
 def test_without_utilization_reports_delayed_endpoints_make_a_pool_full() -> None:
     """When load over the capacity makes most endpoints late, requests are rejected until these recover."""
-    node = BalancerDriver(endpoints(1, 4))
-    node.deliver(*(adopted(1000 + number, 1 + number % 4, 1000) for number in range(40)))
+    node = BalancerDriver(make_endpoints(1, 4))
+    node.deliver(*(make_adopted_event(1000 + number, 1 + number % 4, 1000) for number in range(40)))
     node.deliver(*(delay_report(1000 + number, 1 + number, 600.0) for number in range(3)))
     node.now += 100 * MILLISECOND
     assert not of_type(node.send_request(key=1).actions, StartAttempt)
@@ -358,9 +360,12 @@
 
 def test_a_full_pool_still_fills_endpoints_in_slow_start() -> None:
     node = BalancerDriver(
-        [*(endpoint(number) for number in range(1, 5)), endpoint(9, ready_at=START_TIME - 10 * SECOND)]
+        [
+            *(make_endpoint(number) for number in range(1, 5)),
+            make_endpoint(9, ready_at=START_TIME - 10 * SECOND),
+        ]
     )
-    node.deliver(*(adopted(1000 + number, 1 + number % 4, 1000) for number in range(400)))
+    node.deliver(*(make_adopted_event(1000 + number, 1 + number % 4, 1000) for number in range(400)))
     selected = set()
     for key in range(1, 30):
         node.deliver(*(delay_report(1000 + number, 1 + number, 600.0) for number in range(4)))
@@ -371,7 +376,7 @@
 
 def test_a_groups_connections_share_endpoints_at_every_node() -> None:
     """An endpoint does the work of each group that it has connections of: at random, that of all groups."""
-    listed = endpoints(1, 8) + [endpoint(number, zone=1) for number in range(11, 19)]
+    listed = make_endpoints(1, 8) + [make_endpoint(number, zone=1) for number in range(11, 19)]
     used_by_groups = set()
     for group in range(1, 11):
         used_by_group = set()
@@ -389,8 +394,10 @@
 
 def test_a_group_returns_to_an_endpoint_that_has_its_connections() -> None:
     """Assigned by hash alone, a group with connections elsewhere adds its work to one more endpoint."""
-    node = BalancerDriver(endpoints(1, 8))
-    node.deliver(*(adopted(1000 + group, 1 + group % 8, group_key=group) for group in range(1, 33)))
+    node = BalancerDriver(make_endpoints(1, 8))
+    node.deliver(
+        *(make_adopted_event(1000 + group, 1 + group % 8, group_key=group) for group in range(1, 33))
+    )
     returned_count = sum(
         only_attempt(node.send_request(key=group, group_key=group).actions).endpoint_id == 1 + group % 8
         for group in range(1, 33)
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -21,7 +21,7 @@
     RequestReceived,
 )
 from tansyladder.policy.settings import DeduplicationScope, Idempotency
-from tests.policy.harness import DEADLINE, MILLISECOND, SECOND, BalancerDriver, endpoint, list_update
+from tests.policy.harness import DEADLINE, MILLISECOND, SECOND, BalancerDriver, list_update, make_endpoint
 
 IDEMPOTENCIES = [
     (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
@@ -73,7 +73,7 @@
         self.zone_and_cell = {number: (number % 3, number % 6) for number in range(1, 13)}
         self.state = dict.fromkeys(self.zone_and_cell, EndpointState.READY)
         self.node = BalancerDriver(
-            [endpoint(number, zone, cell=cell) for number, (zone, cell) in self.zone_and_cell.items()],
+            [make_endpoint(number, zone, cell=cell) for number, (zone, cell) in self.zone_and_cell.items()],
             seed,
             idempotency=idempotency,
             deduplication_scope=scope,
@@ -155,7 +155,7 @@
         is_closed = is_answered or status is AttemptStatus.OK
         if is_closed:
             self.deadlines.pop(request_id, None)
-        elif not status.definitely_not_executed:
+        elif not status.proves_not_executed:
             self.executions.setdefault(
                 request_id, PossibleExecution(endpoint_id=pending.endpoint_id, at=pending.started_at)
             )
@@ -274,7 +274,7 @@
             self.state_changed_at[endpoint_id] = self.node.now
         zone, cell = self.zone_and_cell[endpoint_id]
         ready_at = self.node.now if self.rng.random() < 0.3 else 0
-        update = endpoint(endpoint_id, zone, state, ready_at, cell=cell)
+        update = make_endpoint(endpoint_id, zone, state, ready_at, cell=cell)
         self.check(self.node.deliver(list_update(ListUpdateKind.DELTA, update)))
 
     def answer_health_checks(self) -> None:
--- a/tests/policy/test_retry_safety.py
+++ b/tests/policy/test_retry_safety.py
@@ -9,13 +9,13 @@
 from tansyladder.policy.requests import Request
 from tansyladder.policy.retry_safety import may_client_repeat, may_execute_anywhere, may_execute_on
 from tansyladder.policy.settings import ClassSettings, DeduplicationScope, Idempotency
-from tests.policy.harness import DEADLINE, LATENCY_OBJECTIVE, SECOND, START_TIME, endpoint
+from tests.policy.harness import DEADLINE, LATENCY_OBJECTIVE, SECOND, START_TIME, make_endpoint
 
 WINDOW_US = 5 * SECOND
-FIRST = Endpoint(endpoint(1, zone=0, cell=0), weight=1.0, now=START_TIME)
-SAME_CELL = Endpoint(endpoint(2, zone=0, cell=0), weight=1.0, now=START_TIME)
-SAME_ZONE = Endpoint(endpoint(3, zone=0, cell=1), weight=1.0, now=START_TIME)
-OTHER_ZONE = Endpoint(endpoint(4, zone=1, cell=2), weight=1.0, now=START_TIME)
+FIRST = Endpoint(make_endpoint(1, zone=0, cell=0), weight=1.0, now=START_TIME)
+SAME_CELL = Endpoint(make_endpoint(2, zone=0, cell=0), weight=1.0, now=START_TIME)
+SAME_ZONE = Endpoint(make_endpoint(3, zone=0, cell=1), weight=1.0, now=START_TIME)
+OTHER_ZONE = Endpoint(make_endpoint(4, zone=1, cell=2), weight=1.0, now=START_TIME)
 ENDPOINTS = (SAME_CELL, SAME_ZONE, OTHER_ZONE)
 
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -21,15 +21,15 @@
     SECOND,
     START_TIME,
     BalancerDriver,
-    adopted,
-    endpoint,
-    endpoints,
     list_update,
+    make_adopted_event,
+    make_endpoint,
+    make_endpoints,
     of_type,
     only_attempt,
 )
 
-ENDPOINTS = endpoints(1, 8)
+ENDPOINTS = make_endpoints(1, 8)
 
 
 # --- rule 1: one final answer in time
@@ -78,7 +78,7 @@
         )
         == []
     )
-    assert request_id not in node.balancer.parts.requests.by_id
+    assert request_id not in node.balancer.components.requests.by_id
 
 
 def test_a_timeout_at_the_deadline_leads_to_the_final_answer() -> None:
@@ -114,7 +114,7 @@
 def test_a_keyed_request_that_may_have_run_stays_in_its_deduplication_scope(
     scope: DeduplicationScope,
 ) -> None:
-    listed = [endpoint(number, zone=number % 2, cell=number % 4) for number in range(1, 17)]
+    listed = [make_endpoint(number, zone=number % 2, cell=number % 4) for number in range(1, 17)]
     scope_by_endpoint = {
         update.endpoint_id: (update.zone if scope is DeduplicationScope.ZONE else update.cell)
         for update in listed
@@ -173,7 +173,7 @@
     for state in (EndpointState.DRAINING, EndpointState.GONE):
         node = BalancerDriver(ENDPOINTS)
         node.deliver(
-            list_update(ListUpdateKind.DELTA, *(endpoint(number, state=state) for number in range(1, 8)))
+            list_update(ListUpdateKind.DELTA, *(make_endpoint(number, state=state) for number in range(1, 8)))
         )
         assert {only_attempt(node.send_request(key=key).actions).endpoint_id for key in range(1, 60)} == {8}
 
@@ -182,9 +182,9 @@
     """A draining endpoint may cut off its clients instead of closing their connections gracefully."""
     node = BalancerDriver(ENDPOINTS)
     for request_id in range(101, 121):
-        node.deliver(adopted(request_id, 1))
-    node.deliver(adopted(121, 2))
-    node.deliver(list_update(ListUpdateKind.DELTA, endpoint(1, state=EndpointState.DRAINING)))
+        node.deliver(make_adopted_event(request_id, 1))
+    node.deliver(make_adopted_event(121, 2))
+    node.deliver(list_update(ListUpdateKind.DELTA, make_endpoint(1, state=EndpointState.DRAINING)))
     grace_us = node.settings.drain_grace_us
     migrated_in_first_half = [
         action.request_id
@@ -202,20 +202,20 @@
 
 def test_an_endpoint_absent_from_a_complete_list_gets_nothing() -> None:
     node = BalancerDriver(ENDPOINTS)
-    node.deliver(list_update(ListUpdateKind.SNAPSHOT, endpoint(3)))
+    node.deliver(list_update(ListUpdateKind.SNAPSHOT, make_endpoint(3)))
     assert {only_attempt(node.send_request(key=key).actions).endpoint_id for key in range(1, 30)} == {3}
 
 
 def test_a_retry_uses_the_current_endpoint_list() -> None:
-    node = BalancerDriver([endpoint(1), endpoint(2)])
+    node = BalancerDriver([make_endpoint(1), make_endpoint(2)])
     _, actions = node.send_request()
     node.fail_attempt(only_attempt(actions), 0)
     node.deliver(
         list_update(
             ListUpdateKind.DELTA,
-            endpoint(1, state=EndpointState.GONE),
-            endpoint(2, state=EndpointState.GONE),
-            endpoint(9),
+            make_endpoint(1, state=EndpointState.GONE),
+            make_endpoint(2, state=EndpointState.GONE),
+            make_endpoint(9),
         )
     )
     assert only_attempt(node.run_to_next_action()).endpoint_id == 9
@@ -229,15 +229,18 @@
     """Each node has its share of all connections and gets a burst; one endpoint in ten is in slow start."""
     connections_each = 40
     endpoint_count = 10
-    warm_endpoints = endpoints(1, endpoint_count - 1)
+    warm_endpoints = make_endpoints(1, endpoint_count - 1)
     attempt_count = 0
     for seed in range(node_count):
         node = BalancerDriver(
-            [*warm_endpoints, endpoint(99, ready_at=START_TIME)], seed, node_count=node_count
+            [*warm_endpoints, make_endpoint(99, ready_at=START_TIME)], seed, node_count=node_count
         )
         established = max(1, connections_each * endpoint_count // node_count)
         node.deliver(
-            *(adopted(10_000 + number, 1 + number % (endpoint_count - 1)) for number in range(established))
+            *(
+                make_adopted_event(10_000 + number, 1 + number % (endpoint_count - 1))
+                for number in range(established)
+            )
         )
         for key in range(1, 1 + max(2, 2 * established)):
             request_id, actions = node.send_request(key=key)
@@ -254,7 +257,9 @@
 
 
 def test_slow_start_paces_requests_where_no_other_endpoint_is_left() -> None:
-    node = BalancerDriver([endpoint(number, ready_at=START_TIME) for number in range(1, 5)], node_count=4)
+    node = BalancerDriver(
+        [make_endpoint(number, ready_at=START_TIME) for number in range(1, 5)], node_count=4
+    )
     attempt_count = 0
     for key in range(1, 200):
         attempt_count += len(of_type(node.send_request(key=key).actions, StartAttempt))
