--- a/tansyladder/assembly.py
+++ b/tansyladder/assembly.py
@@ -120,7 +120,10 @@
 def _build_session_service(
     context: NodeContext, endpoint_cache: AttachableEndpointCache
 ) -> ResumptionHandler | None:
-    """Build the service that resumes sessions, and open its store, each if the settings enable it."""
+    """Build the service that resumes sessions, and open its store, each if the settings enable it.
+
+    With peers the store is opened by `join_cluster`, after the predecessor has ended.
+    """
     options = context.options
     store = None
     if options.store.enabled and not options.peers.enabled:
--- a/tansyladder/log_rendering.py
+++ b/tansyladder/log_rendering.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from structlog.typing import EventDict, WrappedLogger
 
-MAX_VALUE_LENGTH = 300  # characters of a quoted value, or in JSON of any but a number; for readability
+MAX_VALUE_LENGTH = 300  # characters; quoted values, and in JSON all but numbers, are cut for readability
 MILLISECOND = timedelta(milliseconds=1)
 SECRET_FIELDS = frozenset({"token", "rt", "key_bytes"})  # only their length is written
 
--- a/tansyladder/net/action_queue_state.py
+++ b/tansyladder/net/action_queue_state.py
@@ -12,7 +12,7 @@
 
     NEW = "new"  # not opened yet; a wake has no effect
     POLLED = "polled"  # woken through a descriptor; no connection is established
-    POLLED_ESTABLISHED = "polled, established"  # descriptor kept, as a session can move again
+    POLLED_ESTABLISHED = "polled, established"  # woken through a descriptor, as a session can move again
     CALLBACK = "callback"  # woken by a callback; the connection is established
     CLOSED = "closed"  # a wake has no effect
 
--- a/tansyladder/net/handover_sockets.py
+++ b/tansyladder/net/handover_sockets.py
@@ -122,7 +122,7 @@
         return self._connections.get(descriptor)
 
     def accept(self, listener: socket.socket) -> None:
-        """Accept a connection; close it if it is another user's or more than `MAX_SUCCESSORS`.
+        """Accept a connection; close it if it is another user's, or if `MAX_SUCCESSORS` are connected.
 
         Raises:
             OSError: The connection has ended already, or the process has no free descriptor.
--- a/tansyladder/net/http.py
+++ b/tansyladder/net/http.py
@@ -22,7 +22,7 @@
 
 
 class HttpError(NetworkError):
-    """The response is malformed, too long, incomplete, or not the one requested."""
+    """The response is malformed, too long, incomplete or not of status 200, or the call was aborted."""
 
 
 class HttpStatusError(HttpError):
@@ -34,7 +34,7 @@
 
 
 class HttpTimeoutError(HttpError):
-    """No complete response arrived in time; the server may be running and not have received the request."""
+    """No complete response arrived in time; even a running server may not have received the request."""
 
 
 class ResponseHead(NamedTuple):
--- a/tansyladder/net/listener_handover.py
+++ b/tansyladder/net/listener_handover.py
@@ -118,7 +118,7 @@
             )
             self._thread = threading.Thread(target=handover_thread.run, name="listener-handover", daemon=True)
             self._thread.start()
-        except (OSError, RuntimeError) as err:  # without folder or thread, a successor opens a new listener
+        except (OSError, RuntimeError) as err:  # no folder or thread: a successor opens its own listener
             log(LogEvent.LISTENER_HANDOVER_FAILED, error=err)
 
     @property
--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -152,7 +152,7 @@
         return sockets.poll_until(poll, self._half_closed_deadline or now() + interval)
 
     def _relay_direction(self, source: RelaySide, destination: RelaySide, ready: set[int]) -> bool:
-        """Flush the bytes pending for `source`, then forward what it sent; return whether to continue."""
+        """Flush the bytes pending for `source`, forward what it sent; return False to end this round."""
         is_source_ready = source.descriptor in ready
         try:
             if source.unsent and is_source_ready:
--- a/tansyladder/net/relayed_connection.py
+++ b/tansyladder/net/relayed_connection.py
@@ -112,7 +112,7 @@
             self.outcome = OUTCOME_BY_LAST_KEYWORD.get(self.monitor.last_keyword, AttemptStatus.RESET)
 
     def find_stalled(self) -> RelaySide | None:
-        """Return a side that has accepted no unsent bytes for longer than `SEND_TIMEOUT`, or None."""
+        """Return None unless a side is stalled; then the upstream if it has unsent bytes, else the client."""
         if not self.upstream.is_stalled and not self.client.is_stalled:
             return None
         return self.upstream if self.upstream.unsent else self.client
--- a/tansyladder/net/response_timeout.py
+++ b/tansyladder/net/response_timeout.py
@@ -41,7 +41,7 @@
         return None if self._waiting_since is None else self._waiting_since // MICROSECOND
 
     def restore(self, waiting_since_us: int | None) -> None:
-        """Continue the wait that the process on this machine which handed the connection over had begun."""
+        """Continue the wait that the predecessor began; both processes use the machine's monotonic clock."""
         self._waiting_since = None if waiting_since_us is None else waiting_since_us * MICROSECOND
 
     def line_sent(self) -> None:
--- a/tansyladder/net/resuming_client.py
+++ b/tansyladder/net/resuming_client.py
@@ -14,4 +14,4 @@
     sock: socket.socket
     received_line_count: int  # how many of the endpoint's lines the client has, since the session began
     deadline: timedelta  # by when the client wants its answer
-    token_expiry_us: int = 0  # in microseconds of Unix time
+    token_expiry_us: int = 0  # of its token, in microseconds of Unix time
--- a/tansyladder/net/sockets.py
+++ b/tansyladder/net/sockets.py
@@ -50,9 +50,8 @@
 def wait_connected(sock: socket.socket, deadline: timedelta, *fds: int) -> set[int]:
     """Wait until a connect in progress ends, a descriptor is readable or the deadline passes.
 
-    Returns the descriptors that are ready.
-
-    `sock` is ready once the connect has succeeded or failed, each of `fds` once it is readable.
+    Returns the descriptors that are ready: that of `sock` once the connect has succeeded or failed, each of
+    `fds` once it is readable.
     """
     poll = select.poll()
     poll.register(sock, select.POLLOUT)
--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -101,8 +101,8 @@
     def open(self, client: socket.socket | None, actions: ActionQueue) -> ConnectResult:
         """Connect, send the first line and wait for the answer; close the socket unless the answer is UP.
 
-        The attempt ends if `client` ends its request meanwhile. With None no client is monitored, as it is
-        already established or has disconnected.
+        The attempt ends if `client` ends its request meanwhile. With None no client is monitored: it
+        already has its answer, or has disconnected.
         """
         connected = self._connect_and_send(client, actions)
         if isinstance(connected, ConnectResult):
--- a/tansyladder/node/active_configuration.py
+++ b/tansyladder/node/active_configuration.py
@@ -37,7 +37,7 @@
 
     @property
     def config(self) -> Config:
-        """The configuration, with the settings of all versions of each class."""
+        """The configuration; its settings include earlier versions of its classes, for requests in flight."""
         return self._snapshot.config
 
     @property
--- a/tansyladder/node/admin_commands.py
+++ b/tansyladder/node/admin_commands.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import DecisionPermit
 
-MAX_SHOWN_CHARACTERS = 40  # of an unknown call that its answer repeats
+MAX_SHOWN_CHARACTERS = 40  # of an unknown call, which the answer quotes
 EXPECTED_CALLS = "status, stats, standby or active expected"
 LAST_LINE = "."  # ends an answer of several lines
 
@@ -103,8 +103,8 @@
         return [msgspec.json.encode(metrics).decode(), LAST_LINE]
 
     def _change_state(self, change: Callable[[], bool]) -> list[str]:
-        is_changed = change()
+        is_entered = change()
         state = self._lifecycle.state
-        if not is_changed:
+        if not is_entered:
             raise CallError(state.value)
         return [state.value]  # the lifecycle logs the change
--- a/tansyladder/node/admin_server.py
+++ b/tansyladder/node/admin_server.py
@@ -173,7 +173,10 @@
             self._poll.modify(caller.sock, select.POLLIN)
 
     def _discard(self, caller: Caller) -> None:
-        """Discard input until the caller disconnects: closing with unread input would send a reset."""
+        """Discard input until the caller disconnects: closing with unread input would send a reset.
+
+        A caller that still sends later than `DRAIN_TIMEOUT` after the accept is closed anyway.
+        """
         data = caller.sock.recv(protocol.MAX_LINE_BYTES)
         if not data or now() - caller.accepted_at > sockets.DRAIN_TIMEOUT:
             self._close(caller)
--- a/tansyladder/node/admission_control.py
+++ b/tansyladder/node/admission_control.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:  # imported for annotations only, which makes a start faster
     from tansyladder.node.extension_points import SessionService
 
-# Of the descriptors that the system grants, a pending connection uses one. A served connection uses two, and
-# until it is established a third for its action queue.
+# Of the descriptors that the configuration grants, a pending connection uses one. A served connection uses
+# two, and until it is established a third for its action queue.
 SERVED_DESCRIPTORS = 3
 ADMIN_DESCRIPTORS = 18  # reserved for operators' calls
 RESERVED_DESCRIPTORS = 20  # for the listener, discovery, health checks, logs and the configuration
@@ -25,7 +25,7 @@
 MAX_PENDING = 128
 MAX_PENDING_DIVISOR = 6  # pending connections may use the descriptor limit divided by this
 REJECTION_RETRY_AFTER = timedelta(milliseconds=200)  # Retry-After of a client that is rejected at admission
-MAX_SHOWN_CHARACTERS = 40  # of a client's value that an error repeats
+MAX_SHOWN_CHARACTERS = 40  # of a client's value, which the error quotes
 
 
 class AdmissionControl:
@@ -41,7 +41,7 @@
 
         Args:
             context: The context of the node.
-            handover: To another process of this node, which uses a part of the descriptors while it runs.
+            handover: Knows how many of the descriptors the predecessor or a successor may use.
             session_service: None if sessions can't be resumed.
         """
         self._configuration = context.configuration
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -49,7 +49,7 @@
     is_acceptable: Callable[[ConnectResult], bool] = lambda _: True  # else the connection is closed again
 
     def run(self, request: RequestReceived) -> AttemptLoopResult:
-        """Pass the request to the policy; make attempts until a connection is established or it ends."""
+        """Pass the request to the policy; make attempts until its connection is established or it ends."""
         self.context.policy.handle_events(request)
         attempt = 0
         while True:
@@ -60,7 +60,7 @@
                     if outcome is not None:
                         return outcome
                     attempt += 1
-                case Reject() | ClientEnd():
+                case Reject() | ClientEnd():  # the policy does not know of a drain's Reject
                     self.context.policy.handle_events(ClientDisconnected(self.request_id))
                     return action
                 case Fail():
@@ -98,17 +98,17 @@
     def _report_failure(
         self, endpoint: EndpointAddress, attempt: int, result: ConnectResult, duration_us: int
     ) -> None:
-        """Notify the policy that an attempt has ended; report a disconnect that ended it first."""
-        has_client_left = result.client_end is not None
+        """Notify the policy that an attempt has ended, after the client's disconnect if that ended it."""
+        has_client_ended = result.client_end is not None
         ended = AttemptEnded(
             self.request_id,
             attempt,
             endpoint.number,
             result.status,
             duration_us,
-            is_closed=has_client_left,
+            is_closed=has_client_ended,
         )
-        if has_client_left:
+        if has_client_ended:
             self.context.policy.handle_events(ClientDisconnected(self.request_id), ended)
         else:
             self.context.policy.handle_events(ended)
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -138,7 +138,7 @@
     def _try_admit(
         self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
     ) -> bytes:
-        """Check the first line, the node's state and its limits, in this order; return any rejection."""
+        """Check the first line, the node's state and its limits; serve the client or return a rejection."""
         self._admission.check_fields(opening)
         if self._is_rejecting_all or not self._decision_gate.may_decide(opening.connection_id):
             return protocol.format_reject(self.retry_after)
@@ -193,10 +193,10 @@
     # --- shutdown
 
     def drain(self) -> None:
-        """Shut down gracefully: serve late requests, migrate connections, and reject what remains in time."""
+        """Shut down gracefully: serve late requests, migrate connections, and end the rest in time."""
         # Clients that connect once the new state is visible belong to the successor, so the queue is yielded
-        # before the state changes. It is checked again afterwards, as `on_successor_lost` ignores a successor
-        # that ends in between.
+        # before the state changes. The successor is checked again afterwards, as `on_successor_lost` ignores
+        # one that ends in between.
         self._yield_or_reclaim_queue()
         self._lifecycle.begin_drain()
         self._yield_or_reclaim_queue()
--- a/tansyladder/node/connection_acceptor.py
+++ b/tansyladder/node/connection_acceptor.py
@@ -108,10 +108,10 @@
             self._accept_batch()
 
     def _finish(self) -> None:
-        """Answer what has arrived so far, and close no connection in the middle of a client's line.
+        """Answer what has arrived so far, then close the pending connections, without a reset if possible.
 
-        The sending sides are shut down first, and further input is read until the deadline: closing a socket
-        with unread input would send a reset. Input that is read after the shutdown must not be served.
+        Closing a socket with unread input sends a reset. The sending sides are therefore shut down first, and
+        what arrives after that is discarded until the deadline; it must not be served.
         """
         deadline = now() + PENDING_CLOSE_TIMEOUT
         while not self._lifecycle.state.is_yielded and now() < deadline and self._accept_batch():
--- a/tansyladder/node/connection_drainer.py
+++ b/tansyladder/node/connection_drainer.py
@@ -14,7 +14,7 @@
 from tansyladder.policy.actions import Migrate, Reject
 
 LATE_ARRIVAL_WINDOW = timedelta(milliseconds=450)  # after SIGTERM new connections arrive for up to 0.4 s
-LONGEST_REQUEST_WAIT = timedelta(seconds=3)  # the most that a shutdown grants, whatever the deadlines are
+LONGEST_REQUEST_WAIT = timedelta(seconds=3)  # a shutdown waits no longer, whatever the deadlines are
 KILL_MARGIN = timedelta(milliseconds=700)  # SIGKILL is sent no earlier than the longest deadline plus this
 EXIT_MARGIN = timedelta(milliseconds=400)  # the part of KILL_MARGIN in which the process exits
 # Every client has to have left within 4 s after `standby`; the difference is a margin.
@@ -60,8 +60,9 @@
     ) -> set[int]:
         """Migrate established connections, spread until `end`; return the ids of their requests.
 
-        If all clients reconnected to the other nodes at once, they would fail together. The migration ends
-        early if the lifecycle state that began at `since` changes, or if `is_finished` returns True.
+        If all clients reconnected to the other nodes at once, their requests would fail together. The
+        migration ends early if the lifecycle state that began at `since` changes, or if `is_finished` returns
+        True.
         """
         notified = set[int]()
         while True:
--- a/tansyladder/node/connection_handler.py
+++ b/tansyladder/node/connection_handler.py
@@ -35,7 +35,8 @@
         self._context = context
         self._client = client
         self._opening = opening
-        # The request keeps this number, and so its class's settings; 0 if the class is not in the settings.
+        # The request keeps this number through a reload, and with it the settings of its class. It is 0 if
+        # the class is not in the settings.
         self._class_number = context.configuration.class_numbers.get(opening.class_name, 0)
         self._action_queue = ActionQueue()
         self._request_id = 0  # until the request is registered
--- a/tansyladder/node/connection_threads.py
+++ b/tansyladder/node/connection_threads.py
@@ -72,7 +72,7 @@
         self._serve(self._build_handler(sock, opening, arrived), opening.connection_id)
 
     def _build_handler(self, sock: socket.socket, opening: Opening, arrived: timedelta) -> ConnectionHandler:
-        """Build the handler of an admitted connection: for a new request, or one from before this run."""
+        """Build the handler of a new request, or of a connection that was open before the node started."""
         deadline = arrived + opening.wait
         if opening.endpoint_id is None:
             return RequestHandler(self._services, sock, opening, deadline)
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -25,22 +25,22 @@
 
 # A node has to know a change within 6 s after discovery has it and is reachable, even if the node's calls
 # failed. A poll without an answer times out after POLL_TIMEOUT + ANSWER_MARGIN, which leaves the rest of the
-# 6 s to the poll that replaces it. While discovery is still down, a poll after a failure may get no answer
-# either, and the policy's backoff (up to 4 s) is added to its timeout, which is therefore short.
+# 6 s to the poll that replaces it. While discovery is still down, that poll gets no answer either. Its
+# timeout is short, because the policy's backoff (up to 4 s) follows before the next poll.
 POLL_TIMEOUT = timedelta(seconds=4.5)  # how long a poll asks discovery to wait for a change
-POLL_TIMEOUT_AFTER_FAILURE = timedelta(milliseconds=500)  # the same, from a failure to the next answer
+POLL_TIMEOUT_AFTER_FAILURE = timedelta(milliseconds=500)  # the same, in `PollState.SILENT`
 ANSWER_MARGIN = timedelta(milliseconds=750)  # for an answer to arrive, beyond the poll's timeout
-IMMEDIATE_ANSWER_TIMEOUT = timedelta(seconds=2)  # of a call that does not poll; discovery queues calls
+IMMEDIATE_ANSWER_TIMEOUT = timedelta(seconds=2)  # for the complete list; discovery queues calls
 # If the call interval is at most this, all nodes may call at the same time: discovery answers them in time.
 SIMULTANEOUS_CALL_INTERVAL = timedelta(seconds=1)
 CONNECT_TIMEOUT = timedelta(seconds=1)
 # All nodes learn of a new address at once, so their first calls to it are spread over at least this.
 MIN_FIRST_CALL_SPREAD = timedelta(milliseconds=250)
-MAX_RETRY_SPREAD = timedelta(seconds=1)  # the longest interval between two calls to a new address
+MAX_RETRY_SPREAD = timedelta(seconds=1)  # the spread doubles up to this after failed calls
 POLL_AGAIN_SPREAD = timedelta(milliseconds=150)  # from an answer with changes to the next poll
-# Between calls to an agent on this machine, which are cheap.
+# After a failed call to an agent on this machine, where calls are cheap.
 AGENT_RETRY_INTERVAL = timedelta(milliseconds=50)
-# How long a start waits for an agent's list: lists that the agent has by then have to be known.
+# How long a start waits for an agent's list: the node has to know the lists that the agent has by then.
 FIRST_LIST_TIMEOUT = timedelta(milliseconds=300)
 ENDPOINT_LIST_PATH = "/v1/servers"
 MILLISECOND = timedelta(milliseconds=1)
@@ -74,7 +74,7 @@
 
 
 class DiscoveryClient:
-    """Polls discovery on one thread, from when the policy requests it until a call fails.
+    """Polls discovery on one thread, from a request of the policy until a failure that the policy handles.
 
     `_lock` guards the address, its HTTP client and their state; no other object is called while it is held.
     Only the polling thread writes `_state`. `switch_address` is thread-safe.
@@ -83,7 +83,7 @@
     def __init__(
         self, context: NodeContext, work_queues: WorkQueues, endpoint_cache: EndpointListCache
     ) -> None:
-        """Poll the address that the configuration names.
+        """Prepare to poll the address that the configuration names.
 
         Args:
             context: The context of the node.
@@ -235,8 +235,8 @@
         self._endpoint_cache.save_endpoints(listed)
         if not self._is_agent and listed.endpoints and self._call_interval > SIMULTANEOUS_CALL_INTERVAL:
             # A change answers the polls of all nodes at once, so their next polls are spread. The spread is
-            # below 200 ms, because nodes have to know what changes within that time of an answer: a node that
-            # polls later may use an endpoint that has gone.
+            # below 200 ms: another change may follow that soon, and a node that polls later than that may use
+            # an endpoint that has gone.
             self._work_queues.wait_for_poll_request(random.uniform(0, 1) * POLL_AGAIN_SPREAD)
 
     def _handle_failure(self, http: HttpClient, failure: CallFailure) -> bool:
--- a/tansyladder/node/event_counters.py
+++ b/tansyladder/node/event_counters.py
@@ -36,9 +36,9 @@
 class Count(StrEnum):
     """The names of the counts in a log line; ended attempts are counted by the names of `AttemptStatus`."""
 
-    ADOPTED = "adopted"  # connections that were established by an earlier process
+    ADOPTED = "adopted"  # connections that were established before this process started
     ATTEMPTS = "attempts"
-    CONNECTION_REPORTS = "connection_reports"  # of delays
+    CONNECTION_REPORTS = "connection_reports"  # of delays, by endpoints
     DISCOVERY_CALLS = "discovery_calls"
     DISCOVERY_CALLS_FAILED = "discovery_calls_failed"
     ESTABLISHED = "established"
@@ -89,7 +89,7 @@
         self._connections: Counter[int] = Counter()  # established ones, by endpoint
         self._attempts: Counter[int] = Counter()  # of this second, by endpoint
         self._failures: Counter[int] = Counter()  # attempts of this second that were not established
-        self._objective_deadlines: dict[int, int] = {}  # in microseconds, by request
+        self._objective_deadlines: dict[int, int] = {}  # in microseconds of Unix time, by request
         self._endpoint_of_request: dict[int, int] = {}  # for each established connection
 
     def use_classes(self, class_settings: Sequence[ClassSettings]) -> None:
@@ -114,10 +114,10 @@
     def count_event(self, event: Event, now_us: int) -> None:
         """Count an event that is passed to the policy."""
         match event:
-            case RequestReceived(request_id, class_number, _, deadline):
+            case RequestReceived(request_id, class_number, _, deadline_us):
                 self._counts[Count.RECONNECTS if event.is_reconnect else Count.REQUESTS] += 1
                 self._objective_deadlines[request_id] = (
-                    deadline
+                    deadline_us
                     - self._class_settings[class_number].deadline_us
                     + self._class_settings[class_number].latency_objective_us
                 )
--- a/tansyladder/node/existing_connections.py
+++ b/tansyladder/node/existing_connections.py
@@ -1,7 +1,7 @@
-"""Serves connections that were established before this process: adopted from its predecessor, or restored.
+"""Serves connections that were open before this process started: from its predecessor, or restored.
 
 The policy of this process did not choose their endpoints. It is notified of each connection once this process
-has established it.
+has both of its sockets.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
 
 
 class RestoredConnectionHandler(ExistingConnectionHandler):
-    """Reconnects a client to the endpoint that its connection had before this run."""
+    """Reconnects a client to the endpoint that its connection had before the node started."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
             self._answer(RequestOutcome.REJECTED, format_reject(RETRY_AFTER))
 
     def _connect(self, endpoint: EndpointAddress) -> ConnectResult:
-        """Make attempts until one succeeds, the deadline is reached, or the client or the node ends them."""
+        """Make attempts until one succeeds, the deadline is near, the client leaves or a drain rejects it."""
         while True:
             connector = UpstreamConnector(
                 endpoint,
--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -88,7 +88,7 @@
 
     @property
     def token_registry(self) -> Sized:
-        """The tokens of the sessions that this node owns; its size is their number."""
+        """The tokens of the sessions that this node owns; its size is the number of these sessions."""
 
     def offers_resumption(self, opening: Opening) -> bool:
         """Return whether a client's first line offers to resume its session later."""
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -56,7 +56,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether PING is answered with PONG; also after SIGTERM, as then the platform stops by itself."""
+        """Whether the state allows PONG; after SIGTERM too, as the platform then stops sending by itself."""
         return self._state is not NodeState.STANDBY
 
     @property
--- a/tansyladder/node/pending_connections.py
+++ b/tansyladder/node/pending_connections.py
@@ -117,7 +117,7 @@
         """Extend the deadlines to the front end's next line, after an answered PING."""
         self.last_line_at = arrived
         self.first_line_deadline = arrived + PING_IDLE_TIMEOUT
-        # The connection is closed later, as a request may arrive while our sending side is shut down.
+        # The close comes later than ERR, because a close with an unread request would send a reset.
         self.close_deadline = self.first_line_deadline + sockets.DRAIN_TIMEOUT
 
 
--- a/tansyladder/node/reload.py
+++ b/tansyladder/node/reload.py
@@ -38,7 +38,7 @@
             environ: The environment variables, which name the platform's file.
             context: The context of the node.
             discovery: The client to switch if discovery's address changes.
-            session_service: Gets the token keys; None if sessions can't be resumed.
+            session_service: Receives new token keys; None if sessions can't be resumed.
             options_path: The operator's settings file; None if none was named at the start.
         """
         self._environ = environ
@@ -83,7 +83,7 @@
             self._apply(reloaded, options)
 
     def _apply(self, reloaded: ReloadedConfig, options: Options) -> None:
-        """Apply a valid configuration."""
+        """Apply a valid configuration and the settings' token keys; log which changes need a restart."""
         config = reloaded.config
         ignored_keys = reloaded.restart_only_keys + restart_required_changes(self._running_options, options)
         if ignored_keys:
--- a/tansyladder/node/work_queues.py
+++ b/tansyladder/node/work_queues.py
@@ -37,7 +37,7 @@
         _enqueue(self.discovery_polls, is_polling)
 
     def wait_for_poll_request(self, timeout: timedelta) -> None:
-        """Wait for a request to poll discovery, which this removes, or until a timeout."""
+        """Wait until a request is in `discovery_polls`, and remove it; give up after a timeout."""
         with contextlib.suppress(queue.Empty):
             self.discovery_polls.get(timeout=timeout.total_seconds())
 
