--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -67,7 +67,7 @@
         self._admission = AdmissionControl(context, handover, session_service)
         services = ConnectionServices(context, handover, session_service)
         self._threads = ConnectionThreads(services, self._admission)
-        self._is_rejecting_all = False  # True: requests arrive too late to be served before the exit
+        self._is_rejecting_all = False  # True once requests arrive too late to be served before the exit
         # The port can be shared, so that a new process can listen if the old one does not answer it.
         self._listener = self._handover.request_listener() or socket.create_server(
             context.configuration.config.listen, backlog=LISTEN_BACKLOG, reuse_port=True
--- a/tansyladder/node/discovery_client.py
+++ b/tansyladder/node/discovery_client.py
@@ -119,7 +119,7 @@
 
     @property
     def _first_call_spread(self) -> timedelta:
-        """The time over which the nodes' first calls to a new address are spread; up to 4 s are allowed."""
+        """The time over which the first calls to a new address are spread; its list must be known in 4 s."""
         is_large_cluster = self._call_interval > SIMULTANEOUS_CALL_INTERVAL
         return MAX_RETRY_SPREAD if is_large_cluster else MIN_FIRST_CALL_SPREAD
 
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -56,7 +56,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the state allows PONG; after SIGTERM too, as the platform then stops sending by itself."""
+        """Whether the state allows PONG; also after SIGTERM, as the platform then stops sending clients."""
         return self._state is not NodeState.STANDBY
 
     @property
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -49,7 +49,7 @@
     """Runs one node's policy: passes events to it, dispatches its actions, and keeps its timers.
 
     Thread-safe. `_lock` guards the policy, timers, action queues and registries; sockets and files are used
-    outside it.
+    outside it, except for the log line of a `Log` action.
     """
 
     def __init__(
