--- a/tansyladder/assembly.py
+++ b/tansyladder/assembly.py
@@ -167,11 +167,11 @@
 def _join_cluster(node: Node, state_directory: str | None) -> None:
     """Join the cluster, whose nodes take over each other's sessions."""
     # Imported here, so that a node without peers does not load it.
-    from tansyladder.cluster.bootstrap import ClusterMember, join_cluster  # noqa: PLC0415
+    from tansyladder.cluster.bootstrap import ClusterJoinContext, join_cluster  # noqa: PLC0415
 
     if node.session_service is None:
         return  # excluded by the validation of the settings: peers require resumption
-    member = ClusterMember(
+    join_context = ClusterJoinContext(
         node.context,
         node.session_service,
         node.endpoint_cache,
@@ -180,6 +180,6 @@
         state_directory,
     )
     try:
-        join_cluster(member)
+        join_cluster(join_context)
     except (OSError, ValueError, ConfigError) as err:
         raise BadSettingsError(f"peers: {err}") from err
--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClusterMember:
+class ClusterJoinContext:
     """The objects that a process needs to join its node's cluster."""
 
     context: NodeContext
@@ -39,7 +39,7 @@
     state_directory: str | None  # this node's directory, which outlives the process; None if there is none
 
 
-def join_cluster(member: ClusterMember) -> None:
+def join_cluster(join_context: ClusterJoinContext) -> None:
     """Join the cluster now, or in a background thread once the previous process of this node has ended.
 
     The background thread logs the errors listed below; they are not raised to the caller.
@@ -48,51 +48,53 @@
         OSError, ValueError, ConfigError: The settings can't be used.
         StoreError: The store can't be read.
     """
-    if member.handover.is_predecessor_running:
-        threading.Thread(target=_join_after_predecessor, args=(member,), name="join", daemon=True).start()
+    if join_context.handover.is_predecessor_running:
+        threading.Thread(
+            target=_join_after_predecessor, args=(join_context,), name="join", daemon=True
+        ).start()
     else:
-        _join(member)
+        _join(join_context)
 
 
-def _join_after_predecessor(member: ClusterMember) -> None:
+def _join_after_predecessor(join_context: ClusterJoinContext) -> None:
     """Wait until the previous process has ended, then join; runs in the background thread."""
-    member.handover.wait_until_predecessor_exits()
+    join_context.handover.wait_until_predecessor_exits()
     try:
-        _join(member)
+        _join(join_context)
     except (OSError, ValueError, ConfigError, StoreError) as err:
         log(LogEvent.CLUSTER_JOIN_FAILED, error=err)
 
 
-def _join(member: ClusterMember) -> None:
+def _join(join_context: ClusterJoinContext) -> None:
     """Open the store, start Raft with it, and let the decision gate use the replicated documents."""
-    context = member.context
+    context = join_context.context
     documents = context.options.documents
-    store = _open_store(member)
+    store = _open_store(join_context)
     raft_runner = RaftRunner(
         context.configuration.config.name,
         context.options.peers,
-        NodeStorage(store, member.state_directory),
-        member.resumption_handler.on_ownership_claimed,
+        NodeStorage(store, join_context.state_directory),
+        join_context.resumption_handler.on_ownership_claimed,
         lambda: context.clock.micros(now()),
         _document_settings(documents),
     )
-    member.resumption_handler.join_peers(raft_runner)
+    join_context.resumption_handler.join_peers(raft_runner)
     replica = raft_runner.document_replica
     if replica is not None:
-        member.decision_gate.join(DocumentPublisher(raft_runner, replica, documents.decision_log))
+        join_context.decision_gate.join(DocumentPublisher(raft_runner, replica, documents.decision_log))
     raft_runner.start()
     log(LogEvent.CLUSTER_JOINED, has_store=store is not None)
 
 
-def _open_store(member: ClusterMember) -> Store | None:
+def _open_store(join_context: ClusterJoinContext) -> Store | None:
     """Open the store and start its maintenance; return None if it is disabled or can't be used."""
-    options = member.context.options.store
+    options = join_context.context.options.store
     if not options.enabled:
         return None
-    session_store = open_session_store(options.directory, member.context.configuration.config.name)
+    session_store = open_session_store(options.directory, join_context.context.configuration.config.name)
     if session_store is None:
         return None
-    member.endpoint_cache.attach(session_store)
+    join_context.endpoint_cache.attach(session_store)
     session_store.start()
     return session_store.store
 
--- a/tansyladder/cluster/decision_log.py
+++ b/tansyladder/cluster/decision_log.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class DecisionStamp(msgspec.Struct, frozen=True):
+class LoggedDecision(msgspec.Struct, frozen=True):
     """The document versions in force at the decision on a connection's first line; one JSON line."""
 
     timestamp_us: int = msgspec.field(name="at")  # Unix time by the node's clock
@@ -27,10 +27,10 @@
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
         self._descriptor = os.open(path, flags, 0o600)
 
-    def append(self, stamp: DecisionStamp) -> None:
+    def append(self, decision: LoggedDecision) -> None:
         """Append a line with a single write call, so that a killed process leaves only complete lines.
 
         Raises:
             OSError: The file can't be written.
         """
-        os.write(self._descriptor, msgspec.json.encode(stamp) + b"\n")
+        os.write(self._descriptor, msgspec.json.encode(decision) + b"\n")
--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tansyladder.cluster.decision_log import DecisionLog, DecisionStamp
+from tansyladder.cluster.decision_log import DecisionLog, LoggedDecision
 from tansyladder.cluster.document_replica import DocumentReplica
 from tansyladder.cluster.errors import DocumentChangeError
 from tansyladder.cluster.raft_runner import RaftRunner
@@ -62,7 +62,7 @@
         if connection_id and is_allowed and self._decision_log is not None:
             in_force = {name: lease.version_at(name, now_us) for name in lease.versions}
             numbers = {name: version.number for name, version in in_force.items() if version is not None}
-            self._decision_log.append(DecisionStamp(now_us, connection_id, numbers))
+            self._decision_log.append(LoggedDecision(now_us, connection_id, numbers))
         return is_allowed
 
     def describe(self) -> str:
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -182,13 +182,13 @@
         """Return the result of a change, or None if this node hasn't applied an entry that decides it."""
         return self._documents.results.get(idempotency_key)
 
-    def wait_for_result(self, idempotency_key: str, until: timedelta) -> ChangeResult | None:
-        """Wait for the result of a change; return None if there is none at `until` (by `net.clock.now`)."""
+    def wait_for_result(self, idempotency_key: str, deadline: timedelta) -> ChangeResult | None:
+        """Wait for the result of a change; return None if there is none by a time of `net.clock.now`."""
         while True:
             result = self.result(idempotency_key)
-            if result is not None or now() >= until:
+            if result is not None or now() >= deadline:
                 return result
-            threading.Event().wait(min(RESULT_POLL_INTERVAL.total_seconds(), seconds_left(until)))
+            threading.Event().wait(min(RESULT_POLL_INTERVAL.total_seconds(), seconds_left(deadline)))
 
     # --- called by the Raft thread only
 
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -160,7 +160,7 @@
         request_id = self._pending_results.new_request_id()
         self._enqueue(self._name, ProposalRequest(request_id, msgspec.msgpack.encode(command)))
 
-    def decide_ownership(
+    def propose_ownership(
         self, command: OwnershipClaim | ClaimConfirmation, deadline: timedelta
     ) -> ClaimResult | None:
         """Propose a claim or confirmation of the ownership of a session, and return its result.
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -12,7 +12,7 @@
 import msgspec
 import numpy
 
-from tansyladder.cluster.decision_log import DecisionStamp
+from tansyladder.cluster.decision_log import LoggedDecision
 from tansyladder.lab.chaos import checkers
 from tansyladder.lab.chaos import history as histories
 from tansyladder.lab.chaos.cluster import ChaosCluster, running_cluster
@@ -318,18 +318,18 @@
     if not path.exists():
         return []
     lines = path.read_bytes().split(b"\n")[:-1]
-    stamps = [msgspec.json.decode(line, type=DecisionStamp) for line in lines]
+    decisions = [msgspec.json.decode(line, type=LoggedDecision) for line in lines]
     return [
         Event(
             0,
             Party.NODE,
             EventKind.REQUEST_DECIDED,
-            connection_id=stamp.connection_id,
+            connection_id=decision.connection_id,
             node=node,
             label=name,
             number=version,
-            decided_at_us=stamp.timestamp_us,
+            decided_at_us=decision.timestamp_us,
         )
-        for stamp in stamps
-        for name, version in (stamp.numbers or {DOCUMENT: 0}).items()
+        for decision in decisions
+        for name, version in (decision.numbers or {DOCUMENT: 0}).items()
     ]
--- a/tansyladder/raft/commits.py
+++ b/tansyladder/raft/commits.py
@@ -30,7 +30,7 @@
         """The last entry that is known to be committed."""
         return CommitPosition(self.commit_index, self._state.log.term_at(self.commit_index))
 
-    def learn(self, position: CommitPosition) -> None:
+    def observe_commit(self, position: CommitPosition) -> None:
         """Commit up to an entry that another node knows to be committed, if this log holds that entry.
 
         The position arrives with votes, because voters may differ in the disk admissions that they know to
--- a/tansyladder/raft/elections.py
+++ b/tansyladder/raft/elections.py
@@ -46,7 +46,7 @@
             # (section 4.2.3 of the thesis).
             self._respond(sender, request, granted=False)
             return
-        self._commits.learn(request.committed)
+        self._commits.observe_commit(request.committed)
         if not request.pre_vote and request.term > state.term:
             state.become_follower(request.term, "")
         granted = self._may_grant(sender, request)
@@ -59,7 +59,7 @@
         """Count a vote, or a pre-vote, of the current election."""
         state = self._state
         self._disks.observe(sender, response.disk_id)
-        self._commits.learn(response.committed)
+        self._commits.observe_commit(response.committed)
         if not response.granted:
             if response.term > state.term:
                 state.become_follower(response.term, "")
--- a/tansyladder/raft/leader.py
+++ b/tansyladder/raft/leader.py
@@ -150,7 +150,7 @@
         if len(match_indexes) < majority:
             return
         index = sorted(match_indexes, reverse=True)[majority - 1]
-        if index > self._commits.commit_index and self._is_of_own_term(index):
+        if index > self._commits.commit_index and self._is_from_current_term(index):
             self._commits.commit_to(index)
 
     def _trusted_match_index(self, voter: str) -> int:
@@ -159,7 +159,7 @@
             return self._state.log.last_index
         return self._progress[voter].trusted_match_index
 
-    def _is_of_own_term(self, index: int) -> bool:
+    def _is_from_current_term(self, index: int) -> bool:
         """Whether the entry at an index is from the current term, in which this node leads."""
         return self._state.log.entry(index).term == self._state.term
 
--- a/tansyladder/replication/document_messages.py
+++ b/tansyladder/replication/document_messages.py
@@ -29,12 +29,12 @@
 
 
 class ValidationVote(msgspec.Struct, frozen=True, array_like=True, tag="verdict"):
-    """A node's vote on a change: it has stored and accepted the content, or rejects it with a `fault`."""
+    """A node's vote on a change: it has stored and accepted the content, or rejects it with a reason."""
 
     number: int
     node: str
     timestamp_us: int
-    fault: str = ""
+    validation_error: str = ""
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="arm"):
@@ -134,7 +134,7 @@
 
     name: ChangeStepName
     number: int
-    detail: str  # the fault or the reason; empty if there is none
+    detail: str  # the validation error or the reason; empty if there is none
 
 
 def change_step(command: object) -> ChangeStep | None:
@@ -144,7 +144,7 @@
     """
     match command:
         case ValidationVote():
-            return ChangeStep(ChangeStepName.VOTE, command.number, command.fault)
+            return ChangeStep(ChangeStepName.VOTE, command.number, command.validation_error)
         case Prepare():
             return ChangeStep(ChangeStepName.PREPARE, command.number, "")
         case Commit():
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -292,8 +292,8 @@
 
     def _apply_validation_vote(self, change: PendingChange, vote: ValidationVote) -> ChangeResult:
         """Record an acceptance, or abort the change at the first rejection."""
-        if vote.fault:
-            reason = f"{node_name(vote.node)}: {vote.fault}"
+        if vote.validation_error:
+            reason = f"{node_name(vote.node)}: {vote.validation_error}"
             result = ChangeResult(ChangeOutcome.REJECTED, change.number, reason)
             return self._finish_change(change, ChangePhase.ABORTED, result)
         change.accepted_by.add(vote.node)
--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -48,7 +48,7 @@
     def propose(self, command: SessionOpened) -> None:
         """Propose a command without waiting for the decision; the command may be lost without harm."""
 
-    def decide_ownership(
+    def propose_ownership(
         self, command: OwnershipClaim | ClaimConfirmation, deadline: timedelta
     ) -> ClaimResult | None:
         """Return the cluster's decision on a command, or None if it is not known by the deadline."""
@@ -98,7 +98,7 @@
             period.until_us,
             next(self._request_numbers),
         )
-        result = self._service.decide_ownership(claim, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT))
+        result = self._service.propose_ownership(claim, min(deadline - ANSWER_MARGIN, now() + CLAIM_TIMEOUT))
         if result is None or (not result.epoch and result.reason in TEMPORARY_REASONS):
             raise ResumeRejectedError(RETRY_SOON_LINE)
         if not result.epoch:
@@ -127,7 +127,7 @@
             next(self._request_numbers),
         )
         deadline = min(client.deadline - ANSWER_MARGIN, now() + CONFIRMATION_TIMEOUT)
-        result = self._service.decide_ownership(confirmation, deadline)
+        result = self._service.propose_ownership(confirmation, deadline)
         is_late = now() > client.deadline or sockets.is_disconnected(client.sock)
         if result is None or (result.epoch and is_late):
             self._release(confirmation.releasing(current_floor, next(self._request_numbers)))
@@ -174,7 +174,7 @@
         deadline = self._clock.moment(confirmation.token_expiry_us)
         while now() < deadline:
             attempt_deadline = min(deadline, now() + RELEASE_ATTEMPT_TIMEOUT)
-            if self._service.decide_ownership(confirmation, attempt_deadline) is not None:
+            if self._service.propose_ownership(confirmation, attempt_deadline) is not None:
                 break
             time.sleep(random.uniform(*RELEASE_PAUSE_S))
         self._finish_release()
--- a/tests/formats/test_handover_formats.py
+++ b/tests/formats/test_handover_formats.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from tansyladder.cluster.decision_log import DecisionStamp
+from tansyladder.cluster.decision_log import LoggedDecision
 from tansyladder.config.platform import Address, EndpointEntry, EndpointList
 from tansyladder.net.handover_messages import (
     BytesByDirection,
@@ -53,7 +53,9 @@
     partial_lines=BytesByDirection(to_client=b"", to_upstream=b""),
     pending_lines=BytesByDirection(to_client=b"", to_upstream=b""),
 )
-STAMP = DecisionStamp(timestamp_us=1_790_000_000_000_000, connection_id="9b1f", numbers={"note": 3})
+LOGGED_DECISION = LoggedDecision(
+    timestamp_us=1_790_000_000_000_000, connection_id="9b1f", numbers={"note": 3}
+)
 
 
 def written(name: str) -> bytes:
@@ -69,10 +71,10 @@
     assert msgspec.json.encode(IDLE_CONNECTION) == written("connection_idle")
 
 
-def test_a_decision_stamp_decodes_to_its_values_and_encodes_to_the_same_bytes() -> None:
-    """A decision stamp is one line of the decision log."""
-    assert msgspec.json.decode(written("stamp"), type=DecisionStamp) == STAMP
-    assert msgspec.json.encode(STAMP) == written("stamp")
+def test_a_logged_decision_decodes_to_its_values_and_encodes_to_the_same_bytes() -> None:
+    """A logged decision is one line of the decision log."""
+    assert msgspec.json.decode(written("stamp"), type=LoggedDecision) == LOGGED_DECISION
+    assert msgspec.json.encode(LOGGED_DECISION) == written("stamp")
 
 
 @contextmanager
--- a/tests/formats/test_message_formats.py
+++ b/tests/formats/test_message_formats.py
@@ -138,7 +138,7 @@
     ),
     "validation_vote_yes": ValidationVote(number=12, node="n1/aa", timestamp_us=TIME + 13),
     "validation_vote_no": ValidationVote(
-        number=12, node="n1/aa", timestamp_us=TIME + 13, fault="note: not UTF-8"
+        number=12, node="n1/aa", timestamp_us=TIME + 13, validation_error="note: not UTF-8"
     ),
     "prepare": Prepare(number=14, node="n1/aa", timestamp_us=TIME + 15, short_lease_us=300_000),
     "prepared": Prepared(number=16, round=2, node="n1/aa", timestamp_us=TIME + 17),
--- a/tests/formats/writers.py
+++ b/tests/formats/writers.py
@@ -208,7 +208,7 @@
         node="n1/aa",
         timestamp_us=NOW + 7,
     ),
-    ValidationVote(number=2, node="n1/aa", timestamp_us=NOW + 8, fault="other: no such document"),
+    ValidationVote(number=2, node="n1/aa", timestamp_us=NOW + 8, validation_error="other: no such document"),
     Proposal(
         name="note",
         digest=SECOND_NOTE_DIGEST,
--- a/tests/simulation/documents_without_guards.py
+++ b/tests/simulation/documents_without_guards.py
@@ -57,7 +57,7 @@
     """Counts a rejection as an acceptance."""
 
     def _apply_validation_vote(self, change: PendingChange, vote: ValidationVote) -> ChangeResult:
-        return super()._apply_validation_vote(change, msgspec.structs.replace(vote, fault=""))
+        return super()._apply_validation_vote(change, msgspec.structs.replace(vote, validation_error=""))
 
 
 class DocumentsWithoutAcceptanceWait(Documents):
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -131,7 +131,7 @@
 class LeaderCommittingEarlierTerms(LeaderReplication):
     """Commits entries of earlier terms directly, without an entry of its own term (5.4.2)."""
 
-    def _is_of_own_term(self, index: int) -> bool:  # noqa: ARG002 - treats an entry of any term as its own
+    def _is_from_current_term(self, index: int) -> bool:  # noqa: ARG002 - treats an entry of any term as its own
         return True
 
 
@@ -187,7 +187,7 @@
 class CommittedLogWithoutExchange(CommittedLog):
     """Ignores the commit positions in votes, so that other nodes may never count an admitted voter."""
 
-    def learn(self, position: CommitPosition) -> None:
+    def observe_commit(self, position: CommitPosition) -> None:
         pass
 
 
