--- a/tansyladder/cluster/document_publisher.py
+++ b/tansyladder/cluster/document_publisher.py
@@ -78,7 +78,7 @@
         return msgspec.json.encode(described).decode()
 
     def publish(self, document: str, idempotency_key: str, path: str) -> str:
-        """Start a thread that changes a document to the content of a file; return the present outcome.
+        """Start a thread that changes a document to the content of a file; return `under way`.
 
         A key that this node has already published doesn't start another change.
 
--- a/tansyladder/cluster/document_replica.py
+++ b/tansyladder/cluster/document_replica.py
@@ -1,7 +1,8 @@
 """The replicated documents at one node: their contents on its disk, its lease, and its votes on changes.
 
 The Raft thread calls `step` after each step of the Raft node, before it sends the messages of that step, so
-that a shortened lease is published first. A `ContentWorker` validates and writes contents in its own thread.
+that the threads that make decisions see a shortened lease first. A `ContentWorker` validates and writes
+contents in its own thread.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 URGENT_RENEWAL_INTERVAL_US = 150 * MILLISECOND_US  # while a change is pending, or the lease ends within 1 s
 BUSY_STEP_INTERVAL_US = 50 * MILLISECOND_US  # the maximum time between two steps in those cases
 IDLE_STEP_INTERVAL_US = 1 * SECOND_US  # the maximum time between two steps otherwise
-# How long a content proposed by this node is retained before the log contains its change.
+# How long a content proposed by this node is retained while the log doesn't contain its change.
 PROPOSED_CONTENT_RETENTION_US = 90 * SECOND_US
 RESULT_POLL_INTERVAL = timedelta(milliseconds=10)
 MAX_REPORTED_NAME = 40  # characters of an unknown document name in an error message
@@ -251,5 +252,5 @@
         versions = {name: self._documents.versions(name) for name in self._documents.names()}
         newest = [known[-1] for known in versions.values()]
         has_all = self._contents.has_all(newest, now_us)
-        # A node that lacks the content of a known version can't decide under it, so it publishes no lease.
+        # A node can't decide under a version whose content it lacks, so it then publishes no lease.
         self._lease = DocumentLease(self._lease_holder.lease_end_us() if has_all else 0, versions)
--- a/tansyladder/cluster/errors.py
+++ b/tansyladder/cluster/errors.py
@@ -21,11 +21,11 @@
 
 
 class PeerProtocolError(PeerError):
-    """The received data is not a valid message of the protocol."""
+    """The received data is not a valid frame or message of the protocol."""
 
 
 class PeerRejectedError(PeerError):
-    """The other end has a different cluster, protocol version or key, or its clock differs too much."""
+    """The other end has a wrong name, cluster, protocol version or key, or its clock differs too much."""
 
 
 class DocumentRejectedError(ClusterError, ValueError):
--- a/tansyladder/cluster/peer_handshake.py
+++ b/tansyladder/cluster/peer_handshake.py
@@ -28,7 +28,7 @@
 MAX_GREETING_BYTES = 1 << 10
 HANDSHAKE_TIMEOUT = timedelta(seconds=2)
 MAX_CLOCK_SKEW = timedelta(seconds=2)  # between two nodes, because commands contain wall-clock expiries
-MIN_RECEIVE_TIMEOUT_SECONDS = 0.01
+MIN_RECEIVE_TIMEOUT_SECONDS = 0.01  # a timeout of 0 would make the socket non-blocking
 MAX_LOGGED_NAME = 40  # characters that are logged of a name received from an unauthenticated node
 
 
@@ -105,7 +105,7 @@
         other = _receive_greeting(sock, deadline)
         self._check(other)
         if other.sender != peer or not hmac.compare_digest(other.proof, self.proof(b"listener", own, other)):
-            raise PeerRejectedError(f"a wrong key, or another node than {peer!r} has answered")
+            raise PeerRejectedError(f"a wrong key or node: {other.sender!r} answered, {peer!r} was expected")
         _send_greeting(sock, replace(own, proof=self.proof(b"dialler", own, other)))
         return PeerChannel(sock, peer, self.proof(b"frames", own, other), ConnectionSide.DIALLER)
 
@@ -147,7 +147,10 @@
         if not is_own_cluster or greeting.recipient != self._name:
             cluster = greeting.cluster[:MAX_LOGGED_NAME]
             recipient = greeting.recipient[:MAX_LOGGED_NAME]
-            raise PeerRejectedError(f"version {greeting.version}, fleet {cluster!r}, for {recipient!r}")
+            raise PeerRejectedError(
+                f"greeting of version {greeting.version} in cluster {cluster!r} for {recipient!r}: expected "
+                f"version {PROTOCOL_VERSION}, {self._cluster!r}, {self._name!r}"
+            )
         if greeting.sender not in self._peers or len(greeting.nonce) != NONCE_BYTES:
             raise PeerRejectedError(
                 f"unknown name {greeting.sender[:MAX_LOGGED_NAME]!r}, "
--- a/tansyladder/cluster/peer_transport.py
+++ b/tansyladder/cluster/peer_transport.py
@@ -58,7 +58,7 @@
         self.connections_rejected += 1
 
     def count_rejected_peer(self) -> None:
-        """Count a rejected peer."""
+        """Count an accepted connection that failed its handshake or sent an invalid message."""
         self.peers_rejected += 1
 
     def count_received(self, message_bytes: int) -> None:
@@ -83,14 +83,12 @@
         """Listen for peers; `start` begins to accept and to dial.
 
         Args:
-            name: This node's name.
-            options: The settings of the cluster.
+            name, options: This node's name, and the settings of the cluster.
             on_message: Called with the sender and the message for each received message; it must not block.
             now_us: Returns Unix time in microseconds.
 
         Raises:
-            OSError: The node can't listen at its address.
-            ClusterConfigurationError, ConfigError: The settings are invalid.
+            OSError, ClusterConfigurationError, ConfigError: The node can't listen; the settings are invalid.
         """
         addresses = {
             member: parse_address(text, f"peers.members.{member}") for member, text in options.members.items()
@@ -146,11 +144,7 @@
             self.counters.count_dropped_message()
 
     def _start_thread(self, name: str, function: Callable[[], None]) -> None:
-        """Start a daemon thread; `stop` waits for its end.
-
-        Raises:
-            RuntimeError: The system can't start a thread.
-        """
+        """Start a daemon thread, for which `stop` waits; raise RuntimeError if the system can't start it."""
         thread = threading.Thread(target=function, name=name, daemon=True)
         thread.start()
         with self._lock:
@@ -235,11 +229,7 @@
             log(LogEvent.PEER_DISCONNECTED, peer=channel.peer, dropped_messages=dropped)
 
     def _register(self, channel: PeerChannel) -> None:
-        """Use a channel for its peer, and close the earlier channel of the same peer if there is one.
-
-        Raises:
-            OSError: The transport is stopping.
-        """
+        """Use a channel for its peer and close an earlier one; raise OSError if the transport is stopping."""
         with self._lock:
             if self._stop_requested.is_set():
                 raise ConnectionAbortedError("the transport is stopping")
@@ -255,12 +245,7 @@
                 del self._channels[channel.peer]
 
     def _receive(self, channel: PeerChannel) -> None:
-        """Receive one message.
-
-        Raises:
-            OSError: The connection has ended.
-            PeerError: The message is invalid.
-        """
+        """Receive one message; raise OSError if the connection has ended, PeerError if data is invalid."""
         data = channel.receive()
         self.counters.count_received(len(data))
         try:
--- a/tansyladder/cluster/raft_runner.py
+++ b/tansyladder/cluster/raft_runner.py
@@ -52,7 +52,7 @@
     """Where the node keeps the state that must outlive the process."""
 
     store: Store | None  # with None, the state of Raft is lost when the process ends
-    state_directory: str | None  # contains the rollback detector's file
+    state_directory: str | None  # has the rollback detector's file; with None, each restart suspects the disk
 
 
 class RaftStatus(NamedTuple):
@@ -62,7 +62,7 @@
     term: int
     leader: str
     is_voting: bool
-    stale_disk_suspected: bool  # a suspected node doesn't vote; a node without a vote need not be suspected
+    stale_disk_suspected: bool  # one of several reasons why a node doesn't vote
 
     @classmethod
     def of(cls, node: RaftNode) -> RaftStatus:
@@ -121,8 +121,8 @@
         Args:
             name: This node's name.
             options, storage: The settings of the cluster, and the storage that outlives the process.
-            on_ownership_claimed: Called with the session, epoch and owner of each accepted claim; it must not
-                block.
+            on_ownership_claimed: Called with the session, epoch and owner of each accepted claim and each
+                restored record; it must not block.
             now_us: Returns Unix time in microseconds.
             documents: The settings of replicated documents; None if this cluster replicates none.
 
--- a/tansyladder/cluster/raft_storage.py
+++ b/tansyladder/cluster/raft_storage.py
@@ -70,8 +70,8 @@
     Without a store the state is lost when the process ends.
 
     Each write is counted, both on the disk and in the rollback detector's file. If the disk's count is lower
-    than that of the file, or there is no file, the disk may be an older copy of itself. If an entry in the
-    middle of the log is missing, the disk has lost data. In both cases the disk is suspected to be stale
+    than that of the file, or there is no valid file, the disk may be an older copy of itself. If an entry in
+    the middle of the log is missing, the disk has lost data. In both cases the disk is suspected to be stale
     (`HardState.stale_disk_suspected`).
     """
 
@@ -124,7 +124,7 @@
         self._rollback_detector.record(self._disk_id, self._write_count)
 
     def _check_for_rollback(self, hard_state: HardState, records: Records) -> HardState:
-        """Return the hard state, suspected to be stale unless the disk is shown to be the newest."""
+        """Return the hard state; suspect the disk unless it is new, or complete and shown to be newest."""
         end_of_log = log_entry_key(self._last_index)
         has_all_entries = all(key <= end_of_log for key in records if key.startswith(LOG_KEY_PREFIX))
         is_newest = self._rollback_detector.is_newest(hard_state.disk_id, self._write_count)
--- a/tansyladder/cluster/rollback_detector.py
+++ b/tansyladder/cluster/rollback_detector.py
@@ -69,7 +69,7 @@
             if self._file_descriptor is None:
                 flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
                 self._file_descriptor = os.open(self._path, flags, 0o600)
-            # Overwrite in place with a fixed size, as the system may flush a file that is truncated first.
+            # Overwrite in place: if the file were truncated first, the system might flush it to the disk.
             os.pwrite(self._file_descriptor, data.ljust(RECORD_FILE_BYTES), 0)
         except OSError as err:
             log(LogEvent.DISK_WITNESS_FAILED, error=err)
--- a/tansyladder/raft/commits.py
+++ b/tansyladder/raft/commits.py
@@ -15,7 +15,7 @@
     def __init__(
         self, state: NodeState, admission: DiskAdmission, snapshots: Snapshots, state_machine: StateMachine
     ) -> None:
-        """Load the snapshot, and apply the entries after it that are known to be committed."""
+        """Load the snapshot, and apply the entries up to the last disk admission known to be committed."""
         self._state = state
         self._admission = admission
         self._snapshots = snapshots
@@ -34,8 +34,8 @@
         """Commit up to an entry that another node knows to be committed, if this log holds that entry.
 
         The position arrives with votes, because voters may differ in the disk admissions that they know to
-        be committed. A voter whose new disk was admitted has seen the commit of its admission; another voter
-        may hold that entry without having seen its commit, and would not count the vote of the first one.
+        be committed. A voter whose new disk was admitted knows that its admission is committed. Another voter
+        may hold the entry of that admission without knowing this, and wouldn't count the first one's vote.
         """
         log = self._state.log
         is_new = self.commit_index < position.index <= log.last_index
--- a/tansyladder/raft/disk_admission.py
+++ b/tansyladder/raft/disk_admission.py
@@ -1,7 +1,8 @@
 """Handshakes, and the admission of disks that may have lost votes or log entries.
 
-Raft's safety depends on the votes and log entries that each voter has stored on its disk. A disk has a name,
-drawn when its store is created. A voter votes and counts towards majorities only on its admitted disk.
+Raft's safety depends on the votes and log entries that each voter has stored on its disk. A disk has a
+random name, generated when its store is created. A voter votes and counts towards majorities only on its
+admitted disk.
 
 Initial disks: when the cluster is founded, the first voter records the disk of each voter, once all other
 voters have replied to its handshake. These disks are admitted until the log admits others.
@@ -12,16 +13,17 @@
 Any leader that a lost vote may have helped to elect, and any entry that the lost disk may have helped to
 commit, is known to at least one voter of that majority.
 
-Stale disks: a disk may also be an older copy of itself, with the same name. Unless the caller can show that
-it is the newest copy, it is suspected to be stale (`HardState.stale_disk_suspected`): the node grants no
-votes, and the entries that it holds don't count towards commits. The suspicion ends in one of two ways:
+Stale disks: a disk may also be an older copy of itself, with the same name. Unless the caller that
+creates the node can show that it is the newest copy, it is suspected to be stale
+(`HardState.stale_disk_suspected`): the node neither grants votes nor starts elections, and the entries that
+it holds don't count towards commits. The suspicion ends in one of two ways:
 
 1. An entry of the log admits the disk, as described above.
 2. All other voters have replied to a handshake of this start with their terms and the ends of their logs.
    Then no vote that the node may have granted before is in a term above the highest of these terms, and no
    entry that it may have acknowledged is beyond the most up-to-date of these logs. The node therefore votes
    only in later terms, and only for candidates whose logs are at least as up to date as that log. Messages
-   that it sent before this start may still arrive and be counted; the same reports cover them.
+   that it sent before this start may still arrive and be counted; the replies cover them too.
 """
 
 from __future__ import annotations
@@ -39,7 +41,7 @@
 
     voter: str
     disk_id: str
-    incarnation: str  # identifies the admitted start; a later start may suspect the disk again
+    incarnation: str  # the voter's start at which the disk was admitted; a later one may suspect it
 
     def to_entry(self, term: int) -> LogEntry:
         """Encode the admission as an entry of a term."""
@@ -77,7 +79,7 @@
             self._end_suspicion()
 
     def on_handshake(self, sender: str, handshake: Handshake) -> None:
-        """Record the sender's disk and incarnation, and reply if the sender lacks this node's data."""
+        """Record the sender's disk and incarnation, and reply if it wants one or lacks this node's data."""
         state = self._state
         self._disks.observe(sender, handshake.disk_id)
         self._peer_incarnations[sender] = handshake.incarnation
--- a/tansyladder/raft/elections.py
+++ b/tansyladder/raft/elections.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, and the election restriction."""
+"""Elections: pre-votes, votes, and the election restriction; `node` cites the thesis."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     def __init__(
         self, state: NodeState, disks: VoterDisks, commits: CommittedLog, leader: LeaderReplication
     ) -> None:
-        """Start without an election; `leader` begins a term once this node is elected."""
+        """Start without an election; `leader` takes over once this node is elected."""
         self._state = state
         self._disks = disks
         self._commits = commits
@@ -30,7 +30,7 @@
         return self._disks.is_voting and state.log.last_position >= state.hard_state.vote_floor
 
     def tick(self) -> None:
-        """Request pre-votes once the election timeout has expired; a leader must not call this."""
+        """Request pre-votes once the election timeout has expired; not to be called while this node leads."""
         state = self._state
         if state.now >= state.election_at:
             state.reset_election_timer()
@@ -76,7 +76,7 @@
         return state.role is Role.LEADER or state.now - state.leader_contact_at < ELECTION_TIMEOUT
 
     def _may_grant(self, sender: str, request: RequestVote) -> bool:
-        """Whether this node's vote is free, and the candidate's log has all entries that may be committed."""
+        """Whether this node can still vote for the sender, and its log has all that may be committed."""
         state = self._state
         if not self._disks.is_voting or request.term < state.term:
             return False
@@ -127,7 +127,7 @@
         self._count_votes()
 
     def _count_votes(self) -> None:
-        """Begin the election after a won pre-vote, or the term after a won election."""
+        """Once a majority has voted for this node, start the election after a pre-vote, or lead the term."""
         if not self._disks.has_majority(self._votes):
             return
         if self._state.role is Role.PRE_CANDIDATE:
--- a/tansyladder/raft/follower.py
+++ b/tansyladder/raft/follower.py
@@ -53,7 +53,7 @@
         return True
 
     def _append(self, first_index: int, entries: tuple[LogEntry, ...]) -> None:
-        """Replace this log's entries from the first one that is missing or has another term."""
+        """Replace this log from the first index where it lacks the given entry or has one of another term."""
         log = self._state.log
         for index, entry in enumerate(entries, first_index):
             if index > log.last_index or log.term_at(index) != entry.term:
--- a/tansyladder/raft/leader.py
+++ b/tansyladder/raft/leader.py
@@ -1,4 +1,7 @@
-"""The leader's side of replication: sends entries, counts acknowledgments and commits entries."""
+"""The leader's side of replication: sends entries, counts acknowledgments and commits entries.
+
+`node` cites the thesis.
+"""
 
 from __future__ import annotations
 
@@ -20,10 +23,10 @@
     """The progress of replication to one other node, as the leader knows it."""
 
     next_index: int  # index of the entry to send next
-    last_contact_at: int  # when its last response arrived, or when the term began
+    last_contact_at: int  # when its last response arrived; at first, when this node became leader
     match_index: int = 0  # the node's log is known to agree with the leader's up to this index
     trusted_match_index: int = 0  # like `match_index`, without acknowledgments from a suspected disk
-    disk_id: str = ""  # the disk that holds the node's log
+    disk_id: str = ""  # the disk that holds the node's log; empty before its first response
 
     def observe(self, response: AppendEntriesResponse, now: int) -> None:
         """Record the contact; a response from another disk invalidates the indexes of the earlier one."""
@@ -62,7 +65,7 @@
         self._commits = commits
         self._snapshots = snapshots
         self._progress: dict[str, PeerProgress] = {}
-        self._proposed_admissions: dict[str, str] = {}  # the incarnation that an entry admits, by voter
+        self._proposed_admissions: dict[str, str] = {}  # proposed in this term: incarnation by voter
         self._has_unsent_entries = False  # appended in this step; `end_step` sends them together
 
     def begin_term(self) -> None:
@@ -76,7 +79,7 @@
         self.append(LogEntry(state.term))
 
     def tick(self) -> None:
-        """Step down without contact to a majority (thesis, section 6.2); send heartbeats that are due."""
+        """Step down if no majority is in contact (section 6.2 of the thesis), else send due heartbeats."""
         state = self._state
         if not self.has_quorum_contact():
             # This node may be partitioned. Its clients must learn at once that it can't commit.
@@ -154,7 +157,7 @@
             self._commits.commit_to(index)
 
     def _trusted_match_index(self, voter: str) -> int:
-        """Return the last index that a voter, which may be this node, durably holds."""
+        """Return the last index that a voter holds durably, or, for this node, after this step's sync."""
         if voter == self._state.name:
             return self._state.log.last_index
         return self._progress[voter].trusted_match_index
--- a/tansyladder/raft/log.py
+++ b/tansyladder/raft/log.py
@@ -76,9 +76,9 @@
         return snapshot
 
     def install(self, snapshot: Snapshot) -> LogSuffix:
-        """Install a leader's snapshot; keep the entries after it if the log matches it at its last entry."""
-        agrees = snapshot.index < self.last_index and self.term_at(snapshot.index) == snapshot.term
-        remaining = self._entries[snapshot.index - self._snapshot.index :] if agrees else []
+        """Install a leader's snapshot; keep the entries after it if this log has its last entry."""
+        is_consistent = snapshot.index < self.last_index and self.term_at(snapshot.index) == snapshot.term
+        remaining = self._entries[snapshot.index - self._snapshot.index :] if is_consistent else []
         self._snapshot = snapshot
         self._entries = remaining
         return LogSuffix(snapshot.index + 1, tuple(remaining))
--- a/tansyladder/raft/messages.py
+++ b/tansyladder/raft/messages.py
@@ -31,7 +31,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; `request_id` is chosen by the node that proposed the entry."""
+    """One entry of the log; a command's `request_id` is chosen by the node that proposed it."""
 
     term: int
     kind: EntryKind = EntryKind.NO_OP
@@ -82,7 +82,10 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
-    """The response to `RequestVote`; `disk_id` is the disk on which the sender votes."""
+    """The response to `RequestVote`; `disk_id` is the disk on which the sender votes.
+
+    `term` is that of the request if the vote is granted, else the sender's own.
+    """
 
     term: int
     granted: bool
--- a/tansyladder/raft/node.py
+++ b/tansyladder/raft/node.py
@@ -86,7 +86,7 @@
         """
         if not persisted.hard_state.disk_id:
             raise ValueError(
-                f"disk_id of node {membership.name}: expected the disk's name, found an empty text"
+                f"disk_id of node {membership.name}: expected the disk's name, found an empty string"
             )
         incarnation = f"{rng.getrandbits(64):016x}"
         self._state = NodeState(membership, persisted, rng, now)
@@ -152,7 +152,7 @@
 
     @property
     def next_deadline(self) -> int:
-        """When `handle` has to be called at the latest, even without a message, in microseconds."""
+        """The latest time at which to call `handle`, even without a message, in microseconds."""
         timer = self._leader.heartbeat_at if self.role is Role.LEADER else self._state.election_at
         return min(timer, self._admission.next_handshake_at)
 
--- a/tansyladder/raft/node_state.py
+++ b/tansyladder/raft/node_state.py
@@ -80,8 +80,8 @@
         self.role = Role.FOLLOWER
         self.leader = ""  # the leader of the term; empty if none is known
         self.now = now
-        self.leader_contact_at = now - 2 * ELECTION_TIMEOUT  # when a leader's last message arrived
-        self.election_at = 0  # when an election starts without a leader's contact
+        self.leader_contact_at = now - 2 * ELECTION_TIMEOUT  # of a leader's last message; at first, long ago
+        self.election_at = 0  # when to request pre-votes; postponed by a leader's message or a granted vote
         self.outbox = Outbox(self.name)
         self.pending_proposals = PendingProposals(self.outbox)
         self._rng = rng
--- a/tansyladder/raft/persistent_state.py
+++ b/tansyladder/raft/persistent_state.py
@@ -31,7 +31,8 @@
 
     Attributes:
         term: The latest term that the node has seen.
-        voted_for: The candidate for which this node voted in `term`; empty if it hasn't voted.
+        voted_for: The candidate for which this node voted in `term`; empty if it hasn't voted, and
+            `UNKNOWN_CANDIDATE` if it may have voted but lost the record.
         disk_id: The name of this disk, generated when its store was created.
         initial_disks: The disk that each voter had when the cluster was founded, by voter; empty until known.
         committed_admission_index: The index of the newest disk admission that is known to be committed.
--- a/tansyladder/raft/proposals.py
+++ b/tansyladder/raft/proposals.py
@@ -21,7 +21,7 @@
         self._leader = leader
 
     def on_proposal(self, sender: str, request: ProposalRequest) -> None:
-        """Append a proposal if this node leads; else forward it if it is this node's own, or reject it."""
+        """Append a proposal as the leader, or forward this node's own to the leader; otherwise reject it."""
         state = self._state
         if state.role is Role.LEADER:
             if state.log.last_index - self._commits.commit_index < MAX_UNCOMMITTED_ENTRIES:
--- a/tansyladder/raft/timing.py
+++ b/tansyladder/raft/timing.py
@@ -1,4 +1,4 @@
 """Durations of the protocol, in integer microseconds."""
 
-HEARTBEAT_INTERVAL = 250_000  # a leader then sends less than 2 KB/s to four other nodes
-ELECTION_TIMEOUT = 4 * HEARTBEAT_INTERVAL  # least time without leader contact; drawn up to twice that
+HEARTBEAT_INTERVAL = 250_000  # with it, a leader sends less than 2 KB/s to four other nodes
+ELECTION_TIMEOUT = 4 * HEARTBEAT_INTERVAL  # minimum without leader contact; drawn up to twice that
--- a/tansyladder/raft/voter_disks.py
+++ b/tansyladder/raft/voter_disks.py
@@ -18,7 +18,7 @@
         """Start with the admitted disks of the snapshot."""
         self._state = state
         self._admitted = dict(state.log.snapshot.voter_disks)
-        self._current = {state.name: state.hard_state.disk_id}  # for each node seen since the start
+        self._current = {state.name: state.hard_state.disk_id}  # by node; those heard from since the start
 
     @property
     def admitted(self) -> dict[str, str]:
--- a/tansyladder/replication/content_transfer.py
+++ b/tansyladder/replication/content_transfer.py
@@ -1,8 +1,8 @@
 """Transfer of document contents between nodes, in chunks; no I/O, no clock.
 
 A content is identified by its digest. A node that lacks a content requests its chunks from one peer after
-another, a few at a time. Once a content is complete and its digest matches, the caller writes it to the disk;
-it counts as stored when that write is synced. Times are microseconds of any one clock.
+another, a few at a time. Once a content is complete and its digest matches, the caller writes it to the disk
+and, once that write is synced, calls `ContentStore.add`. Times are microseconds of any one clock.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 CHUNK_BYTES = 48 << 10  # fits into one frame between peers
 MAX_CHUNKS_IN_FLIGHT = 4  # per content
 CHUNK_TIMEOUT_US = 400 * MILLISECOND_US  # then the next peer gets the request
-MAX_CONCURRENT_FETCHES = 4  # the caller fetches further contents at a later step
+MAX_CONCURRENT_FETCHES = 4  # `fetch` ignores further contents; the caller repeats it later
 # After the first round in which no peer had the content; doubles with each further round.
 MIN_RETRY_BACKOFF_US = 200 * MILLISECOND_US
 MAX_RETRY_BACKOFF_US = 2 * SECOND_US
@@ -68,7 +68,7 @@
     """A content that is being fetched."""
 
     size: int  # bytes
-    peers: list[str]  # left in this round, the current one last; empty during the backoff
+    peers: list[str]  # peers left in this round, the current one last; empty during the backoff
     requested_at_us: dict[int, int] = field(default_factory=dict)  # offsets of the chunks in flight
     chunks: dict[int, bytes] = field(default_factory=dict)  # the chunks that have arrived, by offset
     retry_at_us: int = 0  # when the next round begins, during the backoff
@@ -204,7 +204,7 @@
         """Add a chunk to its fetch; continue with the next peer if the chunk or the content is wrong."""
         fetch = self._fetches.get(chunk.digest)
         if fetch is None or sender != fetch.current_peer or chunk.offset not in fetch.requested_at_us:
-            return  # the chunk belongs to an earlier round, or was not requested
+            return  # requested earlier and no longer expected, or never requested
         expected_size = min(CHUNK_BYTES, fetch.size - chunk.offset)
         if chunk.content_size != fetch.size or len(chunk.data) != expected_size:
             self._next_peer(chunk.digest, fetch, now_us)
@@ -217,7 +217,7 @@
         self._complete(chunk.digest, fetch, now_us)
 
     def _complete(self, digest: bytes, fetch: _Fetch, now_us: int) -> None:
-        """End a fetch whose chunks have all arrived, or start it again if the content has another digest."""
+        """End a fetch whose chunks have all arrived; if the digest differs, restart it with the next peer."""
         content = fetch.assembled()
         if digest_of(content) == digest:
             del self._fetches[digest]
--- a/tansyladder/replication/document_messages.py
+++ b/tansyladder/replication/document_messages.py
@@ -1,9 +1,9 @@
 """The commands about documents and leases in the replicated log, and their results.
 
 The messages are encoded as arrays. A tag identifies the class and the position identifies the field, so a
-class or a field may be renamed as long as its tag or position stays the same. In every message `node` is the
-incarnation (NAME/START) that proposed it, and `timestamp_us` is the Unix time of the proposal by that node's
-clock, in microseconds.
+class or a field may be renamed as long as its tag or position stays the same. In every message `number` is
+that of the change, `node` is the incarnation (NAME/START) that proposed it, and `timestamp_us` is the Unix
+time of the proposal by that node's clock, in microseconds.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
-    """Grants a lease to each incarnation that has recently sent the leader a renewal."""
+    """Grants leases, from `timestamp_us` on, to the incarnations that have recently asked for renewal."""
 
     incarnations: tuple[str, ...]
     duration_us: int
--- a/tansyladder/replication/documents.py
+++ b/tansyladder/replication/documents.py
@@ -211,17 +211,14 @@
         return {incarnation for incarnation, end_us in self.leases.items() if end_us > at_us}
 
     def missing_acceptances(self, change: PendingChange, holders: set[str]) -> set[str]:
-        """Return the nodes that still have to accept a change.
-
-        These are lease holders, and voters as long as no majority of the voters has accepted.
-        """
+        """Return lease holders yet to accept and, by name, voters while no majority of these has accepted."""
         accepting_voters = {node_name(incarnation) for incarnation in change.accepted_by} & self._voters
         has_majority = len(accepting_voters) * 2 > len(self._voters)
         missing_voters = set() if has_majority else self._voters - accepting_voters
         return (holders - change.accepted_by) | missing_voters
 
     def unprepared_holders(self, change: PendingChange, at_us: int) -> set[str]:
-        """Return the unprepared participants, which may decide under the previous version on a long lease."""
+        """Return the participants that may still decide under the previous version, on a long lease."""
         unprepared = change.participants - change.prepared_by
         return {incarnation for incarnation in unprepared if self.leases.get(incarnation, 0) > at_us}
 
--- a/tansyladder/replication/lease_coordinator.py
+++ b/tansyladder/replication/lease_coordinator.py
@@ -75,7 +75,7 @@
         return self._renew_leases(now_us) + self._advance_proposed(change, now_us)
 
     def _advance_prepared(self, change: PendingChange, now_us: int) -> list[DocumentCommand]:
-        """Commit a change for which all participants are prepared; abort a round that takes too long."""
+        """Commit once each participant is prepared or has no lease; abort a round that takes too long."""
         if not self._documents.unprepared_holders(change, now_us):
             return self._propose_once(Commit(change.number, self._incarnation, now_us), now_us)
         if now_us - change.prepare_started_at_us <= self.PREPARE_TIMEOUT_US:
@@ -90,7 +90,7 @@
         return self._propose_once(Abort(change.number, self._incarnation, now_us, ROUND_ONLY_REASON), now_us)
 
     def _advance_proposed(self, change: PendingChange, now_us: int) -> list[DocumentCommand]:
-        """Prepare a change that all have accepted; abort it if a node doesn't vote in time.
+        """Begin to prepare a change that all have accepted; abort it if a node doesn't vote in time.
 
         A node that is up has `VALIDATION_TIMEOUT_US` to vote. If all missing nodes seem to be down, the limit
         is twice the sum of the lease duration and that timeout.
@@ -112,7 +112,7 @@
         return []
 
     def _prepare(self, change: PendingChange, holders: set[str], now_us: int) -> list[DocumentCommand]:
-        """Begin a round, unless a lease holder seems to be down; then its lease has to end first."""
+        """Begin a round after the backoff; if a lease holder seems to be down, its lease must end first."""
         if now_us < self._prepare_not_before_us:
             return []
         if any(self._time_since_renewal_us(holder, now_us) > self._renewal_window_us for holder in holders):
@@ -121,10 +121,10 @@
         return self._propose_once(prepare, now_us)
 
     def _abort_for_missing_votes(
-        self, change: PendingChange, incarnations: set[str], now_us: int
+        self, change: PendingChange, missing: set[str], now_us: int
     ) -> list[DocumentCommand]:
         """Abort a change for which votes are missing; the reason gives the first of these nodes by name."""
-        reason = f"no answer of {min(map(node_name, incarnations))}"
+        reason = f"no answer of {min(map(node_name, missing))}"
         return self._propose_once(Abort(change.number, self._incarnation, now_us, reason), now_us)
 
     def _renew_leases(self, now_us: int) -> list[DocumentCommand]:
--- a/tansyladder/replication/lease_holder.py
+++ b/tansyladder/replication/lease_holder.py
@@ -22,7 +22,8 @@
     def lease_end_us(self) -> int:
         """Return when the lease ends, or 0 without a lease.
 
-        A shortened end applies as soon as this node has shortened the lease, before the log has the command.
+        A shortened end applies as soon as this node has shortened the lease, before the log has the
+        `Prepared` command that reports it.
         """
         end_us = self._documents.leases.get(self.incarnation, 0)
         change = self._documents.change
--- a/tansyladder/replication/replicated_state.py
+++ b/tansyladder/replication/replicated_state.py
@@ -39,7 +39,8 @@
 
         Args:
             voters: The names of the log's voters.
-            on_owner_change: Called with each accepted claim, on the Raft thread; it must not block.
+            on_owner_change: Called for each accepted claim and each restored record, on the Raft thread or,
+                at the start, before that thread runs; it must not block.
         """
         self.session_ownership = SessionOwnership(on_owner_change)
         self.documents = Documents(voters)
--- a/tansyladder/replication/session_ownership.py
+++ b/tansyladder/replication/session_ownership.py
@@ -1,10 +1,10 @@
 """The replicated state machine of session ownership: the owner and the spent tokens of each session.
 
-A session's epoch counts its owners, from 1. It forms the upper bits of the epochs that hosts see and of the
-generations of tokens. An accepted claim makes its node the owner of the next epoch. The node then connects
-the session to a host. Before it answers the client, it proposes a confirmation, which spends the tokens that
-were issued before. If two nodes claim a session with the same token, the later claim wins and only its
-confirmation is accepted, so only one client gets UP.
+A session's epoch counts its owners, from 1. It forms the upper bits of two other numbers: the epochs that
+stream hosts see, and the generations of tokens. An accepted claim makes its node the owner of the next epoch.
+The node then connects the session to a host. Before it answers the client, it proposes a confirmation, which
+spends the tokens that were issued before. If two nodes claim a session with the same token, the later claim
+wins and only its confirmation is accepted, so only one client gets UP.
 
 All times come with the commands, in microseconds of Unix time, so all replicas forget the same records at the
 same command. Retention counts from the latest timestamp of any command. Otherwise the claim of a node whose
@@ -25,19 +25,20 @@
 CONFIRMATION_UNCERTAINTY_US = 15_000_000
 MAX_RECORDS = 16_384  # one per session; claims of further sessions are rejected
 
-OwnerChangeCallback = Callable[[int, int, str], None]  # arguments: session, epoch, the owner's incarnation
+# Arguments: session, epoch, the owner's incarnation. It must not block.
+OwnerChangeCallback = Callable[[int, int, str], None]
 
 
 class OwnershipClaim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
-    """Claims a session for the node to which a client has presented one of its tokens."""
+    """Claims a session for the node to which a client has presented one of the session's tokens."""
 
     session: int
-    generation: int
+    generation: int  # of the presented token
     token_expiry_us: int
     node: str  # its incarnation
     timestamp_us: int
     retain_until_us: int  # when all tokens issued before the claim have expired
-    idempotency_key: int  # the node's number of the takeover; a repeated claim has the same
+    idempotency_key: int  # numbers the node's takeovers; a repeated claim has the same
 
 
 class ClaimConfirmation(msgspec.Struct, frozen=True, array_like=True, tag="confirm"):
@@ -57,7 +58,7 @@
     sequence: int  # counts the owner's confirmations of a session; a later one supersedes earlier ones
 
     def releasing(self, generation_floor: int, sequence: int) -> ClaimConfirmation:
-        """Return the confirmation that releases the token again; the floor is the one before this one."""
+        """Return the confirmation that releases the token again; its floor is that before this one."""
         return msgspec.structs.replace(self, generation_floor=generation_floor, sequence=sequence)
 
 
@@ -110,7 +111,7 @@
         return not self.is_opened and is_recent and generation >= self.claimed_floor
 
     def was_created_by(self, claim: OwnershipClaim) -> bool:
-        """Whether a claim created this record, so it is a repetition or a delayed copy."""
+        """Whether this record stems from a claim, which is then a repetition or a delayed copy."""
         return (self.owner, self.idempotency_key) == (claim.node, claim.idempotency_key)
 
     def mark_opened(self) -> None:
@@ -129,7 +130,7 @@
     """
 
     def __init__(self, on_owner_change: OwnerChangeCallback | None = None) -> None:
-        """Start without records; `on_owner_change` is called with each accepted claim and must not block."""
+        """Start without records; `on_owner_change` gets each accepted claim and restored record."""
         self._on_owner_change = on_owner_change
         self.records: OrderedDict[int, OwnershipRecord] = OrderedDict()  # by session
         self._latest_timestamp_us = 0
