--- a/tansyladder/cluster/bootstrap.py
+++ b/tansyladder/cluster/bootstrap.py
@@ -75,7 +75,7 @@
         context.options.peers,
         NodeStorage(store, join_context.state_directory),
         join_context.resumption_handler.on_ownership_claimed,
-        lambda: context.clock.micros(now()),
+        lambda: context.clock.to_unix_us(now()),
         _document_settings(documents),
     )
     join_context.resumption_handler.join_peers(raft_runner)
--- a/tansyladder/net/clock.py
+++ b/tansyladder/net/clock.py
@@ -42,14 +42,14 @@
         self._wall_time_at_zero = datetime.now(UTC) - now()  # when the monotonic clock was zero
         self._unix_us_at_zero = (self._wall_time_at_zero - EPOCH) // MICROSECOND
 
-    def micros(self, moment: timedelta) -> int:
+    def to_unix_us(self, moment: timedelta) -> int:
         """Convert a moment to the policy's time: microseconds of Unix time."""
         return moment // MICROSECOND + self._unix_us_at_zero
 
-    def moment(self, micros: int) -> timedelta:
+    def from_unix_us(self, unix_us: int) -> timedelta:
         """Convert the policy's time, in microseconds of Unix time, to a moment."""
-        return timedelta(microseconds=micros - self._unix_us_at_zero)
+        return timedelta(microseconds=unix_us - self._unix_us_at_zero)
 
-    def of_wall(self, wall: datetime) -> timedelta:
+    def from_wall_time(self, wall: datetime) -> timedelta:
         """Convert a wall time to a moment, which is negative for a time before the monotonic clock's zero."""
         return wall - self._wall_time_at_zero
--- a/tansyladder/net/delay_reports.py
+++ b/tansyladder/net/delay_reports.py
@@ -68,7 +68,7 @@
             return None
 
 
-class DelayReports:
+class DelayReporter:
     """Sends the delay and load reports of one connection. Owned by the connection's thread."""
 
     __slots__ = ("_current_meter", "_endpoint_number", "_reports_load", "_send_report")
--- a/tansyladder/net/relay.py
+++ b/tansyladder/net/relay.py
@@ -12,7 +12,7 @@
 from tansyladder.net import protocol, sockets
 from tansyladder.net.action_queue import ActionQueue
 from tansyladder.net.clock import now
-from tansyladder.net.delay_reports import DelayReports
+from tansyladder.net.delay_reports import DelayReporter
 from tansyladder.net.handover_messages import ConnectionState
 from tansyladder.net.listener_handover import ListenerHandover
 from tansyladder.net.relayed_connection import (
@@ -41,7 +41,7 @@
         upstream: UpstreamConnection,
         opening: protocol.Opening,
         actions: ActionQueue,
-        delay_reports: DelayReports,
+        delay_reporter: DelayReporter,
         handover: ListenerHandover,
     ) -> None:
         """Prepare the relay of a connection; `run` or `resume` forwards its lines.
@@ -51,14 +51,14 @@
             upstream: The connection to the endpoint; closed by the relay.
             opening: The client's first line, which a successor needs if the connection is handed over.
             actions: The policy's actions for this request; any of them ends the connection with MOVE.
-            delay_reports: Reports the delays and loads of this connection.
+            delay_reporter: Reports the delays and loads of this connection.
             handover: Hands the connection over to this process's successor.
         """
         self._client = RelaySide(client, protocol.LineBuffer())
         self._upstream = RelaySide(upstream.sock, upstream.buffer)
-        self._monitor = UpstreamMonitor(delay_reports)
+        self._monitor = UpstreamMonitor(delay_reporter)
         self._connection = RelayedConnection(self._client, self._upstream, self._monitor)
-        self._initial_lines = upstream.initial_lines
+        self._up_lines = upstream.up_lines
         self._endpoint_id = upstream.endpoint.id
         self._opening = opening
         self._actions = actions
@@ -78,10 +78,10 @@
         The endpoint's UP, and the lines received with it, are forwarded first.
         """
         try:
-            if self._initial_lines:
-                self._monitor.lines_received(self._initial_lines)  # UP and BYE may arrive in one read
+            if self._up_lines:
+                self._monitor.lines_received(self._up_lines)  # UP and BYE may arrive in one read
                 with contextlib.suppress(OSError):  # the first read detects a broken connection
-                    self._client.send(b"".join(self._initial_lines))
+                    self._client.send(b"".join(self._up_lines))
             return self._relay_until_end()
         except protocol.LineError as err:
             log(LogEvent.INVALID_LINE, source=LineSource.RELAY, error=err)
--- a/tansyladder/net/relayed_connection.py
+++ b/tansyladder/net/relayed_connection.py
@@ -10,7 +10,7 @@
 
 from tansyladder.net import protocol, sockets
 from tansyladder.net.buffered_socket import BufferedSocket
-from tansyladder.net.delay_reports import DelayReports
+from tansyladder.net.delay_reports import DelayReporter
 from tansyladder.net.errors import NetworkError
 from tansyladder.net.handover_messages import BytesByDirection, ConnectionState
 from tansyladder.net.response_timeout import ResponseTimeout
@@ -68,11 +68,11 @@
 class UpstreamMonitor:
     """Evaluates the endpoint's lines for the node: answers to lines, load reports, and the last keyword."""
 
-    __slots__ = ("_delay_reports", "last_keyword", "response_timeout")
+    __slots__ = ("_delay_reporter", "last_keyword", "response_timeout")
 
-    def __init__(self, delay_reports: DelayReports) -> None:
-        self._delay_reports = delay_reports
-        self.response_timeout = ResponseTimeout(delay_reports.record_delay)
+    def __init__(self, delay_reporter: DelayReporter) -> None:
+        self._delay_reporter = delay_reporter
+        self.response_timeout = ResponseTimeout(delay_reporter.record_delay)
         self.last_keyword = b""  # the keyword of the endpoint's last line
 
     def lines_received(self, lines: Sequence[bytes]) -> None:
@@ -82,7 +82,7 @@
             self.last_keyword = keyword
             self.response_timeout.line_received(keyword)
             if keyword == protocol.LOAD:
-                self._delay_reports.record_load_line(line)
+                self._delay_reporter.record_load_line(line)
 
 
 class RelayedConnection:
--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -36,7 +36,7 @@
     SENT_EARLY = "sent a line before UP, which the protocol does not allow"
 
 
-CLIENT_END_BY_PEEK = {PeekResult.CLOSED: ClientEnd.DISCONNECTED, PeekResult.DATA: ClientEnd.SENT_EARLY}
+CLIENT_END_BY_PEEK_RESULT = {PeekResult.CLOSED: ClientEnd.DISCONNECTED, PeekResult.DATA: ClientEnd.SENT_EARLY}
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     up_line: bytes = b""
     sock: socket.socket | None = None
     buffer: protocol.LineBuffer | None = None
-    following_lines: tuple[bytes, ...] = ()  # received together with UP
+    lines_after_up: tuple[bytes, ...] = ()  # received together with UP
     client_end: ClientEnd | None = None  # how the client ended its request; None if it still waits
 
 
@@ -58,7 +58,7 @@
     endpoint: EndpointAddress
     sock: socket.socket
     buffer: protocol.LineBuffer
-    initial_lines: tuple[bytes, ...]  # UP and the lines received together with it
+    up_lines: tuple[bytes, ...]  # UP and the lines received together with it
     attempt: int
     setup_duration_us: int
 
@@ -239,5 +239,5 @@
 
     A client that has ended its half, or whose connection broke, counts as disconnected.
     """
-    client_end = None if client is None else CLIENT_END_BY_PEEK.get(sockets.peek(client))
+    client_end = None if client is None else CLIENT_END_BY_PEEK_RESULT.get(sockets.peek(client))
     return None if client_end is None else ConnectResult(AttemptStatus.CANCELLED, client_end=client_end)
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -13,7 +13,7 @@
 from tansyladder.net.clock import MICROSECOND, now
 from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.net.upstream import (
-    CLIENT_END_BY_PEEK,
+    CLIENT_END_BY_PEEK_RESULT,
     ClientEnd,
     ConnectResult,
     UpstreamConnection,
@@ -88,7 +88,7 @@
                 policy.handle_events(
                     AttemptEstablished(self.request_id, attempt, endpoint.number, duration_us)
                 )
-                lines = (result.up_line, *result.following_lines)
+                lines = (result.up_line, *result.lines_after_up)
                 return UpstreamConnection(endpoint, result.sock, result.buffer, lines, attempt, duration_us)
             result.sock.close()
             result = replace(result, status=AttemptStatus.CANCELLED)
@@ -138,7 +138,7 @@
         """Return how the client ended its request, if it did; an action in the queue takes precedence."""
         if self.client is None or self.client.fileno() not in ready or self.action_queue.peek() is not None:
             return None
-        return CLIENT_END_BY_PEEK.get(sockets.peek(self.client))
+        return CLIENT_END_BY_PEEK_RESULT.get(sockets.peek(self.client))
 
 
 def load_hint_of(opening: protocol.Opening) -> int | None:
@@ -165,7 +165,7 @@
         request_id,
         class_number,
         tenant_of(context, opening),
-        context.clock.micros(deadline),
+        context.clock.to_unix_us(deadline),
         opening.key,
         opening.group_key,
         load_hint_of(opening),
--- a/tansyladder/node/client_listener.py
+++ b/tansyladder/node/client_listener.py
@@ -123,11 +123,11 @@
             self._metrics.record_outcome(class_name, RequestOutcome.REJECTED)
 
     def admit(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived_at: timedelta, release_socket: Callable[[], None]
     ) -> bytes:
-        """Call `release` and have the connection served, or return the answer that rejects the client."""
+        """Call `release_socket` and have the connection served, or return the rejecting answer."""
         try:
-            answer = self._try_admit(sock, opening, arrived, release)
+            answer = self._try_admit(sock, opening, arrived_at, release_socket)
         except protocol.LineError as err:
             log(LogEvent.INVALID_LINE, source=LineSource.CLIENT, error=err)
             answer = protocol.ERR + b"\r\n"
@@ -136,21 +136,21 @@
         return answer
 
     def _try_admit(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived_at: timedelta, release_socket: Callable[[], None]
     ) -> bytes:
         """Check the first line, the node's state and its limits, in this order; return any rejection."""
         self._admission.check_fields(opening)
         if self._is_rejecting_all or not self._decision_gate.may_decide(opening.connection_id):
             return protocol.format_reject(self.retry_after)
         if self._session_service is not None and RESUME_TOKEN_FIELD in opening.field_values:
-            return self._session_service.resume(sock, opening, arrived, release)
+            return self._session_service.resume(sock, opening, arrived_at, release_socket)
         if not self._lifecycle.accepts_requests:
             return protocol.format_reject(self.retry_after)
         if not self._admission.reserve(opening.connection_id):
             log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.CONNECTION_LIMIT)
             return protocol.format_reject(self.retry_after)
         try:
-            self._threads.serve(sock, opening, arrived, release)
+            self._threads.serve(sock, opening, arrived_at, release_socket)
         except RuntimeError as err:  # the system can't start another thread
             self._admission.release(opening.connection_id)
             log(LogEvent.CLIENT_REJECTED, reason=ClientRejectionReason.THREAD_LIMIT, error=err)
@@ -230,4 +230,4 @@
 
     def _is_idle(self) -> bool:
         """Whether no connection is served and no request is expected."""
-        return not self.active_count and not self._acceptor.is_expecting_lines
+        return not self.active_count and not self._acceptor.may_receive_first_line
--- a/tansyladder/node/connection_acceptor.py
+++ b/tansyladder/node/connection_acceptor.py
@@ -64,9 +64,9 @@
         return self._pending.count
 
     @property
-    def is_expecting_lines(self) -> bool:
+    def may_receive_first_line(self) -> bool:
         """Whether a first line may still arrive on a pending connection. Thread-safe."""
-        return self._pending.is_expecting_lines
+        return self._pending.may_receive_first_line
 
     def yield_queue(self) -> None:
         """Leave the listener's queue to another process. Thread-safe."""
--- a/tansyladder/node/connection_drainer.py
+++ b/tansyladder/node/connection_drainer.py
@@ -56,9 +56,9 @@
             self._lifecycle.wait_for_change(since)
 
     def migrate_gradually(
-        self, since: timedelta, end: timedelta, is_finished: Callable[[], bool] = lambda: False
+        self, since: timedelta, deadline: timedelta, is_finished: Callable[[], bool] = lambda: False
     ) -> set[int]:
-        """Migrate established connections, spread until `end`; return the ids of their requests.
+        """Migrate established connections, spread until `deadline`; return the ids of their requests.
 
         If all clients reconnected to the other nodes at once, they would fail together. The migration ends
         early if the lifecycle state that began at `since` changes, or if `is_finished` returns True.
@@ -66,19 +66,19 @@
         notified = set[int]()
         while True:
             step_end = max(since + LATE_ARRIVAL_WINDOW, now() + DRAIN_STEP_INTERVAL)
-            if self._lifecycle.wait_for_change(since, step_end) or now() >= end:
+            if self._lifecycle.wait_for_change(since, step_end) or now() >= deadline:
                 return notified
             established = _exclude_notified(notified, self._policy.established_request_ids())
             if is_finished():
                 return notified
-            steps_left = max(1, (end - LAST_MIGRATION_MARGIN - now()) // DRAIN_STEP_INTERVAL)
+            steps_left = max(1, (deadline - LAST_MIGRATION_MARGIN - now()) // DRAIN_STEP_INTERVAL)
             step_size = math.ceil(len(established) / steps_left)
             migrated = established[:step_size]
             notified.update(migrated)
             self._policy.dispatch([Migrate(request_id) for request_id in migrated])
 
-    def evict_remaining(self, notified: set[int], until: timedelta) -> None:
-        """Reject waiting requests and migrate established ones, until all have ended or `until` has passed.
+    def evict_remaining(self, notified: set[int], deadline: timedelta) -> None:
+        """Reject waiting and migrate established requests, until all have ended or the deadline has passed.
 
         Each request is notified once: if its connection is established before it handles a rejection, the
         rejection acts as a migration. A request that has just been admitted may not be registered yet, so
@@ -92,7 +92,7 @@
             rejections = [Reject(request_id) for request_id in waiting]
             migrations = [Migrate(request_id) for request_id in established]
             self._policy.dispatch([*rejections, *migrations])
-            if not self._active_count() or now() >= until:
+            if not self._active_count() or now() >= deadline:
                 return
             threading.Event().wait(DRAIN_STEP_INTERVAL.total_seconds())
 
--- a/tansyladder/node/connection_handler.py
+++ b/tansyladder/node/connection_handler.py
@@ -15,7 +15,7 @@
 from tansyladder.net.relay import Relay
 from tansyladder.net.upstream import UpstreamConnection
 from tansyladder.node.context import ConnectionServices
-from tansyladder.node.delay_reporting import build_delay_reports
+from tansyladder.node.delay_reporting import build_delay_reporter
 from tansyladder.node.metrics import RequestOutcome
 from tansyladder.policy.events import AttemptStatus
 
@@ -91,7 +91,7 @@
 
     def _build_relay(self, connection: UpstreamConnection) -> Relay:
         """Build the relay of an established connection; from now on the policy's actions wake it."""
-        delay_reports = build_delay_reports(
+        delay_reporter = build_delay_reporter(
             self._context, self._request_id, connection.attempt, connection.endpoint.number
         )
         relay = Relay(
@@ -99,7 +99,7 @@
             connection,
             self._opening,
             self._action_queue,
-            delay_reports,
+            delay_reporter,
             self._services.handover,
         )
         self._action_queue.use_callback(relay.wake)
--- a/tansyladder/node/connection_threads.py
+++ b/tansyladder/node/connection_threads.py
@@ -28,23 +28,23 @@
         self._admission = admission
 
     def serve(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived_at: timedelta, release_socket: Callable[[], None]
     ) -> None:
         """Serve an admitted connection.
 
         Args:
-            sock: The client's socket, which the thread uses only after `release` has returned.
+            sock: The client's socket, which the thread uses only after `release_socket` has returned.
             opening: The client's first line.
-            arrived: When the line arrived.
-            release: Removes the socket from the caller's table.
+            arrived_at: When the line arrived.
+            release_socket: Removes the socket from the caller's table.
 
         Raises:
-            RuntimeError: The system can't start another thread; `release` was not called.
+            RuntimeError: The system can't start another thread; `release_socket` was not called.
         """
         release_lock = threading.Lock()
         with release_lock:
-            self._start(self._serve_when_released, release_lock, sock, opening, arrived)
-            release()
+            self._start(self._serve_when_released, release_lock, sock, opening, arrived_at)
+            release_socket()
 
     def adopt(self, state: ConnectionState, client: socket.socket, upstream: socket.socket) -> None:
         """Serve a connection that the predecessor has handed over.
@@ -65,15 +65,17 @@
         threading.Thread(target=target, args=args, name="connection", daemon=True).start()
 
     def _serve_when_released(
-        self, release_lock: threading.Lock, sock: socket.socket, opening: Opening, arrived: timedelta
+        self, release_lock: threading.Lock, sock: socket.socket, opening: Opening, arrived_at: timedelta
     ) -> None:
         with release_lock:
             pass
-        self._serve(self._build_handler(sock, opening, arrived), opening.connection_id)
+        self._serve(self._build_handler(sock, opening, arrived_at), opening.connection_id)
 
-    def _build_handler(self, sock: socket.socket, opening: Opening, arrived: timedelta) -> ConnectionHandler:
+    def _build_handler(
+        self, sock: socket.socket, opening: Opening, arrived_at: timedelta
+    ) -> ConnectionHandler:
         """Build the handler of an admitted connection: for a new request, or one from before this run."""
-        deadline = arrived + opening.wait
+        deadline = arrived_at + opening.wait
         if opening.endpoint_id is None:
             return RequestHandler(self._services, sock, opening, deadline)
         return RestoredConnectionHandler(self._services, sock, opening, deadline, opening.endpoint_id)
--- a/tansyladder/node/delay_reporting.py
+++ b/tansyladder/node/delay_reporting.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from tansyladder.net.delay_reports import DelayReports
+from tansyladder.net.delay_reports import DelayReporter
 from tansyladder.node.context import NodeContext
 from tansyladder.policy.events import ConnectionReport, ReportKind
 
 
-def build_delay_reports(
+def build_delay_reporter(
     context: NodeContext, request_id: int, attempt: int, endpoint_number: int
-) -> DelayReports:
+) -> DelayReporter:
     """Build the object that measures an established connection's delays and reports them to the policy."""
     configuration = context.configuration
 
     def report(kind: ReportKind, value: float) -> None:
         context.policy.handle_events(ConnectionReport(request_id, kind, attempt, endpoint_number, value))
 
-    return DelayReports(
+    return DelayReporter(
         endpoint_number,
         lambda: configuration.delay_meter,
         report,
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -71,7 +71,7 @@
     cached = cache.cached_endpoints() if cache is not None else None
     if cached is not None and cached.endpoints.revision > newest.revision:
         newest = cached.endpoints
-        age = timedelta(microseconds=clock.micros(now()) - cached.saved_at_us)
+        age = timedelta(microseconds=clock.to_unix_us(now()) - cached.saved_at_us)
         entry_count = len(newest.endpoints)
         log(LogEvent.CACHED_ENDPOINTS_USED, revision=newest.revision, entries=entry_count, age_ms=age)
     if predecessor_list is not None and predecessor_list.revision >= newest.revision:
@@ -126,7 +126,7 @@
         started_at_us = 0
         if entry.started_at_ms:
             started_at = EPOCH + timedelta(milliseconds=entry.started_at_ms)
-            started_at_us = self._clock.micros(self._clock.of_wall(started_at))
+            started_at_us = self._clock.to_unix_us(self._clock.from_wall_time(started_at))
         return EndpointUpdate(
             number,
             self._zone_numbers.setdefault(entry.zone, len(self._zone_numbers)),
--- a/tansyladder/node/event_counters.py
+++ b/tansyladder/node/event_counters.py
@@ -33,7 +33,7 @@
 HEALTH_CHECK_PREFIX = "health_check_"  # before the status of a health check that found a fault
 
 
-class Count(StrEnum):
+class CountName(StrEnum):
     """The names of the counts in a log line; ended attempts are counted by the names of `AttemptStatus`."""
 
     ADOPTED = "adopted"  # connections that were established by an earlier process
@@ -53,9 +53,9 @@
 
 
 COUNT_OF_OUTCOME = {
-    RequestOutcome.OK: Count.ESTABLISHED,
-    RequestOutcome.REJECTED: Count.REJECTED,
-    RequestOutcome.FAILED: Count.FAILED,
+    RequestOutcome.OK: CountName.ESTABLISHED,
+    RequestOutcome.REJECTED: CountName.REJECTED,
+    RequestOutcome.FAILED: CountName.FAILED,
 }
 
 
@@ -115,26 +115,26 @@
         """Count an event that is passed to the policy."""
         match event:
             case RequestReceived(request_id, class_number, _, deadline):
-                self._counts[Count.RECONNECTS if event.is_reconnect else Count.REQUESTS] += 1
+                self._counts[CountName.RECONNECTS if event.is_reconnect else CountName.REQUESTS] += 1
                 self._objective_deadlines[request_id] = (
                     deadline
                     - self._class_settings[class_number].deadline_us
                     + self._class_settings[class_number].latency_objective_us
                 )
             case ConnectionAdopted(request_id, _, _, endpoint_id):
-                self._counts[Count.ADOPTED] += 1
+                self._counts[CountName.ADOPTED] += 1
                 self._add_connection(request_id, endpoint_id)
             case AttemptEstablished(request_id, attempt, endpoint_id):
-                self._counts[Count.RETRIES] += attempt > 0
+                self._counts[CountName.RETRIES] += attempt > 0
                 objective_deadline = self._objective_deadlines.pop(request_id, now_us)
-                self._counts[Count.OBJECTIVE_MISSED] += now_us > objective_deadline
+                self._counts[CountName.OBJECTIVE_MISSED] += now_us > objective_deadline
                 self._add_connection(request_id, endpoint_id)
             case AttemptEnded():
                 self._count_end(event)
             case ClientDisconnected(request_id):
                 self._objective_deadlines.pop(request_id, None)
             case ConnectionReport(_, ReportKind.REPORTED_DELAY):
-                self._counts[Count.CONNECTION_REPORTS] += 1
+                self._counts[CountName.CONNECTION_REPORTS] += 1
             case HealthCheckResult(_, status) if status is not AttemptStatus.OK:
                 self._counts[HEALTH_CHECK_PREFIX + status.name.lower()] += 1
             case _:
@@ -144,20 +144,20 @@
         """Count an action of the policy."""
         match action:
             case StartAttempt(_, endpoint_id):
-                self._counts[Count.ATTEMPTS] += 1
+                self._counts[CountName.ATTEMPTS] += 1
                 self._attempts[endpoint_id] += 1
             case Reject(request_id) | Fail(request_id):
                 self._objective_deadlines.pop(request_id, None)
             case CheckHealth():
-                self._counts[Count.HEALTH_CHECKS] += 1
+                self._counts[CountName.HEALTH_CHECKS] += 1
             case Migrate():
-                self._counts[Count.MIGRATIONS] += 1
+                self._counts[CountName.MIGRATIONS] += 1
             case _:
                 pass
 
     def count_discovery_call(self, *, has_failed: bool) -> None:
         """Count a call to discovery that has ended."""
-        self._counts[Count.DISCOVERY_CALLS_FAILED if has_failed else Count.DISCOVERY_CALLS] += 1
+        self._counts[CountName.DISCOVERY_CALLS_FAILED if has_failed else CountName.DISCOVERY_CALLS] += 1
 
     def _count_outcomes(self) -> None:
         """Add the outcomes of requests since the last line."""
@@ -175,7 +175,7 @@
         else:
             self._failures[event.endpoint_id] += 1
             self._counts[status] += 1
-            self._counts[Count.RETRIES] += event.attempt > 0
+            self._counts[CountName.RETRIES] += event.attempt > 0
 
     def _format_endpoints(self) -> str:
         endpoint_ids = sorted({*+self._connections, *self._attempts, *self._failures})
--- a/tansyladder/node/existing_connections.py
+++ b/tansyladder/node/existing_connections.py
@@ -69,7 +69,7 @@
             return
         self._report_adopted(endpoint)
         connection = UpstreamConnection(
-            endpoint, self._upstream, protocol.LineBuffer(), initial_lines=(), attempt=0, setup_duration_us=0
+            endpoint, self._upstream, protocol.LineBuffer(), up_lines=(), attempt=0, setup_duration_us=0
         )
         status = self._build_relay(connection).resume(self._state)
         self._report_end(connection, status)
@@ -102,7 +102,7 @@
             return
         self._answer(RequestOutcome.OK)
         self._report_adopted(endpoint)
-        lines = (result.up_line, *result.following_lines)
+        lines = (result.up_line, *result.lines_after_up)
         connection = UpstreamConnection(
             endpoint, result.sock, result.buffer, lines, attempt=0, setup_duration_us=0
         )
--- a/tansyladder/node/extension_points.py
+++ b/tansyladder/node/extension_points.py
@@ -105,9 +105,9 @@
         """Serve a session from its first UP to its end, and close the client's socket."""
 
     def resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived_at: timedelta, release_socket: Callable[[], None]
     ) -> bytes:
-        """Call `release` and pass a client with a token to its session, or return the rejecting answer."""
+        """Call `release_socket` and pass a client with a token to its session, or return a rejection."""
 
     def rotate_keys(self, options: ResumeOptions) -> None:
         """Use the token keys of new settings from now on."""
--- a/tansyladder/node/pending_connections.py
+++ b/tansyladder/node/pending_connections.py
@@ -42,10 +42,10 @@
         self,
         sock: socket.socket,
         opening: protocol.Opening,
-        arrived: timedelta,
-        release: Callable[[], None],
+        arrived_at: timedelta,
+        release_socket: Callable[[], None],
     ) -> bytes:
-        """Call `release` and take the connection over, or return the answer that rejects the client."""
+        """Call `release_socket` and take the connection over, or return the rejecting answer."""
 
     def record_invalid_line(self) -> None:
         """Count a first line that could not be parsed."""
@@ -96,27 +96,27 @@
         return self.state is PendingState.AWAITING_LINE
 
     @property
-    def is_expecting_line(self) -> bool:
+    def may_receive_first_line(self) -> bool:
         """Whether its first line may still arrive; after a PING, only if a part of the line has arrived."""
         return self.is_awaiting_line and bool(self.buffer.partial_line or not self.ping_count)
 
-    def count_ping(self, arrived: timedelta) -> None:
+    def count_ping(self, arrived_at: timedelta) -> None:
         """Count a PING.
 
         Raises:
             LineError: There were more than `MAX_PINGS_PER_SECOND`.
         """
-        if arrived - self.ping_window_start >= PING_WINDOW:
+        if arrived_at - self.ping_window_start >= PING_WINDOW:
             self.ping_count = 0
-            self.ping_window_start = arrived
+            self.ping_window_start = arrived_at
         self.ping_count += 1
         if self.ping_count > MAX_PINGS_PER_SECOND:
             raise protocol.LineError(f"more than {MAX_PINGS_PER_SECOND} PINGs within a second")
 
-    def extend_deadlines(self, arrived: timedelta) -> None:
+    def extend_deadlines(self, arrived_at: timedelta) -> None:
         """Extend the deadlines to the front end's next line, after an answered PING."""
-        self.last_line_at = arrived
-        self.first_line_deadline = arrived + PING_IDLE_TIMEOUT
+        self.last_line_at = arrived_at
+        self.first_line_deadline = arrived_at + PING_IDLE_TIMEOUT
         # The connection is closed later, as a request may arrive while our sending side is shut down.
         self.close_deadline = self.first_line_deadline + sockets.DRAIN_TIMEOUT
 
@@ -140,7 +140,7 @@
 class PendingConnections:
     """The table of pending connections. Owned by the acceptor's thread, which never blocks on one of them.
 
-    Other threads may only read `count` and `is_expecting_lines`.
+    Other threads may only read `count` and `may_receive_first_line`.
     """
 
     def __init__(self, poll: select.poll, admitter: RequestAdmitter) -> None:
@@ -156,9 +156,9 @@
         return len(self._by_descriptor)
 
     @property
-    def is_expecting_lines(self) -> bool:
+    def may_receive_first_line(self) -> bool:
         """Whether a first line may still arrive on a pending connection."""
-        return any(connection.is_expecting_line for connection in self.all())
+        return any(connection.may_receive_first_line for connection in self.all())
 
     def all(self) -> list[PendingConnection]:
         """Return a list of the pending connections, which later changes do not affect."""
@@ -264,18 +264,18 @@
             self._discard(connection)
             return
         data = connection.sock.recv(2 * protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
-        arrived = now()
+        arrived_at = now()
         if not data:
             self.close(connection)  # the client has disconnected; an incomplete line is no request
             return
         lines = connection.buffer.feed(data)
         for line in lines:
             if protocol.strip_line_end(line) == protocol.PING:
-                self._answer_ping(connection, arrived)
+                self._answer_ping(connection, arrived_at)
             elif len(lines) > 1 or connection.buffer.partial_line:
                 raise protocol.LineError("more than one line was sent before UP")
             else:
-                self._admit(connection, protocol.parse_opening(line), arrived)
+                self._admit(connection, protocol.parse_opening(line), arrived_at)
 
     def _discard(self, connection: PendingConnection) -> None:
         """Discard what an answered client still sends; close a connection that sends too much."""
@@ -286,16 +286,16 @@
         if not size or connection.discarded_bytes > sockets.MAX_DRAIN_BYTES:
             self.close(connection)
 
-    def _admit(self, connection: PendingConnection, opening: protocol.Opening, arrived: timedelta) -> None:
-        answer = self._admitter.admit(connection.sock, opening, arrived, lambda: self._release(connection))
+    def _admit(self, connection: PendingConnection, opening: protocol.Opening, arrived_at: timedelta) -> None:
+        answer = self._admitter.admit(connection.sock, opening, arrived_at, lambda: self._release(connection))
         if answer:
             self.answer_and_shutdown(connection, answer)
 
-    def _answer_ping(self, connection: PendingConnection, arrived: timedelta) -> None:
-        connection.count_ping(arrived)
+    def _answer_ping(self, connection: PendingConnection, arrived_at: timedelta) -> None:
+        connection.count_ping(arrived_at)
         if not self._admitter.is_ready:
             # The connection ends as well, because a front end keeps none to a node in standby.
             self.answer_and_shutdown(connection, protocol.BUSY + b"\r\n")
             return
         connection.sock.send(protocol.PONG + b"\r\n", socket.MSG_DONTWAIT)
-        connection.extend_deadlines(arrived)
+        connection.extend_deadlines(arrived_at)
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -71,7 +71,7 @@
             config.settings.classes, lambda number: self._endpoints[number].id, metrics
         )
         self._unlogged_counts: deque[SecondCounts] = deque()  # to be logged outside the lock
-        self._balancer = Balancer(config.settings, config.seed, clock.micros(now()))
+        self._balancer = Balancer(config.settings, config.seed, clock.to_unix_us(now()))
 
     @property
     def revision(self) -> int:
@@ -83,7 +83,7 @@
         with self._lock:
             settings = self._configuration.apply(config).settings
             self._event_counters.use_classes(settings.classes)
-            queues_to_wake = self._decide([settings])
+            queues_to_wake = self._handle_events_locked([settings])
         self._metrics.add_classes(self._configuration.class_numbers)
         self._wake_and_log(queues_to_wake)
 
@@ -104,7 +104,7 @@
     def handle_events(self, *events: Event) -> None:
         """Pass events to the policy as having occurred now, in order, and dispatch its actions."""
         with self._lock:
-            queues_to_wake = self._decide(events)
+            queues_to_wake = self._handle_events_locked(events)
         self._wake_and_log(queues_to_wake)
 
     def _wake_and_log(self, queues_to_wake: list[ActionQueue]) -> None:
@@ -116,10 +116,10 @@
                 timestamp, counts, endpoints = self._unlogged_counts.popleft()
                 log(LogEvent.COUNTS, counts, timestamp=timestamp, endpoints=endpoints)
 
-    def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
+    def _handle_events_locked(self, events: Sequence[Event]) -> list[ActionQueue]:
         """Pass events to the policy, with the lock held; return the queues to wake once it is released."""
         queues_to_wake: list[ActionQueue] = []
-        now_us = self._clock.micros(now())
+        now_us = self._clock.to_unix_us(now())
         if counts := self._event_counters.finish_second(now_us):
             self._unlogged_counts.append(counts)
         for event in events:
@@ -128,7 +128,7 @@
             self._event_counters.count_action(action)
             match action:
                 case SetTimer(at_us, token):
-                    self._timers.set(self._clock.moment(at_us), token)
+                    self._timers.set(self._clock.from_unix_us(at_us), token)
                 case StartAttempt() | Reject() | Fail() | CancelAttempt() | Migrate():
                     if (action_queue := self._post(action)) is not None:
                         queues_to_wake.append(action_queue)
@@ -167,7 +167,7 @@
                 expired = self._timers.wait_for_expired()
                 if not expired:
                     return
-                queues_to_wake = self._decide(expired)
+                queues_to_wake = self._handle_events_locked(expired)
             self._wake_and_log(queues_to_wake)
 
     def record_discovery_call(self, *, failed: bool) -> None:
@@ -231,7 +231,7 @@
         valid = valid_entries(listed.endpoints)
         with self._lock:
             updates = self._registry.apply(listed, valid, kind)
-            queues_to_wake = self._decide([EndpointListUpdate(kind, updates, listed.revision)])
+            queues_to_wake = self._handle_events_locked([EndpointListUpdate(kind, updates, listed.revision)])
         self._wake_and_log(queues_to_wake)
 
     def endpoint_list(self) -> EndpointList:
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -85,7 +85,7 @@
         if self._upstream.replay:
             self._response_timeout.line_sent()
             self._host.send(self._upstream.replay)
-        self._forward_host_lines(self._upstream.connection.initial_lines[1:])
+        self._forward_host_lines(self._upstream.connection.up_lines[1:])
 
     def _resume_clients(self) -> None:
         """Connect clients that have reconnected.
--- a/tansyladder/sessions/host_connection.py
+++ b/tansyladder/sessions/host_connection.py
@@ -10,7 +10,7 @@
 from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.net.response_timeout import ResponseTimeout
 from tansyladder.node.context import NodeContext
-from tansyladder.node.delay_reporting import build_delay_reports
+from tansyladder.node.delay_reporting import build_delay_reporter
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.sessions.errors import UpstreamLossReason, UpstreamLostError
 from tansyladder.sessions.upstream_placement import PlacedUpstream
@@ -24,8 +24,8 @@
         attempt = upstream.connection.attempt
         self.endpoint: EndpointAddress = upstream.connection.endpoint
         self.socket = upstream.socket
-        self._reports = build_delay_reports(context, upstream.request_id, attempt, self.endpoint.number)
-        self.response_timeout = ResponseTimeout(self._reports.record_delay)
+        self._reporter = build_delay_reporter(context, upstream.request_id, attempt, self.endpoint.number)
+        self.response_timeout = ResponseTimeout(self._reporter.record_delay)
         self.has_sent_lines = False  # whether the host has sent a line for the client
 
     @property
@@ -79,4 +79,4 @@
         keyword = protocol.parse_keyword(line)
         self.response_timeout.line_received(keyword)
         if keyword == protocol.LOAD:
-            self._reports.record_load_line(line)
+            self._reporter.record_load_line(line)
--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -153,7 +153,7 @@
     def _retention_period(self) -> RetentionPeriod:
         current_time = now()
         until = current_time + self._token_lifetime + MAX_CLOCK_SKEW
-        return RetentionPeriod(self._clock.micros(current_time), self._clock.micros(until))
+        return RetentionPeriod(self._clock.to_unix_us(current_time), self._clock.to_unix_us(until))
 
     def _release(self, confirmation: ClaimConfirmation) -> None:
         """Report in a thread that a token was not redeemed; drop the report if too many threads run."""
@@ -171,7 +171,7 @@
 
     def _release_until_decided(self, confirmation: ClaimConfirmation) -> None:
         """Submit a confirmation again until the cluster has decided on it or the token has expired."""
-        deadline = self._clock.moment(confirmation.token_expiry_us)
+        deadline = self._clock.from_unix_us(confirmation.token_expiry_us)
         while now() < deadline:
             attempt_deadline = min(deadline, now() + RELEASE_ATTEMPT_TIMEOUT)
             if self._service.propose_ownership(confirmation, attempt_deadline) is not None:
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -87,12 +87,12 @@
     # --- clients that reconnect
 
     def resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived_at: timedelta, release_socket: Callable[[], None]
     ) -> bytes:
         """Hand a client with a token over to its session's thread, without waiting.
 
-        `release` is called just before the client is handed over; from then on its socket no longer belongs
-        to the caller. A rejection leaves the session unchanged.
+        `release_socket` is called just before the client is handed over; from then on its socket no longer
+        belongs to the caller. A rejection leaves the session unchanged.
 
         Returns:
             The answer that rejects the client; empty if the client is handed over.
@@ -102,7 +102,7 @@
         """
         try:
             self._check_is_available()
-            return self._resume(sock, opening, arrived, release)
+            return self._resume(sock, opening, arrived_at, release_socket)
         except ResumeRejectedError as error:
             return error.answer
         except TokenError as error:
@@ -128,26 +128,26 @@
             raise ResumeRejectedError(RETRY_SOON_LINE)
 
     def _resume(
-        self, sock: socket.socket, opening: Opening, arrived: timedelta, release: Callable[[], None]
+        self, sock: socket.socket, opening: Opening, arrived_at: timedelta, release_socket: Callable[[], None]
     ) -> bytes:
         registry = self.registry
         position = _parse_position(opening)
         payload = registry.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
         if self._takeover is not None:  # the line may have arrived while the process was paused
-            arrived = min(arrived, now() - sockets.time_since_last_data(sock))
-        client = ResumingClient(sock, position, arrived + opening.wait, payload.expires_at_us)
+            arrived_at = min(arrived_at, now() - sockets.time_since_last_data(sock))
+        client = ResumingClient(sock, position, arrived_at + opening.wait, payload.expires_at_us)
         if not registry.token_registry.is_known(payload.session_id):
             if self._takeover is not None:
-                self._takeover.start(client, opening, payload, arrived, release)
+                self._takeover.start(client, opening, payload, arrived_at, release_socket)
                 return b""
             if registry.session_store is not None:
                 self._restorer.restore_stored(registry.session_store, payload)
 
         def deliver(queue: ActionQueue) -> None:
-            release()
+            release_socket()
             queue.add_client(client)
 
-        registry.token_registry.begin_resume(payload, self._context.clock.micros(arrived), deliver)
+        registry.token_registry.begin_resume(payload, self._context.clock.to_unix_us(arrived_at), deliver)
         return b""
 
     # --- sessions of other nodes
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -92,7 +92,7 @@
 
     def _begin(self, upstream: PlacedUpstream) -> PlacedUpstream:
         """Register a new session, and answer its client."""
-        self._client.set_up_line(upstream.connection.initial_lines[0])
+        self._client.set_up_line(upstream.connection.up_lines[0])
         self._connect_upstream(upstream)
         self._registry.token_registry.add(self._stream.session_id, self._queue)
         self._client.send_first_answer()
@@ -206,7 +206,7 @@
             self._migrations_without_progress = 0
             self._client.cancel_resume(client, protocol.format_reject(placed.retry_after))
             return None
-        self._client.set_up_line(placed.connection.initial_lines[0])
+        self._client.set_up_line(placed.connection.up_lines[0])
         self._connect_upstream(placed)
         self._client.resume(client)
         return placed
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -142,7 +142,7 @@
             self.session_store.delete_session(session_id)
 
     def _token_expiry_us(self) -> int:
-        return self._context.clock.micros(now() + self.options.expires)
+        return self._context.clock.to_unix_us(now() + self.options.expires)
 
     # --- suspended sessions
 
--- a/tansyladder/sessions/session_restorer.py
+++ b/tansyladder/sessions/session_restorer.py
@@ -64,7 +64,7 @@
         """
         registry = self._registry
         queue = ActionQueue()
-        expires_at = self._context.clock.moment(expires_at_us)
+        expires_at = self._context.clock.from_unix_us(expires_at_us)
         try:
             queue.open()
             epoch_prefix = ownership_epoch or registry.start_number
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -185,7 +185,7 @@
     clock = Clock()
 
     def now_us() -> int:
-        return clock.micros(now())
+        return clock.to_unix_us(now())
 
     try:
         store = open_store(RealFiles(Path(directory)), node_name, now_us)
--- a/tansyladder/sessions/takeover.py
+++ b/tansyladder/sessions/takeover.py
@@ -34,7 +34,7 @@
     client: ResumingClient
     opening: Opening
     payload: TokenPayload
-    arrived: timedelta
+    arrived_at: timedelta
 
 
 class SessionTakeover:
@@ -63,23 +63,23 @@
         client: ResumingClient,
         opening: Opening,
         payload: TokenPayload,
-        arrived: timedelta,
-        release: Callable[[], None],
+        arrived_at: timedelta,
+        release_socket: Callable[[], None],
     ) -> None:
-        """Call `release`, then take over the session of a client's token in a thread of its own.
+        """Call `release_socket`, then take over the session of a client's token in a thread of its own.
 
         Raises:
             ResumeRejectedError: Too many sessions are being claimed, or this one is being claimed already.
                 Two claims of one node for one session would leave it with the epoch of the earlier one.
         """
-        request = _TakeoverRequest(client, opening, payload, arrived)
+        request = _TakeoverRequest(client, opening, payload, arrived_at)
         session_id = payload.session_id
         with self._lock:
             if len(self._claiming_ids) >= MAX_CONCURRENT_CLAIMS or session_id in self._claiming_ids:
                 raise ResumeRejectedError(RETRY_SOON_LINE)
             self._claiming_ids.add(session_id)
         try:
-            release()
+            release_socket()
             threading.Thread(target=self._run, args=(request,), name="takeover", daemon=True).start()
         except RuntimeError as error:
             log(LogEvent.SESSION_TAKEOVER_FAILED, error=error)
@@ -117,9 +117,9 @@
         self._restorer.restore(
             payload.session_id, request.opening, payload.generation, payload.expires_at_us, epoch
         )
-        arrived_us = self._context.clock.micros(request.arrived)
+        arrived_us = self._context.clock.to_unix_us(request.arrived_at)
         token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
-        log(LogEvent.SESSION_TAKEN_OVER, ownership_epoch=epoch, duration_ms=now() - request.arrived)
+        log(LogEvent.SESSION_TAKEN_OVER, ownership_epoch=epoch, duration_ms=now() - request.arrived_at)
 
     def _finish(self, session_id: int) -> None:
         with self._lock:
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -75,8 +75,8 @@
             build_request(context, request_id, request.class_number, opening, deadline, is_reconnect=True)
         )
         if isinstance(result, UpstreamConnection):
-            up_line, _position, *following_lines = result.initial_lines
-            connection = replace(result, initial_lines=(up_line, *following_lines))
+            up_line, _position, *lines_after_up = result.up_lines
+            connection = replace(result, up_lines=(up_line, *lines_after_up))
             return PlacedUpstream.from_connection(connection, request_id, self._replay)
         context.policy.unregister_request(request_id)
         if isinstance(result, Reject):
@@ -86,7 +86,7 @@
     def _accept(self, result: ConnectResult) -> bool:
         """Return whether the session can continue from the position in a stream host's answer."""
         try:
-            self._replay = self._request.stream.complete_placement(result.following_lines[0])
+            self._replay = self._request.stream.complete_placement(result.lines_after_up[0])
         except PositionError as error:
             up_line = result.up_line.decode(errors="replace").strip()
             log(LogEvent.REPLAY_MISMATCH, reason=error.reason, up_line=up_line[:MAX_LOGGED_CHARACTERS])
--- a/tests/answers/test_counts_line.py
+++ b/tests/answers/test_counts_line.py
@@ -8,7 +8,7 @@
 import re
 from pathlib import Path
 
-from tansyladder.node.event_counters import Count
+from tansyladder.node.event_counters import CountName
 from tansyladder.policy.events import AttemptStatus
 from tests.answers.program import ROOT, platform_config, running_node
 
@@ -53,7 +53,7 @@
     outcome_counts = {
         f"{prefix}{outcome}" for outcome in OUTCOMES - {"ok"} for prefix in ("", "ended_", "health_check_")
     }
-    assert {count.value for count in Count} == COUNTS
+    assert {count.value for count in CountName} == COUNTS
     assert names_on_the_page("count") == COUNTS | outcome_counts | {"ended_ok"}
 
 
--- a/tests/net/test_delay_reports.py
+++ b/tests/net/test_delay_reports.py
@@ -8,7 +8,7 @@
 
 from tansyladder.net import delay_reports, response_timeout
 from tansyladder.net.clock import MICROSECOND, MILLISECOND
-from tansyladder.net.delay_reports import DelayMeter, DelayReports
+from tansyladder.net.delay_reports import DelayMeter, DelayReporter
 from tansyladder.net.response_timeout import ResponseTimeout
 from tansyladder.policy.events import ReportKind
 
@@ -116,18 +116,16 @@
 ) -> None:
     reports: list[tuple[ReportKind, float]] = []
     meter = DelayMeter(100 * MILLISECOND) if has_meter else None
-    delay_reports_of_connection = DelayReports(
-        1, lambda: meter, lambda *args: reports.append(args), lambda: reports_load
-    )
-    delay_reports_of_connection.record_load_line(line)
+    reporter = DelayReporter(1, lambda: meter, lambda *args: reports.append(args), lambda: reports_load)
+    reporter.record_load_line(line)
     assert reports == ([] if report is None else [report])
 
 
 def test_a_measured_delay_is_reported_in_milliseconds(clock: ManualClock) -> None:
     reports: list[tuple[ReportKind, float]] = []
     meter = DelayMeter(100 * MILLISECOND)
-    delay_reports_of_connection = DelayReports(1, lambda: meter, lambda *args: reports.append(args))
-    delay_reports_of_connection.record_delay(150 * MILLISECOND)
+    reporter = DelayReporter(1, lambda: meter, lambda *args: reports.append(args))
+    reporter.record_delay(150 * MILLISECOND)
     clock.advance(10)
-    delay_reports_of_connection.record_delay(160 * MILLISECOND)
+    reporter.record_delay(160 * MILLISECOND)
     assert reports == [(ReportKind.MEASURED_DELAY, 150.0)]
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -14,7 +14,7 @@
 from tansyladder.config.platform import Address
 from tansyladder.net import protocol
 from tansyladder.net.action_queue import ActionQueue
-from tansyladder.net.delay_reports import DelayReports
+from tansyladder.net.delay_reports import DelayReporter
 from tansyladder.net.endpoint_address import EndpointAddress
 from tansyladder.net.handover_messages import BytesByDirection, ConnectionState
 from tansyladder.net.listener_handover import ListenerHandover
@@ -46,17 +46,17 @@
 class RunningRelay:
     """A relay that runs in its own thread, and the test's ends of its two connections."""
 
-    def __init__(self, initial_lines: tuple[bytes, ...] = (), state: ConnectionState | None = None) -> None:
+    def __init__(self, up_lines: tuple[bytes, ...] = (), state: ConnectionState | None = None) -> None:
         self.client, client = connect()
         self.upstream, upstream = connect()
         self.reports: list[tuple[ReportKind, float]] = []
         self.actions = ActionQueue()
         self.actions.open()
         self.status: AttemptStatus | None = None
-        connection = UpstreamConnection(ENDPOINT, upstream, protocol.LineBuffer(), initial_lines, 0, 0)
-        reports = DelayReports(1, lambda: None, lambda *report: self.reports.append(report), lambda: True)
+        connection = UpstreamConnection(ENDPOINT, upstream, protocol.LineBuffer(), up_lines, 0, 0)
+        reporter = DelayReporter(1, lambda: None, lambda *report: self.reports.append(report), lambda: True)
         handover = ListenerHandover(Address("127.0.0.1", 1), None)
-        relay = Relay(client, connection, OPENING, self.actions, reports, handover)
+        relay = Relay(client, connection, OPENING, self.actions, reporter, handover)
         self.actions.use_callback(relay.wake)
         self._thread = threading.Thread(target=self._run, args=(relay, state), daemon=True)
         self._thread.start()
@@ -78,7 +78,7 @@
 
 @pytest.fixture
 def relay() -> Iterator[RunningRelay]:
-    running = RunningRelay(initial_lines=(b"UP r1\r\n",))
+    running = RunningRelay(up_lines=(b"UP r1\r\n",))
     assert running.client.recv(64) == b"UP r1\r\n"
     yield running
     running.close()
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -163,9 +163,9 @@
         super().__init__(configuration, clock, metrics, work_queues)
         self.events: list[Event] = []
 
-    def _decide(self, events: Sequence[Event]) -> list[ActionQueue]:
+    def _handle_events_locked(self, events: Sequence[Event]) -> list[ActionQueue]:
         self.events.extend(events)
-        return super()._decide(events)
+        return super()._handle_events_locked(events)
 
     def events_of(self, kind: type[EventT]) -> list[EventT]:
         """Return the events of one type that the policy has handled so far."""
--- a/tests/node/test_drain_crossings.py
+++ b/tests/node/test_drain_crossings.py
@@ -126,17 +126,17 @@
     """
     monkeypatch.setattr(connection_drainer, "LATE_ARRIVAL_WINDOW", timedelta(0))
     expecting = threading.Event()
-    is_expecting_lines: property = vars(ConnectionAcceptor)["is_expecting_lines"]
+    may_receive_first_line: property = vars(ConnectionAcceptor)["may_receive_first_line"]
 
     def check(self: ConnectionAcceptor) -> bool:
-        if found := is_expecting_lines.__get__(self):
+        if found := may_receive_first_line.__get__(self):
             expecting.set()
         return bool(found)
 
     with running_node(tmp_path, ScriptedServer(answer_up(lambda peer: peer.send_lines("BYE")))) as node:
         client = node.connect()
         client.sock.sendall(b"OPEN 7e7")
-        monkeypatch.setattr(ConnectionAcceptor, "is_expecting_lines", property(check))
+        monkeypatch.setattr(ConnectionAcceptor, "may_receive_first_line", property(check))
         drain = start_drain(node)
         assert expecting.wait(10)
         client.sock.sendall(b" 7f c=chat,d=1200\r\n")
@@ -160,7 +160,7 @@
         assert dispatched.wait(10)
         run(self)
 
-    def evict_and_notify(self: ConnectionDrainer, notified: set[int], _until: timedelta) -> None:
+    def evict_and_notify(self: ConnectionDrainer, notified: set[int], _deadline: timedelta) -> None:
         evicting.set()
         evict_remaining(self, notified, now() + TEST_TIMEOUT)
 
