--- a/tansyladder/sessions/takeover.py
+++ b/tansyladder/sessions/takeover.py
@@ -37,7 +37,7 @@
     client: ResumingClient
     opening: Opening
     payload: TokenPayload
-    arrived: timedelta  # when its first line arrived
+    arrived_at: timedelta  # when its first line arrived
 
 
 class SessionTakeover:
@@ -68,32 +68,32 @@
         client: ResumingClient,
         opening: Opening,
         payload: TokenPayload,
-        arrived: timedelta,
-        release: Callable[[], None],
+        arrived_at: timedelta,
+        release_socket: Callable[[], None],
     ) -> None:
         """Begin to take over the session of a client's token, in a thread of its own.
 
         Args:
-            client: The client; its socket belongs to the takeover from the call of `release` on.
+            client: The client; its socket belongs to the takeover from the call of `release_socket` on.
             opening: The first line of the client.
             payload: The content of the token.
-            arrived: When the first line arrived.
-            release: Is called before the thread starts, and makes the caller give up the socket. It is not
-                called if this method raises `ResumeRejectedError`.
+            arrived_at: When the first line arrived.
+            release_socket: Is called before the thread starts, and makes the caller give up the socket. It is
+                not called if this method raises `ResumeRejectedError`.
 
         Raises:
             ResumeRejectedError: Too many sessions are being claimed, or this one is being claimed already.
                 With two claims at once, this node could restore the session with the epoch of the earlier
                 claim, which the later one has replaced in the cluster.
         """
-        request = _TakeoverRequest(client, opening, payload, arrived)
+        request = _TakeoverRequest(client, opening, payload, arrived_at)
         session_id = payload.session_id
         with self._lock:
             if len(self._ids_being_claimed) >= MAX_CONCURRENT_CLAIMS or session_id in self._ids_being_claimed:
                 raise ResumeRejectedError(RETRY_SOON_LINE)
             self._ids_being_claimed.add(session_id)
         try:
-            release()
+            release_socket()
             threading.Thread(target=self._run, args=(request,), name="takeover", daemon=True).start()
         except RuntimeError as error:  # no thread can be started; the caller has given up the socket
             log(LogEvent.SESSION_TAKEOVER_FAILED, error=error)
@@ -132,9 +132,9 @@
             payload.session_id, request.opening, payload.generation, payload.expires_at_us, epoch
         )
         # Whether the token has expired is judged here by the time at which the client's line arrived.
-        arrived_us = self._context.clock.micros(request.arrived)
+        arrived_us = self._context.clock.to_unix_us(request.arrived_at)
         token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
-        log(LogEvent.SESSION_TAKEN_OVER, ownership_epoch=epoch, duration_ms=now() - request.arrived)
+        log(LogEvent.SESSION_TAKEN_OVER, ownership_epoch=epoch, duration_ms=now() - request.arrived_at)
 
     def _end_claim(self, session_id: int) -> None:
         """Record that a session is no longer being claimed, so that it can be claimed again."""
