--- a/tansyladder/policy/active_settings.py
+++ b/tansyladder/policy/active_settings.py
@@ -72,7 +72,7 @@
 
 
 def _find_utilization_column(columns: tuple[str, ...]) -> int:
-    """Find the column of load reports that holds the utilization; return -1 if there is none."""
+    """Find the column of load reports that holds the utilization; `NO_UTILIZATION_COLUMN` if none."""
     return (
         columns.index(UTILIZATION_COLUMN_NAME)
         if UTILIZATION_COLUMN_NAME in columns
--- a/tansyladder/policy/attempt_sending.py
+++ b/tansyladder/policy/attempt_sending.py
@@ -4,12 +4,12 @@
                                                                 for a shared cause
     timeout = max(time left / 2, min(objective, time left))     otherwise
 
-where the time left is until the request's deadline, and the objective is the latency objective of its class.
+where the time left ends at the request's deadline, and the objective is the latency objective of its class.
 An attempt that is not the last one leaves time for another. If most set-ups fail, all endpoints wait for the
 same cause (`setup_failures`), and a short timeout would only add attempts.
 
-An attempt uses up a slow-start permit if its endpoint is warming up. It counts as load of the endpoint until
-load reports include it.
+An attempt uses up a slow-start permit if its endpoint is warming up. Its expected load is added to that of
+the endpoint, as load reports include it only later (`endpoint_load`).
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/backoff.py
+++ b/tansyladder/policy/backoff.py
@@ -2,8 +2,9 @@
 
 After the n-th failure in a row, the time of the retry is drawn uniformly from an interval of 2^n slots, with
 n capped. The usual algorithm starts the interval at the failure. Here it starts at the end of the previous
-interval if that is later. Retries after different numbers of failures therefore never coincide, and a burst
-of failures spreads out further with each round. The caller decides whether to retry and how long a slot is.
+interval if that is later. If many clients fail together, all first retries are therefore due before any
+second one, and the retries spread out further with each round. The caller decides whether to retry and how
+long a slot is.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/balancer.py
+++ b/tansyladder/policy/balancer.py
@@ -1,7 +1,7 @@
 """The entry point of the policy: passes each event to the component that handles it.
 
 `docs/policy.md` describes the decisions of the components. A balancer learns only from the events of its own
-node: nodes send each other no messages.
+node: the balancers of different nodes send each other no messages.
 """
 
 from __future__ import annotations
@@ -72,4 +72,4 @@
 
 
 def _ignore(event: event_types.PeerMessage) -> None:
-    """Ignore a message from another node, as nodes do not send each other any yet."""
+    """Ignore a message from another node's balancer, as balancers send none yet."""
--- a/tansyladder/policy/candidate_checks.py
+++ b/tansyladder/policy/candidate_checks.py
@@ -47,7 +47,7 @@
         self._health_checks = health_checks
 
     def check_candidates(self, request: Request) -> None:
-        """Sample the candidates of a request, and check those whose load report is missing or too old."""
+        """Sample the candidates of a request, and check the warm ones whose load report is too old."""
         request.candidates = []
         request.pending_check_count = 0
         if not self._active_settings.limits.can_check_load:
--- a/tansyladder/policy/components.py
+++ b/tansyladder/policy/components.py
@@ -49,7 +49,8 @@
 class PolicyComponents:
     """All components of one balancer.
 
-    No component refers to this object: each gets its dependencies through its constructor.
+    Each component gets its dependencies through its constructor. Only the retry scheduler refers to this
+    object, because of the cycle described above.
     """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
@@ -155,7 +156,7 @@
     def _start_attempt(self, request_id: int) -> None:
         """Start an attempt when a retry is due.
 
-        The retry scheduler calls this method because `attempt_starter` is built later and depends on it.
+        The retry scheduler calls this method because `attempt_starter` depends on it and is built later.
         """
         self.attempt_starter.start(request_id)
 
--- a/tansyladder/policy/discovery_polling.py
+++ b/tansyladder/policy/discovery_polling.py
@@ -3,7 +3,7 @@
 The first poll happens at a random time within a spread, as all nodes may start together and would otherwise
 overload the discovery service. The spread is 1 / `FIRST_POLL_SPEEDUP` of the interval in which all nodes may
 call once each, or 3/4 of the poll interval if that call interval is not configured. The spread is short
-because, until its first poll, a restarted node treats endpoints that started in the meantime as warm.
+because, until its first poll, a restarted node treats endpoints that started while it was down as warm.
 
 Polls after failures follow a truncated binary exponential backoff with two slots in each interval. Two
 intervals and one call fit into the maximum age of the list. The intervals neither start shorter nor grow: if
@@ -23,7 +23,7 @@
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.timers import TimerScheduler
 
-# A node counts as notified of a change after this time, whether or not its calls succeeded.
+# Maximum age of the list: a node is expected to know a change after this time, even if its calls failed.
 MAX_LIST_AGE_US = 6_000_000
 SLOTS_PER_LIST_AGE = 6  # two intervals of two slots take two thirds of the age; the rest is for a call
 MAX_POLL_ATTEMPT = 1  # the interval stops growing at this number of failures
--- a/tansyladder/policy/ejection.py
+++ b/tansyladder/policy/ejection.py
@@ -1,4 +1,4 @@
-"""How long a failed endpoint is ejected (outlier ejection).
+"""How long an endpoint that failed or was slow is ejected (outlier ejection).
 
 Each failure outside of an ejection starts an interval of a truncated binary exponential backoff with slots of
 half the reaction time. The ejection ends at a time drawn from the interval, so that the nodes do not all
--- a/tansyladder/policy/endpoint_draw.py
+++ b/tansyladder/policy/endpoint_draw.py
@@ -41,7 +41,7 @@
         self._weighted_draw = weighted_draw
 
     def draw(self, endpoints: list[Endpoint], pool: EndpointPool, request: Request) -> Endpoint | None:
-        """Draw one of the given endpoints of a pool whose figures are up to date.
+        """Draw one of the given endpoints of a pool, for which `PoolLoad.refresh` has been called.
 
         Returns:
             The endpoint; None if none of them can take the request.
--- a/tansyladder/policy/endpoint_list.py
+++ b/tansyladder/policy/endpoint_list.py
@@ -18,7 +18,7 @@
 from tansyladder.policy.events import EndpointListUpdate, EndpointState, EndpointUpdate, ListUpdateKind
 from tansyladder.policy.health_checks import HealthCheckScheduler
 
-MAX_WEIGHT = 1e6  # a weight from this on is invalid: it would attract all traffic or break a division
+MAX_WEIGHT = 1e6  # exclusive; a larger weight is invalid: it would attract all traffic or break a division
 DEFAULT_WEIGHT = 1.0  # used if weights are not configured, and instead of an invalid weight
 
 
--- a/tansyladder/policy/endpoint_load.py
+++ b/tansyladder/policy/endpoint_load.py
@@ -4,8 +4,9 @@
 
 - the utilization in the last load report, which is valid for a fraction of the slow start's duration;
 - the message delay, reported by the endpoint or measured by this node, which is valid until it expires;
-- the pending utilization: the expected utilization from this node's requests that no report includes yet. It
-  decays linearly over the reaction time: pending x (1 - age / reaction time).
+- the pending utilization: the expected utilization from this node's latest requests, which reports may not
+  include yet. A new report does not reset it. It decays linearly: pending x (1 - age / reaction time), where
+  the age is the time since the last request.
 
 If messages at an endpoint are late, a share of its load is excess and is to be migrated:
 
@@ -22,12 +23,12 @@
 from tansyladder.policy.clock import Clock
 from tansyladder.policy.endpoints import NEVER, Endpoint
 
-# A load report is valid for 1/4 of the slow start: in that time an endpoint's load can change by as much.
+# A load report is valid for 1/4 of the slow start: in that time a load can change by 1/4 of full capacity.
 REPORT_LIFETIMES_PER_SLOW_START = 4
 TARGET_UTILIZATION = 0.75  # migrations lower the utilization of an overloaded endpoint to this value
 MAX_GUESSED_EXCESS = 0.5  # share of an endpoint's load, if its utilization is not known
 NO_DELAY = 0.0
-MAX_REPORTED_UTILIZATION = 1e6  # a report from this on is invalid: a full endpoint reports 1
+MAX_REPORTED_UTILIZATION = 1e6  # exclusive; a larger value is invalid: a full endpoint reports 1
 
 
 class EndpointLoad:
@@ -52,11 +53,11 @@
         return self._clock.now - reported_at < lifetime
 
     def known_utilization(self, endpoint: Endpoint) -> float:
-        """Return the last reported utilization plus that of requests which no report includes yet."""
+        """Return the last reported utilization plus the pending utilization."""
         return endpoint.utilization + self._pending_utilization(endpoint)
 
     def _pending_utilization(self, endpoint: Endpoint) -> float:
-        """Return the utilization from this node's requests that no load report includes yet."""
+        """Return what is left of the pending utilization now."""
         age = self._clock.now - endpoint.pending_at
         return endpoint.pending_utilization * max(
             0.0, 1.0 - age / self._active_settings.limits.reaction_time_us
--- a/tansyladder/policy/endpoint_pools.py
+++ b/tansyladder/policy/endpoint_pools.py
@@ -1,4 +1,4 @@
-"""The record of a pool: the ready endpoints of the home zone, or of all others. It makes no decisions."""
+"""The record of a pool: ready endpoints, of the home zone or of all other zones. It makes no decisions."""
 
 from __future__ import annotations
 
--- a/tansyladder/policy/endpoint_reports.py
+++ b/tansyladder/policy/endpoint_reports.py
@@ -12,7 +12,7 @@
 from tansyladder.policy.outlier_detection import OutlierDetector
 from tansyladder.policy.request_table import RequestTable
 
-MAX_REPORTED_VALUE = 1e12  # a load or a delay from this on is invalid
+MAX_REPORTED_VALUE = 1e12  # exclusive; a larger load or delay is invalid
 MICROSECONDS_PER_MILLISECOND = 1000
 LOAD_REPORT_KIND = ReportKind.LOAD
 DELAY_REPORT_KINDS = (ReportKind.REPORTED_DELAY, ReportKind.MEASURED_DELAY)
@@ -34,7 +34,7 @@
         self._outliers = outliers
 
     def handle_connection_report(self, event: ConnectionReport) -> None:
-        """Record the load of a connection (us per second) or the delay of its messages (ms)."""
+        """Record the load of a connection (us of work per second) or the delay of its messages (ms)."""
         request = self._requests.by_id.get(event.request_id)
         endpoint = self._endpoints.by_id.get(event.endpoint_id)
         if request is None or endpoint is None or not 0.0 <= event.value < MAX_REPORTED_VALUE:
--- a/tansyladder/policy/endpoint_sampling.py
+++ b/tansyladder/policy/endpoint_sampling.py
@@ -1,12 +1,12 @@
 """Samples endpoints for a request, and decides which endpoints are available for an attempt.
 
 A sample is used instead of all endpoints, as in the power of random choices: if most endpoints have capacity,
-one of a few random ones has it too, and the cost does not grow with the number of endpoints. In pass-through
-mode the sample is the first endpoints in the order of the request's key (rendezvous hashing), which is the
-same at every node.
+one of a few random ones very likely has it, and the cost does not grow with the number of endpoints. In
+pass-through mode the sample is the first endpoints in the order of the request's key (rendezvous hashing),
+which is the same at every node.
 
-An endpoint is available if it is ready, not ejected, and has few pending attempts. After an ejection it gets
-one attempt at a time until a connection is established, as it may still be down.
+An endpoint is available if it is ready, is not ejected, and has few enough pending attempts. After an
+ejection it gets one attempt at a time until a connection is established, as it may still be down.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/endpoint_selection.py
+++ b/tansyladder/policy/endpoint_selection.py
@@ -15,9 +15,9 @@
 
     connections x number of nodes / number of zones > UTILIZATION_LIMIT x connections per unit x capacity
 
-In that case requests go to other zones first. As this is only an estimate, it rejects no request: one that no
-other zone takes gets an endpoint in the home zone. The true numbers of other nodes are not known. The draw
-among endpoints is in `endpoint_draw`.
+where connections are this node's in the home zone. In that case requests go to other zones first. As this is
+only an estimate, it rejects no request: one that no other zone takes gets an endpoint in the home zone. How
+many connections other nodes really have is not known. The draw among endpoints is in `endpoint_draw`.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/endpoint_weights.py
+++ b/tansyladder/policy/endpoint_weights.py
@@ -2,13 +2,15 @@
 
     weight = capacity x (UTILIZATION_LIMIT - utilization)^2, or 0 if the utilization is at or over the limit
 
-where capacity = configured weight x share of it during slow start. The square clearly favours idle endpoints
-over those near the limit without sending everything to the idlest one. The utilization is that of the last
-load report plus that of requests assigned since. Without a valid report it is guessed from this node's own
-load at the endpoint, relative to the mean of the pool. A valid message delay raises it to delay / objective.
+where capacity = weight in discovery's list x current share of full capacity (`slow_start`). The square
+clearly favours idle endpoints over those near the limit without sending everything to the idlest one. The
+utilization is that of the last load report plus the pending utilization (`endpoint_load`). Without a valid
+report it is guessed from this node's own load at the endpoint, relative to the mean of the pool. A valid
+message delay raises it to at least delay / objective.
 
-The guess does not include traffic from other nodes. If health checks watch the endpoint, the guess therefore
-influences the order of endpoints but stays below the limit, so that no request is rejected because of it.
+The guess does not include traffic from other nodes. If periodic health checks watch the endpoint, the guess
+therefore influences the order of endpoints but stays below the limit, so that no request is rejected because
+of it.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 from tansyladder.policy.endpoints import Endpoint
 from tansyladder.policy.slow_start import FULL_CAPACITY, SlowStart
 
-UTILIZATION_LIMIT = 0.75  # from here on an endpoint gets nothing new, as its messages are late already
+UTILIZATION_LIMIT = 0.75  # at this an endpoint gets nothing new, as its messages are late already
 MAX_GUESSED_UTILIZATION = 0.7  # below the limit; for endpoints that health checks watch
 HEADROOM_EXPONENT = 2  # 1 would send too much to busy endpoints, more than 2 everything to the idlest ones
 MEAN_RELATIVE_LOAD = 1.0  # assumed for an endpoint if this node has no load in its pool
@@ -37,7 +39,7 @@
     def weigh(self, endpoint: Endpoint, pool: EndpointPool) -> float:
         """Return the weight of an endpoint, or 0 if it gets nothing new.
 
-        The figures of its pool must be up to date.
+        `PoolLoad.refresh` must have been called for its pool.
         """
         share = self._slow_start.capacity_share(endpoint)
         if share < FULL_CAPACITY and not self._slow_start.available_permit(endpoint):
--- a/tansyladder/policy/endpoints.py
+++ b/tansyladder/policy/endpoints.py
@@ -94,18 +94,18 @@
         self.message_delay_us = 0.0
         self.message_delay_at = NEVER  # the time of the last report or measurement of a delay
         self.delay_valid_until = 0
-        self.pending_utilization = 0.0  # from requests of this node that no report includes yet
+        self.pending_utilization = 0.0  # from this node's latest requests; see `endpoint_load`
         self.pending_at = 0  # when the pending utilization was computed
         self.last_permit = 0  # number of the newest slow-start permit that this node has used
         self.migration_backoff = Backoff()
         self.is_migration_scheduled = False
         self.best_latency_us = 0  # lowest latency of its health checks; 0 before the first one
-        self.latency_sample_count = 0  # number of health checks that confirm the best latency
+        self.latency_sample_count = 0  # confirmations of the best latency by health checks
         self.was_last_check_slow = False  # whether its last timed health check was slow
-        self.reports_delay = False  # whether it has reported a delay itself, whatever the settings announce
+        self.reports_delay = False  # whether it has reported a delay itself; independent of the settings
 
     def update(self, update: EndpointUpdate, weight: float) -> None:
-        """Copy the attributes in discovery's list, except the state."""
+        """Copy the zone and the cell from discovery's list, and replace the weight."""
         self.zone = update.zone
         self.cell = update.cell
         self.weight = weight
--- a/tansyladder/policy/events.py
+++ b/tansyladder/policy/events.py
@@ -32,13 +32,13 @@
     """How an attempt or a health check ended."""
 
     OK = 0
-    ERROR = 1
-    FULL = 2
+    ERROR = 1  # the endpoint's answer is an error or invalid
+    FULL = 2  # the endpoint refused it, as it is full
     TIMEOUT = 3
-    CONNECT_FAILED = 4
-    RESET = 5
-    CANCELLED = 6
-    NOT_ATTEMPTED = 7
+    CONNECT_FAILED = 4  # no connection to the endpoint
+    RESET = 5  # the connection to the endpoint broke
+    CANCELLED = 6  # ended on purpose, by the node, the client or the endpoint
+    NOT_ATTEMPTED = 7  # the caller did not make the attempt
 
     @property
     def proves_not_executed(self) -> bool:
@@ -59,8 +59,7 @@
     weight: float
     state: EndpointState
     ready_at_us: int
-    # An id that is the same at every node, if `endpoint_id` is this node's own number; 0: `endpoint_id` is.
-    stable_id: int = 0
+    stable_id: int = 0  # the same at every node; 0 if `endpoint_id` already is
 
 
 class EndpointListUpdate(NamedTuple):
@@ -77,12 +76,12 @@
     request_id: int
     class_index: int
     tenant: int
-    deadline_us: int
-    key: int = 0
-    group_key: int = 0
-    load_hint: int | None = None
+    deadline_us: int  # a time
+    key: int = 0  # identifies the client across its requests; 0: unknown
+    group_key: int = 0  # identifies requests that share work at an endpoint; 0: no group
+    load_hint: int | None = None  # expected load of the connection
     is_retry: bool = False
-    is_midstream: bool = False
+    is_midstream: bool = False  # begins in the middle of a connection; see `previous_endpoint`
     is_reconnect: bool = False
 
 
@@ -116,10 +115,10 @@
 
 
 class ConnectionReport(NamedTuple):
-    """The load of an established connection (us per second), or the delay of its messages (ms)."""
+    """The load of an established connection (us of work per second), or the delay of its messages (ms)."""
 
     request_id: int
-    kind: int
+    kind: int  # a `ReportKind`
     attempt: int
     endpoint_id: int
     value: float
@@ -132,8 +131,8 @@
     attempt: int
     endpoint_id: int
     status: AttemptStatus
-    latency_us: int
-    is_closed: bool
+    latency_us: int  # from the start of the attempt to its end, or until its connection was established
+    is_closed: bool  # the request is over: its connection has ended, or its client left
     load_report: tuple[float, ...] = ()
 
 
--- a/tansyladder/policy/key_backoffs.py
+++ b/tansyladder/policy/key_backoffs.py
@@ -5,12 +5,12 @@
 
     slot = latency objective / SLOTS_PER_OBJECTIVE x (1 + (SLOTS_PER_OBJECTIVE - 1) x set-up failure rate)
 
-so that three failures in a row still fit into the latency objective. When set-ups fail everywhere, the first
-intervals are wider, as many clients then retry within the same intervals. Intervals grow until one covers
-the deadline.
+so that three attempts that fail at once still fit into the latency objective: the first two intervals have
+2 + 4 of its 8 slots. When set-ups fail everywhere, the first intervals are wider, as many clients then retry
+within the same intervals. Intervals grow until one covers the deadline.
 
-A connection that has lasted for the deadline of its class clears the backoff. If it breaks sooner, the cause
-may be that of the failures before it.
+A connection that has lasted for the deadline of its class clears the backoff. If it breaks sooner, the
+backoff continues, as the cause may be that of the failures before it.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from tansyladder.policy.setup_failures import SetupFailureRate
 from tansyladder.policy.timers import TimerScheduler
 
-SLOTS_PER_OBJECTIVE = 8  # slots in the latency objective: three failures in a row still fit into it
+SLOTS_PER_OBJECTIVE = 8  # slots in the latency objective: the first two intervals, 2 + 4 slots, fit into it
 MIN_SLOT_US = 1  # with slots of length 0, all retries would coincide
 
 
--- a/tansyladder/policy/migration_priority.py
+++ b/tansyladder/policy/migration_priority.py
@@ -13,7 +13,7 @@
 from tansyladder.policy.endpoints import Connection
 from tansyladder.policy.tenant_quotas import TenantQuotas
 
-MIN_COUNTED_LOAD = 1.0  # less counts as this, or a nearly idle connection would outrank all with some load
+MIN_COUNTED_LOAD = 1.0  # a lower load counts as this; else a nearly idle connection would outrank all others
 
 
 class MigrationPriority:
--- a/tansyladder/policy/outlier_detection.py
+++ b/tansyladder/policy/outlier_detection.py
@@ -1,7 +1,8 @@
 """Outlier detection: which endpoints are ejected because they fail or are slow.
 
-- An attempt or a health check that ends in an error, in a timeout, or without a connection ejects its
-  endpoint. A health check that a full endpoint refuses does not, as the endpoint has answered.
+- An attempt, a connection or a health check that fails (an error, a timeout, a reset, a refusal or a
+  failed set-up) ejects its endpoint. Only a health check that a full endpoint refuses does not, as the
+  endpoint has answered.
 - A message delay over the limit ejects the endpoint, and a part of its connections is migrated.
 - If an endpoint reports no delays, the latency of its health checks is used instead. A response is slow if
 
@@ -34,9 +35,9 @@
 LATENCY_JITTER_US = 3_000  # by which a response may exceed the best by chance; matters if the best is low
 # A response faster than this factor x a reliable best comes from an endpoint that does no work.
 IMPLAUSIBLE_LATENCY_FACTOR = 0.5
-# Such an endpoint serves nobody, so its latency counts as this factor x the best, which is far too slow.
+# Such an endpoint serves nobody, so its latency counts as this factor x the best, which is slow.
 HUNG_LATENCY_FACTOR = 2
-RELIABLE_SAMPLE_COUNT = 8  # responses that make a best reliable: one far faster is not taken as a new best
+RELIABLE_SAMPLE_COUNT = 8  # after so many confirmations, a far faster response is not taken as a new best
 # Limits the count of confirmations, so that a best is replaced after about 3 x RELIABLE_SAMPLE_COUNT
 # implausibly fast responses, however often it was confirmed before.
 MAX_SAMPLE_COUNT = 4 * RELIABLE_SAMPLE_COUNT
@@ -79,7 +80,7 @@
     def evaluate_established(self, endpoint: Endpoint) -> None:
         """Reset the ejection backoff of an endpoint at which a connection was established.
 
-        It is not reset if a message delay was recorded within the reaction time.
+        It is not reset if any message delay, long or short, was recorded within the reaction time.
         """
         if endpoint.message_delay_at < self._clock.now - self._active_settings.limits.reaction_time_us:
             endpoint.ejection.attempt = 0
--- a/tansyladder/policy/pool_load.py
+++ b/tansyladder/policy/pool_load.py
@@ -2,14 +2,15 @@
 
 - capacity = sum of weight x current share of full capacity, over all endpoints
 - mean load = this node's load in the pool / capacity
-- mean utilization = mean of the utilizations in valid load reports, each capped at 1. If endpoints report no
-  utilization, it is estimated from late messages: a delayed endpoint counts as its delay / objective, between
-  `ASSUMED_MEAN_UTILIZATION` and 1, and any other endpoint as `ASSUMED_MEAN_UTILIZATION`.
+- mean utilization = mean of the utilizations in valid load reports, each capped at 1; without a valid report
+  `ASSUMED_MEAN_UTILIZATION`. If reports do not include the utilization, it is estimated from late messages: a
+  delayed endpoint counts as its delay / objective, between `ASSUMED_MEAN_UTILIZATION` and 1, and any other
+  endpoint as `ASSUMED_MEAN_UTILIZATION`.
 
 The figures are cached for a fraction of the reaction time, as a burst of requests would otherwise compute
-them for each request. Each assignment between two refreshes is added, as a burst would otherwise find all
-endpoints above the mean. The load from other nodes is not known: they are assumed to behave like this one, so
-that this node's mean load serves as a measure of the total load.
+them for each request. Each assignment between two refreshes is added to the mean load, as a burst would
+otherwise raise all endpoints above the outdated mean. The load from other nodes is not known: they are
+assumed to behave like this one, so that this node's mean load serves as a measure of the total load.
 """
 
 from __future__ import annotations
@@ -76,7 +77,7 @@
         return max(ASSUMED_MEAN_UTILIZATION, min(MAX_COUNTED_UTILIZATION, delay))
 
     def record_assignment(self, pool: EndpointPool, endpoint: Endpoint, request: Request) -> None:
-        """Count the load of a request until reports include it.
+        """Add the expected load of a request, which reports do not include yet.
 
         Otherwise a burst of requests would all go to the same idle endpoint. The added utilization is
         `ASSUMED_MEAN_UTILIZATION` x the request's load / the load at which the endpoint is at the pool's
--- a/tansyladder/policy/previous_endpoint.py
+++ b/tansyladder/policy/previous_endpoint.py
@@ -2,7 +2,7 @@
 
 In pass-through mode, a client's packets may reach another node in the middle of a connection. That node has
 no record of the connection, but any node would have drawn its endpoint by the same hash of the key (weighted
-rendezvous hashing). The endpoint with the best score is taken among those of the home zone that were warm:
+rendezvous hashing). The endpoint with the best score is taken among the warm endpoints of the home zone:
 ready ones, and draining ones in the first half of their grace period, as their connections are not all
 migrated by then. Whether the connection is really there is not known: load or ejections at the time of the
 draw may have sent it elsewhere.
--- a/tansyladder/policy/requests.py
+++ b/tansyladder/policy/requests.py
@@ -55,7 +55,7 @@
         self.attempt_count = 0
         self.endpoint: Endpoint | None = None  # the endpoint of its attempt in flight or of its connection
         self.backoff: Backoff | None = None
-        self.retry_at = 0  # when its next attempt is due; 0 without a retry
+        self.retry_at = 0  # when its last scheduled retry is or was due; 0 before the first one
         self.last_failed_endpoint: Endpoint | None = None
         # The endpoint and the start time of the first attempt that may have been executed.
         self.may_have_run_on: Endpoint | None = None
--- a/tansyladder/policy/retries.py
+++ b/tansyladder/policy/retries.py
@@ -3,7 +3,8 @@
 A retry is due at the time drawn by the backoff. A request gets its final answer instead if
 
 - the retry would start less than one slot (latency objective / `SLOTS_PER_OBJECTIVE`) before its deadline,
-- the request has used up its attempts, or
+- the request has used up its attempts,
+- the caller did not make the latest attempt (`AttemptStatus.NOT_ATTEMPTED`), or
 - no further attempt is safe, as an earlier one may have been executed (`retry_safety`).
 
 Whether an endpoint will have capacity when the retry is due is not known.
--- a/tansyladder/policy/retry_safety.py
+++ b/tansyladder/policy/retry_safety.py
@@ -1,15 +1,16 @@
-"""Whether a request may be executed a second time: at most once, or at most once per idempotency key.
+"""Whether a further attempt of a request is safe although an earlier one may have been executed.
 
 A node knows where and when the first attempt that may have been executed was started, but not whether it was
 executed. The rule depends on the idempotency of the request's class:
 
 - idempotent: any further attempt is safe.
 - with an idempotency key: a further attempt is safe within the deduplication window, at the endpoints of the
-  deduplication scope (all, the same zone, the same cell), which drop the repetition.
+  deduplication scope (all, or those in the zone or the cell of the first one), which drop the repetition.
 - none: no further attempt is safe once one may have been executed.
 
-A rejection asks the client to repeat its request, at any endpoint and at any time. For requests with an
-idempotency key it is therefore safe only if all endpoints share their keys.
+A rejection asks the client to repeat its request, at any endpoint. For requests with an idempotency key it is
+therefore safe only if all endpoints share their keys. When the client repeats it is not known, and the
+window is not checked.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/settings.py
+++ b/tansyladder/policy/settings.py
@@ -114,8 +114,8 @@
     cross_zone_cost: float = 0.0
     over_quota_weight: float = 1.0  # multiplies the priority weight if the tenant is over its quota
     weight_scales_with_load: bool = False
-    tenant_quotas: tuple[float, ...] = ()
-    discovery_call_interval_us: int = 0  # in which all nodes may call once each; 0: the caller has no sockets
+    tenant_quotas: tuple[float, ...] = ()  # connections at all nodes together, by tenant number
+    discovery_call_interval_us: int = 0  # in which all nodes may call once each; 0: none, as in the simulator
     connections_per_unit: float = 0.0  # connections that fill one unit of an endpoint's weight; 0: unknown
     retired_classes: frozenset[int] = frozenset()  # indices; only requests in flight have these classes
     health_check_interval_us: int = 0  # for endpoints that report no delays; 0: no periodic checks
@@ -149,4 +149,4 @@
         if not self.overload_factor > 0:
             raise SettingsError("overload_factor", f"must be above 0, not {self.overload_factor}")
         if any(not quota >= 0 for quota in self.tenant_quotas):
-            raise SettingsError("tenant_quotas", "each quota must be at least 0")
+            raise SettingsError("tenant_quotas", f"each quota must be at least 0, not {self.tenant_quotas}")
--- a/tansyladder/policy/slow_start.py
+++ b/tansyladder/policy/slow_start.py
@@ -2,11 +2,11 @@
 
 An endpoint that has just started can take less than a warm one, and fails when it is overloaded. Its capacity
 share grows linearly from the initial share to 1 over the slow start's duration S. Its full capacity is
-estimated from its weight as CONNECTIONS_PER_WEIGHT x weight connections in S.
+estimated from its weight as a rate: CONNECTIONS_PER_WEIGHT x weight connections per S.
 
 In any period of length D = overload_duration, all nodes together start at most B attempts at such an
-endpoint. The endpoint tolerates N = overload_factor x its capacity x D attempts. B = N + 2 sqrt(N) + 2 allows
-for random variation by two standard deviations of a Poisson count.
+endpoint. In D the endpoint tolerates N = overload_factor x its current capacity x D attempts. The budget
+B = N + 2 sqrt(N) + 2 allows for random variation by two standard deviations of a Poisson count.
 
 All nodes compute the same series of permits. Permits are issued at the rate (B - 1) / (2 D). Each is for one
 node, for one use, and expires D after its issue. The permits used in a period of length D were therefore
@@ -17,9 +17,9 @@
     (initial x t + (final - initial) x t^2 / (2 S)) / (2 D)
 
 where initial and final are B - 1 at the start and at the end of slow start. Permit p is for the node with the
-index (p - stable id of the endpoint) mod number of nodes. Unused permits expire, as they would otherwise add
-up until clients reach all nodes at once. A node knows neither which permits the other nodes have used nor the
-true capacity of the endpoint.
+index (p - stable id of the endpoint) mod number of nodes, at most PERMIT_ROTATION_SIZE. Unused permits
+expire, as they would otherwise add up until clients reach all nodes at once. A node knows neither which
+permits the other nodes have used nor the true capacity of the endpoint.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/weighted_draw.py
+++ b/tansyladder/policy/weighted_draw.py
@@ -6,8 +6,8 @@
 Spirakis). u is random, or it is a hash of a key and the endpoint, so that all nodes draw the same endpoint:
 
 - in pass-through mode, a hash of the request's key, as any node must be able to find the connection again;
-- for connections of a group, a hash of the group's key, as each endpoint with connections of the group does
-  the group's work again.
+- for connections of a group, a hash of the group's key, so that they share few endpoints: each endpoint with
+  connections of the group does the group's work again.
 """
 
 from __future__ import annotations
--- a/tansyladder/simulation/consensus_checker.py
+++ b/tansyladder/simulation/consensus_checker.py
@@ -78,10 +78,10 @@
     def check_converged(
         self, nodes: Iterable[RaftNode], request_ids_with_result: Iterable[str], now: int
     ) -> None:
-        """Check that all nodes have committed the whole log, and that it has all proposals with a result.
+        """Check that all nodes have committed all entries, and that they include each proposal with a result.
 
         Raises:
-            InvariantViolationError: A proposal is missing in the log, or a node is behind.
+            InvariantViolationError: A proposal is missing, or a node is behind.
         """
         logged = {entry.request_id for entry in self.committed_entries}
         for request_id in request_ids_with_result:
@@ -108,7 +108,8 @@
     ) -> None:
         """Check the entries committed in a step against those that other nodes have committed.
 
-        `entries_of_step`: the log before the step, and the entries that the step has appended.
+        `entries_of_step`: the log before the step, and the entries that the step has appended; contains also
+        those that a snapshot has replaced in the step.
         """
         for index in range(before.commit_index + 1, raft.commit_index + 1):
             is_compacted = index <= raft.log.snapshot.index
--- a/tansyladder/simulation/document_node.py
+++ b/tansyladder/simulation/document_node.py
@@ -66,7 +66,7 @@
     lease_holder: LeaseHolder
     coordinator: LeaseCoordinator
     documents: Documents
-    # The fault found in each content, by change number: None while it is being fetched, "" if it is valid.
+    # The fault in each content, by change number: "" if valid, None if being fetched or not validated.
     faults_by_number: dict[int, str | None] = field(default_factory=dict)
     throttle: ProposalThrottle = field(default_factory=partial(ProposalThrottle, REPROPOSE_INTERVAL_US))
 
--- a/tansyladder/simulation/fault_rates.py
+++ b/tansyladder/simulation/fault_rates.py
@@ -60,7 +60,7 @@
     """The faults of a disk when its node crashes."""
 
     loss: DiskLoss
-    is_suspected: bool  # although not rolled back; independent of a loss, so a new disk may be suspected
+    is_suspected: bool  # of being stale, without a rollback; independent of a loss: a new disk may be, too
 
 
 def draw_delays(rng: numpy.random.Generator, rates: FaultRates) -> list[int]:
@@ -72,7 +72,7 @@
 
 
 def draw_disk_faults(rng: numpy.random.Generator, rates: FaultRates, *, may_be_lost: bool) -> DiskFaults:
-    """Draw the faults of a disk; `may_be_lost`: whether a majority of voters keeps its disks without it."""
+    """Draw the faults of a disk; `may_be_lost`: whether its loss leaves a majority of voters their disks."""
     loss = _draw_loss(rng, rates)
     if not may_be_lost:
         loss = DiskLoss.NONE
--- a/tansyladder/simulation/raft_cluster.py
+++ b/tansyladder/simulation/raft_cluster.py
@@ -1,6 +1,6 @@
 """A simulated Raft cluster with an unreliable network, random crashes and faulty disks.
 
-After the faults have ended, the cluster checks that a new proposal is committed in time, and
+After the faults have ended, the cluster checks that new proposals at all nodes are committed in time, and
 `ConsensusChecker` checks that every log contains every proposal that got a result.
 """
 
@@ -17,7 +17,7 @@
 from tansyladder.simulation.simulated_node import CountedEvent
 from tansyladder.simulation.simulated_nodes import SimulatedNodes
 
-CONVERGENCE_TIMEOUT_US = 10 * SECOND_US  # a proposal must be committed within this time after the last fault
+CONVERGENCE_TIMEOUT_US = 10 * SECOND_US  # for proposals that are made after the faults have ended
 MEAN_DISK_BACKUP_INTERVAL_US = 500 * MILLISECOND_US  # between two copies, of any disks
 MEAN_PROPOSAL_INTERVAL_US = 50 * MILLISECOND_US
 
@@ -28,7 +28,7 @@
     def inject_faults(
         self, seconds: float, mean_proposal_interval_us: int = MEAN_PROPOSAL_INTERVAL_US
     ) -> None:
-        """Inject faults and make proposals for a time; no disk loss affects a majority of voters at once."""
+        """Inject faults and make proposals for a time; a majority of voters never loses its disks at once."""
         end = self.now + int(seconds * SECOND_US)
         self._call_randomly(self._faults.mean_crash_interval_us, end, self._crash_random_node)
         self._call_randomly(self._faults.mean_cut_interval_us, end, self._cut_random_links)
--- a/tansyladder/simulation/simulated_nodes.py
+++ b/tansyladder/simulation/simulated_nodes.py
@@ -101,7 +101,10 @@
         self.nodes[name].replace_disk(self._make_disk())
 
     def roll_back_disk(self, name: str) -> None:
-        """Replace the disk of a node that is down with its older copy, which the next start suspects."""
+        """Replace the disk of a node that is down with its older copy.
+
+        If the copy differs, the next start suspects the disk to be stale.
+        """
         node = self.nodes[name]
         if node.roll_back_disk():
             self.counts[CountedEvent.DISK_ROLLBACK] += 1
--- a/tansyladder/simulator/host.py
+++ b/tansyladder/simulator/host.py
@@ -34,20 +34,20 @@
 
         Args:
             now: The time of the batch, in microseconds.
-            records: Events and the instances that they are for, which may be mixed.
+            records: Events in order; those of different instances may be interleaved.
 
         Returns:
             The encoded records of all actions, grouped by instance.
 
         Raises:
             WireError: An event is for an instance that has not started.
-            SettingsError: An instance starts with settings that can't be used.
+            ValueError: An instance starts with settings that can't be used.
         """
         events_by_instance: dict[int, list[Event]] = {}
         reply: list[bytes] = []
         for instance, event in records:
             if isinstance(event, Start):
-                # Earlier events of this batch belong to the process that had this number before the start.
+                # Earlier events of this batch are for the previous instance with this number.
                 reply += self._decide(instance, now, events_by_instance.pop(instance, []))
                 self._instances[instance] = Balancer(read_settings(event.settings), event.seed, now)
             elif isinstance(event, Stop):
@@ -76,7 +76,7 @@
 
     Raises:
         WireError: The input does not conform to the wire format.
-        SettingsError: An instance starts with settings that can't be used.
+        ValueError: An instance starts with settings that can't be used.
     """
     host = InstanceHost()
     header_size = BATCH_HEADER.size
--- a/tansyladder/simulator/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -1,8 +1,7 @@
 """Codec of the simulator's wire format: decodes events and encodes actions. It makes no decisions.
 
-A batch is a sequence of records. The header of a record holds its code and the length of its body. Each body
-begins with the number of the instance that the record belongs to. All numbers are big-endian; timestamps and
-durations are in microseconds.
+A batch is a sequence of records. A record's header holds its code and the length of its body, which begins
+with the number of its instance. All numbers are big-endian; times and durations are in microseconds.
 """
 
 from __future__ import annotations
@@ -138,8 +137,7 @@
     seed, size = START.unpack_from(body)
     if len(body) != START.size + size:
         raise WireError(
-            f"start record body is {len(body)} bytes, "
-            f"expected {START.size + size} with {size} bytes of settings"
+            f"start record body is {len(body)} bytes, expected {START.size + size}, {size} of them settings"
         )
     return Start(seed, bytes(body[START.size :]).decode())
 
@@ -289,8 +287,7 @@
             position = start + size
             if position > length:
                 raise WireError(
-                    f"record {len(records) + 1} of {count} ends at byte {position}, "
-                    f"after the end of the batch at byte {length}"
+                    f"record {len(records) + 1} of {count} ends at byte {position} of a {length}-byte batch"
                 )
             reader = READERS.get(code)
             if reader is None:
@@ -397,6 +394,6 @@
     """Build settings from lines of the form `path=value`, such as `classes.0.slo=300000`.
 
     Raises:
-        SettingsError: A value is missing or can't be used.
+        ValueError: A value is missing or can't be used.
     """
     return build_settings(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
