--- a/tansyladder/policy/excess_migration.py
+++ b/tansyladder/policy/excess_migration.py
@@ -2,9 +2,10 @@
 
 The load to migrate is the excess share (`endpoint_load`) x the endpoint's load. Connections with the lowest
 priority are migrated first (`migration_priority`). A connection with more load than what is left of the
-excess is migrated with probability remaining excess / its load. Loads are compared rather than numbers of
-connections, because a few heavy connections may make up most of the load. Nothing is migrated while set-ups
-fail everywhere, as the clients would get no new connection. Where clients reconnect to is not known.
+excess is migrated with probability remaining excess / its load; the first one that is not ends the migration.
+Loads are compared rather than numbers of connections, because a few heavy connections may make up most of the
+load. Nothing is migrated while set-ups fail everywhere, as the clients would get no new connection. Where
+clients reconnect to is not known.
 """
 
 from __future__ import annotations
--- a/tansyladder/policy/retry_safety.py
+++ b/tansyladder/policy/retry_safety.py
@@ -5,7 +5,7 @@
 
 - idempotent: any further attempt is safe.
 - with an idempotency key: a further attempt is safe within the deduplication window, at the endpoints of the
-  deduplication scope (all, or those in the zone or the cell of the first one), which drop the repetition.
+  deduplication scope (all, or those in the zone or the cell of the first attempt), which drop the repetition.
 - none: no further attempt is safe once one may have been executed.
 
 A rejection asks the client to repeat its request, at any endpoint. For requests with an idempotency key it is
