--- a/tansyladder/resumption/control_messages.py
+++ b/tansyladder/resumption/control_messages.py
@@ -13,7 +13,7 @@
 
 CONTROL_PREFIX = b"RS "
 END_LINE = b"RS END\r\n"
-FIRST_POSITION_LINE = b"RS AT 0 0\r\n"  # sent for a new session by a stream host that supports resumption
+FIRST_POSITION_LINE = b"RS AT 0 0\r\n"  # from a stream host that supports resumption, for a new session
 MAX_POSITION = 10**15  # in lines; no session has so many, and larger numbers are rejected
 _ACKNOWLEDGEMENT = re.compile(rb"RS ACK ([0-9]{1,16})\r\n\Z")
 _RESUME_POSITION = re.compile(rb"RS AT ([0-9]{1,16}) ([0-9]{1,16})\r\n\Z")
@@ -107,13 +107,13 @@
 def placement_parameters(
     session_id: int, epoch: int, replayable_from: int, replayable_to: int, host_position: int
 ) -> tuple[tuple[str, str], ...]:
-    """Return the names and values of the fields that the first line to a stream host gets.
+    """Return the names and values of the fields to add to the first line to a stream host.
 
     Args:
         session_id: The id of the session.
-        epoch: A fencing token; hosts reject lower epochs than the highest one that they have received.
-        replayable_from: The node can replay the client's lines after this position,
-        replayable_to: up to and including this position.
+        epoch: A fencing token; hosts reject epochs lower than the session's highest that they have received.
+        replayable_from: The position after which the node can replay the client's lines.
+        replayable_to: The position up to which, inclusive, it can; MAX_POSITION if it is unknown.
         host_position: The node has received the host's lines up to this position.
     """
     values = (
--- a/tansyladder/resumption/errors.py
+++ b/tansyladder/resumption/errors.py
@@ -9,7 +9,7 @@
     """Why a token was rejected. The value is sent after `ERR resume` and written to the log."""
 
     MALFORMED = "malformed"  # not a token of this version
-    ELSEWHERE = "elsewhere"  # sealed by another issuer: another node, or an earlier start of this node
+    ELSEWHERE = "elsewhere"  # sealed by another issuer: another node, or an earlier start without a store
     FORGED = "forged"  # the key is unknown, or the token or the client's claims fail authentication
     EXPIRED = "expired"
     SPENT = "spent"  # redeemed, or older than a redeemed token
--- a/tansyladder/resumption/host_state.py
+++ b/tansyladder/resumption/host_state.py
@@ -12,11 +12,11 @@
     WITHOUT_RESUMPTION = "without resumption"  # no other host can continue the session
     RESUMABLE = "resumable"  # another host can continue the session
     PLACING = "placing"  # the next host has not sent its position yet
-    RESTORED = "restored"  # like PLACING, but no position is known, as the node that knew them has ended
+    RESTORED = "restored"  # like PLACING, but the positions are unknown, as they were lost with their node
 
     @property
     def supports_resumption(self) -> bool:
-        """Whether the host, or else the previous hosts of the session, support resumption."""
+        """Whether the host supports resumption; before its first line, whether the previous host did."""
         return self in _WITH_RESUMPTION
 
     @property
@@ -29,7 +29,7 @@
         return _AFTER_PLACEMENT_BEGAN[self]
 
     def after_line_without_position(self) -> HostState:
-        """Return the state after the host's first line after UP that contains no position."""
+        """Return the next state if the host's first line after UP contains no position."""
         return HostState.WITHOUT_RESUMPTION if self is HostState.NEW else HostState.RESUMABLE
 
 
--- a/tansyladder/resumption/replay_buffer.py
+++ b/tansyladder/resumption/replay_buffer.py
@@ -41,7 +41,7 @@
 
 
 class ReplayBuffer:
-    """The lines after `acknowledged_position` up to `end_position`, which are counted from 1.
+    """The lines after `acknowledged_position` up to `end_position`; the first line has position 1.
 
     Once a limit is exceeded, the buffer discards its lines and stores no further ones, but still counts them.
     Owned by the session's thread.
@@ -119,7 +119,7 @@
         return lines
 
     def restart_at(self, position: int) -> None:
-        """Set the position of an empty buffer to the one that the receiver of the lines has sent."""
+        """Set the position of an empty buffer to the one that the receiver of its lines has reported."""
         self.acknowledged_position = position
         self.end_position = position
 
--- a/tansyladder/resumption/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -16,7 +16,7 @@
 from tansyladder.resumption.host_state import HostState
 from tansyladder.resumption.replay_buffer import MemoryBudget, ReplayBuffer
 
-LINES_PER_ACKNOWLEDGEMENT = 16  # of a client's lines; keeps both the traffic and the client's buffer small
+LINES_PER_ACKNOWLEDGEMENT = 16  # to the client; keeps both the traffic and the client's buffer small
 # The high bits of an epoch are the node's start number or the ownership epoch; the low bits count placements.
 EPOCH_COUNTER_BITS = 20
 BYE_LINE = b"BYE\r\n"
@@ -65,16 +65,12 @@
         *,
         is_durable: bool = False,
     ) -> None:
-        """Create the stream of a new session.
-
-        Args:
-            session_id: The id of the session.
-            budget: The memory budget of all streams of the node.
-            buffer_limit_bytes: The limit of each direction's buffer, with a fixed overhead for each line.
-            epoch_prefix: The node's start number or the ownership epoch, as the high bits of each epoch. A
-                later start or owner has higher epochs.
-            is_durable: Whether the session may outlive the node, so that only lines that the stream host has
-                acknowledged are acknowledged to the client.
+        """Create the stream of a new session; all streams of the node share `budget`.
+
+        `buffer_limit_bytes` bounds each direction's buffer, with a fixed overhead for each line.
+        `epoch_prefix`, the node's start number or the ownership epoch, forms the high bits of each epoch, so
+        a later start or owner has higher epochs. If the session `is_durable`, it may outlive the node, so
+        only lines that the host has acknowledged are acknowledged to the client.
         """
         self.session_id = session_id
         self._is_durable = is_durable
@@ -91,10 +87,7 @@
     def restored(
         cls, session_id: int, budget: MemoryBudget, buffer_limit_bytes: int, epoch_prefix: int
     ) -> Stream:
-        """Restore the stream of a session of an earlier start of this node, or of another node.
-
-        The positions are unknown until the client and the next stream host have sent theirs.
-        """
+        """Create a restored session's stream; its positions are unknown until client and host send theirs."""
         stream = cls(session_id, budget, buffer_limit_bytes, epoch_prefix, is_durable=True)
         stream._host_state = HostState.RESTORED
         return stream
@@ -114,10 +107,7 @@
     # --- the stream host
 
     def begin_placement(self) -> tuple[tuple[str, str], ...]:
-        """Begin a placement and return the fields of the first line to the next stream host.
-
-        The new epoch in these fields is a fencing token against earlier placements.
-        """
+        """Begin a placement; return its fields for the first line, with an epoch that fences earlier ones."""
         self.epoch += 1
         self._host_state = self._host_state.after_placement_began()
         are_positions_unknown = self._host_state is HostState.RESTORED
@@ -129,10 +119,8 @@
     def complete_placement(self, line: bytes) -> bytes:
         """Process the new stream host's first line after UP; return the client's lines that the host lacks.
 
-        Raises:
-            PositionError: The line has no position (`no_position`), the host lacks acknowledged lines
-                or has sent fewer lines than the node has received (`behind`), or it has received or sent
-                more lines than the node knows of (`ahead`).
+        Raises PositionError: `no_position` if the line has none, `behind` if the host lacks acknowledged
+        lines or has sent fewer than the node received, `ahead` if it has received or sent unknown lines.
         """
         resume_position = _parse_resume_position(line)
         sent = self.from_host.end_position
@@ -150,18 +138,13 @@
         return lines
 
     def receive_from_host(self, line: bytes) -> StreamOutput:
-        """Process a complete line of the stream host.
-
-        Raises:
-            ControlMessageError: The host may not send this control line.
-            PositionError: The host acknowledges lines that the client has not sent.
-        """
+        """Process a complete line of the stream host. Raises the errors of `_receive_host_control`."""
         if self._host_state.expects_first_line:
             if line == control_messages.FIRST_POSITION_LINE:
                 self._host_state = HostState.RESUMABLE
                 return StreamOutput()
             self._host_state = self._host_state.after_line_without_position()
-            self.from_client.discard()  # this host never acknowledges lines, so no other host can continue
+            self.from_client.discard()  # it never acknowledges lines, so no other host can continue
         if self._host_state.supports_resumption and control_messages.is_control(line):
             self._receive_host_control(line)
             return StreamOutput()
@@ -173,23 +156,19 @@
         return StreamOutput(to_client=line)
 
     def _receive_host_control(self, line: bytes) -> None:
-        """Process an acknowledgement of the stream host; other control lines are not allowed here.
+        """Process a control line of the stream host, which may only be an acknowledgement.
 
-        Raises:
-            ControlMessageError: The line is not an acknowledgement.
-            PositionError: The host acknowledges lines that the client has not sent.
+        Raises ControlMessageError for any other line, PositionError for lines that the client has not sent.
         """
         message = control_messages.parse_host(line)
         if not isinstance(message, control_messages.Acknowledgement):
-            raise ControlMessageError(
-                "expected RS ACK N, got RS AT, which is allowed only as the first line after UP"
-            )
+            raise ControlMessageError("expected RS ACK N, got RS AT, which must be the first line after UP")
         self.from_client.acknowledge(message.position)
 
     # --- the client
 
     def adopt_client_position(self, position: int) -> None:
-        """In a restored session, use the client's count of the host's lines as the host's position."""
+        """In a restored session, take the client's count of the host's lines for the node's own count."""
         if self._host_state is HostState.RESTORED:
             self.from_host.restart_at(position)
 
@@ -202,16 +181,11 @@
 
     @property
     def has_unacknowledged_lines(self) -> bool:
-        """Whether the client may have to resend lines."""
+        """Whether the client has sent lines that are not acknowledged to it yet."""
         return self._acknowledged_to_client < self.from_client.end_position
 
     def receive_from_client(self, line: bytes) -> StreamOutput:
-        """Process a complete line of the client.
-
-        Raises:
-            ControlMessageError: The client may not send this control line.
-            PositionError: The client acknowledges lines that were never sent to it.
-        """
+        """Process a complete line of the client. Raises the errors of `_receive_client_control`."""
         if control_messages.is_control(line):
             return self._receive_client_control(line)
         if self._duplicate_lines_expected:
@@ -224,7 +198,10 @@
         return StreamOutput(to_host=line)
 
     def _receive_client_control(self, line: bytes) -> StreamOutput:
-        """Process a control line of the client, and forward it if the host supports resumption."""
+        """Process a control line of the client, and forward it if the host supports resumption.
+
+        Raises ControlMessageError if a client may not send it, PositionError if it acknowledges unsent lines.
+        """
         message = control_messages.parse_client(line)
         if isinstance(message, control_messages.EndOfSession):
             to_host = control_messages.END_LINE if self._host_state.supports_resumption else b""
@@ -243,13 +220,9 @@
         return control_messages.format_acknowledgement(position)
 
     def resume_client(self, position: int) -> Iterable[bytes]:
-        """Resume a client that has received the host's lines up to a position.
+        """Resume a client; return the line with the node's position, and the host's lines after the client's.
 
-        Returns:
-            The line with the node's position, followed by the host's lines after `position`.
-
-        Raises:
-            PositionError: The position is `ahead` or `behind`; the stream is unchanged.
+        Raises PositionError, with the stream unchanged, if the client's position is `ahead` or `behind`.
         """
         lines = list(self.from_host.lines_after(position))
         self.from_host.acknowledge(position)
@@ -258,10 +231,7 @@
         return (control_messages.format_resume_position(self._acknowledged_to_client), *lines)
 
     def report_lost_resumption(self) -> bytes:
-        """Return the line that notifies the client that it can no longer resume.
-
-        The result is empty if the client can resume, or was notified before.
-        """
+        """Return the line that notifies the client, once, that it can no longer resume; else empty bytes."""
         if self.can_resume_client or self._has_reported_loss:
             return b""
         self._has_reported_loss = True
--- a/tansyladder/resumption/token_registry.py
+++ b/tansyladder/resumption/token_registry.py
@@ -126,7 +126,7 @@
 
         Raises:
             TokenError: The token is expired or spent, another resume is in progress (claimed), or the session
-                has ended, for which the reason of its end is given.
+                has ended; then the reason is that of its end, or `expired` if that is not retained.
         """
         with self._lock:
             entry = self._sessions.get(payload.session_id)
--- a/tansyladder/resumption/tokens.py
+++ b/tansyladder/resumption/tokens.py
@@ -70,7 +70,7 @@
         Args:
             issuer_id: ISSUER_ID_BYTES that no other issuer uses.
             keys: The keys, of which the first one seals new tokens.
-            random_bytes: Returns that many bytes for secrets and nonces, as os.urandom does.
+            random_bytes: Returns a given number of random bytes for secrets and nonces, as os.urandom does.
             default_secret: The secret of the key that is used while `keys` is empty; random if it is None.
 
         Raises:
--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -20,8 +20,8 @@
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_state import SessionEvent, SessionLifecycle
 
-ACKNOWLEDGEMENT_INTERVAL = timedelta(seconds=4)  # longest time until a client's line is acknowledged
-CLOSING_TIMEOUT = timedelta(milliseconds=800)  # the platform allows 1 s to close both sides
+ACKNOWLEDGEMENT_INTERVAL = timedelta(seconds=4)  # from a client's line to its acknowledgement
+CLOSING_TIMEOUT = timedelta(milliseconds=800)  # the platform allows 1 s to close both connections
 
 
 class ClientConnection:
@@ -86,7 +86,7 @@
                 self.suspend(SuspendReason.CONNECTION_LOST)
 
     def issue_token(self) -> bytes:
-        """Issue a token and return its control line, or nothing if the session can no longer be resumed.
+        """Issue a token and return its control line; empty if the session can no longer be resumed.
 
         The next token is due after half of this token's lifetime.
         """
@@ -103,7 +103,7 @@
         self.send(self._up_line + self.issue_token())
 
     def schedule_acknowledgement(self) -> None:
-        """Schedule the acknowledgement of forwarded lines unless one is scheduled already."""
+        """Schedule an acknowledgement of the client's lines unless one is scheduled already."""
         self._acknowledge_at = self._acknowledge_at or now() + ACKNOWLEDGEMENT_INTERVAL
 
     def send_due_lines(self, current_time: timedelta) -> None:
@@ -116,7 +116,7 @@
             self.send(self.issue_token())
 
     def next_deadline(self) -> timedelta:
-        """Return the next time at which a line is due, or at which the time to resume or to close ends."""
+        """Return the next time at which a line is due, or the client's time to resume or to close ends."""
         deadline = self._expires_at if self.socket is None else self._next_token_at
         if self._acknowledge_at is not None:
             deadline = min(deadline, self._acknowledge_at)
@@ -149,7 +149,7 @@
         """Connect a client that has reconnected, or reject it.
 
         The old connection is reset first, so that it gets no further line. The new connection gets the UP
-        line, the node's position, a new token and the lines that the client has not received.
+        line, the node's position in the client's lines, a new token and the lines that the client lacks.
 
         Raises:
             SessionEndedError: The new connection is broken and the session can't be suspended.
@@ -173,12 +173,15 @@
         self._metrics.record_outcome(self._opening.class_name, RequestOutcome.OK)
         log(LogEvent.SESSION_RESUMED, received_lines=client.received_line_count)
         self.send(self._up_line + position_line + self.issue_token() + b"".join(lines))
-        # If the send failed, the client may not know that its token is spent.
+        # After a failed send the client may retry with its old token; the peers are not told that it got UP.
         if self.socket is not None:
             self._registry.confirm_opened(self._stream.session_id)
 
     def accepts_position(self, client: ResumingClient) -> bool:
-        """Return whether a client of a detached session can resume from its position; reject it if not."""
+        """Return whether a client of a detached session can resume from its position; reject it if not.
+
+        A restored session, which knows no positions, adopts this one first.
+        """
         self._stream.adopt_client_position(client.received_line_count)
         try:
             self._stream.from_host.lines_after(client.received_line_count)
--- a/tansyladder/sessions/errors.py
+++ b/tansyladder/sessions/errors.py
@@ -9,7 +9,7 @@
 from tansyladder.policy.events import AttemptStatus
 from tansyladder.resumption.token_registry import SessionEnd
 
-# The answer to a client whose token is rejected now, but may be accepted after this time.
+# Tells a client whose token is rejected now to try it again after this time.
 RETRY_SOON_LINE = protocol.format_reject(timedelta(milliseconds=200))
 
 
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -36,7 +36,8 @@
     """Forwards the lines of a session at one stream host, with or without a connected client.
 
     Owned by the session's thread. While there are unsent bytes for one side, the other side is not read,
-    which applies backpressure to it.
+    which applies backpressure to it. Methods raise UpstreamLostError if the session may continue at
+    another stream host, and SessionEndedError if it ends.
     """
 
     def __init__(
@@ -61,12 +62,7 @@
         return self._host.has_sent_lines
 
     def run(self) -> NoReturn:
-        """Forward lines until the stream host is lost or the session ends.
-
-        Raises:
-            UpstreamLostError: The stream host is lost; the session may continue at another one.
-            SessionEndedError: The session has ended.
-        """
+        """Forward lines until the stream host is lost or the session ends, and raise the error for that."""
         try:
             self._start()
             while True:
@@ -88,19 +84,14 @@
         self._forward_host_lines(self._upstream.connection.initial_lines[1:])
 
     def _resume_clients(self) -> None:
-        """Connect clients that have reconnected.
-
-        Raises:
-            SessionEndedError: Another node has claimed the session, or a new connection is broken and the
-                session can't be suspended.
-        """
+        """Connect clients that have reconnected; end the session if another node has claimed it."""
         if self._queue.is_superseded:
             raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
         while resuming_client := self._queue.take_client():
             self._client.resume(resuming_client)
 
     def _handle_ready(self, ready: set[int]) -> None:
-        """Process the action queue and the sockets whose descriptors are ready."""
+        """Process the ready queue and sockets; end a disconnected session that can't be resumed any more."""
         client = self._client
         if self._queue.fileno() in ready:
             self._apply_policy_actions()
@@ -112,22 +103,13 @@
             raise SessionEndedError(SessionEnd.BUFFER_OVERFLOW)
 
     def _apply_policy_actions(self) -> None:
-        """Take the policy's actions; the only action for an established connection is a migration.
-
-        Raises:
-            UpstreamLostError: The policy migrates the session.
-        """
+        """Raise UpstreamLostError if the policy migrates the session, its only action once connected."""
         while (action := self._queue.take()) is not None:
             if action.request_id == self._upstream.request_id:  # other actions belong to an earlier placement
                 raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MIGRATED_BY_POLICY)
 
     def _check_deadlines(self) -> None:
-        """Send due tokens and acknowledgements, and check the deadlines of both sides.
-
-        Raises:
-            UpstreamLostError: The stream host is stalled, or has not answered in time.
-            SessionEndedError: The time of the client to resume or to close is over.
-        """
+        """Raise an error if a client's time to resume or close is over or its host late; send due lines."""
         current_time = now()
         client = self._client
         if client.socket is None:
@@ -141,11 +123,7 @@
         self._check_connected_client(client.socket, current_time)
 
     def _check_connected_client(self, client_socket: BufferedSocket, current_time: timedelta) -> None:
-        """Suspend the client if it is stalled; else check the response timeout and send due lines.
-
-        Raises:
-            UpstreamLostError: The stream host has not answered the client in time.
-        """
+        """Suspend a stalled client, raise UpstreamLostError if the host is silent, or send due lines."""
         client = self._client
         if client_socket.is_stalled:
             client.suspend(SuspendReason.STALLED)
@@ -185,7 +163,7 @@
             return
         previous_position = self._stream.from_client.end_position
         output = _receive_client_lines(self._stream, client_socket, data)
-        if self._stream.from_client.end_position > previous_position:  # control lines get no answer
+        if self._stream.from_client.end_position > previous_position:  # control lines are not counted
             self._response_timeout.line_sent()
             self._client.schedule_acknowledgement()
         self._host.send(output.to_host)
@@ -220,12 +198,7 @@
             self._forward_host_lines(lines)
 
     def _forward_host_lines(self, lines: tuple[bytes, ...]) -> None:
-        """Count the stream host's lines and forward them, up to a MOVE or BYE.
-
-        Raises:
-            UpstreamLostError: A line is invalid, or the host has redirected or finished the session.
-            SessionEndedError: The host has finished the session.
-        """
+        """Count and forward the host's lines until one that is invalid, MOVE or BYE raises an error."""
         to_client = b""
         signal = StreamSignal.NONE
         for line in lines:
@@ -254,7 +227,7 @@
         if signal is StreamSignal.HOST_REDIRECTED:
             raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MOVED_BY_ENDPOINT)
         if signal is StreamSignal.HOST_FINISHED:
-            # The host's last lines are buffered until the client resumes.
+            # The host's last lines stay buffered until the client resumes, so the session does not end yet.
             if self._client.socket is None and self._stream.can_resume_client:
                 raise UpstreamLostError(AttemptStatus.OK, UpstreamLossReason.FINISHED)
             raise SessionEndedError(SessionEnd.ENDED, AttemptStatus.OK)
--- a/tansyladder/sessions/host_connection.py
+++ b/tansyladder/sessions/host_connection.py
@@ -74,7 +74,7 @@
             raise UpstreamLostError(AttemptStatus.ERROR, UpstreamLossReason.INVALID_LINE) from error
 
     def record_response(self, line: bytes) -> None:
-        """Record the arrival time of a host's line for the client, and the load if the line reports it."""
+        """Record that the host sent a line for the client now, and the load if the line reports it."""
         self.has_sent_lines = True
         keyword = protocol.parse_keyword(line)
         self.response_timeout.line_received(keyword)
--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -1,7 +1,9 @@
 """Claims sessions with the cluster, which decides which node owns a session and which tokens are spent.
 
 A node that receives another node's token claims the session before it restores it. Every resume is confirmed
-by the cluster before the client is answered. This module is loaded only if the node has peers.
+by the cluster before the client is answered. A confirmation spends the client's token; if the client can't be
+answered in time, the token is released, so that the client can use it again. This module is loaded only if
+the node has peers.
 """
 
 from __future__ import annotations
@@ -35,7 +37,7 @@
 RELEASE_ATTEMPT_TIMEOUT = timedelta(seconds=2)
 RELEASE_PAUSE_S = (0.05, 0.25)  # bounds of the random pause between two attempts
 ANSWER_MARGIN = timedelta(milliseconds=100)  # time reserved before the client's deadline to send its answer
-MAX_CLOCK_SKEW = timedelta(seconds=5)  # between nodes; longer than it takes to commit an entry
+MAX_CLOCK_SKEW = timedelta(seconds=5)  # between nodes; must also exceed the time to commit an entry
 # Rejections of a claim after which the same token may still be accepted later.
 TEMPORARY_REASONS = (ClaimRejection.CLAIMED, ClaimRejection.FULL)
 
@@ -55,7 +57,7 @@
 
 
 class RetentionPeriod(NamedTuple):
-    """How long the cluster keeps a session's record, in microseconds of Unix time."""
+    """The period for which the cluster keeps a session's record, in microseconds of Unix time."""
 
     now_us: int
     until_us: int  # all tokens that were issued before `now_us` have expired by this time
@@ -72,7 +74,7 @@
         self._clock = clock
         self._token_lifetime = token_lifetime
         self._request_numbers = itertools.count(1)  # shared by claims and confirmations; `next` is atomic
-        # By session id: resumes that are confirmed, and whose clients have not been sent UP yet.
+        # By session id: the confirmed resumes whose clients have not been sent UP yet.
         self._unreported_openings: dict[int, SessionOpened] = {}
         self._release_thread_count = 0
         self._lock = threading.Lock()  # guards `_release_thread_count`
@@ -108,9 +110,12 @@
     def confirm(self, session_id: int, current_floor: int, next_floor: int, client: ResumingClient) -> None:
         """Have the cluster confirm that this node owns a session and tokens below `next_floor` are spent.
 
+        If the decision comes too late for the client, the token is released: the cluster is to set the floor
+        back to `current_floor`.
+
         Raises:
-            ResumeRejectedError: The cluster has rejected the confirmation, or its decision is not known in
-                time. In the latter case the client is asked to retry, and the token is released.
+            ResumeRejectedError: The client has disconnected, the decision comes too late, or the cluster has
+                rejected the confirmation.
         """
         if sockets.is_disconnected(client.sock):  # the client gave up on this node and tries another one
             raise ResumeRejectedError(RETRY_SOON_LINE)
@@ -156,7 +161,7 @@
         return RetentionPeriod(self._clock.micros(current_time), self._clock.micros(until))
 
     def _release(self, confirmation: ClaimConfirmation) -> None:
-        """Report in a thread that a token was not redeemed; drop the report if too many threads run."""
+        """Submit the confirmation that releases a token, in a thread; drop it if too many threads run."""
         with self._lock:
             if self._release_thread_count >= MAX_CONCURRENT_RELEASES:
                 return
@@ -170,7 +175,7 @@
             self._finish_release()
 
     def _release_until_decided(self, confirmation: ClaimConfirmation) -> None:
-        """Submit a confirmation again until the cluster has decided on it or the token has expired."""
+        """Submit a confirmation repeatedly until the cluster has decided on it or the token has expired."""
         deadline = self._clock.moment(confirmation.token_expiry_us)
         while now() < deadline:
             attempt_deadline = min(deadline, now() + RELEASE_ATTEMPT_TIMEOUT)
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -67,11 +67,11 @@
         return fields.get(RESUME_OFFER_FIELD) == "1" and RESUME_TOKEN_FIELD not in fields
 
     def new_stream(self) -> Stream:
-        """Return the positions and the replay buffers of a new session."""
+        """Return the stream of a new session, which has its positions and replay buffers."""
         return self.registry.new_stream()
 
     def first_line_builder(self, opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """Return a function that formats the first line to a stream host from how long the node waits."""
+        """Return a function that formats the first line to a host, given the node's wait for the answer."""
         return self.registry.first_line_builder(opening, stream)
 
     def serve(
@@ -91,8 +91,9 @@
     ) -> bytes:
         """Hand a client with a token over to its session's thread, without waiting.
 
-        `release` is called just before the client is handed over; from then on its socket no longer belongs
-        to the caller. A rejection leaves the session unchanged.
+        `arrived` is when the client's first line arrived. `release` is called just before the client is
+        handed over; from then on its socket no longer belongs to the caller. A rejection leaves the session
+        unchanged.
 
         Returns:
             The answer that rejects the client; empty if the client is handed over.
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -32,7 +32,7 @@
 from tansyladder.sessions.upstream_placement import PlacedUpstream, PlacementRejected, UpstreamPlacer
 
 MIGRATION_TIMEOUT = timedelta(milliseconds=900)  # a client's line may be delayed by at most 1 s
-DRAIN_CHECK_INTERVAL = timedelta(seconds=1)  # a drain does not wake the thread of a detached session
+DRAIN_CHECK_INTERVAL = timedelta(seconds=1)  # a drain doesn't wake a detached session's thread
 # Consecutive migrations without a line from any host; beyond this the session itself may cause the failures.
 MAX_MIGRATIONS_WITHOUT_PROGRESS = 3
 
@@ -71,12 +71,7 @@
         self._client.set_expiry(expires_at)
 
     def run(self, connection: UpstreamConnection | None = None, request_id: int = 0) -> None:
-        """Serve the session to its end, and close all its sockets.
-
-        Args:
-            connection: The connection to the first stream host; None for a restored session.
-            request_id: The id of the request that established the connection.
-        """
+        """Serve the session to its end, and close its sockets; a restored one has no connection yet."""
         end = SessionEndedError(SessionEnd.ENDED)
         try:
             if connection is None:
@@ -99,11 +94,9 @@
         return upstream
 
     def _restore(self) -> PlacedUpstream:
-        """Wait for the client of a restored session, and place the session.
+        """Wait for a restored session's client, and place the session.
 
-        Raises:
-            SessionEndedError: Too many sessions are suspended, the session can't be placed, or its client
-                does not resume in time.
+        Raises SessionEndedError if too many are suspended, none resumes in time, or the placement fails.
         """
         if not self._registry.reserve_suspended():
             raise SessionEndedError(SessionEnd.NO_CAPACITY)
@@ -111,11 +104,7 @@
         return self._next_upstream(UpstreamLostError(AttemptStatus.RESET, UpstreamLossReason.RESTART))
 
     def _forward(self, upstream: PlacedUpstream) -> PlacedUpstream:
-        """Forward until the stream host is lost; return the next one.
-
-        Raises:
-            SessionEndedError: The session has ended.
-        """
+        """Forward until the stream host is lost and return the next one, or raise SessionEndedError."""
         forwarder = Forwarder(self._context, self._queue, self._stream, self._client, upstream)
         try:
             forwarder.run()
@@ -146,11 +135,7 @@
         self._context.policy.unregister_request(upstream.request_id)
 
     def _next_upstream(self, loss: UpstreamLostError) -> PlacedUpstream:
-        """Place the session at the next stream host; wait for its client first if it is disconnected.
-
-        Raises:
-            SessionEndedError: The session can't be placed, or its client does not resume in time.
-        """
+        """Wait for a disconnected client, and place the session; raise SessionEndedError if either fails."""
         while True:
             self._check_can_be_placed(loss)
             if self._client.socket is not None:
@@ -160,11 +145,10 @@
                 return upstream
 
     def _check_can_be_placed(self, loss: UpstreamLostError) -> None:
-        """Check that another stream host may continue the session.
+        """Count a migration, and check that another stream host may continue the session.
 
-        Raises:
-            SessionEndedError: The host has finished, the session can't migrate or has migrated too often
-                without progress, or the node is draining.
+        Raises SessionEndedError if the host has finished while the client is connected, the session can't
+        migrate or has migrated too often without progress, or the node is draining.
         """
         is_connected = self._client.socket is not None
         is_finished = loss.status is AttemptStatus.OK
@@ -179,11 +163,7 @@
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
 
     def _migrate(self, loss: UpstreamLostError) -> PlacedUpstream:
-        """Place a session whose client is connected.
-
-        Raises:
-            SessionEndedError: No stream host accepts the session in time; the client is redirected.
-        """
+        """Place a session whose client is connected; redirect the client if no host accepts it in time."""
         placed = self._placer.place(now() + MIGRATION_TIMEOUT)
         if isinstance(placed, PlacementRejected):
             log(LogEvent.SESSION_REJECTED, reason=loss.reason)
@@ -212,28 +192,19 @@
         return placed
 
     def _await_client(self) -> ResumingClient:
-        """Wait for a client that resumes a detached session.
-
-        Raises:
-            SessionEndedError: No client can resume the session at this node any more.
-        """
+        """Wait for a client that resumes a detached session; raise SessionEndedError if none can any more."""
         while True:
             client = self._queue.take_client()
             if client is None:
                 self._check_can_wait()
-                self._queue.take()
+                self._queue.take()  # drops an action for the lost host, and resets the queue's wake-up
                 wait_until = min(self._client.expires_at, now() + DRAIN_CHECK_INTERVAL)
                 sockets.wait_readable(wait_until, self._queue.fileno())
             elif self._client.accepts_position(client):
                 return client
 
     def _check_can_wait(self) -> None:
-        """Check that a client can still resume the session at this node.
-
-        Raises:
-            SessionEndedError: Another node owns the session, this node is draining, or the session has
-                expired.
-        """
+        """Raise SessionEndedError if another node owns the session, this node drains, or it has expired."""
         if self._queue.is_superseded:
             raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
         if self._context.lifecycle.is_draining:
@@ -256,7 +227,7 @@
         """Release all resources, and reject clients that reconnected too late."""
         if self._upstream is not None:
             self._leave_upstream(self._upstream, end.status)
-        # Must come first: once the session has ended in the registry, no further client is handed over.
+        # Must precede the loop: once the session has ended in the registry, no further client is handed over.
         self._registry.end(self._stream.session_id, end.session_end)
         while client := self._queue.take_client():
             self._client.reject(client, _answer_after_end(end.session_end))
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -52,6 +52,7 @@
         self.session_store = None if has_peers else session_store
         identity = self.session_store.identity if self.session_store else None
         self.keyring = _new_keyring(context, identity)
+        # With peers: the first ownership epoch, as a new session's first owner is this node.
         self.start_number = 1 if has_peers else identity.start_count if identity else 0
         self._is_durable = has_peers or self.session_store is not None
         self.token_registry: TokenRegistry[ActionQueue] = TokenRegistry(
@@ -73,7 +74,7 @@
         return ownership
 
     def end_superseded(self, session_id: int, ownership_epoch: int, owner: str) -> None:
-        """End a session that `owner` owns since an epoch; without effect if `owner` is this node."""
+        """End a session that `owner` has claimed with an epoch; do nothing if `owner` is this node."""
         if self._ownership is not None and owner != self._ownership.node:
             queue = self.token_registry.handle_before_epoch(session_id, ownership_epoch)
             if queue is not None:
@@ -94,7 +95,7 @@
 
     @staticmethod
     def first_line_builder(opening: Opening, stream: Stream) -> Callable[[timedelta], bytes]:
-        """Return a function that formats the first line to a stream host from how long the node waits.
+        """Return a function that formats the first line to a host, given the node's wait for the answer.
 
         Each call of that function begins another placement of the stream.
         """
@@ -166,7 +167,7 @@
 
 
 def _new_keyring(context: NodeContext, identity: NodeIdentity | None) -> Keyring:
-    """Build the keyring of this node, or with peers that of its fleet, whose nodes accept the same tokens.
+    """Build this node's keyring; with peers, all nodes of its fleet build the same one and share tokens.
 
     The issuer id also depends on the name, so that a node that gets a copy of another node's folder does not
     accept that node's tokens.
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -1,7 +1,7 @@
 """The records that survive a restart of the node: its identity, its sessions and the last endpoint list.
 
-If the store fails, the node continues without it: the failure is logged once, and only operations that need
-the store are rejected.
+If the store fails, the node continues without it, and only operations that need the store are rejected. Of
+failures after which the store can't work again, only the first is logged.
 """
 
 from __future__ import annotations
@@ -109,7 +109,7 @@
                 self._report_failure(error)
 
     def _report_failure(self, error: StoreError) -> None:
-        """Log a failure unless an earlier one was final; a full store is not final, as it may work again."""
+        """Log a failure unless an earlier one was final; a full store may work again, so it is not final."""
         if not self._has_failed and not self._stop.is_set():
             self._has_failed = error.code != "full"
             log(LogEvent.STORE_FAILED, code=error.code, error=error)
@@ -145,7 +145,7 @@
         self._write(WriteOperation(ENDPOINTS_KEY, record))
 
     def cached_endpoints(self) -> StoredEndpointList | None:
-        """Return the endpoint list that an earlier start of the node saved, or None."""
+        """Return the endpoint list that an earlier start saved, or None; later updates are applied to it."""
         record = self._read(ENDPOINTS_KEY)
         if not record:
             return None
--- a/tansyladder/sessions/takeover.py
+++ b/tansyladder/sessions/takeover.py
@@ -131,7 +131,7 @@
         self._restorer.restore(
             payload.session_id, request.opening, payload.generation, payload.expires_at_us, epoch
         )
-        # Whether the token has expired is judged here by the time at which the client's line arrived.
+        # The token must not have expired when the client's line arrived; it may expire during the claim.
         arrived_us = self._context.clock.micros(request.arrived)
         token_registry.begin_resume(payload, arrived_us, lambda queue: queue.add_client(client))
         log(LogEvent.SESSION_TAKEN_OVER, ownership_epoch=epoch, duration_ms=now() - request.arrived)
--- a/tansyladder/sessions/upstream_placement.py
+++ b/tansyladder/sessions/upstream_placement.py
@@ -1,4 +1,4 @@
-"""Placement of a session at a stream host, as one request to the policy with the session's positions."""
+"""Places a session at a stream host: one request to the policy, whose attempts send the positions."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         self._replay = b""
 
     def place(self, deadline: timedelta) -> PlacedUpstream | PlacementRejected:
-        """Make the attempts that the policy chooses until a stream host accepts the session or none does."""
+        """Make the policy's attempts until a stream host accepts the session or the request ends."""
         context = self._context
         request = self._request
         queue = request.action_queue
