--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -53,9 +53,7 @@
 
     enabled: bool = False
     expires: timedelta = timedelta(seconds=30)  # lifetime of a token and of a suspended session
-    buffer: Annotated[int, msgspec.Meta(ge=4096, le=16 << 20)] = (
-        64 << 10
-    )  # bytes for each direction of a session
+    buffer: Annotated[int, msgspec.Meta(ge=4096, le=16 << 20)] = 64 << 10  # bytes, per session and direction
     memory_share: Annotated[float, msgspec.Meta(gt=0, le=0.5)] = 0.125  # of limits.memory_mb, for all buffers
     max_suspended: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 256  # sessions without a client
     # Ended sessions whose end reason is retained, so that the rejection of a late client can state it.
@@ -112,13 +110,13 @@
 
 
 class DocumentsOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Documents that are in force at all nodes or at none. The options must be equal at all nodes."""
+    """Documents whose versions take effect at all nodes or at none. All nodes must have equal options."""
 
     enabled: bool = False
-    lease: timedelta = timedelta(seconds=30)  # for which a node may decide without contact to the others
-    # With `serve`, the node decides under the versions it knows, and counts these decisions.
+    lease: timedelta = timedelta(seconds=30)  # how long a node may decide without contact to a majority
+    # After that, `stop` means no decisions, `serve` decisions under the known versions, which are counted.
     on_lease_expiry: str = "stop"
-    decision_log: str = ""  # file for the time and the document versions of the decision on each first line
+    decision_log: str = ""  # file that gets the time and document versions of each decision on a first line
 
     def __post_init__(self) -> None:
         if not MIN_LEASE <= self.lease <= MAX_LEASE:
--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -27,7 +27,7 @@
 MAX_SHOWN_NUMBER = 40  # characters of an invalid number in an error message
 MICROSECOND = timedelta(microseconds=1)
 POSITIVE_CLASS_KEYS = ("slo", "hard_limit")
-# Names of settings in the policy's error messages, with the keys of the file that replace them.
+# Names of settings in error messages of `policy_settings`, with the keys of the file that replace them.
 POLICY_NAMES_TO_FILE_KEYS = {".deadline:": ".hard_limit:", ".aim:": ".slo:"}
 
 
--- a/tansyladder/config/policy_settings.py
+++ b/tansyladder/config/policy_settings.py
@@ -22,8 +22,8 @@
 }
 MAX_NUMBER = 1e15  # in microseconds about thirty years, which is longer than any duration
 
-# The names of policy fields in error messages for operators. `platform` replaces two of them by keys of its
-# file.
+# The names of policy fields in error messages for operators. `platform` replaces `deadline` and `aim` by the
+# keys of its file.
 _REPORTED_NAMES = {
     "latency_objective_us": "aim",
     "deadline_us": "deadline",
@@ -113,7 +113,7 @@
 def _build_class_settings(
     keys: _FlatSettings, index: int, message_objectives: tuple[float, ...]
 ) -> ClassSettings:
-    """Build the settings of one class; `message_objectives` may have fewer items than there are classes."""
+    """Build the settings of one class; one without an item in `message_objectives` has no such objective."""
     path = f"classes.{index}."
     idempotency = keys.text(path + "effect", "read_like")
     if idempotency not in IDEMPOTENCY:
--- a/tansyladder/config/rates.py
+++ b/tansyladder/config/rates.py
@@ -5,17 +5,17 @@
 from datetime import timedelta
 
 # Endpoints may report the delay of their messages in lines `LOAD X`. Some never do, although the settings say
-# that they do. They also echo lines at once while they are overloaded, so the latency of lines doesn't show
-# the overload. Health checks show it, but they cost work at the endpoint, which gets them from all nodes:
-# forty nodes with one check per second each made endpoints so busy that they looked slow, were ejected and
-# lost their connections. The interval therefore grows with the cluster, and the policy only checks endpoints
-# that have sent no report.
+# so. These echo lines at once even while they are overloaded, so the latency of lines doesn't show the
+# overload. Health checks show it, but they cost work at the endpoint, which gets them from all nodes: forty
+# nodes with one check per second each made endpoints so busy that they looked slow, were ejected and lost
+# their connections. The interval therefore grows with the cluster, and the policy only checks endpoints that
+# have sent no report.
 HEALTH_CHECK_INTERVAL = timedelta(seconds=1)  # between checks of one endpoint by one node of a small cluster
 # The shortest interval between two health checks of one endpoint by all nodes together.
 ENDPOINT_HEALTH_CHECK_INTERVAL = timedelta(milliseconds=150)
 # Delays change within seconds. With a longer interval, a node would rely on outdated results and avoid
-# endpoints that have recovered. It then makes no health checks and uses its estimates, with which it rejects
-# more requests.
+# endpoints that have recovered. A node that would need one makes no health checks and uses its estimates,
+# with which it rejects more requests.
 MAX_HEALTH_CHECK_INTERVAL = timedelta(seconds=10)
 
 # Discovery is a single service that serves the calls of all nodes one by one, and takes up to 0.2 s for each
@@ -27,9 +27,9 @@
 
 # In a large cluster no node has enough connections to an endpoint to detect in time that it is slow. The
 # number of clients of the home zone then determines when other zones get more requests. A unit of capacity is
-# about one core, which 18 to 37 connections use fully according to the operators. Of the values 27,
-# 18, 12 and 8, the lowest had the best results on recorded days: clients of other zones and the work of
-# groups add load that this node doesn't see.
+# about one core, which 18 to 37 connections use fully according to the operators. The value is lower, as
+# clients of other zones and the work of groups add load that this node doesn't see: of 27, 18, 12 and 8, the
+# lowest had the best results on recorded days.
 CONNECTIONS_PER_UNIT = 8.0
 SMALL_CLUSTER_NODE_COUNT = 10  # health checks are frequent enough to detect slow endpoints up to this size
 
--- a/tansyladder/config/reload.py
+++ b/tansyladder/config/reload.py
@@ -12,8 +12,8 @@
 
 _CLASS_KEY = re.compile(r"settings\.classes\.([0-9]+)\.(.+)\Z")
 
-# Keys whose changes need a restart: the identity of the node, the resources of the machine, and the lists
-# whose positions the policy uses as the numbers of zones, kinds and columns.
+# Keys, and objects of keys, whose changes need a restart: the identity of the node, the resources of the
+# machine, and the lists whose positions the policy uses as the numbers of zones, kinds and columns.
 RESTART_ONLY_KEYS = (
     "name",
     "listen",
--- a/tansyladder/config/s_expressions.py
+++ b/tansyladder/config/s_expressions.py
@@ -25,7 +25,7 @@
 SIZE_UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
 MAX_DEPTH = 16  # of nested brackets; bounds the recursion on the stack
 MAX_SHOWN_VALUE = 40  # characters of an invalid value in an error message
-MAX_SHOWN_CHARACTERS = 80  # of the library's message in an error message
+MAX_SHOWN_CHARACTERS = 80  # of the library's error text in an error message
 _QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) ?(us|ms|s|min|h|B|KiB|MiB)\Z", re.A)
 
 
@@ -49,7 +49,7 @@
 
 
 def _parse_entries(entries: list[Any], path: str, list_names: Container[str]) -> dict[str, object]:
-    """Convert entries such as `((a 1) (b (c 2)))` to nested dictionaries; `path` leads to their section."""
+    """Convert entries such as `((a 1) (b (c 2)))` to nested dictionaries; `path` is that of their section."""
     if path.count(".") > MAX_DEPTH:
         raise OptionsError(path[:MAX_SHOWN_VALUE], f"brackets deeper than {MAX_DEPTH} levels")
     parsed: dict[str, object] = {}
--- a/tansyladder/store/commit_queue.py
+++ b/tansyladder/store/commit_queue.py
@@ -50,13 +50,13 @@
 
         Raises:
             StoreError: the batch was not written, or it is not known whether it was.
-            Exception: any other error of the commit, if this thread is the leader; the store is then broken.
+            Exception: any other error of the commit, raised in the leader's thread; the store is then broken.
         """
         with self._lock:
             self._lifecycle.check_open()
             self._waiting.append(batch)
             if self._has_leader:
-                batch.wakeup.acquire()
+                batch.wakeup.acquire()  # the lock is free; the leader releases it
             else:
                 self._has_leader = batch.is_leader = True
         if not batch.is_leader:
--- a/tansyladder/store/compaction.py
+++ b/tansyladder/store/compaction.py
@@ -18,9 +18,9 @@
 from tansyladder.store.segment import Segment, segment_file_name
 
 MIN_DEAD_SHARE = 0.5  # of a run's bytes, so that a compaction writes less than one byte per byte it frees
-SMALL_SEGMENT_BYTES = 1 << 20  # smaller ones, which every start leaves one of, are merged with adjacent ones
+SMALL_SEGMENT_BYTES = 1 << 20  # smaller ones are merged with adjacent ones; every start leaves one
 SMALL_RUN_LENGTH = 8  # number of small segments that are merged at a time
-FRAME_BODY_BYTES = 256 << 10  # maximum in a frame of the new segment
+FRAME_BODY_BYTES = 256 << 10  # maximum in a frame of the new segment, unless one record is larger
 READ_BYTES = 1 << 20  # read from a segment at a time
 NO_LOCATION = 0  # of a key that the index does not contain
 MAX_FRAME_BYTES = frames.FRAME_HEADER_BYTES + frames.MAX_FRAME_BODY_BYTES
@@ -78,11 +78,11 @@
         self._buffer_offset = 0
 
     def next_frame(self) -> frames.Frame | None:
-        """Read the next frame; None at the end of the segment. Raises StoreCorruptError or OSError."""
+        """Return the next frame; None at the end of the segment. Raises StoreCorruptError or OSError."""
         if self._position >= self._segment.size:
             return None
         frame = self._decode()
-        for read_bytes in (READ_BYTES, MAX_FRAME_BYTES):
+        for read_bytes in (READ_BYTES, MAX_FRAME_BYTES):  # a frame may be larger than READ_BYTES
             if frame is None:
                 self._buffer = self._segment.file.read_at(self._position, read_bytes)
                 self._buffer_offset = self._position
@@ -172,7 +172,7 @@
 
 
 class Compaction:
-    """The compaction of one run into a new segment. Owned by the commit leader: no lock.
+    """The compaction of one run into a new segment. Only the commit leader uses it, so it has no lock.
 
     Attributes:
         run: the segments that are compacted.
@@ -230,7 +230,7 @@
         return False
 
     def _update_time_from_run(self) -> None:
-        """Take over the latest times from the run's segments whose hint file is not written yet."""
+        """Raise the latest time to that of each segment of the run whose hint file is not written yet."""
         for segment in self.run:
             if segment.pending_hint is not None:
                 self._writer.update_latest_time(segment.pending_hint.latest_time_us)
--- a/tansyladder/store/engine.py
+++ b/tansyladder/store/engine.py
@@ -119,6 +119,7 @@
         Raises:
             RecordTooLargeError, KeyCollisionError, StoreFullError: nothing was written.
             StoreBrokenError: it is not known what was written, or the store no longer accepts writes.
+            OSError: a stored key can't be read for comparison; the store no longer accepts writes.
         """
         size = encoded_batch_bytes(operations)
         if operations:
--- a/tansyladder/store/files.py
+++ b/tansyladder/store/files.py
@@ -20,13 +20,13 @@
     """An open file. Thread-safe, as each read and write is given its offset."""
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """Write all of the data, which is on disk only after `sync`; after an OSError any part may be."""
+        """Write all of the data. It is on disk only after `sync`; after an OSError any part of it may be."""
 
     def read_at(self, offset: int, size: int) -> bytes:
         """Read `size` bytes; fewer only at the end of the file."""
 
     def sync(self) -> None:
-        """Flush all written data to disk, without the file's name. After an OSError any part may be there."""
+        """Flush written data to disk, but not the file's name. After an OSError any part may be on disk."""
 
     def truncate(self, size: int) -> None:
         """Shorten the file; the change is on disk only after `sync`."""
@@ -48,7 +48,7 @@
         """Open an existing file for reading and writing. Raises FileNotFoundError."""
 
     def rename(self, old: str, new: str) -> None:
-        """Replace `new` by `old` atomically; a power loss before `sync_directory` leaves either file."""
+        """Rename `old` to `new`, replacing it atomically; until `sync_directory` a power loss may undo it."""
 
     def remove(self, name: str) -> None:
         """Remove a file; the removal is on disk only after `sync_directory`. Raises FileNotFoundError."""
@@ -130,7 +130,7 @@
         return RealFile(os.open(self._path / name, os.O_RDWR | os.O_CLOEXEC))
 
     def rename(self, old: str, new: str) -> None:
-        """Replace `new` by `old` atomically."""
+        """Rename `old` to `new`, replacing it atomically."""
         os.rename(self._path / old, self._path / new)
 
     def remove(self, name: str) -> None:
--- a/tansyladder/store/group_writer.py
+++ b/tansyladder/store/group_writer.py
@@ -40,7 +40,7 @@
         """Write all batches at once, sync once if any of them requires it, and make them visible to readers.
 
         Raises:
-            StoreFullError, KeyCollisionError: nothing of the group was written.
+            StoreFullError, KeyCollisionError, OSError: nothing of the group was written.
             StoreBrokenError: it is not known what was written.
         """
         self._lifecycle.check_open()  # a maintenance step may have broken the store while the batches waited
--- a/tansyladder/store/hints.py
+++ b/tansyladder/store/hints.py
@@ -1,7 +1,7 @@
 """Hint files: what the index needs to know of each record in a sealed segment, without keys and values.
 
-Hints only make opening the store faster. A hint that is missing, invalid or of a segment of another size is
-rebuilt from the segment.
+Hints only make opening the store faster. A hint that is missing, invalid or for another size of its segment
+is rebuilt from the segment.
 """
 
 from __future__ import annotations
--- a/tansyladder/store/index.py
+++ b/tansyladder/store/index.py
@@ -147,7 +147,7 @@
         return index
 
     def _insert_all(self, hashes: np.ndarray[Any, Any], locations: np.ndarray[Any, Any]) -> None:
-        """Fill an empty table in passes: hashes whose slot is empty take it, others try the next slot."""
+        """Fill an empty table in passes: a hash takes its slot if that is empty, else tries the next one."""
         # Imported here, as a small store never needs numpy.
         import numpy as np  # noqa: PLC0415
 
@@ -157,9 +157,8 @@
         slots = hashes & mask
         while len(hashes):
             is_empty = table_hashes[slots] == EMPTY_SLOT
-            table_hashes[slots[is_empty]] = hashes[
-                is_empty
-            ]  # of several hashes at a slot, the last one is stored
+            # Of several hashes that take the same slot, the last one is stored.
+            table_hashes[slots[is_empty]] = hashes[is_empty]
             is_placed = table_hashes[slots] == hashes
             table_locations[slots[is_placed]] = locations[is_placed]
             remaining = ~is_placed
--- a/tansyladder/store/maintenance.py
+++ b/tansyladder/store/maintenance.py
@@ -61,9 +61,8 @@
         for segment in self._records.segments_by_age():
             hint = segment.pending_hint
             if hint is not None and segment is not self._log.active:
-                with contextlib.suppress(
-                    OSError
-                ):  # without a hint, opening the store reads the whole segment
+                # Without a hint file, opening the store reads the whole segment.
+                with contextlib.suppress(OSError):
                     hints.write_hint(self._log.files, hint, segment.id, segment.size)
                 segment.drop_pending_hint()
                 return True
--- a/tansyladder/store/record_table.py
+++ b/tansyladder/store/record_table.py
@@ -100,7 +100,7 @@
             return self._index.get(key_hash)
 
     def check_collision(self, key_hash: int, key: bytes) -> None:
-        """Raise KeyCollisionError if another stored key has this hash, as both can't be stored."""
+        """Raise KeyCollisionError if another stored key has this hash, OSError if that key can't be read."""
         with self._lock:
             location = self._index.get(key_hash)
             if not location:
@@ -171,8 +171,8 @@
             remaining: all segments that the store has now, oldest first.
         """
         with self._lock:
-            # Bytes that are dead in the new segment can't be freed. If they were counted as reclaimable, the
-            # segment would be compacted again and again.
+            # Dead bytes of the new segment are mostly headers and deletions that must be kept. If they were
+            # counted as reclaimable, the segment would be compacted again and again.
             compacted.mark_dead_bytes_unreclaimable()
             self._ids_by_age = [segment.id for segment in remaining]
             for segment in (*old, compacted):
--- a/tansyladder/store/recovery.py
+++ b/tansyladder/store/recovery.py
@@ -61,7 +61,7 @@
 
 
 def recover(files: Files, node: str, now_us: int) -> RecoveryResult:
-    """Read the whole store, and ignore an incomplete tail; change nothing on disk.
+    """Read the whole store but for an incomplete tail; change nothing on disk.
 
     Raises:
         StoreCorruptError, StoreVersionError: this program can't open the store.
--- a/tansyladder/store/segment.py
+++ b/tansyladder/store/segment.py
@@ -10,7 +10,7 @@
 from tansyladder.store.hints import Hint
 
 OFFSET_MASK = (1 << frames.OFFSET_BITS) - 1
-FIRST_READ_BYTES = 512  # of the first read for a record of unknown size; most records are not larger
+FIRST_READ_BYTES = 512  # of the first read of a record, whose size is unknown; most records are not larger
 MAX_RECORD_BYTES = frames.RECORD_HEADER.size + frames.MAX_KEY_BYTES + frames.MAX_VALUE_BYTES
 LOG_SUFFIX = ".log"
 
