--- a/tansyladder/resumption/stream.py
+++ b/tansyladder/resumption/stream.py
@@ -107,7 +107,7 @@
     # --- the stream host
 
     def begin_placement(self) -> tuple[tuple[str, str], ...]:
-        """Begin a placement; return its fields for the first line, with an epoch that fences earlier ones."""
+        """Begin a placement; return the first line's fields, whose epoch fences off earlier placements."""
         self.epoch += 1
         self._host_state = self._host_state.after_placement_began()
         are_positions_unknown = self._host_state is HostState.RESTORED
@@ -144,7 +144,7 @@
                 self._host_state = HostState.RESUMABLE
                 return StreamOutput()
             self._host_state = self._host_state.after_line_without_position()
-            self.from_client.discard()  # it never acknowledges lines, so no other host can continue
+            self.from_client.discard()  # the host never acknowledges lines, so no other one can continue
         if self._host_state.supports_resumption and control_messages.is_control(line):
             self._receive_host_control(line)
             return StreamOutput()
--- a/tansyladder/sessions/forwarder.py
+++ b/tansyladder/sessions/forwarder.py
@@ -109,7 +109,7 @@
                 raise UpstreamLostError(AttemptStatus.CANCELLED, UpstreamLossReason.MIGRATED_BY_POLICY)
 
     def _check_deadlines(self) -> None:
-        """Raise an error if a client's time to resume or close is over or its host late; send due lines."""
+        """Raise an error if the client's time is over or the host is stalled or silent; send due lines."""
         current_time = now()
         client = self._client
         if client.socket is None:
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -71,7 +71,7 @@
         self._client.set_expiry(expires_at)
 
     def run(self, connection: UpstreamConnection | None = None, request_id: int = 0) -> None:
-        """Serve the session to its end, and close its sockets; a restored one has no connection yet."""
+        """Serve the session to its end, and close its sockets; a restored session has no `connection` yet."""
         end = SessionEndedError(SessionEnd.ENDED)
         try:
             if connection is None:
@@ -96,7 +96,7 @@
     def _restore(self) -> PlacedUpstream:
         """Wait for a restored session's client, and place the session.
 
-        Raises SessionEndedError if too many are suspended, none resumes in time, or the placement fails.
+        Raises SessionEndedError if too many sessions are suspended, or if either step fails.
         """
         if not self._registry.reserve_suspended():
             raise SessionEndedError(SessionEnd.NO_CAPACITY)
@@ -163,7 +163,7 @@
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
 
     def _migrate(self, loss: UpstreamLostError) -> PlacedUpstream:
-        """Place a session whose client is connected; redirect the client if no host accepts it in time."""
+        """Place a session with a connected client; raise SessionEndedError if no host accepts it in time."""
         placed = self._placer.place(now() + MIGRATION_TIMEOUT)
         if isinstance(placed, PlacementRejected):
             log(LogEvent.SESSION_REJECTED, reason=loss.reason)
@@ -192,7 +192,7 @@
         return placed
 
     def _await_client(self) -> ResumingClient:
-        """Wait for a client that resumes a detached session; raise SessionEndedError if none can any more."""
+        """Wait for a client that resumes a detached session; raise SessionEndedError if none can do so."""
         while True:
             client = self._queue.take_client()
             if client is None:
@@ -204,7 +204,7 @@
                 return client
 
     def _check_can_wait(self) -> None:
-        """Raise SessionEndedError if another node owns the session, this node drains, or it has expired."""
+        """Raise SessionEndedError if another node owns the session, it has expired, or this node drains."""
         if self._queue.is_superseded:
             raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
         if self._context.lifecycle.is_draining:
