--- a/tansyladder/config/operator_settings.py
+++ b/tansyladder/config/operator_settings.py
@@ -36,16 +36,16 @@
     """A key that seals tokens: its id, and its 32 bytes in hexadecimal digits."""
 
     id: Annotated[int, msgspec.Meta(ge=0, le=TOKEN_KEY_ID_MAX)]
-    digits: str
+    secret_hex: str
 
     def __post_init__(self) -> None:
-        if not SECRET_PATTERN.match(self.digits):
+        if not SECRET_PATTERN.match(self.secret_hex):
             raise ValueError("expected 32 bytes as 64 hexadecimal digits")
 
     @property
     def secret(self) -> bytes:
         """The 32 bytes of the key."""
-        return bytes.fromhex(self.digits)
+        return bytes.fromhex(self.secret_hex)
 
 
 class ResumeOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/tansyladder/config/platform.py
+++ b/tansyladder/config/platform.py
@@ -99,7 +99,7 @@
     reports_delay: bool
     reports_load: bool
     longest_deadline: timedelta
-    written_values: Mapping[str, str]  # the values in the file, by the paths of their keys
+    file_values: Mapping[str, str]  # the values in the file, by the paths of their keys
 
     def tenant_number(self, name: str) -> int:
         """Return the number of a tenant; 0 if the settings have no tenant of that name."""
@@ -176,7 +176,7 @@
         reports_delay=flat.get("extra.tells_delay") == "true",
         reports_load=flat.get("extra.tells_load") == "true",
         longest_deadline=longest_deadline,
-        written_values=_written_values(text, file.known_endpoints),
+        file_values=_file_values(text, file.known_endpoints),
     )
 
 
@@ -305,7 +305,7 @@
     return parse_address(in_file, variable.removeprefix("GW_").lower())
 
 
-def _written_values(text: bytes, known_endpoints: EndpointList) -> dict[str, str]:
+def _file_values(text: bytes, known_endpoints: EndpointList) -> dict[str, str]:
     """Return the values in the file by path.
 
     The known endpoints are one value, as they are only used when the node starts.
--- a/tansyladder/config/reload.py
+++ b/tansyladder/config/reload.py
@@ -68,10 +68,10 @@
             replace the keys that a truncated file lacks.
     """
     reloaded = load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
-    missing = _missing_key(reloaded.written_values, running.written_values)
+    missing = _missing_key(reloaded.file_values, running.file_values)
     if missing is not None:
         raise ConfigError(missing, "missing, but the running configuration has it")
-    changed = _changed_keys(running.written_values, reloaded.written_values)
+    changed = _changed_keys(running.file_values, reloaded.file_values)
     restart_only = [key for key in changed if _is_restart_only(key)]
     config = _merge(running, reloaded)
     return ReloadedConfig(config, [key for key in changed if key not in restart_only], restart_only)
@@ -98,7 +98,7 @@
         reports_delay=reloaded.reports_delay,
         reports_load=reloaded.reports_load,
         longest_deadline=reloaded.longest_deadline,
-        written_values=reloaded.written_values,
+        file_values=reloaded.file_values,
     )
 
 
--- a/tansyladder/resumption/errors.py
+++ b/tansyladder/resumption/errors.py
@@ -10,7 +10,7 @@
 
     MALFORMED = "malformed"  # not a token of this version
     ELSEWHERE = "elsewhere"  # sealed by another issuer: another node, or an earlier start of this node
-    FORGED = "forged"  # the key is unknown, or the token or the client's claims fail authentication
+    FORGED = "forged"  # the key is unknown, or the token or the client's binding fails authentication
     EXPIRED = "expired"
     SPENT = "spent"  # redeemed, or older than a redeemed token
     CLAIMED = "claimed"  # another resume of the session is in progress
--- a/tansyladder/resumption/tokens.py
+++ b/tansyladder/resumption/tokens.py
@@ -1,4 +1,4 @@
-"""Resumption tokens: opaque, authenticated text that is bound to its issuer and to the client's claims.
+"""Resumption tokens: opaque, authenticated text that is bound to its issuer and to a class, group and key.
 
 A token is sealed with AES-256-GCM of the `cryptography` library (RFC 5116), which compares tags in constant
 time. The session's service class, group and key are associated data: the token doesn't contain them, and the
@@ -43,7 +43,7 @@
     expires_at_us: int  # by the clock of the issuer
 
 
-class TokenClaims(NamedTuple):
+class TokenBinding(NamedTuple):
     """The fields that a client has to send with a token, with the values that began the session."""
 
     service_class: str
@@ -51,7 +51,7 @@
     key: int
 
     def encode(self) -> bytes:
-        """Encode the claims; numbers of fixed sizes come first, so that the encoding is unambiguous."""
+        """Encode the binding; numbers of fixed sizes come first, so that the encoding is unambiguous."""
         return struct.pack(">QQ", self.group, self.key) + self.service_class.encode()
 
 
@@ -95,15 +95,15 @@
         # One assignment, so that other threads see either the old set or the new one.
         self._ciphers = {key.key_id: AESGCM(key.secret) for key in keys}
 
-    def seal(self, payload: TokenPayload, claims: TokenClaims) -> str:
+    def seal(self, payload: TokenPayload, binding: TokenBinding) -> str:
         """Seal a payload and return its token, a text of TOKEN_LENGTH characters."""
         key_id, cipher = next(iter(self._ciphers.items()))
         header = bytes((key_id,)) + self._issuer_id
         nonce = self._random_bytes(NONCE_BYTES)
-        sealed = cipher.encrypt(nonce, _PAYLOAD.pack(*payload), header + claims.encode())
+        sealed = cipher.encrypt(nonce, _PAYLOAD.pack(*payload), header + binding.encode())
         return base64.urlsafe_b64encode(header + nonce + sealed).rstrip(b"=").decode()
 
-    def open(self, text: str, claims: TokenClaims) -> TokenPayload:
+    def open(self, text: str, binding: TokenBinding) -> TokenPayload:
         """Open a token.
 
         Raises:
@@ -125,6 +125,6 @@
         if cipher is None:  # forged, or sealed with a key that was removed
             raise TokenError(ResumeRejection.FORGED)
         try:
-            return TokenPayload(*_PAYLOAD.unpack(cipher.decrypt(nonce, sealed, header + claims.encode())))
+            return TokenPayload(*_PAYLOAD.unpack(cipher.decrypt(nonce, sealed, header + binding.encode())))
         except InvalidTag as error:
             raise TokenError(ResumeRejection.FORGED) from error
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -24,7 +24,7 @@
 from tansyladder.resumption.token_registry import TokenRegistry
 from tansyladder.sessions.errors import RETRY_SOON_LINE, ResumeRejectedError
 from tansyladder.sessions.session import Session
-from tansyladder.sessions.session_registry import SessionRegistry, sealing_keys, token_claims
+from tansyladder.sessions.session_registry import SessionRegistry, sealing_keys, token_binding
 from tansyladder.sessions.session_restorer import SessionRestorer
 
 if TYPE_CHECKING:  # these modules are loaded only if the node has peers
@@ -132,7 +132,7 @@
     ) -> bytes:
         registry = self.registry
         position = _parse_position(opening)
-        payload = registry.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_claims(opening))
+        payload = registry.keyring.open(opening.field_values[RESUME_TOKEN_FIELD], token_binding(opening))
         if self._takeover is not None:  # the line may have arrived while the process was paused
             arrived_at = min(arrived_at, now() - sockets.time_since_last_data(sock))
         client = ResumingClient(sock, position, arrived_at + opening.wait, payload.expires_at_us)
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -25,7 +25,7 @@
 from tansyladder.resumption.replay_buffer import MemoryBudget
 from tansyladder.resumption.stream import Stream
 from tansyladder.resumption.token_registry import SessionEnd, TokenRegistry
-from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenClaims
+from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenBinding
 from tansyladder.sessions.errors import ResumeRejectedError
 from tansyladder.sessions.session_store import NodeIdentity, SessionStore
 
@@ -106,7 +106,7 @@
         """Issue a token for the session's client, and return its control line."""
         expires_at_us = self._token_expiry_us()
         payload = self.token_registry.issue(session_id, expires_at_us)
-        text = self.keyring.seal(payload, token_claims(opening))
+        text = self.keyring.seal(payload, token_binding(opening))
         if self.session_store is not None:
             generation_floor = self.token_registry.generation_floor(session_id)
             self.session_store.save_session(session_id, opening.line, generation_floor, expires_at_us)
@@ -186,6 +186,6 @@
     return [SealingKey(key.id, key.secret) for key in options.keys]
 
 
-def token_claims(opening: Opening) -> TokenClaims:
+def token_binding(opening: Opening) -> TokenBinding:
     """Return the fields of the first line that a client has to repeat when it resumes."""
-    return TokenClaims(opening.class_name, opening.group_key, opening.key)
+    return TokenBinding(opening.class_name, opening.group_key, opening.key)
--- a/tansyladder/sessions/session_store.py
+++ b/tansyladder/sessions/session_store.py
@@ -196,8 +196,8 @@
             rebuilt_hints=store.rebuilt_hint_count,
             keys=stats.keys,
             segments=stats.segments,
-            total_bytes=stats.bytes,
-            live_bytes=stats.live,
+            total_bytes=stats.total_bytes,
+            live_bytes=stats.live_bytes,
             index_bytes=stats.index_bytes,
             sequence=stats.sequence,
         )
--- a/tansyladder/store/commands.py
+++ b/tansyladder/store/commands.py
@@ -104,10 +104,10 @@
 def compact(folder: Path) -> None:
     """Do all maintenance that is due; the node must not be running."""
     with _reporting_errors(), _open_folder(folder) as current:
-        bytes_before = current.stats.bytes
+        bytes_before = current.stats.total_bytes
         while current.maintain(COMPACTION_BUDGET_BYTES):
             _show_progress("bytes", current.compacted_bytes, bytes_before)
-        click.echo(f"{bytes_before} bytes before, {current.stats.bytes} now, {len(current)} keys")
+        click.echo(f"{bytes_before} bytes before, {current.stats.total_bytes} now, {len(current)} keys")
 
 
 @store.command()
--- a/tansyladder/store/record_table.py
+++ b/tansyladder/store/record_table.py
@@ -38,8 +38,8 @@
 
     keys: int  # including expired ones that are not compacted yet
     segments: int
-    bytes: int  # of all segments
-    live: int  # bytes of records that the index points to
+    total_bytes: int  # of all segments
+    live_bytes: int  # of records that the index points to
     index_bytes: int  # of memory
     sequence: int  # sequence number of the newest record
 
@@ -193,8 +193,8 @@
             return StoreStats(
                 keys=len(self._index),
                 segments=len(segments),
-                bytes=sum(segment.size for segment in segments),
-                live=sum(segment.live_bytes for segment in segments),
+                total_bytes=sum(segment.size for segment in segments),
+                live_bytes=sum(segment.live_bytes for segment in segments),
                 index_bytes=self._index.size_bytes,
                 sequence=sequence,
             )
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -22,7 +22,7 @@
 from tansyladder.replication.replicated_state import ReplicatedState
 from tansyladder.replication.session_ownership import OwnershipRecord
 from tansyladder.resumption.errors import TokenError
-from tansyladder.resumption.tokens import Keyring, TokenClaims, TokenPayload
+from tansyladder.resumption.tokens import Keyring, TokenBinding, TokenPayload
 from tansyladder.sessions.session_registry import SessionRegistry
 from tansyladder.sessions.session_store import NodeIdentity, SessionStore, StoredEndpointList, StoredSession
 from tests.formats import writers
@@ -326,10 +326,10 @@
 PAYLOAD = TokenPayload(
     session_id=0x0123456789ABCDEF, generation=4_294_967_298, expires_at_us=NOW + 30_000_000
 )
-CLAIMS = TokenClaims(service_class="chat", group=5, key=80)
+BINDING = TokenBinding(service_class="chat", group=5, key=80)
 FLEET_KEYS = (
-    KeyEntry(id=7, digits=bytes(range(32)).hex()),
-    KeyEntry(id=3, digits=bytes(range(100, 132)).hex()),
+    KeyEntry(id=7, secret_hex=bytes(range(32)).hex()),
+    KeyEntry(id=3, secret_hex=bytes(range(100, 132)).hex()),
 )
 
 
@@ -345,10 +345,10 @@
     sessions = SessionStore(writers.open_folder(copied("sessions", tmp_path)), lambda: NOW)
     with writers.fixed_random_bytes():
         keyring = SessionRegistry(NodeParts(load_test_config(tmp_path)).context, sessions).keyring
-        assert keyring.seal(PAYLOAD, CLAIMS) == NODE_TOKEN
-    assert keyring.open(NODE_TOKEN, CLAIMS) == PAYLOAD
+        assert keyring.seal(PAYLOAD, BINDING) == NODE_TOKEN
+    assert keyring.open(NODE_TOKEN, BINDING) == PAYLOAD
     with pytest.raises(TokenError):
-        keyring.open(NODE_TOKEN, TokenClaims(service_class="chat", group=80, key=5))
+        keyring.open(NODE_TOKEN, TokenBinding(service_class="chat", group=80, key=5))
     sessions.close()
 
 
@@ -356,10 +356,10 @@
     """The text depends on the fleet's name and keys; the first key seals, and every key opens."""
     with writers.fixed_random_bytes():
         keyring = fleet_keyring(tmp_path, *FLEET_KEYS)
-        assert keyring.seal(PAYLOAD, CLAIMS) == FLEET_TOKEN
+        assert keyring.seal(PAYLOAD, BINDING) == FLEET_TOKEN
         other_keyring = fleet_keyring(tmp_path, *reversed(FLEET_KEYS))
-        assert other_keyring.seal(PAYLOAD, CLAIMS) == OTHER_KEY_TOKEN
+        assert other_keyring.seal(PAYLOAD, BINDING) == OTHER_KEY_TOKEN
     for token in (FLEET_TOKEN, OTHER_KEY_TOKEN):
-        assert keyring.open(token, CLAIMS) == PAYLOAD
+        assert keyring.open(token, BINDING) == PAYLOAD
         with pytest.raises(TokenError):
-            keyring.open(token, TokenClaims(service_class="chaT", group=5, key=80))
+            keyring.open(token, TokenBinding(service_class="chaT", group=5, key=80))
--- a/tests/resumption/test_token_registry.py
+++ b/tests/resumption/test_token_registry.py
@@ -12,7 +12,7 @@
 
 from tansyladder.resumption.errors import TokenError
 from tansyladder.resumption.token_registry import SessionEnd, TokenRegistry
-from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenClaims
+from tansyladder.resumption.tokens import ISSUER_ID_BYTES, Keyring, SealingKey, TokenBinding
 
 SESSION_ID = 9
 HANDLE = "session"
@@ -32,7 +32,7 @@
         super().__init__()
         self.registry: TokenRegistry[str] = TokenRegistry(1)
         self.keyring = Keyring(b"n" * ISSUER_ID_BYTES, [SealingKey(1, b"1" * 32)], random.Random(3).randbytes)
-        self.claims = TokenClaims("chat", 5, 7)
+        self.binding = TokenBinding("chat", 5, 7)
         self.registry.add(SESSION_ID, HANDLE)
         self.now_us = 0
         self.tokens: list[IssuedToken] = []
@@ -45,7 +45,7 @@
     def issue(self, lifetime_us: int) -> None:
         expires_at_us = self.now_us + lifetime_us
         payload = self.registry.issue(SESSION_ID, expires_at_us)
-        self.tokens.append(IssuedToken(self.keyring.seal(payload, self.claims), expires_at_us))
+        self.tokens.append(IssuedToken(self.keyring.seal(payload, self.binding), expires_at_us))
 
     @rule(duration_us=st.integers(1, 6))
     def time_passes(self, duration_us: int) -> None:
@@ -57,7 +57,7 @@
         number = data.draw(st.integers(0, len(self.tokens) - 1))
         delivered: list[str] = []
         expected = self._expected_rejection(number)
-        payload = self.keyring.open(self.tokens[number].text, self.claims)
+        payload = self.keyring.open(self.tokens[number].text, self.binding)
         if expected:
             with pytest.raises(TokenError) as raised:
                 self.registry.begin_resume(payload, self.now_us, delivered.append)
--- a/tests/resumption/test_tokens.py
+++ b/tests/resumption/test_tokens.py
@@ -14,11 +14,11 @@
     TOKEN_LENGTH,
     Keyring,
     SealingKey,
-    TokenClaims,
+    TokenBinding,
     TokenPayload,
 )
 
-CLAIMS = TokenClaims("chat", 0x5C, 0x7F)
+BINDING = TokenBinding("chat", 0x5C, 0x7F)
 
 
 ISSUER_ID = b"l" * ISSUER_ID_BYTES
@@ -39,50 +39,50 @@
 def test_an_altered_token_is_rejected(position: int, letter: str, shorter_length: int) -> None:
     keyring = new_keyring()
     payload = TokenPayload(5, 1, 1000)
-    text = keyring.seal(payload, CLAIMS)
-    assert keyring.open(text, CLAIMS) == payload
+    text = keyring.seal(payload, BINDING)
+    assert keyring.open(text, BINDING) == payload
     assert len(text) == TOKEN_LENGTH
     with_other_letter = text[:position] + letter + text[position + 1 :]
     for altered in {with_other_letter, text[:shorter_length], text + letter} - {text}:
         with pytest.raises(TokenError) as raised:
-            keyring.open(altered, CLAIMS)
+            keyring.open(altered, BINDING)
         assert raised.value.reason in ("malformed", "elsewhere", "forged")
 
 
 @pytest.mark.parametrize(
-    ("keyring", "claims", "reason"),
+    ("keyring", "binding", "reason"),
     [
-        (new_keyring(OTHER_ISSUER_ID), CLAIMS, "elsewhere"),
-        (new_keyring(key=SealingKey(KEY.key_id, b"q" * 32)), CLAIMS, "forged"),
-        (new_keyring(key=SealingKey(2, KEY.secret)), CLAIMS, "forged"),
-        (new_keyring(), TokenClaims("chat", 0x5C, 0x80), "forged"),
-        (new_keyring(), TokenClaims("chat", 0x5D, 0x7F), "forged"),
-        (new_keyring(), TokenClaims("chats", 0x5C, 0x7F), "forged"),
+        (new_keyring(OTHER_ISSUER_ID), BINDING, "elsewhere"),
+        (new_keyring(key=SealingKey(KEY.key_id, b"q" * 32)), BINDING, "forged"),
+        (new_keyring(key=SealingKey(2, KEY.secret)), BINDING, "forged"),
+        (new_keyring(), TokenBinding("chat", 0x5C, 0x80), "forged"),
+        (new_keyring(), TokenBinding("chat", 0x5D, 0x7F), "forged"),
+        (new_keyring(), TokenBinding("chats", 0x5C, 0x7F), "forged"),
     ],
 )
-def test_a_token_is_accepted_only_by_its_issuer_with_its_claims(
-    keyring: Keyring, claims: TokenClaims, reason: str
+def test_a_token_is_accepted_only_by_its_issuer_with_its_binding(
+    keyring: Keyring, binding: TokenBinding, reason: str
 ) -> None:
-    text = new_keyring().seal(TokenPayload(5, 1, 1000), CLAIMS)
+    text = new_keyring().seal(TokenPayload(5, 1, 1000), BINDING)
     with pytest.raises(TokenError, match=reason):
-        keyring.open(text, claims)
+        keyring.open(text, binding)
 
 
 def test_tokens_stay_valid_while_their_key_is_in_the_keyring() -> None:
     keyring = new_keyring()
     new_key = SealingKey(2, b"n" * 32)
-    old_text = keyring.seal(TokenPayload(5, 1, 1000), CLAIMS)
+    old_text = keyring.seal(TokenPayload(5, 1, 1000), BINDING)
     keyring.rotate([new_key, KEY])
-    assert keyring.open(old_text, CLAIMS).session_id == 5
-    new_text = keyring.seal(TokenPayload(5, 2, 1000), CLAIMS)
+    assert keyring.open(old_text, BINDING).session_id == 5
+    new_text = keyring.seal(TokenPayload(5, 2, 1000), BINDING)
     keyring.rotate([new_key])
-    assert keyring.open(new_text, CLAIMS).generation == 2
+    assert keyring.open(new_text, BINDING).generation == 2
     with pytest.raises(TokenError, match="forged"):
-        keyring.open(old_text, CLAIMS)
+        keyring.open(old_text, BINDING)
     with pytest.raises(ValueError, match=r"unique key ids, got \[2, 2\]"):
         keyring.rotate([new_key, new_key])
 
 
 def test_every_seal_has_its_own_nonce() -> None:
     keyring = new_keyring()
-    assert len({keyring.seal(TokenPayload(5, 1, 1000), CLAIMS) for _ in range(50)}) == 50
+    assert len({keyring.seal(TokenPayload(5, 1, 1000), BINDING) for _ in range(50)}) == 50
--- a/tests/store/test_against_dictionary.py
+++ b/tests/store/test_against_dictionary.py
@@ -124,7 +124,7 @@
     @invariant()
     def its_live_bytes_are_some_of_its_bytes(self) -> None:
         stats = self.store.stats
-        assert 0 <= stats.live <= stats.bytes
+        assert 0 <= stats.live_bytes <= stats.total_bytes
 
 
 TestStoreAgainstDictionary = StoreMachine.TestCase
