--- a/tansyladder/cli.py
+++ b/tansyladder/cli.py
@@ -22,7 +22,7 @@
     """Simulate a node's clients, hosts and services on loopback, and measure nodes among them."""
 
 
-lab_commands.add_to(lab)
+lab_commands.register_commands(lab)
 for command in (serve, check, store):
     commands.add_command(command)
 
--- a/tansyladder/lab/chaos/checkers.py
+++ b/tansyladder/lab/chaos/checkers.py
@@ -264,7 +264,7 @@
     }
 
 
-def no_host_rule_broken(history: Sequence[Event]) -> Findings:
+def no_host_invariant_violated(history: Sequence[Event]) -> Findings:
     """Return the violations that the hosts themselves have recorded."""
     return [
         f"{event.label}: {event.detail[:80]}"
@@ -320,7 +320,7 @@
     "token_twice": token_used_once,
     "answers_wrong": one_answer_in_time,
     "sessions_lost": no_session_lost,
-    "rules_broken": no_host_rule_broken,
+    "rules_broken": no_host_invariant_violated,
     "documents_mixed": documents_consistent,
     "orphans": no_orphaned_connection,
 }
--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -28,7 +28,7 @@
 from tansyladder.lab.waiting import wait_until
 
 START_TIMEOUT = 30.0  # seconds in which all clients must be served, and all nodes must know a leader
-QUIET_TIMEOUT = 3.0  # seconds to wait for the last lines to be confirmed
+QUIESCE_TIMEOUT = 3.0  # seconds to wait for the last lines to be confirmed
 ORPHAN_TIMEOUT = 3.0  # seconds to wait until hosts have closed connections without a client
 LEADER_POLL_INTERVAL = 0.05  # seconds between two reads of the nodes' logs
 HOST_POLL_INTERVAL = 0.1  # seconds between two requests for the hosts' connection counts
@@ -55,7 +55,7 @@
 class ClusterEndpoint:
     """A host as one node's discovery service lists it: under the address of the link from that node to it."""
 
-    ident: str
+    host_id: str
     address: str
 
     def record_drain_announcement(self) -> None:
@@ -189,7 +189,7 @@
         for client in self.clients:
             client.stop_sending()
         await wait_until(
-            lambda: not any(client.unconfirmed_line_count for client in self.clients), QUIET_TIMEOUT
+            lambda: not any(client.unconfirmed_line_count for client in self.clients), QUIESCE_TIMEOUT
         )
         connection_counts = await self._wait_until_orphans_are_closed()
         for client in self.clients:
--- a/tansyladder/lab/chaos/hosts.py
+++ b/tansyladder/lab/chaos/hosts.py
@@ -73,7 +73,7 @@
         await commands
         for host in hosts:
             history.record(
-                Party.HOST, EventKind.FINAL_CONNECTION_COUNT, host=host.ident, number=len(host.streams)
+                Party.HOST, EventKind.FINAL_CONNECTION_COUNT, host=host.host_id, number=len(host.streams)
             )
         for invariant, cases in cluster.report.cases.items():
             history.record(Party.HOST, EventKind.INVARIANT_VIOLATED, label=invariant, detail="; ".join(cases))
--- a/tansyladder/lab/chaos/peer_network.py
+++ b/tansyladder/lab/chaos/peer_network.py
@@ -8,7 +8,7 @@
 
 from tansyladder.lab.chaos.links import Link
 from tansyladder.lab.connections import LOOPBACK
-from tansyladder.lab.node import spare_port
+from tansyladder.lab.node import find_free_port
 
 KEY_BYTES = 32
 MAX_VOTERS = 5
@@ -42,7 +42,7 @@
 
     async def start(self) -> list[str]:
         """Start the links; return the `peers` section of each node's operator settings."""
-        listen_addresses = [f"{LOOPBACK}:{spare_port()}" for _ in range(self._node_count)]
+        listen_addresses = [f"{LOOPBACK}:{find_free_port()}" for _ in range(self._node_count)]
         for low, high in itertools.combinations(range(self._node_count), 2):
             link = Link(listen_addresses[high])
             self._links[_NodePair(low, high)] = link
--- a/tansyladder/lab/chaos/reports.py
+++ b/tansyladder/lab/chaos/reports.py
@@ -25,7 +25,7 @@
     reused_tokens: int = msgspec.field(name="token_twice")
     wrong_answers: int = msgspec.field(name="answers_wrong")
     lost_sessions: int = msgspec.field(name="sessions_lost")
-    broken_host_rules: int = msgspec.field(name="rules_broken")
+    host_invariant_violations: int = msgspec.field(name="rules_broken")
     inconsistent_documents: int = msgspec.field(name="documents_mixed")
     orphaned_connections: int = msgspec.field(name="orphans")
 
@@ -126,8 +126,8 @@
     probes: int = msgspec.field(name="knocks")
     served: int  # probes that were answered UP
     decisions: int = msgspec.field(name="stamped")  # entries of the decision logs, for each document
-    probes_rejected_when_calm: int = msgspec.field(name="turned_away_when_calm")  # without faults
-    probes_when_calm: int = msgspec.field(name="knocks_when_calm")
+    fault_free_rejections: int = msgspec.field(name="turned_away_when_calm")  # without faults
+    fault_free_probes: int = msgspec.field(name="knocks_when_calm")
     publish_ms: Percentiles  # from a change's request to its commit
     violations: ViolationCounts
     cases: Cases
--- a/tansyladder/lab/commands.py
+++ b/tansyladder/lab/commands.py
@@ -177,7 +177,7 @@
     show(store_benchmark.run(folder, records), as_json=as_json)
 
 
-EARLIER_NAMES = {
+DEPRECATED_ALIASES = {
     "return": reconnect_command,
     "stories": chaos_commands.scenarios_command,
     "twins": chaos_commands.duplicate_tokens_command,
@@ -195,7 +195,7 @@
     return click.Command(name, params=command.params, callback=run, help=command.help, hidden=True)
 
 
-def add_to(group: click.Group) -> None:
+def register_commands(group: click.Group) -> None:
     """Add the lab's commands to a group, and hidden aliases for earlier names."""
     commands = (
         drain_command,
@@ -210,5 +210,5 @@
     )
     for command in (*commands, *chaos_commands.COMMANDS):
         group.add_command(command)
-    for name, command in EARLIER_NAMES.items():
+    for name, command in DEPRECATED_ALIASES.items():
         group.add_command(_deprecated_alias(name, command))
--- a/tansyladder/lab/discovery_server.py
+++ b/tansyladder/lab/discovery_server.py
@@ -28,7 +28,7 @@
 class ListedEndpoint(Protocol):
     """A host that discovery lists."""
 
-    ident: str
+    host_id: str
     address: str
 
     def record_drain_announcement(self) -> None:
@@ -38,7 +38,7 @@
 class EndpointEntry(msgspec.Struct, frozen=True):
     """An endpoint in discovery's JSON format."""
 
-    ident: str = msgspec.field(name="id")
+    endpoint_id: str = msgspec.field(name="id")
     address: str = msgspec.field(name="host_port")
     zone: str = msgspec.field(name="locality")
     kind: str = msgspec.field(name="flavor")
@@ -87,14 +87,14 @@
         async with self._changed:
             self.revision += 1
             for endpoint in endpoints:
-                self._entries[endpoint.ident] = _Entry(endpoint, phase, self.revision)
+                self._entries[endpoint.host_id] = _Entry(endpoint, phase, self.revision)
             self._changed.notify_all()
 
     def listed(self, since: int | None = None) -> EndpointList:
         """Return the complete list, or the entries that changed after revision `since`."""
         endpoints = tuple(
-            EndpointEntry(ident, entry.endpoint.address, ZONE, KIND, entry.phase)
-            for ident, entry in self._entries.items()
+            EndpointEntry(endpoint_id, entry.endpoint.address, ZONE, KIND, entry.phase)
+            for endpoint_id, entry in self._entries.items()
             if since is None or since < entry.revision
         )
         return EndpointList(self.revision, since is None, endpoints)
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -31,12 +31,12 @@
     def __init__(
         self,
         cluster: StreamHostCluster,
-        ident: str,
+        host_id: str,
         frame_interval: float = FRAME_INTERVAL,
     ) -> None:
         """Create a host that does not listen yet; `frame_interval` is in seconds."""
         self.cluster = cluster
-        self.ident = ident
+        self.host_id = host_id
         self._frame_interval = frame_interval
         self.streams: set[HostedStream] = set()
         self.address = ""
@@ -125,7 +125,7 @@
             self.cluster.report.record_violation(Invariant.VALID_FIRST_LINE, case)
             writer.write(b"SYNTAX\r\n")
             return None
-        stream = HostedStream(self.ident, first_line.connection_id, writer, listener_index)
+        stream = HostedStream(self.host_id, first_line.connection_id, writer, listener_index)
         self.cluster.register(stream)
         try:
             self._check_drain_grace()
@@ -141,7 +141,7 @@
         """Check that no new attempt arrives more than DRAIN_GRACE after a drain was announced."""
         announced_at = self._drain_announced_at
         if announced_at is not None and clock() - announced_at > DRAIN_GRACE:
-            self.cluster.report.record_violation(Invariant.NO_ATTEMPT_AFTER_DRAIN, self.ident)
+            self.cluster.report.record_violation(Invariant.NO_ATTEMPT_AFTER_DRAIN, self.host_id)
 
     async def _set_up(self, stream: HostedStream, first_line: FirstLine) -> bool:
         """Answer a first line; return whether the answer is UP."""
@@ -152,7 +152,7 @@
             await asyncio.sleep(SETUP_TIME)
         if first_line.resumption is not None:
             return self._acquire_session(stream, first_line.resumption)
-        stream.send(f"UP {self.ident}-{stream.connection_id}")
+        stream.send(f"UP {self.host_id}-{stream.connection_id}")
         return True
 
     def _acquire_session(self, stream: HostedStream, request: ResumptionRequest) -> bool:
@@ -167,5 +167,5 @@
             stream.send("BUSY")
             return False
         stream.resume(stored, request.sent)
-        stream.send(f"UP {self.ident}-{stream.connection_id}\r\nRS AT {stored.received} {stored.sent}")
+        stream.send(f"UP {self.host_id}-{stream.connection_id}\r\nRS AT {stored.received} {stored.sent}")
         return True
--- a/tansyladder/lab/interactive.py
+++ b/tansyladder/lab/interactive.py
@@ -62,7 +62,7 @@
             NODE_HELP.format(
                 node=topology.node,
                 resumption=",rs=1" if resumes else "",
-                hosts=", ".join(f"{host.ident} at {host.address}" for host in topology.hosts),
+                hosts=", ".join(f"{host.host_id} at {host.address}" for host in topology.hosts),
             )
         )
         await stop_requested.wait()
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -62,7 +62,7 @@
     next(_next_ports)
 
 
-def spare_port() -> int:
+def find_free_port() -> int:
     """Return a port that has no listener and that no outgoing connection takes in the meantime.
 
     Raises NoFreePortError if there is none.
@@ -100,8 +100,8 @@
             node_count: the number of nodes that share the hosts.
         """
         self.folder = folder
-        self.port = spare_port()
-        self.admin_port = spare_port()
+        self.port = find_free_port()
+        self.admin_port = find_free_port()
         self.config = folder / "config.json"
         self.log = folder / "node.log"
         self._settings_file = folder / "settings.sexp" if operator_settings else None
@@ -176,7 +176,7 @@
         """
         old = self._running_process()
         log_size = self.log.stat().st_size
-        self.admin_port = spare_port()
+        self.admin_port = find_free_port()
         try:
             await self.start()
             await self._wait_for_handover(log_size)
--- a/tansyladder/lab/topology.py
+++ b/tansyladder/lab/topology.py
@@ -21,7 +21,7 @@
 RESUME_SETTINGS = '(resume (enabled true) (expires "30 s") (max_suspended 2000))\n'
 CONCURRENT_CONNECTS = 24  # clients that connect at the same time; limits the burst at the start
 CONNECT_TIMEOUT = 30.0  # seconds within which a client must have a session
-QUIET_TIMEOUT = 3.0  # seconds within which sent lines must arrive and connections must end
+QUIESCE_TIMEOUT = 3.0  # seconds within which sent lines must arrive and connections must end
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,11 +105,11 @@
             ) from err
 
     async def quiesce(self) -> None:
-        """Stop all clients from sending; count lines that are unconfirmed after QUIET_TIMEOUT as lost."""
+        """Stop all clients from sending; count lines that are unconfirmed after QUIESCE_TIMEOUT as lost."""
         for client in self.clients:
             client.stop_sending()
         if await wait_until(
-            lambda: not any(client.unconfirmed_line_count for client in self.clients), QUIET_TIMEOUT
+            lambda: not any(client.unconfirmed_line_count for client in self.clients), QUIESCE_TIMEOUT
         ):
             return
         for client in self.clients:
@@ -122,11 +122,11 @@
         """End all clients, and check that the hosts have no connections afterwards."""
         for client in self.clients:
             await client.leave()
-        await wait_until(lambda: not any(host.streams for host in self.hosts), QUIET_TIMEOUT)
+        await wait_until(lambda: not any(host.streams for host in self.hosts), QUIESCE_TIMEOUT)
         for host in self.hosts:
             if host.streams:
                 self.report.record_violation(
-                    Invariant.NO_ORPHANED_CONNECTION, f"{host.ident}: {len(host.streams)} connections left"
+                    Invariant.NO_ORPHANED_CONNECTION, f"{host.host_id}: {len(host.streams)} connections left"
                 )
         for task in self._tasks:
             task.cancel()
--- a/tests/answers/program.py
+++ b/tests/answers/program.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tansyladder.__main__ import main
-from tansyladder.lab.node import spare_port
+from tansyladder.lab.node import find_free_port
 
 ROOT = Path(__file__).parent.parent.parent
 ANSWER_TIMEOUT_SECONDS = 10.0  # how long to wait for an answer of the node
@@ -43,8 +43,8 @@
     ]
     return {
         "name": "n0",
-        "listen": f"127.0.0.1:{spare_port()}",
-        "operator": f"127.0.0.1:{spare_port()}",
+        "listen": f"127.0.0.1:{find_free_port()}",
+        "operator": f"127.0.0.1:{find_free_port()}",
         "discovery": "127.0.0.1:1",
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
--- a/tests/answers/test_exit_codes.py
+++ b/tests/answers/test_exit_codes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tansyladder.lab.node import spare_port
+from tansyladder.lab.node import find_free_port
 from tests.answers.own_output import CommandResult, run_command
 from tests.answers.program import ROOT, platform_config, port_of, run, running_node
 
@@ -34,7 +34,7 @@
 
 
 def test_sigterm_ends_a_node_with_peers_with_0(tmp_path: Path) -> None:
-    settings = PEERS.replace("PORT", str(spare_port()))
+    settings = PEERS.replace("PORT", str(find_free_port()))
     with running_node(tmp_path, platform_config(), settings) as node:
         node.process.send_signal(signal.SIGTERM)
         assert node.process.wait(10) == 0
@@ -61,7 +61,7 @@
     config_file = tmp_path / "config.json"
     settings_file = tmp_path / "settings.sexp"
     config_file.write_text(json.dumps(platform_config(name="n7")))
-    settings_file.write_text(PEERS.replace("PORT", str(spare_port())))
+    settings_file.write_text(PEERS.replace("PORT", str(find_free_port())))
     finished = run("serve", "--settings", str(settings_file), config_file=config_file)
     assert finished.returncode == 2
     assert finished.stderr.splitlines()[-1].startswith("event=bad_settings error=peers: ")
--- a/tests/answers/test_lab_reports.py
+++ b/tests/answers/test_lab_reports.py
@@ -47,7 +47,7 @@
     "store-kill",
     "store-bench",
 ]
-EARLIER_NAMES = {"return": "reconnect", "stories": "scenarios", "twins": "duplicate-tokens"}
+DEPRECATED_ALIASES = {"return": "reconnect", "stories": "scenarios", "twins": "duplicate-tokens"}
 INVARIANTS = (
     "final_answers_wrong",
     "lines_lost",
@@ -121,12 +121,12 @@
     return keys
 
 
-@pytest.mark.parametrize("command", [*COMMANDS, *EARLIER_NAMES])
+@pytest.mark.parametrize("command", [*COMMANDS, *DEPRECATED_ALIASES])
 def test_each_command_of_the_lab_is_known(command: str, monkeypatch: pytest.MonkeyPatch) -> None:
     assert run_command(["lab", command, "--help"], monkeypatch).exit_code == 0
 
 
-@pytest.mark.parametrize(("earlier", "name"), EARLIER_NAMES.items())
+@pytest.mark.parametrize(("earlier", "name"), DEPRECATED_ALIASES.items())
 def test_an_earlier_name_is_hidden_prints_the_new_one_and_runs_the_same_command(
     earlier: str, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -135,7 +135,7 @@
     assert exit_code == 0
     assert f"  {name} " in listed
     assert f"  {earlier} " not in listed
-    command = lab_commands.EARLIER_NAMES[earlier]
+    command = lab_commands.DEPRECATED_ALIASES[earlier]
     monkeypatch.setattr(command, "callback", lambda **options: calls.append(options))
     assert run_command(["lab", name, "--json", "--seed", "7"], monkeypatch) == CommandResult(0, "", "")
     renamed = CommandResult(0, "", f"`lab {earlier}` is now called `lab {name}`\n")
--- a/tests/answers/test_operator_calls.py
+++ b/tests/answers/test_operator_calls.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tansyladder.lab.node import spare_port
+from tansyladder.lab.node import find_free_port
 from tests.answers.program import RunningNode, platform_config, running_node
 
 UNKNOWN = "-ERR unknown: {}: status, stats, standby or active expected"
@@ -56,7 +56,7 @@
 @pytest.fixture(scope="module")
 def document_nodes(tmp_path_factory: pytest.TempPathFactory) -> Iterator[list[RunningNode]]:
     """Two nodes with resumable sessions, peers and documents; each of them holds a lease."""
-    members = {"n0": spare_port(), "n1": spare_port()}
+    members = {"n0": find_free_port(), "n1": find_free_port()}
     with ExitStack() as stack:
         nodes = []
         for name in members:
--- a/tests/config/test_operator_settings.py
+++ b/tests/config/test_operator_settings.py
@@ -14,7 +14,7 @@
 from tansyladder.config.errors import OptionsError
 from tansyladder.config.operator_settings import KeyEntry, Options, load, parse, restart_required_changes
 from tests.node.harness import ScriptedServer, answer_up
-from tests.node.program import client_of, program, until_line
+from tests.node.program import connect_client, read_log_until, running_program
 
 KEY = "ab" * 32
 
@@ -86,16 +86,16 @@
     file = tmp_path / "settings.sexp"
     file.write_text(f'(resume (enabled true) (keys (1 "{KEY}")))')
     host = ScriptedServer(answer_up(lambda peer: peer.send_lines(peer.read_line())))
-    with program(tmp_path, host, words=("serve", "--settings", str(file))) as (node, port):
+    with running_program(tmp_path, host, arguments=("serve", "--settings", str(file))) as (node, port):
         assert node.stderr is not None
         file.write_text("(resume")
         node.send_signal(signal.SIGHUP)
-        until_line(node, b'event=reload_failed error="file: brackets')
+        read_log_until(node, b'event=reload_failed error="file: brackets')
         file.write_text(f'(resume (enabled true) (max_suspended 9) (keys (2 "{"cd" * 32}") (1 "{KEY}")))')
         node.send_signal(signal.SIGHUP)
-        until_line(node, b"event=reload_ignored changed_keys=resume.max_suspended")
-        until_line(node, b"event=reloaded")
-        client = client_of(port)
+        read_log_until(node, b"event=reload_ignored changed_keys=resume.max_suspended")
+        read_log_until(node, b"event=reloaded")
+        client = connect_client(port)
         assert client.read_line() == "UP r1"
         node.send_signal(signal.SIGTERM)
         assert client.read_line() == "MOVE"
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -29,7 +29,7 @@
     load_test_config,
     read_until_closed,
 )
-from tests.node.program import client_of, program, until_line
+from tests.node.program import connect_client, read_log_until, running_program
 
 STAY_CONNECTED = answer_up(read_until_closed)
 
@@ -56,8 +56,8 @@
         [sys.executable, "-O", "-m", "tansyladder"], env=env, stderr=subprocess.PIPE
     ) as successor:
         try:
-            until_line(successor, b"event=listener_handover step=listener_received")
-            until_line(process, b"event=listener_handover step=successor_serving")
+            read_log_until(successor, b"event=listener_handover step=listener_received")
+            read_log_until(process, b"event=listener_handover step=successor_serving")
             yield successor
         finally:
             successor.kill()
@@ -102,15 +102,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with program(tmp_path, ScriptedServer(answer_up(echo_lines))) as (old, port):
-        established = client_of(port)
+    with running_program(tmp_path, ScriptedServer(answer_up(echo_lines))) as (old, port):
+        established = connect_client(port)
         assert established.read_line() == "UP r1"
         with successor_of(old, tmp_path, port) as new:
             new.send_signal(signal.SIGSTOP)
             established.sock.sendall(b"M ")  # a partial line
             old.send_signal(signal.SIGTERM)
-            until_line(old, b"event=state_changed state=draining")
-            queued = client_of(port, "81")  # not accepted: the old process leaves the queue to the new one
+            read_log_until(old, b"event=state_changed state=draining")
+            # Not accepted: the old process leaves the queue to the new one.
+            queued = connect_client(port, "81")
             assert old.wait(10) == 0
             assert select.select([queued.sock], [], [], 0)[0] == []
             new.send_signal(signal.SIGCONT)
@@ -120,7 +121,7 @@
             assert [established.read_line(), established.read_line()] == ["M 1", "M 2"]
             established.close()
             new.send_signal(signal.SIGHUP)
-            until_line(new, b"event=reloaded")
+            read_log_until(new, b"event=reloaded")
             # The new process listens on the handover socket, where a third one finds it.
             listener = request_listener(handover(tmp_path, port))
             assert listener.getsockname() == ("127.0.0.1", port)
@@ -132,12 +133,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with program(tmp_path, ScriptedServer(STAY_CONNECTED)) as (old, port):
+    with running_program(tmp_path, ScriptedServer(STAY_CONNECTED)) as (old, port):
         successor = ScriptedSuccessor(tmp_path, port)
-        first = client_of(port)
+        first = connect_client(port)
         assert first.read_line() == "UP r1"  # the old process serves clients until SIGTERM
         successor.die()
-        second = client_of(port)
+        second = connect_client(port)
         assert second.read_line() == "UP r1"
         old.send_signal(signal.SIGTERM)
         assert [first.read_line(), second.read_line()] == ["MOVE", "MOVE"]
@@ -152,12 +153,12 @@
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     host = ScriptedServer(STAY_CONNECTED)
-    with program(tmp_path, host) as (old, port):
+    with running_program(tmp_path, host) as (old, port):
         new = handover(tmp_path, port)
         listener = request_listener(new)
         old.send_signal(signal.SIGTERM)
         assert old.wait(10) == 0
-        queued = client_of(port)
+        queued = connect_client(port)
         config = load_test_config(tmp_path, endpoint_entry("s0", host.address), listen=f"127.0.0.1:{port}")
         monkeypatch.setattr(new, "request_listener", lambda: listener)
         parts = NodeParts(config)
@@ -181,15 +182,15 @@
         may_answer.wait(10)
         STAY_CONNECTED(peer)
 
-    with program(tmp_path, ScriptedServer(answer_late, STAY_CONNECTED)) as (old, port):
-        waiting = client_of(port)  # the old process drains until this request is answered
+    with running_program(tmp_path, ScriptedServer(answer_late, STAY_CONNECTED)) as (old, port):
+        waiting = connect_client(port)  # the old process drains until this request is answered
         assert connected.wait(10)
         successor = ScriptedSuccessor(tmp_path, port)
         successor.announce_serving()
-        until_line(old, b"event=listener_handover step=successor_serving")
+        read_log_until(old, b"event=listener_handover step=successor_serving")
         old.send_signal(signal.SIGTERM)
-        until_line(old, b"event=state_changed state=draining")
-        queued = client_of(port, "81")
+        read_log_until(old, b"event=state_changed state=draining")
+        queued = connect_client(port, "81")
         successor.die()
         assert queued.read_line() == "UP r1"
         may_answer.set()
--- a/tests/node/program.py
+++ b/tests/node/program.py
@@ -19,7 +19,7 @@
 )
 
 
-def until_line(process: subprocess.Popen[bytes], start: bytes) -> None:
+def read_log_until(process: subprocess.Popen[bytes], start: bytes) -> None:
     """Read the program's log up to a line that begins with `start`."""
     assert process.stderr is not None
     for line in process.stderr:
@@ -29,11 +29,11 @@
 
 
 @contextmanager
-def program(
+def running_program(
     tmp_path: Path,
     hosts: ScriptedServer | list[ScriptedServer],
     *before: str,
-    words: tuple[str, ...] = (),
+    arguments: tuple[str, ...] = (),
     **overrides: object,
 ) -> Iterator[tuple[subprocess.Popen[bytes], int]]:
     """Run the real program with assertions disabled (`-O`), as in production; yield its process and its port.
@@ -42,7 +42,7 @@
         tmp_path: The directory to which the configuration is written.
         hosts: The stream hosts behind the endpoints of the known list.
         before: A command that is put in front of the program's, and executes it.
-        words: The program's command-line arguments.
+        arguments: The program's command-line arguments.
         overrides: Keys of the configuration that get other values.
     """
     hosts = hosts if isinstance(hosts, list) else [hosts]
@@ -57,17 +57,17 @@
         "GW_LISTEN": f"127.0.0.1:{port}",
         "GW_DISCOVERY": discovery,
     }
-    command = [*before, sys.executable, "-O", "-m", "tansyladder", *words]
+    command = [*before, sys.executable, "-O", "-m", "tansyladder", *arguments]
     process = subprocess.Popen(command, env=env, stderr=subprocess.PIPE)
     with process:
         try:
-            until_line(process, b"event=started")
+            read_log_until(process, b"event=started")
             yield process, port
         finally:
             process.kill()  # so that a failing test does not wait until the program exits
 
 
-def client_of(port: int, key: str = "7f") -> Peer:
+def connect_client(port: int, key: str = "7f") -> Peer:
     """Connect a client to the program and send a valid first line."""
     client = Peer(socket.create_connection(("127.0.0.1", port), 5))
     client.send_lines(f"OPEN {unique_id()} {key} c=chat,d=1200,g=5c")
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -28,7 +28,7 @@
     running_node,
     unique_id,
 )
-from tests.node.program import client_of, program, until_line
+from tests.node.program import connect_client, read_log_until, running_program
 
 SMALL_LIMITS = {"cores": 1, "memory_mb": 32, "sockets": 256}
 
@@ -42,15 +42,15 @@
 
 def test_out_of_descriptors_clients_are_rejected_and_the_node_keeps_running(tmp_path: Path) -> None:
     host = ScriptedServer(answer_up(read_until_closed))
-    with program(tmp_path, host, "sh", "-c", 'ulimit -n 32; exec "$@"', "sh") as (process, port):
-        clients = [client_of(port) for _ in range(40)]
+    with running_program(tmp_path, host, "sh", "-c", 'ulimit -n 32; exec "$@"', "sh") as (process, port):
+        clients = [connect_client(port) for _ in range(40)]
         words = [client.read_line().split()[0] for client in clients]
         assert 4 < words.count("UP") < 16
         assert words.count("BUSY") == 40 - words.count("UP")
         for client in clients:
             client.close()
         time.sleep(0.3)
-        again = client_of(port)
+        again = connect_client(port)
         assert again.read_line().split()[0] in ("UP", "BUSY")
         again.close()
         process.send_signal(signal.SIGTERM)
@@ -69,15 +69,18 @@
         "discovery": f"127.0.0.1:{discovery.getsockname()[1]}",
         "limits": {"cores": 1, "memory_mb": 32, "sockets": 96},
     }
-    with program(tmp_path, host, "sh", "-c", 'ulimit -n 96; exec "$@"', "sh", **overrides) as (process, port):
-        until_line(process, b"event=discovery_failed")
-        clients = [client_of(port, unique_id()) for _ in range(30)]
+    with running_program(tmp_path, host, "sh", "-c", 'ulimit -n 96; exec "$@"', "sh", **overrides) as (
+        process,
+        port,
+    ):
+        read_log_until(process, b"event=discovery_failed")
+        clients = [connect_client(port, unique_id()) for _ in range(30)]
         assert {client.read_line().split()[0] for client in clients} == {"UP", "BUSY"}  # the table is full
         idle = [socket.create_connection(("127.0.0.1", port), 5) for _ in range(60)]
         discovery.listen()
         sock, _ = discovery.accept()
         threading.Thread(target=service.serve, args=(Peer(sock),), daemon=True).start()
-        until_line(process, b"event=endpoints_updated revision=9")
+        read_log_until(process, b"event=endpoints_updated revision=9")
         for client in clients:
             client.close()
         for silent in idle:
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -21,7 +21,7 @@
     read_until_closed,
     unique_id,
 )
-from tests.node.program import client_of, program, until_line
+from tests.node.program import connect_client, read_log_until, running_program
 
 
 def test_a_planned_restart_migrates_its_connections_and_ends_in_time(tmp_path: Path) -> None:
@@ -30,13 +30,13 @@
     A client that waits for a set-up may miss the deadline.
     """
     hosts = [ScriptedServer(answer_up(read_until_closed)) for _ in range(3)]
-    with program(tmp_path, hosts) as (process, port):
-        clients = [client_of(port, unique_id()) for _ in range(20)]
+    with running_program(tmp_path, hosts) as (process, port):
+        clients = [connect_client(port, unique_id()) for _ in range(20)]
         assert {client.read_line() for client in clients} == {"UP r1"}
         start = time.monotonic()
         process.send_signal(signal.SIGTERM)
         time.sleep(0.2)
-        clients.append(client_of(port, unique_id()))
+        clients.append(connect_client(port, unique_id()))
         assert clients[-1].read_line() == "UP r1"  # late requests are served, then migrated like the others
         assert [client.read_line() for client in clients] == ["MOVE"] * 21
         for client in clients:
@@ -51,21 +51,21 @@
     old = ScriptedDiscovery(5, endpoint_entry("s0", host.address))
     new = ScriptedDiscovery(2, endpoint_entry("s0", host.address))
     file = tmp_path / "config.json"
-    with program(tmp_path, host, discovery=old.address) as (process, port):
+    with running_program(tmp_path, host, discovery=old.address) as (process, port):
         assert process.stderr is not None
-        client = client_of(port)
+        client = connect_client(port)
         assert client.read_line() == "UP r1"
         document = file.read_text()
         file.write_text(document[: len(document) // 2])
         process.send_signal(signal.SIGHUP)
-        until_line(process, b'event=reload_failed error="GW_CONFIG: not JSON')
+        read_log_until(process, b'event=reload_failed error="GW_CONFIG: not JSON')
         changed = json.loads(document) | {"discovery": new.address, "seed": "1"}
         file.write_text(json.dumps(changed))
         for _ in range(5):
             process.send_signal(signal.SIGHUP)
-        until_line(process, b"event=reload_ignored changed_keys=seed")
-        until_line(process, f"event=reloaded discovery={new.address} is_discovery_switched=True".encode())
-        until_line(process, b"event=endpoints_updated revision=2 is_complete=True")
+        read_log_until(process, b"event=reload_ignored changed_keys=seed")
+        read_log_until(process, f"event=reloaded discovery={new.address} is_discovery_switched=True".encode())
+        read_log_until(process, b"event=endpoints_updated revision=2 is_complete=True")
         process.send_signal(signal.SIGTERM)
         for _ in range(5):
             process.send_signal(signal.SIGHUP)
@@ -82,7 +82,7 @@
     env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json")}
     process = subprocess.Popen(["/bin/sh", "-c", command], env=env, stderr=subprocess.PIPE)
     with process:
-        started = threading.Thread(target=until_line, args=(process, b"event=started"))
+        started = threading.Thread(target=read_log_until, args=(process, b"event=started"))
         shell = (b"", b"/bin/sh")  # the command line is empty for a moment while the shell is loaded
         while Path(f"/proc/{process.pid}/cmdline").read_bytes().split(b"\0")[0] in shell:
             time.sleep(0.001)  # so that the signal goes to the program, not to the shell that starts it
--- a/tests/replication/test_document_processes.py
+++ b/tests/replication/test_document_processes.py
@@ -38,7 +38,7 @@
     """Each fault occurs during a pending change, while clients connect to all nodes all the time."""
     result = asyncio.run(documents.run_experiment(3, 1, tmp_path / "history.jsonl"))
     assert not result.cases
-    assert not result.probes_rejected_when_calm
+    assert not result.fault_free_rejections
     # On a busy machine a node may not vote in time, so its change is aborted; that counts as a result too.
     assert result.changes == 13
     assert result.committed >= 5
