--- a/tansyladder/lab/chaos/checkers.py
+++ b/tansyladder/lab/chaos/checkers.py
@@ -4,8 +4,9 @@
 the keys of CHECKERS, which must not change:
 
 lost_lines, doubled_lines   each line of a session arrives once and in order, in both directions.
-two_owners                  a host accepts a session's lines only under the newest epoch, and one node has it.
-token_twice                 a token opens one connection in the whole cluster.
+two_owners                  a host accepts a session's lines only under the newest epoch, and each epoch is
+                            used by one node.
+token_twice                 a token opens at most one connection in the whole cluster.
 answers_wrong               a connection gets one final answer in time, unless a fault excuses a missing one.
 sessions_lost               a client that shows the token of a live session resumes that session.
 rules_broken                hosts get one attempt of a request at a time, none after announcing a drain, and
@@ -30,7 +31,7 @@
 from tansyladder.lab.clients import FINAL_ANSWERS
 from tansyladder.lab.report import MICROSECOND
 
-# The longest deadline of a client, which is 2000 ms, plus 500 ms and 100 ms.
+# The longest deadline of a client, which is 2000 ms, plus margins of 500 ms and 100 ms.
 ANSWER_DEADLINE_US = timedelta(milliseconds=2600) // MICROSECOND
 # Faults of a node during which an answer from it may be missing.
 EXCUSING_FAULTS = (EventKind.KILLED, EventKind.PAUSED, EventKind.LINK_CUT, EventKind.CONNECTIONS_RESET)
@@ -120,7 +121,7 @@
 
 
 def _unconfirmed_lines(history: Sequence[Event]) -> Findings:
-    """Find lines that no host has confirmed, of clients that were served at the end."""
+    """Find lines that no host has confirmed, for the clients that were served at the end."""
     sent: Counter[_ClientSession] = Counter()
     confirmed: Counter[_ClientSession] = Counter()
     served_sessions: dict[int, _ClientSession] = {}
@@ -252,7 +253,7 @@
             findings.append(f"client {event.client}: session ended with MOVE")
         elif event.kind == EventKind.ANSWERED and event.label == "ERR" and event.connection_id in first_lines:
             first_line = first_lines[event.connection_id]
-            if not first_line.detail:  # has a detail if the controller showed a used token
+            if not first_line.detail:  # `experiments.duplicate_tokens` sets one: it repeats tokens
                 findings.append(f"client {first_line.client}: {event.detail[:60]}")
     return findings
 
--- a/tansyladder/lab/chaos/cluster.py
+++ b/tansyladder/lab/chaos/cluster.py
@@ -94,7 +94,7 @@
     # --- start and shutdown
 
     async def start(self) -> None:
-        """Start hosts, nodes and links, and wait until all nodes listen and, as peers, know a leader."""
+        """Start hosts, nodes and links, and wait until all nodes listen and, if peers, know a leader."""
         await self.hosts.start()
         settings = self.settings
         common_settings = SETTINGS.format(key=secrets.token_hex(KEY_BYTES)) + settings.operator_settings
@@ -130,7 +130,7 @@
         self.client_links.append(client_link)
 
     async def _wait_for_leader(self) -> None:
-        """Wait until the log of each node names a leader. Raises LabTimeoutError."""
+        """Wait until the log of each node names a leader other than `none`. Raises LabTimeoutError."""
 
         def knows_leader(node: ChaosNode) -> bool:
             return b" leader=n" in node.process.log.read_bytes().replace(b"=none", b"")
@@ -185,7 +185,10 @@
         return await wait_until(lambda: self._served_count() == len(self.clients), timeout)
 
     async def quiesce(self) -> None:
-        """Stop all clients from sending, wait until their lines are confirmed, and record all connections."""
+        """Stop all clients from sending, wait until their lines are confirmed, and record what is connected.
+
+        This is an event for each served client, and the connection count of each host.
+        """
         for client in self.clients:
             client.stop_sending()
         await wait_until(
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -41,7 +41,7 @@
 FAULT_LEAD_TIME = 0.3  # seconds from the start of a fault to the request for a change
 FAULT_FREE_TIME = 2.0  # seconds at the end in which nodes are probed without faults
 CHANGES_BEFORE_FAULTS = 5
-MAX_DOCUMENT_BYTES = 50_000
+MAX_DOCUMENT_BYTES = 50_000  # bound of the filler in a generated document
 PENDING_OUTCOMES = (ChangeOutcome.IN_PROGRESS.value, ChangeOutcome.UNKNOWN.value)
 MAX_LABEL_LENGTH = 60  # characters of a change's answer that the history keeps
 
@@ -105,7 +105,7 @@
     def __init__(self, cluster: ChaosCluster, seed: int) -> None:
         self.cluster = cluster
         self.report = Report()
-        self.outcomes: list[str] = []  # of the changes; mostly values of ChangeOutcome
+        self.outcomes: list[str] = []  # `ChangeAnswer.outcome` of each change
         self._rng = numpy.random.default_rng(seed)
         self._injector = FaultInjector(cluster)
         self._change_count = 0
@@ -168,7 +168,7 @@
         Where a node does not answer or does not know the outcome, the next node gets the same request.
 
         Args:
-            node: that gets the request first.
+            node: the node that gets the request first.
             text: the new document; empty for a generated valid one.
 
         Raises:
@@ -314,7 +314,7 @@
 
 
 def _load_decisions(path: Path, node: int) -> list[Event]:
-    """Return an event for each logged decision of a node, and each document whose version it names."""
+    """Return an event for each document version in each logged decision; version 0 if it has none."""
     if not path.exists():
         return []
     lines = path.read_bytes().split(b"\n")[:-1]
--- a/tansyladder/lab/chaos/experiments.py
+++ b/tansyladder/lab/chaos/experiments.py
@@ -27,7 +27,7 @@
 PAUSE_TIME = 5.0  # seconds that a node is paused
 RECONNECT_TIMEOUT = 15.0  # seconds after the faults in which all clients must be served again
 ANSWER_TIMEOUT = 5.0  # seconds until an answer counts as missing
-WARM_UP_TIME = 1.0  # seconds that all sessions are served before the first fault or measurement
+WARM_UP_TIME = 1.0  # seconds that all sessions are served before a takeover, measurement or shown token
 MEBIBYTE = 2**20
 
 
@@ -36,7 +36,7 @@
 
     cpu_ms_per_second: float
     memory_mb: float
-    bytes_per_second: int  # sent to peers and received from them
+    bytes_per_second: int  # sent to peers, so that each byte between two nodes counts once
 
 
 async def takeover(
--- a/tansyladder/lab/chaos/history.py
+++ b/tansyladder/lab/chaos/history.py
@@ -45,7 +45,7 @@
     SESSION_ACQUIRED = "taken"
     SESSION_FENCED = "fenced"  # an owner was rejected, as another has a newer epoch of the session
     INVARIANT_VIOLATED = "broken"
-    FINAL_CONNECTION_COUNT = "holds"
+    FINAL_CONNECTION_COUNT = "holds"  # of one host, when its process ends
     # Controller: start and end of faults
     KILLED = "killed"
     PAUSED = "stopped"
@@ -58,8 +58,8 @@
     DISK_FULL = "full_disk"
     RECOVERED = "sound"
     # Controller: connections once all clients have stopped sending
-    CLIENT_CONNECTED = "standing"
-    HOST_CONNECTION_COUNT = "held"
+    CLIENT_CONNECTED = "standing"  # the client is served
+    HOST_CONNECTION_COUNT = "held"  # of one host
     # Documents
     CHANGE_REQUESTED = "asks"
     CHANGE_ENDED = "ended"
--- a/tansyladder/lab/chaos/node.py
+++ b/tansyladder/lab/chaos/node.py
@@ -21,7 +21,8 @@
 class ChaosNode:
     """A node that records the faults injected into it. Owned by one event loop; not thread-safe.
 
-    Faults may overlap. One at a time starts or ends the process; only `restart` starts it when it is down.
+    Faults may overlap, but a lock lets one at a time start or end the process. Only `restart` starts the
+    process when it is down.
     """
 
     def __init__(self, number: int, process: LabNode, history: History) -> None:
@@ -56,7 +57,7 @@
             await self.process.stop()
 
     async def restart(self, clock_offset: float = 0.0) -> None:
-        """Start a node that is down with its store; its wall clock is wrong by `clock_offset` seconds."""
+        """Start the node on its store if it is down; its wall clock is wrong by `clock_offset` seconds."""
         async with self._lock:
             if self.is_down:  # else the end of another fault has restarted it
                 await self.process.start(clock_offset)
--- a/tansyladder/lab/chaos/reports.py
+++ b/tansyladder/lab/chaos/reports.py
@@ -125,9 +125,9 @@
     rejected: int = msgspec.field(name="refused")
     probes: int = msgspec.field(name="knocks")
     served: int  # probes that were answered UP
-    decisions: int = msgspec.field(name="stamped")  # entries of the decision logs, for each document
-    fault_free_rejections: int = msgspec.field(name="turned_away_when_calm")  # without faults
-    fault_free_probes: int = msgspec.field(name="knocks_when_calm")
+    decisions: int = msgspec.field(name="stamped")  # logged ones, counted for each document
+    fault_free_rejections: int = msgspec.field(name="turned_away_when_calm")  # BUSY after all faults
+    fault_free_probes: int = msgspec.field(name="knocks_when_calm")  # probes after all faults
     publish_ms: Percentiles  # from a change's request to its commit
     violations: ViolationCounts
     cases: Cases
--- a/tansyladder/lab/chaos/schedule.py
+++ b/tansyladder/lab/chaos/schedule.py
@@ -51,7 +51,7 @@
 NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
 
-DISK_FAULTS = frozenset(
+DISK_FAULTS = frozenset(  # start only while no other fault is active; DISK_RECOVERY_TIME follows
     {FaultKind.LOSE_DISK, FaultKind.ROLL_BACK_DISK, FaultKind.FILL_DISK, FaultKind.KILL_ALL}
 )
 
@@ -78,7 +78,11 @@
 
 
 def generate(seed: int, nodes: int, hosts: int, sessions: int, seconds: float) -> Schedule:
-    """Generate faults that start within `seconds`; a node has one at a time, and only a minority has any."""
+    """Generate faults that start within `seconds`.
+
+    A node is chosen for one fault at a time, and at any time only a minority of the nodes is. Kinds that also
+    affect nodes other than the chosen one (such as KILL_ALL, KILL_LEADER) are not limited in this.
+    """
     rng = numpy.random.default_rng(seed)
     kinds = list(FaultKind)
     faults: list[Fault] = []
--- a/tansyladder/lab/client_line_exchange.py
+++ b/tansyladder/lab/client_line_exchange.py
@@ -46,7 +46,7 @@
         try:
             await self._receive_lines()
         except (OSError, ValueError, asyncio.IncompleteReadError):
-            pass  # the node or the link to it failed, or was silent (TimeoutError is an OSError)
+            pass  # the connection failed or was silent (TimeoutError is an OSError), or a line is malformed
         finally:
             sender.cancel()
 
@@ -59,7 +59,10 @@
             await asyncio.sleep(self._line_interval)
 
     async def _receive_lines(self) -> None:
-        """Receive lines until the connection ends or the session migrates. Raises OSError, ValueError."""
+        """Receive lines until the connection ends or the session migrates.
+
+        Raises OSError, and ValueError or IndexError if a line is malformed.
+        """
         reader, writer = self._connection
         while line := await asyncio.wait_for(reader.readline(), self._silence_timeout):
             for answer in self._session.receive(line):
--- a/tansyladder/lab/client_session.py
+++ b/tansyladder/lab/client_session.py
@@ -33,7 +33,7 @@
 
 
 class GapMeter:
-    """Measures the longest time between two received frames. Owned by one event loop; not thread-safe."""
+    """Measures the longest time between two frames (host lines). Owned by one event loop; not thread-safe."""
 
     def __init__(self) -> None:
         self.longest = timedelta(0)  # since the last reset
@@ -58,10 +58,10 @@
         self.token = ""  # resumes the session; empty while the client has none
         self.received = 0  # number of the last host line
         self.is_migrating = False  # MOVE was received: the client has to open a new session
-        self._acknowledged = 0  # number of the last host line that was acknowledged
+        self._acknowledged = 0  # number of the last host line that the client has acknowledged
         self._sent = 0  # number of the last client line
         self._confirmed = 0  # number of the last client line that a host has confirmed
-        self._unacknowledged: list[int] = []  # numbers of client lines that may have to be resent
+        self._unacknowledged: list[int] = []  # client lines that the node has not acknowledged, to resend
         self._report = report
         self._observer = observer
         self._gaps = gaps
@@ -128,7 +128,7 @@
         return []
 
     def _acknowledge_up_to(self, position: int) -> None:
-        """Drop the client lines up to a position, which need not be resent."""
+        """Drop the client lines up to number `position`, which need not be resent."""
         self._unacknowledged = [number for number in self._unacknowledged if number > position]
 
     def _receive_frame(self, number: int, confirmed: int) -> list[str]:
--- a/tansyladder/lab/clients.py
+++ b/tansyladder/lab/clients.py
@@ -83,7 +83,7 @@
         self._profile = ClientProfile.generate(self._rng, number)
         self._writer: asyncio.StreamWriter | None = None
 
-    # Methods that the run calls.
+    # The run calls the public methods; the private ones use one connection at a time.
 
     @property
     def is_served(self) -> bool:
@@ -163,8 +163,6 @@
         if self._writer is not None:
             self._writer.transport.abort()
 
-    # The use of one connection.
-
     async def _use_one_connection(self) -> bool:
         """Open a connection and use it until it ends; return whether it was served."""
         self._connection_count += 1
@@ -240,7 +238,7 @@
         return parameters + (",again=1" if self._connection_count > 1 else "")
 
     def _resume_parameters(self, token: str) -> str:
-        """Return the same part for a first line that resumes the session by a token."""
+        """Return the part of the first line after the connection id, if the line resumes the session."""
         return self._profile.resumed_session_parameters(token, self.session.received)
 
     async def _exchange_lines(self, established: Connection) -> None:
--- a/tansyladder/lab/crash_consistency.py
+++ b/tansyladder/lab/crash_consistency.py
@@ -71,7 +71,7 @@
     """The results of all checked recoveries."""
 
     offsets: int  # at which a file was cut or a bit flipped
-    faults: int  # losses of power and failing calls
+    faults: int  # steps of the workload that loses power (QUICK skips some), plus failing calls
     recoveries: int
     reported_corruptions: int = msgspec.field(name="named")  # recoveries with an allowed StoreCorruptError
     lost: int
--- a/tansyladder/lab/drain.py
+++ b/tansyladder/lab/drain.py
@@ -38,7 +38,7 @@
 
     sessions: int
     sessions_on_host: int = msgspec.field(name="on_the_host")  # when the drain began
-    resumed: int
+    resumed: int  # sessions whose client kept its connection
     resumed_within_objective: float = msgspec.field(name="resumed_within_aim")  # share of all sessions
     violations: InvariantViolations
     gap_ms: Percentiles  # by how much each client's most delayed frame was late
--- a/tansyladder/lab/fault_injecting_files.py
+++ b/tansyladder/lab/fault_injecting_files.py
@@ -268,7 +268,7 @@
         self._inode = inode
 
     def write_at(self, offset: int, data: bytes) -> None:
-        """Write all of the data, or half of it if the step fails. Raises OSError."""
+        """Write all of the data, or half of it if the step raises OSError. Power is lost after the write."""
         try:
             self._files.count_step("write")
         except OSError:
--- a/tansyladder/lab/first_lines.py
+++ b/tansyladder/lab/first_lines.py
@@ -36,7 +36,7 @@
         return self._common_parameters() + (",rs=1" if resumes else "")
 
     def resumed_session_parameters(self, token: str, received: int) -> str:
-        """Return the same part for resuming a session by its token.
+        """Return the part of a first line after the connection id; it resumes a session by its token.
 
         `received` is the number of the last host line that the client has received.
         """
--- a/tansyladder/lab/fleet_counts.py
+++ b/tansyladder/lab/fleet_counts.py
@@ -127,7 +127,8 @@
         fields = parse(line)
         if fields is None:
             if any(event in line for event in START_EVENTS):
-                # The node's previous process has ended, and its connections with it.
+                # The node's previous process has ended. From the second after its last line on, it has no
+                # connections; if there is no earlier line, second -1 precedes all and changes nothing.
                 connections[max(connections, default=-2) + 1] = Counter()
             continue
         try:
--- a/tansyladder/lab/host_cluster.py
+++ b/tansyladder/lab/host_cluster.py
@@ -24,7 +24,7 @@
         self._open_streams: dict[str, set[HostedStream]] = {}  # by connection id
 
     def on_session_acquired(self, stream: HostedStream) -> None:
-        """Observe that a host has begun or resumed a session."""
+        """Observe that a node has acquired a session at a host; the host may still answer BUSY."""
 
     def on_session_fenced(self, stream: HostedStream) -> None:
         """Observe that a host rejected an owner because a newer epoch has its session."""
--- a/tansyladder/lab/host_line_exchange.py
+++ b/tansyladder/lab/host_line_exchange.py
@@ -13,7 +13,7 @@
 
 
 class HostLineExchange:
-    """Serves a stream whose first line is answered. Owned by one event loop; not thread-safe."""
+    """Serves a stream whose first line was answered with UP. Owned by one event loop; not thread-safe."""
 
     def __init__(self, cluster: StreamHostCluster, stream: HostedStream, frame_interval: float) -> None:
         """Create an exchange that sends a frame every `frame_interval` seconds, and one for each line."""
--- a/tansyladder/lab/hosted_stream.py
+++ b/tansyladder/lab/hosted_stream.py
@@ -32,7 +32,7 @@
         self.epoch = epoch
 
     def rewind(self, sent: int) -> None:
-        """Discard the host lines after number `sent`: a lost host sent them, and they never arrived."""
+        """Discard the host lines after number `sent`: a host sent them, but they never reached the node."""
         self.sent = sent
 
 
@@ -53,7 +53,7 @@
         return stored
 
     def count_fenced(self) -> None:
-        """Count an owner that was rejected because a newer epoch has its session."""
+        """Count an owner that was rejected because its epoch is superseded or already used."""
         self.fenced_count += 1
 
 
--- a/tansyladder/lab/hosts.py
+++ b/tansyladder/lab/hosts.py
@@ -156,7 +156,11 @@
         return True
 
     def _acquire_session(self, stream: HostedStream, request: ResumptionRequest) -> bool:
-        """Begin or resume a session in the store; return whether the node now owns it."""
+        """Acquire a session for a node and answer UP or BUSY; return whether the answer is UP.
+
+        It is BUSY if the node's epoch is not newer than the session's, or if the store's last client line
+        is not within the request's `acknowledged` to `received`.
+        """
         stream.claim(request.session_id, request.epoch)
         stored = self.cluster.store.acquire(request.session_id, request.epoch)
         if stored is None:
--- a/tansyladder/lab/interactive.py
+++ b/tansyladder/lab/interactive.py
@@ -10,7 +10,7 @@
 from tansyladder.lab.chaos.cluster import running_cluster
 from tansyladder.lab.topology import TopologySettings, running_topology
 
-FRAME_INTERVAL = 2.0  # seconds between two lines of a session
+FRAME_INTERVAL = 2.0  # seconds between two frames of a session
 CLUSTER_HELP = """\
 a load balancer spreads clients over {node_count} nodes
 connect with: nc -C 127.0.0.1 {port}
--- a/tansyladder/lab/node.py
+++ b/tansyladder/lab/node.py
@@ -63,7 +63,7 @@
 
 
 def find_free_port() -> int:
-    """Return a port that has no listener and that no outgoing connection takes in the meantime.
+    """Return a port that has no listener and that no outgoing connection takes before it is used.
 
     Raises NoFreePortError if there is none.
     """
--- a/tansyladder/lab/reconnect.py
+++ b/tansyladder/lab/reconnect.py
@@ -1,4 +1,4 @@
-"""Measures how clients reconnect after a reset: by token, or with a new session without resumption."""
+"""Measures how clients reconnect after a reset: by token, or, if resumption is off, with a new session."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     all_reconnected: bool = msgspec.field(name="all_back")  # in time
     resumed: int = msgspec.field(name="kept")
     violations: InvariantViolations
-    gap_ms: Percentiles  # longest time between two frames of a client
+    gap_ms: Percentiles  # longest time between two frames of each reset client
     resume_ms: Percentiles = msgspec.field(name="come_back_ms")  # from the first line to UP
     set_up_ms: Percentiles  # the same for a new session
     resumes: bool = msgspec.field(name="resume")
--- a/tansyladder/lab/report.py
+++ b/tansyladder/lab/report.py
@@ -28,7 +28,7 @@
     FINAL_ANSWER = "final_answers_wrong"  # each connection gets one final answer in time
     NO_LINE_LOST = "lines_lost"
     NO_LINE_DUPLICATED = "lines_doubled"
-    SINGLE_ATTEMPT = "second_attempts"  # a request has one attempt in flight
+    SINGLE_ATTEMPT = "second_attempts"  # a request has at most one attempt in flight
     NO_ATTEMPT_AFTER_DRAIN = "late_sends_after_drain"  # no new attempt at a host that has drained
     VALID_FIRST_LINE = "bad_first_lines"
     VALID_CONTROL_MESSAGE = "bad_words"
--- a/tansyladder/lab/restart.py
+++ b/tansyladder/lab/restart.py
@@ -16,7 +16,7 @@
 STORE_SETTINGS = '(store (enabled true) (directory "FOLDER/store"))\n'
 RECONNECT_TIMEOUT = 20.0  # seconds within which all clients must be served again
 SETTLE_TIME = 1.0  # seconds for which sessions are served before the kill and before the replays
-REPLAY_TIME = 0.5  # seconds in which a replayed token would affect its session
+REPLAY_TIME = 0.5  # seconds after the replays for any effect on the sessions to show
 
 
 class RestartReport(JsonReport, frozen=True, kw_only=True):
--- a/tansyladder/lab/store_benchmark.py
+++ b/tansyladder/lab/store_benchmark.py
@@ -64,7 +64,7 @@
 
 
 class StoreBenchmarkReport(JsonReport, frozen=True, kw_only=True):
-    """All measurements."""
+    """All measurements; those without an engine's name are of tansyladder's own store."""
 
     puts_per_second: dict[str, dict[str, float]] = msgspec.field(name="puts_a_second")  # by engine
     gets_per_second: dict[str, float] = msgspec.field(name="gets_a_second")  # by engine
@@ -216,7 +216,7 @@
 
 
 def measure_write_amplification(folder: Path) -> float:
-    """Return the bytes written for each byte of requested writes, with keys overwritten repeatedly."""
+    """Return all bytes written, with compaction, per byte of the writes; keys are overwritten repeatedly."""
     rng = random.Random(2)
     requested_bytes = 0
     files = RealFiles(folder / "amp")
@@ -232,7 +232,8 @@
 
 
 # Runs in a process of its own, first with the arguments FOLDER COUNT fill and then with FOLDER COUNT open.
-# The second run prints the memory of the store and the peak memory of the process, both in kB.
+# The second run prints the memory of the store and the peak memory of the process, both in kB. It imports
+# NumPy first, which the store imports when needed, so that this does not count as the store's memory.
 MEMORY_SCRIPT = """
 import sys, time
 from pathlib import Path
--- a/tansyladder/lab/store_kill.py
+++ b/tansyladder/lab/store_kill.py
@@ -51,7 +51,7 @@
     rounds: int
     acknowledged: int  # batches
     lost: int  # rounds after which an acknowledged value was missing
-    invalid_states: int = msgspec.field(name="wrong")  # rounds after which the store's state was not valid
+    invalid_states: int = msgspec.field(name="wrong")  # rounds after which the state was invalid, with `lost`
     max_recovery_ms: float
 
 
