--- a/tests/lab/chaos/test_checkers.py
+++ b/tests/lab/chaos/test_checkers.py
@@ -77,6 +77,7 @@
 
 
 PAUSED = [fault(0, EventKind.PAUSED), fault(5 * SECOND_US, EventKind.RECOVERED)]
+# The controller finds client 1 connected when the run ends.
 END = [Event(9 * SECOND_US, Party.CONTROLLER, EventKind.CLIENT_CONNECTED, client=1, session_count=1)]
 HOST_CONNECTIONS = [
     Event(1, Party.CONTROLLER, EventKind.HOST_CONNECTION_COUNT, host=f"s{host}", number=1)
@@ -113,7 +114,7 @@
         ("answers_wrong", [*first_line(1, "a", "BUSY", 3 * SECOND_US)]),
         ("answers_wrong", [*first_line(1, "a"), *END]),
         ("answers_wrong", [*PAUSED, *first_line(6 * SECOND_US, "a"), *END]),  # the node had recovered before
-        ("answers_wrong", [fault(0, EventKind.LINK_DELAYED), *first_line(10, "a"), *END]),  # no excuse
+        ("answers_wrong", [fault(0, EventKind.LINK_DELAYED), *first_line(10, "a"), *END]),  # no outage
         ("answers_wrong", [*first_line(1, "a", "BUSY"), *first_line(1, "a", "BUSY")[2:]]),
         ("sessions_lost", [*first_line(1, "a", "ERR")]),
         ("rules_broken", [Event(1, Party.HOST, EventKind.INVARIANT_VIOLATED, label="second_attempts")]),
--- a/tests/lab/chaos/test_faults.py
+++ b/tests/lab/chaos/test_faults.py
@@ -19,13 +19,13 @@
 from tansyladder.lab.discovery_server import EndpointList
 from tansyladder.lab.node import LabNode
 
-NODE = 1  # that faults are injected into; node 0 is the leader
+NODE = 1  # the node into which faults are injected; node 0 is the leader
 DURATION = 0.15  # seconds
 DELAY = 0.2  # seconds, of links and clocks
 
 
 class FakeNode(LabNode):
-    """A node without a process that records the calls of its methods."""
+    """A node without a process that records the calls of its methods, and at a start the store's content."""
 
     def __init__(self, folder: Path, name: str, calls: list[str]) -> None:
         folder.mkdir()
@@ -132,7 +132,7 @@
     FaultKind.KILL: ["n1 kill", RESTARTED],
     FaultKind.KILL_ALL: ["n0 kill", "n1 kill", "n0 start 0.0 on old", RESTARTED],
     FaultKind.KILL_LEADER: ["n0 kill", "n0 start 0.0 on old"],
-    FaultKind.KILL_TOKEN_RECIPIENT: [],  # no token is shown
+    FaultKind.KILL_TOKEN_RECIPIENT: [],  # no client sends a token
     FaultKind.KILL_WITH_HOST: ["s1 kill", "n1 kill", RESTARTED, "s1 restart"],
     FaultKind.PAUSE: ["n1 SIGSTOP", "n1 SIGCONT"],
     FaultKind.RESTART: ["n1 stop", "n1 start 0.0 on old"],
--- a/tests/lab/test_first_lines.py
+++ b/tests/lab/test_first_lines.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("line", ["", "OPEN 1f 7f", "PING", "open 1f 7f c=viewport", "OPEN 1f 7f c=a more"])
-def test_another_line_is_no_first_line(line: str) -> None:
+def test_a_line_of_another_form_is_not_a_first_line(line: str) -> None:
     assert parse_first_line(line) is None
 
 
--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -34,9 +34,10 @@
 
 
 def steps_from(second: int, *, rejects_request_2: bool) -> list[Step]:
-    """Return a node's steps.
+    """Return the steps of a node that starts at `second`.
 
-    It adopts connection 9, establishes request 1 late at the second attempt, and connection 9 ends.
+    It adopts connection 9 and establishes request 1 late, at the second attempt. One second after the start
+    connection 9 ends, and after three seconds request 2 arrives from a client that reconnects.
     """
     start_us = second * SECOND
     return [
--- a/tests/net/test_handover_lifecycle.py
+++ b/tests/net/test_handover_lifecycle.py
@@ -35,7 +35,7 @@
     assert not lifecycle.is_predecessor_running
 
 
-def test_each_connection_and_the_end_of_the_predecessor_return_descriptors() -> None:
+def test_connections_and_the_end_of_the_predecessor_release_its_descriptors() -> None:
     lifecycle = HandoverLifecycle()
     lifecycle.listener_received(3)
     assert lifecycle.remote_descriptor_count == 3
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -136,7 +136,7 @@
     assert relay.wait_for_end() is AttemptStatus.RESET
 
 
-def test_an_action_of_the_policy_ends_the_connection_with_move(relay: RunningRelay) -> None:
+def test_a_migration_by_the_policy_ends_the_connection_with_move(relay: RunningRelay) -> None:
     relay.actions.post(Migrate(1))
     relay.actions.wake()
     assert read_to_end(relay.client) == b"MOVE\r\n"
--- a/tests/node/test_acceptor_state.py
+++ b/tests/node/test_acceptor_state.py
@@ -1,4 +1,7 @@
-"""The acceptor's states: a stop is final, and the queue can be yielded and reclaimed in any state."""
+"""The acceptor's states: a stop is final, and the listener's queue can be yielded and reclaimed in any state.
+
+A process yields the queue to its successor, which then accepts the connections in it.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 def test_every_event_is_allowed_in_every_state() -> None:
-    """A successor can appear or end while the acceptor stops, and `stop` is called again at the end."""
+    """A successor can appear or end while the acceptor stops, and a shutdown calls `stop` twice."""
     assert set(TRANSITIONS) == set(AcceptorState)
     assert all(set(transitions) == set(AcceptorEvent) for transitions in TRANSITIONS.values())
 
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -182,7 +182,7 @@
     assert metrics["tries"] == chat["tries"] + once["tries"] == len(endpoint.received_lines) > 4
     assert metrics["responses"]["gone"]["errors"] == 1
     assert metrics["pool_size"] == 1
-    # The connections of the two failed requests may still be counted.
+    # The caller's requests `failed` and `rejected` have been answered, but may still be counted.
     assert 0 <= metrics["active"] - (4 + answers["UP"]) <= 2
 
 
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -34,6 +34,7 @@
 
 
 def test_the_node_rejects_clients_over_its_limit(tmp_path: Path) -> None:
+    # Of these descriptors 20 are reserved and 8 are for pending connections; a served client needs 3.
     limits = {"cores": 1, "memory_mb": 192, "sockets": 34}
     with running_node(tmp_path, ScriptedServer(answer_up(Peer.read_line)), limits=limits) as node:
         clients = [node.open() for _ in range(3)]
@@ -60,7 +61,7 @@
 
 
 def test_idle_clients_do_not_use_up_the_descriptors_of_discovery_and_attempts(tmp_path: Path) -> None:
-    """Clients may fill the table while discovery is down; its new list must still be fetched afterwards."""
+    """Clients may use up their descriptors while discovery is down; its list must still be fetched later."""
     host = ScriptedServer(answer_up(read_until_closed))
     service = ScriptedDiscovery(9, endpoint_entry("s0", host.address))
     discovery = socket.socket()
@@ -75,7 +76,7 @@
     ):
         read_log_until(process, b"event=discovery_failed")
         clients = [connect_client(port, unique_id()) for _ in range(30)]
-        assert {client.read_line().split()[0] for client in clients} == {"UP", "BUSY"}  # the table is full
+        assert {client.read_line().split()[0] for client in clients} == {"UP", "BUSY"}  # none is left
         idle = [socket.create_connection(("127.0.0.1", port), 5) for _ in range(60)]
         discovery.listen()
         sock, _ = discovery.accept()
@@ -102,7 +103,11 @@
 
 
 def test_the_reserve_descriptor_is_closed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """If the reserve cannot be reopened, closing its number again may close a client's descriptor."""
+    """Closing the reserve again would close a client's descriptor that got its number.
+
+    Without a free descriptor, the acceptor closes its reserve to reject a client, and then reopens it. Here
+    that fails.
+    """
     admitter = NodeParts(load_test_config(tmp_path)).new_listener()
     listener = ExhaustedListener(fileno=socket.create_server(("127.0.0.1", 0)).detach())
     listener.acceptor = ConnectionAcceptor(listener, 1, admitter)
@@ -130,7 +135,7 @@
 
 
 def test_a_connection_id_in_use_is_rejected(tmp_path: Path) -> None:
-    """A second client with the same id would share the first one's registration, and must not affect it."""
+    """If a second client with the same id were served, its end would remove the first one's registration."""
     with running_node(
         tmp_path,
         ScriptedServer(answer_up(echo_lines)),
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -105,7 +105,7 @@
         client = node.open("c=chat,d=9000")
         assert connecting.wait(10)
         end_client(client, end)
-        node.runner.wait_for(ClientDisconnected)  # at once: it ends the connect, which may take 9 s
+        node.runner.wait_for(ClientDisconnected)  # before the connect ends, which may take 9 s
         assert node.runner.wait_for(AttemptEnded).is_closed
         assert node.metrics.total_counts()["tries"] == 0
     # Besides the connection that fills the queue there is at most one more, on which nothing was sent.
@@ -239,7 +239,8 @@
             (ListUpdateKind.DELTA, 7),
             (ListUpdateKind.SNAPSHOT, 8),
         ]
-        assert calls[2] == "GET /v1/servers HTTP/1.1"  # discovery may have started new revisions
+        # The complete list is requested, because discovery may have restarted its revisions.
+        assert calls[2] == "GET /v1/servers HTTP/1.1"
         endpoint = node.runner.endpoint_by_id("s9")
         assert endpoint is not None
         assert endpoint.state is EndpointState.DRAINING
--- a/tests/node/test_discovery_client.py
+++ b/tests/node/test_discovery_client.py
@@ -86,7 +86,7 @@
 
 
 def test_a_new_discovery_address_is_asked_for_the_complete_list(tmp_path: Path) -> None:
-    """The poll at the old address, which may wait 6.5 s, must end at once, and connections must stay."""
+    """The poll at the old address, which may wait 5.25 s, must end at once, and connections must stay."""
     host = ScriptedServer(answer_up(echo_lines))
     old = ScriptedDiscovery(5, endpoint_entry("s0", host.address))
     new = ScriptedDiscovery(2, endpoint_entry("s0", host.address), endpoint_entry("s7", host.address))
@@ -149,7 +149,7 @@
 def test_a_local_agents_list_is_known_before_clients_connect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Pushed lists must be polled for too, or the node keeps the list that it was started with."""
+    """Lists are pushed to the agent only: if the node does not poll the agent, it keeps its first list."""
     monkeypatch.setattr(discovery_client, "FIRST_LIST_TIMEOUT", timedelta(seconds=10))
     agent = ScriptedDiscovery(5, endpoint_entry("s7", "127.0.0.1:9"))
     flaky = ScriptedServer(do_nothing, agent.serve)  # the first call fails, the second gets the list
--- a/tests/node/test_discovery_polls.py
+++ b/tests/node/test_discovery_polls.py
@@ -17,7 +17,8 @@
 from tests.node.harness import SETTINGS, running_node
 
 
-def test_a_new_address_ends_the_wait_after_a_change(tmp_path: Path) -> None:
+def test_a_poll_request_ends_the_wait_after_a_change(tmp_path: Path) -> None:
+    """A switch to a new address requests a poll, which must not wait until the spread has passed."""
     with running_node(tmp_path) as node:
         node.parts.work_queues.request_discovery_poll()
         node.parts.work_queues.wait_for_poll_request(timedelta(hours=1))
@@ -27,12 +28,13 @@
 def test_polls_after_a_change_are_spread_in_large_clusters_but_not_late(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, nodes: int
 ) -> None:
-    """A change answers the polls of all nodes at once, so that large clusters spread the next polls.
+    """A change answers the polls of all nodes at once, so nodes of large clusters spread their next polls.
 
-    What changes within 200 ms of an answer has to be known, so the spread is shorter than that.
+    The spread is below 200 ms: another change may follow that soon, and a node that polls later than that
+    may use an endpoint that has gone.
 
-    Polls in large clusters once waited up to 45 s, and a node whose poll was not answered had a list older
-    than 6 s.
+    A node has to know a change within 6 s. Polls in large clusters once waited up to 45 s, so that a node
+    whose poll was not answered missed this.
     """
     paths: list[str] = []
     waits: list[timedelta] = []
--- a/tests/node/test_drain_crossings.py
+++ b/tests/node/test_drain_crossings.py
@@ -212,7 +212,7 @@
 def test_an_idle_front_end_is_shut_down_before_the_close(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Closing a connection at once after a minute without a PING would reset a request that crosses."""
+    """If it were closed at once after a minute without a PING, a request that arrives then would be reset."""
     monkeypatch.setattr(pending_connections, "PING_IDLE_TIMEOUT", timedelta(milliseconds=100))
     with running_node(tmp_path, ScriptedServer(answer_up())) as node:
         client = node.connect()
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -25,9 +25,10 @@
 
 
 def test_a_planned_restart_migrates_its_connections_and_ends_in_time(tmp_path: Path) -> None:
-    """Three endpoints allow 24 set-ups in flight, eight each; with fewer, some of the 20 clients would wait.
+    """Connections must be migrated before the platform kills the program.
 
-    A client that waits for a set-up may miss the deadline.
+    Three endpoints allow 24 pending attempts, eight each. With fewer, some of the 20 clients would wait, and
+    might miss their deadlines.
     """
     hosts = [ScriptedServer(answer_up(read_until_closed)) for _ in range(3)]
     with running_program(tmp_path, hosts) as (process, port):
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -137,7 +137,10 @@
 
 
 def test_a_detached_session_is_placed_when_its_client_resumes(tmp_path: Path) -> None:
-    """The host ends while the client is disconnected. A client that no host accepts gets BUSY and a delay."""
+    """Its host disconnects while the client is away, so another host must continue the session.
+
+    While no host accepts it, the client gets BUSY with a Retry-After.
+    """
     has_capacity = threading.Event()
     may_end = threading.Event()
 
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -19,7 +19,7 @@
     start_session,
 )
 
-FIRST_EPOCH_OF_SECOND_START = 1 << 21  # the high bits of an epoch are the number of the node's start
+FIRST_EPOCH_OF_SECOND_START = 1 << 21  # the bits above the low 20 are the number of the start, here 2
 
 
 def echo_or_continue(peer: Peer, fields: dict[str, str]) -> None:
