--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -76,7 +76,8 @@
     ):
         read_log_until(process, b"event=discovery_failed")
         clients = [connect_client(port, unique_id()) for _ in range(30)]
-        assert {client.read_line().split()[0] for client in clients} == {"UP", "BUSY"}  # none is left
+        # BUSY: the clients' descriptors are used up.
+        assert {client.read_line().split()[0] for client in clients} == {"UP", "BUSY"}
         idle = [socket.create_connection(("127.0.0.1", port), 5) for _ in range(60)]
         discovery.listen()
         sock, _ = discovery.accept()
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -154,7 +154,8 @@
         assert runner.wait_for(Settings).retired_classes == {0}
         shorter = draw | {"hard_limit": 700_000}
         node.edit(setting("settings.classes", [chat, shorter]))
-        assert "settings.classes.0.effect: missing" in node.rejection()  # the default would be less strict
+        # A key that is left out is an error, as the default, here `read_like`, may be less strict.
+        assert "settings.classes.0.effect: missing" in node.rejection()
         node.edit(setting("settings.classes", [chat | {"effect": "read_like"}, shorter]))
         node.reloader.reload_now()
         # Unchanged class settings keep their number, changed ones get a new number.
--- a/tests/sessions/test_client_resumption.py
+++ b/tests/sessions/test_client_resumption.py
@@ -137,7 +137,7 @@
 
 
 def test_a_detached_session_is_placed_when_its_client_resumes(tmp_path: Path) -> None:
-    """Its host disconnects while the client is away, so another host must continue the session.
+    """The host disconnects while the client is away, so the session is placed again at the client's return.
 
     While no host accepts it, the client gets BUSY with a Retry-After.
     """
