--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -36,7 +36,7 @@
 
 
 def hard_state_after_start(folder: Path, detector_folder: str = "here") -> HardState:
-    """Start the node and return its hard state; the start itself adds a write to the disk."""
+    """Start the node and return its hard state; a start writes to the disk, so an earlier copy is older."""
     with opened_storage(folder, detector_folder) as storage:
         return storage.persisted.hard_state
 
--- a/tests/cluster/test_session_takeover.py
+++ b/tests/cluster/test_session_takeover.py
@@ -113,6 +113,8 @@
 
 
 def test_a_token_buffered_at_a_paused_node_stays_valid_when_its_client_has_left() -> None:
+    """The node reads the line once it is resumed, but must not redeem the token for a closed connection."""
+
     async def scenario() -> list[str]:
         async with cluster.running_cluster(3, 2, 1) as running:
             await running.connect_clients(6)
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -39,7 +39,7 @@
     "deduplication_window_us": 5 * SECOND,
     "message_latency_objective_us": 150 * MILLISECOND,
 }
-CLASS_FIELDS = (  # that `make_settings` passes to the one class; all others go to `Settings`
+CLASS_FIELDS = (  # changes that `make_settings` makes to its one class; it makes all others to `Settings`
     "idempotency",
     "deduplication_scope",
     "deduplication_window_us",
@@ -152,7 +152,7 @@
 
 
 class LoggedAction(NamedTuple):
-    """An action and its time."""
+    """An action and the simulated time at which the balancer returned it."""
 
     at: int
     action: Action
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -126,7 +126,10 @@
 
 
 def test_two_requests_of_one_key_are_both_answered() -> None:
-    """The second failure moves the key's interval; the first request must still be retried at its time."""
+    """The second failure postpones the retry time of their common backoff.
+
+    If a retry timer were compared with that time, it would be ignored, and the first request left unanswered.
+    """
     node = BalancerDriver(ENDPOINTS)
     first, actions = node.send_request()
     second, second_actions = node.send_request()
@@ -140,6 +143,7 @@
 
 
 def test_a_request_that_cannot_be_retried_in_time_is_rejected_until_the_interval_ends() -> None:
+    """Its Retry-After is the time until the backoff interval ends, not until the retry time drawn from it."""
     node = BalancerDriver(ENDPOINTS)
     request_id, actions = node.send_request(time_left=30 * MILLISECOND)
     last_actions = node.fail_attempt(only_attempt(actions), 0)
--- a/tests/policy/test_cluster.py
+++ b/tests/policy/test_cluster.py
@@ -49,13 +49,13 @@
 
 @pytest.mark.parametrize("node_count", [3, 10, 40, 100, 10**14])
 def test_failed_polls_leave_no_list_older_than_its_age_limit(node_count: int) -> None:
-    """A change of the list counts as known to a node 6 s later, even if its polls failed in between.
+    """A node must know a change within 6 s after discovery is reachable again, so it must poll that often.
 
     Polls must not be too frequent either: those of one node are 2 s apart on average, and those of all nodes
     are spread. At an average of 1.5 s the polls of a cluster overloaded discovery, so that they kept failing.
     """
-    played_node_count = min(node_count, 100)
-    polls_by_node = [poll_times(seed, node_count, 60 * SECOND) for seed in range(played_node_count)]
+    simulated_node_count = min(node_count, 100)
+    polls_by_node = [poll_times(seed, node_count, 60 * SECOND) for seed in range(simulated_node_count)]
     # A call that hangs and the call after it must both end within the 6 s.
     for polled_at in polls_by_node:
         gaps = [later - earlier for earlier, later in pairwise(polled_at)]
@@ -67,7 +67,7 @@
             at for polls in polls_by_node for at in polls if start * SECOND <= at < (start + 5) * SECOND
         ]
         polls_by_quarter_second = Counter(at // (SECOND // 4) for at in polls_in_window)
-        assert max(polls_by_quarter_second.values()) <= 3 + played_node_count // 2
+        assert max(polls_by_quarter_second.values()) <= 3 + simulated_node_count // 2
 
 
 def test_a_restarted_node_polls_soon() -> None:
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("node_count", [3, 10, 40])
 def test_an_endpoint_in_slow_start_gets_as_much_from_many_nodes_as_from_few(node_count: int) -> None:
-    """Permits of nodes that have no client for them must not leave a new endpoint without connections."""
+    """Many permits expire at nodes without a client; the rest must still fill the new endpoint."""
     # The capacity of an endpoint is estimated from its weight.
     listed = [make_endpoint(number, weight=8.0) for number in range(1, 6)]
     cluster = [
@@ -111,7 +111,7 @@
         )
         for index in range(node_count)
     ]
-    for node in cluster:  # 40 connections on each of the four warm endpoints, spread over all nodes
+    for node in cluster:  # about 40 connections on each of the four warm endpoints, spread over all nodes
         node.deliver(
             *(
                 make_adopted_event(100 * endpoint_id + number, endpoint_id)
@@ -196,7 +196,10 @@
 
 
 def slow_start_bound(span_start: int, node_count: int) -> float:
-    """Return how many attempts all nodes may start at the endpoint in the second that begins at a time."""
+    """Return how many attempts all nodes may start at the endpoint in the second that begins at a time.
+
+    This is the budget B of `tansyladder.policy.slow_start`, once for each node that shares a permit.
+    """
     nodes_per_permit = -(-node_count // PERMIT_ROTATION_SIZE)
     capacity_share = 0.15 + 0.85 * min(1.0, (span_start + SECOND) / (20 * SECOND))  # at the end of the second
     budget = 3.0 * CONNECTIONS_PER_WEIGHT / (20 * SECOND) * capacity_share * SECOND
@@ -231,7 +234,11 @@
 def test_a_full_home_zone_sends_requests_to_other_zones_and_rejects_none(
     other_zone_pairs: int, connections_per_unit: float, zones: set[int]
 ) -> None:
-    """After the loss of a zone the next zone must not be filled while others have capacity."""
+    """When a zone is lost and its clients come to this one, it must not be overloaded while others have room.
+
+    No endpoint reports its load, so a node assumes that every node of its zone has as many connections as it
+    has. With an unknown `connections_per_unit` (0) it assumes nothing and uses the home zone.
+    """
     listed = [
         make_endpoint(1),
         make_endpoint(2),
@@ -244,7 +251,7 @@
         health_check_interval_us=6 * SECOND,
         connections_per_unit=connections_per_unit,
     )
-    for key in range(1, 9):  # its 8 connections imply 160 from the zone's 20 nodes, on two endpoints
+    for key in range(1, 9):  # with two zones, 8 connections here imply 160 from the home zone's 20 nodes
         _, actions = node.send_request(key=key)
         [start] = of_type(actions, StartAttempt)
         node.deliver(make_established_event(start))
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -130,8 +130,11 @@
     assert actions[0].endpoint_id == 2
 
 
-def test_an_answer_far_faster_than_the_best_ejects_and_keeps_the_best() -> None:
-    """If the quick answer of an endpoint that hangs became its best, it would look slow for good."""
+def test_an_answer_far_faster_than_the_best_ejects_the_endpoint_and_is_no_new_best() -> None:
+    """An endpoint that hangs does no work and answers quickly.
+
+    If such an answer became its best, its normal answers would look slow from then on.
+    """
     node = checked_node()
     for _ in range(10):
         answer_check(node, 5 * MILLISECOND)
@@ -219,7 +222,7 @@
 
 @pytest.mark.parametrize(("node_count", "max_pending"), [(3, 8), (10, 2), (40, 1), (100, 1)])
 def test_a_burst_waits_at_the_node_and_not_at_an_endpoint(node_count: int, max_pending: int) -> None:
-    """After a restart all clients connect at once; an attempt that times out in a queue wastes work."""
+    """After a restart all clients connect at once; attempts that time out at an endpoint waste its work."""
     node = BalancerDriver(
         [make_endpoint(1), make_endpoint(2)],
         can_check_health=True,
@@ -238,7 +241,7 @@
 
 
 def test_an_estimated_load_alone_rejects_no_request() -> None:
-    """With one endpoint late and empty the others are over the mean load; that alone rejects no request."""
+    """An ejected and empty endpoint lowers the mean load; that others exceed it rejects no request."""
     node = BalancerDriver(
         [make_endpoint(1), make_endpoint(2), make_endpoint(3)],
         can_check_health=True,
@@ -255,11 +258,11 @@
     node.endpoint(2).ejection.retry_at = node.now + 10 * SECOND
     node.endpoint(1).ejection.retry_at = 0
     _, actions = node.send_request(key=10)
-    assert only_attempt(actions).endpoint_id == 1  # at twice the mean load, but with no known fault
+    assert only_attempt(actions).endpoint_id == 1  # at over twice the mean load, but with no known fault
 
 
 def test_a_retry_goes_to_another_endpoint_of_the_zone() -> None:
-    """The group's hash alone would select the same endpoint again once its ejection has ended."""
+    """Once the ejection has ended, the group's hash alone would select the endpoint that failed."""
     node = BalancerDriver(
         [make_endpoint(1), make_endpoint(2), make_endpoint(3, zone=1)],
         can_check_health=True,
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -98,6 +98,7 @@
 
 
 def test_an_earlier_wait_for_health_checks_does_not_start_a_retry_early() -> None:
+    """The timer of that wait, 50 ms after the request, must not start a retry that is due later."""
     late_retry_count = 0
     for seed in range(60):
         node = BalancerDriver(make_endpoints(1, 8), seed, **LOAD_REPORT_SETTINGS)
@@ -109,7 +110,7 @@
         node.run_until(retry_at - 1)
         starts = [logged for logged in node.action_log if isinstance(logged.action, StartAttempt)]
         assert len(starts) == 1
-    assert late_retry_count > 5  # some retries are later than the wait would end
+    assert late_retry_count > 5  # some retries are due after the wait's timer
 
 
 def test_invalid_reports_of_an_established_connection_are_ignored() -> None:
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -30,9 +30,7 @@
 )
 
 
-def request_with_checks_answered(
-    node: BalancerDriver, utilizations: dict[int, float], key: int
-) -> list[Action]:
+def send_checked_request(node: BalancerDriver, utilizations: dict[int, float], key: int) -> list[Action]:
     """Send a request, answer its health checks with utilizations, and return all actions."""
     _, actions = node.send_request(key=key)
     replies = [
@@ -50,22 +48,22 @@
         node = BalancerDriver(
             [make_endpoint(1), make_endpoint(2), make_endpoint(3)], seed, **LOAD_REPORT_SETTINGS
         )
-        actions = request_with_checks_answered(node, utilizations, 5)
+        actions = send_checked_request(node, utilizations, 5)
         selections[of_type(actions, StartAttempt)[0].endpoint_id] += 1
     assert selections[3] == 0
     assert selections[1] > 2 * selections[2] > 0
 
 
-def test_a_pool_over_the_limit_takes_nothing_though_one_endpoint_has_capacity() -> None:
-    """Otherwise a pool short of capacity is filled until messages are late at every endpoint."""
+def test_a_pool_over_the_limit_gets_no_request_though_one_endpoint_has_capacity() -> None:
+    """Requests to that endpoint would fill the pool until messages are late at every endpoint."""
     node = BalancerDriver(make_endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     loads = {1: 0.95, 2: 1.3, 3: 0.6}
-    assert not of_type(request_with_checks_answered(node, loads, 5), StartAttempt)
+    assert not of_type(send_checked_request(node, loads, 5), StartAttempt)
     node = BalancerDriver(make_endpoints(1, 3), **LOAD_REPORT_SETTINGS)
-    assert of_type(request_with_checks_answered(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5), StartAttempt)
+    assert of_type(send_checked_request(node, {1: 0.6, 2: 1.3, 3: 0.2}, 5), StartAttempt)
 
 
-def test_an_unanswered_health_check_does_not_delay_the_request() -> None:
+def test_a_request_waits_for_health_checks_only_for_a_quarter_of_its_latency_objective() -> None:
     node = BalancerDriver(make_endpoints(1, 3), **LOAD_REPORT_SETTINGS)
     request_id, actions = node.send_request()
     assert not of_type(actions, StartAttempt)
@@ -82,22 +80,22 @@
     listed = [make_endpoint(1), make_endpoint(2), make_endpoint(11, zone=1), make_endpoint(12, zone=1)]
     node = BalancerDriver(listed, **LOAD_REPORT_SETTINGS)
     assert {
-        of_type(request_with_checks_answered(node, {1: 0.1, 2: 0.2}, key), StartAttempt)[0].endpoint_id < 10
+        of_type(send_checked_request(node, {1: 0.1, 2: 0.2}, key), StartAttempt)[0].endpoint_id < 10
         for key in range(1, 3)
     } == {True}
     node = BalancerDriver(listed, **LOAD_REPORT_SETTINGS)
-    assert of_type(request_with_checks_answered(node, {1: 1.1, 2: 0.9}, 5), StartAttempt)[0].endpoint_id > 10
+    assert of_type(send_checked_request(node, {1: 1.1, 2: 0.9}, 5), StartAttempt)[0].endpoint_id > 10
 
 
 def test_an_assignment_counts_until_reports_can_show_it() -> None:
     node = BalancerDriver([make_endpoint(1), make_endpoint(2)], **LOAD_REPORT_SETTINGS)
-    first = of_type(request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 5), StartAttempt)[0]
-    second = of_type(request_with_checks_answered(node, {1: 0.4, 2: 0.4}, 6), StartAttempt)[0]
+    first = of_type(send_checked_request(node, {1: 0.4, 2: 0.4}, 5), StartAttempt)[0]
+    second = of_type(send_checked_request(node, {1: 0.4, 2: 0.4}, 6), StartAttempt)[0]
     assert second.endpoint_id != first.endpoint_id
 
 
 def node_with_connections(count: int, load: int, **changes: Any) -> BalancerDriver:
-    """Return a node of 8 endpoints with connections on the first, whose loads are 1, 2 and 3 times `load`."""
+    """Return a node whose first endpoint has connections with 1, 2 and 3 times `load`, in turn."""
     node = BalancerDriver(make_endpoints(1, 8), **changes)
     node.deliver(*(make_adopted_event(1000 + number, 1, load * (1 + number % 3)) for number in range(count)))
     return node
@@ -111,14 +109,12 @@
 def test_late_messages_migrate_a_part_of_the_load() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 300.0)
-    migrated = [
-        action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)
-    ]
-    share = sum(1 + (number - 1000) % 3 for number in migrated) / 60
+    ids = [action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)]
+    share = sum(1 + (number - 1000) % 3 for number in ids) / 60
     assert 0.3 < share <= 0.6
 
 
-def test_migrations_wait_until_the_last_one_has_taken_effect() -> None:
+def test_migrations_wait_until_the_last_ones_have_taken_effect() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 300.0)
     node.run_until(node.now + SECOND)
@@ -140,7 +136,7 @@
 
 
 def test_a_utilization_under_the_target_stops_the_migration() -> None:
-    """With a low utilization messages are still late because of a backlog, not because of too much load."""
+    """At a low utilization messages are late because of a backlog, not because of too much load."""
     node = node_with_connections(30, 1000, **LOAD_REPORT_SETTINGS)
     report_delay(node, 300.0)
     node.deliver(utilization_report(1, 0.5, connections=30.0))
@@ -150,22 +146,18 @@
 def test_connections_with_the_lowest_priority_for_their_load_migrate_first() -> None:
     node = node_with_connections(30, 1000)
     report_delay(node, 100.0)
-    migrated = [
-        action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)
-    ]
-    assert migrated
-    assert all((number - 1000) % 3 == 2 for number in migrated)
+    ids = [action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)]
+    assert ids
+    assert all((number - 1000) % 3 == 2 for number in ids)
 
 
 def test_connections_of_a_tenant_over_its_quota_migrate_first() -> None:
     node = BalancerDriver(make_endpoints(1, 8), tenant_quotas=(5.0, 50.0), over_quota_weight=0.1)
     node.deliver(*(make_adopted_event(1000 + number, 1, 1000, tenant=number % 2) for number in range(30)))
     report_delay(node, 120.0)
-    migrated = [
-        action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)
-    ]
-    assert migrated
-    assert all(number % 2 == 0 for number in migrated)
+    ids = [action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)]
+    assert ids
+    assert all(number % 2 == 0 for number in ids)
 
 
 def test_invalid_load_and_connection_reports_are_ignored() -> None:
@@ -311,7 +303,7 @@
 
 
 def test_load_of_a_large_pool_is_not_computed_for_each_request() -> None:
-    """With over 200 endpoints a burst of retries spent a minute of CPU on summing up their load again."""
+    """With over 200 endpoints a burst of retries spent a minute of CPU on summing up their load."""
     for changes in ({}, {"pass_through": True}):
         node = BalancerDriver(make_endpoints(1, 400), **changes)
         request_id, _ = node.send_request()
@@ -327,7 +319,7 @@
         assert home.refreshed_at == node.now
 
 
-def test_a_burst_between_two_refreshes_finds_capacity() -> None:
+def test_a_burst_between_two_refreshes_of_the_pools_load_finds_capacity() -> None:
     node = BalancerDriver(make_endpoints(1, 8))
     assert all(only_attempt(node.send_request(key=key).actions) for key in range(1, 100))
 
@@ -335,16 +327,14 @@
 def test_pass_through_samples_the_same_endpoints_for_a_key_at_every_node() -> None:
     listed = make_endpoints(1, 40)
     for key in range(1, 20):
-        checked_by_node = []
+        samples = []
         for seed in (1, 2, 3):
             node = BalancerDriver(listed, seed, pass_through=True, park_us=5 * SECOND, **LOAD_REPORT_SETTINGS)
             _, actions = node.send_request(key=key)
-            checked_by_node.append(
-                [action.endpoint_id for action in actions if isinstance(action, CheckHealth)]
-            )
-        assert checked_by_node[0] == checked_by_node[1] == checked_by_node[2]
+            samples.append([action.endpoint_id for action in actions if isinstance(action, CheckHealth)])
+        assert samples[0] == samples[1] == samples[2]
         _, actions = node.send_request(key=key, is_midstream=True)
-        assert only_attempt(actions).endpoint_id == checked_by_node[0][0]
+        assert only_attempt(actions).endpoint_id == samples[0][0]
 
 
 def test_without_utilization_reports_delayed_endpoints_make_a_pool_full() -> None:
@@ -375,7 +365,7 @@
 
 
 def test_a_groups_connections_share_endpoints_at_every_node() -> None:
-    """An endpoint does the work of each group that it has connections of: at random, that of all groups."""
+    """An endpoint does the work of each group that is connected to it; at random that would be all groups."""
     listed = make_endpoints(1, 8) + [make_endpoint(number, zone=1) for number in range(11, 19)]
     used_by_groups = set()
     for group in range(1, 11):
@@ -393,7 +383,7 @@
 
 
 def test_a_group_returns_to_an_endpoint_that_has_its_connections() -> None:
-    """Assigned by hash alone, a group with connections elsewhere adds its work to one more endpoint."""
+    """The hash alone may assign a group to another endpoint, which then does the group's work as well."""
     node = BalancerDriver(make_endpoints(1, 8))
     node.deliver(
         *(make_adopted_event(1000 + group, 1 + group % 8, group_key=group) for group in range(1, 33))
--- a/tests/policy/test_request_states.py
+++ b/tests/policy/test_request_states.py
@@ -29,7 +29,7 @@
         (RequestState.CLOSING, RequestState.CLOSING),
     ],
 )
-def test_an_established_connection_remembers_that_its_client_left(
+def test_a_request_is_established_or_closing_if_its_client_left_before(
     before: RequestState, after: RequestState
 ) -> None:
     request = request_in(before)
@@ -47,7 +47,9 @@
         (RequestState.CLOSING, RequestState.CLOSING),
     ],
 )
-def test_a_closed_request_stays_closed(before: RequestState, after: RequestState) -> None:
+def test_a_request_is_closed_when_its_client_leaves_in_any_state(
+    before: RequestState, after: RequestState
+) -> None:
     request = request_in(before)
     request.close()
     assert request.state is after
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -179,7 +179,7 @@
 
 
 def test_connections_migrate_before_their_endpoint_leaves() -> None:
-    """A draining endpoint may cut off its clients instead of closing their connections gracefully."""
+    """A draining endpoint may cut off its clients when the grace period ends, so all must have left."""
     node = BalancerDriver(ENDPOINTS)
     for request_id in range(101, 121):
         node.deliver(make_adopted_event(request_id, 1))
@@ -251,8 +251,8 @@
                     request_id=request_id, attempt=0, endpoint_id=start.endpoint_id, latency_us=MILLISECOND
                 )
             )
-    # At first the endpoint withstands overload_factor x its initial capacity x the rate that fills it over
-    # its slow start.
+    # In its first second the endpoint tolerates overload_factor x initial capacity x the connections of a
+    # warm endpoint / the 20 s of slow start. The other two terms of the bound allow for chance.
     assert attempt_count <= 3.0 * 0.15 * connections_each / 20 * 1 + 8 + node_count * 0.05
 
 
@@ -266,7 +266,7 @@
     assert attempt_count <= 4 * 2
 
 
-# --- settings
+# --- invalid settings, and attempts that were not made
 
 
 @pytest.mark.parametrize(
--- a/tests/raft/test_safety.py
+++ b/tests/raft/test_safety.py
@@ -36,7 +36,7 @@
     components: RaftComponents = STANDARD_COMPONENTS,
     disk_type: type[SimulatedDisk] = SimulatedDisk,
 ) -> SimulatedCluster:
-    """Run a cluster with one learner through 15 s of faults until it converges, and check it to its end."""
+    """Run a cluster with one learner through 15 s of faults, and check it until it has converged."""
     return simulate(SimulatedCluster(seed, voters, 1, faults, components, disk_type), 15.0)
 
 
--- a/tests/replication/test_documents.py
+++ b/tests/replication/test_documents.py
@@ -141,7 +141,9 @@
         ),
     ],
 )
-def test_the_last_command_returns_the_result(commands: list[DocumentCommand], result: ChangeResult) -> None:
+def test_commands_that_commit_no_version_return_the_reason(
+    commands: list[DocumentCommand], result: ChangeResult
+) -> None:
     state = state_with_change(*INCARNATIONS)
     assert [state.apply(command) for command in commands][-1] == result
     assert not state.versions("rules")
--- a/tests/replication/test_session_ownership.py
+++ b/tests/replication/test_session_ownership.py
@@ -85,7 +85,7 @@
     assert apply(ownership, claim("b", FIRST_TOKEN)) == ClaimResult(3)
     assert apply(ownership, confirmation("a", 2, first_generation(2) | 1)) == CLAIMED
     assert apply(ownership, confirmation("b", 3, floor)) == ClaimResult(3)
-    assert apply(ownership, confirmation("b", 3, floor)) == ClaimResult(3)  # repeated after a loss
+    assert apply(ownership, confirmation("b", 3, floor)) == ClaimResult(3)  # repeated, as its result was lost
 
 
 def test_a_token_is_spent_once_its_owner_has_opened_the_session() -> None:
@@ -94,7 +94,7 @@
     apply(ownership, claim("b", FIRST_TOKEN))
     apply(ownership, confirmation("b", 3, first_generation(3) | 1))
     assert apply(ownership, claim("c", FIRST_TOKEN, 9)) == CLAIMED  # the owner may still release the token
-    assert apply(ownership, opened("b", 3, 9, sequence=2)) == CLAIMED  # not its last confirmation
+    assert apply(ownership, opened("b", 3, 9, sequence=2)) == CLAIMED  # its last confirmation was 1
     assert apply(ownership, claim("c", FIRST_TOKEN, 9)) == CLAIMED
     assert apply(ownership, opened("b", 3, 9, sequence=1)) == ClaimResult(3)
     assert apply(ownership, claim("c", FIRST_TOKEN, 9)) == SPENT
@@ -128,7 +128,7 @@
 
 def test_a_claim_of_a_node_whose_clock_is_behind_is_retained_until_its_tokens_expire() -> None:
     ownership = SessionOwnership()
-    # The other clocks are at 25 s, the tokens expire at 30 s, and the record of this claim expires at once.
+    # Another session's claim shows that the other clocks are at 25 s; the tokens expire at 30 s.
     others_claim = OwnershipClaim(
         8, FIRST_TOKEN, TOKEN_EXPIRY_US, "x", 25 * SECOND_US, 25 * SECOND_US, next(claim_numbers)
     )
--- a/tests/resumption/test_stream.py
+++ b/tests/resumption/test_stream.py
@@ -26,7 +26,7 @@
     can continue ends, and a new one begins.
     """
 
-    is_durable = False
+    is_durable = False  # whether a client line counts as acknowledged only once a host has it
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/simulation/without_guards.py
+++ b/tests/simulation/without_guards.py
@@ -1,4 +1,4 @@
-"""Raft components that each lack one guard, to show that the checker finds the faults it prevents.
+"""Raft components that each lack one guard, to show that the checker finds the faults that it prevents.
 
 Section numbers such as 5.4.1 refer to the Raft paper. "The suspicion" is that of a disk that may be stale
 (`HardState.stale_disk_suspected`).
@@ -157,7 +157,7 @@
 
 
 class FollowerWithoutTermCheck(FollowerReplication):
-    """Accepts entries from the leader of an earlier term."""
+    """Accepts entries from the leader of an earlier term, unless this node is the leader."""
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
         state = self._state
@@ -192,7 +192,7 @@
 
 
 class UnsyncedDisk(SimulatedDisk):
-    """Never writes terms and votes, as if each crash happened before they were synced."""
+    """Writes no hard state, as if each crash happened before a sync, unless its `initial_disks` change."""
 
     def write(self, writes: Sequence[Write]) -> None:
         initial_disks = self.persisted.hard_state.initial_disks
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize(
     ("old", "new", "named"),
     [
-        ("classes.0.slo=300000", "classes.0.slo=-1", "aim"),
+        ("classes.0.slo=300000", "classes.0.slo=-1", "aim"),  # what the message calls this key
         ("balancers=3", "balancers=three", "balancers"),
         ("balancers=3", "balancers=inf", "balancers"),
         ("effect=idempotency_key", "effect=twice", "effect"),
@@ -266,7 +266,10 @@
 
 
 def batches(instances: list[int]) -> list[bytes]:
-    """Return 40 batches: a start with an endpoint list, then a request each and the last one's failure."""
+    """Return 40 batches: the first starts each instance with an endpoint list, the others have requests.
+
+    Each has one request for each instance and, from the third batch on, the failure of the previous one.
+    """
     endpoint = struct.Struct(">QHIfBHB")
     endpoints = b"".join(endpoint.pack(0, 0, 1 + number, 1.0, 0, 0, 3) for number in range(9))
     encoded_batches = []
@@ -322,5 +325,5 @@
     stop = batch(2 * 10**6, record(10, struct.pack(">H", 1)))
     data = b"".join(batches([1]))
     replies = serve(data + stop + data)
-    half_length = (len(replies) - 4) // 2
+    half_length = (len(replies) - 4) // 2  # without the 4 bytes of the empty reply to the stop
     assert replies[:half_length] == replies[half_length + 4 :]
--- a/tests/store/test_compaction.py
+++ b/tests/store/test_compaction.py
@@ -49,7 +49,7 @@
 
 
 def test_a_value_that_had_expired_at_the_start_still_hides_an_older_one() -> None:
-    """The index has no entry for it, but compaction must keep a deletion that hides the older value."""
+    """The index lacks the expired value, but compaction must keep a deletion that hides the older one."""
     clock = ManualClock()
     files, store = open_in_memory(clock=clock)
     store.put(b"k", b"old")
--- a/tests/store/test_opening.py
+++ b/tests/store/test_opening.py
@@ -77,7 +77,7 @@
 
 
 def test_a_frame_inside_a_value_is_ignored() -> None:
-    """Its checksum is only valid at the offset that it was encoded for, as with frames of earlier writes."""
+    """Its checksum is valid only at the offset that it was encoded for, and a value begins at another one."""
     offset = 40
     record = frames.Record(offset + frames.FRAME_HEADER_BYTES, frames.PUT, 99, 0, b"evil", b"x")
     body = frames.encode_record(record, segment_id=1)
@@ -93,8 +93,8 @@
     assert store.dropped_bytes > 0
 
 
-def test_corrupt_bytes_that_had_been_synced_are_damage_and_not_a_tail() -> None:
-    """The later frames record that the first had been synced; otherwise recovery would drop them all."""
+def test_corrupt_bytes_that_had_been_synced_are_reported_and_not_dropped() -> None:
+    """Later frames record that the first was synced; else it would pass for a tail that a crash cut off."""
     files, store = open_in_memory(max_segment_bytes=LARGE_SEGMENT_BYTES)
     for key in (b"a", b"b", b"c"):
         store.put(key, key * 20)
--- a/tests/store/test_writing.py
+++ b/tests/store/test_writing.py
@@ -157,7 +157,7 @@
 
 
 def test_a_commit_that_fails_unexpectedly_breaks_the_store_and_no_writer_waits_for_it() -> None:
-    """The leader can't read the stored key of the same hash, which it compares with the new one."""
+    """The writer that commits can't read the stored key of the same hash, to compare it with the new one."""
     files = UnreadableOnceFiles()
     _, store = open_in_memory(files)
     store.put(b"k", b"old")
@@ -172,7 +172,7 @@
 
 
 class UncertainManifestFiles(FaultInjectingFiles):
-    """Files whose second directory sync fails for lack of space.
+    """Files whose second directory sync after `is_failing` was set fails for lack of space.
 
     The first sync is that of a new segment's name, the second one that of the manifest.
     """
