--- a/tests/cluster/test_session_takeover.py
+++ b/tests/cluster/test_session_takeover.py
@@ -29,7 +29,7 @@
 
 
 def takeover_count(events: list[history.Event]) -> int:
-    """The number of sessions that were taken over from their first owner."""
+    """The number of sessions taken over from their first owner, whose epochs have 1 as their high bits."""
     return len({event.session_id for event in events if event.kind == "taken" and event.epoch >> 20 >= 2})
 
 
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -110,7 +110,7 @@
     node = node_with_connections(30, 1000)
     report_delay(node, 300.0)
     ids = [action.request_id for action in node.run_until(node.now + SECOND) if isinstance(action, Migrate)]
-    share = sum(1 + (number - 1000) % 3 for number in ids) / 60
+    share = sum(1 + (number - 1000) % 3 for number in ids) / 60  # 30 connections with a mean load of 2
     assert 0.3 < share <= 0.6
 
 
--- a/tests/raft/test_safety.py
+++ b/tests/raft/test_safety.py
@@ -80,6 +80,7 @@
     ],
 )
 def test_the_removal_of_a_guard_is_detected(guard: Guard, seed: int, violation: str) -> None:
+    """With each seed, the faults break an invariant only if the guard is missing."""
     run_history(seed, HEAVY_FAULTS)
     with pytest.raises(InvariantViolationError, match=violation):
         run_history(seed, HEAVY_FAULTS, components=COMPONENTS_WITHOUT[guard])
@@ -102,6 +103,7 @@
     [(Guard.STALE_DISK_SUSPICION, 26), (Guard.TERM_AND_VOTE_FLOOR, 29), (Guard.VOTE_FLOOR, 29)],
 )
 def test_the_removal_of_a_guard_against_disk_rollback_is_detected(guard: Guard, seed: int) -> None:
+    """With each seed, nodes commit different entries only if the guard is missing."""
     run_history(seed, DISK_ROLLBACKS)
     with pytest.raises(InvariantViolationError, match="commits"):
         run_history(seed, DISK_ROLLBACKS, components=COMPONENTS_WITHOUT[guard])
--- a/tests/replication/test_content_transfer.py
+++ b/tests/replication/test_content_transfer.py
@@ -137,7 +137,7 @@
         replicas.advance_clock(100 * SECOND_US)
         replica.step("", is_leader=False)
         assert replica.content(version) is None
-        assert replica.waiting_task_count == 1
+        assert replica.waiting_task_count == 1  # the deletion from the disk; no worker is running yet
         with running(replicas.make("a/2")):
             assert not store.items(KEY_PREFIX)
 
