--- a/tansyladder/net/upstream.py
+++ b/tansyladder/net/upstream.py
@@ -65,7 +65,12 @@
     def attempt_ended(self, request_id: int, status: AttemptStatus) -> AttemptEnded:
         """Return the event that reports the connection's end to the policy."""
         return AttemptEnded(
-            request_id, self.attempt, self.endpoint.number, status, self.setup_duration_us, is_closed=True
+            request_id,
+            self.attempt,
+            self.endpoint.number,
+            status,
+            self.setup_duration_us,
+            is_request_over=True,
         )
 
 
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -106,7 +106,7 @@
             endpoint.number,
             result.status,
             duration_us,
-            is_closed=has_client_ended,
+            is_request_over=has_client_ended,
         )
         if has_client_ended:
             self.context.policy.handle_events(ClientDisconnected(self.request_id), ended)
--- a/tansyladder/policy/backoff.py
+++ b/tansyladder/policy/backoff.py
@@ -18,24 +18,24 @@
     Times are in microseconds.
     """
 
-    __slots__ = ("attempt", "interval_end", "retry_at")
+    __slots__ = ("failure_count", "interval_end", "retry_at")
 
     def __init__(self) -> None:
-        self.attempt = 0
+        self.failure_count = 0
         self.interval_end = 0
         self.retry_at = 0
 
-    def record_failure(self, now: int, slot_us: int, max_attempt: int, rng: Random) -> None:
+    def record_failure(self, now: int, slot_us: int, max_failure_count: int, rng: Random) -> None:
         """Start the next interval after a failure, and draw the time of the retry from it.
 
         Args:
             now: The time of the failure, in microseconds.
             slot_us: The length of a slot; the interval after the n-th failure has 2^n slots.
-            max_attempt: The number of failures from which the interval stops growing.
+            max_failure_count: The number of failures from which the interval stops growing.
             rng: The source of the random draw.
         """
         start = max(now, self.interval_end)
-        self.attempt = min(self.attempt + 1, max_attempt)
-        width = slot_us << self.attempt
+        self.failure_count = min(self.failure_count + 1, max_failure_count)
+        width = slot_us << self.failure_count
         self.retry_at = start + rng.randint(0, width)
         self.interval_end = start + width
--- a/tansyladder/policy/discovery_polling.py
+++ b/tansyladder/policy/discovery_polling.py
@@ -26,7 +26,7 @@
 # Maximum age of the list: a node is expected to know a change after this time, even if its calls failed.
 MAX_LIST_AGE_US = 6_000_000
 SLOTS_PER_LIST_AGE = 6  # two intervals of two slots take two thirds of the age; the rest is for a call
-MAX_POLL_ATTEMPT = 1  # the interval stops growing at this number of failures
+MAX_POLL_FAILURE_COUNT = 1  # the interval stops growing at this number of failures
 FIRST_POLL_SPEEDUP = 6  # divides the call interval for the first poll; polls after failures are not sped up
 FIRST_POLL_SHARE_NUMERATOR = 3  # of the poll interval: the first poll is due within 3/4 of it
 FIRST_POLL_SHARE_DENOMINATOR = 4
@@ -69,7 +69,7 @@
             slot_us = (
                 min(MAX_LIST_AGE_US, self._active_settings.settings.poll_interval_us) // SLOTS_PER_LIST_AGE
             )
-            self.backoff.record_failure(self._clock.now, slot_us, MAX_POLL_ATTEMPT, self._rng)
+            self.backoff.record_failure(self._clock.now, slot_us, MAX_POLL_FAILURE_COUNT, self._rng)
             self._timers.schedule(self.backoff.retry_at, self._poll)
 
     def _poll(self) -> None:
--- a/tansyladder/policy/ejection.py
+++ b/tansyladder/policy/ejection.py
@@ -16,7 +16,7 @@
 from tansyladder.policy.endpoints import Endpoint
 
 SLOTS_PER_REACTION_TIME = 2  # the first interval has two slots, which is one reaction time
-MAX_EJECTION_ATTEMPT = 4  # failures at which the interval stops growing, at eight reaction times
+MAX_EJECTION_FAILURE_COUNT = 4  # failures at which the interval stops growing, at eight reaction times
 
 
 class Ejector:
@@ -32,4 +32,4 @@
         now = self._clock.now
         if endpoint.ejection.retry_at <= now:
             slot_us = self._active_settings.limits.reaction_time_us // SLOTS_PER_REACTION_TIME
-            endpoint.ejection.record_failure(now, slot_us, MAX_EJECTION_ATTEMPT, self._rng)
+            endpoint.ejection.record_failure(now, slot_us, MAX_EJECTION_FAILURE_COUNT, self._rng)
--- a/tansyladder/policy/endpoint_draw.py
+++ b/tansyladder/policy/endpoint_draw.py
@@ -63,7 +63,7 @@
         """Return the weight of an endpoint for a request; 0 if the endpoint must not or cannot take it."""
         if not self._sampler.is_available(endpoint):
             return NO_WEIGHT
-        if request.may_have_run_on is not None and not self._may_execute_on(endpoint, request):
+        if request.may_have_executed_on is not None and not self._may_execute_on(endpoint, request):
             return NO_WEIGHT
         weight = self._weights.weigh(endpoint, pool)
         has_group = request.group_key and request.group_key in endpoint.group_counts
--- a/tansyladder/policy/endpoint_sampling.py
+++ b/tansyladder/policy/endpoint_sampling.py
@@ -44,7 +44,7 @@
         ejection = endpoint.ejection
         if endpoint.state is not READY or ejection.retry_at > self._clock.now:
             return False
-        if ejection.attempt:
+        if ejection.failure_count:
             return endpoint.pending_attempt_count < MAX_PENDING_AFTER_EJECTION
         return endpoint.pending_attempt_count < self._active_settings.limits.max_pending_attempts
 
--- a/tansyladder/policy/events.py
+++ b/tansyladder/policy/events.py
@@ -132,7 +132,7 @@
     endpoint_id: int
     status: AttemptStatus
     latency_us: int  # from the start of the attempt to its end, or until its connection was established
-    is_closed: bool  # the request is over: its connection has ended, or its client left
+    is_request_over: bool  # its connection has ended, or its client left
     load_report: tuple[float, ...] = ()
 
 
--- a/tansyladder/policy/key_backoffs.py
+++ b/tansyladder/policy/key_backoffs.py
@@ -57,8 +57,8 @@
         slot_us = max(
             MIN_SLOT_US, int(class_settings.latency_objective_us // SLOTS_PER_OBJECTIVE * slot_factor)
         )
-        max_attempt = (class_settings.deadline_us // slot_us).bit_length()
-        backoff.record_failure(self._clock.now, slot_us, max_attempt, self._rng)
+        max_failure_count = (class_settings.deadline_us // slot_us).bit_length()
+        backoff.record_failure(self._clock.now, slot_us, max_failure_count, self._rng)
         return backoff
 
     def clear_if_lasting(self, request: Request) -> None:
--- a/tansyladder/policy/outlier_detection.py
+++ b/tansyladder/policy/outlier_detection.py
@@ -83,7 +83,7 @@
         It is not reset if any message delay, long or short, was recorded within the reaction time.
         """
         if endpoint.message_delay_at < self._clock.now - self._active_settings.limits.reaction_time_us:
-            endpoint.ejection.attempt = 0
+            endpoint.ejection.failure_count = 0
 
     def evaluate_health_check(self, endpoint: Endpoint, result: HealthCheckResult) -> None:
         """Evaluate the latency, the status and the load report of a health check."""
--- a/tansyladder/policy/overload_migration.py
+++ b/tansyladder/policy/overload_migration.py
@@ -18,7 +18,7 @@
 from tansyladder.policy.timers import TimerScheduler
 
 SLOTS_PER_REACTION_TIME = 4  # the first migration is within two slots, which is half a reaction time
-MAX_MIGRATION_ATTEMPT = 3  # migrations at which the interval stops growing, at two reaction times
+MAX_MIGRATION_COUNT = 3  # migrations at which the interval stops growing, at two reaction times
 
 
 class OverloadMigration:
@@ -52,7 +52,7 @@
         endpoint.is_migration_scheduled = True
         backoff = endpoint.migration_backoff
         slot_us = self._active_settings.limits.reaction_time_us // SLOTS_PER_REACTION_TIME
-        backoff.record_failure(self._clock.now, slot_us, MAX_MIGRATION_ATTEMPT, self._rng)
+        backoff.record_failure(self._clock.now, slot_us, MAX_MIGRATION_COUNT, self._rng)
         self._timers.schedule(backoff.retry_at, self._migrate, endpoint)
         return True
 
@@ -66,7 +66,7 @@
             return
         backoff = endpoint.migration_backoff
         if not self._load.is_delayed(endpoint):
-            backoff.attempt = 0
+            backoff.failure_count = 0
             return
         effect_visible_at = self._clock.now + self._active_settings.limits.reaction_time_us
         backoff.interval_end = max(backoff.interval_end, effect_visible_at)
--- a/tansyladder/policy/request_lifecycle.py
+++ b/tansyladder/policy/request_lifecycle.py
@@ -84,7 +84,7 @@
         request = self._requests.by_id.get(event.request_id)
         if request is None:
             return
-        is_finished = event.is_closed or request.is_closed
+        is_finished = event.is_request_over or request.is_closed
         self._detach(request)
         if is_finished:
             self._requests.remove(request)
--- a/tansyladder/policy/requests.py
+++ b/tansyladder/policy/requests.py
@@ -35,8 +35,8 @@
         "key",
         "last_failed_endpoint",
         "load",
-        "may_have_run_at",
-        "may_have_run_on",
+        "may_have_executed_at",
+        "may_have_executed_on",
         "pending_check_count",
         "retry_at",
         "state",
@@ -58,8 +58,8 @@
         self.retry_at = 0  # when its last scheduled retry is or was due; 0 before the first one
         self.last_failed_endpoint: Endpoint | None = None
         # The endpoint and the start time of the first attempt that may have been executed.
-        self.may_have_run_on: Endpoint | None = None
-        self.may_have_run_at = 0
+        self.may_have_executed_on: Endpoint | None = None
+        self.may_have_executed_at = 0
         self.candidates: list[Endpoint] = []  # endpoints sampled for it, whose load is checked first
         self.pending_check_count = 0  # number of health checks that it waits for
 
@@ -100,9 +100,9 @@
 
     def record_possible_execution(self, endpoint: Endpoint | None, started_at: int) -> None:
         """Record that an attempt may have been executed; only the first such attempt counts."""
-        if self.may_have_run_on is None:
-            self.may_have_run_on = endpoint
-            self.may_have_run_at = started_at
+        if self.may_have_executed_on is None:
+            self.may_have_executed_on = endpoint
+            self.may_have_executed_at = started_at
 
     def detach(self) -> None:
         """Remove the attempt or the connection from its endpoint; the request becomes pending again."""
--- a/tansyladder/policy/retry_safety.py
+++ b/tansyladder/policy/retry_safety.py
@@ -22,10 +22,10 @@
 
 def may_execute_on(request: Request, endpoint: Endpoint, class_settings: ClassSettings, now: int) -> bool:
     """Return whether an attempt at an endpoint cannot have a second effect."""
-    first_endpoint = request.may_have_run_on
+    first_endpoint = request.may_have_executed_on
     if first_endpoint is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
         return True
-    is_window_over = now - request.may_have_run_at >= class_settings.deduplication_window_us
+    is_window_over = now - request.may_have_executed_at >= class_settings.deduplication_window_us
     if class_settings.idempotency is Idempotency.NONE or is_window_over:
         return False
     return _is_in_scope(endpoint, first_endpoint, class_settings.deduplication_scope)
@@ -40,12 +40,12 @@
 
 def may_execute_anywhere(request: Request, class_settings: ClassSettings) -> bool:
     """Return whether there can be an endpoint at which a further attempt is safe."""
-    return request.may_have_run_on is None or class_settings.idempotency is not Idempotency.NONE
+    return request.may_have_executed_on is None or class_settings.idempotency is not Idempotency.NONE
 
 
 def may_client_repeat(request: Request, class_settings: ClassSettings) -> bool:
     """Return whether the client may safely repeat the request, so that it may be rejected."""
-    if request.may_have_run_on is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
+    if request.may_have_executed_on is None or class_settings.idempotency is Idempotency.IDEMPOTENT:
         return True
     is_known_everywhere = class_settings.deduplication_scope is DeduplicationScope.ALL
     return class_settings.idempotency is Idempotency.WITH_KEY and is_known_everywhere
--- a/tansyladder/simulator/wire.py
+++ b/tansyladder/simulator/wire.py
@@ -210,10 +210,10 @@
 
 def _read_attempt_ended(body: memoryview) -> AttemptEnded:
     """Decode the end of an attempt."""
-    request_id, attempt, endpoint_id, status, latency, is_closed, count = ATTEMPT_ENDED.unpack_from(body)
+    request_id, attempt, endpoint_id, status, latency, is_over, count = ATTEMPT_ENDED.unpack_from(body)
     load = _read_load_report(body, ATTEMPT_ENDED.size, count)
     return AttemptEnded(
-        request_id, attempt, endpoint_id, ATTEMPT_STATUSES[status], latency, bool(is_closed), load
+        request_id, attempt, endpoint_id, ATTEMPT_STATUSES[status], latency, bool(is_over), load
     )
 
 
--- a/tests/lab/test_fleet_counts.py
+++ b/tests/lab/test_fleet_counts.py
@@ -48,11 +48,11 @@
         ),
         Step(
             start_us + 500 * MILLISECOND,
-            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MILLISECOND, is_closed=False)],
+            [AttemptEnded(1, 0, 4, AttemptStatus.TIMEOUT, 500 * MILLISECOND, is_request_over=False)],
             [StartAttempt(1, 5, SECOND)],
         ),
         Step(start_us + 600 * MILLISECOND, [AttemptEstablished(1, 1, 5, 100 * MILLISECOND)], [Migrate(9)]),
-        Step(start_us + SECOND, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, is_closed=True)]),
+        Step(start_us + SECOND, [AttemptEnded(9, 0, 4, AttemptStatus.CANCELLED, 0, is_request_over=True)]),
         Step(
             start_us + 3 * SECOND,
             [RequestReceived(2, 0, 0, 0, is_reconnect=True)],
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -48,7 +48,7 @@
             assert node.runner.wait_for(AttemptEstablished, count).endpoint_id == 1
             client.close()
             ended = node.runner.wait_for(AttemptEnded, count)
-            assert (ended.status, ended.is_closed) == (AttemptStatus.OK, True)
+            assert (ended.status, ended.is_request_over) == (AttemptStatus.OK, True)
 
 
 def test_lines_are_relayed_both_ways_and_a_silent_endpoint_times_out(tmp_path: Path) -> None:
@@ -162,7 +162,7 @@
         client.close()
         assert ended.wait(5)
         outcome = node.runner.wait_for(AttemptEnded)
-        assert (outcome.status, outcome.is_closed) == (AttemptStatus.CANCELLED, True)
+        assert (outcome.status, outcome.is_request_over) == (AttemptStatus.CANCELLED, True)
         assert node.runner.wait_for(ClientDisconnected).request_id == outcome.request_id
 
 
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -106,7 +106,7 @@
         assert connecting.wait(10)
         end_client(client, end)
         node.runner.wait_for(ClientDisconnected)  # before the connect ends, which may take 9 s
-        assert node.runner.wait_for(AttemptEnded).is_closed
+        assert node.runner.wait_for(AttemptEnded).is_request_over
         assert node.metrics.total_counts()["tries"] == 0
     # Besides the connection that fills the queue there is at most one more, on which nothing was sent.
     assert set(endpoint.received_data()) == {b""}
@@ -139,7 +139,7 @@
     with running_node(tmp_path, ScriptedServer(record_line), settings=LONG_CONNECT_TIMEOUT) as node:
         clients.append(node.open("c=chat,d=9000"))
         opened.set()
-        assert node.runner.wait_for(AttemptEnded).is_closed
+        assert node.runner.wait_for(AttemptEnded).is_request_over
         assert ended.wait(10)
     assert received_lines == [""]
 
@@ -179,7 +179,7 @@
         client = node.open("c=chat,d=9000")
         rejected = node.runner.wait_for(AttemptEnded)
         assert rejected.status is AttemptStatus.FULL
-        assert not rejected.is_closed
+        assert not rejected.is_request_over
         client.close()
         node.runner.wait_for(ClientDisconnected)
         wait_until_idle(node)
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -232,7 +232,9 @@
 
     def _end_attempt(self) -> None:
         self._now_us += 1 * MILLISECOND
-        ended = AttemptEnded(1, self._attempt_count - 1, 0, AttemptStatus.FULL, MILLISECOND, is_closed=False)
+        ended = AttemptEnded(
+            1, self._attempt_count - 1, 0, AttemptStatus.FULL, MILLISECOND, is_request_over=False
+        )
         self._actions = self._balancer.handle(self._now_us, [ended])
 
     def _expire_next_timer(self) -> None:
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -251,7 +251,7 @@
                 endpoint_id=start.endpoint_id,
                 status=status,
                 latency_us=after,
-                is_closed=False,
+                is_request_over=False,
             )
         )
 
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -22,14 +22,14 @@
 
 
 def test_delays_span_the_whole_interval() -> None:
-    for attempt in range(1, 6):
-        width = 1000 << attempt
+    for failure_count in range(1, 6):
+        width = 1000 << failure_count
         delays = []
         for seed in range(400):
             backoff = Backoff()
-            backoff.attempt = attempt - 1
+            backoff.failure_count = failure_count - 1
             backoff.record_failure(START_TIME, 1000, 10, Random(seed))
-            assert backoff.attempt == attempt
+            assert backoff.failure_count == failure_count
             assert backoff.interval_end == START_TIME + width
             delays.append((backoff.retry_at - START_TIME) / width)
         assert 0 <= min(delays) < 0.02
@@ -42,19 +42,19 @@
         rng = Random(seed)
         backoff = Backoff()
         previous_end = START_TIME
-        for attempt in range(1, 8):
+        for failure_count in range(1, 8):
             failed_at = backoff.retry_at or START_TIME
             backoff.record_failure(failed_at, 1000, 10, rng)
             assert previous_end <= backoff.retry_at <= backoff.interval_end
-            assert backoff.interval_end == previous_end + (1000 << attempt)
+            assert backoff.interval_end == previous_end + (1000 << failure_count)
             previous_end = backoff.interval_end
 
 
-def test_the_attempt_number_is_capped() -> None:
+def test_the_failure_count_is_capped() -> None:
     backoff = Backoff()
     for _ in range(40):
         backoff.record_failure(backoff.interval_end, 1000, 4, Random(1))
-    assert backoff.attempt == 4
+    assert backoff.failure_count == 4
 
 
 def test_retries_start_at_the_time_drawn_from_their_interval() -> None:
@@ -95,15 +95,15 @@
             endpoint_id=start.endpoint_id,
             status=AttemptStatus.RESET,
             latency_us=100 * MILLISECOND,
-            is_closed=True,
+            is_request_over=True,
         )
     )
-    assert node.backoff(7).attempt == 1
+    assert node.backoff(7).failure_count == 1
     node.run_until(node.now + SECOND)
     request_id, actions = node.send_request()
     start = only_attempt(actions)
     node.fail_attempt(start, 0)
-    assert node.backoff(7).attempt == 2
+    assert node.backoff(7).failure_count == 2
     start = only_attempt(node.run_to_next_action())
     node.deliver(
         AttemptEstablished(
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -56,7 +56,7 @@
 def end_ejection(node: BalancerDriver, endpoint_id: int) -> None:
     """Make an endpoint available as if it had never been ejected."""
     ejection = node.endpoint(endpoint_id).ejection
-    ejection.attempt = 0
+    ejection.failure_count = 0
     ejection.retry_at = 0
 
 
@@ -122,7 +122,7 @@
     # One slow answer may be chance, so the endpoint is checked again.
     assert answer_check(node, 40 * MILLISECOND) == [CheckHealth(endpoint_id=1)]
     answer_check(node, 40 * MILLISECOND)
-    assert node.endpoint(1).ejection.attempt == 1
+    assert node.endpoint(1).ejection.failure_count == 1
     migrations = of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     assert 5 < len(migrations) < 40
     _, actions = node.send_request()
@@ -141,7 +141,7 @@
     answer_check(node, MILLISECOND)
     answer_check(node, MILLISECOND)
     hanging = node.endpoint(1)
-    assert hanging.ejection.attempt == 1
+    assert hanging.ejection.failure_count == 1
     assert hanging.best_latency_us == 5 * MILLISECOND
     assert of_type(node.run_until(node.now + 3 * SECOND), Migrate)
     for _ in range(3):
@@ -157,17 +157,17 @@
     node = checked_node()
     for latency in (MILLISECOND, 3 * MILLISECOND, 3 * MILLISECOND):
         answer_check(node, latency)
-    assert node.endpoint(1).ejection.attempt == 0
+    assert node.endpoint(1).ejection.failure_count == 0
     for _ in range(2):
         answer_check(node, 5 * MILLISECOND)
-    assert node.endpoint(1).ejection.attempt == 1
+    assert node.endpoint(1).ejection.failure_count == 1
 
 
 def test_an_endpoint_with_a_short_latency_that_hangs_is_ejected() -> None:
     node = checked_node()
     for latency in (*[2 * MILLISECOND] * 8, MILLISECOND // 2, MILLISECOND // 2):
         answer_check(node, latency)
-    assert node.endpoint(1).ejection.attempt == 1
+    assert node.endpoint(1).ejection.failure_count == 1
 
 
 def test_a_delay_counts_until_the_next_health_check() -> None:
@@ -197,11 +197,13 @@
         for _ in range(healthy_answer_count):  # one answer in twenty is late by chance
             latency = 5 * MILLISECOND * rng.uniform(1, 1.5) * (8 if rng.random() < 0.05 else 1)
             answer_check(node, int(latency))
-        ejections += node.endpoint(1).ejection.attempt
+        ejections += node.endpoint(1).ejection.failure_count
         end_ejection(node, 1)
         for _ in range(2):  # the endpoint has become slow; the second check follows at once and decides
             answer_check(node, int(5 * MILLISECOND * rng.uniform(3.2, 8.4)))
-        assert node.endpoint(1).ejection.attempt == 1 or node.endpoint(1).best_latency_us > 8 * MILLISECOND
+        assert (
+            node.endpoint(1).ejection.failure_count == 1 or node.endpoint(1).best_latency_us > 8 * MILLISECOND
+        )
     assert ejections <= 2
 
 
@@ -211,7 +213,7 @@
     answer_check(node, 5 * MILLISECOND)
     answer_check(node, 7 * MILLISECOND)
     answer_check(node, 7 * MILLISECOND)
-    assert node.endpoint(1).ejection.attempt == 0
+    assert node.endpoint(1).ejection.failure_count == 0
     answer_check(node, 100 * MILLISECOND, AttemptStatus.ERROR)
     answer_check(node, 100 * MILLISECOND, AttemptStatus.ERROR)
     assert node.endpoint(1).message_delay_us > 0
--- a/tests/policy/test_input_guards.py
+++ b/tests/policy/test_input_guards.py
@@ -81,7 +81,7 @@
     starts = [only_attempt(node.send_request(key=key).actions) for key in range(1, 9)]
     for start in starts:
         node.fail_attempt(start, 0, after=0)
-    assert node.endpoint(1).ejection.attempt == 1
+    assert node.endpoint(1).ejection.failure_count == 1
 
 
 def test_a_burst_uses_up_the_permits_of_slow_start() -> None:
@@ -135,7 +135,7 @@
     node.fail_attempt(only_attempt(actions), 0)
     node.deliver(list_update(ListUpdateKind.DELTA, make_endpoint(1, ready_at=node.now)))
     restarted = node.endpoint(1)
-    assert restarted.ejection.attempt == 0
+    assert restarted.ejection.failure_count == 0
     assert restarted.ejection.retry_at == 0
     assert node.balancer.components.slow_start.capacity_share(restarted) < 1.0
 
@@ -200,7 +200,7 @@
             endpoint_id=only_attempt(actions).endpoint_id,
             status=AttemptStatus.CONNECT_FAILED,
             latency_us=MILLISECOND,
-            is_closed=False,
+            is_request_over=False,
         )
     )
     assert not of_type(node.run_until(node.now + 5 * SECOND), StartAttempt)
--- a/tests/policy/test_load.py
+++ b/tests/policy/test_load.py
@@ -210,14 +210,14 @@
     node = BalancerDriver([make_endpoint(1)])
     request_id, actions = node.send_request(key=1)
     node.fail_attempt(only_attempt(actions), 0)
-    assert node.endpoint(1).ejection.attempt == 1
+    assert node.endpoint(1).ejection.failure_count == 1
     retry = only_attempt(node.run_to_next_action())
     node.deliver(
         AttemptEstablished(
             request_id=request_id, attempt=1, endpoint_id=retry.endpoint_id, latency_us=MILLISECOND
         )
     )
-    assert node.endpoint(1).ejection.attempt == 0
+    assert node.endpoint(1).ejection.failure_count == 0
     assert all(only_attempt(node.send_request(key=key).actions) for key in range(2, 6))
 
 
@@ -236,7 +236,7 @@
             endpoint_id=1,
             status=AttemptStatus.CANCELLED,
             latency_us=SECOND,
-            is_closed=True,
+            is_request_over=True,
         )
     )
     assert node.endpoint(1).load == 0.0
@@ -260,7 +260,7 @@
             endpoint_id=1,
             status=AttemptStatus.OK,
             latency_us=SECOND,
-            is_closed=True,
+            is_request_over=True,
         ),
         AttemptEnded(
             request_id=900,
@@ -268,7 +268,7 @@
             endpoint_id=1,
             status=AttemptStatus.RESET,
             latency_us=SECOND,
-            is_closed=True,
+            is_request_over=True,
         ),
     )
     assert node.balancer.components.quotas.connections_by_tenant == {2: 0}
@@ -296,7 +296,7 @@
     start = only_attempt(actions)
     assert start.timeout_us == node.settings.classes[0].deadline_us
     node.fail_attempt(start, 0, AttemptStatus.TIMEOUT)
-    assert node.backoff(300).attempt == 1
+    assert node.backoff(300).failure_count == 1
     assert node.backoff(300).interval_end - sent_at > 3 * narrow_interval_us
     report_delay(node, 600.0)
     assert not of_type(node.run_until(node.now + SECOND), Migrate)
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -152,8 +152,8 @@
         """End a pending attempt or an established connection."""
         pending = self.pending.pop(request_id)
         is_answered = request_id not in self.deadlines or request_id in self.established
-        is_closed = is_answered or status is AttemptStatus.OK
-        if is_closed:
+        is_request_over = is_answered or status is AttemptStatus.OK
+        if is_request_over:
             self.deadlines.pop(request_id, None)
         elif not status.proves_not_executed:
             self.executions.setdefault(
@@ -166,7 +166,7 @@
             endpoint_id=pending.endpoint_id,
             status=status,
             latency_us=latency,
-            is_closed=is_closed,
+            is_request_over=is_request_over,
         )
         self.check(self.node.deliver(ended))
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -73,7 +73,7 @@
                 endpoint_id=start.endpoint_id,
                 status=AttemptStatus.TIMEOUT,
                 latency_us=SECOND,
-                is_closed=True,
+                is_request_over=True,
             )
         )
         == []
@@ -302,6 +302,6 @@
             endpoint_id=start.endpoint_id,
             status=AttemptStatus.NOT_ATTEMPTED,
             latency_us=0,
-            is_closed=False,
+            is_request_over=False,
         )
     ) == [Reject(request_id=5, retry_after_us=0)]
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -131,7 +131,7 @@
                 endpoint_id=0x03124A07,
                 status=AttemptStatus.OK,
                 latency_us=0x4844,
-                is_closed=True,
+                is_request_over=True,
                 load_report=(),
             ),
         )
