--- a/tansyladder/assembly.py
+++ b/tansyladder/assembly.py
@@ -21,7 +21,7 @@
 from tansyladder.node.client_listener import ClientListener
 from tansyladder.node.context import NodeContext
 from tansyladder.node.decision_gate import DecisionGate
-from tansyladder.node.endpoint_registry import newest_list
+from tansyladder.node.endpoint_registry import newest_endpoint_list
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.node.metrics import Metrics
 from tansyladder.node.policy_runner import PolicyRunner
@@ -61,7 +61,9 @@
 
         context = self.context
         configured = context.configuration.config.known_endpoints
-        initial = newest_list(configured, self.endpoint_cache, self.handover.endpoints, context.clock)
+        initial = newest_endpoint_list(
+            configured, self.endpoint_cache, self.handover.endpoints, context.clock
+        )
         context.policy.start(initial)
         discovery = DiscoveryClient(context, self.work_queues, self.endpoint_cache)
         discovery.start()
--- a/tansyladder/net/protocol.py
+++ b/tansyladder/net/protocol.py
@@ -19,7 +19,7 @@
 MAX_LINE_BYTES = 4096  # the platform's limit for a line, including its line feed
 MAX_WAIT = timedelta(seconds=60)  # the longest wait that a client may request
 # The longest wait of a connection that was open before the node started; its client waits for no answer.
-MAX_ADOPTED_WAIT = timedelta(hours=2)
+MAX_RESTORED_WAIT = timedelta(hours=2)
 MAX_LOAD_HINT = 4e9  # exclusive; far more than one connection's load, and below 2**32
 
 # Keywords of lines.
@@ -209,7 +209,7 @@
 
 def _parse_wait(values: Mapping[str, str]) -> timedelta:
     wait = _parse_number(values, WAIT_FIELD) * MILLISECOND
-    longest = MAX_ADOPTED_WAIT if ENDPOINT_FIELD in values else MAX_WAIT
+    longest = MAX_RESTORED_WAIT if ENDPOINT_FIELD in values else MAX_WAIT
     if not timedelta(0) < wait <= longest:
         raise LineError(
             f"d: expected more than 0 and at most {longest // MILLISECOND} ms, got {values[WAIT_FIELD]}"
--- a/tansyladder/node/attempt_loop.py
+++ b/tansyladder/node/attempt_loop.py
@@ -45,7 +45,7 @@
     deadline: timedelta
     format_first_line: Callable[[timedelta], bytes]  # for an endpoint, given how long the node waits
     client: socket.socket | None = None  # its disconnect ends the loop; None: no client is watched
-    answer_line_count: int = 1  # number of lines in an endpoint's complete answer
+    response_line_count: int = 1  # number of lines in an endpoint's complete answer
     is_acceptable: Callable[[ConnectResult], bool] = lambda _: True  # else the connection is closed again
 
     def run(self, request: RequestReceived) -> AttemptLoopResult:
@@ -79,7 +79,7 @@
             min(started + action.timeout_us * MICROSECOND, self.deadline),
             self.context.configuration.settings.connect_timeout_us * MICROSECOND,
             self._record_attempt,
-            self.answer_line_count,
+            self.response_line_count,
         )
         result = connector.open(self.client, self.action_queue)
         duration_us = (now() - started) // MICROSECOND
--- a/tansyladder/node/endpoint_registry.py
+++ b/tansyladder/node/endpoint_registry.py
@@ -62,7 +62,7 @@
     return valid
 
 
-def newest_list(
+def newest_endpoint_list(
     configured: EndpointList,
     cache: EndpointListCache | None,
     predecessor_list: EndpointList | None,
@@ -108,13 +108,14 @@
         self._zone_numbers = {name: number for number, name in enumerate(config.zones)}
         self._kind_numbers = {name: number for number, name in enumerate(config.kinds)}
         self._entries: dict[str, EndpointEntry] = {}
-        self.by_number: dict[int, EndpointAddress] = {}  # includes endpoints that were removed from the list
+        # Includes endpoints that were removed from the list.
+        self.endpoints_by_number: dict[int, EndpointAddress] = {}
         self.revision = config.known_endpoints.revision
 
     def find(self, endpoint_id: str) -> EndpointAddress | None:
         """Return the endpoint with an id, even a removed one; None if no valid entry has had this id."""
         number = self._endpoint_numbers.get(endpoint_id)
-        return self.by_number.get(number) if number is not None else None
+        return self.endpoints_by_number.get(number) if number is not None else None
 
     def apply(
         self, listed: EndpointList, valid: Iterable[ValidEntry], kind: ListUpdateKind
@@ -122,8 +123,8 @@
         """Apply a complete list, or changes to the list.
 
         Args:
-            listed: The list or the changes, including invalid entries. These are part of `as_list` too: the
-                process that receives the list validates it again.
+            listed: The list or the changes, including invalid entries. These are part of `complete_list` too:
+                the process that receives the list validates it again.
             valid: The valid entries of `listed`.
             kind: What `listed` contains; a complete list replaces the known one.
 
@@ -141,14 +142,14 @@
                 self._entries[entry.id] = entry
         return updates
 
-    def as_list(self) -> EndpointList:
+    def complete_list(self) -> EndpointList:
         """Return the complete list as this node knows it, with the entries that it found invalid."""
         return EndpointList(self.revision, complete=True, endpoints=list(self._entries.values()))
 
     def _register(self, entry: EndpointEntry, address: Address, state: EndpointState) -> EndpointUpdate:
         """Assign a number to a new endpoint, store its address, and return the update for the policy."""
         number = self._endpoint_numbers.setdefault(entry.id, len(self._endpoint_numbers) + 1)
-        self.by_number[number] = EndpointAddress(number, entry.id, address, state)
+        self.endpoints_by_number[number] = EndpointAddress(number, entry.id, address, state)
         started_at_us = 0
         if entry.started_at_ms:
             started_at = EPOCH + timedelta(milliseconds=entry.started_at_ms)
--- a/tansyladder/node/lifecycle.py
+++ b/tansyladder/node/lifecycle.py
@@ -50,7 +50,7 @@
         return self._state_since
 
     @property
-    def is_draining(self) -> bool:
+    def is_draining_or_standby(self) -> bool:
         """Whether a client that has to leave its endpoint has to leave this node too."""
         return self._state in (NodeState.STANDBY, NodeState.DRAINING)
 
@@ -91,7 +91,7 @@
     def wait_for_standby(self) -> timedelta | None:
         """Wait for standby without a deadline; return when it began, or None once the node shuts down."""
         with self._changed:
-            self._changed.wait_for(lambda: self.is_draining)
+            self._changed.wait_for(lambda: self.is_draining_or_standby)
             return self._state_since if self._state is NodeState.STANDBY else None
 
     def _transition(self, state: NodeState, only_from: NodeState | None = None) -> None:
--- a/tansyladder/node/policy_runner.py
+++ b/tansyladder/node/policy_runner.py
@@ -66,7 +66,7 @@
         self._request_ids = itertools.count(1)
         self._action_queues: dict[int, ActionQueue] = {}  # by request
         self._registry = EndpointRegistry(config, clock)
-        self._endpoints = self._registry.by_number
+        self._endpoints = self._registry.endpoints_by_number
         self._event_counters = EventCounters(
             config.settings.classes, lambda number: self._endpoints[number].id, metrics
         )
@@ -237,4 +237,4 @@
     def endpoint_list(self) -> EndpointList:
         """Return the complete list as this node knows it, for the next process."""
         with self._lock:
-            return self._registry.as_list()
+            return self._registry.complete_list()
--- a/tansyladder/sessions/resumption_handler.py
+++ b/tansyladder/sessions/resumption_handler.py
@@ -121,7 +121,7 @@
             TokenError: It can't, as it is draining and no other node can resume its sessions.
         """
         resumes_on_any_node = self.registry.resumes_on_any_node
-        if self._context.lifecycle.is_draining:
+        if self._context.lifecycle.is_draining_or_standby:
             if resumes_on_any_node:
                 raise ResumeRejectedError(RETRY_SOON_LINE)  # another node can claim the session
             raise TokenError(ResumeRejection.DRAINING)
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -159,7 +159,7 @@
         self._migrations_without_progress += 1
         if self._migrations_without_progress > MAX_MIGRATIONS_WITHOUT_PROGRESS:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE)
-        if self._context.lifecycle.is_draining:
+        if self._context.lifecycle.is_draining_or_standby:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
 
     def _migrate(self, loss: UpstreamLostError) -> PlacedUpstream:
@@ -207,7 +207,7 @@
         """Raise SessionEndedError if another node owns the session, it has expired, or this node drains."""
         if self._queue.is_superseded:
             raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
-        if self._context.lifecycle.is_draining:
+        if self._context.lifecycle.is_draining_or_standby:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED)
         if now() >= self._client.expires_at:
             raise SessionEndedError(SessionEnd.EXPIRED)
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -37,7 +37,7 @@
     SECOND_NOTE,
     SECOND_NOTE_DIGEST,
 )
-from tests.node.harness import NodeParts, load_test_config
+from tests.node.harness import NodeComponents, load_test_config
 
 DATA = Path(__file__).parent / "data"
 
@@ -337,14 +337,14 @@
     """Return the keyring of a node of the fleet `f1`; all its nodes can open each other's tokens."""
     peers = PeersOptions(enabled=True, fleet="f1", key="5c" * 32, members={"n0": "127.0.0.1:1"}, voters="n0")
     options = Options(resume=ResumeOptions(enabled=True, keys=keys), peers=peers)
-    return SessionRegistry(NodeParts(load_test_config(folder), options).context, None).keyring
+    return SessionRegistry(NodeComponents(load_test_config(folder), options).context, None).keyring
 
 
 def test_a_token_of_a_node_with_a_store_opens_and_is_sealed_to_the_same_text(tmp_path: Path) -> None:
     """The text depends on the identity and the key in the node's store, and on the node's name."""
     sessions = SessionStore(writers.open_folder(copied("sessions", tmp_path)), lambda: NOW)
     with writers.fixed_random_bytes():
-        keyring = SessionRegistry(NodeParts(load_test_config(tmp_path)).context, sessions).keyring
+        keyring = SessionRegistry(NodeComponents(load_test_config(tmp_path)).context, sessions).keyring
         assert keyring.seal(PAYLOAD, BINDING) == NODE_TOKEN
     assert keyring.open(NODE_TOKEN, BINDING) == PAYLOAD
     with pytest.raises(TokenError):
--- a/tests/net/test_listener_handover.py
+++ b/tests/net/test_listener_handover.py
@@ -21,7 +21,7 @@
 from tansyladder.net import handover_messages, listener_handover
 from tansyladder.net.listener_handover import ListenerHandover
 from tests.node.harness import (
-    NodeParts,
+    NodeComponents,
     Peer,
     ScriptedServer,
     answer_up,
@@ -161,9 +161,9 @@
         queued = connect_client(port)
         config = load_test_config(tmp_path, endpoint_entry("s0", host.address), listen=f"127.0.0.1:{port}")
         monkeypatch.setattr(new, "request_listener", lambda: listener)
-        parts = NodeParts(config)
-        client_listener = parts.new_listener(new)
-        parts.start()
+        components = NodeComponents(config)
+        client_listener = components.new_listener(new)
+        components.start()
         client_listener.start()
         assert queued.read_line() == "UP r1"
         queued.close()
@@ -206,7 +206,7 @@
 ) -> None:
     """With a stale socket file, a process that hangs, or no folder, a node opens its own listener."""
     monkeypatch.setattr(listener_handover, "MESSAGE_TIMEOUT", timedelta(milliseconds=50))
-    first = NodeParts(load_test_config(tmp_path)).new_listener()
+    first = NodeComponents(load_test_config(tmp_path)).new_listener()
     port = first.address[1]
     hanging = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     hanging.bind(str(socket_path(tmp_path, port)))
@@ -215,7 +215,7 @@
     assert handover(tmp_path, port).request_listener() is None
     assert ListenerHandover(Address("127.0.0.1", port), None).request_listener() is None
     assert ListenerHandover(Address("127.0.0.1", port), str(tmp_path / "none")).request_listener() is None
-    second = NodeParts(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")).new_listener(
+    second = NodeComponents(load_test_config(tmp_path, listen=f"127.0.0.1:{port}")).new_listener(
         handover(tmp_path, port)
     )
     assert second.address == first.address
@@ -233,8 +233,8 @@
     A client that waits for its answer counts as three descriptors.
     """
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 200}
-    parts = NodeParts(load_test_config(tmp_path, limits=limits))
-    old = parts.new_listener(ListenerHandover(Address("127.0.0.1", 1), str(tmp_path)))
+    components = NodeComponents(load_test_config(tmp_path, limits=limits))
+    old = components.new_listener(ListenerHandover(Address("127.0.0.1", 1), str(tmp_path)))
     idle = old.split_descriptors()
     # Neither process gets the descriptors that are reserved for pending connections.
     assert 0 < idle.released_count < idle.retained_count < 200 - idle.released_count
@@ -252,7 +252,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     own_handover = handover(tmp_path, 1)
-    listener = NodeParts(load_test_config(tmp_path)).new_listener(own_handover)
+    listener = NodeComponents(load_test_config(tmp_path)).new_listener(own_handover)
     changed = threading.Event()
     monkeypatch.setattr(listener, "on_successor_serving", changed.set)
     monkeypatch.setattr(listener, "on_successor_lost", changed.set)
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -25,7 +25,7 @@
 from tansyladder.node.context import NodeContext
 from tansyladder.node.decision_gate import DecisionGate
 from tansyladder.node.discovery_client import DiscoveryClient
-from tansyladder.node.endpoint_registry import newest_list
+from tansyladder.node.endpoint_registry import newest_endpoint_list
 from tansyladder.node.health_checker import HealthChecker
 from tansyladder.node.lifecycle import Lifecycle
 from tansyladder.node.metrics import Metrics
@@ -184,8 +184,8 @@
         )
 
 
-class NodeParts:
-    """The parts of a node except its listener, with a policy runner that records its events."""
+class NodeComponents:
+    """The components of a node except its listener, with a policy runner that records its events."""
 
     def __init__(self, config: platform.Config, options: Options | None = None) -> None:
         self._stops: list[Callable[[], None]] = [self._stop_policy]
@@ -204,7 +204,7 @@
         """Pass the newest known endpoint list to the policy, and start its timers."""
         context = self.context
         configured = context.configuration.config.known_endpoints
-        self.runner.start(newest_list(configured, self.endpoint_cache, None, context.clock))
+        self.runner.start(newest_endpoint_list(configured, self.endpoint_cache, None, context.clock))
 
     def new_listener(
         self, handover: ListenerHandover | None = None, session_service: ResumptionHandler | None = None
@@ -247,17 +247,17 @@
 
     def __init__(
         self,
-        parts: NodeParts,
+        components: NodeComponents,
         listener: ClientListener,
         session_service: ResumptionHandler | None = None,
         session_store: SessionStore | None = None,
     ) -> None:
         self.session_store = session_store
-        self.parts = parts
-        self.context = parts.context
-        self.configuration = parts.context.configuration
-        self.metrics = parts.context.metrics
-        self.runner = parts.runner
+        self.components = components
+        self.context = components.context
+        self.configuration = components.context.configuration
+        self.metrics = components.context.metrics
+        self.runner = components.runner
         self.listener = listener
         self._session_service = session_service
         self._clients: list[Peer] = []
@@ -278,7 +278,7 @@
         """Close the clients' connections and stop the node."""
         for client in self._clients:
             client.close()
-        self.parts.stop()
+        self.components.stop()
 
     def open(self, values: str = "c=chat,d=1200,g=5c", key: str = "7f") -> Peer:
         """Connect a client and send a first line with these fields."""
@@ -356,17 +356,19 @@
         *(endpoint_entry(f"s{index}", server.address) for index, server in enumerate(endpoint_servers)),
         **overrides,
     )
-    parts = NodeParts(config, Options(resume=resume) if resume else None)
+    components = NodeComponents(config, Options(resume=resume) if resume else None)
     session_store = open_session_store(str(store), "n0") if store else None
     if session_store is not None:
-        parts.endpoint_cache.attach(session_store)
+        components.endpoint_cache.attach(session_store)
     session_service = (
-        ResumptionHandler(parts.context, SessionRegistry(parts.context, session_store)) if resume else None
+        ResumptionHandler(components.context, SessionRegistry(components.context, session_store))
+        if resume
+        else None
     )
-    listener = parts.new_listener(session_service=session_service)
-    parts.start()
+    listener = components.new_listener(session_service=session_service)
+    components.start()
     listener.start()
-    node = Node(parts, listener, session_service, session_store)
+    node = Node(components, listener, session_service, session_store)
     try:
         yield node
     finally:
--- a/tests/node/test_admin_server.py
+++ b/tests/node/test_admin_server.py
@@ -65,7 +65,7 @@
 ) -> Iterator[AdministeredNode]:
     """Run a node with these endpoints and an admin server."""
     with running_node(tmp_path, *endpoint_servers, **overrides) as node:
-        administered = AdministeredNode(node.parts, node.listener)
+        administered = AdministeredNode(node.components, node.listener)
         administered.admin_server = AdminServer(
             node.context, DecisionGate(requires_lease=False), node.listener, Address("127.0.0.1", 0)
         )
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -16,7 +16,7 @@
 from tansyladder.node.connection_acceptor import ConnectionAcceptor
 from tansyladder.policy.events import AttemptEnded
 from tests.node.harness import (
-    NodeParts,
+    NodeComponents,
     Peer,
     ScriptedDiscovery,
     ScriptedServer,
@@ -109,7 +109,7 @@
     Without a free descriptor, the acceptor closes its reserve to reject a client, and then reopens it. Here
     that fails.
     """
-    admitter = NodeParts(load_test_config(tmp_path)).new_listener()
+    admitter = NodeComponents(load_test_config(tmp_path)).new_listener()
     listener = ExhaustedListener(fileno=socket.create_server(("127.0.0.1", 0)).detach())
     listener.acceptor = ConnectionAcceptor(listener, 1, admitter)
     close = os.close
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -231,8 +231,8 @@
     with running_node(
         tmp_path, discovery=discovery.address, known=known, settings=RARE_DISCOVERY_CALLS
     ) as node:
-        node.parts.new_discovery_client().start()
-        node.parts.work_queues.request_discovery_poll()
+        node.components.new_discovery_client().start()
+        node.components.work_queues.request_discovery_poll()
         node.runner.wait_for(EndpointListUpdate, 3)
         updates = node.runner.events_of(EndpointListUpdate)[1:3]
         assert [(update.kind, update.version) for update in updates] == [
--- a/tests/node/test_discovery_client.py
+++ b/tests/node/test_discovery_client.py
@@ -69,11 +69,11 @@
         answer_lists, lambda peer: answer(peer, "{no json"), lambda peer: peer.send_lines("SSH-2.0")
     )
     with running_node(tmp_path, discovery=service.address, settings=RARE_DISCOVERY_CALLS) as node:
-        discovery = node.parts.new_discovery_client()
+        discovery = node.components.new_discovery_client()
         discovery.start()
         for count in (4, 5, 6):  # updates so far: known list, complete list, change, then failures only
             node.runner.wait_for(EndpointListUpdate, count)
-            node.parts.work_queues.request_discovery_poll()
+            node.components.work_queues.request_discovery_poll()
         kinds = [update.kind for update in node.runner.events_of(EndpointListUpdate)][1:6]
         assert kinds == [ListUpdateKind.SNAPSHOT, ListUpdateKind.DELTA, *[ListUpdateKind.FAILED] * 3]
         assert calls[0][1] == "GET /v1/servers HTTP/1.1"  # complete: the known list may be old
@@ -91,9 +91,9 @@
     old = ScriptedDiscovery(5, endpoint_entry("s0", host.address))
     new = ScriptedDiscovery(2, endpoint_entry("s0", host.address), endpoint_entry("s7", host.address))
     with running_node(tmp_path, host, discovery=old.address, settings=RARE_DISCOVERY_CALLS) as node:
-        discovery = node.parts.new_discovery_client()
+        discovery = node.components.new_discovery_client()
         discovery.start()
-        node.parts.work_queues.request_discovery_poll()
+        node.components.work_queues.request_discovery_poll()
         node.runner.wait_for(EndpointListUpdate, 2)
         client = node.open()
         assert client.read_line() == "UP r1"
@@ -132,9 +132,9 @@
     with running_node(
         tmp_path, discovery=service.address, known=known, settings=RARE_DISCOVERY_CALLS
     ) as node:
-        discovery = node.parts.new_discovery_client()
+        discovery = node.components.new_discovery_client()
         discovery.start()
-        node.parts.work_queues.request_discovery_poll()
+        node.components.work_queues.request_discovery_poll()
         # The updates are the known list, the list from the repeated poll, and a failure.
         node.runner.wait_for(EndpointListUpdate, 3)
         kinds = [update.kind for update in node.runner.events_of(EndpointListUpdate)][1:]
@@ -157,7 +157,7 @@
     with running_node(
         tmp_path, ScriptedServer(answer_up()), discovery=flaky.address, settings=pushed
     ) as node:
-        node.parts.new_discovery_client().start()
+        node.components.new_discovery_client().start()
         assert node.runner.endpoint_by_id("s7") is not None
         assert agent.calls[0] == "GET /v1/servers HTTP/1.1"
         assert not failed_updates(node)
@@ -174,7 +174,7 @@
 
     flaky = ScriptedServer(fail_twice)
     with running_node(tmp_path) as node:
-        discovery = node.parts.new_discovery_client()
+        discovery = node.components.new_discovery_client()
         discovery.start()
         discovery.switch_address(address_of(flaky))
         deadline = time.monotonic() + 10
--- a/tests/node/test_discovery_polls.py
+++ b/tests/node/test_discovery_polls.py
@@ -20,8 +20,8 @@
 def test_a_poll_request_ends_the_wait_after_a_change(tmp_path: Path) -> None:
     """A switch to a new address requests a poll, which must not wait until the spread has passed."""
     with running_node(tmp_path) as node:
-        node.parts.work_queues.request_discovery_poll()
-        node.parts.work_queues.wait_for_poll_request(timedelta(hours=1))
+        node.components.work_queues.request_discovery_poll()
+        node.components.work_queues.wait_for_poll_request(timedelta(hours=1))
 
 
 @pytest.mark.parametrize("nodes", [3, 40, 10**9])
@@ -53,7 +53,7 @@
     settings: dict[str, Any] = SETTINGS | {"balancers": nodes}
     known = {"revision": 7, "members": [{"id": "s0", "host_port": "127.0.0.1:9", "phase": "up"}]}
     with running_node(tmp_path, settings=settings, known=known) as node, contextlib.suppress(IndexError):
-        discovery = node.parts.new_discovery_client()
+        discovery = node.components.new_discovery_client()
         assert discovery.poll_once()
         assert discovery.poll_once()
     assert paths[0] == "/v1/servers?since=7&timeout_ms=4500"  # asks for the changes since the known list
--- a/tests/node/test_endpoint_reports.py
+++ b/tests/node/test_endpoint_reports.py
@@ -87,7 +87,7 @@
     ceilings = SETTINGS["ceilings"] | {"probes": True}
     settings = SETTINGS | {"ceilings": ceilings, "extra": {"message_aim": [50_000]}}  # no delays reported
     with running_node(tmp_path, ScriptedServer(answer_pong, answer_err), settings=settings) as node:
-        node.parts.new_health_checker().start()
+        node.components.new_health_checker().start()
         first = node.runner.wait_for(HealthCheckResult)
         second = node.runner.wait_for(HealthCheckResult, 2)
         assert first.status is AttemptStatus.OK
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -61,7 +61,7 @@
     def __enter__(self) -> ReloadableNode:
         self.node: Node = self._running.__enter__()
         self.environ = {"GW_CONFIG": str(self.file)}
-        discovery = self.node.parts.new_discovery_client()
+        discovery = self.node.components.new_discovery_client()
         self.reloader = Reloader(self.environ, self.node.context, discovery, None)
         return self
 
--- a/tests/node/test_second_deployment.py
+++ b/tests/node/test_second_deployment.py
@@ -105,7 +105,7 @@
         peer.read_line()
 
     with running_node(tmp_path, ScriptedServer(report), settings=PUSHED) as node:
-        node.parts.new_health_checker().start()
+        node.components.new_health_checker().start()
         result = node.runner.wait_for(HealthCheckResult)
         assert (result.status, result.load_report) == (AttemptStatus.OK, load)
 
--- a/tests/sessions/test_migration.py
+++ b/tests/sessions/test_migration.py
@@ -163,7 +163,7 @@
         suspended.lose_connection()
         draining = threading.Thread(target=node.listener.drain)
         draining.start()
-        while not node.context.lifecycle.is_draining:
+        while not node.context.lifecycle.is_draining_or_standby:
             pass
         rejected = suspended.reconnect()
         assert rejected.read_line() in ("ERR resume draining", "")
--- a/tests/sessions/test_session_store.py
+++ b/tests/sessions/test_session_store.py
@@ -118,9 +118,9 @@
     discovered = ScriptedHost(echo_lines)
     entry = EndpointEntry("s9", discovered.listener.address, "up", zone="a", kind="m")
     with running_node(tmp_path, configured.listener, store=tmp_path / "a") as first:
-        first.parts.endpoint_cache.save_endpoints(EndpointList(7, complete=True, endpoints=[entry]))
+        first.components.endpoint_cache.save_endpoints(EndpointList(7, complete=True, endpoints=[entry]))
         removed = EndpointEntry("s8", "127.0.0.1:9", "removed")
-        first.parts.endpoint_cache.save_endpoints(EndpointList(8, complete=False, endpoints=[removed]))
+        first.components.endpoint_cache.save_endpoints(EndpointList(8, complete=False, endpoints=[removed]))
     with running_node(tmp_path, configured.listener, store=tmp_path / "a") as second:
         listed = second.runner.wait_for(EndpointListUpdate)
         assert (listed.version, listed.kind) == (8, ListUpdateKind.CACHED)
