--- a/tansyladder/cluster/change_validator.py
+++ b/tansyladder/cluster/change_validator.py
@@ -73,7 +73,7 @@
             now_us: Unix time in microseconds.
         """
         self._collect_results()
-        for fetched_content in self._contents.take_completed():
+        for fetched_content in self._contents.take_fetched():
             self._submit(change, fetched_content)
         if change is None:
             self._faults_by_number.clear()
--- a/tansyladder/cluster/node_contents.py
+++ b/tansyladder/cluster/node_contents.py
@@ -94,10 +94,10 @@
         with self._lock:
             return self._contents.take_outgoing()
 
-    def take_completed(self) -> list[bytes]:
+    def take_fetched(self) -> list[bytes]:
         """Return the contents fetched since the last call; the caller writes each one, then calls `add`."""
         with self._lock:
-            return self._contents.take_completed()
+            return self._contents.take_fetched()
 
     def discard_unreferenced(self, referenced: set[bytes], now_us: int) -> list[bytes]:
         """Remove from memory the contents that are neither referenced nor protected; return their digests."""
--- a/tansyladder/lab/chaos/documents.py
+++ b/tansyladder/lab/chaos/documents.py
@@ -41,7 +41,7 @@
 FAULT_LEAD_TIME = 0.3  # seconds from the start of a fault to the request for a change
 FAULT_FREE_TIME = 2.0  # seconds at the end in which nodes are probed without faults
 CHANGES_BEFORE_FAULTS = 5
-MAX_DOCUMENT_BYTES = 50_000  # bound of the filler in a generated document
+MAX_FILLER_BYTES = 50_000  # bound of the filler in a generated document
 PENDING_OUTCOMES = (ChangeOutcome.IN_PROGRESS.value, ChangeOutcome.UNKNOWN.value)
 MAX_LABEL_LENGTH = 60  # characters of a change's answer that the history keeps
 
@@ -176,7 +176,7 @@
         """
         self._change_count += 1
         change_id = f"ask{self._change_count}"
-        filler = "" if text else "x" * int(self._rng.integers(1, MAX_DOCUMENT_BYTES))
+        filler = "" if text else "x" * int(self._rng.integers(1, MAX_FILLER_BYTES))
         path = self.cluster.folder / f"{change_id}.sexp"
         path.write_text(text or f'({DOCUMENT} "{change_id}, {filler}")')
         started_at = clock()
--- a/tansyladder/lab/chaos/schedule.py
+++ b/tansyladder/lab/chaos/schedule.py
@@ -51,7 +51,7 @@
 NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
 
-DISK_FAULTS = frozenset(  # start only while no other fault is active; DISK_RECOVERY_TIME follows
+EXCLUSIVE_FAULTS = frozenset(  # start only while no other fault is active; DISK_RECOVERY_TIME follows
     {FaultKind.LOSE_DISK, FaultKind.ROLL_BACK_DISK, FaultKind.FILL_DISK, FaultKind.KILL_ALL}
 )
 
@@ -94,11 +94,11 @@
             fault.node for fault in faults if fault.start_s + fault.duration_s + NODE_RECOVERY_TIME > now
         }
         healthy = [node for node in range(nodes) if node not in faulty]
-        max_faulty = 1 if kind in DISK_FAULTS else max(1, (nodes - 1) // 2)
+        max_faulty = 1 if kind in EXCLUSIVE_FAULTS else max(1, (nodes - 1) // 2)
         if len(faulty) < max_faulty and healthy:
             node = int(healthy[rng.integers(len(healthy))])
             faults.append(Fault(round(now, 3), kind, node, duration_s, _generate_value(kind, rng)))
-            if kind in DISK_FAULTS:
+            if kind in EXCLUSIVE_FAULTS:
                 now += duration_s + DISK_RECOVERY_TIME
         now += float(rng.uniform(*FAULT_INTERVAL))
     return Schedule(seed, nodes, hosts, sessions, tuple(faults))
--- a/tansyladder/replication/content_transfer.py
+++ b/tansyladder/replication/content_transfer.py
@@ -187,8 +187,8 @@
         self._outgoing = []
         return outgoing
 
-    def take_completed(self) -> list[bytes]:
-        """Return the contents completed since the last call; the caller stores each and then calls `add`."""
+    def take_fetched(self) -> list[bytes]:
+        """Return the contents fetched since the last call; the caller stores each and then calls `add`."""
         completed = self._completed
         self._completed = []
         return completed
--- a/tansyladder/sessions/client_connection.py
+++ b/tansyladder/sessions/client_connection.py
@@ -175,9 +175,9 @@
         self.send(self._up_line + position_line + self.issue_token() + b"".join(lines))
         # After a failed send the client may retry with its old token; the peers are not told that it got UP.
         if self.socket is not None:
-            self._registry.confirm_opened(self._stream.session_id)
+            self._registry.report_opened(self._stream.session_id)
 
-    def accepts_position(self, client: ResumingClient) -> bool:
+    def adopt_position(self, client: ResumingClient) -> bool:
         """Return whether a client of a detached session can resume from its position; reject it if not.
 
         A restored session, which knows no positions, adopts this one first.
--- a/tansyladder/sessions/ownership_client.py
+++ b/tansyladder/sessions/ownership_client.py
@@ -37,7 +37,8 @@
 RELEASE_ATTEMPT_TIMEOUT = timedelta(seconds=2)
 RELEASE_PAUSE_S = (0.05, 0.25)  # bounds of the random pause between two attempts
 ANSWER_MARGIN = timedelta(milliseconds=100)  # time reserved before the client's deadline to send its answer
-MAX_CLOCK_SKEW = timedelta(seconds=5)  # between nodes; must also exceed the time to commit an entry
+# Covers the clock skew between nodes; must also exceed the time to commit an entry.
+RETENTION_MARGIN = timedelta(seconds=5)
 # Rejections of a claim after which the same token may still be accepted later.
 TEMPORARY_REASONS = (ClaimRejection.CLAIMED, ClaimRejection.FULL)
 
@@ -157,7 +158,7 @@
 
     def _retention_period(self) -> RetentionPeriod:
         current_time = now()
-        until = current_time + self._token_lifetime + MAX_CLOCK_SKEW
+        until = current_time + self._token_lifetime + RETENTION_MARGIN
         return RetentionPeriod(self._clock.to_unix_us(current_time), self._clock.to_unix_us(until))
 
     def _release(self, confirmation: ClaimConfirmation) -> None:
--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -200,7 +200,7 @@
                 self._queue.take()  # drops an action for the lost host, and resets the queue's wake-up
                 wait_until = min(self._client.expires_at, now() + DRAIN_CHECK_INTERVAL)
                 sockets.wait_readable(wait_until, self._queue.fileno())
-            elif self._client.accepts_position(client):
+            elif self._client.adopt_position(client):
                 return client
 
     def _check_can_wait(self) -> None:
--- a/tansyladder/sessions/session_registry.py
+++ b/tansyladder/sessions/session_registry.py
@@ -129,7 +129,7 @@
             self._ownership.confirm(session_id, current_floor, next_floor, client)
         self.token_registry.redeem(session_id)
 
-    def confirm_opened(self, session_id: int) -> None:
+    def report_opened(self, session_id: int) -> None:
         """Report to the peers that a resumed client was answered, so that its token stays spent."""
         if self._ownership is not None:
             self._ownership.report_opened(session_id)
--- a/tests/replication/test_content_transfer.py
+++ b/tests/replication/test_content_transfer.py
@@ -50,7 +50,7 @@
             if response is not None:
                 client.handle(peer, response, now_us)
         client.retry_overdue(now_us)
-        completed = client.take_completed()
+        completed = client.take_fetched()
         if completed:
             return completed
     return []
