--- a/tansyladder/sessions/session.py
+++ b/tansyladder/sessions/session.py
@@ -159,7 +159,7 @@
         self._migrations_without_progress += 1
         if self._migrations_without_progress > MAX_MIGRATIONS_WITHOUT_PROGRESS:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=MOVE_LINE)
-        if self._context.lifecycle.is_draining:
+        if self._context.lifecycle.is_draining_or_standby:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED, last_line=self._redirect_line())
 
     def _migrate(self, loss: UpstreamLostError) -> PlacedUpstream:
@@ -200,14 +200,14 @@
                 self._queue.take()  # drops an action for the lost host, and resets the queue's wake-up
                 wait_until = min(self._client.expires_at, now() + DRAIN_CHECK_INTERVAL)
                 sockets.wait_readable(wait_until, self._queue.fileno())
-            elif self._client.accepts_position(client):
+            elif self._client.adopt_position(client):
                 return client
 
     def _check_can_wait(self) -> None:
         """Raise SessionEndedError if another node owns the session, it has expired, or this node drains."""
         if self._queue.is_superseded:
             raise SessionEndedError(SessionEnd.CLAIMED_BY_OTHER_NODE)
-        if self._context.lifecycle.is_draining:
+        if self._context.lifecycle.is_draining_or_standby:
             raise SessionEndedError(SessionEnd.CLIENT_REDIRECTED)
         if now() >= self._client.expires_at:
             raise SessionEndedError(SessionEnd.EXPIRED)
